--- /dev/null
+++ b/tests/decision_digest.rs
@@ -0,0 +1,571 @@
+//! Pins every decision of five seeded days in simulated time.
+//!
+//! Each day plays two agents against modelled endpoints. Every answer, with its agent, request and time, goes into a
+//! SHA-256 digest as plain numbers, so that renamed types leave it alone and any other threshold, draw or order of
+//! decisions alters it.
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tulipwall::*;
+
+mod world;
+use world::{deployment, listed, ms, trial};
+
+const START: Duration = Duration::from_secs(1);
+const TICK: Duration = Duration::from_millis(10);
+
+#[derive(Clone)]
+struct Server {
+    entry: Listed,
+    service_time: Duration,
+    cores: usize,
+    failing_share: f64,
+    unresponsive: bool,
+    refuses: bool,
+    running: usize,
+}
+
+impl Server {
+    fn new(number: usize, build: u32) -> Server {
+        Server {
+            entry: listed(number, build, None),
+            service_time: ms(30),
+            cores: 4,
+            failing_share: 0.0,
+            unresponsive: false,
+            refuses: false,
+            running: 0,
+        }
+    }
+}
+
+struct Attempt {
+    server: usize,
+    sent: Duration,
+    open: bool,
+}
+
+struct Pending {
+    class: usize,
+    key: Option<u64>,
+    deadline: Duration,
+    attempts: Vec<Attempt>,
+    answered: bool,
+}
+
+#[derive(Clone, Copy)]
+enum Event {
+    Arrival(usize),
+    Decide(usize, u64),
+    End(usize, u64, usize, Outcome),
+    Deadline(usize, u64),
+    Tick(usize),
+}
+
+type Script = fn(&mut Simulation, u64);
+
+struct Simulation {
+    now: Duration,
+    digest: Sha256,
+    counts: BTreeMap<u64, u64>,
+    random: Pcg64Mcg,
+    settings: Deployment,
+    agents: Vec<Choice>,
+    shadows: Vec<Watch>,
+    requests: Vec<BTreeMap<u64, Pending>>,
+    servers: Vec<Server>,
+    events: BTreeMap<(Duration, u64), Event>,
+    sequence: u64,
+    rate: f64,
+    hints: bool,
+    failing_share: f64,
+}
+
+impl Simulation {
+    fn new(seed: u64, settings: Deployment, servers: Vec<Server>, rate: f64) -> Simulation {
+        let shape = Shape {
+            guarded_stages: Some(2),
+            caps: Some(vec![0.05, 0.1, 0.5]),
+            free: Some(1.0),
+            by_lane: Some(true),
+            cold_for: Some(ms(6000)),
+            warm_keys: Some(true),
+        };
+        let own =
+            |agent: u64| Deployment { seed: seed * 100 + agent, zone: agent as usize, ..settings.clone() };
+        let mut simulation = Simulation {
+            now: START,
+            digest: Sha256::new(),
+            counts: BTreeMap::new(),
+            random: Pcg64Mcg::seed_from_u64(seed),
+            agents: (0..2).map(|agent| Choice::new(START, own(agent))).collect(),
+            shadows: (0..2).map(|agent| Watch::new(&own(agent), &shape)).collect(),
+            requests: vec![BTreeMap::new(), BTreeMap::new()],
+            settings,
+            servers,
+            events: BTreeMap::new(),
+            sequence: 0,
+            rate,
+            hints: false,
+            failing_share: 0.0,
+        };
+        simulation.publish_list(true);
+        for agent in 0..2 {
+            simulation.schedule(START, Event::Tick(agent));
+            simulation.schedule(START, Event::Arrival(agent));
+        }
+        simulation
+    }
+
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.sequence += 1;
+        self.events.insert((at.max(self.now), self.sequence), event);
+    }
+
+    fn record(&mut self, agent: usize, id: u64, kind: u64, fields: &[u64]) {
+        *self.counts.entry(kind).or_default() += 1;
+        for number in [agent as u64, id, self.now.as_nanos() as u64, kind].iter().chain(fields) {
+            self.digest.update(number.to_le_bytes());
+        }
+    }
+
+    fn publish_list(&mut self, complete: bool) {
+        let entries: Vec<Listed> = self.servers.iter().map(|s| s.entry.clone()).collect();
+        let now = self.now;
+        self.agents.iter_mut().for_each(|a| a.list(now, &entries, complete));
+    }
+
+    fn publish_status(&mut self, status: News) {
+        self.agents.iter_mut().for_each(|a| a.news(status.clone()));
+    }
+
+    fn start(&mut self, server: usize, build: u32) {
+        let now = self.now;
+        let entry = &mut self.servers[server].entry;
+        entry.build = build;
+        entry.started = Some(now);
+        entry.standing = Standing::Running;
+    }
+
+    /// Plays so many seconds; `script` is called at the beginning of each, with its number.
+    fn play(mut self, seconds: u64, script: Script) -> (String, BTreeMap<u64, u64>) {
+        for second in 0..seconds {
+            script(&mut self, second);
+            let end = START + Duration::from_secs(second + 1);
+            while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 < end) {
+                let ((at, _), event) = entry.remove_entry();
+                self.now = at;
+                self.step(event);
+            }
+            self.now = end;
+        }
+        for agent in 0..2 {
+            let kept = self.agents[agent].kept().map(|n| n as u64);
+            let watched = self.shadows[agent].counts.named().map(|(_, n)| n);
+            let looks = self.agents[agent].looks();
+            self.record(agent, 0, 90, &kept);
+            self.record(agent, 0, 91, &watched);
+            self.record(agent, 0, 92, &[looks]);
+            for room in self.agents[agent].rooms(self.now, 2) {
+                let numbers = [room.running, room.draining, room.awake, room.warm, room.in_flight];
+                self.record(agent, room.open.to_bits(), 93, &numbers.map(|n| n as u64));
+            }
+        }
+        let digest = self.digest.finalize();
+        (digest.iter().map(|byte| format!("{byte:02x}")).collect(), self.counts)
+    }
+
+    fn step(&mut self, event: Event) {
+        match event {
+            Event::Arrival(agent) => self.arrive(agent),
+            Event::Decide(agent, id) => {
+                if self.requests[agent].get(&id).is_some_and(|r| !r.answered) {
+                    let decision = self.agents[agent].place(self.now, id);
+                    self.act(agent, id, decision);
+                }
+            }
+            Event::End(agent, id, attempt, outcome) => self.end(agent, id, attempt, outcome),
+            Event::Deadline(agent, id) => {
+                let Some(request) = self.requests[agent].get_mut(&id) else { return };
+                if !std::mem::replace(&mut request.answered, true) {
+                    self.agents[agent].left(id);
+                    self.record(agent, id, 80, &[]);
+                }
+            }
+            Event::Tick(agent) => self.tick(agent),
+        }
+    }
+
+    fn arrive(&mut self, agent: usize) {
+        let id = self.sequence;
+        let class = self.random.gen_range(0..self.settings.lanes.len());
+        let left = ms(self.random.gen_range(300..1500));
+        let key = self.random.gen_bool(0.7).then(|| self.random.gen_range(0..200u64));
+        let customer = Some(self.random.gen_range(0..self.settings.customers.len()));
+        let work = (self.hints && self.random.gen_bool(0.5)).then(|| ms(self.random.gen_range(5..200)));
+        let again = self.random.gen_bool(0.05);
+        let deadline = self.now + left;
+        let request = Pending { class, key, deadline, attempts: Vec::new(), answered: false };
+        self.requests[agent].insert(id, request);
+        self.agents[agent].take(self.now, id, Command { lane: class, customer, key, left, work, again });
+        self.shadows[agent].take(&self.agents[agent], class);
+        let decision = self.agents[agent].place(self.now, id);
+        self.act(agent, id, decision);
+        self.schedule(deadline, Event::Deadline(agent, id));
+        let gap = -self.random.gen_range(1e-9..1.0f64).ln() / self.rate;
+        self.schedule(self.now + Duration::from_secs_f64(gap), Event::Arrival(agent));
+    }
+
+    fn act(&mut self, agent: usize, id: u64, decision: Answer) {
+        let nanos = |t: Duration| t.as_nanos() as u64;
+        match decision {
+            Answer::Send { appliance, time_out, look } => {
+                let fields = [appliance as u64, nanos(time_out), look.map_or(0, nanos)];
+                self.record(agent, id, 1, &fields);
+                self.forward(agent, id, appliance, time_out);
+                if let Some(at) = look {
+                    self.schedule(at, Event::Decide(agent, id));
+                }
+            }
+            Answer::NotYet { until } => {
+                self.record(agent, id, 2, &[nanos(until)]);
+                self.schedule(until, Event::Decide(agent, id));
+            }
+            Answer::Deny { come_back } => {
+                self.record(agent, id, 3, &[come_back.map_or(0, nanos)]);
+                self.answer(agent, id);
+            }
+            Answer::Scrap => {
+                self.record(agent, id, 4, &[]);
+                self.answer(agent, id);
+            }
+            Answer::Withdraw { delivery } => {
+                self.record(agent, id, 5, &[delivery as u64]);
+                self.end(agent, id, delivery, Outcome::Withdrawn);
+            }
+            Answer::Wait => self.record(agent, id, 6, &[]),
+        }
+    }
+
+    fn answer(&mut self, agent: usize, id: u64) {
+        if let Some(request) = self.requests[agent].get_mut(&id) {
+            request.answered = true;
+        }
+    }
+
+    fn forward(&mut self, agent: usize, id: u64, server: usize, time_out: Duration) {
+        let now = self.now;
+        let Some(request) = self.requests[agent].get_mut(&id) else { return };
+        let attempt = request.attempts.len();
+        request.attempts.push(Attempt { server, sent: now, open: true });
+        let (class, key) = (request.class, request.key);
+        let stands = self.agents[agent].holds(now + ms(1), id, attempt);
+        self.record(agent, id, 7, &[u64::from(stands)]);
+        self.shadows[agent].sent(now, &self.agents[agent], class, key, server);
+        let draws: [f64; 3] = [self.random.gen(), self.random.gen(), self.random.gen()];
+        let s = &mut self.servers[server];
+        s.running += 1;
+        let waiting = (s.running as f64 / s.cores as f64).max(1.0);
+        let distance = if s.entry.zone == agent { 0.0 } else { 0.002 };
+        let took = s.service_time.as_secs_f64() * (0.4 - 0.6 * draws[0].max(1e-9).ln()) * waiting + distance;
+        let took = Duration::from_secs_f64(took);
+        let outcome = match s {
+            _ if s.refuses => Outcome::NoConnection,
+            _ if s.entry.standing == Standing::Gone => Outcome::NoConnection,
+            _ if s.running > 60 => Outcome::TurnedAway,
+            _ if draws[1] < s.failing_share => Outcome::Failed,
+            _ if draws[2] < 0.001 => Outcome::Broken,
+            _ => Outcome::Satisfied,
+        };
+        let quick = matches!(outcome, Outcome::NoConnection | Outcome::TurnedAway);
+        let ends = now + if quick { ms(1) } else { took };
+        let in_time = !s.unresponsive && ends < now + time_out;
+        let (at, outcome) = if in_time { (ends, outcome) } else { (now + time_out, Outcome::TimedOut) };
+        self.schedule(at, Event::End(agent, id, attempt, outcome));
+    }
+
+    fn end(&mut self, agent: usize, id: u64, number: usize, outcome: Outcome) {
+        let now = self.now;
+        let Some(request) = self.requests[agent].get_mut(&id) else { return };
+        let attempt = &mut request.attempts[number];
+        if !std::mem::replace(&mut attempt.open, false) {
+            return;
+        }
+        let (server, took) = (attempt.server, now - attempt.sent);
+        let late = now >= request.deadline;
+        request.answered |= late || outcome == Outcome::Satisfied;
+        let closed = request.answered;
+        let s = &mut self.servers[server];
+        s.running -= 1;
+        let told = matches!(outcome, Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway);
+        let held = told.then_some(s.running as f64);
+        let end = End { outcome, took, closed, held };
+        let decision = self.agents[agent].after(now, id, number, end);
+        self.act(agent, id, decision);
+    }
+
+    fn tick(&mut self, agent: usize) {
+        let due = self.agents[agent].wait(self.now);
+        self.record(agent, 0, 10, &[due.until.as_nanos() as u64, u64::from(due.watch)]);
+        if due.watch {
+            self.agents[agent].list_failed(self.now);
+        }
+        if let Some(vote) = due.vote {
+            let verdict = match vote.verdict {
+                Verdict::Hold => 1,
+                Verdict::Back => 2,
+                Verdict::None => 3,
+            };
+            self.record(agent, 0, 10 + verdict, &[u64::from(vote.build), vote.stage as u64]);
+            let replies = [Reply::Counted, Reply::Counted, Reply::Moot, Reply::Refused, Reply::Unknown];
+            let reply = replies[self.random.gen_range(0..replies.len())];
+            self.agents[agent].reply(self.now, reply);
+        }
+        for server in due.asks {
+            self.record(agent, 0, 20, &[server as u64]);
+            let held = self.servers[server].running as f64;
+            self.agents[agent].told(self.now, server, Outcome::Satisfied, Some(held));
+        }
+        self.schedule(self.now + TICK, Event::Tick(agent));
+    }
+}
+
+/// Classes of all three kinds, hints of work, load reports and probes; a drain, starts, and an outlier that stalls.
+fn endpoints_come_and_go() -> (String, BTreeMap<u64, u64>) {
+    let settings = Deployment { probes: true, warm_keys: true, withdraw: false, ..deployment(1) };
+    let servers = (0..12).map(|n| Server::new(n, 40)).collect();
+    let mut simulation = Simulation::new(1, settings, servers, 110.0);
+    simulation.hints = true;
+    simulation.play(30, |s, second| {
+        match second {
+            3 => s.servers[1].entry.standing = Standing::Draining,
+            5 => s.servers[1].entry.standing = Standing::Gone,
+            6 => s.start(1, 40),
+            8 => s.servers[2].unresponsive = true,
+            12 => s.servers[2].unresponsive = false,
+            14 => (3..9).for_each(|n| s.start(n, 40)),
+            16 => (0..12).for_each(|n| s.servers[n].service_time = ms(75)),
+            20 => s.servers[4].failing_share = 0.9,
+            24 => s.servers[4].failing_share = 0.0,
+            26 => s.servers[5].refuses = true,
+            _ => return,
+        }
+        s.publish_list(second == 6);
+    })
+}
+
+/// A build is offered stage by stage and fails; the platform's counts and the clients' reports say so, too.
+fn a_regressed_build() -> (String, BTreeMap<u64, u64>) {
+    let mut settings = Deployment { agents: 12, second_copies: true, ..deployment(2) };
+    settings.rollout.tallied = true;
+    settings.rollout.back_votes = 2;
+    settings.rollout.by_lane = true;
+    settings.rollout.one_way = true;
+    settings.rollout.guarded_stages = 1;
+    let servers = (0..16).map(|n| Server::new(n, 40)).collect();
+    Simulation::new(2, settings, servers, 120.0).play(40, |s, second| {
+        match second {
+            4 => (0..4).for_each(|n| s.start(n, 41)),
+            8 => (4..8).for_each(|n| s.start(n, 41)),
+            9 => s.publish_status(News { began: s.now, ..trial(41, 1, 0.5) }),
+            14 => (0..8).for_each(|n| s.servers[n].failing_share = 0.25),
+            20 => {
+                let tally = |build, failed| Tally {
+                    build,
+                    lane: 0,
+                    deliveries: 300.0,
+                    failed,
+                    took: ms(40),
+                    age: ms(500),
+                };
+                s.agents.iter_mut().for_each(|a| a.tally(&tally(40, 2.0)));
+                s.agents[1].tally(&tally(41, 90.0));
+            }
+            22 => (0..3).for_each(|n| s.agents[0].flag(s.now, n, n % 3, ms(100))),
+            26 => s.publish_status(News { phase: Phase::GoingBack, began: s.now, ..trial(41, 1, 0.0) }),
+            28 => (0..8).for_each(|n| {
+                s.start(n, 40);
+                s.servers[n].failing_share = 0.0;
+            }),
+            30 => s.publish_status(News { phase: Phase::Withdrawn, began: s.now, ..trial(41, 1, 0.0) }),
+            _ => return,
+        }
+        s.publish_list(true);
+    })
+}
+
+/// A build that needs far more work replaces the earlier one in place and is released.
+fn a_slow_build_released_in_place() -> (String, BTreeMap<u64, u64>) {
+    let mut settings = Deployment { agents: 300, ..deployment(3) };
+    settings.rollout.in_place = true;
+    settings.rollout.hold_votes = 3;
+    settings.rollout.back_votes = 3;
+    let servers = (0..10).map(|n| Server::new(n, 40)).collect();
+    Simulation::new(3, settings, servers, 100.0).play(40, |s, second| {
+        match second {
+            6 => (0..2).for_each(|n| s.start(n, 41)),
+            7 => s.publish_status(News { began: s.now, ..trial(41, 0, 0.2) }),
+            12 => (2..6).for_each(|n| s.start(n, 41)),
+            13 => s.publish_status(News { began: s.now, ..trial(41, 1, 0.5) }),
+            16 => (0..6).for_each(|n| s.servers[n].service_time = ms(110)),
+            26 => s.publish_status(News { phase: Phase::Released, began: s.now, ..trial(41, 2, 1.0) }),
+            27 => (6..10).for_each(|n| s.start(n, 41)),
+            _ => return,
+        }
+        s.publish_list(true);
+    })
+}
+
+/// More than the endpoints can do, with hedged requests before and after, and lists that are refused.
+fn overload_with_hedged_requests() -> (String, BTreeMap<u64, u64>) {
+    let settings = Deployment {
+        second_copies: true,
+        list_asked: true,
+        list_shared: true,
+        benefit_by_work: true,
+        ..deployment(4)
+    };
+    let servers = (0..6).map(|n| Server::new(n, 40)).collect();
+    Simulation::new(4, settings, servers, 60.0).play(30, |s, second| match second {
+        4 => s.servers[0].service_time = ms(200),
+        8 => s.rate = 700.0,
+        14 => s.rate = 60.0,
+        18 => s.agents.iter_mut().for_each(|a| a.vouched = Some(s.now + ms(1500))),
+        21 => s.agents.iter_mut().for_each(|a| a.vouched = None),
+        _ => {}
+    })
+}
+
+/// Settings are read anew, with a class that moves and one that is new; then one zone is cut off and comes back.
+fn a_reload_and_a_cut_zone() -> (String, BTreeMap<u64, u64>) {
+    let settings = Deployment { crossing_price: 0.2, ..deployment(5) };
+    let servers = (0..12).map(|n| Server::new(n, 40)).collect();
+    Simulation::new(5, settings, servers, 100.0).play(36, |s, second| match second {
+        3 => {
+            let far =
+                Crossing { draw: Some(0.3), added: ms(2), last: vec![true, false], again_last: vec![true] };
+            let told = Crossings { zones: vec![far.clone(), far], cold: 0.8 };
+            s.agents.iter_mut().for_each(|a| a.crossings(told.clone()));
+        }
+        4 => s.publish_status(trial(41, 0, 0.2)),
+        5 => {
+            (0..3).for_each(|n| s.start(n, 41));
+            s.publish_list(true);
+        }
+        8 => {
+            let mut new = s.settings.clone();
+            let moved = new.lanes[0].clone();
+            new.lanes.push(moved);
+            new.lanes[0] = Lane { quoted: ms(250), benefit: 5.0, repeats: Repeats::Unrepeatable };
+            new.customers.push(Customer { share: 0.1 });
+            new.rollout.by_lane = true;
+            new.rollout.one_way = true;
+            new.rollout.free = 1.5;
+            new.cold_for = ms(5000);
+            new.list_asked = true;
+            let by = Numbering {
+                lanes: vec![Origin::New, Origin::Same, Origin::Same, Origin::Was(0)],
+                customers: vec![Origin::Same, Origin::Same, Origin::New],
+            };
+            let now = s.now;
+            for agent in 0..2 {
+                let held = s.agents[agent].in_hand();
+                let numbers = [held.lanes.len(), held.customers.len(), held.zones.len()];
+                s.record(agent, 0, 94, &numbers.map(|n| n as u64));
+                s.agents[agent].renew(now, &Deployment { zone: agent, ..new.clone() }, &by);
+            }
+            s.settings = new;
+        }
+        12 => s.agents.iter_mut().for_each(|a| a.rezone(&[(3, 0), (4, 1)])),
+        15 => (0..12).step_by(2).for_each(|n| s.servers[n].unresponsive = true),
+        21 => (0..12).step_by(2).for_each(|n| s.servers[n].unresponsive = false),
+        25 => s.agents.iter_mut().for_each(|a| a.crossings(Crossings::default())),
+        30 => s.agents[0].news(News { phase: Phase::Released, ..trial(41, 2, 1.0) }),
+        _ => {}
+    })
+}
+
+/// Builds that fail, time out or answer wrongly now and then, at agents that see little of them.
+fn builds_that_fail_a_little(seed: u64) -> (String, BTreeMap<u64, u64>) {
+    let mut settings = Deployment { agents: 4, ..deployment(seed) };
+    settings.rollout.in_place = seed.is_multiple_of(2);
+    settings.rollout.back_votes = 1 + seed as u32 % 3;
+    let servers = (0..8).map(|n| Server::new(n, 40)).collect();
+    let rate = [25.0, 40.0, 70.0][seed as usize % 3];
+    let mut simulation = Simulation::new(seed, settings, servers, rate);
+    simulation.hints = seed.is_multiple_of(3);
+    simulation.failing_share = [0.05, 0.09, 0.14, 0.3][seed as usize % 4];
+    simulation.play(30, |s, second| {
+        let failing_share = s.failing_share;
+        match second {
+            0 => s.servers[7].failing_share = 0.02,
+            3 => (0..2).for_each(|n| s.start(n, 41)),
+            4 => s.publish_status(News { began: s.now, ..trial(41, 0, 0.3) }),
+            9 => (0..2).for_each(|n| s.servers[n].failing_share = failing_share),
+            12 => s.servers[1].unresponsive = true,
+            13 => s.servers[1].unresponsive = false,
+            14..20 if s.hints => {
+                s.agents.iter_mut().for_each(|a| a.flag(s.now, 0, second as usize % 3, ms(100)))
+            }
+            21 => (2..4).for_each(|n| s.start(n, 41)),
+            24 => s.publish_status(News { phase: Phase::Released, began: s.now, ..trial(41, 2, 1.0) }),
+            _ => return,
+        }
+        s.publish_list(true);
+    })
+}
+
+type Day = (&'static str, fn() -> (String, BTreeMap<u64, u64>), &'static str);
+
+#[test]
+fn decides_as_before_on_seeded_days() {
+    let days: [Day; 5] = [
+        (
+            "endpoints come and go",
+            endpoints_come_and_go,
+            "c1acab018668dcab23154eef85672933d0b2653609101c0493e9955edb499c2d",
+        ),
+        (
+            "a regressed build",
+            a_regressed_build,
+            "fab433e374992431f88fb7943533c8b11dfb2646eeab108bab509d04e0b5faa2",
+        ),
+        (
+            "a slow build released in place",
+            a_slow_build_released_in_place,
+            "ca0f2fe60f34eb3a7e773fc6be27ae34565b772c0669e6a8f46f5f8cb0b76405",
+        ),
+        (
+            "overload with hedged requests",
+            overload_with_hedged_requests,
+            "95cb05b192522d8fa662726ee9c758944f2d6b9b517b3a1aac6773df1ca54311",
+        ),
+        (
+            "a reload and a cut zone",
+            a_reload_and_a_cut_zone,
+            "b85510dbcfd1ba66e4d4c7e6f20caf46c3c3e0582c58d3658e8d1cd87b5d2936",
+        ),
+    ];
+    let played = days.map(|(name, play, expected)| (name, play(), expected));
+    for (name, (digest, counts), _) in &played {
+        println!("{name}: {digest} {counts:?}");
+    }
+    for (name, (digest, _), expected) in played {
+        assert_eq!(digest, expected, "decisions differ on the day '{name}'");
+    }
+}
+
+#[test]
+fn evaluates_builds_as_before_on_seeded_days() {
+    let played: Vec<_> = (1..=12).map(builds_that_fail_a_little).collect();
+    let mut all = Sha256::new();
+    for (digest, counts) in &played {
+        println!("{digest} {counts:?}");
+        all.update(digest);
+    }
+    let all: String = all.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(all, "9d4eae33f261a282194c396e5363778b58178622bc2a42291f9045088d27c0a0");
+}
