--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -61,7 +61,10 @@
 
 impl Moves {
     fn none() -> Moves {
-        Moves { count: Cell::default(), moved: Event::new() }
+        Moves {
+            count: Cell::default(),
+            moved: Event::new(),
+        }
     }
 
     fn tell(&self) {
@@ -91,7 +94,11 @@
             door: start.door,
             discovery: Cell::new(start.discovery),
             platform: Cell::new(start.platform),
-            hand: Hand::new(start.site.deployment.clone(), clock.clone(), counters.clone()),
+            hand: Hand::new(
+                start.site.deployment.clone(),
+                clock.clone(),
+                counters.clone(),
+            ),
             border: Border::new(clock.now(), zoning, names),
             clock,
             counters,
@@ -116,13 +123,19 @@
             installation: RefCell::new(start.installation),
             owed_until: Cell::default(),
         });
-        agent.hand.watch(&agent.site().deployment, start.watch.as_ref());
+        agent
+            .hand
+            .watch(&agent.site().deployment, start.watch.as_ref());
         let (now, site) = (agent.clock.now(), agent.site());
         let (agents, r) = (site.deployment.agents, &site.deployment.rollout);
         log::debug!(target: EVIDENCE, "{} start agents {agents} back {} hold {}", agent.clock.wall(now), r.back_votes,
             r.hold_votes);
-        let quoted: Vec<_> =
-            site.deployment.lanes.iter().map(|l| (l.quoted.as_millis(), l.benefit)).collect();
+        let quoted: Vec<_> = site
+            .deployment
+            .lanes
+            .iter()
+            .map(|l| (l.quoted.as_millis(), l.benefit))
+            .collect();
         log::debug!(target: EVIDENCE, "{} lanes {quoted:?}", agent.clock.wall(now));
         if let Some(told) = start.news {
             agent.news(told);
@@ -146,14 +159,26 @@
     /// are no newer than what it tells.
     pub fn renew(&self, start: Start) {
         let Start {
-            name, listen, discovery, platform, sockets, memory, site, door, installation, watch, ..
+            name,
+            listen,
+            discovery,
+            platform,
+            sockets,
+            memory,
+            site,
+            door,
+            installation,
+            watch,
+            ..
         } = start;
         let was = self.site();
         let named = match self.take_over(&name, site, &installation, watch.as_ref()) {
             Ok(named) => named,
             Err(mistakes) => {
                 let stays = "the configuration read before stays";
-                return mistakes.iter().for_each(|m| log::error!("installation: {m}; {stays}"));
+                return mistakes
+                    .iter()
+                    .for_each(|m| log::error!("installation: {m}; {stays}"));
             }
         };
         log::info!(agent = name.as_str(), discovery:% = discovery;
@@ -193,19 +218,28 @@
         let same = site.is(&old, &by);
         if !same {
             if site.longest_expiry < old.longest_expiry {
-                self.owed_until.set(self.owed_until.get().max(now + old.longest_expiry));
+                self.owed_until
+                    .set(self.owed_until.get().max(now + old.longest_expiry));
             }
             let zones = self.list.borrow_mut().rezone(&site);
             self.pools.borrow_mut().renew(site.idle_most);
             *self.site.borrow_mut() = Rc::new(site);
-            self.hand.renew(&self.site().deployment, &by, &zones, self.watched.borrow().as_ref());
+            self.hand.renew(
+                &self.site().deployment,
+                &by,
+                &zones,
+                self.watched.borrow().as_ref(),
+            );
         }
         let site = self.site();
         if watch != self.watched.borrow().as_ref() {
             self.hand.watch(&site.deployment, watch);
             *self.watched.borrow_mut() = watch.cloned();
         }
-        if !self.border.renew(now, zoning, names(name, &site), &by.lanes) {
+        if !self
+            .border
+            .renew(now, zoning, names(name, &site), &by.lanes)
+        {
             log::warn!("zones: others than before; the account of what crosses begins anew");
         }
         if !self.border.watches() {
@@ -223,7 +257,10 @@
     pub fn forget_lanes(&self) {
         let old = self.site();
         if old.lingers() && old.outlives(&self.hand.in_hand()) {
-            let (installation, watch) = (self.installation.borrow().clone(), self.watched.borrow().clone());
+            let (installation, watch) = (
+                self.installation.borrow().clone(),
+                self.watched.borrow().clone(),
+            );
             let names = self.border.agent();
             // The same names, so that nothing can be wrong with them.
             let _ = self.take_over(&names, (*old).clone(), &installation, watch.as_ref());
@@ -235,7 +272,13 @@
         let began = now.saturating_sub(t.age);
         log::debug!(target: EVIDENCE, "{} news build {} stage {} {:?} since {}", self.clock.wall(now), t.build, t.stage,
             t.phase, self.clock.wall(began));
-        self.hand.news(News { build: t.build, stage: t.stage, phase: t.phase, cap: t.cap, began });
+        self.hand.news(News {
+            build: t.build,
+            stage: t.stage,
+            phase: t.phase,
+            cap: t.cap,
+            began,
+        });
         self.border.alive(|| self.builds());
     }
 
@@ -249,7 +292,8 @@
     /// Looks at what should cross, about every 100 ms.
     pub fn look_at_zones(&self) {
         if self.border.watches() {
-            self.border.step(self.clock.now(), |zones| self.hand.rooms(zones));
+            self.border
+                .step(self.clock.now(), |zones| self.hand.rooms(zones));
             self.crossings();
         }
     }
@@ -279,11 +323,16 @@
     pub fn listed(&self, told: Listing) {
         let (complete, served) = (told.complete, self.list.borrow().serves());
         let (entries, stale) = self.list.borrow_mut().take(told, &self.site(), &self.clock);
-        stale.into_iter().for_each(|i| self.pools.borrow_mut().forget(i));
+        stale
+            .into_iter()
+            .for_each(|i| self.pools.borrow_mut().forget(i));
         self.hand.list(&entries, complete);
         self.border.alive(|| self.builds());
         if served && !self.list.borrow().serves() {
-            log::warn!("discovery: no appliance runs, of {}; commands are denied", self.list.borrow().len());
+            log::warn!(
+                "discovery: no appliance runs, of {}; commands are denied",
+                self.list.borrow().len()
+            );
         }
         if self.list.borrow().serves() {
             self.first_list.notify(usize::MAX);
@@ -328,8 +377,12 @@
     pub fn kept(&self) -> String {
         let [commands, appliances, builds, keys] = self.hand.kept();
         let (listed, clients) = (self.list.borrow().len(), self.sockets.clients());
-        let module = format!("commands {commands} appliances {appliances} builds {builds} keys {keys}");
-        let otherwise = self.hand.otherwise().map_or(String::new(), |o| format!("; watched: {o}"));
+        let module =
+            format!("commands {commands} appliances {appliances} builds {builds} keys {keys}");
+        let otherwise = self
+            .hand
+            .otherwise()
+            .map_or(String::new(), |o| format!("; watched: {o}"));
         format!("kept: clients {clients} listed {listed} {module}{otherwise}")
     }
 
@@ -366,5 +419,9 @@
 }
 
 fn names(agent: &str, site: &Site) -> Names {
-    Names { agent: agent.to_owned(), zones: site.zones.clone(), lanes: site.lanes.clone() }
+    Names {
+        agent: agent.to_owned(),
+        zones: site.zones.clone(),
+        lanes: site.lanes.clone(),
+    }
 }
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -41,8 +41,11 @@
     // When what was begun must be whole: the first command, later each message.
     let mut whole_by = Some(agent.clock.now() + HEARD_WITHIN);
     loop {
-        let step =
-            if open { heed(&agent, &mut client, &mut reply).await } else { greet(&mut client, &mut reply) };
+        let step = if open {
+            heed(&agent, &mut client, &mut reply).await
+        } else {
+            greet(&mut client, &mut reply)
+        };
         let go_on = match step {
             Ok(Step::Answer) => {
                 whole_by = whole_by.filter(|_| !open);
@@ -64,8 +67,15 @@
                     }
                     More::Late => {
                         agent.counters.clients_late.add();
-                        let missing = if client.inbox.is_empty() { "command" } else { "message" };
-                        postgres::fatal(&mut reply, &Malformed(format!("no whole {missing} in time")));
+                        let missing = if client.inbox.is_empty() {
+                            "command"
+                        } else {
+                            "message"
+                        };
+                        postgres::fatal(
+                            &mut reply,
+                            &Malformed(format!("no whole {missing} in time")),
+                        );
                         false
                     }
                 }
@@ -115,7 +125,11 @@
     let talk = async {
         let (mut reply, mut open) = (Vec::new(), false);
         loop {
-            let step = if open { turn_away(&mut client, &mut reply) } else { greet(&mut client, &mut reply) };
+            let step = if open {
+                turn_away(&mut client, &mut reply)
+            } else {
+                greet(&mut client, &mut reply)
+            };
             let go_on = match step {
                 Ok(Step::More) => client.more().await.is_ok_and(|n| n > 0),
                 Ok(Step::Open) => {
@@ -139,7 +153,9 @@
 }
 
 fn turn_away(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, Malformed> {
-    let Some((tag, body, took)) = postgres::message(client.inbox.unread())? else { return Ok(Step::More) };
+    let Some((tag, body, took)) = postgres::message(client.inbox.unread())? else {
+        return Ok(Step::More);
+    };
     let empty = tag == b'Q' && matches!(body.trim_ascii(), b"\0" | b";\0");
     client.consume(took);
     if empty {
@@ -189,7 +205,13 @@
 
 /// Reads on, until `whole_by` where something is owed. Between commands the agent may end the connection.
 async fn more(agent: &Agent, client: &mut Connection, whole_by: Option<Duration>) -> More {
-    let came = |read: std::io::Result<usize>| if read.is_ok_and(|n| n > 0) { More::Came } else { More::Over };
+    let came = |read: std::io::Result<usize>| {
+        if read.is_ok_and(|n| n > 0) {
+            More::Came
+        } else {
+            More::Over
+        }
+    };
     // Clients are held back while too much is buffered; answers of appliances keep the rest of the memory. Who holds
     // half a message meanwhile has little time left for it: all would wait for each other.
     let room = async {
@@ -207,7 +229,11 @@
         }
         More::Late
     };
-    let idle = if begun { None } else { agent.life.idle(agent.clock.now(), whole_by.is_some()) };
+    let idle = if begun {
+        None
+    } else {
+        agent.life.idle(agent.clock.now(), whole_by.is_some())
+    };
     let read = async {
         room.or(client.ended()).await;
         came(client.more().await)
@@ -217,7 +243,11 @@
     }
     let Some(mut idle) = idle else {
         // Time to go, but not past a command that has already come, nor past the first one that is on its way.
-        let owed = if whole_by.is_some() { FIRST_WITHIN } else { Duration::ZERO };
+        let owed = if whole_by.is_some() {
+            FIRST_WITHIN
+        } else {
+            Duration::ZERO
+        };
         let late = async {
             agent.until(agent.clock.now() + owed).await;
             More::Late
@@ -240,7 +270,9 @@
 }
 
 fn greet(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, Malformed> {
-    let Some((opening, took)) = postgres::opening(client.inbox.unread())? else { return Ok(Step::More) };
+    let Some((opening, took)) = postgres::opening(client.inbox.unread())? else {
+        return Ok(Step::More);
+    };
     client.consume(took);
     Ok(match opening {
         Opening::Startup => {
@@ -256,31 +288,56 @@
     })
 }
 
-async fn heed(agent: &Rc<Agent>, client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, Malformed> {
-    let Some((tag, body, took)) = postgres::message(client.inbox.unread())? else { return Ok(Step::More) };
+async fn heed(
+    agent: &Rc<Agent>,
+    client: &mut Connection,
+    reply: &mut Vec<u8>,
+) -> Result<Step, Malformed> {
+    let Some((tag, body, took)) = postgres::message(client.inbox.unread())? else {
+        return Ok(Step::More);
+    };
     let text = match tag {
         b'Q' => postgres::text(body)?,
         b'X' => return Ok(Step::End),
-        other => return malformed(format!("message '{}': only simple queries", other.escape_ascii())),
+        other => {
+            return malformed(format!(
+                "message '{}': only simple queries",
+                other.escape_ascii()
+            ))
+        }
     };
     let word = text.split_whitespace().next().unwrap_or_default();
-    let flood = client.arrivals.as_ref().is_some_and(|a| a.waiting() > BEHIND_MOST);
+    let flood = client
+        .arrivals
+        .as_ref()
+        .is_some_and(|a| a.waiting() > BEHIND_MOST);
     if word.is_empty() || word == ";" {
         client.consume(took);
         // This answer tells the front that commands may come.
         agent.life.reached(Phase::Serving).await;
         postgres::empty(reply);
-    } else if let Some(word) = ["SET", "RESET", "DISCARD"].iter().find(|w| word.eq_ignore_ascii_case(w)) {
+    } else if let Some(word) = ["SET", "RESET", "DISCARD"]
+        .iter()
+        .find(|w| word.eq_ignore_ascii_case(w))
+    {
         client.consume(took);
         postgres::complete(reply, word);
     } else {
         let read = read(agent, text);
-        let heard = client.consume(took).map_or_else(|| agent.clock.now(), |at| agent.clock.at(at));
-        let open = read.as_ref().ok().map(|statement| agent.hand.open(&statement.id));
+        let heard = client
+            .consume(took)
+            .map_or_else(|| agent.clock.now(), |at| agent.clock.at(at));
+        let open = read
+            .as_ref()
+            .ok()
+            .map(|statement| agent.hand.open(&statement.id));
         match read {
             Ok(_) if open.as_ref().is_some_and(Option::is_none) => {
                 agent.counters.faulty.add();
-                postgres::faulty(reply, &Malformed("statement: field id: its command is still open".into()));
+                postgres::faulty(
+                    reply,
+                    &Malformed("statement: field id: its command is still open".into()),
+                );
             }
             Ok(_) if flood => {
                 agent.counters.floods.add();
@@ -335,6 +392,9 @@
             malformed("statement: field k is missing")
         }
         Some(lane) => Ok(lane),
-        None => malformed(format!("statement: field c: unknown lane '{}'", statement.lane)),
+        None => malformed(format!(
+            "statement: field c: unknown lane '{}'",
+            statement.lane
+        )),
     }
 }
--- a/crates/agent/src/command.rs
+++ b/crates/agent/src/command.rs
@@ -72,14 +72,23 @@
     let (lane, customer, repeats) = {
         let site = agent.site();
         // They may have changed while it waited above: nothing ran, and a retry is told more.
-        let Ok(lane) = lane(&site, &statement) else { return Final::Denied(None) };
+        let Ok(lane) = lane(&site, &statement) else {
+            return Final::Denied(None);
+        };
         let customer = statement.customer.as_deref().and_then(|c| site.customer(c));
         (lane, customer, site.deployment.lanes[lane].repeats)
     };
     let expires = heard + statement.wait;
     let left = expires.saturating_sub(agent.clock.now());
     let Statement { work, again, .. } = statement;
-    let command = Command { lane, customer, key: Some(number(&statement.object)), left, work, again };
+    let command = Command {
+        lane,
+        customer,
+        key: Some(number(&statement.object)),
+        left,
+        work,
+        again,
+    };
     let statement = Rc::new(statement);
     let mut out: Vec<Option<Out>> = Vec::new();
     let (mut look, mut ran): (Option<Duration>, bool) = (None, false);
@@ -87,7 +96,11 @@
     let (id, mut answer) = agent.hand.take(command);
     let end = loop {
         match answer {
-            Answer::Send { appliance, time_out, look: at } => {
+            Answer::Send {
+                appliance,
+                time_out,
+                look: at,
+            } => {
                 let sending = Sending {
                     to: 0,
                     lane,
@@ -97,7 +110,9 @@
                     trial: false,
                     bound: ran && bound(repeats),
                 };
-                out.push(Some(send(agent, &statement, id, appliance, time_out, sending)));
+                out.push(Some(send(
+                    agent, &statement, id, appliance, time_out, sending,
+                )));
                 look = at.or(look);
             }
             Answer::NotYet { until } => look = Some(until),
@@ -111,7 +126,8 @@
         }
         answer = match next(agent, &mut out, &mut look, client, expires).await {
             Next::Ended(n, sent, (Outcome::Satisfied, value)) => {
-                if let Answer::Withdraw { delivery } = agent.hand.after(id, n, sent, Outcome::Satisfied, true)
+                if let Answer::Withdraw { delivery } =
+                    agent.hand.after(id, n, sent, Outcome::Satisfied, true)
                 {
                     withdraw(agent, id, &mut out, delivery, true);
                 }
@@ -145,7 +161,10 @@
     }
     if out.iter().any(Option::is_some) {
         let shared = agent.clone();
-        agent.tasks.spawn(async move { rest(&shared, id, out).await }).detach();
+        agent
+            .tasks
+            .spawn(async move { rest(&shared, id, out).await })
+            .detach();
     }
     end
 }
@@ -162,16 +181,38 @@
     let (give_up, meter) = (sent + time_out, Rc::new(Meter::default()));
     let Some(target) = agent.target(appliance) else {
         let ends = Box::pin(async { (Outcome::NotSent, Vec::new()) });
-        return Out { sent, give_up, lane: sending.lane, build: 0, meter, ticket: None, ends };
+        return Out {
+            sent,
+            give_up,
+            lane: sending.lane,
+            build: 0,
+            meter,
+            ticket: None,
+            ends,
+        };
     };
     let trial = agent.hand.on_trial(target.build);
-    let sending = Sending { to: target.zone, build: target.build, trial, ..sending };
-    let ticket = agent.border.sent(sent, sending, || agent.hand.rooms(agent.site().zones.len() + 1));
+    let sending = Sending {
+        to: target.zone,
+        build: target.build,
+        trial,
+        ..sending
+    };
+    let ticket = agent.border.sent(sent, sending, || {
+        agent.hand.rooms(agent.site().zones.len() + 1)
+    });
     if target.zone != agent.site().deployment.zone {
         agent.crossings();
     }
     let (turn, held) = (agent.hand.turn(), agent.hold(appliance));
-    let order = Order { id, nth: sending.nth, target, turn, give_up, held };
+    let order = Order {
+        id,
+        nth: sending.nth,
+        target,
+        turn,
+        give_up,
+        held,
+    };
     let (agent, statement, on) = (agent.clone(), statement.clone(), meter.clone());
     Out {
         sent,
@@ -186,29 +227,53 @@
 
 /// Whether what may have run must stay in its zone or cell.
 fn bound(repeats: Repeats) -> bool {
-    matches!(repeats, Repeats::Deduplicated { group: Group::Zone | Group::Cell, .. })
+    matches!(
+        repeats,
+        Repeats::Deduplicated {
+            group: Group::Zone | Group::Cell,
+            ..
+        }
+    )
 }
 
 impl Out {
     /// It is over: what it did goes into the account of what crosses.
     fn account(self, agent: &Agent, outcome: Outcome) {
-        let Out { sent, lane, build, meter, ticket, ends, .. } = self;
+        let Out {
+            sent,
+            lane,
+            build,
+            meter,
+            ticket,
+            ends,
+            ..
+        } = self;
         drop(ends);
         let now = agent.clock.now();
         let took = now.saturating_sub(sent);
         log::debug!(target: EVIDENCE, "{} delivery lane {lane} build {build} {outcome:?} {} us",
             agent.clock.wall(now), took.as_micros());
-        agent.border.ended(now, ticket.as_ref(), &meter, outcome, took);
+        agent
+            .border
+            .ended(now, ticket.as_ref(), &meter, outcome, took);
     }
 }
 
 /// Closes a delivery's connection, before anything else goes out for its command.
-fn withdraw(agent: &Agent, id: u64, out: &mut [Option<Out>], delivery: usize, closed: bool) -> Answer {
+fn withdraw(
+    agent: &Agent,
+    id: u64,
+    out: &mut [Option<Out>],
+    delivery: usize,
+    closed: bool,
+) -> Answer {
     match out.get_mut(delivery).and_then(Option::take) {
         Some(o) => {
             let sent = o.sent;
             o.account(agent, Outcome::Withdrawn);
-            agent.hand.after(id, delivery, sent, Outcome::Withdrawn, closed)
+            agent
+                .hand
+                .after(id, delivery, sent, Outcome::Withdrawn, closed)
         }
         None => Answer::Wait,
     }
@@ -232,7 +297,12 @@
     client: &mut Connection,
     expires: Duration,
 ) -> Next {
-    let give_up = out.iter().flatten().map(|o| o.give_up).min().unwrap_or(expires);
+    let give_up = out
+        .iter()
+        .flatten()
+        .map(|o| o.give_up)
+        .min()
+        .unwrap_or(expires);
     let first = give_up.min(look.unwrap_or(expires)).min(expires);
     let mut timer = pin!(Timer::at(agent.clock.instant(first)));
     let mut leaves = pin!(leaves(client));
@@ -243,28 +313,43 @@
         if let Some((n, sent, ended)) = ended(agent, out, cx) {
             return Poll::Ready(Next::Ended(n, sent, ended));
         }
-        timer.as_mut().poll(cx).map(|()| match late(agent, out, first) {
-            Some((n, sent, ended)) => Next::Ended(n, sent, ended),
-            None if look.take_if(|at| *at <= first).is_some() => Next::Look,
-            None => Next::Expired,
-        })
+        timer
+            .as_mut()
+            .poll(cx)
+            .map(|()| match late(agent, out, first) {
+                Some((n, sent, ended)) => Next::Ended(n, sent, ended),
+                None if look.take_if(|at| *at <= first).is_some() => Next::Look,
+                None => Next::Expired,
+            })
     })
     .await
 }
 
 /// A delivery whose time is over is closed. It never ran if it was not yet written whole.
 fn late(agent: &Agent, out: &mut [Option<Out>], now: Duration) -> Option<(usize, Duration, Ended)> {
-    let n = out.iter().position(|o| o.as_ref().is_some_and(|o| o.give_up <= now))?;
+    let n = out
+        .iter()
+        .position(|o| o.as_ref().is_some_and(|o| o.give_up <= now))?;
     let o = out[n].take()?;
-    let outcome = if o.meter.written.get() { Outcome::TimedOut } else { Outcome::NoConnection };
+    let outcome = if o.meter.written.get() {
+        Outcome::TimedOut
+    } else {
+        Outcome::NoConnection
+    };
     let sent = o.sent;
     o.account(agent, outcome);
     Some((n, sent, (outcome, Vec::new())))
 }
 
-fn ended(agent: &Agent, out: &mut [Option<Out>], cx: &mut Context) -> Option<(usize, Duration, Ended)> {
+fn ended(
+    agent: &Agent,
+    out: &mut [Option<Out>],
+    cx: &mut Context,
+) -> Option<(usize, Duration, Ended)> {
     for (n, slot) in out.iter_mut().enumerate() {
-        let Some(Poll::Ready(ended)) = slot.as_mut().map(|o| o.ends.as_mut().poll(cx)) else { continue };
+        let Some(Poll::Ready(ended)) = slot.as_mut().map(|o| o.ends.as_mut().poll(cx)) else {
+            continue;
+        };
         let over = slot.take()?;
         let sent = over.sent;
         over.account(agent, ended.0);
@@ -290,9 +375,14 @@
         let mut timer = pin!(Timer::at(agent.clock.instant(give_up)));
         let ends = poll_fn(|cx| match ended(agent, &mut out, cx) {
             Some(ended) => Poll::Ready(Some(ended)),
-            None => timer.as_mut().poll(cx).map(|()| late(agent, &mut out, give_up)),
+            None => timer
+                .as_mut()
+                .poll(cx)
+                .map(|()| late(agent, &mut out, give_up)),
         });
-        let Some((n, sent, (outcome, _))) = ends.await else { continue };
+        let Some((n, sent, (outcome, _))) = ends.await else {
+            continue;
+        };
         if let Answer::Withdraw { delivery } = agent.hand.after(id, n, sent, outcome, true) {
             withdraw(agent, id, &mut out, delivery, true);
         }
--- a/crates/agent/src/commands/check.rs
+++ b/crates/agent/src/commands/check.rs
@@ -8,18 +8,33 @@
 pub fn check(file: &Path, configuration: Option<&Path>) -> ExitCode {
     let told = match configuration {
         Some(c) => {
-            let files = Files { configuration: Some(c.to_owned()), installation: Some(file.to_owned()) };
+            let files = Files {
+                configuration: Some(c.to_owned()),
+                installation: Some(file.to_owned()),
+            };
             Start::read(&files).map(|start| match start.zoning() {
                 Some(z) => {
-                    let priced = z.links.iter().filter(|l| l.price != Default::default()).count();
-                    format!("{} links priced, {} limits, routing {:?}", priced, z.budgets.len(), z.routing)
+                    let priced = z
+                        .links
+                        .iter()
+                        .filter(|l| l.price != Default::default())
+                        .count();
+                    format!(
+                        "{} links priced, {} limits, routing {:?}",
+                        priced,
+                        z.budgets.len(),
+                        z.routing
+                    )
                 }
                 None => "nothing said of zones".into(),
             })
         }
         None => read_installation(file).map(|i| {
-            let zones =
-                if i.has_zones() { "names of zones and lanes not checked" } else { "nothing said of zones" };
+            let zones = if i.has_zones() {
+                "names of zones and lanes not checked"
+            } else {
+                "nothing said of zones"
+            };
             format!("{zones}; --config FILE checks them against the platform's configuration")
         }),
     };
--- a/crates/agent/src/commands/demo.rs
+++ b/crates/agent/src/commands/demo.rs
@@ -31,7 +31,10 @@
 }
 
 fn rate(text: &str) -> Result<f64, String> {
-    let rate = text.parse::<f64>().ok().filter(|r| (1.0..=2000.0).contains(r));
+    let rate = text
+        .parse::<f64>()
+        .ok()
+        .filter(|r| (1.0..=2000.0).contains(r));
     rate.ok_or_else(|| "a number from 1 to 2000 is wanted".into())
 }
 
@@ -49,7 +52,13 @@
 }
 
 fn ways() -> Ways {
-    Ways { work: Duration::from_millis(8), steady: 0.4, cores: 2, value: 400, ..Ways::default() }
+    Ways {
+        work: Duration::from_millis(8),
+        steady: 0.4,
+        cores: 2,
+        value: 400,
+        ..Ways::default()
+    }
 }
 
 /// Plays it; whether every command had its answer.
@@ -75,16 +84,26 @@
     println!("What is set for the zones:\n\n{text}");
     let installation = file.display().to_string();
     let arguments = ["run", "--installation", installation.as_str()];
-    let agent = Program::start(std::env::current_exe()?, world.configuration("demo", 0)?, &arguments)?;
+    let agent = Program::start(
+        std::env::current_exe()?,
+        world.configuration("demo", 0)?,
+        &arguments,
+    )?;
     let address = agent.address()?;
     Caller::connect(address)?;
     let wait = Duration::from_millis(1500);
-    let lanes = [("view", 4.0, false), ("send", 4.0, true), ("payment", 1.0, false)];
+    let lanes = [
+        ("view", 4.0, false),
+        ("send", 4.0, true),
+        ("payment", 1.0, false),
+    ];
     let load = Load {
         agent: address,
         rate,
         span: Duration::from_secs(ENDS),
-        lanes: lanes.map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed)).to_vec(),
+        lanes: lanes
+            .map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed))
+            .to_vec(),
         connections: 200,
         seed: 1,
     };
@@ -93,10 +112,14 @@
     println!("  time   taken  near  cross   over  build 42   what happens");
     let (mut before, mut offer) = (Sums::default(), None);
     for second in 1..=ENDS {
-        std::thread::sleep((begun + Duration::from_secs(second)).saturating_duration_since(Instant::now()));
+        std::thread::sleep(
+            (begun + Duration::from_secs(second)).saturating_duration_since(Instant::now()),
+        );
         let mut what = String::new();
         if second == OFFERED {
-            what = "build 42 is offered: a tenth of it, then two fifths, then all, as its stages pass".into();
+            what =
+                "build 42 is offered: a tenth of it, then two fifths, then all, as its stages pass"
+                    .into();
             let (w, r) = (world.clone(), released.clone());
             let staged = move |stage: usize, _: f64| {
                 // One more appliance of each zone comes up with it at each stage, cold.
@@ -106,7 +129,11 @@
                 link(&w);
                 r.store(stage + 1 == CAPS.len(), Ordering::SeqCst);
             };
-            let stages = Offer { build: 42, caps: CAPS.to_vec(), step: STEP };
+            let stages = Offer {
+                build: 42,
+                caps: CAPS.to_vec(),
+                step: STEP,
+            };
             offer = Some(world.platform.offer(stages, staged));
         }
         if second == DRAINS {
@@ -116,7 +143,16 @@
         if second == RETURNS {
             for n in 0..EACH {
                 let id = format!("{}-back-{n}", ZONES[0]);
-                world.cold(0, &id, if released.load(Ordering::SeqCst) { 42 } else { 41 }, ways())?;
+                world.cold(
+                    0,
+                    &id,
+                    if released.load(Ordering::SeqCst) {
+                        42
+                    } else {
+                        41
+                    },
+                    ways(),
+                )?;
             }
             what = format!("{} returns, cold", ZONES[0]);
         }
@@ -140,7 +176,10 @@
     let answered = futures_lite::future::block_on(load);
     drop(offer);
     let document = report::ask(&door).map_err(io::Error::other)?;
-    println!("\nThe account, as `tulipwall-agent report` prints it:\n\n{}", report::tables(&document, false));
+    println!(
+        "\nThe account, as `tulipwall-agent report` prints it:\n\n{}",
+        report::tables(&document, false)
+    );
     println!(
         "{} commands: {} satisfied, {} denied, {} scrapped, {} without an answer; half within {:.1} ms, all but a \
          hundredth within {:.1} ms.",
@@ -159,7 +198,15 @@
 
 fn link(world: &World) {
     let way = Duration::from_millis(4);
-    world.link(0, 1, Link { there: way, back: way, cut: false });
+    world.link(
+        0,
+        1,
+        Link {
+            there: way,
+            back: way,
+            cut: false,
+        },
+    );
 }
 
 /// What one line of the demo counts.
@@ -174,9 +221,16 @@
 
 impl Sums {
     fn of(d: &Document) -> Sums {
-        let mut sums = Sums { taken: d.heads.iter().flat_map(|h| h.taken.values()).sum(), ..Sums::default() };
+        let mut sums = Sums {
+            taken: d.heads.iter().flat_map(|h| h.taken.values()).sum(),
+            ..Sums::default()
+        };
         for l in &d.links {
-            *(if l.from == l.to { &mut sums.near } else { &mut sums.crossed }) += l.deliveries;
+            *(if l.from == l.to {
+                &mut sums.near
+            } else {
+                &mut sums.crossed
+            }) += l.deliveries;
             sums.over += l.over_all();
             sums.fresh += if l.build == 42 { l.deliveries } else { 0 };
         }
--- a/crates/agent/src/commands/mod.rs
+++ b/crates/agent/src/commands/mod.rs
@@ -75,7 +75,13 @@
 /// Does what the command line says.
 pub fn main() -> ExitCode {
     let run = |config, installation, log: Option<Form>| {
-        let ended = program::run(Files { configuration: config, installation }, log.map(LogForm::from));
+        let ended = program::run(
+            Files {
+                configuration: config,
+                installation,
+            },
+            log.map(LogForm::from),
+        );
         if ended {
             ExitCode::SUCCESS
         } else {
@@ -86,10 +92,16 @@
         None => {
             // As the platform starts it. What an installation sets may still be named by the environment.
             let installation = std::env::var_os("TULIPWALL_INSTALLATION").filter(|v| !v.is_empty());
-            let form = std::env::var("TULIPWALL_LOG").ok().and_then(|f| Form::from_str(&f, true).ok());
+            let form = std::env::var("TULIPWALL_LOG")
+                .ok()
+                .and_then(|f| Form::from_str(&f, true).ok());
             run(None, installation.map(PathBuf::from), form)
         }
-        Some(Command::Run { config, installation, log }) => run(config, installation, log),
+        Some(Command::Run {
+            config,
+            installation,
+            log,
+        }) => run(config, installation, log),
         Some(Command::Check { file, config }) => check::check(&file, config.as_deref()),
         Some(Command::Report(ask)) => ask.print(),
         Some(Command::Demo(show)) => show.run(),
--- a/crates/agent/src/commands/plot.rs
+++ b/crates/agent/src/commands/plot.rs
@@ -30,7 +30,10 @@
 /// Writes the picture; what is wrong otherwise.
 pub fn write(d: &Document, path: &Path) -> Result<(), String> {
     let panels = panels(d);
-    if panels.iter().all(|p| p.curves.iter().all(|c| c.points.is_empty())) {
+    if panels
+        .iter()
+        .all(|p| p.curves.iter().all(|c| c.points.is_empty()))
+    {
         return Err("nothing has crossed in the time that the account holds".into());
     }
     let height = SIZE.1 * panels.len() as u32;
@@ -52,7 +55,9 @@
 
 fn crossing(d: &Document) -> impl Iterator<Item = &SeriesLine> {
     let fine = fine(d);
-    d.series.iter().filter(move |s| s.from != s.to && s.build.is_some() == fine)
+    d.series
+        .iter()
+        .filter(move |s| s.from != s.to && s.build.is_some() == fine)
 }
 
 fn panels(d: &Document) -> Vec<Panel> {
@@ -62,24 +67,42 @@
     for s in crossing(d) {
         let link = links.entry(format!("{} to {}", s.from, s.to)).or_default();
         width = s.width_s;
-        s.bins.iter().for_each(|b| *link.entry(b.0 as u64).or_default() += b.1 as f64);
+        s.bins
+            .iter()
+            .for_each(|b| *link.entry(b.0 as u64).or_default() += b.1 as f64);
     }
     let curves = links.into_iter().map(|(name, bins)| Curve {
         name,
-        points: bins.into_iter().map(|(at, n)| ((at as f64 - now) / 60.0, n)).collect(),
+        points: bins
+            .into_iter()
+            .map(|(at, n)| ((at as f64 - now) / 60.0, n))
+            .collect(),
     });
     let title = format!("deliveries that crossed, each {width:.0} s");
-    let mut panels = vec![Panel { title, curves: curves.collect(), line: None }];
+    let mut panels = vec![Panel {
+        title,
+        curves: curves.collect(),
+        line: None,
+    }];
     let mut budgets: BTreeMap<(String, String), Vec<&BudgetLine>> = BTreeMap::new();
-    for b in d.heads.iter().flat_map(|h| &h.budgets).filter(|b| b.unit != "share") {
-        budgets.entry((b.name.clone(), b.unit.clone())).or_default().push(b);
+    for b in d
+        .heads
+        .iter()
+        .flat_map(|h| &h.budgets)
+        .filter(|b| b.unit != "share")
+    {
+        budgets
+            .entry((b.name.clone(), b.unit.clone()))
+            .or_default()
+            .push(b);
     }
     for ((name, unit), lines) in budgets {
         let b = lines[0];
         let parts: f64 = lines.iter().map(|l| l.part).sum();
         let mut spent: BTreeMap<u64, f64> = BTreeMap::new();
         let holds = |s: &&SeriesLine| {
-            b.to.as_ref().is_none_or(|to| *to == s.to) && b.lane.as_ref().is_none_or(|l| *l == s.lane)
+            b.to.as_ref().is_none_or(|to| *to == s.to)
+                && b.lane.as_ref().is_none_or(|l| *l == s.lane)
         };
         for s in crossing(d).filter(holds) {
             for bin in &s.bins {
@@ -96,10 +119,22 @@
             let from = at.saturating_sub(b.window_s as u64);
             spent.range(from + 1..=at).map(|(_, n)| n).sum::<f64>()
         };
-        let points = spent.keys().map(|at| ((*at as f64 - now) / 60.0, window(*at))).collect();
-        let title =
-            format!("{name}: {unit} in {:.0} s, and the parts of these agents ({parts:.6})", b.window_s);
-        panels.push(Panel { title, curves: vec![Curve { name: "spent".into(), points }], line: Some(parts) });
+        let points = spent
+            .keys()
+            .map(|at| ((*at as f64 - now) / 60.0, window(*at)))
+            .collect();
+        let title = format!(
+            "{name}: {unit} in {:.0} s, and the parts of these agents ({parts:.6})",
+            b.window_s
+        );
+        panels.push(Panel {
+            title,
+            curves: vec![Curve {
+                name: "spent".into(),
+                points,
+            }],
+            line: Some(parts),
+        });
     }
     panels
 }
@@ -118,21 +153,39 @@
             .x_label_area_size(32)
             .y_label_area_size(72)
             .build_cartesian_2d(least..0.0, 0.0..most * 1.1)?;
-        chart.configure_mesh().x_desc("minutes before the report").light_line_style(WHITE).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("minutes before the report")
+            .light_line_style(WHITE)
+            .draw()?;
         for (n, curve) in self.curves.iter().enumerate() {
             let colour = COLOURS[n % COLOURS.len()];
             chart
-                .draw_series(LineSeries::new(curve.points.iter().copied(), colour.stroke_width(2)))?
+                .draw_series(LineSeries::new(
+                    curve.points.iter().copied(),
+                    colour.stroke_width(2),
+                ))?
                 .label(curve.name.as_str())
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(2))
+                });
         }
         if let Some(line) = self.line {
             let style = BLACK.stroke_width(1);
             chart
-                .draw_series(DashedLineSeries::new([(least, line), (0.0, line)], 6, 4, style))?
+                .draw_series(DashedLineSeries::new(
+                    [(least, line), (0.0, line)],
+                    6,
+                    4,
+                    style,
+                ))?
                 .label("budget")
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], style));
         }
-        chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()
+        chart
+            .configure_series_labels()
+            .background_style(WHITE)
+            .border_style(BLACK)
+            .draw()
     }
 }
--- a/crates/agent/src/commands/report.rs
+++ b/crates/agent/src/commands/report.rs
@@ -55,9 +55,13 @@
                 }
             }
         }
-        let Some(document) = document else { return NO_REPORT.into() };
+        let Some(document) = document else {
+            return NO_REPORT.into();
+        };
         let printed = if self.json {
-            serde_json::to_string_pretty(&document).map_err(|e| e.to_string()).map(|text| println!("{text}"))
+            serde_json::to_string_pretty(&document)
+                .map_err(|e| e.to_string())
+                .map(|text| println!("{text}"))
         } else if let Some(path) = &self.svg {
             plot::write(&document, path).map(|()| println!("{}: written", path.display()))
         } else {
@@ -87,17 +91,28 @@
         if told.len() > 1 {
             let mut all = Otherwise::default().named();
             for (_, counts) in &told {
-                all.iter_mut().zip(counts).for_each(|(sum, (_, n))| sum.1 = sum.1.saturating_add(*n));
+                all.iter_mut()
+                    .zip(counts)
+                    .for_each(|(sum, (_, n))| sum.1 = sum.1.saturating_add(*n));
             }
             told.push(("all".to_owned(), all));
         }
         if self.json {
-            let told: Map<_, _> = told.into_iter().map(|(door, c)| (door, object(&c))).collect();
+            let told: Map<_, _> = told
+                .into_iter()
+                .map(|(door, c)| (door, object(&c)))
+                .collect();
             println!("{:#}", Value::Object(told));
         } else if let Some((_, first)) = told.first() {
             let mut table = table(&[&["door"][..], &first.map(|(kind, _)| kind)].concat());
             for (door, counts) in &told {
-                table.add_row([vec![door.clone()], counts.map(|(_, n)| n.to_string()).to_vec()].concat());
+                table.add_row(
+                    [
+                        vec![door.clone()],
+                        counts.map(|(_, n)| n.to_string()).to_vec(),
+                    ]
+                    .concat(),
+                );
             }
             println!("{table}");
         }
@@ -112,7 +127,12 @@
 type Counts = [(&'static str, u64); 5];
 
 fn object(counts: &Counts) -> Value {
-    Value::Object(counts.iter().map(|(kind, n)| ((*kind).to_owned(), (*n).into())).collect())
+    Value::Object(
+        counts
+            .iter()
+            .map(|(kind, n)| ((*kind).to_owned(), (*n).into()))
+            .collect(),
+    )
 }
 
 /// The counts of the watch behind a door.
@@ -120,7 +140,8 @@
     let mut counts = Otherwise::default().named();
     let mut told = false;
     get(door, "/watch", |line| {
-        let line: Value = serde_json::from_str(line).map_err(|e| format!("a line that is no report: {e}"))?;
+        let line: Value =
+            serde_json::from_str(line).map_err(|e| format!("a line that is no report: {e}"))?;
         for (kind, n) in &mut counts {
             *n = line
                 .get(*kind)
@@ -130,7 +151,8 @@
         told = true;
         Ok(())
     })?;
-    told.then_some(counts).ok_or_else(|| "the report stops short of its end".into())
+    told.then_some(counts)
+        .ok_or_else(|| "the report stops short of its end".into())
 }
 
 fn name(door: &Door) -> String {
@@ -144,7 +166,8 @@
 pub fn ask(door: &Door) -> Result<Document, String> {
     let mut document = Document::default();
     get(door, "/zones", |line| {
-        let line: Line = serde_json::from_str(line).map_err(|e| format!("a line that is no report: {e}"))?;
+        let line: Line =
+            serde_json::from_str(line).map_err(|e| format!("a line that is no report: {e}"))?;
         document.take(line)
     })?;
     if document.is_whole() {
@@ -155,17 +178,25 @@
 }
 
 /// Asks a door for this, and hands on what it says line by line.
-fn get(door: &Door, path: &str, each: impl FnMut(&str) -> Result<(), String>) -> Result<(), String> {
+fn get(
+    door: &Door,
+    path: &str,
+    each: impl FnMut(&str) -> Result<(), String>,
+) -> Result<(), String> {
     match door {
         Door::Tcp(address) => {
             let stream = TcpStream::connect_timeout(address, WITHIN).map_err(|e| e.to_string())?;
-            let limited = stream.set_read_timeout(Some(WITHIN)).and(stream.set_write_timeout(Some(WITHIN)));
+            let limited = stream
+                .set_read_timeout(Some(WITHIN))
+                .and(stream.set_write_timeout(Some(WITHIN)));
             limited.map_err(|e| e.to_string())?;
             read(stream, path, each)
         }
         Door::Unix(file) => {
             let stream = UnixStream::connect(file).map_err(|e| e.to_string())?;
-            let limited = stream.set_read_timeout(Some(WITHIN)).and(stream.set_write_timeout(Some(WITHIN)));
+            let limited = stream
+                .set_read_timeout(Some(WITHIN))
+                .and(stream.set_write_timeout(Some(WITHIN)));
             limited.map_err(|e| e.to_string())?;
             read(stream, path, each)
         }
@@ -181,7 +212,10 @@
     let asked = format!("GET {path} HTTP/1.1\r\nHost: door\r\nConnection: close\r\n\r\n");
     stream.write_all(asked.as_bytes()).map_err(broken)?;
     let mut lines = BufReader::new(stream.take(MOST)).lines();
-    let status = lines.next().ok_or("it closed without a word")?.map_err(broken)?;
+    let status = lines
+        .next()
+        .ok_or("it closed without a word")?
+        .map_err(broken)?;
     for head in lines.by_ref() {
         if head.map_err(broken)?.is_empty() {
             break;
@@ -199,14 +233,27 @@
     let mut text = String::new();
     for head in &d.heads {
         let taken: u64 = head.taken.values().sum();
-        text +=
-            &format!("{} in {}: {taken} commands taken in {:.0} s\n", head.agent, head.zone, head.since_s);
+        text += &format!(
+            "{} in {}: {taken} commands taken in {:.0} s\n",
+            head.agent, head.zone, head.since_s
+        );
     }
-    let budgets: Vec<(&str, &BudgetLine)> =
-        d.heads.iter().flat_map(|h| h.budgets.iter().map(|b| (h.agent.as_str(), b))).collect();
+    let budgets: Vec<(&str, &BudgetLine)> = d
+        .heads
+        .iter()
+        .flat_map(|h| h.budgets.iter().map(|b| (h.agent.as_str(), b)))
+        .collect();
     if !budgets.is_empty() {
-        let mut table =
-            table(&["budget", "agent", "holds for", "in", "limit", "its part", "used", "over, and why"]);
+        let mut table = table(&[
+            "budget",
+            "agent",
+            "holds for",
+            "in",
+            "limit",
+            "its part",
+            "used",
+            "over, and why",
+        ]);
         for (agent, b) in budgets {
             let scope = match (&b.to, &b.lane) {
                 (None, None) => "all that crosses".to_owned(),
@@ -221,7 +268,11 @@
             };
             let over: u64 = b.over.values().sum();
             let why: Vec<String> = b.over.iter().map(|(why, n)| format!("{why} {n}")).collect();
-            let over = if over > 0 { format!("{over}: {}", why.join(", ")) } else { "-".into() };
+            let over = if over > 0 {
+                format!("{over}: {}", why.join(", "))
+            } else {
+                "-".into()
+            };
             let row = [
                 b.name.clone(),
                 agent.into(),
@@ -258,17 +309,27 @@
     ];
     let mut table = table(&headings);
     for n in 4..headings.len() {
-        table.column_mut(n).into_iter().for_each(|c| c.set_cell_alignment(CellAlignment::Right));
+        table
+            .column_mut(n)
+            .into_iter()
+            .for_each(|c| c.set_cell_alignment(CellAlignment::Right));
     }
     let rows = if builds { d.links.clone() } else { d.by_lane() };
     for l in &rows {
-        let time = |part| d.quantile_ms(l, part).map_or("-".to_owned(), |ms| format!("{ms:.1}"));
+        let time = |part| {
+            d.quantile_ms(l, part)
+                .map_or("-".to_owned(), |ms| format!("{ms:.1}"))
+        };
         let build = match (builds, l.build) {
             (false, _) => "all".to_owned(),
             (_, 0) => "gone".to_owned(),
             (_, n) => n.to_string(),
         };
-        let adds = if l.compared > 0 { format!("{:.1}", l.added_ms) } else { "-".into() };
+        let adds = if l.compared > 0 {
+            format!("{:.1}", l.added_ms)
+        } else {
+            "-".into()
+        };
         table.add_row([
             l.from.clone(),
             l.to.clone(),
@@ -315,6 +376,11 @@
 
 fn span(seconds: f64) -> String {
     let units = [(86_400.0, "d"), (3600.0, "h"), (60.0, "m"), (1.0, "s")];
-    let unit = units.into_iter().find(|(s, _)| seconds >= *s && seconds % s == 0.0);
-    unit.map_or_else(|| format!("{seconds} s"), |(s, u)| format!("{:.0} {u}", seconds / s))
+    let unit = units
+        .into_iter()
+        .find(|(s, _)| seconds >= *s && seconds % s == 0.0);
+    unit.map_or_else(
+        || format!("{seconds} s"),
+        |(s, u)| format!("{:.0} {u}", seconds / s),
+    )
 }
--- a/crates/agent/src/delivery.rs
+++ b/crates/agent/src/delivery.rs
@@ -68,14 +68,22 @@
             }
             Err(_) => return none(Outcome::NoConnection),
         }
-        (if reused { &agent.counters.reused } else { &agent.counters.opened }).add();
+        (if reused {
+            &agent.counters.reused
+        } else {
+            &agent.counters.opened
+        })
+        .add();
         break held;
     };
     meter.written.set(true);
     agent.counters.sent.add();
     let mut hearing = Hearing::default();
     let ended = hear(agent, &mut held.connection, &mut hearing).await;
-    if let Some(load) = hearing.held.filter(|_| agent.target(order.target.appliance) == Some(order.target)) {
+    if let Some(load) = hearing
+        .held
+        .filter(|_| agent.target(order.target.appliance) == Some(order.target))
+    {
         agent.hand.told(order.target.appliance, load);
     }
     // A spoilt answer says nothing, not even that the command never ran.
@@ -103,7 +111,8 @@
             agent.counters.spoilt.add();
         }
         Err(Heard::End)
-            if outcome == Outcome::Broken && (hearing.begun() || !held.connection.inbox.is_empty()) =>
+            if outcome == Outcome::Broken
+                && (hearing.begun() || !held.connection.inbox.is_empty()) =>
         {
             meter.flaw.set(Flaw::Half);
         }
@@ -127,11 +136,17 @@
 }
 
 /// Hears messages until the connection is ready for the next query.
-async fn hear(agent: &Agent, connection: &mut Connection, hearing: &mut Hearing) -> Result<(), Heard> {
+async fn hear(
+    agent: &Agent,
+    connection: &mut Connection,
+    hearing: &mut Hearing,
+) -> Result<(), Heard> {
     loop {
         let bytes = connection.inbox.unread();
         if let Some((tag, body, took)) = postgres::answer(bytes).map_err(Heard::Garbage)? {
-            let ready = hearing.hear(tag, body, &bytes[..took]).map_err(Heard::Garbage)?;
+            let ready = hearing
+                .hear(tag, body, &bytes[..took])
+                .map_err(Heard::Garbage)?;
             connection.inbox.consume(took);
             if ready {
                 return Ok(());
@@ -167,15 +182,27 @@
         }
     };
     let late = async {
-        agent.until(agent.clock.now() + agent.site().connect_within).await;
+        agent
+            .until(agent.clock.now() + agent.site().connect_within)
+            .await;
         Err(Outcome::NoConnection)
     };
-    let handshake = HandshakeCost { agent, target, begun: agent.clock.now(), traffic: RefCell::default() };
+    let handshake = HandshakeCost {
+        agent,
+        target,
+        begun: agent.clock.now(),
+        traffic: RefCell::default(),
+    };
     let opening = async {
-        let mut connection = Connection::open(target.address).await.map_err(|_| Outcome::NoConnection)?;
+        let mut connection = Connection::open(target.address)
+            .await
+            .map_err(|_| Outcome::NoConnection)?;
         *handshake.traffic.borrow_mut() = Some(connection.traffic.clone());
         let startup = postgres::startup("worker", "catalog");
-        connection.write(&startup).await.map_err(|_| Outcome::NoConnection)?;
+        connection
+            .write(&startup)
+            .await
+            .map_err(|_| Outcome::NoConnection)?;
         let mut hearing = Hearing::default();
         let heard = hear(agent, &mut connection, &mut hearing).await;
         match (heard, hearing.verdict) {
@@ -184,7 +211,10 @@
             _ => Err(Outcome::NoConnection),
         }
     };
-    let opened = opening.or(late).await.map(|c| Held::new(c, slot, agent.clock.now()));
+    let opened = opening
+        .or(late)
+        .await
+        .map(|c| Held::new(c, slot, agent.clock.now()));
     if opened.is_ok() {
         handshake.charge(true);
     }
@@ -201,11 +231,22 @@
 
 impl HandshakeCost<'_> {
     fn charge(&self, open: bool) {
-        let Some(traffic) = self.traffic.take() else { return };
+        let Some(traffic) = self.traffic.take() else {
+            return;
+        };
         let ((out, back), now) = (traffic.charge(), self.agent.clock.now());
         let took = open.then(|| now.saturating_sub(self.begun));
         let Target { zone, build, .. } = self.target;
-        self.agent.border.opened(now, Opening { to: zone, build, out, back, took });
+        self.agent.border.opened(
+            now,
+            Opening {
+                to: zone,
+                build,
+                out,
+                back,
+                took,
+            },
+        );
     }
 }
 
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -132,7 +132,9 @@
         }
         self.vouched.ended(now, ended);
         agent.hand.vouch(self.vouched.until());
-        if self.vouched.until().is_some_and(|t| now >= t) && !std::mem::replace(&mut self.doubts, true) {
+        if self.vouched.until().is_some_and(|t| now >= t)
+            && !std::mem::replace(&mut self.doubts, true)
+        {
             log::warn!(
                 "discovery: {what}; who has left is not known any more, nothing is sent until it is heard"
             );
@@ -157,12 +159,23 @@
     async fn run(&mut self) -> End {
         let agent = self.agent;
         let wait = self.watchdog.wait(true);
-        let known = agent.known().filter(|_| !self.owes || !self.watchdog.free());
-        let path = known.map_or(listing::LIST.to_owned(), |version| listing::watch(version, wait));
-        let (quick, patient) = (wait + self.watchdog.within(false), wait + self.watchdog.within(true));
+        let known = agent
+            .known()
+            .filter(|_| !self.owes || !self.watchdog.free());
+        let path = known.map_or(listing::LIST.to_owned(), |version| {
+            listing::watch(version, wait)
+        });
+        let (quick, patient) = (
+            wait + self.watchdog.within(false),
+            wait + self.watchdog.within(true),
+        );
         self.vouched.begins(agent.clock.now());
         let begun = match self.watchdog.free() {
-            true => over(agent, &self.watchdog, &path, quick).or(begin(agent, &path, patient)).await,
+            true => {
+                over(agent, &self.watchdog, &path, quick)
+                    .or(begin(agent, &path, patient))
+                    .await
+            }
             false => begin(agent, &path, patient).await,
         };
         let (mut connection, (mut told, mut last)) = match begun {
@@ -189,7 +202,10 @@
             self.watchdog.told();
             self.doubts = false;
             if let Some(since) = self.away.take() {
-                log::info!("discovery: heard again after {:.1?}", agent.clock.now().saturating_sub(since));
+                log::info!(
+                    "discovery: heard again after {:.1?}",
+                    agent.clock.now().saturating_sub(since)
+                );
             }
             if std::mem::take(&mut self.owes) {
                 agent.life.heard(Party::Discovery);
@@ -210,7 +226,9 @@
 /// A connection and its first answer.
 async fn begin(agent: &Agent, path: &str, time: Duration) -> Result<(Connection, Told), End> {
     let begun = async {
-        let mut connection = Connection::open(agent.discovery.get()).await.map_err(broken)?;
+        let mut connection = Connection::open(agent.discovery.get())
+            .await
+            .map_err(broken)?;
         let told = ask(agent, &mut connection, path).await?;
         Ok((connection, told))
     };
@@ -233,7 +251,10 @@
 }
 
 async fn ask(agent: &Agent, connection: &mut Connection, path: &str) -> Result<Told, End> {
-    connection.write(&http::get(&agent.discovery.get().to_string(), path)).await.map_err(broken)?;
+    connection
+        .write(&http::get(&agent.discovery.get().to_string(), path))
+        .await
+        .map_err(broken)?;
     let mut ended = false;
     loop {
         if let Some(answer) = http::answer(connection.inbox.unread(), ended)? {
@@ -242,7 +263,10 @@
                 return Err(End(Ended::Refused, format!("status {}", answer.status)));
             }
             // Where the connection does not go on, this much is told, and the watch begins anew.
-            return Ok((Listing::parse(&answer.body).map_err(Malformed)?, answer.last));
+            return Ok((
+                Listing::parse(&answer.body).map_err(Malformed)?,
+                answer.last,
+            ));
         }
         if ended {
             return Err(End(Ended::Broken, "it ended within an answer".into()));
@@ -250,7 +274,11 @@
         // Guards against an answer that stops short of its end, which would be waited for as long as a watch.
         let begun = !connection.inbox.is_empty();
         let more = async { connection.more().await.map_err(broken) };
-        let got = if begun { within(agent, REST_WITHIN, more).await? } else { more.await? };
+        let got = if begun {
+            within(agent, REST_WITHIN, more).await?
+        } else {
+            more.await?
+        };
         ended = got == 0;
     }
 }
--- a/crates/agent/src/door.rs
+++ b/crates/agent/src/door.rs
@@ -154,7 +154,10 @@
     Ok(())
 }
 
-async fn within<T>(span: Duration, work: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
+async fn within<T>(
+    span: Duration,
+    work: impl std::future::Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let late = async {
         Timer::after(span).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -165,34 +168,52 @@
 async fn serve<S: Speaks>(agent: &Agent, reader: &Source<S>) -> io::Result<()> {
     let question = within(ASKED_WITHIN, question(reader)).await?;
     let mut words = question.split(' ');
-    let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
+    let (method, path) = (
+        words.next().unwrap_or_default(),
+        words.next().unwrap_or_default(),
+    );
     let path = path.split('?').next().unwrap_or_default();
     let watched = agent.hand.otherwise();
     let refusal = match (method, path) {
         ("GET", "/zones") if agent.border.watches() => None,
         ("GET", "/zones") => Some(("404 Not Found", "the installation says nothing of zones")),
         ("GET", "/watch") if watched.is_some() => None,
-        ("GET", "/watch") => Some(("404 Not Found", "the installation names no settings to watch")),
+        ("GET", "/watch") => Some((
+            "404 Not Found",
+            "the installation names no settings to watch",
+        )),
         ("GET", _) => Some(("404 Not Found", "known are /zones and /watch")),
         _ => Some(("405 Method Not Allowed", "only GET is known")),
     };
     if let Some((status, why)) = refusal {
-        let head = format!("HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nConnection: close\r\n\r\n");
+        let head =
+            format!("HTTP/1.1 {status}\r\nContent-Type: text/plain\r\nConnection: close\r\n\r\n");
         return write(reader, format!("{head}{why}\n").as_bytes()).await;
     }
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\n\r\n";
     write(reader, head.as_bytes()).await?;
     if let Some(counts) = watched.filter(|_| path == "/watch") {
-        let line: serde_json::Map<_, _> =
-            counts.named().map(|(k, n)| (k.to_owned(), n.into())).into_iter().collect();
-        return write(reader, format!("{}\n", serde_json::Value::Object(line)).as_bytes()).await;
+        let line: serde_json::Map<_, _> = counts
+            .named()
+            .map(|(k, n)| (k.to_owned(), n.into()))
+            .into_iter()
+            .collect();
+        return write(
+            reader,
+            format!("{}\n", serde_json::Value::Object(line)).as_bytes(),
+        )
+        .await;
     }
     let mut place = Place::default();
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let now = agent.clock.now();
     while place != Place::Over {
         // A new configuration may have ended the account meanwhile.
-        let Some((lines, next)) = agent.border.lines(now, unix, place) else { return Ok(()) };
+        let Some((lines, next)) = agent.border.lines(now, unix, place) else {
+            return Ok(());
+        };
         place = next;
         for line in lines {
             let mut text = serde_json::to_vec(&line).map_err(io::Error::other)?;
--- a/crates/agent/src/lifecycle/life.rs
+++ b/crates/agent/src/lifecycle/life.rs
@@ -155,7 +155,11 @@
         let asked = event.listen();
         let key = (now + if new { NEW_LEAST } else { IDLE_LEAST }, number);
         self.idle.borrow_mut().insert(key, event);
-        Some(Idle { life: self, key, asked })
+        Some(Idle {
+            life: self,
+            key,
+            asked,
+        })
     }
 
     /// Asks the client that has been idle for longest to go; false when none was idle for a while. One that
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -25,10 +25,16 @@
     pub fn new() -> io::Result<Signals> {
         let flag = |signals: &[i32]| {
             let flag = Arc::new(AtomicBool::new(false));
-            let registered = signals.iter().map(|s| signal_hook::flag::register(*s, flag.clone()));
+            let registered = signals
+                .iter()
+                .map(|s| signal_hook::flag::register(*s, flag.clone()));
             registered.collect::<io::Result<Vec<_>>>().map(|_| flag)
         };
-        Ok(Signals { term: flag(&[SIGTERM, SIGINT])?, usr1: flag(&[SIGUSR1])?, hup: flag(&[SIGHUP])? })
+        Ok(Signals {
+            term: flag(&[SIGTERM, SIGINT])?,
+            usr1: flag(&[SIGUSR1])?,
+            hup: flag(&[SIGHUP])?,
+        })
     }
 }
 
@@ -40,7 +46,9 @@
 impl Reading {
     fn begin(files: &Files) -> Reading {
         let own = files.clone();
-        let begun = std::thread::Builder::new().name("settings".into()).spawn(move || Start::read(&own));
+        let begun = std::thread::Builder::new()
+            .name("settings".into())
+            .spawn(move || Start::read(&own));
         // Without a thread of its own all else waits for it.
         Reading(begun.map_err(|_| Box::new(Start::read(files))))
     }
@@ -51,7 +59,9 @@
 
     fn end(self) -> Read {
         match self.0 {
-            Ok(thread) => thread.join().unwrap_or_else(|_| Err(vec!["configuration: not read".into()])),
+            Ok(thread) => thread
+                .join()
+                .unwrap_or_else(|_| Err(vec!["configuration: not read".into()])),
             Err(read) => *read,
         }
     }
@@ -82,7 +92,8 @@
             agent.life.reach(Phase::Leaving);
         }
         if let Some(closes) = asked.map(|at| at + LEAVING).filter(|at| now >= *at) {
-            let last = (closes + agent.site().longest_expiry.max(LEAST_EXPIRY)).max(agent.owed_until.get());
+            let last = (closes + agent.site().longest_expiry.max(LEAST_EXPIRY))
+                .max(agent.owed_until.get());
             agent.life.close(last);
             if agent.life.is_shut() && agent.sockets.nobody() || now >= last + LAST_WORDS {
                 return agent.life.reach(Phase::Stopped);
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -43,13 +43,21 @@
         };
         let bytes = std::fs::read(&path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
         let start = Start::parse(&bytes).map_err(|e| vec![format!("{}: {e}", path.display())])?;
-        let Some(path) = &files.installation else { return Ok(start) };
+        let Some(path) = &files.installation else {
+            return Ok(start);
+        };
         let installation = read_installation(path)?;
         let named = |mistakes| named(path, mistakes);
         installation.zoning(&start.site).map_err(named)?;
         let watch = installation.watch(&start.site).map_err(named)?;
         let (log, door) = (installation.log, installation.door.clone());
-        Ok(Start { log, door, installation, watch, ..start })
+        Ok(Start {
+            log,
+            door,
+            installation,
+            watch,
+            ..start
+        })
     }
 
     /// What the installation says of zones, in the numbers of these settings; looked at for mistakes as it was read.
@@ -60,10 +68,24 @@
     pub fn parse(bytes: &[u8]) -> Result<Start, String> {
         let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
         let i = Instance::read(&value)?;
-        let known = i.known.as_ref().map(Listing::read).transpose().map_err(|e| format!("known: {e}"))?;
+        let known = i
+            .known
+            .as_ref()
+            .map(Listing::read)
+            .transpose()
+            .map_err(|e| format!("known: {e}"))?;
         let news = i.news.as_ref().map(platform::told).transpose();
         let news = news.map_err(|e| format!("deployer.news: {e}"))?;
-        let Instance { name, listen, discovery, platform, sockets, memory, site, .. } = i;
+        let Instance {
+            name,
+            listen,
+            discovery,
+            platform,
+            sockets,
+            memory,
+            site,
+            ..
+        } = i;
         let (log, door, installation, watch) = (None, None, Installation::default(), None);
         Ok(Start {
             name,
@@ -85,10 +107,14 @@
 
 /// Reads an installation's file; every mistake in it otherwise, with file, line and column.
 pub fn read_installation(path: &Path) -> Result<Installation, Vec<String>> {
-    let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
     Installation::read(&text).map_err(|mistakes| named(path, mistakes))
 }
 
 fn named(path: &Path, mistakes: Vec<Mistake>) -> Vec<String> {
-    mistakes.into_iter().map(|m| format!("{}:{m}", path.display())).collect()
+    mistakes
+        .into_iter()
+        .map(|m| format!("{}:{m}", path.display()))
+        .collect()
 }
--- a/crates/agent/src/logs.rs
+++ b/crates/agent/src/logs.rs
@@ -12,7 +12,8 @@
 
 /// Begins to log; `RUST_LOG` sets what, `info` unless set. Only the first call counts.
 pub fn begin(form: LogForm) {
-    let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
+    let mut builder =
+        env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
     if form == LogForm::Json {
         builder.format(|out, record| {
             let at = out.timestamp_micros().to_string();
--- a/crates/agent/src/memory/border.rs
+++ b/crates/agent/src/memory/border.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::{Crossings, Origin, Outcome, Room};
-use tulipwall_zones::{Ended, Flaw, Line, Names, Opening, Place, Sending, Ticket, Wall, Zones, Zoning};
+use tulipwall_zones::{
+    Ended, Flaw, Line, Names, Opening, Place, Sending, Ticket, Wall, Zones, Zoning,
+};
 
 /// How often a budget that is spent is written of.
 const NOTED_EVERY: Duration = Duration::from_secs(10);
@@ -42,11 +44,19 @@
 
     /// Goes on under an installation and settings read anew, the lanes numbered as `by` says. The account and what is
     /// spent stay as long as there is one and the zones are those of before; says whether they do.
-    pub fn renew(&self, now: Duration, zoning: Option<Zoning>, names: Names, by: &[Origin]) -> bool {
+    pub fn renew(
+        &self,
+        now: Duration,
+        zoning: Option<Zoning>,
+        names: Names,
+        by: &[Origin],
+    ) -> bool {
         let mut zones = self.zones.borrow_mut();
         let before = self.names.replace(names);
         let goes_on = match (zones.as_mut(), zoning) {
-            (Some(z), Some(zoning)) if before.zones == self.names.borrow().zones => z.renew(now, zoning, by),
+            (Some(z), Some(zoning)) if before.zones == self.names.borrow().zones => {
+                z.renew(now, zoning, by)
+            }
             (was, Some(zoning)) => {
                 let goes_on = was.is_none();
                 *zones = Some(Zones::new(now, zoning));
@@ -70,8 +80,16 @@
         }
     }
 
-    pub fn sent(&self, now: Duration, sending: Sending, rooms: impl FnOnce() -> Vec<Room>) -> Option<Ticket> {
-        self.zones.borrow_mut().as_mut().map(|z| z.sent(now, sending, rooms))
+    pub fn sent(
+        &self,
+        now: Duration,
+        sending: Sending,
+        rooms: impl FnOnce() -> Vec<Room>,
+    ) -> Option<Ticket> {
+        self.zones
+            .borrow_mut()
+            .as_mut()
+            .map(|z| z.sent(now, sending, rooms))
     }
 
     /// A delivery has ended: what its meter read goes into the account.
@@ -86,7 +104,18 @@
         if let (Some(ticket), Some(z)) = (ticket, self.zones.borrow_mut().as_mut()) {
             let (out, back) = meter.read();
             let (written, flaw) = (meter.written.get(), meter.flaw.get());
-            z.ended(now, ticket, &Ended { outcome, flaw, written, out, back, took });
+            z.ended(
+                now,
+                ticket,
+                &Ended {
+                    outcome,
+                    flaw,
+                    written,
+                    out,
+                    back,
+                    took,
+                },
+            );
         }
     }
 
@@ -112,14 +141,24 @@
             if p.over() <= before || now < at + NOTED_EVERY {
                 continue;
             }
-            let why = tulipwall_zones::Reason::ALL.into_iter().filter(|r| p.over_for(*r) > 0);
-            let why: Vec<String> = why.map(|r| format!("{} {}", r.word(), p.over_for(r))).collect();
+            let why = tulipwall_zones::Reason::ALL
+                .into_iter()
+                .filter(|r| p.over_for(*r) > 0);
+            let why: Vec<String> = why
+                .map(|r| format!("{} {}", r.word(), p.over_for(r)))
+                .collect();
             log::warn!(budget = p.budget.name.as_str(), over = p.over(), used = p.used(), part = p.limit();
                 "zones: budget '{}' is spent; {} deliveries went over it since the start: {}",
                 p.budget.name, p.over(), why.join(", "));
             noted.insert(p.budget.name.clone(), (now, p.over()));
         }
-        noted.retain(|name, _| zones.purses().purses().iter().any(|p| p.budget.name == *name));
+        noted.retain(|name, _| {
+            zones
+                .purses()
+                .purses()
+                .iter()
+                .any(|p| p.budget.name == *name)
+        });
     }
 
     /// What crossing means now, if that has changed.
@@ -135,8 +174,15 @@
 
     /// The next lines of the report and where it goes on; nothing where there is no account.
     pub fn lines(&self, now: Duration, unix: Duration, place: Place) -> Option<(Vec<Line>, Place)> {
-        let wall = Wall { now, unix, since: self.since.get() };
-        self.zones.borrow().as_ref().map(|z| z.lines(&self.names.borrow(), wall, place))
+        let wall = Wall {
+            now,
+            unix,
+            since: self.since.get(),
+        };
+        self.zones
+            .borrow()
+            .as_ref()
+            .map(|z| z.lines(&self.names.borrow(), wall, place))
     }
 }
 
--- a/crates/agent/src/memory/counters.rs
+++ b/crates/agent/src/memory/counters.rs
@@ -45,8 +45,16 @@
     pub door_dropped: Count, // readers of the operators' door that did not read
 }
 
-const OUTCOMES: [&str; 8] =
-    ["satisfied", "failed", "turned_away", "timed_out", "no_connection", "broken", "withdrawn", "not_sent"];
+const OUTCOMES: [&str; 8] = [
+    "satisfied",
+    "failed",
+    "turned_away",
+    "timed_out",
+    "no_connection",
+    "broken",
+    "withdrawn",
+    "not_sent",
+];
 
 impl Counters {
     pub fn end(&self, outcome: Outcome) {
@@ -73,17 +81,48 @@
             n(&self.satisfied)
         )?;
         write!(f, "floods {} ", n(&self.floods))?;
-        write!(f, "denied {} scrapped {} left {}; ", n(&self.denied), n(&self.scrapped), n(&self.left))?;
+        write!(
+            f,
+            "denied {} scrapped {} left {}; ",
+            n(&self.denied),
+            n(&self.scrapped),
+            n(&self.left)
+        )?;
         write!(f, "deliveries: written {}", n(&self.sent))?;
         for (name, count) in OUTCOMES.iter().zip(&self.ended) {
             write!(f, " {name} {}", n(count))?;
         }
-        write!(f, "; connections: opened {} reused {} ", n(&self.opened), n(&self.reused))?;
-        write!(f, "spoilt {} unasked {} ", n(&self.spoilt), n(&self.unasked))?;
-        write!(f, "found_closed {}; lists: told {} ", n(&self.gone_idle), n(&self.lists))?;
-        write!(f, "failed {} silent {}; ", n(&self.list_failures), n(&self.list_silences))?;
+        write!(
+            f,
+            "; connections: opened {} reused {} ",
+            n(&self.opened),
+            n(&self.reused)
+        )?;
+        write!(
+            f,
+            "spoilt {} unasked {} ",
+            n(&self.spoilt),
+            n(&self.unasked)
+        )?;
+        write!(
+            f,
+            "found_closed {}; lists: told {} ",
+            n(&self.gone_idle),
+            n(&self.lists)
+        )?;
+        write!(
+            f,
+            "failed {} silent {}; ",
+            n(&self.list_failures),
+            n(&self.list_silences)
+        )?;
         write!(f, "platform: news {} ", n(&self.news))?;
-        write!(f, "votes {} ended {}", n(&self.votes), n(&self.platform_ends))?;
+        write!(
+            f,
+            "votes {} ended {}",
+            n(&self.votes),
+            n(&self.platform_ends)
+        )?;
         write!(f, "; door: dropped {}", n(&self.door_dropped))
     }
 }
--- a/crates/agent/src/memory/hand.rs
+++ b/crates/agent/src/memory/hand.rs
@@ -32,7 +32,10 @@
 impl Hand {
     /// Nothing while another command is open under this id: its answers could not be told apart.
     pub fn open(&self, id: &str) -> Option<Opened<'_>> {
-        self.open.borrow_mut().insert(id.to_owned()).then(|| Opened(self, id.to_owned()))
+        self.open
+            .borrow_mut()
+            .insert(id.to_owned())
+            .then(|| Opened(self, id.to_owned()))
     }
 
     pub fn new(deployment: Deployment, clock: Rc<Clock>, counters: Rc<Counters>) -> Hand {
@@ -78,7 +81,9 @@
                 (Answer::Send { appliance, .. }, Some((lane, key))) => {
                     watch.sent(now, &self.choice.borrow(), lane, key, *appliance);
                 }
-                (Answer::Deny { .. } | Answer::Scrap, _) => drop(self.keys.borrow_mut().remove(&id)),
+                (Answer::Deny { .. } | Answer::Scrap, _) => {
+                    drop(self.keys.borrow_mut().remove(&id))
+                }
                 _ => {}
             }
         }
@@ -97,7 +102,13 @@
     }
 
     /// From now on these settings decide, numbered as `by` says; `zones` are appliances whose zone has another number.
-    pub fn renew(&self, d: &Deployment, by: &Numbering, zones: &[(usize, usize)], shape: Option<&Shape>) {
+    pub fn renew(
+        &self,
+        d: &Deployment,
+        by: &Numbering,
+        zones: &[(usize, usize)],
+        shape: Option<&Shape>,
+    ) {
         let mut choice = self.choice.borrow_mut();
         choice.renew(self.clock.now(), d, by);
         choice.rezone(zones);
@@ -113,14 +124,28 @@
 
     /// An appliance said how many commands it holds.
     pub fn told(&self, appliance: usize, held: f64) {
-        self.choice.borrow_mut().told(self.clock.now(), appliance, Outcome::Satisfied, Some(held));
+        self.choice
+            .borrow_mut()
+            .told(self.clock.now(), appliance, Outcome::Satisfied, Some(held));
     }
 
     /// A delivery that was decided at `sent` has ended.
-    pub fn after(&self, id: u64, delivery: usize, sent: Duration, outcome: Outcome, closed: bool) -> Answer {
+    pub fn after(
+        &self,
+        id: u64,
+        delivery: usize,
+        sent: Duration,
+        outcome: Outcome,
+        closed: bool,
+    ) -> Answer {
         self.counters.end(outcome);
         let now = self.clock.now();
-        let end = End { outcome, took: now.saturating_sub(sent), closed, held: None };
+        let end = End {
+            outcome,
+            took: now.saturating_sub(sent),
+            closed,
+            held: None,
+        };
         let answer = self.choice.borrow_mut().after(now, id, delivery, end);
         let answer = self.watched(now, id, answer);
         if closed {
@@ -137,7 +162,9 @@
 
     pub fn list(&self, entries: &[Listed], complete: bool) {
         self.counters.lists.add();
-        self.choice.borrow_mut().list(self.clock.now(), entries, complete);
+        self.choice
+            .borrow_mut()
+            .list(self.clock.now(), entries, complete);
     }
 
     pub fn list_failed(&self) {
@@ -163,7 +190,8 @@
     /// Whether this build is on trial, as far as the news go.
     pub fn on_trial(&self, build: u32) -> bool {
         let news = self.news.borrow();
-        news.as_ref().is_some_and(|n| build > n.build || build == n.build && n.phase != Phase::Released)
+        news.as_ref()
+            .is_some_and(|n| build > n.build || build == n.build && n.phase != Phase::Released)
     }
 
     /// The newest build that the platform told of.
@@ -195,7 +223,9 @@
     }
 
     pub fn flag(&self, appliance: usize, lane: usize, age: Duration) {
-        self.choice.borrow_mut().flag(self.clock.now(), appliance, lane, age);
+        self.choice
+            .borrow_mut()
+            .flag(self.clock.now(), appliance, lane, age);
     }
 
     pub fn tally(&self, tally: &Tally) {
--- a/crates/agent/src/memory/pools.rs
+++ b/crates/agent/src/memory/pools.rs
@@ -33,7 +33,11 @@
 
 impl Side {
     fn of(most: usize) -> Rc<Side> {
-        Rc::new(Side { held: Cell::default(), most: Cell::new(most), freed: Event::new() })
+        Rc::new(Side {
+            held: Cell::default(),
+            most: Cell::new(most),
+            freed: Event::new(),
+        })
     }
 
     fn slot(self: &Rc<Side>) -> Option<Slot> {
@@ -53,7 +57,11 @@
 
 impl Sockets {
     pub fn new(most: usize) -> Sockets {
-        let sockets = Sockets { clients: Side::of(0), overflow: Side::of(0), appliances: Side::of(0) };
+        let sockets = Sockets {
+            clients: Side::of(0),
+            overflow: Side::of(0),
+            appliances: Side::of(0),
+        };
         sockets.resize(most);
         sockets
     }
@@ -130,7 +138,12 @@
 
 impl Held {
     pub fn new(connection: Connection, slot: Slot, now: Duration) -> Held {
-        Held { connection, since: now, rests_until: now, _slot: slot }
+        Held {
+            connection,
+            since: now,
+            rests_until: now,
+            _slot: slot,
+        }
     }
 
     /// A command goes out on it.
@@ -152,7 +165,10 @@
 impl Pools {
     /// `idle_most`: an appliance closes what has been idle for so long.
     pub fn new(idle_most: Duration) -> Pools {
-        Pools { idle: Vec::new(), idle_most: idle_most.mul_f64(0.8) }
+        Pools {
+            idle: Vec::new(),
+            idle_most: idle_most.mul_f64(0.8),
+        }
     }
 
     /// The same, read anew.
@@ -162,10 +178,15 @@
 
     /// An open connection that has rested, the longest idle first. With how many were found closed.
     pub fn take(&mut self, now: Duration, appliance: usize) -> (Option<Held>, usize) {
-        let Some(pool) = self.idle.get_mut(appliance) else { return (None, 0) };
+        let Some(pool) = self.idle.get_mut(appliance) else {
+            return (None, 0);
+        };
         let mut closed = 0;
         while let Some(rested) = pool.iter().position(|held| now >= held.rests_until) {
-            match pool.remove(rested).filter(|held| now < held.since + self.idle_most) {
+            match pool
+                .remove(rested)
+                .filter(|held| now < held.since + self.idle_most)
+            {
                 Some(held) if held.connection.quiet() => return (Some(held), closed),
                 Some(_) => closed += 1,
                 None => {}
@@ -183,7 +204,10 @@
 
     /// Closes all that wait for this appliance.
     pub fn forget(&mut self, appliance: usize) {
-        self.idle.get_mut(appliance).into_iter().for_each(VecDeque::clear);
+        self.idle
+            .get_mut(appliance)
+            .into_iter()
+            .for_each(VecDeque::clear);
     }
 
     /// Closes what the other side has closed or is about to; says how many were found closed.
@@ -201,7 +225,11 @@
 
     /// Closes the connection that has been idle for longest; false when there is none.
     pub fn evict_idle(&mut self) -> bool {
-        let oldest = self.idle.iter_mut().filter(|p| !p.is_empty()).min_by_key(|p| p[0].since);
+        let oldest = self
+            .idle
+            .iter_mut()
+            .filter(|p| !p.is_empty())
+            .min_by_key(|p| p[0].since);
         oldest.is_some_and(|p| p.pop_front().is_some())
     }
 }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -68,7 +68,11 @@
             calls.owes.set(true);
             if let Some(talk) = talk {
                 let (agent, calls) = (agent.clone(), calls.clone());
-                agent.clone().tasks.spawn(async move { hear_out(&agent, talk, &calls).await }).detach();
+                agent
+                    .clone()
+                    .tasks
+                    .spawn(async move { hear_out(&agent, talk, &calls).await })
+                    .detach();
             }
             continue;
         }
@@ -76,7 +80,11 @@
         // What is told while no connection is open is not told again: at once where it spoke, later and later
         // where it did not.
         let spoke = talk.as_ref().is_some_and(|t| t.heard);
-        pause = if spoke { PAUSE } else { (pause * 2).min(PAUSE_MOST) };
+        pause = if spoke {
+            PAUSE
+        } else {
+            (pause * 2).min(PAUSE_MOST)
+        };
         if let Some(talk) = talk {
             lost(agent, &talk, &calls);
         }
@@ -84,8 +92,14 @@
             // It was not written and never will count.
             agent.hand.reply(Reply::Refused);
         }
-        agent.platform_moves.beyond(moves).or(agent.until(agent.clock.now() + pause)).await;
-        calls.owes.set(calls.owes.get() || agent.platform_moves.seen() != moves);
+        agent
+            .platform_moves
+            .beyond(moves)
+            .or(agent.until(agent.clock.now() + pause))
+            .await;
+        calls
+            .owes
+            .set(calls.owes.get() || agent.platform_moves.seen() != moves);
     }
 }
 
@@ -104,7 +118,12 @@
 }
 
 /// Runs until the connection ends or falls silent; says why.
-async fn converse(agent: &Agent, address: SocketAddr, calls: &Calls, talk: &mut Option<Talk>) -> String {
+async fn converse(
+    agent: &Agent,
+    address: SocketAddr,
+    calls: &Calls,
+    talk: &mut Option<Talk>,
+) -> String {
     let late = async {
         agent.until(agent.clock.now() + SILENT).await;
         Err(std::io::ErrorKind::TimedOut.into())
@@ -113,8 +132,16 @@
         Ok(connection) => connection,
         Err(e) => return e.to_string(),
     };
-    let talk = talk.insert(Talk { connection, vote: None, heard: false });
-    if let Err(e) = talk.connection.write(platform::watch(calls.next()).as_bytes()).await {
+    let talk = talk.insert(Talk {
+        connection,
+        vote: None,
+        heard: false,
+    });
+    if let Err(e) = talk
+        .connection
+        .write(platform::watch(calls.next()).as_bytes())
+        .await
+    {
         return e.to_string();
     }
     let mut quiet_until = agent.clock.now() + SILENT;
@@ -132,11 +159,19 @@
             // One that waited for its connection for as long as an answer may take is cast anew.
             if agent.clock.now() < cast + agent.site().deployment.rollout.vote_wait {
                 let id = calls.next();
-                if let Err(e) = talk.connection.write(platform::vote(id, &vote).as_bytes()).await {
+                if let Err(e) = talk
+                    .connection
+                    .write(platform::vote(id, &vote).as_bytes())
+                    .await
+                {
                     agent.hand.reply(Reply::Refused);
                     return e.to_string();
                 }
-                let Vote { build, stage, verdict } = &vote;
+                let Vote {
+                    build,
+                    stage,
+                    verdict,
+                } = &vote;
                 let now = agent.clock.wall(agent.clock.now());
                 log::debug!(target: EVIDENCE, "{now} vote build {build} stage {stage} {verdict:?}");
                 talk.vote = Some(id);
@@ -150,7 +185,11 @@
         }
         // Guards against a line that stops short of its end, behind which nothing can be read.
         let begun = !talk.connection.inbox.is_empty();
-        let rest = if begun { agent.clock.now() + REST_WITHIN } else { quiet_until };
+        let rest = if begun {
+            agent.clock.now() + REST_WITHIN
+        } else {
+            quiet_until
+        };
         let heard = async { talk.connection.more().await.map(Next::Heard) };
         let vote = async {
             voted.await;
@@ -191,17 +230,36 @@
         (count, talk.heard) = (count + 1, true);
         match line {
             Line::News(told) if all => agent.news(told),
-            Line::Flag { appliance, lane, age } if all => {
-                if let (Some(a), Some(l)) = (agent.appliance(&appliance), agent.site().lane(&lane)) {
+            Line::Flag {
+                appliance,
+                lane,
+                age,
+            } if all => {
+                if let (Some(a), Some(l)) = (agent.appliance(&appliance), agent.site().lane(&lane))
+                {
                     let build = agent.target(a).map_or(0, |t| t.build);
                     log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.wall(agent.clock.now()));
                     agent.hand.flag(a, l, age);
                 }
             }
-            Line::Counted { build, lane, deliveries, failed, took, age } if all => {
+            Line::Counted {
+                build,
+                lane,
+                deliveries,
+                failed,
+                took,
+                age,
+            } if all => {
                 if let Some(lane) = agent.site().lane(&lane) {
                     let (deliveries, failed) = (deliveries.into(), failed.into());
-                    agent.hand.tally(&Tally { build, lane, deliveries, failed, took, age });
+                    agent.hand.tally(&Tally {
+                        build,
+                        lane,
+                        deliveries,
+                        failed,
+                        took,
+                        age,
+                    });
                 }
             }
             Line::Answer { id, reply, told } => {
--- a/crates/agent/src/program.rs
+++ b/crates/agent/src/program.rs
@@ -47,8 +47,9 @@
     let opening = start.door.clone();
     let agent = Agent::start(start);
     let run = async {
-        let listener = TcpListener::bind(agent.listen)
-            .map_err(|e| io::Error::new(e.kind(), format!("field listen: {}: {e}", agent.listen)))?;
+        let listener = TcpListener::bind(agent.listen).map_err(|e| {
+            io::Error::new(e.kind(), format!("field listen: {}: {e}", agent.listen))
+        })?;
         listener.set_nonblocking(true)?;
         // Guards a rush while this agent does not get to run: whoever finds the queue full has its first packet dropped,
         // which it sends again a second later. Harms where it stands still for long: more commands are late then. All that
@@ -61,16 +62,27 @@
         let opened = opened.map_err(|e| io::Error::new(e.kind(), format!("door: {e}")))?;
         let door = opened.map(|listening| {
             let a = agent.clone();
-            agent.tasks.spawn(async move { door::run(&a, listening).await })
+            agent
+                .tasks
+                .spawn(async move { door::run(&a, listening).await })
         });
         let a = agent.clone();
-        agent.first.spawn(async move { discovery::run(&a).await }).detach();
+        agent
+            .first
+            .spawn(async move { discovery::run(&a).await })
+            .detach();
         let a = agent.clone();
-        agent.tasks.spawn(async move { platform::run(&a).await }).detach();
+        agent
+            .tasks
+            .spawn(async move { platform::run(&a).await })
+            .detach();
         let a = agent.clone();
         agent.tasks.spawn(async move { watch(&a).await }).detach();
         let a = agent.clone();
-        agent.tasks.spawn(async move { signals::obey(&a, signals, &files).await }).detach();
+        agent
+            .tasks
+            .spawn(async move { signals::obey(&a, signals, &files).await })
+            .detach();
         let a = agent.clone();
         let ready = async move {
             let warm = async {
@@ -115,12 +127,20 @@
 async fn accept(agent: &Rc<Agent>, listener: &Source<TcpListener>) -> io::Result<()> {
     loop {
         let mut slot = agent.sockets.client();
-        let overflow = if slot.is_none() { agent.sockets.overflow() } else { None };
+        let overflow = if slot.is_none() {
+            agent.sockets.overflow()
+        } else {
+            None
+        };
         if agent.sockets.clients_crowd() {
             agent.life.evict_idle(agent.clock.now());
         }
         if slot.is_none() && overflow.is_none() {
-            agent.sockets.client_gone().or(Timer::after(ROOM_AGAIN)).await;
+            agent
+                .sockets
+                .client_gone()
+                .or(Timer::after(ROOM_AGAIN))
+                .await;
             continue;
         }
         let closing = async {
@@ -144,7 +164,10 @@
                     (Some(slot), _) => welcome(agent, client, slot),
                     (None, Some(slot)) => {
                         agent.counters.clients_denied.add();
-                        agent.tasks.spawn(client::deny(agent.clone(), client, slot)).detach();
+                        agent
+                            .tasks
+                            .spawn(client::deny(agent.clone(), client, slot))
+                            .detach();
                     }
                     (None, None) => {}
                 }
@@ -163,7 +186,10 @@
 
 fn welcome(agent: &Rc<Agent>, client: Connection, slot: Slot) {
     agent.counters.clients.add();
-    agent.tasks.spawn(client::serve(agent.clone(), client, slot)).detach();
+    agent
+        .tasks
+        .spawn(client::serve(agent.clone(), client, slot))
+        .detach();
 }
 
 /// Asks the module what is due, when it says so.
--- a/crates/agent/src/reactor.rs
+++ b/crates/agent/src/reactor.rs
@@ -88,7 +88,11 @@
         };
         let span = span.and_then(|s| Timespec::try_from(s).ok());
         let mut events = Vec::with_capacity(BATCH);
-        match epoll::wait(epoll, rustix::buffer::spare_capacity(&mut events), span.as_ref()) {
+        match epoll::wait(
+            epoll,
+            rustix::buffer::spare_capacity(&mut events),
+            span.as_ref(),
+        ) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
             Err(e) => return Err(e.into()),
         }
@@ -113,7 +117,9 @@
         let now = Instant::now();
         loop {
             let mut timers = self.timers.borrow_mut();
-            let Some(first) = timers.first_entry().filter(|e| e.key().0 <= now) else { return Ok(()) };
+            let Some(first) = timers.first_entry().filter(|e| e.key().0 <= now) else {
+                return Ok(());
+            };
             let waker = first.remove();
             drop(timers);
             waker.wake();
@@ -161,7 +167,11 @@
             let epoll = r.epoll.as_ref().map_err(|e| io::Error::from(e.kind()))?;
             let readiness = Rc::new(Readiness::default());
             let key = r.sources.borrow_mut().insert(readiness.clone());
-            let source = Source { socket, key, readiness };
+            let source = Source {
+                socket,
+                key,
+                readiness,
+            };
             let flags = EventFlags::IN | EventFlags::OUT | EventFlags::RDHUP | EventFlags::ET;
             epoll::add(epoll, &source.socket, EventData::new_u64(key as u64), flags)?;
             Ok(source)
@@ -179,7 +189,10 @@
 
     /// All that had come was read. What comes from now on is a new event; an end told before is not.
     pub fn drained(&self) {
-        self.readiness.read.ready.set(self.readiness.ended.ready.get());
+        self.readiness
+            .read
+            .ready
+            .set(self.readiness.ended.ready.get());
     }
 
     pub async fn write<T>(&self, work: impl FnMut() -> io::Result<T>) -> io::Result<T> {
--- a/crates/agent/src/wire/buffer.rs
+++ b/crates/agent/src/wire/buffer.rs
@@ -74,7 +74,10 @@
     }
 
     /// Takes in what `read` puts into the free end, of which it says how much.
-    pub fn fill<E>(&mut self, read: impl FnOnce(&mut [u8]) -> Result<usize, E>) -> Result<usize, E> {
+    pub fn fill<E>(
+        &mut self,
+        read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
+    ) -> Result<usize, E> {
         if self.bytes.len() - self.end < READ {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
--- a/crates/agent/src/wire/connection.rs
+++ b/crates/agent/src/wire/connection.rs
@@ -44,11 +44,20 @@
         // An answer must not wait for more to fill a segment; a socket that cannot do this still serves.
         let _ = stream.set_nodelay(true);
         let (source, inbox, traffic) = (Source::new(stream)?, Buffer::default(), Rc::default());
-        Ok(Connection { source, inbox, traffic, arrivals: None })
+        Ok(Connection {
+            source,
+            inbox,
+            traffic,
+            arrivals: None,
+        })
     }
 
     pub async fn open(address: SocketAddr) -> io::Result<Connection> {
-        let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if address.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
         let begun = rustix::net::connect(&socket, &address);
@@ -62,7 +71,9 @@
         let connected = || match stream.take_error()? {
             Some(e) => Err(e),
             None => match stream.peer_addr() {
-                Err(e) if e.kind() == io::ErrorKind::NotConnected => Err(io::ErrorKind::WouldBlock.into()),
+                Err(e) if e.kind() == io::ErrorKind::NotConnected => {
+                    Err(io::ErrorKind::WouldBlock.into())
+                }
                 other => other.map(drop),
             },
         };
@@ -91,7 +102,9 @@
         if let Some(arrivals) = &mut self.arrivals {
             arrivals.note(self.inbox.unread(), Instant::now());
         }
-        self.traffic.back.set(self.traffic.back.get() + *got.as_ref().unwrap_or(&0) as u64);
+        self.traffic
+            .back
+            .set(self.traffic.back.get() + *got.as_ref().unwrap_or(&0) as u64);
         got
     }
 
--- a/crates/agent/src/wire/platform.rs
+++ b/crates/agent/src/wire/platform.rs
@@ -57,7 +57,8 @@
         Verdict::None => "abstain",
     };
     let params = json!({"image": v.build, "ring": v.stage, "opinion": opinion});
-    json!({"jsonrpc": "2.0", "id": id, "method": "Rollout.Judge", "params": params}).to_string() + "\n"
+    json!({"jsonrpc": "2.0", "id": id, "method": "Rollout.Judge", "params": params}).to_string()
+        + "\n"
 }
 
 fn number(f: &Fields, name: &str) -> Result<u32, String> {
@@ -81,7 +82,8 @@
 }
 
 pub fn line(bytes: &[u8]) -> Result<Line, Malformed> {
-    let value: Value = serde_json::from_slice(bytes).map_err(|e| Malformed(format!("line: {e}")))?;
+    let value: Value =
+        serde_json::from_slice(bytes).map_err(|e| Malformed(format!("line: {e}")))?;
     let f = Fields::of(&value, "line")?;
     if let Some(method) = f.maybe("method") {
         return Ok(match method.as_str() {
@@ -89,7 +91,11 @@
             Some("DISPUTE") => {
                 let p = f.inner("params")?;
                 let (appliance, lane) = (p.text("host")?.to_owned(), p.text("type")?.to_owned());
-                Line::Flag { appliance, lane, age: p.span("lag_ms")? }
+                Line::Flag {
+                    appliance,
+                    lane,
+                    age: p.span("lag_ms")?,
+                }
             }
             Some("SAMPLE") => {
                 let p = f.inner("params")?;
@@ -113,14 +119,26 @@
             "Throttling" | "InternalFailure" | "ValidationError" => Reply::Refused,
             _ => return malformed("line: field message: unknown value"),
         };
-        return Ok(Line::Answer { id, reply, told: None });
+        return Ok(Line::Answer {
+            id,
+            reply,
+            told: None,
+        });
     }
     match f.maybe("result") {
         Some(Value::Object(_)) => {
             let told = Some(told(&f.inner("result")?)?);
-            Ok(Line::Answer { id, reply: Reply::Counted, told })
+            Ok(Line::Answer {
+                id,
+                reply: Reply::Counted,
+                told,
+            })
         }
-        Some(_) => Ok(Line::Answer { id, reply: Reply::Counted, told: None }),
+        Some(_) => Ok(Line::Answer {
+            id,
+            reply: Reply::Counted,
+            told: None,
+        }),
         None => malformed("line: neither method, result nor error"),
     }
 }
--- a/crates/agent/src/wire/postgres.rs
+++ b/crates/agent/src/wire/postgres.rs
@@ -29,17 +29,27 @@
 
 /// What a client opens with, and how many bytes that took; `None` while it is not whole.
 pub fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Malformed> {
-    let Some(length) = number(bytes) else { return Ok(None) };
+    let Some(length) = number(bytes) else {
+        return Ok(None);
+    };
     let length = length as usize;
     if !(8..=STARTUP_MOST).contains(&length) {
         return malformed(format!("startup message of {length} bytes"));
     }
-    let Some(code) = bytes.get(4..).and_then(number) else { return Ok(None) };
+    let Some(code) = bytes.get(4..).and_then(number) else {
+        return Ok(None);
+    };
     let opening = match code {
         VERSION_3 => Opening::Startup,
         SSL_REQUEST | GSS_REQUEST => Opening::Encryption,
         CANCEL_REQUEST => Opening::Cancel,
-        other => return malformed(format!("protocol version {}.{}", other >> 16, other & 0xffff)),
+        other => {
+            return malformed(format!(
+                "protocol version {}.{}",
+                other >> 16,
+                other & 0xffff
+            ))
+        }
     };
     Ok((bytes.len() >= length).then_some((opening, length)))
 }
@@ -54,9 +64,14 @@
     };
     let length = length as usize;
     if !(4..=MESSAGE_MOST).contains(&length) {
-        return malformed(format!("message '{}' of {length} bytes", tag.escape_ascii()));
+        return malformed(format!(
+            "message '{}' of {length} bytes",
+            tag.escape_ascii()
+        ));
     }
-    Ok(bytes.get(5..1 + length).map(|body| (*tag, body, 1 + length)))
+    Ok(bytes
+        .get(5..1 + length)
+        .map(|body| (*tag, body, 1 + length)))
 }
 
 fn put(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
@@ -85,7 +100,9 @@
 
 /// The statement of a query message.
 pub fn text(body: &[u8]) -> Result<&str, Malformed> {
-    let Some((0, text)) = body.split_last() else { return malformed("a query without its closing zero") };
+    let Some((0, text)) = body.split_last() else {
+        return malformed("a query without its closing zero");
+    };
     if text.contains(&0) {
         return malformed("a query with a zero byte in it");
     }
@@ -115,7 +132,10 @@
 }
 
 fn error(out: &mut Vec<u8>, severity: &str, code: &str, text: &str, detail: Option<String>) {
-    let mut body = format!("S{severity}\0V{severity}\0C{code}\0M{}\0", text.replace('\0', " "));
+    let mut body = format!(
+        "S{severity}\0V{severity}\0C{code}\0M{}\0",
+        text.replace('\0', " ")
+    );
     if let Some(detail) = detail {
         body += &format!("D{detail}\0");
     }
@@ -164,13 +184,20 @@
 /// One whole message of an appliance; `None` while it is not whole. What can be no message of an answer is told
 /// by its first bytes: a value that is declared too large is not waited for.
 pub fn answer(bytes: &[u8]) -> Result<Option<Message<'_>>, Malformed> {
-    let Some(tag) = bytes.first() else { return Ok(None) };
+    let Some(tag) = bytes.first() else {
+        return Ok(None);
+    };
     let Some((_, most)) = ANSWERS.iter().find(|(t, _)| t == tag) else {
         return malformed(format!("message '{}' out of place", tag.escape_ascii()));
     };
-    let Some(length) = bytes.get(1..).and_then(number) else { return Ok(None) };
+    let Some(length) = bytes.get(1..).and_then(number) else {
+        return Ok(None);
+    };
     if length as usize > *most || (*tag == b'Z' && length != 5) {
-        return malformed(format!("message '{}' of {length} bytes", tag.escape_ascii()));
+        return malformed(format!(
+            "message '{}' of {length} bytes",
+            tag.escape_ascii()
+        ));
     }
     if let (b'D', Some(value)) = (tag, bytes.get(7..).and_then(number)) {
         if value as usize + 10 != length as usize {
@@ -218,12 +245,20 @@
             b'N' | b'K' => return Ok(false),
             b'R' if body.get(..4) == Some(&[0; 4]) => return Ok(false),
             // Ready within a row: the value is not whole.
-            b'Z' if matches!(body, b"I" | b"T" | b"E") && !(open && self.described) => return Ok(true),
+            b'Z' if matches!(body, b"I" | b"T" | b"E") && !(open && self.described) => {
+                return Ok(true)
+            }
             b'E' if open => {
-                let Some(code) = code(body) else { return malformed("an error that can't be read") };
+                let Some(code) = code(body) else {
+                    return malformed("an error that can't be read");
+                };
                 let away = code == TOO_MANY || code == CANNOT_NOW;
                 self.value = Vec::new();
-                self.verdict = Some(if away { Verdict::TurnedAway } else { Verdict::Failed });
+                self.verdict = Some(if away {
+                    Verdict::TurnedAway
+                } else {
+                    Verdict::Failed
+                });
                 return Ok(false);
             }
             b'T' if open && !self.described && one_column(body) => self.described = true,
@@ -238,14 +273,19 @@
 
 /// The commands in flight that a load report names: `pressure`, then `inflight=7,util=0.61`.
 fn held(status: &[u8]) -> Option<f64> {
-    let fields = std::str::from_utf8(status.strip_prefix(b"pressure\0")?.strip_suffix(b"\0")?).ok()?;
-    let value = fields.split(',').find_map(|f| f.trim().strip_prefix("inflight="))?;
+    let fields =
+        std::str::from_utf8(status.strip_prefix(b"pressure\0")?.strip_suffix(b"\0")?).ok()?;
+    let value = fields
+        .split(',')
+        .find_map(|f| f.trim().strip_prefix("inflight="))?;
     value.parse::<f64>().ok().filter(|n| (0.0..1e6).contains(n))
 }
 
 /// A description of one column: its name, then 18 bytes of numbers.
 fn one_column(body: &[u8]) -> bool {
-    let name = body.get(2..).and_then(|rest| rest.iter().position(|b| *b == 0));
+    let name = body
+        .get(2..)
+        .and_then(|rest| rest.iter().position(|b| *b == 0));
     body.get(..2) == Some(&[0, 1]) && name.is_some_and(|n| body.len() == 2 + n + 1 + 18)
 }
 
@@ -264,11 +304,16 @@
 /// The code of an error that is whole: fields with an end each, and an end of all.
 fn code(body: &[u8]) -> Option<&[u8]> {
     let fields = body.strip_suffix(b"\0\0")?;
-    fields.split(|b| *b == 0).all(|f| !f.is_empty()).then_some(())?;
+    fields
+        .split(|b| *b == 0)
+        .all(|f| !f.is_empty())
+        .then_some(())?;
     field(fields, b'C').filter(|c| c.len() == 5 && c.iter().all(u8::is_ascii_alphanumeric))
 }
 
 /// One field of an error message.
 fn field(body: &[u8], name: u8) -> Option<&[u8]> {
-    body.split(|b| *b == 0).find(|f| f.first() == Some(&name)).map(|f| &f[1..])
+    body.split(|b| *b == 0)
+        .find(|f| f.first() == Some(&name))
+        .map(|f| &f[1..])
 }
--- a/crates/agent/src/wire/statement.rs
+++ b/crates/agent/src/wire/statement.rs
@@ -25,15 +25,23 @@
 }
 
 const READ: [&str; 2] = ["SELECT body FROM objects WHERE oid = ", ""];
-const WRITE: [&str; 3] = ["INSERT INTO objects (oid, body) VALUES (", ", ", ") RETURNING body"];
+const WRITE: [&str; 3] = [
+    "INSERT INTO objects (oid, body) VALUES (",
+    ", ",
+    ") RETURNING body",
+];
 /// An hour: longer waits are cut to it, so that no sum of times runs over.
 const WAIT_MOST: f64 = 3_600_000.0;
 
 impl Statement {
     pub fn parse(text: &str) -> Result<Statement, Malformed> {
-        let Some(start) = text.rfind("/*") else { return malformed("statement: its comment is missing") };
+        let Some(start) = text.rfind("/*") else {
+            return malformed("statement: its comment is missing");
+        };
         let comment = text[start + 2..].trim_end().strip_suffix("*/");
-        let Some(comment) = comment else { return malformed("statement: its comment does not close") };
+        let Some(comment) = comment else {
+            return malformed("statement: its comment does not close");
+        };
         let object = match (form(&text[..start], &READ), form(&text[..start], &WRITE)) {
             (Some(object), _) | (_, Some(object)) => object,
             _ => return malformed("statement: neither the known SELECT nor the known INSERT"),
@@ -52,17 +60,34 @@
                 "c" => lane = Some(value.trim()),
                 "t" => customer = Some(value.trim()),
                 "k" => keyed = !value.trim().is_empty(),
-                "h" => work = value.trim().parse::<u32>().ok().map(|us| Duration::from_micros(us.into())),
+                "h" => {
+                    work = value
+                        .trim()
+                        .parse::<u32>()
+                        .ok()
+                        .map(|us| Duration::from_micros(us.into()))
+                }
                 "r" => again = value.trim() == "1",
                 "d" => wait = Some((value.trim(), value_at..value_at + value.len())),
                 _ => {}
             }
         }
-        let Some(id) = id else { return malformed("statement: field id is missing") };
-        let Some(lane) = lane else { return malformed("statement: field c is missing") };
-        let Some((ms, wait_at)) = wait else { return malformed("statement: field d is missing") };
-        let ms = ms.parse::<f64>().ok().filter(|ms| *ms >= 0.0 && ms.is_finite());
-        let Some(ms) = ms else { return malformed("statement: field d: milliseconds are wanted") };
+        let Some(id) = id else {
+            return malformed("statement: field id is missing");
+        };
+        let Some(lane) = lane else {
+            return malformed("statement: field c is missing");
+        };
+        let Some((ms, wait_at)) = wait else {
+            return malformed("statement: field d is missing");
+        };
+        let ms = ms
+            .parse::<f64>()
+            .ok()
+            .filter(|ms| *ms >= 0.0 && ms.is_finite());
+        let Some(ms) = ms else {
+            return malformed("statement: field d: milliseconds are wanted");
+        };
         let wait = Duration::from_secs_f64(ms.min(WAIT_MOST) / 1000.0);
         let (id, lane, customer) = (id.to_owned(), lane.to_owned(), customer.map(str::to_owned));
         // Once here, and once more as it is written on.
@@ -84,7 +109,10 @@
 
     /// The same statement, with the time for which the agent will wait.
     pub fn with_wait(&self, wait: Duration) -> String {
-        let (before, after) = (&self.text[..self.wait_at.start], &self.text[self.wait_at.end..]);
+        let (before, after) = (
+            &self.text[..self.wait_at.start],
+            &self.text[self.wait_at.end..],
+        );
         let blank = if after.starts_with("*/") { " " } else { "" };
         format!("{before}{}{blank}{after}", wait.as_millis().max(1))
     }
@@ -103,7 +131,10 @@
         first.get_or_insert(&inner[..end]);
         rest = inner[end + 1..].strip_prefix(piece)?;
     }
-    rest.trim_end().trim_end_matches(';').is_empty().then_some(first)?
+    rest.trim_end()
+        .trim_end_matches(';')
+        .is_empty()
+        .then_some(first)?
 }
 
 fn short(text: &str) -> String {
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -10,9 +10,13 @@
 use std::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use std::thread;
 use std::time::{Duration, Instant};
-use tulipwall_client::{Answered, Call, Client, Connections, Group, Repeats, Retrying, Service, Unanswered};
+use tulipwall_client::{
+    Answered, Call, Client, Connections, Group, Repeats, Retrying, Service, Unanswered,
+};
 use tulipwall_standins::ground::{sleep, spawn, until};
-use tulipwall_standins::{lanes, pg, service, Act, Caller, Cut, Cutter, Program, Speaker, Ways, World};
+use tulipwall_standins::{
+    lanes, pg, service, Act, Caller, Cut, Cutter, Program, Speaker, Ways, World,
+};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 /// What a call may take beyond its expiry on a machine that is busy with many others.
@@ -25,7 +29,17 @@
 fn world(work: Duration) -> World {
     let world = World::new(&["a"], lanes()).unwrap();
     for n in 0..2 {
-        world.appliance(0, &format!("s-{n}"), 41, Ways { work, ..Ways::default() }).unwrap();
+        world
+            .appliance(
+                0,
+                &format!("s-{n}"),
+                41,
+                Ways {
+                    work,
+                    ..Ways::default()
+                },
+            )
+            .unwrap();
     }
     world
 }
@@ -55,10 +69,17 @@
 
 impl Met {
     fn note(&self, begun: Instant, expiry: Duration, ended: &Result<Answered, Unanswered>) {
-        let count = if ended.is_ok() { &self.satisfied } else { &self.others };
+        let count = if ended.is_ok() {
+            &self.satisfied
+        } else {
+            &self.others
+        };
         count.fetch_add(1, Ordering::Relaxed);
         if begun.elapsed() > expiry + SLACK {
-            self.late.lock().unwrap().push((begun.elapsed(), format!("{ended:?}")));
+            self.late
+                .lock()
+                .unwrap()
+                .push((begun.elapsed(), format!("{ended:?}")));
         }
     }
 }
@@ -84,7 +105,9 @@
                     }
                     let lane = if n % 2 == 0 { "view" } else { "payment" };
                     let begun = Instant::now();
-                    let ended = client.call(Call::read(lane, &format!("c{c}-{n}"), expiry)).await;
+                    let ended = client
+                        .call(Call::read(lane, &format!("c{c}-{n}"), expiry))
+                        .await;
                     met.note(begun, expiry, &ended);
                     sleep(pause).await;
                 }
@@ -100,10 +123,20 @@
         .into_values()
         .flatten()
         .filter(|s| s.ran && s.lane == lane)
-        .map(|s| s.statement.split('\'').nth(1).unwrap_or_default().to_owned())
+        .map(|s| {
+            s.statement
+                .split('\'')
+                .nth(1)
+                .unwrap_or_default()
+                .to_owned()
+        })
         .collect();
     objects.sort();
-    let mut twice: Vec<String> = objects.windows(2).filter(|w| w[0] == w[1]).map(|w| w[0].clone()).collect();
+    let mut twice: Vec<String> = objects
+        .windows(2)
+        .filter(|w| w[0] == w[1])
+        .map(|w| w[0].clone())
+        .collect();
     twice.dedup();
     twice
 }
@@ -112,7 +145,9 @@
     let world = world(ms(5));
     let mut agent = start(&world);
     let address = agent.address().unwrap();
-    let clients: Vec<Client> = (0..200).map(|_| Client::new(service(vec![address]))).collect();
+    let clients: Vec<Client> = (0..200)
+        .map(|_| Client::new(service(vec![address])))
+        .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(100), &met, &over);
     assert!(until(|| met.satisfied.load(Ordering::Relaxed) > 1000));
@@ -120,7 +155,12 @@
     let configuration = agent.configuration.clone();
     drop(agent);
     let agent = Program::start(BINARY, configuration, &[]).unwrap();
-    let opened = || clients.iter().map(|c| c.seen().counters.opened).sum::<u64>();
+    let opened = || {
+        clients
+            .iter()
+            .map(|c| c.seen().counters.opened)
+            .sum::<u64>()
+    };
     // New connections in each 100 ms from the restart on.
     let (mut before, mut each) = (opened(), Vec::new());
     let begun = Instant::now();
@@ -134,10 +174,18 @@
     calls.into_iter().for_each(block_on);
     let (all, most) = (each.iter().sum::<u64>(), *each.iter().max().unwrap());
     assert!(all >= 190, "they came back: {each:?}");
-    assert!(most <= 40, "a fifth of two hundred at most in any 100 ms: {each:?}");
-    let span = each.iter().rposition(|n| *n > 0).unwrap() - each.iter().position(|n| *n > 0).unwrap();
+    assert!(
+        most <= 40,
+        "a fifth of two hundred at most in any 100 ms: {each:?}"
+    );
+    let span =
+        each.iter().rposition(|n| *n > 0).unwrap() - each.iter().position(|n| *n > 0).unwrap();
     assert!(span >= 15, "over seconds: {each:?}");
-    assert!(met.late.lock().unwrap().is_empty(), "{:?}", met.late.lock().unwrap());
+    assert!(
+        met.late.lock().unwrap().is_empty(),
+        "{:?}",
+        met.late.lock().unwrap()
+    );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
     drop(agent);
 }
@@ -146,7 +194,8 @@
 static TURN: RwLock<()> = RwLock::new(());
 
 fn alone() -> RwLockWriteGuard<'static, ()> {
-    TURN.write().unwrap_or_else(|poisoned| poisoned.into_inner())
+    TURN.write()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn beside() -> RwLockReadGuard<'static, ()> {
@@ -177,15 +226,27 @@
     // Also on a connection that was used before, whose close could be taken for one between commands.
     assert!(block_on(client.call(Call::read("view", "warm", ms(1500)))).is_ok());
     let c = client.clone();
-    let paying = spawn(async move { c.call(Call::write("payment", "p1", vec![1], ms(1500))).await });
-    let seen = || world.seen().values().flatten().filter(|s| s.lane == "payment").count();
+    let paying = spawn(async move {
+        c.call(Call::write("payment", "p1", vec![1], ms(1500)))
+            .await
+    });
+    let seen = || {
+        world
+            .seen()
+            .values()
+            .flatten()
+            .filter(|s| s.lane == "payment")
+            .count()
+    };
     assert!(until(|| seen() == 1));
     let configuration = agent.configuration.clone();
     agent.signal(rustix::process::Signal::KILL).unwrap();
     drop(agent);
     let _agent = Program::start(BINARY, configuration, &[]).unwrap();
     match block_on(paying) {
-        Err(Unanswered::Scrapped { tried, .. }) => assert!(tried.may_have_run && tried.agents.len() == 1),
+        Err(Unanswered::Scrapped { tried, .. }) => {
+            assert!(tried.may_have_run && tried.agents.len() == 1)
+        }
         other => panic!("{other:?}"),
     }
     thread::sleep(ms(300));
@@ -206,10 +267,19 @@
         other => panic!("{other:?}"),
     }
     let cutter = Cutter::start(address, vec![half]).unwrap();
-    let quick = Connections { spread: ms(50), ..Connections::default() };
-    let client = Client::new(Service { connections: quick, ..service(vec![cutter.address]) });
+    let quick = Connections {
+        spread: ms(50),
+        ..Connections::default()
+    };
+    let client = Client::new(Service {
+        connections: quick,
+        ..service(vec![cutter.address])
+    });
     let answered = block_on(client.call(Call::read("view", "v1", ms(1500)))).unwrap();
-    assert_eq!((answered.value, answered.tried.ended), (vec![0x9f, 3], vec!["broken"]));
+    assert_eq!(
+        (answered.value, answered.tried.ended),
+        (vec![0x9f, 3], vec!["broken"])
+    );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
 }
 
@@ -244,7 +314,11 @@
             }
             longest
         });
-        Standstill { over, agent, clients }
+        Standstill {
+            over,
+            agent,
+            clients,
+        }
     }
 
     fn end(self) -> Duration {
@@ -257,7 +331,12 @@
 /// time to come back, and what stood still meanwhile.
 fn denied_at_once() -> (Vec<usize>, Duration) {
     let world = world(ms(1));
-    let turns_away = |act| world.of_zone(0).iter().for_each(|(_, a)| a.ways(|w| w.act = act));
+    let turns_away = |act| {
+        world
+            .of_zone(0)
+            .iter()
+            .for_each(|(_, a)| a.ways(|w| w.act = act))
+    };
     turns_away(Act::TurnsAway);
     let agent = start(&world);
     let address = agent.address().unwrap();
@@ -265,7 +344,11 @@
     let calls: Vec<_> = (0..200)
         .map(|n| {
             let client = Client::new(service(vec![address]));
-            spawn(async move { client.call(Call::read("payment", &format!("p{n}"), ms(2500))).await })
+            spawn(async move {
+                client
+                    .call(Call::read("payment", &format!("p{n}"), ms(2500)))
+                    .await
+            })
         })
         .collect();
     thread::sleep(ms(450));
@@ -274,11 +357,16 @@
     let ended: Vec<_> = calls.into_iter().map(block_on).collect();
     let stood = standstill.end();
     let good = ended.iter().filter(|e| e.is_ok()).count();
-    assert!(good > 190, "{good}: {:?}", ended.iter().find(|e| e.is_err()));
+    assert!(
+        good > 190,
+        "{good}: {:?}",
+        ended.iter().find(|e| e.is_err())
+    );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
     let came = |n: u64| {
         let all = world.seen().into_values().flatten();
-        all.filter(|s| s.ran && s.at >= healed + ms(n * 50) && s.at < healed + ms(n * 50 + 50)).count()
+        all.filter(|s| s.ran && s.at >= healed + ms(n * 50) && s.at < healed + ms(n * 50 + 50))
+            .count()
     };
     ((0..40).map(came).collect(), stood)
 }
@@ -322,7 +410,9 @@
     let world = world(ms(2));
     let (one, two) = (start(&world), start(&world));
     let agents = vec![one.address().unwrap(), two.address().unwrap()];
-    let clients: Vec<Client> = (0..20).map(|_| Client::new(service(agents.clone()))).collect();
+    let clients: Vec<Client> = (0..20)
+        .map(|_| Client::new(service(agents.clone())))
+        .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(50), &met, &over);
     assert!(until(|| met.satisfied.load(Ordering::Relaxed) > 200));
@@ -335,13 +425,23 @@
     let calls_made = || clients.iter().map(|c| c.seen().counters.calls).sum::<u64>();
     let (before, called) = (tries(), calls_made());
     thread::sleep(ms(500));
-    assert!(tries() - before <= (calls_made() - called) * 11 / 10 + 20, "retries do not multiply an outage");
+    assert!(
+        tries() - before <= (calls_made() - called) * 11 / 10 + 20,
+        "retries do not multiply an outage"
+    );
     let _one = Program::start(BINARY, configuration, &[]).unwrap();
     let satisfied = met.satisfied.load(Ordering::Relaxed);
-    assert!(until(|| met.satisfied.load(Ordering::Relaxed) > satisfied + 500), "they find it again");
+    assert!(
+        until(|| met.satisfied.load(Ordering::Relaxed) > satisfied + 500),
+        "they find it again"
+    );
     over.store(true, Ordering::Relaxed);
     calls.into_iter().for_each(block_on);
-    assert!(met.late.lock().unwrap().is_empty(), "{:?}", met.late.lock().unwrap());
+    assert!(
+        met.late.lock().unwrap().is_empty(),
+        "{:?}",
+        met.late.lock().unwrap()
+    );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
 }
 
@@ -352,10 +452,19 @@
     let agent = start(&world);
     let mute = Speaker::start("").unwrap();
     let client = Client::new(service(vec![mute.address, agent.address().unwrap()]));
-    let ended: Vec<_> =
-        (0..60).map(|n| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(1500))))).collect();
-    assert!(ended.iter().all(Result::is_ok), "{:?}", ended.iter().find(|e| e.is_err()));
-    let slow = ended.iter().flatten().filter(|a| a.tried.took > ms(400)).count();
+    let ended: Vec<_> = (0..60)
+        .map(|n| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(1500)))))
+        .collect();
+    assert!(
+        ended.iter().all(Result::is_ok),
+        "{:?}",
+        ended.iter().find(|e| e.is_err())
+    );
+    let slow = ended
+        .iter()
+        .flatten()
+        .filter(|a| a.tried.took > ms(400))
+        .count();
     assert!(slow <= 6, "it is tried gently: {slow} of 60 met it");
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
 }
@@ -365,20 +474,31 @@
     let _turn = alone();
     let (quick, slow) = (world(ms(8)), world(ms(80)));
     let (one, two) = (start(&quick), start(&slow));
-    let client = Client::new(service(vec![one.address().unwrap(), two.address().unwrap()]));
+    let client = Client::new(service(vec![
+        one.address().unwrap(),
+        two.address().unwrap(),
+    ]));
     let calls: Vec<_> = (0..12)
         .map(|c| {
             let client = client.clone();
             spawn(async move {
                 for n in 0..40 {
-                    client.call(Call::read("view", &format!("v{c}-{n}"), ms(1500))).await.unwrap();
+                    client
+                        .call(Call::read("view", &format!("v{c}-{n}"), ms(1500)))
+                        .await
+                        .unwrap();
                 }
             })
         })
         .collect();
     calls.into_iter().for_each(block_on);
     let got = |w: &World| w.seen().len();
-    assert!(got(&slow) * 2 < got(&quick), "{} and {}", got(&slow), got(&quick));
+    assert!(
+        got(&slow) * 2 < got(&quick),
+        "{} and {}",
+        got(&slow),
+        got(&quick)
+    );
 }
 
 #[test]
@@ -389,15 +509,34 @@
     let half = Cut::Back(welcome(agent.address().unwrap()) + 20);
     let cutter = Cutter::start(agent.address().unwrap(), vec![half]).unwrap();
     let mut s = service(vec![cutter.address]);
-    s.lanes[1].repeats = Repeats::Deduplicated { group: Group::All, window: ms(40) };
+    s.lanes[1].repeats = Repeats::Deduplicated {
+        group: Group::All,
+        window: ms(40),
+    };
     // New connections wait for longer than the window.
-    s.connections = Connections { spread: Duration::from_secs(60), ..Connections::default() };
+    s.connections = Connections {
+        spread: Duration::from_secs(60),
+        ..Connections::default()
+    };
     let client = Client::new(s);
     let begun = Instant::now();
     let ended = block_on(client.call(Call::write("send", "m1", vec![7], ms(1200))));
-    assert!(ended.as_ref().is_err_and(|e| e.tried().is_some_and(|t| t.may_have_run)), "{ended:?}");
+    assert!(
+        ended
+            .as_ref()
+            .is_err_and(|e| e.tried().is_some_and(|t| t.may_have_run)),
+        "{ended:?}"
+    );
     assert!(begun.elapsed() < ms(1200) + SLACK);
-    assert_eq!(world.seen().values().flatten().filter(|s| s.lane == "send").count(), 1);
+    assert_eq!(
+        world
+            .seen()
+            .values()
+            .flatten()
+            .filter(|s| s.lane == "send")
+            .count(),
+        1
+    );
 }
 
 #[test]
@@ -410,9 +549,15 @@
     let call = || Call::write("send", "m1", vec![7], ms(1200)).key("k1");
     let first = spawn(async move { one.call(call()).await });
     assert!(until(|| world.seen().len() == 1));
-    assert!(matches!(block_on(two.call(call())), Err(Unanswered::Faulty(_))));
+    assert!(matches!(
+        block_on(two.call(call())),
+        Err(Unanswered::Faulty(_))
+    ));
     assert!(block_on(first).is_ok());
-    assert!(block_on(client.call(call())).is_ok(), "free again with the first one's end");
+    assert!(
+        block_on(client.call(call())).is_ok(),
+        "free again with the first one's end"
+    );
 }
 
 #[test]
@@ -422,13 +567,26 @@
     let agent = start(&world);
     let client = Client::new(service(vec![agent.address().unwrap()]));
     let c = client.clone();
-    let call = spawn(async move { c.call(Call::write("send", "m1", vec![7], ms(1500)).key("k1")).await });
+    let call = spawn(async move {
+        c.call(Call::write("send", "m1", vec![7], ms(1500)).key("k1"))
+            .await
+    });
     assert!(until(|| world.seen().len() == 1));
     drop(call);
     assert!(until(|| client.seen().in_flight == 0));
-    assert_eq!((client.seen().counters.left, client.seen().idle.iter().sum::<usize>()), (1, 0));
+    assert_eq!(
+        (
+            client.seen().counters.left,
+            client.seen().idle.iter().sum::<usize>()
+        ),
+        (1, 0)
+    );
     agent.signal(rustix::process::Signal::USR1).unwrap();
-    assert!(until(|| agent.log().contains("left 1;")), "the agent sees that it has gone: {}", agent.log());
+    assert!(
+        until(|| agent.log().contains("left 1;")),
+        "the agent sees that it has gone: {}",
+        agent.log()
+    );
 }
 
 #[test]
@@ -456,13 +614,20 @@
                 });
                 let cutter = Cutter::start(address, cuts.collect()).unwrap();
                 let mut s = service(vec![cutter.address]);
-                s.connections = Connections { spread: ms(4), ..Connections::default() };
-                s.retrying = Retrying { pause: (ms(2), ms(10)), ..Retrying::default() };
+                s.connections = Connections {
+                    spread: ms(4),
+                    ..Connections::default()
+                };
+                s.retrying = Retrying {
+                    pause: (ms(2), ms(10)),
+                    ..Retrying::default()
+                };
                 let client = Client::new(s);
                 for n in 0..4 {
                     let (lane, expiry) = (["payment", "send", "view", "payment"][n], ms(900));
                     let begun = Instant::now();
-                    let ended = block_on(client.call(Call::read(lane, &format!("o{seed}-{n}"), expiry)));
+                    let ended =
+                        block_on(client.call(Call::read(lane, &format!("o{seed}-{n}"), expiry)));
                     assert!(
                         begun.elapsed() < expiry + SLACK,
                         "seed {seed}: {ended:?} after {:?}",
@@ -474,19 +639,38 @@
                             good.fetch_add(1, Ordering::Relaxed);
                         }
                         Err(Unanswered::Denied { tried, .. }) => {
-                            assert!(!tried.may_have_run || lane == "view", "seed {seed}: {ended:?}");
+                            assert!(
+                                !tried.may_have_run || lane == "view",
+                                "seed {seed}: {ended:?}"
+                            );
                         }
                         Err(_) => {}
                     }
                 }
                 let c = client.seen().counters;
-                assert_eq!((c.calls, c.left, client.seen().in_flight), (4, 0, 0), "seed {seed}");
+                assert_eq!(
+                    (c.calls, c.left, client.seen().in_flight),
+                    (4, 0, 0),
+                    "seed {seed}"
+                );
             })
         })
         .collect();
     threads.into_iter().for_each(|t| t.join().unwrap());
-    assert!(good.load(Ordering::Relaxed) > 3000, "{}", good.load(Ordering::Relaxed));
+    assert!(
+        good.load(Ordering::Relaxed) > 3000,
+        "{}",
+        good.load(Ordering::Relaxed)
+    );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
     // What ran is what was not denied: a payment that a client was denied never reached an appliance.
-    assert!(world.seen().values().flatten().filter(|s| s.lane == "payment").count() > 1000);
+    assert!(
+        world
+            .seen()
+            .values()
+            .flatten()
+            .filter(|s| s.lane == "payment")
+            .count()
+            > 1000
+    );
 }
--- a/crates/agent/tests/crossing.rs
+++ b/crates/agent/tests/crossing.rs
@@ -18,17 +18,25 @@
 }
 
 fn acts(act: Act) -> Ways {
-    Ways { act, ..Ways::default() }
+    Ways {
+        act,
+        ..Ways::default()
+    }
 }
 
 fn works(time: u64) -> Ways {
-    Ways { work: ms(time), ..Ways::default() }
+    Ways {
+        work: ms(time),
+        ..Ways::default()
+    }
 }
 
 fn world(ways: &[Ways]) -> World {
     let world = World::new(&["a"], program::lanes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
-        world.appliance(0, &format!("s-{n}"), 41, ways.clone()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, ways.clone())
+            .unwrap();
     }
     world
 }
@@ -50,7 +58,13 @@
 
 /// The connections to this appliance come up so much later.
 fn late(world: &World, id: &str, time: u64) {
-    world.get(id).unwrap().link(0, Link { back: ms(time), ..Link::default() });
+    world.get(id).unwrap().link(
+        0,
+        Link {
+            back: ms(time),
+            ..Link::default()
+        },
+    );
 }
 
 fn caller(agent: &Program) -> Caller {
@@ -93,7 +107,10 @@
     agent.stall(true).unwrap();
     crosses();
     sleep(ms(250));
-    assert!(!agent.log().contains("phase: Closing"), "it stood still before it closed");
+    assert!(
+        !agent.log().contains("phase: Closing"),
+        "it stood still before it closed"
+    );
     agent.stall(false).unwrap();
 }
 
@@ -141,8 +158,9 @@
     // Few enough statements for none to be a flood.
     let object = "a".repeat(4000);
     for n in 0..20 {
-        client
-            .say(&format!("SELECT body FROM objects WHERE oid = '{object}' /* id=q{n},c=payment,d=1400 */"));
+        client.say(&format!(
+            "SELECT body FROM objects WHERE oid = '{object}' /* id=q{n},c=payment,d=1400 */"
+        ));
     }
     drop(client);
     sleep(ms(1200));
@@ -214,8 +232,18 @@
     client.ask_as("third", "payment", 2000);
     let codes = [(); 3].map(|()| client.told().unwrap().code());
     assert_eq!(codes, [None, Some("53300".into()), None]);
-    let sent: Vec<_> = world.get("s-0").unwrap().seen().into_iter().map(|s| s.id).collect();
-    assert_eq!(sent, ["first", "third"], "the second one's time was over before its turn");
+    let sent: Vec<_> = world
+        .get("s-0")
+        .unwrap()
+        .seen()
+        .into_iter()
+        .map(|s| s.id)
+        .collect();
+    assert_eq!(
+        sent,
+        ["first", "third"],
+        "the second one's time was over before its turn"
+    );
 }
 
 /// One appliance loses its answers, the connections to the other come up after the group has forgotten the repeat.
@@ -237,10 +265,19 @@
         ));
         let code = client.told().unwrap().code();
         let took = begun.elapsed();
-        let at =
-            |id: &str| world.get(id).unwrap().seen().iter().find(|s| s.id == format!("d{n}")).map(|s| s.at);
+        let at = |id: &str| {
+            world
+                .get(id)
+                .unwrap()
+                .seen()
+                .iter()
+                .find(|s| s.id == format!("d{n}"))
+                .map(|s| s.at)
+        };
         match (at("s-0"), at("s-1")) {
-            (Some(first), Some(repeat)) => assert!(repeat < first + ms(300), "{:?} later", repeat - first),
+            (Some(first), Some(repeat)) => {
+                assert!(repeat < first + ms(300), "{:?} later", repeat - first)
+            }
             (Some(_), None) => {
                 // Lost there: nothing says that a retry is harmless, and nothing is waited for.
                 assert_eq!(code, Some("XX000".into()));
@@ -285,7 +322,8 @@
         stream.write_all(&pg::welcome())?;
         let mut head = [0; 5];
         stream.read_exact(&mut head)?;
-        let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
+        let mut body =
+            vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
         stream.read_exact(&mut body)?;
         stream.write_all(&pg::value(&[0x9f, 3]))?;
         stream.read_exact(&mut [0; 700])?;
@@ -309,7 +347,9 @@
     let begun = Arc::<AtomicUsize>::default();
     let world = world(&[works(0), works(0)]);
     let address = resets_during_the_second(begun.clone());
-    world.discovery.change("s-0", |e| e.addresses = vec![address]);
+    world
+        .discovery
+        .change("s-0", |e| e.addresses = vec![address]);
     // Few connections are opened ahead, so that each is soon used again.
     let agent = start(&world, |c| c["limits"]["sockets"] = 64.into());
     let mut client = caller(&agent);
@@ -324,7 +364,10 @@
         let ran = world.seen().get(&format!("w{n}")).map_or(0, Vec::len);
         match code.as_deref() {
             None => assert!(ran <= 1, "{ran} runs"),
-            other => assert_eq!(ran, 0, "{other:?}: what was given up there went nowhere else"),
+            other => assert_eq!(
+                ran, 0,
+                "{other:?}: what was given up there went nowhere else"
+            ),
         }
         if begun.load(Ordering::SeqCst) > 0 {
             return;
@@ -349,10 +392,16 @@
             let before = format!("c{}", n - 1);
             let behind = || {
                 let seen = world.get("s-0").unwrap().seen();
-                seen.into_iter().find(|s| s.id == before).and_then(|s| s.behind)
+                seen.into_iter()
+                    .find(|s| s.id == before)
+                    .and_then(|s| s.behind)
             };
             until(|| behind().is_some());
-            assert!(behind() >= Some(ms(20)), "command {n}, {gap} ms: {told:?}, {:?} behind", behind());
+            assert!(
+                behind() >= Some(ms(20)),
+                "command {n}, {gap} ms: {told:?}, {:?} behind",
+                behind()
+            );
             eprintln!("{gap} ms, played again: written {:?} behind", behind());
             return false;
         }
@@ -364,7 +413,10 @@
 fn a_second_answer_some_milliseconds_late_is_nobodys() {
     for gap in [1, 4, 9] {
         // On a machine that does not let the stand-in run in time it is played again.
-        assert!((0..10).any(|_| second_answers_are_nobodys(gap)), "{gap} ms: never written in time");
+        assert!(
+            (0..10).any(|_| second_answers_are_nobodys(gap)),
+            "{gap} ms: never written in time"
+        );
     }
 }
 
@@ -375,7 +427,10 @@
     let whole = pg::value(&[0x9f, 3]).len();
     let ready = pg::ready().len();
     for cut in 0..whole {
-        world.get("s-0").unwrap().ways(|w| w.act = Act::Cut(cut as u16));
+        world
+            .get("s-0")
+            .unwrap()
+            .ways(|w| w.act = Act::Cut(cut as u16));
         let mut client = caller(&agent);
         // So many failures may have it denied, unrun: then it is asked again.
         let (id, told) = (0..200)
@@ -420,7 +475,12 @@
     let world = world(&[works(0)]);
     let mut agent = start(&world, |c| c["limits"]["memory_mb"] = 32.into());
     let mut good = caller(&agent);
-    let half = [&pg::startup()[..], b"Q\x00\x02\x00\x00", &vec![b' '; 100_000]].concat();
+    let half = [
+        &pg::startup()[..],
+        b"Q\x00\x02\x00\x00",
+        &vec![b' '; 100_000],
+    ]
+    .concat();
     let mut halves: Vec<_> = (0..500)
         .map(|_| {
             let mut stream = TcpStream::connect(agent.address().unwrap()).unwrap();
@@ -433,7 +493,9 @@
     // Each goes on, a byte at a time: whoever is read again waits for room, which the others hold.
     for _ in 0..5 {
         sleep(ms(50));
-        halves.iter_mut().for_each(|stream| drop(stream.write(b" ")));
+        halves
+            .iter_mut()
+            .for_each(|stream| drop(stream.write(b" ")));
     }
     for _ in 0..5 {
         good.ask("view", 15_000);
@@ -442,21 +504,36 @@
     let mut new = caller(&agent);
     new.ask("view", 15_000);
     assert_eq!(new.told().unwrap().code(), None);
-    assert!(begun.elapsed() < ms(8000), "served after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < ms(8000),
+        "served after {:?}",
+        begun.elapsed()
+    );
     let status = std::fs::read_to_string(format!("/proc/{}/status", agent.id())).unwrap();
-    let peak = status
-        .lines()
-        .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB")?.parse::<u64>().ok());
+    let peak = status.lines().find_map(|l| {
+        l.strip_prefix("VmHWM:")?
+            .trim()
+            .strip_suffix(" kB")?
+            .parse::<u64>()
+            .ok()
+    });
     assert!(peak.unwrap() < 32 * 1024, "{peak:?} kB at most");
     agent.terminate().unwrap();
     let begun = Instant::now();
-    assert!(agent.ended_well().unwrap() && begun.elapsed() < ms(4500), "ended after {:?}", begun.elapsed());
+    assert!(
+        agent.ended_well().unwrap() && begun.elapsed() < ms(4500),
+        "ended after {:?}",
+        begun.elapsed()
+    );
     drop(halves);
 }
 
 #[test]
 fn a_client_that_never_reads_is_let_go_and_one_that_reads_and_writes_a_byte_at_a_time_is_served() {
-    let world = world(&[Ways { value: 60_000, ..Ways::default() }]);
+    let world = world(&[Ways {
+        value: 60_000,
+        ..Ways::default()
+    }]);
     let agent = start(&world, as_it_is);
     let mut deaf = caller(&agent);
     for n in 0..400 {
@@ -507,7 +584,10 @@
     for n in 0..200 {
         let heard = client.until_ready().unwrap();
         let tags: Vec<u8> = heard.iter().map(|(tag, _)| *tag).collect();
-        let code = heard.iter().find(|(tag, _)| *tag == b'E').and_then(|(_, body)| pg::field(body, b'C'));
+        let code = heard
+            .iter()
+            .find(|(tag, _)| *tag == b'E')
+            .and_then(|(_, body)| pg::field(body, b'C'));
         match n % 5 {
             0 => assert_eq!(code.as_deref(), Some("42601"), "{n}"),
             1 => assert_eq!(tags, [b'I'], "{n}"),
@@ -533,12 +613,18 @@
     let mut waiting = Vec::new();
     across_the_close(&agent, || {
         for n in 0..30 {
-            waiting.push(eager(&agent, &[pg::startup(), pg::query(&view(&format!("w{n}"), 1400))].concat()));
+            waiting.push(eager(
+                &agent,
+                &[pg::startup(), pg::query(&view(&format!("w{n}"), 1400))].concat(),
+            ));
         }
     });
     for client in &mut waiting {
         let code = first_answer(client).unwrap();
-        assert!(code.is_none() || code.as_deref() == Some("53300"), "{code:?}");
+        assert!(
+            code.is_none() || code.as_deref() == Some("53300"),
+            "{code:?}"
+        );
     }
     assert!(agent.ended_well().unwrap());
 }
@@ -571,11 +657,16 @@
     let mut agent = start(&world, as_it_is);
     drop(caller(&agent));
     let mut fresh = Vec::new();
-    across_the_close(&agent, || fresh.extend((0..5).map(|_| eager(&agent, &pg::startup()))));
+    across_the_close(&agent, || {
+        fresh.extend((0..5).map(|_| eager(&agent, &pg::startup())))
+    });
     assert!(until(|| agent.log().contains("phase: Closing")));
     sleep(ms(60));
     for (n, client) in fresh.iter_mut().enumerate() {
-        client.stream.write_all(&pg::query(&view(&format!("r{n}"), 1400))).unwrap();
+        client
+            .stream
+            .write_all(&pg::query(&view(&format!("r{n}"), 1400)))
+            .unwrap();
         assert_eq!(first_answer(client).unwrap(), None);
     }
     assert!(agent.ended_well().unwrap());
@@ -628,7 +719,11 @@
     let begun = Instant::now();
     let agent = start(&world, as_it_is);
     let mut client = caller(&agent);
-    assert!(begun.elapsed() < ms(8000), "ready after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < ms(8000),
+        "ready after {:?}",
+        begun.elapsed()
+    );
     client.ask("view", 1400);
     assert_eq!(client.told().unwrap().code(), None);
     // No more than half of the places for appliances are opened ahead, here for one of them.
@@ -641,19 +736,33 @@
 fn a_start_opens_connections_ahead_only_where_handshakes_cost_nothing() {
     for (price, ahead) in [(0.0, true), (0.08, false)] {
         let world = world(&[works(0), works(0)]);
-        let agent = start(&world, |c| c["settings"]["prices"]["handshake"] = price.into());
+        let agent = start(&world, |c| {
+            c["settings"]["prices"]["handshake"] = price.into()
+        });
         let mut client = caller(&agent);
         assert!(until(|| agent.log().contains("phase: Serving")));
         sleep(ms(200));
         let opened = || {
-            let connections = world.counted(0, 0).get(appliance::CONNECTIONS).copied().unwrap_or_default();
+            let connections = world
+                .counted(0, 0)
+                .get(appliance::CONNECTIONS)
+                .copied()
+                .unwrap_or_default();
             connections.read as usize / pg::startup().len()
         };
         let before = opened();
-        assert_eq!(before > 0, ahead, "{before} connections at a price of {price}");
+        assert_eq!(
+            before > 0,
+            ahead,
+            "{before} connections at a price of {price}"
+        );
         client.ask("view", 1400);
         assert_eq!(client.told().unwrap().code(), None);
-        assert_eq!(opened(), before + usize::from(!ahead), "at a price of {price}");
+        assert_eq!(
+            opened(),
+            before + usize::from(!ahead),
+            "at a price of {price}"
+        );
     }
 }
 
@@ -664,7 +773,11 @@
     let begun = Instant::now();
     let agent = start(&world, |c| c["known"]["servers"] = serde_json::json!([]));
     let mut client = caller(&agent);
-    assert!(begun.elapsed() < ms(8000), "ready after {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < ms(8000),
+        "ready after {:?}",
+        begun.elapsed()
+    );
     client.ask("view", 600);
     assert_eq!(client.told().unwrap().code(), Some("53300".into()));
     world.discovery.manner(Manner::Tells);
@@ -679,10 +792,13 @@
 /// Where the platform counts for all. An agent that could not read it closed the connection at each count, and what was
 /// told while none was open was lost.
 #[test]
-fn counts_of_the_platform_are_read_beside_its_news_and_a_build_that_they_show_as_failing_goes_back() {
+fn counts_of_the_platform_are_read_beside_its_news_and_a_build_that_they_show_as_failing_goes_back()
+{
     let world = world(&[works(0), works(0)]);
     world.appliance(0, "t-0", 42, works(0)).unwrap();
-    world.platform.news(platform::News::now(42, 0, "trial", 0.2));
+    world
+        .platform
+        .news(platform::News::now(42, 0, "trial", 0.2));
     let agent = start(&world, |c| {
         let domain = &mut c["settings"]["domain"];
         domain["tally-every-ms"] = 500.into();
@@ -693,8 +809,16 @@
         world.platform.sample(41, "view", 20, 0, ms(20));
         world.platform.sample(42, "view", 20, 12, ms(20));
         sleep(ms(50));
-        world.platform.votes().iter().any(|(_, vote)| vote["opinion"] == "abort" && vote["image"] == 42)
+        world
+            .platform
+            .votes()
+            .iter()
+            .any(|(_, vote)| vote["opinion"] == "abort" && vote["image"] == 42)
     });
     assert!(back);
-    assert!(!agent.log().contains("its connection is closed"), "{}", agent.log());
+    assert!(
+        !agent.log().contains("its connection is closed"),
+        "{}",
+        agent.log()
+    );
 }
--- a/crates/agent/tests/customers.rs
+++ b/crates/agent/tests/customers.rs
@@ -13,14 +13,20 @@
     let world = World::new(zones, lanes).unwrap();
     for (zone, name) in zones.iter().enumerate() {
         for n in 0..2 {
-            world.appliance(zone, &format!("{name}-{n}"), 41, Ways::default()).unwrap();
+            world
+                .appliance(zone, &format!("{name}-{n}"), 41, Ways::default())
+                .unwrap();
         }
     }
     world
 }
 
 fn ask(client: &mut Caller, n: usize, lane: &Lane, wait: u32) -> Option<String> {
-    let key = if lane.repeats == "by_key" { format!(",k=k{n}") } else { String::new() };
+    let key = if lane.repeats == "by_key" {
+        format!(",k=k{n}")
+    } else {
+        String::new()
+    };
     let comment = format!("id=r{n},c={},t=whoever,d={wait}{key}", lane.name);
     client.say(&format!(
         "INSERT INTO objects (oid, body) VALUES ('a{n}', '\\x00') RETURNING body /* {comment} */"
@@ -36,11 +42,16 @@
         let begun = Instant::now();
         let mut agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
         let mut client = Caller::connect(agent.address().unwrap()).unwrap();
-        assert!(begun.elapsed() < Duration::from_secs(10), "ready after {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_secs(10),
+            "ready after {:?}",
+            begun.elapsed()
+        );
         for (n, lane) in world.lanes.iter().enumerate() {
             // A busy machine may be late for a short time: what it denies is asked again.
-            let served = (0..200)
-                .any(|again| ask(&mut client, round * 100_000 + n * 1000 + again, lane, wait).is_none());
+            let served = (0..200).any(|again| {
+                ask(&mut client, round * 100_000 + n * 1000 + again, lane, wait).is_none()
+            });
             assert!(served, "lane {}", lane.name);
         }
         agent.terminate().unwrap();
@@ -53,7 +64,11 @@
 }
 
 fn lane(name: &str, repeats: &'static str, group: &'static str, quoted_ms: f64) -> Lane {
-    Lane { group, quoted_ms, ..Lane::new(name, repeats, 1.0) }
+    Lane {
+        group,
+        quoted_ms,
+        ..Lane::new(name, repeats, 1.0)
+    }
 }
 
 #[test]
@@ -77,7 +92,12 @@
 fn thirty_lanes_of_minutes_in_six_zones_with_lists_asked_for_and_many_tenants() {
     let kinds = [("repeatable", "all"), ("by_key", "zone"), ("once", "all")];
     let of = |n: usize| {
-        lane(&format!("lane {n}, \u{e9}").replace(", ", "-"), kinds[n % 3].0, kinds[n % 3].1, 60_000.0)
+        lane(
+            &format!("lane {n}, \u{e9}").replace(", ", "-"),
+            kinds[n % 3].0,
+            kinds[n % 3].1,
+            60_000.0,
+        )
     };
     let world = world(&["a", "b", "c", "d", "e", "f"], (0..30).map(of).collect());
     starts_serves_and_restarts(&world, 600_000, |c| {
@@ -85,7 +105,9 @@
         for class in settings["classes"].as_array_mut().unwrap() {
             class["give-up-ms"] = 600_000.into();
         }
-        settings["tenants"] = (0..40).map(|n| json!({"name": format!("t{n}"), "share": 0.01})).collect();
+        settings["tenants"] = (0..40)
+            .map(|n| json!({"name": format!("t{n}"), "share": 0.01}))
+            .collect();
         settings["discovery"] = "ask".into();
         settings["instances"] = 350.into();
         settings["rules"]["must-ask-in-ms"] = 2000.into();
@@ -104,7 +126,8 @@
     starts_serves_and_restarts(&world, 1000, |c| {
         c["limits"] = json!({"sockets": 64, "memory_mb": 32, "cores": 0.05});
         let settings = &mut c["settings"];
-        settings["rules"] = json!({"cold-share": 0.0, "cold-ms": 0, "fall-ms": 0, "fall-multiple": 1});
+        settings["rules"] =
+            json!({"cold-share": 0.0, "cold-ms": 0, "fall-ms": 0, "fall-multiple": 1});
         settings["tenants"] = json!([{"name": "whoever", "share": 0}]);
         settings["domain"]["most-shares"] = json!([]);
     });
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -11,10 +11,19 @@
 fn logged(filter: &str) -> String {
     let world = World::new(&["a"], lanes()).unwrap();
     for n in 0..2 {
-        world.appliance(0, &format!("e-{n}"), 41, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("e-{n}"), 41, Ways::default())
+            .unwrap();
     }
-    world.platform.news(platform::News::now(41, 2, "released", 1.0));
-    let program = Program::start("env", world.configuration("n1", 0).unwrap(), &[filter, BINARY]).unwrap();
+    world
+        .platform
+        .news(platform::News::now(41, 2, "released", 1.0));
+    let program = Program::start(
+        "env",
+        world.configuration("n1", 0).unwrap(),
+        &[filter, BINARY],
+    )
+    .unwrap();
     Caller::connect(program.address().unwrap()).unwrap();
     Load {
         agent: program.address().unwrap(),
@@ -26,7 +35,11 @@
     }
     .play();
     program.signal(Signal::USR1).unwrap();
-    assert!(until(|| program.log().contains("commands: taken")), "{}", program.log());
+    assert!(
+        until(|| program.log().contains("commands: taken")),
+        "{}",
+        program.log()
+    );
     program.log()
 }
 
@@ -34,19 +47,41 @@
 fn each_end_of_a_delivery_and_of_a_command_is_logged_where_evidence_is_asked_for_and_else_none() {
     let log = logged("RUST_LOG=info,evidence=debug");
     let lines = |begin: &str, with: &str| {
-        let said = log.lines().filter_map(|l| l.split_once("evidence] ")?.1.split_once(' '));
-        said.filter(|(_, s)| s.starts_with(begin) && s.contains(with)).count()
+        let said = log
+            .lines()
+            .filter_map(|l| l.split_once("evidence] ")?.1.split_once(' '));
+        said.filter(|(_, s)| s.starts_with(begin) && s.contains(with))
+            .count()
     };
     let counters = log.lines().find(|l| l.contains("commands: taken")).unwrap();
     let counted = |word: &str| {
-        let after = counters.split_once("commands: ").unwrap().1.split_once(word).unwrap().1;
-        after.split_whitespace().next().unwrap().parse::<usize>().unwrap()
+        let after = counters
+            .split_once("commands: ")
+            .unwrap()
+            .1
+            .split_once(word)
+            .unwrap()
+            .1;
+        after
+            .split_whitespace()
+            .next()
+            .unwrap()
+            .parse::<usize>()
+            .unwrap()
     };
     let (taken, satisfied) = (counted("taken "), counted("satisfied "));
     assert!(taken > 100 && satisfied > 100, "{counters}");
     assert_eq!(lines("command lane 0 ", ""), taken, "{counters}");
-    assert_eq!(lines("command lane 0 Satisfied", ""), satisfied, "{counters}");
-    assert_eq!(lines("delivery lane 0 build 41 ", " Satisfied "), satisfied, "{counters}");
+    assert_eq!(
+        lines("command lane 0 Satisfied", ""),
+        satisfied,
+        "{counters}"
+    );
+    assert_eq!(
+        lines("delivery lane 0 build 41 ", " Satisfied "),
+        satisfied,
+        "{counters}"
+    );
     assert!(
         lines("news build 41 stage 2 Released", "") > 0 && lines("start agents ", " back ") == 1,
         "{log}"
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large.rs
@@ -8,11 +8,20 @@
 const APPLIANCES: usize = 7_700;
 
 fn fleet(one: &discovery::Entry) -> Vec<discovery::Entry> {
-    (0..APPLIANCES).map(|n| discovery::Entry { id: format!("s-{n:08x}"), ..one.clone() }).collect()
+    (0..APPLIANCES)
+        .map(|n| discovery::Entry {
+            id: format!("s-{n:08x}"),
+            ..one.clone()
+        })
+        .collect()
 }
 
 fn says(agent: &Program, line: &str) {
-    assert!(ground::until(|| agent.log().contains(line)), "'{line}' is not in {}", agent.log());
+    assert!(
+        ground::until(|| agent.log().contains(line)),
+        "'{line}' is not in {}",
+        agent.log()
+    );
 }
 
 #[test]
@@ -33,7 +42,9 @@
     let mut other = twice["servers"][17].clone();
     other["state"] = json!("terminating");
     twice["servers"].as_array_mut().unwrap().push(other);
-    world.discovery.manner(Manner::Says(Speaker::http(&twice.to_string())));
+    world
+        .discovery
+        .manner(Manner::Says(Speaker::http(&twice.to_string())));
     says(&agent, "'s-00000011' stands twice");
     assert_eq!(ask(), None);
 
@@ -49,7 +60,10 @@
     let none = json!({"version": 99, "full": true, "servers": []}).to_string();
     world.discovery.manner(Manner::Says(Speaker::http(&none)));
     says(&agent, "no appliance runs, of 7700");
-    assert!(ask().is_some_and(|code| code == "53300"), "what cannot be sent is denied");
+    assert!(
+        ask().is_some_and(|code| code == "53300"),
+        "what cannot be sent is denied"
+    );
 
     // Whole again, none of it changed since the version that was heard: who has nothing to serve from asks for all of it.
     (0..100).for_each(|_| world.discovery.tell([]));
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -24,7 +24,9 @@
 fn world(appliances: usize) -> World {
     let world = World::new(&["a"], program::lanes()).unwrap();
     for n in 0..appliances {
-        world.appliance(0, &format!("s-{n}"), 41, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .unwrap();
     }
     world
 }
@@ -38,7 +40,9 @@
 }
 
 fn leaves(world: &World, id: &str) {
-    world.discovery.change(id, |e| e.state = "terminating".into());
+    world
+        .discovery
+        .change(id, |e| e.state = "terminating".into());
 }
 
 /// Asks until `until`, and says when `s-0` was last sent anything.
@@ -63,8 +67,14 @@
     leaves(&world, "s-0");
     let told = silent + TOLD_AFTER + GRACE;
     let last = last_sent(&world, &agent, told + GRACE).unwrap();
-    assert!(last < told, "sent {:?} after the silence began", last - silent);
-    assert!(ground::until(|| agent.log().contains("discovery: heard again")));
+    assert!(
+        last < told,
+        "sent {:?} after the silence began",
+        last - silent
+    );
+    assert!(ground::until(|| agent
+        .log()
+        .contains("discovery: heard again")));
 }
 
 /// Guards against a watch that is given up only when what it missed counts as told. Costs a call a second where
@@ -77,7 +87,16 @@
 #[test]
 fn so_it_is_where_the_next_connections_are_late_refused_and_silent() {
     let late = || Meets::Late(ms(1000));
-    silence(&[late(), Meets::Refuses, Meets::Mute, late(), late(), Meets::Refuses, Meets::Mute, late()]);
+    silence(&[
+        late(),
+        Meets::Refuses,
+        Meets::Mute,
+        late(),
+        late(),
+        Meets::Refuses,
+        Meets::Mute,
+        late(),
+    ]);
 }
 
 /// Guards against lists that come between a decision and the first byte: the connection of either delivery, the
@@ -86,7 +105,13 @@
 fn what_was_decided_before_the_announcement_goes_elsewhere_when_its_connection_comes_up() {
     let world = world(2);
     for id in ["s-0", "s-1"] {
-        world.get(id).unwrap().link(0, Link { back: ms(300), ..Link::default() });
+        world.get(id).unwrap().link(
+            0,
+            Link {
+                back: ms(300),
+                ..Link::default()
+            },
+        );
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 26.into();
@@ -111,17 +136,22 @@
     let configuration = world.configuration("n1", 0).unwrap();
     leaves(&world, "s-0");
     // Both of its first tries.
-    world.discovery.hush([Meets::Late(ms(120)), Meets::Late(ms(120))]);
+    world
+        .discovery
+        .hush([Meets::Late(ms(120)), Meets::Late(ms(120))]);
     let agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
     // Clients that do not wait until they are told that the agent serves, as after a restart.
     let ask = |n: usize| {
-        let query = format!("SELECT body FROM objects WHERE oid = 'a{n}' /* id={n},c=view,d=900 */");
+        let query =
+            format!("SELECT body FROM objects WHERE oid = 'a{n}' /* id={n},c=view,d=900 */");
         let mut stream = loop {
             if let Ok(stream) = std::net::TcpStream::connect(agent.address().unwrap()) {
                 break stream;
             }
         };
-        stream.write_all(&[pg::startup(), pg::query(&query)].concat()).unwrap();
+        stream
+            .write_all(&[pg::startup(), pg::query(&query)].concat())
+            .unwrap();
         Caller { stream }
     };
     let eager: Vec<_> = (0..12).map(ask).collect();
@@ -147,7 +177,12 @@
     let (world, next) = (world(2), Discovery::start(1).unwrap());
     next.tell(world.discovery.entries());
     next.change("s-0", |e| e.state = "terminating".into());
-    next.hush([Meets::Refuses, Meets::Mute, Meets::Late(ms(1000)), Meets::Late(ms(1000))]);
+    next.hush([
+        Meets::Refuses,
+        Meets::Mute,
+        Meets::Late(ms(1000)),
+        Meets::Late(ms(1000)),
+    ]);
     let agent = start(&world);
     last_sent(&world, &agent, Instant::now() + ms(300));
     let mut configuration = agent.configuration.clone();
@@ -177,7 +212,11 @@
     assert!(last < spoilt + GRACE, "sent {:?} after it", last - spoilt);
     let asked = world.discovery.asked() - asked;
     assert!((2..40).contains(&asked), "asked {asked} times in 2 s");
-    assert_eq!(agent.log().matches("is asked anew").count(), 1, "named once");
+    assert_eq!(
+        agent.log().matches("is asked anew").count(),
+        1,
+        "named once"
+    );
 }
 
 /// When something was announced to leave for good, and when that binds.
@@ -186,7 +225,13 @@
 /// Deliveries to appliances after their announcement bound.
 fn late(world: &World, drains: &Drains) -> usize {
     let late = |(id, bound): (&String, &Instant)| {
-        world.get(id).unwrap().seen().iter().filter(|s| s.at > *bound).count()
+        world
+            .get(id)
+            .unwrap()
+            .seen()
+            .iter()
+            .filter(|s| s.at > *bound)
+            .count()
     };
     drains.iter().map(late).sum()
 }
@@ -208,9 +253,14 @@
         }
         match rng.gen_range(0..4) {
             0 | 1 => {
-                let meets = [Meets::Refuses, Meets::Mute, Meets::Late(ms(rng.gen_range(50..1000)))];
-                let next: Vec<_> =
-                    (0..rng.gen_range(0..4)).map(|_| meets[rng.gen_range(0..3)].clone()).collect();
+                let meets = [
+                    Meets::Refuses,
+                    Meets::Mute,
+                    Meets::Late(ms(rng.gen_range(50..1000))),
+                ];
+                let next: Vec<_> = (0..rng.gen_range(0..4))
+                    .map(|_| meets[rng.gen_range(0..3)].clone())
+                    .collect();
                 told.hush(next);
                 silent = Some(Instant::now());
             }
@@ -227,7 +277,9 @@
         let now = Instant::now();
         leaves(world, &id);
         // A silence may last as long as the rule allows; a new address, and a start, may be under way.
-        let under_way = silent.filter(|s| *s + TOLD_AFTER > now).map_or(now + ms(300), |s| s + TOLD_AFTER);
+        let under_way = silent
+            .filter(|s| *s + TOLD_AFTER > now)
+            .map_or(now + ms(300), |s| s + TOLD_AFTER);
         drains.insert(id, under_way + GRACE);
     }
     let mut client = caller(&agent);
@@ -272,8 +324,11 @@
     let there = world.discovery.entries();
     let long = "-with-a-name-as-long-as-some-platforms-give".repeat(4);
     let many = |state: &str| -> Vec<Entry> {
-        let entry =
-            |n: usize| Entry { id: format!("m-{n}{long}"), state: state.into(), ..there[n % 4].clone() };
+        let entry = |n: usize| Entry {
+            id: format!("m-{n}{long}"),
+            state: state.into(),
+            ..there[n % 4].clone()
+        };
         (0..1020).map(entry).collect()
     };
     world.discovery.tell(many("in_service"));
@@ -285,9 +340,14 @@
         client.ask("view", 1000);
         assert_eq!(client.told().unwrap().code(), None);
     }
-    let (told, seen) = (Instant::now(), world.seen().values().map(Vec::len).sum::<usize>());
+    let (told, seen) = (
+        Instant::now(),
+        world.seen().values().map(Vec::len).sum::<usize>(),
+    );
     world.discovery.tell(many("terminating"));
-    ["s-0", "s-1", "s-2"].into_iter().for_each(|id| leaves(&world, id));
+    ["s-0", "s-1", "s-2"]
+        .into_iter()
+        .for_each(|id| leaves(&world, id));
     sleep(GRACE);
     let only = world.get("s-3").unwrap().seen_count();
     for _ in 0..100 {
@@ -302,9 +362,13 @@
         told.elapsed()
     );
     let status = std::fs::read_to_string(format!("/proc/{}/status", agent.id())).unwrap();
-    let peak = status
-        .lines()
-        .find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB")?.parse::<u64>().ok());
+    let peak = status.lines().find_map(|l| {
+        l.strip_prefix("VmHWM:")?
+            .trim()
+            .strip_suffix(" kB")?
+            .parse::<u64>()
+            .ok()
+    });
     assert!(peak.unwrap() < 40 * 1024, "{peak:?} kB at most");
 }
 
@@ -338,7 +402,17 @@
             last.duration_since(crossed)
         );
     };
-    let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
-    let all: Vec<_> = orders.into_iter().map(|o| std::thread::spawn(move || order(o))).collect();
+    let orders = [
+        [0, 1, 2],
+        [0, 2, 1],
+        [1, 0, 2],
+        [1, 2, 0],
+        [2, 0, 1],
+        [2, 1, 0],
+    ];
+    let all: Vec<_> = orders
+        .into_iter()
+        .map(|o| std::thread::spawn(move || order(o)))
+        .collect();
     all.into_iter().for_each(|one| one.join().unwrap());
 }
--- a/crates/agent/tests/reactor.rs
+++ b/crates/agent/tests/reactor.rs
@@ -7,7 +7,10 @@
 #[test]
 fn what_runs_first_waits_for_a_handful_of_other_tasks_only() {
     let ran = std::cell::Cell::new(0);
-    let (tasks, first) = (async_executor::LocalExecutor::new(), async_executor::LocalExecutor::new());
+    let (tasks, first) = (
+        async_executor::LocalExecutor::new(),
+        async_executor::LocalExecutor::new(),
+    );
     for _ in 0..2000 {
         tasks
             .spawn(async {
--- a/crates/agent/tests/refused.rs
+++ b/crates/agent/tests/refused.rs
@@ -18,7 +18,9 @@
 fn begin() -> (World, Discovery, Program) {
     let world = World::new(&["a"], program::lanes()).unwrap();
     for n in 0..3 {
-        world.appliance(0, &format!("s-{n}"), 41, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .unwrap();
     }
     let next = Discovery::start(1).unwrap();
     next.tell(world.discovery.entries());
@@ -47,7 +49,11 @@
         }
         sleep(ms(5));
     }
-    (served, denied, world.get("s-0").unwrap().seen().last().map(|s| s.at))
+    (
+        served,
+        denied,
+        world.get("s-0").unwrap().seen().last().map(|s| s.at),
+    )
 }
 
 fn moves(agent: &Program, next: &Discovery) -> Instant {
@@ -66,14 +72,33 @@
     let moved = moves(&agent, &next);
     next.change("s-0", |e| e.state = "terminating".into());
     let (served, denied, _) = ask_until(&world, &agent, moved + ms(3000));
-    assert!(served > 50 && denied == 0, "{served} served, {denied} denied meanwhile");
-    assert!((3..20).contains(&next.asked()), "asked {} times in 3 s", next.asked());
+    assert!(
+        served > 50 && denied == 0,
+        "{served} served, {denied} denied meanwhile"
+    );
+    assert!(
+        (3..20).contains(&next.asked()),
+        "asked {} times in 3 s",
+        next.asked()
+    );
     next.manner(Manner::Tells);
     let (_, _, last) = ask_until(&world, &agent, moved + TOLD_AFTER + GRACE * 2);
     let last = last.unwrap();
-    assert!(last < moved + TOLD_AFTER, "sent {:?} after the move", last - moved);
-    assert!(agent.log().contains("discovery: heard again"), "{}", agent.log());
-    assert_eq!(next.asked_whole(), 0, "changes are asked for, not the whole list");
+    assert!(
+        last < moved + TOLD_AFTER,
+        "sent {:?} after the move",
+        last - moved
+    );
+    assert!(
+        agent.log().contains("discovery: heard again"),
+        "{}",
+        agent.log()
+    );
+    assert_eq!(
+        next.asked_whole(),
+        0,
+        "changes are asked for, not the whole list"
+    );
 }
 
 /// Guards the rule where discovery bears no more. Denies what is asked meanwhile.
@@ -84,17 +109,33 @@
     let moved = moves(&agent, &next);
     next.change("s-0", |e| e.state = "terminating".into());
     let (_, denied, last) = ask_until(&world, &agent, moved + ms(5500));
-    assert!(denied == 0 && last.is_some_and(|t| t > moved + ms(4500)), "it serves as long as it may");
+    assert!(
+        denied == 0 && last.is_some_and(|t| t > moved + ms(4500)),
+        "it serves as long as it may"
+    );
     ask_until(&world, &agent, moved + TOLD_AFTER + GRACE);
     let sent = world.seen().values().map(Vec::len).sum::<usize>();
     let (served, denied, _) = ask_until(&world, &agent, moved + ms(8000));
-    assert_eq!((served, world.seen().values().map(Vec::len).sum::<usize>()), (0, sent), "nothing is sent");
+    assert_eq!(
+        (served, world.seen().values().map(Vec::len).sum::<usize>()),
+        (0, sent),
+        "nothing is sent"
+    );
     assert!(denied > 3, "{denied} denied: answered in time");
-    assert!(agent.log().contains("nothing is sent until it is heard"), "{}", agent.log());
+    assert!(
+        agent.log().contains("nothing is sent until it is heard"),
+        "{}",
+        agent.log()
+    );
     next.manner(Manner::Tells);
-    assert!(ground::until(|| agent.log().contains("discovery: heard again")));
+    assert!(ground::until(|| agent
+        .log()
+        .contains("discovery: heard again")));
     let (served, denied, last) = ask_until(&world, &agent, Instant::now() + ms(500));
-    assert!(served > 10 && denied == 0, "{served} served, {denied} denied");
+    assert!(
+        served > 10 && denied == 0,
+        "{served} served, {denied} denied"
+    );
     assert!(last.unwrap() < moved + TOLD_AFTER + GRACE, "s-0 left");
 }
 
@@ -103,21 +144,32 @@
 fn a_start_sends_nothing_by_the_list_it_was_given_while_its_first_call_is_under_way() {
     let world = World::new(&["a"], program::lanes()).unwrap();
     for n in 0..3 {
-        world.appliance(0, &format!("s-{n}"), 41, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["settings"]["discovery"] = "ask".into();
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
-    world.discovery.change("s-0", |e| e.state = "terminating".into());
+    world
+        .discovery
+        .change("s-0", |e| e.state = "terminating".into());
     world.discovery.hush([Meets::Late(ms(2700))]);
     let started = Instant::now();
     let agent = Program::start(BINARY, configuration, &[]).unwrap();
     ask_until(&world, &agent, started + ms(2600));
     let sent = world.seen().values().map(Vec::len).sum::<usize>();
-    assert_eq!((sent, world.discovery.asked()), (0, 0), "sent and asked before it was heard");
+    assert_eq!(
+        (sent, world.discovery.asked()),
+        (0, 0),
+        "sent and asked before it was heard"
+    );
     assert!(ground::until(|| world.discovery.asked() > 0));
     let (served, _, last) = ask_until(&world, &agent, Instant::now() + ms(1000));
-    assert!(served > 10 && last.is_none(), "{served} served, by s-0 last at {last:?}");
+    assert!(
+        served > 10 && last.is_none(),
+        "{served} served, by s-0 last at {last:?}"
+    );
 }
 
 /// Guards a discovery that counts its versions anew, where changes since a version of the other would say nothing.
@@ -140,13 +192,17 @@
     let mut world = World::new(&["a"], program::lanes()).unwrap();
     world.agents = 4; // one call a second is told for all
     for n in 0..3 {
-        world.appliance(0, &format!("s-{n}"), 41, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["settings"]["discovery"] = "ask".into();
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
     configuration["seed"] = seed.into();
-    world.discovery.change("s-0", |e| e.state = "terminated".into());
+    world
+        .discovery
+        .change("s-0", |e| e.state = "terminated".into());
     if down {
         world.discovery.manner(Manner::Down);
     }
@@ -176,18 +232,31 @@
             slowest = slowest.max(asked.elapsed());
             sleep(ms(5));
         }
-        assert_eq!(world.get("s-0").unwrap().seen().len(), 0, "seed {seed}: it left 7 s before the start");
-        assert!(slowest < ms(400 + 300), "seed {seed}: answered after {slowest:?}, of 0.4 s");
+        assert_eq!(
+            world.get("s-0").unwrap().seen().len(),
+            0,
+            "seed {seed}: it left 7 s before the start"
+        );
+        assert!(
+            slowest < ms(400 + 300),
+            "seed {seed}: answered after {slowest:?}, of 0.4 s"
+        );
         assert!(served > 20, "seed {seed}: {served} served, {denied} denied");
         first.unwrap()
     };
     let plays = ["8c1f", "1", "2", "3", "4", "5"];
     let first: Vec<Duration> = std::thread::scope(|s| {
-        let all: Vec<_> = plays.into_iter().map(|seed| s.spawn(move || play(seed))).collect();
+        let all: Vec<_> = plays
+            .into_iter()
+            .map(|seed| s.spawn(move || play(seed)))
+            .collect();
         all.into_iter().map(|p| p.join().unwrap()).collect()
     });
     // Otherwise nothing is shown: commands were held for 2 s in any case.
-    assert!(first.iter().any(|t| *t > ms(2200)) && first.iter().all(|t| *t < ms(4000)), "{first:?}");
+    assert!(
+        first.iter().any(|t| *t > ms(2200)) && first.iter().all(|t| *t < ms(4000)),
+        "{first:?}"
+    );
 }
 
 /// Guards against a start that a discovery which is down keeps silent.
@@ -196,6 +265,9 @@
     let (world, agent, begun) = starts_unaware("8c1f", true);
     ask_until(&world, &agent, begun + ms(4000));
     let (served, denied, _) = ask_until(&world, &agent, begun + ms(14_000));
-    assert!(served > 300 && denied == 0, "{served} served, {denied} denied");
+    assert!(
+        served > 300 && denied == 0,
+        "{served} served, {denied} denied"
+    );
     assert!(!agent.log().contains("nothing is sent"), "{}", agent.log());
 }
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -17,7 +17,9 @@
 fn world(appliances: usize, ways: Ways) -> World {
     let world = World::new(&["a"], program::lanes()).unwrap();
     for n in 0..appliances {
-        world.appliance(0, &format!("s-{n}"), 41, ways.clone()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, ways.clone())
+            .unwrap();
     }
     world
 }
@@ -63,7 +65,11 @@
 /// later one may be on its way for a while after the first was answered; it is waited for.
 fn asked(world: &World) -> (usize, usize, usize) {
     assert!(world.discovery.settled(0).unwrap(), "one watch at a time");
-    (world.discovery.asked_whole(), world.discovery.connections(), world.platform.connections())
+    (
+        world.discovery.asked_whole(),
+        world.discovery.connections(),
+        world.platform.connections(),
+    )
 }
 
 #[test]
@@ -72,13 +78,19 @@
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
     assert_eq!(ask(&mut client, "v1", "view"), None);
-    assert!(ask(&mut client, "x1", "extra").is_some(), "no such lane yet");
+    assert!(
+        ask(&mut client, "x1", "extra").is_some(),
+        "no such lane yet"
+    );
     let before = asked(&world);
     let opened = || world.get("s-0").unwrap().counted()[&(0, CONNECTIONS.to_owned())].written;
     let connections = opened();
     let mut configuration = agent.configuration.clone();
     let settings = &mut configuration["settings"];
-    settings["classes"].as_array_mut().unwrap().insert(0, class("extra", "repeatable", 400.0));
+    settings["classes"]
+        .as_array_mut()
+        .unwrap()
+        .insert(0, class("extra", "repeatable", 400.0));
     settings["tenants"] = json!([{"name": "acme", "share": 0.5}]);
     renew(&agent, &configuration);
     for (n, lane) in ["extra", "view", "send", "payment"].into_iter().enumerate() {
@@ -89,19 +101,39 @@
         ));
         assert_eq!(client.told().unwrap().code(), None, "{lane}");
     }
-    assert!(agent.log().contains("new settings: 4 lanes, 1 tenants, 1 zones"), "{}", agent.log());
+    assert!(
+        agent
+            .log()
+            .contains("new settings: 4 lanes, 1 tenants, 1 zones"),
+        "{}",
+        agent.log()
+    );
     // What went is found no more.
     renew(&agent, &agent.configuration);
     assert!(ask(&mut client, "x2", "extra").is_some());
     assert_eq!(ask(&mut client, "v2", "view"), None);
-    assert_eq!((asked(&world), opened()), (before, connections), "nobody was asked anew, nor cut off");
+    assert_eq!(
+        (asked(&world), opened()),
+        (before, connections),
+        "nobody was asked anew, nor cut off"
+    );
 }
 
 #[test]
 fn a_quoted_time_decides_from_then_on() {
-    let world = world(2, Ways { work: ms(1200), ..Ways::default() });
-    let classes =
-        |quoted| json!([class("one", "repeatable", 10_000.0), class("other", "repeatable", quoted)]);
+    let world = world(
+        2,
+        Ways {
+            work: ms(1200),
+            ..Ways::default()
+        },
+    );
+    let classes = |quoted| {
+        json!([
+            class("one", "repeatable", 10_000.0),
+            class("other", "repeatable", quoted)
+        ])
+    };
     let agent = start(&world, |c| c["settings"]["classes"] = classes(10_000.0));
     let mut client = caller(&agent);
     assert_eq!(ask(&mut client, "one", "one"), None);
@@ -116,7 +148,13 @@
 /// Against a command in hand that is repeated, or not, by rules it was not taken under.
 #[test]
 fn a_lane_that_becomes_unrepeatable_and_one_that_becomes_repeatable_with_commands_in_hand() {
-    let world = world(3, Ways { act: Act::Silent, ..Ways::default() });
+    let world = world(
+        3,
+        Ways {
+            act: Act::Silent,
+            ..Ways::default()
+        },
+    );
     let classes = |view, payment| {
         json!([
             class("view", view, 4500.0),
@@ -124,26 +162,41 @@
             class("payment", payment, 4500.0)
         ])
     };
-    let agent = start(&world, |c| c["settings"]["classes"] = classes("repeatable", "once"));
+    let agent = start(&world, |c| {
+        c["settings"]["classes"] = classes("repeatable", "once")
+    });
     let mut clients: Vec<Caller> = (0..4).map(|_| caller(&agent)).collect();
     // Each shows to be late after 2 s.
     clients[0].ask_as("view-before", "view", 7000);
     clients[1].ask_as("payment-before", "payment", 7000);
-    assert!(until(|| deliveries(&world, "view-before") + deliveries(&world, "payment-before") == 2));
+    assert!(until(|| deliveries(&world, "view-before")
+        + deliveries(&world, "payment-before")
+        == 2));
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes("once", "repeatable");
     let took = renew(&agent, &configuration);
     assert!(took < ms(1500), "in force before either is late: {took:?}");
     clients[2].ask_as("view-after", "view", 5000);
     clients[3].ask_as("payment-after", "payment", 5000);
-    assert!(until(|| deliveries(&world, "view-before") == 2 && deliveries(&world, "payment-after") >= 2));
+    assert!(until(
+        || deliveries(&world, "view-before") == 2 && deliveries(&world, "payment-after") >= 2
+    ));
     // Another that changes nothing keeps them under their rules.
     renew(&agent, &configuration);
     for client in &mut clients {
         client.stream.set_read_timeout(Some(SOON)).unwrap();
-        assert!(client.told().unwrap().code().is_some(), "nobody answers them");
+        assert!(
+            client.told().unwrap().code().is_some(),
+            "nobody answers them"
+        );
     }
-    assert_eq!((deliveries(&world, "view-after"), deliveries(&world, "payment-before")), (1, 1));
+    assert_eq!(
+        (
+            deliveries(&world, "view-after"),
+            deliveries(&world, "payment-before")
+        ),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -155,29 +208,59 @@
     let spoilt = |what: &str, change: &dyn Fn(&mut Value)| {
         let mut configuration = agent.configuration.clone();
         let settings = &mut configuration["settings"];
-        settings["classes"].as_array_mut().unwrap().push(class("extra", "repeatable", 400.0));
+        settings["classes"]
+            .as_array_mut()
+            .unwrap()
+            .push(class("extra", "repeatable", 400.0));
         change(settings);
         let line = format!("{what}; the configuration read before stays");
-        let faults = || agent.log().matches("the configuration read before stays").count();
+        let faults = || {
+            agent
+                .log()
+                .matches("the configuration read before stays")
+                .count()
+        };
         let (seen, over) = (faults(), taken_over(&agent));
         agent.renew(&configuration.to_string()).unwrap();
         assert!(until(|| faults() > seen), "{}", agent.log());
         assert!(agent.log().contains(&line), "{line}: {}", agent.log());
-        assert_eq!((faults(), taken_over(&agent)), (seen + 1, over), "one line, and not taken over");
+        assert_eq!(
+            (faults(), taken_over(&agent)),
+            (seen + 1, over),
+            "one line, and not taken over"
+        );
     };
     let tenants = |named: &[(&str, f64)]| -> Value {
-        named.iter().map(|(name, share)| json!({"name": name, "share": share})).collect()
+        named
+            .iter()
+            .map(|(name, share)| json!({"name": name, "share": share}))
+            .collect()
     };
     let double = tenants(&[("acme", 0.1), ("other", 0.1), ("acme", 0.2)]);
-    spoilt("field tenants: the tenant 'acme' stands twice", &|s| s["tenants"] = double.clone());
+    spoilt("field tenants: the tenant 'acme' stands twice", &|s| {
+        s["tenants"] = double.clone()
+    });
     let beyond = tenants(&[("acme", 1.5)]);
-    spoilt("field share: tenant 'acme': a share from 0 to 1 is wanted", &|s| s["tenants"] = beyond.clone());
+    spoilt(
+        "field share: tenant 'acme': a share from 0 to 1 is wanted",
+        &|s| s["tenants"] = beyond.clone(),
+    );
     spoilt("field classes: the class 'view' stands twice", &|s| {
-        s["classes"].as_array_mut().unwrap().push(class("view", "once", 400.0));
+        s["classes"]
+            .as_array_mut()
+            .unwrap()
+            .push(class("view", "once", 400.0));
+    });
+    spoilt("field zones: the zone 'a' stands twice", &|s| {
+        s["zones"] = json!(["a", "b", "a"])
     });
-    spoilt("field zones: the zone 'a' stands twice", &|s| s["zones"] = json!(["a", "b", "a"]));
-    spoilt("field aim-ms: a number is wanted", &|s| s["classes"][1]["aim-ms"] = "soon".into());
-    assert!(ask(&mut client, "x", "extra").is_some(), "nothing of them is in force");
+    spoilt("field aim-ms: a number is wanted", &|s| {
+        s["classes"][1]["aim-ms"] = "soon".into()
+    });
+    assert!(
+        ask(&mut client, "x", "extra").is_some(),
+        "nothing of them is in force"
+    );
     assert_eq!(ask(&mut client, "v", "view"), None);
     assert_eq!(asked(&world), before);
     // A start is refused.
@@ -186,7 +269,9 @@
     let mut refused = Program::start(BINARY, configuration, &[]).unwrap();
     assert!(!refused.ended_well().unwrap());
     assert!(
-        refused.log().contains("settings: field tenants: the tenant 'acme' stands twice"),
+        refused
+            .log()
+            .contains("settings: field tenants: the tenant 'acme' stands twice"),
         "{}",
         refused.log()
     );
@@ -195,8 +280,10 @@
 /// Against hundreds of agents that ask discovery for whole lists, and open their connections anew, at each change.
 #[test]
 fn who_did_not_move_is_neither_asked_nor_connected_to_anew() {
-    let (world, next) =
-        (world(1, Ways::default()), Platform::start(News::now(41, 0, "released", 1.0)).unwrap());
+    let (world, next) = (
+        world(1, Ways::default()),
+        Platform::start(News::now(41, 0, "released", 1.0)).unwrap(),
+    );
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
     assert!(until(|| world.platform.connections() == 1));
@@ -215,7 +302,9 @@
     // Who moves is, alone.
     configuration["deployer"]["address"] = next.address.to_string().into();
     renew(&agent, &configuration);
-    assert!(until(|| next.connections() == 1 && agent.log().matches("phase: Serving").count() == 2));
+    assert!(until(
+        || next.connections() == 1 && agent.log().matches("phase: Serving").count() == 2
+    ));
     assert_eq!(asked(&world), before);
     let discovery = Discovery::start(1).unwrap();
     discovery.tell(world.discovery.entries());
@@ -234,7 +323,10 @@
     assert!(until(|| agent.log().matches("phase: Serving").count() == 4));
     sleep(ms(300));
     assert!(discovery.settled(0).unwrap());
-    assert_eq!((discovery.connections(), discovery.asked_whole()), (opened + 1, wholes));
+    assert_eq!(
+        (discovery.connections(), discovery.asked_whole()),
+        (opened + 1, wholes)
+    );
     assert_eq!(next.connections(), 1);
     assert_eq!(ask(&mut client, "last", "view"), None);
 }
@@ -246,9 +338,15 @@
     let mut client = caller(&agent);
     let mut configuration = agent.configuration.clone();
     configuration["listen"] = program::free().to_string().into();
-    configuration["settings"]["classes"].as_array_mut().unwrap().push(class("extra", "once", 400.0));
+    configuration["settings"]["classes"]
+        .as_array_mut()
+        .unwrap()
+        .push(class("extra", "once", 400.0));
     renew(&agent, &configuration);
-    let line = format!("field listen: {} stays until a restart", agent.address().unwrap());
+    let line = format!(
+        "field listen: {} stays until a restart",
+        agent.address().unwrap()
+    );
     assert!(until(|| agent.log().contains(&line)), "{}", agent.log());
     assert_eq!(ask(&mut client, "x", "extra"), None);
     caller(&agent);
@@ -258,8 +356,19 @@
 /// what may not run twice does not.
 #[test]
 fn two_hundred_renewals_under_load_lose_no_command() {
-    let ways = Ways { work: ms(15), steady: 0.3, cores: 8, ..Ways::default() };
-    let world = world(6, Ways { now_and_then: vec![(Act::Fails, 0.02), (Act::TurnsAway, 0.02)], ..ways });
+    let ways = Ways {
+        work: ms(15),
+        steady: 0.3,
+        cores: 8,
+        ..Ways::default()
+    };
+    let world = world(
+        6,
+        Ways {
+            now_and_then: vec![(Act::Fails, 0.02), (Act::TurnsAway, 0.02)],
+            ..ways
+        },
+    );
     let agent = start(&world, |_| {});
     caller(&agent);
     let lane = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
@@ -267,7 +376,11 @@
         agent: agent.address().unwrap(),
         rate: 150.0,
         span: Duration::from_secs(8),
-        lanes: vec![lane("view", 4.0, false), lane("send", 4.0, true), lane("payment", 2.0, false)],
+        lanes: vec![
+            lane("view", 4.0, false),
+            lane("send", 4.0, true),
+            lane("payment", 2.0, false),
+        ],
         connections: 200,
         seed: 17,
     }
@@ -289,17 +402,31 @@
         // In another order each time, and with other rules for those that were there.
         classes.as_array_mut().unwrap().rotate_left(n % 3);
         settings["classes"] = classes;
-        settings["tenants"] =
-            (0..n % 20).map(|t| json!({"name": format!("t{}", n + t), "share": 0.01})).collect();
-        settings["zones"] = if n % 5 == 0 { json!(["a", "b"]) } else { json!(["c", "a"]) };
-        settings["domain"]["cap-scope"] = if n % 10 < 5 { "all".into() } else { "class".into() };
+        settings["tenants"] = (0..n % 20)
+            .map(|t| json!({"name": format!("t{}", n + t), "share": 0.01}))
+            .collect();
+        settings["zones"] = if n % 5 == 0 {
+            json!(["a", "b"])
+        } else {
+            json!(["c", "a"])
+        };
+        settings["domain"]["cap-scope"] = if n % 10 < 5 {
+            "all".into()
+        } else {
+            "class".into()
+        };
         settings["limits"]["try-limit"] = (3 + n % 3).into();
         renew(&agent, &configuration);
         sleep(ms(10));
     }
     let answered = futures_lite::future::block_on(load);
     assert!(answered.asked > 800, "{answered:?}");
-    assert_eq!((answered.unanswered, answered.lost.len()), (0, 0), "{:?}", answered.lost);
+    assert_eq!(
+        (answered.unanswered, answered.lost.len()),
+        (0, 0),
+        "{:?}",
+        answered.lost
+    );
     assert!(answered.satisfied * 10 > answered.asked * 9, "{answered:?}");
     assert_eq!(answered.answered(), answered.asked);
     assert!(world.ran_twice("payment").is_empty());
@@ -311,7 +438,9 @@
 fn fifty_six_thousand_tenants_are_in_force_within_four_seconds() {
     let world = world(1, Ways::default());
     let tenants = |least: usize| -> Value {
-        (least..least + 56_000).map(|n| json!({"name": format!("tenant-{n}"), "share": 0.00002})).collect()
+        (least..least + 56_000)
+            .map(|n| json!({"name": format!("tenant-{n}"), "share": 0.00002}))
+            .collect()
     };
     let agent = start(&world, |c| c["settings"]["tenants"] = tenants(0));
     let mut client = caller(&agent);
@@ -319,7 +448,10 @@
     for n in 1..4 {
         configuration["settings"]["tenants"] = tenants(n * 100);
         let name = format!("extra-{n}");
-        configuration["settings"]["classes"].as_array_mut().unwrap().push(class(&name, "repeatable", 400.0));
+        configuration["settings"]["classes"]
+            .as_array_mut()
+            .unwrap()
+            .push(class(&name, "repeatable", 400.0));
         let text = configuration.to_string();
         let begun = Instant::now();
         agent.renew(&text).unwrap();
