--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -16,22 +16,33 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
 fn lanes() -> Vec<Lane> {
-    vec![Lane::new("view", "repeatable", 3.0), Lane::new("payment", "once", 3.0)]
+    vec![
+        Lane::new("view", "repeatable", 3.0),
+        Lane::new("payment", "once", 3.0),
+    ]
 }
 
 fn acts(act: Act) -> Ways {
-    Ways { act, ..Ways::default() }
+    Ways {
+        act,
+        ..Ways::default()
+    }
 }
 
 fn late() -> Ways {
-    Ways { work: Duration::from_millis(400), ..Ways::default() }
+    Ways {
+        work: Duration::from_millis(400),
+        ..Ways::default()
+    }
 }
 
 /// One zone with an appliance for each of these, `s-0` first.
 fn world(ways: &[Ways]) -> World {
     let world = World::new(&["a"], lanes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
-        world.appliance(0, &format!("s-{n}"), 41, ways.clone()).unwrap();
+        world
+            .appliance(0, &format!("s-{n}"), 41, ways.clone())
+            .unwrap();
     }
     world
 }
@@ -61,7 +72,10 @@
 
 /// An address where nobody listens.
 fn nobody() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 #[test]
@@ -76,11 +90,14 @@
     assert_eq!(codes, (None, Some("42601".into()), None));
     let sent = world.get("s-0").unwrap().seen();
     assert_eq!(sent.len(), 2, "a faulty statement goes nowhere");
-    assert!(sent[0].statement.starts_with("SELECT body FROM objects WHERE oid = 'a1' /* id="));
+    assert!(sent[0]
+        .statement
+        .starts_with("SELECT body FROM objects WHERE oid = 'a1' /* id="));
 }
 
 #[test]
-fn an_unrepeatable_command_whose_connection_ended_after_its_last_byte_is_scrapped_and_not_sent_again() {
+fn an_unrepeatable_command_whose_connection_ended_after_its_last_byte_is_scrapped_and_not_sent_again(
+) {
     let world = world(&[acts(Act::Resets), acts(Act::Resets)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -93,7 +110,9 @@
 fn a_command_without_connection_never_ran_and_is_denied() {
     // Refused before the last byte.
     let world = world(&[acts(Act::Answers)]);
-    world.discovery.change("s-0", |e| e.addresses = vec![nobody()]);
+    world
+        .discovery
+        .change("s-0", |e| e.addresses = vec![nobody()]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     client.ask("payment", 600);
@@ -120,7 +139,11 @@
     let mut client = caller(&agent);
     for n in 1..6 {
         client.ask("payment", 1000);
-        assert_eq!((told(&mut client), seen(&world, "s-0")), (None, n), "command {n}");
+        assert_eq!(
+            (told(&mut client), seen(&world, "s-0")),
+            (None, n),
+            "command {n}"
+        );
     }
 }
 
@@ -132,7 +155,10 @@
     let begun = Instant::now();
     client.ask("payment", 1500);
     assert_eq!(told(&mut client), Some("XX000".into()));
-    assert!(begun.elapsed() < Duration::from_millis(1000), "its end is not waited for");
+    assert!(
+        begun.elapsed() < Duration::from_millis(1000),
+        "its end is not waited for"
+    );
     assert_eq!(seen(&one, "s-0"), 1);
     let both = world(&[acts(Act::Half), acts(Act::Answers)]);
     let agent = start(&both, 1024);
@@ -149,7 +175,11 @@
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     // Spoilt here, not by a change there: the agent could be moved on between the change and its taking back.
-    let drains = world.discovery.known(0).to_string().replace("in_service", "terminating");
+    let drains = world
+        .discovery
+        .known(0)
+        .to_string()
+        .replace("in_service", "terminating");
     assert!(drains.contains("terminating"));
     let again_soon = || {
         let lists = Speaker::start(Speaker::http(&drains).split_at(150).0).unwrap();
@@ -160,15 +190,27 @@
         agent.renew(&next.to_string()).unwrap();
         let begun = Instant::now();
         for _ in 0..2 {
-            assert!(lists.asked.recv_timeout(SOON).unwrap().starts_with("GET /api/targets HTTP/1.1"));
-            assert!(watches.asked.recv_timeout(SOON).unwrap().contains("Events.Watch"));
+            assert!(lists
+                .asked
+                .recv_timeout(SOON)
+                .unwrap()
+                .starts_with("GET /api/targets HTTP/1.1"));
+            assert!(watches
+                .asked
+                .recv_timeout(SOON)
+                .unwrap()
+                .contains("Events.Watch"));
         }
         begun.elapsed() < Duration::from_millis(1900)
     };
     // A rest that is waited for as long as silence takes over 2 s at every try; a busy machine at some.
     assert!((0..3).any(|_| again_soon()));
     client.ask("view", 1000);
-    assert_eq!((told(&mut client), seen(&world, "s-0")), (None, 1), "half a list says nothing");
+    assert_eq!(
+        (told(&mut client), seen(&world, "s-0")),
+        (None, 1),
+        "half a list says nothing"
+    );
 }
 
 #[test]
@@ -186,7 +228,9 @@
 #[test]
 fn nothing_goes_to_a_draining_appliance() {
     let world = world(&[acts(Act::Answers), acts(Act::Answers)]);
-    world.discovery.change("s-0", |e| e.state = "terminating".into());
+    world
+        .discovery
+        .change("s-0", |e| e.state = "terminating".into());
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     for _ in 0..8 {
@@ -198,7 +242,10 @@
 
 #[test]
 fn a_mute_appliance_costs_no_final_answer() {
-    let world = world(&[Ways { mute: true, ..Ways::default() }]);
+    let world = world(&[Ways {
+        mute: true,
+        ..Ways::default()
+    }]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     let begun = Instant::now();
@@ -245,7 +292,8 @@
     serve(&|| seen(&old, "s-0") > before);
     // Several in a row: the last one counts. The list that is told there has the first appliance no more.
     new.discovery.change("s-0", |e| e.id = "s-9".into());
-    new.discovery.change("s-0", |e| e.state = "terminated".into());
+    new.discovery
+        .change("s-0", |e| e.state = "terminated".into());
     let mut next = agent.configuration.clone();
     next["discovery"] = new.discovery.address(0).to_string().into();
     next["deployer"]["address"] = new.platform.address.to_string().into();
@@ -254,7 +302,10 @@
     agent.renew(&between.to_string()).unwrap();
     agent.renew(&next.to_string()).unwrap();
     serve(&|| seen(&new, "s-0") > 0);
-    assert!(new.discovery.asked() > 0 && ground::until(|| agent.log().matches("phase: Serving").count() > 1));
+    assert!(
+        new.discovery.asked() > 0
+            && ground::until(|| agent.log().matches("phase: Serving").count() > 1)
+    );
     let before = seen(&old, "s-0");
     let there = seen(&new, "s-0");
     serve(&|| seen(&new, "s-0") > there + 3);
@@ -297,19 +348,31 @@
     one.ask_as("7", "payment", 1500);
     assert!(ground::until(|| seen(&world, "s-0") == 1));
     two.ask_as("7", "payment", 1500);
-    assert_eq!((told(&mut two), told(&mut one)), (Some("42601".into()), None));
+    assert_eq!(
+        (told(&mut two), told(&mut one)),
+        (Some("42601".into()), None)
+    );
     two.ask_as("7", "payment", 1500);
     assert_eq!(told(&mut two), None, "the id is free again");
     let begun = Instant::now();
     (0..100).for_each(|_| one.ask("view", 900));
-    let denied = (0..60).filter(|_| told(&mut one) == Some("53300".into())).count();
-    assert!(denied > 50 && begun.elapsed() < Duration::from_millis(900), "{denied}");
+    let denied = (0..60)
+        .filter(|_| told(&mut one) == Some("53300".into()))
+        .count();
+    assert!(
+        denied > 50 && begun.elapsed() < Duration::from_millis(900),
+        "{denied}"
+    );
 }
 
 #[test]
 fn clients_that_hold_a_third_of_the_descriptors_are_all_served_at_once() {
     let work = Duration::from_secs(2);
-    let world = world(&[Ways { work, cores: 85, ..Ways::default() }]);
+    let world = world(&[Ways {
+        work,
+        cores: 85,
+        ..Ways::default()
+    }]);
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 256.into();
     // Of the machine's pace a connection that comes up late tells, not of the sockets.
@@ -318,10 +381,19 @@
     let mut clients: Vec<Caller> = (0..85).map(|_| caller(&agent)).collect();
     clients.iter_mut().for_each(|c| c.ask("payment", 15_000));
     assert_eq!(clients.iter_mut().filter_map(told).count(), 0);
-    let mut sent: Vec<Instant> = world.get("s-0").unwrap().seen().into_iter().map(|s| s.at).collect();
+    let mut sent: Vec<Instant> = world
+        .get("s-0")
+        .unwrap()
+        .seen()
+        .into_iter()
+        .map(|s| s.at)
+        .collect();
     sent.sort();
     assert_eq!(sent.len(), 85);
-    assert!(sent[84] < sent[0] + work, "the last was sent before the first was answered");
+    assert!(
+        sent[84] < sent[0] + work,
+        "the last was sent before the first was answered"
+    );
 }
 
 /// Guards a rush: whoever finds the queue of connections full is left to a packet that is sent again a second later.
@@ -334,11 +406,15 @@
     // The queue is the machine's: this waits for nothing that the agent does.
     let rush: Vec<_> = (0..200)
         .map(|n| {
-            let mut stream = TcpStream::connect_timeout(&agent.address().unwrap(), Duration::from_secs(5))
-                .unwrap_or_else(|e| panic!("{n} came before: {e}"));
+            let mut stream =
+                TcpStream::connect_timeout(&agent.address().unwrap(), Duration::from_secs(5))
+                    .unwrap_or_else(|e| panic!("{n} came before: {e}"));
             stream.set_read_timeout(Some(SOON)).unwrap();
-            let query = format!("SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c=view,d=15000 */");
-            stream.write_all(&[pg::startup(), pg::query(&query)].concat()).unwrap();
+            let query =
+                format!("SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c=view,d=15000 */");
+            stream
+                .write_all(&[pg::startup(), pg::query(&query)].concat())
+                .unwrap();
             Caller { stream }
         })
         .collect();
@@ -364,19 +440,41 @@
         };
         let told = json!({"version": n, "full": n % 50 == 49, "servers": [entry(n, "in_service"),
             entry(n + 2000, "terminated"), entry(n.saturating_sub(8), "terminated")]});
-        let (entries, _) = kept.take(Listing::parse(told.to_string().as_bytes()).unwrap(), &site, &clock);
+        let (entries, _) = kept.take(
+            Listing::parse(told.to_string().as_bytes()).unwrap(),
+            &site,
+            &clock,
+        );
         choice.list(clock.now(), &entries, n % 50 == 49);
-        choice.news(News { build: n / 5, stage: 0, phase: Phase::Trial, cap: 0.2, began: clock.now() });
+        choice.news(News {
+            build: n / 5,
+            stage: 0,
+            phase: Phase::Trial,
+            cap: 0.2,
+            began: clock.now(),
+        });
         if n == 100 {
-            held = kept
-                .hold(entries[0].appliance)
-                .map(|h| (h, entries[0].appliance, kept.name(entries[0].appliance).to_owned()));
+            held = kept.hold(entries[0].appliance).map(|h| {
+                (
+                    h,
+                    entries[0].appliance,
+                    kept.name(entries[0].appliance).to_owned(),
+                )
+            });
         }
     }
     let [_, appliances, builds, _] = choice.kept();
-    assert!(kept.len() < 40 && appliances <= kept.len() && builds < 5, "{} {builds}", kept.len());
+    assert!(
+        kept.len() < 40 && appliances <= kept.len() && builds < 5,
+        "{} {builds}",
+        kept.len()
+    );
     let (_, number, id) = held.unwrap();
-    assert_eq!(kept.name(number), id, "not given anew while a delivery to it is out");
+    assert_eq!(
+        kept.name(number),
+        id,
+        "not given anew while a delivery to it is out"
+    );
 }
 
 #[test]
@@ -439,8 +537,15 @@
 #[test]
 fn a_faulty_start_names_the_key() {
     let path = std::env::temp_dir().join(format!("tulipwall-faulty-{}.json", std::process::id()));
-    std::fs::write(&path, r#"{"seed":"1","settings":{"zones":["a"],"zone":"a"}}"#).unwrap();
-    let run = Command::new(BINARY).env("PROXY_CONFIG", &path).output().unwrap();
+    std::fs::write(
+        &path,
+        r#"{"seed":"1","settings":{"zones":["a"],"zone":"a"}}"#,
+    )
+    .unwrap();
+    let run = Command::new(BINARY)
+        .env("PROXY_CONFIG", &path)
+        .output()
+        .unwrap();
     std::fs::remove_file(&path).unwrap();
     assert!(!run.status.success());
     assert!(String::from_utf8_lossy(&run.stderr).contains("settings: field classes: missing"));
--- a/crates/agent/tests/watch.rs
+++ b/crates/agent/tests/watch.rs
@@ -12,52 +12,99 @@
 /// The number behind a word in the last line of counters.
 fn counted(log: &str, word: &str) -> Option<u64> {
     let line = log.lines().rev().find(|l| l.contains("watched:"))?;
-    line.split("watched:").nth(1)?.split_whitespace().skip_while(|w| *w != word).nth(1)?.parse().ok()
+    line.split("watched:")
+        .nth(1)?
+        .split_whitespace()
+        .skip_while(|w| *w != word)
+        .nth(1)?
+        .parse()
+        .ok()
 }
 
 #[test]
 fn a_guarded_stage_is_counted_as_the_stand_ins_saw_it_and_sighup_takes_the_watch_back() {
     let world = World::new(&["a"], lanes()).unwrap();
     for n in 0..3 {
-        world.appliance(0, &format!("e-{n}"), 41, Ways::default()).unwrap();
-        world.appliance(0, &format!("t-{n}"), 42, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("e-{n}"), 41, Ways::default())
+            .unwrap();
+        world
+            .appliance(0, &format!("t-{n}"), 42, Ways::default())
+            .unwrap();
     }
-    world.platform.news(platform::News::now(42, 0, "trial", 0.5));
+    world
+        .platform
+        .news(platform::News::now(42, 0, "trial", 0.5));
     let file = std::env::temp_dir().join(format!("tulipwall-watch-{}.kdl", std::process::id()));
     let door = file.with_extension("door").to_str().unwrap().to_owned();
     let shape = "watch {\n    guarded-stages 1\n    cold-for \"3s\"\n}\n";
     std::fs::write(&file, format!("door \"unix:{door}\"\n{shape}")).unwrap();
     let configuration = world.configuration("n1", 0).unwrap();
-    let program =
-        Program::start(BINARY, configuration, &["run", "--installation", file.to_str().unwrap()]).unwrap();
+    let program = Program::start(
+        BINARY,
+        configuration,
+        &["run", "--installation", file.to_str().unwrap()],
+    )
+    .unwrap();
     Caller::connect(program.address().unwrap()).unwrap();
-    let lane = |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
+    let lane =
+        |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     Load {
         agent: program.address().unwrap(),
         rate: 300.0,
         span: Duration::from_secs(2),
-        lanes: vec![lane("view", 4.0, false), lane("send", 4.0, true), lane("payment", 2.0, false)],
+        lanes: vec![
+            lane("view", 4.0, false),
+            lane("send", 4.0, true),
+            lane("payment", 2.0, false),
+        ],
         connections: 64,
         seed: 7,
     }
     .play();
     program.signal(Signal::USR1).unwrap();
-    assert!(until(|| counted(&program.log(), "guarded").is_some()), "{}", program.log());
+    assert!(
+        until(|| counted(&program.log(), "guarded").is_some()),
+        "{}",
+        program.log()
+    );
     let log = program.log();
-    let seen =
-        |id: &str| (0..3).flat_map(|n| world.get(&format!("{id}-{n}")).unwrap().seen()).collect::<Vec<_>>();
+    let seen = |id: &str| {
+        (0..3)
+            .flat_map(|n| world.get(&format!("{id}-{n}")).unwrap().seen())
+            .collect::<Vec<_>>()
+    };
     let (early, late) = (seen("e"), seen("t"));
     let with_effect = late.iter().filter(|s| s.lane != "view").count() as u64;
     let all = early.len() + late.len();
-    assert!(with_effect > 20, "the present settings let them pass: {with_effect}");
-    assert!(counted(&log, "guarded").unwrap().abs_diff(with_effect) <= 2, "{with_effect} seen; {log}");
-    assert!(counted(&log, "deliveries").unwrap().abs_diff(all as u64) <= 2, "{all} seen; {log}");
-    assert_eq!((counted(&log, "exposure"), counted(&log, "key")), (Some(0), Some(0)), "not watched: {log}");
+    assert!(
+        with_effect > 20,
+        "the present settings let them pass: {with_effect}"
+    );
+    assert!(
+        counted(&log, "guarded").unwrap().abs_diff(with_effect) <= 2,
+        "{with_effect} seen; {log}"
+    );
+    assert!(
+        counted(&log, "deliveries").unwrap().abs_diff(all as u64) <= 2,
+        "{all} seen; {log}"
+    );
+    assert_eq!(
+        (counted(&log, "exposure"), counted(&log, "key")),
+        (Some(0), Some(0)),
+        "not watched: {log}"
+    );
     // The report command tells the same.
     let report = || {
         let door = format!("unix:{door}");
-        let out = Command::new(BINARY).args(["report", "--watch", "--json", &door]).output().unwrap();
-        (out.status.code(), serde_json::from_slice::<Value>(&out.stdout).map(|v| v[&door].clone()))
+        let out = Command::new(BINARY)
+            .args(["report", "--watch", "--json", &door])
+            .output()
+            .unwrap();
+        (
+            out.status.code(),
+            serde_json::from_slice::<Value>(&out.stdout).map(|v| v[&door].clone()),
+        )
     };
     let (code, told) = report();
     let told = told.unwrap();
@@ -70,8 +117,17 @@
     program.signal(Signal::HUP).unwrap();
     assert!(until(|| program.log().contains("a new configuration")));
     program.signal(Signal::USR1).unwrap();
-    let last = |log: &str| log.lines().rev().find(|l| l.contains("kept:")).map(str::to_owned);
-    assert!(until(|| last(&program.log()).is_some_and(|l| !l.contains("watched:"))), "{}", program.log());
+    let last = |log: &str| {
+        log.lines()
+            .rev()
+            .find(|l| l.contains("kept:"))
+            .map(str::to_owned)
+    };
+    assert!(
+        until(|| last(&program.log()).is_some_and(|l| !l.contains("watched:"))),
+        "{}",
+        program.log()
+    );
     assert_eq!(report().0, Some(3), "nothing is watched any longer");
     let _ = std::fs::remove_file(file);
 }
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -19,7 +19,9 @@
     for piece in pieces {
         let mut rest = &piece[..];
         while !rest.is_empty() {
-            inbox.fill(|room| std::io::Read::read(&mut rest, room)).unwrap();
+            inbox
+                .fill(|room| std::io::Read::read(&mut rest, room))
+                .unwrap();
         }
         while let Some((tag, body, took)) = postgres::message(inbox.unread()).unwrap() {
             heard.push((tag, body.to_vec()));
@@ -31,7 +33,8 @@
 }
 
 fn answer() -> Vec<u8> {
-    let mut bytes = b"T\0\0\0\x1d\0\x01body\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01".to_vec();
+    let mut bytes =
+        b"T\0\0\0\x1d\0\x01body\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01".to_vec();
     bytes.extend(b"D\0\0\0\x0c\0\x01\0\0\0\x02\x9f\x03");
     postgres::complete(&mut bytes, "SELECT 1");
     postgres::ready(&mut bytes);
@@ -101,9 +104,15 @@
 fn a_statement_goes_on_unchanged_but_for_the_wait() {
     for (text, lane, customer) in [(READ, "view", Some("acme")), (WRITE, "send", None)] {
         let s = Statement::parse(text).unwrap();
-        assert_eq!((s.lane.as_str(), s.customer.as_deref(), s.object.as_str()), (lane, customer, "a1"));
+        assert_eq!(
+            (s.lane.as_str(), s.customer.as_deref(), s.object.as_str()),
+            (lane, customer, "a1")
+        );
         assert_eq!(s.wait, Duration::from_millis(480));
-        assert_eq!(s.with_wait(Duration::from_millis(95)), text.replace("d=480", "d=95"));
+        assert_eq!(
+            s.with_wait(Duration::from_millis(95)),
+            text.replace("d=480", "d=95")
+        );
     }
 }
 
@@ -131,9 +140,14 @@
     assert!(Hearing::default().hear(b'T', b"\0\x02", b"").is_err());
     assert!(Hearing::default().hear(b'C', b"SELECT 0\0", b"").is_err());
     // What can't be read says nothing, not even that the command never ran; what is too large is not awaited.
-    assert!(Hearing::default().hear(b'E', b"SERROR\0C53300", b"").is_err());
+    assert!(Hearing::default()
+        .hear(b'E', b"SERROR\0C53300", b"")
+        .is_err());
     assert!(postgres::answer(b"D\xb2\xd0\x5e\x0a").is_err() && postgres::answer(b"x").is_err());
-    assert_eq!(postgres::opening(&[0, 0, 0, 8, 4, 0xd2, 0x16, 0x2f]), Ok(Some((Opening::Encryption, 8))));
+    assert_eq!(
+        postgres::opening(&[0, 0, 0, 8, 4, 0xd2, 0x16, 0x2f]),
+        Ok(Some((Opening::Encryption, 8)))
+    );
     assert!(postgres::message(b"Q\x7f\xff\xff\xff").is_err());
     assert!(postgres::opening(b"\0\0\0\x02").is_err());
 }
@@ -148,34 +162,71 @@
             assert_eq!(http::answer(&whole[..cut], false), Ok(None));
         }
         let answer = http::answer(whole, false).unwrap().unwrap();
-        assert_eq!((answer.status, &answer.body[..], answer.took), (200, &b"{}"[..], whole.len()));
+        assert_eq!(
+            (answer.status, &answer.body[..], answer.took),
+            (200, &b"{}"[..], whole.len())
+        );
     }
 }
 
 #[test]
 fn each_answer_of_the_platform_is_told_as_what_it_is() {
-    let told = Told { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28, age: Duration::from_millis(310) };
+    let told = Told {
+        build: 42,
+        stage: 1,
+        phase: Phase::Trial,
+        cap: 0.28,
+        age: Duration::from_millis(310),
+    };
     let state = r#"{"image":42,"ring":1,"progress":"trial","ceiling":0.28,"lag_ms":310}"#;
     let line = |text: String| platform::line(text.as_bytes());
-    assert_eq!(line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)), Ok(Line::News(told)));
+    assert_eq!(
+        line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)),
+        Ok(Line::News(told))
+    );
     for (message, reply) in [
         ("Throttling", Reply::Refused),
         ("ConditionFailed", Reply::Moot),
         ("InternalFailure", Reply::Refused),
         ("ValidationError", Reply::Refused),
     ] {
-        let answer = line(format!(r#"{{"id":7,"error":{{"code":-32602,"message":"{message}"}}}}"#));
-        assert_eq!(answer, Ok(Line::Answer { id: 7, reply, told: None }));
+        let answer = line(format!(
+            r#"{{"id":7,"error":{{"code":-32602,"message":"{message}"}}}}"#
+        ));
+        assert_eq!(
+            answer,
+            Ok(Line::Answer {
+                id: 7,
+                reply,
+                told: None
+            })
+        );
     }
     assert_eq!(line(r#"{"method":"ping"}"#.into()), Ok(Line::SignOfLife));
     let sample = r#"{"bad":1,"image":42,"lag_ms":828,"latency_ms":564.324,"n":3,"type":"view"}"#;
     let (took, age) = (Duration::from_micros(564_324), Duration::from_millis(828));
-    let counted = Line::Counted { build: 42, lane: "view".into(), deliveries: 3, failed: 1, took, age };
-    assert_eq!(line(format!(r#"{{"method":"SAMPLE","params":{sample}}}"#)), Ok(counted));
-    for spoilt in [r#"{"id":7}"#, r#"{"method":"pong"}"#, r#"{"id":7,"error":{"message":"Thr#ttling"}}"#] {
+    let counted = Line::Counted {
+        build: 42,
+        lane: "view".into(),
+        deliveries: 3,
+        failed: 1,
+        took,
+        age,
+    };
+    assert_eq!(
+        line(format!(r#"{{"method":"SAMPLE","params":{sample}}}"#)),
+        Ok(counted)
+    );
+    for spoilt in [
+        r#"{"id":7}"#,
+        r#"{"method":"pong"}"#,
+        r#"{"id":7,"error":{"message":"Thr#ttling"}}"#,
+    ] {
         assert!(line(spoilt.into()).is_err());
     }
-    assert!(
-        line(format!(r#"{{"method":"ROLLOUT","params":{}}}"#, state.replace("ceiling", "c#iling"))).is_err()
-    );
+    assert!(line(format!(
+        r#"{{"method":"ROLLOUT","params":{}}}"#,
+        state.replace("ceiling", "c#iling")
+    ))
+    .is_err());
 }
--- a/crates/agent/tests/world.rs
+++ b/crates/agent/tests/world.rs
@@ -48,8 +48,14 @@
         let id = format!("c{}", self.ids.fetch_add(1, Ordering::Relaxed));
         let lane = ["view", "view", "send", "payment"][rng.gen_range(0..4)];
         let wait = rng.gen_range(300..1500);
-        let key = if lane == "send" { format!(",k=k-{id}") } else { String::new() };
-        let text = format!("SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={lane},d={wait}{key} */");
+        let key = if lane == "send" {
+            format!(",k=k-{id}")
+        } else {
+            String::new()
+        };
+        let text = format!(
+            "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={lane},d={wait}{key} */"
+        );
         (id, lane, ms(wait), text)
     }
 
@@ -57,7 +63,9 @@
     fn ask(&self, address: SocketAddr, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         while !self.over.load(Ordering::Relaxed) {
-            let Ok(mut client) = Caller::connect(address) else { continue };
+            let Ok(mut client) = Caller::connect(address) else {
+                continue;
+            };
             while !self.over.load(Ordering::Relaxed) {
                 let (id, lane, wait, text) = self.statement(&mut rng);
                 // Some write slowly, some leave at once, some write many ahead.
@@ -87,7 +95,13 @@
                 }
                 let told = client.told().map(Told::code).map_err(|e| e.kind());
                 let ended = told.is_err();
-                let asked = Asked { id, lane, wait, took: begun.elapsed(), told };
+                let asked = Asked {
+                    id,
+                    lane,
+                    wait,
+                    took: begun.elapsed(),
+                    told,
+                };
                 self.asked.lock().unwrap().push(asked);
                 if ended {
                     break;
@@ -102,11 +116,17 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let world = World::new(&["a"], program::lanes()).unwrap();
     for n in 0..6 {
-        let ways = Ways { work: ms(8), steady: 0.3, ..Ways::default() };
+        let ways = Ways {
+            work: ms(8),
+            steady: 0.3,
+            ..Ways::default()
+        };
         world.appliance(0, &format!("s-{n}"), 41, ways).unwrap();
     }
     for n in 0..8 {
-        world.appliance(0, &format!("d-{n}"), 41, Ways::default()).unwrap();
+        world
+            .appliance(0, &format!("d-{n}"), 41, Ways::default())
+            .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["settings"]["classes"][1]["window-ms"] = (WINDOW.as_millis() as u64).into();
@@ -125,13 +145,21 @@
     // A trial from the first second on, in its first stage for good.
     sleep(ms(300));
     let trial = Instant::now();
-    world.platform.news(platform::News::now(42, 0, "trial", CAP));
+    world
+        .platform
+        .news(platform::News::now(42, 0, "trial", CAP));
     sleep(ms(100));
     world.appliance(0, "t-0", 42, Ways::default()).unwrap();
     let (mut drains, mut silent) = (BTreeMap::<String, Instant>::new(), None::<Instant>);
     // Connections to two of them come up late from the start.
     (0..2).for_each(|n| {
-        world.get(&format!("s-{n}")).unwrap().link(0, Link { back: ms(700), ..Link::default() })
+        world.get(&format!("s-{n}")).unwrap().link(
+            0,
+            Link {
+                back: ms(700),
+                ..Link::default()
+            },
+        )
     });
     for step in 0..8 {
         sleep(ms(rng.gen_range(150..600)));
@@ -139,13 +167,31 @@
         match rng.gen_range(0..9) {
             0 => one.crash(),
             1 => drop(one.restart()),
-            2 => one.link(0, Link { back: ms(rng.gen_range(400..900)), ..Link::default() }),
-            3 => one.link(0, Link { cut: rng.gen(), ..Link::default() }),
+            2 => one.link(
+                0,
+                Link {
+                    back: ms(rng.gen_range(400..900)),
+                    ..Link::default()
+                },
+            ),
+            3 => one.link(
+                0,
+                Link {
+                    cut: rng.gen(),
+                    ..Link::default()
+                },
+            ),
             4 => one.ways(|w| {
-                w.now_and_then = vec![(Act::Resets, 0.2), (Act::TwiceAfter(3), 0.2), (Act::Half, 0.1)]
+                w.now_and_then = vec![
+                    (Act::Resets, 0.2),
+                    (Act::TwiceAfter(3), 0.2),
+                    (Act::Half, 0.1),
+                ]
             }),
             5 => {
-                world.discovery.hush([Meets::Mute, Meets::Refuses, Meets::Late(ms(500))]);
+                world
+                    .discovery
+                    .hush([Meets::Mute, Meets::Refuses, Meets::Late(ms(500))]);
                 silent = Some(Instant::now());
             }
             6 => agent.renew(&configuration.to_string()).unwrap(),
@@ -156,8 +202,12 @@
             }
         }
         let (id, now) = (format!("d-{step}"), Instant::now());
-        world.discovery.change(&id, |e| e.state = "terminating".into());
-        let told = silent.filter(|s| *s + TOLD_AFTER > now).map_or(now + ms(400), |s| s + TOLD_AFTER);
+        world
+            .discovery
+            .change(&id, |e| e.state = "terminating".into());
+        let told = silent
+            .filter(|s| *s + TOLD_AFTER > now)
+            .map_or(now + ms(400), |s| s + TOLD_AFTER);
         drains.insert(id, told + GRACE);
     }
     clients.over.store(true, Ordering::Relaxed);
@@ -173,13 +223,24 @@
     trial: Duration,
 ) -> Vec<String> {
     let (seen, asked) = (world.seen(), clients.asked.lock().unwrap());
-    let ran = |id: &str| seen.get(id).map_or(0, |s| s.iter().filter(|s| s.ran).count());
+    let ran = |id: &str| {
+        seen.get(id)
+            .map_or(0, |s| s.iter().filter(|s| s.ran).count())
+    };
     let mut broken = Vec::new();
     for a in asked.iter() {
-        let Asked { id, lane, wait, took, told } = a;
+        let Asked {
+            id,
+            lane,
+            wait,
+            took,
+            told,
+        } = a;
         // One answer in its time; a machine that is busy with other tests may take a second more.
         if *took > *wait + ms(1500) {
-            broken.push(format!("1: {id} answered after {took:?} of {wait:?}, {told:?}"));
+            broken.push(format!(
+                "1: {id} answered after {took:?} of {wait:?}, {told:?}"
+            ));
         }
         match told {
             Ok(None) if ran(id) == 0 => broken.push(format!("1: {id} was served by nobody")),
@@ -187,7 +248,9 @@
                 broken.push(format!("2: {id} was denied though it ran"));
             }
             // Left unread, for its client to ask anew: then it did not run.
-            Err(kind) if ran(id) > 0 => broken.push(format!("1: {id} ran, and its connection ended: {kind}")),
+            Err(kind) if ran(id) > 0 => {
+                broken.push(format!("1: {id} ran, and its connection ended: {kind}"))
+            }
             _ => {}
         }
     }
@@ -196,9 +259,18 @@
         if lane == "payment" && ran(id) > 1 {
             broken.push(format!("2: {id} ran {} times", ran(id)));
         }
-        let (first, last) = (all.iter().map(|s| s.at).min(), all.iter().map(|s| s.at).max());
-        if lane == "send" && last.zip(first).is_some_and(|(l, f)| l - f > WINDOW + ms(50)) {
-            broken.push(format!("2: {id} was sent again when its group had forgotten it"));
+        let (first, last) = (
+            all.iter().map(|s| s.at).min(),
+            all.iter().map(|s| s.at).max(),
+        );
+        if lane == "send"
+            && last
+                .zip(first)
+                .is_some_and(|(l, f)| l - f > WINDOW + ms(50))
+        {
+            broken.push(format!(
+                "2: {id} was sent again when its group had forgotten it"
+            ));
         }
     }
     for (id, left) in clients.left.lock().unwrap().iter() {
@@ -212,7 +284,13 @@
         }
     }
     for (id, bound) in drains {
-        let late = world.get(id).unwrap().seen().iter().filter(|s| s.at > *bound).count();
+        let late = world
+            .get(id)
+            .unwrap()
+            .seen()
+            .iter()
+            .filter(|s| s.at > *bound)
+            .count();
         if late > 0 {
             broken.push(format!("3: {late} sent to {id} that had left"));
         }
@@ -221,7 +299,9 @@
     let (exposed, starts) = (world.get("t-0").unwrap().seen_count() as f64, 9.0);
     let taken = clients.ids.load(Ordering::Relaxed) as f64;
     if exposed > starts * 4.0 + taken * CAP * 1.04 {
-        broken.push(format!("5: {exposed} to the trial, of {taken} in {trial:?}"));
+        broken.push(format!(
+            "5: {exposed} to the trial, of {taken} in {trial:?}"
+        ));
     }
     if asked.len() < 50 {
         broken.push(format!("only {} commands were asked", asked.len()));
@@ -231,7 +311,9 @@
 
 #[test]
 fn whatever_crosses_the_rules_are_kept() {
-    let all: Vec<_> = (1..7).map(|seed| (seed, std::thread::spawn(move || play(seed)))).collect();
+    let all: Vec<_> = (1..7)
+        .map(|seed| (seed, std::thread::spawn(move || play(seed))))
+        .collect();
     for (seed, world) in all {
         let broken = world.join().unwrap();
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
@@ -243,7 +325,17 @@
 fn a_cold_appliance_among_warm_ones_is_not_pushed_over() {
     let world = World::new(&["a"], program::lanes()).unwrap();
     for n in 0..4 {
-        world.appliance(0, &format!("s-{n}"), 41, Ways { work: ms(5), ..Ways::default() }).unwrap();
+        world
+            .appliance(
+                0,
+                &format!("s-{n}"),
+                41,
+                Ways {
+                    work: ms(5),
+                    ..Ways::default()
+                },
+            )
+            .unwrap();
     }
     let agent = Program::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
     let address = agent.address().unwrap();
@@ -256,18 +348,33 @@
         .collect();
     sleep(ms(1500));
     let started = Instant::now();
-    world.cold(0, "cold", 41, Ways { work: ms(5), ..Ways::default() }).unwrap();
+    world
+        .cold(
+            0,
+            "cold",
+            41,
+            Ways {
+                work: ms(5),
+                ..Ways::default()
+            },
+        )
+        .unwrap();
     sleep(ms(1100));
     clients.over.store(true, Ordering::Relaxed);
     threads.into_iter().for_each(|t| t.join().unwrap());
     // The window of the settings is 1 s, their share 0.3 at the start and all after 3 s, the multiple 2.
     let within = |id: &str| {
         let seen = world.get(id).unwrap().seen();
-        seen.iter().filter(|s| s.at >= started && s.at < started + ms(1000)).count() as f64
+        seen.iter()
+            .filter(|s| s.at >= started && s.at < started + ms(1000))
+            .count() as f64
     };
     let warm = (0..4).map(|n| within(&format!("s-{n}"))).sum::<f64>() / 4.0;
     let allowed = warm * (0.3 + 0.7 / 6.0) * 2.0;
     let cold = within("cold");
     assert!(warm > 10.0 && started.elapsed() < SOON);
-    assert!(cold <= allowed + 3.0 * allowed.sqrt() + 3.0, "{cold} to the cold one, {allowed} allowed");
+    assert!(
+        cold <= allowed + 3.0 * allowed.sqrt() + 3.0,
+        "{cold} to the cold one, {allowed} allowed"
+    );
 }
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -21,10 +21,22 @@
 fn world(near: Ways, far: Ways) -> World {
     let world = World::new(&["akl-east", "akl-west"], lanes()).unwrap();
     for n in 0..3 {
-        world.appliance(0, &format!("e-{n}"), 41, near.clone()).unwrap();
-        world.appliance(1, &format!("w-{n}"), 41, far.clone()).unwrap();
+        world
+            .appliance(0, &format!("e-{n}"), 41, near.clone())
+            .unwrap();
+        world
+            .appliance(1, &format!("w-{n}"), 41, far.clone())
+            .unwrap();
     }
-    world.link(0, 1, Link { there: ms(3), back: ms(5), cut: false });
+    world.link(
+        0,
+        1,
+        Link {
+            there: ms(3),
+            back: ms(5),
+            cut: false,
+        },
+    );
     world
 }
 
@@ -44,14 +56,29 @@
 
 fn start(world: &World, zones: &str) -> Agent {
     let turn = turn();
-    let door = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let door = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let configuration = world.configuration("n1", 0).unwrap();
-    let file =
-        std::env::temp_dir().join(format!("tulipwall-{}-{}.kdl", std::process::id(), door.replace(':', "-")));
+    let file = std::env::temp_dir().join(format!(
+        "tulipwall-{}-{}.kdl",
+        std::process::id(),
+        door.replace(':', "-")
+    ));
     std::fs::write(&file, text(&door, zones)).unwrap();
-    let program =
-        Program::start(BINARY, configuration, &["run", "--installation", file.to_str().unwrap()]).unwrap();
-    let agent = Agent { program, door, _turn: turn };
+    let program = Program::start(
+        BINARY,
+        configuration,
+        &["run", "--installation", file.to_str().unwrap()],
+    )
+    .unwrap();
+    let agent = Agent {
+        program,
+        door,
+        _turn: turn,
+    };
     Caller::connect(agent.program.address().unwrap()).unwrap();
     agent
 }
@@ -66,7 +93,11 @@
     }
 
     fn file(&self) -> std::path::PathBuf {
-        let name = format!("tulipwall-{}-{}.kdl", std::process::id(), self.door.replace(':', "-"));
+        let name = format!(
+            "tulipwall-{}-{}.kdl",
+            std::process::id(),
+            self.door.replace(':', "-")
+        );
         std::env::temp_dir().join(name)
     }
 
@@ -77,12 +108,21 @@
     }
 
     fn ask(&self, more: &[&str]) -> Output {
-        Command::new(BINARY).arg("report").arg(&self.door).args(more).output().unwrap()
+        Command::new(BINARY)
+            .arg("report")
+            .arg(&self.door)
+            .args(more)
+            .output()
+            .unwrap()
     }
 
     fn report(&self) -> Value {
         let asked = self.ask(&["--json"]);
-        assert!(asked.status.success(), "{}", String::from_utf8_lossy(&asked.stderr));
+        assert!(
+            asked.status.success(),
+            "{}",
+            String::from_utf8_lossy(&asked.stderr)
+        );
         serde_json::from_slice(&asked.stdout).unwrap()
     }
 
@@ -104,7 +144,11 @@
             agent: self.address(),
             rate,
             span,
-            lanes: vec![lane("view", 4.0, false), lane("send", 4.0, true), lane("payment", 1.0, false)],
+            lanes: vec![
+                lane("view", 4.0, false),
+                lane("send", 4.0, true),
+                lane("payment", 1.0, false),
+            ],
             connections: 64,
             seed: 7,
         }
@@ -120,7 +164,10 @@
 /// Within a hundredth, or two.
 fn same(reported: u64, counted: u64, what: &str) {
     let most = (counted as f64 * 0.01).max(2.0);
-    assert!(reported.abs_diff(counted) as f64 <= most, "{what}: {reported} reported, {counted} counted");
+    assert!(
+        reported.abs_diff(counted) as f64 <= most,
+        "{what}: {reported} reported, {counted} counted"
+    );
 }
 
 fn compare(agent: &Agent, world: &World) -> Value {
@@ -132,12 +179,27 @@
         for lane in ["view", "send", "payment"] {
             let c = counted.get(lane).copied().unwrap_or_default();
             let what = format!("{lane} to {zone}");
-            same(Agent::sum(&report, zone, lane, "deliveries"), c.deliveries, &format!("{what}: deliveries"));
+            same(
+                Agent::sum(&report, zone, lane, "deliveries"),
+                c.deliveries,
+                &format!("{what}: deliveries"),
+            );
             // A byte of a lane is a small part: its hundredth is taken of the lane.
-            same(Agent::sum(&report, zone, lane, "bytes_out"), c.read, &format!("{what}: bytes out"));
-            same(Agent::sum(&report, zone, lane, "bytes_in"), c.written, &format!("{what}: bytes in"));
+            same(
+                Agent::sum(&report, zone, lane, "bytes_out"),
+                c.read,
+                &format!("{what}: bytes out"),
+            );
+            same(
+                Agent::sum(&report, zone, lane, "bytes_in"),
+                c.written,
+                &format!("{what}: bytes in"),
+            );
         }
-        let c = counted.get(appliance::CONNECTIONS).copied().unwrap_or_default();
+        let c = counted
+            .get(appliance::CONNECTIONS)
+            .copied()
+            .unwrap_or_default();
         let lane = "(connections)";
         same(
             Agent::sum(&report, zone, lane, "bytes_out"),
@@ -155,16 +217,31 @@
 
 #[test]
 fn what_is_reported_is_what_was_counted_on_every_link_and_lane() {
-    let near = Ways { work: ms(4), cores: 1, value: 300, ..Ways::default() };
-    let world = world(near, Ways { work: ms(4), value: 300, ..Ways::default() });
+    let near = Ways {
+        work: ms(4),
+        cores: 1,
+        value: 300,
+        ..Ways::default()
+    };
+    let world = world(
+        near,
+        Ways {
+            work: ms(4),
+            value: 300,
+            ..Ways::default()
+        },
+    );
     let agent = start(&world, "");
     // More than near can bear, so that some of it crosses.
     let answered = agent.load(900.0, Duration::from_secs(3)).play();
     assert_eq!(answered.unanswered, 0, "{:?}", answered.lost);
     let report = compare(&agent, &world);
     assert!(Agent::sum(&report, "akl-west", "view", "deliveries") > 50);
-    let far =
-        report["links"].as_array().unwrap().iter().find(|l| l["to"] == "akl-west" && l["lane"] == "view");
+    let far = report["links"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .find(|l| l["to"] == "akl-west" && l["lane"] == "view");
     assert!(far.unwrap()["compared"].as_u64().unwrap() > 50);
 }
 
@@ -180,19 +257,36 @@
         (Act::Twice, 0.03),
         (Act::Silent, 0.01),
     ];
-    let ways = Ways { work: ms(3), value: 500, now_and_then: bad, ..Ways::default() };
+    let ways = Ways {
+        work: ms(3),
+        value: 500,
+        now_and_then: bad,
+        ..Ways::default()
+    };
     let world = world(ways.clone(), ways);
-    let agent = start(&world, "    budget \"all\" { deliveries 100; window \"1s\"; }");
+    let agent = start(
+        &world,
+        "    budget \"all\" { deliveries 100; window \"1s\"; }",
+    );
     let load = agent.load(400.0, Duration::from_secs(4)).begin();
     thread::sleep(ms(1500));
     world.state(0, "terminating");
     let answered = futures_lite::future::block_on(load);
     assert_eq!(answered.unanswered, 0, "{:?}", answered.lost);
-    assert!(world.ran_twice("payment").is_empty(), "{:?}", world.ran_twice("payment"));
+    assert!(
+        world.ran_twice("payment").is_empty(),
+        "{:?}",
+        world.ran_twice("payment")
+    );
     thread::sleep(ms(700));
     let report = compare(&agent, &world);
     for kind in ["spoilt", "half", "never_ran", "further"] {
-        let all = report["links"].as_array().unwrap().iter().map(|l| l[kind].as_u64().unwrap()).sum::<u64>();
+        let all = report["links"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|l| l[kind].as_u64().unwrap())
+            .sum::<u64>();
         assert!(all > 3, "{kind}: {all}");
     }
     assert!(Agent::over(&report, "drained") > 100, "{}", report["heads"]);
@@ -200,9 +294,15 @@
 
 #[test]
 fn all_near_drain_in_a_burst_with_the_budget_spent_and_every_command_is_answered() {
-    let ways = Ways { work: ms(5), ..Ways::default() };
+    let ways = Ways {
+        work: ms(5),
+        ..Ways::default()
+    };
     let world = world(ways.clone(), ways);
-    let agent = start(&world, "    budget \"none\" { deliveries 0; window \"10s\"; }");
+    let agent = start(
+        &world,
+        "    budget \"none\" { deliveries 0; window \"10s\"; }",
+    );
     let load = agent.load(500.0, Duration::from_secs(3)).begin();
     thread::sleep(ms(1500));
     let before = world.counted(0, 1);
@@ -211,8 +311,16 @@
     let drained = Instant::now();
     world.state(0, "terminating");
     let answered = futures_lite::future::block_on(load);
-    assert_eq!((answered.unanswered, answered.answered()), (0, answered.asked), "{:?}", answered.lost);
-    assert!(answered.satisfied as f64 > 0.98 * answered.asked as f64, "{answered:?}");
+    assert_eq!(
+        (answered.unanswered, answered.answered()),
+        (0, answered.asked),
+        "{:?}",
+        answered.lost
+    );
+    assert!(
+        answered.satisfied as f64 > 0.98 * answered.asked as f64,
+        "{answered:?}"
+    );
     assert!(world.ran_twice("payment").is_empty());
     let late: usize = world
         .of_zone(0)
@@ -225,36 +333,74 @@
     let head = &report["heads"][0]["budgets"][0];
     assert!(head["over"]["drained"].as_u64().unwrap() > 400);
     let table = String::from_utf8(agent.ask(&[]).stdout).unwrap();
-    assert!(table.contains("drained") && table.contains("akl-west"), "{table}");
-    assert!(agent.program.log().contains("budget 'none' is spent"), "{}", agent.program.log());
+    assert!(
+        table.contains("drained") && table.contains("akl-west"),
+        "{table}"
+    );
+    assert!(
+        agent.program.log().contains("budget 'none' is spent"),
+        "{}",
+        agent.program.log()
+    );
 }
 
 #[test]
 fn a_budget_lowered_by_a_new_configuration_holds_at_once_and_the_account_survives() {
-    let near = Ways { work: ms(10), cores: 1, ..Ways::default() };
-    let world = world(near, Ways { work: ms(10), ..Ways::default() });
-    let agent = start(&world, "    budget \"b\" { deliveries 100000; window \"3s\"; }");
+    let near = Ways {
+        work: ms(10),
+        cores: 1,
+        ..Ways::default()
+    };
+    let world = world(
+        near,
+        Ways {
+            work: ms(10),
+            ..Ways::default()
+        },
+    );
+    let agent = start(
+        &world,
+        "    budget \"b\" { deliveries 100000; window \"3s\"; }",
+    );
     let load = agent.load(450.0, Duration::from_secs(5)).begin();
-    let crossed = || world.counted(0, 1).values().map(|c| c.deliveries).sum::<u64>();
+    let crossed = || {
+        world
+            .counted(0, 1)
+            .values()
+            .map(|c| c.deliveries)
+            .sum::<u64>()
+    };
     assert!(until(|| crossed() > 100));
     let before = Agent::sum(&agent.report(), "akl-west", "view", "deliveries");
     assert!(before > 10);
     // A faulty file is named and changes nothing.
     agent.renew("    budget \"b\" { deliveries -1; windw \"3s\"; }");
-    assert!(until(|| agent.program.log().contains("did you mean 'window'?")), "{}", agent.program.log());
+    assert!(
+        until(|| agent.program.log().contains("did you mean 'window'?")),
+        "{}",
+        agent.program.log()
+    );
     assert_eq!(agent.report()["heads"][0]["budgets"][0]["limit"], 100000.0);
     agent.renew("    budget \"b\" { deliveries 10; window \"3s\"; }");
-    assert!(until(|| agent.report()["heads"][0]["budgets"][0]["limit"] == 10.0));
+    assert!(until(
+        || agent.report()["heads"][0]["budgets"][0]["limit"] == 10.0
+    ));
     let report = agent.report();
     let budget = &report["heads"][0]["budgets"][0];
-    assert!(budget["used"].as_f64().unwrap() > 10.0, "what was spent stays spent: {budget}");
+    assert!(
+        budget["used"].as_f64().unwrap() > 10.0,
+        "what was spent stays spent: {budget}"
+    );
     assert!(Agent::sum(&report, "akl-west", "view", "deliveries") >= before);
     assert_eq!(futures_lite::future::block_on(load).unanswered, 0);
 }
 
 #[test]
 fn a_reader_that_stops_reading_is_dropped_and_slows_nothing() {
-    let ways = Ways { work: ms(2), ..Ways::default() };
+    let ways = Ways {
+        work: ms(2),
+        ..Ways::default()
+    };
     let world = world(ways.clone(), ways);
     let agent = start(&world, "");
     let answered = agent.load(300.0, ms(800)).play();
@@ -263,16 +409,28 @@
         .map(|n| {
             let mut reader = TcpStream::connect(&agent.door).unwrap();
             // Some ask and do not read, some ask half, some say what is no question.
-            let asks: [&[u8]; 4] = [b"GET /zones HTTP/1.1\r\n\r\n", b"GET /zo", b"\xff\0\xff\r\n\r\n", b""];
+            let asks: [&[u8]; 4] = [
+                b"GET /zones HTTP/1.1\r\n\r\n",
+                b"GET /zo",
+                b"\xff\0\xff\r\n\r\n",
+                b"",
+            ];
             reader.write_all(asks[n % 4]).unwrap();
             reader
         })
         .collect();
     let answered = agent.load(300.0, ms(1000)).play();
     assert_eq!((answered.unanswered, answered.denied), (0, 0));
-    assert!(answered.quantile_ms(0.99) < 400.0, "{}", answered.quantile_ms(0.99));
+    assert!(
+        answered.quantile_ms(0.99) < 400.0,
+        "{}",
+        answered.quantile_ms(0.99)
+    );
     drop(readers);
-    assert!(until(|| agent.ask(&[]).status.success()), "the door serves again");
+    assert!(
+        until(|| agent.ask(&[]).status.success()),
+        "the door serves again"
+    );
     let mut other = TcpStream::connect(&agent.door).unwrap();
     other.set_read_timeout(Some(SOON)).unwrap();
     other.write_all(b"POST / HTTP/1.1\r\n\r\n").unwrap();
@@ -283,35 +441,69 @@
 
 #[test]
 fn the_door_is_a_unix_socket_too_and_a_plot_and_a_log_of_json_are_written() {
-    let ways = Ways { work: ms(6), cores: 1, ..Ways::default() };
+    let ways = Ways {
+        work: ms(6),
+        cores: 1,
+        ..Ways::default()
+    };
     let world = world(ways.clone(), ways);
     let folder = std::env::temp_dir().join(format!("tulipwall-unix-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let (socket, file, svg) = (folder.join("door"), folder.join("i.kdl"), folder.join("p.svg"));
+    let (socket, file, svg) = (
+        folder.join("door"),
+        folder.join("i.kdl"),
+        folder.join("p.svg"),
+    );
     let door = format!("unix:{}", socket.display());
-    let price = "    link \"akl-east\" \"akl-west\" { price delivery=0.001 out-gib=0.02; delay \"8ms\"; }";
+    let price =
+        "    link \"akl-east\" \"akl-west\" { price delivery=0.001 out-gib=0.02; delay \"8ms\"; }";
     let budgets = "    budget \"m\" { to \"akl-west\"; money 5; window \"20s\"; }";
-    std::fs::write(&file, format!("log \"json\"\n{}", text(&door, &format!("{price}\n{budgets}")))).unwrap();
+    std::fs::write(
+        &file,
+        format!(
+            "log \"json\"\n{}",
+            text(&door, &format!("{price}\n{budgets}"))
+        ),
+    )
+    .unwrap();
     let arguments = ["run", "--installation", file.to_str().unwrap()];
-    let mut program = Program::start(BINARY, world.configuration("n1", 0).unwrap(), &arguments).unwrap();
+    let mut program =
+        Program::start(BINARY, world.configuration("n1", 0).unwrap(), &arguments).unwrap();
     Caller::connect(program.address().unwrap()).unwrap();
-    let mut agent = Agent { program, door, _turn: turn() };
+    let mut agent = Agent {
+        program,
+        door,
+        _turn: turn(),
+    };
     assert_eq!(agent.load(600.0, ms(2500)).play().unanswered, 0);
     let drawn = agent.ask(&["--svg", svg.to_str().unwrap()]);
-    assert!(drawn.status.success(), "{}", String::from_utf8_lossy(&drawn.stderr));
+    assert!(
+        drawn.status.success(),
+        "{}",
+        String::from_utf8_lossy(&drawn.stderr)
+    );
     let picture = std::fs::read_to_string(&svg).unwrap();
     assert!(
-        picture.starts_with("<svg") && picture.contains("akl-east to akl-west") && picture.contains("budget")
+        picture.starts_with("<svg")
+            && picture.contains("akl-east to akl-west")
+            && picture.contains("budget")
     );
     for line in agent.program.log().lines() {
         let line: Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
-        assert!(line["text"].is_string() && line["level"].is_string(), "{line}");
+        assert!(
+            line["text"].is_string() && line["level"].is_string(),
+            "{line}"
+        );
     }
     assert!(agent.program.log().contains("\"phase\":\"Serving\""));
     agent.program.terminate().unwrap();
     assert!(agent.program.ended_well().unwrap());
     assert!(!socket.exists(), "the socket's file goes with the program");
-    assert_eq!(agent.ask(&[]).status.code(), Some(3), "no report can be had");
+    assert_eq!(
+        agent.ask(&[]).status.code(),
+        Some(3),
+        "no report can be had"
+    );
     program = Program::start(BINARY, agent.program.configuration.clone(), &arguments).unwrap();
     Caller::connect(program.address().unwrap()).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
@@ -327,20 +519,31 @@
     let check = |text: &str, more: &[&str]| {
         std::fs::write(&file, text).unwrap();
         let mut check = Command::new(BINARY);
-        check.env_remove("PROXY_CONFIG").arg("check").arg(&file).args(more);
+        check
+            .env_remove("PROXY_CONFIG")
+            .arg("check")
+            .arg(&file)
+            .args(more);
         let out = check.output().unwrap();
-        (out.status.code(), String::from_utf8(out.stderr).unwrap(), String::from_utf8(out.stdout).unwrap())
+        (
+            out.status.code(),
+            String::from_utf8(out.stderr).unwrap(),
+            String::from_utf8(out.stdout).unwrap(),
+        )
     };
     let good =
         "zones {\n    budget \"b\" { to \"akl-west\"; lane \"view\"; share 0.05; window \"1h\"; }\n}\n";
     let (code, _, said) = check(good, &["--config", config.to_str().unwrap()]);
     assert_eq!(code, Some(0));
     assert!(said.contains("1 limits"), "{said}");
-    let names = good.replace("akl-west", "akl-wets").replace("view", "vieuw");
+    let names = good
+        .replace("akl-west", "akl-wets")
+        .replace("view", "vieuw");
     let (code, said, _) = check(&names, &["--config", config.to_str().unwrap()]);
     assert_eq!(code, Some(1));
     assert!(
-        said.contains("i.kdl:2:18: to: no zone 'akl-wets'") && said.contains("lane: no lane 'vieuw'"),
+        said.contains("i.kdl:2:18: to: no zone 'akl-wets'")
+            && said.contains("lane: no lane 'vieuw'"),
         "{said}"
     );
     let (code, _, said) = check(&names, &[]);
@@ -348,13 +551,23 @@
     assert!(said.contains("--config FILE checks them"), "{said}");
     let (code, said, _) = check("zonse { }\nlog \"xml\"\ndoor \"0.0.0.0:80\"\n", &[]);
     assert_eq!(code, Some(1));
-    let wanted =
-        ["i.kdl:1:1: zonse: unknown in the file; did you mean 'zones'?", "i.kdl:2:1: log: one of text, json"];
+    let wanted = [
+        "i.kdl:1:1: zonse: unknown in the file; did you mean 'zones'?",
+        "i.kdl:2:1: log: one of text, json",
+    ];
     assert!(
         wanted.iter().all(|w| said.contains(w)) && said.contains("i.kdl:3:1: door: a loopback"),
         "{said}"
     );
-    assert_eq!(Command::new(BINARY).arg("chekc").output().unwrap().status.code(), Some(2));
+    assert_eq!(
+        Command::new(BINARY)
+            .arg("chekc")
+            .output()
+            .unwrap()
+            .status
+            .code(),
+        Some(2)
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -362,7 +575,11 @@
 fn the_demo_ends_by_itself_with_every_command_answered() {
     // In a process of its own with a limit: a stand-in that stands still would keep it from ending.
     let mut demo = Command::new(BINARY);
-    let mut demo = demo.args(["demo", "--rate", "60"]).stdout(std::process::Stdio::piped()).spawn().unwrap();
+    let mut demo = demo
+        .args(["demo", "--rate", "60"])
+        .stdout(std::process::Stdio::piped())
+        .spawn()
+        .unwrap();
     let begun = Instant::now();
     while demo.try_wait().unwrap().is_none() && begun.elapsed() < Duration::from_secs(60) {
         thread::sleep(ms(100));
@@ -371,7 +588,12 @@
     let out = demo.wait_with_output().unwrap();
     let said = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success(), "{said}");
-    for part in ["build 42 is offered", "all of akl-east drains", "drained", "0 without an answer"] {
+    for part in [
+        "build 42 is offered",
+        "all of akl-east drains",
+        "drained",
+        "0 without an answer",
+    ] {
         assert!(said.contains(part), "{part}: {said}");
     }
     assert!(said.contains("Payments that ran twice: 0."));
--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -40,7 +40,10 @@
 
 impl Instance {
     pub fn open(now: Duration, start: Duration, item: &Fields) -> Result<Instance, Fault> {
-        let seed = item.integer("salt").map(|n| n as u64).or_else(|_| item.whole("salt"))?;
+        let seed = item
+            .integer("salt")
+            .map(|n| n as u64)
+            .or_else(|_| item.whole("salt"))?;
         let site = Site::read(&item.inner("settings")?, seed)?;
         Ok(Instance {
             choice: Choice::new(now.saturating_sub(start), site.deployment.clone()),
@@ -69,7 +72,9 @@
             "Accept" => {
                 let (name, class) = (item.text("txn")?, item.text("tier-class")?);
                 let Some(lane) = self.site.lane(class) else {
-                    said.push(json!({"t": "Fatal", "note-text": format!("unknown lane '{class}'")}));
+                    said.push(
+                        json!({"t": "Fatal", "note-text": format!("unknown lane '{class}'")}),
+                    );
                     return Ok(());
                 };
                 let owner = item.maybe("owner").and_then(Value::as_str);
@@ -79,10 +84,28 @@
                 let id = self.taken;
                 self.taken += 1;
                 self.commands.insert(name.to_owned(), id);
-                self.in_hand.insert(id, InHand { name: name.to_owned(), out: 0, closed: false });
+                self.in_hand.insert(
+                    id,
+                    InHand {
+                        name: name.to_owned(),
+                        out: 0,
+                        closed: false,
+                    },
+                );
                 let work = item.maybe("estimate-ms").and_then(Value::as_f64).map(span);
                 let again = item.flag("again-by-client")?;
-                self.choice.take(now, id, Command { lane, customer, key, left, work, again });
+                self.choice.take(
+                    now,
+                    id,
+                    Command {
+                        lane,
+                        customer,
+                        key,
+                        left,
+                        work,
+                        again,
+                    },
+                );
                 let answer = self.choice.place(now, id);
                 self.write(id, answer, said);
             }
@@ -99,8 +122,15 @@
                     None => return Err("field state-code: unknown outcome".into()),
                 };
                 let (took, finished) = (item.span("lag-ms")?, item.flag("finished")?);
-                let Some(id) = self.commands.get(name).copied() else { return Ok(()) };
-                let end = End { outcome, took, closed: finished, held: held(item) };
+                let Some(id) = self.commands.get(name).copied() else {
+                    return Ok(());
+                };
+                let end = End {
+                    outcome,
+                    took,
+                    closed: finished,
+                    held: held(item),
+                };
                 let answer = self.choice.after(now, id, n, end);
                 if let Some(c) = self.in_hand.get_mut(&id) {
                     c.out = c.out.saturating_sub(1);
@@ -130,7 +160,8 @@
                 let class = item.text("tier-class")?;
                 let appliance = self.appliances.number(item.text("appliance")?);
                 if let Some(lane) = self.site.lane(class) {
-                    self.choice.flag(now, appliance, lane, item.span_or("lateness-ms", 0.0)?);
+                    self.choice
+                        .flag(now, appliance, lane, item.span_or("lateness-ms", 0.0)?);
                 }
             }
             "PeriodSums" => {
@@ -147,7 +178,8 @@
             }
             "ProbeDone" => {
                 let appliance = self.appliances.number(item.text("appliance")?);
-                let outcome = outcome(item.text("state-code")?).ok_or("field state-code: unknown outcome")?;
+                let outcome =
+                    outcome(item.text("state-code")?).ok_or("field state-code: unknown outcome")?;
                 self.choice.told(now, appliance, outcome, held(item));
             }
             "PeerData" => {}
@@ -188,10 +220,16 @@
     }
 
     fn write(&mut self, id: u64, answer: Answer, said: &mut Vec<Value>) {
-        let Some(c) = self.in_hand.get_mut(&id) else { return };
+        let Some(c) = self.in_hand.get_mut(&id) else {
+            return;
+        };
         let name = c.name.clone();
         match answer {
-            Answer::Send { appliance, time_out, look } => {
+            Answer::Send {
+                appliance,
+                time_out,
+                look,
+            } => {
                 c.out += 1;
                 let appliance = self.appliances.name(appliance);
                 let ms = millis(time_out).max(0.001);
@@ -215,13 +253,19 @@
             }
             Answer::Wait => {}
         }
-        if self.in_hand.get(&id).is_some_and(|c| c.closed && c.out == 0) {
+        if self
+            .in_hand
+            .get(&id)
+            .is_some_and(|c| c.closed && c.out == 0)
+        {
             self.done(id);
         }
     }
 
     fn done(&mut self, id: u64) {
-        let Some(c) = self.in_hand.get_mut(&id) else { return };
+        let Some(c) = self.in_hand.get_mut(&id) else {
+            return;
+        };
         c.closed = true;
         if c.out == 0 {
             self.commands.remove(&c.name);
@@ -245,7 +289,9 @@
             "FULL" | "SAVED" => true,
             other => return Err(format!("field how: unknown value '{other}'")),
         };
-        let sheet = sheets.get(&item.whole("buffer")?).ok_or("field buffer: no such list")?;
+        let sheet = sheets
+            .get(&item.whole("buffer")?)
+            .ok_or("field buffer: no such list")?;
         let mut entries = Vec::new();
         for entry in sheet {
             let e = Fields::of(entry, "nodes-list")?;
@@ -266,7 +312,10 @@
                 zone,
                 cell: e.whole_or("stripe", 0)?,
                 mark: number(e.text("appliance")?),
-                kind: e.maybe("hw").and_then(Value::as_str).map_or(0, |k| self.kinds.number(k)),
+                kind: e
+                    .maybe("hw")
+                    .and_then(Value::as_str)
+                    .map_or(0, |k| self.kinds.number(k)),
                 build: e.whole_or("release", 0)? as u32,
                 standing,
                 started: (born > self.start).then(|| born.saturating_sub(self.start)),
@@ -309,7 +358,9 @@
 
 /// What a load report says of the commands that an appliance holds.
 fn held(item: &Fields) -> Option<f64> {
-    item.maybe("pressure").and_then(|p| p.get("concurrent")).and_then(Value::as_f64)
+    item.maybe("pressure")
+        .and_then(|p| p.get("concurrent"))
+        .and_then(Value::as_f64)
 }
 
 fn outcome(code: &str) -> Option<Outcome> {
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -68,7 +68,9 @@
                     }
                     Err(Fault::Key(key)) => return Err(key),
                     // The wire's own fault: the settings name something they do not define.
-                    Err(Fault::Undefined(fault)) => said.push(json!({"t": "Fatal", "note-text": fault})),
+                    Err(Fault::Undefined(fault)) => {
+                        said.push(json!({"t": "Fatal", "note-text": fault}))
+                    }
                 },
                 "Down" => {
                     instances.remove(&id);
--- a/crates/calls/src/answer.rs
+++ b/crates/calls/src/answer.rs
@@ -44,12 +44,16 @@
 
 /// One message; `None` while it is not whole. `most`: bytes of its body.
 pub fn message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, Fault> {
-    let Some(head) = bytes.get(..5) else { return Ok(None) };
+    let Some(head) = bytes.get(..5) else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
     if length < 4 || length > most + 4 {
         return Err(Fault("a message whose length does not fit"));
     }
-    Ok(bytes.get(5..1 + length).map(|body| (head[0], body, 1 + length)))
+    Ok(bytes
+        .get(5..1 + length)
+        .map(|body| (head[0], body, 1 + length)))
 }
 
 impl Reading {
@@ -77,7 +81,9 @@
         let mut took = 0;
         loop {
             let most = self.value_most + ERROR_MOST;
-            let Some((tag, body, used)) = message(&bytes[took..], most)? else { return Ok((took, None)) };
+            let Some((tag, body, used)) = message(&bytes[took..], most)? else {
+                return Ok((took, None));
+            };
             took += used;
             if tag != b'D' {
                 self.rest += used;
@@ -141,7 +147,9 @@
 /// One column, whatever its name.
 fn described(body: &[u8]) -> Result<(), Fault> {
     let none = Fault("a description that does not fit");
-    let Some((count, rest)) = body.split_at_checked(2) else { return Err(none) };
+    let Some((count, rest)) = body.split_at_checked(2) else {
+        return Err(none);
+    };
     let name = rest.iter().position(|b| *b == 0).ok_or(none.clone())?;
     if count == [0, 1] && rest.len() == name + 1 + 18 {
         Ok(())
@@ -152,7 +160,9 @@
 
 fn row(body: &[u8], most: usize) -> Result<Vec<u8>, Fault> {
     let none = Fault("a row that does not fit");
-    let Some((head, value)) = body.split_at_checked(6) else { return Err(none) };
+    let Some((head, value)) = body.split_at_checked(6) else {
+        return Err(none);
+    };
     let length = u32::from_be_bytes([head[2], head[3], head[4], head[5]]) as usize;
     if head[..2] == [0, 1] && length == value.len() && length <= most {
         Ok(value.to_vec())
--- a/crates/calls/src/bound.rs
+++ b/crates/calls/src/bound.rs
@@ -26,9 +26,17 @@
 impl Bound {
     pub fn new(by: InFlight, lanes: &[Lane]) -> Bound {
         let best = lanes.iter().map(|l| l.benefit).fold(1e-9, f64::max);
-        let rooms = lanes.iter().map(|l| FOR_ALL + (1.0 - FOR_ALL) * (l.benefit / best).clamp(0.0, 1.0));
+        let rooms = lanes
+            .iter()
+            .map(|l| FOR_ALL + (1.0 - FOR_ALL) * (l.benefit / best).clamp(0.0, 1.0));
         let now = (by.most / 4.0).clamp(by.least, by.most.max(by.least));
-        Bound { rooms: rooms.collect(), now, in_flight: 0, fell: None, by }
+        Bound {
+            rooms: rooms.collect(),
+            now,
+            in_flight: 0,
+            fell: None,
+            by,
+        }
     }
 
     /// Takes one more call of this lane in, or sheds it.
--- a/crates/calls/src/endpoints.rs
+++ b/crates/calls/src/endpoints.rs
@@ -88,7 +88,11 @@
             lost: 0,
             closed: None,
         };
-        Endpoints { all: (0..agents).map(new).collect(), by, rng: Pcg64Mcg::seed_from_u64(seed) }
+        Endpoints {
+            all: (0..agents).map(new).collect(),
+            by,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
     }
 
     pub fn state(&self, agent: usize) -> State {
@@ -101,7 +105,12 @@
 
     /// Draws an agent for a try, another than `but` where there is one. `waits` says whether a connection to an
     /// agent waits for a command: without one, an agent whose gate is closed cannot be reached yet.
-    pub fn choose(&mut self, now: Duration, but: Option<usize>, waits: impl Fn(usize) -> bool) -> Chosen {
+    pub fn choose(
+        &mut self,
+        now: Duration,
+        but: Option<usize>,
+        waits: impl Fn(usize) -> bool,
+    ) -> Chosen {
         for e in &mut self.all {
             match e.state {
                 State::Resting(until) if now >= until => e.state = State::Trying(1),
@@ -115,7 +124,10 @@
             State::Resting(_) | State::Leaving(_) => false,
         };
         let reached = |a: &usize| now >= self.all[*a].gate || waits(*a);
-        let open: Vec<usize> = (0..self.all.len()).filter(|a| fits(&self.all[*a])).filter(reached).collect();
+        let open: Vec<usize> = (0..self.all.len())
+            .filter(|a| fits(&self.all[*a]))
+            .filter(reached)
+            .collect();
         let others: Vec<usize> = open.iter().copied().filter(|a| Some(*a) != but).collect();
         let of = if others.is_empty() { &open } else { &others };
         if of.is_empty() {
@@ -124,11 +136,19 @@
                 State::Resting(until) | State::Leaving(until) => Some(until.max(e.gate)),
                 _ => Some(e.gate).filter(|at| now < *at),
             });
-            return Chosen::NotBefore(ends.min().unwrap_or(now + REST.0).max(now + Duration::from_millis(1)));
+            return Chosen::NotBefore(
+                ends.min()
+                    .unwrap_or(now + REST.0)
+                    .max(now + Duration::from_millis(1)),
+            );
         }
         let mut draw = || of[self.rng.gen_range(0..of.len())];
         let (one, two) = (draw(), draw());
-        let agent = if self.all[two].in_flight < self.all[one].in_flight { two } else { one };
+        let agent = if self.all[two].in_flight < self.all[one].in_flight {
+            two
+        } else {
+            one
+        };
         self.all[agent].in_flight += 1;
         Chosen::Agent(agent)
     }
@@ -137,13 +157,19 @@
     /// `Some(false)` failed, `None` without a word on the agent.
     pub fn ended(&mut self, now: Duration, agent: usize, good: Option<bool>) {
         let drawn = self.rng.gen_range(0.5..1.0);
-        let Some(e) = self.all.get_mut(agent) else { return };
+        let Some(e) = self.all.get_mut(agent) else {
+            return;
+        };
         e.in_flight = e.in_flight.saturating_sub(1);
         match (good, e.state) {
             (Some(true), state) => {
                 (e.failures, e.rest, e.lost) = (0, REST.0, 0);
                 if let State::Trying(most) = state {
-                    e.state = if most >= OPEN_FROM { State::Open } else { State::Trying(most * 2) };
+                    e.state = if most >= OPEN_FROM {
+                        State::Open
+                    } else {
+                        State::Trying(most * 2)
+                    };
                 }
             }
             (Some(false), State::Trying(_)) => rest(e, now, drawn),
@@ -171,8 +197,13 @@
     /// next is opened within a tenth of the spread.
     pub fn closed(&mut self, now: Duration, agent: usize) {
         let part = self.rng.gen_range(0.0..1.0);
-        let Some(e) = self.all.get_mut(agent) else { return };
-        let soon = e.closed.replace(now).is_some_and(|at| now < at + MAKES_ROOM);
+        let Some(e) = self.all.get_mut(agent) else {
+            return;
+        };
+        let soon = e
+            .closed
+            .replace(now)
+            .is_some_and(|at| now < at + MAKES_ROOM);
         let wait = self.by.spread.mul_f64(if soon { part * 0.1 } else { part });
         e.gate = e.gate.max(now + wait);
     }
@@ -197,7 +228,9 @@
 
     /// Whether a connection to this agent may be opened now.
     pub fn open(&mut self, now: Duration, agent: usize) -> Opening {
-        let Some(e) = self.all.get_mut(agent) else { return Opening::Full };
+        let Some(e) = self.all.get_mut(agent) else {
+            return Opening::Full;
+        };
         if now < e.gate {
             return Opening::NotBefore(e.gate);
         }
--- a/crates/calls/src/retries.rs
+++ b/crates/calls/src/retries.rs
@@ -102,7 +102,14 @@
 
 impl Tries {
     pub fn new(repeats: Repeats, expires: Duration) -> Tries {
-        Tries { repeats, expires, count: 0, ran_from: None, resent: false, began: Duration::ZERO }
+        Tries {
+            repeats,
+            expires,
+            count: 0,
+            ran_from: None,
+            resent: false,
+            began: Duration::ZERO,
+        }
     }
 
     /// A try begins.
@@ -118,10 +125,19 @@
     pub fn may_go(&self, now: Duration) -> Result<(), Cause> {
         match (self.repeats, self.ran_from) {
             (Repeats::Idempotent, _) | (_, None) => Ok(()),
-            (Repeats::Deduplicated { group: Group::All, window }, Some(from)) if now < from + window => {
-                Ok(())
-            }
-            (Repeats::Deduplicated { group: Group::All, .. }, Some(_)) => Err(Cause::WindowOver),
+            (
+                Repeats::Deduplicated {
+                    group: Group::All,
+                    window,
+                },
+                Some(from),
+            ) if now < from + window => Ok(()),
+            (
+                Repeats::Deduplicated {
+                    group: Group::All, ..
+                },
+                Some(_),
+            ) => Err(Cause::WindowOver),
             _ => Err(Cause::MayNotRepeat),
         }
     }
@@ -139,7 +155,12 @@
 impl Retries {
     pub fn new(by: Retrying, agents: usize, seed: u64) -> Retries {
         let tokens = by.kept;
-        Retries { by, tokens, each: vec![tokens; agents], rng: Pcg64Mcg::seed_from_u64(seed) }
+        Retries {
+            by,
+            tokens,
+            each: vec![tokens; agents],
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
     }
 
     /// A command was satisfied by this agent.
@@ -207,7 +228,11 @@
 
     /// The longest pause after so many tries.
     fn pause(&self, tries: u32) -> Duration {
-        let doubled = self.by.pause.0.saturating_mul(1 << tries.saturating_sub(1).min(20));
+        let doubled = self
+            .by
+            .pause
+            .0
+            .saturating_mul(1 << tries.saturating_sub(1).min(20));
         doubled.min(self.by.pause.1)
     }
 }
--- a/crates/calls/src/service.rs
+++ b/crates/calls/src/service.rs
@@ -61,7 +61,12 @@
 impl Default for Retrying {
     fn default() -> Retrying {
         let pause = (Duration::from_millis(20), Duration::from_secs(1));
-        Retrying { tries: 4, earned: 0.1, kept: 10.0, pause }
+        Retrying {
+            tries: 4,
+            earned: 0.1,
+            kept: 10.0,
+            pause,
+        }
     }
 }
 
@@ -110,6 +115,11 @@
 
 impl Default for InFlight {
     fn default() -> InFlight {
-        InFlight { least: 4.0, most: 512.0, waiting: 256, wait: Duration::from_millis(500) }
+        InFlight {
+            least: 4.0,
+            most: 512.0,
+            waiting: 256,
+            wait: Duration::from_millis(500),
+        }
     }
 }
--- a/crates/calls/tests/endpoints.rs
+++ b/crates/calls/tests/endpoints.rs
@@ -39,15 +39,23 @@
         assert_eq!(e.choose(ms(0), None, |_| true), Chosen::Agent(0));
         e.ended(ms(0), 0, Some(false));
     }
-    let Chosen::NotBefore(until) = e.choose(ms(0), None, |_| true) else { panic!("it rests") };
+    let Chosen::NotBefore(until) = e.choose(ms(0), None, |_| true) else {
+        panic!("it rests")
+    };
     assert!(until >= ms(50) && until <= ms(100));
     assert_eq!(e.choose(until, None, |_| true), Chosen::Agent(0));
-    assert!(matches!(e.choose(until, None, |_| true), Chosen::NotBefore(_)), "one at a time");
+    assert!(
+        matches!(e.choose(until, None, |_| true), Chosen::NotBefore(_)),
+        "one at a time"
+    );
     e.ended(until, 0, Some(true));
     assert_eq!(e.state(0), State::Trying(2));
     assert_eq!(e.choose(until, None, |_| true), Chosen::Agent(0));
     e.ended(until, 0, Some(false));
-    assert!(matches!(e.state(0), State::Resting(at) if at > until), "and rests again at the first failure");
+    assert!(
+        matches!(e.state(0), State::Resting(at) if at > until),
+        "and rests again at the first failure"
+    );
 }
 
 #[test]
@@ -68,7 +76,9 @@
     assert!((0..50).all(|_| e.choose(ms(0), None, |_| false) == Chosen::Agent(1)));
     assert!((0..50).any(|_| e.choose(ms(0), None, |a| a == 0) == Chosen::Agent(0)));
     e.lost(ms(0), 1);
-    assert!(matches!(e.choose(ms(0), None, |_| false), Chosen::NotBefore(at) if at > ms(0) && at < ms(3000)));
+    assert!(
+        matches!(e.choose(ms(0), None, |_| false), Chosen::NotBefore(at) if at > ms(0) && at < ms(3000))
+    );
 }
 
 #[test]
@@ -111,9 +121,16 @@
     let span = *ten.iter().max().unwrap() - *ten.iter().min().unwrap();
     assert!(span > ms(1500), "{span:?}");
     let many = reopened(10_000);
-    let each = |n: u64| many.iter().filter(|t| t.as_millis() as u64 / 100 == 10 + n).count();
+    let each = |n: u64| {
+        many.iter()
+            .filter(|t| t.as_millis() as u64 / 100 == 10 + n)
+            .count()
+    };
     let (most, mean) = ((0..30).map(each).max().unwrap(), 10_000.0 / 30.0);
-    assert!(most as f64 / mean < 1.3, "{most} in the fullest 100 ms, {mean} in the mean");
+    assert!(
+        most as f64 / mean < 1.3,
+        "{most} in the fullest 100 ms, {mean} in the mean"
+    );
 }
 
 #[test]
@@ -133,5 +150,8 @@
     }
     assert!((45..=54).contains(&opened), "fifty a second: {opened}");
     e.opened(ms(1000), 0, false);
-    assert!(matches!(e.open(ms(1000), 0), Opening::NotBefore(_)), "after a refusal it waits");
+    assert!(
+        matches!(e.open(ms(1000), 0), Opening::NotBefore(_)),
+        "after a refusal it waits"
+    );
 }
--- a/crates/calls/tests/retries.rs
+++ b/crates/calls/tests/retries.rs
@@ -26,7 +26,13 @@
 }
 
 fn keyed(group: Group) -> Tries {
-    Tries::new(Repeats::Deduplicated { group, window: ms(500) }, ms(2000))
+    Tries::new(
+        Repeats::Deduplicated {
+            group,
+            window: ms(500),
+        },
+        ms(2000),
+    )
 }
 
 #[test]
@@ -51,10 +57,15 @@
     let mut retries = Retries::new(Retrying::default(), 1, 2);
     let mut tries = keyed(Group::All);
     tries.begin(ms(0));
-    assert!(matches!(retries.next(ms(100), &mut tries, 0, Ended::Broken), Next::Again(at) if at < ms(500)));
+    assert!(
+        matches!(retries.next(ms(100), &mut tries, 0, Ended::Broken), Next::Again(at) if at < ms(500))
+    );
     tries.begin(ms(150));
     let next = retries.next(ms(499), &mut tries, 0, Ended::NotSent);
-    assert!(matches!(next, Next::Over(Cause::WindowOver)), "its pause would end after it: {next:?}");
+    assert!(
+        matches!(next, Next::Over(Cause::WindowOver)),
+        "its pause would end after it: {next:?}"
+    );
     assert_eq!(tries.may_go(ms(500)), Err(Cause::WindowOver));
     for group in [Group::Zone, Group::Cell] {
         let mut tries = keyed(group);
@@ -73,13 +84,18 @@
         loop {
             tries.begin(ms(call));
             sent += 1;
-            if !matches!(retries.next(ms(call), &mut tries, call as usize % 2, Ended::Broken), Next::Again(_))
-            {
+            if !matches!(
+                retries.next(ms(call), &mut tries, call as usize % 2, Ended::Broken),
+                Next::Again(_)
+            ) {
                 break;
             }
         }
     }
-    assert!(sent <= 10_000 + 10, "{sent}: only what was kept at the start");
+    assert!(
+        sent <= 10_000 + 10,
+        "{sent}: only what was kept at the start"
+    );
     let mut retries = Retries::new(Retrying::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
@@ -99,7 +115,8 @@
 }
 
 #[test]
-fn a_time_to_come_back_is_a_floor_beyond_which_all_spread_and_one_beyond_the_expiry_ends_the_call() {
+fn a_time_to_come_back_is_a_floor_beyond_which_all_spread_and_one_beyond_the_expiry_ends_the_call()
+{
     let mut times = Vec::new();
     for seed in 0..200 {
         let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, seed), once());
@@ -110,33 +127,71 @@
         }
     }
     assert!(times.iter().all(|t| (ms(400)..ms(800)).contains(t)));
-    let most = (0..8).map(|n| times.iter().filter(|t| t.as_millis() as u64 / 50 == 8 + n).count()).max();
-    assert!(most.unwrap() < 50, "two hundred at once come back spread: {most:?} in 50 ms");
+    let most = (0..8)
+        .map(|n| {
+            times
+                .iter()
+                .filter(|t| t.as_millis() as u64 / 50 == 8 + n)
+                .count()
+        })
+        .max();
+    assert!(
+        most.unwrap() < 50,
+        "two hundred at once come back spread: {most:?} in 50 ms"
+    );
     let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, 1), once());
     tries.begin(ms(0));
     let next = retries.next(ms(0), &mut tries, 0, Ended::Denied(Some(ms(2000))));
     assert_eq!(next, Next::Over(Cause::Expiry));
-    assert_eq!(retries.tokens(), Retrying::default().kept, "which costs no token");
+    assert_eq!(
+        retries.tokens(),
+        Retrying::default().kept,
+        "which costs no token"
+    );
 }
 
 #[test]
 fn a_close_that_crossed_a_command_is_resent_once_without_a_token() {
     let (mut retries, mut tries) = (
-        Retries::new(Retrying { kept: 0.0, ..Retrying::default() }, 1, 1),
+        Retries::new(
+            Retrying {
+                kept: 0.0,
+                ..Retrying::default()
+            },
+            1,
+            1,
+        ),
         Tries::new(Repeats::Idempotent, ms(2000)),
     );
     tries.begin(ms(0));
-    assert_eq!(retries.next(ms(5), &mut tries, 0, Ended::Crossed), Next::Again(ms(5)));
+    assert_eq!(
+        retries.next(ms(5), &mut tries, 0, Ended::Crossed),
+        Next::Again(ms(5))
+    );
     tries.begin(ms(5));
-    assert_eq!(retries.next(ms(9), &mut tries, 0, Ended::Crossed), Next::Over(Cause::Tokens));
+    assert_eq!(
+        retries.next(ms(9), &mut tries, 0, Ended::Crossed),
+        Next::Over(Cause::Tokens)
+    );
 }
 
 #[test]
 fn whatever_happens_no_try_goes_out_after_the_expiry_or_twice_where_it_may_not() {
     fn play(seed: u64, script: Vec<(u8, u8)>) {
-        let mut retries = Retries::new(Retrying { kept: 1e9, ..Retrying::default() }, 3, seed);
-        let kinds =
-            [once(), keyed(Group::All), keyed(Group::Zone), Tries::new(Repeats::Idempotent, ms(2000))];
+        let mut retries = Retries::new(
+            Retrying {
+                kept: 1e9,
+                ..Retrying::default()
+            },
+            3,
+            seed,
+        );
+        let kinds = [
+            once(),
+            keyed(Group::All),
+            keyed(Group::Zone),
+            Tries::new(Repeats::Idempotent, ms(2000)),
+        ];
         let mut tries = kinds[seed as usize % 4].clone();
         let (mut now, mut ran): (Duration, Option<Duration>) = (ms(0), None);
         for (how, took) in script {
@@ -147,11 +202,19 @@
             if ended.may_have_run() {
                 ran.get_or_insert(began);
             }
-            let Next::Again(at) = retries.next(now, &mut tries, how as usize % 4, ended) else { return };
+            let Next::Again(at) = retries.next(now, &mut tries, how as usize % 4, ended) else {
+                return;
+            };
             assert!(at >= now && at < ms(2000) && tries.count <= 5);
             match (tries.repeats, ran) {
                 (Repeats::Unrepeatable, ran) => assert_eq!(ran, None),
-                (Repeats::Deduplicated { group: Group::All, window }, Some(from)) => {
+                (
+                    Repeats::Deduplicated {
+                        group: Group::All,
+                        window,
+                    },
+                    Some(from),
+                ) => {
                     assert!(at < from + window);
                 }
                 (Repeats::Deduplicated { .. }, ran) => {
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -16,25 +16,43 @@
 /// Bytes resident now.
 fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).unwrap_or_default() * 1024.0
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("VmRSS:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse::<f64>().ok())
+        .unwrap_or_default()
+        * 1024.0
 }
 
 /// Least squares: slope, intercept and the largest distance from the line.
 fn line(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
-    let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
-    let (over, under) =
-        points.iter().fold((0.0, 0.0), |(o, u), p| (o + (p.0 - x) * (p.1 - y), u + (p.0 - x).powi(2)));
+    let (x, y) = points
+        .iter()
+        .fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
+    let (over, under) = points.iter().fold((0.0, 0.0), |(o, u), p| {
+        (o + (p.0 - x) * (p.1 - y), u + (p.0 - x).powi(2))
+    });
     let slope = over / f64::max(under, f64::MIN_POSITIVE);
     let off = |p: &(f64, f64)| (p.1 - y - slope * (p.0 - x)).abs();
-    (slope, y - slope * x, points.iter().map(off).fold(0.0, f64::max))
+    (
+        slope,
+        y - slope * x,
+        points.iter().map(off).fold(0.0, f64::max),
+    )
 }
 
 fn tell(what: &str, unit: &str, points: &[(f64, f64)]) {
-    points.iter().for_each(|(x, y)| println!("{what:40} {x:6} {y:12.3} {unit}"));
+    points
+        .iter()
+        .for_each(|(x, y)| println!("{what:40} {x:6} {y:12.3} {unit}"));
     let (slope, intercept, off) = line(points);
-    println!("{what:40} slope {slope:.4} {unit}, from {intercept:.3}, at most {off:.3} off the line\n");
+    println!(
+        "{what:40} slope {slope:.4} {unit}, from {intercept:.3}, at most {off:.3} off the line\n"
+    );
 }
 
 fn choice(agents: usize) -> f64 {
@@ -50,9 +68,17 @@
 }
 
 fn main() {
-    tell("one choice, by agents", "us", &AGENTS.map(|n| (n as f64, choice(n))));
+    tell(
+        "one choice, by agents",
+        "us",
+        &AGENTS.map(|n| (n as f64, choice(n))),
+    );
 
-    let at = |n: usize| (0..n).map(|n| ([127, 1, (n >> 8) as u8, n as u8], 9).into()).collect::<Vec<_>>();
+    let at = |n: usize| {
+        (0..n)
+            .map(|n| ([127, 1, (n >> 8) as u8, n as u8], 9).into())
+            .collect::<Vec<_>>()
+    };
     let idle = AGENTS.map(|n| {
         let before = resident();
         let kept: Vec<Client> = (0..CLIENTS).map(|_| Client::new(service(at(n)))).collect();
--- a/crates/client/examples/measure.rs
+++ b/crates/client/examples/measure.rs
@@ -27,8 +27,14 @@
 fn world(work: Duration, cores: usize) -> World {
     let world = World::new(&["a"], lanes()).expect("loopback");
     for n in 0..2 {
-        let ways = Ways { work, cores, ..Ways::default() };
-        world.appliance(0, &format!("s-{n}"), 41, ways).expect("loopback");
+        let ways = Ways {
+            work,
+            cores,
+            ..Ways::default()
+        };
+        world
+            .appliance(0, &format!("s-{n}"), 41, ways)
+            .expect("loopback");
     }
     world
 }
@@ -45,8 +51,9 @@
     async fn call(&mut self, lane: &str, object: &str, id: &str) -> bool {
         let begun = Instant::now();
         while begun.elapsed() < EXPIRY {
-            let text =
-                format!("SELECT body FROM objects WHERE oid = '{object}' /* id={id},c={lane},d=1500 */");
+            let text = format!(
+                "SELECT body FROM objects WHERE oid = '{object}' /* id={id},c={lane},d=1500 */"
+            );
             let got = futures_lite::future::or(async { self.once(&text).await.ok() }, async {
                 sleep(EXPIRY.saturating_sub(begun.elapsed())).await;
                 None
@@ -69,7 +76,9 @@
             while pg::read(&mut stream).await?.0 != b'Z' {}
             self.stream = Some(stream);
         }
-        let Some(stream) = self.stream.as_mut() else { return Ok(false) };
+        let Some(stream) = self.stream.as_mut() else {
+            return Ok(false);
+        };
         self.tries.fetch_add(1, Ordering::Relaxed);
         stream.write_all(&pg::query(text)).await?;
         let mut good = true;
@@ -111,20 +120,30 @@
                         return;
                     }
                     let call = Call::read(lane(n), &format!("c{c}-{n}"), EXPIRY);
-                    satisfied.fetch_add(u64::from(client.call(call).await.is_ok()), Ordering::Relaxed);
+                    satisfied.fetch_add(
+                        u64::from(client.call(call).await.is_ok()),
+                        Ordering::Relaxed,
+                    );
                     sleep(pause).await;
                 }
             }));
         } else {
             let (opened, tries) = (naive_opened.clone(), naive_tries.clone());
-            let mut naive = Naive { agent, stream: None, opened, tries };
+            let mut naive = Naive {
+                agent,
+                stream: None,
+                opened,
+                tries,
+            };
             tasks.push(spawn(async move {
                 sleep(from).await;
                 for n in 0.. {
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let good = naive.call(lane(n), &format!("c{c}-{n}"), &format!("{c}-{n}")).await;
+                    let good = naive
+                        .call(lane(n), &format!("c{c}-{n}"), &format!("{c}-{n}"))
+                        .await;
                     satisfied.fetch_add(u64::from(good), Ordering::Relaxed);
                     sleep(pause).await;
                 }
@@ -142,7 +161,13 @@
     } else {
         Box::new(move || naive_opened.load(Ordering::Relaxed))
     };
-    Crowd { stop, satisfied, opened, tries, tasks }
+    Crowd {
+        stop,
+        satisfied,
+        opened,
+        tries,
+        tasks,
+    }
 }
 
 impl Crowd {
@@ -166,11 +191,18 @@
 
 fn agent_binary() -> PathBuf {
     let here = std::env::current_exe().unwrap_or_default();
-    here.ancestors().nth(2).unwrap_or(Path::new(".")).join("tulipwall-agent")
+    here.ancestors()
+        .nth(2)
+        .unwrap_or(Path::new("."))
+        .join("tulipwall-agent")
 }
 
 fn start(world: &World) -> Program {
-    let program = Program::start(agent_binary(), world.configuration("n1", 0).expect("loopback"), &[]);
+    let program = Program::start(
+        agent_binary(),
+        world.configuration("n1", 0).expect("loopback"),
+        &[],
+    );
     program.expect("the agent, built for release")
 }
 
@@ -180,7 +212,13 @@
         .into_values()
         .flatten()
         .filter(|s| s.ran && s.lane == "payment")
-        .map(|s| s.statement.split('\'').nth(1).unwrap_or_default().to_owned())
+        .map(|s| {
+            s.statement
+                .split('\'')
+                .nth(1)
+                .unwrap_or_default()
+                .to_owned()
+        })
         .collect();
     objects.sort();
     objects.windows(2).filter(|w| w[0] == w[1]).count()
@@ -200,7 +238,10 @@
     let each = sample(80, ms(100), || (crowd.opened)());
     crowd.end();
     drop(again);
-    let (most, all) = (each.iter().copied().fold(0.0, f64::max), each.iter().sum::<f64>());
+    let (most, all) = (
+        each.iter().copied().fold(0.0, f64::max),
+        each.iter().sum::<f64>(),
+    );
     let first = each.iter().position(|n| *n > 0.0).unwrap_or(0);
     let last = each.iter().rposition(|n| *n > 0.0).unwrap_or(0);
     let nine = {
@@ -232,23 +273,38 @@
     let w = world.clone();
     let script = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_secs(3));
-        w.of_zone(0).iter().for_each(|(_, a)| a.ways(|w| w.work = ms(200)));
+        w.of_zone(0)
+            .iter()
+            .for_each(|(_, a)| a.ways(|w| w.work = ms(200)));
         std::thread::sleep(Duration::from_secs(5));
-        w.of_zone(0).iter().for_each(|(_, a)| a.ways(|w| w.work = ms(10)));
+        w.of_zone(0)
+            .iter()
+            .for_each(|(_, a)| a.ways(|w| w.work = ms(10)));
     });
     let (w, satisfied) = (world.clone(), crowd.satisfied.clone());
     let seen = std::thread::spawn(move || {
-        sample(64, ms(250), || w.of_zone(0).iter().map(|(_, a)| a.seen_count() as u64).sum())
+        sample(64, ms(250), || {
+            w.of_zone(0)
+                .iter()
+                .map(|(_, a)| a.seen_count() as u64)
+                .sum()
+        })
     });
     let tries = crowd.tries.clone();
     let asked = std::thread::spawn(move || sample(64, ms(250), || tries()));
     let good = sample(64, ms(250), || satisfied.load(Ordering::Relaxed));
-    let (seen, asked) = (seen.join().unwrap_or_default(), asked.join().unwrap_or_default());
+    let (seen, asked) = (
+        seen.join().unwrap_or_default(),
+        asked.join().unwrap_or_default(),
+    );
     let _ = script.join();
     crowd.end();
     let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len().max(1) as f64 * 4.0;
     let usual = mean(&good[..12]);
-    let back = good[32..].windows(4).position(|w| mean(w) >= usual * 0.95).map(|n| n as f64 / 4.0);
+    let back = good[32..]
+        .windows(4)
+        .position(|w| mean(w) >= usual * 0.95)
+        .map(|n| n as f64 / 4.0);
     println!(
         "| {} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {} | {} |",
         if careful { "this library" } else { "naive" },
@@ -278,16 +334,30 @@
             .x_label_area_size(32)
             .y_label_area_size(56)
             .build_cartesian_2d(0.0..count as f64 * x, 0.0..most * 1.1)?;
-        chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc("seconds")
+            .light_line_style(WHITE)
+            .draw()?;
         for (n, (label, curve)) in curves.into_iter().enumerate() {
-            let points: Vec<(f64, f64)> = curve.iter().enumerate().map(|(i, y)| (i as f64 * x, *y)).collect();
+            let points: Vec<(f64, f64)> = curve
+                .iter()
+                .enumerate()
+                .map(|(i, y)| (i as f64 * x, *y))
+                .collect();
             let width = 1 + 2 * n as u32;
             chart
                 .draw_series(LineSeries::new(points, BLACK.stroke_width(width)))?
                 .label(label)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], BLACK.stroke_width(width)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 20, y)], BLACK.stroke_width(width))
+                });
         }
-        chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
+        chart
+            .configure_series_labels()
+            .background_style(WHITE)
+            .border_style(BLACK)
+            .draw()?;
         area.present()
     };
     if let Err(e) = draw() {
@@ -307,8 +377,9 @@
         Ok::<_, std::io::Error>(stream)
     })
     .expect("loopback");
-    let query =
-        pg::query("SELECT body FROM objects WHERE oid = 'o1' /* id=1234567890123456-1,c=view,d=1500 */");
+    let query = pg::query(
+        "SELECT body FROM objects WHERE oid = 'o1' /* id=1234567890123456-1,c=view,d=1500 */",
+    );
     let (mut with, mut without) = (Vec::new(), Vec::new());
     for n in 0..12_000 {
         let begun = Instant::now();
@@ -327,22 +398,37 @@
         of.sort();
         of[(of.len() as f64 * part) as usize].as_secs_f64() * 1e6
     };
-    let (w50, w99, b50, b99) =
-        (at(&mut with, 0.5), at(&mut with, 0.99), at(&mut without, 0.5), at(&mut without, 0.99));
+    let (w50, w99, b50, b99) = (
+        at(&mut with, 0.5),
+        at(&mut with, 0.99),
+        at(&mut without, 0.5),
+        at(&mut without, 0.99),
+    );
     println!("\nA call: p50 {w50:.0} us, p99 {w99:.0} us; the same bytes on a bare socket: p50 {b50:.0} us, p99 {b99:.0} us.");
 }
 
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or_default()
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("VmRSS:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or_default()
 }
 
 fn memory() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let before = resident();
-    let clients: Vec<Client> = (0..10_000).map(|_| Client::new(service(vec![address, address]))).collect();
-    println!("\n10,000 idle clients: {:.1} KB each.", (resident() - before) as f64 / clients.len() as f64);
+    let clients: Vec<Client> = (0..10_000)
+        .map(|_| Client::new(service(vec![address, address])))
+        .collect();
+    println!(
+        "\n10,000 idle clients: {:.1} KB each.",
+        (resident() - before) as f64 / clients.len() as f64
+    );
 }
 
 fn main() {
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -49,15 +49,24 @@
 
     /// Writes an object.
     pub fn write(lane: &str, object: &str, value: Vec<u8>, expiry: Duration) -> Call {
-        Call { value: Some(value), ..Call::read(lane, object, expiry) }
+        Call {
+            value: Some(value),
+            ..Call::read(lane, object, expiry)
+        }
     }
 
     pub fn customer(self, name: &str) -> Call {
-        Call { customer: Some(name.to_owned()), ..self }
+        Call {
+            customer: Some(name.to_owned()),
+            ..self
+        }
     }
 
     pub fn key(self, key: &str) -> Call {
-        Call { key: Some(key.to_owned()), ..self }
+        Call {
+            key: Some(key.to_owned()),
+            ..self
+        }
     }
 
     /// What is wrong with it, if anything: names go into a statement as they are.
@@ -74,22 +83,35 @@
         ];
         for (what, text) in named {
             if text.is_some_and(|t| !plain(t)) {
-                return Err(format!("{what}: 1 to {NAME_MOST} letters, digits or any of _-.: are wanted"));
+                return Err(format!(
+                    "{what}: 1 to {NAME_MOST} letters, digits or any of _-.: are wanted"
+                ));
             }
         }
         match &self.value {
-            Some(v) if v.len() > VALUE_MOST => Err(format!("value: {VALUE_MOST} bytes at most are wanted")),
+            Some(v) if v.len() > VALUE_MOST => {
+                Err(format!("value: {VALUE_MOST} bytes at most are wanted"))
+            }
             _ if self.expiry.is_zero() => Err("expiry: more than nothing is wanted".into()),
             _ => Ok(()),
         }
     }
 
     /// The statement of one try, with what is really left of its time.
-    pub(crate) fn statement(&self, id: &str, key: Option<&str>, left: Duration, again: bool) -> String {
+    pub(crate) fn statement(
+        &self,
+        id: &str,
+        key: Option<&str>,
+        left: Duration,
+        again: bool,
+    ) -> String {
         let mut text = match &self.value {
             None => format!("SELECT body FROM objects WHERE oid = '{}'", self.object),
             Some(value) => {
-                let mut text = format!("INSERT INTO objects (oid, body) VALUES ('{}', '\\x", self.object);
+                let mut text = format!(
+                    "INSERT INTO objects (oid, body) VALUES ('{}', '\\x",
+                    self.object
+                );
                 for b in value {
                     // Writing to a string cannot fail.
                     let _ = write!(text, "{b:02x}");
@@ -139,7 +161,10 @@
 pub enum Unanswered {
     /// It did not run, or a repeat is harmless: the caller may ask again, not before `come_back` where that is
     /// given.
-    Denied { come_back: Option<Duration>, tried: Tried },
+    Denied {
+        come_back: Option<Duration>,
+        tried: Tried,
+    },
     /// It failed. Where `tried.may_have_run` is set and the lane is not idempotent, it must not be asked again.
     Scrapped { code: String, tried: Tried },
     /// Its time is over.
@@ -174,9 +199,17 @@
 
 impl fmt::Display for Unanswered {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let ran = |t: &Tried| if t.may_have_run { "it may have run" } else { "it never ran" };
+        let ran = |t: &Tried| {
+            if t.may_have_run {
+                "it may have run"
+            } else {
+                "it never ran"
+            }
+        };
         match self {
-            Unanswered::Denied { come_back: Some(t), .. } => write!(f, "denied; come back after {t:?}"),
+            Unanswered::Denied {
+                come_back: Some(t), ..
+            } => write!(f, "denied; come back after {t:?}"),
             Unanswered::Denied { .. } => f.write_str("denied"),
             Unanswered::Scrapped { code, tried } => write!(f, "scrapped ({code}); {}", ran(tried)),
             Unanswered::Expired { tried } => write!(f, "expired; {}", ran(tried)),
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -102,7 +102,10 @@
 impl Drop for Trying<'_> {
     fn drop(&mut self) {
         let now = self.inner.now();
-        self.inner.state().endpoints.ended(now, self.agent, self.good);
+        self.inner
+            .state()
+            .endpoints
+            .ended(now, self.agent, self.good);
         self.inner.freed.notify(usize::MAX);
     }
 }
@@ -147,7 +150,9 @@
         let now = self.inner.now();
         let mut state = self.inner.state();
         // One that a call gave up for its own expiry says nothing of the agent.
-        state.endpoints.opened(now, self.agent, self.open != Some(false));
+        state
+            .endpoints
+            .opened(now, self.agent, self.open != Some(false));
         match self.open {
             Some(true) => state.counters.opened += 1,
             _ => state.counters.not_opened += 1,
@@ -180,7 +185,11 @@
             waiting: 0,
             keys: BTreeSet::new(),
             counters: Counters::default(),
-            lanes: service.lanes.iter().map(|l| LaneSeen::new(&l.name)).collect(),
+            lanes: service
+                .lanes
+                .iter()
+                .map(|l| LaneSeen::new(&l.name))
+                .collect(),
         };
         Client(Arc::new(Inner {
             service,
@@ -202,7 +211,8 @@
                     break;
                 }
                 let until = Instant::now() + within;
-                if let Some(Got::Connection(c, place)) = limited(until, inner.connection(agent, until)).await
+                if let Some(Got::Connection(c, place)) =
+                    limited(until, inner.connection(agent, until)).await
                 {
                     inner.keep(*c, place);
                 }
@@ -266,7 +276,9 @@
 
 impl Inner {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn now(&self) -> Duration {
@@ -285,28 +297,39 @@
             let mut state = self.state();
             // Two calls under one key at once could not tell whose answer is whose.
             if key.as_ref().is_some_and(|k| state.keys.contains(k)) {
-                return Err(Unanswered::Faulty("key: another call with it is in hand".into()));
+                return Err(Unanswered::Faulty(
+                    "key: another call with it is in hand".into(),
+                ));
             }
             if !state.bound.take(lane) {
                 return Err(Unanswered::Shed);
             }
             state.keys.extend(key.clone());
-            Held { inner: self, key: key.clone(), over: false }
+            Held {
+                inner: self,
+                key: key.clone(),
+                over: false,
+            }
         };
         let expires = begun + call.expiry;
-        let mut tries =
-            Tries::new(of.repeats, self.now() + expires.saturating_duration_since(Instant::now()));
+        let mut tries = Tries::new(
+            of.repeats,
+            self.now() + expires.saturating_duration_since(Instant::now()),
+        );
         let mut tried = Tried::default();
-        let ended = self.tries(call, key.as_deref(), expires, &mut tries, &mut tried).await;
+        let ended = self
+            .tries(call, key.as_deref(), expires, &mut tries, &mut tried)
+            .await;
         held.over = true;
         tried.took = begun.elapsed();
         tried.may_have_run = tries.may_have_run();
         // What may have run and may not simply run again is not denied, wherever the call ended.
         let harmless = !tries.may_have_run() || of.repeats == Repeats::Idempotent;
         match ended {
-            Err(Given::Denied(_)) if !harmless => {
-                Err(Unanswered::Scrapped { code: "unreachable".into(), tried })
-            }
+            Err(Given::Denied(_)) if !harmless => Err(Unanswered::Scrapped {
+                code: "unreachable".into(),
+                tried,
+            }),
             Ok(value) => {
                 let mut state = self.state();
                 state.lanes[lane].satisfied(tries.count as usize, tried.took);
@@ -336,7 +359,11 @@
         let mut last = None;
         loop {
             let agent = self.agent(last, expires).await?;
-            let mut trying = Trying { inner: self, agent, good: None };
+            let mut trying = Trying {
+                inner: self,
+                agent,
+                good: None,
+            };
             let got = limited(expires, self.connection(agent, expires)).await;
             // Its window may have ended while it waited.
             if let Err(cause) = tries.may_go(self.now()) {
@@ -348,10 +375,14 @@
             self.state().counters.tries += 1;
             let (ended, failure) = match got {
                 None => return Err(Given::Expired),
-                Some(Got::NoPlace) if tries.count == 1 && !tries.may_have_run() => return Err(Given::Shed),
+                Some(Got::NoPlace) if tries.count == 1 && !tries.may_have_run() => {
+                    return Err(Given::Shed)
+                }
                 Some(Got::NoPlace | Got::Not) => (Ended::NotSent, Given::Denied(None)),
                 Some(Got::Refused(Said::Leaving)) => (Ended::Leaving, Given::Denied(None)),
-                Some(Got::Refused(Said::Denied(back))) => (Ended::Denied(back), Given::Denied(back)),
+                Some(Got::Refused(Said::Denied(back))) => {
+                    (Ended::Denied(back), Given::Denied(back))
+                }
                 Some(Got::Refused(_)) => (Ended::NotSent, Given::Denied(None)),
                 Some(Got::Connection(connection, place)) => {
                     let left = expires.saturating_duration_since(Instant::now());
@@ -399,7 +430,12 @@
                 }
                 Next::Over(cause) => {
                     self.note(call, agent, ended.word(), cause.word());
-                    *self.state().counters.given_up.entry(cause.word()).or_default() += 1;
+                    *self
+                        .state()
+                        .counters
+                        .given_up
+                        .entry(cause.word())
+                        .or_default() += 1;
                     return Err(failure);
                 }
             }
@@ -413,7 +449,11 @@
 
     /// An id that no other try has.
     fn id(&self) -> String {
-        format!("{}-{:x}", self.prefix, self.next.fetch_add(1, Ordering::Relaxed))
+        format!(
+            "{}-{:x}",
+            self.prefix,
+            self.next.fetch_add(1, Ordering::Relaxed)
+        )
     }
 
     /// The agent for the next try, once one may be tried. Where that is beyond the call's time it ends at once.
@@ -422,7 +462,9 @@
             let freed = self.freed.listen();
             let now = self.now();
             let chosen = {
-                let State { endpoints, pools, .. } = &mut *self.state();
+                let State {
+                    endpoints, pools, ..
+                } = &mut *self.state();
                 endpoints.choose(now, but, |agent| !pools[agent].idle.is_empty())
             };
             match chosen {
@@ -492,7 +534,14 @@
             let quiet = c.quiet();
             if fresh && quiet {
                 state.counters.reused += 1;
-                return Some((c, Place { inner: self, agent, kept: false }));
+                return Some((
+                    c,
+                    Place {
+                        inner: self,
+                        agent,
+                        kept: false,
+                    },
+                ));
             }
             state.pools[agent].open = state.pools[agent].open.saturating_sub(1);
             if fresh && !quiet {
@@ -505,8 +554,16 @@
     }
 
     async fn open(&self, agent: usize, expires: Instant) -> Got<'_> {
-        let place = Place { inner: self, agent, kept: false };
-        let mut opened = Opened { inner: self, agent, open: None };
+        let place = Place {
+            inner: self,
+            agent,
+            kept: false,
+        };
+        let mut opened = Opened {
+            inner: self,
+            agent,
+            open: None,
+        };
         let life = self.state().endpoints.life();
         let within = self.service.connections.within;
         let mut until = Instant::now() + within;
@@ -550,7 +607,11 @@
         expires: Instant,
     ) -> Result<Vec<u8>, (Ended, Given)> {
         let mut written = false;
-        let heard = limited(expires, connection.ask(statement, self.service.value_most, &mut written)).await;
+        let heard = limited(
+            expires,
+            connection.ask(statement, self.service.value_most, &mut written),
+        )
+        .await;
         match heard {
             Some(Heard::Said(said)) => {
                 let leaving = said == Said::Leaving;
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -34,14 +34,22 @@
         let stream = Async::<TcpStream>::connect(agent).await?;
         stream.get_ref().set_nodelay(true)?;
         let now = Instant::now();
-        let mut connection =
-            Connection { stream, since: now, idle_from: now, life, used: false, room: Vec::new() };
+        let mut connection = Connection {
+            stream,
+            since: now,
+            idle_from: now,
+            life,
+            used: false,
+            room: Vec::new(),
+        };
         let body = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
         let startup = [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat();
         connection.stream.write_all(&startup).await?;
         match connection.hear(0).await {
             Heard::Said(Said::Ready) => Ok(Ok(connection)),
-            Heard::Said(said @ (Said::Denied(_) | Said::Leaving | Said::Failed(..))) => Ok(Err(said)),
+            Heard::Said(said @ (Said::Denied(_) | Said::Leaving | Said::Failed(..))) => {
+                Ok(Err(said))
+            }
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     }
@@ -78,7 +86,11 @@
             let from = unread.len();
             unread.resize(from + READ, 0);
             // A connection that broke has ended, too.
-            let got = self.stream.read(&mut unread[from..]).await.unwrap_or_default();
+            let got = self
+                .stream
+                .read(&mut unread[from..])
+                .await
+                .unwrap_or_default();
             unread.truncate(from + got);
             if got == 0 {
                 // A fatal error needs nothing behind it, but half an answer is none.
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -25,7 +25,12 @@
 #[command(name = "tulipwall-call", version, after_help = EXITS)]
 struct Line {
     /// The client's file, KDL: agents, lanes and limits.
-    #[arg(long, value_name = "FILE", env = "TULIPWALL_CLIENT", required_unless_present = "agent")]
+    #[arg(
+        long,
+        value_name = "FILE",
+        env = "TULIPWALL_CLIENT",
+        required_unless_present = "agent"
+    )]
     service: Option<PathBuf>,
     /// An agent in the place of those in the file; may come again.
     #[arg(long, value_name = "ADDRESS")]
@@ -66,7 +71,10 @@
         return Err(none());
     }
     let pair = |n: usize| u8::from_str_radix(&text[n * 2..n * 2 + 2], 16).map_err(|_| none());
-    (0..text.len() / 2).map(pair).collect::<Result<_, _>>().map(Bytes)
+    (0..text.len() / 2)
+        .map(pair)
+        .collect::<Result<_, _>>()
+        .map(Bytes)
 }
 
 fn main() -> ExitCode {
@@ -94,7 +102,10 @@
     };
     if line.counters {
         let seen = client.seen();
-        eprintln!("{:?}; bound {:.0}, tokens {:.1}", seen.counters, seen.bound, seen.tokens);
+        eprintln!(
+            "{:?}; bound {:.0}, tokens {:.1}",
+            seen.counters, seen.bound, seen.tokens
+        );
     }
     worst.into()
 }
@@ -102,7 +113,8 @@
 fn service(line: &Line) -> Result<Service, Vec<String>> {
     let mut service = match &line.service {
         Some(path) => {
-            let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
+            let text = std::fs::read_to_string(path)
+                .map_err(|e| vec![format!("{}: {e}", path.display())])?;
             let named = |m: &tulipwall_deployment::Mistake| format!("{}:{m}", path.display());
             tulipwall_deployment::read_service(&text)
                 .map_err(|all| all.iter().map(named).collect::<Vec<_>>())?
@@ -113,9 +125,18 @@
         service.agents.clone_from(&line.agent);
     }
     if let (None, Some(name)) = (&line.service, &line.lane) {
-        let repeats = if line.idempotent { Repeats::Idempotent } else { Repeats::Unrepeatable };
+        let repeats = if line.idempotent {
+            Repeats::Idempotent
+        } else {
+            Repeats::Unrepeatable
+        };
         let quoted = Duration::from_millis(line.expiry);
-        service.lanes.push(Lane { name: name.clone(), repeats, quoted, benefit: 1.0 });
+        service.lanes.push(Lane {
+            name: name.clone(),
+            repeats,
+            quoted,
+            benefit: 1.0,
+        });
     }
     Ok(service)
 }
@@ -137,9 +158,9 @@
             };
             let mut told = json!({"answer": e.word(), "text": e.to_string()});
             match e {
-                Unanswered::Denied { come_back: Some(t), .. } => {
-                    told["come_back_ms"] = json!(t.as_millis() as u64)
-                }
+                Unanswered::Denied {
+                    come_back: Some(t), ..
+                } => told["come_back_ms"] = json!(t.as_millis() as u64),
                 Unanswered::Scrapped { code, .. } => told["code"] = json!(code),
                 _ => {}
             }
@@ -152,7 +173,11 @@
     };
     if let Some(t) = tried {
         told["tries"] = json!(t.agents.len());
-        told["agents"] = json!(t.agents.iter().map(SocketAddr::to_string).collect::<Vec<_>>());
+        told["agents"] = json!(t
+            .agents
+            .iter()
+            .map(SocketAddr::to_string)
+            .collect::<Vec<_>>());
         told["may_have_run"] = json!(t.may_have_run);
         told["took_ms"] = json!(t.took.as_micros() as f64 / 1000.0);
     }
@@ -196,7 +221,11 @@
             std::thread::spawn(move || work(client, read))
         })
         .collect();
-    threads.into_iter().map(|t| t.join().unwrap_or(7)).max().unwrap_or(0)
+    threads
+        .into_iter()
+        .map(|t| t.join().unwrap_or(7))
+        .max()
+        .unwrap_or(0)
 }
 
 fn call(text: &str, expiry: u64) -> Result<Call, String> {
@@ -209,14 +238,23 @@
     let need = |key: &str| text(key)?.ok_or_else(|| format!("{key}: missing"));
     let expiry = match &line["expiry_ms"] {
         Value::Null => expiry,
-        v => {
-            v.as_u64().filter(|ms| (1..=3_600_000).contains(ms)).ok_or("expiry_ms: 1 to 3600000 is wanted")?
-        }
+        v => v
+            .as_u64()
+            .filter(|ms| (1..=3_600_000).contains(ms))
+            .ok_or("expiry_ms: 1 to 3600000 is wanted")?,
     };
     Ok(Call {
-        value: text("value")?.map(|v| hex(&v)).transpose().map_err(|e| format!("value: {e}"))?.map(|b| b.0),
+        value: text("value")?
+            .map(|v| hex(&v))
+            .transpose()
+            .map_err(|e| format!("value: {e}"))?
+            .map(|b| b.0),
         customer: text("customer")?,
         key: text("key")?,
-        ..Call::read(&need("lane")?, &need("object")?, Duration::from_millis(expiry))
+        ..Call::read(
+            &need("lane")?,
+            &need("object")?,
+            Duration::from_millis(expiry),
+        )
     })
 }
--- a/crates/client/src/seen.rs
+++ b/crates/client/src/seen.rs
@@ -54,14 +54,19 @@
 
 impl LaneSeen {
     pub(crate) fn new(name: &str) -> LaneSeen {
-        LaneSeen { name: name.to_owned(), times: Vec::new() }
+        LaneSeen {
+            name: name.to_owned(),
+            times: Vec::new(),
+        }
     }
 
     pub(crate) fn satisfied(&mut self, tries: usize, took: Duration) {
         let n = tries.clamp(1, TRIES) - 1;
         while self.times.len() <= n {
             // Two digits from 16 us to two minutes are 10 KB, and bounds that the library always takes.
-            let Ok(new) = Histogram::new_with_bounds(16, 120_000_000, 2) else { return };
+            let Ok(new) = Histogram::new_with_bounds(16, 120_000_000, 2) else {
+                return;
+            };
             self.times.push(new);
         }
         self.times[n].saturating_record((took.as_micros() as u64).clamp(16, 120_000_000));
--- a/crates/client/tests/command.rs
+++ b/crates/client/tests/command.rs
@@ -23,38 +23,58 @@
 }
 
 fn call(of: &Appliance, arguments: &[&str]) -> (Option<i32>, Value) {
-    let out =
-        Command::new(BINARY).args(["--agent", &of.address(0).to_string()]).args(arguments).output().unwrap();
-    (out.status.code(), serde_json::from_slice(&out.stdout).unwrap_or_default())
+    let out = Command::new(BINARY)
+        .args(["--agent", &of.address(0).to_string()])
+        .args(arguments)
+        .output()
+        .unwrap();
+    (
+        out.status.code(),
+        serde_json::from_slice(&out.stdout).unwrap_or_default(),
+    )
 }
 
 #[test]
 fn each_answer_has_its_exit_code_and_its_line_of_json() {
     let of = agent(Ways::default());
     let (code, told) = call(&of, &["view", "a1"]);
-    assert_eq!((code, &told["value"], &told["tries"]), (Some(0), &"9f03".into(), &1.into()));
+    assert_eq!(
+        (code, &told["value"], &told["tries"]),
+        (Some(0), &"9f03".into(), &1.into())
+    );
     let (code, _) = call(&of, &["view", "a1", "--value", "0011ff"]);
     assert_eq!(code, Some(0));
     let written = of.seen().pop().unwrap().statement;
-    assert!(written
-        .starts_with(r"INSERT INTO objects (oid, body) VALUES ('a1', '\x0011ff') RETURNING body /* id="));
+    assert!(written.starts_with(
+        r"INSERT INTO objects (oid, body) VALUES ('a1', '\x0011ff') RETURNING body /* id="
+    ));
     of.ways(|w| w.act = Act::TurnsAway);
     assert_eq!(call(&of, &["view", "a1", "--expiry", "300"]).0, Some(4));
     of.ways(|w| w.act = Act::Fails);
     let (code, told) = call(&of, &["payment", "a1"]);
-    assert_eq!((code, &told["code"], &told["may_have_run"]), (Some(5), &"XX000".into(), &true.into()));
+    assert_eq!(
+        (code, &told["code"], &told["may_have_run"]),
+        (Some(5), &"XX000".into(), &true.into())
+    );
     of.ways(|w| w.act = Act::Silent);
     let (code, told) = call(&of, &["payment", "a1", "--expiry", "200"]);
     assert_eq!((code, &told["may_have_run"]), (Some(6), &true.into()));
     assert_eq!(call(&of, &["pay'ment", "a1"]).0, Some(7));
-    for wrong in [&["view", "a1", "--value", "0g"][..], &["view"], &["view", "a1", "--expiry", "0"]] {
+    for wrong in [
+        &["view", "a1", "--value", "0g"][..],
+        &["view"],
+        &["view", "a1", "--expiry", "0"],
+    ] {
         assert_eq!(call(&of, wrong).0, Some(2), "{wrong:?}");
     }
 }
 
 fn many(of: &Appliance, lines: &str, more: &[&str], stall: Option<Duration>) -> Output {
-    let folder =
-        std::env::temp_dir().join(format!("tulipwall-call-{}-{}", std::process::id(), of.address(0).port()));
+    let folder = std::env::temp_dir().join(format!(
+        "tulipwall-call-{}-{}",
+        std::process::id(),
+        of.address(0).port()
+    ));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("client.kdl");
     let lane = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }";
@@ -67,7 +87,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    child.stdin.take().unwrap().write_all(lines.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(lines.as_bytes())
+        .unwrap();
     if let Some(span) = stall {
         assert!(until(|| of.seen_count() >= 8));
         let pid = Pid::from_raw(child.id() as i32).unwrap();
@@ -82,13 +107,20 @@
 
 fn told(out: &Output) -> Vec<Value> {
     let text = String::from_utf8(out.stdout.clone()).unwrap();
-    text.lines().map(|l| serde_json::from_str(l).unwrap()).collect()
+    text.lines()
+        .map(|l| serde_json::from_str(l).unwrap())
+        .collect()
 }
 
 #[test]
 fn many_from_standard_input_are_each_answered_once() {
-    let of = agent(Ways { work: ms(3), ..Ways::default() });
-    let mut lines: String = (0..50).map(|n| format!("{{\"lane\":\"view\",\"object\":\"o{n}\"}}\n")).collect();
+    let of = agent(Ways {
+        work: ms(3),
+        ..Ways::default()
+    });
+    let mut lines: String = (0..50)
+        .map(|n| format!("{{\"lane\":\"view\",\"object\":\"o{n}\"}}\n"))
+        .collect();
     lines += "no json\n{\"lane\":\"nothing\",\"object\":\"o\"}\n{\"lane\":\"view\"}\n\n";
     let out = many(&of, &lines, &["--counters"], None);
     let all = told(&out);
@@ -102,10 +134,19 @@
 
 #[test]
 fn a_client_that_stalls_with_calls_in_flight_answers_each_once_and_none_wrongly() {
-    let of = agent(Ways { work: ms(300), ..Ways::default() });
-    let lines: String =
-        (0..64).map(|n| format!("{{\"lane\":\"view\",\"object\":\"o{n}\",\"expiry_ms\":900}}\n")).collect();
-    let out = many(&of, &lines, &["--at-once", "8"], Some(Duration::from_secs(2)));
+    let of = agent(Ways {
+        work: ms(300),
+        ..Ways::default()
+    });
+    let lines: String = (0..64)
+        .map(|n| format!("{{\"lane\":\"view\",\"object\":\"o{n}\",\"expiry_ms\":900}}\n"))
+        .collect();
+    let out = many(
+        &of,
+        &lines,
+        &["--at-once", "8"],
+        Some(Duration::from_secs(2)),
+    );
     let all = told(&out);
     assert_eq!(all.len(), 64);
     let kinds = |k: &str| all.iter().filter(|t| t["answer"] == k).count();
@@ -116,21 +157,43 @@
 
 #[test]
 fn what_is_no_answer_is_never_a_value_and_the_client_goes_on() {
-    let view = Lane { name: "view".into(), repeats: Repeats::Idempotent, quoted: ms(400), benefit: 1.0 };
-    let hostile =
-        ["\u{1}\u{2}\u{3}\u{4}\u{5}\u{6}\u{7}", "HTTP/1.1 200 OK\r\n\r\n", "D\0\0\0\u{4}", "N\0\0\0\u{5}x"];
+    let view = Lane {
+        name: "view".into(),
+        repeats: Repeats::Idempotent,
+        quoted: ms(400),
+        benefit: 1.0,
+    };
+    let hostile = [
+        "\u{1}\u{2}\u{3}\u{4}\u{5}\u{6}\u{7}",
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "D\0\0\0\u{4}",
+        "N\0\0\0\u{5}x",
+    ];
     for text in hostile {
         let speaker = Speaker::start(&text.repeat(500)).unwrap();
         let client = Client::new(Service::new(vec![speaker.address], vec![view.clone()]));
         let begun = Instant::now();
         let ended = futures_lite::future::block_on(client.call(Call::read("view", "a1", ms(700))));
-        assert!(ended.is_err() && begun.elapsed() < ms(1000), "{text:?}: {ended:?}");
+        assert!(
+            ended.is_err() && begun.elapsed() < ms(1000),
+            "{text:?}: {ended:?}"
+        );
     }
-    for act in [Act::Garbage, Act::Half, Act::Twice, Act::HalfEnds, Act::Resets] {
-        let of = agent(Ways { now_and_then: vec![(act, 0.5)], ..Ways::default() });
+    for act in [
+        Act::Garbage,
+        Act::Half,
+        Act::Twice,
+        Act::HalfEnds,
+        Act::Resets,
+    ] {
+        let of = agent(Ways {
+            now_and_then: vec![(act, 0.5)],
+            ..Ways::default()
+        });
         let client = blocking::Client::new(Service::new(vec![of.address(0)], vec![view.clone()]));
-        let ended: Vec<_> =
-            (0..12).map(|n| client.call(Call::read("view", &format!("o{n}"), ms(300)))).collect();
+        let ended: Vec<_> = (0..12)
+            .map(|n| client.call(Call::read("view", &format!("o{n}"), ms(300))))
+            .collect();
         for answered in ended.iter().flatten() {
             assert_eq!(answered.value, [0x9f, 3], "{act:?}");
         }
@@ -140,10 +203,24 @@
 
 #[test]
 fn no_call_outlives_its_expiry_wherever_it_waits() {
-    let view = Lane { name: "view".into(), repeats: Repeats::Idempotent, quoted: ms(400), benefit: 1.0 };
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mute = agent(Ways { mute: true, ..Ways::default() });
-    let silent = agent(Ways { act: Act::Silent, ..Ways::default() });
+    let view = Lane {
+        name: "view".into(),
+        repeats: Repeats::Idempotent,
+        quoted: ms(400),
+        benefit: 1.0,
+    };
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let mute = agent(Ways {
+        mute: true,
+        ..Ways::default()
+    });
+    let silent = agent(Ways {
+        act: Act::Silent,
+        ..Ways::default()
+    });
     for address in [nobody, mute.address(0), silent.address(0)] {
         let mut s = Service::new(vec![address], vec![view.clone()]);
         (s.connections.most, s.in_flight.waiting, s.in_flight.wait) = (2, 2, ms(150));
@@ -153,34 +230,61 @@
                 let client = client.clone();
                 thread::spawn(move || {
                     let begun = Instant::now();
-                    let ended =
-                        futures_lite::future::block_on(client.call(Call::read("view", "a1", ms(400))));
+                    let ended = futures_lite::future::block_on(client.call(Call::read(
+                        "view",
+                        "a1",
+                        ms(400),
+                    )));
                     (begun.elapsed(), ended)
                 })
             })
             .collect();
         let ended: Vec<_> = threads.into_iter().map(|t| t.join().unwrap()).collect();
-        assert!(ended.iter().all(|(took, e)| *took < ms(600) && e.is_err()), "{address}: {ended:?}");
-        let at_once = ended.iter().filter(|(took, e)| *took < ms(300) && *e == Err(Unanswered::Shed)).count();
-        assert!(address != silent.address(0) || at_once >= 8, "shed, not queued: {ended:?}");
+        assert!(
+            ended.iter().all(|(took, e)| *took < ms(600) && e.is_err()),
+            "{address}: {ended:?}"
+        );
+        let at_once = ended
+            .iter()
+            .filter(|(took, e)| *took < ms(300) && *e == Err(Unanswered::Shed))
+            .count();
+        assert!(
+            address != silent.address(0) || at_once >= 8,
+            "shed, not queued: {ended:?}"
+        );
         assert_eq!(client.seen().in_flight, 0);
     }
 }
 
 #[test]
 fn an_agent_that_leaves_is_left_for_others_without_a_failed_call() {
-    let payment =
-        Lane { name: "payment".into(), repeats: Repeats::Unrepeatable, quoted: ms(400), benefit: 1.0 };
+    let payment = Lane {
+        name: "payment".into(),
+        repeats: Repeats::Unrepeatable,
+        quoted: ms(400),
+        benefit: 1.0,
+    };
     let (stays, leaves) = (agent(Ways::default()), agent(Ways::default()));
-    let client = Client::new(Service::new(vec![stays.address(0), leaves.address(0)], vec![payment]));
+    let client = Client::new(Service::new(
+        vec![stays.address(0), leaves.address(0)],
+        vec![payment],
+    ));
     let pay = |n: u32| {
-        futures_lite::future::block_on(client.call(Call::read("payment", &format!("p{n}"), ms(900))))
+        futures_lite::future::block_on(client.call(Call::read(
+            "payment",
+            &format!("p{n}"),
+            ms(900),
+        )))
     };
     assert!((0..20).all(|n| pay(n).is_ok()));
     leaves.ways(|w| w.act = Act::Leaves);
     let before = leaves.seen_count();
     assert!((20..80).all(|n| pay(n).is_ok()));
-    assert_eq!(leaves.seen_count(), before + 1, "one of them told that it leaves; it is passed over then");
+    assert_eq!(
+        leaves.seen_count(),
+        before + 1,
+        "one of them told that it leaves; it is passed over then"
+    );
     // Closing between commands says the same.
     leaves.crash();
     thread::sleep(ms(2100));
--- a/crates/deployment/examples/settings.rs
+++ b/crates/deployment/examples/settings.rs
@@ -11,8 +11,7 @@
 fn settings(least: usize, tenants: usize) -> String {
     let share = 1.0 / tenants as f64;
     let tenant = |n: usize| json!({"name": format!("tenant-{n}"), "share": share});
-    let class =
-        |n: usize| json!({"name": format!("class-{n}"), "aim-ms": 400.0, "idempotency": "repeatable"});
+    let class = |n: usize| json!({"name": format!("class-{n}"), "aim-ms": 400.0, "idempotency": "repeatable"});
     json!({"zones": ["a", "b"], "zone": "a", "classes": (0..6).map(class).collect::<Vec<_>>(),
         "tenants": (least..least + tenants).map(tenant).collect::<Vec<_>>(),
         "discovery": "push", "instances": 4, "rules": {}, "prices": {}, "limits": {"try-limit": 5},
@@ -40,12 +39,26 @@
     for tenants in [400, 5_600, 28_000, 56_000] {
         let (text, next) = (settings(0, tenants), settings(1, tenants));
         let (site, new) = (read(&text)?, read(&next)?);
-        let names: Vec<String> = (0..200).map(|n| format!("tenant-{}", n * 7919 % tenants)).collect();
-        let found = least(|| names.iter().filter(|n| site.customer(black_box(n)).is_some()).count());
-        print!("tenants {tenants}: read {:.0} us, look-up {:.3} us", least(|| read(&text)), found / 200.0);
+        let names: Vec<String> = (0..200)
+            .map(|n| format!("tenant-{}", n * 7919 % tenants))
+            .collect();
+        let found = least(|| {
+            names
+                .iter()
+                .filter(|n| site.customer(black_box(n)).is_some())
+                .count()
+        });
+        print!(
+            "tenants {tenants}: read {:.0} us, look-up {:.3} us",
+            least(|| read(&text)),
+            found / 200.0
+        );
         let mut copies: Vec<Site> = (0..7).map(|_| new.clone()).collect();
         let after = least(|| copies.pop().map(|c| c.after(&site, &InHand::default())));
-        println!(", numbered after those in force {after:.0} us; {} bytes", text.len());
+        println!(
+            ", numbered after those in force {after:.0} us; {} bytes",
+            text.len()
+        );
     }
     Ok(())
 }
--- a/crates/deployment/src/document.rs
+++ b/crates/deployment/src/document.rs
@@ -23,7 +23,11 @@
 
 impl fmt::Display for Mistake {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}:{}: {}: {}", self.line, self.column, self.key, self.what)
+        write!(
+            f,
+            "{}:{}: {}: {}",
+            self.line, self.column, self.key, self.what
+        )
     }
 }
 
@@ -42,21 +46,36 @@
 
 impl<'a> Reader<'a> {
     pub fn new(text: &'a str) -> Reader<'a> {
-        Reader { text, mistakes: Vec::new() }
+        Reader {
+            text,
+            mistakes: Vec::new(),
+        }
     }
 
     /// The document, unless it is no KDL.
     pub fn document(&mut self) -> Option<KdlDocument> {
         let start = Place { line: 1, column: 1 };
         if self.text.len() > LENGTH_MOST {
-            self.wrong(start, "file", format!("at most {LENGTH_MOST} bytes are read"));
+            self.wrong(
+                start,
+                "file",
+                format!("at most {LENGTH_MOST} bytes are read"),
+            );
             return None;
         }
         let mut depth = 0usize;
         for b in self.text.bytes() {
-            depth = if b == b'{' { depth + 1 } else { depth.saturating_sub(usize::from(b == b'}')) };
+            depth = if b == b'{' {
+                depth + 1
+            } else {
+                depth.saturating_sub(usize::from(b == b'}'))
+            };
             if depth > DEPTH_MOST {
-                self.wrong(start, "file", format!("braces stand at most {DEPTH_MOST} deep"));
+                self.wrong(
+                    start,
+                    "file",
+                    format!("braces stand at most {DEPTH_MOST} deep"),
+                );
                 return None;
             }
         }
@@ -65,8 +84,16 @@
             Err(e) => {
                 for d in &e.diagnostics {
                     let what = d.message.clone().unwrap_or_else(|| "no KDL".into());
-                    let help = d.help.as_ref().map(|h| format!(" ({h})")).unwrap_or_default();
-                    self.wrong(self.place(d.span.offset()), "syntax", format!("{what}{help}"));
+                    let help = d
+                        .help
+                        .as_ref()
+                        .map(|h| format!(" ({h})"))
+                        .unwrap_or_default();
+                    self.wrong(
+                        self.place(d.span.offset()),
+                        "syntax",
+                        format!("{what}{help}"),
+                    );
                 }
                 if e.diagnostics.is_empty() {
                     self.wrong(start, "syntax", "no KDL".into());
@@ -79,7 +106,13 @@
     fn place(&self, offset: usize) -> Place {
         let before = self.text.get(..offset).unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
-        let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
+        let column = before
+            .rsplit('\n')
+            .next()
+            .unwrap_or_default()
+            .chars()
+            .count()
+            + 1;
         Place { line, column }
     }
 
@@ -95,7 +128,12 @@
     }
 
     pub fn wrong(&mut self, at: Place, key: &str, what: String) {
-        self.mistakes.push(Mistake { line: at.line, column: at.column, key: key.to_owned(), what });
+        self.mistakes.push(Mistake {
+            line: at.line,
+            column: at.column,
+            key: key.to_owned(),
+            what,
+        });
     }
 
     /// The nodes of a document that are known here; the others are mistakes, and so are those that may come
@@ -124,7 +162,10 @@
 
     fn unknown(&mut self, at: Place, name: &str, within: &str, known: &[&str]) {
         let distance = |k: &&&str| strsim::damerau_levenshtein(name, k);
-        let near = known.iter().min_by_key(distance).filter(|k| distance(k) <= 2.max(name.len() / 2));
+        let near = known
+            .iter()
+            .min_by_key(distance)
+            .filter(|k| distance(k) <= 2.max(name.len() / 2));
         let what = match near {
             Some(k) => format!("unknown in {within}; did you mean '{k}'?"),
             None => format!("unknown in {within}; known are {}", known.join(", ")),
@@ -133,7 +174,12 @@
     }
 
     /// The arguments of a node, of which there must be so many, and no properties but these.
-    pub fn arguments<'d>(&mut self, node: &'d KdlNode, count: usize, known: &[&str]) -> Vec<&'d KdlEntry> {
+    pub fn arguments<'d>(
+        &mut self,
+        node: &'d KdlNode,
+        count: usize,
+        known: &[&str],
+    ) -> Vec<&'d KdlEntry> {
         let name = node.name().value();
         let mut arguments = Vec::new();
         for entry in node.entries() {
@@ -153,7 +199,11 @@
                 1 => "one value is wanted".to_owned(),
                 n => format!("{n} values are wanted"),
             };
-            self.wrong(self.of(node), name, format!("{wanted}, {} given", arguments.len()));
+            self.wrong(
+                self.of(node),
+                name,
+                format!("{wanted}, {} given", arguments.len()),
+            );
             arguments.clear();
         }
         arguments
@@ -162,7 +212,11 @@
     /// The one value of a node without properties.
     fn value<'d>(&mut self, node: &'d KdlNode) -> Option<&'d KdlEntry> {
         if node.children().is_some_and(|c| !c.nodes().is_empty()) {
-            self.wrong(self.of(node), node.name().value(), "nothing stands within it".into());
+            self.wrong(
+                self.of(node),
+                node.name().value(),
+                "nothing stands within it".into(),
+            );
         }
         self.arguments(node, 1, &[]).first().copied()
     }
@@ -171,7 +225,11 @@
         match entry.value() {
             KdlValue::String(s) if !s.is_empty() && s.len() <= 256 => Some(s.clone()),
             other => {
-                self.wrong(self.of_entry(entry), key, format!("text is wanted, not {}", shown(other)));
+                self.wrong(
+                    self.of_entry(entry),
+                    key,
+                    format!("text is wanted, not {}", shown(other)),
+                );
                 None
             }
         }
@@ -190,7 +248,10 @@
         };
         let number = number.filter(|n| n.is_finite() && (least..=most).contains(n));
         if number.is_none() {
-            let what = format!("a number from {least} to {most} is wanted, not {}", shown(entry.value()));
+            let what = format!(
+                "a number from {least} to {most} is wanted, not {}",
+                shown(entry.value())
+            );
             self.wrong(self.of_entry(entry), key, what);
         }
         number
@@ -204,11 +265,18 @@
     /// The numbers of a node, one or more.
     pub fn numbers(&mut self, node: &KdlNode, least: f64, most: f64) -> Vec<f64> {
         let key = node.name().value();
-        let entries: Vec<&KdlEntry> = node.entries().iter().filter(|e| e.name().is_none()).collect();
+        let entries: Vec<&KdlEntry> = node
+            .entries()
+            .iter()
+            .filter(|e| e.name().is_none())
+            .collect();
         if entries.is_empty() {
             self.wrong(self.of(node), key, "one number or more are wanted".into());
         }
-        entries.into_iter().filter_map(|e| self.number_of(e, key, least, most)).collect()
+        entries
+            .into_iter()
+            .filter_map(|e| self.number_of(e, key, least, most))
+            .collect()
     }
 
     /// A number given as a property; `other` where it is not.
@@ -222,13 +290,26 @@
     /// A span with its unit: us, ms, s, m, h or d.
     pub fn span(&mut self, node: &KdlNode, least: Duration) -> Option<Duration> {
         let entry = self.value(node)?;
-        let units = [("us", 1e-6), ("ms", 1e-3), ("s", 1.0), ("m", 60.0), ("h", 3600.0), ("d", 86_400.0)];
+        let units = [
+            ("us", 1e-6),
+            ("ms", 1e-3),
+            ("s", 1.0),
+            ("m", 60.0),
+            ("h", 3600.0),
+            ("d", 86_400.0),
+        ];
         let read = entry.value().as_string().and_then(|s| measure(s, &units));
         let span = read.filter(|s| (least.as_secs_f64()..=SPAN_MOST).contains(s));
         if span.is_none() {
-            let from = if least.is_zero() { String::new() } else { format!(" of {least:?} or more") };
-            let what =
-                format!("a span{from} like \"250ms\" or \"1h\" is wanted, not {}", shown(entry.value()));
+            let from = if least.is_zero() {
+                String::new()
+            } else {
+                format!(" of {least:?} or more")
+            };
+            let what = format!(
+                "a span{from} like \"250ms\" or \"1h\" is wanted, not {}",
+                shown(entry.value())
+            );
             self.wrong(self.of_entry(entry), node.name().value(), what);
         }
         span.map(Duration::from_secs_f64)
@@ -251,7 +332,10 @@
         };
         let size = read.filter(|n| n.is_finite() && (0.0..=1e18).contains(n));
         if size.is_none() {
-            let what = format!("a size like \"64MiB\" is wanted, not {}", shown(entry.value()));
+            let what = format!(
+                "a size like \"64MiB\" is wanted, not {}",
+                shown(entry.value())
+            );
             self.wrong(self.of_entry(entry), node.name().value(), what);
         }
         size
@@ -274,7 +358,11 @@
         let found = words.iter().position(|w| *w == text);
         if found.is_none() {
             let (at, name) = (self.of(node), node.name().value());
-            self.wrong(at, name, format!("one of {} is wanted, not \"{text}\"", words.join(", ")));
+            self.wrong(
+                at,
+                name,
+                format!("one of {} is wanted, not \"{text}\"", words.join(", ")),
+            );
         }
         found
     }
@@ -284,7 +372,11 @@
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (number, unit) = text.split_at(digits);
     let scale = units.iter().find(|u| u.0 == unit.trim())?.1;
-    number.parse::<f64>().ok().filter(|n| n.is_finite()).map(|n| n * scale)
+    number
+        .parse::<f64>()
+        .ok()
+        .filter(|n| n.is_finite())
+        .map(|n| n * scale)
 }
 
 fn shown(value: &KdlValue) -> String {
--- a/crates/deployment/src/fields.rs
+++ b/crates/deployment/src/fields.rs
@@ -8,7 +8,10 @@
 
 impl<'a> Fields<'a> {
     pub fn of(value: &'a Value, name: &str) -> Result<Fields<'a>, String> {
-        value.as_object().map(Fields).ok_or_else(|| format!("field {name}: an object is wanted"))
+        value
+            .as_object()
+            .map(Fields)
+            .ok_or_else(|| format!("field {name}: an object is wanted"))
     }
 
     /// A field that may be left out; null counts as left out.
@@ -16,8 +19,15 @@
         self.0.get(name).filter(|v| !v.is_null())
     }
 
-    fn need<T>(&self, name: &str, form: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T, String> {
-        let value = self.maybe(name).ok_or_else(|| format!("field {name}: missing"))?;
+    fn need<T>(
+        &self,
+        name: &str,
+        form: &str,
+        read: impl Fn(&'a Value) -> Option<T>,
+    ) -> Result<T, String> {
+        let value = self
+            .maybe(name)
+            .ok_or_else(|| format!("field {name}: missing"))?;
         read(value).ok_or_else(|| format!("field {name}: {form} is wanted"))
     }
 
@@ -72,7 +82,9 @@
     }
 
     pub fn array_or_none(&self, name: &str) -> Result<&'a [Value], String> {
-        self.or(name, "an array", &[][..], |v| v.as_array().map(Vec::as_slice))
+        self.or(name, "an array", &[][..], |v| {
+            v.as_array().map(Vec::as_slice)
+        })
     }
 
     pub fn inner(&self, name: &str) -> Result<Fields<'a>, String> {
--- a/crates/deployment/src/installation.rs
+++ b/crates/deployment/src/installation.rs
@@ -49,7 +49,10 @@
         }
         match text.parse::<SocketAddr>() {
             Ok(address) if address.ip().is_loopback() => Ok(Door::Tcp(address)),
-            Ok(address) => Err(format!("a loopback address is wanted, {} is none", address.ip())),
+            Ok(address) => Err(format!(
+                "a loopback address is wanted, {} is none",
+                address.ip()
+            )),
             Err(_) => Err("\"127.0.0.1:PORT\" or \"unix:PATH\" is wanted".into()),
         }
     }
@@ -87,7 +90,12 @@
         let mut reader = Reader::new(text);
         let mut installation = Installation::default();
         let document = reader.document();
-        for node in reader.nodes(document.as_ref(), "the file", &["log", "door", "zones", "watch"], &[]) {
+        for node in reader.nodes(
+            document.as_ref(),
+            "the file",
+            &["log", "door", "zones", "watch"],
+            &[],
+        ) {
             match node.name().value() {
                 "log" => {
                     let forms = [LogForm::Text, LogForm::Json];
@@ -114,11 +122,24 @@
 
     /// The settings that are watched beside those that decide; none unless the file says so.
     pub fn watch(&self, site: &Site) -> Result<Option<Shape>, Vec<Mistake>> {
-        let Some((at, shape)) = &self.watch else { return Ok(None) };
-        let stages = shape.caps.as_ref().map_or(site.deployment.rollout.caps.len(), Vec::len);
+        let Some((at, shape)) = &self.watch else {
+            return Ok(None);
+        };
+        let stages = shape
+            .caps
+            .as_ref()
+            .map_or(site.deployment.rollout.caps.len(), Vec::len);
         if shape.guarded_stages.is_some_and(|n| n > stages) {
-            let (key, what) = ("guarded-stages".to_owned(), format!("there are {stages} stages"));
-            return Err(vec![Mistake { line: at.line, column: at.column, key, what }]);
+            let (key, what) = (
+                "guarded-stages".to_owned(),
+                format!("there are {stages} stages"),
+            );
+            return Err(vec![Mistake {
+                line: at.line,
+                column: at.column,
+                key,
+                what,
+            }]);
         }
         Ok(Some(shape.clone()))
     }
@@ -131,15 +152,32 @@
     /// What is said of zones, in the numbers of this deployment; nothing where nothing is said. Names that the
     /// deployment does not have are mistakes.
     pub fn zoning(&self, site: &Site) -> Result<Option<Zoning>, Vec<Mistake>> {
-        let Some(traffic) = &self.zones else { return Ok(None) };
+        let Some(traffic) = &self.zones else {
+            return Ok(None);
+        };
         let mut mistakes = Vec::new();
         let mut wrong = |at: Place, key: &str, what: String| {
-            mistakes.push(Mistake { line: at.line, column: at.column, key: key.to_owned(), what });
+            mistakes.push(Mistake {
+                line: at.line,
+                column: at.column,
+                key: key.to_owned(),
+                what,
+            });
         };
         let zones = site.zones.len();
-        let zone = |name: &str| if name == UNNAMED { Some(zones) } else { site.zone(name) };
-        let no_zone =
-            |name: &str| format!("no zone '{name}' in the settings; they have {}", site.zones.join(", "));
+        let zone = |name: &str| {
+            if name == UNNAMED {
+                Some(zones)
+            } else {
+                site.zone(name)
+            }
+        };
+        let no_zone = |name: &str| {
+            format!(
+                "no zone '{name}' in the settings; they have {}",
+                site.zones.join(", ")
+            )
+        };
         let mut links = vec![Link::default(); zones + 1];
         for l in &traffic.links {
             let ends = [zone(&l.from), zone(&l.to)];
@@ -157,20 +195,29 @@
         let mut budgets = Vec::new();
         for b in &traffic.budgets {
             let to = b.to.as_ref().map(|(at, name)| (at, name, zone(name)));
-            let lane = b.lane.as_ref().map(|(at, name)| (at, name, site.lane(name)));
+            let lane = b
+                .lane
+                .as_ref()
+                .map(|(at, name)| (at, name, site.lane(name)));
             if let Some((at, name, None)) = to {
                 wrong(*at, "to", no_zone(name));
             }
             if let Some((at, name, None)) = lane {
                 let known = site.lanes.join(", ");
-                wrong(*at, "lane", format!("no lane '{name}' in the settings; they have {known}"));
+                wrong(
+                    *at,
+                    "lane",
+                    format!("no lane '{name}' in the settings; they have {known}"),
+                );
             }
             let (to, lane) = (to.and_then(|t| t.2), lane.and_then(|l| l.2));
             if to == Some(site.deployment.zone) {
                 // It is some other agent's.
                 continue;
             }
-            let part = b.part.unwrap_or(1.0 / f64::from(site.deployment.agents.max(1)));
+            let part = b
+                .part
+                .unwrap_or(1.0 / f64::from(site.deployment.agents.max(1)));
             budgets.extend(b.limits.iter().map(|limit| Budget {
                 name: b.name.clone(),
                 to,
@@ -187,7 +234,12 @@
         Ok(Some(Zoning {
             own: site.deployment.zone,
             zones,
-            lanes: lanes.map(|l| LaneView { benefit: l.benefit, quoted: l.quoted }).collect(),
+            lanes: lanes
+                .map(|l| LaneView {
+                    benefit: l.benefit,
+                    quoted: l.quoted,
+                })
+                .collect(),
             links,
             budgets,
             routing: traffic.routing,
@@ -203,8 +255,9 @@
         match node.name().value() {
             "routing" => {
                 let kinds = [Routing::AsEver, Routing::NearFirst];
-                traffic.routing =
-                    r.word(node, &["as-ever", "near-first"]).map_or(Routing::AsEver, |n| kinds[n]);
+                traffic.routing = r
+                    .word(node, &["as-ever", "near-first"])
+                    .map_or(Routing::AsEver, |n| kinds[n]);
             }
             "link" => {
                 let Some(link) = link(r, node) else { continue };
@@ -218,9 +271,15 @@
                 traffic.links.push(link);
             }
             _ => {
-                let Some(budget) = budget(r, node) else { continue };
+                let Some(budget) = budget(r, node) else {
+                    continue;
+                };
                 if !budgets.insert(budget.name.clone()) {
-                    r.wrong(budget.at, "budget", format!("the name '{}' stands twice", budget.name));
+                    r.wrong(
+                        budget.at,
+                        "budget",
+                        format!("the name '{}' stands twice", budget.name),
+                    );
                 }
                 traffic.budgets.push(budget);
             }
@@ -232,13 +291,26 @@
 fn shape(r: &mut Reader, node: &KdlNode) -> Shape {
     r.arguments(node, 0, &[]);
     let mut shape = Shape::default();
-    let known = ["guarded-stages", "caps", "free", "by-lane", "cold-for", "warm-keys"];
+    let known = [
+        "guarded-stages",
+        "caps",
+        "free",
+        "by-lane",
+        "cold-for",
+        "warm-keys",
+    ];
     for node in r.nodes(node.children(), "watch", &known, &[]) {
         match node.name().value() {
             "guarded-stages" => {
                 shape.guarded_stages = r.number(node, 0.0, STAGES_MOST).map(|n| n as usize);
-                if r.number(node, 0.0, STAGES_MOST).is_some_and(|n| n.fract() > 0.0) {
-                    r.wrong(r.of(node), "guarded-stages", "a whole number is wanted".into());
+                if r.number(node, 0.0, STAGES_MOST)
+                    .is_some_and(|n| n.fract() > 0.0)
+                {
+                    r.wrong(
+                        r.of(node),
+                        "guarded-stages",
+                        "a whole number is wanted".into(),
+                    );
                 }
             }
             "caps" => shape.caps = Some(r.numbers(node, 0.0, 1.0)),
@@ -253,8 +325,11 @@
 
 fn link(r: &mut Reader, node: &KdlNode) -> Option<StatedLink> {
     let at = r.of(node);
-    let ends: Vec<String> =
-        r.arguments(node, 2, &[]).into_iter().filter_map(|e| r.text_of(e, "link")).collect();
+    let ends: Vec<String> = r
+        .arguments(node, 2, &[])
+        .into_iter()
+        .filter_map(|e| r.text_of(e, "link"))
+        .collect();
     let mut link = Link::default();
     for node in r.nodes(node.children(), "link", &["price", "delay"], &[]) {
         match node.name().value() {
@@ -271,7 +346,11 @@
     }
     let [from, to]: [String; 2] = ends.try_into().ok()?;
     if from == to {
-        r.wrong(at, "link", format!("two zones are wanted, not '{from}' twice"));
+        r.wrong(
+            at,
+            "link",
+            format!("two zones are wanted, not '{from}' twice"),
+        );
         return None;
     }
     Some(StatedLink { at, from, to, link })
@@ -279,9 +358,22 @@
 
 fn budget(r: &mut Reader, node: &KdlNode) -> Option<StatedBudget> {
     let at = r.of(node);
-    let name = r.arguments(node, 1, &[]).into_iter().find_map(|e| r.text_of(e, "budget"));
-    let (mut to, mut lane, mut part, mut window, mut limits) = (None, None, None, WINDOW, Vec::new());
-    let known = ["to", "lane", "deliveries", "bytes", "money", "share", "window", "part"];
+    let name = r
+        .arguments(node, 1, &[])
+        .into_iter()
+        .find_map(|e| r.text_of(e, "budget"));
+    let (mut to, mut lane, mut part, mut window, mut limits) =
+        (None, None, None, WINDOW, Vec::new());
+    let known = [
+        "to",
+        "lane",
+        "deliveries",
+        "bytes",
+        "money",
+        "share",
+        "window",
+        "part",
+    ];
     for node in r.nodes(node.children(), "budget", &known, &[]) {
         let place = r.of(node);
         match node.name().value() {
@@ -296,7 +388,19 @@
         }
     }
     if limits.is_empty() && r.mistakes.is_empty() {
-        r.wrong(at, "budget", "one of deliveries, bytes, money or share is wanted in it".into());
+        r.wrong(
+            at,
+            "budget",
+            "one of deliveries, bytes, money or share is wanted in it".into(),
+        );
     }
-    Some(StatedBudget { at, name: name?, to, lane, limits, window, part })
+    Some(StatedBudget {
+        at,
+        name: name?,
+        to,
+        lane,
+        limits,
+        window,
+        part,
+    })
 }
--- a/crates/deployment/src/instance.rs
+++ b/crates/deployment/src/instance.rs
@@ -25,21 +25,35 @@
     pub fn read(value: &'a Value) -> Result<Instance<'a>, String> {
         let c = Fields::of(value, "configuration")?;
         let seed = c.text("seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| "field seed: up to 16 hex digits are wanted")?;
-        let mut site = Site::read(&c.inner("settings")?, seed).map_err(|f| format!("settings: {f}"))?;
+        let seed = u64::from_str_radix(seed, 16)
+            .map_err(|_| "field seed: up to 16 hex digits are wanted")?;
+        let mut site =
+            Site::read(&c.inner("settings")?, seed).map_err(|f| format!("settings: {f}"))?;
         // On sockets the list is always asked for, whatever the simulator does here.
         site.deployment.list_asked = true;
         // Nor is there a way to ask an appliance for its load; what it tells in its answers is heard.
         site.deployment.probes = false;
-        let limits = c.maybe("limits").map(|l| Fields::of(l, "limits")).transpose()?;
+        let limits = c
+            .maybe("limits")
+            .map(|l| Fields::of(l, "limits"))
+            .transpose()?;
         let limit = |name: &str, other: u64| {
-            let read = limits.as_ref().map_or(Ok(other), |l| l.whole_or(name, other));
+            let read = limits
+                .as_ref()
+                .map_or(Ok(other), |l| l.whole_or(name, other));
             read.map(|n| n as usize).map_err(|e| format!("limits: {e}"))
         };
-        let platform = c.maybe("deployer").map(|d| Fields::of(d, "deployer")).transpose()?;
+        let platform = c
+            .maybe("deployer")
+            .map(|d| Fields::of(d, "deployer"))
+            .transpose()?;
         let news = platform.as_ref().and_then(|p| p.maybe("news"));
         Ok(Instance {
-            name: c.maybe("name").and_then(Value::as_str).unwrap_or("agent").to_owned(),
+            name: c
+                .maybe("name")
+                .and_then(Value::as_str)
+                .unwrap_or("agent")
+                .to_owned(),
             listen: address(&c, "listen")?,
             discovery: address(&c, "discovery")?,
             platform: platform
@@ -49,7 +63,10 @@
                 .map_err(|e| format!("deployer: {e}"))?,
             sockets: limit("sockets", SOCKETS)?,
             memory: limit("memory_mb", MEMORY_MB)?.saturating_mul(1024 * 1024),
-            known: c.maybe("known").map(|k| Fields::of(k, "known")).transpose()?,
+            known: c
+                .maybe("known")
+                .map(|k| Fields::of(k, "known"))
+                .transpose()?,
             news: news.map(|n| Fields::of(n, "deployer.news")).transpose()?,
             site,
         })
@@ -58,5 +75,6 @@
 
 fn address(c: &Fields, key: &str) -> Result<SocketAddr, String> {
     let text = c.text(key)?;
-    text.parse().map_err(|_| format!("field {key}: '{text}' is no address with a port"))
+    text.parse()
+        .map_err(|_| format!("field {key}: '{text}' is no address with a port"))
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -40,7 +40,9 @@
 
 /// The number that equal names share, at every agent and in every version (FNV-1a, 64 bits).
 pub fn number(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |n, b| (n ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |n, b| {
+        (n ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// What is wrong with the settings.
@@ -107,7 +109,8 @@
         let Some(zone) = zone_numbers.get(zone).copied() else {
             return Err(Fault::Undefined(format!("unknown zone '{zone}'")));
         };
-        let (mut lanes, mut lane_names, mut longest_expiry) = (Vec::new(), Vec::new(), Duration::ZERO);
+        let (mut lanes, mut lane_names, mut longest_expiry) =
+            (Vec::new(), Vec::new(), Duration::ZERO);
         for class in s.array("classes")? {
             let c = Fields::of(class, "classes")?;
             lane_names.push(c.text("name")?.to_owned());
@@ -115,10 +118,17 @@
             let repeats = match c.text("idempotency")? {
                 "repeatable" => Repeats::Idempotent,
                 "once" => Repeats::Unrepeatable,
-                "by_key" => Repeats::Deduplicated { group: group(&c)?, window: c.span("window-ms")? },
+                "by_key" => Repeats::Deduplicated {
+                    group: group(&c)?,
+                    window: c.span("window-ms")?,
+                },
                 other => return Err(format!("field idempotency: unknown value '{other}'").into()),
             };
-            lanes.push(Lane { quoted: c.span("aim-ms")?, benefit: c.number_or("points", 1.0)?, repeats });
+            lanes.push(Lane {
+                quoted: c.span("aim-ms")?,
+                benefit: c.number_or("points", 1.0)?,
+                repeats,
+            });
         }
         let lane_numbers = numbers("classes", "class", lane_names.iter().map(String::as_str))?;
         let tenants = s.array_or_none("tenants")?;
@@ -127,7 +137,9 @@
             let t = Fields::of(tenant, "tenants")?;
             let (name, share) = (t.text("name")?, t.number_or("share", 1.0)?);
             if !(0.0..=1.0).contains(&share) {
-                return Err(format!("field share: tenant '{name}': a share from 0 to 1 is wanted").into());
+                return Err(
+                    format!("field share: tenant '{name}': a share from 0 to 1 is wanted").into(),
+                );
             }
             customer_names.push(name);
             customers.push(Customer { share });
@@ -137,10 +149,15 @@
         let domain = s.inner("domain")?;
         let mut caps = Vec::new();
         for cap in domain.array("most-shares")? {
-            caps.push(cap.as_f64().ok_or("field most-shares: numbers are wanted".to_owned())?);
+            caps.push(
+                cap.as_f64()
+                    .ok_or("field most-shares: numbers are wanted".to_owned())?,
+            );
         }
         check(s, &domain, &rules, caps.len())?;
-        let come_back = limits.flag("retry-after")?.then_some(limits.span_or("max-retry-after-ms", 0.0)?);
+        let come_back = limits
+            .flag("retry-after")?
+            .then_some(limits.span_or("max-retry-after-ms", 0.0)?);
         let deployment = Deployment {
             seed,
             agents: s.whole_or("instances", 1)? as u32,
@@ -202,7 +219,10 @@
 
     /// Whether commands of this lane have a key by which repeats are told.
     pub fn deduplicates(&self, lane: usize) -> bool {
-        matches!(self.deployment.lanes[lane].repeats, Repeats::Deduplicated { .. })
+        matches!(
+            self.deployment.lanes[lane].repeats,
+            Repeats::Deduplicated { .. }
+        )
     }
 
     pub fn customer(&self, name: &str) -> Option<usize> {
@@ -215,7 +235,11 @@
 
     /// How many lanes, customers and zones have names.
     pub fn named(&self) -> [usize; 3] {
-        [self.lane_numbers.len(), self.customer_numbers.len(), self.zone_numbers.len()]
+        [
+            self.lane_numbers.len(),
+            self.customer_numbers.len(),
+            self.zone_numbers.len(),
+        ]
     }
 }
 
@@ -223,7 +247,11 @@
 fn check(s: &Fields, domain: &Fields, rules: &Fields, stages: usize) -> Result<(), String> {
     let wrong = |key: &str, what: String| Err(format!("field {key}: {what}"));
     let limits = s.inner("limits")?;
-    for (of, key) in [(s, "instances"), (domain, "noes-needed"), (&limits, "try-limit")] {
+    for (of, key) in [
+        (s, "instances"),
+        (domain, "noes-needed"),
+        (&limits, "try-limit"),
+    ] {
         if of.whole_or(key, 1)? == 0 {
             return wrong(key, "one at least is wanted".into());
         }
@@ -231,7 +259,11 @@
     if domain.whole_or("closed-stages", 0)? as usize > stages {
         return wrong("closed-stages", format!("there are {stages} stages"));
     }
-    for (of, key) in [(domain, "reported-share"), (domain, "counted-share"), (rules, "cold-share")] {
+    for (of, key) in [
+        (domain, "reported-share"),
+        (domain, "counted-share"),
+        (rules, "cold-share"),
+    ] {
         if !(0.0..=1.0).contains(&of.number_or(key, 0.0)?) {
             return wrong(key, "a share from 0 to 1 is wanted".into());
         }
@@ -268,7 +300,10 @@
 }
 
 fn names(list: &[Value]) -> Result<Vec<String>, String> {
-    let text =
-        |v: &Value| v.as_str().map(str::to_owned).ok_or_else(|| "field zones: names are wanted".to_owned());
+    let text = |v: &Value| {
+        v.as_str()
+            .map(str::to_owned)
+            .ok_or_else(|| "field zones: names are wanted".to_owned())
+    };
     list.iter().map(text).collect()
 }
--- a/crates/deployment/src/renewal.rs
+++ b/crates/deployment/src/renewal.rs
@@ -13,35 +13,72 @@
     pub fn after(self, old: &Site, in_hand: &InHand) -> (Site, Numbering) {
         let (new, before) = (&self.deployment, &old.deployment);
         let other = |n: usize, was: usize| new.lanes[n].repeats != before.lanes[was].repeats;
-        let lanes =
-            Numbers::of(&old.lane_numbers, old.lanes.len(), &self.lane_numbers, other, &in_hand.lanes);
+        let lanes = Numbers::of(
+            &old.lane_numbers,
+            old.lanes.len(),
+            &self.lane_numbers,
+            other,
+            &in_hand.lanes,
+        );
         let alike = |_, _| false;
         let count = before.customers.len();
-        let customers =
-            Numbers::of(&old.customer_numbers, count, &self.customer_numbers, alike, &in_hand.customers);
-        let zones =
-            Numbers::of(&old.zone_numbers, old.zones.len(), &self.zone_numbers, alike, &in_hand.zones);
+        let customers = Numbers::of(
+            &old.customer_numbers,
+            count,
+            &self.customer_numbers,
+            alike,
+            &in_hand.customers,
+        );
+        let zones = Numbers::of(
+            &old.zone_numbers,
+            old.zones.len(),
+            &self.zone_numbers,
+            alike,
+            &in_hand.zones,
+        );
         // Nobody's lane: it takes part in nothing.
-        let nobodys = Lane { quoted: Duration::from_secs(1), benefit: 0.0, repeats: Repeats::Unrepeatable };
+        let nobodys = Lane {
+            quoted: Duration::from_secs(1),
+            benefit: 0.0,
+            repeats: Repeats::Unrepeatable,
+        };
         let site = Site {
-            lanes: lanes
-                .list(|n| self.lanes[n].clone(), |was| old.lanes.get(was).cloned().unwrap_or_default()),
-            zones: zones
-                .list(|n| self.zones[n].clone(), |was| old.zones.get(was).cloned().unwrap_or_default()),
+            lanes: lanes.list(
+                |n| self.lanes[n].clone(),
+                |was| old.lanes.get(was).cloned().unwrap_or_default(),
+            ),
+            zones: zones.list(
+                |n| self.zones[n].clone(),
+                |was| old.zones.get(was).cloned().unwrap_or_default(),
+            ),
             over: lanes.numbered(|o| o == Origin::Over),
             lane_numbers: lanes.names(self.lane_numbers),
             customer_numbers: customers.names(self.customer_numbers),
             zone_numbers: zones.names(self.zone_numbers),
             deployment: tulipwall::Deployment {
                 seed: before.seed,
-                zone: zones.places.iter().position(|p| *p == Some(new.zone)).unwrap_or_default(),
+                zone: zones
+                    .places
+                    .iter()
+                    .position(|p| *p == Some(new.zone))
+                    .unwrap_or_default(),
                 lanes: lanes.kept(&new.lanes, &before.lanes, &nobodys),
-                customers: customers.kept(&new.customers, &before.customers, &Customer { share: 1.0 }),
+                customers: customers.kept(
+                    &new.customers,
+                    &before.customers,
+                    &Customer { share: 1.0 },
+                ),
                 ..self.deployment
             },
             ..self
         };
-        (site, Numbering { lanes: lanes.origins, customers: customers.origins })
+        (
+            site,
+            Numbering {
+                lanes: lanes.origins,
+                customers: customers.origins,
+            },
+        )
     }
 
     /// Whether these settings, numbered as `by` says, are those of `old`: by numbers and figures, since comparing as many
@@ -51,10 +88,21 @@
             let same = of.iter().filter(|o| **o == Origin::Same).count();
             names == [same; 2]
         };
-        let figures = |s: &Site| (s.connect_within, s.idle_most, s.handshake_price, s.longest_expiry);
+        let figures = |s: &Site| {
+            (
+                s.connect_within,
+                s.idle_most,
+                s.handshake_price,
+                s.longest_expiry,
+            )
+        };
         goes_on(&by.lanes, [old.lane_numbers.len(), self.lane_numbers.len()])
-            && goes_on(&by.customers, [old.customer_numbers.len(), self.customer_numbers.len()])
-            && (&self.over, &self.zone_numbers, figures(self)) == (&old.over, &old.zone_numbers, figures(old))
+            && goes_on(
+                &by.customers,
+                [old.customer_numbers.len(), self.customer_numbers.len()],
+            )
+            && (&self.over, &self.zone_numbers, figures(self))
+                == (&old.over, &old.zone_numbers, figures(old))
             && self.deployment == old.deployment
     }
 
@@ -84,7 +132,13 @@
         other: impl Fn(usize, usize) -> bool,
         in_hand: &BTreeSet<usize>,
     ) -> Numbers {
-        let vacant = |n: usize| if in_hand.contains(&n) { Origin::Over } else { Origin::Free };
+        let vacant = |n: usize| {
+            if in_hand.contains(&n) {
+                Origin::Over
+            } else {
+                Origin::Free
+            }
+        };
         let mut origins: Vec<Origin> = (0..count).map(vacant).collect();
         let mut places = vec![None; count];
         let mut waiting = Vec::new();
@@ -115,7 +169,10 @@
             }
             (origins[free], places[free]) = (origin, Some(n));
         }
-        let last = origins.iter().rposition(|o| *o != Origin::Free).map_or(0, |n| n + 1);
+        let last = origins
+            .iter()
+            .rposition(|o| *o != Origin::Free)
+            .map_or(0, |n| n + 1);
         origins.truncate(last);
         places.truncate(last);
         Numbers { origins, places }
@@ -123,7 +180,11 @@
 
     /// By number: what was read, or what was kept so far.
     fn list<T>(&self, read: impl Fn(usize) -> T, was: impl Fn(usize) -> T) -> Vec<T> {
-        self.places.iter().enumerate().map(|(n, place)| place.map_or_else(|| was(n), &read)).collect()
+        self.places
+            .iter()
+            .enumerate()
+            .map(|(n, place)| place.map_or_else(|| was(n), &read))
+            .collect()
     }
 
     /// The same, with `nobodys` under free numbers.
@@ -134,7 +195,9 @@
     }
 
     fn numbered(&self, of: impl Fn(Origin) -> bool) -> Vec<usize> {
-        (0..self.origins.len()).filter(|n| of(self.origins[*n])).collect()
+        (0..self.origins.len())
+            .filter(|n| of(self.origins[*n]))
+            .collect()
     }
 
     /// The names with their numbers.
@@ -142,7 +205,10 @@
         let places = read.values().max().map_or(0, |n| n + 1);
         let mut numbers = vec![0; places];
         for (number, place) in self.places.iter().enumerate() {
-            place.and_then(|p| numbers.get_mut(p)).into_iter().for_each(|n| *n = number);
+            place
+                .and_then(|p| numbers.get_mut(p))
+                .into_iter()
+                .for_each(|n| *n = number);
         }
         read.values_mut().for_each(|n| *n = numbers[*n]);
         read
--- a/crates/deployment/src/service.rs
+++ b/crates/deployment/src/service.rs
@@ -16,31 +16,52 @@
     let mut service = Service::new(Vec::new(), Vec::new());
     let document = r.document();
     let whole = document.is_some();
-    let once = ["marks-retries", "value-most", "retries", "connections", "in-flight"];
+    let once = [
+        "marks-retries",
+        "value-most",
+        "retries",
+        "connections",
+        "in-flight",
+    ];
     for node in r.nodes(document.as_ref(), "the file", &once, &["agent", "lane"]) {
         match node.name().value() {
             "agent" => {
                 let Some(text) = r.text(node) else { continue };
                 match text.parse::<SocketAddr>() {
                     Ok(address) => service.agents.push(address),
-                    Err(_) => r.wrong(r.of(node), "agent", format!("'{text}' is no address with a port")),
+                    Err(_) => r.wrong(
+                        r.of(node),
+                        "agent",
+                        format!("'{text}' is no address with a port"),
+                    ),
                 }
             }
             "lane" => {
-                let Some(lane) = lane(&mut r, node) else { continue };
+                let Some(lane) = lane(&mut r, node) else {
+                    continue;
+                };
                 if service.lane(&lane.name).is_some() {
-                    r.wrong(r.of(node), "lane", format!("the name '{}' stands twice", lane.name));
+                    r.wrong(
+                        r.of(node),
+                        "lane",
+                        format!("the name '{}' stands twice", lane.name),
+                    );
                 }
                 service.lanes.push(lane);
             }
             "marks-retries" => service.marks_retries = r.flag(node).unwrap_or(false),
-            "value-most" => service.value_most = r.size(node).map_or(service.value_most, |n| n as usize),
+            "value-most" => {
+                service.value_most = r.size(node).map_or(service.value_most, |n| n as usize)
+            }
             "retries" => service.retrying = retrying(&mut r, node),
             "connections" => service.connections = connections(&mut r, node),
             _ => service.in_flight = in_flight(&mut r, node),
         }
     }
-    let nothing = [("agent", service.agents.is_empty()), ("lane", service.lanes.is_empty())];
+    let nothing = [
+        ("agent", service.agents.is_empty()),
+        ("lane", service.lanes.is_empty()),
+    ];
     for (key, missing) in nothing.into_iter().filter(|_| whole) {
         if missing && !r.mistakes.iter().any(|m| m.key == key) {
             r.wrong(Default::default(), key, "one or more are wanted".into());
@@ -55,15 +76,25 @@
 
 fn lane(r: &mut Reader, node: &KdlNode) -> Option<Lane> {
     let at = r.of(node);
-    let name = r.arguments(node, 1, &[]).into_iter().find_map(|e| r.text_of(e, "lane"));
+    let name = r
+        .arguments(node, 1, &[])
+        .into_iter()
+        .find_map(|e| r.text_of(e, "lane"));
     let (mut kind, mut group, mut window) = (None, Group::All, WINDOW);
     let (mut quoted, mut benefit) = (None, 1.0);
-    for node in r.nodes(node.children(), "lane", &["repeats", "group", "window", "quoted", "benefit"], &[]) {
+    for node in r.nodes(
+        node.children(),
+        "lane",
+        &["repeats", "group", "window", "quoted", "benefit"],
+        &[],
+    ) {
         match node.name().value() {
             "repeats" => kind = r.word(node, &["idempotent", "deduplicated", "unrepeatable"]),
             "group" => {
                 let groups = [Group::All, Group::Zone, Group::Cell];
-                group = r.word(node, &["all", "zone", "cell"]).map_or(Group::All, |n| groups[n]);
+                group = r
+                    .word(node, &["all", "zone", "cell"])
+                    .map_or(Group::All, |n| groups[n]);
             }
             "window" => window = r.span(node, Duration::from_millis(1)).unwrap_or(WINDOW),
             "quoted" => quoted = r.span(node, Duration::from_millis(1)),
@@ -78,14 +109,23 @@
         1 => Repeats::Deduplicated { group, window },
         _ => Repeats::Unrepeatable,
     };
-    Some(Lane { name: name?, repeats, quoted: quoted?, benefit })
+    Some(Lane {
+        name: name?,
+        repeats,
+        quoted: quoted?,
+        benefit,
+    })
 }
 
 fn retrying(r: &mut Reader, node: &KdlNode) -> Retrying {
     r.arguments(node, 0, &[]);
     let mut by = Retrying::default();
-    for node in r.nodes(node.children(), "retries", &["tries", "earned", "kept", "pause", "pause-most"], &[])
-    {
+    for node in r.nodes(
+        node.children(),
+        "retries",
+        &["tries", "earned", "kept", "pause", "pause-most"],
+        &[],
+    ) {
         match node.name().value() {
             "tries" => by.tries = r.number(node, 1.0, 100.0).map_or(by.tries, |n| n as u32),
             "earned" => by.earned = r.number(node, 0.0, 1.0).unwrap_or(by.earned),
@@ -100,15 +140,29 @@
 fn connections(r: &mut Reader, node: &KdlNode) -> Connections {
     r.arguments(node, 0, &[]);
     let (mut by, least) = (Connections::default(), Duration::from_millis(1));
-    let known = ["least", "most", "idle", "life", "within", "opening", "rate", "spread"];
+    let known = [
+        "least", "most", "idle", "life", "within", "opening", "rate", "spread",
+    ];
     for node in r.nodes(node.children(), "connections", &known, &[]) {
         match node.name().value() {
-            "least" => by.least = r.number(node, 0.0, TIMES_MOST).map_or(by.least, |n| n as usize),
-            "most" => by.most = r.number(node, 1.0, TIMES_MOST).map_or(by.most, |n| n as usize),
+            "least" => {
+                by.least = r
+                    .number(node, 0.0, TIMES_MOST)
+                    .map_or(by.least, |n| n as usize)
+            }
+            "most" => {
+                by.most = r
+                    .number(node, 1.0, TIMES_MOST)
+                    .map_or(by.most, |n| n as usize)
+            }
             "idle" => by.idle = r.span(node, least).unwrap_or(by.idle),
             "life" => by.life = r.span(node, least).unwrap_or(by.life),
             "within" => by.within = r.span(node, least).unwrap_or(by.within),
-            "opening" => by.opening = r.number(node, 1.0, TIMES_MOST).map_or(by.opening, |n| n as usize),
+            "opening" => {
+                by.opening = r
+                    .number(node, 1.0, TIMES_MOST)
+                    .map_or(by.opening, |n| n as usize)
+            }
             "rate" => by.rate = r.number(node, 0.1, TIMES_MOST).unwrap_or(by.rate),
             _ => by.spread = r.span(node, Duration::ZERO).unwrap_or(by.spread),
         }
@@ -122,11 +176,20 @@
 fn in_flight(r: &mut Reader, node: &KdlNode) -> InFlight {
     r.arguments(node, 0, &[]);
     let mut by = InFlight::default();
-    for node in r.nodes(node.children(), "in-flight", &["least", "most", "waiting", "wait"], &[]) {
+    for node in r.nodes(
+        node.children(),
+        "in-flight",
+        &["least", "most", "waiting", "wait"],
+        &[],
+    ) {
         match node.name().value() {
             "least" => by.least = r.number(node, 1.0, TIMES_MOST).unwrap_or(by.least),
             "most" => by.most = r.number(node, 1.0, TIMES_MOST).unwrap_or(by.most),
-            "waiting" => by.waiting = r.number(node, 0.0, TIMES_MOST).map_or(by.waiting, |n| n as usize),
+            "waiting" => {
+                by.waiting = r
+                    .number(node, 0.0, TIMES_MOST)
+                    .map_or(by.waiting, |n| n as usize)
+            }
             _ => by.wait = r.span(node, Duration::ZERO).unwrap_or(by.wait),
         }
     }
--- a/crates/deployment/tests/installation.rs
+++ b/crates/deployment/tests/installation.rs
@@ -28,8 +28,7 @@
 "#;
 
 fn settings() -> serde_json::Value {
-    let class =
-        |name: &str| json!({"name": name, "aim-ms": 400.0, "idempotency": "repeatable", "points": 3.0});
+    let class = |name: &str| json!({"name": name, "aim-ms": 400.0, "idempotency": "repeatable", "points": 3.0});
     json!({"zones": ["east", "west"], "zone": "east", "classes": [class("view"), class("send")],
         "discovery": "push", "instances": 4, "rules": {}, "prices": {},
         "limits": {"try-limit": 5},
@@ -45,18 +44,42 @@
 fn what_is_in_no_range_is_named_by_its_key_and_what_is_missing_has_its_default() {
     let with = |part: &str, key: &str, value: serde_json::Value| {
         let mut s = settings();
-        let of = if part.is_empty() { &mut s } else { &mut s[part] };
+        let of = if part.is_empty() {
+            &mut s
+        } else {
+            &mut s[part]
+        };
         of[key] = value;
-        Site::read(&Fields::of(&s, "settings").unwrap(), 1).map(|_| ()).unwrap_err().to_string()
+        Site::read(&Fields::of(&s, "settings").unwrap(), 1)
+            .map(|_| ())
+            .unwrap_err()
+            .to_string()
     };
-    assert_eq!(with("domain", "closed-stages", json!(2)), "field closed-stages: there are 1 stages");
+    assert_eq!(
+        with("domain", "closed-stages", json!(2)),
+        "field closed-stages: there are 1 stages"
+    );
     assert!(with("domain", "closed-stages", json!(-1)).starts_with("field closed-stages:"));
-    assert_eq!(with("domain", "noes-needed", json!(0)), "field noes-needed: one at least is wanted");
-    assert_eq!(with("", "instances", json!(0)), "field instances: one at least is wanted");
-    assert_eq!(with("limits", "try-limit", json!(0)), "field try-limit: one at least is wanted");
-    assert!(with("domain", "reported-share", json!(1.5)).starts_with("field reported-share: a share"));
+    assert_eq!(
+        with("domain", "noes-needed", json!(0)),
+        "field noes-needed: one at least is wanted"
+    );
+    assert_eq!(
+        with("", "instances", json!(0)),
+        "field instances: one at least is wanted"
+    );
+    assert_eq!(
+        with("limits", "try-limit", json!(0)),
+        "field try-limit: one at least is wanted"
+    );
+    assert!(
+        with("domain", "reported-share", json!(1.5)).starts_with("field reported-share: a share")
+    );
     assert!(with("domain", "most-shares", json!([0.2, 7])).starts_with("field most-shares: shares"));
-    assert_eq!(with("rules", "fall-multiple", json!(0.5)), "field fall-multiple: 1 or more is wanted");
+    assert_eq!(
+        with("rules", "fall-multiple", json!(0.5)),
+        "field fall-multiple: 1 or more is wanted"
+    );
     // At no granularity at all what is not yet sent would be asked after again and again without a pause.
     for (of, key) in [
         ("", "granularity-ms"),
@@ -64,7 +87,10 @@
         ("limits", "dial-timeout-ms"),
         ("limits", "conn-idle-ms"),
     ] {
-        assert_eq!(with(of, key, json!(0)), format!("field {key}: more than 0 is wanted"));
+        assert_eq!(
+            with(of, key, json!(0)),
+            format!("field {key}: more than 0 is wanted")
+        );
         assert!(with(of, key, json!(-5)).starts_with(&format!("field {key}:")));
     }
     let d = site().deployment;
@@ -76,34 +102,80 @@
 fn a_watched_shape_is_read_and_its_mistakes_are_named() {
     let text =
         "watch {\n    guarded-stages 1\n    caps 0.05 0.3\n    warm-keys #true\n    cold-for \"4s\"\n}\n";
-    let shape = Installation::read(text).unwrap().watch(&site()).unwrap().unwrap();
-    assert_eq!((shape.guarded_stages, shape.warm_keys, shape.free), (Some(1), Some(true), None));
-    assert_eq!((shape.caps, shape.cold_for), (Some(vec![0.05, 0.3]), Some(Duration::from_secs(4))));
-    assert!(Installation::read("log \"text\"\n").unwrap().watch(&site()).unwrap().is_none());
-    let far = Installation::read("watch {\n    guarded-stages 9\n}\n").unwrap().watch(&site()).unwrap_err();
-    assert!(far[0].to_string().contains("guarded-stages: there are 1 stages"), "{}", far[0]);
+    let shape = Installation::read(text)
+        .unwrap()
+        .watch(&site())
+        .unwrap()
+        .unwrap();
+    assert_eq!(
+        (shape.guarded_stages, shape.warm_keys, shape.free),
+        (Some(1), Some(true), None)
+    );
+    assert_eq!(
+        (shape.caps, shape.cold_for),
+        (Some(vec![0.05, 0.3]), Some(Duration::from_secs(4)))
+    );
+    assert!(Installation::read("log \"text\"\n")
+        .unwrap()
+        .watch(&site())
+        .unwrap()
+        .is_none());
+    let far = Installation::read("watch {\n    guarded-stages 9\n}\n")
+        .unwrap()
+        .watch(&site())
+        .unwrap_err();
+    assert!(
+        far[0]
+            .to_string()
+            .contains("guarded-stages: there are 1 stages"),
+        "{}",
+        far[0]
+    );
     let part = Installation::read("watch {\n    guarded-stages 1.5\n}\n").unwrap_err();
-    assert_eq!(part[0].to_string(), "2:5: guarded-stages: a whole number is wanted");
+    assert_eq!(
+        part[0].to_string(),
+        "2:5: guarded-stages: a whole number is wanted"
+    );
     assert!(Installation::read("watch {\n    caps 7\n}\n").is_err());
 }
 
 fn mistakes(text: &str) -> Vec<String> {
     let read = Installation::read(text).and_then(|i| i.zoning(&site()));
-    read.map_or_else(|all: Vec<Mistake>| all.iter().map(Mistake::to_string).collect(), |_| Vec::new())
+    read.map_or_else(
+        |all: Vec<Mistake>| all.iter().map(Mistake::to_string).collect(),
+        |_| Vec::new(),
+    )
 }
 
 #[test]
 fn what_is_given_is_read_and_what_is_not_has_its_default() {
     let installation = Installation::read(GOOD).unwrap();
     assert_eq!(installation.log, Some(LogForm::Json));
-    assert_eq!(installation.door, Some(Door::Tcp("127.0.0.1:9190".parse().unwrap())));
+    assert_eq!(
+        installation.door,
+        Some(Door::Tcp("127.0.0.1:9190".parse().unwrap()))
+    );
     let z = installation.zoning(&site()).unwrap().unwrap();
     assert_eq!((z.own, z.zones, z.routing), (0, 2, Routing::NearFirst));
-    assert_eq!(z.links[1].delay, Some(Duration::from_millis(4)), "not that of the way back");
-    assert_eq!(z.links[1].price, Price { delivery: 0.00001, out_gib: 0.02, in_gib: 0.0 });
+    assert_eq!(
+        z.links[1].delay,
+        Some(Duration::from_millis(4)),
+        "not that of the way back"
+    );
+    assert_eq!(
+        z.links[1].price,
+        Price {
+            delivery: 0.00001,
+            out_gib: 0.02,
+            in_gib: 0.0
+        }
+    );
     assert_eq!(z.links[2].price.out_gib, 9.0, "the way to what has no name");
-    let budgets: Vec<_> =
-        z.budgets.iter().map(|b| (b.name.as_str(), b.limit, b.window.as_secs(), b.part)).collect();
+    let budgets: Vec<_> = z
+        .budgets
+        .iter()
+        .map(|b| (b.name.as_str(), b.limit, b.window.as_secs(), b.part))
+        .collect();
     assert_eq!(
         budgets,
         [
@@ -114,7 +186,10 @@
         "one for the way to its own zone is some other agent's"
     );
     let nothing = Installation::read("").unwrap();
-    assert_eq!((nothing.zoning(&site()).unwrap(), &nothing.door, nothing.log), (None, &None, None));
+    assert_eq!(
+        (nothing.zoning(&site()).unwrap(), &nothing.door, nothing.log),
+        (None, &None, None)
+    );
 }
 
 #[test]
@@ -151,14 +226,33 @@
     for w in wanted {
         assert!(all.iter().any(|m| m == w), "{w}\nin {all:#?}");
     }
-    assert!(all.iter().any(|m| m.starts_with("12:56: part: a number from 0 to 1 is wanted")), "{all:#?}");
-    assert!(all.iter().any(|m| m.contains("13:5: budget: the name 'c' stands twice")), "{all:#?}");
-    assert!(all.iter().any(|m| m == "13:28: extra: no properties are known in share"), "{all:#?}");
+    assert!(
+        all.iter()
+            .any(|m| m.starts_with("12:56: part: a number from 0 to 1 is wanted")),
+        "{all:#?}"
+    );
+    assert!(
+        all.iter()
+            .any(|m| m.contains("13:5: budget: the name 'c' stands twice")),
+        "{all:#?}"
+    );
+    assert!(
+        all.iter()
+            .any(|m| m == "13:28: extra: no properties are known in share"),
+        "{all:#?}"
+    );
     let mut sorted = Installation::read(text).unwrap_err();
     sorted.sort();
-    assert_eq!(Installation::read(text).unwrap_err(), sorted, "in the order of their lines");
+    assert_eq!(
+        Installation::read(text).unwrap_err(),
+        sorted,
+        "in the order of their lines"
+    );
     let broken = mistakes("zones {\n  routing \"near-first\n}\n");
-    assert!(!broken.is_empty() && broken.iter().all(|m| m.contains("syntax")), "{broken:?}");
+    assert!(
+        !broken.is_empty() && broken.iter().all(|m| m.contains("syntax")),
+        "{broken:?}"
+    );
 }
 
 #[test]
@@ -172,14 +266,22 @@
 
 #[test]
 fn prices_of_zero_are_taken_and_absurd_figures_are_not() {
-    let price = |p: &str| mistakes(&format!("zones {{ link \"east\" \"west\" {{ price out-gib={p}; }}; }}"));
+    let price = |p: &str| {
+        mistakes(&format!(
+            "zones {{ link \"east\" \"west\" {{ price out-gib={p}; }}; }}"
+        ))
+    };
     assert!(price("0").is_empty() && price("0.0").is_empty() && price("1e12").is_empty());
-    for absurd in ["-1", "1e13", "#inf", "#nan", "#-inf", "#true", "\"9\"", "#null", "1e400"] {
+    for absurd in [
+        "-1", "1e13", "#inf", "#nan", "#-inf", "#true", "\"9\"", "#null", "1e400",
+    ] {
         assert_eq!(price(absurd).len(), 1, "{absurd}: {:?}", price(absurd));
     }
     let budget = |b: &str| mistakes(&format!("zones {{ budget \"b\" {{ {b}; }}; }}"));
     assert!(
-        budget("deliveries 0").is_empty() && budget("bytes 0").is_empty() && budget("money 0").is_empty()
+        budget("deliveries 0").is_empty()
+            && budget("bytes 0").is_empty()
+            && budget("money 0").is_empty()
     );
     for absurd in [
         "deliveries -1",
@@ -230,10 +332,16 @@
         "delay",
     ];
     fn read(picks: Vec<u8>) {
-        let text: String = picks.iter().map(|p| PIECES[*p as usize % PIECES.len()]).collect();
+        let text: String = picks
+            .iter()
+            .map(|p| PIECES[*p as usize % PIECES.len()])
+            .collect();
         let _ = Installation::read(&text).and_then(|i| i.zoning(&site()));
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 9)).tests(2000).quickcheck(read as fn(Vec<u8>));
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 9))
+        .tests(2000)
+        .quickcheck(read as fn(Vec<u8>));
     assert!(Installation::read(&"{".repeat(100_000)).is_err());
     assert!(Installation::read(&"a".repeat(2 * 1024 * 1024)).is_err());
 }
@@ -242,13 +350,27 @@
 fn a_clients_file_is_read_and_all_its_mistakes_are_named() {
     let read = |text: &str| tulipwall_deployment::read_service(text);
     let lane = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }\n";
-    let service =
-        read(&format!("agent \"127.0.0.1:1\"\nagent \"[::1]:2\"\n{lane}retries {{ tries 2; }}\n")).unwrap();
-    assert_eq!((service.agents.len(), service.lanes.len(), service.retrying.tries), (2, 1, 2));
+    let service = read(&format!(
+        "agent \"127.0.0.1:1\"\nagent \"[::1]:2\"\n{lane}retries {{ tries 2; }}\n"
+    ))
+    .unwrap();
+    assert_eq!(
+        (
+            service.agents.len(),
+            service.lanes.len(),
+            service.retrying.tries
+        ),
+        (2, 1, 2)
+    );
     assert_eq!(service.connections, Default::default());
-    let wrong = "agent \"nowhere\"\nlane \"a\" { repeats \"never\"; quoted 5; }\nmarks-retries \"yes\"\n\
+    let wrong =
+        "agent \"nowhere\"\nlane \"a\" { repeats \"never\"; quoted 5; }\nmarks-retries \"yes\"\n\
         connections { least 9; most 3; }\nretrys { }\n";
-    let all: Vec<String> = read(wrong).unwrap_err().iter().map(Mistake::to_string).collect();
+    let all: Vec<String> = read(wrong)
+        .unwrap_err()
+        .iter()
+        .map(Mistake::to_string)
+        .collect();
     for wanted in [
         "1:1: agent: 'nowhere' is no address with a port",
         "2:12: repeats: one of idempotent, deduplicated, unrepeatable is wanted, not \"never\"",
@@ -257,13 +379,26 @@
         "4:1: connections: least is more than most",
         "5:1: retrys: unknown in the file; did you mean 'retries'?",
     ] {
-        assert!(all.iter().any(|m| m.starts_with(wanted)), "{wanted}\nin {all:#?}");
+        assert!(
+            all.iter().any(|m| m.starts_with(wanted)),
+            "{wanted}\nin {all:#?}"
+        );
     }
-    assert_eq!(read("").unwrap_err().len(), 2, "an agent and a lane are wanted");
-    let example =
-        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/client.kdl")).unwrap();
+    assert_eq!(
+        read("").unwrap_err().len(),
+        2,
+        "an agent and a lane are wanted"
+    );
+    let example = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../deploy/client.kdl"
+    ))
+    .unwrap();
     assert_eq!(read(&example).unwrap().lanes.len(), 3);
-    let zones =
-        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/zones.kdl")).unwrap();
+    let zones = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../deploy/zones.kdl"
+    ))
+    .unwrap();
     assert!(Installation::read(&zones).unwrap().has_zones());
 }
--- a/crates/lab/examples/beside.rs
+++ b/crates/lab/examples/beside.rs
@@ -14,7 +14,10 @@
 
 fn agent_binary() -> PathBuf {
     let here = std::env::current_exe().unwrap_or_default();
-    here.ancestors().nth(2).unwrap_or(Path::new(".")).join("tulipwall-agent")
+    here.ancestors()
+        .nth(2)
+        .unwrap_or(Path::new("."))
+        .join("tulipwall-agent")
 }
 
 /// p50, p99, the part that crossed, the part satisfied.
@@ -24,12 +27,24 @@
     let world = World::new(&["east", "west"], lanes())?;
     for n in 0..EACH {
         for (zone, name) in ["east", "west"].iter().enumerate() {
-            let ways = Ways { work: Duration::from_millis(10), cores: CORES, ..Ways::default() };
+            let ways = Ways {
+                work: Duration::from_millis(10),
+                cores: CORES,
+                ..Ways::default()
+            };
             world.appliance(zone, &format!("{name}-{n}"), 41, ways)?;
         }
     }
     let way = Duration::from_millis(2);
-    world.link(0, 1, Link { there: way, back: way, cut: false });
+    world.link(
+        0,
+        1,
+        Link {
+            there: way,
+            back: way,
+            cut: false,
+        },
+    );
     let agent = Program::start(agent_binary(), world.configuration("n1", 0)?, &[])?;
     Caller::connect(agent.address()?)?;
     let wait = Duration::from_millis(1500);
@@ -37,17 +52,32 @@
         agent: agent.address()?,
         rate,
         span: Duration::from_secs(SECONDS),
-        lanes: [("view", 0.5, false), ("send", 0.4, true), ("payment", 0.1, false)]
-            .map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed))
-            .to_vec(),
+        lanes: [
+            ("view", 0.5, false),
+            ("send", 0.4, true),
+            ("payment", 0.1, false),
+        ]
+        .map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed))
+        .to_vec(),
         connections: 200,
         seed: 1,
     };
     let answered = load.play();
-    let count = |to| world.counted(0, to).values().map(|c| c.deliveries).sum::<u64>() as f64;
+    let count = |to| {
+        world
+            .counted(0, to)
+            .values()
+            .map(|c| c.deliveries)
+            .sum::<u64>() as f64
+    };
     let crossing = count(1) / (count(0) + count(1)).max(1.0);
     let good = answered.satisfied as f64 / answered.asked.max(1) as f64;
-    Ok([answered.quantile_ms(0.5), answered.quantile_ms(0.99), crossing, good])
+    Ok([
+        answered.quantile_ms(0.5),
+        answered.quantile_ms(0.99),
+        crossing,
+        good,
+    ])
 }
 
 fn model(rate: f64) -> Row {
@@ -68,7 +98,12 @@
     // As the settings of the stand-ins say: crossing has no price.
     day.deployment.crossing_price = 0.0;
     let p = day.play();
-    [p.quantile_ms(0.5), p.quantile_ms(0.99), p.crossed(), p.satisfied as f64 / p.taken.max(1) as f64]
+    [
+        p.quantile_ms(0.5),
+        p.quantile_ms(0.99),
+        p.crossed(),
+        p.satisfied as f64 / p.taken.max(1) as f64,
+    ]
 }
 
 fn main() -> std::io::Result<()> {
@@ -78,7 +113,9 @@
         let load = rate / (2 * EACH * CORES) as f64 * 0.01;
         for (name, row) in [("sockets", sockets(rate)?), ("model", model(rate))] {
             let [p50, p99, crossing, good] = row;
-            println!("| {rate} | {load:.2} | {name} | {p50:.1} | {p99:.1} | {crossing:.3} | {good:.4} |");
+            println!(
+                "| {rate} | {load:.2} | {name} | {p50:.1} | {p99:.1} | {crossing:.3} | {good:.4} |"
+            );
         }
     }
     Ok(())
