--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -51,11 +51,17 @@
     all.sort();
     let mut lines = Vec::new();
     for (agent, path) in all.iter().enumerate() {
-        let Ok(text) = std::fs::read(path) else { continue };
+        let Ok(text) = std::fs::read(path) else {
+            continue;
+        };
         for line in String::from_utf8_lossy(&text).lines() {
-            let Some((_, said)) = line.split_once("evidence] ") else { continue };
+            let Some((_, said)) = line.split_once("evidence] ") else {
+                continue;
+            };
             let mut words = said.split(' ').map(str::to_owned);
-            let Some(at) = words.next().and_then(|w| w.parse::<u64>().ok()) else { continue };
+            let Some(at) = words.next().and_then(|w| w.parse::<u64>().ok()) else {
+                continue;
+            };
             lines.push((at, agent, words.collect::<Vec<_>>()));
         }
     }
@@ -73,23 +79,43 @@
             "lanes" if log.lanes.is_empty() => {
                 let text = w[1..].join(" ").replace(['[', ']', '(', ')'], "");
                 let all: Vec<f64> = text.split(", ").filter_map(|n| n.parse().ok()).collect();
-                log.lanes = all.chunks(2).filter(|c| c.len() == 2).map(|c| (c[0] / 1000.0, c[1])).collect();
+                log.lanes = all
+                    .chunks(2)
+                    .filter(|c| c.len() == 2)
+                    .map(|c| (c[0] / 1000.0, c[1]))
+                    .collect();
             }
             "news" => {
                 let since = w.get(7).and_then(|w| w.parse().ok()).map_or(at, seconds);
-                let told = log.news.entry((build(2), build(4), word(5))).or_insert(since);
+                let told = log
+                    .news
+                    .entry((build(2), build(4), word(5)))
+                    .or_insert(since);
                 *told = told.min(since);
             }
-            "command" => log.commands.push((at, number(2) as usize, word(3), number(4) / 1e6, number(7))),
+            "command" => {
+                log.commands
+                    .push((at, number(2) as usize, word(3), number(4) / 1e6, number(7)))
+            }
             "delivery" => {
                 let outcome = word(5);
-                log.deliveries.push(Delivery { at, build: build(4), outcome, took: number(6) / 1e6 });
+                log.deliveries.push(Delivery {
+                    at,
+                    build: build(4),
+                    outcome,
+                    took: number(6) / 1e6,
+                });
             }
             "flag" => log.flags.push((at, build(4))),
             "note" if word(1) == "regressed:" => {
                 let why = w[4..].join(" ");
                 let why = why.split(", trial").next().unwrap_or_default().to_owned();
-                log.notes.push((at, agent, word(3).trim_end_matches(',').parse().unwrap_or(0), why));
+                log.notes.push((
+                    at,
+                    agent,
+                    word(3).trim_end_matches(',').parse().unwrap_or(0),
+                    why,
+                ));
             }
             "vote" if word(1) == "build" => log.votes.push((at, agent, build(2), word(5))),
             _ => {}
@@ -123,22 +149,38 @@
 fn bins(log: &Log, build: u32, from: f64, until: f64) -> Vec<Bin> {
     let mut bins = vec![Bin::default(); ((until - from) / BIN).ceil().max(0.0) as usize];
     let at = |t: f64| ((t - from) / BIN).floor().max(0.0) as usize;
-    for d in log.deliveries.iter().filter(|d| d.build > 0 && d.build <= build && d.at >= from) {
-        let (came, failed) = (matches!(d.outcome.as_str(), "Satisfied" | "Failed"), d.outcome == "Failed");
+    for d in log
+        .deliveries
+        .iter()
+        .filter(|d| d.build > 0 && d.build <= build && d.at >= from)
+    {
+        let (came, failed) = (
+            matches!(d.outcome.as_str(), "Satisfied" | "Failed"),
+            d.outcome == "Failed",
+        );
         let begun = d.at - d.took;
         if let Some(b) = bins.get_mut(at(d.at)) {
-            let side = if d.build == build { &mut b.own } else { &mut b.others };
+            let side = if d.build == build {
+                &mut b.own
+            } else {
+                &mut b.others
+            };
             side[0] += f64::from(u8::from(came));
             side[1] += f64::from(u8::from(failed));
             side[2] += d.took;
         }
         if let Some(b) = bins.get_mut(at(begun)).filter(|_| begun >= from) {
-            b.sent = [b.sent[0] + f64::from(u8::from(d.build == build)), b.sent[1] + 1.0];
+            b.sent = [
+                b.sent[0] + f64::from(u8::from(d.build == build)),
+                b.sent[1] + 1.0,
+            ];
         }
         for n in at(begun)..=at(d.at) {
             let edge = from + n as f64 * BIN;
             let part = d.at.min(edge + BIN) - begun.max(edge);
-            bins.get_mut(n).into_iter().for_each(|b| b.waited += part.max(0.0));
+            bins.get_mut(n)
+                .into_iter()
+                .for_each(|b| b.waited += part.max(0.0));
         }
     }
     bins
@@ -150,7 +192,9 @@
 fn slowing(bins: &[Bin]) -> [(f64, f64); 2] {
     let likely = |n: f64, waited: f64| n * (n.max(1e-9) / waited.max(1e-9)).ln();
     let answers = |b: &Bin| b.own[0] + b.others[0];
-    let (all, waited) = bins.iter().fold((0.0, 0.0), |s, b| (s.0 + answers(b), s.1 + b.waited));
+    let (all, waited) = bins
+        .iter()
+        .fold((0.0, 0.0), |s, b| (s.0 + answers(b), s.1 + b.waited));
     let flat = likely(all, waited);
     let (mut before, mut moment, mut slower) = ((0.0, 0.0), flat, 1.0);
     for b in bins {
@@ -158,7 +202,10 @@
         let after = (all - before.0, waited - before.1);
         let found = likely(before.0, before.1) + likely(after.0, after.1);
         if after.0 * before.1 < before.0 * after.1 && found > moment {
-            (moment, slower) = (found, after.1 / after.0.max(1e-9) / (before.1 / before.0.max(1e-9)));
+            (moment, slower) = (
+                found,
+                after.1 / after.0.max(1e-9) / (before.1 / before.0.max(1e-9)),
+            );
         }
     }
     // The part that was sent of late, as it is at work.
@@ -166,7 +213,11 @@
     let parts: Vec<f64> = bins
         .iter()
         .map(|b| {
-            part = if b.sent[1] > 0.0 { part + (b.sent[0] / b.sent[1] - part) * 0.3 } else { part };
+            part = if b.sent[1] > 0.0 {
+                part + (b.sent[0] / b.sent[1] - part) * 0.3
+            } else {
+                part
+            };
             part
         })
         .collect();
@@ -179,25 +230,37 @@
         sum + likely(all, took)
     };
     let excused = in_step(EXCUSED - 1.0);
-    let step =
-        (0..24).map(|i| in_step((EXCUSED - 1.0) * (f64::from(i) / 2.0).exp2())).fold(excused, f64::max);
+    let step = (0..24)
+        .map(|i| in_step((EXCUSED - 1.0) * (f64::from(i) / 2.0).exp2()))
+        .fold(excused, f64::max);
     let moment = if slower > EXCUSED { moment } else { flat };
-    [(step - excused, step - moment), (moment - flat, moment - step.max(flat))]
+    [
+        (step - excused, step - moment),
+        (moment - flat, moment - step.max(flat)),
+    ]
 }
 
 /// When all outcomes together tell of a build, by kind; the price of fitting a share or a pace is half the logarithm of
 /// how many outcomes there are. A slowing that came at one moment, out of step with the trial, is not the build's.
 fn told(log: &Log, build: u32, from: f64, until: f64) -> BTreeMap<&'static str, f64> {
     let mut found = BTreeMap::new();
-    let (begin, end) = ((from - 5.0).max(0.0), until.min(log.deliveries.last().map_or(0.0, |d| d.at)));
+    let (begin, end) = (
+        (from - 5.0).max(0.0),
+        until.min(log.deliveries.last().map_or(0.0, |d| d.at)),
+    );
     let bins = bins(log, build, begin, end);
     let first = ((from - begin) / BIN) as usize;
     let price = |n: f64| SURE + n.max(1.0).ln() / 2.0;
     let sum = |of: &[Bin], side: fn(&Bin) -> [f64; 3]| {
-        of.iter().map(side).fold([0.0; 3], |s, b| [s[0] + b[0], s[1] + b[1], s[2] + b[2]])
+        of.iter()
+            .map(side)
+            .fold([0.0; 3], |s, b| [s[0] + b[0], s[1] + b[1], s[2] + b[2]])
     };
     let flags = |until: f64, of: &dyn Fn(u32) -> bool| {
-        log.flags.iter().filter(|f| f.0 <= until && f.1 > 0 && of(f.1)).count() as f64
+        log.flags
+            .iter()
+            .filter(|f| f.0 <= until && f.1 > 0 && of(f.1))
+            .count() as f64
     };
     for n in first + 1..=bins.len() {
         let (now, here) = (begin + n as f64 * BIN, &bins[..n]);
@@ -205,7 +268,9 @@
         // Since whichever moment: a build may turn bad some seconds after its start.
         for since in (first..n).step_by(5) {
             let late = sum(&here[since..], |b| b.own);
-            if late[1] > SHARE * late[0] && apart((late[1], late[0]), (base[1], base[0])) > price(late[0]) {
+            if late[1] > SHARE * late[0]
+                && apart((late[1], late[0]), (base[1], base[0])) > price(late[0])
+            {
                 found.entry("failing").or_insert(now);
             }
         }
@@ -234,7 +299,11 @@
 
 /// The part of the deliveries of a second that went to a build, and the mean time of the others' answers.
 fn second(log: &Log, build: u32, from: f64) -> (f64, f64) {
-    let here = || log.deliveries.iter().filter(|d| d.at >= from && d.at < from + 1.0);
+    let here = || {
+        log.deliveries
+            .iter()
+            .filter(|d| d.at >= from && d.at < from + 1.0)
+    };
     let (all, own) = (here().count(), here().filter(|d| d.build == build).count());
     let others = here().filter(|d| d.build < build && d.outcome == "Satisfied");
     let (took, n) = others.fold((0.0, 0), |(took, n), d| (took + d.took, n + 1));
@@ -248,18 +317,41 @@
 fn builds(log: &Log) {
     println!("| build | on trial from, first answer | all outcomes tell | first note | {} voices back | went back | released |", log.back);
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let tried: BTreeSet<u32> = log.news.keys().filter(|k| k.2 == "Trial").map(|k| k.0).collect();
+    let tried: BTreeSet<u32> = log
+        .news
+        .keys()
+        .filter(|k| k.2 == "Trial")
+        .map(|k| k.0)
+        .collect();
     for build in &tried {
         let since = |phase: &str| {
-            log.news.iter().filter(|(k, _)| k.0 == *build && k.2 == phase).map(|n| *n.1).reduce(f64::min)
+            log.news
+                .iter()
+                .filter(|(k, _)| k.0 == *build && k.2 == phase)
+                .map(|n| *n.1)
+                .reduce(f64::min)
         };
         let next = tried.iter().find(|b| *b > build);
-        let until =
-            next.and_then(|n| log.news.iter().filter(|(k, _)| k.0 == *n).map(|n| *n.1).reduce(f64::min));
+        let until = next.and_then(|n| {
+            log.news
+                .iter()
+                .filter(|(k, _)| k.0 == *n)
+                .map(|n| *n.1)
+                .reduce(f64::min)
+        });
         let until = since("GoingBack").or(until).unwrap_or(f64::MAX);
-        let first = log.deliveries.iter().find(|d| d.build == *build).map(|d| d.at);
-        let found = first.map(|from| told(log, *build, from, until)).unwrap_or_default();
-        let found: Vec<String> = found.iter().map(|(what, at)| format!("{what} {at:.1}")).collect();
+        let first = log
+            .deliveries
+            .iter()
+            .find(|d| d.build == *build)
+            .map(|d| d.at);
+        let found = first
+            .map(|from| told(log, *build, from, until))
+            .unwrap_or_default();
+        let found: Vec<String> = found
+            .iter()
+            .map(|(what, at)| format!("{what} {at:.1}"))
+            .collect();
         let note = log.notes.iter().find(|n| n.2 == *build);
         let mut voices = BTreeSet::new();
         let mut spoke = None;
@@ -277,7 +369,11 @@
             "| {build} | {}, {} | {} | {} | {} | {} | {} |",
             show(since("Trial")),
             show(first),
-            if found.is_empty() { "nothing".into() } else { found.join(", ") },
+            if found.is_empty() {
+                "nothing".into()
+            } else {
+                found.join(", ")
+            },
             note.map_or("-".into(), |n| format!("{:.1}: {}", n.0, n.3)),
             show(spoke),
             show(since("GoingBack")),
@@ -285,7 +381,12 @@
         );
     }
     for build in &tried {
-        let Some(first) = log.deliveries.iter().find(|d| d.build == *build).map(|d| d.at.floor()) else {
+        let Some(first) = log
+            .deliveries
+            .iter()
+            .find(|d| d.build == *build)
+            .map(|d| d.at.floor())
+        else {
             continue;
         };
         println!("\nBuild {build} by second, its part of the deliveries and the mean of the earlier builds' answers in ms:");
@@ -306,7 +407,9 @@
     let mut by: BTreeMap<i64, BTreeMap<&str, f64>> = BTreeMap::new();
     let mut day = 0.0;
     for (at, lane, end, took, work) in &log.commands {
-        let Some((quoted, benefit)) = log.lanes.get(*lane) else { continue };
+        let Some((quoted, benefit)) = log.lanes.get(*lane) else {
+            continue;
+        };
         let worth = benefit * work.max(1.0);
         let end = if end != "Satisfied" {
             end
@@ -343,7 +446,9 @@
     };
     let log = read(Path::new(dir));
     if log.deliveries.is_empty() {
-        eprintln!("{dir}: no evidence in its logs; agents write it with RUST_LOG=info,evidence=debug");
+        eprintln!(
+            "{dir}: no evidence in its logs; agents write it with RUST_LOG=info,evidence=debug"
+        );
         std::process::exit(1);
     }
     builds(&log);
--- a/crates/lab/src/fleet/command.rs
+++ b/crates/lab/src/fleet/command.rs
@@ -12,24 +12,41 @@
 const BEYOND: u8 = 4;
 
 fn count(text: &str) -> Result<usize, String> {
-    let n = text.parse::<usize>().ok().filter(|n| (1..=1_000_000).contains(n));
+    let n = text
+        .parse::<usize>()
+        .ok()
+        .filter(|n| (1..=1_000_000).contains(n));
     n.ok_or_else(|| "a count from 1 to 1000000 is wanted".into())
 }
 
 fn rate(text: &str) -> Result<f64, String> {
-    let rate = text.parse::<f64>().ok().filter(|r| (1.0..=5000.0).contains(r));
+    let rate = text
+        .parse::<f64>()
+        .ok()
+        .filter(|r| (1.0..=5000.0).contains(r));
     rate.ok_or_else(|| "commands a second from 1 to 5000 are wanted".into())
 }
 
 fn seconds(text: &str) -> Result<f64, String> {
-    let seconds = text.parse::<f64>().ok().filter(|s| (0.2..=60.0).contains(s));
+    let seconds = text
+        .parse::<f64>()
+        .ok()
+        .filter(|s| (0.2..=60.0).contains(s));
     seconds.ok_or_else(|| "seconds from 0.2 to 60 are wanted".into())
 }
 
 fn limit(text: &str) -> Result<(String, f64), String> {
-    let read = text.split_once('=').and_then(|(name, most)| Some((name, most.parse::<f64>().ok()?)));
+    let read = text
+        .split_once('=')
+        .and_then(|(name, most)| Some((name, most.parse::<f64>().ok()?)));
     let known = |name: &str| limits().iter().any(|l| l.figure == name);
-    let names = || limits().iter().map(|l| l.figure.clone()).collect::<Vec<_>>().join(", ");
+    let names = || {
+        limits()
+            .iter()
+            .map(|l| l.figure.clone())
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     match read {
         Some((name, most)) if known(name) && most >= 0.0 => Ok((name.to_owned(), most)),
         _ => Err(format!("FIGURE=MOST is wanted; figures are {}", names())),
@@ -102,15 +119,25 @@
 
 impl Options {
     fn plan(self) -> Plan {
-        let measures =
-            if self.measure.is_empty() { Measure::value_variants().to_vec() } else { self.measure };
+        let measures = if self.measure.is_empty() {
+            Measure::value_variants().to_vec()
+        } else {
+            self.measure
+        };
         let mut limits = limits();
         for (figure, most) in &self.limit {
             let other = |l: &mut Limit| (l.most, l.what) = (*most, "told by --limit".into());
-            limits.iter_mut().filter(|l| l.figure == *figure).for_each(other);
+            limits
+                .iter_mut()
+                .filter(|l| l.figure == *figure)
+                .for_each(other);
         }
         let here = std::env::current_exe().unwrap_or_default();
-        let beside = || here.parent().unwrap_or(Path::new(".")).join("tulipwall-agent");
+        let beside = || {
+            here.parent()
+                .unwrap_or(Path::new("."))
+                .join("tulipwall-agent")
+        };
         Plan {
             binary: self.agent.unwrap_or_else(beside),
             measures,
@@ -155,7 +182,10 @@
         return Err(why);
     }
     if !plan.binary.is_file() {
-        return Err(format!("{}: no such program; --agent names the agent's", plan.binary.display()));
+        return Err(format!(
+            "{}: no such program; --agent names the agent's",
+            plan.binary.display()
+        ));
     }
     let results = measure::run(plan, |what| eprintln!("{what}")).map_err(|e| e.to_string())?;
     let after = Machine::now().map_err(|e| format!("/proc: {e}"))?;
--- a/crates/lab/src/fleet/estimate.rs
+++ b/crates/lab/src/fleet/estimate.rs
@@ -51,7 +51,9 @@
         .saturating_add(each(OWN_AGENT, agents))
         .saturating_add(each(OWN_CONNECTION, clients));
     // A meter's two ends twice for each agent, its connections to appliances, clients with theirs, listeners.
-    let descriptors = agents.saturating_mul(16 + s.sockets as u64).saturating_add(clients * 2 + 200);
+    let descriptors = agents
+        .saturating_mul(16 + s.sockets as u64)
+        .saturating_add(clients * 2 + 200);
     Estimate {
         agents: s.agents,
         agent,
@@ -62,9 +64,17 @@
 
 /// The largest moment of all measures.
 pub fn plan(p: &Plan) -> Estimate {
-    let mut most = Estimate { agents: 0, agent: 0, memory: 0, descriptors: 0 };
+    let mut most = Estimate {
+        agents: 0,
+        agent: 0,
+        memory: 0,
+        descriptors: 0,
+    };
     // An idle agent is measured by pairs as well.
-    let pairs = p.measures.contains(&Measure::Idle).then_some(Measure::Pairs);
+    let pairs = p
+        .measures
+        .contains(&Measure::Idle)
+        .then_some(Measure::Pairs);
     for m in p.measures.iter().copied().chain(pairs) {
         for (s, clients) in p.sizes(m) {
             let e = size(&s, clients);
@@ -96,7 +106,10 @@
         } else if self.memory > MEMORY_MOST {
             format!("at most {} MB are taken", mb(MEMORY_MOST))
         } else if self.memory > half {
-            format!("{} MB are free, of which half is left to others", mb(machine.memory))
+            format!(
+                "{} MB are free, of which half is left to others",
+                mb(machine.memory)
+            )
         } else if self.descriptors > machine.descriptors {
             format!("{} descriptors are allowed here", machine.descriptors)
         } else {
@@ -110,36 +123,110 @@
     /// The installations of a measure, each with the clients that connect.
     pub fn sizes(&self, m: Measure) -> Vec<(Size, usize)> {
         let base = self.base();
-        let appliances = || self.appliances.iter().map(|n| (Size { appliances: *n, ..base.clone() }, 0));
-        let lanes = || self.lanes.iter().map(|n| (Size { lanes: *n, ..base.clone() }, 0));
-        let tenants = || self.tenants.iter().map(|n| (Size { tenants: *n, ..base.clone() }, 0));
+        let appliances = || {
+            self.appliances.iter().map(|n| {
+                (
+                    Size {
+                        appliances: *n,
+                        ..base.clone()
+                    },
+                    0,
+                )
+            })
+        };
+        let lanes = || {
+            self.lanes.iter().map(|n| {
+                (
+                    Size {
+                        lanes: *n,
+                        ..base.clone()
+                    },
+                    0,
+                )
+            })
+        };
+        let tenants = || {
+            self.tenants.iter().map(|n| {
+                (
+                    Size {
+                        tenants: *n,
+                        ..base.clone()
+                    },
+                    0,
+                )
+            })
+        };
         let one = |s: Size| Size { agents: 1, ..s };
         // Else the connections that it opens ahead, fewer the more appliances there are, would be in the figure.
-        let bare = |(s, c): (Size, usize)| (Size { sockets: s.sockets.min(NONE_AHEAD), ..s }, c);
+        let bare = |(s, c): (Size, usize)| {
+            (
+                Size {
+                    sockets: s.sockets.min(NONE_AHEAD),
+                    ..s
+                },
+                c,
+            )
+        };
         match m {
             Measure::Appliances => appliances().map(bare).collect(),
             Measure::Lanes => lanes().map(bare).collect(),
             Measure::Tenants => tenants().map(bare).collect(),
             Measure::Pairs => {
                 let most = self.appliances.iter().copied().max().unwrap_or(0);
-                lanes().map(bare).map(|(s, c)| (Size { appliances: most, ..s }, c)).collect()
+                lanes()
+                    .map(bare)
+                    .map(|(s, c)| {
+                        (
+                            Size {
+                                appliances: most,
+                                ..s
+                            },
+                            c,
+                        )
+                    })
+                    .collect()
             }
-            Measure::Connections => self.connections.iter().map(|n| (one(base.clone()), *n)).collect(),
+            Measure::Connections => self
+                .connections
+                .iter()
+                .map(|n| (one(base.clone()), *n))
+                .collect(),
             Measure::Open => {
                 // So many appliances that none is connected ahead.
                 let appliances = base.appliances.max(self.sockets / 4);
-                self.open.iter().map(|n| (Size { appliances, ..one(base.clone()) }, *n)).collect()
+                self.open
+                    .iter()
+                    .map(|n| {
+                        (
+                            Size {
+                                appliances,
+                                ..one(base.clone())
+                            },
+                            *n,
+                        )
+                    })
+                    .collect()
             }
             Measure::Start => appliances().map(|(s, c)| (one(s), c)).collect(),
             Measure::Change => {
                 let most = self.appliances.iter().copied().max().unwrap_or(0);
-                vec![(Size { appliances: most, ..one(base.clone()) }, 0)]
+                vec![(
+                    Size {
+                        appliances: most,
+                        ..one(base.clone())
+                    },
+                    0,
+                )]
             }
             Measure::Idle => appliances().chain(tenants()).collect(),
-            Measure::Renew | Measure::Settings | Measure::Restart => {
-                appliances().chain(tenants()).map(|(s, c)| (one(s), c)).collect()
-            }
-            Measure::Commands => appliances().chain(tenants()).map(|(s, _)| (one(s), LOAD_CLIENTS)).collect(),
+            Measure::Renew | Measure::Settings | Measure::Restart => appliances()
+                .chain(tenants())
+                .map(|(s, c)| (one(s), c))
+                .collect(),
+            Measure::Commands => appliances()
+                .chain(tenants())
+                .map(|(s, _)| (one(s), LOAD_CLIENTS))
+                .collect(),
             Measure::Added => appliances().map(|(s, _)| (one(s), LOAD_CLIENTS)).collect(),
         }
     }
--- a/crates/lab/src/fleet/line.rs
+++ b/crates/lab/src/fleet/line.rs
@@ -16,10 +16,15 @@
     /// Through all of them; none where they do not have two different `x`.
     pub fn through(points: &[(f64, f64)]) -> Option<Line> {
         let n = points.len() as f64;
-        let (mx, my) =
-            (points.iter().map(|p| p.0).sum::<f64>() / n, points.iter().map(|p| p.1).sum::<f64>() / n);
+        let (mx, my) = (
+            points.iter().map(|p| p.0).sum::<f64>() / n,
+            points.iter().map(|p| p.1).sum::<f64>() / n,
+        );
         let square = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>();
-        let (xx, yy) = (square(&|p| (p.0 - mx).powi(2)), square(&|p| (p.1 - my).powi(2)));
+        let (xx, yy) = (
+            square(&|p| (p.0 - mx).powi(2)),
+            square(&|p| (p.1 - my).powi(2)),
+        );
         if points.len() < 2 || xx <= 0.0 || !yy.is_finite() {
             return None;
         }
@@ -29,6 +34,12 @@
         let left = square(&|p| off(p).powi(2));
         let residual_most = points.iter().map(|p| off(p).abs()).fold(0.0, f64::max);
         let r2 = if yy > 0.0 { 1.0 - left / yy } else { 1.0 };
-        Some(Line { slope, intercept, residual: (left / n).sqrt(), residual_most, r2 })
+        Some(Line {
+            slope,
+            intercept,
+            residual: (left / n).sqrt(),
+            residual_most,
+            r2,
+        })
     }
 }
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/lab/src/fleet/measure.rs
@@ -47,7 +47,10 @@
 
 /// Runs all that the plan names. `say` hears what is under way.
 pub fn run(plan: &Plan, mut say: impl FnMut(&str)) -> io::Result<Results> {
-    let mut results = Results { limits: plan.limits.clone(), ..Results::default() };
+    let mut results = Results {
+        limits: plan.limits.clone(),
+        ..Results::default()
+    };
     for m in &plan.measures {
         say(&format!("{m:?}"));
         match m {
@@ -57,40 +60,61 @@
             Measure::Connections => results.add(connections(plan)?, &["resident_mb"]),
             Measure::Open => results.add(open(plan)?, &["resident_mb"]),
             Measure::Idle => {
-                let pairs = plan.sizes(Measure::Pairs).into_iter().map(|(s, _)| s).collect();
+                let pairs = plan
+                    .sizes(Measure::Pairs)
+                    .into_iter()
+                    .map(|(s, _)| s)
+                    .collect();
                 for (by, sizes) in apart(plan, *m).into_iter().chain([(PAIRS, pairs)]) {
-                    let rows = sizes.iter().map(|s| idle(plan, s, by)).collect::<io::Result<_>>()?;
+                    let rows = sizes
+                        .iter()
+                        .map(|s| idle(plan, s, by))
+                        .collect::<io::Result<_>>()?;
                     results.add(rows, &["control_core_%"]);
                 }
             }
             Measure::Start => {
                 results.add(start(plan, true)?, &["ready_ms", "ran_ms"]);
-                results.add(start(plan, false)?, &["ready_ms", "ran_ms", "list_bytes", "taken_in_ms"]);
+                results.add(
+                    start(plan, false)?,
+                    &["ready_ms", "ran_ms", "list_bytes", "taken_in_ms"],
+                );
             }
             Measure::Change => results.add(change(plan)?, &["bytes", "taken_in_ms", "ran_ms"]),
             Measure::Renew => {
                 for (by, sizes) in apart(plan, *m) {
-                    let rows = sizes.iter().map(|s| renew(plan, s, by)).collect::<io::Result<_>>()?;
+                    let rows = sizes
+                        .iter()
+                        .map(|s| renew(plan, s, by))
+                        .collect::<io::Result<_>>()?;
                     results.add(rows, &["in_force_ms", "ran_ms", "bytes"]);
                 }
             }
             Measure::Settings => {
                 for (by, sizes) in apart(plan, *m) {
-                    let rows = sizes.iter().map(|s| settings(plan, s, by)).collect::<io::Result<_>>()?;
+                    let rows = sizes
+                        .iter()
+                        .map(|s| settings(plan, s, by))
+                        .collect::<io::Result<_>>()?;
                     results.add(rows, &["in_force_ms"]);
                 }
             }
             Measure::Restart => {
                 for (by, sizes) in apart(plan, *m) {
-                    let rows = sizes.iter().map(|s| restart(plan, s, by)).collect::<io::Result<_>>()?;
+                    let rows = sizes
+                        .iter()
+                        .map(|s| restart(plan, s, by))
+                        .collect::<io::Result<_>>()?;
                     results.add(rows, &["in_force_ms", "ran_ms", "bytes"]);
                 }
             }
             Measure::Commands => {
                 for rate in &plan.rates {
                     for (by, sizes) in apart(plan, *m) {
-                        let rows =
-                            sizes.iter().map(|s| commands(plan, s, by, *rate)).collect::<io::Result<_>>()?;
+                        let rows = sizes
+                            .iter()
+                            .map(|s| commands(plan, s, by, *rate))
+                            .collect::<io::Result<_>>()?;
                         results.add(rows, &["us_a_command"]);
                     }
                 }
@@ -141,7 +165,12 @@
         sleep(plan.settle);
         let mut figures = vec![("agents", members.len() as f64)];
         figures.extend(memory_of(&members)?);
-        Ok(Row { measure: "memory", by, size: of(&size) as f64, figures })
+        Ok(Row {
+            measure: "memory",
+            by,
+            size: of(&size) as f64,
+            figures,
+        })
     };
     plan.sizes(m).into_iter().map(row).collect()
 }
@@ -151,33 +180,63 @@
         let stand = Stand::start(&size, Ways::default())?;
         let member = stand.agent(&plan.binary, 0, true)?;
         let address = member.address()?;
-        let clients = (0..count).map(|_| Caller::connect(address)).collect::<io::Result<Vec<_>>>()?;
+        let clients = (0..count)
+            .map(|_| Caller::connect(address))
+            .collect::<io::Result<Vec<_>>>()?;
         sleep(plan.settle);
         let figures = memory_of(std::slice::from_ref(&member))?;
         drop(clients);
-        Ok(Row { measure: "memory", by: "connections", size: count as f64, figures })
+        Ok(Row {
+            measure: "memory",
+            by: "connections",
+            size: count as f64,
+            figures,
+        })
     };
-    plan.sizes(Measure::Connections).into_iter().map(row).collect()
+    plan.sizes(Measure::Connections)
+        .into_iter()
+        .map(row)
+        .collect()
 }
 
 /// Commands that no appliance answers, each on a connection of its own: how many were out, and what the agent held
 /// meanwhile, with the connections of their clients and to appliances.
 fn open(plan: &Plan) -> io::Result<Vec<Row>> {
     let row = |(size, count): (Size, usize)| {
-        let stand = Stand::start(&size, Ways { act: Act::Silent, ..Ways::default() })?;
+        let stand = Stand::start(
+            &size,
+            Ways {
+                act: Act::Silent,
+                ..Ways::default()
+            },
+        )?;
         let member = stand.agent(&plan.binary, 0, true)?;
         let address = member.address()?;
-        let mut clients = (0..count).map(|_| Caller::connect(address)).collect::<io::Result<Vec<_>>>()?;
+        let mut clients = (0..count)
+            .map(|_| Caller::connect(address))
+            .collect::<io::Result<Vec<_>>>()?;
         clients.iter_mut().for_each(|c| c.ask("route-0", 30_000));
         sleep(plan.settle);
-        let mut ids: Vec<String> =
-            stand.appliances.iter().flat_map(|a| a.seen()).map(|seen| seen.id).collect();
+        let mut ids: Vec<String> = stand
+            .appliances
+            .iter()
+            .flat_map(|a| a.seen())
+            .map(|seen| seen.id)
+            .collect();
         ids.sort();
         ids.dedup();
-        let mut figures = vec![("open", ids.len() as f64), ("deliveries", stand.deliveries() as f64)];
+        let mut figures = vec![
+            ("open", ids.len() as f64),
+            ("deliveries", stand.deliveries() as f64),
+        ];
         figures.extend(memory_of(std::slice::from_ref(&member))?);
         drop(clients);
-        Ok(Row { measure: "memory", by: "open commands", size: count as f64, figures })
+        Ok(Row {
+            measure: "memory",
+            by: "open commands",
+            size: count as f64,
+            figures,
+        })
     };
     plan.sizes(Measure::Open).into_iter().map(row).collect()
 }
@@ -187,16 +246,28 @@
     let stand = Stand::start(size, Ways::default())?;
     let members = stand.agents(&plan.binary)?;
     sleep(plan.settle);
-    let (before, bytes) = (usages(&members)?, members.iter().map(Member::control).collect::<Vec<_>>());
+    let (before, bytes) = (
+        usages(&members)?,
+        members.iter().map(Member::control).collect::<Vec<_>>(),
+    );
     let begun = Instant::now();
     sleep(plan.span);
     let (after, took) = (usages(&members)?, begun.elapsed().as_secs_f64());
     let share = |(a, b): (&Usage, &Usage)| a.ran.saturating_sub(b.ran).as_secs_f64() / took * 100.0;
     let shares: Vec<f64> = after.iter().zip(&before).map(share).collect();
-    let passed =
-        |n: usize| mean(members.iter().zip(&bytes).map(|(m, b)| (m.control()[n] - b[n]) as f64 / took));
+    let passed = |n: usize| {
+        mean(
+            members
+                .iter()
+                .zip(&bytes)
+                .map(|(m, b)| (m.control()[n] - b[n]) as f64 / took),
+        )
+    };
     let (discovery, platform) = (passed(0), passed(1));
-    let waited = after.iter().zip(&before).map(|(a, b)| ms(a.waited.saturating_sub(b.waited)) / took);
+    let waited = after
+        .iter()
+        .zip(&before)
+        .map(|(a, b)| ms(a.waited.saturating_sub(b.waited)) / took);
     let figures = vec![
         ("agents", members.len() as f64),
         ("control_core_%", mean(shares.iter().copied())),
@@ -206,8 +277,17 @@
         ("control_bytes_s", discovery + platform),
         ("waited_ms_s", mean(waited)),
     ];
-    let measure = if size.pushed { "idle, lists pushed" } else { "idle, lists asked for" };
-    Ok(Row { measure, by, size: size_by(size, by), figures })
+    let measure = if size.pushed {
+        "idle, lists pushed"
+    } else {
+        "idle, lists asked for"
+    };
+    Ok(Row {
+        measure,
+        by,
+        size: size_by(size, by),
+        figures,
+    })
 }
 
 /// A start up to the answer to a first empty query. Without a list in its configuration the agent asks for the whole
@@ -221,7 +301,9 @@
             let (mut bytes, mut taken_in) = (0.0, 0.0);
             if !known {
                 let taken = until("the question behind the list", || {
-                    member.discovery.taken_in(Instant::now() - Duration::from_secs(3600))
+                    member
+                        .discovery
+                        .taken_in(Instant::now() - Duration::from_secs(3600))
                 })?;
                 (bytes, taken_in) = (taken.bytes as f64, ms(taken.next - taken.whole));
             }
@@ -235,22 +317,41 @@
             ("ran_ms", median(&of(1))),
         ];
         if !known {
-            figures.extend([("list_bytes", median(&of(2))), ("taken_in_ms", median(&of(3)))]);
+            figures.extend([
+                ("list_bytes", median(&of(2))),
+                ("taken_in_ms", median(&of(3))),
+            ]);
         }
-        let measure = if known { "start with a list" } else { "start without a list" };
-        Ok(Row { measure, by: "appliances", size: size.appliances as f64, figures })
+        let measure = if known {
+            "start with a list"
+        } else {
+            "start without a list"
+        };
+        Ok(Row {
+            measure,
+            by: "appliances",
+            size: size.appliances as f64,
+            figures,
+        })
     };
     plan.sizes(Measure::Start).into_iter().map(row).collect()
 }
 
 /// So many entries change at once, in their cell.
 fn change(plan: &Plan) -> io::Result<Vec<Row>> {
-    let Some((size, _)) = plan.sizes(Measure::Change).pop() else { return Ok(Vec::new()) };
+    let Some((size, _)) = plan.sizes(Measure::Change).pop() else {
+        return Ok(Vec::new());
+    };
     let stand = Stand::start(&size, Ways::default())?;
     let member = stand.agent(&plan.binary, 0, true)?;
     sleep(plan.settle);
     let mut rows = Vec::new();
-    let counts = plan.changed.iter().copied().chain([size.appliances]).filter(|n| *n <= size.appliances);
+    let counts = plan
+        .changed
+        .iter()
+        .copied()
+        .chain([size.appliances])
+        .filter(|n| *n <= size.appliances);
     let mut counts: Vec<usize> = counts.collect();
     counts.sort_unstable();
     counts.dedup();
@@ -262,7 +363,9 @@
             entries.iter_mut().for_each(|e| e.cell += 1);
             let (begun, before) = (Instant::now(), member.usage()?.ran);
             stand.discovery.tell(entries);
-            let taken = until("the question behind a change", || member.discovery.taken_in(begun))?;
+            let taken = until("the question behind a change", || {
+                member.discovery.taken_in(begun)
+            })?;
             // Behind the question some more may be under way.
             sleep(Duration::from_millis(20));
             let ran = member.usage()?.ran.saturating_sub(before);
@@ -270,7 +373,12 @@
         }
         let of = |n: usize| median(&all.iter().map(|a| a[n]).collect::<Vec<_>>());
         let figures = vec![("bytes", of(0)), ("taken_in_ms", of(1)), ("ran_ms", of(2))];
-        rows.push(Row { measure: "a change of the list", by: "entries", size: count as f64, figures });
+        rows.push(Row {
+            measure: "a change of the list",
+            by: "entries",
+            size: count as f64,
+            figures,
+        });
     }
     Ok(rows)
 }
@@ -286,11 +394,17 @@
     for _ in 0..plan.repeats {
         let (idle_began, idle_before) = (Instant::now(), member.usage()?.ran);
         sleep(rest);
-        let idle_ran = member.usage()?.ran.saturating_sub(idle_before).as_secs_f64();
+        let idle_ran = member
+            .usage()?
+            .ran
+            .saturating_sub(idle_before)
+            .as_secs_f64();
         let idle_share = idle_ran / idle_began.elapsed().as_secs_f64();
         let before = member.usage()?.ran;
         let (told, old) = member.renew(&stand, |_| {})?;
-        let taken = until("the question behind the new list", || member.discovery.taken_in(told))?;
+        let taken = until("the question behind the new list", || {
+            member.discovery.taken_in(told)
+        })?;
         let news = until("word of the platform", || member.platform.first_told())?;
         sleep(rest);
         let bytes: u64 = member.control().iter().sum();
@@ -312,7 +426,12 @@
         ("bytes_s_at_1000_a_day", daily(3)),
         ("core_%_at_1000_a_day", daily(2) / 10.0),
     ];
-    Ok(Row { measure: "a new configuration (SIGHUP)", by, size: size_by(size, by), figures })
+    Ok(Row {
+        measure: "a new configuration (SIGHUP)",
+        by,
+        size: size_by(size, by),
+        figures,
+    })
 }
 
 /// A further lane in the settings, told by SIGHUP: until a command of it is served. Some agents never take settings over
@@ -346,21 +465,38 @@
         let Some(found) = found else { break };
         all.push(found);
     }
-    let of = if all.is_empty() { f64::NAN } else { median(&all) };
+    let of = if all.is_empty() {
+        f64::NAN
+    } else {
+        median(&all)
+    };
     let figures = vec![
         ("repeats", plan.repeats as f64),
         ("taken_over", all.len() as f64),
         ("in_force_ms", of),
-        ("in_force_most_ms", if all.is_empty() { f64::NAN } else { most(all.iter().copied()) }),
+        (
+            "in_force_most_ms",
+            if all.is_empty() {
+                f64::NAN
+            } else {
+                most(all.iter().copied())
+            },
+        ),
     ];
-    Ok(Row { measure: "new settings (SIGHUP)", by, size: size_by(size, by), figures })
+    Ok(Row {
+        measure: "new settings (SIGHUP)",
+        by,
+        size: size_by(size, by),
+        figures,
+    })
 }
 
 /// Other settings by a restart: ended and started anew, with a client that has an idle connection.
 fn restart(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
     let stand = Stand::start(size, Ways::default())?;
     let mut member = stand.agent(&plan.binary, 0, true)?;
-    let longer = |by: f64| move |s: &mut serde_json::Value| s["classes"][0]["aim-ms"] = (500.0 + by).into();
+    let longer =
+        |by: f64| move |s: &mut serde_json::Value| s["classes"][0]["aim-ms"] = (500.0 + by).into();
     let mut all = Vec::new();
     for n in 0..plan.repeats {
         let client = Caller::connect(member.address()?)?;
@@ -371,7 +507,13 @@
         sleep(Duration::from_millis(500));
         let bytes = member.control().iter().sum::<u64>() - before;
         drop(client);
-        all.push([ms(ended), ms(member.ready), ms(served), ms(ran), bytes as f64]);
+        all.push([
+            ms(ended),
+            ms(member.ready),
+            ms(served),
+            ms(ran),
+            bytes as f64,
+        ]);
     }
     let of = |n: usize| all.iter().map(|a| a[n]).collect::<Vec<f64>>();
     let figures = vec![
@@ -382,7 +524,12 @@
         ("ran_ms", median(&of(3))),
         ("bytes", median(&of(4))),
     ];
-    Ok(Row { measure: "new settings (restart)", by, size: size_by(size, by), figures })
+    Ok(Row {
+        measure: "new settings (restart)",
+        by,
+        size: size_by(size, by),
+        figures,
+    })
 }
 
 fn size_by(size: &Size, by: &str) -> f64 {
@@ -402,10 +549,23 @@
         let lane = &all[n * all.len() / used];
         let t = tenant((n * size.tenants + size.tenants / 2) / used);
         // A load writes the lane's name into the comment, so that a further field can follow it.
-        (format!("{},t={t}", lane.name), 1.0, WAIT, lane.repeats == "by_key")
+        (
+            format!("{},t={t}", lane.name),
+            1.0,
+            WAIT,
+            lane.repeats == "by_key",
+        )
     };
     let lanes = (0..used).map(lane).collect();
-    Load { agent: at, rate, span, lanes, connections: LOAD_CLIENTS, seed }.play()
+    Load {
+        agent: at,
+        rate,
+        span,
+        lanes,
+        connections: LOAD_CLIENTS,
+        seed,
+    }
+    .play()
 }
 
 /// Processor time of a command, above that of an idle agent.
@@ -416,7 +576,8 @@
     sleep(plan.settle);
     let (begun, before) = (Instant::now(), member.usage()?.ran);
     sleep(plan.span);
-    let idle = member.usage()?.ran.saturating_sub(before).as_secs_f64() / begun.elapsed().as_secs_f64();
+    let idle =
+        member.usage()?.ran.saturating_sub(before).as_secs_f64() / begun.elapsed().as_secs_f64();
     load(size, address, rate, plan.settle, 7);
     let (begun, before) = (Instant::now(), member.usage()?);
     let answered = load(size, address, rate, plan.span, 8);
@@ -430,9 +591,17 @@
         ("idle_core_%", idle * 100.0),
         ("core_%", ran / took * 100.0),
         ("us_a_command", (ran - idle * took).max(0.0) / count * 1e6),
-        ("waited_us_a_command", after.waited.saturating_sub(before.waited).as_secs_f64() / count * 1e6),
+        (
+            "waited_us_a_command",
+            after.waited.saturating_sub(before.waited).as_secs_f64() / count * 1e6,
+        ),
     ];
-    Ok(Row { measure: named("commands", rate), by, size: size_by(size, by), figures })
+    Ok(Row {
+        measure: named("commands", rate),
+        by,
+        size: size_by(size, by),
+        figures,
+    })
 }
 
 /// The name of a measure at a rate, which stays for as long as the program: there are a few.
@@ -455,7 +624,10 @@
 fn added(plan: &Plan, rate: f64, say: &mut impl FnMut(&str)) -> io::Result<Vec<Row>> {
     let mut rows = Vec::new();
     for (size, _) in plan.sizes(Measure::Added) {
-        say(&format!("Added: {} appliances, {rate} a second", size.appliances));
+        say(&format!(
+            "Added: {} appliances, {rate} a second",
+            size.appliances
+        ));
         let stand = Stand::working(&size, plan.work)?;
         let member = stand.agent(&plan.binary, 0, true)?;
         let (agent, straight) = (member.address()?, stand.workers[0].address);
@@ -471,13 +643,26 @@
             (asked, satisfied) = (asked + through.asked, satisfied + through.satisfied);
             let [p50, p99] = beyond_work(&through, plan.work, [0.5, 0.99]);
             let [direct_p50, direct_p99] = beyond_work(&direct, plan.work, [0.5, 0.99]);
-            let late = through.issued_late_ms(0.99).max(direct.issued_late_ms(0.99));
+            let late = through
+                .issued_late_ms(0.99)
+                .max(direct.issued_late_ms(0.99));
             let waited = waited.as_secs_f64() / through.asked.max(1) as f64 * 1e6;
-            all.push([p50 - direct_p50, p99 - direct_p99, p99, direct_p99, late, waited]);
+            all.push([
+                p50 - direct_p50,
+                p99 - direct_p99,
+                p99,
+                direct_p99,
+                late,
+                waited,
+            ]);
         }
         let of = |n: usize| all.iter().map(|a| a[n]).collect::<Vec<f64>>();
         let p99 = of(1);
-        let on_time: Vec<f64> = all.iter().filter(|a| a[4] <= ON_TIME_MS).map(|a| a[1]).collect();
+        let on_time: Vec<f64> = all
+            .iter()
+            .filter(|a| a[4] <= ON_TIME_MS)
+            .map(|a| a[1])
+            .collect();
         let figures = vec![
             ("rate", rate),
             ("asked", asked as f64),
@@ -486,11 +671,24 @@
             ("through_p99_ms", median(&of(2))),
             ("added_p50_ms", median(&of(0))),
             ("added_p99_ms", median(&p99)),
-            ("least_ms", p99.iter().copied().fold(f64::INFINITY, f64::min)),
-            ("most_ms", p99.iter().copied().fold(f64::NEG_INFINITY, f64::max)),
+            (
+                "least_ms",
+                p99.iter().copied().fold(f64::INFINITY, f64::min),
+            ),
+            (
+                "most_ms",
+                p99.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+            ),
             ("repeats", plan.repeats as f64),
             ("on_time", on_time.len() as f64),
-            ("added_p99_on_time_ms", if on_time.is_empty() { f64::NAN } else { median(&on_time) }),
+            (
+                "added_p99_on_time_ms",
+                if on_time.is_empty() {
+                    f64::NAN
+                } else {
+                    median(&on_time)
+                },
+            ),
             ("issued_late_p99_ms", median(&of(4))),
             ("waited_us_a_command", median(&of(5))),
             ("machine_load", Machine::now()?.load),
--- a/crates/lab/src/fleet/meter.rs
+++ b/crates/lab/src/fleet/meter.rs
@@ -59,7 +59,12 @@
                 let _ = pass(stream, to, &passed).await;
             }
         })?;
-        Ok(Meter { address, passed, ends, _task: task })
+        Ok(Meter {
+            address,
+            passed,
+            ends,
+            _task: task,
+        })
     }
 
     pub fn passed(&self) -> Passed {
@@ -77,11 +82,21 @@
         let mut answers: BTreeMap<u64, Taken> = BTreeMap::new();
         for p in passed.passages.iter().filter(|p| p.at >= since) {
             match (p.asked, answers.get_mut(&p.connection)) {
-                (true, Some(taken)) => return Some(Taken { next: p.at, ..*taken }),
+                (true, Some(taken)) => {
+                    return Some(Taken {
+                        next: p.at,
+                        ..*taken
+                    })
+                }
                 (true, None) => {}
                 (false, Some(taken)) => (taken.whole, taken.bytes) = (p.at, taken.bytes + p.bytes),
                 (false, None) => {
-                    let taken = Taken { began: p.at, whole: p.at, next: p.at, bytes: p.bytes };
+                    let taken = Taken {
+                        began: p.at,
+                        whole: p.at,
+                        next: p.at,
+                        bytes: p.bytes,
+                    };
                     answers.insert(p.connection, taken);
                 }
             }
@@ -91,7 +106,11 @@
 
     /// When anything was told first.
     pub fn first_told(&self) -> Option<Instant> {
-        locked(&self.passed).passages.iter().find(|p| !p.asked).map(|p| p.at)
+        locked(&self.passed)
+            .passages
+            .iter()
+            .find(|p| !p.asked)
+            .map(|p| p.at)
     }
 }
 
@@ -144,7 +163,12 @@
             let mut p = locked(passed);
             *(if asked { &mut p.asked } else { &mut p.told }) += got as u64;
             if p.passages.len() < KEPT {
-                p.passages.push(Passage { at: Instant::now(), connection, asked, bytes: got as u64 });
+                p.passages.push(Passage {
+                    at: Instant::now(),
+                    connection,
+                    asked,
+                    bytes: got as u64,
+                });
             }
         }
         to.write_all(&room[..got]).await?;
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -132,12 +132,20 @@
 
 /// The limits of the operators' letter.
 pub fn limits() -> Vec<Limit> {
-    let limit = |figure: &str, most, what: &str| Limit { figure: figure.into(), most, what: what.into() };
+    let limit = |figure: &str, most, what: &str| Limit {
+        figure: figure.into(),
+        most,
+        what: what.into(),
+    };
     vec![
         limit("control_core_%", 1.2, "1.2% of a core for control"),
         limit("peak_mb", 256.0, "256 MB"),
         limit("control_bytes_s", 3000.0, "3 KB a second for control"),
-        limit("bytes_s_at_1000_a_day", 3000.0, "3 KB a second for control, of 1,000 changes a day"),
+        limit(
+            "bytes_s_at_1000_a_day",
+            3000.0,
+            "3 KB a second for control, of 1,000 changes a day",
+        ),
         limit("in_force_ms", 4000.0, "in force within 4 s"),
         limit("added_p99_ms", 7.9, "7.9 ms added to 99 in 100 requests"),
     ]
@@ -157,10 +165,18 @@
         if let Some(first) = rows.first() {
             let (measure, by) = (first.measure, first.by);
             for figure in fitted {
-                let points: Vec<(f64, f64)> =
-                    rows.iter().filter_map(|r| Some((r.size, r.figure(figure)?))).collect();
+                let points: Vec<(f64, f64)> = rows
+                    .iter()
+                    .filter_map(|r| Some((r.size, r.figure(figure)?)))
+                    .collect();
                 if let Some(line) = Line::through(&points) {
-                    self.fits.push(Fitted { measure, by, figure, points: points.len(), line });
+                    self.fits.push(Fitted {
+                        measure,
+                        by,
+                        figure,
+                        points: points.len(),
+                        line,
+                    });
                 }
             }
         }
@@ -183,7 +199,10 @@
 
     pub fn value(&self) -> Value {
         let figures = |of: &[(&'static str, f64)]| -> Value {
-            of.iter().map(|(k, v)| ((*k).to_owned(), json!(v))).collect::<serde_json::Map<_, _>>().into()
+            of.iter()
+                .map(|(k, v)| ((*k).to_owned(), json!(v)))
+                .collect::<serde_json::Map<_, _>>()
+                .into()
         };
         let row = |r: &Row| json!({"measure": r.measure, "by": r.by, "size": r.size, "figures": figures(&r.figures)});
         let fit = |f: &Fitted| {
--- a/crates/lab/src/fleet/stand.rs
+++ b/crates/lab/src/fleet/stand.rs
@@ -11,7 +11,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tulipwall_standins::platform::News;
-use tulipwall_standins::{program, Appliance, Caller, Discovery, Entry, Lane, Platform, Program, Ways};
+use tulipwall_standins::{
+    program, Appliance, Caller, Discovery, Entry, Lane, Platform, Program, Ways,
+};
 
 /// Appliances of the list share so many listeners, one after another.
 pub const LISTENERS: usize = 16;
@@ -40,8 +42,9 @@
     /// A list of so many appliances, all served by a few listeners that behave like this.
     pub fn start(size: &Size, ways: Ways) -> io::Result<Stand> {
         let listeners = 0..size.appliances.clamp(1, LISTENERS) as u64;
-        let appliances =
-            listeners.map(|n| Appliance::start(1, ways.clone(), n)).collect::<io::Result<Vec<_>>>()?;
+        let appliances = listeners
+            .map(|n| Appliance::start(1, ways.clone(), n))
+            .collect::<io::Result<Vec<_>>>()?;
         let addresses: Vec<SocketAddr> = appliances.iter().map(|a| a.address(0)).collect();
         Stand::before(size, &addresses, appliances, Vec::new())
     }
@@ -49,7 +52,9 @@
     /// The same of appliances whose time for each command is known.
     pub fn working(size: &Size, mean: Duration) -> io::Result<Stand> {
         let listeners = 0..size.appliances.clamp(1, LISTENERS);
-        let workers = listeners.map(|_| Worker::start(mean)).collect::<io::Result<Vec<_>>>()?;
+        let workers = listeners
+            .map(|_| Worker::start(mean))
+            .collect::<io::Result<Vec<_>>>()?;
         let addresses: Vec<SocketAddr> = workers.iter().map(|w| w.address).collect();
         Stand::before(size, &addresses, Vec::new(), workers)
     }
@@ -72,7 +77,13 @@
         };
         discovery.tell((0..size.appliances).map(entry));
         let platform = Platform::start(News::now(41, 0, "released", 1.0))?;
-        Ok(Stand { discovery, platform, appliances, workers, size: size.clone() })
+        Ok(Stand {
+            discovery,
+            platform,
+            appliances,
+            workers,
+            size: size.clone(),
+        })
     }
 
     pub fn zones(&self) -> Vec<String> {
@@ -83,7 +94,8 @@
         let zones = self.zones();
         let names: Vec<&str> = zones.iter().map(String::as_str).collect();
         let lanes = lanes(self.size.lanes);
-        let mut settings = program::settings(&names, names[zone_of], self.size.agents as u32, &lanes);
+        let mut settings =
+            program::settings(&names, names[zone_of], self.size.agents as u32, &lanes);
         let share = 1.0 / self.size.tenants.max(1) as f64;
         let tenants = (0..self.size.tenants).map(|n| json!({"name": tenant(n), "share": share}));
         settings["tenants"] = tenants.collect();
@@ -107,18 +119,29 @@
         )?;
         configuration["limits"]["sockets"] = self.size.sockets.into();
         if !known {
-            configuration.as_object_mut().into_iter().for_each(|c| drop(c.remove("known")));
+            configuration
+                .as_object_mut()
+                .into_iter()
+                .for_each(|c| drop(c.remove("known")));
         }
         let begun = Instant::now();
         let program = Program::start(binary, configuration, &[])
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", binary.display())))?;
-        let mut member = Member { program, discovery, platform, ready: Duration::ZERO, zone };
+        let mut member = Member {
+            program,
+            discovery,
+            platform,
+            ready: Duration::ZERO,
+            zone,
+        };
         member.ready = member.serves(begun)?;
         Ok(member)
     }
 
     pub fn agents(&self, binary: &Path) -> io::Result<Vec<Member>> {
-        (0..self.size.agents).map(|n| self.agent(binary, n, true)).collect()
+        (0..self.size.agents)
+            .map(|n| self.agent(binary, n, true))
+            .collect()
     }
 
     /// Commands that came to any appliance.
@@ -168,8 +191,7 @@
         let platform = Meter::start(stand.platform.address)?;
         let c = &mut self.program.configuration;
         c["discovery"] = discovery.address.to_string().into();
-        c["deployer"] =
-            json!({"address": platform.address.to_string(), "news": stand.platform.newest().value()});
+        c["deployer"] = json!({"address": platform.address.to_string(), "news": stand.platform.newest().value()});
         c["known"] = stand.discovery.known(self.zone);
         settings(&mut c["settings"]);
         let text = c.to_string();
@@ -184,13 +206,20 @@
 
     /// Ends it and starts another under these settings at the same address: how long its end took, and until the other
     /// one served.
-    pub fn restart(&mut self, binary: &Path, settings: impl FnOnce(&mut Value)) -> io::Result<[Duration; 2]> {
+    pub fn restart(
+        &mut self,
+        binary: &Path,
+        settings: impl FnOnce(&mut Value),
+    ) -> io::Result<[Duration; 2]> {
         let mut configuration = self.program.configuration.clone();
         settings(&mut configuration["settings"]);
         let told = Instant::now();
         self.program.terminate()?;
         if !self.program.ended_well()? {
-            return Err(io::Error::other(format!("it did not end well; its log:\n{}", self.program.log())));
+            return Err(io::Error::other(format!(
+                "it did not end well; its log:\n{}",
+                self.program.log()
+            )));
         }
         let ended = told.elapsed();
         let begun = Instant::now();
@@ -215,7 +244,9 @@
         6..=8 => "by_key",
         _ => "repeatable",
     };
-    (0..count).map(|n| Lane::new(&format!("route-{n}"), kind(n), 3.0)).collect()
+    (0..count)
+        .map(|n| Lane::new(&format!("route-{n}"), kind(n), 3.0))
+        .collect()
 }
 
 /// Waits until this is there, looking every half millisecond.
--- a/crates/lab/src/fleet/table.rs
+++ b/crates/lab/src/fleet/table.rs
@@ -15,14 +15,28 @@
 
 /// The points of one measure: a line each, a column for each figure.
 pub fn points(rows: &[&Row]) -> String {
-    let Some(first) = rows.first() else { return String::new() };
-    let head: Vec<String> =
-        std::iter::once(first.by.to_owned()).chain(first.figures.iter().map(|f| f.0.to_owned())).collect();
+    let Some(first) = rows.first() else {
+        return String::new();
+    };
+    let head: Vec<String> = std::iter::once(first.by.to_owned())
+        .chain(first.figures.iter().map(|f| f.0.to_owned()))
+        .collect();
     let line = |r: &Row| -> Vec<String> {
-        std::iter::once(shown(r.size)).chain(r.figures.iter().map(|f| shown(f.1))).collect()
+        std::iter::once(shown(r.size))
+            .chain(r.figures.iter().map(|f| shown(f.1)))
+            .collect()
+    };
+    let lines: Vec<Vec<String>> = std::iter::once(head)
+        .chain(rows.iter().map(|r| line(r)))
+        .collect();
+    let wide = |n: usize| {
+        lines
+            .iter()
+            .filter_map(|l| l.get(n))
+            .map(String::len)
+            .max()
+            .unwrap_or(0)
     };
-    let lines: Vec<Vec<String>> = std::iter::once(head).chain(rows.iter().map(|r| line(r))).collect();
-    let wide = |n: usize| lines.iter().filter_map(|l| l.get(n)).map(String::len).max().unwrap_or(0);
     let mut text = format!("{}\n", first.measure);
     for l in &lines {
         l.iter().enumerate().for_each(|(n, cell)| {
@@ -57,9 +71,16 @@
         }
     }
     for (measure, by) in measures {
-        let rows: Vec<&Row> = of.rows.iter().filter(|r| (r.measure, r.by) == (measure, by)).collect();
+        let rows: Vec<&Row> = of
+            .rows
+            .iter()
+            .filter(|r| (r.measure, r.by) == (measure, by))
+            .collect();
         text += &points(&rows);
-        of.fits.iter().filter(|f| (f.measure, f.by) == (measure, by)).for_each(|f| text += &fit(f));
+        of.fits
+            .iter()
+            .filter(|f| (f.measure, f.by) == (measure, by))
+            .for_each(|f| text += &fit(f));
         text.push('\n');
     }
     let beyond = of.beyond();
--- a/crates/lab/src/fleet/worker.rs
+++ b/crates/lab/src/fleet/worker.rs
@@ -34,7 +34,11 @@
         let (address, task) = ground::listen(&ends, move |stream| async move {
             let _ = talk(stream, mean).await;
         })?;
-        Ok(Worker { address, ends, _task: task })
+        Ok(Worker {
+            address,
+            ends,
+            _task: task,
+        })
     }
 }
 
@@ -54,7 +58,9 @@
             return Ok(());
         }
         let text = String::from_utf8_lossy(&body);
-        let id = pg::comment(&text).find(|(name, _)| *name == "id").map_or("", |(_, id)| id);
+        let id = pg::comment(&text)
+            .find(|(name, _)| *name == "id")
+            .map_or("", |(_, id)| id);
         sleep(work(id, mean)).await;
         stream.write_all(&answer).await?;
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -35,7 +35,8 @@
 
     pub fn value(&self) -> Value {
         let a = &self.answered;
-        let quantiles = [0.5, 0.9, 0.99, 0.999].map(|q| (format!("p{}", q * 100.0), json!(a.quantile_ms(q))));
+        let quantiles =
+            [0.5, 0.9, 0.99, 0.999].map(|q| (format!("p{}", q * 100.0), json!(a.quantile_ms(q))));
         json!({"rate": self.rate, "span_s": self.span.as_secs_f64(), "asked": a.asked, "satisfied": a.satisfied,
             "denied": a.denied, "failed": a.failed, "unanswered": a.unanswered,
             "ms": quantiles.into_iter().collect::<serde_json::Map<_, _>>(),
@@ -75,7 +76,11 @@
             connections: self.connections,
             seed: self.seed ^ rate.to_bits(),
         };
-        Step { rate, span, answered: load.play() }
+        Step {
+            rate,
+            span,
+            answered: load.play(),
+        }
     }
 
     /// The highest rate that keeps this p99, to within a twentieth, between two rates; each step is told. One in which the
@@ -95,7 +100,9 @@
                 tell(&step);
                 step
             };
-            let in_time = std::iter::repeat_with(step).take(TRIES).find(|s| !s.limited());
+            let in_time = std::iter::repeat_with(step)
+                .take(TRIES)
+                .find(|s| !s.limited());
             in_time.is_some_and(|s| s.keeps(p99_ms))
         };
         if !keeps(from) {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -47,7 +47,10 @@
         figures: Vec<String>,
     },
     /// What differs beyond chance: two files point by point, or the points of one against its first.
-    Compare { records: PathBuf, other: Option<PathBuf> },
+    Compare {
+        records: PathBuf,
+        other: Option<PathBuf>,
+    },
     /// One HTML page with a plot for each figure.
     Plot {
         records: PathBuf,
@@ -108,8 +111,13 @@
 
 fn lane(text: &str) -> Result<(String, f64, bool), String> {
     let (name, weight) = text.split_once('=').unwrap_or((text, "1"));
-    let (weight, keyed) = weight.strip_suffix("+k").map_or((weight, false), |w| (w, true));
-    let weight = weight.parse::<f64>().ok().filter(|w| w.is_finite() && *w > 0.0);
+    let (weight, keyed) = weight
+        .strip_suffix("+k")
+        .map_or((weight, false), |w| (w, true));
+    let weight = weight
+        .parse::<f64>()
+        .ok()
+        .filter(|w| w.is_finite() && *w > 0.0);
     weight
         .map(|w| (name.to_owned(), w, keyed))
         .ok_or_else(|| "NAME, NAME=WEIGHT or NAME=WEIGHT+k is wanted".into())
@@ -117,7 +125,11 @@
 
 fn main() -> ExitCode {
     let done = match Line::parse().command {
-        Command::Run { scenario, out, cores } => play(&scenario, out, cores),
+        Command::Run {
+            scenario,
+            out,
+            cores,
+        } => play(&scenario, out, cores),
         Command::List { scenario } => list(&scenario),
         Command::Table { records, figures } => records::read(&records).map(|(_, all)| {
             print!("{}", report::table(&all, &figures));
@@ -125,9 +137,13 @@
         }),
         Command::Compare { records, other } => compare(&records, other.as_deref()),
         Command::Plot { records, out } => plot(&records, &out),
-        Command::Explain { scenario, point, seed, agent, command } => {
-            explain(&scenario, point, seed, (agent, command))
-        }
+        Command::Explain {
+            scenario,
+            point,
+            seed,
+            agent,
+            command,
+        } => explain(&scenario, point, seed, (agent, command)),
         Command::Load(drive) => drive.run(),
         Command::Fleet(options) => return fleet::main(*options),
         Command::Scale(scale) => match scale.run(free()) {
@@ -150,22 +166,32 @@
 fn read(path: &Path) -> Result<(Scenario, String), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let named = |m: &tulipwall_deployment::Mistake| format!("{}:{m}", path.display());
-    let read = Scenario::read(&text).map_err(|all| all.iter().map(named).collect::<Vec<_>>().join("\n"))?;
+    let read = Scenario::read(&text)
+        .map_err(|all| all.iter().map(named).collect::<Vec<_>>().join("\n"))?;
     Ok((read, text))
 }
 
 /// Bytes that are free on this machine.
 fn free() -> f64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("MemAvailable:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).map_or(f64::MAX, |kb| kb * 1024.0)
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("MemAvailable:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse::<f64>().ok())
+        .map_or(f64::MAX, |kb| kb * 1024.0)
 }
 
 fn play(path: &Path, out: Option<PathBuf>, cores: Option<u16>) -> Result<bool, String> {
     let (scenario, text) = read(path)?;
     let points = scenario.points();
     let cores = cores.map_or(rayon::current_num_threads(), usize::from);
-    let needs = points.iter().map(|p| scenario.at(p).memory()).fold(0.0, f64::max);
+    let needs = points
+        .iter()
+        .map(|p| scenario.at(p).memory())
+        .fold(0.0, f64::max);
     let fit = (free() * 0.8 / needs).floor() as usize;
     if fit == 0 {
         let (needs, free) = (needs / 1e9, free() / 1e9);
@@ -178,21 +204,31 @@
     let records = Mutex::new(Records::open(&out, Head::of(&scenario.name, &text))?);
     let mut todo = Vec::new();
     {
-        let records = records.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let records = records
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         // Seed by seed, so that what is there early holds something of each point.
         for seed in 1..=scenario.seeds {
-            todo.extend((0..points.len()).filter(|p| !records.has(*p, seed)).map(|p| (p, seed)));
+            todo.extend(
+                (0..points.len())
+                    .filter(|p| !records.has(*p, seed))
+                    .map(|p| (p, seed)),
+            );
         }
     }
     let bar = ProgressBar::new(todo.len() as u64);
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {eta} to go");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let pool =
-        rayon::ThreadPoolBuilder::new().num_threads(cores.min(fit)).build().map_err(|e| e.to_string())?;
+    let pool = rayon::ThreadPoolBuilder::new()
+        .num_threads(cores.min(fit))
+        .build()
+        .map_err(|e| e.to_string())?;
     let failed = pool.install(|| {
         todo.into_par_iter().find_map_any(|(point, seed)| {
             let record = run::run(&scenario, point, &points[point], seed);
-            let mut records = records.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let mut records = records
+                .lock()
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
             let added = records.add(record);
             bar.inc(1);
             added.err()
@@ -202,21 +238,35 @@
     if let Some(e) = failed {
         return Err(format!("{}: {e}", out.display()));
     }
-    let records = records.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let records = records
+        .into_inner()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     let broken: Vec<&String> = records.all.iter().flat_map(|r| &r.broken).collect();
-    println!("{}: {} runs; rules broken: {}", out.display(), records.all.len(), broken.len());
+    println!(
+        "{}: {} runs; rules broken: {}",
+        out.display(),
+        records.all.len(),
+        broken.len()
+    );
     broken.iter().take(5).for_each(|b| println!("  {b}"));
     Ok(broken.is_empty())
 }
 
 fn list(path: &Path) -> Result<bool, String> {
     let (scenario, _) = read(path)?;
-    println!("{}: {} seeds, {:?} each", scenario.name, scenario.seeds, scenario.span);
+    println!(
+        "{}: {} seeds, {:?} each",
+        scenario.name, scenario.seeds, scenario.span
+    );
     for (n, point) in scenario.points().iter().enumerate() {
         let s = scenario.at(point);
         let words: Vec<String> = point.iter().map(|(k, v)| format!("{k} {v}")).collect();
         let commands = s.rate * s.span.as_secs_f64();
-        println!("{n:4}  {}  {commands:.0} commands, {:.0} MB", words.join(", "), s.memory() / 1e6);
+        println!(
+            "{n:4}  {}  {commands:.0} commands, {:.0} MB",
+            words.join(", "),
+            s.memory() / 1e6
+        );
     }
     Ok(true)
 }
@@ -232,7 +282,8 @@
 
 fn plot(path: &Path, out: &Path) -> Result<bool, String> {
     let (head, all) = records::read(path)?;
-    std::fs::write(out, report::page(&head, &all)?).map_err(|e| format!("{}: {e}", out.display()))?;
+    std::fs::write(out, report::page(&head, &all)?)
+        .map_err(|e| format!("{}: {e}", out.display()))?;
     println!("{}: written", out.display());
     Ok(true)
 }
@@ -258,7 +309,11 @@
         let expiry = Duration::from_millis(self.expiry);
         let plan = Plan {
             agent: self.agent,
-            lanes: self.lane.into_iter().map(|(name, weight, keyed)| (name, weight, expiry, keyed)).collect(),
+            lanes: self
+                .lane
+                .into_iter()
+                .map(|(name, weight, keyed)| (name, weight, expiry, keyed))
+                .collect(),
             connections: usize::from(self.connections),
             seed: 1,
         };
@@ -272,13 +327,25 @@
             }
         };
         match self.limit {
-            None => self.rate.iter().for_each(|rate| tell(&plan.step(*rate, span))),
+            None => self
+                .rate
+                .iter()
+                .for_each(|rate| tell(&plan.step(*rate, span))),
             Some(p99) => {
-                let (from, to) =
-                    (self.rate[0], self.rate.iter().copied().fold(self.rate[0] * 64.0, f64::max));
+                let (from, to) = (
+                    self.rate[0],
+                    self.rate
+                        .iter()
+                        .copied()
+                        .fold(self.rate[0] * 64.0, f64::max),
+                );
                 match plan.limit(from, to, span, p99, tell) {
-                    Some(rate) => println!("highest rate with p99 within {p99} ms: {rate:.0} a second"),
-                    None => println!("not even {from} a second is answered with p99 within {p99} ms"),
+                    Some(rate) => {
+                        println!("highest rate with p99 within {p99} ms: {rate:.0} a second")
+                    }
+                    None => {
+                        println!("not even {from} a second is answered with p99 within {p99} ms")
+                    }
                 }
             }
         }
--- a/crates/lab/src/records.rs
+++ b/crates/lab/src/records.rs
@@ -40,7 +40,11 @@
 
 impl Head {
     pub fn of(name: &str, scenario: &str) -> Head {
-        Head { version: VERSION, name: name.to_owned(), scenario: crc32fast::hash(scenario.as_bytes()) }
+        Head {
+            version: VERSION,
+            name: name.to_owned(),
+            scenario: crc32fast::hash(scenario.as_bytes()),
+        }
     }
 }
 
@@ -59,15 +63,26 @@
     let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let mut lines = BufReader::new(file).lines();
     let wrong = |n: usize, what: &str| format!("{}:{n}: {what}", path.display());
-    let first = lines.next().and_then(Result::ok).ok_or_else(|| wrong(1, "no head"))?;
+    let first = lines
+        .next()
+        .and_then(Result::ok)
+        .ok_or_else(|| wrong(1, "no head"))?;
     let head = whole(&first).and_then(|t| serde_json::from_str::<Head>(t).ok());
     let head = head.ok_or_else(|| wrong(1, "no head of a file of records"))?;
     if head.version != VERSION {
-        return Err(wrong(1, &format!("version {}, this program reads version {VERSION}", head.version)));
+        return Err(wrong(
+            1,
+            &format!(
+                "version {}, this program reads version {VERSION}",
+                head.version
+            ),
+        ));
     }
     let mut all = Vec::new();
     for (n, text) in lines.enumerate() {
-        let Some(record) = text.ok().and_then(|t| whole(&t).and_then(|t| serde_json::from_str(t).ok()))
+        let Some(record) = text
+            .ok()
+            .and_then(|t| whole(&t).and_then(|t| serde_json::from_str(t).ok()))
         else {
             // Torn or flipped: that run is done again.
             log_torn(path, n + 2);
@@ -79,15 +94,21 @@
 }
 
 fn log_torn(path: &Path, line: usize) {
-    eprintln!("{}:{line}: not whole; that run is done again", path.display());
+    eprintln!(
+        "{}:{line}: not whole; that run is done again",
+        path.display()
+    );
 }
 
 impl Records {
     /// Opens a file for more records of this scenario, or begins it. One of another scenario is refused.
     pub fn open(path: &Path, head: Head) -> Result<Records, String> {
         let broken = |e: io::Error| format!("{}: {e}", path.display());
-        let (old, all) =
-            if path.exists() { read(path).map(|(h, a)| (Some(h), a))? } else { (None, Vec::new()) };
+        let (old, all) = if path.exists() {
+            read(path).map(|(h, a)| (Some(h), a))?
+        } else {
+            (None, Vec::new())
+        };
         if old.as_ref().is_some_and(|o| *o != head) {
             return Err(format!(
                 "{}: its records are of another scenario, or of another version of it",
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -15,12 +15,20 @@
 
 impl Group<'_> {
     pub fn figure(&self, name: &str) -> Mean {
-        Mean::of(&self.runs.iter().filter_map(|r| r.figures.get(name).copied()).collect::<Vec<_>>())
+        Mean::of(
+            &self
+                .runs
+                .iter()
+                .filter_map(|r| r.figures.get(name).copied())
+                .collect::<Vec<_>>(),
+        )
     }
 
     /// A quantile, in milliseconds, over the commands of all runs: histograms add up without loss.
     pub fn quantile_ms(&self, part: f64) -> f64 {
-        let Ok(mut all) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else { return 0.0 };
+        let Ok(mut all) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else {
+            return 0.0;
+        };
         for (value, n) in self.runs.iter().flat_map(|r| &r.delays_us) {
             all.saturating_record_n(*value, *n);
         }
@@ -28,7 +36,11 @@
     }
 
     pub fn name(&self) -> String {
-        let all: Vec<String> = self.values.iter().map(|(k, v)| format!("{k} {v}")).collect();
+        let all: Vec<String> = self
+            .values
+            .iter()
+            .map(|(k, v)| format!("{k} {v}"))
+            .collect();
         if all.is_empty() {
             "as written".into()
         } else {
@@ -41,7 +53,13 @@
 pub fn groups(all: &[Record]) -> Vec<Group<'_>> {
     let mut by: BTreeMap<usize, Group> = BTreeMap::new();
     for r in all {
-        by.entry(r.point).or_insert_with(|| Group { values: &r.values, runs: Vec::new() }).runs.push(r);
+        by.entry(r.point)
+            .or_insert_with(|| Group {
+                values: &r.values,
+                runs: Vec::new(),
+            })
+            .runs
+            .push(r);
     }
     by.into_values().collect()
 }
@@ -63,13 +81,26 @@
 
 /// A table in Markdown: a row for each point, a column for each of these figures (all, if none is named).
 pub fn table(all: &[Record], figures: &[String]) -> String {
-    let names = if figures.is_empty() { names(all) } else { figures.to_vec() };
-    let mut text =
-        format!("| point | runs | {} |\n|{}\n", names.join(" | "), " --- |".repeat(names.len() + 2));
+    let names = if figures.is_empty() {
+        names(all)
+    } else {
+        figures.to_vec()
+    };
+    let mut text = format!(
+        "| point | runs | {} |\n|{}\n",
+        names.join(" | "),
+        " --- |".repeat(names.len() + 2)
+    );
     for g in groups(all) {
         let cells: Vec<String> = names.iter().map(|n| shown(&g.figure(n))).collect();
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "| {} | {} | {} |", g.name(), g.runs.len(), cells.join(" | "));
+        let _ = writeln!(
+            text,
+            "| {} | {} | {} |",
+            g.name(),
+            g.runs.len(),
+            cells.join(" | ")
+        );
     }
     text
 }
@@ -95,11 +126,19 @@
 /// The first point of a file against each of its others.
 pub fn compare_within(all: &[Record]) -> String {
     let groups = groups(all);
-    let Some((first, others)) = groups.split_first() else { return "no runs\n".into() };
+    let Some((first, others)) = groups.split_first() else {
+        return "no runs\n".into();
+    };
     let first: Vec<Record> = first.runs.iter().map(|r| (*r).clone()).collect();
     let one = |g: &Group| {
-        let runs: Vec<Record> =
-            g.runs.iter().map(|r| Record { point: first[0].point, ..(*r).clone() }).collect();
+        let runs: Vec<Record> = g
+            .runs
+            .iter()
+            .map(|r| Record {
+                point: first[0].point,
+                ..(*r).clone()
+            })
+            .collect();
         compare(&first, &runs)
     };
     others.iter().map(one).collect()
@@ -125,8 +164,10 @@
     html += "<table>";
     for (n, line) in table(all, &[]).lines().enumerate().filter(|(n, _)| *n != 1) {
         let cell = if n == 0 { "th" } else { "td" };
-        let cells =
-            line.trim_matches('|').split('|').map(|c| format!("<{cell}>{}</{cell}>", escape(c.trim())));
+        let cells = line
+            .trim_matches('|')
+            .split('|')
+            .map(|c| format!("<{cell}>{}</{cell}>", escape(c.trim())));
         let _ = write!(html, "<tr>{}</tr>", cells.collect::<String>());
     }
     Ok(html + "</table>")
@@ -148,22 +189,43 @@
             }),
             None => 0.0,
         };
-        let rest: Vec<String> = g.values.iter().skip(1).map(|(k, v)| format!("{k} {v}")).collect();
-        curves.entry(rest.join(", ")).or_default().push((x, g.figure(figure)));
+        let rest: Vec<String> = g
+            .values
+            .iter()
+            .skip(1)
+            .map(|(k, v)| format!("{k} {v}"))
+            .collect();
+        curves
+            .entry(rest.join(", "))
+            .or_default()
+            .push((x, g.figure(figure)));
     }
-    let key = groups.first().and_then(|g| g.values.first()).map_or("point", |v| v.0.as_str());
-    let key =
-        if words.is_empty() { key.to_owned() } else { format!("{key} (0 is {})", words.join(", then ")) };
+    let key = groups
+        .first()
+        .and_then(|g| g.values.first())
+        .map_or("point", |v| v.0.as_str());
+    let key = if words.is_empty() {
+        key.to_owned()
+    } else {
+        format!("{key} (0 is {})", words.join(", then "))
+    };
     let points = || curves.values().flatten();
     // A scale by powers where numbers go over more than two of ten.
-    let (least, most) = points().fold((f64::MAX, f64::MIN), |(a, b), (x, _)| (a.min(*x), b.max(*x)));
+    let (least, most) = points().fold((f64::MAX, f64::MIN), |(a, b), (x, _)| {
+        (a.min(*x), b.max(*x))
+    });
     let by_powers = least > 0.0 && most / least >= 50.0;
     let place = |x: f64| if by_powers { x.log10() } else { x };
     let (left, right) = (place(least), place(most));
     let pad = ((right - left) * 0.05).max(0.1);
     let reach = |m: &Mean| if m.half().is_finite() { m.half() } else { 0.0 };
-    let low = points().map(|(_, m)| m.mean - reach(m)).fold(f64::MAX, f64::min).min(0.0);
-    let high = points().map(|(_, m)| m.mean + reach(m)).fold(low + 1e-9, f64::max);
+    let low = points()
+        .map(|(_, m)| m.mean - reach(m))
+        .fold(f64::MAX, f64::min)
+        .min(0.0);
+    let high = points()
+        .map(|(_, m)| m.mean + reach(m))
+        .fold(low + 1e-9, f64::max);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (860, 300)).into_drawing_area();
@@ -175,8 +237,13 @@
                 .x_label_area_size(34)
                 .y_label_area_size(64)
                 .build_cartesian_2d(left - pad..right + pad, low..high + (high - low) * 0.08)?;
-            let label =
-                |x: &f64| if by_powers { format!("{:.3}", 10f64.powf(*x)) } else { format!("{x:.2}") };
+            let label = |x: &f64| {
+                if by_powers {
+                    format!("{:.3}", 10f64.powf(*x))
+                } else {
+                    format!("{x:.2}")
+                }
+            };
             chart
                 .configure_mesh()
                 .x_desc(key.as_str())
@@ -193,12 +260,19 @@
                     .label(if name.is_empty() { figure } else { name })
                     .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], style));
                 let bars = curve.iter().map(|(x, m)| {
-                    let ends = [(place(*x), m.mean - reach(m)), (place(*x), m.mean + reach(m))];
+                    let ends = [
+                        (place(*x), m.mean - reach(m)),
+                        (place(*x), m.mean + reach(m)),
+                    ];
                     PathElement::new(ends, style)
                 });
                 chart.draw_series(bars)?;
             }
-            chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
+            chart
+                .configure_series_labels()
+                .background_style(WHITE)
+                .border_style(BLACK)
+                .draw()?;
             area.present()
         };
         draw().map_err(|e| format!("{figure}: {e}"))?;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -33,29 +33,50 @@
             let zone = n % zones;
             own.push(nodes.len());
             let new = Node::new(zone, NEW, s.zones[zone].cores);
-            nodes.push(Node { slowness: o.slowness, fails: o.fails, standing: Standing::Gone, ..new });
+            nodes.push(Node {
+                slowness: o.slowness,
+                fails: o.fails,
+                standing: Standing::Gone,
+                ..new
+            });
         }
         // A twentieth of the agents must agree.
         let back_votes = (s.agents as f64 * 0.05).ceil() as usize;
-        Offering { build: NEW, at: o.at, caps: o.stages.clone(), step: o.step, nodes: own, back_votes }
+        Offering {
+            build: NEW,
+            at: o.at,
+            caps: o.stages.clone(),
+            step: o.step,
+            nodes: own,
+            back_votes,
+        }
     });
     // Agents in turn in each zone; unequal ones from one plus the spread down to one less it.
     let part = |n: usize| 1.0 + s.spread * (1.0 - 2.0 * n as f64 / (s.agents.max(2) - 1) as f64);
     let caller = |n: usize| {
         let zone = n % zones;
         let zoning = (s.near_first || s.share.is_some()).then(|| zoning(s, zone));
-        Caller { zone, part: part(n).max(0.0), zoning }
+        Caller {
+            zone,
+            part: part(n).max(0.0),
+            zoning,
+        }
     };
     let agents: Vec<Caller> = (0..s.agents).map(caller).collect();
     let mut day = Day::small(agents, nodes, s.rate, s.span, seed);
-    day.ways = (0..=zones).map(|from| (0..=zones).map(|to| way(s, from, to)).collect()).collect();
+    day.ways = (0..=zones)
+        .map(|from| (0..=zones).map(|to| way(s, from, to)).collect())
+        .collect();
     day.deployment = deployment(s);
     day.work = s.lanes.iter().map(|l| l.work).collect();
     day.lanes = s.lanes.iter().map(|l| (l.weight, l.expiry)).collect();
     (day.steady, day.loss, day.told_late) = (s.steady, s.loss, s.told_late);
     day.clients = match s.clients {
         ClientKind::Open => Clients::Open,
-        ClientKind::Naive => Clients::Naive { pause: Duration::from_millis(50), tries: 20 },
+        ClientKind::Naive => Clients::Naive {
+            pause: Duration::from_millis(50),
+            tries: 20,
+        },
         ClientKind::Careful => Clients::Careful(Retrying::default()),
     };
     day.offering = offering;
@@ -64,7 +85,12 @@
 }
 
 fn way(s: &Scenario, from: usize, to: usize) -> Duration {
-    let said = s.ways.iter().rev().find(|w| (w.0, w.1) == (from, to)).map(|w| w.2);
+    let said = s
+        .ways
+        .iter()
+        .rev()
+        .find(|w| (w.0, w.1) == (from, to))
+        .map(|w| w.2);
     said.unwrap_or(if from == to { SAME_ZONE } else { OTHER_ZONE })
 }
 
@@ -79,11 +105,22 @@
     };
     let budgets = s.share.into_iter().map(budget).collect();
     let zoning = day::zoning(&deployment(s).lanes, own, s.zones.len(), budgets);
-    Zoning { routing: if s.near_first { Routing::NearFirst } else { Routing::AsEver }, ..zoning }
+    Zoning {
+        routing: if s.near_first {
+            Routing::NearFirst
+        } else {
+            Routing::AsEver
+        },
+        ..zoning
+    }
 }
 
 fn deployment(s: &Scenario) -> Deployment {
-    let lane = |l: &crate::scenario::Lane| Lane { quoted: l.quoted, benefit: l.benefit, repeats: l.repeats };
+    let lane = |l: &crate::scenario::Lane| Lane {
+        quoted: l.quoted,
+        benefit: l.benefit,
+        repeats: l.repeats,
+    };
     let mut d = day::deployment(s.lanes.iter().map(lane).collect());
     d.rollout.caps = s.offer.as_ref().map_or(vec![1.0], |o| o.stages.clone());
     d.rollout.back_votes = (s.agents as f64 * 0.05).ceil() as u32;
@@ -94,11 +131,17 @@
     let mut script = Vec::new();
     for f in &s.faults {
         let zones: Vec<usize> = f.zone.map_or((0..of_zone.len()).collect(), |z| vec![z]);
-        let on: Vec<usize> = zones.iter().flat_map(|z| of_zone[*z].iter().take(f.most).copied()).collect();
+        let on: Vec<usize> = zones
+            .iter()
+            .flat_map(|z| of_zone[*z].iter().take(f.most).copied())
+            .collect();
         let end = f.lasts.map(|t| f.at + t);
         let mut each = |begin: &dyn Fn(usize) -> Change, over: &dyn Fn(usize) -> Change| {
             script.extend(on.iter().map(|n| (f.at, begin(*n))));
-            script.extend(end.into_iter().flat_map(|t| on.iter().map(move |n| (t, over(*n)))));
+            script.extend(
+                end.into_iter()
+                    .flat_map(|t| on.iter().map(move |n| (t, over(*n)))),
+            );
         };
         match f.kind {
             FaultKind::Slow(by) => each(&|n| Change::Slows(n, by), &|n| Change::Slows(n, 1.0)),
@@ -124,7 +167,10 @@
     let played = day(&s.at(values), seed).play();
     Record {
         point,
-        values: values.iter().map(|(k, v)| (k.clone(), v.to_string())).collect(),
+        values: values
+            .iter()
+            .map(|(k, v)| (k.clone(), v.to_string()))
+            .collect(),
         seed,
         figures: figures(&s.at(values), &played),
         delays_us: played
@@ -141,7 +187,11 @@
 fn figures(s: &Scenario, p: &Played) -> BTreeMap<String, f64> {
     let seconds = s.span.as_secs() as usize;
     let sum = |from: usize, to: usize, of: &dyn Fn(&tulipwall_standins::day::Second) -> u64| {
-        p.seconds.iter().flat_map(|a| &a[from.min(a.len())..to.min(a.len())]).map(of).sum::<u64>() as f64
+        p.seconds
+            .iter()
+            .flat_map(|a| &a[from.min(a.len())..to.min(a.len())])
+            .map(of)
+            .sum::<u64>() as f64
     };
     let good = |from, to| sum(from, to, &|x| x.good) / sum(from, to, &|x| x.asked).max(1.0);
     let mut f = BTreeMap::new();
@@ -150,9 +200,15 @@
     };
     put("good", good(0, seconds));
     put("good_last_quarter", good(seconds * 3 / 4, seconds));
-    put("taken_over_asked", sum(0, seconds, &|x| x.taken) / sum(0, seconds, &|x| x.asked).max(1.0));
+    put(
+        "taken_over_asked",
+        sum(0, seconds, &|x| x.taken) / sum(0, seconds, &|x| x.asked).max(1.0),
+    );
     put("crossing", p.crossed());
-    put("over_budget", p.over() as f64 / sum(0, seconds, &|x| x.taken).max(1.0));
+    put(
+        "over_budget",
+        p.over() as f64 / sum(0, seconds, &|x| x.taken).max(1.0),
+    );
     put("p50_ms", p.quantile_ms(0.5));
     put("p99_ms", p.quantile_ms(0.99));
     put("denied", p.denied as f64 / p.taken.max(1) as f64);
@@ -163,9 +219,15 @@
     if let Some(o) = &s.offer {
         put("held", f64::from(u8::from(p.offered.held.is_some())));
         put("sent_back", f64::from(u8::from(p.offered.back.is_some())));
-        put("released", f64::from(u8::from(p.offered.released.is_some())));
+        put(
+            "released",
+            f64::from(u8::from(p.offered.released.is_some())),
+        );
         // A build that is never held counts as held in the stage after the last.
-        put("held_in_stage", p.offered.held.map_or(o.stages.len(), |h| h.1) as f64);
+        put(
+            "held_in_stage",
+            p.offered.held.map_or(o.stages.len(), |h| h.1) as f64,
+        );
         let held = p.offered.held.map_or(s.span, |h| h.0);
         put("s_to_hold", held.saturating_sub(o.at).as_secs_f64());
         put("s_stood", p.offered.stood.as_secs_f64());
--- a/crates/lab/src/scale/command.rs
+++ b/crates/lab/src/scale/command.rs
@@ -88,20 +88,32 @@
 }
 
 fn count(text: &str) -> Result<usize, String> {
-    let count = text.parse::<usize>().ok().filter(|n| (1..=1_000_000).contains(n));
+    let count = text
+        .parse::<usize>()
+        .ok()
+        .filter(|n| (1..=1_000_000).contains(n));
     count.ok_or_else(|| "a number from 1 to 1000000 is wanted".into())
 }
 
 fn rate(text: &str) -> Result<f64, String> {
-    let rate = text.parse::<f64>().ok().filter(|r| (0.01..=1e5).contains(r));
+    let rate = text
+        .parse::<f64>()
+        .ok()
+        .filter(|r| (0.01..=1e5).contains(r));
     rate.ok_or_else(|| "a rate a second from 0.01 to 100000 is wanted".into())
 }
 
 /// Bytes of memory that this machine has.
 fn machine() -> f64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("MemTotal:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).map_or(f64::MAX, |kb| kb * 1024.0)
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("MemTotal:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse::<f64>().ok())
+        .map_or(f64::MAX, |kb| kb * 1024.0)
 }
 
 impl Scale {
@@ -113,8 +125,15 @@
         if let Some(point) = &self.point {
             return self.point(point);
         }
-        let most = self.memory.map_or(MEMORY_MOST, |gb| gb * 1e9).min(machine() / 2.0).min(free / 2.0);
-        let mut report = Report { seed: self.seed, ..Report::default() };
+        let most = self
+            .memory
+            .map_or(MEMORY_MOST, |gb| gb * 1e9)
+            .min(machine() / 2.0)
+            .min(free / 2.0);
+        let mut report = Report {
+            seed: self.seed,
+            ..Report::default()
+        };
         let parts = self.parts(most);
         let of = |(_, size, _): &(String, Size, Option<f64>)| size.memory(false);
         let needs = parts
@@ -130,11 +149,16 @@
         }
         if self.only != Some(Only::Rows) && !self.sized() && self.row.is_empty() {
             let all = sweeps(self.full, self.seed);
-            if let Some(name) = self.sweep.iter().find(|name| !all.iter().any(|s| s.name == *name)) {
+            if let Some(name) = self
+                .sweep
+                .iter()
+                .find(|name| !all.iter().any(|s| s.name == *name))
+            {
                 let known: Vec<&str> = all.iter().map(|s| s.name).collect();
                 return Err(format!("no sweep '{name}'; known are {}", known.join("; ")));
             }
-            let named = |s: &Sweep| self.sweep.is_empty() || self.sweep.iter().any(|name| name == s.name);
+            let named =
+                |s: &Sweep| self.sweep.is_empty() || self.sweep.iter().any(|name| name == s.name);
             for sweep in all.into_iter().filter(named) {
                 let swept = Swept::of(&sweep, &self.swept(&sweep)?);
                 println!("{}", swept.table());
@@ -146,19 +170,20 @@
                 reckoned.iter().for_each(|r| println!("{}", r.line()));
                 println!();
             }
-            report.beyond.extend(reckoned.iter().flat_map(|r| r.beyond()));
+            report
+                .beyond
+                .extend(reckoned.iter().flat_map(|r| r.beyond()));
         }
         if self.only != Some(Only::Sweeps) && self.sweep.is_empty() {
             for (reading, size, quiet) in parts {
                 self.rows(&reading, size, quiet, &mut report)?;
             }
         }
-        report.beyond.extend(
-            report
-                .rows
+        report.beyond.extend(report.rows.iter().flat_map(|r| {
+            r.beyond
                 .iter()
-                .flat_map(|r| r.beyond.iter().map(move |b| format!("{}, {}: {b}", r.reading, r.name))),
-        );
+                .map(move |b| format!("{}, {}: {b}", r.reading, r.name))
+        }));
         if let Some(path) = &self.json {
             let text = serde_json::to_string_pretty(&json!(report)).map_err(|e| e.to_string())?;
             std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -172,8 +197,17 @@
     }
 
     fn sized(&self) -> bool {
-        let counts = [self.services, self.agents, self.appliances, self.lanes, self.tenants];
-        counts.iter().any(Option::is_some) || self.rate.is_some() || self.calls.is_some() || self.every_call
+        let counts = [
+            self.services,
+            self.agents,
+            self.appliances,
+            self.lanes,
+            self.tenants,
+        ];
+        counts.iter().any(Option::is_some)
+            || self.rate.is_some()
+            || self.calls.is_some()
+            || self.every_call
     }
 
     fn size(&self) -> Size {
@@ -199,19 +233,42 @@
         }
         let [(mean, one), (largest, tenth), (every, all)] = readings();
         if !self.full {
-            let two = Size { services: 2, agents: 12, appliances: 110, ..one };
+            let two = Size {
+                services: 2,
+                agents: 12,
+                appliances: 110,
+                ..one
+            };
             return vec![("two mean services".into(), two, self.quiet)];
         }
-        let services = Size { services: 140, agents: 770, appliances: 7700, ..one };
+        let services = Size {
+            services: 140,
+            agents: 770,
+            appliances: 7700,
+            ..one
+        };
         // As many lanes as fit, then as many agents; the lines reckon the rest.
-        let lanes =
-            [1600, 160, 11].into_iter().find(|lanes| Size { lanes: *lanes, ..all }.memory(false) <= most);
-        let mut fits = Size { lanes: lanes.unwrap_or(11), ..all };
+        let lanes = [1600, 160, 11].into_iter().find(|lanes| {
+            Size {
+                lanes: *lanes,
+                ..all
+            }
+            .memory(false)
+                <= most
+        });
+        let mut fits = Size {
+            lanes: lanes.unwrap_or(11),
+            ..all
+        };
         while fits.memory(false) > most && fits.agents > 1 {
             fits.agents -= 1;
         }
         vec![
-            (format!("140 of the {mean}"), services, self.quiet.or(Some(14.3))),
+            (
+                format!("140 of the {mean}"),
+                services,
+                self.quiet.or(Some(14.3)),
+            ),
             (largest.into(), tenth, self.quiet.or(Some(14.3))),
             (
                 format!("{every}, {} agents, {} lanes", fits.agents, fits.lanes),
@@ -224,19 +281,33 @@
     fn swept(&self, sweep: &Sweep) -> Result<Vec<Outcome>, String> {
         if !sweep.apart {
             let again = if self.full { TIMES - 1 } else { 0 };
-            let one = |play: &Play| (0..again).try_fold(play.run()?, |o, _| Ok(o.least(&play.run()?)));
+            let one =
+                |play: &Play| (0..again).try_fold(play.run()?, |o, _| Ok(o.least(&play.run()?)));
             return sweep.plays.iter().map(|(_, play)| one(play)).collect();
         }
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let one = |n: usize| {
             let mut call = Command::new(&program);
-            call.args(["scale", "--seed", &self.seed.to_string(), "--point", &format!("{}:{n}", sweep.name)]);
-            let out = call.args(self.full.then_some("--full")).output().map_err(|e| e.to_string())?;
+            call.args([
+                "scale",
+                "--seed",
+                &self.seed.to_string(),
+                "--point",
+                &format!("{}:{n}", sweep.name),
+            ]);
+            let out = call
+                .args(self.full.then_some("--full"))
+                .output()
+                .map_err(|e| e.to_string())?;
             let told: serde_json::Value = serde_json::from_slice(&out.stdout)
                 .map_err(|_| format!("{}: {}", sweep.name, String::from_utf8_lossy(&out.stderr)))?;
             let memory = told["memory"].as_f64().unwrap_or_default();
             let agents = told["agents"].as_u64().unwrap_or_default() as usize;
-            Ok(Outcome { memory, agents, ..Outcome::default() })
+            Ok(Outcome {
+                memory,
+                agents,
+                ..Outcome::default()
+            })
         };
         (0..sweep.plays.len()).map(one).collect()
     }
@@ -252,17 +323,28 @@
         Ok(Vec::new())
     }
 
-    fn rows(&self, reading: &str, size: Size, quiet: Option<f64>, report: &mut Report) -> Result<(), String> {
+    fn rows(
+        &self,
+        reading: &str,
+        size: Size,
+        quiet: Option<f64>,
+        report: &mut Report,
+    ) -> Result<(), String> {
         let all = rows(size, quiet);
-        if let Some(name) = self.row.iter().find(|name| !all.iter().any(|r| r.name == *name)) {
+        if let Some(name) = self
+            .row
+            .iter()
+            .find(|name| !all.iter().any(|r| r.name == *name))
+        {
             let known: Vec<&str> = all.iter().map(|r| r.name).collect();
             return Err(format!("no row '{name}'; known are {}", known.join(", ")));
         }
         println!("{reading}: {}\n\n{ROWS_HEAD}", json!(size));
         let (from, mut commands) = (report.rows.len(), 0.0);
         // With every agent before everything the surveys alone take minutes: the rows that say most.
-        let few =
-            self.full && self.row.is_empty() && size.agents * size.appliances / size.services > FEW_ROWS;
+        let few = self.full
+            && self.row.is_empty()
+            && size.agents * size.appliances / size.services > FEW_ROWS;
         let named = |r: &&Row| self.row.is_empty() || self.row.iter().any(|name| name == r.name);
         let said = |r: &&Row| !few || ["peak", "configuration", "zone"].contains(&r.name);
         for row in all.iter().filter(named).filter(said) {
@@ -284,17 +366,27 @@
             );
         }
         if let Some(calm) = of("calm") {
-            for (name, what) in [("restarts", "restart of an appliance"), ("agents", "restart of an agent")] {
+            for (name, what) in [
+                ("restarts", "restart of an appliance"),
+                ("agents", "restart of an agent"),
+            ] {
                 if let Some(o) = of(name) {
                     let each = (o.discovery_bytes - calm.discovery_bytes) * o.seconds / 12.0;
                     println!("{what}: {each:.0} bytes from discovery in sum; {:.0} a second on a day of {RESTARTS}", each * RESTARTS / 86_400.0);
                 }
             }
         }
-        let memory =
-            here.iter().map(|r| r.outcome.memory / r.outcome.agents.max(1) as f64).fold(0.0, f64::max);
-        println!("memory, an agent: {:.1} MB (settings shared)\n", memory / 1e6);
-        report.beyond.extend(memory_beyond(memory).map(|b| format!("{reading}: {b}")));
+        let memory = here
+            .iter()
+            .map(|r| r.outcome.memory / r.outcome.agents.max(1) as f64)
+            .fold(0.0, f64::max);
+        println!(
+            "memory, an agent: {:.1} MB (settings shared)\n",
+            memory / 1e6
+        );
+        report
+            .beyond
+            .extend(memory_beyond(memory).map(|b| format!("{reading}: {b}")));
         Ok(())
     }
 }
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -17,13 +17,30 @@
     /// By least squares; nothing of fewer than two different counts.
     pub fn through(points: &[(f64, f64)]) -> Option<Line> {
         let (slope, intercept) = least_squares(points)?;
-        let most = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
-        let off = points.iter().map(|p| (p.1 - slope * p.0 - intercept).abs()).fold(0.0, f64::max);
-        let above: Vec<(f64, f64)> = points.iter().map(|p| (p.0, p.1 - intercept.max(0.0))).collect();
-        let logs: Vec<(f64, f64)> =
-            above.iter().filter(|p| p.0 > 0.0 && p.1 > 0.0).map(|p| (p.0.ln(), p.1.ln())).collect();
+        let most = points
+            .iter()
+            .map(|p| p.1.abs())
+            .fold(f64::MIN_POSITIVE, f64::max);
+        let off = points
+            .iter()
+            .map(|p| (p.1 - slope * p.0 - intercept).abs())
+            .fold(0.0, f64::max);
+        let above: Vec<(f64, f64)> = points
+            .iter()
+            .map(|p| (p.0, p.1 - intercept.max(0.0)))
+            .collect();
+        let logs: Vec<(f64, f64)> = above
+            .iter()
+            .filter(|p| p.0 > 0.0 && p.1 > 0.0)
+            .map(|p| (p.0.ln(), p.1.ln()))
+            .collect();
         let power = least_squares(&logs).map_or(0.0, |l| l.0);
-        Some(Line { slope, intercept, residual: off / most, power })
+        Some(Line {
+            slope,
+            intercept,
+            residual: off / most,
+            power,
+        })
     }
 
     pub fn at(&self, count: f64) -> f64 {
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -41,7 +41,11 @@
 #[derive(Clone, Debug)]
 pub enum Mail {
     /// Discovery's whole HTTP answer to a call.
-    Told { call: u64, status: u16, bytes: Arc<Vec<u8>> },
+    Told {
+        call: u64,
+        status: u16,
+        bytes: Arc<Vec<u8>>,
+    },
     /// A line of the platform's.
     Line { kind: Kind, bytes: Arc<Vec<u8>> },
     /// SIGHUP: a new configuration.
@@ -215,7 +219,11 @@
 
     fn push(&mut self, at: Duration, what: What) {
         self.order += 1;
-        self.events.push(Reverse(Event { at, order: self.order, what }));
+        self.events.push(Reverse(Event {
+            at,
+            order: self.order,
+            what,
+        }));
     }
 
     /// All that happens before `until`, with what comes in; both in the order of their times.
@@ -238,9 +246,16 @@
 
     /// Counts from now on.
     pub fn count_from(&mut self, now: Duration) {
-        self.meter = Meter { from: now, clock: self.meter.clock, ..Meter::default() };
+        self.meter = Meter {
+            from: now,
+            clock: self.meter.clock,
+            ..Meter::default()
+        };
         let learnt = std::mem::take(&mut self.counts.learnt);
-        self.counts = Counts { learnt, ..Counts::default() };
+        self.counts = Counts {
+            learnt,
+            ..Counts::default()
+        };
         self.looked = self.choice.looks();
     }
 
@@ -251,12 +266,18 @@
     }
 
     fn event(&mut self, truth: &Truth) {
-        let Some(Reverse(Event { at: now, what, .. })) = self.events.pop() else { return };
+        let Some(Reverse(Event { at: now, what, .. })) = self.events.pop() else {
+            return;
+        };
         match what {
             What::Arrive => self.command(now, truth),
             What::Ends(id, n, outcome) => self.ends(now, id, n, outcome, truth),
             What::Look(id) => {
-                if self.commands.get(&id).is_some_and(|c| !c.answered && c.look == Some(now)) {
+                if self
+                    .commands
+                    .get(&id)
+                    .is_some_and(|c| !c.answered && c.look == Some(now))
+                {
                     let begun = cpu();
                     let answer = self.choice.place(now, id);
                     self.meter.spent(now, Work::Decisions, begun);
@@ -293,7 +314,14 @@
         let begun = cpu();
         let customer = self.site.customer(&name);
         self.meter.spent(now, Work::Tenants, begun);
-        let command = Command { lane, customer, key: Some(key), left: EXPIRY, work: None, again: false };
+        let command = Command {
+            lane,
+            customer,
+            key: Some(key),
+            left: EXPIRY,
+            work: None,
+            again: false,
+        };
         let id = self.taken;
         self.taken += 1;
         self.counts.commands += 1;
@@ -301,7 +329,14 @@
         self.choice.take(now, id, command);
         let answer = self.choice.place(now, id);
         self.meter.spent(now, Work::Decisions, begun);
-        self.commands.insert(id, Live { out: Vec::new(), look: None, answered: false });
+        self.commands.insert(
+            id,
+            Live {
+                out: Vec::new(),
+                look: None,
+                answered: false,
+            },
+        );
         self.push(now + EXPIRY, What::Expires(id));
         self.act(now, id, answer, truth);
     }
@@ -310,7 +345,11 @@
     fn act(&mut self, now: Duration, id: u64, mut answer: Answer, truth: &Truth) {
         loop {
             match answer {
-                Answer::Send { appliance, time_out, look } => {
+                Answer::Send {
+                    appliance,
+                    time_out,
+                    look,
+                } => {
                     self.send(now, id, appliance, time_out, truth);
                     look.into_iter().for_each(|at| self.look(id, at));
                     return;
@@ -335,7 +374,14 @@
         }
     }
 
-    fn send(&mut self, now: Duration, id: u64, appliance: usize, time_out: Duration, truth: &Truth) {
+    fn send(
+        &mut self,
+        now: Duration,
+        id: u64,
+        appliance: usize,
+        time_out: Duration,
+        truth: &Truth,
+    ) {
         let begun = cpu();
         let (target, held) = (self.list.target(appliance), self.list.hold(appliance));
         self.meter.spent(now, Work::Decisions, begun);
@@ -347,13 +393,18 @@
                 let drawn = -self.rng.gen_range(f64::MIN_POSITIVE..1.0).ln() * WORK_MS / 1000.0;
                 let took = WAY + Duration::from_secs_f64(drawn);
                 match away || truth.down.get(place(address)) == Some(&true) {
-                    true => (self.site.connect_within.min(time_out), Outcome::NoConnection),
+                    true => (
+                        self.site.connect_within.min(time_out),
+                        Outcome::NoConnection,
+                    ),
                     false if took > time_out => (time_out, Outcome::TimedOut),
                     false => (took, Outcome::Satisfied),
                 }
             }
         };
-        let Some(c) = self.commands.get_mut(&id) else { return };
+        let Some(c) = self.commands.get_mut(&id) else {
+            return;
+        };
         c.out.push(Some((now, held)));
         let nth = c.out.len() - 1;
         self.counts.deliveries += 1;
@@ -361,9 +412,21 @@
     }
 
     /// Tells the module of an end, unless it was told before.
-    fn end(&mut self, now: Duration, id: u64, n: usize, outcome: Outcome, closed: bool) -> Option<Answer> {
+    fn end(
+        &mut self,
+        now: Duration,
+        id: u64,
+        n: usize,
+        outcome: Outcome,
+        closed: bool,
+    ) -> Option<Answer> {
         let (sent, _held) = self.commands.get_mut(&id)?.out.get_mut(n)?.take()?;
-        let end = End { outcome, took: now.saturating_sub(sent), closed, held: None };
+        let end = End {
+            outcome,
+            took: now.saturating_sub(sent),
+            closed,
+            held: None,
+        };
         let begun = cpu();
         let answer = self.choice.after(now, id, n, end);
         self.meter.spent(now, Work::Decisions, begun);
@@ -371,9 +434,13 @@
     }
 
     fn ends(&mut self, now: Duration, id: u64, n: usize, outcome: Outcome, truth: &Truth) {
-        let Some(answered) = self.commands.get(&id).map(|c| c.answered) else { return };
+        let Some(answered) = self.commands.get(&id).map(|c| c.answered) else {
+            return;
+        };
         let satisfied = outcome == Outcome::Satisfied && !answered;
-        let Some(answer) = self.end(now, id, n, outcome, satisfied || answered) else { return };
+        let Some(answer) = self.end(now, id, n, outcome, satisfied || answered) else {
+            return;
+        };
         if satisfied {
             self.counts.satisfied += 1;
             if let Answer::Withdraw { delivery } = answer {
@@ -389,7 +456,9 @@
 
     /// It has had its answer; what is out may still end.
     fn done(&mut self, id: u64) {
-        let Some(c) = self.commands.get_mut(&id) else { return };
+        let Some(c) = self.commands.get_mut(&id) else {
+            return;
+        };
         c.answered = true;
         if c.out.iter().all(Option::is_none) {
             self.commands.remove(&id);
@@ -419,8 +488,17 @@
     fn ask(&mut self, now: Duration, path: &str, time: Duration, begins: bool) -> u64 {
         self.calls += 1;
         let call = self.calls;
-        self.meter.passed(now, Kind::Asked, http::get("10.200.0.1:8500", path).len());
-        self.posts.push((now, self.number, Post::Ask { call, path: path.to_owned(), begins }));
+        self.meter
+            .passed(now, Kind::Asked, http::get("10.200.0.1:8500", path).len());
+        self.posts.push((
+            now,
+            self.number,
+            Post::Ask {
+                call,
+                path: path.to_owned(),
+                begins,
+            },
+        ));
         self.push(now + time, What::Late(call));
         call
     }
@@ -472,7 +550,9 @@
     }
 
     fn hang_up(&mut self, now: Duration) {
-        if let Talk::Begins(call) | Talk::Watches(call) = std::mem::replace(&mut self.talk, Talk::Idle) {
+        if let Talk::Begins(call) | Talk::Watches(call) =
+            std::mem::replace(&mut self.talk, Talk::Idle)
+        {
             self.posts.push((now, self.number, Post::Drop { call }));
         }
     }
@@ -489,7 +569,9 @@
             self.meter.passed(now, Kind::Refused, bytes.len());
             return self.failed(now, call, Ended::Refused);
         }
-        let Some(spoilt) = self.read(now, bytes) else { return self.failed(now, call, Ended::Spoilt) };
+        let Some(spoilt) = self.read(now, bytes) else {
+            return self.failed(now, call, Ended::Spoilt);
+        };
         if spoilt {
             return self.failed(now, call, Ended::Spoilt);
         }
@@ -528,7 +610,12 @@
         let begun = cpu();
         self.choice.list(now, &entries, complete);
         self.meter.spent(now, Work::Listing, begun);
-        if self.counts.learnt.last().is_none_or(|l| l.1 != self.list.version) {
+        if self
+            .counts
+            .learnt
+            .last()
+            .is_none_or(|l| l.1 != self.list.version)
+        {
             self.counts.learnt.push((now, self.list.version));
         }
     }
@@ -545,7 +632,10 @@
         if now >= self.quiet_until {
             self.open(now);
         }
-        self.push(self.quiet_until.max(now + Duration::from_millis(50)), What::Quiet);
+        self.push(
+            self.quiet_until.max(now + Duration::from_millis(50)),
+            What::Quiet,
+        );
     }
 
     fn open(&mut self, now: Duration) {
@@ -558,7 +648,11 @@
 
     fn heard(&mut self, now: Duration, mail: Mail) {
         match mail {
-            Mail::Told { call, status, bytes } => self.told(now, call, status, &bytes),
+            Mail::Told {
+                call,
+                status,
+                bytes,
+            } => self.told(now, call, status, &bytes),
             Mail::Line { kind, bytes } => {
                 self.meter.passed(now, kind, bytes.len());
                 self.quiet_until = now + PLATFORM_SILENT;
@@ -566,8 +660,20 @@
                 match platform::line(&bytes) {
                     Ok(Line::News(told)) => {
                         let began = now.saturating_sub(told.age);
-                        let platform::Told { build, stage, phase, cap, .. } = told;
-                        self.choice.news(News { build, stage, phase, cap, began });
+                        let platform::Told {
+                            build,
+                            stage,
+                            phase,
+                            cap,
+                            ..
+                        } = told;
+                        self.choice.news(News {
+                            build,
+                            stage,
+                            phase,
+                            cap,
+                            began,
+                        });
                     }
                     Ok(Line::Answer { reply, .. }) => self.choice.reply(now, reply),
                     _ => {}
@@ -612,7 +718,13 @@
     }
 }
 
-fn begin(site: &Site, size: &Size, number: usize, seed: u64, now: Duration) -> (Choice, Watchdog, Vouched) {
+fn begin(
+    site: &Site,
+    size: &Size,
+    number: usize,
+    seed: u64,
+    now: Duration,
+) -> (Choice, Watchdog, Vouched) {
     let mut deployment = site.deployment.clone();
     (deployment.seed, deployment.zone) = (seed, size.zone(number));
     let watchdog = Watchdog::new(&deployment);
--- a/crates/lab/src/scale/meter.rs
+++ b/crates/lab/src/scale/meter.rs
@@ -86,8 +86,12 @@
 
 /// What reading that clock itself takes.
 pub fn clock_cost() -> u64 {
-    let mut all: Vec<u64> =
-        (0..2001).map(|_| cpu()).collect::<Vec<_>>().windows(2).map(|w| w[1] - w[0]).collect();
+    let mut all: Vec<u64> = (0..2001)
+        .map(|_| cpu())
+        .collect::<Vec<_>>()
+        .windows(2)
+        .map(|w| w[1] - w[0])
+        .collect();
     all.sort_unstable();
     all[all.len() / 2]
 }
@@ -113,15 +117,23 @@
     /// Work that began when the thread's clock stood at `begun`.
     pub fn spent(&mut self, now: Duration, work: Work, begun: u64) {
         let ns = (cpu() - begun).saturating_sub(self.clock);
-        let Some(second) = self.second(now) else { return };
+        let Some(second) = self.second(now) else {
+            return;
+        };
         second.ns += ns;
-        second.control_ns += if matches!(work, Work::Decisions | Work::Tenants) { 0 } else { ns };
+        second.control_ns += if matches!(work, Work::Decisions | Work::Tenants) {
+            0
+        } else {
+            ns
+        };
         let sum = &mut self.work[work as usize];
         (sum.count, sum.total) = (sum.count + 1, sum.total + ns);
     }
 
     pub fn passed(&mut self, now: Duration, kind: Kind, bytes: usize) {
-        let Some(second) = self.second(now) else { return };
+        let Some(second) = self.second(now) else {
+            return;
+        };
         second.bytes += bytes as u64;
         let sum = &mut self.traffic[kind as usize];
         (sum.count, sum.total) = (sum.count + 1, sum.total + bytes as u64);
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -110,9 +110,15 @@
     /// Of two plays of the same, which count the same, the lesser times: what else ran on the machine only adds.
     pub fn least(mut self, other: &Outcome) -> Outcome {
         for (name, sum) in &mut self.work {
-            sum.total = other.work.get(name).map_or(sum.total, |o| o.total.min(sum.total));
+            sum.total = other
+                .work
+                .get(name)
+                .map_or(sum.total, |o| o.total.min(sum.total));
         }
-        (self.core, self.core_worst) = (self.core.min(other.core), self.core_worst.min(other.core_worst));
+        (self.core, self.core_worst) = (
+            self.core.min(other.core),
+            self.core_worst.min(other.core_worst),
+        );
         self.control_core = self.control_core.min(other.control_core);
         self.control_core_worst = self.control_core_worst.min(other.control_core_worst);
         self
@@ -145,19 +151,27 @@
     let shared = Rc::new(play.size.site()?);
     let mut agents: BTreeMap<usize, Hollow> = BTreeMap::new();
     for number in which {
-        let site = if play.own { Rc::new(play.size.site()?) } else { shared.clone() };
+        let site = if play.own {
+            Rc::new(play.size.site()?)
+        } else {
+            shared.clone()
+        };
         let mut hollow = Hollow::start(number, play.size, site, clock.clone(), play.seed, BEFORE);
         hollow.meter.clock = cost;
         hollow.restart(BEFORE, &known[play.size.service_of(number)]);
         agents.insert(number, hollow);
     }
-    let mut first: Vec<_> = agents.values_mut().flat_map(|a| std::mem::take(&mut a.posts)).collect();
+    let mut first: Vec<_> = agents
+        .values_mut()
+        .flat_map(|a| std::mem::take(&mut a.posts))
+        .collect();
     while let Ok(order) = orders.recv() {
         match order {
             Order::Count(now) => agents.values_mut().for_each(|a| a.count_from(now)),
             Order::Step(until, truth, mail) => {
                 let mut by: BTreeMap<usize, Vec<(Duration, Mail)>> = BTreeMap::new();
-                mail.into_iter().for_each(|(at, agent, mail)| by.entry(agent).or_default().push((at, mail)));
+                mail.into_iter()
+                    .for_each(|(at, agent, mail)| by.entry(agent).or_default().push((at, mail)));
                 let mut posts = std::mem::take(&mut first);
                 for (number, agent) in &mut agents {
                     let mail = by.remove(number).unwrap_or_default();
@@ -174,7 +188,11 @@
         .into_values()
         .map(|mut a| {
             a.finish();
-            Played { number: a.number, meter: a.meter, counts: a.counts }
+            Played {
+                number: a.number,
+                meter: a.meter,
+                counts: a.counts,
+            }
         })
         .collect())
 }
@@ -187,11 +205,13 @@
     pub fn run(&self) -> Result<Outcome, String> {
         let size = self.size;
         let zero = Instant::now();
-        let mut discoveries: Vec<Discovery> =
-            (0..size.services).map(|_| Discovery::new(size.budget(), size.every_call)).collect();
+        let mut discoveries: Vec<Discovery> = (0..size.services)
+            .map(|_| Discovery::new(size.budget(), size.every_call))
+            .collect();
         let news = News::now(41, 0, "released", 1.0);
-        let mut platforms: Vec<Platform> =
-            (0..size.services).map(|_| Platform::new(zero, news.clone())).collect();
+        let mut platforms: Vec<Platform> = (0..size.services)
+            .map(|_| Platform::new(zero, news.clone()))
+            .collect();
         for (s, d) in discoveries.iter_mut().enumerate() {
             d.registry.tell(size.of_service(s).map(|a| size.entry(a)));
         }
@@ -228,8 +248,13 @@
         replies: &[Receiver<Posts>],
     ) -> Result<(), String> {
         let (size, from) = (self.size, BEFORE + self.warm);
-        let mut truth =
-            Arc::new(vec![Truth { down: vec![false; size.appliances], cut: false }; size.services]);
+        let mut truth = Arc::new(vec![
+            Truth {
+                down: vec![false; size.appliances],
+                cut: false
+            };
+            size.services
+        ]);
         let mut events: Vec<_> = self.events.iter().map(|(at, e)| (from + *at, e)).collect();
         events.sort_by_key(|e| e.0);
         let mut events = events.into_iter().peekable();
@@ -240,13 +265,17 @@
             if !counts && now >= from {
                 counts = true;
                 orders.iter().for_each(|o| drop(o.send(Order::Count(from))));
-                ds.iter_mut().for_each(|d| (d.from, d.served) = (from, Served::default()));
-                ps.iter_mut().for_each(|p| (p.from, p.served) = (from, Served::default()));
+                ds.iter_mut()
+                    .for_each(|d| (d.from, d.served) = (from, Served::default()));
+                ps.iter_mut()
+                    .for_each(|p| (p.from, p.served) = (from, Served::default()));
             }
             letters.sort_by_key(|l| (l.0, l.1));
             let mut mail: Vec<Vec<Letter>> = orders.iter().map(|_| Vec::new()).collect();
             let later = letters.partition_point(|l| l.0 < until);
-            letters.drain(..later).for_each(|l| mail[l.1 % orders.len()].push(l));
+            letters
+                .drain(..later)
+                .for_each(|l| mail[l.1 % orders.len()].push(l));
             for (order, mail) in orders.iter().zip(mail) {
                 order
                     .send(Order::Step(until, truth.clone(), mail))
@@ -296,19 +325,30 @@
             Happens::Reload(which) => agents(letters, which, &|_| Mail::Reload),
             Happens::Restart(which) => {
                 let all: BTreeSet<usize> = which.iter().map(|a| size.service_of(*a)).collect();
-                let known: BTreeMap<usize, _> = all.into_iter().map(|s| (s, ds[s].known())).collect();
-                agents(letters, which, &|s| Mail::Restart { known: known[&s].clone() });
+                let known: BTreeMap<usize, _> =
+                    all.into_iter().map(|s| (s, ds[s].known())).collect();
+                agents(letters, which, &|s| Mail::Restart {
+                    known: known[&s].clone(),
+                });
             }
             Happens::Down(which, down) => {
                 for t in Arc::make_mut(truth) {
                     which.iter().for_each(|a| t.down[*a] = *down);
                 }
             }
-            Happens::List { appliances, state, build, started } => {
+            Happens::List {
+                appliances,
+                state,
+                build,
+                started,
+            } => {
                 let mut by: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-                let service = |a: usize| (0..size.services).find(|s| size.of_service(*s).contains(&a));
+                let service =
+                    |a: usize| (0..size.services).find(|s| size.of_service(*s).contains(&a));
                 for a in appliances {
-                    by.entry(service(*a).unwrap_or_default()).or_default().push(*a);
+                    by.entry(service(*a).unwrap_or_default())
+                        .or_default()
+                        .push(*a);
                 }
                 for (s, which) in by {
                     let entry = |a: usize| {
@@ -324,14 +364,21 @@
                     ds[s].change(now, entries, letters);
                 }
             }
-            Happens::News { build, stage, phase, cap } => {
+            Happens::News {
+                build,
+                stage,
+                phase,
+                cap,
+            } => {
                 let news = News::now(*build, *stage, phase, *cap);
-                ps.iter_mut().for_each(|p| p.news(now, news.clone(), letters));
+                ps.iter_mut()
+                    .for_each(|p| p.news(now, news.clone(), letters));
             }
             Happens::Cut(cut) => {
                 Arc::make_mut(truth).iter_mut().for_each(|t| t.cut = *cut);
-                let away: BTreeSet<usize> =
-                    (0..size.agents).filter(|a| size.region(size.zone(*a)) == 1).collect();
+                let away: BTreeSet<usize> = (0..size.agents)
+                    .filter(|a| size.region(size.zone(*a)) == 1)
+                    .collect();
                 ds.iter_mut().for_each(|d| d.lost(&away));
                 ps.iter_mut().for_each(|p| p.lost(&away));
                 letters.retain(|l| !away.contains(&l.1));
@@ -341,7 +388,12 @@
 
     fn sum(&self, played: &[Played], ds: &[Discovery], ps: &[Platform], memory: f64) -> Outcome {
         let (agents, seconds) = (played.len() as f64, self.span.as_secs_f64());
-        let mut o = Outcome { agents: played.len(), seconds, memory, ..Outcome::default() };
+        let mut o = Outcome {
+            agents: played.len(),
+            seconds,
+            memory,
+            ..Outcome::default()
+        };
         let whole = self.span.as_secs() as usize; // a part of a second is no second
         let (mut ns, mut control, mut lags) = (0, 0, Vec::new());
         for p in played {
@@ -353,9 +405,15 @@
             }
             let c = &p.counts;
             (o.commands, o.satisfied) = (o.commands + c.commands, o.satisfied + c.satisfied);
-            (o.deliveries, o.looks, o.surveys) =
-                (o.deliveries + c.deliveries, o.looks + c.looks, o.surveys + c.surveys);
-            o.kept.iter_mut().zip(c.kept).for_each(|(most, n)| *most = n.max(*most));
+            (o.deliveries, o.looks, o.surveys) = (
+                o.deliveries + c.deliveries,
+                o.looks + c.looks,
+                o.surveys + c.surveys,
+            );
+            o.kept
+                .iter_mut()
+                .zip(c.kept)
+                .for_each(|(most, n)| *most = n.max(*most));
             for s in p.meter.seconds.iter().take(whole) {
                 (ns, control) = (ns + s.ns, control + s.control_ns);
                 o.core_worst = o.core_worst.max(s.ns as f64 / 1e9);
@@ -367,15 +425,26 @@
             o.renewed_most = renewed.clone().fold(o.renewed_most, f64::max);
             o.renewed_late += renewed.filter(|s| *s > FORCE_MOST.as_secs_f64()).count() as u64;
         }
-        let reloads = self.events.iter().map(|e| if let Happens::Reload(who) = &e.1 { who.len() } else { 0 });
+        let reloads = self.events.iter().map(|e| {
+            if let Happens::Reload(who) = &e.1 {
+                who.len()
+            } else {
+                0
+            }
+        });
         let through = played.iter().map(|p| p.counts.renewed.len()).sum::<usize>();
         o.renewed_late += reloads.sum::<usize>().saturating_sub(through) as u64;
-        (o.core, o.control_core) =
-            (ns as f64 / 1e9 / seconds / agents, control as f64 / 1e9 / seconds / agents);
+        (o.core, o.control_core) = (
+            ns as f64 / 1e9 / seconds / agents,
+            control as f64 / 1e9 / seconds / agents,
+        );
         o.bytes = o.traffic.values().map(|s| s.total as f64).sum::<f64>() / seconds / agents;
         o.heard_mean = lags.iter().flatten().sum::<f64>() / lags.len().max(1) as f64;
         o.heard_most = lags.iter().flatten().copied().fold(0.0, f64::max);
-        o.heard_late = lags.iter().filter(|l| l.is_none_or(|l| l > TOLD_MOST.as_secs_f64())).count() as u64;
+        o.heard_late = lags
+            .iter()
+            .filter(|l| l.is_none_or(|l| l > TOLD_MOST.as_secs_f64()))
+            .count() as u64;
         let worst = |of: &dyn Fn(usize) -> u64| (0..whole).map(of).max().unwrap_or_default() as f64;
         let at = |series: &[u64], second: usize| series.get(second).copied().unwrap_or_default();
         let d = |of: &dyn Fn(&Served) -> f64| ds.iter().map(|d| of(&d.served)).sum::<f64>();
@@ -395,13 +464,25 @@
     fn heard(&self, p: &Played, d: &Discovery) -> Vec<Option<f64>> {
         let (from, end) = (BEFORE + self.warm, BEFORE + self.warm + self.span);
         let away = self.size.region(self.size.zone(p.number)) == 1;
-        let back =
-            self.events.iter().find(|e| away && matches!(e.1, Happens::Cut(false))).map(|e| from + e.0);
-        let told =
-            d.changed.iter().filter(|c| c.0 >= from && c.0.max(back.unwrap_or_default()) + TOLD_MOST <= end);
+        let back = self
+            .events
+            .iter()
+            .find(|e| away && matches!(e.1, Happens::Cut(false)))
+            .map(|e| from + e.0);
+        let told = d
+            .changed
+            .iter()
+            .filter(|c| c.0 >= from && c.0.max(back.unwrap_or_default()) + TOLD_MOST <= end);
         told.map(|(at, version)| {
-            let learnt = p.counts.learnt.iter().find(|l| l.1 >= *version && l.0 >= *at);
-            learnt.map(|l| l.0.saturating_sub(back.map_or(*at, |back| back.max(*at))).as_secs_f64())
+            let learnt = p
+                .counts
+                .learnt
+                .iter()
+                .find(|l| l.1 >= *version && l.0 >= *at);
+            learnt.map(|l| {
+                l.0.saturating_sub(back.map_or(*at, |back| back.max(*at)))
+                    .as_secs_f64()
+            })
         })
         .collect()
     }
@@ -414,6 +495,12 @@
 /// Bytes of this process in memory.
 pub fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok()).map_or(0.0, |kb| kb * 1024.0)
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("VmRSS:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse::<f64>().ok())
+        .map_or(0.0, |kb| kb * 1024.0)
 }
--- a/crates/lab/src/scale/reckon.rs
+++ b/crates/lab/src/scale/reckon.rs
@@ -20,19 +20,34 @@
     pub fn of(figure: &str, by: [&Swept; 4]) -> Option<Plane> {
         let line = |s: &Swept| s.curve(figure).and_then(|c| c.line);
         let [appliances, lanes, far, tenants] = by;
-        let at = [lanes.size.appliances, appliances.size.lanes, appliances.size.tenants].map(|n| n as f64);
+        let at = [
+            lanes.size.appliances,
+            appliances.size.lanes,
+            appliances.size.tenants,
+        ]
+        .map(|n| n as f64);
         let (a, l, f, t) = (line(appliances)?, line(lanes)?, line(far)?, line(tenants)?);
         let both = (f.slope - l.slope) / (far.size.appliances as f64 - at[0]);
         // As measured where the slopes meet: a line through large counts says little of a small one.
         let base = appliances.curve(figure)?.points.first()?.1;
         let (appliance, lane, tenant) = (a.slope, l.slope, t.slope);
-        Some(Plane { base, appliance, lane, appliance_and_lane: both, tenant, at })
+        Some(Plane {
+            base,
+            appliance,
+            lane,
+            appliance_and_lane: both,
+            tenant,
+            at,
+        })
     }
 
     pub fn at(&self, size: &Size) -> f64 {
         let counts = [size.appliances, size.lanes, size.tenants].map(|n| n as f64);
         let [a, l, t] = [0, 1, 2].map(|n| counts[n] - self.at[n]);
-        self.base + self.appliance * a + (self.lane + self.appliance_and_lane * a) * l + self.tenant * t
+        self.base
+            + self.appliance * a
+            + (self.lane + self.appliance_and_lane * a) * l
+            + self.tenant * t
     }
 }
 
@@ -52,10 +67,29 @@
 
 /// The sizes that the operators' letter may mean, as one agent meets them.
 pub fn readings() -> [(&'static str, Size); 3] {
-    let mean = Size { agents: 6, ..Size::default() };
-    let largest = Size { agents: 77, appliances: 770, lanes: 160, tenants: 5600, ..mean };
-    let all = Size { agents: 770, appliances: 7700, lanes: 1600, tenants: 56_000, ..mean };
-    [("mean service", mean), ("largest service", largest), ("every agent fronts all", all)]
+    let mean = Size {
+        agents: 6,
+        ..Size::default()
+    };
+    let largest = Size {
+        agents: 77,
+        appliances: 770,
+        lanes: 160,
+        tenants: 5600,
+        ..mean
+    };
+    let all = Size {
+        agents: 770,
+        appliances: 7700,
+        lanes: 1600,
+        tenants: 56_000,
+        ..mean
+    };
+    [
+        ("mean service", mean),
+        ("largest service", largest),
+        ("every agent fronts all", all),
+    ]
 }
 
 pub fn reckon(sweeps: &[Swept]) -> Vec<Reckoned> {
@@ -72,19 +106,38 @@
         "memory by tenants",
     ];
     let memory = plane("memory, bytes an agent", held);
-    let (decision, survey) = (plane("decisions, us a command", runs), plane("survey, us each", runs));
+    let (decision, survey) = (
+        plane("decisions, us a command", runs),
+        plane("survey, us each", runs),
+    );
     let name = named("tenants").and_then(|s| s.curve("tenant's name, us a command"));
-    let (Some(memory), Some(decision), Some(survey), Some(name)) = (memory, decision, survey, name) else {
+    let (Some(memory), Some(decision), Some(survey), Some(name)) = (memory, decision, survey, name)
+    else {
         return Vec::new();
     };
     let one = |(reading, size): (&'static str, Size)| {
         let (decision_us, survey_us) = (decision.at(&size), survey.at(&size));
-        let known = name.points.iter().find(|p| p.0 == size.tenants as f64).map(|p| p.1);
-        let tenant_us = known.or(name.line.map(|l| l.at(size.tenants as f64))).unwrap_or_default();
+        let known = name
+            .points
+            .iter()
+            .find(|p| p.0 == size.tenants as f64)
+            .map(|p| p.1);
+        let tenant_us = known
+            .or(name.line.map(|l| l.at(size.tenants as f64)))
+            .unwrap_or_default();
         let control_core = survey_us * 10.0 / 1e6;
         let core = control_core + (decision_us + tenant_us) * size.rate / 1e6;
         let memory = memory.at(&size);
-        Reckoned { reading, size, memory, decision_us, survey_us, tenant_us, core, control_core }
+        Reckoned {
+            reading,
+            size,
+            memory,
+            decision_us,
+            survey_us,
+            tenant_us,
+            core,
+            control_core,
+        }
     };
     readings().into_iter().map(one).collect()
 }
@@ -112,8 +165,13 @@
             ("core, percent", self.core * 100.0, CORE_MOST * 100.0),
         ];
         let over = all.into_iter().filter(|(_, is, most)| is > most);
-        over.map(|(what, is, most)| format!("{}, reckoned: {what} {is:.2} beyond {most:.1}", self.reading))
-            .collect()
+        over.map(|(what, is, most)| {
+            format!(
+                "{}, reckoned: {what} {is:.2} beyond {most:.1}",
+                self.reading
+            )
+        })
+        .collect()
     }
 }
 
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -28,11 +28,25 @@
 impl Swept {
     pub fn of(sweep: &Sweep, outcomes: &[Outcome]) -> Swept {
         let curve = |(figure, read): &(&'static str, fn(&Outcome) -> f64)| {
-            let points: Vec<_> = sweep.plays.iter().zip(outcomes).map(|(p, o)| (p.0, read(o))).collect();
-            Curve { figure, line: Line::through(&points), points }
+            let points: Vec<_> = sweep
+                .plays
+                .iter()
+                .zip(outcomes)
+                .map(|(p, o)| (p.0, read(o)))
+                .collect();
+            Curve {
+                figure,
+                line: Line::through(&points),
+                points,
+            }
         };
         let size = sweep.plays.first().map_or_else(Size::default, |p| p.1.size);
-        Swept { name: sweep.name, over: sweep.key, size, curves: sweep.figures.iter().map(curve).collect() }
+        Swept {
+            name: sweep.name,
+            over: sweep.key,
+            size,
+            curves: sweep.figures.iter().map(curve).collect(),
+        }
     }
 
     pub fn curve(&self, figure: &str) -> Option<&Curve> {
@@ -41,7 +55,9 @@
 
     /// In Markdown: a line for each figure.
     pub fn table(&self) -> String {
-        let Some(first) = self.curves.first() else { return String::new() };
+        let Some(first) = self.curves.first() else {
+            return String::new();
+        };
         let counts: Vec<String> = first.points.iter().map(|p| format!("{}", p.0)).collect();
         let mut text = format!(
             "{} (over {})\n\n| figure | {} | slope | intercept | residual | power |\n",
@@ -107,9 +123,22 @@
         most("share of a core", core, CORE_MOST);
         most("share of a core in the worst second", core_worst, CORE_MOST);
         most("changes told late or never", outcome.heard_late as f64, 0.0);
-        most("agents not renewed within 4 s", outcome.renewed_late as f64, 0.0);
+        most(
+            "agents not renewed within 4 s",
+            outcome.renewed_late as f64,
+            0.0,
+        );
         let (reading, size) = (reading.to_owned(), row.size);
-        Rowed { reading, name: row.name, what: row.what, size, core, core_worst, outcome, beyond }
+        Rowed {
+            reading,
+            name: row.name,
+            what: row.what,
+            size,
+            core,
+            core_worst,
+            outcome,
+            beyond,
+        }
     }
 }
 
@@ -122,20 +151,49 @@
     /// In Markdown.
     pub fn line(&self) -> String {
         let o = &self.outcome;
-        let figures =
-            [o.bytes, o.bytes_worst, self.core, self.core_worst, o.control_core, o.control_core_worst];
-        let sums = [o.calls, o.calls_worst, o.refused as f64, o.discovery_bytes, o.discovery_bytes_worst];
+        let figures = [
+            o.bytes,
+            o.bytes_worst,
+            self.core,
+            self.core_worst,
+            o.control_core,
+            o.control_core_worst,
+        ];
+        let sums = [
+            o.calls,
+            o.calls_worst,
+            o.refused as f64,
+            o.discovery_bytes,
+            o.discovery_bytes_worst,
+        ];
         let all: Vec<String> = figures.into_iter().chain(sums).map(shown).collect();
-        let late = if o.renewed_late > 0 { format!(", {} late", o.renewed_late) } else { String::new() };
-        let times = format!("{} | {:.2} | {:.2}{late}", o.heard_late, o.heard_most, o.renewed_most);
-        format!("| {}: {} | {} | {times} |", self.reading, self.name, all.join(" | "))
+        let late = if o.renewed_late > 0 {
+            format!(", {} late", o.renewed_late)
+        } else {
+            String::new()
+        };
+        let times = format!(
+            "{} | {:.2} | {:.2}{late}",
+            o.heard_late, o.heard_most, o.renewed_most
+        );
+        format!(
+            "| {}: {} | {} | {times} |",
+            self.reading,
+            self.name,
+            all.join(" | ")
+        )
     }
 }
 
 /// The memory of one agent against the letter.
 pub fn memory_beyond(bytes: f64) -> Option<String> {
-    (bytes > MEMORY_MOST)
-        .then(|| format!("memory of an agent {:.0} MB beyond {:.0}", bytes / 1e6, MEMORY_MOST / 1e6))
+    (bytes > MEMORY_MOST).then(|| {
+        format!(
+            "memory of an agent {:.0} MB beyond {:.0}",
+            bytes / 1e6,
+            MEMORY_MOST / 1e6
+        )
+    })
 }
 
 /// All that one call measured.
@@ -153,17 +211,22 @@
     /// # Errors
     /// What the drawing says.
     pub fn plot(&self) -> Result<String, String> {
-        let all: Vec<(&Swept, &Curve)> =
-            self.sweeps.iter().flat_map(|s| s.curves.iter().map(move |c| (s, c))).collect();
+        let all: Vec<(&Swept, &Curve)> = self
+            .sweeps
+            .iter()
+            .flat_map(|s| s.curves.iter().map(move |c| (s, c)))
+            .collect();
         let (across, high) = (3, all.len().div_ceil(3).max(1));
         let mut svg = String::new();
         {
-            let area = SVGBackend::with_string(&mut svg, (1260, 240 * high as u32)).into_drawing_area();
+            let area =
+                SVGBackend::with_string(&mut svg, (1260, 240 * high as u32)).into_drawing_area();
             let draw = || -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
                 area.fill(&WHITE)?;
                 for (panel, (s, c)) in area.split_evenly((high, across)).iter().zip(&all) {
-                    let most =
-                        |of: fn(&(f64, f64)) -> f64| c.points.iter().map(of).fold(1e-9, f64::max) * 1.05;
+                    let most = |of: fn(&(f64, f64)) -> f64| {
+                        c.points.iter().map(of).fold(1e-9, f64::max) * 1.05
+                    };
                     let (right, top) = (most(|p| p.0), most(|p| p.1));
                     let mut chart = ChartBuilder::on(panel)
                         .caption(format!("{}: {}", s.name, c.figure), ("sans-serif", 12))
@@ -171,10 +234,20 @@
                         .x_label_area_size(28)
                         .y_label_area_size(60)
                         .build_cartesian_2d(0.0..right, 0.0..top)?;
-                    chart.configure_mesh().x_desc(s.over).x_labels(5).y_labels(5).disable_mesh().draw()?;
-                    chart.draw_series(c.points.iter().map(|p| Circle::new(*p, 3, BLACK.filled())))?;
+                    chart
+                        .configure_mesh()
+                        .x_desc(s.over)
+                        .x_labels(5)
+                        .y_labels(5)
+                        .disable_mesh()
+                        .draw()?;
+                    chart
+                        .draw_series(c.points.iter().map(|p| Circle::new(*p, 3, BLACK.filled())))?;
                     if let Some(l) = c.line {
-                        let ends = [(0.0, l.at(0.0).max(0.0)), (right, l.at(right).clamp(0.0, top))];
+                        let ends = [
+                            (0.0, l.at(0.0).max(0.0)),
+                            (right, l.at(right).clamp(0.0, top)),
+                        ];
                         chart.draw_series(LineSeries::new(ends, BLACK.mix(0.5)))?;
                     }
                 }
--- a/crates/lab/src/scale/servers.rs
+++ b/crates/lab/src/scale/servers.rs
@@ -81,12 +81,27 @@
         body.clone()
     }
 
-    fn answer(&mut self, now: Duration, agent: usize, call: u64, after: Option<u64>, out: &mut Vec<Letter>) {
+    fn answer(
+        &mut self,
+        now: Duration,
+        agent: usize,
+        call: u64,
+        after: Option<u64>,
+        out: &mut Vec<Letter>,
+    ) {
         let bytes = self.body(after);
         if let Some(sum) = Served::at(&mut self.served.bytes, now, self.from) {
             *sum += bytes.len() as u64;
         }
-        out.push((now + WAY, agent, Mail::Told { call, status: 200, bytes }));
+        out.push((
+            now + WAY,
+            agent,
+            Mail::Told {
+                call,
+                status: 200,
+                bytes,
+            },
+        ));
     }
 
     /// A call, that `begins` a watch or goes on with one.
@@ -100,11 +115,22 @@
     ) {
         let (begun, (agent, call), paid) = (cpu(), who, begins || self.every);
         let filled = now.saturating_sub(self.filled).as_secs_f64() * self.budget;
-        (self.tokens, self.filled) = ((self.tokens + filled).min(self.budget), now.max(self.filled));
+        (self.tokens, self.filled) = (
+            (self.tokens + filled).min(self.budget),
+            now.max(self.filled),
+        );
         if paid && self.tokens < 1.0 {
             self.served.refused += u64::from(now >= self.from);
             let refusal = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_vec();
-            out.push((now + WAY, agent, Mail::Told { call, status: 503, bytes: Arc::new(refusal) }));
+            out.push((
+                now + WAY,
+                agent,
+                Mail::Told {
+                    call,
+                    status: 503,
+                    bytes: Arc::new(refusal),
+                },
+            ));
             return;
         }
         self.tokens -= if paid { 1.0 } else { 0.0 };
@@ -143,7 +169,12 @@
 
     /// Ends the watches whose wait is over by `now`.
     pub fn expire(&mut self, now: Duration, out: &mut Vec<Letter>) {
-        let over: Vec<_> = self.parked.iter().filter(|(_, w)| w.1 <= now).map(|(k, w)| (*k, w.0)).collect();
+        let over: Vec<_> = self
+            .parked
+            .iter()
+            .filter(|(_, w)| w.1 <= now)
+            .map(|(k, w)| (*k, w.0))
+            .collect();
         for ((agent, call), after) in over {
             self.parked.remove(&(agent, call));
             self.answer(now, agent, call, Some(after), out);
@@ -162,19 +193,41 @@
 impl Platform {
     pub fn new(zero: Instant, news: News) -> Platform {
         let (watching, served) = (BTreeSet::new(), Served::default());
-        Platform { desk: Desk::new(news), watching, zero, served, from: Duration::ZERO }
+        Platform {
+            desk: Desk::new(news),
+            watching,
+            zero,
+            served,
+            from: Duration::ZERO,
+        }
     }
 
-    fn say(&mut self, now: Duration, agent: usize, kind: Kind, line: &Arc<Vec<u8>>, out: &mut Vec<Letter>) {
+    fn say(
+        &mut self,
+        now: Duration,
+        agent: usize,
+        kind: Kind,
+        line: &Arc<Vec<u8>>,
+        out: &mut Vec<Letter>,
+    ) {
         if let Some(sum) = Served::at(&mut self.served.bytes, now, self.from) {
             *sum += line.len() as u64;
         }
-        out.push((now + WAY, agent, Mail::Line { kind, bytes: line.clone() }));
+        out.push((
+            now + WAY,
+            agent,
+            Mail::Line {
+                kind,
+                bytes: line.clone(),
+            },
+        ));
     }
 
     fn all(&mut self, now: Duration, kind: Kind, line: &Value, out: &mut Vec<Letter>) {
         let (line, agents) = (written(line), std::mem::take(&mut self.watching));
-        agents.iter().for_each(|agent| self.say(now, *agent, kind, &line, out));
+        agents
+            .iter()
+            .for_each(|agent| self.say(now, *agent, kind, &line, out));
         self.watching = agents;
     }
 
@@ -198,7 +251,10 @@
     }
 
     pub fn news(&mut self, now: Duration, news: News, out: &mut Vec<Letter>) {
-        self.desk.news = News { since: self.zero + now, ..news };
+        self.desk.news = News {
+            since: self.zero + now,
+            ..news
+        };
         let line = self.desk.news.line(self.zero + now);
         self.all(now, Kind::News, &line, out);
     }
--- a/crates/lab/src/scale/size.rs
+++ b/crates/lab/src/scale/size.rs
@@ -84,7 +84,8 @@
         let zones: Vec<String> = (0..self.zones).map(|z| format!("zone-{z}")).collect();
         let zones: Vec<&str> = zones.iter().map(String::as_str).collect();
         let kinds = ["repeatable", "by_key", "once"];
-        let lane = |n: usize| Lane::new(&format!("route-{n:05}"), kinds[n % 3], 1.0 + (n % 7) as f64);
+        let lane =
+            |n: usize| Lane::new(&format!("route-{n:05}"), kinds[n % 3], 1.0 + (n % 7) as f64);
         let lanes: Vec<Lane> = (0..self.lanes).map(lane).collect();
         let mut settings = program::settings(&zones, zones[0], self.together() as u32, &lanes);
         let share = 1.0 / self.tenants.max(1) as f64;
@@ -129,8 +130,10 @@
     pub fn memory(&self, own: bool) -> f64 {
         let (agents, lanes, tenants) = (self.agents as f64, self.lanes as f64, self.tenants as f64);
         let listed = self.appliances as f64 / self.services.max(1) as f64;
-        let each =
-            60e3 + listed * (EACH_LISTED + EACH_COUNT * lanes) + lanes * EACH_LANE + tenants * EACH_TENANT;
+        let each = 60e3
+            + listed * (EACH_LISTED + EACH_COUNT * lanes)
+            + lanes * EACH_LANE
+            + tenants * EACH_TENANT;
         let site = tenants * SITE_TENANT + lanes * SITE_LANE;
         let told = self.appliances as f64 * EACH_TOLD;
         let work = listed * EACH_READ * WORKERS; // a whole list while it is read
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -138,10 +138,17 @@
     pub fn read(text: &str) -> Result<Scenario, Vec<Mistake>> {
         let mut r = Reader::new(text);
         let document = r.document();
-        let node = r.nodes(document.as_ref(), "the file", &["experiment"], &[]).first().copied();
+        let node = r
+            .nodes(document.as_ref(), "the file", &["experiment"], &[])
+            .first()
+            .copied();
         let scenario = node.and_then(|node| experiment(&mut r, node));
         if node.is_none() && r.mistakes.is_empty() {
-            r.wrong(Place { line: 1, column: 1 }, "experiment", "one is wanted".into());
+            r.wrong(
+                Place { line: 1, column: 1 },
+                "experiment",
+                "one is wanted".into(),
+            );
         }
         match scenario {
             Some(s) if r.mistakes.is_empty() => Ok(s),
@@ -174,12 +181,16 @@
                 ("rate", Value::Number(n)) => s.rate = *n,
                 ("spread", Value::Number(n)) => s.spread = *n,
                 ("loss", Value::Number(n)) => s.loss = n.min(1.0),
-                ("told-late-ms", Value::Number(n)) => s.told_late = Duration::from_secs_f64(n / 1000.0),
+                ("told-late-ms", Value::Number(n)) => {
+                    s.told_late = Duration::from_secs_f64(n / 1000.0)
+                }
                 ("share", Value::Number(n)) => s.share = Some(*n),
                 ("slowness", Value::Number(n)) => s.offer.iter_mut().for_each(|o| o.slowness = *n),
                 ("fails", Value::Number(n)) => s.offer.iter_mut().for_each(|o| o.fails = *n),
                 ("step", Value::Number(n)) => {
-                    s.offer.iter_mut().for_each(|o| o.step = Duration::from_secs_f64(*n));
+                    s.offer
+                        .iter_mut()
+                        .for_each(|o| o.step = Duration::from_secs_f64(*n));
                 }
                 ("clients", Value::Word(w)) => s.clients = kind(w).unwrap_or(s.clients),
                 ("routing", Value::Word(w)) => s.near_first = w == "near-first",
@@ -197,18 +208,29 @@
         let known = agents * nodes as f64 * (400.0 + 40.0 * lanes);
         // Each second has a histogram, each agent each second its counts.
         let seconds = self.span.as_secs_f64() + 1.0;
-        let longest = self.lanes.iter().map(|l| l.expiry.as_secs_f64()).fold(0.0, f64::max);
+        let longest = self
+            .lanes
+            .iter()
+            .map(|l| l.expiry.as_secs_f64())
+            .fold(0.0, f64::max);
         known + seconds * 200_000.0 + agents * seconds * 40.0 + self.rate * longest * 2000.0
     }
 }
 
 fn kind(word: &str) -> Option<ClientKind> {
-    let kinds = [("open", ClientKind::Open), ("naive", ClientKind::Naive), ("careful", ClientKind::Careful)];
+    let kinds = [
+        ("open", ClientKind::Open),
+        ("naive", ClientKind::Naive),
+        ("careful", ClientKind::Careful),
+    ];
     kinds.into_iter().find(|k| k.0 == word).map(|k| k.1)
 }
 
 fn experiment(r: &mut Reader, node: &KdlNode) -> Option<Scenario> {
-    let name = r.arguments(node, 1, &[]).into_iter().find_map(|e| r.text_of(e, "experiment"))?;
+    let name = r
+        .arguments(node, 1, &[])
+        .into_iter()
+        .find_map(|e| r.text_of(e, "experiment"))?;
     let mut s = Scenario {
         name,
         seeds: 5,
@@ -243,7 +265,12 @@
         "loss",
         "told-late",
     ];
-    let nodes = r.nodes(node.children(), "experiment", &once, &["lane", "zone", "way", "fault", "vary"]);
+    let nodes = r.nodes(
+        node.children(),
+        "experiment",
+        &once,
+        &["lane", "zone", "way", "fault", "vary"],
+    );
     // Zones first: others name them.
     for node in nodes.iter().filter(|n| n.name().value() == "zone") {
         let at = r.of(node);
@@ -262,8 +289,9 @@
             "spread" => s.spread = r.number(node, 0.0, 1.0).unwrap_or(0.0),
             "clients" => {
                 let kinds = [ClientKind::Open, ClientKind::Naive, ClientKind::Careful];
-                s.clients =
-                    r.word(node, &["open", "naive", "careful"]).map_or(ClientKind::Open, |n| kinds[n]);
+                s.clients = r
+                    .word(node, &["open", "naive", "careful"])
+                    .map_or(ClientKind::Open, |n| kinds[n]);
             }
             "routing" => s.near_first = r.word(node, &["as-ever", "near-first"]) == Some(1),
             "share" => s.share = r.number(node, 0.0, 1.0),
@@ -285,14 +313,25 @@
     }
     let offers = ["slowness", "fails", "step"];
     if s.offer.is_none() && s.vary.iter().any(|v| offers.contains(&v.key.as_str())) {
-        r.wrong(r.of(node), "vary", "an offer is wanted for what varies of it".into());
+        r.wrong(
+            r.of(node),
+            "vary",
+            "an offer is wanted for what varies of it".into(),
+        );
     }
     Some(s)
 }
 
 fn zone(r: &mut Reader, node: &KdlNode) -> Option<Zone> {
-    let name = r.arguments(node, 1, &[]).into_iter().find_map(|e| r.text_of(e, "zone"))?;
-    let mut zone = Zone { name, appliances: 1, cores: 1 };
+    let name = r
+        .arguments(node, 1, &[])
+        .into_iter()
+        .find_map(|e| r.text_of(e, "zone"))?;
+    let mut zone = Zone {
+        name,
+        appliances: 1,
+        cores: 1,
+    };
     for node in r.nodes(node.children(), "zone", &["appliances", "cores"], &[]) {
         let count = r.number(node, 0.0, 1e5).map_or(1, |n| n as usize);
         match node.name().value() {
@@ -304,7 +343,10 @@
 }
 
 fn lane(r: &mut Reader, node: &KdlNode) -> Option<Lane> {
-    let name = r.arguments(node, 1, &[]).into_iter().find_map(|e| r.text_of(e, "lane"))?;
+    let name = r
+        .arguments(node, 1, &[])
+        .into_iter()
+        .find_map(|e| r.text_of(e, "lane"))?;
     let ms = Duration::from_millis;
     let mut lane = Lane {
         name,
@@ -322,7 +364,10 @@
                 let window = Duration::from_secs(3);
                 let kinds = [
                     Repeats::Idempotent,
-                    Repeats::Deduplicated { group: Group::All, window },
+                    Repeats::Deduplicated {
+                        group: Group::All,
+                        window,
+                    },
                     Repeats::Unrepeatable,
                 ];
                 let word = r.word(node, &["idempotent", "deduplicated", "unrepeatable"]);
@@ -342,19 +387,32 @@
     let found = zones.iter().position(|z| z.name == name);
     if found.is_none() {
         let known: Vec<&str> = zones.iter().map(|z| z.name.as_str()).collect();
-        r.wrong(at, key, format!("no zone '{name}'; known are {}", known.join(", ")));
+        r.wrong(
+            at,
+            key,
+            format!("no zone '{name}'; known are {}", known.join(", ")),
+        );
     }
     found
 }
 
 fn way(r: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<(usize, usize, Duration)> {
     let at = r.of(node);
-    let ends: Vec<String> =
-        r.arguments(node, 2, &[]).into_iter().filter_map(|e| r.text_of(e, "way")).collect();
-    let delay = r.nodes(node.children(), "way", &["delay"], &[]).first().copied();
+    let ends: Vec<String> = r
+        .arguments(node, 2, &[])
+        .into_iter()
+        .filter_map(|e| r.text_of(e, "way"))
+        .collect();
+    let delay = r
+        .nodes(node.children(), "way", &["delay"], &[])
+        .first()
+        .copied();
     let delay = delay.and_then(|n| r.span(n, Duration::ZERO));
     let [from, to]: [String; 2] = ends.try_into().ok()?;
-    let ends = (named(r, at, "way", &from, zones), named(r, at, "way", &to, zones));
+    let ends = (
+        named(r, at, "way", &from, zones),
+        named(r, at, "way", &to, zones),
+    );
     if delay.is_none() {
         r.wrong(at, "way", "a delay is wanted in it".into());
     }
@@ -372,9 +430,12 @@
         step: secs(5),
         appliances: 3,
     };
-    for node in
-        r.nodes(node.children(), "offer", &["at", "slowness", "fails", "stages", "step", "appliances"], &[])
-    {
+    for node in r.nodes(
+        node.children(),
+        "offer",
+        &["at", "slowness", "fails", "stages", "step", "appliances"],
+        &[],
+    ) {
         match node.name().value() {
             "at" => o.at = r.span(node, Duration::ZERO).unwrap_or(o.at),
             "slowness" => o.slowness = r.number(node, 0.1, 100.0).unwrap_or(1.0),
@@ -393,28 +454,58 @@
 fn fault(r: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<Fault> {
     let at = r.of(node);
     r.arguments(node, 0, &[]);
-    let mut f =
-        Fault { at: Duration::ZERO, lasts: None, zone: None, most: usize::MAX, kind: FaultKind::Drain };
+    let mut f = Fault {
+        at: Duration::ZERO,
+        lasts: None,
+        zone: None,
+        most: usize::MAX,
+        kind: FaultKind::Drain,
+    };
     let mut kinds = Vec::new();
-    let known = ["at", "for", "zone", "appliances", "slow", "fail", "burst", "kind"];
+    let known = [
+        "at",
+        "for",
+        "zone",
+        "appliances",
+        "slow",
+        "fail",
+        "burst",
+        "kind",
+    ];
     for node in r.nodes(node.children(), "fault", &known, &[]) {
         let place = r.of(node);
         match node.name().value() {
             "at" => f.at = r.span(node, Duration::ZERO)?,
             "for" => f.lasts = r.span(node, Duration::from_millis(1)),
-            "zone" => f.zone = r.text(node).and_then(|name| named(r, place, "zone", &name, zones)),
+            "zone" => {
+                f.zone = r
+                    .text(node)
+                    .and_then(|name| named(r, place, "zone", &name, zones))
+            }
             "appliances" => f.most = r.number(node, 1.0, 1e5).map_or(usize::MAX, |n| n as usize),
             "slow" => kinds.extend(r.number(node, 0.01, 1e4).map(FaultKind::Slow)),
             "fail" => kinds.extend(r.number(node, 0.0, 1.0).map(FaultKind::Fail)),
             "burst" => kinds.extend(r.number(node, 0.0, 1e4).map(FaultKind::Burst)),
             _ => {
-                let all = [FaultKind::Drain, FaultKind::Gone, FaultKind::Mute, FaultKind::Stall];
-                kinds.extend(r.word(node, &["drain", "gone", "mute", "stall"]).map(|n| all[n]));
+                let all = [
+                    FaultKind::Drain,
+                    FaultKind::Gone,
+                    FaultKind::Mute,
+                    FaultKind::Stall,
+                ];
+                kinds.extend(
+                    r.word(node, &["drain", "gone", "mute", "stall"])
+                        .map(|n| all[n]),
+                );
             }
         }
     }
     if kinds.len() != 1 {
-        r.wrong(at, "fault", "one of slow, fail, burst or kind is wanted in it".into());
+        r.wrong(
+            at,
+            "fault",
+            "one of slow, fail, burst or kind is wanted in it".into(),
+        );
     }
     f.kind = kinds.first().copied()?;
     Some(f)
@@ -428,13 +519,22 @@
         return None;
     };
     if !KEYS.contains(&key.as_str()) {
-        r.wrong(at, "vary", format!("'{key}' is not among {}", KEYS.join(", ")));
+        r.wrong(
+            at,
+            "vary",
+            format!("'{key}' is not among {}", KEYS.join(", ")),
+        );
         return None;
     }
     let mut values = Vec::new();
     for entry in entries {
-        let word =
-            |words: &[&str]| entry.value().as_string().filter(|w| words.contains(w)).map(str::to_owned);
+        let word = |words: &[&str]| {
+            entry
+                .value()
+                .as_string()
+                .filter(|w| words.contains(w))
+                .map(str::to_owned)
+        };
         let value = match key.as_str() {
             "clients" => word(&["open", "naive", "careful"]).map(Value::Word),
             "routing" => word(&["as-ever", "near-first"]).map(Value::Word),
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -2,8 +2,9 @@
 
 /// Two-sided 95% points of Student's t distribution for 1 to 30 degrees of freedom.
 const T: [f64; 30] = [
-    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
-    2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
+    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
+    2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
+    2.052, 2.048, 2.045, 2.042,
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,7 +28,11 @@
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n.max(1.0);
         let square: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
-        Mean { of: values.len(), mean, variance: if n > 1.0 { square / (n - 1.0) } else { 0.0 } }
+        Mean {
+            of: values.len(),
+            mean,
+            variance: if n > 1.0 { square / (n - 1.0) } else { 0.0 },
+        }
     }
 
     /// Half of the interval that holds the true mean with 95% confidence; infinite for a single run.
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -33,9 +33,23 @@
     AGENT.get_or_init(|| {
         let path = Path::new(LAB).with_file_name("tulipwall-agent");
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-        let parts = ["src", "crates/agent/src", "crates/calls/src", "crates/deployment/src"];
-        let more = ["crates/membership/src", "crates/standins/src", "crates/zones/src"];
-        let made_of = parts.iter().chain(&more).map(|p| newest(&root.join(p))).max().unwrap();
+        let parts = [
+            "src",
+            "crates/agent/src",
+            "crates/calls/src",
+            "crates/deployment/src",
+        ];
+        let more = [
+            "crates/membership/src",
+            "crates/standins/src",
+            "crates/zones/src",
+        ];
+        let made_of = parts
+            .iter()
+            .chain(&more)
+            .map(|p| newest(&root.join(p)))
+            .max()
+            .unwrap();
         let built = path.metadata().and_then(|m| m.modified());
         if built.is_ok_and(|at| at >= made_of) {
             return path;
@@ -44,49 +58,97 @@
         let name = profile.file_name().unwrap().to_str().unwrap();
         let out = Command::new(env!("CARGO"))
             .current_dir(&root)
-            .args(["build", "--locked", "-p", "tulipwall-agent", "--bin", "tulipwall-agent"])
-            .args(["--profile", if name == "debug" { "dev" } else { name }, "--target-dir"])
+            .args([
+                "build",
+                "--locked",
+                "-p",
+                "tulipwall-agent",
+                "--bin",
+                "tulipwall-agent",
+            ])
+            .args([
+                "--profile",
+                if name == "debug" { "dev" } else { name },
+                "--target-dir",
+            ])
             .arg(profile.parent().unwrap())
             .output()
             .unwrap();
-        assert!(out.status.success(), "no agent to start: {}", String::from_utf8_lossy(&out.stderr));
+        assert!(
+            out.status.success(),
+            "no agent to start: {}",
+            String::from_utf8_lossy(&out.stderr)
+        );
         assert!(path.is_file(), "the build left no {}", path.display());
         path
     })
 }
 
 fn size() -> Size {
-    Size { agents: 1, appliances: 40, lanes: 11, tenants: 20, zones: 3, sockets: 64, pushed: true }
+    Size {
+        agents: 1,
+        appliances: 40,
+        lanes: 11,
+        tenants: 20,
+        zones: 3,
+        sockets: 64,
+        pushed: true,
+    }
 }
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(LAB).arg("fleet").args(arguments).output().unwrap()
+    Command::new(LAB)
+        .arg("fleet")
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 /// A short run of these measures, as JSON; one agent unless told otherwise.
 fn measured(arguments: &[&str]) -> (Option<i32>, Value) {
-    let agent = ["--agent", agent().to_str().unwrap(), "--seconds", "0.5", "--settle", "100", "--json"];
+    let agent = [
+        "--agent",
+        agent().to_str().unwrap(),
+        "--seconds",
+        "0.5",
+        "--settle",
+        "100",
+        "--json",
+    ];
     let out = lab(&[&agent, arguments].concat());
     let told = serde_json::from_slice(&out.stdout);
-    (out.status.code(), told.unwrap_or_else(|_| panic!("{}", String::from_utf8_lossy(&out.stderr))))
+    (
+        out.status.code(),
+        told.unwrap_or_else(|_| panic!("{}", String::from_utf8_lossy(&out.stderr))),
+    )
 }
 
 fn rows<'a>(told: &'a Value, measure: &str, by: &str) -> Vec<&'a Value> {
     let all = told["rows"].as_array().unwrap();
-    all.iter().filter(|r| r["measure"] == measure && r["by"] == by).collect()
+    all.iter()
+        .filter(|r| r["measure"] == measure && r["by"] == by)
+        .collect()
 }
 
 fn figures(told: &Value, measure: &str, by: &str, figure: &str) -> Vec<f64> {
     rows(told, measure, by)
         .iter()
-        .map(|r| r["figures"][figure].as_f64().unwrap_or_else(|| panic!("{measure} lacks {figure}")))
+        .map(|r| {
+            r["figures"][figure]
+                .as_f64()
+                .unwrap_or_else(|| panic!("{measure} lacks {figure}"))
+        })
         .collect()
 }
 
 fn fit(told: &Value, measure: &str, by: &str, figure: &str, value: &str) -> f64 {
     let all = told["fits"].as_array().unwrap();
-    let found = all.iter().find(|f| f["measure"] == measure && f["by"] == by && f["figure"] == figure);
-    found.unwrap_or_else(|| panic!("no line for {figure} in {measure}"))[value].as_f64().unwrap()
+    let found = all
+        .iter()
+        .find(|f| f["measure"] == measure && f["by"] == by && f["figure"] == figure);
+    found.unwrap_or_else(|| panic!("no line for {figure} in {measure}"))[value]
+        .as_f64()
+        .unwrap()
 }
 
 #[test]
@@ -127,11 +189,18 @@
 fn a_whole_list_is_counted_to_the_byte() {
     let stand = Stand::start(&size(), Ways::default()).unwrap();
     let member = stand.agent(agent(), 0, false).unwrap();
-    let taken =
-        until("the next question", || member.discovery.taken_in(Instant::now() - Duration::from_secs(600)));
+    let taken = until("the next question", || {
+        member
+            .discovery
+            .taken_in(Instant::now() - Duration::from_secs(600))
+    });
     let body = stand.discovery.known(0).to_string();
-    let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: \r\n\r\n".len();
-    assert_eq!(taken.unwrap().bytes as usize, head + body.len().to_string().len() + body.len());
+    let head =
+        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: \r\n\r\n".len();
+    assert_eq!(
+        taken.unwrap().bytes as usize,
+        head + body.len().to_string().len() + body.len()
+    );
     assert!(member.discovery.passed().asked > 0 && member.platform.passed().connections == 1);
     let id = member.program.id();
     drop(member);
@@ -141,56 +210,127 @@
 /// A change is one answer on the watch that stands: a part that is always the same, and each entry as long as the next.
 #[test]
 fn a_change_is_as_long_as_its_entries() {
-    let arguments = ["--measure", "change", "--appliances", "200", "--changed", "1", "10", "100"];
+    let arguments = [
+        "--measure",
+        "change",
+        "--appliances",
+        "200",
+        "--changed",
+        "1",
+        "10",
+        "100",
+    ];
     let (code, told) = measured(&[&arguments[..], &["--repeats", "2"]].concat());
     assert_eq!(code, Some(0), "{told}");
     let of = ("a change of the list", "entries");
     assert_eq!(figures(&told, of.0, of.1, "bytes").len(), 4);
-    let [slope, off, r2] = ["slope", "residual_most", "r2"].map(|v| fit(&told, of.0, of.1, "bytes", v));
+    let [slope, off, r2] =
+        ["slope", "residual_most", "r2"].map(|v| fit(&told, of.0, of.1, "bytes", v));
     assert!((120.0..170.0).contains(&slope), "{slope} bytes an entry");
     assert!(off < slope / 4.0 && r2 > 0.9999, "{told}");
-    assert!(figures(&told, of.0, of.1, "ran_ms").iter().all(|ran| *ran > 0.0));
+    assert!(figures(&told, of.0, of.1, "ran_ms")
+        .iter()
+        .all(|ran| *ran > 0.0));
 }
 
 #[test]
 fn memory_grows_with_what_an_agent_is_told_of() {
-    let sizes = ["--appliances", "10", "1000", "3000", "--tenants", "10", "4000", "16000"];
+    let sizes = [
+        "--appliances",
+        "10",
+        "1000",
+        "3000",
+        "--tenants",
+        "10",
+        "4000",
+        "16000",
+    ];
     let lanes = ["--lanes", "5", "100", "250"];
-    let (_, told) =
-        measured(&[&["--measure", "appliances", "tenants", "pairs"], &sizes[..], &lanes].concat());
+    let (_, told) = measured(
+        &[
+            &["--measure", "appliances", "tenants", "pairs"],
+            &sizes[..],
+            &lanes,
+        ]
+        .concat(),
+    );
     for by in ["appliances", "tenants", "appliance-lane pairs"] {
         let all = figures(&told, "memory", by, "resident_mb");
-        assert!(all.len() == 3 && all.windows(2).all(|w| w[0] < w[1]), "{by}: {all:?}");
+        assert!(
+            all.len() == 3 && all.windows(2).all(|w| w[0] < w[1]),
+            "{by}: {all:?}"
+        );
         assert!(fit(&told, "memory", by, "peak_mb", "slope") > 0.0);
         assert!(fit(&told, "memory", by, "peak_mb", "residual").is_finite());
     }
     let out = String::from_utf8(lab(&["--help"]).stdout).unwrap();
-    assert!(out.contains("Exit codes") && out.contains("4 a figure of `fleet`"), "{out}");
+    assert!(
+        out.contains("Exit codes") && out.contains("4 a figure of `fleet`"),
+        "{out}"
+    );
 }
 
 /// Each command is out once at least, on a connection of its own, and as many as were asked.
 #[test]
 fn what_is_open_and_connected_is_there_while_it_is_measured() {
-    let arguments = ["--measure", "connections", "open", "--connections", "10", "40", "--open", "5", "20"];
+    let arguments = [
+        "--measure",
+        "connections",
+        "open",
+        "--connections",
+        "10",
+        "40",
+        "--open",
+        "5",
+        "20",
+    ];
     let (code, told) = measured(&[&arguments[..], &["--sockets", "256"]].concat());
     assert_eq!(code, Some(0), "{told}");
-    assert_eq!(figures(&told, "memory", "open commands", "open"), [5.0, 20.0]);
+    assert_eq!(
+        figures(&told, "memory", "open commands", "open"),
+        [5.0, 20.0]
+    );
     let deliveries = figures(&told, "memory", "open commands", "deliveries");
-    assert!(deliveries[0] >= 5.0 && deliveries[1] >= 20.0, "{deliveries:?}");
-    assert!(figures(&told, "memory", "connections", "resident_mb").iter().all(|mb| *mb > 1.0));
+    assert!(
+        deliveries[0] >= 5.0 && deliveries[1] >= 20.0,
+        "{deliveries:?}"
+    );
+    assert!(figures(&told, "memory", "connections", "resident_mb")
+        .iter()
+        .all(|mb| *mb > 1.0));
 }
 
-const FEW: [&str; 7] = ["--appliances", "10", "400", "--tenants", "10", "--repeats", "1"];
+const FEW: [&str; 7] = [
+    "--appliances",
+    "10",
+    "400",
+    "--tenants",
+    "10",
+    "--repeats",
+    "1",
+];
 
 #[test]
 fn an_idle_second_does_not_go_by_the_list_and_a_whole_list_does() {
     let arguments = ["--measure", "idle", "start", "--agents", "2"];
     let (_, told) = measured(&[&arguments[..], &FEW, &["--lanes", "2", "5"]].concat());
     let pairs = rows(&told, "idle, lists pushed", "appliance-lane pairs");
-    assert_eq!(pairs.iter().filter_map(|r| r["size"].as_f64()).collect::<Vec<_>>(), [800.0, 2000.0]);
+    assert_eq!(
+        pairs
+            .iter()
+            .filter_map(|r| r["size"].as_f64())
+            .collect::<Vec<_>>(),
+        [800.0, 2000.0]
+    );
     let idle = figures(&told, "idle, lists pushed", "appliances", "control_bytes_s");
-    assert!(idle.len() == 2 && idle.iter().all(|b| *b < 3000.0), "{idle:?}");
-    assert_eq!(figures(&told, "idle, lists pushed", "appliances", "agents"), [2.0, 2.0]);
+    assert!(
+        idle.len() == 2 && idle.iter().all(|b| *b < 3000.0),
+        "{idle:?}"
+    );
+    assert_eq!(
+        figures(&told, "idle, lists pushed", "appliances", "agents"),
+        [2.0, 2.0]
+    );
     let list = figures(&told, "start without a list", "appliances", "list_bytes");
     let entry = (list[1] - list[0]) / 390.0;
     assert!((120.0..170.0).contains(&entry), "{entry} bytes an entry");
@@ -205,13 +345,21 @@
     let renewed = figures(&told, "a new configuration (SIGHUP)", "appliances", "bytes");
     let again = figures(&told, "new settings (restart)", "appliances", "bytes");
     for (n, whole) in whole.iter().enumerate() {
-        assert!(renewed[n] > 200.0 && renewed[n] < whole * 2.0 + 8000.0, "{renewed:?} of {whole}");
-        assert!(again[n] > 200.0 && again[n] < whole * 2.0 + 8000.0, "{again:?} of {whole}");
+        assert!(
+            renewed[n] > 200.0 && renewed[n] < whole * 2.0 + 8000.0,
+            "{renewed:?} of {whole}"
+        );
+        assert!(
+            again[n] > 200.0 && again[n] < whole * 2.0 + 8000.0,
+            "{again:?} of {whole}"
+        );
     }
     for by in ["appliances", "tenants"] {
         let ms = figures(&told, "a new configuration (SIGHUP)", by, "in_force_ms");
         assert!(ms.iter().all(|ms| *ms > 0.0));
-        assert!(figures(&told, "new settings (restart)", by, "in_force_ms").iter().all(|ms| *ms > 0.0));
+        assert!(figures(&told, "new settings (restart)", by, "in_force_ms")
+            .iter()
+            .all(|ms| *ms > 0.0));
     }
 }
 
@@ -222,23 +370,57 @@
     for by in ["appliances", "tenants"] {
         let settings = rows(&told, "new settings (SIGHUP)", by);
         for row in settings.iter().map(|r| &r["figures"]) {
-            assert_eq!(row["taken_over"] == 1.0, row["in_force_ms"].is_number(), "{row}");
+            assert_eq!(
+                row["taken_over"] == 1.0,
+                row["in_force_ms"].is_number(),
+                "{row}"
+            );
         }
         assert_eq!(settings.len(), if by == "tenants" { 1 } else { 2 });
     }
 }
 
-const LOADS: [&str; 9] = ["--appliances", "10", "60", "--tenants", "30", "--rate", "40", "--repeats", "1"];
+const LOADS: [&str; 9] = [
+    "--appliances",
+    "10",
+    "60",
+    "--tenants",
+    "30",
+    "--rate",
+    "40",
+    "--repeats",
+    "1",
+];
 
 /// The load is the same each time: so many commands, whatever they are sent to.
 #[test]
 fn a_load_asks_as_many_commands_of_each_agent() {
     let (_, told) = measured(&[&["--measure", "added"][..], &LOADS].concat());
-    let asked = figures(&told, "added to a request at 40 a second", "appliances", "asked");
+    let asked = figures(
+        &told,
+        "added to a request at 40 a second",
+        "appliances",
+        "asked",
+    );
     assert!(asked[0] > 10.0 && asked[0] == asked[1], "{asked:?}");
-    for figure in ["added_p50_ms", "added_p99_ms", "least_ms", "most_ms", "through_p99_ms", "straight_p99_ms"]
-    {
-        assert_eq!(figures(&told, "added to a request at 40 a second", "appliances", figure).len(), 2);
+    for figure in [
+        "added_p50_ms",
+        "added_p99_ms",
+        "least_ms",
+        "most_ms",
+        "through_p99_ms",
+        "straight_p99_ms",
+    ] {
+        assert_eq!(
+            figures(
+                &told,
+                "added to a request at 40 a second",
+                "appliances",
+                figure
+            )
+            .len(),
+            2
+        );
     }
 }
 
@@ -247,8 +429,15 @@
     let (_, told) = measured(&[&["--measure", "commands"][..], &LOADS].concat());
     let asked = figures(&told, "commands at 40 a second", "appliances", "asked");
     assert!(asked[0] > 10.0 && asked[0] == asked[1], "{asked:?}");
-    assert!(figures(&told, "commands at 40 a second", "appliances", "core_%").iter().all(|c| *c > 0.0));
-    assert_eq!(figures(&told, "commands at 40 a second", "tenants", "us_a_command").len(), 1);
+    assert!(
+        figures(&told, "commands at 40 a second", "appliances", "core_%")
+            .iter()
+            .all(|c| *c > 0.0)
+    );
+    assert_eq!(
+        figures(&told, "commands at 40 a second", "tenants", "us_a_command").len(),
+        1
+    );
 }
 
 #[test]
@@ -257,8 +446,14 @@
     let at = stand.appliances[0].address(0);
     let answered = measure::load(&size(), at, 60.0, Duration::from_secs(1), 3);
     let seen = stand.appliances[0].seen();
-    assert!(answered.asked > 20 && seen.len() as u64 == answered.asked, "{}", seen.len());
-    assert!(seen.iter().all(|s| s.lane.starts_with("route-") && s.statement.contains(",t=tenant-")));
+    assert!(
+        answered.asked > 20 && seen.len() as u64 == answered.asked,
+        "{}",
+        seen.len()
+    );
+    assert!(seen
+        .iter()
+        .all(|s| s.lane.starts_with("route-") && s.statement.contains(",t=tenant-")));
     assert!(seen.iter().any(|s| s.key.is_some()));
     let lanes: std::collections::BTreeSet<_> = seen.iter().map(|s| &s.lane).collect();
     assert!(lanes.len() > 3, "{lanes:?}");
@@ -269,16 +464,33 @@
 fn a_worker_takes_the_time_that_the_id_says() {
     let mean = Duration::from_millis(4);
     let stand = Stand::working(&size(), mean).unwrap();
-    let answered = measure::load(&size(), stand.workers[0].address, 100.0, Duration::from_secs(1), 5);
-    assert_eq!((answered.each.len() as u64, answered.satisfied), (answered.asked, answered.asked));
+    let answered = measure::load(
+        &size(),
+        stand.workers[0].address,
+        100.0,
+        Duration::from_secs(1),
+        5,
+    );
+    assert_eq!(
+        (answered.each.len() as u64, answered.satisfied),
+        (answered.asked, answered.asked)
+    );
     for (id, took) in &answered.each {
-        assert!(Duration::from_micros(took + 1) >= work(id, mean), "{id} after {took} us");
+        assert!(
+            Duration::from_micros(took + 1) >= work(id, mean),
+            "{id} after {took} us"
+        );
     }
-    let all: Vec<f64> = (0..100_000).map(|n| work(&format!("a-{n}"), mean).as_secs_f64() * 1000.0).collect();
+    let all: Vec<f64> = (0..100_000)
+        .map(|n| work(&format!("a-{n}"), mean).as_secs_f64() * 1000.0)
+        .collect();
     let of = |f: &dyn Fn(f64) -> f64| all.iter().map(|x| f(*x)).sum::<f64>() / all.len() as f64;
     let (m, variance) = (of(&|x| x), of(&|x| (x - 4.0).powi(2)));
     // Half of it is exponential: mean 2, deviation 2.
-    assert!((m - 4.0).abs() < 0.05 && (variance - 4.0).abs() < 0.2, "mean {m}, variance {variance}");
+    assert!(
+        (m - 4.0).abs() < 0.05 && (variance - 4.0).abs() < 0.2,
+        "mean {m}, variance {variance}"
+    );
     assert!(all.iter().all(|x| *x >= 2.0) && work("a", mean) == work("a", mean));
 }
 
@@ -286,30 +498,74 @@
 fn what_would_not_fit_is_refused_with_its_estimate_before_anything_starts() {
     // No such program: whoever came to start it would say so.
     let refused = |arguments: &[&str], why: &str| {
-        let out =
-            lab(&[&["--agent", "/nowhere/tulipwall-agent", "--measure", "appliances"], arguments].concat());
+        let out = lab(&[
+            &[
+                "--agent",
+                "/nowhere/tulipwall-agent",
+                "--measure",
+                "appliances",
+            ],
+            arguments,
+        ]
+        .concat());
         let said = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.status.code(), Some(1));
-        assert!(said.contains(why) && said.contains("the run would take"), "{said}");
+        assert!(
+            said.contains(why) && said.contains("the run would take"),
+            "{said}"
+        );
         assert!(out.stdout.is_empty());
     };
     refused(&["--agents", "101"], "101 agents of");
-    refused(&["--agents", "100", "--appliances", "1000000"], "at most 4096 MB are taken");
-    let out = lab(&["--agent", "/nowhere/tulipwall-agent", "--measure", "appliances"]);
-    assert!(String::from_utf8(out.stderr).unwrap().contains("no such program"));
+    refused(
+        &["--agents", "100", "--appliances", "1000000"],
+        "at most 4096 MB are taken",
+    );
+    let out = lab(&[
+        "--agent",
+        "/nowhere/tulipwall-agent",
+        "--measure",
+        "appliances",
+    ]);
+    assert!(String::from_utf8(out.stderr)
+        .unwrap()
+        .contains("no such program"));
     assert_eq!(lab(&["--appliances", "0"]).status.code(), Some(2));
     assert_eq!(lab(&["--seconds", "61"]).status.code(), Some(2));
     assert_eq!(lab(&["--limit", "peak_mb"]).status.code(), Some(2));
 
-    let room = Machine { memory: 8 << 30, descriptors: 20_000, load: 0.0, cores: 8, own_cores: 8 };
-    let of = |agents, tenants| estimate::size(&Size { agents, tenants, ..size() }, 0);
+    let room = Machine {
+        memory: 8 << 30,
+        descriptors: 20_000,
+        load: 0.0,
+        cores: 8,
+        own_cores: 8,
+    };
+    let of = |agents, tenants| {
+        estimate::size(
+            &Size {
+                agents,
+                tenants,
+                ..size()
+            },
+            0,
+        )
+    };
     assert_eq!(of(100, 1000).refused(&room), None);
     let why = |e: Estimate, m: Machine| e.refused(&m).unwrap_or_default();
-    let little = Machine { memory: 2 << 30, ..room };
+    let little = Machine {
+        memory: 2 << 30,
+        ..room
+    };
     assert!(why(of(100, 1000), little).contains("of which half is left"));
-    assert!(
-        why(of(100, 1000), Machine { descriptors: 1024, ..room }).contains("1024 descriptors are allowed")
-    );
+    assert!(why(
+        of(100, 1000),
+        Machine {
+            descriptors: 1024,
+            ..room
+        }
+    )
+    .contains("1024 descriptors are allowed"));
     // It does not overflow.
     assert!(of(usize::MAX, usize::MAX).refused(&room).is_some());
 }
@@ -317,11 +573,21 @@
 /// Else a run that does not fit would be let in.
 #[test]
 fn an_agent_takes_no_more_than_its_estimate() {
-    let size = Size { appliances: 3000, lanes: 300, tenants: 5000, ..size() };
+    let size = Size {
+        appliances: 3000,
+        lanes: 300,
+        tenants: 5000,
+        ..size()
+    };
     let stand = Stand::start(&size, Ways::default()).unwrap();
     let member = stand.agent(agent(), 0, true).unwrap();
-    let clients: Vec<_> = (0..20).map(|_| Caller::connect(member.address().unwrap()).unwrap()).collect();
-    let (took, told) = (member.usage().unwrap().peak, estimate::size(&size, clients.len()).agent);
+    let clients: Vec<_> = (0..20)
+        .map(|_| Caller::connect(member.address().unwrap()).unwrap())
+        .collect();
+    let (took, told) = (
+        member.usage().unwrap().peak,
+        estimate::size(&size, clients.len()).agent,
+    );
     assert!(took <= told, "{took} of {told}");
 }
 
@@ -329,12 +595,28 @@
 fn what_lies_beyond_a_limit_is_listed_and_has_an_exit_code_of_its_own() {
     let sizes = ["--measure", "appliances", "--appliances", "10", "20"];
     let (code, told) = measured(&sizes);
-    assert_eq!((code, told["beyond"].as_array().map(Vec::len)), (Some(0), Some(0)), "{told}");
+    assert_eq!(
+        (code, told["beyond"].as_array().map(Vec::len)),
+        (Some(0), Some(0)),
+        "{told}"
+    );
     let (code, told) = measured(&[&sizes[..], &["--limit", "peak_mb=1"]].concat());
-    assert_eq!((code, told["beyond"].as_array().map(Vec::len)), (Some(4), Some(2)), "{told}");
-    let row = |figure, value| Row { measure: "m", by: "n", size: 7.0, figures: vec![(figure, value)] };
+    assert_eq!(
+        (code, told["beyond"].as_array().map(Vec::len)),
+        (Some(4), Some(2)),
+        "{told}"
+    );
+    let row = |figure, value| Row {
+        measure: "m",
+        by: "n",
+        size: 7.0,
+        figures: vec![(figure, value)],
+    };
     let results = |figure, value| {
-        let mut of = Results { limits: limits(), ..Results::default() };
+        let mut of = Results {
+            limits: limits(),
+            ..Results::default()
+        };
         of.add(vec![row(figure, value)], &[]);
         of.beyond()
     };
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -7,11 +7,25 @@
 
 fn plan(of: &Appliance) -> Plan {
     let view = ("view".to_owned(), 1.0, Duration::from_millis(1500), false);
-    Plan { agent: of.address(0), lanes: vec![view], connections: 200, seed: 1 }
+    Plan {
+        agent: of.address(0),
+        lanes: vec![view],
+        connections: 200,
+        seed: 1,
+    }
 }
 
 fn of(cores: usize) -> Appliance {
-    Appliance::start(1, Ways { work: Duration::from_millis(20), cores, ..Ways::default() }, 1).unwrap()
+    Appliance::start(
+        1,
+        Ways {
+            work: Duration::from_millis(20),
+            cores,
+            ..Ways::default()
+        },
+        1,
+    )
+    .unwrap()
 }
 
 #[test]
@@ -19,10 +33,17 @@
     // One core takes 50 a second; at 100 the queue grows by a second in each two. Times that counted from the
     // sending on a free connection would hide that.
     let agent = of(1);
-    let step = Plan { connections: 1, ..plan(&agent) }.step(100.0, Duration::from_secs(1));
+    let step = Plan {
+        connections: 1,
+        ..plan(&agent)
+    }
+    .step(100.0, Duration::from_secs(1));
     assert!(step.answered.quantile_ms(0.9) > 400.0, "{}", step.line());
     let late = step.answered.issued_late_ms(0.5);
-    assert!(late < 100.0, "each went out when it was due, whatever became of those before: {late} ms");
+    assert!(
+        late < 100.0,
+        "each went out when it was due, whatever became of those before: {late} ms"
+    );
 }
 
 #[test]
@@ -34,8 +55,14 @@
     let in_time = |s: &Step| steps += usize::from(!s.limited());
     let found = plan(&agent).limit(40.0, 1600.0, Duration::from_millis(1200), 250.0, in_time);
     let found = found.unwrap();
-    assert!((60.0..=240.0).contains(&found) && steps < 16, "{found} after {steps} steps");
-    assert_eq!(plan(&agent).limit(40.0, 80.0, Duration::from_millis(300), 1.0, |_| {}), None);
+    assert!(
+        (60.0..=240.0).contains(&found) && steps < 16,
+        "{found} after {steps} steps"
+    );
+    assert_eq!(
+        plan(&agent).limit(40.0, 80.0, Duration::from_millis(300), 1.0, |_| {}),
+        None
+    );
 }
 
 /// Guards a search against a machine that lets the load stand still for a moment: that tells nothing of the agent.
@@ -48,15 +75,24 @@
         std::thread::sleep(Duration::from_millis(150));
     };
     ground::spawn(stands_still).detach();
-    let found =
-        plan(&agent).limit(40.0, 40.0, Duration::from_millis(1200), 250.0, |s| late.push(s.limited()));
+    let found = plan(&agent).limit(40.0, 40.0, Duration::from_millis(1200), 250.0, |s| {
+        late.push(s.limited())
+    });
     assert_eq!(found, Some(40.0), "{late:?}");
     assert!(late[0] && late.last() == Some(&false), "{late:?}");
 }
 
 #[test]
 fn each_step_is_a_line_of_json_with_what_was_not_answered() {
-    let agent = Appliance::start(1, Ways { act: Act::TurnsAway, ..Ways::default() }, 1).unwrap();
+    let agent = Appliance::start(
+        1,
+        Ways {
+            act: Act::TurnsAway,
+            ..Ways::default()
+        },
+        1,
+    )
+    .unwrap();
     let run = |arguments: &[&str]| {
         let address = agent.address(0).to_string();
         Command::new(env!("CARGO_BIN_EXE_tulipwall-lab"))
@@ -65,14 +101,30 @@
             .output()
             .unwrap()
     };
-    let out = run(&["--lane", "view=2", "--lane", "send=1+k", "--rate", "50", "--seconds", "1", "--json"]);
+    let out = run(&[
+        "--lane",
+        "view=2",
+        "--lane",
+        "send=1+k",
+        "--rate",
+        "50",
+        "--seconds",
+        "1",
+        "--json",
+    ]);
     assert!(out.status.success());
     let told: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
     assert_eq!(told["asked"], told["denied"]);
     assert_eq!(told["satisfied"].as_u64(), Some(0));
     assert!(told["load_is_the_bottleneck"].is_boolean() && told["ms"]["p99"].is_number());
-    assert!(agent.seen().iter().any(|s| s.lane == "send" && s.key.is_some()));
+    assert!(agent
+        .seen()
+        .iter()
+        .any(|s| s.lane == "send" && s.key.is_some()));
     assert_eq!(run(&["--lane", "view=x"]).status.code(), Some(2));
     agent.crash();
-    assert_eq!(run(&["--lane", "view", "--seconds", "1"]).status.code(), Some(1));
+    assert_eq!(
+        run(&["--lane", "view", "--seconds", "1"]).status.code(),
+        Some(1)
+    );
 }
