--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -32,12 +32,21 @@
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
     );
     let p = run::day(&s, 3).play();
-    assert!(p.broken.is_empty() && p.denied + p.scrapped == 0, "{:?} {} {}", p.broken, p.denied, p.scrapped);
+    assert!(
+        p.broken.is_empty() && p.denied + p.scrapped == 0,
+        "{:?} {} {}",
+        p.broken,
+        p.denied,
+        p.scrapped
+    );
     let (work, load) = (0.020, 30.0 * 0.020);
     let wait = load * work * (1.0 + 0.36) / (2.0 * (1.0 - load));
     let wanted = (work + wait + 0.0003) * 1000.0;
     let mean = p.times.mean() / 1000.0;
-    assert!((mean / wanted - 1.0).abs() < 0.05, "{mean:.2} ms, {wanted:.2} by the formula");
+    assert!(
+        (mean / wanted - 1.0).abs() < 0.05,
+        "{mean:.2} ms, {wanted:.2} by the formula"
+    );
 }
 
 /// The probability that a command waits where `c` cores share a load of `a` (Erlang's C formula).
@@ -55,7 +64,12 @@
              lane \"view\" {{ work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }}"
         ));
         let p = run::day(&s, 5).play();
-        assert!(p.broken.is_empty() && p.denied + p.scrapped == 0, "{cores}: {} {}", p.denied, p.scrapped);
+        assert!(
+            p.broken.is_empty() && p.denied + p.scrapped == 0,
+            "{cores}: {} {}",
+            p.denied,
+            p.scrapped
+        );
         let (work, load) = (0.020, rate * 0.020);
         let wait = erlang(cores, load) * work / (cores as f64 - load);
         let (wanted, mean) = ((work + wait + 0.0003) * 1000.0, p.times.mean() / 1000.0);
@@ -75,9 +89,21 @@
         assert!(record.broken.is_empty(), "{more}: {:?}", record.broken);
         record.figures
     };
-    let (calm, loss, late) = (figures(""), figures("loss 0.05"), figures("told-late \"1s\""));
-    assert!(loss["p99_ms"] > calm["p99_ms"] * 1.3, "{} and {}", loss["p99_ms"], calm["p99_ms"]);
-    assert!(loss["good"] > 0.9 && late["good"] > 0.9, "{loss:?} {late:?}");
+    let (calm, loss, late) = (
+        figures(""),
+        figures("loss 0.05"),
+        figures("told-late \"1s\""),
+    );
+    assert!(
+        loss["p99_ms"] > calm["p99_ms"] * 1.3,
+        "{} and {}",
+        loss["p99_ms"],
+        calm["p99_ms"]
+    );
+    assert!(
+        loss["good"] > 0.9 && late["good"] > 0.9,
+        "{loss:?} {late:?}"
+    );
     assert!(late["released"] == 1.0, "{late:?}");
 }
 
@@ -93,7 +119,10 @@
     let (work, load) = (0.020, 0.7);
     let alone = load * work * 1.36 / (2.0 * (1.0 - load)) * 1000.0;
     let waits = p.times.mean() / 1000.0 - 20.3;
-    assert!(waits < alone * 0.5, "{waits:.2} ms of waiting, {alone:.2} ms where one is drawn");
+    assert!(
+        waits < alone * 0.5,
+        "{waits:.2} ms of waiting, {alone:.2} ms where one is drawn"
+    );
 }
 
 #[test]
@@ -109,7 +138,10 @@
             std::thread::spawn(move || run::run(&s, 0, &[], 7).digest)
         })
         .collect();
-    assert!(threads.into_iter().all(|t| t.join().unwrap() == one.digest), "on any number of threads");
+    assert!(
+        threads.into_iter().all(|t| t.join().unwrap() == one.digest),
+        "on any number of threads"
+    );
 }
 
 fn broken(p: &Played, rule: &str) -> bool {
@@ -122,54 +154,84 @@
     assert!(good(&two_zones("")).broken.is_empty());
     // 1: an agent that stands still past the expiry of what it has and is killed there.
     let mut d = run::day(&two_zones(""), 1);
-    d.script.push((Duration::from_secs(19), Change::Stalls(0, Duration::from_secs(60))));
+    d.script.push((
+        Duration::from_secs(19),
+        Change::Stalls(0, Duration::from_secs(60)),
+    ));
     assert!(broken(&d.play(), "rule 1"), "an answer that never comes");
     // 2: the decisions think that payments repeat; the checker does not.
     let mut d = run::day(&two_zones("fault { at \"2s\"; fail 0.5; }"), 1);
     d.lies.repeats = BTreeMap::from([(2, Repeats::Idempotent)]);
     assert!(broken(&d.play(), "rule 2"), "a payment that runs twice");
     // 3: agents are not told of a drain.
-    let mut d = run::day(&two_zones("fault { at \"2s\"; kind \"drain\"; appliances 2; }"), 1);
+    let mut d = run::day(
+        &two_zones("fault { at \"2s\"; kind \"drain\"; appliances 2; }"),
+        1,
+    );
     d.lies.deaf = true;
-    assert!(broken(&d.play(), "rule 3"), "a delivery to a draining appliance");
+    assert!(
+        broken(&d.play(), "rule 3"),
+        "a delivery to a draining appliance"
+    );
     // 4: agents are not told that an appliance is cold, and are too many to see it each.
     let cold = "agents 80\nfault { at \"2s\"; for \"1s\"; kind \"gone\"; appliances 3; }\nfault { at \"3s\"; burst 3; }";
     let mut d = run::day(&two_zones(cold), 1);
-    (d.lies.warm, d.deployment.cold_share, d.deployment.cold_for) = (true, 0.01, Duration::from_secs(20));
-    assert!(broken(&d.play(), "rule 4"), "a cold appliance that gets too much");
+    (d.lies.warm, d.deployment.cold_share, d.deployment.cold_for) =
+        (true, 0.01, Duration::from_secs(20));
+    assert!(
+        broken(&d.play(), "rule 4"),
+        "a cold appliance that gets too much"
+    );
     // 5: agents are told a higher cap than holds.
     let offer = "offer { at \"2s\"; stages 0.05 1; appliances 4; step \"8s\"; }";
     let mut d = run::day(&two_zones(offer), 1);
     d.lies.cap = Some(1.0);
-    assert!(broken(&d.play(), "rule 5"), "a build on trial that gets more than its cap");
+    assert!(
+        broken(&d.play(), "rule 5"),
+        "a build on trial that gets more than its cap"
+    );
 }
 
 #[test]
 fn naive_retries_keep_a_fleet_down_where_careful_ones_let_it_come_back() {
     let after = |clients: &str| {
-        let s = two_zones(&format!("clients \"{clients}\"\nfault {{ at \"6s\"; for \"4s\"; slow 6; }}"));
+        let s = two_zones(&format!(
+            "clients \"{clients}\"\nfault {{ at \"6s\"; for \"4s\"; slow 6; }}"
+        ));
         let record = run::run(&s, 0, &[], 2);
         assert!(record.broken.is_empty(), "{:?}", record.broken);
         (record.figures["good"], record.figures["taken_over_asked"])
     };
     let ((naive, multiplied), (careful, spared)) = (after("naive"), after("careful"));
-    assert!(multiplied > spared + 0.1, "{multiplied} and {spared} commands for each that was wanted");
+    assert!(
+        multiplied > spared + 0.1,
+        "{multiplied} and {spared} commands for each that was wanted"
+    );
     assert!(careful > naive - 0.02, "{careful} and {naive}");
 }
 
 #[test]
-fn a_thousand_agents_and_five_hundred_appliances_fit_and_numbers_of_agents_may_dwarf_the_commands() {
+fn a_thousand_agents_and_five_hundred_appliances_fit_and_numbers_of_agents_may_dwarf_the_commands()
+{
     let s = scenario(
         "span \"2s\"; rate 4000; agents 1000\nzone \"a\" { appliances 250; cores 4; }\n\
          zone \"b\" { appliances 250; cores 4; }\nlane \"view\" { work \"10ms\"; }",
     );
     let record = run::run(&s, 0, &[], 1);
-    assert!(record.broken.is_empty() && record.figures["good"] > 0.99, "{:?}", record.figures);
+    assert!(
+        record.broken.is_empty() && record.figures["good"] > 0.99,
+        "{:?}",
+        record.figures
+    );
     let few = scenario(
         "span \"5s\"; rate 20; agents 2000\nzone \"a\" { appliances 4; cores 1; }\nlane \"view\" { }",
     );
     let record = run::run(&few, 0, &[], 1);
-    assert!(record.broken.is_empty() && record.figures["good"] > 0.98, "{:?}", record.figures);
+    assert!(
+        record.broken.is_empty() && record.figures["good"] > 0.98,
+        "{:?}",
+        record.figures
+    );
 }
 
 #[test]
@@ -200,7 +262,11 @@
 fn a_scenario_that_is_wrong_gets_line_column_and_key() {
     let text = "experiment \"x\" {\n  rte 5\n  zone \"a\" { appliances -1; }\n  way \"a\" \"c\" { delay \"1ms\"; }\n\
         \n  fault { at \"2s\"; }\n  vary \"agnts\" 1 2\n  vary \"slowness\" 1 2\n  clients \"wild\"\n}\n";
-    let all: Vec<String> = Scenario::read(text).unwrap_err().iter().map(|m| m.to_string()).collect();
+    let all: Vec<String> = Scenario::read(text)
+        .unwrap_err()
+        .iter()
+        .map(|m| m.to_string())
+        .collect();
     for wanted in [
         "2:3: rte: unknown in experiment; did you mean 'rate'?",
         "3:25: appliances: a number from 0 to 100000 is wanted",
@@ -211,7 +277,10 @@
         "1:1: lane: one or more are wanted",
         "1:1: vary: an offer is wanted for what varies of it",
     ] {
-        assert!(all.iter().any(|m| m.starts_with(wanted)), "{wanted}\nin {all:#?}");
+        assert!(
+            all.iter().any(|m| m.starts_with(wanted)),
+            "{wanted}\nin {all:#?}"
+        );
     }
     assert!(Scenario::read("").is_err());
     let huge = two_zones("agents 100000").memory();
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -14,7 +14,15 @@
 }
 
 fn play(size: Size, span: Duration, events: Vec<(Duration, Happens)>) -> Play {
-    Play { size, seed: 7, cores: 2, warm: secs(5), span, events, own: false }
+    Play {
+        size,
+        seed: 7,
+        cores: 2,
+        warm: secs(5),
+        span,
+        events,
+        own: false,
+    }
 }
 
 fn run(size: Size, span: Duration, events: Vec<(Duration, Happens)>) -> Outcome {
@@ -22,7 +30,10 @@
 }
 
 fn row(size: Size, name: &str) -> Row {
-    rows(size, None).into_iter().find(|r| r.name == name).unwrap()
+    rows(size, None)
+        .into_iter()
+        .find(|r| r.name == name)
+        .unwrap()
 }
 
 fn bytes(o: &Outcome, kind: &str) -> f64 {
@@ -35,23 +46,57 @@
 
 /// All that is counted and not timed.
 fn counts(o: &Outcome) -> String {
-    let load = (o.commands, o.satisfied, o.deliveries, o.looks, o.surveys, o.kept);
-    let wire =
-        (&o.traffic, o.calls, o.refused, o.discovery_bytes, o.platform_bytes, o.heard_most, o.renewed_most);
+    let load = (
+        o.commands,
+        o.satisfied,
+        o.deliveries,
+        o.looks,
+        o.surveys,
+        o.kept,
+    );
+    let wire = (
+        &o.traffic,
+        o.calls,
+        o.refused,
+        o.discovery_bytes,
+        o.platform_bytes,
+        o.heard_most,
+        o.renewed_most,
+    );
     format!("{load:?} {wire:?}")
 }
 
 /// A fleet with an agent or two, that takes a few commands.
 fn small(appliances: usize) -> Size {
-    Size { agents: 2, appliances, rate: 20.0, ..Size::default() }
+    Size {
+        agents: 2,
+        appliances,
+        rate: 20.0,
+        ..Size::default()
+    }
 }
 
 #[test]
 fn the_same_seed_counts_the_same_on_any_number_of_threads() {
-    let size = Size { services: 2, agents: 9, appliances: 60, rate: 30.0, ..Size::default() };
-    let one = Play { cores: 1, ..row(size, "zone").play(7, 1) };
-    let three = Play { cores: 3, ..one.clone() };
-    let other = Play { seed: 8, ..one.clone() };
+    let size = Size {
+        services: 2,
+        agents: 9,
+        appliances: 60,
+        rate: 30.0,
+        ..Size::default()
+    };
+    let one = Play {
+        cores: 1,
+        ..row(size, "zone").play(7, 1)
+    };
+    let three = Play {
+        cores: 3,
+        ..one.clone()
+    };
+    let other = Play {
+        seed: 8,
+        ..one.clone()
+    };
     let [one, three, other] = [one, three, other].map(|p| counts(&p.run().unwrap()));
     assert_eq!(one, three);
     assert_ne!(one, other, "chance is drawn from the seed");
@@ -59,32 +104,66 @@
 
 #[test]
 fn hollow_agents_serve_and_hear_what_is_told() {
-    let size = Size { agents: 3, rate: 40.0, ..Size::default() };
+    let size = Size {
+        agents: 3,
+        rate: 40.0,
+        ..Size::default()
+    };
     let o = run(size, secs(10), Vec::new());
     assert!((1000..1400).contains(&o.commands), "{} of 1200", o.commands);
-    assert!(o.satisfied as f64 > o.commands as f64 * 0.99, "{} of {}", o.satisfied, o.commands);
+    assert!(
+        o.satisfied as f64 > o.commands as f64 * 0.99,
+        "{} of {}",
+        o.satisfied,
+        o.commands
+    );
     assert_eq!(o.kept[1..], [55, 1, 0, 55]);
     // A machine goes silent: what was sent there is sent again, and once it is told as gone nothing goes there.
     let o = row(size, "machine").play(7, 2).run().unwrap();
     assert_eq!(o.heard_late, 0);
-    assert!(o.satisfied as f64 > o.commands as f64 * 0.99, "{} of {}", o.satisfied, o.commands);
+    assert!(
+        o.satisfied as f64 > o.commands as f64 * 0.99,
+        "{} of {}",
+        o.satisfied,
+        o.commands
+    );
     assert!(o.deliveries > o.commands, "none was sent in vain");
     // While regions do not reach each other the second one serves by what it knows.
     let o = row(size, "cut").play(7, 2).run().unwrap();
-    assert!(o.satisfied as f64 > o.commands as f64 * 0.9, "{} of {}", o.satisfied, o.commands);
+    assert!(
+        o.satisfied as f64 > o.commands as f64 * 0.9,
+        "{} of {}",
+        o.satisfied,
+        o.commands
+    );
 }
 
 #[test]
 fn walks_grow_with_the_appliances_and_no_faster() {
-    let looks = |appliances, rate| run(Size { rate, ..small(appliances) }, secs(4), Vec::new());
+    let looks = |appliances, rate| {
+        run(
+            Size {
+                rate,
+                ..small(appliances)
+            },
+            secs(4),
+            Vec::new(),
+        )
+    };
     for appliances in [55, 220, 440] {
         let (calm, busy) = (looks(appliances, 0.0), looks(appliances, 50.0));
         assert_eq!(calm.surveys, busy.surveys, "ten a second each");
         let survey = calm.looks as f64 / calm.surveys as f64 / appliances as f64;
         let command = (busy.looks - calm.looks) as f64 / busy.commands as f64 / appliances as f64;
         // A survey: 12 walks. A command: two in `pick`, one as its answer is learnt. More is a step back; less is wanted.
-        assert!(survey > 0.0 && survey <= 12.0, "{appliances} appliances: {survey} walks a survey");
-        assert!(command > 0.0 && command <= 3.2, "{appliances} appliances: {command} walks a command");
+        assert!(
+            survey > 0.0 && survey <= 12.0,
+            "{appliances} appliances: {survey} walks a survey"
+        );
+        assert!(
+            command > 0.0 && command <= 3.2,
+            "{appliances} appliances: {command} walks a command"
+        );
     }
 }
 
@@ -100,56 +179,113 @@
         build: 41,
     };
     let whole = |n: usize| {
-        let entry = |n: usize| Entry { id: format!("s-{n:08x}"), ..one.clone() };
+        let entry = |n: usize| Entry {
+            id: format!("s-{n:08x}"),
+            ..one.clone()
+        };
         let mut registry = Registry::default();
         registry.tell((0..n).map(entry));
         (n as f64, registry::answer(&registry.whole(0)).len() as f64)
     };
     let line = Line::through(&[55, 220, 440, 880].map(whole)).unwrap();
-    assert!((130.0..170.0).contains(&line.slope) && line.residual < 0.01, "{line:?}");
+    assert!(
+        (130.0..170.0).contains(&line.slope) && line.residual < 0.01,
+        "{line:?}"
+    );
     // At a new configuration it is asked for by nobody who knows one: what has changed is the same at any size.
     let reload = |n: usize| {
-        let o = run(small(n), secs(5), vec![(secs(1), Happens::Reload(vec![0, 1]))]);
+        let o = run(
+            small(n),
+            secs(5),
+            vec![(secs(1), Happens::Reload(vec![0, 1]))],
+        );
         assert_eq!((count(&o, "whole lists"), o.renewed_late), (0, 0));
         bytes(&o, "changes") + bytes(&o, "quiet watches") + bytes(&o, "list calls")
     };
     let [small_list, large_list] = [55, 880].map(reload);
-    assert!(small_list > 0.0 && small_list == large_list, "{small_list} and {large_list} bytes");
+    assert!(
+        small_list > 0.0 && small_list == large_list,
+        "{small_list} and {large_list} bytes"
+    );
     let changed = |n: usize| {
-        let list =
-            Happens::List { appliances: (0..n).collect(), state: "terminating", build: None, started: false };
+        let list = Happens::List {
+            appliances: (0..n).collect(),
+            state: "terminating",
+            build: None,
+            started: false,
+        };
         let o = run(small(880), secs(9), vec![(secs(1), list)]);
-        assert_eq!((count(&o, "whole lists"), count(&o, "changes"), o.heard_late), (0, 2, 0));
+        assert_eq!(
+            (count(&o, "whole lists"), count(&o, "changes"), o.heard_late),
+            (0, 2, 0)
+        );
         (n as f64, bytes(&o, "changes") / 2.0)
     };
     let line = Line::through(&[1, 55, 220, 440].map(changed)).unwrap();
-    assert!((130.0..170.0).contains(&line.slope) && line.intercept < 300.0, "{line:?}");
+    assert!(
+        (130.0..170.0).contains(&line.slope) && line.intercept < 300.0,
+        "{line:?}"
+    );
 }
 
 #[test]
 fn a_calm_agent_says_and_hears_the_same_whatever_the_size() {
     let calm = |size: Size| run(Size { rate: 1.0, ..size }, secs(100), Vec::new());
     let each = |o: &Outcome, kind: &str| bytes(o, kind) / count(o, kind).max(1) as f64;
-    let many = Size { services: 3, agents: 30, appliances: 600, lanes: 40, tenants: 2000, ..small(0) };
+    let many = Size {
+        services: 3,
+        agents: 30,
+        appliances: 600,
+        lanes: 40,
+        tenants: 2000,
+        ..small(0)
+    };
     let (one, all) = (calm(small(55)), calm(many));
     for (o, agents) in [(&one, 2.0), (&all, 30.0)] {
         // A sign of life each second; a watch each 1 to 20 s, by chance, 10.5 s on the mean.
         assert_eq!(count(o, "pings") as f64, agents * 100.0);
         let watches = count(o, "list calls") as f64 / agents / 100.0;
-        assert!((1.0 / 20.0..1.0 / 7.0).contains(&watches), "{watches} watches a second and agent");
-        assert!(o.bytes > 46.0 && o.bytes <= 46.0 + watches * 260.0, "{} bytes a second", o.bytes);
-        assert!(o.calls <= agents / 7.0, "discovery's calls grow with the agents alone: {}", o.calls);
-        assert_eq!(count(o, "whole lists") + count(o, "changes") + count(o, "refusals"), 0);
+        assert!(
+            (1.0 / 20.0..1.0 / 7.0).contains(&watches),
+            "{watches} watches a second and agent"
+        );
+        assert!(
+            o.bytes > 46.0 && o.bytes <= 46.0 + watches * 260.0,
+            "{} bytes a second",
+            o.bytes
+        );
+        assert!(
+            o.calls <= agents / 7.0,
+            "discovery's calls grow with the agents alone: {}",
+            o.calls
+        );
+        assert_eq!(
+            count(o, "whole lists") + count(o, "changes") + count(o, "refusals"),
+            0
+        );
     }
     assert_eq!(each(&one, "pings"), each(&all, "pings"));
-    assert!((each(&one, "quiet watches") - each(&all, "quiet watches")).abs() < 2.0, "whatever the size");
+    assert!(
+        (each(&one, "quiet watches") - each(&all, "quiet watches")).abs() < 2.0,
+        "whatever the size"
+    );
 }
 
 #[test]
 fn one_change_is_one_answer_and_one_call_for_each_agent_of_its_list() {
-    let size = Size { agents: 40, rate: 1.0, calls: 4.0, ..Size::default() };
+    let size = Size {
+        agents: 40,
+        rate: 1.0,
+        calls: 4.0,
+        ..Size::default()
+    };
     let one = |a: usize| {
-        let list = Happens::List { appliances: vec![a], state: "terminating", build: None, started: false };
+        let list = Happens::List {
+            appliances: vec![a],
+            state: "terminating",
+            build: None,
+            started: false,
+        };
         (secs(1 + a as u64), list)
     };
     let calls = |changes: usize| {
@@ -164,16 +300,31 @@
 #[test]
 fn discovery_refuses_beyond_its_rate_and_what_goes_on_with_a_watch_is_free_unless_told_otherwise() {
     // Each of 30 agents asks 20 times a second while lists change as often; the rate is 15.
-    let size = Size { agents: 30, rate: 1.0, ..Size::default() };
+    let size = Size {
+        agents: 30,
+        rate: 1.0,
+        ..Size::default()
+    };
     let change = |n: usize| {
-        let list =
-            Happens::List { appliances: vec![n % 55], state: "in_service", build: None, started: true };
+        let list = Happens::List {
+            appliances: vec![n % 55],
+            state: "in_service",
+            build: None,
+            started: true,
+        };
         (secs(1) + Duration::from_millis(50) * n as u32, list)
     };
     let changes: Vec<_> = (0..40).map(change).collect();
     let free = run(size, secs(12), changes.clone());
     assert_eq!((free.refused, free.heard_late), (0, 0));
-    let paid = run(Size { every_call: true, ..size }, secs(12), changes);
+    let paid = run(
+        Size {
+            every_call: true,
+            ..size
+        },
+        secs(12),
+        changes,
+    );
     assert!(paid.refused > 30, "{} refused", paid.refused);
     assert!(
         paid.calls_worst <= 30.0,
@@ -183,19 +334,38 @@
 }
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_tulipwall-lab")).arg("scale").args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_tulipwall-lab"))
+        .arg("scale")
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 #[test]
 fn what_would_not_fit_is_refused_with_its_estimate_before_it_starts() {
-    let all = ["--agents", "770", "--appliances", "7700", "--lanes", "1600", "--tenants", "56000"];
+    let all = [
+        "--agents",
+        "770",
+        "--appliances",
+        "7700",
+        "--lanes",
+        "1600",
+        "--tenants",
+        "56000",
+    ];
     let out = lab(&all);
     assert_eq!(out.status.code(), Some(1));
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains("it would take about 3") && said.contains("GB may be taken"), "{said}");
+    assert!(
+        said.contains("it would take about 3") && said.contains("GB may be taken"),
+        "{said}"
+    );
     assert!(out.stdout.is_empty(), "nothing was played");
     let small = ["--agents", "20", "--row", "calm", "--memory"];
-    assert_eq!(lab(&[&small[..], &["0.001"]].concat()).status.code(), Some(1));
+    assert_eq!(
+        lab(&[&small[..], &["0.001"]].concat()).status.code(),
+        Some(1)
+    );
     assert_eq!(lab(&[&small[..], &["1"]].concat()).status.code(), Some(0));
 }
 
@@ -203,21 +373,45 @@
 fn beyond_the_limits_the_large_form_says_so_by_its_exit() {
     let form = ["--full", "--quiet", "5", "--agents", "3"];
     let list = lab(&[&form[..], &["--appliances", "200", "--row", "release"]].concat());
-    assert_eq!(list.status.code(), Some(4), "a release of so many in 30 s is more than 3 kB in a second");
+    assert_eq!(
+        list.status.code(),
+        Some(4),
+        "a release of so many in 30 s is more than 3 kB in a second"
+    );
     let told = String::from_utf8_lossy(&list.stdout);
-    assert!(told.contains("- as told, release: bytes in the worst second"), "{told}");
+    assert!(
+        told.contains("- as told, release: bytes in the worst second"),
+        "{told}"
+    );
     // Its processor share may be beyond on a busy machine; its bytes are counted.
-    let renewed = lab(&[&form[..], &["--appliances", "200", "--row", "configuration"]].concat());
-    assert!(!String::from_utf8_lossy(&renewed.stdout).contains("configuration: bytes"), "{renewed:?}");
-    assert_eq!(lab(&[&form[..], &["--row", "calm"]].concat()).status.code(), Some(0));
+    let renewed = lab(&[
+        &form[..],
+        &["--appliances", "200", "--row", "configuration"],
+    ]
+    .concat());
+    assert!(
+        !String::from_utf8_lossy(&renewed.stdout).contains("configuration: bytes"),
+        "{renewed:?}"
+    );
+    assert_eq!(
+        lab(&[&form[..], &["--row", "calm"]].concat()).status.code(),
+        Some(0)
+    );
     assert_eq!(lab(&["--row", "no-such"]).status.code(), Some(1));
 }
 
 #[test]
 fn lines_and_their_residuals_are_right() {
     let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
-    assert!((line.slope - 2.0).abs() < 1e-9 && (line.intercept - 3.0).abs() < 1e-9 && line.residual < 1e-9);
-    assert!((line.at(10.0) - 23.0).abs() < 1e-9 && (line.power - 1.0).abs() < 1e-9, "{line:?}");
+    assert!(
+        (line.slope - 2.0).abs() < 1e-9
+            && (line.intercept - 3.0).abs() < 1e-9
+            && line.residual < 1e-9
+    );
+    assert!(
+        (line.at(10.0) - 23.0).abs() < 1e-9 && (line.power - 1.0).abs() < 1e-9,
+        "{line:?}"
+    );
     let square = Line::through(&[10.0, 20.0, 40.0, 80.0].map(|n| (n, n * n))).unwrap();
     assert!(square.power > 1.9 && square.residual > 0.05, "{square:?}");
     assert_eq!(Line::through(&[(1.0, 5.0)]), None);
@@ -227,8 +421,25 @@
 #[test]
 fn a_plot_has_a_panel_for_each_figure() {
     let points = vec![(1.0, 5.0), (2.0, 7.0)];
-    let curve = Curve { figure: "walks", line: Line::through(&points), points };
-    let swept = Swept { name: "trial", over: "agents", size: Size::default(), curves: vec![curve] };
-    let svg = Report { sweeps: vec![swept], ..Report::default() }.plot().unwrap();
-    assert!(svg.contains("trial: walks") && svg.contains("<circle"), "{svg}");
+    let curve = Curve {
+        figure: "walks",
+        line: Line::through(&points),
+        points,
+    };
+    let swept = Swept {
+        name: "trial",
+        over: "agents",
+        size: Size::default(),
+        curves: vec![curve],
+    };
+    let svg = Report {
+        sweeps: vec![swept],
+        ..Report::default()
+    }
+    .plot()
+    .unwrap();
+    assert!(
+        svg.contains("trial: walks") && svg.contains("<circle"),
+        "{svg}"
+    );
 }
--- a/crates/lab/tests/stats.rs
+++ b/crates/lab/tests/stats.rs
@@ -18,7 +18,9 @@
     // Two samples of ten from the same uniform draws, a thousand times over.
     let mut state = 12345u64;
     let mut draw = || {
-        state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        state = state
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (state >> 33) as f64 / (1u64 << 31) as f64
     };
     let mut sample = || Mean::of(&(0..10).map(|_| draw()).collect::<Vec<_>>());
--- a/crates/membership/src/clock.rs
+++ b/crates/membership/src/clock.rs
@@ -12,13 +12,21 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), start_ms: wall.as_millis() as u64 }
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            start_ms: wall.as_millis() as u64,
+        }
     }
 
     /// A clock whose zero for wall times is told: for simulated time, which runs from [`Clock::now`]'s first moment.
     pub fn of_start(start_ms: u64) -> Clock {
-        Clock { start: Instant::now(), start_ms }
+        Clock {
+            start: Instant::now(),
+            start_ms,
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -35,7 +43,9 @@
 
     /// Its Unix time in milliseconds.
     pub fn wall(&self, at: Duration) -> u64 {
-        (at + Duration::from_millis(self.start_ms)).saturating_sub(BEFORE).as_millis() as u64
+        (at + Duration::from_millis(self.start_ms))
+            .saturating_sub(BEFORE)
+            .as_millis() as u64
     }
 
     /// A Unix time in milliseconds; `None` when it lies before the clock's zero.
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -57,7 +57,9 @@
         let (mut listed, mut stale, mut named) = (Vec::new(), Vec::new(), BTreeSet::new());
         for e in told.entries {
             let zone = zone(site, &e.zone);
-            let Some(appliance) = self.number_for(&e, zone) else { continue };
+            let Some(appliance) = self.number_for(&e, zone) else {
+                continue;
+            };
             named.insert(appliance);
             let kept = &mut self.kept[appliance];
             let same = (kept.address, kept.zone, kept.build) == (e.address, zone, e.build);
@@ -89,7 +91,11 @@
             });
         }
         // What its entry says cannot be read: nothing goes there until it can be.
-        for appliance in told.doubtful.iter().filter_map(|id| self.numbers.get(id).copied()) {
+        for appliance in told
+            .doubtful
+            .iter()
+            .filter_map(|id| self.numbers.get(id).copied())
+        {
             let kept = &mut self.kept[appliance];
             named.insert(appliance);
             stale.push(appliance);
@@ -98,7 +104,16 @@
             }
             let (zone, build, standing) = (kept.zone, kept.build, kept.standing);
             let mark = number(&kept.id);
-            listed.push(Listed { appliance, zone, cell: 0, mark, kind: 0, build, standing, started: None });
+            listed.push(Listed {
+                appliance,
+                zone,
+                cell: 0,
+                mark,
+                kind: 0,
+                build,
+                standing,
+                started: None,
+            });
         }
         if told.complete {
             let lacking = (0..self.kept.len()).filter(|i| !named.contains(i));
@@ -147,8 +162,17 @@
         let (id, address, build, standing) = (e.id.clone(), e.address, e.build, e.standing);
         let started_ms = e.started_ms;
         let zone_name = e.zone.clone();
-        let kept =
-            Kept { id, address, zone_name, zone, build, standing, started_ms, left: 0, held: Rc::default() };
+        let kept = Kept {
+            id,
+            address,
+            zone_name,
+            zone,
+            build,
+            standing,
+            started_ms,
+            left: 0,
+            held: Rc::default(),
+        };
         match self.kept.get_mut(number) {
             Some(old) => drop(self.numbers.remove(&std::mem::replace(old, kept).id)),
             None => self.kept.push(kept),
@@ -159,7 +183,11 @@
 
     /// The builds of all that is not gone.
     pub fn builds(&self) -> BTreeSet<u32> {
-        self.kept.iter().filter(|k| k.standing != Standing::Gone).map(|k| k.build).collect()
+        self.kept
+            .iter()
+            .filter(|k| k.standing != Standing::Gone)
+            .map(|k| k.build)
+            .collect()
     }
 
     /// How many appliances are kept.
@@ -190,12 +218,22 @@
     }
 
     pub fn targets(&self) -> Vec<Target> {
-        (0..self.kept.len()).filter_map(|i| self.target(i)).collect()
+        (0..self.kept.len())
+            .filter_map(|i| self.target(i))
+            .collect()
     }
 
     /// Where to reach it now, while it runs.
     pub fn target(&self, appliance: usize) -> Option<Target> {
-        let k = self.kept.get(appliance).filter(|k| k.standing == Standing::Running)?;
-        Some(Target { appliance, address: k.address, zone: k.zone, build: k.build })
+        let k = self
+            .kept
+            .get(appliance)
+            .filter(|k| k.standing == Standing::Running)?;
+        Some(Target {
+            appliance,
+            address: k.address,
+            zone: k.zone,
+            build: k.build,
+        })
     }
 }
--- a/crates/membership/src/listing.rs
+++ b/crates/membership/src/listing.rs
@@ -76,7 +76,13 @@
             doubtful.extend(twice);
         }
         let (version, complete) = (list.whole("version")?, list.truth("full")?);
-        Ok(Listing { version, complete, entries, spoilt, doubtful })
+        Ok(Listing {
+            version,
+            complete,
+            entries,
+            spoilt,
+            doubtful,
+        })
     }
 }
 
@@ -84,10 +90,16 @@
     let address = e.text("addr")?;
     Ok(Entry {
         id: e.text("id")?.to_owned(),
-        address: address.parse().map_err(|_| format!("field addr: '{address}' is no address"))?,
+        address: address
+            .parse()
+            .map_err(|_| format!("field addr: '{address}' is no address"))?,
         zone: e.text("zone")?.to_owned(),
         cell: e.whole("cell")?,
-        kind: e.maybe("kind").and_then(Value::as_str).unwrap_or_default().to_owned(),
+        kind: e
+            .maybe("kind")
+            .and_then(Value::as_str)
+            .unwrap_or_default()
+            .to_owned(),
         build: u32::try_from(e.whole("release")?).map_err(|_| "field release: too large")?,
         standing: match e.text("state")? {
             "in_service" => Standing::Running,
--- a/crates/membership/src/watchdog.rs
+++ b/crates/membership/src/watchdog.rs
@@ -95,7 +95,14 @@
     pub fn new(d: &Deployment) -> Watchdog {
         let rng = Pcg64Mcg::seed_from_u64(d.seed);
         let (spread, first) = (call_share(d).min(MOVED_WITHIN), first(d));
-        Watchdog { pushed: !d.list_shared, longest: longest(d), spread, first, rng, told: false }
+        Watchdog {
+            pushed: !d.list_shared,
+            longest: longest(d),
+            spread,
+            first,
+            rng,
+            told: false,
+        }
     }
 
     /// Goes on under settings that were read anew.
@@ -114,7 +121,9 @@
         match (self.pushed, first) {
             (_, true) => Duration::ZERO,
             (true, false) => self.longest,
-            (false, false) => self.longest.mul_f64(1.0 - self.rng.gen_range(0.0..ASKED_CHANCE)),
+            (false, false) => self
+                .longest
+                .mul_f64(1.0 - self.rng.gen_range(0.0..ASKED_CHANCE)),
         }
     }
 
@@ -148,7 +157,8 @@
 
     /// How long after its start an agent first calls, by chance; none where the module says, over the share or at once.
     pub fn starts(&mut self) -> Option<Duration> {
-        self.first.map(|spread| spread.mul_f64(self.rng.gen_range(0.0..1.0)))
+        self.first
+            .map(|spread| spread.mul_f64(self.rng.gen_range(0.0..1.0)))
     }
 
     /// Commands that come before a first answer wait for it for so long: what discovery holds counts as told from
@@ -208,12 +218,20 @@
     /// call has shown that discovery cannot be reached, or was answered. Harms a start whose list lacks nothing.
     pub fn new(d: &Deployment, now: Duration) -> Vouched {
         let until = d.list_shared.then_some(now);
-        Vouched { until, begun: now, stood: false, heard: false, refused: false }
+        Vouched {
+            until,
+            begun: now,
+            stood: false,
+            heard: false,
+            refused: false,
+        }
     }
 
     /// Goes on under settings that were read anew: what was not heard under the earlier ones counts 6 s from now.
     pub fn renew(&mut self, d: &Deployment, now: Duration) {
-        self.until = d.list_shared.then(|| self.until.unwrap_or(now + TOLD_WITHIN));
+        self.until = d
+            .list_shared
+            .then(|| self.until.unwrap_or(now + TOLD_WITHIN));
     }
 
     /// None where lists are pushed: what is known is kept to there.
--- a/crates/membership/tests/calls.rs
+++ b/crates/membership/tests/calls.rs
@@ -57,7 +57,9 @@
 
 fn deployment(agents: u32, rate: f64, seed: u64) -> Deployment {
     let value = program::settings(&["a"], "a", agents, &program::lanes());
-    let mut d = Site::read(&Fields::of(&value, "settings").unwrap(), seed).unwrap().deployment;
+    let mut d = Site::read(&Fields::of(&value, "settings").unwrap(), seed)
+        .unwrap()
+        .deployment;
     (d.list_asked, d.list_shared, d.ask_within) = (true, true, ms(10_000));
     d.rollout.votes_per_s = rate;
     d
@@ -65,7 +67,16 @@
 
 fn appliance(n: usize) -> Listed {
     let (started, standing) = (None, Standing::Running);
-    Listed { appliance: n, zone: 0, cell: 0, mark: n as u64, kind: 0, build: 41, standing, started }
+    Listed {
+        appliance: n,
+        zone: 0,
+        cell: 0,
+        mark: n as u64,
+        kind: 0,
+        build: 41,
+        standing,
+        started,
+    }
 }
 
 /// `agents` before a discovery that answers `bears` calls a second and refuses the rest; those of one second may come at once. The rate that the settings tell is `told`.
@@ -89,7 +100,10 @@
             moved = BEGIN + ms(rng.gen_range(0..2000));
             bound = moved + MOVED_TOLD;
         }
-        let again = watchdog.starts().filter(|_| event == Event::Start).map(|gap| BEGIN + gap);
+        let again = watchdog
+            .starts()
+            .filter(|_| event == Event::Start)
+            .map(|gap| BEGIN + gap);
         let (heard, sent) = (None, None);
         Agent {
             choice,
@@ -122,12 +136,16 @@
                     a.vouched.told(now, ms(0));
                     a.vouched.moved(now);
                     a.again = Some(now + a.watchdog.moved());
-                } else if event == Event::Silence && a.stands.is_some_and(|t| now >= t + a.watchdog.late()) {
+                } else if event == Event::Silence
+                    && a.stands.is_some_and(|t| now >= t + a.watchdog.late())
+                {
                     a.stands = None;
                     a.vouched.ended(now, Ended::Silent);
                     a.again = a.watchdog.again(Ended::Silent).map(|gap| now + gap);
                 }
-                if a.stands.is_none() && (due && a.again.is_none() || a.again.is_some_and(|t| now >= t)) {
+                if a.stands.is_none()
+                    && (due && a.again.is_none() || a.again.is_some_and(|t| now >= t))
+                {
                     tries[step as usize / 100] += 1;
                     a.again = None;
                     a.vouched.begins(now);
@@ -153,7 +171,14 @@
             if a.heard.is_none_or(|t| now < t + ms(500)) && (step as usize + i).is_multiple_of(20) {
                 let id = u64::from(step);
                 let (lane, left) = (0, COMMAND);
-                let command = Command { lane, customer: None, key: None, left, work: None, again: false };
+                let command = Command {
+                    lane,
+                    customer: None,
+                    key: None,
+                    left,
+                    work: None,
+                    again: false,
+                };
                 a.choice.take(now, id, command);
                 a.open.push(id);
                 place(a, now);
@@ -190,27 +215,56 @@
 /// Before a discovery that bears one call of each agent in `span` seconds, which is what the settings tell, or in `tight`,
 /// a tenth of that.
 fn borne(event: Event, span: f64, tight: f64) {
-    for (agents, over) in [(30u32, 1.0), (300, 1.0), (770, 1.0), (30, 10.0), (300, 10.0)] {
+    for (agents, over) in [
+        (30u32, 1.0),
+        (300, 1.0),
+        (770, 1.0),
+        (30, 10.0),
+        (300, 10.0),
+    ] {
         // Where the told rate spreads nothing the tries that follow refusals have to: those are closer then.
         let bears = f64::from(agents) / if over > 1.0 { tight } else { span };
         for seed in 1..9 {
             let day = play(event, agents, bears, bears * over, seed);
-            let late: Vec<_> = day.agents.iter().filter(|a| a.heard.is_none_or(|t| t > a.bound)).collect();
+            let late: Vec<_> = day
+                .agents
+                .iter()
+                .filter(|a| a.heard.is_none_or(|t| t > a.bound))
+                .collect();
             let worst = late.iter().map(|a| a.heard.map(|t| t - a.bound)).max();
-            let of = format!("{event:?}, {agents} agents, {over} times what is borne told, seed {seed}");
+            let of =
+                format!("{event:?}, {agents} agents, {over} times what is borne told, seed {seed}");
             assert!(late.is_empty(), "{of}: {} late, {worst:?}", late.len());
-            let (most, all) = (*day.tries.iter().max().unwrap(), day.tries.iter().sum::<usize>());
+            let (most, all) = (
+                *day.tries.iter().max().unwrap(),
+                day.tries.iter().sum::<usize>(),
+            );
             assert!(
                 most as f64 <= bears * over * 1.35 + 6.0,
                 "{of}: {most} calls in a second, {bears} borne"
             );
-            assert!(all as f64 <= f64::from(agents) * (1.05 + 0.3 * over), "{of}: {all} calls");
+            assert!(
+                all as f64 <= f64::from(agents) * (1.05 + 0.3 * over),
+                "{of}: {all} calls"
+            );
             // Where all are heard in time nobody goes without, but starts: those send nothing before, and nothing waits for longer.
-            let held = day.agents.iter().filter(|_| event != Event::Start).map(|a| a.held);
+            let held = day
+                .agents
+                .iter()
+                .filter(|_| event != Event::Start)
+                .map(|a| a.held);
             assert_eq!(held.sum::<u64>(), 0, "{of}");
             for a in &day.agents {
-                let waited = a.heard.unwrap().saturating_sub(BEGIN + COMMAND / 2).as_secs_f64();
-                assert!(a.denied as f64 <= waited * 5.0 + 1.0, "{of}: {} denied in {waited} s", a.denied);
+                let waited = a
+                    .heard
+                    .unwrap()
+                    .saturating_sub(BEGIN + COMMAND / 2)
+                    .as_secs_f64();
+                assert!(
+                    a.denied as f64 <= waited * 5.0 + 1.0,
+                    "{of}: {} denied in {waited} s",
+                    a.denied
+                );
             }
         }
     }
@@ -242,7 +296,13 @@
         (Event::Move, 770, 30.0),
         (Event::Silence, 300, 30.0),
     ] {
-        let day = play(event, agents, f64::from(agents) / span, f64::from(agents), 7);
+        let day = play(
+            event,
+            agents,
+            f64::from(agents) / span,
+            f64::from(agents),
+            7,
+        );
         let bound = |a: &Agent| match event {
             // Lists that are asked for count 6 s after the move; what it heard before that is no news.
             Event::Move => a.moved + TOLD,
@@ -250,22 +310,44 @@
             Event::Start => BEGIN,
             _ => a.bound,
         };
-        let late = day.agents.iter().filter(|a| a.heard.is_none_or(|t| t > bound(a) + ms(200))).count();
-        assert!(late > 0, "{event:?}: all are heard in time, so this shows nothing");
+        let late = day
+            .agents
+            .iter()
+            .filter(|a| a.heard.is_none_or(|t| t > bound(a) + ms(200)))
+            .count();
+        assert!(
+            late > 0,
+            "{event:?}: all are heard in time, so this shows nothing"
+        );
         for a in &day.agents {
             let (bound, heard) = (bound(a), a.heard.expect("each is heard in the end"));
             // Who is heard at once has nothing to send before.
             let sent = a.sent.unwrap_or(BEGIN);
             // A start does not know how old its list is.
-            assert!(event != Event::Start || a.sent.is_none(), "{event:?}: sent {:?}", sent - BEGIN);
-            assert!(sent <= bound, "{event:?}: sent {:?} after it counted", sent - bound);
+            assert!(
+                event != Event::Start || a.sent.is_none(),
+                "{event:?}: sent {:?}",
+                sent - BEGIN
+            );
+            assert!(
+                sent <= bound,
+                "{event:?}: sent {:?} after it counted",
+                sent - bound
+            );
             // Nobody goes without for longer than that: its commands come 0.2 s apart.
             let last = bound.min(heard);
-            assert!(sent + ms(250) >= last, "{event:?}: the last went out {:?} before", last - sent);
+            assert!(
+                sent + ms(250) >= last,
+                "{event:?}: the last went out {:?} before",
+                last - sent
+            );
             assert!(a.sends, "{event:?}: it sends again once heard");
         }
         let most = *day.tries.iter().max().unwrap() as f64;
-        assert!(most <= f64::from(agents) * 4.2, "{event:?}: {most} calls in a second");
+        assert!(
+            most <= f64::from(agents) * 4.2,
+            "{event:?}: {most} calls in a second"
+        );
     }
 }
 
@@ -278,12 +360,18 @@
         let (mut beyond, mut worst) = (Duration::ZERO, Duration::ZERO);
         for seed in 1..21 {
             for a in play(Event::Start, agents, bears, bears * 10.0, seed).agents {
-                let late = a.heard.expect("each is heard in the end").saturating_sub(a.bound);
+                let late = a
+                    .heard
+                    .expect("each is heard in the end")
+                    .saturating_sub(a.bound);
                 (beyond, worst) = (beyond + late, worst.max(late));
             }
         }
         let mean = beyond / (agents * 20);
-        assert!(mean < ms(350) && worst < ms(4000), "{agents}: {mean:?} on the mean, {worst:?} at worst");
+        assert!(
+            mean < ms(350) && worst < ms(4000),
+            "{agents}: {mean:?} on the mean, {worst:?} at worst"
+        );
     }
 }
 
@@ -291,30 +379,58 @@
 /// are told that spread their calls over 1, 3 and 5 s, before discoveries that bear a tenth, once and three times the rate told.
 #[test]
 fn a_start_sends_nothing_by_a_list_of_unknown_age_before_discovery_was_heard() {
-    for (agents, share) in [30u32, 300, 770].into_iter().flat_map(|n| [1.0, 3.0, 5.0].map(|s| (n, s))) {
+    for (agents, share) in [30u32, 300, 770]
+        .into_iter()
+        .flat_map(|n| [1.0, 3.0, 5.0].map(|s| (n, s)))
+    {
         let told = f64::from(agents) / share;
         for times in [0.1, 1.0, 3.0] {
             let bears = told * times;
             // Where all wait for long one fleet of this size shows enough.
             for seed in 1..if times < 1.0 { 2 } else { 4 } {
                 let day = play(Event::Start, agents, bears, told, seed);
-                let of = format!("{agents} agents, share {share} s, {times} times borne, seed {seed}");
+                let of =
+                    format!("{agents} agents, share {share} s, {times} times borne, seed {seed}");
                 let sent = day.agents.iter().filter_map(|a| a.sent).collect::<Vec<_>>();
-                assert!(sent.is_empty(), "{of}: {} send unheard, up to {:?}", sent.len(), sent.iter().max());
+                assert!(
+                    sent.is_empty(),
+                    "{of}: {} send unheard, up to {:?}",
+                    sent.len(),
+                    sent.iter().max()
+                );
                 // What discovery bears is used: the last is heard not much later than if every call had come in turn.
-                let last =
-                    day.agents.iter().map(|a| a.heard.expect("each is heard in the end") - BEGIN).max();
+                let last = day
+                    .agents
+                    .iter()
+                    .map(|a| a.heard.expect("each is heard in the end") - BEGIN)
+                    .max();
                 let (last, need) = (last.unwrap().as_secs_f64(), f64::from(agents) / bears);
-                assert!(last <= if times < 1.0 { need * 1.35 } else { 6.0 }, "{of}: the last after {last} s");
+                assert!(
+                    last <= if times < 1.0 { need * 1.35 } else { 6.0 },
+                    "{of}: the last after {last} s"
+                );
                 // A third more than are told at first, and chance; refused ones try again, a quarter of the share later at least.
-                let (most, all) = (*day.tries.iter().max().unwrap() as f64, day.tries.iter().sum::<usize>());
-                let (second, each) = if times < 1.0 { (told * 3.5, 9.0) } else { (told * 4.0 / 3.0, 1.3) };
-                assert!(most <= second + 3.0 * second.sqrt() + 1.0, "{of}: {most} calls in a second");
+                let (most, all) = (
+                    *day.tries.iter().max().unwrap() as f64,
+                    day.tries.iter().sum::<usize>(),
+                );
+                let (second, each) = if times < 1.0 {
+                    (told * 3.5, 9.0)
+                } else {
+                    (told * 4.0 / 3.0, 1.3)
+                };
+                assert!(
+                    most <= second + 3.0 * second.sqrt() + 1.0,
+                    "{of}: {most} calls in a second"
+                );
                 assert!(all as f64 <= f64::from(agents) * each, "{of}: {all} calls");
                 // At most one in ten goes without for 4 s, where discovery bears those calls.
                 let without = |a: &&Agent| a.heard.is_some_and(|t| t > BEGIN + ms(4000));
                 let without = day.agents.iter().filter(without).count();
-                assert!(times <= 1.0 || without * 10 <= agents as usize, "{of}: {without} wait for 4 s");
+                assert!(
+                    times <= 1.0 || without * 10 <= agents as usize,
+                    "{of}: {without} wait for 4 s"
+                );
             }
         }
     }
@@ -326,7 +442,11 @@
     let d = deployment(5, 1.0, 1);
     for ended in [Ended::Broken, Ended::Silent] {
         let mut vouched = Vouched::new(&d, BEGIN);
-        assert_eq!(vouched.until(), Some(BEGIN), "nothing before its first call");
+        assert_eq!(
+            vouched.until(),
+            Some(BEGIN),
+            "nothing before its first call"
+        );
         for n in 1..20 {
             // Further apart than what one call vouches for.
             let (begun, failed) = (BEGIN + ms(10_000 * n), BEGIN + ms(10_000 * n + 100));
@@ -340,7 +460,10 @@
         assert!(vouched.until().is_some_and(|t| t <= BEGIN + ms(201_100)));
         vouched.begins(BEGIN + ms(203_000));
         vouched.ended(BEGIN + ms(203_100), ended);
-        assert!(vouched.until().is_some_and(|t| t <= BEGIN + ms(201_100)), "{ended:?} after a refusal");
+        assert!(
+            vouched.until().is_some_and(|t| t <= BEGIN + ms(201_100)),
+            "{ended:?} after a refusal"
+        );
         vouched.told(BEGIN + ms(205_000), ms(1000));
         assert_eq!(vouched.until(), Some(BEGIN + ms(211_000)));
     }
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -33,7 +33,13 @@
         let site = Site::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
         let clock = Clock::start();
         let choice = Choice::new(clock.now(), site.deployment.clone());
-        Agent { site, clock, list: List::default(), choice, asked: 0 }
+        Agent {
+            site,
+            clock,
+            list: List::default(),
+            choice,
+            asked: 0,
+        }
     }
 
     /// Takes a list in; what is wrong with it, as it is named.
@@ -58,7 +64,14 @@
         self.choice.take(
             now,
             id,
-            Command { lane: 0, customer: None, key: None, left, work: None, again: false },
+            Command {
+                lane: 0,
+                customer: None,
+                key: None,
+                left,
+                work: None,
+                again: false,
+            },
         );
         let answer = self.choice.place(now, id);
         self.choice.left(id);
@@ -70,11 +83,21 @@
 fn a_list_of_the_size_to_come_is_taken_whole_and_found_by_name() {
     let (mut agent, begun) = (Agent::new(), Instant::now());
     assert_eq!(agent.told(1, true, &fleet()), None);
-    assert_eq!((agent.serving(), agent.list.len(), agent.list.version), (APPLIANCES, APPLIANCES, 1));
-    assert_eq!(agent.list.name(agent.list.number("s-00001e13").unwrap()), "s-00001e13");
+    assert_eq!(
+        (agent.serving(), agent.list.len(), agent.list.version),
+        (APPLIANCES, APPLIANCES, 1)
+    );
+    assert_eq!(
+        agent.list.name(agent.list.number("s-00001e13").unwrap()),
+        "s-00001e13"
+    );
     assert!(matches!(agent.ask(), Answer::Send { .. }));
     // Far above what it takes: against a walk of the whole list for each entry of it, which took seconds.
-    assert!(begun.elapsed() < Duration::from_secs(20), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(20),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Guards the rule on drains: of two lines for one appliance only one can be true.
@@ -82,10 +105,13 @@
 fn an_appliance_that_stands_twice_and_differently_rests_and_is_named_and_the_others_go_on() {
     let mut agent = Agent::new();
     agent.told(1, true, &fleet());
-    for (nth, (key, value)) in
-        [("state", json!("terminating")), ("release", json!(42)), ("addr", json!("10.9.9.9:1"))]
-            .into_iter()
-            .enumerate()
+    for (nth, (key, value)) in [
+        ("state", json!("terminating")),
+        ("release", json!(42)),
+        ("addr", json!("10.9.9.9:1")),
+    ]
+    .into_iter()
+    .enumerate()
     {
         let mut servers = fleet();
         let mut other = entry(17, "in_service");
@@ -94,9 +120,15 @@
         servers.insert(if nth % 2 == 0 { 0 } else { APPLIANCES }, other);
         let version = 2 + 2 * nth as u64;
         let what = agent.told(version, true, &servers).expect("it is named");
-        assert!(what.contains("s-00000011") && what.contains("twice"), "{what}");
+        assert!(
+            what.contains("s-00000011") && what.contains("twice"),
+            "{what}"
+        );
         assert_eq!(agent.serving(), APPLIANCES - 1);
-        assert_eq!(agent.list.target(agent.list.number("s-00000011").unwrap()), None);
+        assert_eq!(
+            agent.list.target(agent.list.number("s-00000011").unwrap()),
+            None
+        );
         assert_eq!(agent.list.version, version - 1, "it is asked for anew");
         assert_eq!(agent.told(version + 1, true, &fleet()), None);
         assert_eq!(agent.serving(), APPLIANCES);
@@ -109,7 +141,10 @@
     let mut servers = fleet();
     servers.extend(fleet().into_iter().take(500));
     assert_eq!(agent.told(1, true, &servers), None);
-    assert_eq!((agent.serving(), agent.list.len()), (APPLIANCES, APPLIANCES));
+    assert_eq!(
+        (agent.serving(), agent.list.len()),
+        (APPLIANCES, APPLIANCES)
+    );
 }
 
 #[test]
@@ -117,7 +152,10 @@
     let mut agent = Agent::new();
     agent.told(1, true, &fleet());
     let mut servers = fleet();
-    servers.iter_mut().step_by(10).for_each(|e| e["state"] = json!("asleep"));
+    servers
+        .iter_mut()
+        .step_by(10)
+        .for_each(|e| e["state"] = json!("asleep"));
     servers[1] = entry(1, "terminating");
     let what = agent.told(2, true, &servers).expect("it is named");
     assert!(what.contains("asleep"), "{what}");
@@ -141,7 +179,11 @@
     assert_eq!(agent.told(3, true, &fleet()[..APPLIANCES / 2]), None);
     assert_eq!(agent.serving(), APPLIANCES / 2);
     assert_eq!(agent.told(4, true, &fleet()), None);
-    assert_eq!((agent.serving(), agent.list.len()), (APPLIANCES, APPLIANCES), "nothing is kept twice");
+    assert_eq!(
+        (agent.serving(), agent.list.len()),
+        (APPLIANCES, APPLIANCES),
+        "nothing is kept twice"
+    );
     assert_eq!(agent.list.number("s-00000100"), Some(number));
     assert!(matches!(agent.ask(), Answer::Send { .. }));
 }
@@ -157,14 +199,32 @@
             e["id"] = json!(format!("r{version}-{n}"));
             e
         };
-        let servers: Vec<Value> =
-            (0..APPLIANCES).map(|n| if n % 7 == 0 { renamed(n) } else { entry(n, "in_service") }).collect();
+        let servers: Vec<Value> = (0..APPLIANCES)
+            .map(|n| {
+                if n % 7 == 0 {
+                    renamed(n)
+                } else {
+                    entry(n, "in_service")
+                }
+            })
+            .collect();
         assert_eq!(agent.told(version, true, &servers), None);
         assert_eq!(agent.serving(), APPLIANCES);
-        assert!(agent.list.len() <= APPLIANCES + 2 * (APPLIANCES / 7 + 1), "{}", agent.list.len());
+        assert!(
+            agent.list.len() <= APPLIANCES + 2 * (APPLIANCES / 7 + 1),
+            "{}",
+            agent.list.len()
+        );
         agent.told(version, false, &[]);
     }
     let standing = |n: usize| agent.list.target(n).is_some();
-    assert_eq!((0..agent.list.len()).filter(|n| standing(*n)).count(), APPLIANCES);
-    assert_eq!(Standing::default(), Standing::Gone, "a number without an appliance counts as gone");
+    assert_eq!(
+        (0..agent.list.len()).filter(|n| standing(*n)).count(),
+        APPLIANCES
+    );
+    assert_eq!(
+        Standing::default(),
+        Standing::Gone,
+        "a number without an appliance counts as gone"
+    );
 }
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -31,7 +31,12 @@
     fn new() -> Both {
         let (site, clock) = (site(1), Clock::start());
         let choice = Choice::new(clock.now(), site.deployment.clone());
-        Both { site, clock, list: List::default(), choice }
+        Both {
+            site,
+            clock,
+            list: List::default(),
+            choice,
+        }
     }
 
     fn told(&mut self, version: u64, full: bool, servers: &[Value]) {
@@ -44,8 +49,12 @@
 
     /// Ids that the list would send to, after the module sent a hundred commands to some of them only.
     fn sent_to(&mut self) -> Vec<String> {
-        let mut ids: Vec<_> =
-            self.list.targets().iter().map(|t| self.list.name(t.appliance).to_owned()).collect();
+        let mut ids: Vec<_> = self
+            .list
+            .targets()
+            .iter()
+            .map(|t| self.list.name(t.appliance).to_owned())
+            .collect();
         ids.sort();
         for id in 0..100 {
             let now = self.clock.now() + Duration::from_millis(id);
@@ -59,7 +68,10 @@
             };
             self.choice.take(now, id, command);
             if let Answer::Send { appliance, .. } = self.choice.place(now, id) {
-                assert!(ids.contains(&self.list.name(appliance).to_owned()), "they differ");
+                assert!(
+                    ids.contains(&self.list.name(appliance).to_owned()),
+                    "they differ"
+                );
             }
             self.choice.left(id);
         }
@@ -74,16 +86,34 @@
     let mut both = Both::new();
     let run = |id: &str| entry(id, "in_service", 7, 41);
     both.told(10, true, &[run("s-0"), run("s-1"), run("s-2"), run("s-3")]);
-    both.told(12, false, &[entry("s-0", "terminating", 7, 41), entry("s-1", "terminated", 7, 41)]);
+    both.told(
+        12,
+        false,
+        &[
+            entry("s-0", "terminating", 7, 41),
+            entry("s-1", "terminated", 7, 41),
+        ],
+    );
     both.told(13, true, &[run("s-3"), entry("s-0", "terminating", 7, 41)]);
     assert_eq!(both.sent_to(), ["s-3"], "who is lacking is gone");
     both.told(11, true, &[run("s-0"), run("s-1"), run("s-2"), run("s-3")]);
     assert_eq!(both.sent_to(), ["s-3"], "an older list");
     // The same id with another build or address lives anew, whatever the version.
-    both.told(12, false, &[entry("s-0", "in_service", 8, 41), entry("s-1", "in_service", 7, 42)]);
+    both.told(
+        12,
+        false,
+        &[
+            entry("s-0", "in_service", 8, 41),
+            entry("s-1", "in_service", 7, 42),
+        ],
+    );
     assert_eq!(both.sent_to(), ["s-0", "s-1", "s-3"]);
     both.told(14, false, &[run("s-2")]);
-    assert_eq!(both.sent_to(), ["s-0", "s-1", "s-2", "s-3"], "a newer list says so");
+    assert_eq!(
+        both.sent_to(),
+        ["s-0", "s-1", "s-2", "s-3"],
+        "a newer list says so"
+    );
 }
 
 /// Guards against a list that counts as told though one entry cannot be read. Harms that appliance until it can be.
@@ -97,18 +127,36 @@
         e[key] = value;
         e
     };
-    let bad =
-        [("state", json!("asleep")), ("addr", json!("here")), ("release", json!(-1)), ("cell", json!([]))];
+    let bad = [
+        ("state", json!("asleep")),
+        ("addr", json!("here")),
+        ("release", json!(-1)),
+        ("cell", json!([])),
+    ];
     for (n, (key, value)) in bad.into_iter().enumerate() {
         let version = 2 + 2 * n as u64;
         both.told(
             version,
             n % 2 == 0,
-            &[spoilt(key, value), entry("s-0", "terminating", 7, 41), json!(7), run("s-2"), run("s-3")],
+            &[
+                spoilt(key, value),
+                entry("s-0", "terminating", 7, 41),
+                json!(7),
+                run("s-2"),
+                run("s-3"),
+            ],
+        );
+        assert_eq!(
+            both.list.version,
+            version - 1,
+            "its version is not taken for heard"
         );
-        assert_eq!(both.list.version, version - 1, "its version is not taken for heard");
         assert_eq!(both.sent_to(), ["s-2", "s-3"], "{key}");
-        both.told(version + 1, true, &[run("s-0"), run("s-1"), run("s-2"), run("s-3")]);
+        both.told(
+            version + 1,
+            true,
+            &[run("s-0"), run("s-1"), run("s-2"), run("s-3")],
+        );
         assert_eq!(both.sent_to().len(), 4);
     }
     for torn in 0..80 {
@@ -140,18 +188,27 @@
             vouched.begins(at);
             if seed % 2 == 0 {
                 // Nothing is vouched for between what counts as told and an answer.
-                assert!(vouched.until().is_some_and(|t| t <= told + Duration::from_millis(250)));
+                assert!(vouched
+                    .until()
+                    .is_some_and(|t| t <= told + Duration::from_millis(250)));
                 // What fails then is spread by the module.
                 assert_eq!(watchdog.again(Ended::Silent), None);
             } else {
                 // With a connection that comes up late, and some time to answer, which the call must be given.
                 let answer = Duration::from_millis(1300);
                 assert!(answer < wait + watchdog.within(true));
-                assert!(at + answer < told + Duration::from_millis(250), "{at:?} of {told:?} after {wait:?}");
+                assert!(
+                    at + answer < told + Duration::from_millis(250),
+                    "{at:?} of {told:?} after {wait:?}"
+                );
             }
         }
-        let second =
-            |c: &Duration| calls.iter().filter(|o| **o >= *c && **o < *c + Duration::from_secs(1)).count();
+        let second = |c: &Duration| {
+            calls
+                .iter()
+                .filter(|o| **o >= *c && **o < *c + Duration::from_secs(1))
+                .count()
+        };
         let most = calls.iter().map(second).max().unwrap() as f64;
         // Nine tenths of the longest wait at least are left to chance; each silence brings one call.
         let spread = 2.0 * within as f64 / 1000.0 * 0.9;
@@ -166,7 +223,10 @@
     assert_eq!(watchdog.wait(true), Duration::ZERO);
     watchdog.told();
     let notice = watchdog.wait(false) + watchdog.late() + watchdog.again(Ended::Silent).unwrap();
-    assert!(notice + watchdog.within(true) * 2 < Duration::from_secs(6), "{notice:?} and two late tries");
+    assert!(
+        notice + watchdog.within(true) * 2 < Duration::from_secs(6),
+        "{notice:?} and two late tries"
+    );
     // What discovery holds at its return counts at once: the next quick try is within the grace.
     assert!(watchdog.within(false) + watchdog.gap(Ended::Silent) < Duration::from_millis(250));
     // No busy loop on lists that end or are spoilt at every call.
--- a/crates/standins/examples/renewal.rs
+++ b/crates/standins/examples/renewal.rs
@@ -12,14 +12,23 @@
 
 fn tenants(least: usize, count: usize) -> Value {
     let share = 1.0 / count.max(1) as f64;
-    (least..least + count).map(|n| json!({"name": format!("tenant-{n}"), "share": share})).collect()
+    (least..least + count)
+        .map(|n| json!({"name": format!("tenant-{n}"), "share": share}))
+        .collect()
 }
 
 /// Processor time of a process so far.
 fn cpu(id: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    let fields: Vec<&str> = stat.rsplit_once(") ").map_or("", |s| s.1).split(' ').collect();
-    let ticks: u64 = [11, 12].iter().filter_map(|n| fields.get(*n)?.parse::<u64>().ok()).sum();
+    let fields: Vec<&str> = stat
+        .rsplit_once(") ")
+        .map_or("", |s| s.1)
+        .split(' ')
+        .collect();
+    let ticks: u64 = [11, 12]
+        .iter()
+        .filter_map(|n| fields.get(*n)?.parse::<u64>().ok())
+        .sum();
     Duration::from_millis(ticks * 10)
 }
 
@@ -38,7 +47,9 @@
     let (args, work) = args.split_at(args.len().min(5));
     let work = work.first().map_or(Ok(20), |w| w.parse::<u64>())?;
     let [binary, way, customers, appliances, times] = args else {
-        return Err("AGENT hup|restart|signal|idle TENANTS APPLIANCES TIMES [WORK_MS] are wanted".into());
+        return Err(
+            "AGENT hup|restart|signal|idle TENANTS APPLIANCES TIMES [WORK_MS] are wanted".into(),
+        );
     };
     let (customers, appliances, times): (usize, usize, usize) =
         (customers.parse()?, appliances.parse()?, times.parse()?);
@@ -46,22 +57,34 @@
     // Ten that run stand for all of them.
     let real = appliances.min(10);
     for n in 0..real {
-        let ways = Ways { work: Duration::from_millis(work), steady: 0.3, ..Ways::default() };
+        let ways = Ways {
+            work: Duration::from_millis(work),
+            steady: 0.3,
+            ..Ways::default()
+        };
         world.appliance(0, &format!("s-{n}"), 41, ways)?;
     }
     let entries = world.discovery.entries();
-    let more = (real..appliances).map(|n| Entry { id: format!("more-{n}"), ..entries[n % real].clone() });
+    let more = (real..appliances).map(|n| Entry {
+        id: format!("more-{n}"),
+        ..entries[n % real].clone()
+    });
     world.discovery.tell(more);
     let mut configuration = world.configuration("n1", 0)?;
     configuration["settings"]["tenants"] = tenants(0, customers);
     let mut agent = Program::start(binary.as_str(), configuration.clone(), &[])?;
     let mut client = Caller::connect(agent.address()?)?;
-    let lane = |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
+    let lane =
+        |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     let load = Load {
         agent: agent.address()?,
         rate: 143.0,
         span: Duration::from_secs(3600),
-        lanes: vec![lane("view", 4.0, false), lane("send", 4.0, true), lane("payment", 2.0, false)],
+        lanes: vec![
+            lane("view", 4.0, false),
+            lane("send", 4.0, true),
+            lane("payment", 2.0, false),
+        ],
         connections: 64,
         seed: 5,
     };
@@ -70,7 +93,12 @@
     let (mut took, mut used) = (Vec::new(), Vec::new());
     let asked = || {
         let d = &world.discovery;
-        (d.asked_whole(), d.connections(), d.written(), world.platform.connections())
+        (
+            d.asked_whole(),
+            d.connections(),
+            d.written(),
+            world.platform.connections(),
+        )
     };
     let before = asked();
     let settle = Duration::from_millis(1500);
@@ -80,7 +108,10 @@
         settings["tenants"] = tenants(n, customers);
         let extra = json!({"name": name, "aim-ms": 400.0, "give-up-ms": 1500.0, "idempotency": "repeatable",
             "points": 3.0});
-        settings["classes"].as_array_mut().ok_or("classes")?.push(extra);
+        settings["classes"]
+            .as_array_mut()
+            .ok_or("classes")?
+            .push(extra);
         let text = configuration.to_string();
         let (begun, mut spent) = (Instant::now(), cpu(agent.id()));
         match way.as_str() {
@@ -97,7 +128,8 @@
         for i in (0..).take_while(|_| way == "hup" || way == "restart") {
             client.ask_as(&format!("n{n}-{i}"), &name, 1000);
             // A lane that is not known is a fault of the statement; a denial is no such thing.
-            if client.told()?.code().as_deref() != Some("42601") || begun.elapsed() > Duration::from_secs(30)
+            if client.told()?.code().as_deref() != Some("42601")
+                || begun.elapsed() > Duration::from_secs(30)
             {
                 break;
             }
--- a/crates/standins/src/appliance.rs
+++ b/crates/standins/src/appliance.rs
@@ -149,11 +149,19 @@
     pub fn start(zones: usize, ways: Ways, seed: u64) -> io::Result<Appliance> {
         let shared = Arc::new(Shared {
             cores: Semaphore::new(ways.cores.max(1)),
-            state: Mutex::new(State { ways, links: vec![Link::default(); zones], ..State::default() }),
+            state: Mutex::new(State {
+                ways,
+                links: vec![Link::default(); zones],
+                ..State::default()
+            }),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
         });
-        let mut appliance =
-            Appliance { shared, addresses: Vec::new(), ends: Arc::default(), listening: Mutex::default() };
+        let mut appliance = Appliance {
+            shared,
+            addresses: Vec::new(),
+            ends: Arc::default(),
+            listening: Mutex::default(),
+        };
         let unbound = vec![SocketAddr::from(([127, 0, 0, 1], 0)); zones];
         appliance.addresses = appliance.listen(&unbound)?;
         Ok(appliance)
@@ -222,7 +230,11 @@
     }
 
     fn count(&self, from: usize, lane: &str, add: impl FnOnce(&mut Counted)) {
-        add(self.state().counted.entry((from, lane.to_owned())).or_default());
+        add(self
+            .state()
+            .counted
+            .entry((from, lane.to_owned()))
+            .or_default());
     }
 
     fn link(&self, from: usize) -> Link {
@@ -267,7 +279,11 @@
         }
         let at = Instant::now();
         let text = String::from_utf8_lossy(body.strip_suffix(b"\0").unwrap_or(&body)).into_owned();
-        let named = |name| pg::comment(&text).find(|(n, _)| *n == name).map(|(_, value)| value.to_owned());
+        let named = |name| {
+            pg::comment(&text)
+                .find(|(n, _)| *n == name)
+                .map(|(_, value)| value.to_owned())
+        };
         let lane = named("c").unwrap_or_default();
         let act = shared.act();
         let seen = Seen {
@@ -308,7 +324,9 @@
             };
             work.or(gone).await
         };
-        let Some(Some(answer)) = answer else { return Ok(()) };
+        let Some(Some(answer)) = answer else {
+            return Ok(());
+        };
         let begun = Instant::now();
         if let Act::Trickles(gap) = act {
             for byte in &answer {
@@ -319,7 +337,10 @@
             stream.write_all(&answer).await?;
         }
         shared.count(from, &lane, |c| c.written += answer.len() as u64);
-        if matches!(act, Act::EndsAfter | Act::HalfEnds | Act::Leaves | Act::Cut(_)) {
+        if matches!(
+            act,
+            Act::EndsAfter | Act::HalfEnds | Act::Leaves | Act::Cut(_)
+        ) {
             return Ok(());
         }
         if let Act::TwiceAfter(gap) = act {
@@ -360,7 +381,12 @@
     }
     let (work, steady, value) = {
         let state = shared.state();
-        let work = state.ways.lanes.get(lane).copied().unwrap_or(state.ways.work);
+        let work = state
+            .ways
+            .lanes
+            .get(lane)
+            .copied()
+            .unwrap_or(state.ways.work);
         let mut value = vec![0x9f; state.ways.value];
         value.last_mut().into_iter().for_each(|b| *b = 3);
         (work, state.ways.steady, value)
--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -51,7 +51,9 @@
         if heard.iter().any(|(tag, _)| *tag == b'I') {
             Ok(caller)
         } else {
-            Err(io::Error::other(format!("no answer to the empty query: {heard:?}")))
+            Err(io::Error::other(format!(
+                "no answer to the empty query: {heard:?}"
+            )))
         }
     }
 
@@ -83,7 +85,9 @@
     }
 
     pub fn ask_as(&mut self, id: &str, lane: &str, wait: u32) {
-        self.say(&format!("SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={lane},d={wait} */"));
+        self.say(&format!(
+            "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={lane},d={wait} */"
+        ));
     }
 
     /// Writes a statement. Whether it went out shows when its answer is read.
@@ -97,13 +101,16 @@
         let first = |tag| heard.iter().find(|(t, _)| *t == tag).map(|(_, body)| body);
         if let Some(error) = first(b'E') {
             let code = pg::field(error, b'C').unwrap_or_default();
-            let back = pg::field(error, b'D').and_then(|d| d.parse().ok()).map(Duration::from_millis);
+            let back = pg::field(error, b'D')
+                .and_then(|d| d.parse().ok())
+                .map(Duration::from_millis);
             return Ok(match code.as_str() {
                 "53300" | "57P03" => Told::Denied(code, back),
                 _ => Told::Failed(code),
             });
         }
         let row = first(b'D').and_then(|row| row.get(6..));
-        row.map(|v| Told::Value(v.to_vec())).ok_or_else(|| io::Error::other(format!("no answer: {heard:?}")))
+        row.map(|v| Told::Value(v.to_vec()))
+            .ok_or_else(|| io::Error::other(format!("no answer: {heard:?}")))
     }
 }
--- a/crates/standins/src/cutter.rs
+++ b/crates/standins/src/cutter.rs
@@ -37,7 +37,11 @@
                 let _ = pass(stream, agent, cut).await;
             }
         })?;
-        Ok(Cutter { address, ends, _task: task })
+        Ok(Cutter {
+            address,
+            ends,
+            _task: task,
+        })
     }
 }
 
@@ -51,10 +55,20 @@
     let server = Async::<TcpStream>::connect(agent).await?;
     server.get_ref().set_nodelay(true)?;
     let limit = |cut_here: Option<usize>| cut_here.unwrap_or(usize::MAX);
-    let there = limit(if let Cut::There(n) = cut { Some(n) } else { None });
-    let back = limit(if let Cut::Back(n) = cut { Some(n) } else { None });
+    let there = limit(if let Cut::There(n) = cut {
+        Some(n)
+    } else {
+        None
+    });
+    let back = limit(if let Cut::Back(n) = cut {
+        Some(n)
+    } else {
+        None
+    });
     // Either end ends both, as a machine between them that dies would.
-    copy(&client, &server, there).or(copy(&server, &client, back)).await?;
+    copy(&client, &server, there)
+        .or(copy(&server, &client, back))
+        .await?;
     let _ = client.get_ref().shutdown(Shutdown::Both);
     let _ = server.get_ref().shutdown(Shutdown::Both);
     Ok(())
--- a/crates/standins/src/day.rs
+++ b/crates/standins/src/day.rs
@@ -104,9 +104,20 @@
 
 /// The lanes of a small service: idempotent views, messages deduplicated among all, payments that never repeat.
 pub fn lanes() -> Vec<Lane> {
-    let lane = |quoted, benefit, repeats| Lane { quoted: Duration::from_millis(quoted), benefit, repeats };
-    let keyed = Repeats::Deduplicated { group: Group::All, window: Duration::from_secs(3) };
-    vec![lane(400, 3.0, Repeats::Idempotent), lane(400, 3.5, keyed), lane(750, 9.0, Repeats::Unrepeatable)]
+    let lane = |quoted, benefit, repeats| Lane {
+        quoted: Duration::from_millis(quoted),
+        benefit,
+        repeats,
+    };
+    let keyed = Repeats::Deduplicated {
+        group: Group::All,
+        window: Duration::from_secs(3),
+    };
+    vec![
+        lane(400, 3.0, Repeats::Idempotent),
+        lane(400, 3.5, keyed),
+        lane(750, 9.0, Repeats::Unrepeatable),
+    ]
 }
 
 /// A deployment for days: crossing is priced, builds stand beside each other and pass by the clock, second copies
@@ -159,7 +170,13 @@
     Zoning {
         own,
         zones,
-        lanes: lanes.iter().map(|l| LaneView { benefit: l.benefit, quoted: l.quoted }).collect(),
+        lanes: lanes
+            .iter()
+            .map(|l| LaneView {
+                benefit: l.benefit,
+                quoted: l.quoted,
+            })
+            .collect(),
         links: vec![Link::default(); zones + 1],
         budgets,
         routing: Routing::NearFirst,
@@ -169,15 +186,35 @@
 impl Day {
     /// A day without a script on [`lanes`], build 41 released: ways of 2 ms between zones and of 0.15 ms within,
     /// work of 20 ms (payments 30), open clients.
-    pub fn small(agents: Vec<Caller>, nodes: Vec<Node>, rate: f64, span: Duration, seed: u64) -> Day {
+    pub fn small(
+        agents: Vec<Caller>,
+        nodes: Vec<Node>,
+        rate: f64,
+        span: Duration,
+        seed: u64,
+    ) -> Day {
         let ms = Duration::from_millis;
-        let zones = nodes.iter().map(|n| n.zone).chain(agents.iter().map(|a| a.zone)).max().unwrap_or(0) + 2;
-        let way = |from, to| if from == to { Duration::from_micros(150) } else { ms(2) };
+        let zones = nodes
+            .iter()
+            .map(|n| n.zone)
+            .chain(agents.iter().map(|a| a.zone))
+            .max()
+            .unwrap_or(0)
+            + 2;
+        let way = |from, to| {
+            if from == to {
+                Duration::from_micros(150)
+            } else {
+                ms(2)
+            }
+        };
         Day {
             deployment: deployment(lanes()),
             agents,
             nodes,
-            ways: (0..zones).map(|from| (0..zones).map(|to| way(from, to)).collect()).collect(),
+            ways: (0..zones)
+                .map(|from| (0..zones).map(|to| way(from, to)).collect())
+                .collect(),
             work: vec![ms(20), ms(20), ms(30)],
             steady: 0.4,
             loss: 0.0,
@@ -189,7 +226,13 @@
             lies: Lies::default(),
             watch: None,
             span,
-            news: Some(News { build: 41, stage: 0, phase: Phase::Released, cap: 1.0, began: Duration::ZERO }),
+            news: Some(News {
+                build: 41,
+                stage: 0,
+                phase: Phase::Released,
+                cap: 1.0,
+                began: Duration::ZERO,
+            }),
             script: Vec::new(),
             seed,
         }
@@ -302,14 +345,22 @@
 impl Played {
     /// Of all deliveries, what crossed.
     pub fn crossed(&self) -> f64 {
-        let sum = |of: fn(&Second) -> u64| self.seconds.iter().flatten().map(of).sum::<u64>() as f64;
+        let sum =
+            |of: fn(&Second) -> u64| self.seconds.iter().flatten().map(of).sum::<u64>() as f64;
         sum(|s| s.far) / (sum(|s| s.far) + sum(|s| s.near)).max(1.0)
     }
 
     /// The same between two times of the day.
     pub fn crossed_between(&self, from: u64, to: u64) -> f64 {
-        let part = || self.seconds.iter().flat_map(|a| &a[from as usize..(to as usize).min(a.len())]);
-        let (near, far) = (part().map(|s| s.near).sum::<u64>(), part().map(|s| s.far).sum::<u64>());
+        let part = || {
+            self.seconds
+                .iter()
+                .flat_map(|a| &a[from as usize..(to as usize).min(a.len())])
+        };
+        let (near, far) = (
+            part().map(|s| s.near).sum::<u64>(),
+            part().map(|s| s.far).sum::<u64>(),
+        );
         far as f64 / (near + far).max(1) as f64
     }
 
@@ -344,12 +395,17 @@
     }
 
     pub fn over(&self) -> usize {
-        self.crossings.iter().flatten().filter(|c| c.2.is_some()).count()
+        self.crossings
+            .iter()
+            .flatten()
+            .filter(|c| c.2.is_some())
+            .count()
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| unreachable!("bounds that are taken"))
+    Histogram::new_with_bounds(1, 600_000_000, 3)
+        .unwrap_or_else(|_| unreachable!("bounds that are taken"))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -501,10 +557,20 @@
         for (n, a) in day.agents.iter().enumerate() {
             let seed = day.seed.wrapping_mul(1_000_003).wrapping_add(n as u64);
             let agents_all = day.agents.len() as u32;
-            let mut d = Deployment { seed, zone: a.zone, agents: agents_all, ..day.deployment.clone() };
-            day.lies.repeats.iter().for_each(|(lane, repeats)| d.lanes[*lane].repeats = *repeats);
+            let mut d = Deployment {
+                seed,
+                zone: a.zone,
+                agents: agents_all,
+                ..day.deployment.clone()
+            };
+            day.lies
+                .repeats
+                .iter()
+                .for_each(|(lane, repeats)| d.lanes[*lane].repeats = *repeats);
             let mut choice = Choice::new(ZERO, d);
-            let entries: Vec<Listed> = (0..day.nodes.len()).map(|i| listed(&day.nodes, i)).collect();
+            let entries: Vec<Listed> = (0..day.nodes.len())
+                .map(|i| listed(&day.nodes, i))
+                .collect();
             choice.list(ZERO, &entries, true);
             if let Some(news) = &day.news {
                 choice.news(news.clone());
@@ -571,7 +637,8 @@
 
     fn at(&mut self, when: Duration, what: What) {
         self.order += 1;
-        self.queue.push(std::cmp::Reverse((when.max(self.now), self.order, what)));
+        self.queue
+            .push(std::cmp::Reverse((when.max(self.now), self.order, what)));
     }
 
     fn chance(&mut self) -> f64 {
@@ -587,7 +654,10 @@
             self.at(ZERO + at, What::Stage);
         }
         for agent in 0..self.agents.len() {
-            self.at(ZERO + Duration::from_micros(137 * agent as u64), What::Tick(agent));
+            self.at(
+                ZERO + Duration::from_micros(137 * agent as u64),
+                What::Tick(agent),
+            );
             self.next_arrival(agent);
         }
         // Some seconds more, so that what was taken is answered.
@@ -600,13 +670,16 @@
             self.played.events += 1;
             let agent = match what {
                 What::Arrive(a) | What::Again(a, _) | What::Tick(a) => Some(a),
-                What::Back { agent, .. } | What::Look { agent, .. } | What::TimeOut { agent, .. } => {
-                    Some(agent)
-                }
+                What::Back { agent, .. }
+                | What::Look { agent, .. }
+                | What::TimeOut { agent, .. } => Some(agent),
                 _ => None,
             };
             // An agent that stands still finds all of it once it goes on, in its order.
-            if let Some(until) = agent.map(|a| self.agents[a].stalled).filter(|t| *t > self.now) {
+            if let Some(until) = agent
+                .map(|a| self.agents[a].stalled)
+                .filter(|t| *t > self.now)
+            {
                 self.at(until, what);
                 continue;
             }
@@ -615,7 +688,10 @@
         for a in &mut self.agents {
             for (id, h) in a.held.iter().filter(|(_, h)| !h.answered) {
                 self.played.never += 1;
-                self.played.broken.push(format!("rule 1: command {id} of lane {} has no answer", h.lane));
+                self.played.broken.push(format!(
+                    "rule 1: command {id} of lane {} has no answer",
+                    h.lane
+                ));
             }
             self.played.zones.push(a.zones.take());
         }
@@ -653,13 +729,30 @@
                         a.choice.crossings(told);
                     }
                 }
-                self.at(due.until.max(now + Duration::from_millis(1)), What::Tick(agent));
+                self.at(
+                    due.until.max(now + Duration::from_millis(1)),
+                    What::Tick(agent),
+                );
             }
-            What::Reach { agent, id, nth, node, life } => self.reach(agent, id, nth, node, life),
+            What::Reach {
+                agent,
+                id,
+                nth,
+                node,
+                life,
+            } => self.reach(agent, id, nth, node, life),
             What::Done { node, life, slot } => self.done(node, life, slot),
-            What::Back { agent, id, nth, how } => self.back(agent, id, nth, how),
+            What::Back {
+                agent,
+                id,
+                nth,
+                how,
+            } => self.back(agent, id, nth, how),
             What::Look { agent, id, at } => {
-                let due = self.agents[agent].held.get(&id).is_some_and(|h| !h.answered && h.look == Some(at));
+                let due = self.agents[agent]
+                    .held
+                    .get(&id)
+                    .is_some_and(|h| !h.answered && h.look == Some(at));
                 if due {
                     let answer = self.agents[agent].choice.place(self.now, id);
                     self.obey(agent, id, answer);
@@ -702,10 +795,22 @@
         let key = Some(self.rng.gen_range(0..100_000));
         let (now, left) = (self.now, self.day.lanes[lane].1);
         // Clients of more than one try wait for as long again in all.
-        let all = if self.day.clients == Clients::Open { left } else { left * 2 };
+        let all = if self.day.clients == Clients::Open {
+            left
+        } else {
+            left * 2
+        };
         let tries = Tries::new(self.day.deployment.lanes[lane].repeats, now + all);
         self.second(agent).asked += 1;
-        self.take(agent, Asking { lane, first: now, key, tries });
+        self.take(
+            agent,
+            Asking {
+                lane,
+                first: now,
+                key,
+                tries,
+            },
+        );
     }
 
     /// A command comes to an agent, for the first time or again.
@@ -717,23 +822,53 @@
         let id = a.next;
         a.next += 1;
         let (expires, out) = (now + left, Vec::new());
-        let held = Held { lane, taken: now, expires, out, answered: false, look: None, asking };
+        let held = Held {
+            lane,
+            taken: now,
+            expires,
+            out,
+            answered: false,
+            look: None,
+            asking,
+        };
         a.held.insert(id, held);
         a.exposed = (a.exposed - a.cap).max(0.0);
         if let Some(z) = &mut a.zones {
             z.taken(now, lane);
         }
-        a.choice.take(now, id, Command { lane, customer: None, key, left, work: None, again: false });
+        a.choice.take(
+            now,
+            id,
+            Command {
+                lane,
+                customer: None,
+                key,
+                left,
+                work: None,
+                again: false,
+            },
+        );
         let answer = a.choice.place(now, id);
         self.played.taken += 1;
         self.second(agent).taken += 1;
-        self.at(now + left + SLACK + Duration::from_millis(1), What::Look { agent, id, at: Duration::MAX });
+        self.at(
+            now + left + SLACK + Duration::from_millis(1),
+            What::Look {
+                agent,
+                id,
+                at: Duration::MAX,
+            },
+        );
         self.obey(agent, id, answer);
     }
 
     fn fold(&mut self, agent: usize, id: u64, answer: &Answer) {
         let (kind, what) = match answer {
-            Answer::Send { appliance, time_out, .. } => (1, *appliance as u64 ^ time_out.as_micros() as u64),
+            Answer::Send {
+                appliance,
+                time_out,
+                ..
+            } => (1, *appliance as u64 ^ time_out.as_micros() as u64),
             Answer::NotYet { until } => (2, until.as_micros() as u64),
             Answer::Deny { .. } => (3, 0),
             Answer::Scrap => (4, 0),
@@ -741,7 +876,9 @@
             Answer::Wait => (6, 0),
         };
         let fold = |h: u64, n: u64| (h ^ n).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
-        self.played.digest = [agent as u64, id, kind, what].into_iter().fold(self.played.digest, fold);
+        self.played.digest = [agent as u64, id, kind, what]
+            .into_iter()
+            .fold(self.played.digest, fold);
         self.tell(agent, id, || format!("the decisions: {answer:?}"));
     }
 
@@ -756,24 +893,35 @@
     /// An agent's vote, as the platform takes it.
     fn vote(&mut self, agent: usize, vote: Vote) {
         let (now, life) = (self.now, self.day.deployment.rollout.vote_life);
-        let stands = self.news.as_ref().is_some_and(|n| (n.build, n.stage) == (vote.build, vote.stage));
+        let stands = self
+            .news
+            .as_ref()
+            .is_some_and(|n| (n.build, n.stage) == (vote.build, vote.stage));
         self.played.votes.push((now - ZERO, vote.clone()));
         if !stands {
             return;
         }
         self.holds[agent] = (vote.verdict == Verdict::Hold).then_some(now + life);
         if vote.verdict == Verdict::Hold && self.stage.is_some() {
-            self.played.offered.held.get_or_insert((now - ZERO, vote.stage));
+            self.played
+                .offered
+                .held
+                .get_or_insert((now - ZERO, vote.stage));
         }
         self.backs[agent] = vote.verdict == Verdict::Back;
-        let (backs, need) = (self.backs.iter().filter(|b| **b).count(), self.day.offering.as_ref());
+        let (backs, need) = (
+            self.backs.iter().filter(|b| **b).count(),
+            self.day.offering.as_ref(),
+        );
         if self.stage.is_some() && need.is_some_and(|o| backs >= o.back_votes.max(1)) {
             self.send_back();
         }
     }
 
     fn send_back(&mut self) {
-        let Some(o) = self.day.offering.clone() else { return };
+        let Some(o) = self.day.offering.clone() else {
+            return;
+        };
         self.stage = None;
         self.played.offered.back = Some(self.now - ZERO);
         self.change(Change::News(News {
@@ -783,12 +931,16 @@
             cap: 0.0,
             began: ZERO,
         }));
-        o.nodes.iter().for_each(|n| self.change(Change::Lists(*n, Standing::Gone)));
+        o.nodes
+            .iter()
+            .for_each(|n| self.change(Change::Lists(*n, Standing::Gone)));
     }
 
     /// The platform's clock: a stage begins, runs on, or is over. It stands while a hold does.
     fn stage(&mut self) {
-        let Some(o) = self.day.offering.clone() else { return };
+        let Some(o) = self.day.offering.clone() else {
+            return;
+        };
         let (now, look) = (self.now, Duration::from_millis(100));
         if self.played.offered.back.is_some() || self.played.offered.released.is_some() {
             return;
@@ -806,11 +958,21 @@
         match next {
             Some(stage) if stage < o.caps.len() => {
                 self.stage = Some((stage, Duration::ZERO));
-                let (from, to) =
-                    (o.nodes.len() * stage / o.caps.len(), o.nodes.len() * (stage + 1) / o.caps.len());
-                o.nodes[from..to].iter().for_each(|n| self.change(Change::Starts(*n)));
+                let (from, to) = (
+                    o.nodes.len() * stage / o.caps.len(),
+                    o.nodes.len() * (stage + 1) / o.caps.len(),
+                );
+                o.nodes[from..to]
+                    .iter()
+                    .for_each(|n| self.change(Change::Starts(*n)));
                 let (build, cap) = (o.build, o.caps[stage]);
-                self.change(Change::News(News { build, stage, phase: Phase::Trial, cap, began: ZERO }));
+                self.change(Change::News(News {
+                    build,
+                    stage,
+                    phase: Phase::Trial,
+                    cap,
+                    began: ZERO,
+                }));
             }
             Some(stage) => {
                 self.stage = None;
@@ -832,7 +994,9 @@
 
     /// A client was told that its command was denied, or failed: it may ask again.
     fn ask_again(&mut self, agent: usize, id: u64, denied: bool) {
-        let Some(h) = self.agents[agent].held.get(&id) else { return };
+        let Some(h) = self.agents[agent].held.get(&id) else {
+            return;
+        };
         let mut asking = h.asking.clone();
         let now = self.now;
         let at = match &self.day.clients {
@@ -842,9 +1006,20 @@
                 on.then_some(now + *pause)
             }
             Clients::Careful(_) => {
-                let come_back = self.day.deployment.come_back.map(|t| t.min(Duration::from_millis(500)));
-                let ended = if denied { TryEnded::Denied(come_back) } else { TryEnded::Failed };
-                match self.agents[agent].retries.next(now, &mut asking.tries, 0, ended) {
+                let come_back = self
+                    .day
+                    .deployment
+                    .come_back
+                    .map(|t| t.min(Duration::from_millis(500)));
+                let ended = if denied {
+                    TryEnded::Denied(come_back)
+                } else {
+                    TryEnded::Failed
+                };
+                match self.agents[agent]
+                    .retries
+                    .next(now, &mut asking.tries, 0, ended)
+                {
                     Next::Again(at) => Some(at),
                     Next::Over(_) => None,
                 }
@@ -864,14 +1039,20 @@
         self.fold(agent, id, &answer);
         let now = self.now;
         match answer {
-            Answer::Send { appliance, time_out, look } => self.send(agent, id, appliance, time_out, look),
+            Answer::Send {
+                appliance,
+                time_out,
+                look,
+            } => self.send(agent, id, appliance, time_out, look),
             Answer::NotYet { until } => self.look(agent, id, until),
             Answer::Deny { .. } => {
                 let h = &self.agents[agent].held[&id];
                 let repeats = self.day.deployment.lanes[h.lane].repeats;
                 let ran = self.ran.get(&(agent, id)).is_some_and(|r| !r.is_empty());
                 if ran && repeats == Repeats::Unrepeatable {
-                    self.played.broken.push(format!("rule 2: command {id} was denied and had run"));
+                    self.played
+                        .broken
+                        .push(format!("rule 2: command {id} was denied and had run"));
                 }
                 self.played.denied += 1;
                 self.ask_again(agent, id, true);
@@ -890,9 +1071,14 @@
             }
             Answer::Wait => {}
         }
-        let late = self.agents[agent].held.get(&id).is_some_and(|h| !h.answered && now > h.expires + SLACK);
+        let late = self.agents[agent]
+            .held
+            .get(&id)
+            .is_some_and(|h| !h.answered && now > h.expires + SLACK);
         if late && self.agents[agent].stalled + SLACK < now {
-            self.played.broken.push(format!("rule 1: command {id} is late"));
+            self.played
+                .broken
+                .push(format!("rule 1: command {id} is late"));
         }
     }
 
@@ -904,13 +1090,19 @@
     }
 
     fn answered(&mut self, agent: usize, id: u64) {
-        let Some(h) = self.agents[agent].held.get_mut(&id) else { return };
+        let Some(h) = self.agents[agent].held.get_mut(&id) else {
+            return;
+        };
         if h.answered {
-            self.played.broken.push(format!("rule 1: command {id} has two answers"));
+            self.played
+                .broken
+                .push(format!("rule 1: command {id} has two answers"));
         }
         h.answered = true;
         if self.now > h.expires + SLACK && self.agents[agent].stalled + SLACK < self.now {
-            self.played.broken.push(format!("rule 1: command {id} was answered late"));
+            self.played
+                .broken
+                .push(format!("rule 1: command {id} was answered late"));
         }
         self.forget(agent, id);
     }
@@ -922,18 +1114,36 @@
         }
     }
 
-    fn send(&mut self, agent: usize, id: u64, node: usize, time_out: Duration, look: Option<Duration>) {
+    fn send(
+        &mut self,
+        agent: usize,
+        id: u64,
+        node: usize,
+        time_out: Duration,
+        look: Option<Duration>,
+    ) {
         let now = self.now;
         let n = self.day.nodes[node].clone();
         self.played.sends[node] += 1;
-        self.tell(agent, id, || format!("goes to appliance {node} of zone {}, build {}", n.zone, n.build));
+        self.tell(agent, id, || {
+            format!(
+                "goes to appliance {node} of zone {}, build {}",
+                n.zone, n.build
+            )
+        });
         self.check_send(agent, id, node, &n);
         let trial = self.on_trial(n.build);
         let a = &mut self.agents[agent];
         let Some(h) = a.held.get_mut(&id) else { return };
         let nth = h.out.len();
         let repeats = self.day.deployment.lanes[h.lane].repeats;
-        let grouped = matches!(repeats, Repeats::Deduplicated { group: Group::Zone | Group::Cell, .. });
+        let grouped = matches!(
+            repeats,
+            Repeats::Deduplicated {
+                group: Group::Zone | Group::Cell,
+                ..
+            }
+        );
         let sending = Sending {
             to: n.zone,
             lane: h.lane,
@@ -957,7 +1167,14 @@
             self.played.crossings[agent].push((now - ZERO, h.lane, over));
         }
         let connected = std::mem::replace(&mut a.warm[node], true);
-        h.out.push(Out { node, zone: n.zone, sent: now, ended: false, ticket, connected });
+        h.out.push(Out {
+            node,
+            zone: n.zone,
+            sent: now,
+            ended: false,
+            ticket,
+            connected,
+        });
         h.look = look;
         let zone = a.zone;
         let second = self.second(agent);
@@ -968,14 +1185,36 @@
         }
         let way = self.day.ways[zone][n.zone];
         // A first connection goes there and back once before.
-        let first = if connected { Duration::ZERO } else { way + self.day.ways[n.zone][zone] };
+        let first = if connected {
+            Duration::ZERO
+        } else {
+            way + self.day.ways[n.zone][zone]
+        };
         let life = self.running[node].life;
         if !self.lost(zone, n.zone) {
-            self.at(now + first + way, What::Reach { agent, id, nth, node, life });
+            self.at(
+                now + first + way,
+                What::Reach {
+                    agent,
+                    id,
+                    nth,
+                    node,
+                    life,
+                },
+            );
         }
         if !connected {
             if let Some(z) = &mut self.agents[agent].zones {
-                z.opened(now, &Opening { to: n.zone, build: n.build, out: 60, back: 60, took: Some(first) });
+                z.opened(
+                    now,
+                    &Opening {
+                        to: n.zone,
+                        build: n.build,
+                        out: 60,
+                        back: 60,
+                        took: Some(first),
+                    },
+                );
             }
         }
         self.at(now + time_out, What::TimeOut { agent, id, nth });
@@ -995,20 +1234,26 @@
         let free = self.day.deployment.rollout.free;
         let a = &mut self.agents[agent];
         if a.told.get(&node).is_some_and(|t| now > *t + DRAIN_GRACE) {
-            let what = format!("rule 3: command {id} went to appliance {node}, {:?}", n.standing);
+            let what = format!(
+                "rule 3: command {id} went to appliance {node}, {:?}",
+                n.standing
+            );
             self.played.broken.push(what);
         }
         if trial {
             a.exposed += 1.0;
             if a.exposed > free + 1e-6 {
-                self.played
-                    .broken
-                    .push(format!("rule 5: agent {agent} exposes {:.2} above {free}", a.exposed));
+                self.played.broken.push(format!(
+                    "rule 5: agent {agent} exposes {:.2} above {free}",
+                    a.exposed
+                ));
             }
         }
         if let Some(h) = a.held.get(&id) {
             if h.answered {
-                self.played.broken.push(format!("rule 1: command {id} went out after its answer"));
+                self.played
+                    .broken
+                    .push(format!("rule 1: command {id} went out after its answer"));
             }
         }
     }
@@ -1017,7 +1262,8 @@
         let (n, d) = (&self.day.nodes[node], &self.day.deployment);
         let ramp = match n.started {
             Some(started) => {
-                let age = self.now.saturating_sub(started).as_secs_f64() / d.cold_for.as_secs_f64().max(1e-3);
+                let age = self.now.saturating_sub(started).as_secs_f64()
+                    / d.cold_for.as_secs_f64().max(1e-3);
                 d.cold_share + (1.0 - d.cold_share) * age.min(1.0)
             }
             None => 1.0,
@@ -1032,7 +1278,12 @@
         if n.mute {
             return;
         }
-        let refuse = |how| What::Back { agent, id, nth, how };
+        let refuse = |how| What::Back {
+            agent,
+            id,
+            nth,
+            how,
+        };
         let back = now + self.day.ways[n.zone][self.agents[agent].zone];
         if n.standing == Standing::Gone || self.running[node].life != life {
             return self.at(back, refuse(How::Refused));
@@ -1043,8 +1294,13 @@
             return self.at(back, refuse(How::TurnedAway));
         }
         self.check_run(agent, id, lane, node);
-        let (busy, waits) = (self.running[node].busy.len(), self.running[node].waits.len());
-        self.tell(agent, id, || format!("has come to appliance {node}, where {busy} run and {waits} wait"));
+        let (busy, waits) = (
+            self.running[node].busy.len(),
+            self.running[node].waits.len(),
+        );
+        self.tell(agent, id, || {
+            format!("has come to appliance {node}, where {busy} run and {waits} wait")
+        });
         self.running[node].waits.push_back(Job { agent, id, nth });
         self.take_up(node);
     }
@@ -1066,7 +1322,9 @@
         let sum: f64 = came.iter().map(|w| w.1).sum();
         let slack = 3.0 * (work * sum).sqrt() + 3.0 * work;
         if sum > FALL_MULTIPLE * capacity * fall_for.as_secs_f64() + slack {
-            self.played.broken.push(format!("rule 4: cold appliance {node} got {sum:.2} core-seconds"));
+            self.played.broken.push(format!(
+                "rule 4: cold appliance {node} got {sum:.2} core-seconds"
+            ));
         }
     }
 
@@ -1087,7 +1345,9 @@
                 _ => true,
             };
             if apart {
-                self.played.broken.push(format!("rule 2: command {id} of lane {lane} ran twice"));
+                self.played
+                    .broken
+                    .push(format!("rule 2: command {id} of lane {lane} ran twice"));
             }
         }
         ran.push((node, now));
@@ -1095,7 +1355,9 @@
 
     fn take_up(&mut self, node: usize) {
         while self.running[node].busy.len() < self.day.nodes[node].cores {
-            let Some(job) = self.running[node].waits.pop_front() else { return };
+            let Some(job) = self.running[node].waits.pop_front() else {
+                return;
+            };
             let lane = self.agents[job.agent].held.get(&job.id).map(|h| h.lane);
             // It was withdrawn meanwhile.
             let Some(lane) = lane else { continue };
@@ -1123,13 +1385,27 @@
         if self.running[node].life != life {
             return;
         }
-        let Some(Job { agent, id, nth }) = self.running[node].busy.remove(&slot) else { return };
+        let Some(Job { agent, id, nth }) = self.running[node].busy.remove(&slot) else {
+            return;
+        };
         let fails = self.day.nodes[node].fails;
-        let how = if self.chance() < fails { How::Failed } else { How::Satisfied };
+        let how = if self.chance() < fails {
+            How::Failed
+        } else {
+            How::Satisfied
+        };
         let (from, to) = (self.day.nodes[node].zone, self.agents[agent].zone);
         let way = self.day.ways[from][to];
         if !self.day.nodes[node].mute && !self.lost(from, to) {
-            self.at(self.now + way, What::Back { agent, id, nth, how });
+            self.at(
+                self.now + way,
+                What::Back {
+                    agent,
+                    id,
+                    nth,
+                    how,
+                },
+            );
         }
         self.take_up(node);
     }
@@ -1156,8 +1432,15 @@
         o.ended = true;
         let took = now.saturating_sub(o.sent);
         let written = outcome != Outcome::NoConnection && outcome != Outcome::NotSent;
-        let back = if matches!(outcome, Outcome::Satisfied | Outcome::Failed) { BYTES.1 } else { 0 };
-        if !matches!(outcome, Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway) {
+        let back = if matches!(outcome, Outcome::Satisfied | Outcome::Failed) {
+            BYTES.1
+        } else {
+            0
+        };
+        if !matches!(
+            outcome,
+            Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway
+        ) {
             // Its connection is closed.
             a.warm[o.node] = false;
         }
@@ -1165,13 +1448,36 @@
         let ticket = h.out[nth].ticket.take();
         if let (Some(z), Some(ticket)) = (&mut a.zones, ticket) {
             let out = if written { BYTES.0 } else { 0 };
-            z.ended(now, &ticket, &Ended { outcome, flaw: Flaw::None, written, out, back, took });
+            z.ended(
+                now,
+                &ticket,
+                &Ended {
+                    outcome,
+                    flaw: Flaw::None,
+                    written,
+                    out,
+                    back,
+                    took,
+                },
+            );
         }
         let first = outcome == Outcome::Satisfied && !h.answered;
         let (taken, lane, first_asked) = (h.taken, h.lane, h.asking.first);
         let closed = h.answered || first;
-        let answer = a.choice.after(now, id, nth, End { outcome, took, closed, held: None });
-        self.tell(agent, id, || format!("delivery {nth} ended: {outcome:?} after {took:?}"));
+        let answer = a.choice.after(
+            now,
+            id,
+            nth,
+            End {
+                outcome,
+                took,
+                closed,
+                held: None,
+            },
+        );
+        self.tell(agent, id, || {
+            format!("delivery {nth} ended: {outcome:?} after {took:?}")
+        });
         if first {
             let took = now.saturating_sub(taken);
             self.played.satisfied += 1;
@@ -1183,7 +1489,8 @@
             }
             let micros = took.as_micros().max(1) as u64;
             self.played.times.saturating_record(micros);
-            let second = ((taken - ZERO).as_secs() as usize).min(self.played.second_times.len() - 1);
+            let second =
+                ((taken - ZERO).as_secs() as usize).min(self.played.second_times.len() - 1);
             self.played.second_times[second].saturating_record(micros);
             self.answered(agent, id);
         }
@@ -1193,7 +1500,13 @@
 
     /// The cap that binds each agent; a lower one is counted anew.
     fn caps(&mut self) {
-        let cap = self.told.as_ref().map_or(0.0, |n| if n.phase == Phase::Released { 1.0 } else { n.cap });
+        let cap = self.told.as_ref().map_or(0.0, |n| {
+            if n.phase == Phase::Released {
+                1.0
+            } else {
+                n.cap
+            }
+        });
         for a in &mut self.agents {
             if !a.exposing || cap < a.cap {
                 a.exposed = 0.0;
@@ -1287,7 +1600,10 @@
                 self.caps();
                 let cap = self.day.lies.cap.unwrap_or(news.cap);
                 for a in &mut self.agents {
-                    a.choice.news(News { cap, ..news.clone() });
+                    a.choice.news(News {
+                        cap,
+                        ..news.clone()
+                    });
                 }
                 return;
             }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -89,7 +89,12 @@
             addresses.push(address);
             listening.push(task);
         }
-        Ok(Discovery { shared, ends, addresses, _listening: listening })
+        Ok(Discovery {
+            shared,
+            ends,
+            addresses,
+            _listening: listening,
+        })
     }
 
     pub fn address(&self, from: usize) -> SocketAddr {
@@ -142,7 +147,11 @@
         // Connections are taken in their order, so each earlier one has been once this one is answered.
         let mut last = TcpStream::connect(self.address(from))?;
         last.set_read_timeout(Some(ground::SOON))?;
-        write!(last, "GET /api/targets?after={}&wait_ms=0 HTTP/1.1\r\n\r\n", u64::MAX)?;
+        write!(
+            last,
+            "GET /api/targets?after={}&wait_ms=0 HTTP/1.1\r\n\r\n",
+            u64::MAX
+        )?;
         last.read_exact(&mut [0; 1])?;
         drop(last);
         self.shared.state().own += 1;
@@ -194,7 +203,9 @@
         None => {}
     }
     loop {
-        let Some(path) = question(&mut stream).await? else { return Ok(()) };
+        let Some(path) = question(&mut stream).await? else {
+            return Ok(());
+        };
         let manner = {
             let mut state = shared.state();
             state.asked += 1;
@@ -234,7 +245,9 @@
 
 /// The whole list, or what is newer than the version that is named, for which it waits.
 async fn told(shared: &Shared, from: usize, path: &str) -> Value {
-    let Some((after, wait)) = registry::watched(path) else { return shared.state().registry.whole(from) };
+    let Some((after, wait)) = registry::watched(path) else {
+        return shared.state().registry.whole(from);
+    };
     let newer = async {
         loop {
             let listener = shared.changed.listen();
--- a/crates/standins/src/ground.rs
+++ b/crates/standins/src/ground.rs
@@ -21,7 +21,9 @@
     THREAD.get_or_init(|| {
         let run = || future::block_on(EXECUTOR.run(future::pending::<()>()));
         // Without a thread nothing here would ever answer; the tests then say so.
-        let _ = std::thread::Builder::new().name("standins".into()).spawn(run);
+        let _ = std::thread::Builder::new()
+            .name("standins".into())
+            .spawn(run);
     });
     EXECUTOR.spawn(work)
 }
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -61,7 +61,9 @@
     /// How late, in milliseconds, this part of the commands went out at most: high where the load itself, or its
     /// machine, does not keep up.
     pub fn issued_late_ms(&self, part: f64) -> f64 {
-        self.late.as_ref().map_or(0.0, |h| h.value_at_quantile(part) as f64 / 1000.0)
+        self.late
+            .as_ref()
+            .map_or(0.0, |h| h.value_at_quantile(part) as f64 / 1000.0)
     }
 
     pub fn answered(&self) -> u64 {
@@ -70,7 +72,8 @@
 }
 
 fn empty() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| unreachable!("bounds that are taken"))
+    Histogram::new_with_bounds(1, 600_000_000, 3)
+        .unwrap_or_else(|_| unreachable!("bounds that are taken"))
 }
 
 /// A command that is due.
@@ -114,7 +117,9 @@
                 drawn -= l.1;
                 drawn < 0.0
             });
-            let Some((lane, _, wait, keyed)) = lane.or(self.lanes.last()) else { break };
+            let Some((lane, _, wait, keyed)) = lane.or(self.lanes.last()) else {
+                break;
+            };
             n += 1;
             {
                 let mut r = locked(&result);
@@ -122,13 +127,24 @@
                 r.late.get_or_insert_with(empty).saturating_record(late);
             }
             let (id, object) = (format!("{:x}-{n}", self.seed), rng.gen_range(0..10_000));
-            let key = if *keyed { format!(",k={:x}{n:x}", self.seed) } else { String::new() };
+            let key = if *keyed {
+                format!(",k={:x}{n:x}", self.seed)
+            } else {
+                String::new()
+            };
             let ms = wait.as_millis();
             let text = format!(
                 "SELECT body FROM objects WHERE oid = 'o{object}' /* id={id},c={lane},d={ms}{key} */"
             );
-            let due = Due { at: due, id, lane: lane.clone(), wait: *wait, text };
-            let (agent, idle, places, result) = (self.agent, idle.clone(), places.clone(), result.clone());
+            let due = Due {
+                at: due,
+                id,
+                lane: lane.clone(),
+                wait: *wait,
+                text,
+            };
+            let (agent, idle, places, result) =
+                (self.agent, idle.clone(), places.clone(), result.clone());
             tasks.push(ground::spawn(async move {
                 let place = places.acquire().await;
                 let late = async {
@@ -156,7 +172,10 @@
         Ok(None) => {
             r.satisfied += 1;
             let took = due.at.elapsed().as_micros() as u64;
-            r.times.entry(due.lane.clone()).or_insert_with(empty).saturating_record(took.max(1));
+            r.times
+                .entry(due.lane.clone())
+                .or_insert_with(empty)
+                .saturating_record(took.max(1));
             if r.each.len() < EACH_MOST {
                 r.each.push((due.id.clone(), took));
             }
--- a/crates/standins/src/pg.rs
+++ b/crates/standins/src/pg.rs
@@ -34,7 +34,12 @@
 
 /// What a server says to a startup message.
 pub fn welcome() -> Vec<u8> {
-    [message(b'R', &[0; 4]), message(b'S', b"server_version\x0016.0\0"), ready()].concat()
+    [
+        message(b'R', &[0; 4]),
+        message(b'S', b"server_version\x0016.0\0"),
+        ready(),
+    ]
+    .concat()
 }
 
 /// A row of one column, with what goes before and behind it.
@@ -48,7 +53,13 @@
     let mut row = vec![0, 1];
     row.extend((bytes.len() as u32).to_be_bytes());
     row.extend(bytes);
-    [message(b'T', &column), message(b'D', &row), message(b'C', b"SELECT 1\0"), ready()].concat()
+    [
+        message(b'T', &column),
+        message(b'D', &row),
+        message(b'C', b"SELECT 1\0"),
+        ready(),
+    ]
+    .concat()
 }
 
 pub fn error(code: &str, text: &str) -> Vec<u8> {
@@ -67,7 +78,13 @@
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
     let length = u32::from_be_bytes(length) as usize;
-    let mut rest = vec![0; length.checked_sub(4).filter(|n| *n < MOST).ok_or(io::ErrorKind::InvalidData)?];
+    let mut rest = vec![
+        0;
+        length
+            .checked_sub(4)
+            .filter(|n| *n < MOST)
+            .ok_or(io::ErrorKind::InvalidData)?
+    ];
     stream.read_exact(&mut rest).await?;
     Ok(length)
 }
@@ -77,13 +94,24 @@
     let mut head = [0; 5];
     stream.read_exact(&mut head).await?;
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-    let mut body = vec![0; length.checked_sub(4).filter(|n| *n < MOST).ok_or(io::ErrorKind::InvalidData)?];
+    let mut body = vec![
+        0;
+        length
+            .checked_sub(4)
+            .filter(|n| *n < MOST)
+            .ok_or(io::ErrorKind::InvalidData)?
+    ];
     stream.read_exact(&mut body).await?;
     Ok((head[0], body))
 }
 
 /// The names and values in the comment of a statement.
 pub fn comment(statement: &str) -> impl Iterator<Item = (&str, &str)> {
-    let inside = statement.rsplit_once("/*").and_then(|(_, c)| c.split_once("*/")).map_or("", |(c, _)| c);
-    inside.split(',').filter_map(|pair| pair.trim().split_once('='))
+    let inside = statement
+        .rsplit_once("/*")
+        .and_then(|(_, c)| c.split_once("*/"))
+        .map_or("", |(c, _)| c);
+    inside
+        .split(',')
+        .filter_map(|pair| pair.trim().split_once('='))
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -26,7 +26,13 @@
 
 impl News {
     pub fn now(build: u32, stage: usize, phase: &str, cap: f64) -> News {
-        News { build, stage, phase: phase.to_owned(), cap, since: Instant::now() }
+        News {
+            build,
+            stage,
+            phase: phase.to_owned(),
+            cap,
+            since: Instant::now(),
+        }
     }
 
     /// In the form of a configuration's `deployer.news`.
@@ -77,21 +83,32 @@
 
 impl Desk {
     pub fn new(news: News) -> Desk {
-        Desk { news, votes: Vec::new(), held: None }
+        Desk {
+            news,
+            votes: Vec::new(),
+            held: None,
+        }
     }
 
     pub fn heed(&mut self, now: Instant, call: &Value) -> Heeded {
         let id = call["id"].clone();
         let fault = |message: &str| json!({"jsonrpc": "2.0", "id": id, "error": {"code": -32602, "message": message}});
-        let other = |answer| Heeded { answer, watches: false, news: None };
+        let other = |answer| Heeded {
+            answer,
+            watches: false,
+            news: None,
+        };
         match call["method"].as_str() {
-            Some("Events.Watch") => {
-                Heeded { watches: true, ..other(json!({"jsonrpc": "2.0", "id": id, "result": true})) }
-            }
+            Some("Events.Watch") => Heeded {
+                watches: true,
+                ..other(json!({"jsonrpc": "2.0", "id": id, "result": true}))
+            },
             Some("Rollout.Judge") => {
                 let params = call["params"].clone();
                 self.votes.push((now, params.clone()));
-                if params["image"] != json!(self.news.build) || params["ring"] != json!(self.news.stage) {
+                if params["image"] != json!(self.news.build)
+                    || params["ring"] != json!(self.news.stage)
+                {
                     return other(fault("ConditionFailed"));
                 }
                 match params["opinion"].as_str() {
@@ -108,7 +125,10 @@
                 let news = abort.then(back);
                 self.news = news.clone().unwrap_or(self.news.clone());
                 let stands = self.news.value_at(now);
-                Heeded { news, ..other(json!({"jsonrpc": "2.0", "id": id, "result": stands})) }
+                Heeded {
+                    news,
+                    ..other(json!({"jsonrpc": "2.0", "id": id, "result": stands}))
+                }
             }
             _ => other(fault("ValidationError")),
         }
@@ -156,8 +176,16 @@
 
 impl Platform {
     pub fn start(news: News) -> io::Result<Platform> {
-        let state = State { desk: Desk::new(news), notes: Vec::new(), silent: false, connections: 0 };
-        let shared = Arc::new(Shared { state: Mutex::new(state), changed: Event::new() });
+        let state = State {
+            desk: Desk::new(news),
+            notes: Vec::new(),
+            silent: false,
+            connections: 0,
+        };
+        let shared = Arc::new(Shared {
+            state: Mutex::new(state),
+            changed: Event::new(),
+        });
         let ends = Arc::<Ends>::default();
         let s = shared.clone();
         let serve = move |stream| {
@@ -177,7 +205,12 @@
                 }
             }
         });
-        Ok(Platform { shared, ends, address, _tasks: vec![listening, pings] })
+        Ok(Platform {
+            shared,
+            ends,
+            address,
+            _tasks: vec![listening, pings],
+        })
     }
 
     pub fn news(&self, news: News) {
@@ -191,14 +224,16 @@
     /// A client found an answer of this appliance wrong.
     pub fn flag(&self, appliance: &str, lane: &str, age: Duration) {
         let lag = age.as_millis() as u64;
-        self.shared.tell("DISPUTE", json!({"host": appliance, "type": lane, "lag_ms": lag}));
+        self.shared.tell(
+            "DISPUTE",
+            json!({"host": appliance, "type": lane, "lag_ms": lag}),
+        );
     }
 
     /// What was counted of a build and lane in a sample of all deliveries, `bad` of them not satisfied.
     pub fn sample(&self, build: u32, lane: &str, n: u32, bad: u32, took: Duration) {
         let took = took.as_secs_f64() * 1000.0;
-        let params =
-            json!({"image": build, "type": lane, "n": n, "bad": bad, "latency_ms": took, "lag_ms": 500});
+        let params = json!({"image": build, "type": lane, "n": n, "bad": bad, "latency_ms": took, "lag_ms": 500});
         self.shared.tell("SAMPLE", params);
     }
 
@@ -245,7 +280,12 @@
                     ran += if held { Duration::ZERO } else { step };
                 }
             }
-            shared.news(News::now(offer.build, offer.caps.len().saturating_sub(1), "released", 1.0));
+            shared.news(News::now(
+                offer.build,
+                offer.caps.len().saturating_sub(1),
+                "released",
+                1.0,
+            ));
         })
     }
 }
@@ -269,9 +309,12 @@
         match asked.or(noted).await? {
             Some(0) => return Ok(()),
             Some(_) => {
-                let call: Value = serde_json::from_str(&line).map_err(|_| io::ErrorKind::InvalidData)?;
+                let call: Value =
+                    serde_json::from_str(&line).map_err(|_| io::ErrorKind::InvalidData)?;
                 let (answer, watches) = heed(shared, &call);
-                (&*stream).write_all(format!("{answer}\n").as_bytes()).await?;
+                (&*stream)
+                    .write_all(format!("{answer}\n").as_bytes())
+                    .await?;
                 if watches {
                     let (news, count) = {
                         let state = shared.state();
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -28,7 +28,13 @@
 
 impl Lane {
     pub fn new(name: &str, repeats: &'static str, points: f64) -> Lane {
-        Lane { name: name.to_owned(), repeats, group: "all", quoted_ms: 400.0, points }
+        Lane {
+            name: name.to_owned(),
+            repeats,
+            group: "all",
+            quoted_ms: 400.0,
+            points,
+        }
     }
 }
 
@@ -36,9 +42,17 @@
 pub fn service(agents: Vec<SocketAddr>) -> Service {
     let lane = |name: &str, repeats, benefit| {
         let quoted = Duration::from_millis(400);
-        tulipwall_calls::Lane { name: name.into(), repeats, quoted, benefit }
+        tulipwall_calls::Lane {
+            name: name.into(),
+            repeats,
+            quoted,
+            benefit,
+        }
+    };
+    let keyed = Repeats::Deduplicated {
+        group: Group::All,
+        window: Duration::from_secs(5),
     };
-    let keyed = Repeats::Deduplicated { group: Group::All, window: Duration::from_secs(5) };
     let lanes = vec![
         lane("view", Repeats::Idempotent, 3.0),
         lane("send", keyed, 3.0),
@@ -50,7 +64,11 @@
 /// The lanes of that service, as settings name them.
 pub fn lanes() -> Vec<Lane> {
     let lane = Lane::new;
-    vec![lane("view", "repeatable", 3.0), lane("send", "by_key", 3.0), lane("payment", "once", 9.0)]
+    vec![
+        lane("view", "repeatable", 3.0),
+        lane("send", "by_key", 3.0),
+        lane("payment", "once", 9.0),
+    ]
 }
 
 /// The settings of a deployment, as an agent in `zone` gets them.
@@ -88,9 +106,11 @@
     known: Value,
     settings: Value,
 ) -> io::Result<Value> {
-    Ok(json!({"name": name, "listen": free().to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
+    Ok(
+        json!({"name": name, "listen": free().to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
         "limits": {"sockets": 1024}, "known": known, "settings": settings,
-        "deployer": {"address": platform.to_string(), "news": news}}))
+        "deployer": {"address": platform.to_string(), "news": news}}),
+    )
 }
 
 /// A process that is killed when this is dropped; its files go with it.
@@ -118,7 +138,11 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
-        Ok(Program { child, configuration, folder })
+        Ok(Program {
+            child,
+            configuration,
+            folder,
+        })
     }
 
     /// Where clients connect.
@@ -166,8 +190,10 @@
     pub fn stall(&self, stalls: bool) -> io::Result<()> {
         self.signal(if stalls { Signal::STOP } else { Signal::CONT })?;
         let stands = || {
-            let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
-            stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
+            let stat =
+                std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
+            stat.rsplit_once(") ")
+                .is_some_and(|(_, rest)| rest.starts_with('T'))
         };
         match ground::until(|| stands() == stalls) {
             true => Ok(()),
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -29,7 +29,10 @@
 
 impl Default for Registry {
     fn default() -> Registry {
-        Registry { version: 1, entries: BTreeMap::new() }
+        Registry {
+            version: 1,
+            entries: BTreeMap::new(),
+        }
     }
 }
 
@@ -75,7 +78,10 @@
     let query = path.split_once('?').map_or("", |(_, q)| q);
     let named = |name: &str| -> Option<u64> {
         let pairs = query.split('&').filter_map(|p| p.split_once('='));
-        pairs.into_iter().find(|p| p.0 == name).and_then(|p| p.1.parse().ok())
+        pairs
+            .into_iter()
+            .find(|p| p.0 == name)
+            .and_then(|p| p.1.parse().ok())
     };
     named("after").map(|after| (after, Duration::from_millis(named("wait_ms").unwrap_or(0))))
 }
--- a/crates/standins/src/speaker.rs
+++ b/crates/standins/src/speaker.rs
@@ -30,11 +30,18 @@
                 futures_lite::future::pending::<()>().await;
             }
         })?;
-        Ok(Speaker { address, asked, _task: task })
+        Ok(Speaker {
+            address,
+            asked,
+            _task: task,
+        })
     }
 
     /// An HTTP answer with this body.
     pub fn http(body: &str) -> String {
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
     }
 }
--- a/crates/standins/src/world.rs
+++ b/crates/standins/src/world.rs
@@ -34,16 +34,23 @@
         })
     }
 
-    fn appliances(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, (usize, std::sync::Arc<Appliance>)>> {
+    fn appliances(
+        &self,
+    ) -> std::sync::MutexGuard<'_, BTreeMap<String, (usize, std::sync::Arc<Appliance>)>> {
         locked(&self.appliances)
     }
 
     /// Starts an appliance in a zone, not yet listed. Its entry goes to [`Discovery::tell`].
     pub fn unlisted(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<Entry> {
-        let seed = id.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
+        let seed = id
+            .bytes()
+            .fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let appliance = Appliance::start(self.zones.len(), ways, seed)?;
-        let addresses = (0..self.zones.len()).map(|from| appliance.address(from)).collect();
-        self.appliances().insert(id.to_owned(), (zone, appliance.into()));
+        let addresses = (0..self.zones.len())
+            .map(|from| appliance.address(from))
+            .collect();
+        self.appliances()
+            .insert(id.to_owned(), (zone, appliance.into()));
         Ok(Entry {
             id: id.to_owned(),
             addresses,
@@ -77,19 +84,31 @@
     /// Those of one zone, by id.
     pub fn of_zone(&self, zone: usize) -> Vec<(String, std::sync::Arc<Appliance>)> {
         let all = self.appliances();
-        all.iter().filter(|(_, (z, _))| *z == zone).map(|(id, (_, a))| (id.clone(), a.clone())).collect()
+        all.iter()
+            .filter(|(_, (z, _))| *z == zone)
+            .map(|(id, (_, a))| (id.clone(), a.clone()))
+            .collect()
     }
 
     /// Lists all of a zone as this: `in_service`, `terminating` or `terminated`.
     pub fn state(&self, zone: usize, state: &str) {
         let name = &self.zones[zone];
-        let entries = self.discovery.entries().into_iter().filter(|e| e.zone == *name);
-        self.discovery.tell(entries.map(|e| Entry { state: state.to_owned(), ..e }));
+        let entries = self
+            .discovery
+            .entries()
+            .into_iter()
+            .filter(|e| e.zone == *name);
+        self.discovery.tell(entries.map(|e| Entry {
+            state: state.to_owned(),
+            ..e
+        }));
     }
 
     /// Sets the way from one zone to all appliances of another.
     pub fn link(&self, from: usize, to: usize, link: Link) {
-        self.of_zone(to).iter().for_each(|(_, a)| a.link(from, link));
+        self.of_zone(to)
+            .iter()
+            .for_each(|(_, a)| a.link(from, link));
     }
 
     /// The configuration of an agent in this zone.
@@ -97,7 +116,14 @@
         let zones: Vec<&str> = self.zones.iter().map(String::as_str).collect();
         let settings = settings(&zones, zones[zone], self.agents, &self.lanes);
         let (known, news) = (self.discovery.known(zone), self.platform.newest().value());
-        configuration(name, self.discovery.address(zone), self.platform.address, news, known, settings)
+        configuration(
+            name,
+            self.discovery.address(zone),
+            self.platform.address,
+            news,
+            known,
+            settings,
+        )
     }
 
     /// What appliances of a zone have counted for callers of another, by lane.
@@ -129,11 +155,18 @@
     /// Commands of a lane that may have run more than once.
     pub fn ran_twice(&self, lane: &str) -> Vec<String> {
         let twice = |s: &Vec<Seen>| s.iter().filter(|s| s.ran && s.lane == lane).count() > 1;
-        self.seen().into_iter().filter(|(_, s)| twice(s)).map(|(id, _)| id).collect()
+        self.seen()
+            .into_iter()
+            .filter(|(_, s)| twice(s))
+            .map(|(id, _)| id)
+            .collect()
     }
 }
 
 /// Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -10,8 +10,15 @@
 }
 
 fn deployment(lanes: usize) -> Deployment {
-    let lane = || Lane { quoted: ms(400), benefit: 3.0, repeats: Repeats::Idempotent };
-    Deployment { agents: 3, ..day::deployment((0..lanes).map(|_| lane()).collect()) }
+    let lane = || Lane {
+        quoted: ms(400),
+        benefit: 3.0,
+        repeats: Repeats::Idempotent,
+    };
+    Deployment {
+        agents: 3,
+        ..day::deployment((0..lanes).map(|_| lane()).collect())
+    }
 }
 
 pub struct Agent {
@@ -40,8 +47,18 @@
             started: None,
         };
         choice.list(now, &(0..appliances).map(listed).collect::<Vec<_>>(), true);
-        choice.news(News { build: 41, stage: 0, phase: Phase::Released, cap: 1.0, began: now });
-        let limits = [Limit::Deliveries(1e9), Limit::Bytes(1e15), Limit::Share(0.05)];
+        choice.news(News {
+            build: 41,
+            stage: 0,
+            phase: Phase::Released,
+            cap: 1.0,
+            began: now,
+        });
+        let limits = [
+            Limit::Deliveries(1e9),
+            Limit::Bytes(1e15),
+            Limit::Share(0.05),
+        ];
         let budget = |limit: Limit| Budget {
             name: limit.unit().into(),
             to: None,
@@ -53,21 +70,43 @@
         let zoning = Zoning {
             own: 0,
             zones,
-            lanes: vec![LaneView { benefit: 3.0, quoted: ms(400) }; lanes],
+            lanes: vec![
+                LaneView {
+                    benefit: 3.0,
+                    quoted: ms(400)
+                };
+                lanes
+            ],
             links: vec![Link::default(); zones + 1],
             budgets: limits.into_iter().map(budget).collect(),
             routing: Routing::NearFirst,
         };
         let zones_told = zoned.then(|| Zones::new(now, zoning));
-        Agent { now, id: 0, lanes, choice, zones: zones_told, watch: None, build: 41, of_zone: zones }
+        Agent {
+            now,
+            id: 0,
+            lanes,
+            choice,
+            zones: zones_told,
+            watch: None,
+            build: 41,
+            of_zone: zones,
+        }
     }
 
     /// Watches settings of another shape beside.
     #[allow(dead_code)] // `examples/measure.rs` has no use for it
     pub fn watched(zones: usize, lanes: usize, appliances: usize) -> Agent {
-        let shape = Shape { guarded_stages: Some(1), warm_keys: Some(true), ..Shape::default() };
+        let shape = Shape {
+            guarded_stages: Some(1),
+            warm_keys: Some(true),
+            ..Shape::default()
+        };
         let watch = Some(Watch::new(&deployment(lanes), &shape));
-        Agent { watch, ..Agent::new(zones, lanes, appliances, false) }
+        Agent {
+            watch,
+            ..Agent::new(zones, lanes, appliances, false)
+        }
     }
 
     /// One command from its coming to its answer, at 3,000 a second.
@@ -82,7 +121,14 @@
         self.choice.take(
             now,
             id,
-            Command { lane, customer: None, key: Some(id), left: ms(1500), work: None, again: false },
+            Command {
+                lane,
+                customer: None,
+                key: Some(id),
+                left: ms(1500),
+                work: None,
+                again: false,
+            },
         );
         if let Some(w) = &mut self.watch {
             w.take(&self.choice, lane);
@@ -122,7 +168,12 @@
                 now,
                 id,
                 0,
-                End { outcome: Outcome::Satisfied, took, closed: true, held: None },
+                End {
+                    outcome: Outcome::Satisfied,
+                    took,
+                    closed: true,
+                    held: None,
+                },
             );
         }
         if id.is_multiple_of(300) {
@@ -145,9 +196,22 @@
 impl Agent {
     pub fn told(zones: usize, lanes: usize, appliances: usize) -> Agent {
         let mut agent = Agent::new(zones, lanes, appliances, false);
-        let far = Crossing { draw: Some(0.01), last: vec![false; lanes], ..Crossing::default() };
-        let zones = (0..=zones).map(|z| if z == 0 { Crossing::default() } else { far.clone() });
-        agent.choice.crossings(Crossings { zones: zones.collect(), cold: 1.0 });
+        let far = Crossing {
+            draw: Some(0.01),
+            last: vec![false; lanes],
+            ..Crossing::default()
+        };
+        let zones = (0..=zones).map(|z| {
+            if z == 0 {
+                Crossing::default()
+            } else {
+                far.clone()
+            }
+        });
+        agent.choice.crossings(Crossings {
+            zones: zones.collect(),
+            cold: 1.0,
+        });
         agent
     }
 }
--- a/crates/zones/benches/decision.rs
+++ b/crates/zones/benches/decision.rs
@@ -13,11 +13,15 @@
 
 fn decisions(c: &mut Criterion) {
     for (zones, lanes, appliances) in [(2, 3, 40), (8, 20, 500)] {
-        let mut group = c.benchmark_group(format!("{zones} zones, {lanes} lanes, {appliances} appliances"));
+        let mut group = c.benchmark_group(format!(
+            "{zones} zones, {lanes} lanes, {appliances} appliances"
+        ));
         group.throughput(Throughput::Elements(EACH));
-        for (name, zoned, told) in
-            [("without", false, false), ("told of crossing", false, true), ("with the account", true, false)]
-        {
+        for (name, zoned, told) in [
+            ("without", false, false),
+            ("told of crossing", false, true),
+            ("with the account", true, false),
+        ] {
             let mut agent = match told {
                 true => Agent::told(zones, lanes, appliances),
                 false => Agent::new(zones, lanes, appliances, zoned),
@@ -27,7 +31,9 @@
         }
         let mut agent = Agent::watched(zones, lanes, appliances);
         (0..6000).for_each(|_| agent.command());
-        group.bench_function("with a watch", |b| b.iter(|| (0..EACH).for_each(|_| agent.command())));
+        group.bench_function("with a watch", |b| {
+            b.iter(|| (0..EACH).for_each(|_| agent.command()))
+        });
         group.finish();
     }
 }
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -27,10 +27,17 @@
 
 /// Three agents, two in zone 0 and one in zone 1; six appliances of four cores in each zone; a way of 2 ms.
 fn world(seed: u64, zoned: bool, script: Vec<(Duration, Change)>, span: u64) -> Day {
-    let agent = |zone, part| Caller { zone, part, zoning: zoned.then(|| zoning(zone, Vec::new())) };
+    let agent = |zone, part| Caller {
+        zone,
+        part,
+        zoning: zoned.then(|| zoning(zone, Vec::new())),
+    };
     let nodes = (0..12).map(|i| Node::new(i / 6, 41, 4)).collect();
     let agents = vec![agent(0, 1.0), agent(0, 0.5), agent(1, 1.0)];
-    Day { script, ..Day::small(agents, nodes, 1200.0, s(span), seed) }
+    Day {
+        script,
+        ..Day::small(agents, nodes, 1200.0, s(span), seed)
+    }
 }
 
 fn calm() -> Vec<(Duration, Change)> {
@@ -48,13 +55,21 @@
 /// Zone 0 is slower by ten times in each other second, for 30 s.
 fn flapping() -> Vec<(Duration, Change)> {
     let slow = |n: u64| if n.is_multiple_of(2) { 10.0 } else { 1.0 };
-    (0..30).flat_map(|n| (0..6).map(move |i| (s(10 + n), Change::Slows(i, slow(n))))).collect()
+    (0..30)
+        .flat_map(|n| (0..6).map(move |i| (s(10 + n), Change::Slows(i, slow(n)))))
+        .collect()
 }
 
 /// All of zone 0 drains in one second, and returns cold fifteen seconds later.
 fn drained() -> Vec<(Duration, Change)> {
-    let mut script: Vec<_> =
-        (0..6).map(|n| (ms(10_000 + n as u64 * 100), Change::Lists(n, Standing::Draining))).collect();
+    let mut script: Vec<_> = (0..6)
+        .map(|n| {
+            (
+                ms(10_000 + n as u64 * 100),
+                Change::Lists(n, Standing::Draining),
+            )
+        })
+        .collect();
     script.extend((0..6).map(|n| (s(25), Change::Starts(n))));
     script
 }
@@ -73,8 +88,12 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (name, script) in kinds {
         for zoned in [false, true] {
-            let played: Vec<Played> = SEEDS.map(|seed| world(seed, zoned, script(), 50).play()).collect();
-            let mean = |of: &dyn Fn(&Played) -> f64| played.iter().map(of).sum::<f64>() / played.len() as f64;
+            let played: Vec<Played> = SEEDS
+                .map(|seed| world(seed, zoned, script(), 50).play())
+                .collect();
+            let mean = |of: &dyn Fn(&Played) -> f64| {
+                played.iter().map(of).sum::<f64>() / played.len() as f64
+            };
             let p99: Vec<f64> = played.iter().map(|p| p.quantile_ms(0.99)).collect();
             println!(
                 "| {name} | {} | {:.3} | {:.4} | {:.1} | {:.1} ({:.1} to {:.1}) | {:.1} | {} |",
@@ -97,25 +116,41 @@
     let parts = [40.0, 20.0, 12.0, 10.0, 8.0, 5.0, 3.0, 1.5, 0.5, 0.0];
     println!("\n| budget over all agents | window | most in any window, least to most over the seeds | over budget | answered |");
     println!("| --- | --- | --- | --- | --- |");
-    for (limit, label) in
-        [(Limit::Deliveries(2000.0), "2000 deliveries"), (Limit::Share(0.1), "a tenth of what is taken")]
-    {
+    for (limit, label) in [
+        (Limit::Deliveries(2000.0), "2000 deliveries"),
+        (Limit::Share(0.1), "a tenth of what is taken"),
+    ] {
         let played: Vec<Played> = SEEDS
             .map(|seed| {
                 let mut d = world(seed, true, Vec::new(), 30);
                 d.nodes.truncate(8); // four near ones and two far: near cannot bear it
-                let budget =
-                    Budget { name: "all".into(), to: None, lane: None, limit, window: s(5), part: 0.1 };
+                let budget = Budget {
+                    name: "all".into(),
+                    to: None,
+                    lane: None,
+                    limit,
+                    window: s(5),
+                    part: 0.1,
+                };
                 d.agents = parts
-                    .map(|part| Caller { zone: 0, part, zoning: Some(zoning(0, vec![budget.clone()])) })
+                    .map(|part| Caller {
+                        zone: 0,
+                        part,
+                        zoning: Some(zoning(0, vec![budget.clone()])),
+                    })
                     .to_vec();
                 d.rate = 1300.0;
                 d.play()
             })
             .collect();
         let most = |p: &Played| {
-            let mut all: Vec<Duration> =
-                p.crossings.iter().flatten().filter(|c| c.2.is_none()).map(|c| c.0).collect();
+            let mut all: Vec<Duration> = p
+                .crossings
+                .iter()
+                .flatten()
+                .filter(|c| c.2.is_none())
+                .map(|c| c.0)
+                .collect();
             all.sort();
             let (mut from, mut most) = (0, 0);
             for to in 0..all.len() {
@@ -144,8 +179,14 @@
 /// Resident kilobytes of this process.
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or_default()
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("VmRSS:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or_default()
 }
 
 /// Memory of an account of eight zones, twenty lanes and three builds, when each of its bins holds something.
@@ -153,7 +194,13 @@
     let before = resident();
     let z = Zoning {
         zones: 8,
-        lanes: vec![LaneView { benefit: 1.0, quoted: ms(400) }; 20],
+        lanes: vec![
+            LaneView {
+                benefit: 1.0,
+                quoted: ms(400)
+            };
+            20
+        ],
         links: vec![Link::default(); 9],
         ..zoning(0, vec![])
     };
@@ -164,8 +211,15 @@
             // Builds follow one another by the hour; the last hour has three.
             for build in [step / 360, step / 360 + 1, step / 360 + 2] {
                 let build = build as u32 + 1;
-                let sending =
-                    Sending { to, lane, build, nth: 0, second_copy: false, trial: false, bound: false };
+                let sending = Sending {
+                    to,
+                    lane,
+                    build,
+                    nth: 0,
+                    second_copy: false,
+                    trial: false,
+                    bound: false,
+                };
                 let ticket = zones.sent(now, sending, Vec::new);
                 let took = Duration::from_micros(500 + (step * 7919 + lane as u64 * 131) % 900_000);
                 let end = Ended {
@@ -218,7 +272,12 @@
         });
         let against = |n: usize| format!("{:+.1}%", (median[n] / median[0] - 1.0) * 100.0);
         let size = format!("{zones} zones, {lanes} lanes, {appliances} appliances");
-        println!("| {size} | {:.0} | {} | {} |", median[0], against(1), against(2));
+        println!(
+            "| {size} | {:.0} | {} | {} |",
+            median[0],
+            against(1),
+            against(2)
+        );
     }
 }
 
--- a/crates/zones/src/account.rs
+++ b/crates/zones/src/account.rs
@@ -82,7 +82,18 @@
     }
 
     pub fn add(&mut self, o: &Tally) {
-        let Tally { decided, written, ended, spoilt, half, second_copies, further, over, opened, .. } = o;
+        let Tally {
+            decided,
+            written,
+            ended,
+            spoilt,
+            half,
+            second_copies,
+            further,
+            over,
+            opened,
+            ..
+        } = o;
         self.decided += decided;
         self.written += written;
         self.ended.iter_mut().zip(ended).for_each(|(a, b)| *a += b);
@@ -156,7 +167,10 @@
             Some(n) if self.rows[n].0 == build => n,
             place => {
                 let n = place.unwrap_or(self.rows.len());
-                let row = Row { tally: Tally::default(), recent: Series::new(RECENT.0, RECENT.1) };
+                let row = Row {
+                    tally: Tally::default(),
+                    recent: Series::new(RECENT.0, RECENT.1),
+                };
                 self.rows.insert(n, (build, row));
                 n
             }
@@ -167,7 +181,11 @@
 
 impl Lane {
     fn new() -> Lane {
-        Lane { rows: Vec::new(), day: Series::new(DAY.0, DAY.1), delays: None }
+        Lane {
+            rows: Vec::new(),
+            day: Series::new(DAY.0, DAY.1),
+            delays: None,
+        }
     }
 
     fn merge(&mut self, o: Lane) {
@@ -222,7 +240,15 @@
     /// For an agent in zone `own` of so many zones with names.
     pub fn new(own: usize, zones: usize, lanes: usize) -> Account {
         let links = (0..(zones + 1) * (lanes + OTHERS)).map(|_| None).collect();
-        Account { own, lanes, zones, links, taken: vec![0; lanes], taken_gone: 0, near: vec![None; lanes] }
+        Account {
+            own,
+            lanes,
+            zones,
+            links,
+            taken: vec![0; lanes],
+            taken_gone: 0,
+            near: vec![None; lanes],
+        }
     }
 
     /// Goes on with other lanes, numbered as `by` says. What was counted of a lane whose number is another's now, or
@@ -234,17 +260,23 @@
             let mut of: Vec<Option<Box<Lane>>> = old.by_ref().take(width).collect();
             let (gone, connections) = (of.pop().flatten(), of.pop().flatten());
             self.links.extend(carried(by, &mut of));
-            let gone = of.into_iter().flatten().fold(gone, |gone, lane| match gone {
-                Some(mut all) => {
-                    all.merge(*lane);
-                    Some(all)
-                }
-                None => Some(lane),
-            });
+            let gone = of
+                .into_iter()
+                .flatten()
+                .fold(gone, |gone, lane| match gone {
+                    Some(mut all) => {
+                        all.merge(*lane);
+                        Some(all)
+                    }
+                    None => Some(lane),
+                });
             self.links.extend([connections, gone]);
         }
         let mut taken: Vec<Option<u64>> = self.taken.iter().copied().map(Some).collect();
-        self.taken = carried(by, &mut taken).into_iter().map(Option::unwrap_or_default).collect();
+        self.taken = carried(by, &mut taken)
+            .into_iter()
+            .map(Option::unwrap_or_default)
+            .collect();
         self.taken_gone += taken.into_iter().flatten().sum::<u64>();
         self.near = carried(by, &mut self.near);
         self.lanes = by.len();
@@ -293,7 +325,9 @@
                 // Two digits between these bounds are 10 KB, and bounds that the library always takes.
                 lane.delays = Histogram::new_with_bounds(LEAST_MICROS, MOST_MICROS, 2).ok();
             }
-            lane.delays.iter_mut().for_each(|h| h.saturating_record(micros));
+            lane.delays
+                .iter_mut()
+                .for_each(|h| h.saturating_record(micros));
         }
         let row = lane.row(t.build);
         row.tally.ended[place(e.outcome)] += 1;
@@ -331,7 +365,8 @@
         row.tally.back += o.back;
         row.tally.cost += cost;
         let add = |bin: &mut Bin| {
-            (bin.out, bin.back, bin.cost) = (bin.out + o.out, bin.back + o.back, bin.cost + cost as f32);
+            (bin.out, bin.back, bin.cost) =
+                (bin.out + o.out, bin.back + o.back, bin.cost + cost as f32);
         };
         add(row.recent.bin(now));
         add(lane.day.bin(now));
@@ -352,15 +387,26 @@
 
     /// All rows, by zone, lane and build.
     pub fn rows(&self) -> impl Iterator<Item = (Key, &Row)> {
-        self.from(0)
-            .flat_map(|(to, lane, l)| l.rows.iter().map(move |(b, r)| (Key { to, lane, build: *b }, r)))
+        self.from(0).flat_map(|(to, lane, l)| {
+            l.rows.iter().map(move |(b, r)| {
+                (
+                    Key {
+                        to,
+                        lane,
+                        build: *b,
+                    },
+                    r,
+                )
+            })
+        })
     }
 
     /// What is kept by link and lane, from a place on.
     fn from(&self, place: usize) -> impl Iterator<Item = (u16, u16, &Lane)> {
         let width = self.lanes + OTHERS;
         let there = self.links.iter().enumerate().skip(place);
-        there.filter_map(move |(n, l)| Some(((n / width) as u16, (n % width) as u16, l.as_deref()?)))
+        there
+            .filter_map(move |(n, l)| Some(((n / width) as u16, (n % width) as u16, l.as_deref()?)))
     }
 
     /// The row at or after `from`, so that a reader may go through all while the account goes on.
@@ -370,9 +416,20 @@
             return None;
         }
         self.from(place).find_map(|(to, lane, l)| {
-            let least = if (to, lane) == (from.to, from.lane) { from.build } else { 0 };
+            let least = if (to, lane) == (from.to, from.lane) {
+                from.build
+            } else {
+                0
+            };
             let (build, row) = l.rows.iter().find(|(b, _)| *b >= least)?;
-            Some((Key { to, lane, build: *build }, row))
+            Some((
+                Key {
+                    to,
+                    lane,
+                    build: *build,
+                },
+                row,
+            ))
         })
     }
 
@@ -382,12 +439,17 @@
             return None;
         }
         let place = usize::from(to) * (self.lanes + OTHERS) + usize::from(lane);
-        self.from(place).next().map(|(to, lane, l)| ((to, lane), &l.day))
+        self.from(place)
+            .next()
+            .map(|(to, lane, l)| ((to, lane), &l.day))
     }
 
     /// Times of satisfied answers over a link, by lane, in microseconds.
     pub fn delay(&self, to: u16, lane: u16) -> Option<&Histogram<u32>> {
-        self.links[self.place(usize::from(to), usize::from(lane))].as_ref()?.delays.as_ref()
+        self.links[self.place(usize::from(to), usize::from(lane))]
+            .as_ref()?
+            .delays
+            .as_ref()
     }
 
     /// Commands taken, by lane.
--- a/crates/zones/src/budget.rs
+++ b/crates/zones/src/budget.rs
@@ -79,7 +79,13 @@
             let last = purse.bin(now);
             let each = purse.part() / f64::from(BINS + 1);
             let bins = last.saturating_sub(u64::from(BINS))..=last;
-            purse.bins = bins.map(|bin| Spent { bin, spent: each, taken: 0.0 }).collect();
+            purse.bins = bins
+                .map(|bin| Spent {
+                    bin,
+                    spent: each,
+                    taken: 0.0,
+                })
+                .collect();
             purse.sum = (each * purse.bins.len() as f64, 0.0);
         }
         purse
@@ -126,12 +132,22 @@
         if now >= self.until || self.bins.is_empty() {
             let bin = self.bin(now);
             self.until = (self.budget.window / BINS) * (bin as u32).saturating_add(1);
-            self.bins.push_back(Spent { bin, ..Spent::default() });
-            while self.bins.front().is_some_and(|b| b.bin + u64::from(BINS) < bin) {
+            self.bins.push_back(Spent {
+                bin,
+                ..Spent::default()
+            });
+            while self
+                .bins
+                .front()
+                .is_some_and(|b| b.bin + u64::from(BINS) < bin)
+            {
                 self.bins.pop_front();
             }
             // Summed anew, so that no error adds up.
-            self.sum = self.bins.iter().fold((0.0, 0.0), |s, b| (s.0 + b.spent, s.1 + b.taken));
+            self.sum = self
+                .bins
+                .iter()
+                .fold((0.0, 0.0), |s, b| (s.0 + b.spent, s.1 + b.taken));
         }
         let last = self.bins.len() - 1;
         &mut self.bins[last]
@@ -189,7 +205,10 @@
                 None => self.bins.push_back(Spent { bin, ..b }),
             }
         }
-        self.sum = self.bins.iter().fold((0.0, 0.0), |s, b| (s.0 + b.spent, s.1 + b.taken));
+        self.sum = self
+            .bins
+            .iter()
+            .fold((0.0, 0.0), |s, b| (s.0 + b.spent, s.1 + b.taken));
     }
 }
 
@@ -237,14 +256,18 @@
     pub fn renew(&mut self, now: Duration, zoning: &Zoning, by: &[Origin]) {
         for zone in &mut self.largest {
             let mut old: Vec<_> = std::mem::take(zone).into_iter().map(Some).collect();
-            *zone = carried(by, &mut old).into_iter().map(|l| l.unwrap_or((GUESS, GUESS))).collect();
+            *zone = carried(by, &mut old)
+                .into_iter()
+                .map(|l| l.unwrap_or((GUESS, GUESS)))
+                .collect();
         }
         let mut old = std::mem::take(&mut self.purses);
         self.prices = (0..zoning.all()).map(|z| zoning.link(z).price).collect();
         self.benefits = zoning.lanes.iter().map(|l: &LaneView| l.benefit).collect();
         for budget in &zoning.budgets {
-            let same =
-                |p: &Purse| p.budget.name == budget.name && p.budget.limit.unit() == budget.limit.unit();
+            let same = |p: &Purse| {
+                p.budget.name == budget.name && p.budget.limit.unit() == budget.limit.unit()
+            };
             match old.iter().position(same) {
                 Some(n) => {
                     let mut purse = old.swap_remove(n);
@@ -268,18 +291,27 @@
             let cost = |lane: usize| {
                 // To no zone in particular: the dearest way counts.
                 let zones = (0..self.largest.len()).filter(|z| to.is_none_or(|t| t == *z));
-                zones.map(|z| purse.amount(&self.estimate(z, lane))).fold(0.0, f64::max)
+                zones
+                    .map(|z| purse.amount(&self.estimate(z, lane)))
+                    .fold(0.0, f64::max)
             };
-            let worth: Vec<f64> =
-                self.benefits.iter().enumerate().map(|(l, b)| b.max(0.0) / cost(l).max(1e-12)).collect();
-            let mut order: Vec<usize> = (0..worth.len()).filter(|l| purse.covers_lane(*l)).collect();
+            let worth: Vec<f64> = self
+                .benefits
+                .iter()
+                .enumerate()
+                .map(|(l, b)| b.max(0.0) / cost(l).max(1e-12))
+                .collect();
+            let mut order: Vec<usize> =
+                (0..worth.len()).filter(|l| purse.covers_lane(*l)).collect();
             order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]));
             let last = order.len().saturating_sub(1).max(1) as f64;
             let mut ranks = vec![1.0; worth.len()];
             let mut before: Option<(f64, f64)> = None;
             for (place, lane) in order.into_iter().enumerate() {
                 // Equals stand together.
-                let rank = before.filter(|(w, _)| *w == worth[lane]).map_or(place as f64 / last, |(_, r)| r);
+                let rank = before
+                    .filter(|(w, _)| *w == worth[lane])
+                    .map_or(place as f64 / last, |(_, r)| r);
                 (ranks[lane], before) = (rank, Some((worth[lane], rank)));
             }
             self.purses[n].ranks = ranks;
@@ -315,12 +347,23 @@
     pub fn estimate(&self, to: usize, lane: usize) -> Spending {
         let largest = self.largest.get(to).and_then(|z| z.get(lane)).copied();
         let (out, back) = largest.unwrap_or((GUESS, GUESS));
-        let money = self.prices.get(to).map_or(0.0, |p| p.of(1, out as u64, back as u64));
-        Spending { deliveries: 1.0, bytes: out + back, money }
+        let money = self
+            .prices
+            .get(to)
+            .map_or(0.0, |p| p.of(1, out as u64, back as u64));
+        Spending {
+            deliveries: 1.0,
+            bytes: out + back,
+            money,
+        }
     }
 
     pub fn taken(&mut self, now: Duration, lane: usize) {
-        for p in self.purses.iter_mut().filter(|p| p.budget.lane.is_none_or(|l| l == lane)) {
+        for p in self
+            .purses
+            .iter_mut()
+            .filter(|p| p.budget.lane.is_none_or(|l| l == lane))
+        {
             p.taken(now);
         }
     }
@@ -359,7 +402,11 @@
     /// It went over, for this reason: counted at each purse that was too short for it. It is not spent there,
     /// so that what crosses by choice in any window is what the budget gives, whatever else had to cross.
     pub fn over(&mut self, reserved: &Reserved, reason: Reason) {
-        for p in self.purses.iter_mut().filter(|p| reserved.short.contains(&p.id)) {
+        for p in self
+            .purses
+            .iter_mut()
+            .filter(|p| reserved.short.contains(&p.id))
+        {
             p.over += 1;
             p.over_for[reason as usize] += 1;
         }
@@ -374,13 +421,30 @@
         deliveries: u64,
         (out, back): (u64, u64),
     ) -> f64 {
-        let money = self.prices.get(to).map_or(0.0, |p| p.of(deliveries, out, back));
-        if let Some(l) = self.largest.get_mut(to).and_then(|z| z.get_mut(lane)).filter(|_| deliveries > 0) {
-            *l = ((l.0 * LARGEST_FADE).max(out as f64), (l.1 * LARGEST_FADE).max(back as f64));
+        let money = self
+            .prices
+            .get(to)
+            .map_or(0.0, |p| p.of(deliveries, out, back));
+        if let Some(l) = self
+            .largest
+            .get_mut(to)
+            .and_then(|z| z.get_mut(lane))
+            .filter(|_| deliveries > 0)
+        {
+            *l = (
+                (l.0 * LARGEST_FADE).max(out as f64),
+                (l.1 * LARGEST_FADE).max(back as f64),
+            );
         }
-        let took = Spending { deliveries: deliveries as f64, bytes: (out + back) as f64, money };
+        let took = Spending {
+            deliveries: deliveries as f64,
+            bytes: (out + back) as f64,
+            money,
+        };
         for (id, amount) in &reserved.held {
-            let Some(p) = self.purses.iter_mut().find(|p| p.id == *id) else { continue };
+            let Some(p) = self.purses.iter_mut().find(|p| p.id == *id) else {
+                continue;
+            };
             p.held = (p.held - amount).max(0.0);
             if p.held < 1e-9 {
                 p.held = 0.0;
@@ -394,7 +458,11 @@
     /// charged, as it serves any.
     pub fn charge(&mut self, now: Duration, to: usize, (out, back): (u64, u64)) -> f64 {
         let money = self.prices.get(to).map_or(0.0, |p| p.of(0, out, back));
-        let took = Spending { deliveries: 0.0, bytes: (out + back) as f64, money };
+        let took = Spending {
+            deliveries: 0.0,
+            bytes: (out + back) as f64,
+            money,
+        };
         let any = |p: &&mut Purse| p.budget.lane.is_none() && p.budget.to.is_none_or(|t| t == to);
         for p in self.purses.iter_mut().filter(any) {
             p.spend(now, p.amount(&took));
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -42,7 +42,9 @@
 
 pub use account::{place, Account, Ended, Flaw, Key, Opening, Row, Tally};
 pub use budget::{Purse, Purses, Reserved, Spending};
-pub use report::{BudgetLine, Document, Head, Line, LinkLine, Names, Place, SeriesLine, Wall, VERSION};
+pub use report::{
+    BudgetLine, Document, Head, Line, LinkLine, Names, Place, SeriesLine, Wall, VERSION,
+};
 pub use route::{Reason, Route};
 pub use series::{Bin, Series};
 pub use zones::{Sending, Ticket, Zones};
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -28,7 +28,11 @@
     }
 
     pub fn lane(&self, lane: usize) -> &str {
-        let others = if lane > self.lanes.len() { "(gone)" } else { "(connections)" };
+        let others = if lane > self.lanes.len() {
+            "(gone)"
+        } else {
+            "(connections)"
+        };
         self.lanes.get(lane).map_or(others, String::as_str)
     }
 }
@@ -175,7 +179,10 @@
 ];
 
 fn counted(counts: impl Iterator<Item = (&'static str, u64)>) -> BTreeMap<String, u64> {
-    counts.filter(|(_, n)| *n > 0).map(|(word, n)| (word.to_owned(), n)).collect()
+    counts
+        .filter(|(_, n)| *n > 0)
+        .map(|(word, n)| (word.to_owned(), n))
+        .collect()
 }
 
 impl Zones {
@@ -184,7 +191,10 @@
     pub fn lines(&self, names: &Names, wall: Wall, place: Place) -> (Vec<Line>, Place) {
         let own = self.zoning().own;
         match place {
-            Place::Head => (vec![Line::Head(self.head(names, wall))], Place::Row(0, 0, 0)),
+            Place::Head => (
+                vec![Line::Head(self.head(names, wall))],
+                Place::Row(0, 0, 0),
+            ),
             Place::Row(to, lane, build) => {
                 let Some((key, row)) = self.account().next_row(Key { to, lane, build }) else {
                     return (Vec::new(), Place::Day(0, 0));
@@ -214,7 +224,10 @@
                     })
                 };
                 let delays = self.account().delay(to, lane).map(delay);
-                (delays.into_iter().chain([line]).collect(), Place::Day(to, lane + 1))
+                (
+                    delays.into_iter().chain([line]).collect(),
+                    Place::Day(to, lane + 1),
+                )
             }
             Place::End => (vec![Line::End], Place::Over),
             Place::Over => (Vec::new(), Place::Over),
@@ -251,8 +264,12 @@
             since_s: wall.now.saturating_sub(wall.since).as_secs_f64(),
             taken,
             budgets: self.purses().purses().iter().map(budget).collect(),
-            draws: others().filter_map(|z| Some((names.zone(z).to_owned(), self.route().draw(z)?))).collect(),
-            turns: others().map(|z| (names.zone(z).to_owned(), self.route().turns(z))).collect(),
+            draws: others()
+                .filter_map(|z| Some((names.zone(z).to_owned(), self.route().draw(z)?)))
+                .collect(),
+            turns: others()
+                .map(|z| (names.zone(z).to_owned(), self.route().turns(z)))
+                .collect(),
         }
     }
 
@@ -265,29 +282,59 @@
             build: key.build,
             decided: t.decided,
             deliveries: t.written,
-            ended: counted(OUTCOMES.iter().zip(t.ended).map(|(o, n)| (outcome_word(*o), n))),
+            ended: counted(
+                OUTCOMES
+                    .iter()
+                    .zip(t.ended)
+                    .map(|(o, n)| (outcome_word(*o), n)),
+            ),
             never_ran: t.never_ran(),
             spoilt: t.spoilt,
             half: t.half,
             second_copies: t.second_copies,
             further: t.further,
-            over: counted(Reason::ALL.into_iter().map(|r| (r.word(), t.over[r as usize]))),
+            over: counted(
+                Reason::ALL
+                    .into_iter()
+                    .map(|r| (r.word(), t.over[r as usize])),
+            ),
             opened: t.opened,
             bytes_out: t.out,
             bytes_in: t.back,
-            added_ms: if t.compared > 0 { t.added / t.compared as f64 * 1000.0 } else { 0.0 },
+            added_ms: if t.compared > 0 {
+                t.added / t.compared as f64 * 1000.0
+            } else {
+                0.0
+            },
             compared: t.compared,
             cost: t.cost,
         };
-        vec![Line::Link(line), series_line(names, wall, own, key, Some(key.build), &row.recent)]
+        vec![
+            Line::Link(line),
+            series_line(names, wall, own, key, Some(key.build), &row.recent),
+        ]
     }
 }
 
-fn series_line(names: &Names, wall: Wall, own: usize, key: Key, build: Option<u32>, series: &Series) -> Line {
+fn series_line(
+    names: &Names,
+    wall: Wall,
+    own: usize,
+    key: Key,
+    build: Option<u32>,
+    series: &Series,
+) -> Line {
     let width = series.width();
     let bin = |b: &crate::Bin| {
         let at = wall.unix_of(width * b.at);
-        (at, u64::from(b.deliveries), u64::from(b.over), b.out, b.back, f64::from(b.cost))
+        (
+            at,
+            u64::from(b.deliveries),
+            u64::from(b.over),
+            b.out,
+            b.back,
+            f64::from(b.cost),
+        )
     };
     Line::Series(SeriesLine {
         from: names.zone(own).to_owned(),
@@ -315,7 +362,10 @@
     pub fn take(&mut self, line: Line) -> Result<(), String> {
         match line {
             Line::Head(h) if h.version != VERSION => {
-                return Err(format!("version {}: this program reads version {VERSION}", h.version));
+                return Err(format!(
+                    "version {}: this program reads version {VERSION}",
+                    h.version
+                ));
             }
             Line::Head(h) => self.heads.push(h),
             Line::Link(l) => self.links.push(l),
@@ -347,13 +397,23 @@
             match self.delays.iter_mut().find(same) {
                 Some(kept) => {
                     let mut all: BTreeMap<u64, u64> = kept.delays_us.iter().copied().collect();
-                    d.delays_us.into_iter().for_each(|(value, n)| *all.entry(value).or_default() += n);
+                    d.delays_us
+                        .into_iter()
+                        .for_each(|(value, n)| *all.entry(value).or_default() += n);
                     kept.delays_us = all.into_iter().collect();
                 }
                 None => self.delays.push(d),
             }
         }
-        let key = |s: &SeriesLine| (s.from.clone(), s.to.clone(), s.lane.clone(), s.build, s.width_s as u64);
+        let key = |s: &SeriesLine| {
+            (
+                s.from.clone(),
+                s.to.clone(),
+                s.lane.clone(),
+                s.build,
+                s.width_s as u64,
+            )
+        };
         for s in other.series {
             match self.series.iter_mut().find(|k| key(k) == key(&s)) {
                 Some(kept) => kept.merge(s),
@@ -366,9 +426,15 @@
     pub fn by_lane(&self) -> Vec<LinkLine> {
         let mut rows: Vec<LinkLine> = Vec::new();
         for l in &self.links {
-            match rows.iter_mut().find(|r| (&r.from, &r.to, &r.lane) == (&l.from, &l.to, &l.lane)) {
+            match rows
+                .iter_mut()
+                .find(|r| (&r.from, &r.to, &r.lane) == (&l.from, &l.to, &l.lane))
+            {
                 Some(row) => row.merge(l.clone()),
-                None => rows.push(LinkLine { build: 0, ..l.clone() }),
+                None => rows.push(LinkLine {
+                    build: 0,
+                    ..l.clone()
+                }),
             }
         }
         rows.sort_by(|a, b| {
@@ -380,9 +446,14 @@
 
     /// The time, in milliseconds, that this part (0 to 1) of the answers over a link took at most, by lane.
     pub fn quantile_ms(&self, l: &LinkLine, part: f64) -> Option<f64> {
-        let line = self.delays.iter().find(|d| (&d.from, &d.to, &d.lane) == (&l.from, &l.to, &l.lane))?;
+        let line = self
+            .delays
+            .iter()
+            .find(|d| (&d.from, &d.to, &d.lane) == (&l.from, &l.to, &l.lane))?;
         let mut h = Histogram::<u64>::new_with_bounds(16, 120_000_000, 2).ok()?;
-        line.delays_us.iter().for_each(|(value, n)| h.saturating_record_n(*value, *n));
+        line.delays_us
+            .iter()
+            .for_each(|(value, n)| h.saturating_record_n(*value, *n));
         (!h.is_empty()).then(|| h.value_at_quantile(part) as f64 / 1000.0)
     }
 }
@@ -394,7 +465,8 @@
 
     fn merge(&mut self, o: LinkLine) {
         let sum = |a: &mut BTreeMap<String, u64>, b: BTreeMap<String, u64>| {
-            b.into_iter().for_each(|(k, n)| *a.entry(k).or_default() += n);
+            b.into_iter()
+                .for_each(|(k, n)| *a.entry(k).or_default() += n);
         };
         let compared = self.compared + o.compared;
         if compared > 0 {
--- a/crates/zones/src/route.rs
+++ b/crates/zones/src/route.rs
@@ -106,7 +106,11 @@
     /// Why a delivery that is neither to a trial nor bound to a group went over from this zone.
     pub fn of(near: &Room, full: bool, nth: usize) -> Reason {
         match near {
-            Room { running: 0, draining: 0, .. } => Reason::NoNear,
+            Room {
+                running: 0,
+                draining: 0,
+                ..
+            } => Reason::NoNear,
             Room { running: 0, .. } => Reason::Drained,
             Room { awake: 0, .. } => Reason::Aside,
             Room { warm: 0, .. } => Reason::Cold,
@@ -162,7 +166,12 @@
 
 impl Route {
     /// `stated`: what the way to each zone adds to an answer, where the installation says so.
-    pub fn new(own: usize, routing: Routing, lanes: &[LaneView], stated: Vec<Option<Duration>>) -> Route {
+    pub fn new(
+        own: usize,
+        routing: Routing,
+        lanes: &[LaneView],
+        stated: Vec<Option<Duration>>,
+    ) -> Route {
         Route {
             own,
             routing,
@@ -194,8 +203,14 @@
     ) {
         (self.routing, self.stated) = (routing, stated);
         self.quoted = lanes.iter().map(|l| l.quoted.as_secs_f64()).collect();
-        let mut paces: Vec<Option<Pace>> = std::mem::take(&mut self.lanes).into_iter().map(Some).collect();
-        self.lanes = carried(by, &mut paces).into_iter().map(Option::unwrap_or_default).collect();
+        let mut paces: Vec<Option<Pace>> = std::mem::take(&mut self.lanes)
+            .into_iter()
+            .map(Some)
+            .collect();
+        self.lanes = carried(by, &mut paces)
+            .into_iter()
+            .map(Option::unwrap_or_default)
+            .collect();
         for side in &mut self.sides {
             side.times = carried(by, &mut side.times);
         }
@@ -203,27 +218,40 @@
 
     /// A delivery went to this zone.
     pub fn sent(&mut self, zone: usize) {
-        self.sides.get_mut(zone).into_iter().for_each(|s| s.sent += 1.0);
+        self.sides
+            .get_mut(zone)
+            .into_iter()
+            .for_each(|s| s.sent += 1.0);
     }
 
     /// A satisfied answer from this zone took so long.
     pub fn answered(&mut self, now: Duration, zone: usize, lane: usize, took: Duration) {
-        let (Some(pace), Some(side)) = (self.lanes.get_mut(lane), self.sides.get_mut(zone)) else { return };
+        let (Some(pace), Some(side)) = (self.lanes.get_mut(lane), self.sides.get_mut(zone)) else {
+            return;
+        };
         let took = took.as_secs_f64().max(1e-6);
         let usual = pace.usual.get_or_insert(took);
         *usual += (took.min(*usual * 10.0) - *usual) * USUAL_GAIN;
-        let kept = side.times[lane].filter(|(_, at)| now < *at + TIME_KEPT).map_or(took, |(t, _)| t);
+        let kept = side.times[lane]
+            .filter(|(_, at)| now < *at + TIME_KEPT)
+            .map_or(took, |(t, _)| t);
         let mean = kept + (took - kept) * TIME_GAIN;
         side.times[lane] = Some((mean, now));
         if zone == self.own {
             pace.near = Some(mean);
-            pace.least = if pace.least == 0.0 { mean } else { (pace.least * 1.0002).min(mean) };
+            pace.least = if pace.least == 0.0 {
+                mean
+            } else {
+                (pace.least * 1.0002).min(mean)
+            };
         }
     }
 
     /// A connection to this zone was ready after so long.
     pub fn opened(&mut self, zone: usize, took: Duration) {
-        let Some(side) = self.sides.get_mut(zone) else { return };
+        let Some(side) = self.sides.get_mut(zone) else {
+            return;
+        };
         let took = took.as_secs_f64();
         side.opening = Some(side.opening.map_or(took, |least| (least * 1.02).min(took)));
     }
@@ -238,7 +266,9 @@
             return stated;
         }
         let opening = |zone: usize| self.sides.get(zone).and_then(|s| s.opening);
-        let added = opening(zone).zip(opening(self.own)).map_or(0.0, |(far, near)| (far - near).max(0.0));
+        let added = opening(zone)
+            .zip(opening(self.own))
+            .map_or(0.0, |(far, near)| (far - near).max(0.0));
         Duration::from_secs_f64(added.min(60.0))
     }
 
@@ -252,17 +282,25 @@
         for side in &mut self.sides {
             side.rate += (side.sent / span.as_secs_f64() - side.rate) * 0.2;
             side.sent = 0.0;
-            side.times.iter_mut().for_each(|t| *t = t.filter(|(_, at)| now < *at + TIME_KEPT));
+            side.times
+                .iter_mut()
+                .for_each(|t| *t = t.filter(|(_, at)| now < *at + TIME_KEPT));
         }
         self.yields();
         let warm: f64 = rooms.iter().map(|r| r.warm as f64).sum();
         self.warm = (self.warm * WARM_FADE).max(warm);
         // Warm ones that take over from others carry more than they were made for; cold ones must not follow.
-        self.cold = if self.warm > 0.0 { (warm / self.warm).clamp(COLD_LEAST, 1.0) } else { 1.0 };
+        self.cold = if self.warm > 0.0 {
+            (warm / self.warm).clamp(COLD_LEAST, 1.0)
+        } else {
+            1.0
+        };
         let near = rooms.get(self.own).map_or(0.0, |r| r.open);
         let all: f64 = self.sides.iter().map(|s| s.rate).sum();
         let ease = self.ease();
-        let Some(side) = self.sides.get_mut(self.own) else { return };
+        let Some(side) = self.sides.get_mut(self.own) else {
+            return;
+        };
         side.borne *= BORNE_FADE;
         side.open = (side.open * OPEN_FADE).max(near);
         if near > 0.0 && ease <= AT_EASE {
@@ -279,7 +317,11 @@
         let here = self.own;
         let others = (0..ways.len()).filter(move |z| *z != here);
         let open = |z: usize| rooms.get(z).map_or(0.0, |r| r.open);
-        let best = others.clone().filter(|z| open(*z) > 0.0).map(|z| ways[z]).fold(f64::MAX, f64::min);
+        let best = others
+            .clone()
+            .filter(|z| open(*z) > 0.0)
+            .map(|z| ways[z])
+            .fold(f64::MAX, f64::min);
         for zone in others.clone() {
             let slower = self.slower(zone);
             self.feel(now, zone, slower, near > 0.0);
@@ -289,7 +331,11 @@
         let weight: f64 = others.clone().map(|z| open(z) * liking(z)).sum();
         for zone in others {
             let part = self.sides[zone].felt.max(beyond).min(0.98);
-            let wanted = if near > 0.0 { part / (1.0 - part) * near / weight.max(1e-9) } else { 1.0 };
+            let wanted = if near > 0.0 {
+                part / (1.0 - part) * near / weight.max(1e-9)
+            } else {
+                1.0
+            };
             // No far appliance draws more than a near one: it has its own zone's load. Without this bound near
             // that flaps drove the other zone into overload (0.31 to 0.64 crossing, p99 393 to 728 ms).
             self.sides[zone].draw = (liking(zone) * wanted.min(1.0)).max(1e-4);
@@ -305,13 +351,21 @@
         let (rise, fall) = (!near || slower > FULL, near && slower < EASED);
         if rise && !side.rising {
             let soon = now < side.since + CALM_HALVES && side.turns > 0;
-            side.calm = if soon { (side.calm * 2).min(CALM_MOST) } else { side.calm };
+            side.calm = if soon {
+                (side.calm * 2).min(CALM_MOST)
+            } else {
+                side.calm
+            };
             (side.rising, side.since, side.calmed) = (true, now, now);
             side.turns += 1;
         }
         if rise {
             side.since = now;
-            side.felt = if near { (side.felt * RISE).max(side.felt + RISE_LEAST).min(0.98) } else { 0.98 };
+            side.felt = if near {
+                (side.felt * RISE).max(side.felt + RISE_LEAST).min(0.98)
+            } else {
+                0.98
+            };
         }
         if fall && now >= side.since + side.calm {
             side.rising = false;
@@ -342,9 +396,15 @@
 
     /// The mean time of answers from a zone; where none came of late, near's best and the way there.
     fn time(&self, zone: usize, lane: usize) -> Option<f64> {
-        let heard = self.sides.get(zone).and_then(|s| s.times.get(lane).copied().flatten()).map(|(t, _)| t);
+        let heard = self
+            .sides
+            .get(zone)
+            .and_then(|s| s.times.get(lane).copied().flatten())
+            .map(|(t, _)| t);
         let least = self.lanes.get(lane).map(|l| l.least).filter(|t| *t > 0.0);
-        heard.or(least.filter(|_| zone != self.own).map(|t| t + self.added(zone).as_secs_f64()))
+        heard.or(least
+            .filter(|_| zone != self.own)
+            .map(|t| t + self.added(zone).as_secs_f64()))
     }
 
     /// How much slower near answers are than those from a zone, its way included: the geometric mean over the
@@ -365,7 +425,9 @@
     /// holds.
     pub fn draw(&self, zone: usize) -> Option<f64> {
         let near_first = self.routing == Routing::NearFirst && zone != self.own;
-        near_first.then(|| self.sides.get(zone).map(|s| s.draw)).flatten()
+        near_first
+            .then(|| self.sides.get(zone).map(|s| s.draw))
+            .flatten()
     }
 
     /// Near answers of this lane are near to being late.
--- a/crates/zones/src/series.rs
+++ b/crates/zones/src/series.rs
@@ -27,7 +27,12 @@
 impl Series {
     /// Keeps the last `most` spans of `width`.
     pub fn new(width: Duration, most: u32) -> Series {
-        Series { width, most, until: Duration::ZERO, bins: VecDeque::new() }
+        Series {
+            width,
+            most,
+            until: Duration::ZERO,
+            bins: VecDeque::new(),
+        }
     }
 
     pub fn width(&self) -> Duration {
@@ -44,7 +49,10 @@
                 // Never more room than it may need: doubling would take up to twice that.
                 self.bins.reserve_exact(most.saturating_sub(held).max(1));
             }
-            self.bins.push_back(Bin { at, ..Bin::default() });
+            self.bins.push_back(Bin {
+                at,
+                ..Bin::default()
+            });
             while self.bins.front().is_some_and(|b| b.at + self.most <= at) {
                 self.bins.pop_front();
             }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -93,10 +93,16 @@
     /// A delivery was decided on; `rooms` is asked only where it goes over a budget, to say why.
     pub fn sent(&mut self, now: Duration, s: Sending, rooms: impl FnOnce() -> Vec<Room>) -> Ticket {
         let to = s.to.min(self.zoning.zones);
-        self.account.decided(to, s.lane, s.build, s.nth, s.second_copy);
+        self.account
+            .decided(to, s.lane, s.build, s.nth, s.second_copy);
         self.route.sent(to);
-        let mut ticket =
-            Ticket { to, lane: s.lane, build: s.build, over: None, reserved: Reserved::default() };
+        let mut ticket = Ticket {
+            to,
+            lane: s.lane,
+            build: s.build,
+            over: None,
+            reserved: Reserved::default(),
+        };
         if to == self.zoning.own || self.purses.is_empty() {
             return ticket;
         }
@@ -122,7 +128,9 @@
         let written = u64::from(e.written);
         let cost = match t.to == self.zoning.own {
             true => 0.0,
-            false => self.purses.settle(now, (t.to, t.lane), &t.reserved, written, (e.out, e.back)),
+            false => self
+                .purses
+                .settle(now, (t.to, t.lane), &t.reserved, written, (e.out, e.back)),
         };
         self.account.ended(now, t, e, cost);
         if e.outcome == Outcome::Satisfied {
@@ -133,7 +141,11 @@
     /// A connection was opened, or ended while nothing was out on it.
     pub fn opened(&mut self, now: Duration, o: &Opening) {
         let to = o.to.min(self.zoning.zones);
-        let cost = if to == self.zoning.own { 0.0 } else { self.purses.charge(now, to, (o.out, o.back)) };
+        let cost = if to == self.zoning.own {
+            0.0
+        } else {
+            self.purses.charge(now, to, (o.out, o.back))
+        };
         self.account.opened(now, &Opening { to, ..*o }, cost);
         if let Some(took) = o.took {
             self.route.opened(to, took);
@@ -157,8 +169,13 @@
             return None;
         }
         self.purses.bars();
-        let zones = (0..self.zoning.all()).map(|zone| self.crossing(zone)).collect();
-        let now = Crossings { zones, cold: self.route.cold() };
+        let zones = (0..self.zoning.all())
+            .map(|zone| self.crossing(zone))
+            .collect();
+        let now = Crossings {
+            zones,
+            cold: self.route.cold(),
+        };
         if self.told.as_ref() == Some(&now) {
             return None;
         }
@@ -171,8 +188,13 @@
             return Crossing::default();
         }
         let last = |again: bool| {
-            let lanes = if self.purses.is_empty() { 0 } else { self.zoning.lanes.len() };
-            let spared = |lane: usize| !self.route.full(lane) && !self.purses.admits(zone, lane, again);
+            let lanes = if self.purses.is_empty() {
+                0
+            } else {
+                self.zoning.lanes.len()
+            };
+            let spared =
+                |lane: usize| !self.route.full(lane) && !self.purses.admits(zone, lane, again);
             (0..lanes).map(spared).collect()
         };
         Crossing {
--- a/crates/zones/src/zoning.rs
+++ b/crates/zones/src/zoning.rs
@@ -58,7 +58,9 @@
 impl Price {
     pub fn of(&self, deliveries: u64, out: u64, back: u64) -> f64 {
         const GIB: f64 = (1u64 << 30) as f64;
-        self.delivery * deliveries as f64 + self.out_gib * out as f64 / GIB + self.in_gib * back as f64 / GIB
+        self.delivery * deliveries as f64
+            + self.out_gib * out as f64 / GIB
+            + self.in_gib * back as f64 / GIB
     }
 }
 
