--- a/crates/zones/tests/days.rs
+++ b/crates/zones/tests/days.rs
@@ -23,7 +23,14 @@
 }
 
 fn budget(limit: Limit, window: Duration) -> Budget {
-    Budget { name: "all".into(), to: None, lane: None, limit, window, part: 1.0 }
+    Budget {
+        name: "all".into(),
+        to: None,
+        lane: None,
+        limit,
+        window,
+        part: 1.0,
+    }
 }
 
 /// A budget that is always spent.
@@ -33,23 +40,40 @@
 
 /// One agent in zone 0 of two, with four appliances in each, at half of what near can bear.
 fn world(seed: u64, budgets: Vec<Budget>) -> Day {
-    let agent = Caller { zone: 0, part: 1.0, zoning: Some(zoning(0, 2, budgets)) };
-    Day::small(vec![agent], (0..8).map(|i| Node::new(i / 4, 41, 4)).collect(), 380.0, s(20), seed)
+    let agent = Caller {
+        zone: 0,
+        part: 1.0,
+        zoning: Some(zoning(0, 2, budgets)),
+    };
+    Day::small(
+        vec![agent],
+        (0..8).map(|i| Node::new(i / 4, 41, 4)).collect(),
+        380.0,
+        s(20),
+        seed,
+    )
 }
 
 fn kept(p: &Played) {
-    assert!(p.broken.is_empty(), "{:?}", &p.broken[..p.broken.len().min(5)]);
+    assert!(
+        p.broken.is_empty(),
+        "{:?}",
+        &p.broken[..p.broken.len().min(5)]
+    );
     assert_eq!(p.never, 0);
 }
 
 /// Over-budget crossings by reason, between two times.
 fn over(p: &Played, why: Reason, from: Duration, to: Duration) -> usize {
-    let within = |c: &&(Duration, usize, Option<Reason>)| c.0 >= from && c.0 < to && c.2 == Some(why);
+    let within =
+        |c: &&(Duration, usize, Option<Reason>)| c.0 >= from && c.0 < to && c.2 == Some(why);
     p.crossings.iter().flatten().filter(within).count()
 }
 
 fn lists(from: u64, nodes: std::ops::Range<usize>, standing: Standing) -> Vec<(Duration, Change)> {
-    nodes.map(|n| (ms(from), Change::Lists(n, standing))).collect()
+    nodes
+        .map(|n| (ms(from), Change::Lists(n, standing)))
+        .collect()
 }
 
 #[test]
@@ -60,10 +84,27 @@
     d.script = vec![(s(10), Change::Rate(1000.0)), (s(20), Change::Rate(380.0))];
     let p = d.play();
     kept(&p);
-    assert!(p.crossed_between(3, 10) < 0.03, "{}", p.crossed_between(3, 10));
-    assert!(p.crossed_between(12, 20) > 0.2, "{}", p.crossed_between(12, 20));
-    assert!(p.crossed_between(34, 40) < 0.06, "{}", p.crossed_between(34, 40));
-    assert!(p.in_time as f64 > 0.97 * p.taken as f64, "{} of {}", p.in_time, p.taken);
+    assert!(
+        p.crossed_between(3, 10) < 0.03,
+        "{}",
+        p.crossed_between(3, 10)
+    );
+    assert!(
+        p.crossed_between(12, 20) > 0.2,
+        "{}",
+        p.crossed_between(12, 20)
+    );
+    assert!(
+        p.crossed_between(34, 40) < 0.06,
+        "{}",
+        p.crossed_between(34, 40)
+    );
+    assert!(
+        p.in_time as f64 > 0.97 * p.taken as f64,
+        "{} of {}",
+        p.in_time,
+        p.taken
+    );
 }
 
 #[test]
@@ -78,8 +119,16 @@
     let drained = over(&p, Reason::Drained, s(10), s(20));
     assert!(drained > 5000, "{drained}");
     let payments = p.crossings[0].iter().filter(|c| c.1 == PAYMENT).count();
-    assert!(payments > 300, "unrepeatable commands among them: {payments}");
-    assert!(p.satisfied as f64 > 0.99 * p.taken as f64, "{} of {}", p.satisfied, p.taken);
+    assert!(
+        payments > 300,
+        "unrepeatable commands among them: {payments}"
+    );
+    assert!(
+        p.satisfied as f64 > 0.99 * p.taken as f64,
+        "{} of {}",
+        p.satisfied,
+        p.taken
+    );
 }
 
 #[test]
@@ -92,8 +141,16 @@
     // Rule 4 is among those kept: it was not given all at once.
     kept(&p);
     assert!(over(&p, Reason::NoNear, s(8), s(14)) > 1500);
-    assert!(over(&p, Reason::Cold, s(14), s(19)) > 100, "{}", over(&p, Reason::Cold, s(14), s(19)));
-    assert!(p.crossed_between(24, 30) < 0.02, "{}", p.crossed_between(24, 30));
+    assert!(
+        over(&p, Reason::Cold, s(14), s(19)) > 100,
+        "{}",
+        over(&p, Reason::Cold, s(14), s(19))
+    );
+    assert!(
+        p.crossed_between(24, 30) < 0.02,
+        "{}",
+        p.crossed_between(24, 30)
+    );
     assert!(p.satisfied as f64 > 0.99 * p.taken as f64);
 }
 
@@ -109,7 +166,12 @@
     // Without the part that cold ones are told, they get more.
     d.agents[0].zoning = None;
     let before = d.play();
-    assert!(cold(&p) < cold(&before), "{} against {}", cold(&p), cold(&before));
+    assert!(
+        cold(&p) < cold(&before),
+        "{} against {}",
+        cold(&p),
+        cold(&before)
+    );
 }
 
 fn trial_in_far_only(fails: f64) -> Played {
@@ -123,8 +185,13 @@
     d.ways[0][1] = ms(25);
     d.ways[1][0] = ms(25);
     d.script = vec![(s(9), Change::Starts(8)), (s(9), Change::Starts(9))];
-    let stage =
-        |stage: usize, cap| News { build: 42, stage, phase: Phase::Trial, cap, began: Duration::ZERO };
+    let stage = |stage: usize, cap| News {
+        build: 42,
+        stage,
+        phase: Phase::Trial,
+        cap,
+        began: Duration::ZERO,
+    };
     d.script.push((s(9), Change::News(stage(0, 0.08))));
     d.script.push((s(20), Change::News(stage(1, 0.25))));
     d.play()
@@ -136,7 +203,11 @@
     kept(&p); // exposure among it
     let judged = over(&p, Reason::Trial, s(9), s(40));
     assert!(judged > 500, "{judged}");
-    let holds = p.votes.iter().filter(|v| v.1.verdict != Verdict::None).count();
+    let holds = p
+        .votes
+        .iter()
+        .filter(|v| v.1.verdict != Verdict::None)
+        .count();
     assert_eq!(holds, 0, "{:?}", p.votes);
 }
 
@@ -166,9 +237,15 @@
     kept(&p);
     let zones = p.zones[0].as_ref().unwrap();
     let rows: Vec<_> = zones.account().rows().collect();
-    assert!(rows.iter().all(|(k, _)| k.to == 2), "neither near nor of another zone");
+    assert!(
+        rows.iter().all(|(k, _)| k.to == 2),
+        "neither near nor of another zone"
+    );
     assert!(p.satisfied as f64 > 0.99 * p.taken as f64);
-    let names = Names { zones: vec!["a".into(), "b".into()], ..Names::default() };
+    let names = Names {
+        zones: vec!["a".into(), "b".into()],
+        ..Names::default()
+    };
     assert_eq!(names.zone(2), "(unnamed)");
 }
 
@@ -184,7 +261,11 @@
 
 /// The most that was spent by choice in any window of this length.
 fn most_in_window(p: &Played, agent: usize, window: Duration) -> usize {
-    let times: Vec<Duration> = p.crossings[agent].iter().filter(|c| c.2.is_none()).map(|c| c.0).collect();
+    let times: Vec<Duration> = p.crossings[agent]
+        .iter()
+        .filter(|c| c.2.is_none())
+        .map(|c| c.0)
+        .collect();
     let (mut from, mut most) = (0, 0);
     for to in 0..times.len() {
         while times[from] + window <= times[to] {
@@ -213,16 +294,30 @@
     // Slower by ten times in each other second, for 30 s.
     for n in 0..30 {
         let slowness = if n % 2 == 0 { 10.0 } else { 1.0 };
-        d.script.extend((0..4).map(|i| (s(8 + n), Change::Slows(i, slowness))));
+        d.script
+            .extend((0..4).map(|i| (s(8 + n), Change::Slows(i, slowness))));
     }
     let p = d.clone().play();
     kept(&p);
     d.agents[0].zoning = None;
     let before = d.play();
-    assert!(p.turns_per_minute() <= 6.0, "{} a minute", p.turns_per_minute());
-    assert!(p.in_time >= before.in_time, "{} in time, {} before", p.in_time, before.in_time);
+    assert!(
+        p.turns_per_minute() <= 6.0,
+        "{} a minute",
+        p.turns_per_minute()
+    );
+    assert!(
+        p.in_time >= before.in_time,
+        "{} in time, {} before",
+        p.in_time,
+        before.in_time
+    );
     // Back once it is calm: after the longest calm span and some seconds of falling.
-    assert!(p.crossed_between(65, 75) < 0.1, "{}", p.crossed_between(65, 75));
+    assert!(
+        p.crossed_between(65, 75) < 0.1,
+        "{}",
+        p.crossed_between(65, 75)
+    );
 }
 
 #[test]
@@ -234,41 +329,87 @@
     let p = d.play();
     kept(&p);
     let by_choice = |from: u64, to: u64| {
-        let within = |c: &&(Duration, usize, Option<Reason>)| c.0 >= s(from) && c.0 < s(to) && c.2.is_none();
+        let within =
+            |c: &&(Duration, usize, Option<Reason>)| c.0 >= s(from) && c.0 < s(to) && c.2.is_none();
         p.crossings[0].iter().filter(within).count()
     };
     assert!(by_choice(6, 10) > 300, "{}", by_choice(6, 10));
     // What was spent before counts: nothing more until that window has passed, then the lower one holds.
     assert_eq!(by_choice(10, 13), 0);
-    assert!(most_in_window(&p, 0, s(4)) <= 3000 && by_choice(15, 19) <= 40, "{}", by_choice(15, 19));
+    assert!(
+        most_in_window(&p, 0, s(4)) <= 3000 && by_choice(15, 19) <= 40,
+        "{}",
+        by_choice(15, 19)
+    );
     let zones = p.zones[0].as_ref().unwrap();
-    assert!(zones.account().rows().any(|(k, r)| k.to == 1 && r.tally.written > 300), "the account survives");
+    assert!(
+        zones
+            .account()
+            .rows()
+            .any(|(k, r)| k.to == 1 && r.tally.written > 300),
+        "the account survives"
+    );
 }
 
 #[test]
 fn the_sum_over_ten_unequal_agents_keeps_to_the_budget() {
     let mut d = world(12, Vec::new());
-    let one = || vec![Budget { part: 0.1, ..budget(Limit::Deliveries(600.0), s(5)) }];
+    let one = || {
+        vec![Budget {
+            part: 0.1,
+            ..budget(Limit::Deliveries(600.0), s(5))
+        }]
+    };
     // From a fortieth to a third of the load, one idle; more than near bears.
     let parts = [40.0, 20.0, 12.0, 10.0, 8.0, 5.0, 3.0, 1.5, 0.5, 0.0];
-    d.agents = parts.map(|part| Caller { zone: 0, part, zoning: Some(zoning(0, 2, one())) }).to_vec();
+    d.agents = parts
+        .map(|part| Caller {
+            zone: 0,
+            part,
+            zoning: Some(zoning(0, 2, one())),
+        })
+        .to_vec();
     d.rate = 900.0;
     let p = d.play();
     kept(&p);
-    let mut all: Vec<Duration> =
-        p.crossings.iter().flatten().filter(|c| c.2.is_none()).map(|c| c.0).collect();
+    let mut all: Vec<Duration> = p
+        .crossings
+        .iter()
+        .flatten()
+        .filter(|c| c.2.is_none())
+        .map(|c| c.0)
+        .collect();
     all.sort();
-    let most = all.iter().map(|t| all.iter().filter(|u| *u >= t && **u < *t + s(5)).count()).max().unwrap();
+    let most = all
+        .iter()
+        .map(|t| all.iter().filter(|u| *u >= t && **u < *t + s(5)).count())
+        .max()
+        .unwrap();
     assert!(most <= 600, "{most}");
     assert!((0..10).all(|a| most_in_window(&p, a, s(5)) <= 60));
     let mut shares = world(12, Vec::new());
     let share = || vec![budget(Limit::Share(0.1), s(5))];
-    shares.agents = parts.map(|part| Caller { zone: 0, part, zoning: Some(zoning(0, 2, share())) }).to_vec();
+    shares.agents = parts
+        .map(|part| Caller {
+            zone: 0,
+            part,
+            zoning: Some(zoning(0, 2, share())),
+        })
+        .to_vec();
     shares.rate = 900.0;
     let p = shares.play();
     kept(&p);
-    let by_choice = p.crossings.iter().flatten().filter(|c| c.2.is_none()).count();
-    assert!(by_choice as f64 <= 0.1 * p.taken as f64, "{by_choice} of {}", p.taken);
+    let by_choice = p
+        .crossings
+        .iter()
+        .flatten()
+        .filter(|c| c.2.is_none())
+        .count();
+    assert!(
+        by_choice as f64 <= 0.1 * p.taken as f64,
+        "{by_choice} of {}",
+        p.taken
+    );
 }
 
 #[test]
@@ -278,14 +419,20 @@
     let p = d.play();
     kept(&p);
     let part = |lane: usize, weight: f64| {
-        let crossed = p.crossings[0].iter().filter(|c| c.1 == lane && c.2.is_none()).count();
+        let crossed = p.crossings[0]
+            .iter()
+            .filter(|c| c.1 == lane && c.2.is_none())
+            .count();
         crossed as f64 / (p.taken as f64 * weight)
     };
     let (view, send, payment) = (part(VIEW, 0.45), part(SEND, 0.45), part(PAYMENT, 0.1));
     assert!(payment > send && send > view, "{payment} {send} {view}");
     let zones = p.zones[0].as_ref().unwrap();
     let admits = |again| zones.purses().admits(1, VIEW, again);
-    assert!(!admits(true) || admits(false), "copies are left before first ones");
+    assert!(
+        !admits(true) || admits(false),
+        "copies are left before first ones"
+    );
 }
 
 #[test]
@@ -293,13 +440,28 @@
     let mut d = world(14, vec![budget(Limit::Bytes(40_000.0), s(4))]);
     d.rate = 900.0;
     let z = d.agents[0].zoning.as_mut().unwrap();
-    z.links[1].price = Price { delivery: 0.01, out_gib: 1.0, in_gib: 2.0 };
+    z.links[1].price = Price {
+        delivery: 0.01,
+        out_gib: 1.0,
+        in_gib: 2.0,
+    };
     let p = d.play();
     kept(&p);
     let account = p.zones[0].as_ref().unwrap().account();
-    let far = || account.rows().filter(|(k, _)| k.to == 1).map(|(_, r)| r.tally);
-    let (written, cost) = (far().map(|t| t.written).sum::<u64>(), far().map(|t| t.cost).sum::<f64>());
-    let (out, back) = (far().map(|t| t.out).sum::<u64>(), far().map(|t| t.back).sum::<u64>());
+    let far = || {
+        account
+            .rows()
+            .filter(|(k, _)| k.to == 1)
+            .map(|(_, r)| r.tally)
+    };
+    let (written, cost) = (
+        far().map(|t| t.written).sum::<u64>(),
+        far().map(|t| t.cost).sum::<f64>(),
+    );
+    let (out, back) = (
+        far().map(|t| t.out).sum::<u64>(),
+        far().map(|t| t.back).sum::<u64>(),
+    );
     let gib = (1u64 << 30) as f64;
     let wanted = 0.01 * written as f64 + out as f64 / gib + 2.0 * back as f64 / gib;
     assert!((cost - wanted).abs() < 1e-9 * wanted, "{cost} {wanted}");
@@ -313,7 +475,9 @@
 fn of_three_unequal_zones_the_quicker_far_one_takes_more_also_when_one_way_is_slow() {
     let mut d = world(15, Vec::new());
     d.agents[0].zoning = Some(zoning(0, 3, Vec::new()));
-    d.nodes = (0..9).map(|i| Node::new([0, 0, 1, 1, 1, 1, 1, 2, 2][i], 41, 4)).collect();
+    d.nodes = (0..9)
+        .map(|i| Node::new([0, 0, 1, 1, 1, 1, 1, 2, 2][i], 41, 4))
+        .collect();
     // Quick on the way there, slow on the way back: only the whole way counts.
     d.ways[1][0] = ms(60);
     d.rate = 600.0;
@@ -322,10 +486,25 @@
     kept(&p);
     let zones = p.zones[0].as_ref().unwrap();
     let sent = |to: u16| {
-        zones.account().rows().filter(|(k, _)| k.to == to).map(|(_, r)| r.tally.written).sum::<u64>()
+        zones
+            .account()
+            .rows()
+            .filter(|(k, _)| k.to == to)
+            .map(|(_, r)| r.tally.written)
+            .sum::<u64>()
     };
-    assert!(sent(2) > sent(1), "{} to the quick small zone, {} to the slow large one", sent(2), sent(1));
-    assert!(p.in_time as f64 > 0.95 * p.taken as f64, "{} of {}", p.in_time, p.taken);
+    assert!(
+        sent(2) > sent(1),
+        "{} to the quick small zone, {} to the slow large one",
+        sent(2),
+        sent(1)
+    );
+    assert!(
+        p.in_time as f64 > 0.95 * p.taken as f64,
+        "{} of {}",
+        p.in_time,
+        p.taken
+    );
 }
 
 #[test]
@@ -338,8 +517,14 @@
     kept(&p);
     d.agents[0].zoning = Some(zoning(0, 2, Vec::new()));
     let free = d.play();
-    let (with, without) = (p.satisfied as f64 / p.taken as f64, free.satisfied as f64 / free.taken as f64);
-    assert!(with > without - 0.01, "{with} with the budget spent, {without} without a budget");
+    let (with, without) = (
+        p.satisfied as f64 / p.taken as f64,
+        free.satisfied as f64 / free.taken as f64,
+    );
+    assert!(
+        with > without - 0.01,
+        "{with} with the budget spent, {without} without a budget"
+    );
     assert!(over(&p, Reason::Full, s(8), s(30)) + over(&p, Reason::Aside, s(8), s(30)) > 1000);
 }
 
@@ -348,11 +533,26 @@
     use rand::{Rng, SeedableRng};
     for seed in 0..24u64 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let limits = [Limit::Deliveries(200.0), Limit::Bytes(1e5), Limit::Money(0.5), Limit::Share(0.05)];
-        let mut d = world(seed, vec![budget(limits[rng.gen_range(0..4)], s(rng.gen_range(1..8)))]);
+        let limits = [
+            Limit::Deliveries(200.0),
+            Limit::Bytes(1e5),
+            Limit::Money(0.5),
+            Limit::Share(0.05),
+        ];
+        let mut d = world(
+            seed,
+            vec![budget(limits[rng.gen_range(0..4)], s(rng.gen_range(1..8)))],
+        );
         let zoned = d.agents[0].zoning.clone().unwrap();
-        let other = Zoning { own: 1, ..zoned.clone() };
-        d.agents.push(Caller { zone: 1, part: rng.gen_range(0.1..2.0), zoning: Some(other) });
+        let other = Zoning {
+            own: 1,
+            ..zoned.clone()
+        };
+        d.agents.push(Caller {
+            zone: 1,
+            part: rng.gen_range(0.1..2.0),
+            zoning: Some(other),
+        });
         (d.rate, d.span) = (rng.gen_range(200.0..900.0), s(16));
         for _ in 0..rng.gen_range(3..14) {
             let (at, n) = (ms(rng.gen_range(2000..15_000)), rng.gen_range(0..8));
@@ -370,7 +570,11 @@
             d.script.push((at, change));
         }
         let p = d.play();
-        assert!(p.broken.is_empty(), "seed {seed}: {:?}", &p.broken[..p.broken.len().min(3)]);
+        assert!(
+            p.broken.is_empty(),
+            "seed {seed}: {:?}",
+            &p.broken[..p.broken.len().min(3)]
+        );
     }
 }
 
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -15,19 +15,39 @@
 
 fn zoning(own: usize, limit: f64) -> Zoning {
     let limit = Limit::Deliveries(limit);
-    let budget = Budget { name: "all".into(), to: None, lane: None, limit, window: seconds(20), part: 0.5 };
+    let budget = Budget {
+        name: "all".into(),
+        to: None,
+        lane: None,
+        limit,
+        window: seconds(20),
+        part: 0.5,
+    };
     day::zoning(&day::lanes(), own, 2, vec![budget])
 }
 
 fn two_zones(seed: u64, limit: f64, rate: f64, span: Duration) -> Day {
-    let agent = |zone| Caller { zone, part: 0.5, zoning: Some(zoning(zone, limit)) };
+    let agent = |zone| Caller {
+        zone,
+        part: 0.5,
+        zoning: Some(zoning(zone, limit)),
+    };
     let nodes = (0..12).map(|i| Node::new(i / 6, 41, 4)).collect();
     Day::small(vec![agent(0), agent(1)], nodes, rate, span, seed)
 }
 
 fn numbers(p: &Played) -> [u64; 8] {
     let crossed: usize = p.crossings.iter().map(Vec::len).sum();
-    [p.digest, p.taken, p.satisfied, p.in_time, p.denied, p.scrapped, p.never, crossed as u64]
+    [
+        p.digest,
+        p.taken,
+        p.satisfied,
+        p.in_time,
+        p.denied,
+        p.scrapped,
+        p.never,
+        crossed as u64,
+    ]
 }
 
 #[test]
@@ -47,9 +67,14 @@
         (seconds(22), Change::Moves(3, 1)),
         (seconds(24), Change::Stalls(1, Duration::from_millis(700))),
     ];
-    day.script.extend((6..9).map(|n| (seconds(16), Change::Mutes(n, true))));
-    day.script.extend((6..9).map(|n| (seconds(19), Change::Mutes(n, false))));
-    assert_eq!(numbers(&day.play()), [14736919548978038216, 20357, 20321, 20315, 0, 36, 0, 1143]);
+    day.script
+        .extend((6..9).map(|n| (seconds(16), Change::Mutes(n, true))));
+    day.script
+        .extend((6..9).map(|n| (seconds(19), Change::Mutes(n, false))));
+    assert_eq!(
+        numbers(&day.play()),
+        [14736919548978038216, 20357, 20321, 20315, 0, 36, 0, 1143]
+    );
 }
 
 #[test]
@@ -70,8 +95,18 @@
         nodes,
         back_votes: 1,
     });
-    day.clients = Clients::Naive { pause: Duration::from_millis(100), tries: 3 };
+    day.clients = Clients::Naive {
+        pause: Duration::from_millis(100),
+        tries: 3,
+    };
     let played = day.play();
-    assert!(played.offered.held.is_some() || played.offered.back.is_some(), "{:?}", played.offered);
-    assert_eq!(numbers(&played), [10740102917459229812, 21129, 21122, 21122, 1, 6, 0, 1170]);
+    assert!(
+        played.offered.held.is_some() || played.offered.back.is_some(),
+        "{:?}",
+        played.offered
+    );
+    assert_eq!(
+        numbers(&played),
+        [10740102917459229812, 21129, 21122, 21122, 1, 6, 0, 1170]
+    );
 }
--- a/crates/zones/tests/renewal.rs
+++ b/crates/zones/tests/renewal.rs
@@ -10,32 +10,74 @@
 fn zoning(lanes: usize, lane: Option<usize>) -> Zoning {
     let limit = Limit::Deliveries(1000.0);
     let window = Duration::from_secs(60);
-    let lanes = vec![LaneView { benefit: 3.0, quoted: Duration::from_millis(400) }; lanes];
-    let budgets = vec![Budget { name: "b".into(), to: None, lane, limit, window, part: 1.0 }];
-    Zoning { own: 0, zones: 2, lanes, links: vec![Link::default(); 3], budgets, routing: Routing::AsEver }
+    let lanes = vec![
+        LaneView {
+            benefit: 3.0,
+            quoted: Duration::from_millis(400)
+        };
+        lanes
+    ];
+    let budgets = vec![Budget {
+        name: "b".into(),
+        to: None,
+        lane,
+        limit,
+        window,
+        part: 1.0,
+    }];
+    Zoning {
+        own: 0,
+        zones: 2,
+        lanes,
+        links: vec![Link::default(); 3],
+        budgets,
+        routing: Routing::AsEver,
+    }
 }
 
 fn names(lanes: &[&str]) -> Names {
     let of = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
-    Names { agent: "n".into(), zones: of(&["a", "b"]), lanes: of(lanes) }
+    Names {
+        agent: "n".into(),
+        zones: of(&["a", "b"]),
+        lanes: of(lanes),
+    }
 }
 
 fn send(zones: &mut Zones, lane: usize) -> Ticket {
     zones.taken(NOW, lane);
-    let sending = Sending { to: 1, lane, build: 7, nth: 0, second_copy: false, trial: false, bound: false };
+    let sending = Sending {
+        to: 1,
+        lane,
+        build: 7,
+        nth: 0,
+        second_copy: false,
+        trial: false,
+        bound: false,
+    };
     zones.sent(NOW, sending, || vec![Room::default(); 3])
 }
 
 fn end(zones: &mut Zones, ticket: &Ticket) {
     let took = Duration::from_millis(20);
-    let ended =
-        Ended { outcome: Outcome::Satisfied, flaw: Flaw::None, written: true, out: 100, back: 200, took };
+    let ended = Ended {
+        outcome: Outcome::Satisfied,
+        flaw: Flaw::None,
+        written: true,
+        out: 100,
+        back: 200,
+        took,
+    };
     zones.ended(NOW, ticket, &ended);
 }
 
 /// Deliveries by lane, and commands taken by lane, as the report tells them.
 fn told(zones: &Zones, names: &Names) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
-    let wall = Wall { now: NOW, unix: NOW, since: Duration::ZERO };
+    let wall = Wall {
+        now: NOW,
+        unix: NOW,
+        since: Duration::ZERO,
+    };
     let (mut place, mut deliveries, mut taken) = (Place::Head, BTreeMap::new(), BTreeMap::new());
     while !matches!(place, Place::Over) {
         let (lines, next) = zones.lines(names, wall, place);
@@ -52,7 +94,9 @@
 }
 
 fn map(of: &[(&str, u64)]) -> BTreeMap<String, u64> {
-    of.iter().map(|(name, n)| ((*name).to_owned(), *n)).collect()
+    of.iter()
+        .map(|(name, n)| ((*name).to_owned(), *n))
+        .collect()
 }
 
 #[test]
@@ -75,7 +119,11 @@
     let (deliveries, taken) = told(&zones, &lanes);
     assert_eq!(deliveries, map(&[("view", 4), ("send", 3)]));
     assert_eq!(taken, map(&[("view", 4), ("send", 3), ("new", 0)]));
-    assert_eq!(zones.purses().purses()[0].used(), spent, "what is spent stays spent");
+    assert_eq!(
+        zones.purses().purses()[0].used(),
+        spent,
+        "what is spent stays spent"
+    );
     // Its earlier number is given to another, and lane 1 went.
     let by = [Origin::New, Origin::Free, Origin::Same, Origin::Same];
     assert!(zones.renew(NOW, zoning(4, None), &by));
@@ -85,9 +133,21 @@
     assert_eq!((taken["other"], taken["new"]), (0, 0));
     // Fewer lanes, and connections still stand behind them.
     assert!(zones.renew(NOW, zoning(1, None), &[Origin::Was(2)]));
-    zones.opened(NOW, &Opening { to: 1, build: 7, out: 5, back: 5, took: Some(Duration::from_millis(1)) });
+    zones.opened(
+        NOW,
+        &Opening {
+            to: 1,
+            build: 7,
+            out: 5,
+            back: 5,
+            took: Some(Duration::from_millis(1)),
+        },
+    );
     let (deliveries, _) = told(&zones, &names(&["view"]));
-    assert_eq!(deliveries, map(&[("view", 3), ("(connections)", 0), ("(gone)", 4)]));
+    assert_eq!(
+        deliveries,
+        map(&[("view", 3), ("(connections)", 0), ("(gone)", 4)])
+    );
 }
 
 #[test]
@@ -101,7 +161,13 @@
         assert!(zones.renew(NOW, zoning(3, None), &by));
     }
     let (deliveries, taken) = told(&zones, &names(&["x", "y", "z"]));
-    assert_eq!((deliveries.values().sum::<u64>(), taken.values().sum::<u64>()), (10_000, 10_000));
+    assert_eq!(
+        (
+            deliveries.values().sum::<u64>(),
+            taken.values().sum::<u64>()
+        ),
+        (10_000, 10_000)
+    );
     assert!(zones.account().rows().count() <= 4);
 }
 
@@ -109,7 +175,11 @@
 fn other_zones_begin_another_account() {
     let mut zones = Zones::new(Duration::ZERO, zoning(2, None));
     let ticket = send(&mut zones, 0);
-    let more = Zoning { zones: 3, links: vec![Link::default(); 4], ..zoning(2, None) };
+    let more = Zoning {
+        zones: 3,
+        links: vec![Link::default(); 4],
+        ..zoning(2, None)
+    };
     assert!(!zones.renew(NOW, more, &[Origin::Same; 2]));
     // What was in hand is told to the one that is there.
     end(&mut zones, &ticket);
--- a/crates/zones/tests/route.rs
+++ b/crates/zones/tests/route.rs
@@ -8,11 +8,21 @@
     Duration::from_millis(n)
 }
 
-const LANE: LaneView = LaneView { benefit: 1.0, quoted: Duration::from_millis(400) };
+const LANE: LaneView = LaneView {
+    benefit: 1.0,
+    quoted: Duration::from_millis(400),
+};
 
 fn room(warm: usize, cold: usize) -> Room {
     let open = warm as f64 + cold as f64 * 0.3;
-    Room { running: warm + cold, draining: 0, awake: warm + cold, warm, open, in_flight: 0 }
+    Room {
+        running: warm + cold,
+        draining: 0,
+        awake: warm + cold,
+        warm,
+        open,
+        in_flight: 0,
+    }
 }
 
 /// Steps from `from` to `to` (in 100 ms) under the same rooms; near and far answer in so many milliseconds, and
@@ -28,7 +38,11 @@
     for step in from..to {
         let now = ms(1_000_000 + step * 100);
         for zone in 0..rooms.len() {
-            for _ in 0..if zone == 0 && rooms[0].running > 0 { rate } else { 1 } {
+            for _ in 0..if zone == 0 && rooms[0].running > 0 {
+                rate
+            } else {
+                1
+            } {
                 if let Some(took) = answers(step, zone) {
                     route.sent(zone);
                     route.answered(now, zone, 0, ms(took));
@@ -47,22 +61,65 @@
 #[test]
 fn warm_ones_that_take_over_do_not_draw_cold_ones_after_them() {
     let mut r = route(2);
-    steps(&mut r, (0, 100), &[room(4, 0), room(4, 0)], |_, _| Some(20), 10, |_| {});
+    steps(
+        &mut r,
+        (0, 100),
+        &[room(4, 0), room(4, 0)],
+        |_, _| Some(20),
+        10,
+        |_| {},
+    );
     assert_eq!(r.cold(), 1.0);
-    steps(&mut r, (100, 101), &[room(0, 0), room(2, 2)], |_, z| (z == 1).then_some(20), 10, |_| {});
-    assert!(r.cold() < 0.3, "two warm ones carry what eight did: {}", r.cold());
-    steps(&mut r, (101, 301), &[room(0, 0), room(2, 2)], |_, z| (z == 1).then_some(20), 10, |_| {});
-    assert!(r.cold() > 0.9, "and that is then what they carry: {}", r.cold());
+    steps(
+        &mut r,
+        (100, 101),
+        &[room(0, 0), room(2, 2)],
+        |_, z| (z == 1).then_some(20),
+        10,
+        |_| {},
+    );
+    assert!(
+        r.cold() < 0.3,
+        "two warm ones carry what eight did: {}",
+        r.cold()
+    );
+    steps(
+        &mut r,
+        (101, 301),
+        &[room(0, 0), room(2, 2)],
+        |_, z| (z == 1).then_some(20),
+        10,
+        |_| {},
+    );
+    assert!(
+        r.cold() > 0.9,
+        "and that is then what they carry: {}",
+        r.cold()
+    );
 }
 
 #[test]
 fn what_near_was_not_seen_to_bear_goes_over_before_any_answer_is_late() {
     let mut r = route(2);
     let both = [room(8, 0), room(8, 0)];
-    steps(&mut r, (0, 200), &both, |_, z| (z == 0).then_some(20), 40, |_| {});
+    steps(
+        &mut r,
+        (0, 200),
+        &both,
+        |_, z| (z == 0).then_some(20),
+        40,
+        |_| {},
+    );
     let before = r.draw(1).unwrap();
     let lost = [room(2, 0), room(8, 0)];
-    steps(&mut r, (200, 203), &lost, |_, z| (z == 0).then_some(20), 40, |_| {});
+    steps(
+        &mut r,
+        (200, 203),
+        &lost,
+        |_, z| (z == 0).then_some(20),
+        40,
+        |_| {},
+    );
     let after = r.draw(1).unwrap();
     assert!(before < 0.02 && after > 0.4, "{before}, then {after}");
 }
@@ -86,7 +143,14 @@
             }
         },
     );
-    steps(&mut r, (1200, 2400), &both, |_, z| Some(if z == 0 { 20 } else { 24 }), 10, |_| {});
+    steps(
+        &mut r,
+        (1200, 2400),
+        &both,
+        |_, z| Some(if z == 0 { 20 } else { 24 }),
+        10,
+        |_| {},
+    );
     (swings, r.draw(1).unwrap())
 }
 
@@ -96,7 +160,10 @@
         let (swings, at_the_end) = swings(half_period);
         // Without the calm span 17 at seven seconds and 13 at nine; beyond that near is slow long enough to follow.
         let most = (half_period / 12).max(5) as u32;
-        assert!(swings <= most, "{swings} swings in two minutes at {half_period} steps a half period");
+        assert!(
+            swings <= most,
+            "{swings} swings in two minutes at {half_period} steps a half period"
+        );
         assert!(at_the_end < 0.03, "{at_the_end}");
     }
 }
@@ -105,7 +172,14 @@
 fn of_two_far_zones_the_slower_draws_less_by_degrees() {
     let mut r = route(3);
     let rooms = [room(4, 0), room(4, 0), room(4, 0)];
-    steps(&mut r, (0, 100), &rooms, |_, z| Some([200, 60, 30][z]), 10, |_| {});
+    steps(
+        &mut r,
+        (0, 100),
+        &rooms,
+        |_, z| Some([200, 60, 30][z]),
+        10,
+        |_| {},
+    );
     let (slow, quick) = (r.draw(1).unwrap(), r.draw(2).unwrap());
     assert!(quick > 3.0 * slow && slow > 0.0, "{slow} {quick}");
 }
@@ -114,10 +188,21 @@
 fn after_a_stall_a_step_counts_once_and_old_answers_say_nothing() {
     let mut r = route(2);
     let both = [room(4, 0), room(4, 0)];
-    steps(&mut r, (0, 50), &both, |_, z| Some(if z == 0 { 20 } else { 25 }), 10, |_| {});
+    steps(
+        &mut r,
+        (0, 50),
+        &both,
+        |_, z| Some(if z == 0 { 20 } else { 25 }),
+        10,
+        |_| {},
+    );
     let before = r.draw(1).unwrap();
     steps(&mut r, (300, 301), &both, |_, _| None, 0, |_| {});
-    assert!((r.draw(1).unwrap() - before).abs() < 0.02, "{before}, then {:?}", r.draw(1));
+    assert!(
+        (r.draw(1).unwrap() - before).abs() < 0.02,
+        "{before}, then {:?}",
+        r.draw(1)
+    );
     assert_eq!(r.added(1), Duration::ZERO, "not known");
     (0..5).for_each(|_| r.opened(0, ms(2)));
     (0..5).for_each(|_| r.opened(1, ms(10)));
--- a/crates/zones/tests/series.rs
+++ b/crates/zones/tests/series.rs
@@ -10,14 +10,19 @@
         series.bin(Duration::from_secs(n * 25)).deliveries += 1;
     }
     assert!(series.bins().count() <= 144 + 1);
-    let (first, last) = (series.bins().next().unwrap().at, series.bins().last().unwrap().at);
+    let (first, last) = (
+        series.bins().next().unwrap().at,
+        series.bins().last().unwrap().at,
+    );
     assert!(last - first < 360);
 }
 
 #[test]
 fn merged_series_hold_the_sum_of_both() {
-    let (mut one, mut two) =
-        (Series::new(Duration::from_secs(1), 10), Series::new(Duration::from_secs(1), 10));
+    let (mut one, mut two) = (
+        Series::new(Duration::from_secs(1), 10),
+        Series::new(Duration::from_secs(1), 10),
+    );
     for n in [1, 3, 5] {
         one.bin(Duration::from_secs(n)).out += 10;
     }
--- a/examples/customers.rs
+++ b/examples/customers.rs
@@ -8,13 +8,22 @@
 use tulipwall::*;
 
 fn deployment(customers: usize) -> Deployment {
-    let lane = Lane { quoted: Duration::from_millis(400), benefit: 1.0, repeats: Repeats::Idempotent };
+    let lane = Lane {
+        quoted: Duration::from_millis(400),
+        benefit: 1.0,
+        repeats: Repeats::Idempotent,
+    };
     Deployment {
         seed: 1,
         agents: 1,
         zone: 0,
         lanes: vec![lane],
-        customers: vec![Customer { share: 1.0 / customers as f64 }; customers],
+        customers: vec![
+            Customer {
+                share: 1.0 / customers as f64
+            };
+            customers
+        ],
         benefit_by_work: false,
         list_asked: false,
         list_shared: false,
@@ -75,7 +84,14 @@
                 choice.take(
                     now,
                     id,
-                    Command { lane: 0, customer, key: None, left, work: None, again: false },
+                    Command {
+                        lane: 0,
+                        customer,
+                        key: None,
+                        left,
+                        work: None,
+                        again: false,
+                    },
                 );
                 let begun = Instant::now();
                 let answer = black_box(choice.place(now, id));
@@ -86,7 +102,12 @@
                         now,
                         id,
                         0,
-                        End { outcome: Outcome::Satisfied, took, closed: true, held: None },
+                        End {
+                            outcome: Outcome::Satisfied,
+                            took,
+                            closed: true,
+                            held: None,
+                        },
                     );
                 }
                 id += 1;
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -14,15 +14,21 @@
     pub(super) fn resume(&mut self, now: Duration) {
         if now > self.survey_at + SURVEY * 2 && self.resumed < now {
             self.resumed = now;
-            self.fleet.iter_mut().for_each(|a| a.unheard = a.unheard.map(|_| now));
+            self.fleet
+                .iter_mut()
+                .for_each(|a| a.unheard = a.unheard.map(|_| now));
         }
     }
 
     /// An appliance answered, and told or did not tell what it holds.
     pub fn told(&mut self, now: Duration, i: usize, outcome: Outcome, held: Option<f64>) {
-        let Some(a) = self.fleet.get_mut(i) else { return };
+        let Some(a) = self.fleet.get_mut(i) else {
+            return;
+        };
         a.asked = a.asked.filter(|_| outcome == Outcome::TimedOut);
-        let Some(held) = held.filter(|h| (0.0..1e6).contains(h)) else { return };
+        let Some(held) = held.filter(|h| (0.0..1e6).contains(h)) else {
+            return;
+        };
         (a.held, a.since) = (Some((held, now)), 0.0);
         if a.cold_since.is_none() && a.standing == Standing::Running {
             self.kinds[a.kind].held.follow(held, KIND_GAIN);
@@ -32,19 +38,34 @@
     /// Each survey: what each may draw, by its answer times against its fellows', and its quota while cold.
     pub(super) fn weigh(&mut self, now: Duration) {
         let trial = self.news.as_ref().map_or(0, |n| n.build);
-        let warm = self.running().filter(|(_, a)| a.cold_since.is_none()).count() as f64;
-        let (done, window) = (std::mem::take(&mut self.load.done), self.at.fall_for.div_duration_f64(SURVEY));
+        let warm = self
+            .running()
+            .filter(|(_, a)| a.cold_since.is_none())
+            .count() as f64;
+        let (done, window) = (
+            std::mem::take(&mut self.load.done),
+            self.at.fall_for.div_duration_f64(SURVEY),
+        );
         if warm * 4.0 > self.running().count() as f64 {
             self.carried.follow(done / warm, KIND_GAIN);
         }
         let median = |of: &dyn Fn(&Appliance) -> bool| {
-            let warm = self.running().filter(|(_, a)| a.cold_since.is_none() && of(a));
+            let warm = self
+                .running()
+                .filter(|(_, a)| a.cold_since.is_none() && of(a));
             let highs = sorted(warm.map(|(_, a)| a.high));
-            highs.get(highs.len() / 2).copied().filter(|_| highs.len() > 2)
+            highs
+                .get(highs.len() / 2)
+                .copied()
+                .filter(|_| highs.len() > 2)
         };
         let all = median(&|_| true).unwrap_or(1.0);
-        let side = |kind, newest| median(&|a| a.kind == kind && (a.build >= trial) == newest).unwrap_or(all);
-        let fellows: Vec<_> = (0..self.kinds.len()).map(|k| [side(k, false), side(k, true)]).collect();
+        let side = |kind, newest| {
+            median(&|a| a.kind == kind && (a.build >= trial) == newest).unwrap_or(all)
+        };
+        let fellows: Vec<_> = (0..self.kinds.len())
+            .map(|k| [side(k, false), side(k, true)])
+            .collect();
         Kind::weigh(&mut self.kinds);
         let carried = self.carried.now * self.crossings.cold * self.at.cold_part;
         for a in &mut self.fleet {
@@ -57,17 +78,38 @@
             a.turns = turns;
             let median = fellows[a.kind][usize::from(a.build >= trial)];
             let pace = (a.high / median).max(0.3);
-            a.weight = if pace < 1.5 { pace.powf(-0.5) } else { 1.5f64.powf(1.5) * pace.powi(-2) };
+            a.weight = if pace < 1.5 {
+                pace.powf(-0.5)
+            } else {
+                1.5f64.powf(1.5) * pace.powi(-2)
+            };
             a.high += (median - a.high) * FORGIVE;
         }
     }
 
-    pub(super) fn learn(&mut self, now: Duration, i: usize, build: u32, lane: usize, end: &End, blame: f64) {
+    pub(super) fn learn(
+        &mut self,
+        now: Duration,
+        i: usize,
+        build: u32,
+        lane: usize,
+        end: &End,
+        blame: f64,
+    ) {
         let newest = self.news.as_ref().is_some_and(|n| build >= n.build);
-        let round = self.fleet.len() as f64 / self.lanes.iter().map(|l| l.rate).sum::<f64>().max(1.0);
+        let round =
+            self.fleet.len() as f64 / self.lanes.iter().map(|l| l.rate).sum::<f64>().max(1.0);
         let round = Duration::from_secs_f64(round).clamp(ASIDE_FIRST, ASIDE_MOST * 2);
-        let way = self.crossings.zones.get(self.fleet[i].zone).map_or(0.0, |t| t.added.as_secs_f64());
-        let (judged, trial, took) = (self.judged(now), self.on_trial(build), end.took.as_secs_f64());
+        let way = self
+            .crossings
+            .zones
+            .get(self.fleet[i].zone)
+            .map_or(0.0, |t| t.added.as_secs_f64());
+        let (judged, trial, took) = (
+            self.judged(now),
+            self.on_trial(build),
+            end.took.as_secs_f64(),
+        );
         let (a, l) = (&mut self.fleet[i], &mut self.lanes[lane]);
         a.in_flight = a.in_flight.saturating_sub(1);
         if a.build != build || a.standing != Standing::Running {
@@ -76,11 +118,17 @@
         // The earlier build's outcomes are weighed by what the trial gets at the same time.
         self.beside.late[usize::from(newest)] += 1.0;
         let [base, tried] = self.beside.late;
-        let weight = if newest { 0.0 } else { (BESIDE * tried / base.max(1.0)).min(1.0) };
+        let weight = if newest {
+            0.0
+        } else {
+            (BESIDE * tried / base.max(1.0)).min(1.0)
+        };
         let beside = &mut self.beside.counts[lane];
         // Lost, unless the appliance has answered others since: then this one was only heavy.
         let stalled = self.resumed == now;
-        let mute = !stalled && a.unheard.is_some_and(|t| t + end.took <= now + self.at.tick);
+        let mute = !stalled
+            && a.unheard
+                .is_some_and(|t| t + end.took <= now + self.at.tick);
         let mut lost = end.outcome == Outcome::NoConnection;
         match end.outcome {
             Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway => {
@@ -90,7 +138,8 @@
                 }
                 (a.unheard, a.strikes) = (Some(now), 0);
             }
-            o if o == Outcome::NotSent || !mute && matches!(o, Outcome::TimedOut | Outcome::Withdrawn) => {}
+            o if o == Outcome::NotSent
+                || !mute && matches!(o, Outcome::TimedOut | Outcome::Withdrawn) => {}
             _ => {
                 a.strikes += 1;
                 a.counts[lane].lost += 1.0;
@@ -102,17 +151,27 @@
         l.waited += if vain { took } else { 0.0 };
         // Nothing out, nothing owed: after its rest one command tries whether it is back.
         a.unheard = a.unheard.filter(|_| a.in_flight > 0);
-        l.done += if matches!(end.outcome, Outcome::Satisfied | Outcome::Failed) { 1.0 } else { 0.0 };
+        l.done += if matches!(end.outcome, Outcome::Satisfied | Outcome::Failed) {
+            1.0
+        } else {
+            0.0
+        };
         if end.outcome == Outcome::Failed {
             a.failing += 0.15 * blame * (1.0 - a.failing);
             // Guards against machines that fail whatever they run: while some of the earlier build do, one of
             // the trial that fails as badly says nothing of its build. May let a bad build on for that time.
             let sick = newest && now < self.sick_until && a.failing > SICK_SHARE;
-            a.counts.iter_mut().filter(|_| sick).for_each(|c| c.failed = 0.0);
+            a.counts
+                .iter_mut()
+                .filter(|_| sick)
+                .for_each(|c| c.failed = 0.0);
             a.counts[lane].failed += if sick { 0.0 } else { blame };
             beside.failed += weight * blame;
-            self.sick_until =
-                if !newest && a.failing > SICK_SHARE { now + SICK_FOR } else { self.sick_until };
+            self.sick_until = if !newest && a.failing > SICK_SHARE {
+                now + SICK_FOR
+            } else {
+                self.sick_until
+            };
         }
         if end.outcome == Outcome::Satisfied {
             a.counts[lane].satisfied += 1.0;
@@ -133,23 +192,36 @@
                 if !trial {
                     l.seen = (l.seen + 1.0).min(50.0);
                     l.usual += (took.min(l.usual * 10.0) - l.usual) / l.seen;
-                    let side = if a.zone == self.at.zone { &mut self.load.near } else { &mut self.load.far };
+                    let side = if a.zone == self.at.zone {
+                        &mut self.load.near
+                    } else {
+                        &mut self.load.far
+                    };
                     *side += (x - *side) * 0.03;
                 }
             }
             if a.failing < SICK_SHARE && a.aside.take().is_some() {
                 a.aside_for = ASIDE_FIRST;
-                self.notes.extend(std::mem::take(&mut a.noted).then(|| format!("taken back: appliance {i}")));
+                self.notes.extend(
+                    std::mem::take(&mut a.noted).then(|| format!("taken back: appliance {i}")),
+                );
             }
         }
         // A build on trial must be heard before its appliances rest, or it would never be judged.
         let heard = !newest || Count::sum(&a.counts).all() >= LEAST_OUTCOMES;
         if (lost || heard && a.failing > SICK_SHARE) && a.aside.is_none_or(|t| now >= t) {
             if a.aside_for > ASIDE_FIRST && !std::mem::replace(&mut a.noted, true) {
-                self.notes.push(format!("set aside: appliance {i}, build {build}, after {:?}", end.outcome));
+                self.notes.push(format!(
+                    "set aside: appliance {i}, build {build}, after {:?}",
+                    end.outcome
+                ));
             }
             // Guards a quiet agent against dead machines whose rest is over whenever their turn comes.
-            let dead = if end.outcome == Outcome::NoConnection { round } else { ASIDE_FIRST };
+            let dead = if end.outcome == Outcome::NoConnection {
+                round
+            } else {
+                ASIDE_FIRST
+            };
             a.aside = Some(now + a.aside_for.max(dead));
             a.aside_for = (a.aside_for * 2).clamp(ASIDE_FIRST * 2, ASIDE_MOST);
         }
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -18,39 +18,71 @@
         let (repeats, again) = (self.lanes[c.lane].repeats, !c.deliveries.is_empty());
         let effect = repeats != Repeats::Idempotent;
         let bound = c.key.and_then(|k| self.bound.get(&k)).copied().unwrap_or(0);
-        let lasts = |n: &&News| bound >= n.build && matches!(n.phase, Phase::Trial | Phase::Released);
+        let lasts =
+            |n: &&News| bound >= n.build && matches!(n.phase, Phase::Trial | Phase::Released);
         let floor = self.news.as_ref().filter(lasts).map_or(0, |n| n.build);
         let way = |zone: usize| self.crossings.zones.get(zone);
-        let own = |zone| if zone == self.at.zone { 1.0 } else { self.load.abroad };
+        let own = |zone| {
+            if zone == self.at.zone {
+                1.0
+            } else {
+                self.load.abroad
+            }
+        };
         let side = |zone| way(zone).and_then(|w| w.draw).unwrap_or_else(|| own(zone));
         // Earlier appliances that go at the release leave their load to those on trial, if none is doubted.
         let (mut all, mut places, mut fresh, mut fair) = (0.0, 0.0, 0.0, 0.0);
         for (_, a) in self.running() {
-            let (new, old) = if self.on_trial(a.build) { (self.at.ramp(now, a), 0.0) } else { (0.0, 1.0) };
-            (all, places, fresh, fair) = (all + 1.0, places + old, fresh + new, fair + side(a.zone));
+            let (new, old) = if self.on_trial(a.build) {
+                (self.at.ramp(now, a), 0.0)
+            } else {
+                (0.0, 1.0)
+            };
+            (all, places, fresh, fair) =
+                (all + 1.0, places + old, fresh + new, fair + side(a.zone));
         }
         let fair = fair / f64::max(all, 1.0);
         let stays = self.at.in_place || self.builds.values().any(|b| b.regressed);
-        let yields = if stays { 1.0 } else { (1.0 - fresh / f64::max(places, 1.0)).max(LEFT) };
-        let heavy = c.work.is_some_and(|w| w.as_secs_f64() > self.lanes[c.lane].quoted * HEAVY);
+        let yields = if stays {
+            1.0
+        } else {
+            (1.0 - fresh / f64::max(places, 1.0)).max(LEFT)
+        };
+        let heavy = c
+            .work
+            .is_some_and(|w| w.as_secs_f64() > self.lanes[c.lane].quoted * HEAVY);
         let mut pool: [Vec<(usize, f64, f64)>; 4] = Default::default();
         let (nth, soon) = (c.deliveries.len(), now + self.at.tick);
         let fits = |a: &Appliance| a.build >= floor && c.within_group(nth, repeats, a, soon);
         let open = |a: &Appliance| a.cold_since.is_none() || a.quota >= 1.0;
-        for (i, a) in self.running().filter(|(_, a)| fits(a) && open(a) && self.may_expose(a.build, c.lane)) {
+        for (i, a) in self
+            .running()
+            .filter(|(_, a)| fits(a) && open(a) && self.may_expose(a.build, c.lane))
+        {
             let (ramp, trial) = (self.at.ramp(now, a), self.on_trial(a.build));
             let regressed = self.builds.get(&a.build).is_some_and(|b| b.regressed);
             // The build on trial gets an even share from every zone, a regressed one a trickle.
             let fair = if regressed { fair * TRICKLE } else { fair };
             let share = if trial { fair } else { side(a.zone) * yields };
             // Guards heavy commands against slow machines, quick at no load. Crowds the quick ones.
-            let Kind { rate, slower, held, .. } = self.kinds[a.kind];
-            let (quick, least) = if heavy { (slower.powi(-4), 1.0 + held.now) } else { (1.0, 0.0) };
+            let Kind {
+                rate, slower, held, ..
+            } = self.kinds[a.kind];
+            let (quick, least) = if heavy {
+                (slower.powi(-4), 1.0 + held.now)
+            } else {
+                (1.0, 0.0)
+            };
             let draw = a.weight * rate * ramp * share * quick;
-            let draw = if a.cold_since.is_some() { draw * (1.0 / a.turns).clamp(1.0, all) } else { draw };
+            let draw = if a.cold_since.is_some() {
+                draw * (1.0 / a.turns).clamp(1.0, all)
+            } else {
+                draw
+            };
             let tried = c.deliveries.iter().any(|d| d.appliance == i);
             let resting = a.aside.is_some_and(|t| now < t) || a.strikes > 1 && effect;
-            let second = trial && regressed && effect || a.aside.is_some() && (effect || a.in_flight > 0);
+            let second =
+                trial && regressed && effect || a.aside.is_some() && (effect || a.in_flight > 0);
             // Where crossing is short it comes last of what can answer; no budget may leave a trial unjudged.
             let spared = !trial && way(a.zone).is_some_and(|w| w.spares(c.lane, again));
             let rank = match (resting || a.silent(now, patience), tried || second) {
@@ -58,7 +90,11 @@
                 (_, true) => 2,
                 _ => usize::from(spared),
             };
-            pool[rank].push((i, draw, self.busy(now, a).max(least) / (a.weight * rate * ramp)));
+            pool[rank].push((
+                i,
+                draw,
+                self.busy(now, a).max(least) / (a.weight * rate * ramp),
+            ));
         }
         let (fit, rng) = (pool.iter().find(|p| !p.is_empty())?, self.rng.as_mut()?);
         let mut draw = || fit.choose_weighted(rng, |c| c.1).ok().or(fit.last());
@@ -72,8 +108,18 @@
             let [a, b] = choices.map(|i| fit.iter().find(|f| f.0 == i));
             (one, two) = (a.or(b).unwrap_or(one), b.or(a).unwrap_or(two));
         }
-        let cost = |f: &(usize, f64, f64)| f.2 * if home.map(|h| h.0) == Some(f.0) { WARM } else { 1.0 };
-        Some(if cost(two) < cost(one) { [two.0, one.0] } else { [one.0, two.0] })
+        let cost = |f: &(usize, f64, f64)| {
+            f.2 * if home.map(|h| h.0) == Some(f.0) {
+                WARM
+            } else {
+                1.0
+            }
+        };
+        Some(if cost(two) < cost(one) {
+            [two.0, one.0]
+        } else {
+            [one.0, two.0]
+        })
     }
 
     /// Commands in flight there: its own, or what the appliance said, near its kind's mean as that ages.
@@ -89,18 +135,35 @@
 
     /// Whether the two choices are asked for what they hold before one is taken.
     pub(super) fn ask(&mut self, now: Duration, id: u64, choices: [usize; 2]) -> bool {
-        let c = self.commands.get_mut(&id).filter(|c| c.deliveries.is_empty() && c.choices.is_none());
-        let Some(c) = c.filter(|_| self.at.probes && self.load.limit.is_some()) else { return false };
+        let c = self
+            .commands
+            .get_mut(&id)
+            .filter(|c| c.deliveries.is_empty() && c.choices.is_none());
+        let Some(c) = c.filter(|_| self.at.probes && self.load.limit.is_some()) else {
+            return false;
+        };
         c.choices = Some(choices);
-        let due = |a: &Appliance| a.held.map(|h| h.1).max(a.asked).is_none_or(|t| now > t + FRESH);
-        let due: Vec<usize> = choices.into_iter().filter(|i| due(&self.fleet[*i])).collect();
+        let due = |a: &Appliance| {
+            a.held
+                .map(|h| h.1)
+                .max(a.asked)
+                .is_none_or(|t| now > t + FRESH)
+        };
+        let due: Vec<usize> = choices
+            .into_iter()
+            .filter(|i| due(&self.fleet[*i]))
+            .collect();
         due.iter().for_each(|i| self.fleet[*i].asked = Some(now));
         self.asks.extend(&due);
         !due.is_empty()
     }
 
     pub(crate) fn patience(&self) -> Duration {
-        let high = self.lanes.iter().map(|l| l.high.max(l.usual * 2.3)).fold(0.0, f64::max);
+        let high = self
+            .lanes
+            .iter()
+            .map(|l| l.high.max(l.usual * 2.3))
+            .fold(0.0, f64::max);
         Duration::from_secs_f64((high * 2.0).clamp(0.1, 3.0))
     }
 
@@ -115,18 +178,35 @@
     }
 
     pub(super) fn send(&mut self, now: Duration, id: u64, i: usize, wait: Duration) -> Answer {
-        let Some(c) = self.commands.get_mut(&id) else { return Answer::Wait };
-        let (a, lane, left) = (&mut self.fleet[i], &self.lanes[c.lane], c.expires.saturating_sub(now));
-        let again = c.deliveries.len() + 1 < self.at.deliveries && lane.repeats != Repeats::Unrepeatable;
+        let Some(c) = self.commands.get_mut(&id) else {
+            return Answer::Wait;
+        };
+        let (a, lane, left) = (
+            &mut self.fleet[i],
+            &self.lanes[c.lane],
+            c.expires.saturating_sub(now),
+        );
+        let again =
+            c.deliveries.len() + 1 < self.at.deliveries && lane.repeats != Repeats::Unrepeatable;
         let soon = Duration::from_secs_f64((lane.usual * 6.0).max(lane.quoted * 0.8));
-        let time_out = if again && !self.at.withdraw { soon.min(left) } else { left };
-        let look = (again && self.at.withdraw).then_some(now + wait).filter(|t| *t < c.expires);
+        let time_out = if again && !self.at.withdraw {
+            soon.min(left)
+        } else {
+            left
+        };
+        let look = (again && self.at.withdraw)
+            .then_some(now + wait)
+            .filter(|t| *t < c.expires);
         let (build, slot) = (a.build, self.at.slot(c.lane));
         c.deliveries.push(a.send(i, now));
         self.load.in_flight += 1;
         if self.on_trial(build) {
             self.build(build).tokens[slot] -= 1.0;
         }
-        Answer::Send { appliance: i, time_out, look }
+        Answer::Send {
+            appliance: i,
+            time_out,
+            look,
+        }
     }
 }
--- a/src/choice/renewal.rs
+++ b/src/choice/renewal.rs
@@ -37,7 +37,11 @@
         }
         // A longer time to warm holds for who has not had it.
         let cold_for = self.at.cold_for;
-        for a in self.fleet.iter_mut().filter(|a| a.cold_since.is_none() && cold_for > was.cold_for) {
+        for a in self
+            .fleet
+            .iter_mut()
+            .filter(|a| a.cold_since.is_none() && cold_for > was.cold_for)
+        {
             a.cold_since = a.started.filter(|s| *s + cold_for > now);
         }
         if was.ask_within.is_none() && self.at.ask_within.is_some() {
@@ -48,7 +52,10 @@
     /// These appliances' zones have other numbers now.
     pub fn rezone(&mut self, zones: &[(usize, usize)]) {
         for (appliance, zone) in zones {
-            self.fleet.get_mut(*appliance).into_iter().for_each(|a| a.zone = *zone);
+            self.fleet
+                .get_mut(*appliance)
+                .into_iter()
+                .for_each(|a| a.zone = *zone);
         }
     }
 
@@ -74,13 +81,42 @@
             Origin::Over if lanes.from[n].is_some() => known(n, l),
             // What it was answered goes on under its new number; here it would count twice.
             Origin::Over => {
-                let LaneView { quoted, benefit, repeats, seen, usual, least, half, high, .. } = known(n, l);
-                LaneView { quoted, benefit, repeats, seen, usual, least, half, high, ..LaneView::default() }
+                let LaneView {
+                    quoted,
+                    benefit,
+                    repeats,
+                    seen,
+                    usual,
+                    least,
+                    half,
+                    high,
+                    ..
+                } = known(n, l);
+                LaneView {
+                    quoted,
+                    benefit,
+                    repeats,
+                    seen,
+                    usual,
+                    least,
+                    half,
+                    high,
+                    ..LaneView::default()
+                }
             }
             // One that takes part in no sum, and is never slow.
-            Origin::Free => LaneView { quoted: 1.0, ..LaneView::default() },
+            Origin::Free => LaneView {
+                quoted: 1.0,
+                ..LaneView::default()
+            },
         };
-        self.lanes = d.lanes.iter().zip(&by.lanes).enumerate().map(view).collect();
+        self.lanes = d
+            .lanes
+            .iter()
+            .zip(&by.lanes)
+            .enumerate()
+            .map(view)
+            .collect();
     }
 }
 
@@ -105,7 +141,10 @@
             _ => None,
         };
         let from: Vec<_> = by.iter().enumerate().map(from).collect();
-        Carry { same: from.iter().enumerate().all(|(n, f)| *f == Some(n)), from }
+        Carry {
+            same: from.iter().enumerate().all(|(n, f)| *f == Some(n)),
+            from,
+        }
     }
 
     fn carry<T: Clone + Default>(&self, kept: &mut Vec<T>) {
--- a/src/choice/verdict.rs
+++ b/src/choice/verdict.rs
@@ -36,14 +36,21 @@
 impl Choice {
     pub fn flag(&mut self, now: Duration, appliance: usize, lane: usize, age: Duration) {
         let own = |a: &&mut Appliance| a.started.unwrap_or_default() + age <= now;
-        let count = self.fleet.get_mut(appliance).filter(own).and_then(|a| a.counts.get_mut(lane));
+        let count = self
+            .fleet
+            .get_mut(appliance)
+            .filter(own)
+            .and_then(|a| a.counts.get_mut(lane));
         count.into_iter().for_each(|c| c.flagged += 1.0);
     }
 
     /// What the platform counted over all agents.
     pub fn tally(&mut self, t: &Tally) {
         let build = self.builds.get_mut(&t.build);
-        build.and_then(|b| b.tallied.get_mut(t.lane)).into_iter().for_each(|s| s.add(t));
+        build
+            .and_then(|b| b.tallied.get_mut(t.lane))
+            .into_iter()
+            .for_each(|s| s.add(t));
     }
 
     /// What the platform's counts show beyond chance: that the trial fails far more than the earlier build,
@@ -56,11 +63,20 @@
             let far = apart((t.failed, t.all), (e.failed, e.all)) > TALLY_APART;
             far && e.all >= LEAST_OUTCOMES && t.failed > most
         };
-        let failing = t.iter().zip(e).chain([(&Tallied::sum(t), &Tallied::sum(e))]).any(fails);
+        let failing = t
+            .iter()
+            .zip(e)
+            .chain([(&Tallied::sum(t), &Tallied::sum(e))])
+            .any(fails);
         let (answers, ratio) = Tallied::pace(t, e);
         let slow = ratio > TALLY_SLOW && strange(answers, ratio / PACE_EXCUSED) > TALLY_APART;
         let even = self.at.tallied && (answers < LEAST_OUTCOMES || ratio < PACE_EXCUSED);
-        (failing.then_some("counted as failing").or(slow.then_some("counted as slow")), even)
+        (
+            failing
+                .then_some("counted as failing")
+                .or(slow.then_some("counted as slow")),
+            even,
+        )
     }
 
     pub(crate) fn on_trial(&self, build: u32) -> bool {
@@ -71,7 +87,10 @@
     /// Whether the newest build runs, on trial or not long since its newest start.
     pub(super) fn judged(&self, now: Duration) -> bool {
         let Some(n) = &self.news else { return false };
-        let newest = self.builds.get(&n.build).map_or(Duration::ZERO, |b| b.newest);
+        let newest = self
+            .builds
+            .get(&n.build)
+            .map_or(Duration::ZERO, |b| b.newest);
         let fresh = !newest.is_zero() && now < newest + SERVED;
         (fresh || self.on_trial(n.build)) && self.running().any(|(_, a)| a.build == n.build)
     }
@@ -79,19 +98,31 @@
     /// Hears once of each delivery whether it is quicker than half of the answers are. What is out for longer
     /// is not: where all slows, the slowest answers come last, and many of their clients have left by then.
     pub(super) fn hear(&mut self, id: u64, nth: usize, took: Duration) {
-        let Some(c) = self.commands.get_mut(&id) else { return };
+        let Some(c) = self.commands.get_mut(&id) else {
+            return;
+        };
         let (d, lane) = (&mut c.deliveries[nth], c.lane);
         let a = &self.fleet[d.appliance];
-        let way = self.crossings.zones.get(a.zone).map_or(0.0, |t| t.added.as_secs_f64());
+        let way = self
+            .crossings
+            .zones
+            .get(a.zone)
+            .map_or(0.0, |t| t.added.as_secs_f64());
         let quick = took.as_secs_f64() <= self.lanes[lane].half + way;
         if !a.warm_of(d.build) || !d.hear(quick) {
             return;
         }
-        let (newest, near) = (self.news.as_ref().is_some_and(|n| d.build >= n.build), a.zone == self.at.zone);
+        let (newest, near) = (
+            self.news.as_ref().is_some_and(|n| d.build >= n.build),
+            a.zone == self.at.zone,
+        );
         let quiet = !self.running().any(|(_, a)| self.on_trial(a.build));
         let step = if quick { 0.97 } else { 1.03 };
         self.lanes[lane].half *= if quiet { step } else { 1.0 };
-        self.drag.hear(usize::from(newest), (!quiet && (newest || near)).then_some(quick));
+        self.drag.hear(
+            usize::from(newest),
+            (!quiet && (newest || near)).then_some(quick),
+        );
     }
 
     /// Each survey: evidence ages, but for a baseline of few outcomes; the trial's does always.
@@ -101,17 +132,29 @@
         let trial = self.news.as_ref().map_or(0, |n| n.build);
         let old = |counts: &mut Vec<Count>, build: u32| {
             let fades = build >= trial || Count::sum(counts).all() > KEEP;
-            counts.iter_mut().filter(|_| fades).for_each(|c| c.mix(fade, &Count::default()));
+            counts
+                .iter_mut()
+                .filter(|_| fades)
+                .for_each(|c| c.mix(fade, &Count::default()));
         };
-        self.fleet.iter_mut().for_each(|a| old(&mut a.counts, a.build));
-        self.builds.iter_mut().for_each(|(number, b)| old(&mut b.past, *number));
-        self.builds.values_mut().flat_map(|b| &mut b.tallied).for_each(|t| t.fade(tally));
+        self.fleet
+            .iter_mut()
+            .for_each(|a| old(&mut a.counts, a.build));
+        self.builds
+            .iter_mut()
+            .for_each(|(number, b)| old(&mut b.past, *number));
+        self.builds
+            .values_mut()
+            .flat_map(|b| &mut b.tallied)
+            .for_each(|t| t.fade(tally));
         self.beside.fade(fade, late);
         let rate = self.lanes.iter().map(|l| l.rate).sum::<f64>() * SURVEY.as_secs_f64();
         let (judged, few) = (self.judged(now), (1.0 - rate / ENOUGH).max(PACE_FADE));
         self.drag.fade(few);
         self.intake.survey(judged, 1.0 - PACE_FADE, 1.0 - fade);
-        self.lanes.iter_mut().for_each(|l| l.fade_times(judged, ENOUGH, fade, few));
+        self.lanes
+            .iter_mut()
+            .for_each(|l| l.fade_times(judged, ENOUGH, fade, few));
     }
 
     pub(super) fn judge(&mut self, now: Duration) {
@@ -119,14 +162,28 @@
         let earlier = earlier(&self.builds, n.build);
         let was = self.builds.get(&n.build).is_some_and(|b| b.regressed);
         // Until the build has settled, a hold once placed is kept on half of what placed it.
-        let age = self.builds.get(&n.build).map_or(SETTLED, |b| now.saturating_sub(b.newest));
+        let age = self
+            .builds
+            .get(&n.build)
+            .map_or(SETTLED, |b| now.saturating_sub(b.newest));
         let ease = if was && age < SETTLED { 0.5 } else { 1.0 };
-        let sure =
-            if self.at.jury { AGREED_FAILED + self.at.one_of.ln() } else { CERTAIN + self.at.agents.ln() };
+        let sure = if self.at.jury {
+            AGREED_FAILED + self.at.one_of.ln()
+        } else {
+            CERTAIN + self.at.agents.ln()
+        };
         let (mut why, mut strength) = (None, 0.0f64);
         let (trial, before) = (self.totals(n.build), self.totals(earlier));
-        let (pool, base, beside) = (Count::sum(&trial), Count::sum(&before), Count::sum(&self.beside.counts));
-        let lanes = trial.iter().zip(&before).zip(&self.beside.counts).chain([((&pool, &base), &beside)]);
+        let (pool, base, beside) = (
+            Count::sum(&trial),
+            Count::sum(&before),
+            Count::sum(&self.beside.counts),
+        );
+        let lanes = trial
+            .iter()
+            .zip(&before)
+            .zip(&self.beside.counts)
+            .chain([((&pool, &base), &beside)]);
         // Guards, by the outcomes beside it, against troubles that meet both builds while the trial is on.
         // May let a bad build on longer where the earlier one gets little beside it.
         let ago = LONG_AGO[usize::from(beside.bad() + beside.flagged >= 0.5)];
@@ -138,47 +195,80 @@
             let known = whole.mixed(lacks, &thin);
             if let Some(what) = regressed([t, b, &known], self.at.flag_worth, sure * ease, ease) {
                 strength = strength.max(t.failed + t.flagged + t.lost);
-                why = Some(format!("lane {lane} {what}, trial {t:.0?}, earlier {b:.0?}, beside {s:.0?}"));
+                why = Some(format!(
+                    "lane {lane} {what}, trial {t:.0?}, earlier {b:.0?}, beside {s:.0?}"
+                ));
             }
         }
         // Some sick machines add little towards sending back: only as much as the part that shows failures.
-        let runs = || self.running().map(|(_, a)| a).filter(|a| a.build == n.build);
+        let runs = || {
+            self.running()
+                .map(|(_, a)| a)
+                .filter(|a| a.build == n.build)
+        };
         let held = runs().count().max(1) as f64;
         strength *= runs().filter(|a| Count::sum(&a.counts).shows()).count() as f64 / held;
         self.drags(now, &n, age);
         // Wrong answers come from no sick machine, and a right one is told as wrong but rarely.
-        let apart = apart((pool.flagged, pool.satisfied), (base.flagged, base.satisfied));
+        let apart = apart(
+            (pool.flagged, pool.satisfied),
+            (base.flagged, base.satisfied),
+        );
         let wrong = pool.flagged >= LEAST_FLAGS && apart > AGREED_WRONG + self.at.one_of.ln();
         let open = n.phase == Phase::Trial || n.phase == Phase::Released && age < SERVED;
         let (tallied, even) = self.tallied(n.build, earlier);
-        let agreed = open && (self.at.jury && (self.drag.slow && !even || wrong) || tallied.is_some());
+        let agreed =
+            open && (self.at.jury && (self.drag.slow && !even || wrong) || tallied.is_some());
         if agreed || n.phase == Phase::Trial && self.drag.alarm && !even {
-            strength = if self.drag.alarm { LEAST_FAILURES / 2.0 } else { strength };
-            let slows = if wrong { "wrong answers" } else { "the fleet slows with it" };
+            strength = if self.drag.alarm {
+                LEAST_FAILURES / 2.0
+            } else {
+                strength
+            };
+            let slows = if wrong {
+                "wrong answers"
+            } else {
+                "the fleet slows with it"
+            };
             why = Some(tallied.unwrap_or(slows).into());
         }
         let seen = why.is_some();
         if seen != was {
             let lift = || format!("lift: build {} shows no regression", n.build);
-            self.notes.push(why.map_or_else(lift, |why| format!("regressed: build {}, {why}", n.build)));
+            self.notes
+                .push(why.map_or_else(lift, |why| format!("regressed: build {}, {why}", n.build)));
         }
         let b = self.build(n.build);
         b.regressed = seen;
-        b.shown = if seen { b.shown + strength * SURVEY.as_secs_f64() } else { b.shown * BACK_FADE };
+        b.shown = if seen {
+            b.shown + strength * SURVEY.as_secs_f64()
+        } else {
+            b.shown * BACK_FADE
+        };
         let lasting = seen && b.shown >= BACK_WEIGHT;
         // No hold spares small agents, gives back places or guards from wrong answers and a released build:
         // where several must agree, half of them send back at once, the others once their hold stands.
         let taken = self.at.in_place && held > BACK_SHARE * self.running().count() as f64;
-        let held_first = self.votes.standing.as_ref().is_some_and(|(v, _)| v.build == n.build);
+        let held_first = self
+            .votes
+            .standing
+            .as_ref()
+            .is_some_and(|(v, _)| v.build == n.build);
         let verdict = match n.phase {
             _ if agreed => Some(Verdict::Back),
             Phase::Released if lasting && age < SERVED => Some(Verdict::Back),
             Phase::Trial if lasting && taken || seen && wrong && held_first => Some(Verdict::Back),
-            Phase::Trial if seen && self.at.jury && (self.votes.severe || held_first) => Some(Verdict::Back),
+            Phase::Trial if seen && self.at.jury && (self.votes.severe || held_first) => {
+                Some(Verdict::Back)
+            }
             Phase::Trial if seen => Some(Verdict::Hold),
             _ => None,
         };
-        self.votes.want = verdict.map(|verdict| Vote { build: n.build, stage: n.stage, verdict });
+        self.votes.want = verdict.map(|verdict| Vote {
+            build: n.build,
+            stage: n.stage,
+            verdict,
+        });
     }
 
     /// Guards against a build that slows old and new alike. Holds a good one where all slows by chance.
@@ -187,13 +277,22 @@
         // Guards where no agent sees enough to hold: all answers of late against the calm ones, by their mean
         // and, as some slow machines leave it alone, by the quick half. May pass over a bad build in a rush.
         self.lanes.iter_mut().for_each(|l| l.open = 0.0);
-        self.commands.values().for_each(|c| self.lanes[c.lane].open += c.waits(now, self.resumed));
-        let out = self.commands.iter().flat_map(|(id, c)| c.out().map(|(nth, d)| (*id, nth, d.sent)));
+        self.commands
+            .values()
+            .for_each(|c| self.lanes[c.lane].open += c.waits(now, self.resumed));
+        let out = self
+            .commands
+            .iter()
+            .flat_map(|(id, c)| c.out().map(|(nth, d)| (*id, nth, d.sent)));
         for (id, nth, sent) in out.collect::<Vec<_>>() {
             self.hear(id, nth, now.saturating_sub(sent.max(self.resumed)));
         }
         let (quick, ratio, answers) = LaneView::slowed(&self.lanes);
-        let beyond = if answers < LEAST_OUTCOMES { 0.0 } else { strange(answers, ratio / PACE_EXCUSED) };
+        let beyond = if answers < LEAST_OUTCOMES {
+            0.0
+        } else {
+            strange(answers, ratio / PACE_EXCUSED)
+        };
         let sure = quick < QUICK_SHARE && beyond > AGREED + self.at.voice;
         // In place, what is still cold is missed: its load slows all, as a rush does that many agents share.
         let able = |(_, a): (usize, &Appliance)| self.at.ramp(now, a) - ABLE;
@@ -210,7 +309,8 @@
         d.heavy |= started && own < share * SLOW_SHARE && apart > far;
         let gone = gone + if own < QUICK_SHARE { apart } else { 0.0 };
         let sudden = age < SETTLED && !short && share < QUICK_SHARE && gone > far;
-        d.alarm = started && (sudden || slow || d.alarm && share.min(own * 1.4) < QUICK_SHARE * 1.2);
+        d.alarm =
+            started && (sudden || slow || d.alarm && share.min(own * 1.4) < QUICK_SHARE * 1.2);
     }
 
     /// Counts of a build by lane. Of an earlier build the lost answers of appliances set aside are left out.
@@ -224,8 +324,20 @@
         let most = each().map(bad).sum::<f64>() / 2.0;
         let sick = newest && each().count() > 2;
         for a in each().filter(|a| !sick || bad(a) <= most) {
-            let kept = if newest || a.aside.is_none() { 1.0 } else { 0.0 };
-            sum.iter_mut().zip(&a.counts).for_each(|(s, c)| s.mix(1.0, &Count { lost: c.lost * kept, ..*c }));
+            let kept = if newest || a.aside.is_none() {
+                1.0
+            } else {
+                0.0
+            };
+            sum.iter_mut().zip(&a.counts).for_each(|(s, c)| {
+                s.mix(
+                    1.0,
+                    &Count {
+                        lost: c.lost * kept,
+                        ..*c
+                    },
+                )
+            });
         }
         sum
     }
@@ -239,7 +351,9 @@
     let came = |c: &Count| (c.failed + c.flagged * worth, c.satisfied + c.failed);
     let ((bad, all), (failed, of)) = (came(t), came(b));
     let seen = t.failed + t.flagged;
-    let grave = seen >= LEAST_FAILURES * ease && bad > FAILED_SHARE * ease * all && failed < BASE_SHARE * of;
+    let grave = seen >= LEAST_FAILURES * ease
+        && bad > FAILED_SHARE * ease * all
+        && failed < BASE_SHARE * of;
     if grave && strange(|c| (c.failed + c.flagged, c.satisfied + c.failed)) {
         return Some("failed");
     }
--- a/src/choice/votes.rs
+++ b/src/choice/votes.rs
@@ -4,20 +4,33 @@
 
 impl Choice {
     pub(super) fn vote(&mut self, now: Duration) -> Option<Vote> {
-        if self.votes.pending.as_ref().is_some_and(|(_, sent)| now >= *sent + self.at.vote_wait + GAP * 2) {
+        if self
+            .votes
+            .pending
+            .as_ref()
+            .is_some_and(|(_, sent)| now >= *sent + self.at.vote_wait + GAP * 2)
+        {
             self.reply(now, Reply::Unknown);
         }
         if self.votes.pending.is_some() || now < self.votes.at || !self.at.votes {
             return None;
         }
         let (life, want) = (self.at.vote_life, self.votes.want.clone());
-        let on = |v: &Vote| self.news.as_ref().is_some_and(|n| n.build == v.build && n.phase == Phase::Trial);
-        let moot = |(v, at): &mut (Vote, Duration)| want.is_none() && (!on(v) || now > *at + life * 2);
+        let on = |v: &Vote| {
+            self.news
+                .as_ref()
+                .is_some_and(|n| n.build == v.build && n.phase == Phase::Trial)
+        };
+        let moot =
+            |(v, at): &mut (Vote, Duration)| want.is_none() && (!on(v) || now > *at + life * 2);
         self.votes.standing.take_if(moot);
         let vote = match (want, &self.votes.standing) {
             (Some(w), Some((s, at))) if w == *s && now < *at + life / 2 => return None,
             (Some(w), _) => w,
-            (None, Some((s, _))) => Vote { verdict: Verdict::None, ..s.clone() },
+            (None, Some((s, _))) => Vote {
+                verdict: Verdict::None,
+                ..s.clone()
+            },
             (None, None) => return None,
         };
         self.votes.pending = Some((vote.clone(), now));
@@ -26,7 +39,9 @@
 
     /// The platform's answer to the vote that is out.
     pub fn reply(&mut self, now: Duration, r: Reply) {
-        let Some((vote, _)) = self.votes.pending.take() else { return };
+        let Some((vote, _)) = self.votes.pending.take() else {
+            return;
+        };
         self.votes.gap = match r {
             Reply::Counted | Reply::Moot => GAP,
             Reply::Refused | Reply::Unknown => (self.votes.gap * 2).clamp(GAP, ms(2000)),
@@ -39,6 +54,10 @@
             (Reply::Unknown, Verdict::Hold | Verdict::Back) => Some((vote, lapsed)),
             _ => self.votes.standing.take(),
         };
-        self.votes.at = now + self.votes.gap.max(Duration::from_secs_f64(self.at.vote_share.min(2.0)));
+        self.votes.at = now
+            + self
+                .votes
+                .gap
+                .max(Duration::from_secs_f64(self.at.vote_share.min(2.0)));
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -116,7 +116,11 @@
     }
     /// Of all of them together, in milliseconds, by the middle of each size.
     pub fn sum(&self) -> f64 {
-        self.0.iter().enumerate().map(|(i, n)| n * ((i as f64 + 0.5) / 4.0).exp2()).sum()
+        self.0
+            .iter()
+            .enumerate()
+            .map(|(i, n)| n * ((i as f64 + 0.5) / 4.0).exp2())
+            .sum()
     }
     pub fn from(&self, size: usize) -> f64 {
         self.0.iter().skip(size).sum()
@@ -218,14 +222,20 @@
 pub(crate) struct Kind {
     pub pace: Mean,
     pub held: Mean,
-    pub rate: f64,   // what one of them gets done against the mean of all kinds, by Little's law,
-    pub step: f64,   // the same in steps of half an octave, so that agents find the same,
+    pub rate: f64, // what one of them gets done against the mean of all kinds, by Little's law,
+    pub step: f64, // the same in steps of half an octave, so that agents find the same,
     pub slower: f64, // and its answer times
 }
 
 impl Default for Kind {
     fn default() -> Kind {
-        Kind { pace: Mean::default(), held: Mean::default(), rate: 1.0, step: 1.0, slower: 1.0 }
+        Kind {
+            pace: Mean::default(),
+            held: Mean::default(),
+            rate: 1.0,
+            step: 1.0,
+            slower: 1.0,
+        }
     }
 }
 
@@ -233,7 +243,8 @@
     /// Sets all kinds against their mean, once enough is known of them.
     pub fn weigh(kinds: &mut [Kind]) {
         let known = |k: &Kind, n: f64| (n > 9.0).then_some(k.pace.now.max(0.05));
-        let rate = |k: &Kind| known(k, k.pace.seen.min(k.held.seen)).map(|pace| (k.held.now + 1.0) / pace);
+        let rate =
+            |k: &Kind| known(k, k.pace.seen.min(k.held.seen)).map(|pace| (k.held.now + 1.0) / pace);
         let pace = |k: &Kind| known(k, k.pace.seen);
         let mean = |of: &dyn Fn(&Kind) -> Option<f64>| {
             let all: Vec<f64> = kinds.iter().filter_map(of).collect();
@@ -255,7 +266,7 @@
     pub past: Vec<Count>, // of appliances that have gone
     pub newest: Duration,
     pub regressed: bool,
-    pub shown: f64,            // failures times the seconds for which they showed, fading
+    pub shown: f64, // failures times the seconds for which they showed, fading
     pub tallied: Vec<Tallied>, // by lane
 }
 
@@ -272,7 +283,10 @@
         if !t.deliveries.is_finite() || !t.failed.is_finite() {
             return;
         }
-        let (all, failed) = (t.deliveries.max(0.0), t.failed.clamp(0.0, t.deliveries.max(0.0)));
+        let (all, failed) = (
+            t.deliveries.max(0.0),
+            t.failed.clamp(0.0, t.deliveries.max(0.0)),
+        );
         (self.all, self.failed) = (self.all + all, self.failed + failed);
         self.took += (all - failed) * t.took.as_secs_f64();
     }
@@ -307,7 +321,9 @@
 
 impl Beside {
     pub fn fade(&mut self, by: f64, late: f64) {
-        self.counts.iter_mut().for_each(|c| c.mix(by, &Count::default()));
+        self.counts
+            .iter_mut()
+            .for_each(|c| c.mix(by, &Count::default()));
         self.late.iter_mut().for_each(|n| *n *= late);
     }
 }
@@ -396,7 +412,7 @@
     pub tallied: bool, // the platform counts outcomes for all
     pub jury: bool,    // several agents must agree to send back
     pub one_of: f64,   // how many agents there are for each of these
-    pub voice: f64,    // how sure each must be, as a logarithm, so that these are hardly as many by chance
+    pub voice: f64, // how sure each must be, as a logarithm, so that these are hardly as many by chance
     pub vote_life: Duration,
     pub vote_wait: Duration,
     pub vote_share: f64, // seconds between votes that leave the others theirs
@@ -412,8 +428,20 @@
     pub fn new(l: &Lane, guess: f64) -> LaneView {
         let quoted = l.quoted.as_secs_f64();
         let (usual, benefit, repeats) = (quoted * guess, l.benefit, l.repeats);
-        let view = LaneView { quoted, benefit, repeats, usual, least: usual, ..LaneView::default() };
-        LaneView { half: usual * 0.7, high: usual * 2.0, seen: LaneView::UNSEEN, ..view }
+        let view = LaneView {
+            quoted,
+            benefit,
+            repeats,
+            usual,
+            least: usual,
+            ..LaneView::default()
+        };
+        LaneView {
+            half: usual * 0.7,
+            high: usual * 2.0,
+            seen: LaneView::UNSEEN,
+            ..view
+        }
     }
 }
 
@@ -433,10 +461,17 @@
     /// for in vain, is the calm sample, in the place of the older one once there is `enough` of it. What the fleet
     /// bore under that build, slow or not, is nothing the next one does.
     pub fn settle(&mut self, stood: bool, enough: f64) {
-        let (late, waited) = (std::mem::take(&mut self.late), std::mem::take(&mut self.waited));
+        let (late, waited) = (
+            std::mem::take(&mut self.late),
+            std::mem::take(&mut self.waited),
+        );
         if stood {
             let kept = if late.all() < enough { 1.0 } else { 0.0 };
-            self.calm.0.iter_mut().zip(&late.0).for_each(|(c, l)| *c = *c * kept + l);
+            self.calm
+                .0
+                .iter_mut()
+                .zip(&late.0)
+                .for_each(|(c, l)| *c = *c * kept + l);
             self.calm_waited = self.calm_waited * kept + waited;
         }
     }
@@ -449,10 +484,20 @@
         for l in lanes.iter().filter(|l| l.quoted > 0.0) {
             slow += l.late.from(l.calm.middle());
             let waited = (l.waited + l.open) * 1000.0;
-            (all, took) = (all + l.late.all(), took + (l.late.sum() + waited) / l.quoted);
-            (calm, usual) = (calm + l.calm.all(), usual + (l.calm.sum() + l.calm_waited * 1000.0) / l.quoted);
+            (all, took) = (
+                all + l.late.all(),
+                took + (l.late.sum() + waited) / l.quoted,
+            );
+            (calm, usual) = (
+                calm + l.calm.all(),
+                usual + (l.calm.sum() + l.calm_waited * 1000.0) / l.quoted,
+            );
         }
-        (1.0 - slow / all, took / all / (usual / calm), all * calm / (all + calm))
+        (
+            1.0 - slow / all,
+            took / all / (usual / calm),
+            all * calm / (all + calm),
+        )
     }
 }
 
@@ -463,13 +508,19 @@
         self.seen[side] += if quick.is_some() { 1.0 } else { 0.0 };
     }
     pub fn fade(&mut self, by: f64) {
-        self.quick.iter_mut().chain(&mut self.seen).for_each(|n| *n *= by);
+        self.quick
+            .iter_mut()
+            .chain(&mut self.seen)
+            .for_each(|n| *n *= by);
     }
     /// The share of quick answers, and the same bound on it where half is usual.
     pub fn quick_share(&self, side: usize) -> (f64, f64) {
         let (quick, seen) = (self.quick[side], self.seen[side]);
         let share = (quick / seen.max(1.0)).clamp(0.01, 0.49);
-        (share, seen * (share * (2.0 * share).ln() + (1.0 - share) * (2.0 - 2.0 * share).ln()))
+        (
+            share,
+            seen * (share * (2.0 * share).ln() + (1.0 - share) * (2.0 - 2.0 * share).ln()),
+        )
     }
 }
 
@@ -497,7 +548,10 @@
 
 /// The newest build before this one.
 pub(crate) fn earlier(builds: &BTreeMap<u32, Build>, build: u32) -> u32 {
-    builds.range(..build).next_back().map_or(0, |(number, _)| *number)
+    builds
+        .range(..build)
+        .next_back()
+        .map_or(0, |(number, _)| *number)
 }
 
 /// How far two samples speak for two shares and not for one, as the logarithm of their likelihood ratio; 0 where
@@ -523,7 +577,9 @@
 impl Bounds {
     /// What part of its full load an appliance may get: less while cold, by the slowest warming allowed.
     pub fn ramp(&self, now: Duration, a: &Appliance) -> f64 {
-        let Some(since) = a.cold_since else { return 1.0 };
+        let Some(since) = a.cold_since else {
+            return 1.0;
+        };
         let age = now.saturating_sub(since).as_secs_f64() / self.cold_for.as_secs_f64().max(0.001);
         self.cold_share + (1.0 - self.cold_share) * age.min(1.0)
     }
@@ -532,14 +588,19 @@
     /// one that is told for calls; at most half of the time within which the list must be asked for. None where
     /// they cost discovery nothing.
     pub fn call_share(&self) -> Duration {
-        let most = self.ask_within.filter(|_| self.list_shared).unwrap_or_default() / 2;
+        let most = self
+            .ask_within
+            .filter(|_| self.list_shared)
+            .unwrap_or_default()
+            / 2;
         Duration::from_secs_f64(self.vote_share.clamp(0.0, 3600.0)).min(most)
     }
 
     /// Counts the appliances that a walk has before it: what walks cost is told without a clock. One that ends early
     /// counts as whole.
     pub fn walk<'a>(&self, fleet: &'a [Appliance]) -> &'a [Appliance] {
-        self.looks.set(self.looks.get().wrapping_add(fleet.len() as u64));
+        self.looks
+            .set(self.looks.get().wrapping_add(fleet.len() as u64));
         fleet
     }
 
@@ -601,14 +662,24 @@
 
     /// How many commands, appliances, builds and bound keys are kept.
     pub fn kept(&self) -> [usize; 4] {
-        [self.commands.len(), self.fleet.len(), self.builds.len(), self.bound.len()]
+        [
+            self.commands.len(),
+            self.fleet.len(),
+            self.builds.len(),
+            self.bound.len(),
+        ]
     }
 
     /// What each of so many zones holds now.
     pub fn rooms(&self, now: Duration, zones: usize) -> Vec<Room> {
         let (mut rooms, patience) = (vec![Room::default(); zones], self.patience());
         for a in &self.fleet {
-            let Some(room) = rooms.get_mut(a.zone).filter(|_| a.standing != Standing::Gone) else { continue };
+            let Some(room) = rooms
+                .get_mut(a.zone)
+                .filter(|_| a.standing != Standing::Gone)
+            else {
+                continue;
+            };
             room.in_flight += a.in_flight;
             if a.standing == Standing::Draining {
                 room.draining += 1;
@@ -664,9 +735,14 @@
     /// Whether its delivery of number `nth` may go to `a` beside all others that may have run: inside their group, and
     /// before it forgets them.
     pub fn within_group(&self, nth: usize, repeats: Repeats, a: &Appliance, at: Duration) -> bool {
-        let Repeats::Deduplicated { group, window } = repeats else { return true };
-        let others =
-            self.deliveries.iter().enumerate().filter(|(n, d)| *n != nth && (d.out || d.may_have_run));
+        let Repeats::Deduplicated { group, window } = repeats else {
+            return true;
+        };
+        let others = self
+            .deliveries
+            .iter()
+            .enumerate()
+            .filter(|(n, d)| *n != nth && (d.out || d.may_have_run));
         others.map(|(_, d)| d).all(|d| {
             let here = match group {
                 Group::All => true,
@@ -684,13 +760,19 @@
 
     /// Seconds for which its deliveries have been out, none of them from before `resumed`.
     pub fn waits(&self, now: Duration, resumed: Duration) -> f64 {
-        self.out().map(|(_, d)| now.saturating_sub(d.sent.max(resumed)).as_secs_f64()).sum()
+        self.out()
+            .map(|(_, d)| now.saturating_sub(d.sent.max(resumed)).as_secs_f64())
+            .sum()
     }
 
     /// Whether repeats of what may have run are not told from it any more: nothing further may go out, anywhere.
     pub fn forgotten(&self, repeats: Repeats, at: Duration) -> bool {
-        let Repeats::Deduplicated { window, .. } = repeats else { return false };
-        self.deliveries.iter().any(|d| (d.out || d.may_have_run) && at >= d.sent + window)
+        let Repeats::Deduplicated { window, .. } = repeats else {
+            return false;
+        };
+        self.deliveries
+            .iter()
+            .any(|d| (d.out || d.may_have_run) && at >= d.sent + window)
     }
 
     /// Whether a retry by the client, which comes until `back`, would be harmless.
@@ -764,7 +846,15 @@
 
 impl Build {
     pub fn new(lanes: usize, slots: usize, free: f64) -> Build {
-        let (none, tallied) = (vec![Count::default(); lanes], vec![Tallied::default(); lanes]);
-        Build { tokens: vec![free; slots], past: none, tallied, ..Build::default() }
+        let (none, tallied) = (
+            vec![Count::default(); lanes],
+            vec![Tallied::default(); lanes],
+        );
+        Build {
+            tokens: vec![free; slots],
+            past: none,
+            tallied,
+            ..Build::default()
+        }
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -15,7 +15,10 @@
 
 impl Default for Crossings {
     fn default() -> Crossings {
-        Crossings { zones: Vec::new(), cold: 1.0 }
+        Crossings {
+            zones: Vec::new(),
+            cold: 1.0,
+        }
     }
 }
 
@@ -241,7 +244,10 @@
 impl Outcome {
     /// The delivery provably never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent
+        )
     }
 }
 
@@ -273,7 +279,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// Deliver it; ask again at `look` if it is still open then.
-    Send { appliance: usize, time_out: Duration, look: Option<Duration> },
+    Send {
+        appliance: usize,
+        time_out: Duration,
+        look: Option<Duration>,
+    },
     /// Keep it and ask again at this time.
     NotYet { until: Duration },
     /// A final denial, with a time to come back where that may be named.
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -38,7 +38,13 @@
 impl Otherwise {
     /// The counts by name, the deliveries that were looked at first.
     pub fn named(&self) -> [(&'static str, u64); 5] {
-        let Otherwise { deliveries, guarded, exposure, cold, key } = *self;
+        let Otherwise {
+            deliveries,
+            guarded,
+            exposure,
+            cold,
+            key,
+        } = *self;
         [
             ("deliveries", deliveries),
             ("guarded", guarded),
@@ -75,7 +81,12 @@
         d.cold_for = shape.cold_for.unwrap_or(d.cold_for);
         d.warm_keys = shape.warm_keys.unwrap_or(d.warm_keys);
         let (tokens, counts) = (BTreeMap::new(), Otherwise::default());
-        Watch { other: d, own_caps: shape.caps.is_none(), tokens, counts }
+        Watch {
+            other: d,
+            own_caps: shape.caps.is_none(),
+            tokens,
+            counts,
+        }
     }
 
     /// Goes on beside settings that were read anew; what was counted stays.
@@ -83,7 +94,11 @@
         let was = std::mem::replace(self, Watch::new(present, shape));
         self.counts = was.counts;
         if was.other.rollout.by_lane == self.other.rollout.by_lane {
-            let slots = if self.other.rollout.by_lane { self.other.lanes.len() } else { 1 };
+            let slots = if self.other.rollout.by_lane {
+                self.other.lanes.len()
+            } else {
+                1
+            };
             self.tokens = was.tokens;
             self.tokens.values_mut().for_each(|t| t.resize(slots, 0.0));
         }
@@ -92,7 +107,9 @@
     /// The cap that the watched settings give this build, as the news stand.
     fn cap(&self, news: Option<&News>, build: u32) -> f64 {
         let first = self.other.rollout.caps.first().copied().unwrap_or(0.0);
-        let Some(n) = news.filter(|n| n.build == build) else { return first };
+        let Some(n) = news.filter(|n| n.build == build) else {
+            return first;
+        };
         match self.other.rollout.caps.get(n.stage) {
             Some(cap) if !self.own_caps && n.cap > 0.0 => *cap,
             _ => n.cap,
@@ -107,7 +124,10 @@
         self.tokens.retain(|b, _| alive.contains(b));
         for build in alive {
             let cap = self.cap(choice.news.as_ref(), build);
-            let tokens = self.tokens.entry(build).or_insert_with(|| vec![r.free; slots]);
+            let tokens = self
+                .tokens
+                .entry(build)
+                .or_insert_with(|| vec![r.free; slots]);
             if let Some(t) = tokens.get_mut(slot) {
                 *t = (*t + cap).min(r.free);
             }
@@ -119,26 +139,50 @@
     }
 
     /// The module sends a command there; told right before it does, or right after.
-    pub fn sent(&mut self, now: Duration, choice: &Choice, lane: usize, key: Option<u64>, appliance: usize) {
+    pub fn sent(
+        &mut self,
+        now: Duration,
+        choice: &Choice,
+        lane: usize,
+        key: Option<u64>,
+        appliance: usize,
+    ) {
         self.counts.deliveries += 1;
-        let (Some(a), Some(l)) = (choice.fleet.get(appliance), self.other.lanes.get(lane)) else { return };
+        let (Some(a), Some(l)) = (choice.fleet.get(appliance), self.other.lanes.get(lane)) else {
+            return;
+        };
         let (build, trial) = (a.build, choice.on_trial(a.build));
-        let stage = choice.news.as_ref().filter(|n| n.build == build).map_or(0, |n| n.stage);
-        let guarded = trial && stage < self.other.rollout.guarded_stages && l.repeats != Repeats::Idempotent;
+        let stage = choice
+            .news
+            .as_ref()
+            .filter(|n| n.build == build)
+            .map_or(0, |n| n.stage);
+        let guarded =
+            trial && stage < self.other.rollout.guarded_stages && l.repeats != Repeats::Idempotent;
         self.counts.guarded += u64::from(guarded);
-        let still = a.started.is_some_and(|s| s + self.other.cold_for > now) && a.cold_since.is_none();
+        let still =
+            a.started.is_some_and(|s| s + self.other.cold_for > now) && a.cold_since.is_none();
         self.counts.cold += u64::from(still);
         let slot = self.slot(lane);
-        if let Some(t) = self.tokens.get_mut(&build).and_then(|t| t.get_mut(slot)).filter(|_| trial) {
+        if let Some(t) = self
+            .tokens
+            .get_mut(&build)
+            .and_then(|t| t.get_mut(slot))
+            .filter(|_| trial)
+        {
             self.counts.exposure += u64::from(*t < 1.0);
             *t -= if *t < 1.0 { 0.0 } else { 1.0 };
         }
         // What may go nowhere else, and where two are alike, is no difference.
         if let Some(key) = key.filter(|_| self.other.warm_keys) {
-            let fit = choice.running().filter(|(_, a)| !choice.on_trial(a.build) && a.cold_since.is_none());
-            let home =
-                fit.min_by(|(_, a), (_, b)| choice.distance(key, a).total_cmp(&choice.distance(key, b)));
-            let idle = home.filter(|(i, a)| *i != appliance && a.in_flight == 0 && a.aside.is_none());
+            let fit = choice
+                .running()
+                .filter(|(_, a)| !choice.on_trial(a.build) && a.cold_since.is_none());
+            let home = fit.min_by(|(_, a), (_, b)| {
+                choice.distance(key, a).total_cmp(&choice.distance(key, b))
+            });
+            let idle =
+                home.filter(|(i, a)| *i != appliance && a.in_flight == 0 && a.aside.is_none());
             self.counts.key += u64::from(idle.is_some() && !trial);
         }
     }
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -94,15 +94,20 @@
             cold_for: Some(ms(6000)),
             warm_keys: Some(true),
         };
-        let own =
-            |agent: u64| Deployment { seed: seed * 100 + agent, zone: agent as usize, ..settings.clone() };
+        let own = |agent: u64| Deployment {
+            seed: seed * 100 + agent,
+            zone: agent as usize,
+            ..settings.clone()
+        };
         let mut simulation = Simulation {
             now: START,
             digest: Sha256::new(),
             counts: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
             agents: (0..2).map(|agent| Choice::new(START, own(agent))).collect(),
-            shadows: (0..2).map(|agent| Watch::new(&own(agent), &shape)).collect(),
+            shadows: (0..2)
+                .map(|agent| Watch::new(&own(agent), &shape))
+                .collect(),
             requests: vec![BTreeMap::new(), BTreeMap::new()],
             settings,
             servers,
@@ -127,7 +132,10 @@
 
     fn record(&mut self, agent: usize, id: u64, kind: u64, fields: &[u64]) {
         *self.counts.entry(kind).or_default() += 1;
-        for number in [agent as u64, id, self.now.as_nanos() as u64, kind].iter().chain(fields) {
+        for number in [agent as u64, id, self.now.as_nanos() as u64, kind]
+            .iter()
+            .chain(fields)
+        {
             self.digest.update(number.to_le_bytes());
         }
     }
@@ -135,7 +143,9 @@
     fn publish_list(&mut self, complete: bool) {
         let entries: Vec<Listed> = self.servers.iter().map(|s| s.entry.clone()).collect();
         let now = self.now;
-        self.agents.iter_mut().for_each(|a| a.list(now, &entries, complete));
+        self.agents
+            .iter_mut()
+            .for_each(|a| a.list(now, &entries, complete));
     }
 
     fn publish_status(&mut self, status: News) {
@@ -170,12 +180,21 @@
             self.record(agent, 0, 91, &watched);
             self.record(agent, 0, 92, &[looks]);
             for room in self.agents[agent].rooms(self.now, 2) {
-                let numbers = [room.running, room.draining, room.awake, room.warm, room.in_flight];
+                let numbers = [
+                    room.running,
+                    room.draining,
+                    room.awake,
+                    room.warm,
+                    room.in_flight,
+                ];
                 self.record(agent, room.open.to_bits(), 93, &numbers.map(|n| n as u64));
             }
         }
         let digest = self.digest.finalize();
-        (digest.iter().map(|byte| format!("{byte:02x}")).collect(), self.counts)
+        (
+            digest.iter().map(|byte| format!("{byte:02x}")).collect(),
+            self.counts,
+        )
     }
 
     fn step(&mut self, event: Event) {
@@ -189,7 +208,9 @@
             }
             Event::End(agent, id, attempt, outcome) => self.end(agent, id, attempt, outcome),
             Event::Deadline(agent, id) => {
-                let Some(request) = self.requests[agent].get_mut(&id) else { return };
+                let Some(request) = self.requests[agent].get_mut(&id) else {
+                    return;
+                };
                 if !std::mem::replace(&mut request.answered, true) {
                     self.agents[agent].left(id);
                     self.record(agent, id, 80, &[]);
@@ -203,26 +224,54 @@
         let id = self.sequence;
         let class = self.random.gen_range(0..self.settings.lanes.len());
         let left = ms(self.random.gen_range(300..1500));
-        let key = self.random.gen_bool(0.7).then(|| self.random.gen_range(0..200u64));
+        let key = self
+            .random
+            .gen_bool(0.7)
+            .then(|| self.random.gen_range(0..200u64));
         let customer = Some(self.random.gen_range(0..self.settings.customers.len()));
-        let work = (self.hints && self.random.gen_bool(0.5)).then(|| ms(self.random.gen_range(5..200)));
+        let work =
+            (self.hints && self.random.gen_bool(0.5)).then(|| ms(self.random.gen_range(5..200)));
         let again = self.random.gen_bool(0.05);
         let deadline = self.now + left;
-        let request = Pending { class, key, deadline, attempts: Vec::new(), answered: false };
+        let request = Pending {
+            class,
+            key,
+            deadline,
+            attempts: Vec::new(),
+            answered: false,
+        };
         self.requests[agent].insert(id, request);
-        self.agents[agent].take(self.now, id, Command { lane: class, customer, key, left, work, again });
+        self.agents[agent].take(
+            self.now,
+            id,
+            Command {
+                lane: class,
+                customer,
+                key,
+                left,
+                work,
+                again,
+            },
+        );
         self.shadows[agent].take(&self.agents[agent], class);
         let decision = self.agents[agent].place(self.now, id);
         self.act(agent, id, decision);
         self.schedule(deadline, Event::Deadline(agent, id));
         let gap = -self.random.gen_range(1e-9..1.0f64).ln() / self.rate;
-        self.schedule(self.now + Duration::from_secs_f64(gap), Event::Arrival(agent));
+        self.schedule(
+            self.now + Duration::from_secs_f64(gap),
+            Event::Arrival(agent),
+        );
     }
 
     fn act(&mut self, agent: usize, id: u64, decision: Answer) {
         let nanos = |t: Duration| t.as_nanos() as u64;
         match decision {
-            Answer::Send { appliance, time_out, look } => {
+            Answer::Send {
+                appliance,
+                time_out,
+                look,
+            } => {
                 let fields = [appliance as u64, nanos(time_out), look.map_or(0, nanos)];
                 self.record(agent, id, 1, &fields);
                 self.forward(agent, id, appliance, time_out);
@@ -258,9 +307,15 @@
 
     fn forward(&mut self, agent: usize, id: u64, server: usize, time_out: Duration) {
         let now = self.now;
-        let Some(request) = self.requests[agent].get_mut(&id) else { return };
+        let Some(request) = self.requests[agent].get_mut(&id) else {
+            return;
+        };
         let attempt = request.attempts.len();
-        request.attempts.push(Attempt { server, sent: now, open: true });
+        request.attempts.push(Attempt {
+            server,
+            sent: now,
+            open: true,
+        });
         let (class, key) = (request.class, request.key);
         let stands = self.agents[agent].holds(now + ms(1), id, attempt);
         self.record(agent, id, 7, &[u64::from(stands)]);
@@ -270,7 +325,8 @@
         s.running += 1;
         let waiting = (s.running as f64 / s.cores as f64).max(1.0);
         let distance = if s.entry.zone == agent { 0.0 } else { 0.002 };
-        let took = s.service_time.as_secs_f64() * (0.4 - 0.6 * draws[0].max(1e-9).ln()) * waiting + distance;
+        let took = s.service_time.as_secs_f64() * (0.4 - 0.6 * draws[0].max(1e-9).ln()) * waiting
+            + distance;
         let took = Duration::from_secs_f64(took);
         let outcome = match s {
             _ if s.refuses => Outcome::NoConnection,
@@ -283,13 +339,19 @@
         let quick = matches!(outcome, Outcome::NoConnection | Outcome::TurnedAway);
         let ends = now + if quick { ms(1) } else { took };
         let in_time = !s.unresponsive && ends < now + time_out;
-        let (at, outcome) = if in_time { (ends, outcome) } else { (now + time_out, Outcome::TimedOut) };
+        let (at, outcome) = if in_time {
+            (ends, outcome)
+        } else {
+            (now + time_out, Outcome::TimedOut)
+        };
         self.schedule(at, Event::End(agent, id, attempt, outcome));
     }
 
     fn end(&mut self, agent: usize, id: u64, number: usize, outcome: Outcome) {
         let now = self.now;
-        let Some(request) = self.requests[agent].get_mut(&id) else { return };
+        let Some(request) = self.requests[agent].get_mut(&id) else {
+            return;
+        };
         let attempt = &mut request.attempts[number];
         if !std::mem::replace(&mut attempt.open, false) {
             return;
@@ -300,16 +362,29 @@
         let closed = request.answered;
         let s = &mut self.servers[server];
         s.running -= 1;
-        let told = matches!(outcome, Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway);
+        let told = matches!(
+            outcome,
+            Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway
+        );
         let held = told.then_some(s.running as f64);
-        let end = End { outcome, took, closed, held };
+        let end = End {
+            outcome,
+            took,
+            closed,
+            held,
+        };
         let decision = self.agents[agent].after(now, id, number, end);
         self.act(agent, id, decision);
     }
 
     fn tick(&mut self, agent: usize) {
         let due = self.agents[agent].wait(self.now);
-        self.record(agent, 0, 10, &[due.until.as_nanos() as u64, u64::from(due.watch)]);
+        self.record(
+            agent,
+            0,
+            10,
+            &[due.until.as_nanos() as u64, u64::from(due.watch)],
+        );
         if due.watch {
             self.agents[agent].list_failed(self.now);
         }
@@ -319,8 +394,19 @@
                 Verdict::Back => 2,
                 Verdict::None => 3,
             };
-            self.record(agent, 0, 10 + verdict, &[u64::from(vote.build), vote.stage as u64]);
-            let replies = [Reply::Counted, Reply::Counted, Reply::Moot, Reply::Refused, Reply::Unknown];
+            self.record(
+                agent,
+                0,
+                10 + verdict,
+                &[u64::from(vote.build), vote.stage as u64],
+            );
+            let replies = [
+                Reply::Counted,
+                Reply::Counted,
+                Reply::Moot,
+                Reply::Refused,
+                Reply::Unknown,
+            ];
             let reply = replies[self.random.gen_range(0..replies.len())];
             self.agents[agent].reply(self.now, reply);
         }
@@ -335,7 +421,12 @@
 
 /// Classes of all three kinds, hints of work, load reports and probes; a drain, starts, and an outlier that stalls.
 fn endpoints_come_and_go() -> (String, BTreeMap<u64, u64>) {
-    let settings = Deployment { probes: true, warm_keys: true, withdraw: false, ..deployment(1) };
+    let settings = Deployment {
+        probes: true,
+        warm_keys: true,
+        withdraw: false,
+        ..deployment(1)
+    };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     let mut simulation = Simulation::new(1, settings, servers, 110.0);
     simulation.hints = true;
@@ -359,7 +450,11 @@
 
 /// A build is offered stage by stage and fails; the platform's counts and the clients' reports say so, too.
 fn a_regressed_build() -> (String, BTreeMap<u64, u64>) {
-    let mut settings = Deployment { agents: 12, second_copies: true, ..deployment(2) };
+    let mut settings = Deployment {
+        agents: 12,
+        second_copies: true,
+        ..deployment(2)
+    };
     settings.rollout.tallied = true;
     settings.rollout.back_votes = 2;
     settings.rollout.by_lane = true;
@@ -370,7 +465,10 @@
         match second {
             4 => (0..4).for_each(|n| s.start(n, 41)),
             8 => (4..8).for_each(|n| s.start(n, 41)),
-            9 => s.publish_status(News { began: s.now, ..trial(41, 1, 0.5) }),
+            9 => s.publish_status(News {
+                began: s.now,
+                ..trial(41, 1, 0.5)
+            }),
             14 => (0..8).for_each(|n| s.servers[n].failing_share = 0.25),
             20 => {
                 let tally = |build, failed| Tally {
@@ -385,12 +483,20 @@
                 s.agents[1].tally(&tally(41, 90.0));
             }
             22 => (0..3).for_each(|n| s.agents[0].flag(s.now, n, n % 3, ms(100))),
-            26 => s.publish_status(News { phase: Phase::GoingBack, began: s.now, ..trial(41, 1, 0.0) }),
+            26 => s.publish_status(News {
+                phase: Phase::GoingBack,
+                began: s.now,
+                ..trial(41, 1, 0.0)
+            }),
             28 => (0..8).for_each(|n| {
                 s.start(n, 40);
                 s.servers[n].failing_share = 0.0;
             }),
-            30 => s.publish_status(News { phase: Phase::Withdrawn, began: s.now, ..trial(41, 1, 0.0) }),
+            30 => s.publish_status(News {
+                phase: Phase::Withdrawn,
+                began: s.now,
+                ..trial(41, 1, 0.0)
+            }),
             _ => return,
         }
         s.publish_list(true);
@@ -399,7 +505,10 @@
 
 /// A build that needs far more work replaces the earlier one in place and is released.
 fn a_slow_build_released_in_place() -> (String, BTreeMap<u64, u64>) {
-    let mut settings = Deployment { agents: 300, ..deployment(3) };
+    let mut settings = Deployment {
+        agents: 300,
+        ..deployment(3)
+    };
     settings.rollout.in_place = true;
     settings.rollout.hold_votes = 3;
     settings.rollout.back_votes = 3;
@@ -407,11 +516,21 @@
     Simulation::new(3, settings, servers, 100.0).play(40, |s, second| {
         match second {
             6 => (0..2).for_each(|n| s.start(n, 41)),
-            7 => s.publish_status(News { began: s.now, ..trial(41, 0, 0.2) }),
+            7 => s.publish_status(News {
+                began: s.now,
+                ..trial(41, 0, 0.2)
+            }),
             12 => (2..6).for_each(|n| s.start(n, 41)),
-            13 => s.publish_status(News { began: s.now, ..trial(41, 1, 0.5) }),
+            13 => s.publish_status(News {
+                began: s.now,
+                ..trial(41, 1, 0.5)
+            }),
             16 => (0..6).for_each(|n| s.servers[n].service_time = ms(110)),
-            26 => s.publish_status(News { phase: Phase::Released, began: s.now, ..trial(41, 2, 1.0) }),
+            26 => s.publish_status(News {
+                phase: Phase::Released,
+                began: s.now,
+                ..trial(41, 2, 1.0)
+            }),
             27 => (6..10).for_each(|n| s.start(n, 41)),
             _ => return,
         }
@@ -433,7 +552,10 @@
         4 => s.servers[0].service_time = ms(200),
         8 => s.rate = 700.0,
         14 => s.rate = 60.0,
-        18 => s.agents.iter_mut().for_each(|a| a.vouched = Some(s.now + ms(1500))),
+        18 => s
+            .agents
+            .iter_mut()
+            .for_each(|a| a.vouched = Some(s.now + ms(1500))),
         21 => s.agents.iter_mut().for_each(|a| a.vouched = None),
         _ => {}
     })
@@ -441,13 +563,23 @@
 
 /// Settings are read anew, with a class that moves and one that is new; then one zone is cut off and comes back.
 fn a_reload_and_a_cut_zone() -> (String, BTreeMap<u64, u64>) {
-    let settings = Deployment { crossing_price: 0.2, ..deployment(5) };
+    let settings = Deployment {
+        crossing_price: 0.2,
+        ..deployment(5)
+    };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     Simulation::new(5, settings, servers, 100.0).play(36, |s, second| match second {
         3 => {
-            let far =
-                Crossing { draw: Some(0.3), added: ms(2), last: vec![true, false], again_last: vec![true] };
-            let told = Crossings { zones: vec![far.clone(), far], cold: 0.8 };
+            let far = Crossing {
+                draw: Some(0.3),
+                added: ms(2),
+                last: vec![true, false],
+                again_last: vec![true],
+            };
+            let told = Crossings {
+                zones: vec![far.clone(), far],
+                cold: 0.8,
+            };
             s.agents.iter_mut().for_each(|a| a.crossings(told.clone()));
         }
         4 => s.publish_status(trial(41, 0, 0.2)),
@@ -459,7 +591,11 @@
             let mut new = s.settings.clone();
             let moved = new.lanes[0].clone();
             new.lanes.push(moved);
-            new.lanes[0] = Lane { quoted: ms(250), benefit: 5.0, repeats: Repeats::Unrepeatable };
+            new.lanes[0] = Lane {
+                quoted: ms(250),
+                benefit: 5.0,
+                repeats: Repeats::Unrepeatable,
+            };
             new.customers.push(Customer { share: 0.1 });
             new.rollout.by_lane = true;
             new.rollout.one_way = true;
@@ -475,22 +611,45 @@
                 let held = s.agents[agent].in_hand();
                 let numbers = [held.lanes.len(), held.customers.len(), held.zones.len()];
                 s.record(agent, 0, 94, &numbers.map(|n| n as u64));
-                s.agents[agent].renew(now, &Deployment { zone: agent, ..new.clone() }, &by);
+                s.agents[agent].renew(
+                    now,
+                    &Deployment {
+                        zone: agent,
+                        ..new.clone()
+                    },
+                    &by,
+                );
             }
             s.settings = new;
         }
-        12 => s.agents.iter_mut().for_each(|a| a.rezone(&[(3, 0), (4, 1)])),
-        15 => (0..12).step_by(2).for_each(|n| s.servers[n].unresponsive = true),
-        21 => (0..12).step_by(2).for_each(|n| s.servers[n].unresponsive = false),
-        25 => s.agents.iter_mut().for_each(|a| a.crossings(Crossings::default())),
-        30 => s.agents[0].news(News { phase: Phase::Released, ..trial(41, 2, 1.0) }),
+        12 => s
+            .agents
+            .iter_mut()
+            .for_each(|a| a.rezone(&[(3, 0), (4, 1)])),
+        15 => (0..12)
+            .step_by(2)
+            .for_each(|n| s.servers[n].unresponsive = true),
+        21 => (0..12)
+            .step_by(2)
+            .for_each(|n| s.servers[n].unresponsive = false),
+        25 => s
+            .agents
+            .iter_mut()
+            .for_each(|a| a.crossings(Crossings::default())),
+        30 => s.agents[0].news(News {
+            phase: Phase::Released,
+            ..trial(41, 2, 1.0)
+        }),
         _ => {}
     })
 }
 
 /// Builds that fail, time out or answer wrongly now and then, at agents that see little of them.
 fn builds_that_fail_a_little(seed: u64) -> (String, BTreeMap<u64, u64>) {
-    let mut settings = Deployment { agents: 4, ..deployment(seed) };
+    let mut settings = Deployment {
+        agents: 4,
+        ..deployment(seed)
+    };
     settings.rollout.in_place = seed.is_multiple_of(2);
     settings.rollout.back_votes = 1 + seed as u32 % 3;
     let servers = (0..8).map(|n| Server::new(n, 40)).collect();
@@ -503,22 +662,34 @@
         match second {
             0 => s.servers[7].failing_share = 0.02,
             3 => (0..2).for_each(|n| s.start(n, 41)),
-            4 => s.publish_status(News { began: s.now, ..trial(41, 0, 0.3) }),
+            4 => s.publish_status(News {
+                began: s.now,
+                ..trial(41, 0, 0.3)
+            }),
             9 => (0..2).for_each(|n| s.servers[n].failing_share = failing_share),
             12 => s.servers[1].unresponsive = true,
             13 => s.servers[1].unresponsive = false,
-            14..20 if s.hints => {
-                s.agents.iter_mut().for_each(|a| a.flag(s.now, 0, second as usize % 3, ms(100)))
-            }
+            14..20 if s.hints => s
+                .agents
+                .iter_mut()
+                .for_each(|a| a.flag(s.now, 0, second as usize % 3, ms(100))),
             21 => (2..4).for_each(|n| s.start(n, 41)),
-            24 => s.publish_status(News { phase: Phase::Released, began: s.now, ..trial(41, 2, 1.0) }),
+            24 => s.publish_status(News {
+                phase: Phase::Released,
+                began: s.now,
+                ..trial(41, 2, 1.0)
+            }),
             _ => return,
         }
         s.publish_list(true);
     })
 }
 
-type Day = (&'static str, fn() -> (String, BTreeMap<u64, u64>), &'static str);
+type Day = (
+    &'static str,
+    fn() -> (String, BTreeMap<u64, u64>),
+    &'static str,
+);
 
 #[test]
 fn decides_as_before_on_seeded_days() {
@@ -566,6 +737,13 @@
         println!("{digest} {counts:?}");
         all.update(digest);
     }
-    let all: String = all.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(all, "9d4eae33f261a282194c396e5363778b58178622bc2a42291f9045088d27c0a0");
+    let all: String = all
+        .finalize()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
+    assert_eq!(
+        all,
+        "9d4eae33f261a282194c396e5363778b58178622bc2a42291f9045088d27c0a0"
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,10 @@
 
 fn fleet(n: u32, change: fn(&mut Deployment)) -> Vec<Choice> {
     let each = |i: u32| {
-        let mut d = Deployment { agents: n, ..deployment(u64::from(i) + 1) };
+        let mut d = Deployment {
+            agents: n,
+            ..deployment(u64::from(i) + 1)
+        };
         change(&mut d);
         Choice::new(ms(1000), d)
     };
@@ -40,7 +43,10 @@
         }
     }
     let all = watches.iter().all(Option::is_some);
-    (watches.into_iter().flatten().max().filter(|_| all), calls.into_iter().max().unwrap_or(0))
+    (
+        watches.into_iter().flatten().max().filter(|_| all),
+        calls.into_iter().max().unwrap_or(0),
+    )
 }
 
 fn asked(d: &mut Deployment) {
@@ -51,7 +57,10 @@
 #[test]
 fn a_hundred_agents_that_start_at_once_do_not_keep_discovery_overbooked() {
     let (last, most) = discovery(100, 16.0, asked);
-    assert!(last.is_some_and(|t| t < ms(20_000)), "some agents never hear of the list: {last:?}");
+    assert!(
+        last.is_some_and(|t| t < ms(20_000)),
+        "some agents never hear of the list: {last:?}"
+    );
     assert!(most <= 35, "{most} calls in a second");
     // Few agents need not wait.
     let (last, _) = discovery(3, 16.0, asked);
@@ -74,13 +83,21 @@
             }
         }
     }
-    assert_eq!(watching.iter().filter(|w| **w).count(), 100, "all within two minutes");
+    assert_eq!(
+        watching.iter().filter(|w| **w).count(),
+        100,
+        "all within two minutes"
+    );
 }
 
 #[test]
 fn where_discovery_tells_unasked_the_first_call_is_at_once() {
     // What it has to tell counts as told from the start, and may be a drain.
-    let mut d = Deployment { agents: 100, list_asked: true, ..deployment(7) };
+    let mut d = Deployment {
+        agents: 100,
+        list_asked: true,
+        ..deployment(7)
+    };
     d.rollout.votes_per_s = 16.0;
     assert!(Choice::new(ms(1000), d).wait(ms(1000)).watch);
 }
@@ -88,7 +105,12 @@
 #[test]
 fn calls_that_no_rate_is_told_for_still_keep_a_bounded_gap() {
     for rate in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e-300] {
-        let mut d = Deployment { agents: 100, list_asked: true, list_shared: true, ..deployment(7) };
+        let mut d = Deployment {
+            agents: 100,
+            list_asked: true,
+            list_shared: true,
+            ..deployment(7)
+        };
         d.rollout.votes_per_s = rate;
         let mut choice = Choice::new(ms(1000), d);
         let mut calls = Vec::new();
@@ -99,8 +121,16 @@
                 choice.list_failed(now);
             }
         }
-        assert!((4..60).contains(&calls.len()), "rate {rate}: {} calls in a minute", calls.len());
-        assert!(calls[0] <= ms(6000), "rate {rate}: the first at {:?}", calls[0]);
+        assert!(
+            (4..60).contains(&calls.len()),
+            "rate {rate}: {} calls in a minute",
+            calls.len()
+        );
+        assert!(
+            calls[0] <= ms(6000),
+            "rate {rate}: the first at {:?}",
+            calls[0]
+        );
     }
 }
 
@@ -124,7 +154,18 @@
         d.rollout.votes_per_s = 16.0;
         d.rollout.back_votes = 5;
     });
-    play(Day { agents, each: 0.045, left: ms(3400), leave: None, seed, commands, wrong }, ways)
+    play(
+        Day {
+            agents,
+            each: 0.045,
+            left: ms(3400),
+            leave: None,
+            seed,
+            commands,
+            wrong,
+        },
+        ways,
+    )
 }
 
 /// A day as above. Of `leave` a third of the clients go away after that time, if they are not answered by then.
@@ -142,7 +183,15 @@
 const LEAVE: usize = usize::MAX - 1;
 
 fn play(day: Day, ways: Ways) -> Votes {
-    let Day { mut agents, each, left, leave, seed, commands, wrong } = day;
+    let Day {
+        mut agents,
+        each,
+        left,
+        leave,
+        seed,
+        commands,
+        wrong,
+    } = day;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let list = |of: std::ops::Range<usize>, build, started| -> Vec<Listed> {
         of.map(|i| listed(i, build, started)).collect()
@@ -158,13 +207,25 @@
         for (n, choice) in agents.iter_mut().enumerate() {
             match step {
                 0 => {
-                    let released = News { phase: Phase::Released, ..trial(1, 2, 1.0) };
-                    choice.news(News { began: Duration::ZERO, ..released });
+                    let released = News {
+                        phase: Phase::Released,
+                        ..trial(1, 2, 1.0)
+                    };
+                    choice.news(News {
+                        began: Duration::ZERO,
+                        ..released
+                    });
                     choice.list(now, &list(0..60, 1, None), true);
                 }
-                1000 => choice.news(News { began: now, ..trial(2, 0, 0.16) }),
+                1000 => choice.news(News {
+                    began: now,
+                    ..trial(2, 0, 0.16)
+                }),
                 1200 => choice.list(now, &list(60..65, 2, Some(6900)), false),
-                1800 => choice.news(News { began: now, ..trial(2, 1, 1.0) }),
+                1800 => choice.news(News {
+                    began: now,
+                    ..trial(2, 1, 1.0)
+                }),
                 2000 => choice.list(now, &list(65..96, 2, Some(10_900)), false),
                 _ => {}
             }
@@ -185,7 +246,12 @@
                 choice.reply(now, Reply::Counted);
             }
             let mut asks: Vec<(u64, Answer)> = Vec::new();
-            let dues: Vec<_> = out.iter().take_while(|o| o.0 <= now).filter(|o| o.1 == n).copied().collect();
+            let dues: Vec<_> = out
+                .iter()
+                .take_while(|o| o.0 <= now)
+                .filter(|o| o.1 == n)
+                .copied()
+                .collect();
             for o in dues {
                 out.remove(&o);
                 let at_work = (n, o.2, 0)..(n, o.2, LEAVE);
@@ -195,7 +261,12 @@
                     for (key, began) in gone {
                         ends.remove(&key);
                         let took = now - began;
-                        let end = End { outcome: Outcome::Withdrawn, took, closed: true, held: None };
+                        let end = End {
+                            outcome: Outcome::Withdrawn,
+                            took,
+                            closed: true,
+                            held: None,
+                        };
                         choice.after(now, key.1, key.2, end);
                     }
                 }
@@ -209,7 +280,17 @@
                         }
                         asks.push((
                             o.2,
-                            choice.after(now, o.2, o.3, End { outcome, took, closed, held: None }),
+                            choice.after(
+                                now,
+                                o.2,
+                                o.3,
+                                End {
+                                    outcome,
+                                    took,
+                                    closed,
+                                    held: None,
+                                },
+                            ),
                         ));
                     }
                     None if o.3 == LOOK => asks.push((o.2, choice.place(now, o.2))),
@@ -222,7 +303,14 @@
                 choice.take(
                     now,
                     id,
-                    Command { lane, customer: Some(0), key: None, left, work: None, again: false },
+                    Command {
+                        lane,
+                        customer: Some(0),
+                        key: None,
+                        left,
+                        work: None,
+                        again: false,
+                    },
                 );
                 let leaves = leave.filter(|_| rng.gen_bool(1.0 / 3.0));
                 out.extend(leaves.map(|after| (now + after, n, id, LEAVE)));
@@ -230,7 +318,9 @@
             }
             while let Some((id, answer)) = asks.pop() {
                 match answer {
-                    Answer::Send { appliance, look, .. } => {
+                    Answer::Send {
+                        appliance, look, ..
+                    } => {
                         let delivery = sent.entry((n, id)).or_default();
                         let build = if appliance < 60 { 1 } else { 2 };
                         let (outcome, took) = ways(&mut rng, now, appliance, build);
@@ -245,7 +335,12 @@
                     }
                     Answer::Withdraw { delivery } => {
                         if let Some((took, ..)) = ends.remove(&(n, id, delivery)) {
-                            let end = End { outcome: Outcome::Withdrawn, took, closed: true, held: None };
+                            let end = End {
+                                outcome: Outcome::Withdrawn,
+                                took,
+                                closed: true,
+                                held: None,
+                            };
                             asks.push((id, choice.after(now, id, delivery, end)));
                         }
                     }
@@ -270,19 +365,39 @@
         (Outcome::Satisfied, exponential(rng, 2.3 * machine * drag))
     };
     let leave = Some(ms(5000));
-    play(Day { agents, each: 0.04, left: ms(23_000), leave, seed, commands: 1.0, wrong: 0.0 }, &ways)
+    play(
+        Day {
+            agents,
+            each: 0.04,
+            left: ms(23_000),
+            leave,
+            seed,
+            commands: 1.0,
+            wrong: 0.0,
+        },
+        &ways,
+    )
 }
 
 #[test]
 fn a_build_that_slows_all_is_held_where_work_takes_seconds_and_a_good_one_is_not() {
-    let spoke = |seed, slows| few(seed, slows).values().flat_map(|v| v.keys()).collect::<BTreeSet<_>>().len();
+    let spoke = |seed, slows| {
+        few(seed, slows)
+            .values()
+            .flat_map(|v| v.keys())
+            .collect::<BTreeSet<_>>()
+            .len()
+    };
     let bad: Vec<usize> = (1..9).map(|seed| spoke(seed, 4.0)).collect();
     let good: Vec<usize> = (1..9).map(|seed| spoke(seed, 1.0)).collect();
     assert!(
         bad.iter().all(|n| *n > 0) && bad.iter().sum::<usize>() >= 16,
         "who spoke on each bad day: {bad:?}"
     );
-    assert!(good.iter().sum::<usize>() <= 1, "who spoke on each good day: {good:?}");
+    assert!(
+        good.iter().sum::<usize>() <= 1,
+        "who spoke on each good day: {good:?}"
+    );
 }
 
 fn exponential(rng: &mut Pcg64Mcg, mean: f64) -> Duration {
@@ -294,12 +409,22 @@
     // One machine in six fails four in five while the trial gets its traffic.
     let ways = |rng: &mut Pcg64Mcg, now: Duration, appliance: usize, _: u32| {
         let sick = appliance % 6 == 3 && now > ms(10_000) && rng.gen_bool(0.8);
-        (if sick { Outcome::Failed } else { Outcome::Satisfied }, exponential(rng, 0.15))
+        (
+            if sick {
+                Outcome::Failed
+            } else {
+                Outcome::Satisfied
+            },
+            exponential(rng, 0.15),
+        )
     };
     for seed in 1..4 {
         let votes = rollout(seed, &ways);
         let spoke = |v: &str| votes.get(v).map_or(0, BTreeMap::len);
-        assert!(spoke("hold") + spoke("back") <= 3 && spoke("back") < 5, "{votes:?}");
+        assert!(
+            spoke("hold") + spoke("back") <= 3 && spoke("back") < 5,
+            "{votes:?}"
+        );
     }
 }
 
@@ -307,11 +432,22 @@
 fn a_failing_build_of_which_each_agent_sees_little_is_held_or_sent_back() {
     let ways = |rng: &mut Pcg64Mcg, _: Duration, _: usize, build: u32| {
         let fails = build == 2 && rng.gen_bool(0.3);
-        (if fails { Outcome::Failed } else { Outcome::Satisfied }, exponential(rng, 0.15))
+        (
+            if fails {
+                Outcome::Failed
+            } else {
+                Outcome::Satisfied
+            },
+            exponential(rng, 0.15),
+        )
     };
     for seed in 1..4 {
         let votes = rollout(seed, &ways);
-        let first = votes.iter().filter(|v| *v.0 != "none").flat_map(|v| v.1.values()).min();
+        let first = votes
+            .iter()
+            .filter(|v| *v.0 != "none")
+            .flat_map(|v| v.1.values())
+            .min();
         assert!(first.is_some_and(|t| *t < ms(14_500)), "{votes:?}");
         assert!(votes.get("back").map_or(0, BTreeMap::len) >= 5, "{votes:?}");
     }
@@ -326,7 +462,10 @@
         };
         let votes = rollout(seed, &ways);
         let back = votes.get("back").map_or(0, BTreeMap::len);
-        assert!(if slows { back >= 5 } else { back < 3 }, "slows {slows}: {votes:?}");
+        assert!(
+            if slows { back >= 5 } else { back < 3 },
+            "slows {slows}: {votes:?}"
+        );
     }
 }
 
@@ -334,7 +473,10 @@
 fn a_rush_of_commands_that_slows_all_is_not_held_against_the_build() {
     for seed in 1..3 {
         let ways = |rng: &mut Pcg64Mcg, now: Duration, _: usize, _: u32| {
-            (Outcome::Satisfied, exponential(rng, if now > ms(9500) { 0.5 } else { 0.15 }))
+            (
+                Outcome::Satisfied,
+                exponential(rng, if now > ms(9500) { 0.5 } else { 0.15 }),
+            )
         };
         let votes = rush(seed, 2.0, 0.0, &ways);
         assert!(votes.get("back").map_or(0, BTreeMap::len) < 5, "{votes:?}");
@@ -343,12 +485,16 @@
 
 #[test]
 fn wrong_answers_of_which_each_agent_is_told_few_are_sent_back_and_single_ones_are_not() {
-    let ways =
-        |rng: &mut Pcg64Mcg, _: Duration, _: usize, _: u32| (Outcome::Satisfied, exponential(rng, 0.15));
+    let ways = |rng: &mut Pcg64Mcg, _: Duration, _: usize, _: u32| {
+        (Outcome::Satisfied, exponential(rng, 0.15))
+    };
     for (seed, told) in [(1, 0.045), (2, 0.045), (3, 0.002), (4, 0.002)] {
         let votes = rush(seed, 1.0, told, &ways);
         let back = votes.get("back").map_or(0, BTreeMap::len);
-        assert!(if told > 0.01 { back >= 5 } else { back < 5 }, "{told}: {votes:?}");
+        assert!(
+            if told > 0.01 { back >= 5 } else { back < 5 },
+            "{told}: {votes:?}"
+        );
     }
 }
 
@@ -361,11 +507,22 @@
     choice.list(ms(1000), &list, true);
     let begun = std::time::Instant::now();
     for id in 0..200 {
-        let command =
-            Command { lane: 0, customer: None, key: None, left: ms(1000), work: None, again: false };
+        let command = Command {
+            lane: 0,
+            customer: None,
+            key: None,
+            left: ms(1000),
+            work: None,
+            again: false,
+        };
         choice.take(ms(1000), id, command);
         assert!(matches!(choice.place(ms(1000), id), Answer::Send { .. }));
-        let end = End { outcome: Outcome::Satisfied, took: ms(15), closed: true, held: None };
+        let end = End {
+            outcome: Outcome::Satisfied,
+            took: ms(15),
+            closed: true,
+            held: None,
+        };
         choice.after(ms(1015), id, 0, end);
     }
     assert!(begun.elapsed() < ms(2000), "{:?} for 200", begun.elapsed());
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -12,7 +12,10 @@
     change(&mut d);
     let mut w = World::new(d);
     w.list(&(0..8).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
-    w.news(News { phase: Phase::Released, ..trial(7, 0, 1.0) });
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(7, 0, 1.0)
+    });
     w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
     w.news(trial(8, 0, 0.5));
     w.list(&[listed(8, 8, Some(1100)), listed(9, 8, Some(1100))]);
@@ -33,7 +36,10 @@
 }
 
 fn got(w: &World, build: u32) -> usize {
-    w.sends.iter().filter(|(_, i)| w.list[i].build == build).count()
+    w.sends
+        .iter()
+        .filter(|(_, i)| w.list[i].build == build)
+        .count()
 }
 
 #[test]
@@ -48,7 +54,11 @@
     assert!(w.votes.len() > first, "renewed before its life is over");
     w.choice.reply(w.now, Reply::Counted);
     w.serve(1200, 0, ms(20), |_| Outcome::Satisfied);
-    assert_eq!(w.last_vote(), Some(Verdict::None), "lifted once nothing shows");
+    assert_eq!(
+        w.last_vote(),
+        Some(Verdict::None),
+        "lifted once nothing shows"
+    );
 }
 
 #[test]
@@ -83,9 +93,15 @@
 fn a_released_build_is_not_refused_and_is_sent_back_only_after_the_release() {
     let mut w = rollout(|_| {});
     w.serve(150, 0, ms(20), failing(8));
-    assert!(w.votes.iter().all(|v| v.1.verdict == Verdict::Hold), "a hold protects while it is on trial");
+    assert!(
+        w.votes.iter().all(|v| v.1.verdict == Verdict::Hold),
+        "a hold protects while it is on trial"
+    );
     w.choice.reply(w.now, Reply::Counted);
-    w.news(News { phase: Phase::Released, ..trial(8, 2, 1.0) });
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(8, 2, 1.0)
+    });
     let before = got(&w, 8);
     w.serve(200, 0, ms(20), failing(8));
     assert!(got(&w, 8) > before);
@@ -106,7 +122,13 @@
     let mut w = rollout(|_| {});
     w.list(&[listed(10, 8, Some(1100)), listed(11, 8, Some(1100))]);
     w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
-    w.serve(300, 0, ms(20), |e| if e.appliance == 8 { Outcome::Failed } else { Outcome::Satisfied });
+    w.serve(300, 0, ms(20), |e| {
+        if e.appliance == 8 {
+            Outcome::Failed
+        } else {
+            Outcome::Satisfied
+        }
+    });
     assert!(w.votes.is_empty(), "{:?}", w.notes);
 }
 
@@ -163,7 +185,11 @@
         for _ in 0..120 {
             let id = w.held.len() as u64;
             if let Answer::Send { appliance, .. } = w.take(id, 0, ms(1500)) {
-                w.pass(if slow.contains(&appliance) { ms(45) } else { ms(15) });
+                w.pass(if slow.contains(&appliance) {
+                    ms(45)
+                } else {
+                    ms(15)
+                });
                 w.end(id, 0, Outcome::Satisfied);
             }
         }
@@ -174,7 +200,11 @@
 #[test]
 fn where_a_new_build_has_made_all_work_slower_the_load_let_in_does_not_dwindle() {
     let mut w = rollout(|d| d.rollout.caps[0] = 1.0);
-    w.list(&(10..24).map(|i| listed(i, 8, Some(1100))).collect::<Vec<_>>());
+    w.list(
+        &(10..24)
+            .map(|i| listed(i, 8, Some(1100)))
+            .collect::<Vec<_>>(),
+    );
     let play = |w: &mut World, from: u64, n: u64, slow: u64| {
         for id in from..from + n {
             w.take(id, 0, ms(1500));
@@ -186,12 +216,23 @@
                 .iter()
                 .filter_map(|(id, h)| Some((*id, h.deliveries.iter().position(late)?)))
                 .collect();
-            over.into_iter().for_each(|(id, n)| w.end(id, n, Outcome::Satisfied));
+            over.into_iter()
+                .for_each(|(id, n)| w.end(id, n, Outcome::Satisfied));
         }
     };
     play(&mut w, 1000, 1000, 60);
-    w.list(&(0..8).map(|i| Listed { standing: Standing::Gone, ..listed(i, 7, None) }).collect::<Vec<_>>());
-    w.news(News { phase: Phase::Released, ..trial(8, 0, 1.0) });
+    w.list(
+        &(0..8)
+            .map(|i| Listed {
+                standing: Standing::Gone,
+                ..listed(i, 7, None)
+            })
+            .collect::<Vec<_>>(),
+    );
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(8, 0, 1.0)
+    });
     play(&mut w, 2000, 3000, 300);
     let denied = |h: &Held| matches!(h.answers[..], [Answer::Deny { .. }]);
     let denied = w.held.range(4000..5000).filter(|h| denied(h.1)).count();
@@ -205,7 +246,11 @@
     w.list(&[listed(0, 8, None)]);
     w.take(0, 2, ms(2000));
     w.pass(ms(1000));
-    assert!(matches!(w.held[&0].answers[..], [Answer::Deny { .. }]), "{:?}", w.held[&0].answers);
+    assert!(
+        matches!(w.held[&0].answers[..], [Answer::Deny { .. }]),
+        "{:?}",
+        w.held[&0].answers
+    );
 }
 
 #[test]
@@ -219,7 +264,14 @@
     w.choice.reply(w.now, Reply::Moot);
     w.serve(30, 0, ms(20), failing(8));
     for n in 3..6 {
-        w.choice.reply(w.now, if n == 3 { Reply::Unknown } else { Reply::Refused });
+        w.choice.reply(
+            w.now,
+            if n == 3 {
+                Reply::Unknown
+            } else {
+                Reply::Refused
+            },
+        );
         let (from, votes) = (w.now, w.votes.len());
         while w.votes.len() == votes {
             w.serve(1, 0, ms(20), failing(8));
@@ -231,7 +283,14 @@
 #[test]
 fn where_places_are_taken_a_lasting_regression_is_sent_back() {
     let mut w = rollout(|d| d.rollout.in_place = true);
-    w.list(&(0..4).map(|i| Listed { standing: Standing::Gone, ..listed(i, 7, None) }).collect::<Vec<_>>());
+    w.list(
+        &(0..4)
+            .map(|i| Listed {
+                standing: Standing::Gone,
+                ..listed(i, 7, None)
+            })
+            .collect::<Vec<_>>(),
+    );
     w.serve(250, 0, ms(20), failing(8));
     w.choice.reply(w.now, Reply::Counted);
     w.serve(50, 0, ms(20), failing(8));
@@ -241,12 +300,18 @@
 #[test]
 fn an_unannounced_build_counts_as_in_the_first_stage_and_cap_zero_closes() {
     let mut w = rollout(|_| {});
-    w.news(News { phase: Phase::Released, ..trial(8, 2, 1.0) });
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(8, 2, 1.0)
+    });
     w.list(&[listed(10, 9, None)]);
     w.serve(100, 0, ms(20), |_| Outcome::Satisfied);
     let before = got(&w, 9);
     assert!(before > 0);
-    w.news(News { phase: Phase::GoingBack, ..trial(9, 0, 0.0) });
+    w.news(News {
+        phase: Phase::GoingBack,
+        ..trial(9, 0, 0.0)
+    });
     w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
     assert_eq!(got(&w, 9), before);
 }
@@ -277,34 +342,55 @@
         }
     }
     w.pass(ms(2000));
-    let saved = |h: &Held| h.deliveries.len() > 1 && h.deliveries.iter().any(|d| d.appliance == silent);
+    let saved =
+        |h: &Held| h.deliveries.len() > 1 && h.deliveries.iter().any(|d| d.appliance == silent);
     assert!(w.held.values().any(saved), "what it held went elsewhere");
     let before = w.sends.iter().filter(|s| s.1 == silent).count();
     assert!(before < 12, "{before} to a silent appliance");
     w.serve(600, 0, ms(20), |_| Outcome::Satisfied);
-    assert!(w.sends.iter().filter(|s| s.1 == silent).count() > before + 20, "back in use");
+    assert!(
+        w.sends.iter().filter(|s| s.1 == silent).count() > before + 20,
+        "back in use"
+    );
 }
 
 #[test]
 fn under_overload_what_is_worth_least_is_denied_at_once_with_a_time_to_come_back() {
-    let mut w = World::new(Deployment { benefit_by_work: true, customers: Vec::new(), ..deployment(2) });
+    let mut w = World::new(Deployment {
+        benefit_by_work: true,
+        customers: Vec::new(),
+        ..deployment(2)
+    });
     w.list(&(0..4).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
     for id in 0..900 {
         w.take(id, [0, 2][id as usize % 2], ms(3000));
         w.pass(ms(5));
         if id % 4 == 0 {
-            let oldest = w.held.iter().find(|h| h.1.deliveries.iter().any(|d| d.ended.is_none()));
+            let oldest = w
+                .held
+                .iter()
+                .find(|h| h.1.deliveries.iter().any(|d| d.ended.is_none()));
             let (id, h) = oldest.unwrap();
-            let (id, n) = (*id, h.deliveries.iter().position(|d| d.ended.is_none()).unwrap());
+            let (id, n) = (
+                *id,
+                h.deliveries.iter().position(|d| d.ended.is_none()).unwrap(),
+            );
             w.end(id, n, Outcome::Satisfied);
         }
     }
     let denied = |lane| {
         let of = w.held.values().filter(|h| h.lane == lane);
-        of.filter(|h| matches!(h.answers[..], [Answer::Deny { come_back: Some(_) }])).count()
+        of.filter(|h| matches!(h.answers[..], [Answer::Deny { come_back: Some(_) }]))
+            .count()
     };
-    assert!(denied(0) > denied(2) && denied(0) > 100, "{} {}", denied(0), denied(2));
-    let kept = |h: &Held| h.deliveries.is_empty() || !matches!(h.answers[..], [Answer::Deny { .. }]);
+    assert!(
+        denied(0) > denied(2) && denied(0) > 100,
+        "{} {}",
+        denied(0),
+        denied(2)
+    );
+    let kept =
+        |h: &Held| h.deliveries.is_empty() || !matches!(h.answers[..], [Answer::Deny { .. }]);
     assert!(w.held.values().all(kept));
 }
 
@@ -323,7 +409,10 @@
         }
         waits.push(w.now - from);
     }
-    assert!(waits[5] > waits[0] * 4 && waits[5] < ms(15_000), "{waits:?}");
+    assert!(
+        waits[5] > waits[0] * 4 && waits[5] < ms(15_000),
+        "{waits:?}"
+    );
 }
 
 #[test]
@@ -341,17 +430,38 @@
     let mut w = rollout(|d| d.rollout.caps[0] = 1.0);
     for id in 9000..9200 {
         w.take(id, 0, ms(1500));
-        while let Some(n) = w.held[&id].deliveries.iter().position(|d| d.ended.is_none()) {
+        while let Some(n) = w.held[&id]
+            .deliveries
+            .iter()
+            .position(|d| d.ended.is_none())
+        {
             w.pass(ms(10));
-            w.end(id, n, if id % 3 == 0 { Outcome::Failed } else { Outcome::Satisfied });
+            w.end(
+                id,
+                n,
+                if id % 3 == 0 {
+                    Outcome::Failed
+                } else {
+                    Outcome::Satisfied
+                },
+            );
         }
         w.pass(ms(10));
     }
     assert!(w.votes.is_empty(), "{:?}", w.notes);
-    let aside = w.notes.iter().filter(|n| n.starts_with("set aside")).count();
+    let aside = w
+        .notes
+        .iter()
+        .filter(|n| n.starts_with("set aside"))
+        .count();
     assert!(aside < 4, "{:?}", w.notes);
-    let retries: usize = (9100..9200).map(|id| w.held[&id].deliveries.len() - 1).sum();
-    assert!(retries < 20, "what fails anywhere is hardly tried again: {retries}");
+    let retries: usize = (9100..9200)
+        .map(|id| w.held[&id].deliveries.len() - 1)
+        .sum();
+    assert!(
+        retries < 20,
+        "what fails anywhere is hardly tried again: {retries}"
+    );
 }
 
 #[test]
@@ -374,7 +484,11 @@
 fn earlier_appliances_that_stay_until_the_release_leave_their_load_to_the_trial() {
     let mut w = rollout(|d| d.rollout.caps[0] = 1.0);
     w.news(trial(8, 2, 1.0));
-    w.list(&(8..16).map(|i| listed(i, 8, Some(1100))).collect::<Vec<_>>());
+    w.list(
+        &(8..16)
+            .map(|i| listed(i, 8, Some(1100)))
+            .collect::<Vec<_>>(),
+    );
     let before = got(&w, 8);
     w.serve(200, 0, ms(20), |_| Outcome::Satisfied);
     assert!(got(&w, 8) - before > 150, "{}", got(&w, 8) - before);
@@ -384,7 +498,10 @@
 fn sides(far: Crossing, lane: usize, entries: &[Listed]) -> [usize; 2] {
     let mut w = World::new(deployment(3));
     w.list(entries);
-    w.choice.crossings(Crossings { zones: vec![Crossing::default(), far], cold: 1.0 });
+    w.choice.crossings(Crossings {
+        zones: vec![Crossing::default(), far],
+        cold: 1.0,
+    });
     w.serve(200, lane, ms(10), |_| Outcome::Satisfied);
     let far = w.sends.iter().filter(|(_, i)| i % 2 == 1).count();
     [w.sends.len() - far, far]
@@ -393,14 +510,28 @@
 #[test]
 fn what_is_told_of_crossing_weighs_and_what_crosses_last_goes_only_where_nothing_near_can() {
     let four: Vec<Listed> = (0..4).map(|i| listed(i, 7, None)).collect();
-    let [near, far] = sides(Crossing { draw: Some(0.1), ..Crossing::default() }, 0, &four);
+    let [near, far] = sides(
+        Crossing {
+            draw: Some(0.1),
+            ..Crossing::default()
+        },
+        0,
+        &four,
+    );
     assert!(far > 3 && near > 4 * far, "{near} {far}");
-    let last = Crossing { draw: Some(1.0), last: vec![true, false, false], ..Crossing::default() };
+    let last = Crossing {
+        draw: Some(1.0),
+        last: vec![true, false, false],
+        ..Crossing::default()
+    };
     assert_eq!(sides(last.clone(), 0, &four), [200, 0]);
     let [_, other_lane] = sides(last.clone(), 2, &four);
     assert!(other_lane > 50, "only the lanes that are named");
     let drained: Vec<Listed> = (0..4)
-        .map(|i| Listed { standing: [Standing::Draining, Standing::Running][i % 2], ..listed(i, 7, None) })
+        .map(|i| Listed {
+            standing: [Standing::Draining, Standing::Running][i % 2],
+            ..listed(i, 7, None)
+        })
         .collect();
     assert_eq!(sides(last, 0, &drained), [0, 200]);
 }
@@ -409,19 +540,42 @@
 fn an_id_that_returns_in_another_zone_at_the_same_build_is_of_that_zone() {
     let mut w = World::new(deployment(4));
     w.list(&[listed(0, 7, None)]);
-    assert_eq!(w.choice.rooms(w.now, 2).iter().map(|r| r.running).collect::<Vec<_>>(), [1, 0]);
-    w.list(&[Listed { zone: 1, ..listed(0, 7, None) }]);
-    assert_eq!(w.choice.rooms(w.now, 2).iter().map(|r| r.running).collect::<Vec<_>>(), [0, 1]);
+    assert_eq!(
+        w.choice
+            .rooms(w.now, 2)
+            .iter()
+            .map(|r| r.running)
+            .collect::<Vec<_>>(),
+        [1, 0]
+    );
+    w.list(&[Listed {
+        zone: 1,
+        ..listed(0, 7, None)
+    }]);
+    assert_eq!(
+        w.choice
+            .rooms(w.now, 2)
+            .iter()
+            .map(|r| r.running)
+            .collect::<Vec<_>>(),
+        [0, 1]
+    );
 }
 
 /// One appliance lost its answer; whatever its group remembers or not, the answer is final and comes in time.
 fn lost_once(window: Duration, passes: Duration) -> (World, Vec<Answer>) {
     let mut d = deployment(11);
-    d.lanes[1].repeats = Repeats::Deduplicated { group: Group::All, window };
+    d.lanes[1].repeats = Repeats::Deduplicated {
+        group: Group::All,
+        window,
+    };
     let mut w = World::new(d);
     w.list(&[listed(0, 7, None)]);
     w.take(1, 1, ms(2000));
-    w.list(&[Listed { standing: Standing::Draining, ..listed(0, 7, None) }]);
+    w.list(&[Listed {
+        standing: Standing::Draining,
+        ..listed(0, 7, None)
+    }]);
     w.end(1, 0, Outcome::Broken);
     w.pass(passes);
     let answers = w.held[&1].answers.clone();
@@ -435,24 +589,36 @@
         [Answer::Scrap],
         "nothing may go out any more, nor a retry come"
     );
-    assert!(lost_once(ms(3000), ms(400)).1.is_empty(), "it waits for an appliance to repeat it at");
+    assert!(
+        lost_once(ms(3000), ms(400)).1.is_empty(),
+        "it waits for an appliance to repeat it at"
+    );
 }
 
 #[test]
 fn a_delivery_holds_until_its_commands_time_is_over_and_a_repeat_while_it_is_remembered() {
     let mut d = deployment(11);
-    d.lanes[1].repeats = Repeats::Deduplicated { group: Group::All, window: ms(300) };
+    d.lanes[1].repeats = Repeats::Deduplicated {
+        group: Group::All,
+        window: ms(300),
+    };
     let mut w = World::new(d);
     w.list(&[listed(0, 7, None), listed(1, 7, None)]);
     w.take(1, 1, ms(1000));
     let first = w.now;
-    assert!(w.choice.holds(first + ms(900), 1, 0), "the first one repeats nothing, however late");
+    assert!(
+        w.choice.holds(first + ms(900), 1, 0),
+        "the first one repeats nothing, however late"
+    );
     assert!(!w.choice.holds(first + ms(1000), 1, 0));
     w.end(1, 0, Outcome::Broken);
     assert_eq!(w.held[&1].deliveries.len(), 2);
     assert!(w.choice.holds(first + ms(290), 1, 1));
     assert!(!w.choice.holds(first + ms(300), 1, 1));
-    assert!(!w.choice.holds(first, 1, 2) && !w.choice.holds(first, 2, 0), "what was never decided");
+    assert!(
+        !w.choice.holds(first, 1, 2) && !w.choice.holds(first, 2, 0),
+        "what was never decided"
+    );
 }
 
 /// One of four agents of which two must agree, and the earlier build's quick answers; then build 8 on trial.
@@ -461,7 +627,9 @@
 }
 
 fn sent_back(w: &World, build: u32) -> bool {
-    w.votes.iter().any(|(_, v)| v.build == build && v.verdict == Verdict::Back)
+    w.votes
+        .iter()
+        .any(|(_, v)| v.build == build && v.verdict == Verdict::Back)
 }
 
 /// Guards against a build that slows all so much that hardly an answer comes: what came was quick enough. Sends back a
@@ -487,10 +655,16 @@
 #[test]
 fn a_build_is_judged_by_what_the_fleet_bore_under_the_one_released_before_it() {
     let mut w = agreeing();
-    w.news(News { phase: Phase::Released, ..trial(8, 0, 1.0) });
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(8, 0, 1.0)
+    });
     w.serve(50, 0, ms(100), |_| Outcome::Satisfied);
     w.news(trial(9, 0, 0.5));
-    w.list(&[listed(10, 9, Some(w.now.as_millis() as u64)), listed(11, 9, Some(w.now.as_millis() as u64))]);
+    w.list(&[
+        listed(10, 9, Some(w.now.as_millis() as u64)),
+        listed(11, 9, Some(w.now.as_millis() as u64)),
+    ]);
     w.serve(30, 0, ms(100), |_| Outcome::Satisfied);
     assert!(!sent_back(&w, 9), "{:?}", w.notes);
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -16,10 +16,26 @@
 #[test]
 fn each_file_that_decides_is_named_as_policy_and_their_sum_is_bounded() {
     let text = read("deploy/balancer.toml");
-    let list = text.split_once("policy = [").unwrap().1.split_once(']').unwrap().0;
-    let named: BTreeSet<String> = list.split('"').skip(1).step_by(2).map(str::to_owned).collect();
+    let list = text
+        .split_once("policy = [")
+        .unwrap()
+        .1
+        .split_once(']')
+        .unwrap()
+        .0;
+    let named: BTreeSet<String> = list
+        .split('"')
+        .skip(1)
+        .step_by(2)
+        .map(str::to_owned)
+        .collect();
     let parts = fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("src/choice")).unwrap();
-    let names = parts.map(|p| format!("src/choice/{}", p.unwrap().file_name().into_string().unwrap()));
+    let names = parts.map(|p| {
+        format!(
+            "src/choice/{}",
+            p.unwrap().file_name().into_string().unwrap()
+        )
+    });
     let mut here: BTreeSet<String> = names.filter(|n| n != CARRIES).collect();
     here.insert("src/choice.rs".into());
     assert_eq!(named, here);
--- a/tests/renewal.rs
+++ b/tests/renewal.rs
@@ -9,17 +9,27 @@
 use world::*;
 
 fn same(d: &Deployment) -> Numbering {
-    Numbering { lanes: vec![Origin::Same; d.lanes.len()], customers: vec![Origin::Same; d.customers.len()] }
+    Numbering {
+        lanes: vec![Origin::Same; d.lanes.len()],
+        customers: vec![Origin::Same; d.customers.len()],
+    }
 }
 
 /// Eight appliances of build 7 that have answered, and three of build 8 on trial, warm.
 fn rollout(d: Deployment) -> World {
     let mut w = World::new(d);
     w.list(&(0..8).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
-    w.news(News { phase: Phase::Released, ..trial(7, 0, 1.0) });
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(7, 0, 1.0)
+    });
     w.serve(40, 0, ms(20), |_| Outcome::Satisfied);
     w.news(trial(8, 0, 0.3));
-    w.list(&(8..11).map(|i| listed(i, 8, Some(1100))).collect::<Vec<_>>());
+    w.list(
+        &(8..11)
+            .map(|i| listed(i, 8, Some(1100)))
+            .collect::<Vec<_>>(),
+    );
     w.pass(ms(4200));
     w
 }
@@ -27,17 +37,33 @@
 /// Ends one delivery by chance, if any is out.
 fn end_one(w: &mut World, rng: &mut Pcg64Mcg) {
     let (skip, fails) = (rng.gen_range(0..3), rng.gen_bool(0.15));
-    let out =
-        w.held.iter().filter_map(|(id, h)| Some((*id, h.deliveries.iter().position(|d| d.ended.is_none())?)));
+    let out = w
+        .held
+        .iter()
+        .filter_map(|(id, h)| Some((*id, h.deliveries.iter().position(|d| d.ended.is_none())?)));
     if let Some((id, n)) = out.skip(skip).last() {
-        let kinds = [Outcome::Failed, Outcome::TurnedAway, Outcome::Broken, Outcome::NoConnection];
-        let outcome = if fails { kinds[rng.gen_range(0..kinds.len())] } else { Outcome::Satisfied };
+        let kinds = [
+            Outcome::Failed,
+            Outcome::TurnedAway,
+            Outcome::Broken,
+            Outcome::NoConnection,
+        ];
+        let outcome = if fails {
+            kinds[rng.gen_range(0..kinds.len())]
+        } else {
+            Outcome::Satisfied
+        };
         w.end(id, n, outcome);
     }
 }
 
 /// A minute or so of commands by chance; `between` may renew the settings.
-fn play(w: &mut World, seed: u64, steps: usize, mut between: impl FnMut(&mut World, &mut Pcg64Mcg, usize)) {
+fn play(
+    w: &mut World,
+    seed: u64,
+    steps: usize,
+    mut between: impl FnMut(&mut World, &mut Pcg64Mcg, usize),
+) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for step in 0..steps {
         let lane = rng.gen_range(0..3);
@@ -53,7 +79,11 @@
 
 /// What was decided: where each delivery went, each final answer, each vote.
 fn decided(w: &World) -> String {
-    let held: Vec<_> = w.held.values().map(|h| (&h.answers, &h.deliveries)).collect();
+    let held: Vec<_> = w
+        .held
+        .values()
+        .map(|h| (&h.answers, &h.deliveries))
+        .collect();
     format!("{:?} {held:?} {:?} {:?}", w.sends, w.votes, w.notes)
 }
 
@@ -81,7 +111,10 @@
 fn the_rules_hold_across_renewals_by_chance() {
     let mut exposed = 0;
     for seed in 0..40 {
-        let mut w = rollout(Deployment { agents: 1, ..deployment(seed) });
+        let mut w = rollout(Deployment {
+            agents: 1,
+            ..deployment(seed)
+        });
         play(&mut w, seed, 500, |w, rng, step| {
             if step % 5 != 0 {
                 return;
@@ -95,7 +128,10 @@
                 3 => r.one_way = !r.one_way,
                 4 => d.deliveries = rng.gen_range(1..5),
                 5 => d.tick = ms(rng.gen_range(1..8)),
-                6 => d.lanes.iter_mut().for_each(|l| l.quoted = ms(rng.gen_range(100..2000))),
+                6 => d
+                    .lanes
+                    .iter_mut()
+                    .for_each(|l| l.quoted = ms(rng.gen_range(100..2000))),
                 _ => d.customers[0].share = rng.gen_range(0.0..1.0),
             }
             let by = same(&d);
@@ -103,13 +139,19 @@
         });
         exposed += w.sends.iter().filter(|(_, i)| *i >= 8).count();
     }
-    assert!(exposed > 200, "the trial was exposed all the same: {exposed}");
+    assert!(
+        exposed > 200,
+        "the trial was exposed all the same: {exposed}"
+    );
 }
 
 #[test]
 fn a_thousand_renewals_expose_no_more_than_none() {
     let exposed = |renews: bool| {
-        let mut w = rollout(Deployment { agents: 1, ..deployment(3) });
+        let mut w = rollout(Deployment {
+            agents: 1,
+            ..deployment(3)
+        });
         play(&mut w, 3, 600, |w, _, _| {
             for free in [40.0, 2.0].into_iter().filter(|_| renews) {
                 let mut d = w.d.clone();
@@ -121,7 +163,10 @@
         w.sends.iter().filter(|(_, i)| *i >= 8).count()
     };
     let (none, many) = (exposed(false), exposed(true));
-    assert!(none > 20 && many <= none, "{many} with renewals, {none} without");
+    assert!(
+        none > 20 && many <= none,
+        "{many} with renewals, {none} without"
+    );
 }
 
 /// A lane that comes and goes does not earn its first exposures anew.
@@ -144,7 +189,11 @@
             let id = w.held.len() as u64;
             w.take(id, 3, ms(1500));
             w.pass(ms(10));
-            if let Some(n) = w.held[&id].deliveries.iter().position(|d| d.ended.is_none()) {
+            if let Some(n) = w.held[&id]
+                .deliveries
+                .iter()
+                .position(|d| d.ended.is_none())
+            {
                 w.end(id, n, Outcome::Satisfied);
             }
         }
@@ -156,16 +205,25 @@
 /// Commands in hand end by the rules they were taken under, later ones by the new, whatever fails.
 #[test]
 fn rules_of_repeats_that_change_hold_for_whom_they_were_taken() {
-    let mut w = World::new(Deployment { agents: 1, ..deployment(9) });
+    let mut w = World::new(Deployment {
+        agents: 1,
+        ..deployment(9)
+    });
     w.list(&(0..6).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
-    w.news(News { phase: Phase::Released, ..trial(7, 0, 1.0) });
+    w.news(News {
+        phase: Phase::Released,
+        ..trial(7, 0, 1.0)
+    });
     w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
     // Idempotent, in hand; then its lane is unrepeatable under another number.
     let id = w.held.len() as u64;
     w.take(id, 0, ms(1500));
     w.take(id + 1, 2, ms(1500));
     let mut d = w.d.clone();
-    d.lanes.push(Lane { repeats: Repeats::Unrepeatable, ..d.lanes[0].clone() });
+    d.lanes.push(Lane {
+        repeats: Repeats::Unrepeatable,
+        ..d.lanes[0].clone()
+    });
     let mut by = same(&d);
     by.lanes = vec![Origin::Over, Origin::Same, Origin::Same, Origin::Was(0)];
     assert_eq!(w.choice.in_hand().lanes, [0, 2].into());
@@ -175,14 +233,32 @@
         w.end(n, 0, Outcome::Broken);
     }
     w.pass(ms(200));
-    assert_eq!(w.held[&id].deliveries.len(), 2, "it may run twice, as when it was taken");
-    assert_eq!((w.held[&(id + 1)].deliveries.len(), w.held[&(id + 2)].deliveries.len()), (1, 1));
+    assert_eq!(
+        w.held[&id].deliveries.len(),
+        2,
+        "it may run twice, as when it was taken"
+    );
+    assert_eq!(
+        (
+            w.held[&(id + 1)].deliveries.len(),
+            w.held[&(id + 2)].deliveries.len()
+        ),
+        (1, 1)
+    );
     assert_eq!(w.held[&(id + 2)].answers, [Answer::Scrap]);
     w.end(id, 1, Outcome::Satisfied);
-    assert!(w.choice.in_hand().lanes.is_empty(), "{:?}", w.choice.in_hand());
+    assert!(
+        w.choice.in_hand().lanes.is_empty(),
+        "{:?}",
+        w.choice.in_hand()
+    );
     // Its number is nobody's: no sum hears of it, though it was slow.
     let mut d = w.d.clone();
-    d.lanes[0] = Lane { quoted: ms(1000), benefit: 0.0, repeats: Repeats::Unrepeatable };
+    d.lanes[0] = Lane {
+        quoted: ms(1000),
+        benefit: 0.0,
+        repeats: Repeats::Unrepeatable,
+    };
     by.lanes = vec![Origin::Free, Origin::Same, Origin::Same, Origin::Same];
     w.renew(d, &by);
     w.serve(30, 3, ms(20), |_| Outcome::Satisfied);
@@ -194,8 +270,15 @@
 fn evidence_goes_on_under_another_number_and_counts_once() {
     /// After so many, the lane moves or not: how many more it takes until the build is held.
     fn needed(seed: u64, before: u64, moves: bool) -> usize {
-        let rollout_ = Rollout { free: 200.0, ..deployment(seed).rollout };
-        let mut w = rollout(Deployment { agents: 1, rollout: rollout_, ..deployment(seed) });
+        let rollout_ = Rollout {
+            free: 200.0,
+            ..deployment(seed).rollout
+        };
+        let mut w = rollout(Deployment {
+            agents: 1,
+            rollout: rollout_,
+            ..deployment(seed)
+        });
         w.news(trial(8, 0, 1.0));
         let serve = |w: &mut World, lane: usize, n: u64| {
             let fails = std::cell::Cell::new(0);
@@ -226,19 +309,32 @@
             .unwrap_or(400)
     }
     for (seed, before) in (0..6).flat_map(|seed| [(seed, 0), (seed, 20), (seed, 40)]) {
-        assert_eq!(needed(seed, before, true), needed(seed, before, false), "seed {seed}, {before} before");
+        assert_eq!(
+            needed(seed, before, true),
+            needed(seed, before, false),
+            "seed {seed}, {before} before"
+        );
     }
 }
 
 #[test]
 fn an_appliance_that_has_not_warmed_for_as_long_as_is_now_said_is_cold_again() {
     let share = |cold_for: u64| {
-        let mut w = World::new(Deployment { agents: 1, ..deployment(2) });
+        let mut w = World::new(Deployment {
+            agents: 1,
+            ..deployment(2)
+        });
         w.list(&(0..5).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
         w.list(&[listed(5, 7, Some(900))]);
-        w.news(News { phase: Phase::Released, ..trial(7, 0, 1.0) });
+        w.news(News {
+            phase: Phase::Released,
+            ..trial(7, 0, 1.0)
+        });
         w.serve(300, 0, ms(15), |_| Outcome::Satisfied);
-        let d = Deployment { cold_for: ms(cold_for), ..w.d.clone() };
+        let d = Deployment {
+            cold_for: ms(cold_for),
+            ..w.d.clone()
+        };
         let by = same(&d);
         w.pass(Duration::from_secs(3));
         w.renew(d, &by);
@@ -247,18 +343,28 @@
         w.sends[before..].iter().filter(|(_, i)| *i == 5).count()
     };
     let (warm, cold) = (share(4000), share(60_000));
-    assert!(warm > 20 && cold < warm * 3 / 4, "{cold} of 200 cold, {warm} warm");
+    assert!(
+        warm > 20 && cold < warm * 3 / 4,
+        "{cold} of 200 cold, {warm} warm"
+    );
 }
 
 #[test]
 fn customers_keep_their_load_by_number_and_zones_move_without_a_loss() {
-    let mut w = rollout(Deployment { agents: 1, ..deployment(4) });
+    let mut w = rollout(Deployment {
+        agents: 1,
+        ..deployment(4)
+    });
     let mut d = w.d.clone();
     d.customers.push(Customer { share: 0.1 });
-    let by = Numbering { customers: vec![Origin::Free, Origin::Same, Origin::New], ..same(&d) };
+    let by = Numbering {
+        customers: vec![Origin::Free, Origin::Same, Origin::New],
+        ..same(&d)
+    };
     w.renew(d, &by);
     let kept = w.choice.kept();
-    w.choice.rezone(&(0..11).map(|i| (i, 5)).collect::<Vec<_>>());
+    w.choice
+        .rezone(&(0..11).map(|i| (i, 5)).collect::<Vec<_>>());
     assert_eq!(w.choice.kept(), kept);
     assert_eq!(w.choice.rooms(w.now, 6)[5].running, 11);
     w.serve(20, 0, ms(20), |_| Outcome::Satisfied);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,7 +21,10 @@
 fn play(mut d: Deployment, script: &[(u8, u8)]) {
     let groups = [Group::All, Group::Zone, Group::Cell];
     let pick = script.first().map_or(0, |s| s.0 as usize);
-    d.lanes[1].repeats = Repeats::Deduplicated { group: groups[pick % 3], window: ms(900) };
+    d.lanes[1].repeats = Repeats::Deduplicated {
+        group: groups[pick % 3],
+        window: ms(900),
+    };
     let mut w = World::new(d);
     w.list(&(0..5).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
     let (mut next, mut build) = (0, 7);
@@ -36,19 +39,40 @@
                 w.end_at(i, OUTCOMES[*how as usize % 8]);
             }
             9 => {
-                w.list(&[Listed { standing: Standing::Draining, ..listed(i, build, None) }]);
+                w.list(&[Listed {
+                    standing: Standing::Draining,
+                    ..listed(i, build, None)
+                }]);
             }
-            10 => w.list(&[Listed { standing: Standing::Gone, ..listed(i, build, None) }]),
+            10 => w.list(&[Listed {
+                standing: Standing::Gone,
+                ..listed(i, build, None)
+            }]),
             11 => {
                 let started = w.now.as_millis() as u64 - u64::from(*how) * 10 % 900;
                 w.list(&[listed(i, build + u32::from(how % 2), Some(started))]);
             }
             12 => {
-                let phases = [Phase::Trial, Phase::Trial, Phase::Released, Phase::GoingBack];
+                let phases = [
+                    Phase::Trial,
+                    Phase::Trial,
+                    Phase::Released,
+                    Phase::GoingBack,
+                ];
                 let phase = phases[i % 4];
                 build += u32::from(phase == Phase::Released);
-                let cap = if phase == Phase::GoingBack { 0.0 } else { [0.2, 0.5, 1.0][i % 3] };
-                w.news(News { build: build + 1, stage: i % 3, phase, cap, began: w.now });
+                let cap = if phase == Phase::GoingBack {
+                    0.0
+                } else {
+                    [0.2, 0.5, 1.0][i % 3]
+                };
+                w.news(News {
+                    build: build + 1,
+                    stage: i % 3,
+                    phase,
+                    cap,
+                    began: w.now,
+                });
             }
             13 => {
                 w.choice.flag(w.now, i, *how as usize % 3, ms(100));
@@ -66,7 +90,10 @@
         }
     }
     w.pass(ms(4000));
-    assert!(w.held.values().all(|h| h.answers.len() == 1), "every command has its one answer");
+    assert!(
+        w.held.values().all(|h| h.answers.len() == 1),
+        "every command has its one answer"
+    );
 }
 
 /// What crossing means, drawn anew: any draws, any lanes that cross last, any part for cold ones.
@@ -78,11 +105,17 @@
         last: bits(0),
         again_last: bits(3),
     };
-    Crossings { zones: vec![Crossing::default(), far], cold: 0.2 + f64::from(how % 5) / 5.0 }
+    Crossings {
+        zones: vec![Crossing::default(), far],
+        cold: 0.2 + f64::from(how % 5) / 5.0,
+    }
 }
 
 fn check(seed: u64, run: fn(Vec<(u8, u8)>)) {
-    QuickCheck::new().rng(Gen::from_size_and_seed(300, seed)).tests(40).quickcheck(run);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(300, seed))
+        .tests(40)
+        .quickcheck(run);
 }
 
 #[test]
@@ -95,7 +128,11 @@
     check(2, |script| {
         let mut d = deployment(2);
         (d.list_asked, d.come_back) = (true, None);
-        (d.rollout.by_lane, d.rollout.guarded_stages, d.rollout.in_place) = (true, 1, true);
+        (
+            d.rollout.by_lane,
+            d.rollout.guarded_stages,
+            d.rollout.in_place,
+        ) = (true, 1, true);
         play(d, &script);
     });
 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -9,7 +9,13 @@
 use world::{deployment, listed, ms, trial, World};
 
 fn shape(seed: u64, agents: u32) -> Deployment {
-    let mut d = Deployment { agents, second_copies: true, warm_keys: true, probes: true, ..deployment(seed) };
+    let mut d = Deployment {
+        agents,
+        second_copies: true,
+        warm_keys: true,
+        probes: true,
+        ..deployment(seed)
+    };
     (d.fall_multiple, d.customers) = (2.0, Vec::new());
     let r = &mut d.rollout;
     (r.guarded_stages, r.by_lane, r.in_place, r.tallied) = (1, true, true, true);
@@ -18,15 +24,29 @@
 }
 
 fn fleet(agents: u32) -> Vec<Choice> {
-    (0..agents).map(|i| Choice::new(ms(1000), shape(u64::from(i) * 977 + 1, agents))).collect()
+    (0..agents)
+        .map(|i| Choice::new(ms(1000), shape(u64::from(i) * 977 + 1, agents)))
+        .collect()
 }
 
 fn entries(of: std::ops::Range<usize>, build: u32, started: Option<u64>) -> Vec<Listed> {
-    of.map(|i| Listed { zone: 0, kind: i % 2, ..listed(i, build, started) }).collect()
+    of.map(|i| Listed {
+        zone: 0,
+        kind: i % 2,
+        ..listed(i, build, started)
+    })
+    .collect()
 }
 
 fn command(lane: usize, key: u64) -> Command {
-    Command { lane, customer: None, key: Some(key), left: ms(1500), work: None, again: false }
+    Command {
+        lane,
+        customer: None,
+        key: Some(key),
+        left: ms(1500),
+        work: None,
+        again: false,
+    }
 }
 
 /// Where a command of this key goes; answered at once.
@@ -49,9 +69,16 @@
     let mut got = BTreeMap::<usize, usize>::new();
     for (n, choice) in fleet(400).iter_mut().enumerate() {
         choice.list(ms(1000), &entries(0..20, 1, None), true);
-        (0..20)
-            .for_each(|i| choice.told(ms(1000), i, Outcome::Satisfied, Some(if i == 7 { 0.0 } else { 6.0 })));
-        *got.entry(sent(choice, ms(1100), 1, 0, n as u64).unwrap()).or_default() += 1;
+        (0..20).for_each(|i| {
+            choice.told(
+                ms(1000),
+                i,
+                Outcome::Satisfied,
+                Some(if i == 7 { 0.0 } else { 6.0 }),
+            )
+        });
+        *got.entry(sent(choice, ms(1100), 1, 0, n as u64).unwrap())
+            .or_default() += 1;
     }
     assert!(got[&7] < 80, "twice its share and a little: {got:?}");
     assert!(got[&7] > 20, "and yet more than its share: {got:?}");
@@ -70,7 +97,8 @@
                 let others = (10..50).filter_map(|n| sent(choice, ms(1150), n, 0, n));
                 assert_eq!(others.count(), 40);
                 choice.told(ms(1200), home, Outcome::Satisfied, Some(load));
-                *got.entry(sent(choice, ms(1210), 2, 0, 4711).unwrap()).or_default() += 1;
+                *got.entry(sent(choice, ms(1210), 2, 0, 4711).unwrap())
+                    .or_default() += 1;
             }
         }
         got.values().copied().max().unwrap()
@@ -80,7 +108,14 @@
 }
 
 fn tally(build: u32, lane: usize, deliveries: f64, failed: f64, took: u64) -> Tally {
-    Tally { build, lane, deliveries, failed, took: ms(took), age: ms(1000) }
+    Tally {
+        build,
+        lane,
+        deliveries,
+        failed,
+        took: ms(took),
+        age: ms(1000),
+    }
 }
 
 /// Five seconds of tallies of an earlier build and a trial; the verdict then.
@@ -100,7 +135,10 @@
 /// Against a good build taken for slow as nothing is warm yet; harms where a build is only a little slower.
 #[test]
 fn a_good_build_without_warm_keys_is_let_on_by_the_tallies_and_a_slow_one_is_not() {
-    assert_eq!(verdict(1, tally(7, 0, 200.0, 1.0, 100), tally(8, 0, 20.0, 0.0, 130)), None);
+    assert_eq!(
+        verdict(1, tally(7, 0, 200.0, 1.0, 100), tally(8, 0, 20.0, 0.0, 130)),
+        None
+    );
     let slow = verdict(1, tally(7, 0, 200.0, 1.0, 100), tally(8, 0, 20.0, 0.0, 270));
     assert_eq!(slow, Some(Verdict::Back));
 }
@@ -110,9 +148,20 @@
 fn a_lane_with_an_effect_that_fails_once_the_guard_opens_is_sent_back() {
     let bad = verdict(1, tally(7, 2, 100.0, 1.0, 100), tally(8, 2, 12.0, 7.0, 100));
     assert_eq!(bad, Some(Verdict::Back));
-    assert_eq!(verdict(1, tally(7, 2, 100.0, 1.0, 100), tally(8, 99, -5.0, f64::NAN, 0)), None);
     assert_eq!(
-        verdict(1, tally(7, 2, 100.0, 30.0, 100), tally(8, 2, 12.0, 4.0, 100)),
+        verdict(
+            1,
+            tally(7, 2, 100.0, 1.0, 100),
+            tally(8, 99, -5.0, f64::NAN, 0)
+        ),
+        None
+    );
+    assert_eq!(
+        verdict(
+            1,
+            tally(7, 2, 100.0, 30.0, 100),
+            tally(8, 2, 12.0, 4.0, 100)
+        ),
         None,
         "the same of both"
     );
@@ -145,7 +194,10 @@
         w.list(&entries(20..22, 8, Some(900)));
         w.news(trial(8, 1, 0.3));
         w.choice.tally(&tally(7, 0, 400.0, 2.0, 100));
-        w.news(News { phase: Phase::Released, ..trial(8, 2, 1.0) });
+        w.news(News {
+            phase: Phase::Released,
+            ..trial(8, 2, 1.0)
+        });
         w.pass(served);
         w.choice.tally(&tally(7, 0, 400.0, 2.0, 100));
         w.choice.tally(&tally(8, 0, 40.0, 20.0, 100));
@@ -153,32 +205,58 @@
         w.last_vote()
     };
     assert_eq!(told_after(ms(100)), Some(Verdict::Back));
-    assert_eq!(told_after(ms(16_000)), None, "what has served is not refused");
+    assert_eq!(
+        told_after(ms(16_000)),
+        None,
+        "what has served is not refused"
+    );
 }
 
 /// Against a fault on the way to some appliances, at just the agents whose voices suffice to send back.
 #[test]
 fn an_agent_that_cannot_reach_half_of_both_builds_does_not_send_a_good_one_back() {
     let mut d = shape(11, 56);
-    (d.rollout.back_votes, d.rollout.tallied, d.warm_keys, d.probes) = (2, false, false, false);
+    (
+        d.rollout.back_votes,
+        d.rollout.tallied,
+        d.warm_keys,
+        d.probes,
+    ) = (2, false, false, false);
     let mut w = World::new(d);
     w.list(&entries(0..10, 7, None));
     w.serve(60, 0, ms(40), |_| Outcome::Satisfied);
     w.list(&entries(10..16, 8, Some(3000)));
     w.news(trial(8, 2, 1.0));
-    w.serve(300, 0, ms(40), |e| if e.appliance % 2 == 0 { Outcome::Broken } else { Outcome::Satisfied });
-    assert!(w.votes.iter().all(|v| v.1.verdict != Verdict::Back), "{:?}", w.notes);
+    w.serve(300, 0, ms(40), |e| {
+        if e.appliance % 2 == 0 {
+            Outcome::Broken
+        } else {
+            Outcome::Satisfied
+        }
+    });
+    assert!(
+        w.votes.iter().all(|v| v.1.verdict != Verdict::Back),
+        "{:?}",
+        w.notes
+    );
 }
 
 /// Against the first delivery of each of many agents: together they topple a cold appliance.
 #[test]
 fn half_the_fleet_cold_at_once_gets_no_more_than_its_part_from_all_together() {
     // Nothing else holds them off: no key has a home, no appliance tells its load.
-    let plain = |i: u64| Deployment { warm_keys: false, probes: false, ..shape(i * 977 + 1, 300) };
+    let plain = |i: u64| Deployment {
+        warm_keys: false,
+        probes: false,
+        ..shape(i * 977 + 1, 300)
+    };
     let mut fleet: Vec<Choice> = (0..300).map(|i| Choice::new(ms(1000), plain(i))).collect();
     for choice in &mut fleet {
         choice.list(ms(1000), &entries(0..20, 1, None), true);
-        let released = News { phase: Phase::Released, ..trial(1, 2, 1.0) };
+        let released = News {
+            phase: Phase::Released,
+            ..trial(1, 2, 1.0)
+        };
         choice.news(released);
     }
     let (mut id, mut cold, mut warm) = (0, [0usize; 10], 0);
@@ -191,7 +269,9 @@
             choice.wait(now);
             if (step + n as u64 * 7).is_multiple_of(25) {
                 id += 1;
-                let Some(i) = sent(choice, now, id, 0, id) else { continue };
+                let Some(i) = sent(choice, now, id, 0, id) else {
+                    continue;
+                };
                 let end = End {
                     outcome: Outcome::Satisfied,
                     took: ms(60),
@@ -208,7 +288,10 @@
     }
     // The ramp at the end of that time, and seven tenths of the fall multiple, of what a warm one got.
     let part = (0.3 + 0.7 * 1.5 / 4.0) * 0.7 * 2.0 * warm as f64 / 10.0;
-    assert!(cold.iter().all(|n| (*n as f64) < part), "{cold:?} of which each may have {part}, warm {warm}");
+    assert!(
+        cold.iter().all(|n| (*n as f64) < part),
+        "{cold:?} of which each may have {part}, warm {warm}"
+    );
     // Not idle either: an agent whose turn it is takes it.
     assert!(cold.iter().sum::<usize>() > 60, "{cold:?}");
 }
@@ -221,7 +304,10 @@
     w.list(&entries(6..12, 8, Some(500)));
     for id in 0..200 {
         if let Answer::Send { appliance, .. } = w.take(id, 1 + id as usize % 2, ms(1500)) {
-            assert!(appliance < 6, "an unannounced build counts as in the first stage");
+            assert!(
+                appliance < 6,
+                "an unannounced build counts as in the first stage"
+            );
         }
         w.pass(ms(20));
         (0..12).for_each(|i| while w.end_at(i, Outcome::Satisfied) {});
@@ -234,8 +320,12 @@
 fn the_same_settings_watched_count_no_difference_and_others_do() {
     let mut d = shape(9, 120);
     (d.rollout.guarded_stages, d.warm_keys, d.rollout.caps) = (0, false, vec![0.5, 0.5, 1.0]);
-    let other =
-        Shape { guarded_stages: Some(1), caps: Some(vec![0.02]), warm_keys: Some(true), ..Shape::default() };
+    let other = Shape {
+        guarded_stages: Some(1),
+        caps: Some(vec![0.02]),
+        warm_keys: Some(true),
+        ..Shape::default()
+    };
     let mut watches = [Watch::new(&d, &Shape::default()), Watch::new(&d, &other)];
     let (mut choice, mut plain) = (Choice::new(ms(1000), d.clone()), Choice::new(ms(1000), d));
     for c in [&mut choice, &mut plain] {
@@ -253,23 +343,56 @@
         let answer = choice.place(now, id);
         assert_eq!(answer, plain.place(now, id), "it decides as before");
         if let Answer::Send { appliance, .. } = answer {
-            watches.iter_mut().for_each(|w| w.sent(now, &choice, lane, Some(id % 9), appliance));
+            watches
+                .iter_mut()
+                .for_each(|w| w.sent(now, &choice, lane, Some(id % 9), appliance));
         }
         for c in [&mut choice, &mut plain] {
-            c.after(now, id, 0, End { outcome: Outcome::Satisfied, took: ms(20), closed: true, held: None });
+            c.after(
+                now,
+                id,
+                0,
+                End {
+                    outcome: Outcome::Satisfied,
+                    took: ms(20),
+                    closed: true,
+                    held: None,
+                },
+            );
         }
     }
     let [same, other] = watches.map(|w| w.counts);
-    assert_eq!(same, Otherwise { deliveries: same.deliveries, ..Otherwise::default() });
-    assert!(other.guarded > 10 && other.exposure > 10 && other.key > 100, "{other}");
+    assert_eq!(
+        same,
+        Otherwise {
+            deliveries: same.deliveries,
+            ..Otherwise::default()
+        }
+    );
+    assert!(
+        other.guarded > 10 && other.exposure > 10 && other.key > 100,
+        "{other}"
+    );
 }
 
 fn satisfied(took: u64, held: Option<f64>) -> End {
-    End { outcome: Outcome::Satisfied, took: ms(took), closed: true, held }
+    End {
+        outcome: Outcome::Satisfied,
+        took: ms(took),
+        closed: true,
+        held,
+    }
 }
 
 fn plain(agents: u32) -> Choice {
-    Choice::new(ms(1000), Deployment { warm_keys: false, probes: false, ..shape(7, agents) })
+    Choice::new(
+        ms(1000),
+        Deployment {
+            warm_keys: false,
+            probes: false,
+            ..shape(7, agents)
+        },
+    )
 }
 
 /// Against copies that slow all where there is no room: an agent of hundreds has one or two commands out, far under
@@ -304,9 +427,23 @@
         let (now, heavy) = (ms(1000 + id * 20), id % 2 == 1);
         choice.wait(now);
         let work = Some(ms(if heavy { 200 } else { 20 }));
-        choice.take(now, id, Command { work, ..command(0, id) });
-        let Answer::Send { appliance, .. } = choice.place(now, id) else { panic!("nothing is in the way") };
-        choice.after(now, id, 0, satisfied(if appliance % 2 == 0 { 40 } else { 80 }, Some(2.0)));
+        choice.take(
+            now,
+            id,
+            Command {
+                work,
+                ..command(0, id)
+            },
+        );
+        let Answer::Send { appliance, .. } = choice.place(now, id) else {
+            panic!("nothing is in the way")
+        };
+        choice.after(
+            now,
+            id,
+            0,
+            satisfied(if appliance % 2 == 0 { 40 } else { 80 }, Some(2.0)),
+        );
         slow[usize::from(heavy)] += usize::from(id > 400 && appliance % 2 == 1);
     }
     assert!(slow[0] > 60 && slow[1] < 30, "of 1000 each: {slow:?}");
@@ -318,7 +455,12 @@
 fn a_rare_lane_that_fails_is_seen_by_what_is_known_of_all_lanes() {
     let voted = |known: u64, fails: bool| {
         let mut d = shape(13, 120);
-        (d.rollout.back_votes, d.rollout.tallied, d.warm_keys, d.probes) = (4, false, false, false);
+        (
+            d.rollout.back_votes,
+            d.rollout.tallied,
+            d.warm_keys,
+            d.probes,
+        ) = (4, false, false, false);
         let mut w = World::new(d);
         w.list(&entries(0..10, 7, None));
         w.serve(120, 0, ms(40), |_| Outcome::Satisfied);
@@ -328,28 +470,39 @@
         w.pass(ms(4500));
         w.list(
             &(0..10)
-                .map(|i| Listed { standing: Standing::Draining, ..listed(i, 7, None) })
+                .map(|i| Listed {
+                    standing: Standing::Draining,
+                    ..listed(i, 7, None)
+                })
                 .collect::<Vec<_>>(),
         );
         w.serve(40, 0, ms(40), |_| Outcome::Satisfied);
-        w.serve(
-            9,
-            2,
-            ms(40),
-            |e| if fails && e.appliance != 12 { Outcome::Failed } else { Outcome::Satisfied },
-        );
+        w.serve(9, 2, ms(40), |e| {
+            if fails && e.appliance != 12 {
+                Outcome::Failed
+            } else {
+                Outcome::Satisfied
+            }
+        });
         w.votes.iter().any(|v| v.1.verdict != Verdict::None)
     };
     assert!(voted(4, true));
     assert!(!voted(4, false), "nothing fails");
-    assert!(!voted(0, true), "a lane that was never answered does not gate");
+    assert!(
+        !voted(0, true),
+        "a lane that was never answered does not gate"
+    );
 }
 
 /// Against lanes with an effect that would follow the room to the trial while a stage is guarded and the earlier
 /// appliances grow fewer. Harms them: what the last ones cannot take is denied.
 #[test]
 fn a_guarded_stage_exposes_no_lane_with_an_effect_however_few_earlier_appliances_are_left() {
-    let mut w = World::new(Deployment { warm_keys: false, probes: false, ..shape(17, 120) });
+    let mut w = World::new(Deployment {
+        warm_keys: false,
+        probes: false,
+        ..shape(17, 120)
+    });
     w.list(&entries(0..6, 7, None));
     (0..3).for_each(|lane| w.serve(40, lane, ms(20), |_| Outcome::Satisfied));
     w.list(&entries(6..12, 8, Some(3000)));
@@ -357,13 +510,23 @@
     w.pass(ms(4500));
     let before = w.held.len() as u64;
     for left in (1..6).rev() {
-        w.list(&[Listed { standing: Standing::Draining, ..listed(left, 7, None) }]);
+        w.list(&[Listed {
+            standing: Standing::Draining,
+            ..listed(left, 7, None)
+        }]);
         (0..3).for_each(|lane| w.serve(20, lane, ms(20), |_| Outcome::Satisfied));
     }
     let at_trial = |lane| {
         let of_lane = w.held.range(before..).filter(|(_, h)| h.lane == lane);
-        of_lane.flat_map(|(_, h)| &h.deliveries).filter(|d| d.appliance >= 6).count()
+        of_lane
+            .flat_map(|(_, h)| &h.deliveries)
+            .filter(|d| d.appliance >= 6)
+            .count()
     };
     assert_eq!((at_trial(1), at_trial(2)), (0, 0));
-    assert!(at_trial(0) > 10, "idempotent commands show what the build does: {}", at_trial(0));
+    assert!(
+        at_trial(0) > 10,
+        "idempotent commands show what the build does: {}",
+        at_trial(0)
+    );
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -10,14 +10,25 @@
 }
 
 pub fn deployment(seed: u64) -> Deployment {
-    let lane = |quoted, benefit, repeats| Lane { quoted: ms(quoted), benefit, repeats };
+    let lane = |quoted, benefit, repeats| Lane {
+        quoted: ms(quoted),
+        benefit,
+        repeats,
+    };
     Deployment {
         seed,
         agents: 3,
         zone: 0,
         lanes: vec![
             lane(400, 2.0, Repeats::Idempotent),
-            lane(400, 2.0, Repeats::Deduplicated { group: Group::Zone, window: ms(900) }),
+            lane(
+                400,
+                2.0,
+                Repeats::Deduplicated {
+                    group: Group::Zone,
+                    window: ms(900),
+                },
+            ),
             lane(600, 6.0, Repeats::Unrepeatable),
         ],
         customers: vec![Customer { share: 0.6 }, Customer { share: 0.4 }],
@@ -71,7 +82,13 @@
 }
 
 pub fn trial(build: u32, stage: usize, cap: f64) -> News {
-    News { build, stage, phase: Phase::Trial, cap, began: ms(1000) }
+    News {
+        build,
+        stage,
+        phase: Phase::Trial,
+        cap,
+        began: ms(1000),
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -137,14 +154,19 @@
         self.choice.list(self.now, entries, false);
         for e in entries {
             let old = self.list.insert(e.appliance, e.clone());
-            if old.is_none_or(|o| o.started != e.started || o.build != e.build || o.standing != e.standing) {
+            if old.is_none_or(|o| {
+                o.started != e.started || o.build != e.build || o.standing != e.standing
+            }) {
                 self.listed_at.insert(e.appliance, self.sends.len());
             }
         }
     }
 
     pub fn news(&mut self, n: News) {
-        let lower = self.told.as_ref().is_none_or(|o| o.build != n.build || n.cap < o.cap);
+        let lower = self
+            .told
+            .as_ref()
+            .is_none_or(|o| o.build != n.build || n.cap < o.cap);
         if lower {
             self.counted_from = self.exposed.len();
         }
@@ -169,20 +191,36 @@
     pub fn on_trial(&self, build: u32) -> bool {
         match &self.told {
             Some(n) => build > n.build || build == n.build && n.phase != Phase::Released,
-            None => self.list.values().any(|l| l.build < build && l.standing == Standing::Running),
+            None => self
+                .list
+                .values()
+                .any(|l| l.build < build && l.standing == Standing::Running),
         }
     }
 
     pub fn take(&mut self, id: u64, lane: usize, left: Duration) -> Answer {
         let expires = self.now + left;
-        let held = Held { lane, expires, deliveries: Vec::new(), answers: Vec::new(), look: None };
+        let held = Held {
+            lane,
+            expires,
+            deliveries: Vec::new(),
+            answers: Vec::new(),
+            look: None,
+        };
         self.held.insert(id, held);
         self.taken.push((self.now, lane));
         let customer = Some(id as usize % 2);
         self.choice.take(
             self.now,
             id,
-            Command { lane, customer, key: Some(id % 7), left, work: None, again: false },
+            Command {
+                lane,
+                customer,
+                key: Some(id % 7),
+                left,
+                work: None,
+                again: false,
+            },
         );
         let answer = self.choice.place(self.now, id);
         self.obey(id, answer.clone());
@@ -191,8 +229,15 @@
 
     /// Ends the oldest delivery that is out to `appliance`, if any.
     pub fn end_at(&mut self, appliance: usize, outcome: Outcome) -> bool {
-        let out = |h: &Held| h.deliveries.iter().position(|d| d.ended.is_none() && d.appliance == appliance);
-        let found = self.held.iter().find_map(|(id, h)| out(h).map(|n| (*id, n)));
+        let out = |h: &Held| {
+            h.deliveries
+                .iter()
+                .position(|d| d.ended.is_none() && d.appliance == appliance)
+        };
+        let found = self
+            .held
+            .iter()
+            .find_map(|(id, h)| out(h).map(|n| (*id, n)));
         if let Some((id, n)) = found {
             self.end(id, n, outcome);
         }
@@ -211,7 +256,17 @@
             self.bound.insert(id % 7, build);
         }
         let took = self.now - h.deliveries[n].sent;
-        let answer = self.choice.after(self.now, id, n, End { outcome, took, closed, held: None });
+        let answer = self.choice.after(
+            self.now,
+            id,
+            n,
+            End {
+                outcome,
+                took,
+                closed,
+                held: None,
+            },
+        );
         self.obey(id, answer);
     }
 
@@ -220,15 +275,24 @@
         let (lane, now) = (h.lane, self.now);
         let ran = |d: &Out| d.ended.is_none_or(|o| !o.never_ran());
         match answer.clone() {
-            Answer::Send { appliance, time_out, look } => {
-                assert!(h.answers.is_empty(), "nothing is sent after the final answer");
+            Answer::Send {
+                appliance,
+                time_out,
+                look,
+            } => {
+                assert!(
+                    h.answers.is_empty(),
+                    "nothing is sent after the final answer"
+                );
                 assert!(now < h.expires && h.deliveries.len() < self.d.deliveries);
                 let out = h.deliveries.iter().filter(|d| d.ended.is_none()).count();
                 assert!(out == 0 || self.d.second_copies && out == 1);
                 let e = self.list[&appliance].clone();
                 match self.d.lanes[lane].repeats {
                     Repeats::Idempotent => {}
-                    Repeats::Unrepeatable => assert!(!h.deliveries.iter().any(ran), "it may have run"),
+                    Repeats::Unrepeatable => {
+                        assert!(!h.deliveries.iter().any(ran), "it may have run")
+                    }
                     Repeats::Deduplicated { group, window } => {
                         for d in h.deliveries.iter().filter(|d| ran(d)) {
                             let o = &self.list[&d.appliance];
@@ -241,12 +305,28 @@
                         }
                     }
                 }
-                let news = self.told.as_ref().filter(|t| matches!(t.phase, Phase::Trial | Phase::Released));
-                let floor = news.filter(|t| self.bound.get(&(id % 7)).is_some_and(|b| *b >= t.build));
-                assert!(!self.d.rollout.one_way || floor.is_none_or(|t| e.build >= t.build), "one way");
-                assert_eq!(e.standing, Standing::Running, "nothing to a draining or gone appliance");
+                let news = self
+                    .told
+                    .as_ref()
+                    .filter(|t| matches!(t.phase, Phase::Trial | Phase::Released));
+                let floor =
+                    news.filter(|t| self.bound.get(&(id % 7)).is_some_and(|b| *b >= t.build));
+                assert!(
+                    !self.d.rollout.one_way || floor.is_none_or(|t| e.build >= t.build),
+                    "one way"
+                );
+                assert_eq!(
+                    e.standing,
+                    Standing::Running,
+                    "nothing to a draining or gone appliance"
+                );
                 let give_up = h.expires.min(now + time_out);
-                h.deliveries.push(Out { appliance, sent: now, ended: None, give_up });
+                h.deliveries.push(Out {
+                    appliance,
+                    sent: now,
+                    ended: None,
+                    give_up,
+                });
                 h.look = look;
                 self.sends.push((now, appliance));
                 self.check_cold(&e);
@@ -260,9 +340,14 @@
                 let harmless = match self.d.lanes[lane].repeats {
                     Repeats::Idempotent => true,
                     // Its client may be back half a second later, and the repeat must be told as one then.
-                    Repeats::Deduplicated { group: Group::All, window } => {
-                        h.deliveries.iter().filter(|d| ran(d)).all(|d| now + ms(500) < d.sent + window)
-                    }
+                    Repeats::Deduplicated {
+                        group: Group::All,
+                        window,
+                    } => h
+                        .deliveries
+                        .iter()
+                        .filter(|d| ran(d))
+                        .all(|d| now + ms(500) < d.sent + window),
                     _ => !h.deliveries.iter().any(ran),
                 };
                 assert!(harmless, "denied though it may have run");
@@ -287,13 +372,24 @@
         let told = self.listed_at[&e.appliance];
         let recent = |t: Duration| t + self.d.fall_for > self.now && t <= self.now;
         let cold = |l: &Listed| l.started.is_some_and(|s| s + self.d.cold_for > self.now);
-        let running = self.list.values().filter(|l| l.standing == Standing::Running);
+        let running = self
+            .list
+            .values()
+            .filter(|l| l.standing == Standing::Running);
         let all = running.clone().count() as f64;
         let warm = (running.filter(|l| !cold(l)).count() as f64).max(all / 2.0);
-        let here = self.sends[told..].iter().filter(|(t, i)| recent(*t) && *i == e.appliance).count();
+        let here = self.sends[told..]
+            .iter()
+            .filter(|(t, i)| recent(*t) && *i == e.appliance)
+            .count();
         // What went out in the busiest window so far: the pace of warm ones is remembered.
         let span = self.d.fall_for;
-        let within = |from: Duration| self.sends.iter().filter(|s| s.0 >= from && s.0 < from + span).count();
+        let within = |from: Duration| {
+            self.sends
+                .iter()
+                .filter(|s| s.0 >= from && s.0 < from + span)
+                .count()
+        };
         let most = self.sends.iter().map(|s| within(s.0)).max().unwrap_or(0) as f64;
         let part = 0.7 * self.d.fall_multiple;
         assert!(
@@ -319,10 +415,20 @@
         let counted = &self.exposed[self.counted_from..];
         let starts: Vec<Duration> = counted.iter().map(|x| x.0).collect();
         for from in starts.into_iter().filter(|t| *t + ms(3000) > self.now) {
-            let sent = counted.iter().filter(|x| x.0 >= from && x.1 == e.build && ours(x.2)).count() as f64;
+            let sent = counted
+                .iter()
+                .filter(|x| x.0 >= from && x.1 == e.build && ours(x.2))
+                .count() as f64;
             // Strictest: only commands that came after the window began, or in the same step.
-            let came = self.taken.iter().filter(|x| x.0 >= from && ours(x.1)).count() as f64;
-            assert!(sent <= r.free + cap * came + 1e-9, "{sent} deliveries, {came} commands at {cap}");
+            let came = self
+                .taken
+                .iter()
+                .filter(|x| x.0 >= from && ours(x.1))
+                .count() as f64;
+            assert!(
+                sent <= r.free + cap * came + 1e-9,
+                "{sent} deliveries, {came} commands at {cap}"
+            );
         }
     }
 
@@ -331,7 +437,12 @@
         let end = self.now + span;
         while self.now < end {
             self.now += self.d.tick;
-            let ids: Vec<u64> = self.held.iter().filter(|h| h.1.busy()).map(|h| *h.0).collect();
+            let ids: Vec<u64> = self
+                .held
+                .iter()
+                .filter(|h| h.1.busy())
+                .map(|h| *h.0)
+                .collect();
             for id in ids {
                 let late = |d: &Out| d.ended.is_none() && self.now >= d.give_up;
                 let over = self.held[&id].deliveries.iter().position(late);
@@ -346,7 +457,10 @@
                     self.obey(id, answer);
                 }
                 let h = &self.held[&id];
-                assert!(!h.answers.is_empty() || self.now < h.expires + ms(20), "command {id} was lost");
+                assert!(
+                    !h.answers.is_empty() || self.now < h.expires + ms(20),
+                    "command {id} was lost"
+                );
             }
             if self.now >= self.wake {
                 let due = self.choice.wait(self.now);
@@ -362,11 +476,21 @@
     }
 
     /// `n` idempotent commands, each answered after `took` by `outcome` of the appliance it went to.
-    pub fn serve(&mut self, n: u64, lane: usize, took: Duration, outcome: impl Fn(&Listed) -> Outcome) {
+    pub fn serve(
+        &mut self,
+        n: u64,
+        lane: usize,
+        took: Duration,
+        outcome: impl Fn(&Listed) -> Outcome,
+    ) {
         for _ in 0..n {
             let id = self.held.len() as u64;
             self.take(id, lane, ms(1500));
-            while let Some(n) = self.held[&id].deliveries.iter().position(|d| d.ended.is_none()) {
+            while let Some(n) = self.held[&id]
+                .deliveries
+                .iter()
+                .position(|d| d.ended.is_none())
+            {
                 self.pass(took);
                 let d = &self.held[&id].deliveries[n];
                 if d.ended.is_none() {
