--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -16,10 +16,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::{Crossings, News, Shape, Vote};
-use tulipwall_deployment::{Door, Installation, Mistake, Site};
-use tulipwall_membership::clock::Clock;
-use tulipwall_membership::list::{List, Target};
-use tulipwall_membership::listing::Listing;
+use tulipwall_config::{Door, Installation, Mistake, Site};
+use tulipwall_discovery::clock::Clock;
+use tulipwall_discovery::list::{List, Target};
+use tulipwall_discovery::listing::Listing;
 use tulipwall_zones::Names;
 
 pub struct Agent {
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -14,7 +14,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall_deployment::Site;
+use tulipwall_config::Site;
 
 /// How long a client beyond the limit, or one that comes at the very end, has for its first command, and one that holds
 /// half a message for its rest while memory is short.
--- a/crates/agent/src/command.rs
+++ b/crates/agent/src/command.rs
@@ -15,7 +15,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tulipwall::{Answer, Command, Group, Outcome, Repeats};
-use tulipwall_deployment::number;
+use tulipwall_config::number;
 use tulipwall_zones::{Sending, Ticket};
 
 /// What a client may write ahead of its answers before it is held back.
--- a/crates/agent/src/commands/demo.rs
+++ b/crates/agent/src/commands/demo.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_deployment::Door;
-use tulipwall_standins::{lanes, Caller, Link, Load, Offer, Program, Ways, World};
+use tulipwall_config::Door;
+use tulipwall_testkit::{lanes, Caller, Link, Load, Offer, Program, Ways, World};
 use tulipwall_zones::Document;
 
 const ZONES: [&str; 2] = ["akl-east", "akl-west"];
--- a/crates/agent/src/commands/mod.rs
+++ b/crates/agent/src/commands/mod.rs
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tulipwall_deployment::LogForm;
+use tulipwall_config::LogForm;
 
 const EXITS: &str = "\
 Without a command it runs the agent that PROXY_CONFIG names.
--- a/crates/agent/src/commands/report.rs
+++ b/crates/agent/src/commands/report.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tulipwall::Otherwise;
-use tulipwall_deployment::Door;
+use tulipwall_config::Door;
 use tulipwall_zones::{BudgetLine, Document, Line, LinkLine};
 
 const WITHIN: Duration = Duration::from_secs(5);
--- a/crates/agent/src/delivery.rs
+++ b/crates/agent/src/delivery.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::Outcome;
-use tulipwall_membership::list::Target;
+use tulipwall_discovery::list::Target;
 use tulipwall_zones::{Flaw, Opening};
 
 /// How soon the rest of an answer that has begun must come.
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -8,8 +8,8 @@
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::time::Duration;
-use tulipwall_membership::listing::{self, Listing};
-use tulipwall_membership::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_discovery::listing::{self, Listing};
+use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
 
 /// How soon the rest of an answer that has begun must come.
 const REST_WITHIN: Duration = Duration::from_millis(500);
--- a/crates/agent/src/door.rs
+++ b/crates/agent/src/door.rs
@@ -18,7 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tulipwall_deployment::Door;
+use tulipwall_config::Door;
 use tulipwall_zones::Place;
 
 /// Readers at once; who comes beyond waits in the queue of connections.
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tulipwall::Shape;
-use tulipwall_deployment::{Door, Installation, Instance, LogForm, Mistake, Site};
-use tulipwall_membership::listing::Listing;
+use tulipwall_config::{Door, Installation, Instance, LogForm, Mistake, Site};
+use tulipwall_discovery::listing::Listing;
 use tulipwall_zones::Zoning;
 
 /// Which files are read.
--- a/crates/agent/src/logs.rs
+++ b/crates/agent/src/logs.rs
@@ -3,7 +3,7 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::Map;
 use std::io::Write;
-use tulipwall_deployment::LogForm;
+use tulipwall_config::LogForm;
 
 /// Target of what a verdict on a build rests on, a line each at `debug`: how deliveries and commands ended, flags, news
 /// and votes, with the Unix time in milliseconds. Off unless `RUST_LOG` sets it (`info,evidence=debug`,
--- a/crates/agent/src/memory/hand.rs
+++ b/crates/agent/src/memory/hand.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_membership::clock::Clock;
+use tulipwall_discovery::clock::Clock;
 
 pub struct Hand {
     choice: RefCell<Choice>,
@@ -82,7 +82,7 @@
                     watch.sent(now, &self.choice.borrow(), lane, key, *appliance);
                 }
                 (Answer::Deny { .. } | Answer::Scrap, _) => {
-                    drop(self.keys.borrow_mut().remove(&id))
+                    self.keys.borrow_mut().remove(&id);
                 }
                 _ => {}
             }
--- a/crates/agent/src/program.rs
+++ b/crates/agent/src/program.rs
@@ -15,8 +15,8 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall_deployment::LogForm;
-use tulipwall_membership::watchdog::Watchdog;
+use tulipwall_config::LogForm;
+use tulipwall_discovery::watchdog::Watchdog;
 
 /// Connections that may wait to be taken in, where there are fewer places: what the standard library asks for.
 const QUEUE_LEAST: usize = 128;
--- a/crates/agent/src/wire/platform.rs
+++ b/crates/agent/src/wire/platform.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 use tulipwall::{Phase, Reply, Verdict, Vote};
-use tulipwall_deployment::Fields;
+use tulipwall_config::Fields;
 
 /// No line of the platform's is as long.
 pub const LINE_MOST: usize = 8 * 1024;
--- a/crates/agent/tests/crossing.rs
+++ b/crates/agent/tests/crossing.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::appliance::Link;
-use tulipwall_standins::ground::{until, SOON};
-use tulipwall_standins::*;
+use tulipwall_testkit::appliance::Link;
+use tulipwall_testkit::ground::{until, SOON};
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
--- a/crates/agent/tests/customers.rs
+++ b/crates/agent/tests/customers.rs
@@ -3,8 +3,8 @@
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
-use tulipwall_standins::ground::SOON;
-use tulipwall_standins::*;
+use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -2,8 +2,8 @@
 
 use rustix::process::Signal;
 use std::time::Duration;
-use tulipwall_standins::ground::until;
-use tulipwall_standins::*;
+use tulipwall_testkit::ground::until;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large.rs
@@ -2,7 +2,7 @@
 //! behind all their entries.
 
 use serde_json::json;
-use tulipwall_standins::*;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 const APPLIANCES: usize = 7_700;
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -8,9 +8,9 @@
 use std::io::Write;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::appliance::Link;
-use tulipwall_standins::ground::SOON;
-use tulipwall_standins::*;
+use tulipwall_testkit::appliance::Link;
+use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 /// What a silent watch misses counts as told so long after it fell silent; then there is the grace.
--- a/crates/agent/tests/refused.rs
+++ b/crates/agent/tests/refused.rs
@@ -2,7 +2,7 @@
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::*;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 const REFUSES: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -4,9 +4,9 @@
 use serde_json::{json, Value};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::appliance::CONNECTIONS;
-use tulipwall_standins::ground::{until, SOON};
-use tulipwall_standins::*;
+use tulipwall_testkit::appliance::CONNECTIONS;
+use tulipwall_testkit::ground::{until, SOON};
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -7,11 +7,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tulipwall::{Choice, News, Phase};
-use tulipwall_deployment::{Fields, Site};
-use tulipwall_membership::listing::Listing;
-use tulipwall_membership::{clock::Clock, list::List};
-use tulipwall_standins::ground::SOON;
-use tulipwall_standins::*;
+use tulipwall_config::{Fields, Site};
+use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::{clock::Clock, list::List};
+use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -8,7 +8,7 @@
 use tulipwall_agent::wire::platform::{self, Line, Told};
 use tulipwall_agent::wire::postgres::{self, Hearing, Opening, Verdict};
 use tulipwall_agent::wire::{http, statement::Statement, Malformed};
-use tulipwall_membership::listing::Listing;
+use tulipwall_discovery::listing::Listing;
 
 const READ: &str = "SELECT body FROM objects WHERE oid = 'a1' /* id=9b1f,c=view,t=acme,d=480 */";
 const WRITE: &str = "INSERT INTO objects (oid, body) VALUES ('a1', '\\x9f''03') RETURNING body \
--- a/crates/agent/tests/world.rs
+++ b/crates/agent/tests/world.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::appliance::Link;
-use tulipwall_standins::ground::SOON;
-use tulipwall_standins::*;
+use tulipwall_testkit::appliance::Link;
+use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 /// What a silent watch misses counts as told so long after, then there is the grace.
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -8,8 +8,8 @@
 use std::sync::{Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
-use tulipwall_standins::ground::{until, SOON};
-use tulipwall_standins::*;
+use tulipwall_testkit::ground::{until, SOON};
+use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
--- a/crates/calls/tests/answer.rs
+++ b/crates/client-policy/tests/answer.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
-use tulipwall_calls::answer::*;
+use tulipwall_client_policy::answer::*;
 
 fn put(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![tag];
--- a/crates/calls/tests/bound.rs
+++ b/crates/client-policy/tests/bound.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tulipwall::Repeats;
-use tulipwall_calls::{Bound, InFlight, Lane};
+use tulipwall_client_policy::{Bound, InFlight, Lane};
 
 fn lanes() -> Vec<Lane> {
     let lane = |benefit| Lane {
--- a/crates/calls/tests/endpoints.rs
+++ b/crates/client-policy/tests/endpoints.rs
@@ -1,7 +1,7 @@
 //! Which agent a call goes to, case by case.
 
 use std::time::Duration;
-use tulipwall_calls::*;
+use tulipwall_client_policy::*;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/calls/tests/retries.rs
+++ b/crates/client-policy/tests/retries.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
 use tulipwall::{Group, Repeats};
-use tulipwall_calls::*;
+use tulipwall_client_policy::*;
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 use tulipwall_client::{blocking, Call, Group, Lane, Repeats, Service, Unanswered};
-use tulipwall_standins::{Act, Appliance, Ways};
+use tulipwall_testkit::{Act, Appliance, Ways};
 
 fn main() -> std::io::Result<()> {
     let agent = Appliance::start(1, Ways::default(), 1)?;
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -6,9 +6,9 @@
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
-use tulipwall_calls::{Chosen, Connections, Endpoints};
 use tulipwall_client::Client;
-use tulipwall_standins::service;
+use tulipwall_client_policy::{Chosen, Connections, Endpoints};
+use tulipwall_testkit::service;
 
 const AGENTS: [usize; 4] = [6, 77, 385, 770];
 const CLIENTS: usize = 2000;
--- a/crates/client/examples/measure.rs
+++ b/crates/client/examples/measure.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipwall_client::{Call, Client};
-use tulipwall_standins::ground::{sleep, spawn};
-use tulipwall_standins::{lanes, pg, service, Appliance, Program, Ways, World};
+use tulipwall_testkit::ground::{sleep, spawn};
+use tulipwall_testkit::{lanes, pg, service, Appliance, Program, Ways, World};
 
 const CLIENTS: usize = 200;
 const EXPIRY: Duration = Duration::from_millis(1500);
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -14,8 +14,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tulipwall::Repeats;
-use tulipwall_calls::answer::Said;
-use tulipwall_calls::{Bound, Chosen, Ended, Endpoints, Next, Opening, Retries, Service, Tries};
+use tulipwall_client_policy::answer::Said;
+use tulipwall_client_policy::{
+    Bound, Chosen, Ended, Endpoints, Next, Opening, Retries, Service, Tries,
+};
 
 /// A timer that is seen so late tells of a client that stood still.
 const STOOD_STILL: Duration = Duration::from_millis(20);
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tulipwall_calls::answer::{Reading, Said};
-use tulipwall_calls::Ended;
+use tulipwall_client_policy::answer::{Reading, Said};
+use tulipwall_client_policy::Ended;
 
 const READ: usize = 4096;
 
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -34,4 +34,4 @@
 pub use client::Client;
 pub use seen::{Counters, LaneSeen, Seen};
 pub use tulipwall::{Group, Repeats};
-pub use tulipwall_calls::{Connections, InFlight, Lane, Retrying, Service};
+pub use tulipwall_client_policy::{Connections, InFlight, Lane, Retrying, Service};
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -115,8 +115,8 @@
         Some(path) => {
             let text = std::fs::read_to_string(path)
                 .map_err(|e| vec![format!("{}: {e}", path.display())])?;
-            let named = |m: &tulipwall_deployment::Mistake| format!("{}:{m}", path.display());
-            tulipwall_deployment::read_service(&text)
+            let named = |m: &tulipwall_config::Mistake| format!("{}:{m}", path.display());
+            tulipwall_config::read_service(&text)
                 .map_err(|all| all.iter().map(named).collect::<Vec<_>>())?
         }
         None => Service::new(Vec::new(), Vec::new()),
--- a/crates/client/tests/command.rs
+++ b/crates/client/tests/command.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tulipwall_client::{blocking, Call, Client, Lane, Repeats, Service, Unanswered};
-use tulipwall_standins::ground::until;
-use tulipwall_standins::{Act, Appliance, Speaker, Ways};
+use tulipwall_testkit::ground::until;
+use tulipwall_testkit::{Act, Appliance, Speaker, Ways};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-call");
 
--- a/crates/deployment/examples/settings.rs
+++ b/crates/config/examples/settings.rs
@@ -1,12 +1,12 @@
 //! What reading settings, looking a tenant up, and numbering settings after those in force take, by number of tenants.
 //!
-//!     cargo run --release -p tulipwall-deployment --example settings
+//!     cargo run --release -p tulipwall-config --example settings
 
 use serde_json::{json, Value};
 use std::hint::black_box;
 use std::time::Instant;
 use tulipwall::InHand;
-use tulipwall_deployment::{Fields, Site};
+use tulipwall_config::{Fields, Site};
 
 fn settings(least: usize, tenants: usize) -> String {
     let share = 1.0 / tenants as f64;
--- a/crates/deployment/src/service.rs
+++ b/crates/config/src/service.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tulipwall::{Group, Repeats};
-use tulipwall_calls::{Connections, InFlight, Lane, Retrying, Service};
+use tulipwall_client_policy::{Connections, InFlight, Lane, Retrying, Service};
 
 const TIMES_MOST: f64 = 1e6;
 const WINDOW: Duration = Duration::from_secs(5);
--- a/crates/deployment/tests/renewal.rs
+++ b/crates/config/tests/renewal.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tulipwall::{Group, InHand, Origin, Repeats};
-use tulipwall_deployment::{Fields, Site};
+use tulipwall_config::{Fields, Site};
 
 fn class(name: &str, repeats: &str) -> Value {
     json!({"name": name, "aim-ms": 400.0, "give-up-ms": 1500.0, "idempotency": repeats, "dedup-scope": "all",
--- a/crates/membership/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tulipwall::{Listed, Standing};
-use tulipwall_deployment::{number, Site};
+use tulipwall_config::{number, Site};
 
 const KINDS_MOST: usize = 16;
 
--- a/crates/membership/src/listing.rs
+++ b/crates/discovery/src/listing.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tulipwall::Standing;
-use tulipwall_deployment::Fields;
+use tulipwall_config::Fields;
 
 pub const LIST: &str = "/api/targets";
 
--- a/crates/membership/tests/calls.rs
+++ b/crates/discovery/tests/calls.rs
@@ -5,9 +5,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 use tulipwall::{Answer, Choice, Command, Deployment, Listed, Standing};
-use tulipwall_deployment::{Fields, Site};
-use tulipwall_membership::watchdog::{Ended, Vouched, Watchdog};
-use tulipwall_standins::*;
+use tulipwall_config::{Fields, Site};
+use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_testkit::*;
 
 const STEP: Duration = ms(10);
 /// When the day begins for the module, whose clock does not begin at nothing.
--- a/crates/membership/tests/large.rs
+++ b/crates/discovery/tests/large.rs
@@ -3,10 +3,10 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 use tulipwall::{Answer, Choice, Command, Standing};
-use tulipwall_deployment::{Fields, Site};
-use tulipwall_membership::listing::Listing;
-use tulipwall_membership::{clock::Clock, list::List};
-use tulipwall_standins::program;
+use tulipwall_config::{Fields, Site};
+use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::{clock::Clock, list::List};
+use tulipwall_testkit::program;
 
 const APPLIANCES: usize = 7_700;
 
--- a/crates/membership/tests/lists.rs
+++ b/crates/discovery/tests/lists.rs
@@ -3,11 +3,11 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 use tulipwall::{Answer, Choice, Command};
-use tulipwall_deployment::{Fields, Site};
-use tulipwall_membership::listing::Listing;
-use tulipwall_membership::watchdog::{Ended, Vouched, Watchdog};
-use tulipwall_membership::{clock::Clock, list::List};
-use tulipwall_standins::*;
+use tulipwall_config::{Fields, Site};
+use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_discovery::{clock::Clock, list::List};
+use tulipwall_testkit::*;
 
 fn site(agents: u32) -> Site {
     let value = program::settings(&["a"], "a", agents, &program::lanes());
--- a/crates/lab/examples/beside.rs
+++ b/crates/experiments/examples/beside.rs
@@ -1,12 +1,12 @@
 //! The same small installation in the model and on real sockets, side by side: the real agent, stand-ins on loopback.
 //!
-//!     cargo build --release && cargo run --release -p tulipwall-lab --example beside
+//!     cargo build --release && cargo run --release -p tulipwall-experiments --example beside
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tulipwall_lab::run;
-use tulipwall_lab::scenario::Scenario;
-use tulipwall_standins::{lanes, Caller, Link, Load, Program, Ways, World};
+use tulipwall_experiments::run;
+use tulipwall_experiments::scenario::Scenario;
+use tulipwall_testkit::{lanes, Caller, Link, Load, Program, Ways, World};
 
 const EACH: usize = 3;
 const CORES: usize = 2;
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -2,7 +2,7 @@
 //! their outcomes together tell it, when enough agents spoke and when it went back; and what was lost in each second.
 //!
 //!     RUST_LOG=info,evidence=debug ...                      # at each agent, its log to a file of its own
-//!     cargo run --release -p tulipwall-lab --example verdicts -- DIR [--seconds]
+//!     cargo run --release -p tulipwall-experiments --example verdicts -- DIR [--seconds]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/fleet/measure.rs
+++ b/crates/experiments/src/fleet/measure.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::{program, Act, Answered, Caller, Lane, Load, Told, Ways};
+use tulipwall_testkit::{program, Act, Answered, Caller, Lane, Load, Told, Ways};
 
 const MB: f64 = 1e6;
 const PAIRS: &str = "appliance-lane pairs";
--- a/crates/lab/src/fleet/meter.rs
+++ b/crates/experiments/src/fleet/meter.rs
@@ -8,7 +8,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
-use tulipwall_standins::ground::{self, locked, Ends};
+use tulipwall_testkit::ground::{self, locked, Ends};
 
 /// Single passages kept at most; beyond, only sums go on.
 const KEPT: usize = 100_000;
--- a/crates/lab/src/fleet/stand.rs
+++ b/crates/experiments/src/fleet/stand.rs
@@ -10,8 +10,8 @@
 use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_standins::platform::News;
-use tulipwall_standins::{
+use tulipwall_testkit::platform::News;
+use tulipwall_testkit::{
     program, Appliance, Caller, Discovery, Entry, Lane, Platform, Program, Ways,
 };
 
--- a/crates/lab/src/fleet/worker.rs
+++ b/crates/experiments/src/fleet/worker.rs
@@ -7,9 +7,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall_deployment::number;
-use tulipwall_standins::ground::{self, sleep, Ends};
-use tulipwall_standins::pg;
+use tulipwall_config::number;
+use tulipwall_testkit::ground::{self, sleep, Ends};
+use tulipwall_testkit::pg;
 
 /// Takes any number of commands at once.
 pub struct Worker {
--- a/crates/lab/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall_standins::{Answered, Load};
+use tulipwall_testkit::{Answered, Load};
 
 /// A command that goes out later than this after it was due shows that the load itself does not keep up.
 const LATE_MS: f64 = 5.0;
--- a/crates/lab/src/run.rs
+++ b/crates/experiments/src/run.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::{Deployment, Lane, Standing};
-use tulipwall_calls::Retrying;
-use tulipwall_standins::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
+use tulipwall_client_policy::Retrying;
+use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
 use tulipwall_zones::{Budget, Limit, Routing, Zoning};
 
 const OLD: u32 = 41;
@@ -186,7 +186,7 @@
 /// What is measured of a run. Shares are of commands as they first came.
 fn figures(s: &Scenario, p: &Played) -> BTreeMap<String, f64> {
     let seconds = s.span.as_secs() as usize;
-    let sum = |from: usize, to: usize, of: &dyn Fn(&tulipwall_standins::day::Second) -> u64| {
+    let sum = |from: usize, to: usize, of: &dyn Fn(&tulipwall_testkit::day::Second) -> u64| {
         p.seconds
             .iter()
             .flat_map(|a| &a[from.min(a.len())..to.min(a.len())])
--- a/crates/lab/src/scale/command.rs
+++ b/crates/experiments/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-lab scale`.
+//! `tulipwall-experiments scale`.
 
 use super::play::{Outcome, Play};
 use super::reckon::{readings, reckon, HEAD};
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -14,11 +14,11 @@
 use tulipwall::{Answer, Choice, Command, End, News, Outcome};
 use tulipwall_agent::wire::http;
 use tulipwall_agent::wire::platform::{self, Line};
-use tulipwall_deployment::Site;
-use tulipwall_membership::clock::Clock;
-use tulipwall_membership::list::List;
-use tulipwall_membership::listing::{self, Listing};
-use tulipwall_membership::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_config::Site;
+use tulipwall_discovery::clock::Clock;
+use tulipwall_discovery::list::List;
+use tulipwall_discovery::listing::{self, Listing};
+use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
 
 /// As the real agent's: without a line for so long its connection to the platform is opened anew.
 const PLATFORM_SILENT: Duration = Duration::from_millis(3500);
--- a/crates/lab/src/scale/play.rs
+++ b/crates/experiments/src/scale/play.rs
@@ -11,8 +11,8 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_membership::clock::{Clock, BEFORE};
-use tulipwall_standins::News;
+use tulipwall_discovery::clock::{Clock, BEFORE};
+use tulipwall_testkit::News;
 
 /// Unix time, in milliseconds, at which simulated time begins.
 const START_MS: u64 = 1_790_000_000_000;
--- a/crates/lab/src/scale/servers.rs
+++ b/crates/experiments/src/scale/servers.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_standins::platform::{note, Desk};
-use tulipwall_standins::{registry, Entry, News, Registry};
+use tulipwall_testkit::platform::{note, Desk};
+use tulipwall_testkit::{registry, Entry, News, Registry};
 
 /// How long anything takes to come to an agent. As long as a step, so that agents are played by themselves meanwhile.
 pub const WAY: Duration = Duration::from_millis(25);
--- a/crates/lab/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::time::Duration;
-use tulipwall_deployment::{Fields, Site};
-use tulipwall_standins::{program, Entry, Lane};
+use tulipwall_config::{Fields, Site};
+use tulipwall_testkit::{program, Entry, Lane};
 
 /// What the operators' letter allows an agent for control.
 pub const CORE_MOST: f64 = 0.012;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Bytes that a play of this takes, about, from the slopes that `tulipwall-lab scale` measures; `own` where each
+    /// Bytes that a play of this takes, about, from the slopes that `tulipwall-experiments scale` measures; `own` where each
     /// agent holds its settings by itself.
     pub fn memory(&self, own: bool) -> f64 {
         let (agents, lanes, tenants) = (self.agents as f64, self.lanes as f64, self.tenants as f64);
--- a/crates/lab/src/scenario.rs
+++ b/crates/experiments/src/scenario.rs
@@ -3,7 +3,7 @@
 use kdl::KdlNode;
 use std::time::Duration;
 use tulipwall::{Group, Repeats};
-use tulipwall_deployment::{Mistake, Place, Reader};
+use tulipwall_config::{Mistake, Place, Reader};
 
 /// What may vary. Numbers but for `clients` and `routing`.
 pub const KEYS: [&str; 11] = [
--- a/crates/lab/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_lab::records::{self, Head, Records};
-use tulipwall_lab::run;
-use tulipwall_lab::scenario::Scenario;
-use tulipwall_standins::day::{Change, Played};
+use tulipwall_experiments::records::{self, Head, Records};
+use tulipwall_experiments::run;
+use tulipwall_experiments::scenario::Scenario;
+use tulipwall_testkit::day::{Change, Played};
 
 fn scenario(body: &str) -> Scenario {
     let text = format!("experiment \"t\" {{\n{body}\n}}\n");
--- a/crates/lab/tests/stats.rs
+++ b/crates/experiments/tests/stats.rs
@@ -1,6 +1,6 @@
 //! The statistics of the lab against the textbook.
 
-use tulipwall_lab::stats::*;
+use tulipwall_experiments::stats::*;
 
 #[test]
 fn intervals_and_tests_are_those_of_the_textbook() {
--- a/crates/benchlink/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_deployment::{millis, number, span, Fault, Fields, Names, Site};
+use tulipwall_config::{millis, number, span, Fault, Fields, Names, Site};
 
 pub const KNOWN: [&str; 10] = [
     "Targets",
--- a/crates/benchlink/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use std::time::Duration;
-use tulipwall_deployment::{Fault, Fields};
+use tulipwall_config::{Fault, Fields};
 
 /// The numbered lists that came ahead of the events that need them, shared by all instances here.
 type Sheets = BTreeMap<u64, Vec<Value>>;
@@ -23,7 +23,7 @@
         let reply = line
             .map_err(|e| e.to_string())
             .and_then(|line| round(&line, &mut start, &mut instances, &mut sheets))
-            .map_err(|e| format!("tulipwall-benchlink: line {}: {e}", number + 1));
+            .map_err(|e| format!("tulipwall-sim-adapter: line {}: {e}", number + 1));
         match reply {
             Err(message) => {
                 eprintln!("{message}");
--- a/crates/standins/examples/renewal.rs
+++ b/crates/testkit/examples/renewal.rs
@@ -2,13 +2,13 @@
 //! restart, with commands in hand. Time until a client is answered under the new settings, the agent's processor time, and
 //! what discovery and the platform are asked for it.
 //!
-//!     cargo run --release -p tulipwall-standins --example renewal -- AGENT hup|restart|signal|idle TENANTS APPLIANCES TIMES [WORK_MS]
+//!     cargo run --release -p tulipwall-testkit --example renewal -- AGENT hup|restart|signal|idle TENANTS APPLIANCES TIMES [WORK_MS]
 //!
 //! `signal` does not wait until it is in force, `idle` changes nothing: the load's own part of the processor time.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
-use tulipwall_standins::*;
+use tulipwall_testkit::*;
 
 fn tenants(least: usize, count: usize) -> Value {
     let share = 1.0 / count.max(1) as f64;
--- a/crates/standins/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_calls::{Ended as TryEnded, Next, Retries, Retrying, Tries};
+use tulipwall_client_policy::{Ended as TryEnded, Next, Retries, Retrying, Tries};
 use tulipwall_zones::{
     Budget, Ended, Flaw, LaneView, Link, Opening, Routing, Sending, Ticket, Zones, Zoning,
 };
--- a/crates/standins/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tempfile::TempDir;
 use tulipwall::{Group, Repeats};
-use tulipwall_calls::Service;
+use tulipwall_client_policy::Service;
 
 /// A lane of the settings.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
 pub fn service(agents: Vec<SocketAddr>) -> Service {
     let lane = |name: &str, repeats, benefit| {
         let quoted = Duration::from_millis(400);
-        tulipwall_calls::Lane {
+        tulipwall_client_policy::Lane {
             name: name.into(),
             repeats,
             quoted,
--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_standins::day;
+use tulipwall_testkit::day;
 use tulipwall_zones::*;
 
 fn ms(n: u64) -> Duration {
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -8,7 +8,7 @@
 use agent::Agent;
 use std::time::{Duration, Instant};
 use tulipwall::*;
-use tulipwall_standins::day::{self, Caller, Change, Day, Node, Played};
+use tulipwall_testkit::day::{self, Caller, Change, Day, Node, Played};
 use tulipwall_zones::*;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
--- a/crates/zones/src/zoning.rs
+++ b/crates/zones/src/zoning.rs
@@ -1,4 +1,4 @@
-//! What an installation says of its zones, as numbers; `tulipwall-deployment` reads, checks and names it.
+//! What an installation says of its zones, as numbers; `tulipwall-config` reads, checks and names it.
 
 use std::time::Duration;
 
--- a/crates/zones/tests/days.rs
+++ b/crates/zones/tests/days.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_standins::day::{self, Caller, Change, Day, Node, Played};
+use tulipwall_testkit::day::{self, Caller, Change, Day, Node, Played};
 use tulipwall_zones::*;
 
 fn ms(n: u64) -> Duration {
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_calls::Retrying;
-use tulipwall_standins::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
+use tulipwall_client_policy::Retrying;
+use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
 use tulipwall_zones::*;
 
 fn seconds(n: u64) -> Duration {
--- a/src/choice.rs
+++ b/src/balancer/mod.rs
@@ -2,14 +2,14 @@
 //! [`Choice::after`] (what to do after this outcome) and [`Choice::wait`] (how long to wait, what is due).
 
 mod admission;
-mod health;
-mod placement;
-mod renewal;
-mod verdict;
-mod votes;
+mod build_evaluation;
+mod endpoint_health;
+mod reload;
+mod rollout_votes;
+mod routing;
 
-use crate::state::*;
-use crate::types::*;
+use crate::interface::*;
+use crate::model::*;
 use rand::{seq::SliceRandom, Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,12 +4,12 @@
 //! tell it the facts that reach this agent. All decisions are in `choice`; `types` and `state` are plain
 //! data; `watch` counts where other settings would decide otherwise.
 
-mod choice;
-mod state;
-mod types;
-mod watch;
+mod balancer;
+mod interface;
+mod model;
+mod shadow;
 
-pub use choice::Choice;
-pub use state::call_share;
-pub use types::*;
-pub use watch::{Otherwise, Shape, Watch};
+pub use balancer::Choice;
+pub use interface::*;
+pub use model::call_share;
+pub use shadow::{Otherwise, Shape, Watch};
--- a/src/state.rs
+++ b/src/model.rs
@@ -1,7 +1,7 @@
 //! What a [`Choice`](crate::Choice) remembers, grouped by how long it lives: one delivery, one command, one
 //! appliance, one build, the instance. Plain data; every decision on it is in `choice.rs` and `choice/`.
 
-use crate::types::*;
+use crate::interface::*;
 use crate::Choice;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
--- a/src/watch.rs
+++ b/src/shadow.rs
@@ -1,8 +1,8 @@
 //! Counts, by kind, where the settings of another shape would have decided otherwise, while the present ones
 //! decide. It decides nothing, and what only chance would have told apart is not counted.
 
-use crate::choice::Choice;
-use crate::types::*;
+use crate::balancer::Choice;
+use crate::interface::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
