--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -15,17 +15,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall::{Crossings, News, Shape, Vote};
-use tulipwall_config::{Door, Installation, Mistake, Site};
+use tulipwall::{AlternativeSettings, CrossZonePolicy, RolloutStatus, Vote};
+use tulipwall_config::{ConfigDiagnostic, Door, Installation, ServiceConfig};
 use tulipwall_discovery::clock::Clock;
 use tulipwall_discovery::list::{List, Target};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_zones::Names;
 
 pub struct Agent {
-    site: RefCell<Rc<Site>>,
+    site: RefCell<Rc<ServiceConfig>>,
     installation: RefCell<Installation>,
-    pub owed_until: Cell<Duration>, // commands taken under longer expiries end by then
+    pub owed_until: Cell<Duration>, // requests taken under longer expiries end by then
     pub listen: SocketAddr,
     pub door: Option<Door>,
     pub discovery: Cell<SocketAddr>,
@@ -43,7 +43,7 @@
     pub watch: Event,
     pub vote: RefCell<Option<(Vote, Duration)>>, // cast, and not yet written
     pub voted: Event,
-    watched: RefCell<Option<Shape>>,
+    watched: RefCell<Option<AlternativeSettings>>,
     pub discovery_moves: Moves,
     pub platform_moves: Moves,
     first_list: Event,
@@ -94,11 +94,7 @@
             door: start.door,
             discovery: Cell::new(start.discovery),
             platform: Cell::new(start.platform),
-            hand: Hand::new(
-                start.site.deployment.clone(),
-                clock.clone(),
-                counters.clone(),
-            ),
+            hand: Hand::new(start.site.settings.clone(), clock.clone(), counters.clone()),
             border: Border::new(clock.now(), zoning, names),
             clock,
             counters,
@@ -118,27 +114,27 @@
             heard: Cell::default(),
             first_heard: Event::new(),
             list: RefCell::default(),
-            pools: RefCell::new(Pools::new(start.site.idle_most)),
+            pools: RefCell::new(Pools::new(start.site.max_idle)),
             site: RefCell::new(Rc::new(start.site)),
             installation: RefCell::new(start.installation),
             owed_until: Cell::default(),
         });
         agent
             .hand
-            .watch(&agent.site().deployment, start.watch.as_ref());
+            .watch(&agent.site().settings, start.watch.as_ref());
         let (now, site) = (agent.clock.now(), agent.site());
-        let (agents, r) = (site.deployment.agents, &site.deployment.rollout);
-        log::debug!(target: EVIDENCE, "{} start agents {agents} back {} hold {}", agent.clock.wall(now), r.back_votes,
-            r.hold_votes);
-        let quoted: Vec<_> = site
-            .deployment
-            .lanes
+        let (agents, r) = (site.settings.agents, &site.settings.rollout);
+        log::debug!(target: EVIDENCE, "{} start agents {agents} back {} hold {}", agent.clock.wall(now), r.votes_to_roll_back,
+            r.votes_to_hold);
+        let latency_objective: Vec<_> = site
+            .settings
+            .classes
             .iter()
-            .map(|l| (l.quoted.as_millis(), l.benefit))
+            .map(|l| (l.latency_objective.as_millis(), l.priority_weight))
             .collect();
-        log::debug!(target: EVIDENCE, "{} lanes {quoted:?}", agent.clock.wall(now));
-        if let Some(told) = start.news {
-            agent.news(told);
+        log::debug!(target: EVIDENCE, "{} lanes {latency_objective:?}", agent.clock.wall(now));
+        if let Some(told) = start.rollout_status {
+            agent.rollout_status(told);
         }
         if let Some(known) = start.known {
             if let Some(what) = &known.spoilt {
@@ -149,14 +145,14 @@
         agent
     }
 
-    /// The settings in force. Numbers of commands in hand stand in each later one as well.
-    pub fn site(&self) -> Rc<Site> {
+    /// The settings in force. Numbers of requests in hand stand in each later one as well.
+    pub fn site(&self) -> Rc<ServiceConfig> {
         self.site.borrow().clone()
     }
 
-    /// Goes on under a configuration that was read anew, all of it or none, but for what only a restart can change,
-    /// which is named and stays. A party whose address is another is asked anew there; its list and news in the file
-    /// are no newer than what it tells.
+    /// Goes on under a configuration that was read anew, all of it or none, but for what only a
+    /// restart can change, which is named and stays. A party whose address is another is asked anew
+    /// there; its list and news in the file are no newer than what it tells.
     pub fn renew(&self, start: Start) {
         let Start {
             name,
@@ -192,8 +188,11 @@
         *self.installation.borrow_mut() = installation;
         self.sockets.resize(sockets);
         self.buffers_most.set(memory / 4);
-        let asks = |s: &Site| (s.deployment.list_shared, s.deployment.ask_within);
-        if self.discovery.replace(discovery) != discovery || asks(&was) != asks(&self.site()) {
+        let load_report_requests =
+            |s: &ServiceConfig| (s.settings.shared_discovery, s.settings.max_poll_interval);
+        if self.discovery.replace(discovery) != discovery
+            || load_report_requests(&was) != load_report_requests(&self.site())
+        {
             self.life.moves(Party::Discovery, false);
             self.discovery_moves.tell();
         }
@@ -203,29 +202,29 @@
         }
     }
 
-    /// Takes settings and installation over, with what is known and in hand; says what changed. Nothing does if the
-    /// installation names what the settings do not.
+    /// Takes settings and installation over, with what is known and in hand; says what changed.
+    /// Nothing does if the installation names what the settings do not.
     fn take_over(
         &self,
         name: &str,
-        read: Site,
+        read: ServiceConfig,
         installation: &Installation,
-        watch: Option<&Shape>,
-    ) -> Result<String, Vec<Mistake>> {
+        watch: Option<&AlternativeSettings>,
+    ) -> Result<String, Vec<ConfigDiagnostic>> {
         let (old, now) = (self.site(), self.clock.now());
-        let (site, by) = read.after(&old, &self.hand.in_hand());
+        let (site, by) = read.renumbered_after(&old, &self.hand.indices_in_use());
         let zoning = installation.zoning(&site)?;
         let same = site.is(&old, &by);
         if !same {
-            if site.longest_expiry < old.longest_expiry {
+            if site.longest_timeout < old.longest_timeout {
                 self.owed_until
-                    .set(self.owed_until.get().max(now + old.longest_expiry));
+                    .set(self.owed_until.get().max(now + old.longest_timeout));
             }
             let zones = self.list.borrow_mut().rezone(&site);
-            self.pools.borrow_mut().renew(site.idle_most);
+            self.pools.borrow_mut().renew(site.max_idle);
             *self.site.borrow_mut() = Rc::new(site);
             self.hand.renew(
-                &self.site().deployment,
+                &self.site().settings,
                 &by,
                 &zones,
                 self.watched.borrow().as_ref(),
@@ -233,30 +232,30 @@
         }
         let site = self.site();
         if watch != self.watched.borrow().as_ref() {
-            self.hand.watch(&site.deployment, watch);
+            self.hand.watch(&site.settings, watch);
             *self.watched.borrow_mut() = watch.cloned();
         }
         if !self
             .border
-            .renew(now, zoning, names(name, &site), &by.lanes)
+            .renew(now, zoning, names(name, &site), &by.classes)
         {
             log::warn!("zones: others than before; the account of what crosses begins anew");
         }
         if !self.border.watches() {
-            self.hand.crossings(Crossings::default());
+            self.hand.crossings(CrossZonePolicy::default());
         }
         self.crossings();
-        let [lanes, customers, zones] = site.named();
+        let [classes, tenants, zones] = site.named_counts();
         Ok(match same {
             true => "settings as before".into(),
-            false => format!("new settings: {lanes} lanes, {customers} tenants, {zones} zones"),
+            false => format!("new settings: {classes} lanes, {tenants} tenants, {zones} zones"),
         })
     }
 
-    /// Lanes that only commands in hand kept go once these are over.
-    pub fn forget_lanes(&self) {
+    /// Classes that only requests in hand kept go once these are over.
+    pub fn forget_classes(&self) {
         let old = self.site();
-        if old.lingers() && old.outlives(&self.hand.in_hand()) {
+        if old.has_retired_indices() && old.covers(&self.hand.indices_in_use()) {
             let (installation, watch) = (
                 self.installation.borrow().clone(),
                 self.watched.borrow().clone(),
@@ -267,17 +266,17 @@
         }
     }
 
-    pub fn news(&self, t: Told) {
+    pub fn rollout_status(&self, t: Told) {
         let now = self.clock.now();
         let began = now.saturating_sub(t.age);
         log::debug!(target: EVIDENCE, "{} news build {} stage {} {:?} since {}", self.clock.wall(now), t.build, t.stage,
             t.phase, self.clock.wall(began));
-        self.hand.news(News {
+        self.hand.rollout_status(RolloutStatus {
             build: t.build,
             stage: t.stage,
             phase: t.phase,
             cap: t.cap,
-            began,
+            since: began,
         });
         self.border.alive(|| self.builds());
     }
@@ -293,7 +292,7 @@
     pub fn look_at_zones(&self) {
         if self.border.watches() {
             self.border
-                .step(self.clock.now(), |zones| self.hand.rooms(zones));
+                .step(self.clock.now(), |zones| self.hand.zone_capacities(zones));
             self.crossings();
         }
     }
@@ -312,8 +311,8 @@
         }
     }
 
-    /// Ready once commands may go by the list that is known, as far as the module vouches for it. Guards a new process that was
-    /// given an old one.
+    /// Ready once requests may go by the list that is known, as far as the module vouches for it.
+    /// Guards a new process that was given an old one.
     pub async fn may_serve(&self) {
         while !self.heard.get() {
             self.first_heard.listen().await;
@@ -339,7 +338,7 @@
         }
     }
 
-    /// The appliances to serve from, once some are known.
+    /// The endpoints to serve from, once some are known.
     pub async fn targets(&self) -> Vec<Target> {
         loop {
             let listed = self.first_list.listen();
@@ -355,30 +354,31 @@
         self.list.borrow().version
     }
 
-    /// The version of the list that is known, where one is to serve from: who has nothing to lose asks for all of it.
+    /// The version of the list that is known, where one is to serve from: who has nothing to lose
+    /// asks for all of it.
     pub fn known(&self) -> Option<u64> {
         let list = self.list.borrow();
         list.serves().then_some(list.version)
     }
 
-    pub fn appliance(&self, id: &str) -> Option<usize> {
+    pub fn endpoint(&self, id: &str) -> Option<usize> {
         self.list.borrow().number(id)
     }
 
-    pub fn appliance_name(&self, appliance: usize) -> String {
-        self.list.borrow().name(appliance).to_owned()
+    pub fn endpoint_name(&self, endpoint: usize) -> String {
+        self.list.borrow().name(endpoint).to_owned()
     }
 
-    pub fn hold(&self, appliance: usize) -> Option<Rc<()>> {
-        self.list.borrow().hold(appliance)
+    pub fn hold(&self, endpoint: usize) -> Option<Rc<()>> {
+        self.list.borrow().hold(endpoint)
     }
 
     /// What is kept, for the counters: it should follow what is alive.
     pub fn kept(&self) -> String {
-        let [commands, appliances, builds, keys] = self.hand.kept();
+        let [commands, endpoints, builds, keys] = self.hand.kept();
         let (listed, clients) = (self.list.borrow().len(), self.sockets.clients());
         let module =
-            format!("commands {commands} appliances {appliances} builds {builds} keys {keys}");
+            format!("commands {commands} appliances {endpoints} builds {builds} keys {keys}");
         let otherwise = self
             .hand
             .otherwise()
@@ -386,21 +386,21 @@
         format!("kept: clients {clients} listed {listed} {module}{otherwise}")
     }
 
-    pub fn target(&self, appliance: usize) -> Option<Target> {
-        self.list.borrow().target(appliance)
+    pub fn target(&self, endpoint: usize) -> Option<Target> {
+        self.list.borrow().target(endpoint)
     }
 
     /// A connection that waits for work, known open.
-    pub fn waiting(&self, appliance: usize) -> Option<Held> {
-        let (held, closed) = self.pools.borrow_mut().take(self.clock.now(), appliance);
+    pub fn waiting(&self, endpoint: usize) -> Option<Held> {
+        let (held, closed) = self.pools.borrow_mut().take(self.clock.now(), endpoint);
         (0..closed).for_each(|_| self.counters.gone_idle.add());
         held
     }
 
-    /// Keeps a connection for the next command, while its appliance still runs the same build there.
+    /// Keeps a connection for the next request, while its endpoint still runs the same build there.
     pub fn keep(&self, target: Target, held: Held) {
-        if self.target(target.appliance) == Some(target) {
-            self.pools.borrow_mut().put(target.appliance, held);
+        if self.target(target.endpoint) == Some(target) {
+            self.pools.borrow_mut().put(target.endpoint, held);
         }
     }
 
@@ -418,10 +418,10 @@
     }
 }
 
-fn names(agent: &str, site: &Site) -> Names {
+fn names(agent: &str, site: &ServiceConfig) -> Names {
     Names {
         agent: agent.to_owned(),
         zones: site.zones.clone(),
-        lanes: site.lanes.clone(),
+        classes: site.classes.clone(),
     }
 }
--- a/crates/agent/src/delivery.rs
+++ b/crates/agent/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One delivery: a connection, the statement written, the answer heard.
+//! One attempt: a connection, the statement written, the answer heard.
 
 use crate::agent::Agent;
 use crate::memory::border::Meter;
@@ -21,18 +21,19 @@
 
 /// What was decided, and the news it was decided on.
 pub struct Order {
-    /// Its command, and which of that command's deliveries it is.
+    /// Its request, and which of that request's attempts it is.
     pub id: u64,
     pub nth: usize,
     pub target: Target,
     pub turn: u64,
     pub give_up: Duration,
-    /// Its number stands for this appliance until the delivery is over.
+    /// Its number stands for this endpoint until the attempt is over.
     pub held: Option<Rc<()>>,
 }
 
-/// Runs one delivery to its end; the messages of the value where there is one. `meter` tells once all of it
-/// went out, and what went over its sockets. Dropping it closes its connection, which withdraws it.
+/// Runs one attempt to its end; the messages of the value where there is one. `meter` tells once
+/// all of it went out, and what went over its sockets. Dropping it closes its connection, which
+/// withdraws it.
 pub async fn deliver(
     agent: &Agent,
     statement: &Statement,
@@ -41,7 +42,7 @@
 ) -> (Outcome, Vec<u8>) {
     let none = |outcome| (outcome, Vec::new());
     let mut held = loop {
-        let (mut held, reused) = match agent.waiting(order.target.appliance) {
+        let (mut held, reused) = match agent.waiting(order.target.endpoint) {
             Some(held) => (held, true),
             None => match open(agent, order.target).await {
                 Ok(held) => (held, false),
@@ -49,8 +50,9 @@
             },
         };
         meter.on(held.connection.traffic.clone());
-        // It may have waited for its connection: nothing goes out that would be decided otherwise by now.
-        let listed = agent.target(order.target.appliance) == Some(order.target);
+        // It may have waited for its connection: nothing goes out that would be decided otherwise
+        // by now.
+        let listed = agent.target(order.target.endpoint) == Some(order.target);
         let stands = agent.hand.stands(order.target.build, order.turn);
         if !listed || !stands || !agent.hand.holds(order.id, order.nth) {
             agent.keep(order.target, held);
@@ -61,12 +63,13 @@
         held.asked(agent.clock.now());
         match held.connection.write(&query).await {
             Ok(()) => {}
-            // The appliance closed it as the command went out: not all of it was written, so it never ran.
+            // The endpoint closed it as the request went out: not all of it was written, so it
+            // never ran.
             Err(_) if reused => {
                 agent.counters.gone_idle.add();
                 continue;
             }
-            Err(_) => return none(Outcome::NoConnection),
+            Err(_) => return none(Outcome::ConnectFailed),
         }
         (if reused {
             &agent.counters.reused
@@ -82,19 +85,19 @@
     let ended = hear(agent, &mut held.connection, &mut hearing).await;
     if let Some(load) = hearing
         .held
-        .filter(|_| agent.target(order.target.appliance) == Some(order.target))
+        .filter(|_| agent.target(order.target.endpoint) == Some(order.target))
     {
-        agent.hand.told(order.target.appliance, load);
+        agent.hand.told(order.target.endpoint, load);
     }
-    // A spoilt answer says nothing, not even that the command never ran.
+    // A spoilt answer says nothing, not even that the request never ran.
     let outcome = match (&ended, hearing.verdict) {
-        (Err(Heard::Garbage(_) | Heard::Half), _) | (_, None) => Outcome::Broken,
-        (_, Some(Verdict::Value)) => Outcome::Satisfied,
+        (Err(Heard::Garbage(_) | Heard::Half), _) | (_, None) => Outcome::ConnectionLost,
+        (_, Some(Verdict::Value)) => Outcome::Succeeded,
         (_, Some(Verdict::Failed)) => Outcome::Failed,
-        (_, Some(Verdict::TurnedAway)) => Outcome::TurnedAway,
+        (_, Some(Verdict::TurnedAway)) => Outcome::Rejected,
     };
     match ended {
-        // What comes behind an answer belongs to nobody, and would be heard as the next command's.
+        // What comes behind an answer belongs to nobody, and would be heard as the next request's.
         Ok(()) if held.connection.inbox.is_empty() => {
             held.answered(agent.clock.now());
             agent.keep(order.target, held);
@@ -103,7 +106,7 @@
         Err(Heard::Garbage(m)) => {
             meter.flaw.set(Flaw::Spoilt);
             agent.counters.spoilt.add();
-            let name = agent.appliance_name(order.target.appliance);
+            let name = agent.endpoint_name(order.target.endpoint);
             log::debug!("appliance {name}: {m}; its connection is closed");
         }
         Err(Heard::Half) => {
@@ -111,7 +114,7 @@
             agent.counters.spoilt.add();
         }
         Err(Heard::End)
-            if outcome == Outcome::Broken
+            if outcome == Outcome::ConnectionLost
                 && (hearing.begun() || !held.connection.inbox.is_empty()) =>
         {
             meter.flaw.set(Flaw::Half);
@@ -153,8 +156,8 @@
             }
             continue;
         }
-        // Guards against an answer that stops short of its end. A whole one comes at once, however large; one
-        // whose rest was held up on its way for as long is given up, too.
+        // Guards against an answer that stops short of its end. A whole one comes at once, however
+        // large; one whose rest was held up on its way for as long is given up, too.
         let begun = hearing.begun() || !connection.inbox.is_empty();
         let more = async { connection.more().await.map_err(Heard::from) };
         let got = if begun {
@@ -175,7 +178,7 @@
 /// A new connection, ready for its first query.
 async fn open(agent: &Agent, target: Target) -> Result<Held, Outcome> {
     let slot = loop {
-        match agent.sockets.appliance() {
+        match agent.sockets.endpoint() {
             Some(slot) => break slot,
             None if agent.evict_idle() => {}
             None => return Err(Outcome::NotSent),
@@ -183,9 +186,9 @@
     };
     let late = async {
         agent
-            .until(agent.clock.now() + agent.site().connect_within)
+            .until(agent.clock.now() + agent.site().connect_timeout)
             .await;
-        Err(Outcome::NoConnection)
+        Err(Outcome::ConnectFailed)
     };
     let handshake = HandshakeCost {
         agent,
@@ -196,19 +199,19 @@
     let opening = async {
         let mut connection = Connection::open(target.address)
             .await
-            .map_err(|_| Outcome::NoConnection)?;
+            .map_err(|_| Outcome::ConnectFailed)?;
         *handshake.traffic.borrow_mut() = Some(connection.traffic.clone());
         let startup = postgres::startup("worker", "catalog");
         connection
             .write(&startup)
             .await
-            .map_err(|_| Outcome::NoConnection)?;
+            .map_err(|_| Outcome::ConnectFailed)?;
         let mut hearing = Hearing::default();
         let heard = hear(agent, &mut connection, &mut hearing).await;
         match (heard, hearing.verdict) {
-            (_, Some(Verdict::TurnedAway)) => Err(Outcome::TurnedAway),
+            (_, Some(Verdict::TurnedAway)) => Err(Outcome::Rejected),
             (Ok(()), None) => Ok(connection),
-            _ => Err(Outcome::NoConnection),
+            _ => Err(Outcome::ConnectFailed),
         }
     };
     let opened = opening
@@ -256,14 +259,15 @@
     }
 }
 
-/// Opens connections ahead of the first commands: all at once these would wait for as many handshakes. None where each
-/// is paid for, as most would close again before a command came for them; there the first commands wait for their own.
+/// Opens connections ahead of the first requests: all at once these would wait for as many
+/// handshakes. None where each is paid for, as most would close again before a request came for
+/// them; there the first requests wait for their own.
 pub async fn warm(agent: &Rc<Agent>) {
     let targets = agent.targets().await;
     if agent.site().handshake_price > 0.0 {
         return;
     }
-    let each = agent.sockets.appliances_most() / 2 / targets.len().max(1);
+    let each = agent.sockets.max_endpoints() / 2 / targets.len().max(1);
     let opening: Vec<_> = targets
         .into_iter()
         .map(|target| {
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -14,31 +14,32 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall_config::Site;
+use tulipwall_config::ServiceConfig;
 
-/// How long a client beyond the limit, or one that comes at the very end, has for its first command, and one that holds
-/// half a message for its rest while memory is short.
+/// How long a client beyond the limit, or one that comes at the very end, has for its first
+/// request, and one that holds half a message for its rest while memory is short.
 const FIRST_WITHIN: Duration = Duration::from_millis(300);
 /// How soon a client that was held back is read again.
 const HELD_BACK: Duration = Duration::from_millis(5);
 
-/// How long a client may take from its connection to its first whole command, and from the first byte of a
-/// message to its last. Guards against clients that hold a place and say nothing, or half of it.
+/// How long a client may take from its connection to its first whole request, and from the first
+/// byte of a message to its last. Guards against clients that hold a place and say nothing, or half
+/// of it.
 const HEARD_WITHIN: Duration = Duration::from_secs(2);
 /// How long, and how much, a client that was told of its end may still write.
 const HEARD_OUT: Duration = Duration::from_secs(1);
 const HEARD_OUT_MOST: usize = 1024 * 1024;
-/// Commands that may wait behind the one in hand. With more of them it is denied at once: answers keep their order,
-/// so that one behind it could not be.
+/// Requests that may wait behind the one in hand. With more of them it is rejected at once: answers
+/// keep their order, so that one behind it could not be.
 const BEHIND_MOST: usize = 32;
-/// How long a client may leave what it was told unread, without taking in any of it. Guards places and the shutdown
-/// against clients that never read; a slow one goes on taking some.
+/// How long a client may leave what it was told unread, without taking in any of it. Guards places
+/// and the shutdown against clients that never read; a slow one goes on taking some.
 const TAKEN_WITHIN: Duration = Duration::from_secs(5);
 
 /// Serves a client until it leaves, breaks the protocol, or is idle when the agent needs it to go.
 pub async fn serve(agent: Rc<Agent>, mut client: Connection, _slot: Slot) {
     let (mut reply, mut open) = (Vec::new(), false);
-    // When what was begun must be whole: the first command, later each message.
+    // When what was begun must be whole: the first request, later each message.
     let mut whole_by = Some(agent.clock.now() + HEARD_WITHIN);
     loop {
         let step = if open {
@@ -119,8 +120,8 @@
     }
 }
 
-/// Serves a client for which there is no room up to its first command, which is denied: a retry is harmless.
-/// The connection is not closed before: that command would be taken and lost.
+/// Serves a client for which there is no room up to its first request, which is rejected: a retry
+/// is harmless. The connection is not closed before: that request would be taken and lost.
 pub async fn deny(agent: Rc<Agent>, mut client: Connection, _slot: Slot) {
     let talk = async {
         let (mut reply, mut open) = (Vec::new(), false);
@@ -167,8 +168,8 @@
     Ok(Step::End)
 }
 
-/// Ends a connection so that its last answer arrives: closed with something unread it would be reset. Whoever
-/// writes on and on is reset.
+/// Ends a connection so that its last answer arrives: closed with something unread it would be
+/// reset. Whoever writes on and on is reset.
 async fn finish(agent: &Agent, mut client: Connection) {
     client.end();
     client.arrivals = None;
@@ -203,7 +204,8 @@
     Late,
 }
 
-/// Reads on, until `whole_by` where something is owed. Between commands the agent may end the connection.
+/// Reads on, until `whole_by` where something is owed. Between requests the agent may end the
+/// connection.
 async fn more(agent: &Agent, client: &mut Connection, whole_by: Option<Duration>) -> More {
     let came = |read: std::io::Result<usize>| {
         if read.is_ok_and(|n| n > 0) {
@@ -212,8 +214,9 @@
             More::Over
         }
     };
-    // Clients are held back while too much is buffered; answers of appliances keep the rest of the memory. Who holds
-    // half a message meanwhile has little time left for it: all would wait for each other.
+    // Clients are held back while too much is buffered; answers of endpoints keep the rest of the
+    // memory. Who holds half a message meanwhile has little time left for it: all would wait for
+    // each other.
     let room = async {
         while Weight::held() > agent.buffers_most.get() {
             Timer::after(HELD_BACK).await;
@@ -242,7 +245,8 @@
         return read.or(late).await;
     }
     let Some(mut idle) = idle else {
-        // Time to go, but not past a command that has already come, nor past the first one that is on its way.
+        // Time to go, but not past a request that has already come, nor past the first one that is
+        // on its way.
         let owed = if whole_by.is_some() {
             FIRST_WITHIN
         } else {
@@ -263,7 +267,7 @@
         More::Over
     };
     match read.or(asked).or(late).await {
-        // A command that has come meanwhile is still served: closing would lose it.
+        // A request that has come meanwhile is still served: closing would lose it.
         More::Over | More::Late if !client.quiet() => came(client.more().await),
         more => more,
     }
@@ -313,7 +317,7 @@
         .is_some_and(|a| a.waiting() > BEHIND_MOST);
     if word.is_empty() || word == ";" {
         client.consume(took);
-        // This answer tells the front that commands may come.
+        // This answer tells the front that requests may come.
         agent.life.reached(Phase::Serving).await;
         postgres::empty(reply);
     } else if let Some(word) = ["SET", "RESET", "DISCARD"]
@@ -341,21 +345,21 @@
             }
             Ok(_) if flood => {
                 agent.counters.floods.add();
-                postgres::denied(reply, None);
+                postgres::rejected(reply, None);
             }
             // Its time outlasts the program's: another agent may serve it.
             Ok(statement) if agent.life.ends_before(heard + statement.wait) => {
-                agent.counters.denied.add();
-                postgres::denied(reply, None);
+                agent.counters.rejected.add();
+                postgres::rejected(reply, None);
             }
             Ok(statement) => match live(agent, client, statement, heard).await {
-                Final::Satisfied(value) => {
-                    agent.counters.satisfied.add();
+                Final::Succeeded(value) => {
+                    agent.counters.succeeded.add();
                     *reply = value;
                 }
-                Final::Denied(come_back) => {
-                    agent.counters.denied.add();
-                    postgres::denied(reply, come_back);
+                Final::Rejected(retry_after) => {
+                    agent.counters.rejected.add();
+                    postgres::rejected(reply, retry_after);
                 }
                 Final::Scrapped => {
                     agent.counters.scrapped.add();
@@ -382,19 +386,19 @@
 
 fn read(agent: &Agent, text: &str) -> Result<Statement, Malformed> {
     let statement = Statement::parse(text)?;
-    lane(&agent.site(), &statement).map(|_| statement)
+    class(&agent.site(), &statement).map(|_| statement)
 }
 
-/// The lane of a statement under the settings in force.
-pub fn lane(site: &Site, statement: &Statement) -> Result<usize, Malformed> {
-    match site.lane(&statement.lane) {
-        Some(lane) if !statement.keyed && site.deduplicates(lane) => {
+/// The class of a statement under the settings in force.
+pub fn class(site: &ServiceConfig, statement: &Statement) -> Result<usize, Malformed> {
+    match site.class(&statement.class) {
+        Some(class) if !statement.keyed && site.is_keyed(class) => {
             malformed("statement: field k is missing")
         }
-        Some(lane) => Ok(lane),
+        Some(class) => Ok(class),
         None => malformed(format!(
             "statement: field c: unknown lane '{}'",
-            statement.lane
+            statement.class
         )),
     }
 }
--- a/crates/agent/src/command.rs
+++ b/crates/agent/src/command.rs
@@ -1,8 +1,8 @@
-//! The life of one command, from top to bottom: the module is asked at each point of choice.
+//! The life of one request, from top to bottom: the module is asked at each point of choice.
 
 use crate::agent::Agent;
-use crate::client::lane;
-use crate::delivery::{deliver, Order};
+use crate::attempt::{deliver, Order};
+use crate::client::class;
 use crate::logs::EVIDENCE;
 use crate::memory::border::Meter;
 use crate::reactor::Timer;
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
-use tulipwall::{Answer, Command, Group, Outcome, Repeats};
+use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
 use tulipwall_config::number;
 use tulipwall_zones::{Sending, Ticket};
 
@@ -23,8 +23,8 @@
 
 /// What the client is told; nothing when it has left.
 pub enum Final {
-    Satisfied(Vec<u8>),
-    Denied(Option<Duration>),
+    Succeeded(Vec<u8>),
+    Rejected(Option<Duration>),
     Scrapped,
     Left,
 }
@@ -32,8 +32,8 @@
 impl Final {
     fn name(&self) -> &'static str {
         match self {
-            Final::Satisfied(_) => "Satisfied",
-            Final::Denied(_) => "Denied",
+            Final::Succeeded(_) => "Succeeded",
+            Final::Rejected(_) => "Rejected",
             Final::Scrapped => "Scrapped",
             Final::Left => "Left",
         }
@@ -42,11 +42,11 @@
 
 type Ended = (Outcome, Vec<u8>);
 
-/// A delivery that is out.
+/// An attempt that is out.
 struct Out {
     sent: Duration,
     give_up: Duration,
-    lane: usize,
+    class: usize,
     build: u32,
     meter: Rc<Meter>,
     ticket: Option<Ticket>,
@@ -60,7 +60,7 @@
     Expired,
 }
 
-/// Takes a command that came in whole at `heard`, and sees it to its final answer.
+/// Takes a request that came in whole at `heard`, and sees it to its final answer.
 pub async fn live(
     agent: &Rc<Agent>,
     client: &mut Connection,
@@ -68,70 +68,71 @@
     heard: Duration,
 ) -> Final {
     agent.may_serve().await;
-    // Numbers are those of the settings in force as the module takes it, and stay its own to its end.
-    let (lane, customer, repeats) = {
+    // Numbers are those of the settings in force as the module takes it, and stay its own to its
+    // end.
+    let (class, tenant, idempotency) = {
         let site = agent.site();
         // They may have changed while it waited above: nothing ran, and a retry is told more.
-        let Ok(lane) = lane(&site, &statement) else {
-            return Final::Denied(None);
+        let Ok(class) = class(&site, &statement) else {
+            return Final::Rejected(None);
         };
-        let customer = statement.customer.as_deref().and_then(|c| site.customer(c));
-        (lane, customer, site.deployment.lanes[lane].repeats)
+        let tenant = statement.tenant.as_deref().and_then(|c| site.tenant(c));
+        (class, tenant, site.settings.classes[class].idempotency)
     };
-    let expires = heard + statement.wait;
-    let left = expires.saturating_sub(agent.clock.now());
+    let deadline = heard + statement.wait;
+    let left = deadline.saturating_sub(agent.clock.now());
     let Statement { work, again, .. } = statement;
-    let command = Command {
-        lane,
-        customer,
+    let command = Request {
+        class,
+        tenant,
         key: Some(number(&statement.object)),
-        left,
-        work,
-        again,
+        time_left: left,
+        estimated_work: work,
+        is_retry: again,
     };
     let statement = Rc::new(statement);
     let mut out: Vec<Option<Out>> = Vec::new();
     let (mut look, mut ran): (Option<Duration>, bool) = (None, false);
-    agent.border.taken(agent.clock.now(), lane);
+    agent.border.taken(agent.clock.now(), class);
     let (id, mut answer) = agent.hand.take(command);
     let end = loop {
         match answer {
-            Answer::Send {
-                appliance,
-                time_out,
-                look: at,
+            Decision::Forward {
+                endpoint,
+                timeout,
+                recheck_at: at,
             } => {
                 let sending = Sending {
                     to: 0,
-                    lane,
+                    class,
                     build: 0,
                     nth: out.len(),
-                    second_copy: out.iter().any(Option::is_some),
+                    hedged: out.iter().any(Option::is_some),
                     trial: false,
-                    bound: ran && bound(repeats),
+                    bound: ran && bound(idempotency),
                 };
                 out.push(Some(send(
-                    agent, &statement, id, appliance, time_out, sending,
+                    agent, &statement, id, endpoint, timeout, sending,
                 )));
                 look = at.or(look);
             }
-            Answer::NotYet { until } => look = Some(until),
-            Answer::Deny { come_back } => break Final::Denied(come_back),
-            Answer::Scrap => break Final::Scrapped,
-            Answer::Withdraw { delivery } => {
-                answer = withdraw(agent, id, &mut out, delivery, false);
+            Decision::Defer { until } => look = Some(until),
+            Decision::Reject { retry_after } => break Final::Rejected(retry_after),
+            Decision::Fail => break Final::Scrapped,
+            Decision::Cancel { attempt } => {
+                answer = withdraw(agent, id, &mut out, attempt, false);
                 continue;
             }
-            Answer::Wait => {}
+            Decision::Await => {}
         }
-        answer = match next(agent, &mut out, &mut look, client, expires).await {
-            Next::Ended(n, sent, (Outcome::Satisfied, value)) => {
-                if let Answer::Withdraw { delivery } =
-                    agent.hand.after(id, n, sent, Outcome::Satisfied, true)
+        answer = match next(agent, &mut out, &mut look, client, deadline).await {
+            Next::Ended(n, sent, (Outcome::Succeeded, value)) => {
+                if let Decision::Cancel { attempt } =
+                    agent.hand.after(id, n, sent, Outcome::Succeeded, true)
                 {
-                    withdraw(agent, id, &mut out, delivery, true);
+                    withdraw(agent, id, &mut out, attempt, true);
                 }
-                break Final::Satisfied(value);
+                break Final::Succeeded(value);
             }
             Next::Ended(n, sent, (outcome, _)) => {
                 ran |= !outcome.never_ran();
@@ -142,7 +143,8 @@
                 agent.hand.left(id);
                 break Final::Left;
             }
-            // A net under the module's own time-outs: an answer is owed before the expiry, come what may.
+            // A net under the module's own time-outs: an answer is owed before the expiry, come
+            // what may.
             Next::Expired => {
                 agent.hand.left(id);
                 break Final::Scrapped;
@@ -150,10 +152,10 @@
         };
     };
     let now = agent.clock.now();
-    log::debug!(target: EVIDENCE, "{} command lane {lane} {} {} us work {} us",
+    log::debug!(target: EVIDENCE, "{} command lane {class} {} {} us work {} us",
         agent.clock.wall(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
-    // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself, and the module
-    // hears of it.
+    // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
+    // and the module hears of it.
     for n in 0..out.len() {
         if out[n].as_ref().is_some_and(|o| !o.meter.written.get()) {
             end_unwritten(agent, id, &mut out, n);
@@ -173,18 +175,18 @@
     agent: &Rc<Agent>,
     statement: &Rc<Statement>,
     id: u64,
-    appliance: usize,
-    time_out: Duration,
+    endpoint: usize,
+    timeout: Duration,
     sending: Sending,
 ) -> Out {
     let sent = agent.clock.now();
-    let (give_up, meter) = (sent + time_out, Rc::new(Meter::default()));
-    let Some(target) = agent.target(appliance) else {
+    let (give_up, meter) = (sent + timeout, Rc::new(Meter::default()));
+    let Some(target) = agent.target(endpoint) else {
         let ends = Box::pin(async { (Outcome::NotSent, Vec::new()) });
         return Out {
             sent,
             give_up,
-            lane: sending.lane,
+            class: sending.class,
             build: 0,
             meter,
             ticket: None,
@@ -199,12 +201,12 @@
         ..sending
     };
     let ticket = agent.border.sent(sent, sending, || {
-        agent.hand.rooms(agent.site().zones.len() + 1)
+        agent.hand.zone_capacities(agent.site().zones.len() + 1)
     });
-    if target.zone != agent.site().deployment.zone {
+    if target.zone != agent.site().settings.zone {
         agent.crossings();
     }
-    let (turn, held) = (agent.hand.turn(), agent.hold(appliance));
+    let (turn, held) = (agent.hand.turn(), agent.hold(endpoint));
     let order = Order {
         id,
         nth: sending.nth,
@@ -217,7 +219,7 @@
     Out {
         sent,
         give_up,
-        lane: sending.lane,
+        class: sending.class,
         build: target.build,
         meter,
         ticket,
@@ -226,11 +228,11 @@
 }
 
 /// Whether what may have run must stay in its zone or cell.
-fn bound(repeats: Repeats) -> bool {
+fn bound(idempotency: Idempotency) -> bool {
     matches!(
-        repeats,
-        Repeats::Deduplicated {
-            group: Group::Zone | Group::Cell,
+        idempotency,
+        Idempotency::Keyed {
+            scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
             ..
         }
     )
@@ -241,7 +243,7 @@
     fn account(self, agent: &Agent, outcome: Outcome) {
         let Out {
             sent,
-            lane,
+            class,
             build,
             meter,
             ticket,
@@ -251,7 +253,7 @@
         drop(ends);
         let now = agent.clock.now();
         let took = now.saturating_sub(sent);
-        log::debug!(target: EVIDENCE, "{} delivery lane {lane} build {build} {outcome:?} {} us",
+        log::debug!(target: EVIDENCE, "{} delivery lane {class} build {build} {outcome:?} {} us",
             agent.clock.wall(now), took.as_micros());
         agent
             .border
@@ -259,51 +261,52 @@
     }
 }
 
-/// Closes a delivery's connection, before anything else goes out for its command.
+/// Closes an attempt's connection, before anything else goes out for its request.
 fn withdraw(
     agent: &Agent,
     id: u64,
     out: &mut [Option<Out>],
-    delivery: usize,
+    attempt: usize,
     closed: bool,
-) -> Answer {
-    match out.get_mut(delivery).and_then(Option::take) {
+) -> Decision {
+    match out.get_mut(attempt).and_then(Option::take) {
         Some(o) => {
             let sent = o.sent;
-            o.account(agent, Outcome::Withdrawn);
+            o.account(agent, Outcome::Cancelled);
             agent
                 .hand
-                .after(id, delivery, sent, Outcome::Withdrawn, closed)
+                .after(id, attempt, sent, Outcome::Cancelled, closed)
         }
-        None => Answer::Wait,
+        None => Decision::Await,
     }
 }
 
-/// Gives up a delivery that was not written whole.
-fn end_unwritten(agent: &Agent, id: u64, out: &mut [Option<Out>], delivery: usize) {
-    if let Some(o) = out[delivery].take() {
+/// Gives up an attempt that was not written whole.
+fn end_unwritten(agent: &Agent, id: u64, out: &mut [Option<Out>], attempt: usize) {
+    if let Some(o) = out[attempt].take() {
         let sent = o.sent;
         o.account(agent, Outcome::NotSent);
-        agent.hand.after(id, delivery, sent, Outcome::NotSent, true);
+        agent.hand.after(id, attempt, sent, Outcome::NotSent, true);
     }
 }
 
-/// What happens next to a command. Ends are told before time-outs: after a stall that is their order. Before either
-/// comes a client that has left: a delivery's first look at its connection is also its first byte.
+/// What happens next to a request. Ends are told before time-outs: after a stall that is their
+/// order. Before either comes a client that has left: an attempt's first look at its connection is
+/// also its first byte.
 async fn next(
     agent: &Agent,
     out: &mut [Option<Out>],
     look: &mut Option<Duration>,
     client: &mut Connection,
-    expires: Duration,
+    deadline: Duration,
 ) -> Next {
     let give_up = out
         .iter()
         .flatten()
         .map(|o| o.give_up)
         .min()
-        .unwrap_or(expires);
-    let first = give_up.min(look.unwrap_or(expires)).min(expires);
+        .unwrap_or(deadline);
+    let first = give_up.min(look.unwrap_or(deadline)).min(deadline);
     let mut timer = pin!(Timer::at(agent.clock.instant(first)));
     let mut leaves = pin!(leaves(client));
     poll_fn(|cx| {
@@ -325,7 +328,7 @@
     .await
 }
 
-/// A delivery whose time is over is closed. It never ran if it was not yet written whole.
+/// An attempt whose time is over is closed. It never ran if it was not yet written whole.
 fn late(agent: &Agent, out: &mut [Option<Out>], now: Duration) -> Option<(usize, Duration, Ended)> {
     let n = out
         .iter()
@@ -334,7 +337,7 @@
     let outcome = if o.meter.written.get() {
         Outcome::TimedOut
     } else {
-        Outcome::NoConnection
+        Outcome::ConnectFailed
     };
     let sent = o.sent;
     o.account(agent, outcome);
@@ -358,8 +361,8 @@
     None
 }
 
-/// Ready once the client closes its connection, or ends its sending, which cannot be told apart. What it writes ahead
-/// is kept, up to a bound, beyond which its end is still seen.
+/// Ready once the client closes its connection, or ends its sending, which cannot be told apart.
+/// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
 async fn leaves(client: &mut Connection) {
     while client.inbox.len() <= AHEAD_MOST {
         if client.more().await.map_or(true, |n| n == 0) {
@@ -369,7 +372,7 @@
     client.ended().await;
 }
 
-/// Hears out the deliveries of a command that has its final answer.
+/// Hears out the attempts of a request that has its final answer.
 async fn rest(agent: &Agent, id: u64, mut out: Vec<Option<Out>>) {
     while let Some(give_up) = out.iter().flatten().map(|o| o.give_up).min() {
         let mut timer = pin!(Timer::at(agent.clock.instant(give_up)));
@@ -383,8 +386,8 @@
         let Some((n, sent, (outcome, _))) = ends.await else {
             continue;
         };
-        if let Answer::Withdraw { delivery } = agent.hand.after(id, n, sent, outcome, true) {
-            withdraw(agent, id, &mut out, delivery, true);
+        if let Decision::Cancel { attempt } = agent.hand.after(id, n, sent, outcome, true) {
+            withdraw(agent, id, &mut out, attempt, true);
         }
     }
 }
--- a/crates/agent/src/commands/demo.rs
+++ b/crates/agent/src/commands/demo.rs
@@ -1,5 +1,6 @@
-//! Two zones, discovery, a platform, an agent and some clients on loopback, played through in half a minute: a
-//! build is offered, a zone drains and returns cold, and what crosses is shown as it happens.
+//! Two zones, discovery, a platform, an agent and some clients on loopback, played through in half
+//! a minute: a build is offered, a zone drains and returns cold, and what crosses is shown as it
+//! happens.
 
 use super::report;
 use clap::Args;
@@ -9,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipwall_config::Door;
-use tulipwall_testkit::{lanes, Caller, Link, Load, Offer, Program, Ways, World};
+use tulipwall_testkit::{classes, Caller, Link, Load, Offer, Program, Ways, World};
 use tulipwall_zones::Document;
 
 const ZONES: [&str; 2] = ["akl-east", "akl-west"];
@@ -63,10 +64,10 @@
 
 /// Plays it; whether every command had its answer.
 fn play(rate: f64) -> io::Result<bool> {
-    let world = Arc::new(World::new(&ZONES, lanes())?);
+    let world = Arc::new(World::new(&ZONES, classes())?);
     for (zone, name) in ZONES.iter().enumerate() {
         for n in 0..EACH {
-            world.appliance(zone, &format!("{name}-{n}"), 41, ways())?;
+            world.endpoint(zone, &format!("{name}-{n}"), 41, ways())?;
         }
     }
     link(&world);
@@ -92,7 +93,7 @@
     let address = agent.address()?;
     Caller::connect(address)?;
     let wait = Duration::from_millis(1500);
-    let lanes = [
+    let classes = [
         ("view", 4.0, false),
         ("send", 4.0, true),
         ("payment", 1.0, false),
@@ -101,7 +102,7 @@
         agent: address,
         rate,
         span: Duration::from_secs(ENDS),
-        lanes: lanes
+        classes: classes
             .map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed))
             .to_vec(),
         connections: 200,
@@ -122,7 +123,7 @@
                     .into();
             let (w, r) = (world.clone(), released.clone());
             let staged = move |stage: usize, _: f64| {
-                // One more appliance of each zone comes up with it at each stage, cold.
+                // One more endpoint of each zone comes up with it at each stage, cold.
                 for (zone, name) in ZONES.iter().enumerate() {
                     let _ = w.cold(zone, &format!("{name}-new-{stage}"), 42, ways());
                 }
@@ -184,8 +185,8 @@
         "{} commands: {} satisfied, {} denied, {} scrapped, {} without an answer; half within {:.1} ms, all but a \
          hundredth within {:.1} ms.",
         answered.asked,
-        answered.satisfied,
-        answered.denied,
+        answered.succeeded,
+        answered.rejected,
         answered.failed,
         answered.unanswered,
         answered.quantile_ms(0.5),
@@ -230,9 +231,9 @@
                 &mut sums.near
             } else {
                 &mut sums.crossed
-            }) += l.deliveries;
+            }) += l.attempts;
             sums.over += l.over_all();
-            sums.fresh += if l.build == 42 { l.deliveries } else { 0 };
+            sums.fresh += if l.build == 42 { l.attempts } else { 0 };
         }
         sums
     }
--- a/crates/agent/src/commands/mod.rs
+++ b/crates/agent/src/commands/mod.rs
@@ -21,7 +21,8 @@
 /// The exit code where a report is missing or not whole.
 const NO_REPORT: u8 = 3;
 
-/// Passes commands to the appliances behind a service, and shifts them between an old and a new build.
+/// Passes commands to the endpoints behind a service, and shifts them between an old and a new
+/// build.
 #[derive(Parser)]
 #[command(name = "tulipwall-agent", version, after_help = EXITS)]
 struct Line {
@@ -36,7 +37,8 @@
         /// The platform's configuration, JSON; PROXY_CONFIG otherwise.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// What this installation sets beside it, KDL: zones, budgets, door, log, settings to watch.
+        /// What this installation sets beside it, KDL: zones, budgets, door, log, settings to
+        /// watch.
         #[arg(long, value_name = "FILE", env = "TULIPWALL_INSTALLATION")]
         installation: Option<PathBuf>,
         /// The form of log lines; the installation's otherwise, else text.
@@ -47,13 +49,15 @@
     Check {
         /// The file, KDL.
         file: PathBuf,
-        /// The platform's configuration, so that the names of zones and lanes are checked, too.
+        /// The platform's configuration, so that the names of zones and classes are checked, too.
         #[arg(long, value_name = "FILE", env = "PROXY_CONFIG")]
         config: Option<PathBuf>,
     },
-    /// Print what crosses between zones, or what a watch counts, as one or more agents account for it.
+    /// Print what crosses between zones, or what a watch counts, as one or more agents account for
+    /// it.
     Report(report::Ask),
-    /// Start two zones, a platform, an agent and some clients on this machine, and show what crosses.
+    /// Start two zones, a platform, an agent and some clients on this machine, and show what
+    /// crosses.
     Demo(demo::Show),
 }
 
@@ -90,7 +94,8 @@
     };
     match Line::parse().command {
         None => {
-            // As the platform starts it. What an installation sets may still be named by the environment.
+            // As the platform starts it. What an installation sets may still be named by the
+            // environment.
             let installation = std::env::var_os("TULIPWALL_INSTALLATION").filter(|v| !v.is_empty());
             let form = std::env::var("TULIPWALL_LOG")
                 .ok()
--- a/crates/agent/src/commands/plot.rs
+++ b/crates/agent/src/commands/plot.rs
@@ -102,7 +102,7 @@
         let mut spent: BTreeMap<u64, f64> = BTreeMap::new();
         let holds = |s: &&SeriesLine| {
             b.to.as_ref().is_none_or(|to| *to == s.to)
-                && b.lane.as_ref().is_none_or(|l| *l == s.lane)
+                && b.class.as_ref().is_none_or(|l| *l == s.class)
         };
         for s in crossing(d).filter(holds) {
             for bin in &s.bins {
--- a/crates/agent/src/commands/report.rs
+++ b/crates/agent/src/commands/report.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use tulipwall::Otherwise;
+use tulipwall::Divergences;
 use tulipwall_config::Door;
 use tulipwall_zones::{BudgetLine, Document, Line, LinkLine};
 
@@ -89,7 +89,7 @@
         }
         let whole = told.len() == self.doors.len();
         if told.len() > 1 {
-            let mut all = Otherwise::default().named();
+            let mut all = Divergences::default().named();
             for (_, counts) in &told {
                 all.iter_mut()
                     .zip(counts)
@@ -137,7 +137,7 @@
 
 /// The counts of the watch behind a door.
 fn counts(door: &Door) -> Result<Counts, String> {
-    let mut counts = Otherwise::default().named();
+    let mut counts = Divergences::default().named();
     let mut told = false;
     get(door, "/watch", |line| {
         let line: Value =
@@ -255,11 +255,11 @@
             "over, and why",
         ]);
         for (agent, b) in budgets {
-            let scope = match (&b.to, &b.lane) {
+            let scope = match (&b.to, &b.class) {
                 (None, None) => "all that crosses".to_owned(),
                 (Some(to), None) => format!("to {to}"),
-                (None, Some(lane)) => lane.clone(),
-                (Some(to), Some(lane)) => format!("{lane} to {to}"),
+                (None, Some(class)) => class.clone(),
+                (Some(to), Some(class)) => format!("{class} to {to}"),
             };
             let limit = if b.unit == "share" {
                 format!("{} of taken", shown(b.limit))
@@ -314,7 +314,11 @@
             .into_iter()
             .for_each(|c| c.set_cell_alignment(CellAlignment::Right));
     }
-    let rows = if builds { d.links.clone() } else { d.by_lane() };
+    let rows = if builds {
+        d.links.clone()
+    } else {
+        d.by_class()
+    };
     for l in &rows {
         let time = |part| {
             d.quantile_ms(l, part)
@@ -333,14 +337,14 @@
         table.add_row([
             l.from.clone(),
             l.to.clone(),
-            l.lane.clone(),
+            l.class.clone(),
             build,
-            l.deliveries.to_string(),
+            l.attempts.to_string(),
             l.never_ran.to_string(),
             ended(l, "withdrawn"),
             l.spoilt.to_string(),
             l.half.to_string(),
-            l.second_copies.to_string(),
+            l.hedging.to_string(),
             l.further.to_string(),
             l.over_all().to_string(),
             l.bytes_out.to_string(),
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery's list. The module says when to ask first; here it is kept alive, and begun anew as
-//! `watchdog` says.
+//! The watch on discovery's list. The module says when to ask first; here it is kept alive, and
+//! begun anew as `watchdog` says.
 
 use crate::agent::Agent;
 use crate::lifecycle::life::Party;
@@ -70,23 +70,24 @@
 struct Watch<'a> {
     agent: &'a Agent,
     watchdog: Watchdog,
-    vouched: Vouched,
+    list_valid_until: Vouched,
     owes: bool,             // it was not yet heard at its new address
     away: Option<Duration>, // since when it has not been heard
-    // How its watches ended while it was away: each way is named once, as a break may hide a list that is spoilt.
+    // How its watches ended while it was away: each way is named once, as a break may hide a list
+    // that is spoilt.
     named: Vec<Ended>,
     doubts: bool, // nothing is sent until it is heard
 }
 
 impl Watch<'_> {
     fn new(agent: &Agent) -> Watch<'_> {
-        let d = &agent.site().deployment;
-        let vouched = Vouched::new(d, agent.clock.now());
-        agent.hand.vouch(vouched.until());
+        let d = &agent.site().settings;
+        let list_valid_until = Vouched::new(d, agent.clock.now());
+        agent.hand.vouch(list_valid_until.until());
         Watch {
             agent,
             watchdog: Watchdog::new(d),
-            vouched,
+            list_valid_until,
             owes: false,
             away: None,
             named: Vec::new(),
@@ -101,17 +102,17 @@
 
     /// Settings may have been read anew.
     fn renew(&mut self, now: Duration) {
-        let d = &self.agent.site().deployment;
+        let d = &self.agent.site().settings;
         self.watchdog.renew(d);
-        self.vouched.renew(d, now);
-        self.agent.hand.vouch(self.vouched.until());
+        self.list_valid_until.renew(d, now);
+        self.agent.hand.vouch(self.list_valid_until.until());
     }
 
     /// When the new address is first called; none for at once.
     fn moves(&mut self, now: Duration) -> Option<Duration> {
         self.owes = true;
-        self.vouched.moved(now);
-        self.agent.hand.vouch(self.vouched.until());
+        self.list_valid_until.moved(now);
+        self.agent.hand.vouch(self.list_valid_until.until());
         let gap = self.watchdog.moved();
         (!gap.is_zero()).then_some(now + gap)
     }
@@ -130,9 +131,9 @@
             log::warn!("discovery: then {what}");
             self.named.push(ended);
         }
-        self.vouched.ended(now, ended);
-        agent.hand.vouch(self.vouched.until());
-        if self.vouched.until().is_some_and(|t| now >= t)
+        self.list_valid_until.ended(now, ended);
+        agent.hand.vouch(self.list_valid_until.until());
+        if self.list_valid_until.until().is_some_and(|t| now >= t)
             && !std::mem::replace(&mut self.doubts, true)
         {
             log::warn!(
@@ -151,10 +152,11 @@
         again
     }
 
-    /// What has changed since the list that is known, for as long as the connection holds; the whole list first where
-    /// none is known, where discovery is another and calls are free, and where another turns out to count its
-    /// versions from below. Guards against agents that start, move or call again all at once: a list has as many lines
-    /// as there are appliances, and discovery pays for each. Harms where another discovery counts versions of its own from
+    /// What has changed since the list that is known, for as long as the connection holds; the
+    /// whole list first where none is known, where discovery is another and calls are free, and
+    /// where another turns out to count its versions from below. Guards against agents that start,
+    /// move or call again all at once: a list has as many lines as there are endpoints, and
+    /// discovery pays for each. Harms where another discovery counts versions of its own from
     /// above: what it changed before them is heard at the next start only.
     async fn run(&mut self) -> End {
         let agent = self.agent;
@@ -169,7 +171,7 @@
             wait + self.watchdog.within(false),
             wait + self.watchdog.within(true),
         );
-        self.vouched.begins(agent.clock.now());
+        self.list_valid_until.begins(agent.clock.now());
         let begun = match self.watchdog.free() {
             true => {
                 over(agent, &self.watchdog, &path, quick)
@@ -193,8 +195,8 @@
             let spoilt = told.spoilt.clone();
             agent.listed(told);
             let wait = self.watchdog.wait(false);
-            self.vouched.told(agent.clock.now(), wait);
-            agent.hand.vouch(self.vouched.until());
+            self.list_valid_until.told(agent.clock.now(), wait);
+            agent.hand.vouch(self.list_valid_until.until());
             agent.heard();
             if let Some(what) = spoilt {
                 return End(Ended::Spoilt, format!("list: {what}"));
@@ -271,7 +273,8 @@
         if ended {
             return Err(End(Ended::Broken, "it ended within an answer".into()));
         }
-        // Guards against an answer that stops short of its end, which would be waited for as long as a watch.
+        // Guards against an answer that stops short of its end, which would be waited for as long
+        // as a watch.
         let begun = !connection.inbox.is_empty();
         let more = async { connection.more().await.map_err(broken) };
         let got = if begun {
--- a/crates/agent/src/door.rs
+++ b/crates/agent/src/door.rs
@@ -1,10 +1,10 @@
-//! The operators' door: the account of what crosses and the watch's counts, on an address that only this machine
-//! reaches.
+//! The operators' door: the account of what crosses and the watch's counts, on an address that only
+//! this machine reaches.
 //!
-//! It speaks as much of HTTP/1.1 as it takes to be asked by a browser or by `tulipwall-agent report`: `GET
-//! /zones` is answered by lines of JSON, the last of which says that it is the last, `GET /watch` by one. Nothing
-//! it does may slow a command: one line is made and written at a time, others have their turn between two, and a
-//! reader that does not read is dropped.
+//! It speaks as much of HTTP/1.1 as it takes to be asked by a browser or by `tulipwall-agent
+//! report`: `GET /zones` is answered by lines of JSON, the last of which says that it is the last,
+//! `GET /watch` by one. Nothing it does may slow a request: one line is made and written at a time,
+//! others have their turn between two, and a reader that does not read is dropped.
 
 use crate::agent::Agent;
 use crate::reactor::{Source, Timer};
@@ -47,8 +47,8 @@
     }
 }
 
-/// Opens the door. A Unix socket is its owner's alone; one that a program left behind which no longer listens
-/// is taken over, any other file is not.
+/// Opens the door. A Unix socket is its owner's alone; one that a program left behind which no
+/// longer listens is taken over, any other file is not.
 pub fn open(door: &Door) -> io::Result<Listening> {
     match door {
         Door::Tcp(address) => {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,12 @@
-//! The parts of the real agent. `program` puts them together; `wire` is what is spoken, `memory` what is kept,
-//! `lifecycle` start and stop; a command lives in `command`. `commands` is the command line.
+//! The parts of the real agent. `program` puts them together; `wire` is what is spoken, `memory`
+//! what is kept, `lifecycle` start and stop; a request lives in `command`. `commands` is the
+//! command line.
 
 pub mod agent;
+pub mod attempt;
 pub mod client;
 pub mod command;
 pub mod commands;
-pub mod delivery;
 pub mod discovery;
 pub mod door;
 pub mod lifecycle;
--- a/crates/agent/src/lifecycle/life.rs
+++ b/crates/agent/src/lifecycle/life.rs
@@ -7,14 +7,15 @@
 
 /// New clients still come for this long after SIGTERM.
 pub const LEAVING: Duration = Duration::from_millis(550);
-/// A client is asked to go only when it was idle for as long; sooner if it has never asked anything. The longer
-/// this is, the fewer new ones a second find a place; the shorter, the more commands cross with the end.
+/// A client is asked to go only when it was idle for as long; sooner if it has never asked
+/// anything. The longer this is, the fewer new ones a second find a place; the shorter, the more
+/// requests cross with the end.
 const IDLE_LEAST: Duration = Duration::from_millis(200);
 const NEW_LEAST: Duration = Duration::from_millis(50);
 /// SIGKILL comes no sooner than the longest expiry, of this at least, and somewhat more.
 pub const LEAST_EXPIRY: Duration = Duration::from_secs(3);
-/// For answers that are given at the expiry itself. With it the program ends before SIGKILL: 0.7 s and the longest
-/// expiry after SIGTERM.
+/// For answers that are given at the expiry itself. With it the program ends before SIGKILL: 0.7 s
+/// and the longest expiry after SIGTERM.
 pub const LAST_WORDS: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,7 +32,7 @@
     Stopped,
 }
 
-/// Whom the agent hears of the appliances and the builds.
+/// Whom the agent hears of the endpoints and the builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Party {
     Discovery,
@@ -42,13 +43,13 @@
     phase: Cell<Phase>,
     changed: Event,
     awaited: Cell<[bool; 2]>, // parties not yet heard at their new addresses
-    idle: RefCell<BTreeMap<(Duration, u64), Event>>, // clients between commands, the first to go first
+    idle: RefCell<BTreeMap<(Duration, u64), Event>>, // clients between requests, the first to go first
     idled: Cell<u64>,
-    ends: Cell<Option<Duration>>, // when the last command does, known once it closes
+    ends: Cell<Option<Duration>>, // when the last request does, known once it closes
     shut: Cell<bool>,             // the listener: all that had connected are taken in
 }
 
-/// A client's time between two commands; it may be asked to end its connection.
+/// A client's time between two requests; it may be asked to end its connection.
 pub struct Idle<'a> {
     life: &'a Life,
     key: (Duration, u64),
@@ -74,8 +75,8 @@
         }
     }
 
-    /// A new configuration was read, also while another is under way: this party is to be heard at a new address, or is
-    /// `gone`.
+    /// A new configuration was read, also while another is under way: this party is to be heard at
+    /// a new address, or is `gone`.
     pub fn moves(&self, party: Party, gone: bool) {
         self.awaits(party, !gone);
         if !gone && self.phase.get() == Phase::Serving {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// No new clients from now on, and no command is taken whose time goes beyond `ends`.
+    /// No new clients from now on, and no request is taken whose time goes beyond `ends`.
     pub fn close(&self, ends: Duration) {
         if self.ends.get().is_none() {
             self.ends.set(Some(ends));
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A client has no command in hand, `new` if it never had one; `None` when it is time to go.
+    /// A client has no request in hand, `new` if it never had one; `None` when it is time to go.
     pub fn idle(&self, now: Duration, new: bool) -> Option<Idle<'_>> {
         if self.phase.get() >= Phase::Closing {
             return None;
@@ -162,8 +163,8 @@
         })
     }
 
-    /// Asks the client that has been idle for longest to go; false when none was idle for a while. One that
-    /// was not has likely written its next command already.
+    /// Asks the client that has been idle for longest to go; false when none was idle for a while.
+    /// One that was not has likely written its next request already.
     pub fn evict_idle(&self, now: Duration) -> bool {
         let mut idle = self.idle.borrow_mut();
         let longest = idle.first_entry().filter(|e| now >= e.key().0);
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// A configuration that is being read, beside all commands: large settings take a while.
+/// A configuration that is being read, beside all requests: large settings take a while.
 struct Reading(Result<JoinHandle<Read>, Box<Read>>);
 
 type Read = Result<Start, Vec<String>>;
@@ -67,8 +67,8 @@
     }
 }
 
-/// SIGUSR1 prints the counters, SIGHUP reads the configuration again, also on the way out; SIGTERM takes the
-/// program through its last phases.
+/// SIGUSR1 prints the counters, SIGHUP reads the configuration again, also on the way out; SIGTERM
+/// takes the program through its last phases.
 pub async fn obey(agent: &Agent, signals: Signals, files: &Files) {
     let (mut asked, mut reading) = (None, None::<Reading>);
     loop {
@@ -92,7 +92,7 @@
             agent.life.reach(Phase::Leaving);
         }
         if let Some(closes) = asked.map(|at| at + LEAVING).filter(|at| now >= *at) {
-            let last = (closes + agent.site().longest_expiry.max(LEAST_EXPIRY))
+            let last = (closes + agent.site().longest_timeout.max(LEAST_EXPIRY))
                 .max(agent.owed_until.get());
             agent.life.close(last);
             if agent.life.is_shut() && agent.sockets.nobody() || now >= last + LAST_WORDS {
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -1,11 +1,12 @@
-//! What is read at the start and again at each new configuration. A message names the key that is at fault.
+//! What is read at the start and again at each new configuration. A message names the key that is
+//! at fault.
 
 use crate::wire::platform::{self, Told};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use tulipwall::Shape;
-use tulipwall_config::{Door, Installation, Instance, LogForm, Mistake, Site};
+use tulipwall::AlternativeSettings;
+use tulipwall_config::{ConfigDiagnostic, Door, Installation, Instance, LogForm, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_zones::Zoning;
 
@@ -26,12 +27,12 @@
     pub sockets: usize,
     pub memory: usize, // in bytes
     pub known: Option<Listing>,
-    pub news: Option<Told>,
-    pub site: Site,
+    pub rollout_status: Option<Told>,
+    pub site: ServiceConfig,
     pub log: Option<LogForm>,
     pub door: Option<Door>,
     pub installation: Installation,
-    pub watch: Option<Shape>,
+    pub watch: Option<AlternativeSettings>,
 }
 
 impl Start {
@@ -60,7 +61,8 @@
         })
     }
 
-    /// What the installation says of zones, in the numbers of these settings; looked at for mistakes as it was read.
+    /// What the installation says of zones, in the numbers of these settings; looked at for
+    /// mistakes as it was read.
     pub fn zoning(&self) -> Option<Zoning> {
         self.installation.zoning(&self.site).unwrap_or_default()
     }
@@ -69,21 +71,21 @@
         let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
         let i = Instance::read(&value)?;
         let known = i
-            .known
+            .known_list
             .as_ref()
             .map(Listing::read)
             .transpose()
             .map_err(|e| format!("known: {e}"))?;
-        let news = i.news.as_ref().map(platform::told).transpose();
-        let news = news.map_err(|e| format!("deployer.news: {e}"))?;
+        let rollout_status = i.rollout_status.as_ref().map(platform::told).transpose();
+        let rollout_status = rollout_status.map_err(|e| format!("deployer.news: {e}"))?;
         let Instance {
             name,
             listen,
             discovery,
             platform,
-            sockets,
-            memory,
-            site,
+            max_sockets: sockets,
+            memory_limit: memory,
+            service: site,
             ..
         } = i;
         let (log, door, installation, watch) = (None, None, Installation::default(), None);
@@ -95,7 +97,7 @@
             sockets,
             memory,
             known,
-            news,
+            rollout_status,
             site,
             log,
             door,
@@ -112,7 +114,7 @@
     Installation::read(&text).map_err(|mistakes| named(path, mistakes))
 }
 
-fn named(path: &Path, mistakes: Vec<Mistake>) -> Vec<String> {
+fn named(path: &Path, mistakes: Vec<ConfigDiagnostic>) -> Vec<String> {
     mistakes
         .into_iter()
         .map(|m| format!("{}:{m}", path.display()))
--- a/crates/agent/src/logs.rs
+++ b/crates/agent/src/logs.rs
@@ -1,13 +1,14 @@
-//! The program's log on standard error: a line for each record, as text or as JSON, with its key-values.
+//! The program's log on standard error: a line for each record, as text or as JSON, with its
+//! key-values.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::Map;
 use std::io::Write;
 use tulipwall_config::LogForm;
 
-/// Target of what a verdict on a build rests on, a line each at `debug`: how deliveries and commands ended, flags, news
-/// and votes, with the Unix time in milliseconds. Off unless `RUST_LOG` sets it (`info,evidence=debug`,
-/// or `debug` for all).
+/// Target of what a verdict on a build rests on, a line each at `debug`: how attempts and requests
+/// ended, flags, news and votes, with the Unix time in milliseconds. Off unless `RUST_LOG` sets it
+/// (`info,evidence=debug`, or `debug` for all).
 pub const EVIDENCE: &str = "evidence";
 
 /// Begins to log; `RUST_LOG` sets what, `info` unless set. Only the first call counts.
@@ -24,8 +25,8 @@
     let _ = builder.try_init();
 }
 
-/// One record as an object: `at`, `level`, `target`, `text`, and its key-values under their own names. A key
-/// that has one of these names gets an underscore behind it.
+/// One record as an object: `at`, `level`, `target`, `text`, and its key-values under their own
+/// names. A key that has one of these names gets an underscore behind it.
 pub fn json(at: &str, record: &log::Record) -> serde_json::Value {
     let mut object = Map::new();
     object.insert("at".into(), at.into());
--- a/crates/agent/src/memory/border.rs
+++ b/crates/agent/src/memory/border.rs
@@ -1,12 +1,12 @@
-//! What crosses between zones, where the installation says something of them: the one owner of `Zones`, and the
-//! meters that follow each delivery and each new connection on its socket.
+//! What crosses between zones, where the installation says something of them: the one owner of
+//! `Zones`, and the meters that follow each attempt and each new connection on its socket.
 
 use crate::wire::connection::Traffic;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall::{Crossings, Origin, Outcome, Room};
+use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity};
 use tulipwall_zones::{
     Ended, Flaw, Line, Names, Opening, Place, Sending, Ticket, Wall, Zones, Zoning,
 };
@@ -42,14 +42,15 @@
         self.zones.borrow().is_some()
     }
 
-    /// Goes on under an installation and settings read anew, the lanes numbered as `by` says. The account and what is
-    /// spent stay as long as there is one and the zones are those of before; says whether they do.
+    /// Goes on under an installation and settings read anew, the classes numbered as `by` says. The
+    /// account and what is spent stay as long as there is one and the zones are those of before;
+    /// says whether they do.
     pub fn renew(
         &self,
         now: Duration,
         zoning: Option<Zoning>,
         names: Names,
-        by: &[Origin],
+        by: &[IndexOrigin],
     ) -> bool {
         let mut zones = self.zones.borrow_mut();
         let before = self.names.replace(names);
@@ -74,9 +75,9 @@
         goes_on
     }
 
-    pub fn taken(&self, now: Duration, lane: usize) {
+    pub fn taken(&self, now: Duration, class: usize) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.taken(now, lane);
+            z.taken(now, class);
         }
     }
 
@@ -84,15 +85,15 @@
         &self,
         now: Duration,
         sending: Sending,
-        rooms: impl FnOnce() -> Vec<Room>,
+        zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
     ) -> Option<Ticket> {
         self.zones
             .borrow_mut()
             .as_mut()
-            .map(|z| z.sent(now, sending, rooms))
+            .map(|z| z.sent(now, sending, zone_capacities))
     }
 
-    /// A delivery has ended: what its meter read goes into the account.
+    /// An attempt has ended: what its meter read goes into the account.
     pub fn ended(
         &self,
         now: Duration,
@@ -125,15 +126,15 @@
         }
     }
 
-    pub fn step(&self, now: Duration, rooms: impl FnOnce(usize) -> Vec<Room>) {
+    pub fn step(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
             let all = z.zoning().all();
-            z.step(now, &rooms(all));
+            z.step(now, &zone_capacities(all));
             self.note(now, z);
         }
     }
 
-    /// A line for each budget that deliveries went over, with why; none for a single command.
+    /// A line for each budget that attempts went over, with why; none for a single request.
     fn note(&self, now: Duration, zones: &Zones) {
         let mut noted = self.noted.borrow_mut();
         for p in zones.purses().purses() {
@@ -162,7 +163,7 @@
     }
 
     /// What crossing means now, if that has changed.
-    pub fn crossings(&self) -> Option<Crossings> {
+    pub fn crossings(&self) -> Option<CrossZonePolicy> {
         self.zones.borrow_mut().as_mut().and_then(Zones::crossings)
     }
 
@@ -186,7 +187,7 @@
     }
 }
 
-/// What one delivery does on its sockets, also when it is dropped halfway.
+/// What one attempt does on its sockets, also when it is dropped halfway.
 #[derive(Default)]
 pub struct Meter {
     /// All of the statement went out.
--- a/crates/agent/src/memory/counters.rs
+++ b/crates/agent/src/memory/counters.rs
@@ -19,19 +19,19 @@
 #[derive(Default)]
 pub struct Counters {
     pub clients: Count,
-    pub clients_closed: Count, // between two commands, by either side
-    pub clients_denied: Count, // at the limit of descriptors
-    pub clients_late: Count,   // ended for want of a whole command or message
-    pub floods: Count,         // commands denied for how many their clients wrote ahead
+    pub clients_closed: Count,   // between two requests, by either side
+    pub clients_rejected: Count, // at the limit of descriptors
+    pub clients_late: Count,     // ended for want of a whole request or message
+    pub floods: Count,           // requests rejected for how many their clients wrote ahead
     pub taken: Count,
     pub faulty: Count, // statements that were answered with their fault
-    pub satisfied: Count,
-    pub denied: Count,
+    pub succeeded: Count,
+    pub rejected: Count,
     pub scrapped: Count,
     pub left: Count, // clients that went away
     pub opened: Count,
     pub reused: Count,
-    pub gone_idle: Count, // connections found closed by the appliance while idle
+    pub gone_idle: Count, // connections found closed by the endpoint while idle
     pub sent: Count,
     pub spoilt: Count,  // answers that could not be read
     pub unasked: Count, // connections closed for what came behind an answer
@@ -39,7 +39,7 @@
     pub lists: Count,
     pub list_failures: Count,
     pub list_silences: Count, // watches that fell silent, and calls without an answer
-    pub news: Count,
+    pub rollout_status: Count,
     pub votes: Count,
     pub platform_ends: Count,
     pub door_dropped: Count, // readers of the operators' door that did not read
@@ -69,7 +69,7 @@
             f,
             "clients: taken {} denied {} late {} closed {}; ",
             n(&self.clients),
-            n(&self.clients_denied),
+            n(&self.clients_rejected),
             n(&self.clients_late),
             n(&self.clients_closed)
         )?;
@@ -78,13 +78,13 @@
             "commands: taken {} faulty {} satisfied {} ",
             n(&self.taken),
             n(&self.faulty),
-            n(&self.satisfied)
+            n(&self.succeeded)
         )?;
         write!(f, "floods {} ", n(&self.floods))?;
         write!(
             f,
             "denied {} scrapped {} left {}; ",
-            n(&self.denied),
+            n(&self.rejected),
             n(&self.scrapped),
             n(&self.left)
         )?;
@@ -116,7 +116,7 @@
             n(&self.list_failures),
             n(&self.list_silences)
         )?;
-        write!(f, "platform: news {} ", n(&self.news))?;
+        write!(f, "platform: news {} ", n(&self.rollout_status))?;
         write!(
             f,
             "votes {} ended {}",
--- a/crates/agent/src/memory/hand.rs
+++ b/crates/agent/src/memory/hand.rs
@@ -1,4 +1,5 @@
-//! The one owner of the `Choice`: all that the agent tells and asks it passes here, with the time.
+//! The one owner of the `Balancer`: all that the agent tells and asks it passes here, with the
+//! time.
 
 use super::counters::Counters;
 use std::cell::{Cell, RefCell};
@@ -9,18 +10,18 @@
 use tulipwall_discovery::clock::Clock;
 
 pub struct Hand {
-    choice: RefCell<Choice>,
+    choice: RefCell<Balancer>,
     clock: Rc<Clock>,
     counters: Rc<Counters>,
     taken: Cell<u64>,
-    open: RefCell<HashSet<String>>, // the ids of commands in hand
-    news: RefCell<Option<News>>,
+    open: RefCell<HashSet<String>>, // the ids of requests in hand
+    rollout_status: RefCell<Option<RolloutStatus>>,
     turns: Cell<u64>, // how often the news changed
-    watch: RefCell<Option<Watch>>,
-    keys: RefCell<HashMap<u64, (usize, Option<u64>)>>, // lane and key of commands in hand, while something is watched
+    watch: RefCell<Option<ShadowEvaluator>>,
+    keys: RefCell<HashMap<u64, (usize, Option<u64>)>>, // class and key of requests in hand, while something is watched
 }
 
-/// A command is open under its id for as long as this lives.
+/// A request is open under its id for as long as this lives.
 pub struct Opened<'a>(&'a Hand, String);
 
 impl Drop for Opened<'_> {
@@ -30,7 +31,7 @@
 }
 
 impl Hand {
-    /// Nothing while another command is open under this id: its answers could not be told apart.
+    /// Nothing while another request is open under this id: its answers could not be told apart.
     pub fn open(&self, id: &str) -> Option<Opened<'_>> {
         self.open
             .borrow_mut()
@@ -38,50 +39,50 @@
             .then(|| Opened(self, id.to_owned()))
     }
 
-    pub fn new(deployment: Deployment, clock: Rc<Clock>, counters: Rc<Counters>) -> Hand {
+    pub fn new(deployment: Settings, clock: Rc<Clock>, counters: Rc<Counters>) -> Hand {
         Hand {
-            choice: RefCell::new(Choice::new(clock.now(), deployment)),
+            choice: RefCell::new(Balancer::new(clock.now(), deployment)),
             clock,
             counters,
             taken: Cell::default(),
             open: RefCell::default(),
-            news: RefCell::default(),
+            rollout_status: RefCell::default(),
             turns: Cell::default(),
             watch: RefCell::default(),
             keys: RefCell::default(),
         }
     }
 
-    /// A command has come in: its number, and where to send it.
-    pub fn take(&self, command: Command) -> (u64, Answer) {
+    /// A request has come in: its number, and where to send it.
+    pub fn take(&self, command: Request) -> (u64, Decision) {
         let id = self.taken.get();
         self.taken.set(id + 1);
         self.counters.taken.add();
-        let (now, lane, key) = (self.clock.now(), command.lane, command.key);
-        self.choice.borrow_mut().take(now, id, command);
+        let (now, class, key) = (self.clock.now(), command.class, command.key);
+        self.choice.borrow_mut().on_request(now, id, command);
         if let Some(watch) = self.watch.borrow_mut().as_mut() {
-            watch.take(&self.choice.borrow(), lane);
-            self.keys.borrow_mut().insert(id, (lane, key));
+            watch.on_request(&self.choice.borrow(), class);
+            self.keys.borrow_mut().insert(id, (class, key));
         }
-        let answer = self.choice.borrow_mut().place(now, id);
+        let answer = self.choice.borrow_mut().route(now, id);
         (id, self.watched(now, id, answer))
     }
 
-    pub fn place(&self, id: u64) -> Answer {
+    pub fn place(&self, id: u64) -> Decision {
         let now = self.clock.now();
-        let answer = self.choice.borrow_mut().place(now, id);
+        let answer = self.choice.borrow_mut().route(now, id);
         self.watched(now, id, answer)
     }
 
     /// Counts where the watched settings would have decided otherwise; the answer stands as it is.
-    fn watched(&self, now: Duration, id: u64, answer: Answer) -> Answer {
+    fn watched(&self, now: Duration, id: u64, answer: Decision) -> Decision {
         if let Some(watch) = self.watch.borrow_mut().as_mut() {
             let known = self.keys.borrow().get(&id).copied();
             match (&answer, known) {
-                (Answer::Send { appliance, .. }, Some((lane, key))) => {
-                    watch.sent(now, &self.choice.borrow(), lane, key, *appliance);
+                (Decision::Forward { endpoint, .. }, Some((class, key))) => {
+                    watch.on_attempt(now, &self.choice.borrow(), class, key, *endpoint);
                 }
-                (Answer::Deny { .. } | Answer::Scrap, _) => {
+                (Decision::Reject { .. } | Decision::Fail, _) => {
                     self.keys.borrow_mut().remove(&id);
                 }
                 _ => {}
@@ -91,62 +92,70 @@
     }
 
     /// From now on this shape is watched, or none.
-    pub fn watch(&self, present: &Deployment, shape: Option<&Shape>) {
-        *self.watch.borrow_mut() = shape.map(|s| Watch::new(present, s));
+    pub fn watch(&self, present: &Settings, shape: Option<&AlternativeSettings>) {
+        *self.watch.borrow_mut() = shape.map(|s| ShadowEvaluator::new(present, s));
         self.keys.borrow_mut().clear();
     }
 
-    /// What commands in hand count in.
-    pub fn in_hand(&self) -> InHand {
-        self.choice.borrow().in_hand()
+    /// What requests in hand count in.
+    pub fn indices_in_use(&self) -> IndicesInUse {
+        self.choice.borrow().indices_in_use()
     }
 
-    /// From now on these settings decide, numbered as `by` says; `zones` are appliances whose zone has another number.
+    /// From now on these settings decide, numbered as `by` says; `zones` are endpoints whose zone
+    /// has another number.
     pub fn renew(
         &self,
-        d: &Deployment,
-        by: &Numbering,
+        d: &Settings,
+        by: &IndexMapping,
         zones: &[(usize, usize)],
-        shape: Option<&Shape>,
+        shape: Option<&AlternativeSettings>,
     ) {
         let mut choice = self.choice.borrow_mut();
-        choice.renew(self.clock.now(), d, by);
-        choice.rezone(zones);
+        choice.reload(self.clock.now(), d, by);
+        choice.reassign_zones(zones);
         if let (Some(watch), Some(shape)) = (self.watch.borrow_mut().as_mut(), shape) {
-            watch.renew(d, shape);
+            watch.reload(d, shape);
         }
     }
 
-    /// Where the watched settings would have decided otherwise so far; nothing while none are watched.
-    pub fn otherwise(&self) -> Option<Otherwise> {
+    /// Where the watched settings would have decided otherwise so far; nothing while none are
+    /// watched.
+    pub fn otherwise(&self) -> Option<Divergences> {
         self.watch.borrow().as_ref().map(|w| w.counts)
     }
 
-    /// An appliance said how many commands it holds.
-    pub fn told(&self, appliance: usize, held: f64) {
-        self.choice
-            .borrow_mut()
-            .told(self.clock.now(), appliance, Outcome::Satisfied, Some(held));
+    /// An endpoint said how many requests it holds.
+    pub fn told(&self, endpoint: usize, held: f64) {
+        self.choice.borrow_mut().on_load_report(
+            self.clock.now(),
+            endpoint,
+            Outcome::Succeeded,
+            Some(held),
+        );
     }
 
-    /// A delivery that was decided at `sent` has ended.
+    /// An attempt that was decided at `sent` has ended.
     pub fn after(
         &self,
         id: u64,
-        delivery: usize,
+        attempt: usize,
         sent: Duration,
         outcome: Outcome,
         closed: bool,
-    ) -> Answer {
+    ) -> Decision {
         self.counters.end(outcome);
         let now = self.clock.now();
-        let end = End {
+        let end = AttemptEnd {
             outcome,
-            took: now.saturating_sub(sent),
-            closed,
-            held: None,
+            latency: now.saturating_sub(sent),
+            request_closed: closed,
+            reported_load: None,
         };
-        let answer = self.choice.borrow_mut().after(now, id, delivery, end);
+        let answer = self
+            .choice
+            .borrow_mut()
+            .on_attempt_end(now, id, attempt, end);
         let answer = self.watched(now, id, answer);
         if closed {
             self.keys.borrow_mut().remove(&id);
@@ -156,92 +165,104 @@
 
     /// The client went away.
     pub fn left(&self, id: u64) {
-        self.choice.borrow_mut().left(id);
+        self.choice.borrow_mut().close_request(id);
         self.keys.borrow_mut().remove(&id);
     }
 
-    pub fn list(&self, entries: &[Listed], complete: bool) {
+    pub fn list(&self, entries: &[EndpointEntry], complete: bool) {
         self.counters.lists.add();
         self.choice
             .borrow_mut()
-            .list(self.clock.now(), entries, complete);
+            .update_endpoints(self.clock.now(), entries, complete);
     }
 
     pub fn list_failed(&self) {
         self.counters.list_failures.add();
-        self.choice.borrow_mut().list_failed(self.clock.now());
+        self.choice.borrow_mut().on_list_failure(self.clock.now());
     }
 
     /// Until when the list tells all that counts as told.
     pub fn vouch(&self, until: Option<Duration>) {
-        self.choice.borrow_mut().vouched = until;
+        self.choice.borrow_mut().list_valid_until = until;
     }
 
-    pub fn news(&self, news: News) {
-        self.counters.news.add();
-        let told = |n: &News| (n.build, n.stage, n.phase, n.cap.to_bits());
-        if self.news.borrow().as_ref().map(told) != Some(told(&news)) {
+    pub fn rollout_status(&self, rollout_status: RolloutStatus) {
+        self.counters.rollout_status.add();
+        let told = |n: &RolloutStatus| (n.build, n.stage, n.phase, n.cap.to_bits());
+        if self.rollout_status.borrow().as_ref().map(told) != Some(told(&rollout_status)) {
             self.turns.set(self.turns.get() + 1);
         }
-        *self.news.borrow_mut() = Some(news.clone());
-        self.choice.borrow_mut().news(news);
+        *self.rollout_status.borrow_mut() = Some(rollout_status.clone());
+        self.choice.borrow_mut().update_rollout(rollout_status);
     }
 
     /// Whether this build is on trial, as far as the news go.
     pub fn on_trial(&self, build: u32) -> bool {
-        let news = self.news.borrow();
-        news.as_ref()
-            .is_some_and(|n| build > n.build || build == n.build && n.phase != Phase::Released)
+        let rollout_status = self.rollout_status.borrow();
+        rollout_status.as_ref().is_some_and(|n| {
+            build > n.build || build == n.build && n.phase != RolloutPhase::Released
+        })
     }
 
     /// The newest build that the platform told of.
     pub fn newest(&self) -> Option<u32> {
-        self.news.borrow().as_ref().map(|n| n.build)
+        self.rollout_status.borrow().as_ref().map(|n| n.build)
     }
 
-    pub fn crossings(&self, told: Crossings) {
-        self.choice.borrow_mut().crossings(told);
+    pub fn crossings(&self, told: CrossZonePolicy) {
+        self.choice.borrow_mut().set_cross_zone_policy(told);
     }
 
-    pub fn rooms(&self, zones: usize) -> Vec<Room> {
-        self.choice.borrow().rooms(self.clock.now(), zones)
+    pub fn zone_capacities(&self, zones: usize) -> Vec<ZoneCapacity> {
+        self.choice
+            .borrow()
+            .zone_capacities(self.clock.now(), zones)
     }
 
-    /// What the news stood at when a delivery was decided.
+    /// What the news stood at when an attempt was decided.
     pub fn turn(&self) -> u64 {
         self.turns.get()
     }
 
-    /// Whether a delivery to `build` decided at `turn` still goes by the news it was decided on.
+    /// Whether an attempt to `build` decided at `turn` still goes by the news it was decided on.
     pub fn stands(&self, build: u32, turn: u64) -> bool {
-        turn == self.turns.get() || self.news.borrow().as_ref().is_some_and(|n| build < n.build)
+        turn == self.turns.get()
+            || self
+                .rollout_status
+                .borrow()
+                .as_ref()
+                .is_some_and(|n| build < n.build)
     }
 
-    /// Whether a delivery that was decided may still be written.
-    pub fn holds(&self, id: u64, delivery: usize) -> bool {
-        self.choice.borrow().holds(self.clock.now(), id, delivery)
+    /// Whether an attempt that was decided may still be written.
+    pub fn holds(&self, id: u64, attempt: usize) -> bool {
+        self.choice
+            .borrow()
+            .attempt_allowed(self.clock.now(), id, attempt)
     }
 
-    pub fn flag(&self, appliance: usize, lane: usize, age: Duration) {
+    pub fn flag(&self, endpoint: usize, class: usize, age: Duration) {
         self.choice
             .borrow_mut()
-            .flag(self.clock.now(), appliance, lane, age);
+            .on_client_reported_error(self.clock.now(), endpoint, class, age);
     }
 
-    pub fn tally(&self, tally: &Tally) {
-        self.choice.borrow_mut().tally(tally);
+    pub fn tally(&self, tally: &PlatformCounts) {
+        self.choice.borrow_mut().on_platform_counts(tally);
     }
 
-    pub fn reply(&self, reply: Reply) {
-        self.choice.borrow_mut().reply(self.clock.now(), reply);
+    pub fn reply(&self, reply: VoteReply) {
+        self.choice
+            .borrow_mut()
+            .on_vote_reply(self.clock.now(), reply);
     }
 
-    /// Commands, appliances, builds and keys that the module keeps.
+    /// Requests, endpoints, builds and keys that the module keeps.
     pub fn kept(&self) -> [usize; 4] {
-        self.choice.borrow().kept()
+        self.choice.borrow().retained_counts()
     }
 
-    pub fn wait(&self) -> Due {
-        self.choice.borrow_mut().wait(self.clock.now())
+    pub fn wait(&self) -> PollResult {
+        self.choice.borrow_mut().poll(self.clock.now())
     }
 }
--- a/crates/agent/src/memory/mod.rs
+++ b/crates/agent/src/memory/mod.rs
@@ -1,4 +1,5 @@
-//! What is kept: time, the list, connection pools, the commands in hand with the one `Choice`, counters.
+//! What is kept: time, the list, connection pools, the requests in hand with the one `Balancer`,
+//! counters.
 
 pub mod border;
 pub mod counters;
--- a/crates/agent/src/memory/pools.rs
+++ b/crates/agent/src/memory/pools.rs
@@ -1,4 +1,4 @@
-//! Connections to appliances that wait for their next command, and the bound on all sockets.
+//! Connections to endpoints that wait for their next request, and the bound on all sockets.
 
 use crate::wire::connection::Connection;
 use event_listener::Event;
@@ -7,12 +7,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Descriptors that are neither a client's nor an appliance's: standard streams, the reactor's, the signal
-/// pipe, the listener, discovery, the platform, and some room while one closes as another opens.
+/// Descriptors that are neither a client's nor an endpoint's: standard streams, the reactor's, the
+/// signal pipe, the listener, discovery, the platform, and some room while one closes as another
+/// opens.
 const OTHERS: usize = 20;
-/// What part of the rest is for appliances. Each client has a command out at most, a few have two: somewhat
-/// less than half, as some clients only hold their places.
-const APPLIANCES: f64 = 0.45;
+/// What part of the rest is for endpoints. Each client has a request out at most, a few have two:
+/// somewhat less than half, as some clients only hold their places.
+const ENDPOINTS: f64 = 0.45;
 
 /// A socket that counts against the bound for as long as this lives.
 pub struct Slot(Rc<Side>);
@@ -48,11 +49,12 @@
     }
 }
 
-/// How many sockets are held. Each client has at most one command out, each command at most two deliveries.
+/// How many sockets are held. Each client has at most one request out, each request at most two
+/// attempts.
 pub struct Sockets {
     clients: Rc<Side>,
     overflow: Rc<Side>,
-    appliances: Rc<Side>,
+    endpoints: Rc<Side>,
 }
 
 impl Sockets {
@@ -60,7 +62,7 @@
         let sockets = Sockets {
             clients: Side::of(0),
             overflow: Side::of(0),
-            appliances: Side::of(0),
+            endpoints: Side::of(0),
         };
         sockets.resize(most);
         sockets
@@ -71,9 +73,9 @@
         let overflow = (most / 32).max(2);
         let room = most.saturating_sub(OTHERS + overflow).max(4);
         self.overflow.most.set(overflow);
-        let appliances = (room as f64 * APPLIANCES) as usize;
-        self.clients.most.set(room - appliances);
-        self.appliances.most.set(appliances);
+        let endpoints = (room as f64 * ENDPOINTS) as usize;
+        self.clients.most.set(room - endpoints);
+        self.endpoints.most.set(endpoints);
     }
 
     /// A place for a client that is only told that there is none.
@@ -112,25 +114,26 @@
         }
     }
 
-    pub fn appliances_most(&self) -> usize {
-        self.appliances.most.get()
+    pub fn max_endpoints(&self) -> usize {
+        self.endpoints.most.get()
     }
 
-    pub fn appliance(&self) -> Option<Slot> {
-        self.appliances.slot()
+    pub fn endpoint(&self) -> Option<Slot> {
+        self.endpoints.slot()
     }
 }
 
-/// What belongs to nobody may come behind an answer, some milliseconds late: a connection that was answered on rests
-/// for so long, as the next command's answer would be taken from it. Costs a connection more where commands follow
-/// each other faster.
+/// What belongs to nobody may come behind an answer, some milliseconds late: a connection that was
+/// answered on rests for so long, as the next request's answer would be taken from it. Costs a
+/// connection more where requests follow each other faster.
 const RESTS: Duration = Duration::from_millis(20);
 
-/// A connection to an appliance, with its place among the sockets.
+/// A connection to an endpoint, with its place among the sockets.
 pub struct Held {
     pub connection: Connection,
-    /// Its idle time began no sooner: when it was opened, or its last command written. By the appliance's clock it may
-    /// have begun before this agent, which may have stood still, heard the answer.
+    /// Its idle time began no sooner: when it was opened, or its last request written. By the
+    /// endpoint's clock it may have begun before this agent, which may have stood still, heard the
+    /// answer.
     since: Duration,
     rests_until: Duration,
     _slot: Slot,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// A command goes out on it.
+    /// A request goes out on it.
     pub fn asked(&mut self, now: Duration) {
         self.since = now;
     }
@@ -158,12 +161,12 @@
 }
 
 pub struct Pools {
-    idle: Vec<VecDeque<Held>>, // by appliance, in the order they came
+    idle: Vec<VecDeque<Held>>, // by endpoint, in the order they came
     idle_most: Duration,
 }
 
 impl Pools {
-    /// `idle_most`: an appliance closes what has been idle for so long.
+    /// `idle_most`: an endpoint closes what has been idle for so long.
     pub fn new(idle_most: Duration) -> Pools {
         Pools {
             idle: Vec::new(),
@@ -177,8 +180,8 @@
     }
 
     /// An open connection that has rested, the longest idle first. With how many were found closed.
-    pub fn take(&mut self, now: Duration, appliance: usize) -> (Option<Held>, usize) {
-        let Some(pool) = self.idle.get_mut(appliance) else {
+    pub fn take(&mut self, now: Duration, endpoint: usize) -> (Option<Held>, usize) {
+        let Some(pool) = self.idle.get_mut(endpoint) else {
             return (None, 0);
         };
         let mut closed = 0;
@@ -195,17 +198,17 @@
         (None, closed)
     }
 
-    pub fn put(&mut self, appliance: usize, held: Held) {
-        if self.idle.len() <= appliance {
-            self.idle.resize_with(appliance + 1, VecDeque::new);
+    pub fn put(&mut self, endpoint: usize, held: Held) {
+        if self.idle.len() <= endpoint {
+            self.idle.resize_with(endpoint + 1, VecDeque::new);
         }
-        self.idle[appliance].push_back(held);
+        self.idle[endpoint].push_back(held);
     }
 
-    /// Closes all that wait for this appliance.
-    pub fn forget(&mut self, appliance: usize) {
+    /// Closes all that wait for this endpoint.
+    pub fn forget(&mut self, endpoint: usize) {
         self.idle
-            .get_mut(appliance)
+            .get_mut(endpoint)
             .into_iter()
             .for_each(VecDeque::clear);
     }
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/platform.rs
@@ -1,5 +1,5 @@
-//! The conversation with the platform: what it tells, and votes. One connection at a time, but for an old one
-//! that is heard out once the address has changed.
+//! The conversation with the platform: what it tells, and votes. One connection at a time, but for
+//! an old one that is heard out once the address has changed.
 
 use crate::agent::Agent;
 use crate::lifecycle::life::Party;
@@ -12,9 +12,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall::{Reply, Tally, Vote};
+use tulipwall::{PlatformCounts, Vote, VoteReply};
 
-/// A sign of life is due every second: without one for as long as this the connection is opened anew.
+/// A sign of life is due every second: without one for as long as this the connection is opened
+/// anew.
 const SILENT: Duration = Duration::from_millis(3500);
 /// How long until it is opened again: at first, doubled while nothing is heard there, and at most.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -64,7 +65,8 @@
         let what = moved.or(converse(agent, address, &calls, &mut talk)).await;
         log::debug!("platform: {what}");
         if agent.platform_moves.seen() != moves {
-            // At once, and the old connection is heard out meanwhile: what it tells is not told again.
+            // At once, and the old connection is heard out meanwhile: what it tells is not told
+            // again.
             calls.owes.set(true);
             if let Some(talk) = talk {
                 let (agent, calls) = (agent.clone(), calls.clone());
@@ -77,8 +79,8 @@
             continue;
         }
         agent.counters.platform_ends.add();
-        // What is told while no connection is open is not told again: at once where it spoke, later and later
-        // where it did not.
+        // What is told while no connection is open is not told again: at once where it spoke, later
+        // and later where it did not.
         let spoke = talk.as_ref().is_some_and(|t| t.heard);
         pause = if spoke {
             PAUSE
@@ -90,7 +92,7 @@
         }
         if !spoke && agent.vote.take().is_some() {
             // It was not written and never will count.
-            agent.hand.reply(Reply::Refused);
+            agent.hand.reply(VoteReply::Refused);
         }
         agent
             .platform_moves
@@ -107,7 +109,7 @@
 fn lost(agent: &Agent, talk: &Talk, calls: &Calls) {
     if talk.vote.is_some() && calls.vote.get() == talk.vote {
         calls.vote.set(None);
-        agent.hand.reply(Reply::Unknown);
+        agent.hand.reply(VoteReply::Unknown);
     }
 }
 
@@ -157,14 +159,14 @@
         }
         if let Some((vote, cast)) = agent.vote.take() {
             // One that waited for its connection for as long as an answer may take is cast anew.
-            if agent.clock.now() < cast + agent.site().deployment.rollout.vote_wait {
+            if agent.clock.now() < cast + agent.site().settings.rollout.vote_timeout {
                 let id = calls.next();
                 if let Err(e) = talk
                     .connection
                     .write(platform::vote(id, &vote).as_bytes())
                     .await
                 {
-                    agent.hand.reply(Reply::Refused);
+                    agent.hand.reply(VoteReply::Refused);
                     return e.to_string();
                 }
                 let Vote {
@@ -209,7 +211,8 @@
     }
 }
 
-/// Hears an old connection to its end: the answer to a vote, and what was told before the new one was open.
+/// Hears an old connection to its end: the answer to a vote, and what was told before the new one
+/// was open.
 async fn hear_out(agent: &Agent, mut talk: Talk, calls: &Calls) {
     let heard = async {
         while lines(agent, &mut talk, calls, calls.owes.get()).is_ok()
@@ -220,8 +223,8 @@
     lost(agent, &talk, calls);
 }
 
-/// Tells the module all whole lines that have come in; only the answer to its vote unless `all`. How
-/// many there were.
+/// Tells the module all whole lines that have come in; only the answer to its vote unless `all`.
+/// How many there were.
 fn lines(agent: &Agent, talk: &mut Talk, calls: &Calls, all: bool) -> Result<usize, Malformed> {
     let mut count = 0;
     while let Some((bytes, took)) = platform::split(talk.connection.inbox.unread())? {
@@ -229,13 +232,13 @@
         talk.connection.inbox.consume(took);
         (count, talk.heard) = (count + 1, true);
         match line {
-            Line::News(told) if all => agent.news(told),
+            Line::RolloutStatus(told) if all => agent.rollout_status(told),
             Line::Flag {
-                appliance,
-                lane,
+                endpoint,
+                class,
                 age,
             } if all => {
-                if let (Some(a), Some(l)) = (agent.appliance(&appliance), agent.site().lane(&lane))
+                if let (Some(a), Some(l)) = (agent.endpoint(&endpoint), agent.site().class(&class))
                 {
                     let build = agent.target(a).map_or(0, |t| t.build);
                     log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.wall(agent.clock.now()));
@@ -244,27 +247,27 @@
             }
             Line::Counted {
                 build,
-                lane,
-                deliveries,
+                class,
+                attempts,
                 failed,
                 took,
                 age,
             } if all => {
-                if let Some(lane) = agent.site().lane(&lane) {
-                    let (deliveries, failed) = (deliveries.into(), failed.into());
-                    agent.hand.tally(&Tally {
+                if let Some(class) = agent.site().class(&class) {
+                    let (attempts, failed) = (attempts.into(), failed.into());
+                    agent.hand.tally(&PlatformCounts {
                         build,
-                        lane,
-                        deliveries,
+                        class,
+                        attempts,
                         failed,
-                        took,
+                        mean_latency: took,
                         age,
                     });
                 }
             }
             Line::Answer { id, reply, told } => {
                 if let Some(told) = told.filter(|_| all) {
-                    agent.news(told);
+                    agent.rollout_status(told);
                 }
                 if calls.vote.get() == Some(id) {
                     calls.vote.set(None);
@@ -272,7 +275,10 @@
                     agent.hand.reply(reply);
                 }
             }
-            Line::News(_) | Line::Flag { .. } | Line::Counted { .. } | Line::SignOfLife => {}
+            Line::RolloutStatus(_)
+            | Line::Flag { .. }
+            | Line::Counted { .. }
+            | Line::SignOfLife => {}
         }
     }
     Ok(count)
--- a/crates/agent/src/program.rs
+++ b/crates/agent/src/program.rs
@@ -9,7 +9,7 @@
 use crate::reactor::{self, Source, Timer};
 use crate::wire::buffer::KEPT;
 use crate::wire::connection::Connection;
-use crate::{client, delivery, discovery, door, logs, platform};
+use crate::{attempt, client, discovery, door, logs, platform};
 use futures_lite::future::{self, FutureExt};
 use std::io;
 use std::net::TcpListener;
@@ -18,18 +18,20 @@
 use tulipwall_config::LogForm;
 use tulipwall_discovery::watchdog::Watchdog;
 
-/// Connections that may wait to be taken in, where there are fewer places: what the standard library asks for.
+/// Connections that may wait to be taken in, where there are fewer places: what the standard
+/// library asks for.
 const QUEUE_LEAST: usize = 128;
 const WATCH_EVERY: Duration = Duration::from_secs(60);
 /// How soon to look again for a free descriptor.
 const ROOM_AGAIN: Duration = Duration::from_millis(20);
 
-/// A start counts as done after so long, half of what nine in ten of them may take, whatever is still awaited: a list,
-/// or connections to appliances that hang or come up late. What cannot be served yet is denied then.
+/// A start counts as done after so long, half of what nine in ten of them may take, whatever is
+/// still awaited: a list, or connections to endpoints that hang or come up late. What cannot be
+/// served yet is rejected then.
 const READY_WITHIN: Duration = Duration::from_secs(5);
 
-/// Runs one agent until it is told to leave; whether it ended as it should. `form` is that of its log, where the
-/// installation's own does not count.
+/// Runs one agent until it is told to leave; whether it ended as it should. `form` is that of its
+/// log, where the installation's own does not count.
 pub fn run(files: Files, form: Option<LogForm>) -> bool {
     let read = Signals::new().map_err(|e| vec![format!("signals: {e}")]);
     let read = read.and_then(|signals| Ok((signals, Start::read(&files)?)));
@@ -51,9 +53,10 @@
             io::Error::new(e.kind(), format!("field listen: {}: {e}", agent.listen))
         })?;
         listener.set_nonblocking(true)?;
-        // Guards a rush while this agent does not get to run: whoever finds the queue full has its first packet dropped,
-        // which it sends again a second later. Harms where it stands still for long: more commands are late then. All that
-        // wait are taken in at once, and each may hold a small buffer before it is held back: a quarter of that memory at most.
+        // Guards a rush while this agent does not get to run: whoever finds the queue full has its
+        // first packet dropped, which it sends again a second later. Harms where it stands still
+        // for long: more requests are late then. All that wait are taken in at once, and each may
+        // hold a small buffer before it is held back: a quarter of that memory at most.
         let bears = agent.buffers_most.get() / 4 / KEPT;
         let queue = agent.sockets.clients_most().min(bears).max(QUEUE_LEAST);
         rustix::net::listen(&listener, i32::try_from(queue).unwrap_or(i32::MAX))?;
@@ -86,13 +89,14 @@
         let a = agent.clone();
         let ready = async move {
             let warm = async {
-                // Where calls are paid for, commands and connections do not wait here: nothing is vouched for yet, so that the
-                // module sends nothing and denies at half of a command's time.
-                if let Some(within) = Watchdog::new(&a.site().deployment).start_within() {
+                // Where calls are paid for, requests and connections do not wait here: nothing is
+                // vouched for yet, so that the module sends nothing and denies at half of a
+                // request's time.
+                if let Some(within) = Watchdog::new(&a.site().settings).start_within() {
                     a.until(a.clock.now() + within).or(a.may_serve()).await;
                 }
                 a.heard();
-                delivery::warm(&a).await;
+                attempt::warm(&a).await;
             };
             warm.or(a.until(a.clock.now() + READY_WITHIN)).await;
             a.life.reach(Phase::Serving);
@@ -120,10 +124,10 @@
     outcome.inspect_err(|fault| log::error!("{fault}")).is_ok()
 }
 
-/// Takes clients in. Without a free descriptor the client that was idle for longest is asked to go, and who
-/// comes before there is room is denied at once. Guards against commands that are lost in the queue of
-/// connections, which count as taken; a short rush beyond the limit is denied, too. Ends when the program closes and
-/// all that had connected before are in.
+/// Takes clients in. Without a free descriptor the client that was idle for longest is asked to go,
+/// and who comes before there is room is rejected at once. Guards against requests that are lost in
+/// the queue of connections, which count as taken; a short rush beyond the limit is rejected, too.
+/// Ends when the program closes and all that had connected before are in.
 async fn accept(agent: &Rc<Agent>, listener: &Source<TcpListener>) -> io::Result<()> {
     loop {
         let mut slot = agent.sockets.client();
@@ -149,7 +153,8 @@
         };
         let next = async { Some(listener.read(|| Connection::accept(listener.get())).await) };
         let accepted = match agent.life.closes() {
-            // Asked of the listener itself: the event of who connected just now may be still to come.
+            // Asked of the listener itself: the event of who connected just now may be still to
+            // come.
             true => Connection::accept(listener.get()),
             false => match next.or(closing).await {
                 Some(accepted) => accepted,
@@ -163,7 +168,7 @@
                 match (slot, overflow) {
                     (Some(slot), _) => welcome(agent, client, slot),
                     (None, Some(slot)) => {
-                        agent.counters.clients_denied.add();
+                        agent.counters.clients_rejected.add();
                         agent
                             .tasks
                             .spawn(client::deny(agent.clone(), client, slot))
@@ -199,7 +204,7 @@
         // What came in while this agent stood still is told first, in its order.
         future::yield_now().await;
         let due = agent.hand.wait();
-        if due.watch {
+        if due.open_watch {
             agent.watch_due.set(true);
             agent.watch.notify(1);
         }
@@ -209,13 +214,13 @@
             agent.voted.notify(1);
         }
         agent.look_at_zones();
-        due.notes.iter().for_each(|note| log::info!("{note}"));
-        for note in &due.notes {
+        due.log_lines.iter().for_each(|note| log::info!("{note}"));
+        for note in &due.log_lines {
             log::debug!(target: EVIDENCE, "{} note {note}", agent.clock.wall(now));
         }
         if now >= swept + Duration::from_secs(1) {
             agent.sweep();
-            agent.forget_lanes();
+            agent.forget_classes();
             swept = now;
         }
         if now >= said + WATCH_EVERY {
@@ -224,6 +229,6 @@
             }
             said = now;
         }
-        agent.until(due.until).await;
+        agent.until(due.next_poll).await;
     }
 }
--- a/crates/agent/src/reactor.rs
+++ b/crates/agent/src/reactor.rs
@@ -1,8 +1,8 @@
 //! Readiness of sockets and timers for the one thread of this program, on epoll, edge-triggered.
 //!
-//! In the place of async-io, whose share was measured: it arms a socket anew for each wait (three system
-//! calls a command), sets a timer descriptor at each turn, and its helper thread makes every lock and every
-//! system call of the C library a contended one.
+//! In the place of async-io, whose share was measured: it arms a socket anew for each wait (three
+//! system calls a request), sets a timer descriptor at each turn, and its helper thread makes every
+//! lock and every system call of the C library a contended one.
 
 use async_executor::LocalExecutor;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Waits for events, at most until the next timer is due, or not at all; sockets are told before timers.
+    /// Waits for events, at most until the next timer is due, or not at all; sockets are told
+    /// before timers.
     fn turn(&self, wait: bool) -> io::Result<()> {
         let epoll = self.epoll.as_ref().map_err(|e| io::Error::from(e.kind()))?;
         let next = self.timers.borrow().first_key_value().map(|(at, _)| at.0);
@@ -127,8 +128,8 @@
     }
 }
 
-/// Runs the tasks of `executor` until `main` is done, which is looked at after each turn. Those of `first` are run
-/// before any other: what they hear binds the others from then on.
+/// Runs the tasks of `executor` until `main` is done, which is looked at after each turn. Those of
+/// `first` are run before any other: what they hear binds the others from then on.
 pub fn run<T>(
     executor: &LocalExecutor<'_>,
     first: &LocalExecutor<'_>,
@@ -187,7 +188,8 @@
         wait(&self.readiness.read, work).await
     }
 
-    /// All that had come was read. What comes from now on is a new event; an end told before is not.
+    /// All that had come was read. What comes from now on is a new event; an end told before is
+    /// not.
     pub fn drained(&self) {
         self.readiness
             .read
--- a/crates/agent/src/wire/arrivals.rs
+++ b/crates/agent/src/wire/arrivals.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// One instant for each whole message that is unread, the first one's first. Guards what was written ahead
-/// against a time that begins when something behind it came.
+/// One instant for each whole message that is unread, the first one's first. Guards what was
+/// written ahead against a time that begins when something behind it came.
 #[derive(Default)]
 pub struct Arrivals {
     scanned: usize,
--- a/crates/agent/src/wire/buffer.rs
+++ b/crates/agent/src/wire/buffer.rs
@@ -1,5 +1,5 @@
-//! The one buffer of a connection: it grows as it needs and is compacted in place. All that is buffered here
-//! is weighed, so that readers can be held back.
+//! The one buffer of a connection: it grows as it needs and is compacted in place. All that is
+//! buffered here is weighed, so that readers can be held back.
 
 use std::cell::Cell;
 
--- a/crates/agent/src/wire/connection.rs
+++ b/crates/agent/src/wire/connection.rs
@@ -41,7 +41,8 @@
 
 impl Connection {
     fn new(stream: TcpStream) -> io::Result<Connection> {
-        // An answer must not wait for more to fill a segment; a socket that cannot do this still serves.
+        // An answer must not wait for more to fill a segment; a socket that cannot do this still
+        // serves.
         let _ = stream.set_nodelay(true);
         let (source, inbox, traffic) = (Source::new(stream)?, Buffer::default(), Rc::default());
         Ok(Connection {
@@ -87,7 +88,8 @@
         Connection::new(TcpStream::from(rustix::net::accept_with(listener, flags)?))
     }
 
-    /// Reads what is there, at least a byte, or 0 at the end. Nothing is lost when this is dropped unready.
+    /// Reads what is there, at least a byte, or 0 at the end. Nothing is lost when this is dropped
+    /// unready.
     pub async fn more(&mut self) -> io::Result<usize> {
         let Connection { source, inbox, .. } = self;
         let room_for = Cell::new(0);
--- a/crates/agent/src/wire/mod.rs
+++ b/crates/agent/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! What is spoken: PostgreSQL v3 to clients and appliances, HTTP/1.1 to discovery, JSON-RPC to the platform.
-//! The parsers are pure over bytes and bounded; the kit's words end here.
+//! What is spoken: PostgreSQL v3 to clients and endpoints, HTTP/1.1 to discovery, JSON-RPC to the
+//! platform. The parsers are pure over bytes and bounded; the kit's words end here.
 
 pub mod arrivals;
 pub mod buffer;
--- a/crates/agent/src/wire/platform.rs
+++ b/crates/agent/src/wire/platform.rs
@@ -3,7 +3,7 @@
 use super::{malformed, Malformed};
 use serde_json::{json, Value};
 use std::time::Duration;
-use tulipwall::{Phase, Reply, Verdict, Vote};
+use tulipwall::{RolloutPhase, Verdict, Vote, VoteReply};
 use tulipwall_config::Fields;
 
 /// No line of the platform's is as long.
@@ -14,25 +14,25 @@
 pub struct Told {
     pub build: u32,
     pub stage: usize,
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     pub cap: f64,
     pub age: Duration,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Line {
-    News(Told),
-    /// An appliance gave a wrong answer to a delivery sent `age` ago.
+    RolloutStatus(Told),
+    /// An endpoint gave a wrong answer to an attempt sent `age` ago.
     Flag {
-        appliance: String,
-        lane: String,
+        endpoint: String,
+        class: String,
         age: Duration,
     },
-    /// What it counted of a build and lane in a sample of all agents' deliveries.
+    /// What it counted of a build and class in a sample of all agents' attempts.
     Counted {
         build: u32,
-        lane: String,
-        deliveries: u32,
+        class: String,
+        attempts: u32,
         failed: u32,
         took: Duration,
         age: Duration,
@@ -40,7 +40,7 @@
     /// The answer to call `id`.
     Answer {
         id: u64,
-        reply: Reply,
+        reply: VoteReply,
         told: Option<Told>,
     },
     SignOfLife,
@@ -53,8 +53,8 @@
 pub fn vote(id: u64, v: &Vote) -> String {
     let opinion = match v.verdict {
         Verdict::Hold => "pause",
-        Verdict::Back => "abort",
-        Verdict::None => "abstain",
+        Verdict::RollBack => "abort",
+        Verdict::Withdraw => "abstain",
     };
     let params = json!({"image": v.build, "ring": v.stage, "opinion": opinion});
     json!({"jsonrpc": "2.0", "id": id, "method": "Rollout.Judge", "params": params}).to_string()
@@ -70,10 +70,10 @@
         build: number(f, "image")?,
         stage: f.whole("ring")? as usize,
         phase: match f.text("progress")? {
-            "trial" => Phase::Trial,
-            "rolling_back" => Phase::GoingBack,
-            "released" => Phase::Released,
-            "withdrawn" => Phase::Withdrawn,
+            "trial" => RolloutPhase::Canary,
+            "rolling_back" => RolloutPhase::RollingBack,
+            "released" => RolloutPhase::Released,
+            "withdrawn" => RolloutPhase::RolledBack,
             other => return Err(format!("field progress: unknown value '{other}'")),
         },
         cap: f.number("ceiling")?,
@@ -87,13 +87,13 @@
     let f = Fields::of(&value, "line")?;
     if let Some(method) = f.maybe("method") {
         return Ok(match method.as_str() {
-            Some("ROLLOUT") => Line::News(told(&f.inner("params")?)?),
+            Some("ROLLOUT") => Line::RolloutStatus(told(&f.inner("params")?)?),
             Some("DISPUTE") => {
                 let p = f.inner("params")?;
-                let (appliance, lane) = (p.text("host")?.to_owned(), p.text("type")?.to_owned());
+                let (endpoint, class) = (p.text("host")?.to_owned(), p.text("type")?.to_owned());
                 Line::Flag {
-                    appliance,
-                    lane,
+                    endpoint,
+                    class,
                     age: p.span("lag_ms")?,
                 }
             }
@@ -101,8 +101,8 @@
                 let p = f.inner("params")?;
                 Line::Counted {
                     build: number(&p, "image")?,
-                    lane: p.text("type")?.to_owned(),
-                    deliveries: number(&p, "n")?,
+                    class: p.text("type")?.to_owned(),
+                    attempts: number(&p, "n")?,
                     failed: number(&p, "bad")?,
                     took: p.span("latency_ms")?,
                     age: p.span("lag_ms")?,
@@ -115,8 +115,8 @@
     let id = f.whole("id")?;
     if let Some(error) = f.maybe("error") {
         let reply = match Fields::of(error, "error")?.text("message")? {
-            "ConditionFailed" => Reply::Moot,
-            "Throttling" | "InternalFailure" | "ValidationError" => Reply::Refused,
+            "ConditionFailed" => VoteReply::Moot,
+            "Throttling" | "InternalFailure" | "ValidationError" => VoteReply::Refused,
             _ => return malformed("line: field message: unknown value"),
         };
         return Ok(Line::Answer {
@@ -130,13 +130,13 @@
             let told = Some(told(&f.inner("result")?)?);
             Ok(Line::Answer {
                 id,
-                reply: Reply::Counted,
+                reply: VoteReply::Counted,
                 told,
             })
         }
         Some(_) => Ok(Line::Answer {
             id,
-            reply: Reply::Counted,
+            reply: VoteReply::Counted,
             told: None,
         }),
         None => malformed("line: neither method, result nor error"),
--- a/crates/agent/src/wire/postgres.rs
+++ b/crates/agent/src/wire/postgres.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol, version 3: framing, what a client opens with, what an appliance answers.
+//! PostgreSQL's protocol, version 3: framing, what a client opens with, what an endpoint answers.
 
 use super::{malformed, Malformed};
 use std::time::Duration;
@@ -80,7 +80,7 @@
     out.extend_from_slice(body);
 }
 
-/// What an agent opens a connection to an appliance with.
+/// What an agent opens a connection to an endpoint with.
 pub fn startup(user: &str, database: &str) -> Vec<u8> {
     let body = format!("user\0{user}\0database\0{database}\0\0");
     let mut out = (body.len() as u32 + 8).to_be_bytes().to_vec();
@@ -144,8 +144,8 @@
 }
 
 /// A retry is harmless, after so long where that is said.
-pub fn denied(out: &mut Vec<u8>, come_back: Option<Duration>) {
-    let detail = come_back.map(|t| t.as_millis().to_string());
+pub fn rejected(out: &mut Vec<u8>, retry_after: Option<Duration>) {
+    let detail = retry_after.map(|t| t.as_millis().to_string());
     error(out, "ERROR", "53300", "denied: a retry is harmless", detail);
 }
 
@@ -168,7 +168,8 @@
     error(out, "FATAL", "08P01", &fault.0, None);
 }
 
-/// The longest message of each kind that an appliance may send; none that is not listed here belongs in an answer.
+/// The longest message of each kind that an endpoint may send; none that is not listed here belongs
+/// in an answer.
 const ANSWERS: [(u8, usize); 9] = [
     (b'T', 1024),
     (b'D', VALUE_MOST + 10),
@@ -181,8 +182,8 @@
     (b'R', 64),
 ];
 
-/// One whole message of an appliance; `None` while it is not whole. What can be no message of an answer is told
-/// by its first bytes: a value that is declared too large is not waited for.
+/// One whole message of an endpoint; `None` while it is not whole. What can be no message of an
+/// answer is told by its first bytes: a value that is declared too large is not waited for.
 pub fn answer(bytes: &[u8]) -> Result<Option<Message<'_>>, Malformed> {
     let Some(tag) = bytes.first() else {
         return Ok(None);
@@ -207,7 +208,7 @@
     message(bytes)
 }
 
-/// How an appliance ended a query.
+/// How an endpoint ended a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Value,
@@ -215,13 +216,13 @@
     TurnedAway,
 }
 
-/// An appliance's answer to one query as it comes in, message by message.
+/// An endpoint's answer to one query as it comes in, message by message.
 #[derive(Default)]
 pub struct Hearing {
-    /// The messages of the value, as the appliance made them.
+    /// The messages of the value, as the endpoint made them.
     pub value: Vec<u8>,
     pub verdict: Option<Verdict>,
-    /// Commands that the appliance said it held.
+    /// Requests that the endpoint said it held.
     pub held: Option<f64>,
     rows: usize,
     described: bool,
@@ -233,8 +234,9 @@
         self.described || self.verdict.is_some()
     }
 
-    /// Takes the next message with its whole bytes; true once the connection is ready for the next query.
-    /// Notices are passed over, whatever they hold, and so is what can't be read of a load report.
+    /// Takes the next message with its whole bytes; true once the connection is ready for the next
+    /// query. Notices are passed over, whatever they hold, and so is what can't be read of a load
+    /// report.
     pub fn hear(&mut self, tag: u8, body: &[u8], whole: &[u8]) -> Result<bool, Malformed> {
         let open = self.verdict.is_none();
         match tag {
@@ -271,7 +273,7 @@
     }
 }
 
-/// The commands in flight that a load report names: `pressure`, then `inflight=7,util=0.61`.
+/// The requests in flight that a load report names: `pressure`, then `inflight=7,util=0.61`.
 fn held(status: &[u8]) -> Option<f64> {
     let fields =
         std::str::from_utf8(status.strip_prefix(b"pressure\0")?.strip_suffix(b"\0")?).ok()?;
@@ -295,7 +297,7 @@
     body.get(..2) == Some(&[0, 1]) && length.is_some_and(|n| body.len() - 6 == n as usize)
 }
 
-/// The words of a command that was completed.
+/// The words of a request that was completed.
 fn named(body: &[u8]) -> bool {
     let word = |b: &u8| b.is_ascii_alphanumeric() || *b == b' ';
     matches!(body.split_last(), Some((0, words)) if !words.is_empty() && words.iter().all(word))
--- a/crates/agent/src/wire/statement.rs
+++ b/crates/agent/src/wire/statement.rs
@@ -1,4 +1,4 @@
-//! The statements of clients, with the comment that says what a command is.
+//! The statements of clients, with the comment that says what a request is.
 
 use super::buffer::Weight;
 use super::{malformed, Malformed};
@@ -10,9 +10,9 @@
     pub id: String,
     /// It has the key by which repeats are told.
     pub keyed: bool,
-    pub lane: String,
-    pub customer: Option<String>,
-    /// What it is about: commands on the same object share it.
+    pub class: String,
+    pub tenant: Option<String>,
+    /// What it is about: requests on the same object share it.
     pub object: String,
     pub wait: Duration,
     /// A rough hint of what it costs; one that makes no sense is disregarded.
@@ -46,7 +46,7 @@
             (Some(object), _) | (_, Some(object)) => object,
             _ => return malformed("statement: neither the known SELECT nor the known INSERT"),
         };
-        let (mut id, mut lane, mut customer, mut wait, mut keyed) = (None, None, None, None, false);
+        let (mut id, mut class, mut tenant, mut wait, mut keyed) = (None, None, None, None, false);
         let (mut work, mut again) = (None, false);
         let mut at = start + 2;
         for pair in comment.split(',') {
@@ -57,8 +57,8 @@
             at += pair.len() + 1;
             match name.trim() {
                 "id" => id = Some(value.trim()).filter(|v| !v.is_empty()),
-                "c" => lane = Some(value.trim()),
-                "t" => customer = Some(value.trim()),
+                "c" => class = Some(value.trim()),
+                "t" => tenant = Some(value.trim()),
                 "k" => keyed = !value.trim().is_empty(),
                 "h" => {
                     work = value
@@ -75,7 +75,7 @@
         let Some(id) = id else {
             return malformed("statement: field id is missing");
         };
-        let Some(lane) = lane else {
+        let Some(class) = class else {
             return malformed("statement: field c is missing");
         };
         let Some((ms, wait_at)) = wait else {
@@ -89,14 +89,14 @@
             return malformed("statement: field d: milliseconds are wanted");
         };
         let wait = Duration::from_secs_f64(ms.min(WAIT_MOST) / 1000.0);
-        let (id, lane, customer) = (id.to_owned(), lane.to_owned(), customer.map(str::to_owned));
+        let (id, class, tenant) = (id.to_owned(), class.to_owned(), tenant.map(str::to_owned));
         // Once here, and once more as it is written on.
         let _weight = Weight::of(text.len() * 2);
         Ok(Statement {
             id,
             keyed,
-            lane,
-            customer,
+            class,
+            tenant,
             object: object.to_owned(),
             wait,
             work,
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -1,4 +1,5 @@
-//! The client library against the real agent program, with the stand-ins behind it: the bad days of clients.
+//! The client library against the real agent program, with the fakes behind it: the bad days of
+//! clients.
 
 use futures_lite::future::{block_on, zip};
 use rand::{Rng, SeedableRng};
@@ -11,11 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tulipwall_client::{
-    Answered, Call, Client, Connections, Group, Repeats, Retrying, Service, Unanswered,
+    Answered, Call, Client, Connections, DeduplicationScope, Idempotency, Retrying, Service,
+    Unanswered,
 };
 use tulipwall_testkit::ground::{sleep, spawn, until};
 use tulipwall_testkit::{
-    lanes, pg, service, Act, Caller, Cut, Cutter, Program, Speaker, Ways, World,
+    classes, pg, service, Act, Caller, Cut, Cutter, Program, Speaker, Ways, World,
 };
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -27,10 +29,10 @@
 }
 
 fn world(work: Duration) -> World {
-    let world = World::new(&["a"], lanes()).unwrap();
+    let world = World::new(&["a"], classes()).unwrap();
     for n in 0..2 {
         world
-            .appliance(
+            .endpoint(
                 0,
                 &format!("s-{n}"),
                 41,
@@ -62,7 +64,7 @@
 /// What many clients met.
 #[derive(Default)]
 struct Met {
-    satisfied: AtomicU64,
+    succeeded: AtomicU64,
     others: AtomicU64,
     late: Mutex<Vec<(Duration, String)>>,
 }
@@ -70,7 +72,7 @@
 impl Met {
     fn note(&self, begun: Instant, expiry: Duration, ended: &Result<Answered, Unanswered>) {
         let count = if ended.is_ok() {
-            &self.satisfied
+            &self.succeeded
         } else {
             &self.others
         };
@@ -103,10 +105,10 @@
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let lane = if n % 2 == 0 { "view" } else { "payment" };
+                    let class = if n % 2 == 0 { "view" } else { "payment" };
                     let begun = Instant::now();
                     let ended = client
-                        .call(Call::read(lane, &format!("c{c}-{n}"), expiry))
+                        .call(Call::read(class, &format!("c{c}-{n}"), expiry))
                         .await;
                     met.note(begun, expiry, &ended);
                     sleep(pause).await;
@@ -116,13 +118,13 @@
         .collect()
 }
 
-/// Objects of a lane that came to appliances more than once.
-fn twice(world: &World, lane: &str) -> Vec<String> {
+/// Objects of a class that came to endpoints more than once.
+fn twice(world: &World, class: &str) -> Vec<String> {
     let mut objects: Vec<String> = world
         .seen()
         .into_values()
         .flatten()
-        .filter(|s| s.ran && s.lane == lane)
+        .filter(|s| s.ran && s.class == class)
         .map(|s| {
             s.statement
                 .split('\'')
@@ -150,7 +152,7 @@
         .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(100), &met, &over);
-    assert!(until(|| met.satisfied.load(Ordering::Relaxed) > 1000));
+    assert!(until(|| met.succeeded.load(Ordering::Relaxed) > 1000));
     stop(&mut agent);
     let configuration = agent.configuration.clone();
     drop(agent);
@@ -190,7 +192,8 @@
     drop(agent);
 }
 
-/// Cases that compare answer times have the machine to themselves: beside others both agents of one are slow.
+/// Cases that compare answer times have the machine to themselves: beside others both agents of one
+/// are slow.
 static TURN: RwLock<()> = RwLock::new(());
 
 fn alone() -> RwLockWriteGuard<'static, ()> {
@@ -223,7 +226,8 @@
     let world = world(ms(400));
     let agent = start(&world);
     let client = Client::new(service(vec![agent.address().unwrap()]));
-    // Also on a connection that was used before, whose close could be taken for one between commands.
+    // Also on a connection that was used before, whose close could be taken for one between
+    // requests.
     assert!(block_on(client.call(Call::read("view", "warm", ms(1500)))).is_ok());
     let c = client.clone();
     let paying = spawn(async move {
@@ -235,7 +239,7 @@
             .seen()
             .values()
             .flatten()
-            .filter(|s| s.lane == "payment")
+            .filter(|s| s.class == "payment")
             .count()
     };
     assert!(until(|| seen() == 1));
@@ -283,7 +287,8 @@
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
 }
 
-/// The longest time for which an agent gave no answer, or the thread of clients and stand-ins did not run.
+/// The longest time for which an agent gave no answer, or the thread of clients and fakes did not
+/// run.
 struct Standstill {
     over: Arc<AtomicBool>,
     agent: thread::JoinHandle<Duration>,
@@ -327,8 +332,8 @@
     }
 }
 
-/// In how many of a row of 50 ms each how many of two hundred came back that were denied at the same moment with the same
-/// time to come back, and what stood still meanwhile.
+/// In how many of a row of 50 ms each how many of two hundred came back that were rejected at the
+/// same moment with the same time to come back, and what stood still meanwhile.
 fn denied_at_once() -> (Vec<usize>, Duration) {
     let world = world(ms(1));
     let turns_away = |act| {
@@ -371,7 +376,8 @@
     ((0..40).map(came).collect(), stood)
 }
 
-/// What is due while the machine lets one of them stand still comes at once when it goes on: only then it is tried again.
+/// What is due while the machine lets one of them stand still comes at once when it goes on: only
+/// then it is tried again.
 #[test]
 fn two_hundred_denied_at_the_same_moment_with_the_same_time_to_come_back() {
     let _turn = alone();
@@ -390,7 +396,8 @@
     panic!("never spread, or the machine always stood still");
 }
 
-/// Its thread is kept by other work between its connect and the agent's greeting, for longer than an opening may take.
+/// Its thread is kept by other work between its connect and the agent's greeting, for longer than
+/// an opening may take.
 #[test]
 fn a_client_that_stands_still_does_not_take_the_agent_for_lost() {
     let _turn = beside();
@@ -415,7 +422,7 @@
         .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(50), &met, &over);
-    assert!(until(|| met.satisfied.load(Ordering::Relaxed) > 200));
+    assert!(until(|| met.succeeded.load(Ordering::Relaxed) > 200));
     let configuration = one.configuration.clone();
     for agent in [one, two] {
         agent.signal(rustix::process::Signal::KILL).unwrap();
@@ -430,9 +437,9 @@
         "retries do not multiply an outage"
     );
     let _one = Program::start(BINARY, configuration, &[]).unwrap();
-    let satisfied = met.satisfied.load(Ordering::Relaxed);
+    let succeeded = met.succeeded.load(Ordering::Relaxed);
     assert!(
-        until(|| met.satisfied.load(Ordering::Relaxed) > satisfied + 500),
+        until(|| met.succeeded.load(Ordering::Relaxed) > succeeded + 500),
         "they find it again"
     );
     over.store(true, Ordering::Relaxed);
@@ -509,8 +516,8 @@
     let half = Cut::Back(welcome(agent.address().unwrap()) + 20);
     let cutter = Cutter::start(agent.address().unwrap(), vec![half]).unwrap();
     let mut s = service(vec![cutter.address]);
-    s.lanes[1].repeats = Repeats::Deduplicated {
-        group: Group::All,
+    s.classes[1].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: ms(40),
     };
     // New connections wait for longer than the window.
@@ -533,7 +540,7 @@
             .seen()
             .values()
             .flatten()
-            .filter(|s| s.lane == "send")
+            .filter(|s| s.class == "send")
             .count(),
         1
     );
@@ -606,7 +613,8 @@
                     return;
                 }
                 let mut rng = Pcg64Mcg::seed_from_u64(seed);
-                // A statement is some 130 bytes behind a startup message of 41, an answer some 80 behind a welcome.
+                // A statement is some 130 bytes behind a startup message of 41, an answer some 80
+                // behind a welcome.
                 let cuts = (0..rng.gen_range(1..5)).map(|_| match rng.gen_range(0..3) {
                     0 => Cut::There(rng.gen_range(0..200)),
                     1 => Cut::Back(rng.gen_range(0..opens + 100)),
@@ -624,10 +632,10 @@
                 };
                 let client = Client::new(s);
                 for n in 0..4 {
-                    let (lane, expiry) = (["payment", "send", "view", "payment"][n], ms(900));
+                    let (class, expiry) = (["payment", "send", "view", "payment"][n], ms(900));
                     let begun = Instant::now();
                     let ended =
-                        block_on(client.call(Call::read(lane, &format!("o{seed}-{n}"), expiry)));
+                        block_on(client.call(Call::read(class, &format!("o{seed}-{n}"), expiry)));
                     assert!(
                         begun.elapsed() < expiry + SLACK,
                         "seed {seed}: {ended:?} after {:?}",
@@ -638,9 +646,9 @@
                             assert_eq!(answered.value, [0x9f, 3], "seed {seed}");
                             good.fetch_add(1, Ordering::Relaxed);
                         }
-                        Err(Unanswered::Denied { tried, .. }) => {
+                        Err(Unanswered::Rejected { tried, .. }) => {
                             assert!(
-                                !tried.may_have_run || lane == "view",
+                                !tried.may_have_run || class == "view",
                                 "seed {seed}: {ended:?}"
                             );
                         }
@@ -663,13 +671,14 @@
         good.load(Ordering::Relaxed)
     );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
-    // What ran is what was not denied: a payment that a client was denied never reached an appliance.
+    // What ran is what was not rejected: a payment that a client was rejected never reached an
+    // endpoint.
     assert!(
         world
             .seen()
             .values()
             .flatten()
-            .filter(|s| s.lane == "payment")
+            .filter(|s| s.class == "payment")
             .count()
             > 1000
     );
--- a/crates/agent/tests/crossing.rs
+++ b/crates/agent/tests/crossing.rs
@@ -1,5 +1,5 @@
-//! Where two events cross: each case forces them to, with stand-ins that come late or an agent that stands still, and
-//! is judged by what clients and appliances saw.
+//! Where two events cross: each case forces them to, with fakes that come late or an agent that
+//! stands still, and is judged by what clients and endpoints saw.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::appliance::Link;
+use tulipwall_testkit::endpoint::Link;
 use tulipwall_testkit::ground::{until, SOON};
 use tulipwall_testkit::*;
 
@@ -32,10 +32,10 @@
 }
 
 fn world(ways: &[Ways]) -> World {
-    let world = World::new(&["a"], program::lanes()).unwrap();
+    let world = World::new(&["a"], program::classes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
         world
-            .appliance(0, &format!("s-{n}"), 41, ways.clone())
+            .endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
     world
@@ -48,7 +48,8 @@
     Program::start(BINARY, configuration, &[]).unwrap()
 }
 
-/// Without room for connections kept ahead, and with time for those that come up late: each delivery opens its own.
+/// Without room for connections kept ahead, and with time for those that come up late: each attempt
+/// opens its own.
 fn opens_late(c: &mut serde_json::Value) {
     c["limits"]["sockets"] = 26.into();
     c["settings"]["limits"]["dial-timeout-ms"] = 2000.into();
@@ -56,7 +57,7 @@
 
 fn as_it_is(_: &mut serde_json::Value) {}
 
-/// The connections to this appliance come up so much later.
+/// The connections to this endpoint come up so much later.
 fn late(world: &World, id: &str, time: u64) {
     world.get(id).unwrap().link(
         0,
@@ -88,7 +89,8 @@
     Caller { stream }
 }
 
-/// The code of its first answer, nothing for a value; an error where its connection ended without one.
+/// The code of its first answer, nothing for a value; an error where its connection ended without
+/// one.
 fn first_answer(client: &mut Caller) -> std::io::Result<Option<String>> {
     loop {
         match client.message()? {
@@ -99,7 +101,8 @@
     }
 }
 
-/// SIGTERM has come, and the agent stands still from just before it closes until just after it should have.
+/// SIGTERM has come, and the agent stands still from just before it closes until just after it
+/// should have.
 fn across_the_close(agent: &Program, crosses: impl FnOnce()) {
     agent.terminate().unwrap();
     assert!(until(|| agent.log().contains("phase: Leaving")));
@@ -185,12 +188,13 @@
 
 // Decision and first byte.
 
-/// Whichever appliance comes first: the one that answers, or the one whose connection comes up behind the answer.
+/// Whichever endpoint comes first: the one that answers, or the one whose connection comes up
+/// behind the answer.
 #[test]
 fn nothing_is_written_for_a_second_copy_whose_connection_comes_up_after_the_final_answer() {
     let world = world(&[works(400), works(400)]);
     late(&world, "s-1", 900);
-    // Room for the second copy's connection beside the first one's, and for none kept ahead.
+    // Room for the hedged request's connection beside the first one's, and for none kept ahead.
     let agent = start(&world, |c| {
         opens_late(c);
         c["limits"]["sockets"] = 29.into();
@@ -246,7 +250,8 @@
     );
 }
 
-/// One appliance loses its answers, the connections to the other come up after the group has forgotten the repeat.
+/// One endpoint loses its answers, the connections to the other come up after the group has
+/// forgotten the repeat.
 #[test]
 fn a_deduplicated_repeat_whose_group_has_forgotten_is_not_sent_and_answered_at_once() {
     let world = world(&[acts(Act::Resets), works(0)]);
@@ -290,7 +295,7 @@
     assert!(crossed > 0, "some went to the one that loses answers first");
 }
 
-/// Its connection ends right behind each answer, as the next command is on its way.
+/// Its connection ends right behind each answer, as the next request is on its way.
 #[test]
 fn an_unrepeatable_command_on_a_connection_that_closes_under_it_runs_once_at_most() {
     for act in [Act::EndsAfter, Act::Resets] {
@@ -310,7 +315,8 @@
     }
 }
 
-/// Answers the first query on each connection, takes some bytes of the second and resets: it never runs there.
+/// Answers the first query on each connection, takes some bytes of the second and resets: it never
+/// runs there.
 fn resets_during_the_second(seen: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     // A long statement does not fit on its way.
@@ -340,8 +346,8 @@
     address
 }
 
-/// The connection breaks before all of it has arrived, though all of it may have been written: then nobody can tell that it
-/// never ran, and it goes nowhere else.
+/// The connection breaks before all of it has arrived, though all of it may have been written: then
+/// nobody can tell that it never ran, and it goes nowhere else.
 #[test]
 fn an_unrepeatable_command_whose_connection_breaks_before_it_has_arrived_runs_once_at_most() {
     let begun = Arc::<AtomicUsize>::default();
@@ -378,11 +384,12 @@
 
 // Answers.
 
-/// Thirty commands to an appliance that writes a second answer so many milliseconds behind each; whether all were right. A
-/// wrong one is the agent's fault unless that second answer was really written after more than a connection's rest.
+/// Thirty requests to an endpoint that writes a second answer so many milliseconds behind each;
+/// whether all were right. A wrong one is the agent's fault unless that second answer was really
+/// written after more than a connection's rest.
 fn second_answers_are_nobodys(gap: u16) -> bool {
     let world = world(&[acts(Act::TwiceAfter(gap))]);
-    // Room for one connection, which would be the next command's.
+    // Room for one connection, which would be the next request's.
     let agent = start(&world, opens_late);
     let mut client = caller(&agent);
     for n in 0..30 {
@@ -412,7 +419,7 @@
 #[test]
 fn a_second_answer_some_milliseconds_late_is_nobodys() {
     for gap in [1, 4, 9] {
-        // On a machine that does not let the stand-in run in time it is played again.
+        // On a machine that does not let the fake run in time it is played again.
         assert!(
             (0..10).any(|_| second_answers_are_nobodys(gap)),
             "{gap} ms: never written in time"
@@ -432,14 +439,14 @@
             .unwrap()
             .ways(|w| w.act = Act::Cut(cut as u16));
         let mut client = caller(&agent);
-        // So many failures may have it denied, unrun: then it is asked again.
+        // So many failures may have it rejected, unrun: then it is asked again.
         let (id, told) = (0..200)
             .map(|n| {
                 let id = format!("c{cut}-{n}");
                 client.ask_as(&id, "payment", 1000);
                 (id, client.told().unwrap())
             })
-            .find(|(id, told)| !matches!(told, Told::Denied(..)) || world.seen().contains_key(id))
+            .find(|(id, told)| !matches!(told, Told::Rejected(..)) || world.seen().contains_key(id))
             .unwrap();
         if cut < whole - ready {
             assert_eq!(told.code().as_deref(), Some("XX000"), "cut at {cut}");
@@ -468,8 +475,8 @@
 
 // Slow clients, and many.
 
-/// Five hundred, each of which holds more of the memory than its share: none of them, nor anybody else, may wait for the
-/// others for good, nor does the shutdown.
+/// Five hundred, each of which holds more of the memory than its share: none of them, nor anybody
+/// else, may wait for the others for good, nor does the shutdown.
 #[test]
 fn clients_that_hold_half_a_message_each_keep_nobody_from_being_served() {
     let world = world(&[works(0)]);
@@ -559,8 +566,8 @@
     assert!(ends);
 }
 
-/// Each is answered once and in its order, whatever is denied of a flood, faulty, or too late, and what is answered with a
-/// value, and nothing else, ran once.
+/// Each is answered once and in its order, whatever is rejected of a flood, faulty, or too late,
+/// and what is answered with a value, and nothing else, ran once.
 #[test]
 fn a_flood_is_answered_once_each_and_in_order() {
     let world = world(&[works(20)]);
@@ -650,7 +657,7 @@
     assert!(agent.ended_well().unwrap());
 }
 
-/// It was taken in at the very end, and its first command is still on its way.
+/// It was taken in at the very end, and its first request is still on its way.
 #[test]
 fn the_first_command_of_a_connection_taken_in_at_the_close_is_awaited() {
     let world = world(&[works(0)]);
@@ -711,7 +718,7 @@
 
 // Starts.
 
-/// One appliance, many sockets, and handshakes that take nearly as long as they may.
+/// One endpoint, many sockets, and handshakes that take nearly as long as they may.
 #[test]
 fn a_start_is_ready_within_its_bound_however_slowly_connections_come_up() {
     let world = world(&[works(0)]);
@@ -726,12 +733,13 @@
     );
     client.ask("view", 1400);
     assert_eq!(client.told().unwrap().code(), None);
-    // No more than half of the places for appliances are opened ahead, here for one of them.
-    let opened = world.counted(0, 0)[appliance::CONNECTIONS].read as usize / pg::startup().len();
+    // No more than half of the places for endpoints are opened ahead, here for one of them.
+    let opened = world.counted(0, 0)[endpoint::CONNECTIONS].read as usize / pg::startup().len();
     assert!((1..=230).contains(&opened), "{opened} connections");
 }
 
-/// Where each handshake is paid for, a start opens none that no command asked for, and one command opens one.
+/// Where each handshake is paid for, a start opens none that no request asked for, and one request
+/// opens one.
 #[test]
 fn a_start_opens_connections_ahead_only_where_handshakes_cost_nothing() {
     for (price, ahead) in [(0.0, true), (0.08, false)] {
@@ -745,7 +753,7 @@
         let opened = || {
             let connections = world
                 .counted(0, 0)
-                .get(appliance::CONNECTIONS)
+                .get(endpoint::CONNECTIONS)
                 .copied()
                 .unwrap_or_default();
             connections.read as usize / pg::startup().len()
@@ -789,16 +797,16 @@
 
 // The platform.
 
-/// Where the platform counts for all. An agent that could not read it closed the connection at each count, and what was
-/// told while none was open was lost.
+/// Where the platform counts for all. An agent that could not read it closed the connection at each
+/// count, and what was told while none was open was lost.
 #[test]
 fn counts_of_the_platform_are_read_beside_its_news_and_a_build_that_they_show_as_failing_goes_back()
 {
     let world = world(&[works(0), works(0)]);
-    world.appliance(0, "t-0", 42, works(0)).unwrap();
+    world.endpoint(0, "t-0", 42, works(0)).unwrap();
     world
         .platform
-        .news(platform::News::now(42, 0, "trial", 0.2));
+        .rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.2));
     let agent = start(&world, |c| {
         let domain = &mut c["settings"]["domain"];
         domain["tally-every-ms"] = 500.into();
--- a/crates/agent/tests/customers.rs
+++ b/crates/agent/tests/customers.rs
@@ -1,5 +1,5 @@
-//! Other customers' settings, up to the extremes of what they may say: each agent starts, serves every lane, ends well on
-//! SIGTERM and does so again.
+//! Other tenants' settings, up to the extremes of what they may say: each agent starts, serves
+//! every class, ends well on SIGTERM and does so again.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -8,33 +8,33 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
-/// A world of these zones and lanes, two appliances in each zone.
-fn world(zones: &[&str], lanes: Vec<Lane>) -> World {
-    let world = World::new(zones, lanes).unwrap();
+/// A world of these zones and classes, two endpoints in each zone.
+fn world(zones: &[&str], classes: Vec<RequestClass>) -> World {
+    let world = World::new(zones, classes).unwrap();
     for (zone, name) in zones.iter().enumerate() {
         for n in 0..2 {
             world
-                .appliance(zone, &format!("{name}-{n}"), 41, Ways::default())
+                .endpoint(zone, &format!("{name}-{n}"), 41, Ways::default())
                 .unwrap();
         }
     }
     world
 }
 
-fn ask(client: &mut Caller, n: usize, lane: &Lane, wait: u32) -> Option<String> {
-    let key = if lane.repeats == "by_key" {
+fn ask(client: &mut Caller, n: usize, class: &RequestClass, wait: u32) -> Option<String> {
+    let key = if class.idempotency == "by_key" {
         format!(",k=k{n}")
     } else {
         String::new()
     };
-    let comment = format!("id=r{n},c={},t=whoever,d={wait}{key}", lane.name);
+    let comment = format!("id=r{n},c={},t=whoever,d={wait}{key}", class.name);
     client.say(&format!(
         "INSERT INTO objects (oid, body) VALUES ('a{n}', '\\x00') RETURNING body /* {comment} */"
     ));
     client.told().unwrap().code()
 }
 
-/// Starts it twice under these settings; every lane is served with `wait` milliseconds each time.
+/// Starts it twice under these settings; every class is served with `wait` milliseconds each time.
 fn starts_serves_and_restarts(world: &World, wait: u32, change: impl FnOnce(&mut Value)) {
     let mut configuration = world.configuration("n1", 0).unwrap();
     change(&mut configuration);
@@ -47,33 +47,38 @@
             "ready after {:?}",
             begun.elapsed()
         );
-        for (n, lane) in world.lanes.iter().enumerate() {
+        for (n, class) in world.classes.iter().enumerate() {
             // A busy machine may be late for a short time: what it denies is asked again.
             let served = (0..200).any(|again| {
-                ask(&mut client, round * 100_000 + n * 1000 + again, lane, wait).is_none()
+                ask(&mut client, round * 100_000 + n * 1000 + again, class, wait).is_none()
             });
-            assert!(served, "lane {}", lane.name);
+            assert!(served, "lane {}", class.name);
         }
         agent.terminate().unwrap();
         let begun = Instant::now();
         assert!(agent.ended_well().unwrap() && begun.elapsed() < SOON);
     }
-    for lane in world.lanes.iter().filter(|l| l.repeats == "once") {
-        assert!(world.ran_twice(&lane.name).is_empty());
+    for class in world.classes.iter().filter(|l| l.idempotency == "once") {
+        assert!(world.ran_twice(&class.name).is_empty());
     }
 }
 
-fn lane(name: &str, repeats: &'static str, group: &'static str, quoted_ms: f64) -> Lane {
-    Lane {
+fn class(
+    name: &str,
+    idempotency: &'static str,
+    group: &'static str,
+    latency_objective_ms: f64,
+) -> RequestClass {
+    RequestClass {
         group,
-        quoted_ms,
-        ..Lane::new(name, repeats, 1.0)
+        latency_objective_ms,
+        ..RequestClass::new(name, idempotency, 1.0)
     }
 }
 
 #[test]
 fn one_lane_of_a_tenth_of_a_second_with_a_window_as_short_and_nothing_that_costs() {
-    let world = world(&["only"], vec![lane("tick", "by_key", "cell", 20.0)]);
+    let world = world(&["only"], vec![class("tick", "by_key", "cell", 20.0)]);
     starts_serves_and_restarts(&world, 100, |c| {
         let settings = &mut c["settings"];
         settings["classes"][0]["give-up-ms"] = 100.into();
@@ -92,7 +97,7 @@
 fn thirty_lanes_of_minutes_in_six_zones_with_lists_asked_for_and_many_tenants() {
     let kinds = [("repeatable", "all"), ("by_key", "zone"), ("once", "all")];
     let of = |n: usize| {
-        lane(
+        class(
             &format!("lane {n}, \u{e9}").replace(", ", "-"),
             kinds[n % 3].0,
             kinds[n % 3].1,
@@ -122,7 +127,7 @@
 
 #[test]
 fn the_fewest_descriptors_the_least_memory_and_no_time_to_warm() {
-    let world = world(&["only"], program::lanes());
+    let world = world(&["only"], program::classes());
     starts_serves_and_restarts(&world, 1000, |c| {
         c["limits"] = json!({"sockets": 64, "memory_mb": 32, "cores": 0.05});
         let settings = &mut c["settings"];
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -7,17 +7,18 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
-/// A second of commands at an agent whose log has this filter: its log, with its counters in the end.
+/// A second of requests at an agent whose log has this filter: its log, with its counters in the
+/// end.
 fn logged(filter: &str) -> String {
-    let world = World::new(&["a"], lanes()).unwrap();
+    let world = World::new(&["a"], classes()).unwrap();
     for n in 0..2 {
         world
-            .appliance(0, &format!("e-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("e-{n}"), 41, Ways::default())
             .unwrap();
     }
     world
         .platform
-        .news(platform::News::now(41, 2, "released", 1.0));
+        .rollout_status(platform::RolloutStatus::now(41, 2, "released", 1.0));
     let program = Program::start(
         "env",
         world.configuration("n1", 0).unwrap(),
@@ -29,7 +30,7 @@
         agent: program.address().unwrap(),
         rate: 150.0,
         span: Duration::from_secs(1),
-        lanes: vec![("view".to_owned(), 1.0, Duration::from_millis(1500), false)],
+        classes: vec![("view".to_owned(), 1.0, Duration::from_millis(1500), false)],
         connections: 32,
         seed: 7,
     }
@@ -69,17 +70,17 @@
             .parse::<usize>()
             .unwrap()
     };
-    let (taken, satisfied) = (counted("taken "), counted("satisfied "));
-    assert!(taken > 100 && satisfied > 100, "{counters}");
+    let (taken, succeeded) = (counted("taken "), counted("satisfied "));
+    assert!(taken > 100 && succeeded > 100, "{counters}");
     assert_eq!(lines("command lane 0 ", ""), taken, "{counters}");
     assert_eq!(
-        lines("command lane 0 Satisfied", ""),
-        satisfied,
+        lines("command lane 0 Succeeded", ""),
+        succeeded,
         "{counters}"
     );
     assert_eq!(
-        lines("delivery lane 0 build 41 ", " Satisfied "),
-        satisfied,
+        lines("delivery lane 0 build 41 ", " Succeeded "),
+        succeeded,
         "{counters}"
     );
     assert!(
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large.rs
@@ -1,14 +1,14 @@
-//! Lists of the size to come on real sockets: taken in, spoilt, too long, empty, and whole again. One appliance stands
-//! behind all their entries.
+//! Lists of the size to come on real sockets: taken in, spoilt, too long, empty, and whole again.
+//! One endpoint stands behind all their entries.
 
 use serde_json::json;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
-const APPLIANCES: usize = 7_700;
+const ENDPOINTS: usize = 7_700;
 
 fn fleet(one: &discovery::Entry) -> Vec<discovery::Entry> {
-    (0..APPLIANCES)
+    (0..ENDPOINTS)
         .map(|n| discovery::Entry {
             id: format!("s-{n:08x}"),
             ..one.clone()
@@ -26,7 +26,7 @@
 
 #[test]
 fn lists_of_thousands_are_obeyed_and_what_is_wrong_with_them_is_one_line() {
-    let world = World::new(&["a"], program::lanes()).unwrap();
+    let world = World::new(&["a"], program::classes()).unwrap();
     let one = world.unlisted(0, "s-0", 41, Ways::default()).unwrap();
     world.discovery.tell(fleet(&one));
     let agent = Program::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
@@ -37,7 +37,7 @@
     };
     assert_eq!(ask(), None);
 
-    // Of two lines for one appliance neither is believed; the others go on.
+    // Of two lines for one endpoint neither is believed; the others go on.
     let mut twice = world.discovery.known(0);
     let mut other = twice["servers"][17].clone();
     other["state"] = json!("terminating");
@@ -65,7 +65,8 @@
         "what cannot be sent is denied"
     );
 
-    // Whole again, none of it changed since the version that was heard: who has nothing to serve from asks for all of it.
+    // Whole again, none of it changed since the version that was heard: who has nothing to serve
+    // from asks for all of it.
     (0..100).for_each(|_| world.discovery.tell([]));
     world.discovery.manner(Manner::Tells);
     assert!(ground::until(|| ask().is_none()), "{}", agent.log());
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Appliances that leave: nothing goes to them after the announcement counts as told and its grace is over,
-//! judged by what the stand-in appliances received.
+//! Endpoints that leave: nothing goes to them after the announcement counts as told and its grace
+//! is over, judged by what the fake endpoints received.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::appliance::Link;
+use tulipwall_testkit::endpoint::Link;
 use tulipwall_testkit::ground::SOON;
 use tulipwall_testkit::*;
 
@@ -21,11 +21,11 @@
     Duration::from_millis(n)
 }
 
-fn world(appliances: usize) -> World {
-    let world = World::new(&["a"], program::lanes()).unwrap();
-    for n in 0..appliances {
+fn world(endpoints: usize) -> World {
+    let world = World::new(&["a"], program::classes()).unwrap();
+    for n in 0..endpoints {
         world
-            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
             .unwrap();
     }
     world
@@ -56,7 +56,7 @@
     world.get("s-0").unwrap().seen().last().map(|s| s.at)
 }
 
-/// The watch falls silent, its next connections are met like this, and one appliance is to leave.
+/// The watch falls silent, its next connections are met like this, and one endpoint is to leave.
 fn silence(next: &[Meets]) {
     let world = world(2);
     let agent = start(&world);
@@ -77,8 +77,8 @@
         .contains("discovery: heard again")));
 }
 
-/// Guards against a watch that is given up only when what it missed counts as told. Costs a call a second where
-/// they are free.
+/// Guards against a watch that is given up only when what it missed counts as told. Costs a call a
+/// second where they are free.
 #[test]
 fn a_watch_that_falls_silent_is_begun_anew_before_what_it_misses_counts_as_told() {
     silence(&[]);
@@ -99,8 +99,9 @@
     ]);
 }
 
-/// Guards against lists that come between a decision and the first byte: the connection of either delivery, the
-/// second copy too, comes up after them. Without room for connections kept ahead, each has to be opened.
+/// Guards against lists that come between a decision and the first byte: the connection of either
+/// attempt, the hedged request too, comes up after them. Without room for connections kept ahead,
+/// each has to be opened.
 #[test]
 fn what_was_decided_before_the_announcement_goes_elsewhere_when_its_connection_comes_up() {
     let world = world(2);
@@ -120,7 +121,7 @@
     let mut client = caller(&agent);
     client.ask("view", 1400);
     sleep(ms(120));
-    world.appliance(0, "s-2", 41, Ways::default()).unwrap();
+    world.endpoint(0, "s-2", 41, Ways::default()).unwrap();
     leaves(&world, "s-0");
     leaves(&world, "s-1");
     assert_eq!(client.told().unwrap().code(), None);
@@ -128,8 +129,8 @@
     assert_eq!((seen("s-0"), seen("s-1"), seen("s-2")), (0, 0, 1));
 }
 
-/// Guards a new process that was given an old list, while what discovery holds counts as told from its first moment.
-/// Delays the first commands while discovery is away, for the time of a start.
+/// Guards a new process that was given an old list, while what discovery holds counts as told from
+/// its first moment. Delays the first requests while discovery is away, for the time of a start.
 #[test]
 fn a_start_from_an_old_list_sends_nothing_before_discovery_was_asked() {
     let world = world(2);
@@ -193,7 +194,8 @@
     assert!(last < moved + ms(4000), "sent {:?} after it", last - moved);
 }
 
-/// Guards against a list that is refused whole for one entry, and against asking for it over and over.
+/// Guards against a list that is refused whole for one entry, and against asking for it over and
+/// over.
 #[test]
 fn a_drain_beside_an_unreadable_entry_is_obeyed_and_the_list_asked_for_anew_now_and_then() {
     let world = world(3);
@@ -222,7 +224,7 @@
 /// When something was announced to leave for good, and when that binds.
 type Drains = BTreeMap<String, Instant>;
 
-/// Deliveries to appliances after their announcement bound.
+/// Attempts to endpoints after their announcement bound.
 fn late(world: &World, drains: &Drains) -> usize {
     let late = |(id, bound): (&String, &Instant)| {
         world
@@ -236,8 +238,8 @@
     drains.iter().map(late).sum()
 }
 
-/// Silences, late and refused connections, spoilt lists, restarts from the old list, new configurations and drains
-/// by chance; `told` is what the agent hears.
+/// Silences, late and refused connections, spoilt lists, restarts from the old list, new
+/// configurations and drains by chance; `told` is what the agent hears.
 fn days(seed: u64, world: &World, told: &Discovery) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut configuration = world.configuration("n1", 0).unwrap();
@@ -276,7 +278,8 @@
         let id = format!("s-{step}");
         let now = Instant::now();
         leaves(world, &id);
-        // A silence may last as long as the rule allows; a new address, and a start, may be under way.
+        // A silence may last as long as the rule allows; a new address, and a start, may be under
+        // way.
         let under_way = silent
             .filter(|s| *s + TOLD_AFTER > now)
             .map_or(now + ms(300), |s| s + TOLD_AFTER);
@@ -315,8 +318,8 @@
     assert!(days(1, &world, &deaf) > 0);
 }
 
-/// Guards the bounds on lists: nothing on the way of a list, a decision or a report may end at some hundreds, nor hold
-/// more than the least memory an agent is given.
+/// Guards the bounds on lists: nothing on the way of a list, a decision or a report may end at some
+/// hundreds, nor hold more than the least memory an agent is given.
 #[test]
 fn a_thousand_appliances_with_long_names_are_listed_served_and_drained_within_the_memory() {
     let mut world = world(4);
@@ -372,8 +375,9 @@
     assert!(peak.unwrap() < 40 * 1024, "{peak:?} kB at most");
 }
 
-/// A watch that falls silent, a new address by SIGHUP and a drain that both addresses tell, 60 ms apart in each order.
-/// Each bound of the page is over 3.75 s after the last of them; the agent is asked for less.
+/// A watch that falls silent, a new address by SIGHUP and a drain that both addresses tell, 60 ms
+/// apart in each order. Each bound of the page is over 3.75 s after the last of them; the agent is
+/// asked for less.
 #[test]
 fn a_silence_a_new_address_and_a_drain_cross_in_each_order_and_the_drain_is_kept() {
     let order = |order: [u8; 3]| {
--- a/crates/agent/tests/reactor.rs
+++ b/crates/agent/tests/reactor.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tulipwall_agent::reactor::{self, Timer};
 
-/// Guards against a list that waits, unread, behind a burst of commands.
+/// Guards against a list that waits, unread, behind a burst of requests.
 #[test]
 fn what_runs_first_waits_for_a_handful_of_other_tasks_only() {
     let ran = std::cell::Cell::new(0);
--- a/crates/agent/tests/refused.rs
+++ b/crates/agent/tests/refused.rs
@@ -1,4 +1,5 @@
-//! Discovery refuses calls for lists (503): what the agent asks for, when, and what it sends meanwhile.
+//! Discovery refuses calls for lists (503): what the agent asks for, when, and what it sends
+//! meanwhile.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -14,12 +15,13 @@
     Duration::from_millis(n)
 }
 
-/// A world where lists are asked for, an agent that has heard its list, and a second discovery that tells the same.
+/// A world where lists are asked for, an agent that has heard its list, and a second discovery that
+/// tells the same.
 fn begin() -> (World, Discovery, Program) {
-    let world = World::new(&["a"], program::lanes()).unwrap();
+    let world = World::new(&["a"], program::classes()).unwrap();
     for n in 0..3 {
         world
-            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
             .unwrap();
     }
     let next = Discovery::start(1).unwrap();
@@ -37,21 +39,21 @@
     (world, next, agent)
 }
 
-/// Asks until `until`: how many were served and denied, and when `s-0` was last sent anything.
+/// Asks until `until`: how many were served and rejected, and when `s-0` was last sent anything.
 fn ask_until(world: &World, agent: &Program, until: Instant) -> (usize, usize, Option<Instant>) {
     let mut client = Caller::connect(agent.address().unwrap()).unwrap();
-    let (mut served, mut denied) = (0, 0);
+    let (mut served, mut rejected) = (0, 0);
     while Instant::now() < until {
         client.ask("view", 400);
         match client.told().unwrap().code() {
             None => served += 1,
-            Some(_) => denied += 1,
+            Some(_) => rejected += 1,
         }
         sleep(ms(5));
     }
     (
         served,
-        denied,
+        rejected,
         world.get("s-0").unwrap().seen().last().map(|s| s.at),
     )
 }
@@ -71,10 +73,10 @@
     next.manner(Manner::Says(REFUSES.into()));
     let moved = moves(&agent, &next);
     next.change("s-0", |e| e.state = "terminating".into());
-    let (served, denied, _) = ask_until(&world, &agent, moved + ms(3000));
+    let (served, rejected, _) = ask_until(&world, &agent, moved + ms(3000));
     assert!(
-        served > 50 && denied == 0,
-        "{served} served, {denied} denied meanwhile"
+        served > 50 && rejected == 0,
+        "{served} served, {rejected} denied meanwhile"
     );
     assert!(
         (3..20).contains(&next.asked()),
@@ -108,20 +110,20 @@
     next.manner(Manner::Says(REFUSES.into()));
     let moved = moves(&agent, &next);
     next.change("s-0", |e| e.state = "terminating".into());
-    let (_, denied, last) = ask_until(&world, &agent, moved + ms(5500));
+    let (_, rejected, last) = ask_until(&world, &agent, moved + ms(5500));
     assert!(
-        denied == 0 && last.is_some_and(|t| t > moved + ms(4500)),
+        rejected == 0 && last.is_some_and(|t| t > moved + ms(4500)),
         "it serves as long as it may"
     );
     ask_until(&world, &agent, moved + TOLD_AFTER + GRACE);
     let sent = world.seen().values().map(Vec::len).sum::<usize>();
-    let (served, denied, _) = ask_until(&world, &agent, moved + ms(8000));
+    let (served, rejected, _) = ask_until(&world, &agent, moved + ms(8000));
     assert_eq!(
         (served, world.seen().values().map(Vec::len).sum::<usize>()),
         (0, sent),
         "nothing is sent"
     );
-    assert!(denied > 3, "{denied} denied: answered in time");
+    assert!(rejected > 3, "{rejected} denied: answered in time");
     assert!(
         agent.log().contains("nothing is sent until it is heard"),
         "{}",
@@ -131,21 +133,22 @@
     assert!(ground::until(|| agent
         .log()
         .contains("discovery: heard again")));
-    let (served, denied, last) = ask_until(&world, &agent, Instant::now() + ms(500));
+    let (served, rejected, last) = ask_until(&world, &agent, Instant::now() + ms(500));
     assert!(
-        served > 10 && denied == 0,
-        "{served} served, {denied} denied"
+        served > 10 && rejected == 0,
+        "{served} served, {rejected} denied"
     );
     assert!(last.unwrap() < moved + TOLD_AFTER + GRACE, "s-0 left");
 }
 
-/// Guards the rule on drains where the process before was not heard and the first answer is late. Denies meanwhile.
+/// Guards the rule on drains where the process before was not heard and the first answer is late.
+/// Denies meanwhile.
 #[test]
 fn a_start_sends_nothing_by_the_list_it_was_given_while_its_first_call_is_under_way() {
-    let world = World::new(&["a"], program::lanes()).unwrap();
+    let world = World::new(&["a"], program::classes()).unwrap();
     for n in 0..3 {
         world
-            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
             .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
@@ -172,7 +175,8 @@
     );
 }
 
-/// Guards a discovery that counts its versions anew, where changes since a version of the other would say nothing.
+/// Guards a discovery that counts its versions anew, where changes since a version of the other
+/// would say nothing.
 #[test]
 fn a_new_address_that_counts_versions_from_below_is_asked_for_the_whole_list() {
     let (world, _, agent) = begin();
@@ -186,14 +190,14 @@
     assert!(last.unwrap() < moved + ms(2500), "what it lacks is gone");
 }
 
-/// An agent at its start whose share of the calls is 4 s, before a discovery that told 7 s ago that `s-0` has left, which the
-/// process before was not told: its `known` names it.
+/// An agent at its start whose share of the calls is 4 s, before a discovery that told 7 s ago that
+/// `s-0` has left, which the process before was not told: its `known` names it.
 fn starts_unaware(seed: &str, down: bool) -> (World, Program, Instant) {
-    let mut world = World::new(&["a"], program::lanes()).unwrap();
+    let mut world = World::new(&["a"], program::classes()).unwrap();
     world.agents = 4; // one call a second is told for all
     for n in 0..3 {
         world
-            .appliance(0, &format!("s-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
             .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
@@ -212,13 +216,14 @@
     (world, agent, begun)
 }
 
-/// Guards the rule on drains, and the time of commands that wait meanwhile. Denies what comes before the first answer.
+/// Guards the rule on drains, and the time of requests that wait meanwhile. Denies what comes
+/// before the first answer.
 #[test]
 fn a_start_that_is_spread_over_four_seconds_sends_nothing_to_who_left_before_it() {
     let play = |seed: &str| {
         let (world, agent, begun) = starts_unaware(seed, false);
         let mut client = Caller::connect(agent.address().unwrap()).unwrap();
-        let (mut first, mut served, mut denied, mut slowest) = (None, 0, 0, ms(0));
+        let (mut first, mut served, mut rejected, mut slowest) = (None, 0, 0, ms(0));
         while begun.elapsed() < ms(5000) {
             let asked = Instant::now();
             client.ask("view", 400);
@@ -227,7 +232,7 @@
                     first.get_or_insert(begun.elapsed());
                     served += 1;
                 }
-                Some(_) => denied += 1,
+                Some(_) => rejected += 1,
             }
             slowest = slowest.max(asked.elapsed());
             sleep(ms(5));
@@ -241,7 +246,10 @@
             slowest < ms(400 + 300),
             "seed {seed}: answered after {slowest:?}, of 0.4 s"
         );
-        assert!(served > 20, "seed {seed}: {served} served, {denied} denied");
+        assert!(
+            served > 20,
+            "seed {seed}: {served} served, {rejected} denied"
+        );
         first.unwrap()
     };
     let plays = ["8c1f", "1", "2", "3", "4", "5"];
@@ -252,7 +260,7 @@
             .collect();
         all.into_iter().map(|p| p.join().unwrap()).collect()
     });
-    // Otherwise nothing is shown: commands were held for 2 s in any case.
+    // Otherwise nothing is shown: requests were held for 2 s in any case.
     assert!(
         first.iter().any(|t| *t > ms(2200)) && first.iter().all(|t| *t < ms(4000)),
         "{first:?}"
@@ -264,10 +272,10 @@
 fn a_start_whose_discovery_is_down_serves_by_its_list() {
     let (world, agent, begun) = starts_unaware("8c1f", true);
     ask_until(&world, &agent, begun + ms(4000));
-    let (served, denied, _) = ask_until(&world, &agent, begun + ms(14_000));
+    let (served, rejected, _) = ask_until(&world, &agent, begun + ms(14_000));
     assert!(
-        served > 300 && denied == 0,
-        "{served} served, {denied} denied"
+        served > 300 && rejected == 0,
+        "{served} served, {rejected} denied"
     );
     assert!(!agent.log().contains("nothing is sent"), "{}", agent.log());
 }
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -1,10 +1,10 @@
-//! Settings taken over at a SIGHUP, whole or not at all, on real sockets: what commands meet before and after, what is
-//! asked of discovery and the platform, and that nobody is cut off.
+//! Settings taken over at a SIGHUP, whole or not at all, on real sockets: what requests meet before
+//! and after, what is asked of discovery and the platform, and that nobody is cut off.
 
 use serde_json::{json, Value};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::appliance::CONNECTIONS;
+use tulipwall_testkit::endpoint::CONNECTIONS;
 use tulipwall_testkit::ground::{until, SOON};
 use tulipwall_testkit::*;
 
@@ -14,11 +14,11 @@
     Duration::from_millis(n)
 }
 
-fn world(appliances: usize, ways: Ways) -> World {
-    let world = World::new(&["a"], program::lanes()).unwrap();
-    for n in 0..appliances {
+fn world(endpoints: usize, ways: Ways) -> World {
+    let world = World::new(&["a"], program::classes()).unwrap();
+    for n in 0..endpoints {
         world
-            .appliance(0, &format!("s-{n}"), 41, ways.clone())
+            .endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
     world
@@ -46,23 +46,24 @@
     begun.elapsed()
 }
 
-fn class(name: &str, repeats: &str, quoted_ms: f64) -> Value {
-    json!({"name": name, "aim-ms": quoted_ms, "give-up-ms": 8000.0, "idempotency": repeats, "dedup-scope": "all",
+fn class(name: &str, idempotency: &str, latency_objective_ms: f64) -> Value {
+    json!({"name": name, "aim-ms": latency_objective_ms, "give-up-ms": 8000.0, "idempotency": idempotency, "dedup-scope": "all",
         "window-ms": 9000.0, "points": 3.0})
 }
 
-/// A command of its own; the code of what it was told, nothing for a value.
-fn ask(client: &mut Caller, id: &str, lane: &str) -> Option<String> {
-    client.ask_as(id, lane, 3000);
+/// A request of its own; the code of what it was told, nothing for a value.
+fn ask(client: &mut Caller, id: &str, class: &str) -> Option<String> {
+    client.ask_as(id, class, 3000);
     client.told().unwrap().code()
 }
 
-fn deliveries(world: &World, id: &str) -> usize {
+fn attempts(world: &World, id: &str) -> usize {
     world.seen().get(id).map_or(0, Vec::len)
 }
 
-/// What is asked of discovery and the platform: whole lists, and connections to either. Of two tries at a start the
-/// later one may be on its way for a while after the first was answered; it is waited for.
+/// What is asked of discovery and the platform: whole lists, and connections to either. Of two
+/// tries at a start the later one may be on its way for a while after the first was answered; it is
+/// waited for.
 fn asked(world: &World) -> (usize, usize, usize) {
     assert!(world.discovery.settled(0).unwrap(), "one watch at a time");
     (
@@ -93,13 +94,13 @@
         .insert(0, class("extra", "repeatable", 400.0));
     settings["tenants"] = json!([{"name": "acme", "share": 0.5}]);
     renew(&agent, &configuration);
-    for (n, lane) in ["extra", "view", "send", "payment"].into_iter().enumerate() {
+    for (n, class) in ["extra", "view", "send", "payment"].into_iter().enumerate() {
         sleep(ms(30));
-        let key = if lane == "send" { ",k=k1" } else { "" };
+        let key = if class == "send" { ",k=k1" } else { "" };
         client.say(&format!(
-            "SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c={lane},t=acme,d=3000{key} */"
+            "SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c={class},t=acme,d=3000{key} */"
         ));
-        assert_eq!(client.told().unwrap().code(), None, "{lane}");
+        assert_eq!(client.told().unwrap().code(), None, "{class}");
     }
     assert!(
         agent
@@ -128,24 +129,24 @@
             ..Ways::default()
         },
     );
-    let classes = |quoted| {
+    let classes = |latency_objective| {
         json!([
             class("one", "repeatable", 10_000.0),
-            class("other", "repeatable", quoted)
+            class("other", "repeatable", latency_objective)
         ])
     };
     let agent = start(&world, |c| c["settings"]["classes"] = classes(10_000.0));
     let mut client = caller(&agent);
     assert_eq!(ask(&mut client, "one", "one"), None);
-    assert_eq!(deliveries(&world, "one"), 1, "late after a part of 10 s");
+    assert_eq!(attempts(&world, "one"), 1, "late after a part of 10 s");
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes(400.0);
     renew(&agent, &configuration);
     assert_eq!(ask(&mut client, "other", "other"), None);
-    assert_eq!(deliveries(&world, "other"), 2, "late after a part of 0.4 s");
+    assert_eq!(attempts(&world, "other"), 2, "late after a part of 0.4 s");
 }
 
-/// Against a command in hand that is repeated, or not, by rules it was not taken under.
+/// Against a request in hand that is repeated, or not, by rules it was not taken under.
 #[test]
 fn a_lane_that_becomes_unrepeatable_and_one_that_becomes_repeatable_with_commands_in_hand() {
     let world = world(
@@ -169,8 +170,8 @@
     // Each shows to be late after 2 s.
     clients[0].ask_as("view-before", "view", 7000);
     clients[1].ask_as("payment-before", "payment", 7000);
-    assert!(until(|| deliveries(&world, "view-before")
-        + deliveries(&world, "payment-before")
+    assert!(until(|| attempts(&world, "view-before")
+        + attempts(&world, "payment-before")
         == 2));
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes("once", "repeatable");
@@ -179,7 +180,7 @@
     clients[2].ask_as("view-after", "view", 5000);
     clients[3].ask_as("payment-after", "payment", 5000);
     assert!(until(
-        || deliveries(&world, "view-before") == 2 && deliveries(&world, "payment-after") >= 2
+        || attempts(&world, "view-before") == 2 && attempts(&world, "payment-after") >= 2
     ));
     // Another that changes nothing keeps them under their rules.
     renew(&agent, &configuration);
@@ -192,8 +193,8 @@
     }
     assert_eq!(
         (
-            deliveries(&world, "view-after"),
-            deliveries(&world, "payment-before")
+            attempts(&world, "view-after"),
+            attempts(&world, "payment-before")
         ),
         (1, 1)
     );
@@ -277,12 +278,13 @@
     );
 }
 
-/// Against hundreds of agents that ask discovery for whole lists, and open their connections anew, at each change.
+/// Against hundreds of agents that ask discovery for whole lists, and open their connections anew,
+/// at each change.
 #[test]
 fn who_did_not_move_is_neither_asked_nor_connected_to_anew() {
     let (world, next) = (
         world(1, Ways::default()),
-        Platform::start(News::now(41, 0, "released", 1.0)).unwrap(),
+        Platform::start(RolloutStatus::now(41, 0, "released", 1.0)).unwrap(),
     );
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
@@ -316,7 +318,8 @@
     let wholes = discovery.asked_whole();
     assert!(wholes >= 1);
     assert_eq!((next.connections(), asked(&world)), (1, before));
-    // Another way to ask is a move as well: asked once more there, and where calls are paid for, for changes alone.
+    // Another way to ask is a move as well: asked once more there, and where calls are paid for,
+    // for changes alone.
     let (opened, wholes) = (discovery.connections(), discovery.asked_whole());
     configuration["settings"]["discovery"] = "ask".into();
     renew(&agent, &configuration);
@@ -352,8 +355,8 @@
     caller(&agent);
 }
 
-/// Renewals one after another while commands come: each is answered once, none is lost, no client is cut off, and
-/// what may not run twice does not.
+/// Renewals one after another while requests come: each is answered once, none is lost, no client
+/// is cut off, and what may not run twice does not.
 #[test]
 fn two_hundred_renewals_under_load_lose_no_command() {
     let ways = Ways {
@@ -371,15 +374,15 @@
     );
     let agent = start(&world, |_| {});
     caller(&agent);
-    let lane = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
+    let load_class = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
     let load = Load {
         agent: agent.address().unwrap(),
         rate: 150.0,
         span: Duration::from_secs(8),
-        lanes: vec![
-            lane("view", 4.0, false),
-            lane("send", 4.0, true),
-            lane("payment", 2.0, false),
+        classes: vec![
+            load_class("view", 4.0, false),
+            load_class("send", 4.0, true),
+            load_class("payment", 2.0, false),
         ],
         connections: 200,
         seed: 17,
@@ -427,7 +430,7 @@
         "{:?}",
         answered.lost
     );
-    assert!(answered.satisfied * 10 > answered.asked * 9, "{answered:?}");
+    assert!(answered.succeeded * 10 > answered.asked * 9, "{answered:?}");
     assert_eq!(answered.answered(), answered.asked);
     assert!(world.ran_twice("payment").is_empty());
     assert_eq!(asked(&world), before);
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The real agent on loopback against the stand-ins: single cases.
+//! The real agent on loopback against the fakes: single cases.
 
 use serde_json::json;
 use std::io::{BufRead, Read, Write};
@@ -6,8 +6,8 @@
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
-use tulipwall::{Choice, News, Phase};
-use tulipwall_config::{Fields, Site};
+use tulipwall::{Balancer, RolloutPhase, RolloutStatus};
+use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_discovery::{clock::Clock, list::List};
 use tulipwall_testkit::ground::SOON;
@@ -15,10 +15,10 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
-fn lanes() -> Vec<Lane> {
+fn classes() -> Vec<RequestClass> {
     vec![
-        Lane::new("view", "repeatable", 3.0),
-        Lane::new("payment", "once", 3.0),
+        RequestClass::new("view", "repeatable", 3.0),
+        RequestClass::new("payment", "once", 3.0),
     ]
 }
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// One zone with an appliance for each of these, `s-0` first.
+/// One zone with an endpoint for each of these, `s-0` first.
 fn world(ways: &[Ways]) -> World {
-    let world = World::new(&["a"], lanes()).unwrap();
+    let world = World::new(&["a"], classes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
         world
-            .appliance(0, &format!("s-{n}"), 41, ways.clone())
+            .endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
     world
@@ -174,7 +174,8 @@
     let world = world(&[acts(Act::Answers)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
-    // Spoilt here, not by a change there: the agent could be moved on between the change and its taking back.
+    // Spoilt here, not by a change there: the agent could be moved on between the change and its
+    // taking back.
     let drains = world
         .discovery
         .known(0)
@@ -203,7 +204,8 @@
         }
         begun.elapsed() < Duration::from_millis(1900)
     };
-    // A rest that is waited for as long as silence takes over 2 s at every try; a busy machine at some.
+    // A rest that is waited for as long as silence takes over 2 s at every try; a busy machine at
+    // some.
     assert!((0..3).any(|_| again_soon()));
     client.ask("view", 1000);
     assert_eq!(
@@ -290,7 +292,8 @@
     thread::sleep(Duration::from_millis(100));
     let before = seen(&old, "s-0");
     serve(&|| seen(&old, "s-0") > before);
-    // Several in a row: the last one counts. The list that is told there has the first appliance no more.
+    // Several in a row: the last one counts. The list that is told there has the first endpoint no
+    // more.
     new.discovery.change("s-0", |e| e.id = "s-9".into());
     new.discovery
         .change("s-0", |e| e.state = "terminated".into());
@@ -356,12 +359,12 @@
     assert_eq!(told(&mut two), None, "the id is free again");
     let begun = Instant::now();
     (0..100).for_each(|_| one.ask("view", 900));
-    let denied = (0..60)
+    let rejected = (0..60)
         .filter(|_| told(&mut one) == Some("53300".into()))
         .count();
     assert!(
-        denied > 50 && begun.elapsed() < Duration::from_millis(900),
-        "{denied}"
+        rejected > 50 && begun.elapsed() < Duration::from_millis(900),
+        "{rejected}"
     );
 }
 
@@ -396,7 +399,8 @@
     );
 }
 
-/// Guards a rush: whoever finds the queue of connections full is left to a packet that is sent again a second later.
+/// Guards a rush: whoever finds the queue of connections full is left to a packet that is sent
+/// again a second later.
 #[test]
 fn a_rush_that_comes_while_the_agent_stands_still_is_taken_in_whole_and_served() {
     let world = world(&[acts(Act::Answers)]);
@@ -427,10 +431,10 @@
 
 #[test]
 fn what_is_kept_follows_what_is_alive_however_many_came() {
-    let value = program::settings(&["a"], "a", 1, &lanes());
-    let site = Site::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
+    let value = program::settings(&["a"], "a", 1, &classes());
+    let site = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
     let (mut kept, clock) = (List::default(), Clock::start());
-    let mut choice = Choice::new(clock.now(), site.deployment.clone());
+    let mut choice = Balancer::new(clock.now(), site.settings.clone());
     let mut held = None;
     for n in 0..2000u32 {
         // Builds follow one another; an address returns under another build, an id now and then.
@@ -445,27 +449,27 @@
             &site,
             &clock,
         );
-        choice.list(clock.now(), &entries, n % 50 == 49);
-        choice.news(News {
+        choice.update_endpoints(clock.now(), &entries, n % 50 == 49);
+        choice.update_rollout(RolloutStatus {
             build: n / 5,
             stage: 0,
-            phase: Phase::Trial,
+            phase: RolloutPhase::Canary,
             cap: 0.2,
-            began: clock.now(),
+            since: clock.now(),
         });
         if n == 100 {
-            held = kept.hold(entries[0].appliance).map(|h| {
+            held = kept.hold(entries[0].endpoint).map(|h| {
                 (
                     h,
-                    entries[0].appliance,
-                    kept.name(entries[0].appliance).to_owned(),
+                    entries[0].endpoint,
+                    kept.name(entries[0].endpoint).to_owned(),
                 )
             });
         }
     }
-    let [_, appliances, builds, _] = choice.kept();
+    let [_, endpoints, builds, _] = choice.retained_counts();
     assert!(
-        kept.len() < 40 && appliances <= kept.len() && builds < 5,
+        kept.len() < 40 && endpoints <= kept.len() && builds < 5,
         "{} {builds}",
         kept.len()
     );
@@ -481,11 +485,12 @@
 fn at_the_descriptor_limit_it_goes_on_serving() {
     let world = world(&[acts(Act::Answers)]);
     let agent = start(&world, 60);
-    // Twenty-one clients are the most here. Who comes then is denied, and those that are in are served.
+    // Twenty-one clients are the most here. Who comes then is rejected, and those that are in are
+    // served.
     let mut clients: Vec<Caller> = (0..21).map(|_| caller(&agent)).collect();
     let query = pg::query("SELECT body FROM objects WHERE oid = 'a1' /* id=1,c=view,d=900 */");
     let ahead = [pg::startup(), query].concat();
-    let asks = || {
+    let load_report_requests = || {
         let mut more = TcpStream::connect(agent.address().unwrap()).unwrap();
         more.set_read_timeout(Some(SOON)).unwrap();
         more.write_all(&ahead).unwrap();
@@ -497,7 +502,7 @@
             }
         }
     };
-    let (tag, body) = asks();
+    let (tag, body) = load_report_requests();
     assert!(tag == b'E' && body.windows(6).any(|w| w == b"C53300"));
     for client in &mut clients {
         client.ask("view", 1000);
@@ -507,14 +512,14 @@
     thread::sleep(Duration::from_millis(300));
     let served = (0..5).any(|_| {
         thread::sleep(Duration::from_millis(20));
-        asks().0 == b'D'
+        load_report_requests().0 == b'D'
     });
     assert!(served);
 }
 
 #[test]
 fn the_platform_answers_each_vote_and_goes_on_telling() {
-    let platform = Platform::start(platform::News::now(42, 0, "trial", 0.1)).unwrap();
+    let platform = Platform::start(platform::RolloutStatus::now(42, 0, "trial", 0.1)).unwrap();
     let mut stream = TcpStream::connect(platform.address).unwrap();
     stream.set_read_timeout(Some(SOON)).unwrap();
     let mut lines = std::io::BufReader::new(stream.try_clone().unwrap());
@@ -556,7 +561,7 @@
     let world = world(&[acts(Act::Answers)]);
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["known"] = world.discovery.known(0);
-    world.appliance(0, "s-1", 41, acts(Act::Answers)).unwrap();
+    world.endpoint(0, "s-1", 41, acts(Act::Answers)).unwrap();
     let agent = Program::start(BINARY, configuration, &[]).unwrap();
     let mut client = caller(&agent);
     let both = ground::until(|| {
--- a/crates/agent/tests/watch.rs
+++ b/crates/agent/tests/watch.rs
@@ -1,4 +1,5 @@
-//! Watching the settings of another shape: it decides as before, and what it counts matches the stand-ins.
+//! Watching the settings of another shape: it decides as before, and what it counts matches the
+//! fakes.
 
 use rustix::process::Signal;
 use serde_json::Value;
@@ -23,18 +24,18 @@
 
 #[test]
 fn a_guarded_stage_is_counted_as_the_stand_ins_saw_it_and_sighup_takes_the_watch_back() {
-    let world = World::new(&["a"], lanes()).unwrap();
+    let world = World::new(&["a"], classes()).unwrap();
     for n in 0..3 {
         world
-            .appliance(0, &format!("e-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("e-{n}"), 41, Ways::default())
             .unwrap();
         world
-            .appliance(0, &format!("t-{n}"), 42, Ways::default())
+            .endpoint(0, &format!("t-{n}"), 42, Ways::default())
             .unwrap();
     }
     world
         .platform
-        .news(platform::News::now(42, 0, "trial", 0.5));
+        .rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.5));
     let file = std::env::temp_dir().join(format!("tulipwall-watch-{}.kdl", std::process::id()));
     let door = file.with_extension("door").to_str().unwrap().to_owned();
     let shape = "watch {\n    guarded-stages 1\n    cold-for \"3s\"\n}\n";
@@ -47,16 +48,16 @@
     )
     .unwrap();
     Caller::connect(program.address().unwrap()).unwrap();
-    let lane =
+    let class =
         |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     Load {
         agent: program.address().unwrap(),
         rate: 300.0,
         span: Duration::from_secs(2),
-        lanes: vec![
-            lane("view", 4.0, false),
-            lane("send", 4.0, true),
-            lane("payment", 2.0, false),
+        classes: vec![
+            class("view", 4.0, false),
+            class("send", 4.0, true),
+            class("payment", 2.0, false),
         ],
         connections: 64,
         seed: 7,
@@ -75,7 +76,7 @@
             .collect::<Vec<_>>()
     };
     let (early, late) = (seen("e"), seen("t"));
-    let with_effect = late.iter().filter(|s| s.lane != "view").count() as u64;
+    let with_effect = late.iter().filter(|s| s.class != "view").count() as u64;
     let all = early.len() + late.len();
     assert!(
         with_effect > 20,
@@ -94,7 +95,7 @@
         (Some(0), Some(0)),
         "not watched: {log}"
     );
-    // The report command tells the same.
+    // The report request tells the same.
     let report = || {
         let door = format!("unix:{door}");
         let out = Command::new(BINARY)
