--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::quickcheck;
 use std::time::Duration;
-use tulipwall::{Phase, Reply, Vote};
+use tulipwall::{RolloutPhase, Vote, VoteReply};
 use tulipwall_agent::lifecycle::start::Start;
 use tulipwall_agent::wire::buffer::Buffer;
 use tulipwall_agent::wire::platform::{self, Line, Told};
@@ -41,7 +41,8 @@
     bytes
 }
 
-/// What an answer in these pieces is heard as: its verdict once it is over, nothing while it is not.
+/// What an answer in these pieces is heard as: its verdict once it is over, nothing while it is
+/// not.
 fn heard(pieces: &[&[u8]]) -> Result<Option<(Verdict, Vec<u8>)>, Malformed> {
     let (mut inbox, mut hearing) = (Vec::new(), Hearing::default());
     for piece in pieces {
@@ -63,7 +64,8 @@
         let value = whole[..whole.len() - 6].to_vec();
         assert_eq!(heard(&[&whole[..cut], &whole[cut..]]), Ok(Some((Verdict::Value, value.clone()))));
         assert_eq!(heard(&[&whole[..cut]]), Ok(None), "only a part");
-        // Bytes of the value, of the column's description and of the command's words say nothing of themselves.
+        // Bytes of the value, of the column's description and of the request's words say nothing of
+        // themselves.
         let free = [7..30, 41..43, 48..57].iter().any(|r| r.contains(&at));
         let mut spoilt = whole.clone();
         spoilt[at] = spoilt[at].wrapping_add(by);
@@ -102,11 +104,11 @@
 
 #[test]
 fn a_statement_goes_on_unchanged_but_for_the_wait() {
-    for (text, lane, customer) in [(READ, "view", Some("acme")), (WRITE, "send", None)] {
+    for (text, class, tenant) in [(READ, "view", Some("acme")), (WRITE, "send", None)] {
         let s = Statement::parse(text).unwrap();
         assert_eq!(
-            (s.lane.as_str(), s.customer.as_deref(), s.object.as_str()),
-            (lane, customer, "a1")
+            (s.class.as_str(), s.tenant.as_deref(), s.object.as_str()),
+            (class, tenant, "a1")
         );
         assert_eq!(s.wait, Duration::from_millis(480));
         assert_eq!(
@@ -139,7 +141,8 @@
     assert!(hearing.hear(b'D', b"\0\x01\0\0\0\0", b"").is_err());
     assert!(Hearing::default().hear(b'T', b"\0\x02", b"").is_err());
     assert!(Hearing::default().hear(b'C', b"SELECT 0\0", b"").is_err());
-    // What can't be read says nothing, not even that the command never ran; what is too large is not awaited.
+    // What can't be read says nothing, not even that the request never ran; what is too large is
+    // not awaited.
     assert!(Hearing::default()
         .hear(b'E', b"SERROR\0C53300", b"")
         .is_err());
@@ -174,7 +177,7 @@
     let told = Told {
         build: 42,
         stage: 1,
-        phase: Phase::Trial,
+        phase: RolloutPhase::Canary,
         cap: 0.28,
         age: Duration::from_millis(310),
     };
@@ -182,13 +185,13 @@
     let line = |text: String| platform::line(text.as_bytes());
     assert_eq!(
         line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)),
-        Ok(Line::News(told))
+        Ok(Line::RolloutStatus(told))
     );
     for (message, reply) in [
-        ("Throttling", Reply::Refused),
-        ("ConditionFailed", Reply::Moot),
-        ("InternalFailure", Reply::Refused),
-        ("ValidationError", Reply::Refused),
+        ("Throttling", VoteReply::Refused),
+        ("ConditionFailed", VoteReply::Moot),
+        ("InternalFailure", VoteReply::Refused),
+        ("ValidationError", VoteReply::Refused),
     ] {
         let answer = line(format!(
             r#"{{"id":7,"error":{{"code":-32602,"message":"{message}"}}}}"#
@@ -207,8 +210,8 @@
     let (took, age) = (Duration::from_micros(564_324), Duration::from_millis(828));
     let counted = Line::Counted {
         build: 42,
-        lane: "view".into(),
-        deliveries: 3,
+        class: "view".into(),
+        attempts: 3,
         failed: 1,
         took,
         age,
--- a/crates/agent/tests/world.rs
+++ b/crates/agent/tests/world.rs
@@ -1,5 +1,6 @@
-//! Seeded worlds: restarts, cuts, silences, late connections, slow and leaving clients and floods by chance, at once. The
-//! five rules are checked from what clients and appliances saw. A seed that fails is named.
+//! Seeded worlds: restarts, cuts, silences, late connections, slow and leaving clients and floods
+//! by chance, at once. The five rules are checked from what clients and endpoints saw. A seed that
+//! fails is named.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::appliance::Link;
+use tulipwall_testkit::endpoint::Link;
 use tulipwall_testkit::ground::SOON;
 use tulipwall_testkit::*;
 
@@ -25,10 +26,10 @@
     Duration::from_millis(n)
 }
 
-/// What became of one command, as its client saw it.
+/// What became of one request, as its client saw it.
 struct Asked {
     id: String,
-    lane: &'static str,
+    class: &'static str,
     wait: Duration,
     took: Duration,
     /// The code of an error, nothing for a value; an error of the connection.
@@ -46,17 +47,17 @@
 impl Clients {
     fn statement(&self, rng: &mut Pcg64Mcg) -> (String, &'static str, Duration, String) {
         let id = format!("c{}", self.ids.fetch_add(1, Ordering::Relaxed));
-        let lane = ["view", "view", "send", "payment"][rng.gen_range(0..4)];
+        let class = ["view", "view", "send", "payment"][rng.gen_range(0..4)];
         let wait = rng.gen_range(300..1500);
-        let key = if lane == "send" {
+        let key = if class == "send" {
             format!(",k=k-{id}")
         } else {
             String::new()
         };
         let text = format!(
-            "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={lane},d={wait}{key} */"
+            "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={class},d={wait}{key} */"
         );
-        (id, lane, ms(wait), text)
+        (id, class, ms(wait), text)
     }
 
     /// Asks one thing after another until it is over, on a new connection where one has ended.
@@ -67,7 +68,7 @@
                 continue;
             };
             while !self.over.load(Ordering::Relaxed) {
-                let (id, lane, wait, text) = self.statement(&mut rng);
+                let (id, class, wait, text) = self.statement(&mut rng);
                 // Some write slowly, some leave at once, some write many ahead.
                 let (begun, manner) = (Instant::now(), rng.gen_range(0..20));
                 match manner {
@@ -97,7 +98,7 @@
                 let ended = told.is_err();
                 let asked = Asked {
                     id,
-                    lane,
+                    class,
                     wait,
                     took: begun.elapsed(),
                     told,
@@ -114,24 +115,24 @@
 /// One world; what was broken, by rule.
 fn play(seed: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let world = World::new(&["a"], program::lanes()).unwrap();
+    let world = World::new(&["a"], program::classes()).unwrap();
     for n in 0..6 {
         let ways = Ways {
             work: ms(8),
             steady: 0.3,
             ..Ways::default()
         };
-        world.appliance(0, &format!("s-{n}"), 41, ways).unwrap();
+        world.endpoint(0, &format!("s-{n}"), 41, ways).unwrap();
     }
     for n in 0..8 {
         world
-            .appliance(0, &format!("d-{n}"), 41, Ways::default())
+            .endpoint(0, &format!("d-{n}"), 41, Ways::default())
             .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["settings"]["classes"][1]["window-ms"] = (WINDOW.as_millis() as u64).into();
     configuration["settings"]["limits"]["dial-timeout-ms"] = 1200.into();
-    // No room for connections kept ahead: they are opened as commands come.
+    // No room for connections kept ahead: they are opened as requests come.
     configuration["limits"]["sockets"] = 80.into();
     let mut agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
     let address = agent.address().unwrap();
@@ -147,9 +148,9 @@
     let trial = Instant::now();
     world
         .platform
-        .news(platform::News::now(42, 0, "trial", CAP));
+        .rollout_status(platform::RolloutStatus::now(42, 0, "trial", CAP));
     sleep(ms(100));
-    world.appliance(0, "t-0", 42, Ways::default()).unwrap();
+    world.endpoint(0, "t-0", 42, Ways::default()).unwrap();
     let (mut drains, mut silent) = (BTreeMap::<String, Instant>::new(), None::<Instant>);
     // Connections to two of them come up late from the start.
     (0..2).for_each(|n| {
@@ -231,7 +232,7 @@
     for a in asked.iter() {
         let Asked {
             id,
-            lane,
+            class,
             wait,
             took,
             told,
@@ -244,7 +245,7 @@
         }
         match told {
             Ok(None) if ran(id) == 0 => broken.push(format!("1: {id} was served by nobody")),
-            Ok(Some(code)) if code == "53300" && *lane == "payment" && ran(id) > 0 => {
+            Ok(Some(code)) if code == "53300" && *class == "payment" && ran(id) > 0 => {
                 broken.push(format!("2: {id} was denied though it ran"));
             }
             // Left unread, for its client to ask anew: then it did not run.
@@ -255,15 +256,15 @@
         }
     }
     for (id, all) in &seen {
-        let lane = all[0].lane.as_str();
-        if lane == "payment" && ran(id) > 1 {
+        let class = all[0].class.as_str();
+        if class == "payment" && ran(id) > 1 {
             broken.push(format!("2: {id} ran {} times", ran(id)));
         }
         let (first, last) = (
             all.iter().map(|s| s.at).min(),
             all.iter().map(|s| s.at).max(),
         );
-        if lane == "send"
+        if class == "send"
             && last
                 .zip(first)
                 .is_some_and(|(l, f)| l - f > WINDOW + ms(50))
@@ -274,7 +275,7 @@
         }
     }
     for (id, left) in clients.left.lock().unwrap().iter() {
-        // Further deliveries of what had gone out before may follow; its first one may not.
+        // Further attempts of what had gone out before may follow; its first one may not.
         let first = seen.get(id).and_then(|all| all.iter().map(|s| s.at).min());
         if first.is_some_and(|at| at > *left + ms(300)) {
             broken.push(format!(
@@ -320,13 +321,14 @@
     }
 }
 
-/// Rule 4: what goes to one that just started stays within its part of what the others get, with chance allowed for.
+/// Rule 4: what goes to one that just started stays within its part of what the others get, with
+/// chance allowed for.
 #[test]
 fn a_cold_appliance_among_warm_ones_is_not_pushed_over() {
-    let world = World::new(&["a"], program::lanes()).unwrap();
+    let world = World::new(&["a"], program::classes()).unwrap();
     for n in 0..4 {
         world
-            .appliance(
+            .endpoint(
                 0,
                 &format!("s-{n}"),
                 41,
@@ -362,7 +364,8 @@
     sleep(ms(1100));
     clients.over.store(true, Ordering::Relaxed);
     threads.into_iter().for_each(|t| t.join().unwrap());
-    // The window of the settings is 1 s, their share 0.3 at the start and all after 3 s, the multiple 2.
+    // The window of the settings is 1 s, their share 0.3 at the start and all after 3 s, the
+    // multiple 2.
     let within = |id: &str| {
         let seen = world.get(id).unwrap().seen();
         seen.iter()
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Traffic across zones on sockets: what the agent accounts for against what the stand-ins counted at their end.
+//! Traffic across zones on sockets: what the agent accounts for against what the fakes counted at
+//! their end.
 
 use rustix::process::Signal;
 use serde_json::Value;
@@ -17,15 +18,15 @@
     Duration::from_millis(n)
 }
 
-/// Two zones, three appliances in each, the far ones 8 ms away.
+/// Two zones, three endpoints in each, the far ones 8 ms away.
 fn world(near: Ways, far: Ways) -> World {
-    let world = World::new(&["akl-east", "akl-west"], lanes()).unwrap();
+    let world = World::new(&["akl-east", "akl-west"], classes()).unwrap();
     for n in 0..3 {
         world
-            .appliance(0, &format!("e-{n}"), 41, near.clone())
+            .endpoint(0, &format!("e-{n}"), 41, near.clone())
             .unwrap();
         world
-            .appliance(1, &format!("w-{n}"), 41, far.clone())
+            .endpoint(1, &format!("w-{n}"), 41, far.clone())
             .unwrap();
     }
     world.link(
@@ -40,7 +41,8 @@
     world
 }
 
-/// One load at a time: two of them on a few cores would make near look full, and none of these tests is about that.
+/// One load at a time: two of them on a few cores would make near look full, and none of these
+/// tests is about that.
 static TURN: Mutex<()> = Mutex::new(());
 
 fn turn() -> MutexGuard<'static, ()> {
@@ -127,9 +129,9 @@
     }
 
     /// The sum of a field over all builds.
-    fn sum(report: &Value, to: &str, lane: &str, field: &str) -> u64 {
+    fn sum(report: &Value, to: &str, class: &str, field: &str) -> u64 {
         let rows = report["links"].as_array().unwrap().iter();
-        let ours = rows.filter(|l| l["to"] == to && l["lane"] == lane);
+        let ours = rows.filter(|l| l["to"] == to && l["lane"] == class);
         ours.map(|l| l[field].as_u64().unwrap()).sum()
     }
 
@@ -139,15 +141,15 @@
     }
 
     fn load(&self, rate: f64, span: Duration) -> Load {
-        let lane = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
+        let class = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
         Load {
             agent: self.address(),
             rate,
             span,
-            lanes: vec![
-                lane("view", 4.0, false),
-                lane("send", 4.0, true),
-                lane("payment", 1.0, false),
+            classes: vec![
+                class("view", 4.0, false),
+                class("send", 4.0, true),
+                class("payment", 1.0, false),
             ],
             connections: 64,
             seed: 7,
@@ -171,43 +173,43 @@
 }
 
 fn compare(agent: &Agent, world: &World) -> Value {
-    // What is still out, such as second copies, ends first.
+    // What is still out, such as hedged requests, ends first.
     thread::sleep(ms(300));
     let report = agent.report();
     for (to, zone) in world.zones.iter().enumerate() {
         let counted = world.counted(0, to);
-        for lane in ["view", "send", "payment"] {
-            let c = counted.get(lane).copied().unwrap_or_default();
-            let what = format!("{lane} to {zone}");
+        for class in ["view", "send", "payment"] {
+            let c = counted.get(class).copied().unwrap_or_default();
+            let what = format!("{class} to {zone}");
             same(
-                Agent::sum(&report, zone, lane, "deliveries"),
-                c.deliveries,
+                Agent::sum(&report, zone, class, "deliveries"),
+                c.attempts,
                 &format!("{what}: deliveries"),
             );
-            // A byte of a lane is a small part: its hundredth is taken of the lane.
+            // A byte of a class is a small part: its hundredth is taken of the class.
             same(
-                Agent::sum(&report, zone, lane, "bytes_out"),
+                Agent::sum(&report, zone, class, "bytes_out"),
                 c.read,
                 &format!("{what}: bytes out"),
             );
             same(
-                Agent::sum(&report, zone, lane, "bytes_in"),
+                Agent::sum(&report, zone, class, "bytes_in"),
                 c.written,
                 &format!("{what}: bytes in"),
             );
         }
         let c = counted
-            .get(appliance::CONNECTIONS)
+            .get(endpoint::CONNECTIONS)
             .copied()
             .unwrap_or_default();
-        let lane = "(connections)";
+        let class = "(connections)";
         same(
-            Agent::sum(&report, zone, lane, "bytes_out"),
+            Agent::sum(&report, zone, class, "bytes_out"),
             c.read,
             &format!("connections to {zone}: bytes out"),
         );
         same(
-            Agent::sum(&report, zone, lane, "bytes_in"),
+            Agent::sum(&report, zone, class, "bytes_in"),
             c.written,
             &format!("connections to {zone}: bytes in"),
         );
@@ -306,7 +308,7 @@
     let load = agent.load(500.0, Duration::from_secs(3)).begin();
     thread::sleep(ms(1500));
     let before = world.counted(0, 1);
-    let crossed: u64 = before.values().map(|c| c.deliveries).sum();
+    let crossed: u64 = before.values().map(|c| c.attempts).sum();
     assert!(crossed <= 2, "{crossed} went over while near had room");
     let drained = Instant::now();
     world.state(0, "terminating");
@@ -318,7 +320,7 @@
         answered.lost
     );
     assert!(
-        answered.satisfied as f64 > 0.98 * answered.asked as f64,
+        answered.succeeded as f64 > 0.98 * answered.asked as f64,
         "{answered:?}"
     );
     assert!(world.ran_twice("payment").is_empty());
@@ -367,7 +369,7 @@
         world
             .counted(0, 1)
             .values()
-            .map(|c| c.deliveries)
+            .map(|c| c.attempts)
             .sum::<u64>()
     };
     assert!(until(|| crossed() > 100));
@@ -409,18 +411,18 @@
         .map(|n| {
             let mut reader = TcpStream::connect(&agent.door).unwrap();
             // Some ask and do not read, some ask half, some say what is no question.
-            let asks: [&[u8]; 4] = [
+            let load_report_requests: [&[u8]; 4] = [
                 b"GET /zones HTTP/1.1\r\n\r\n",
                 b"GET /zo",
                 b"\xff\0\xff\r\n\r\n",
                 b"",
             ];
-            reader.write_all(asks[n % 4]).unwrap();
+            reader.write_all(load_report_requests[n % 4]).unwrap();
             reader
         })
         .collect();
     let answered = agent.load(300.0, ms(1000)).play();
-    assert_eq!((answered.unanswered, answered.denied), (0, 0));
+    assert_eq!((answered.unanswered, answered.rejected), (0, 0));
     assert!(
         answered.quantile_ms(0.99) < 400.0,
         "{}",
@@ -514,7 +516,7 @@
     let folder = std::env::temp_dir().join(format!("tulipwall-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (file, config) = (folder.join("i.kdl"), folder.join("c.json"));
-    let world = World::new(&["akl-east", "akl-west"], lanes()).unwrap();
+    let world = World::new(&["akl-east", "akl-west"], classes()).unwrap();
     std::fs::write(&config, world.configuration("n1", 0).unwrap().to_string()).unwrap();
     let check = |text: &str, more: &[&str]| {
         std::fs::write(&file, text).unwrap();
@@ -573,7 +575,7 @@
 
 #[test]
 fn the_demo_ends_by_itself_with_every_command_answered() {
-    // In a process of its own with a limit: a stand-in that stands still would keep it from ending.
+    // In a process of its own with a limit: a fake that stands still would keep it from ending.
     let mut demo = Command::new(BINARY);
     let mut demo = demo
         .args(["demo", "--rate", "60"])
--- a/crates/client-policy/src/answer.rs
+++ b/crates/client-policy/src/answer.rs
@@ -1,5 +1,5 @@
-//! The bytes that an agent sends, read as they come and bounded. Whatever does not fit is a [`Fault`], never a
-//! value.
+//! The bytes that an agent sends, read as they come and bounded. Whatever does not fit is a
+//! [`Fault`], never a value.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 pub enum Said {
     Value(Vec<u8>),
     /// 53300, with a time to come back where one was named.
-    Denied(Option<Duration>),
+    Rejected(Option<Duration>),
     /// 57P03.
     Leaving,
     /// Another error, with its code and text.
@@ -186,7 +186,7 @@
     let back = field(b'D').and_then(|d| d.trim().parse::<u64>().ok());
     let back = back.map(|ms| Duration::from_millis(ms.min(86_400_000)));
     Ok(match code.as_str() {
-        "53300" => Said::Denied(back),
+        "53300" => Said::Rejected(back),
         "57P03" => Said::Leaving,
         _ => Said::Failed(code, field(b'M').unwrap_or_default()),
     })
--- a/crates/client-policy/src/endpoints.rs
+++ b/crates/client-policy/src/endpoints.rs
@@ -1,11 +1,13 @@
-//! Which agent a try goes to, how gently one that failed is tried, and when new connections may be opened.
+//! Which agent a try goes to, how gently one that failed is tried, and when new connections may be
+//! opened.
 //!
-//! Of the agents that are open, two are drawn and the one with fewer calls in flight is taken, so that a slow one
-//! gets less by itself. One that failed again and again rests for a while that doubles, by chance between half and
-//! the whole of it; then it gets one call at a time, and twice as many with each that is satisfied. One that is
-//! leaving is passed over for a while, and so is its reconnecting: the first new connection after an agent was
-//! lost waits for a time drawn from the whole spread, so that any number of clients that were cut at the same
-//! moment come back spread over it without knowing of each other.
+//! Of the agents that are open, two are drawn and the one with fewer calls in flight is taken, so
+//! that a slow one gets less by itself. One that failed again and again rests for a while that
+//! doubles, by chance between half and the whole of it; then it gets one call at a time, and twice
+//! as many with each that is satisfied. One that is leaving is passed over for a while, and so is
+//! its reconnecting: the first new connection after an agent was lost waits for a time drawn from
+//! the whole spread, so that any number of clients that were cut at the same moment come back
+//! spread over it without knowing of each other.
 
 use crate::service::Connections;
 use rand::{Rng, SeedableRng};
@@ -17,7 +19,8 @@
 const REST: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
 /// How long one that leaves is passed over.
 const LEAVES: Duration = Duration::from_secs(2);
-/// An agent that closed the only connection so long ago at most, and was reached since, makes room for others.
+/// An agent that closed the only connection so long ago at most, and was reached since, makes room
+/// for others.
 const MAKES_ROOM: Duration = Duration::from_secs(30);
 /// Calls at a time with which one that was tried is open again.
 const OPEN_FROM: usize = 32;
@@ -103,8 +106,9 @@
         self.all.get(agent).map_or(0, |e| e.in_flight)
     }
 
-    /// Draws an agent for a try, another than `but` where there is one. `waits` says whether a connection to an
-    /// agent waits for a command: without one, an agent whose gate is closed cannot be reached yet.
+    /// Draws an agent for a try, another than `but` where there is one. `waits` says whether a
+    /// connection to an agent waits for a request: without one, an agent whose gate is closed
+    /// cannot be reached yet.
     pub fn choose(
         &mut self,
         now: Duration,
@@ -131,7 +135,8 @@
         let others: Vec<usize> = open.iter().copied().filter(|a| Some(*a) != but).collect();
         let of = if others.is_empty() { &open } else { &others };
         if of.is_empty() {
-            // All that do not rest are being tried: whichever ends first, or the first rest or gate.
+            // All that do not rest are being tried: whichever ends first, or the first rest or
+            // gate.
             let ends = self.all.iter().filter_map(|e| match e.state {
                 State::Resting(until) | State::Leaving(until) => Some(until.max(e.gate)),
                 _ => Some(e.gate).filter(|at| now < *at),
@@ -153,8 +158,8 @@
         Chosen::Agent(agent)
     }
 
-    /// A try at this agent has ended: `Some(true)` with an answer that the agent made (a denial, too),
-    /// `Some(false)` failed, `None` without a word on the agent.
+    /// A try at this agent has ended: `Some(true)` with an answer that the agent made (a rejection,
+    /// too), `Some(false)` failed, `None` without a word on the agent.
     pub fn ended(&mut self, now: Duration, agent: usize, good: Option<bool>) {
         let drawn = self.rng.gen_range(0.5..1.0);
         let Some(e) = self.all.get_mut(agent) else {
@@ -183,7 +188,7 @@
         }
     }
 
-    /// It said that it leaves, or closed between commands.
+    /// It said that it leaves, or closed between requests.
     pub fn leaves(&mut self, now: Duration, agent: usize) {
         let gate = self.spread(now, agent);
         if let Some(e) = self.all.get_mut(agent) {
@@ -192,9 +197,9 @@
         }
     }
 
-    /// The only connection to it was closed between commands: it may have gone, or made room for others. The
-    /// first time in a while the next waits as after a loss; when that happens again soon it makes room, and the
-    /// next is opened within a tenth of the spread.
+    /// The only connection to it was closed between requests: it may have gone, or made room for
+    /// others. The first time in a while the next waits as after a loss; when that happens again
+    /// soon it makes room, and the next is opened within a tenth of the spread.
     pub fn closed(&mut self, now: Duration, agent: usize) {
         let part = self.rng.gen_range(0.0..1.0);
         let Some(e) = self.all.get_mut(agent) else {
@@ -208,8 +213,8 @@
         e.gate = e.gate.max(now + wait);
     }
 
-    /// Its connections broke, or it refused one: the next is opened at a time drawn from the spread, which
-    /// doubles up to twice while it stays lost.
+    /// Its connections broke, or it refused one: the next is opened at a time drawn from the
+    /// spread, which doubles up to twice while it stays lost.
     pub fn lost(&mut self, now: Duration, agent: usize) {
         let open = self.all.get(agent).is_some_and(|e| now < e.gate);
         if !open {
--- a/crates/client-policy/src/retries.rs
+++ b/crates/client-policy/src/retries.rs
@@ -1,27 +1,29 @@
 //! Whether a call is tried again, when, and what it ends as otherwise.
 //!
-//! An unrepeatable command goes out again only if it provably never ran: its last byte was not written, or the
-//! agent said that a retry is harmless. One deduplicated among all appliances may go again inside its window,
-//! counted from the first try that may have run; one deduplicated in a zone or cell may not, as the next agent
-//! may pick another. Idempotent ones may always. Each retry costs a token, of this agent and of all; tokens are
-//! earned by satisfied commands, so that retries stay a tenth of what works and vanish when nothing does.
+//! An non-idempotent request goes out again only if it provably never ran: its last byte was not
+//! written, or the agent said that a retry is harmless. One deduplicated among all endpoints may go
+//! again inside its window, counted from the first try that may have run; one deduplicated in a
+//! zone or cell may not, as the next agent may pick another. Idempotent ones may always. Each retry
+//! costs a token, of this agent and of all; tokens are earned by satisfied requests, so that
+//! retries stay a tenth of what works and vanish when nothing does.
 
 use crate::service::Retrying;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
-use tulipwall::{Group, Repeats};
+use tulipwall::{DeduplicationScope, Idempotency};
 
 /// How one try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     /// A retry is harmless; when to come back, where that was said.
-    Denied(Option<Duration>),
+    Rejected(Option<Duration>),
     /// The same, as the agent leaves (57P03).
     Leaving,
     /// Not written to its last byte: refused, never came up, or broke before. It never ran.
     NotSent,
-    /// The connection, used before, was closed without a byte of an answer: the close may have crossed it.
+    /// The connection, used before, was closed without a byte of an answer: the close may have
+    /// crossed it.
     Crossed,
     /// Written whole, then the connection broke.
     Broken,
@@ -36,13 +38,13 @@
 impl Ended {
     /// It may have run, or may yet.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Ended::Denied(_) | Ended::Leaving | Ended::NotSent)
+        !matches!(self, Ended::Rejected(_) | Ended::Leaving | Ended::NotSent)
     }
 
     /// As logs and counters write it.
     pub fn word(self) -> &'static str {
         match self {
-            Ended::Denied(_) => "denied",
+            Ended::Rejected(_) => "denied",
             Ended::Leaving => "leaving",
             Ended::NotSent => "not_sent",
             Ended::Crossed => "crossed",
@@ -89,8 +91,8 @@
 /// One call's tries so far.
 #[derive(Clone, Debug)]
 pub struct Tries {
-    pub repeats: Repeats,
-    pub expires: Duration,
+    pub idempotency: Idempotency,
+    pub deadline: Duration,
     /// Begun, the one that is out among them.
     pub count: u32,
     /// When the first that may have run began.
@@ -101,10 +103,10 @@
 }
 
 impl Tries {
-    pub fn new(repeats: Repeats, expires: Duration) -> Tries {
+    pub fn new(idempotency: Idempotency, deadline: Duration) -> Tries {
         Tries {
-            repeats,
-            expires,
+            idempotency,
+            deadline,
             count: 0,
             ran_from: None,
             resent: false,
@@ -121,20 +123,22 @@
         self.ran_from.is_some()
     }
 
-    /// Whether it may go out at this time, which was decided earlier: its window may have ended meanwhile.
+    /// Whether it may go out at this time, which was decided earlier: its window may have ended
+    /// meanwhile.
     pub fn may_go(&self, now: Duration) -> Result<(), Cause> {
-        match (self.repeats, self.ran_from) {
-            (Repeats::Idempotent, _) | (_, None) => Ok(()),
+        match (self.idempotency, self.ran_from) {
+            (Idempotency::Idempotent, _) | (_, None) => Ok(()),
             (
-                Repeats::Deduplicated {
-                    group: Group::All,
+                Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
                     window,
                 },
                 Some(from),
             ) if now < from + window => Ok(()),
             (
-                Repeats::Deduplicated {
-                    group: Group::All, ..
+                Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
+                    ..
                 },
                 Some(_),
             ) => Err(Cause::WindowOver),
@@ -163,8 +167,8 @@
         }
     }
 
-    /// A command was satisfied by this agent.
-    pub fn satisfied(&mut self, agent: usize) {
+    /// A request was satisfied by this agent.
+    pub fn succeeded(&mut self, agent: usize) {
         self.tokens = (self.tokens + self.by.earned).min(self.by.kept);
         if let Some(t) = self.each.get_mut(agent) {
             *t = (*t + self.by.earned).min(self.by.kept);
@@ -184,7 +188,8 @@
         if let Err(cause) = tries.may_go(now) {
             return Next::Over(cause);
         }
-        // The close of an idle connection crossed the command: sent once more at once, beside all counts.
+        // The close of an idle connection crossed the request: sent once more at once, beside all
+        // counts.
         if ended == Ended::Crossed && !std::mem::replace(&mut tries.resent, true) {
             return self.at(now, tries);
         }
@@ -193,18 +198,19 @@
         }
         let pause = self.pause(tries.count);
         let floor = match ended {
-            Ended::Denied(Some(back)) => back,
+            Ended::Rejected(Some(back)) => back,
             _ => Duration::ZERO,
         };
         // Beyond a time to come back that all were told alike, they spread over as long again.
         let beyond = pause.max(floor);
         let drawn = beyond.mul_f64(self.rng.gen_range(0.0..1.0));
         let at = now.saturating_add(floor).saturating_add(drawn);
-        if now.saturating_add(floor) >= tries.expires {
+        if now.saturating_add(floor) >= tries.deadline {
             return Next::Over(Cause::Expiry);
         }
-        // A pause of its own never costs the last chance: half of what is left is the most it takes.
-        let latest = now + floor + (tries.expires - now - floor) / 2;
+        // A pause of its own never costs the last chance: half of what is left is the most it
+        // takes.
+        let latest = now + floor + (tries.deadline - now - floor) / 2;
         let next = self.at(at.min(latest), tries);
         if let Next::Again(_) = next {
             let each = self.each.get(agent).copied().unwrap_or(self.tokens);
@@ -221,7 +227,7 @@
     fn at(&self, at: Duration, tries: &Tries) -> Next {
         match tries.may_go(at) {
             Err(cause) => Next::Over(cause),
-            Ok(()) if at >= tries.expires => Next::Over(Cause::Expiry),
+            Ok(()) if at >= tries.deadline => Next::Over(Cause::Expiry),
             Ok(()) => Next::Again(at),
         }
     }
--- a/crates/client-policy/src/service.rs
+++ b/crates/client-policy/src/service.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall::Repeats;
+use tulipwall::Idempotency;
 
 /// A service behind agents, as one client of it sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     pub agents: Vec<SocketAddr>,
-    pub lanes: Vec<Lane>,
+    pub classes: Vec<RequestClass>,
     /// Retries are marked as such (`r=1`), where the deployment says so.
     pub marks_retries: bool,
     pub retrying: Retrying,
@@ -19,11 +19,11 @@
 }
 
 impl Service {
-    /// A service with these agents and lanes, and defaults for all else.
-    pub fn new(agents: Vec<SocketAddr>, lanes: Vec<Lane>) -> Service {
+    /// A service with these agents and classes, and defaults for all else.
+    pub fn new(agents: Vec<SocketAddr>, classes: Vec<RequestClass>) -> Service {
         Service {
             agents,
-            lanes,
+            classes,
             marks_retries: false,
             retrying: Retrying::default(),
             connections: Connections::default(),
@@ -32,25 +32,26 @@
         }
     }
 
-    pub fn lane(&self, name: &str) -> Option<usize> {
-        self.lanes.iter().position(|l| l.name == name)
+    pub fn class(&self, name: &str) -> Option<usize> {
+        self.classes.iter().position(|l| l.name == name)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lane {
+pub struct RequestClass {
     pub name: String,
-    pub repeats: Repeats,
-    pub quoted: Duration,
+    pub idempotency: Idempotency,
+    pub latency_objective: Duration,
     /// Points for an answer in time; what is worth least is shed first.
-    pub benefit: f64,
+    pub priority_weight: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Retrying {
     /// Tries of one call, the first among them.
     pub tries: u32,
-    /// Tokens that each satisfied command earns; a retry costs one. A tenth multiplies load by 1.1 at most.
+    /// Tokens that each satisfied request earns; a retry costs one. A tenth multiplies load by 1.1
+    /// at most.
     pub earned: f64,
     /// Tokens that are kept at most, and at the start.
     pub kept: f64,
--- a/crates/client-policy/tests/answer.rs
+++ b/crates/client-policy/tests/answer.rs
@@ -41,9 +41,9 @@
     let said = |fields: &[u8]| Reading::new(9).take(&failed(fields)).unwrap().1.unwrap();
     assert_eq!(
         said(b"SERROR\0C53300\0D250"),
-        Said::Denied(Some(Duration::from_millis(250)))
+        Said::Rejected(Some(Duration::from_millis(250)))
     );
-    assert_eq!(said(b"C53300\0Dsoon"), Said::Denied(None));
+    assert_eq!(said(b"C53300\0Dsoon"), Said::Rejected(None));
     assert_eq!(said(b"C57P03\0Mleaving"), Said::Leaving);
     assert_eq!(
         said(b"CXX000\0Mno"),
--- a/crates/client-policy/tests/bound.rs
+++ b/crates/client-policy/tests/bound.rs
@@ -1,17 +1,17 @@
 //! The bound on calls in flight, case by case.
 
 use std::time::Duration;
-use tulipwall::Repeats;
-use tulipwall_client_policy::{Bound, InFlight, Lane};
+use tulipwall::Idempotency;
+use tulipwall_client_policy::{Bound, InFlight, RequestClass};
 
-fn lanes() -> Vec<Lane> {
-    let lane = |benefit| Lane {
+fn classes() -> Vec<RequestClass> {
+    let class = |priority_weight| RequestClass {
         name: String::new(),
-        repeats: Repeats::Idempotent,
-        quoted: Duration::from_millis(400),
-        benefit,
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Duration::from_millis(400),
+        priority_weight,
     };
-    vec![lane(1.0), lane(9.0)]
+    vec![class(1.0), class(9.0)]
 }
 
 #[test]
@@ -22,7 +22,7 @@
             most: 10.0,
             ..InFlight::default()
         },
-        &lanes(),
+        &classes(),
     );
     let view = (0..20).filter(|_| bound.take(0)).count();
     let payment = (0..20).filter(|_| bound.take(1)).count();
@@ -33,7 +33,7 @@
             most: 0.0,
             ..InFlight::default()
         },
-        &lanes(),
+        &classes(),
     );
     assert!(small.take(0) && !small.take(1));
 }
@@ -46,7 +46,7 @@
             most: 500.0,
             ..InFlight::default()
         },
-        &lanes(),
+        &classes(),
     );
     let mut seen = Vec::new();
     for round in 0..2000u64 {
--- a/crates/client-policy/tests/retries.rs
+++ b/crates/client-policy/tests/retries.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
-use tulipwall::{Group, Repeats};
+use tulipwall::{DeduplicationScope, Idempotency};
 use tulipwall_client_policy::*;
 
 const fn ms(n: u64) -> Duration {
@@ -10,8 +10,8 @@
 }
 
 const ALL: [Ended; 9] = [
-    Ended::Denied(None),
-    Ended::Denied(Some(ms(300))),
+    Ended::Rejected(None),
+    Ended::Rejected(Some(ms(300))),
     Ended::Leaving,
     Ended::NotSent,
     Ended::Crossed,
@@ -22,13 +22,13 @@
 ];
 
 fn once() -> Tries {
-    Tries::new(Repeats::Unrepeatable, ms(2000))
+    Tries::new(Idempotency::NonIdempotent, ms(2000))
 }
 
-fn keyed(group: Group) -> Tries {
+fn keyed(group: DeduplicationScope) -> Tries {
     Tries::new(
-        Repeats::Deduplicated {
-            group,
+        Idempotency::Keyed {
+            scope: group,
             window: ms(500),
         },
         ms(2000),
@@ -43,7 +43,8 @@
         let next = retries.next(ms(10), &mut tries, 0, ended);
         let again = matches!(next, Next::Again(_));
         assert_eq!(again, !ended.may_have_run(), "{ended:?}: {next:?}");
-        // A later end of which it is known that it never ran does not help one that may have run before.
+        // A later end of which it is known that it never ran does not help one that may have run
+        // before.
         if !again {
             tries.begin(ms(20));
             let later = retries.next(ms(30), &mut tries, 0, Ended::NotSent);
@@ -55,7 +56,7 @@
 #[test]
 fn deduplicated_goes_again_only_in_its_window_counted_from_the_first_that_may_have_run() {
     let mut retries = Retries::new(Retrying::default(), 1, 2);
-    let mut tries = keyed(Group::All);
+    let mut tries = keyed(DeduplicationScope::All);
     tries.begin(ms(0));
     assert!(
         matches!(retries.next(ms(100), &mut tries, 0, Ended::Broken), Next::Again(at) if at < ms(500))
@@ -67,7 +68,7 @@
         "its pause would end after it: {next:?}"
     );
     assert_eq!(tries.may_go(ms(500)), Err(Cause::WindowOver));
-    for group in [Group::Zone, Group::Cell] {
+    for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let mut tries = keyed(group);
         tries.begin(ms(0));
         let next = retries.next(ms(100), &mut tries, 0, Ended::Broken);
@@ -80,7 +81,7 @@
     let mut retries = Retries::new(Retrying::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
-        let mut tries = Tries::new(Repeats::Idempotent, ms(call + 5000));
+        let mut tries = Tries::new(Idempotency::Idempotent, ms(call + 5000));
         loop {
             tries.begin(ms(call));
             sent += 1;
@@ -99,7 +100,7 @@
     let mut retries = Retries::new(Retrying::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
-        let mut tries = Tries::new(Repeats::Idempotent, ms(call + 5000));
+        let mut tries = Tries::new(Idempotency::Idempotent, ms(call + 5000));
         tries.begin(ms(call));
         sent += 1;
         if call % 3 == 0 {
@@ -108,7 +109,7 @@
                 sent += 1;
             }
         } else {
-            retries.satisfied(0);
+            retries.succeeded(0);
         }
     }
     assert!(sent as f64 <= 11_000.0, "{sent}");
@@ -121,7 +122,7 @@
     for seed in 0..200 {
         let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, seed), once());
         tries.begin(ms(0));
-        match retries.next(ms(0), &mut tries, 0, Ended::Denied(Some(ms(400)))) {
+        match retries.next(ms(0), &mut tries, 0, Ended::Rejected(Some(ms(400)))) {
             Next::Again(at) => times.push(at),
             over => panic!("{over:?}"),
         }
@@ -141,7 +142,7 @@
     );
     let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, 1), once());
     tries.begin(ms(0));
-    let next = retries.next(ms(0), &mut tries, 0, Ended::Denied(Some(ms(2000))));
+    let next = retries.next(ms(0), &mut tries, 0, Ended::Rejected(Some(ms(2000))));
     assert_eq!(next, Next::Over(Cause::Expiry));
     assert_eq!(
         retries.tokens(),
@@ -161,7 +162,7 @@
             1,
             1,
         ),
-        Tries::new(Repeats::Idempotent, ms(2000)),
+        Tries::new(Idempotency::Idempotent, ms(2000)),
     );
     tries.begin(ms(0));
     assert_eq!(
@@ -188,9 +189,9 @@
         );
         let kinds = [
             once(),
-            keyed(Group::All),
-            keyed(Group::Zone),
-            Tries::new(Repeats::Idempotent, ms(2000)),
+            keyed(DeduplicationScope::All),
+            keyed(DeduplicationScope::Zone),
+            Tries::new(Idempotency::Idempotent, ms(2000)),
         ];
         let mut tries = kinds[seed as usize % 4].clone();
         let (mut now, mut ran): (Duration, Option<Duration>) = (ms(0), None);
@@ -206,19 +207,19 @@
                 return;
             };
             assert!(at >= now && at < ms(2000) && tries.count <= 5);
-            match (tries.repeats, ran) {
-                (Repeats::Unrepeatable, ran) => assert_eq!(ran, None),
+            match (tries.idempotency, ran) {
+                (Idempotency::NonIdempotent, ran) => assert_eq!(ran, None),
                 (
-                    Repeats::Deduplicated {
-                        group: Group::All,
+                    Idempotency::Keyed {
+                        scope: DeduplicationScope::All,
                         window,
                     },
                     Some(from),
                 ) => {
                     assert!(at < from + window);
                 }
-                (Repeats::Deduplicated { .. }, ran) => {
-                    assert!(ran.is_none() || tries.repeats == kinds[1].repeats)
+                (Idempotency::Keyed { .. }, ran) => {
+                    assert!(ran.is_none() || tries.idempotency == kinds[1].idempotency)
                 }
                 _ => {}
             }
--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -1,32 +1,34 @@
-//! A server that reads and writes through the agents; here against a stand-in that it starts itself.
+//! A server that reads and writes through the agents; here against a fake that it starts itself.
 //!
 //!     cargo run -p tulipwall-client --example calls
 
 use std::time::Duration;
-use tulipwall_client::{blocking, Call, Group, Lane, Repeats, Service, Unanswered};
-use tulipwall_testkit::{Act, Appliance, Ways};
+use tulipwall_client::{
+    blocking, Call, DeduplicationScope, Idempotency, RequestClass, Service, Unanswered,
+};
+use tulipwall_testkit::{Act, Endpoint, Ways};
 
 fn main() -> std::io::Result<()> {
-    let agent = Appliance::start(1, Ways::default(), 1)?;
-    let quoted = Duration::from_millis(400);
-    let keyed = Repeats::Deduplicated {
-        group: Group::All,
+    let agent = Endpoint::start(1, Ways::default(), 1)?;
+    let latency_objective = Duration::from_millis(400);
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: Duration::from_secs(3),
     };
-    let lanes = [
-        ("view", Repeats::Idempotent, 3.0),
+    let classes = [
+        ("view", Idempotency::Idempotent, 3.0),
         ("send", keyed, 3.0),
-        ("payment", Repeats::Unrepeatable, 9.0),
+        ("payment", Idempotency::NonIdempotent, 9.0),
     ];
-    let lane = |(name, repeats, benefit): (&str, _, _)| Lane {
+    let class = |(name, idempotency, priority_weight): (&str, _, _)| RequestClass {
         name: name.into(),
-        repeats,
-        quoted,
-        benefit,
+        idempotency,
+        latency_objective,
+        priority_weight,
     };
     let client = blocking::Client::new(Service::new(
         vec![agent.address(0)],
-        lanes.map(lane).to_vec(),
+        classes.map(class).to_vec(),
     ));
     let expiry = Duration::from_millis(800);
     println!(
@@ -36,7 +38,7 @@
             .map(|a| a.value)
     );
     let message = Call::write("send", "thread-7", b"hello".to_vec(), expiry)
-        .customer("northern")
+        .tenant("northern")
         .key("m-1");
     println!(
         "send: {:?}",
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -1,8 +1,10 @@
-//! What the client library keeps and takes by how many agents it may call; the figures of `docs/CAPACITY.md`.
+//! What the client library keeps and takes by how many agents it may call; the figures of
+//! `docs/CAPACITY.md`.
 //!
 //!     cargo run --release -p tulipwall-client --example capacity
 //!
-//! Memory is the growth of this process over so many idle clients, the time of a choice the mean over many, in a loop.
+//! Memory is the growth of this process over so many idle clients, the time of a choice the mean
+//! over many, in a loop.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/client/examples/measure.rs
+++ b/crates/client/examples/measure.rs
@@ -1,9 +1,10 @@
-//! The figures and plots of `docs/client.md`: this library against a naive client, on the real agent.
+//! The figures and plots of `docs/client.md`: this library against a naive client, on the real
+//! agent.
 //!
 //!     cargo build --release && cargo run --release -p tulipwall-client --example measure [FOLDER]
 //!
-//! The naive client keeps one connection, tries again after a fixed 50 ms whatever happened until its time is over,
-//! and opens a new connection at once. With a folder the plots are written there.
+//! The naive client keeps one connection, tries again after a fixed 50 ms whatever happened until
+//! its time is over, and opens a new connection at once. With a folder the plots are written there.
 
 use futures_lite::future::block_on;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -15,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tulipwall_client::{Call, Client};
 use tulipwall_testkit::ground::{sleep, spawn};
-use tulipwall_testkit::{lanes, pg, service, Appliance, Program, Ways, World};
+use tulipwall_testkit::{classes, pg, service, Endpoint, Program, Ways, World};
 
 const CLIENTS: usize = 200;
 const EXPIRY: Duration = Duration::from_millis(1500);
@@ -25,7 +26,7 @@
 }
 
 fn world(work: Duration, cores: usize) -> World {
-    let world = World::new(&["a"], lanes()).expect("loopback");
+    let world = World::new(&["a"], classes()).expect("loopback");
     for n in 0..2 {
         let ways = Ways {
             work,
@@ -33,7 +34,7 @@
             ..Ways::default()
         };
         world
-            .appliance(0, &format!("s-{n}"), 41, ways)
+            .endpoint(0, &format!("s-{n}"), 41, ways)
             .expect("loopback");
     }
     world
@@ -48,11 +49,11 @@
 }
 
 impl Naive {
-    async fn call(&mut self, lane: &str, object: &str, id: &str) -> bool {
+    async fn call(&mut self, class: &str, object: &str, id: &str) -> bool {
         let begun = Instant::now();
         while begun.elapsed() < EXPIRY {
             let text = format!(
-                "SELECT body FROM objects WHERE oid = '{object}' /* id={id},c={lane},d=1500 */"
+                "SELECT body FROM objects WHERE oid = '{object}' /* id={id},c={class},d=1500 */"
             );
             let got = futures_lite::future::or(async { self.once(&text).await.ok() }, async {
                 sleep(EXPIRY.saturating_sub(begun.elapsed())).await;
@@ -95,21 +96,21 @@
 /// Clients of one kind that call again and again; what they do is counted.
 struct Crowd {
     stop: Arc<AtomicBool>,
-    satisfied: Arc<AtomicU64>,
+    succeeded: Arc<AtomicU64>,
     opened: Box<dyn Fn() -> u64>,
-    /// Commands that went out to the agent.
+    /// Requests that went out to the agent.
     tries: Arc<dyn Fn() -> u64 + Send + Sync>,
     tasks: Vec<async_executor::Task<()>>,
 }
 
 fn crowd(careful: bool, agent: SocketAddr, count: usize, pause: Duration) -> Crowd {
-    let (stop, satisfied) = (Arc::<AtomicBool>::default(), Arc::<AtomicU64>::default());
+    let (stop, succeeded) = (Arc::<AtomicBool>::default(), Arc::<AtomicU64>::default());
     let (mut tasks, mut clients) = (Vec::new(), Vec::new());
     let (naive_opened, naive_tries) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
     for c in 0..count {
-        let (stop, satisfied) = (stop.clone(), satisfied.clone());
+        let (stop, succeeded) = (stop.clone(), succeeded.clone());
         let from = pause.mul_f64(c as f64 / count as f64);
-        let lane = |n: u64| ["view", "view", "payment"][n as usize % 3];
+        let class = |n: u64| ["view", "view", "payment"][n as usize % 3];
         if careful {
             let client = Client::new(service(vec![agent]));
             clients.push(client.clone());
@@ -119,8 +120,8 @@
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let call = Call::read(lane(n), &format!("c{c}-{n}"), EXPIRY);
-                    satisfied.fetch_add(
+                    let call = Call::read(class(n), &format!("c{c}-{n}"), EXPIRY);
+                    succeeded.fetch_add(
                         u64::from(client.call(call).await.is_ok()),
                         Ordering::Relaxed,
                     );
@@ -142,9 +143,9 @@
                         return;
                     }
                     let good = naive
-                        .call(lane(n), &format!("c{c}-{n}"), &format!("{c}-{n}"))
+                        .call(class(n), &format!("c{c}-{n}"), &format!("{c}-{n}"))
                         .await;
-                    satisfied.fetch_add(u64::from(good), Ordering::Relaxed);
+                    succeeded.fetch_add(u64::from(good), Ordering::Relaxed);
                     sleep(pause).await;
                 }
             }));
@@ -163,7 +164,7 @@
     };
     Crowd {
         stop,
-        satisfied,
+        succeeded,
         opened,
         tries,
         tasks,
@@ -211,7 +212,7 @@
         .seen()
         .into_values()
         .flatten()
-        .filter(|s| s.ran && s.lane == "payment")
+        .filter(|s| s.ran && s.class == "payment")
         .map(|s| {
             s.statement
                 .split('\'')
@@ -224,7 +225,8 @@
     objects.windows(2).filter(|w| w[0] == w[1]).count()
 }
 
-/// The agent is killed and is back 300 ms later: when its clients come back, in connections each 100 ms.
+/// The agent is killed and is back 300 ms later: when its clients come back, in connections each
+/// 100 ms.
 fn restart(careful: bool) -> Vec<f64> {
     let world = world(ms(5), 64);
     let agent = start(&world);
@@ -264,7 +266,8 @@
     each
 }
 
-/// For five seconds each delivery takes twenty times as long: what the appliances get, and when benefit is back.
+/// For five seconds each attempt takes twenty times as long: what the endpoints get, and when
+/// benefit is back.
 fn brownout(careful: bool) -> (Vec<f64>, Vec<f64>) {
     let world = Arc::new(world(ms(10), 4));
     let agent = start(&world);
@@ -281,7 +284,7 @@
             .iter()
             .for_each(|(_, a)| a.ways(|w| w.work = ms(10)));
     });
-    let (w, satisfied) = (world.clone(), crowd.satisfied.clone());
+    let (w, succeeded) = (world.clone(), crowd.succeeded.clone());
     let seen = std::thread::spawn(move || {
         sample(64, ms(250), || {
             w.of_zone(0)
@@ -292,7 +295,7 @@
     });
     let tries = crowd.tries.clone();
     let asked = std::thread::spawn(move || sample(64, ms(250), || tries()));
-    let good = sample(64, ms(250), || satisfied.load(Ordering::Relaxed));
+    let good = sample(64, ms(250), || succeeded.load(Ordering::Relaxed));
     let (seen, asked) = (
         seen.join().unwrap_or_default(),
         asked.join().unwrap_or_default(),
@@ -365,9 +368,10 @@
     }
 }
 
-/// What a call takes beyond the same bytes on a bare socket, against a stand-in that answers at once; in turns.
+/// What a call takes beyond the same bytes on a bare socket, against a fake that answers at once;
+/// in turns.
 fn overhead() {
-    let of = Appliance::start(1, Ways::default(), 1).expect("loopback");
+    let of = Endpoint::start(1, Ways::default(), 1).expect("loopback");
     let client = Client::new(service(vec![of.address(0)]));
     let mut bare = block_on(async {
         let mut stream = async_io::Async::<TcpStream>::connect(of.address(0)).await?;
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Of an object, a key or a customer's name.
+/// Of an object, a key or a tenant's name.
 const NAME_MOST: usize = 256;
 /// Of a value that is written.
 const VALUE_MOST: usize = 64 * 1024;
@@ -15,17 +15,17 @@
 /// use std::time::Duration;
 /// use tulipwall_client::Call;
 ///
-/// let call = Call::write("send", "a1", b"text".to_vec(), Duration::from_secs(1)).customer("acme").key("c0ffee");
+/// let call = Call::write("send", "a1", b"text".to_vec(), Duration::from_secs(1)).tenant("acme").key("c0ffee");
 /// assert_eq!(call.object, "a1");
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    pub lane: String,
+    pub class: String,
     pub object: String,
     /// What is written; nothing where it reads.
     pub value: Option<Vec<u8>>,
-    pub customer: Option<String>,
-    /// By which repeats of a deduplicated command are told; drawn where it is not given.
+    pub tenant: Option<String>,
+    /// By which repeats of a deduplicated request are told; drawn where it is not given.
     pub key: Option<String>,
     /// How long the caller waits. No call outlives it.
     pub expiry: Duration,
@@ -35,12 +35,12 @@
 
 impl Call {
     /// Reads an object.
-    pub fn read(lane: &str, object: &str, expiry: Duration) -> Call {
+    pub fn read(class: &str, object: &str, expiry: Duration) -> Call {
         Call {
-            lane: lane.to_owned(),
+            class: class.to_owned(),
             object: object.to_owned(),
             value: None,
-            customer: None,
+            tenant: None,
             key: None,
             expiry,
             estimate: None,
@@ -48,16 +48,16 @@
     }
 
     /// Writes an object.
-    pub fn write(lane: &str, object: &str, value: Vec<u8>, expiry: Duration) -> Call {
+    pub fn write(class: &str, object: &str, value: Vec<u8>, expiry: Duration) -> Call {
         Call {
             value: Some(value),
-            ..Call::read(lane, object, expiry)
+            ..Call::read(class, object, expiry)
         }
     }
 
-    pub fn customer(self, name: &str) -> Call {
+    pub fn tenant(self, name: &str) -> Call {
         Call {
-            customer: Some(name.to_owned()),
+            tenant: Some(name.to_owned()),
             ..self
         }
     }
@@ -76,9 +76,9 @@
             !s.is_empty() && s.len() <= NAME_MOST && s.chars().all(known)
         };
         let named = [
-            ("lane", Some(&self.lane)),
+            ("lane", Some(&self.class)),
             ("object", Some(&self.object)),
-            ("customer", self.customer.as_ref()),
+            ("customer", self.tenant.as_ref()),
             ("key", self.key.as_ref()),
         ];
         for (what, text) in named {
@@ -119,9 +119,9 @@
                 text + "') RETURNING body"
             }
         };
-        let _ = write!(text, " /* id={id},c={}", self.lane);
-        if let Some(customer) = &self.customer {
-            let _ = write!(text, ",t={customer}");
+        let _ = write!(text, " /* id={id},c={}", self.class);
+        if let Some(tenant) = &self.tenant {
+            let _ = write!(text, ",t={tenant}");
         }
         let _ = write!(text, ",d={}", left.as_millis().max(1));
         if let Some(key) = key {
@@ -159,13 +159,14 @@
 /// No value, and why.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Unanswered {
-    /// It did not run, or a repeat is harmless: the caller may ask again, not before `come_back` where that is
-    /// given.
-    Denied {
-        come_back: Option<Duration>,
+    /// It did not run, or a repeat is harmless: the caller may ask again, not before `retry_after`
+    /// where that is given.
+    Rejected {
+        retry_after: Option<Duration>,
         tried: Tried,
     },
-    /// It failed. Where `tried.may_have_run` is set and the lane is not idempotent, it must not be asked again.
+    /// It failed. Where `tried.may_have_run` is set and the class is not idempotent, it must not be
+    /// asked again.
     Scrapped { code: String, tried: Tried },
     /// Its time is over.
     Expired { tried: Tried },
@@ -178,7 +179,7 @@
 impl Unanswered {
     pub fn tried(&self) -> Option<&Tried> {
         match self {
-            Unanswered::Denied { tried, .. }
+            Unanswered::Rejected { tried, .. }
             | Unanswered::Scrapped { tried, .. }
             | Unanswered::Expired { tried } => Some(tried),
             Unanswered::Shed | Unanswered::Faulty(_) => None,
@@ -188,7 +189,7 @@
     /// As counters and the command line write it.
     pub fn word(&self) -> &'static str {
         match self {
-            Unanswered::Denied { .. } => "denied",
+            Unanswered::Rejected { .. } => "denied",
             Unanswered::Scrapped { .. } => "scrapped",
             Unanswered::Expired { .. } => "expired",
             Unanswered::Shed => "shed",
@@ -207,10 +208,11 @@
             }
         };
         match self {
-            Unanswered::Denied {
-                come_back: Some(t), ..
+            Unanswered::Rejected {
+                retry_after: Some(t),
+                ..
             } => write!(f, "denied; come back after {t:?}"),
-            Unanswered::Denied { .. } => f.write_str("denied"),
+            Unanswered::Rejected { .. } => f.write_str("denied"),
             Unanswered::Scrapped { code, tried } => write!(f, "scrapped ({code}); {}", ran(tried)),
             Unanswered::Expired { tried } => write!(f, "expired; {}", ran(tried)),
             Unanswered::Shed => f.write_str("shed: more calls are in flight than the agents bear"),
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::call::{Answered, Call, Tried, Unanswered};
 use crate::connection::{Connection, Heard};
-use crate::seen::{Counters, LaneSeen, Seen};
+use crate::seen::{ClassCounters, Counters, Seen};
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future::FutureExt;
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use tulipwall::Repeats;
+use tulipwall::Idempotency;
 use tulipwall_client_policy::answer::Said;
 use tulipwall_client_policy::{
     Bound, Chosen, Ended, Endpoints, Next, Opening, Retries, Service, Tries,
@@ -46,12 +46,12 @@
     waiting: usize,
     keys: BTreeSet<String>, // of deduplicated calls in hand
     counters: Counters,
-    lanes: Vec<LaneSeen>,
+    classes: Vec<ClassCounters>,
 }
 
 impl State {
-    /// A connection to this agent was closed by it or broke. If others that wait are quiet, that was all. If all
-    /// are closed, the agent has gone, or is going.
+    /// A connection to this agent was closed by it or broke. If others that wait are quiet, that
+    /// was all. If all are closed, the agent has gone, or is going.
     fn broke(&mut self, now: Duration, agent: usize) {
         let pool = &mut self.pools[agent];
         let before = pool.idle.len();
@@ -182,15 +182,15 @@
         let state = State {
             retries: Retries::new(service.retrying.clone(), agents, seed),
             endpoints: Endpoints::new(service.connections.clone(), agents, seed ^ 1),
-            bound: Bound::new(service.in_flight.clone(), &service.lanes),
+            bound: Bound::new(service.in_flight.clone(), &service.classes),
             pools: (0..agents).map(|_| Pool::default()).collect(),
             waiting: 0,
             keys: BTreeSet::new(),
             counters: Counters::default(),
-            lanes: service
-                .lanes
+            classes: service
+                .classes
                 .iter()
-                .map(|l| LaneSeen::new(&l.name))
+                .map(|l| ClassCounters::new(&l.name))
                 .collect(),
         };
         Client(Arc::new(Inner {
@@ -203,7 +203,8 @@
         }))
     }
 
-    /// Opens the least number of connections to each agent, as far as its gate lets them; how many are open.
+    /// Opens the least number of connections to each agent, as far as its gate lets them; how many
+    /// are open.
     pub async fn warm(&self) -> usize {
         let inner = &*self.0;
         let within = inner.service.connections.within;
@@ -228,19 +229,19 @@
         let inner = &*self.0;
         let begun = Instant::now();
         let checked = call.check().and_then(|()| {
-            let unknown = || format!("lane: '{}' is not one of this service", call.lane);
-            inner.service.lane(&call.lane).ok_or_else(unknown)
+            let unknown = || format!("lane: '{}' is not one of this service", call.class);
+            inner.service.class(&call.class).ok_or_else(unknown)
         });
         let ended = match checked {
-            Ok(lane) => inner.call(&call, lane, begun).await,
+            Ok(class) => inner.call(&call, class, begun).await,
             Err(what) => Err(Unanswered::Faulty(what)),
         };
         let mut state = inner.state();
         let c = &mut state.counters;
         c.calls += 1;
         match &ended {
-            Ok(_) => c.satisfied += 1,
-            Err(Unanswered::Denied { .. }) => c.denied += 1,
+            Ok(_) => c.succeeded += 1,
+            Err(Unanswered::Rejected { .. }) => c.rejected += 1,
             Err(Unanswered::Scrapped { .. }) => c.scrapped += 1,
             Err(Unanswered::Expired { .. }) => c.expired += 1,
             Err(Unanswered::Shed) => c.shed += 1,
@@ -254,7 +255,7 @@
         let state = self.0.state();
         Seen {
             counters: state.counters.clone(),
-            lanes: state.lanes.clone(),
+            classes: state.classes.clone(),
             bound: state.bound.now(),
             in_flight: state.bound.in_flight(),
             tokens: state.retries.tokens(),
@@ -291,9 +292,14 @@
         self.start + at
     }
 
-    async fn call(&self, call: &Call, lane: usize, begun: Instant) -> Result<Answered, Unanswered> {
-        let of = &self.service.lanes[lane];
-        let keyed = matches!(of.repeats, Repeats::Deduplicated { .. });
+    async fn call(
+        &self,
+        call: &Call,
+        class: usize,
+        begun: Instant,
+    ) -> Result<Answered, Unanswered> {
+        let of = &self.service.classes[class];
+        let keyed = matches!(of.idempotency, Idempotency::Keyed { .. });
         let key = keyed.then(|| call.key.clone().unwrap_or_else(|| self.id()));
         let mut held = {
             let mut state = self.state();
@@ -303,7 +309,7 @@
                     "key: another call with it is in hand".into(),
                 ));
             }
-            if !state.bound.take(lane) {
+            if !state.bound.take(class) {
                 return Err(Unanswered::Shed);
             }
             state.keys.extend(key.clone());
@@ -313,36 +319,36 @@
                 over: false,
             }
         };
-        let expires = begun + call.expiry;
+        let deadline = begun + call.expiry;
         let mut tries = Tries::new(
-            of.repeats,
-            self.now() + expires.saturating_duration_since(Instant::now()),
+            of.idempotency,
+            self.now() + deadline.saturating_duration_since(Instant::now()),
         );
         let mut tried = Tried::default();
         let ended = self
-            .tries(call, key.as_deref(), expires, &mut tries, &mut tried)
+            .tries(call, key.as_deref(), deadline, &mut tries, &mut tried)
             .await;
         held.over = true;
         tried.took = begun.elapsed();
         tried.may_have_run = tries.may_have_run();
-        // What may have run and may not simply run again is not denied, wherever the call ended.
-        let harmless = !tries.may_have_run() || of.repeats == Repeats::Idempotent;
+        // What may have run and may not simply run again is not rejected, wherever the call ended.
+        let harmless = !tries.may_have_run() || of.idempotency == Idempotency::Idempotent;
         match ended {
-            Err(Given::Denied(_)) if !harmless => Err(Unanswered::Scrapped {
+            Err(Given::Rejected(_)) if !harmless => Err(Unanswered::Scrapped {
                 code: "unreachable".into(),
                 tried,
             }),
             Ok(value) => {
                 let mut state = self.state();
-                state.lanes[lane].satisfied(tries.count as usize, tried.took);
-                if tried.took <= of.quoted {
+                state.classes[class].succeeded(tries.count as usize, tried.took);
+                if tried.took <= of.latency_objective {
                     state.bound.good();
                 } else {
                     state.bound.bad(self.now());
                 }
                 Ok(Answered { value, tried })
             }
-            Err(Given::Denied(come_back)) => Err(Unanswered::Denied { come_back, tried }),
+            Err(Given::Rejected(retry_after)) => Err(Unanswered::Rejected { retry_after, tried }),
             Err(Given::Failed(code)) => Err(Unanswered::Scrapped { code, tried }),
             Err(Given::Expired) => Err(Unanswered::Expired { tried }),
             Err(Given::Shed) => Err(Unanswered::Shed),
@@ -354,19 +360,19 @@
         &self,
         call: &Call,
         key: Option<&str>,
-        expires: Instant,
+        deadline: Instant,
         tries: &mut Tries,
         tried: &mut Tried,
     ) -> Result<Vec<u8>, Given> {
         let mut last = None;
         loop {
-            let agent = self.agent(last, expires).await?;
+            let agent = self.agent(last, deadline).await?;
             let mut trying = Trying {
                 inner: self,
                 agent,
                 good: None,
             };
-            let got = limited(expires, self.connection(agent, expires)).await;
+            let got = limited(deadline, self.connection(agent, deadline)).await;
             // Its window may have ended while it waited.
             if let Err(cause) = tries.may_go(self.now()) {
                 self.note(call, agent, "window", cause.word());
@@ -380,20 +386,20 @@
                 Some(Got::NoPlace) if tries.count == 1 && !tries.may_have_run() => {
                     return Err(Given::Shed)
                 }
-                Some(Got::NoPlace | Got::Not) => (Ended::NotSent, Given::Denied(None)),
-                Some(Got::Refused(Said::Leaving)) => (Ended::Leaving, Given::Denied(None)),
-                Some(Got::Refused(Said::Denied(back))) => {
-                    (Ended::Denied(back), Given::Denied(back))
+                Some(Got::NoPlace | Got::Not) => (Ended::NotSent, Given::Rejected(None)),
+                Some(Got::Refused(Said::Leaving)) => (Ended::Leaving, Given::Rejected(None)),
+                Some(Got::Refused(Said::Rejected(back))) => {
+                    (Ended::Rejected(back), Given::Rejected(back))
                 }
-                Some(Got::Refused(_)) => (Ended::NotSent, Given::Denied(None)),
+                Some(Got::Refused(_)) => (Ended::NotSent, Given::Rejected(None)),
                 Some(Got::Connection(connection, place)) => {
-                    let left = expires.saturating_duration_since(Instant::now());
+                    let left = deadline.saturating_duration_since(Instant::now());
                     let again = self.service.marks_retries && tries.count > 1;
                     let statement = call.statement(&self.id(), key, left, again);
-                    match self.ask(*connection, place, &statement, expires).await {
+                    match self.ask(*connection, place, &statement, deadline).await {
                         Ok(value) => {
                             trying.good = Some(true);
-                            self.state().retries.satisfied(agent);
+                            self.state().retries.succeeded(agent);
                             return Ok(value);
                         }
                         Err(failed) => failed,
@@ -401,7 +407,7 @@
                 }
             };
             trying.good = match ended {
-                Ended::Denied(_) | Ended::Failed => Some(true),
+                Ended::Rejected(_) | Ended::Failed => Some(true),
                 Ended::Leaving | Ended::Crossed => None,
                 _ => Some(false),
             };
@@ -412,7 +418,7 @@
                 match ended {
                     Ended::Leaving => state.endpoints.leaves(now, agent),
                     Ended::Broken | Ended::Crossed => state.broke(now, agent),
-                    Ended::Denied(_) | Ended::Late => state.bound.bad(now),
+                    Ended::Rejected(_) | Ended::Late => state.bound.bad(now),
                     _ => {}
                 }
                 state.retries.next(now, tries, agent, ended)
@@ -426,7 +432,7 @@
                     self.note(call, agent, ended.word(), "again");
                     tried.ended.push(ended.word());
                     last = Some(agent);
-                    if limited(expires, Timer::at(self.at(at))).await.is_none() {
+                    if limited(deadline, Timer::at(self.at(at))).await.is_none() {
                         return Err(Given::Expired);
                     }
                 }
@@ -445,8 +451,8 @@
     }
 
     fn note(&self, call: &Call, agent: usize, ended: &str, next: &str) {
-        log::debug!(lane = call.lane.as_str(), agent:% = self.service.agents[agent], ended, next;
-            "a try of {} ended: {ended}; {next}", call.lane);
+        log::debug!(class = call.class.as_str(), agent:% = self.service.agents[agent], ended, next;
+            "a try of {} ended: {ended}; {next}", call.class);
     }
 
     /// An id that no other try has.
@@ -458,8 +464,9 @@
         )
     }
 
-    /// The agent for the next try, once one may be tried. Where that is beyond the call's time it ends at once.
-    async fn agent(&self, but: Option<usize>, expires: Instant) -> Result<usize, Given> {
+    /// The agent for the next try, once one may be tried. Where that is beyond the call's time it
+    /// ends at once.
+    async fn agent(&self, but: Option<usize>, deadline: Instant) -> Result<usize, Given> {
         loop {
             let freed = self.freed.listen();
             let now = self.now();
@@ -471,12 +478,12 @@
             };
             match chosen {
                 Chosen::Agent(agent) => return Ok(agent),
-                Chosen::NotBefore(at) if self.at(at) >= expires => {
-                    return Err(Given::Denied(Some(at.saturating_sub(now))));
+                Chosen::NotBefore(at) if self.at(at) >= deadline => {
+                    return Err(Given::Rejected(Some(at.saturating_sub(now))));
                 }
                 Chosen::NotBefore(at) => {
                     limited(self.at(at), freed).await;
-                    if Instant::now() >= expires {
+                    if Instant::now() >= deadline {
                         return Err(Given::Expired);
                     }
                 }
@@ -484,9 +491,10 @@
         }
     }
 
-    /// A connection to this agent: one that waits, or a new one where its gate lets it, or the next that is free.
-    async fn connection(&self, agent: usize, expires: Instant) -> Got<'_> {
-        let until = expires.min(Instant::now() + self.service.in_flight.wait);
+    /// A connection to this agent: one that waits, or a new one where its gate lets it, or the next
+    /// that is free.
+    async fn connection(&self, agent: usize, deadline: Instant) -> Got<'_> {
+        let until = deadline.min(Instant::now() + self.service.in_flight.wait);
         let mut waiting: Option<Waiting> = None;
         loop {
             let freed = self.freed.listen();
@@ -507,7 +515,7 @@
                 }
             };
             let look = match opening {
-                Opening::Now => return self.open(agent, expires).await,
+                Opening::Now => return self.open(agent, deadline).await,
                 Opening::NotBefore(at) => self.at(at).min(until),
                 Opening::Full => until,
             };
@@ -527,7 +535,8 @@
         }
     }
 
-    /// One that waits, known open and quiet. Those that are too old, or idle for too long, are closed.
+    /// One that waits, known open and quiet. Those that are too old, or idle for too long, are
+    /// closed.
     fn idle(&self, agent: usize) -> Option<(Connection, Place<'_>)> {
         let by = &self.service.connections;
         let mut state = self.state();
@@ -555,7 +564,7 @@
         None
     }
 
-    async fn open(&self, agent: usize, expires: Instant) -> Got<'_> {
+    async fn open(&self, agent: usize, deadline: Instant) -> Got<'_> {
         let place = Place {
             inner: self,
             agent,
@@ -571,11 +580,12 @@
         let mut until = Instant::now() + within;
         let mut opening = pin!(Connection::open(self.service.agents[agent], life));
         let heard = loop {
-            let heard = limited(until.min(expires), opening.as_mut()).await;
-            // What the agent said while this client stood still is yet to be heard. Guards against taking its own
-            // standstill for the agent's; costs a call as much of its time again where the agent is lost as well.
+            let heard = limited(until.min(deadline), opening.as_mut()).await;
+            // What the agent said while this client stood still is yet to be heard. Guards against
+            // taking its own standstill for the agent's; costs a call as much of its time again
+            // where the agent is lost as well.
             let missed = Instant::now().saturating_duration_since(until);
-            if heard.is_some() || until >= expires || missed < STOOD_STILL {
+            if heard.is_some() || until >= deadline || missed < STOOD_STILL {
                 break heard;
             }
             until += missed + missed.min(within);
@@ -594,7 +604,7 @@
                 Got::Not
             }
             None => {
-                opened.open = (until <= expires).then_some(false);
+                opened.open = (until <= deadline).then_some(false);
                 Got::Not
             }
         }
@@ -606,11 +616,11 @@
         mut connection: Connection,
         place: Place<'_>,
         statement: &str,
-        expires: Instant,
+        deadline: Instant,
     ) -> Result<Vec<u8>, (Ended, Given)> {
         let mut written = false;
         let heard = limited(
-            expires,
+            deadline,
             connection.ask(statement, self.service.value_most, &mut written),
         )
         .await;
@@ -622,13 +632,13 @@
                 }
                 match said {
                     Said::Value(value) => Ok(value),
-                    Said::Denied(back) => Err((Ended::Denied(back), Given::Denied(back))),
-                    Said::Leaving => Err((Ended::Leaving, Given::Denied(None))),
+                    Said::Rejected(back) => Err((Ended::Rejected(back), Given::Rejected(back))),
+                    Said::Leaving => Err((Ended::Leaving, Given::Rejected(None))),
                     Said::Failed(code, _) => Err((Ended::Failed, Given::Failed(code))),
                     Said::Ready => Err((Ended::Garbage, Given::Failed("garbage".into()))),
                 }
             }
-            Some(Heard::Ended(Ended::NotSent)) => Err((Ended::NotSent, Given::Denied(None))),
+            Some(Heard::Ended(Ended::NotSent)) => Err((Ended::NotSent, Given::Rejected(None))),
             Some(Heard::Ended(ended)) => Err((ended, Given::Failed(ended.word().into()))),
             // Before its last byte was written it never ran, but its time is over all the same.
             None if written => Err((Ended::Late, Given::Expired)),
@@ -647,7 +657,7 @@
 
 /// How a call that has no value is given up.
 enum Given {
-    Denied(Option<Duration>),
+    Rejected(Option<Duration>),
     Failed(String),
     Expired,
     Shed,
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -16,12 +16,12 @@
     pub since: Instant,
     pub idle_from: Instant,
     pub life: Duration,
-    /// A command was answered on it before.
+    /// A request was answered on it before.
     pub used: bool,
     room: Vec<u8>,
 }
 
-/// What came of one command on a connection.
+/// What came of one request on a connection.
 pub enum Heard {
     Said(Said),
     /// No answer; the connection is of no further use.
@@ -47,7 +47,7 @@
         connection.stream.write_all(&startup).await?;
         match connection.hear(0).await {
             Heard::Said(Said::Ready) => Ok(Ok(connection)),
-            Heard::Said(said @ (Said::Denied(_) | Said::Leaving | Said::Failed(..))) => {
+            Heard::Said(said @ (Said::Rejected(_) | Said::Leaving | Said::Failed(..))) => {
                 Ok(Err(said))
             }
             _ => Err(io::ErrorKind::InvalidData.into()),
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -6,20 +6,20 @@
 //!
 //! ```no_run
 //! use std::time::Duration;
-//! use tulipwall_client::{Call, Client, Lane, Repeats, Service, Unanswered};
+//! use tulipwall_client::{Call, Client, RequestClass, Idempotency, Service, Unanswered};
 //!
-//! let view = Lane {
+//! let view = RequestClass {
 //!     name: "view".into(),
-//!     repeats: Repeats::Idempotent,
-//!     quoted: Duration::from_millis(400),
-//!     benefit: 3.0,
+//!     idempotency: Idempotency::Idempotent,
+//!     latency_objective: Duration::from_millis(400),
+//!     priority_weight: 3.0,
 //! };
 //! let service = Service::new(vec!["127.0.0.1:6543".parse().unwrap()], vec![view]);
 //! let client = Client::new(service);
 //! let call = Call::read("view", "7f3a9c21", Duration::from_millis(1500));
 //! match futures_lite::future::block_on(client.call(call)) {
 //!     Ok(answer) => println!("{} bytes", answer.value.len()),
-//!     Err(Unanswered::Denied { come_back, .. }) => println!("come back after {come_back:?}"),
+//!     Err(Unanswered::Rejected { retry_after, .. }) => println!("retry after {retry_after:?}"),
 //!     Err(other) => println!("{other}"),
 //! }
 //! ```
@@ -32,6 +32,6 @@
 
 pub use call::{Answered, Call, Tried, Unanswered};
 pub use client::Client;
-pub use seen::{Counters, LaneSeen, Seen};
-pub use tulipwall::{Group, Repeats};
-pub use tulipwall_client_policy::{Connections, InFlight, Lane, Retrying, Service};
+pub use seen::{ClassCounters, Counters, Seen};
+pub use tulipwall::{DeduplicationScope, Idempotency};
+pub use tulipwall_client_policy::{Connections, InFlight, RequestClass, Retrying, Service};
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tulipwall_client::{Call, Client, Lane, Repeats, Service, Unanswered};
+use tulipwall_client::{Call, Client, Idempotency, RequestClass, Service, Unanswered};
 
 const EXITS: &str = "\
 Each answer is a line of JSON: the call's line number, answer, value (hex) or code, come_back_ms, tries, agents,
@@ -24,7 +24,7 @@
 #[derive(Parser)]
 #[command(name = "tulipwall-call", version, after_help = EXITS)]
 struct Line {
-    /// The client's file, KDL: agents, lanes and limits.
+    /// The client's file, KDL: agents, classes and limits.
     #[arg(
         long,
         value_name = "FILE",
@@ -35,23 +35,23 @@
     /// An agent in the place of those in the file; may come again.
     #[arg(long, value_name = "ADDRESS")]
     agent: Vec<SocketAddr>,
-    /// The lane; without one, calls are read from standard input.
-    #[arg(requires = "object")]
-    lane: Option<String>,
+    /// The class; without one, calls are read from standard input.
+    #[arg(value_name = "LANE", requires = "object")]
+    class: Option<String>,
     /// The object it is about.
     object: Option<String>,
     /// What is written, in hex; it reads otherwise.
     #[arg(long, value_parser = hex)]
     value: Option<Bytes>,
-    #[arg(long)]
-    customer: Option<String>,
+    #[arg(long = "customer", value_name = "CUSTOMER")]
+    tenant: Option<String>,
     /// By which repeats are told; drawn otherwise.
     #[arg(long)]
     key: Option<String>,
     /// How long to wait, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 1500, value_parser = clap::value_parser!(u64).range(1..=3_600_000))]
     expiry: u64,
-    /// How the lane repeats, where no file says so: idempotent, or else unrepeatable.
+    /// How the class repeats, where no file says so: idempotent, or else unrepeatable.
     #[arg(long)]
     idempotent: bool,
     /// Calls from standard input that are in hand at once.
@@ -88,13 +88,13 @@
         }
     };
     let client = Client::new(service);
-    let worst = match (&line.lane, &line.object) {
-        (Some(lane), Some(object)) => {
+    let worst = match (&line.class, &line.object) {
+        (Some(class), Some(object)) => {
             let call = Call {
                 value: line.value.clone().map(|v| v.0),
-                customer: line.customer.clone(),
+                tenant: line.tenant.clone(),
                 key: line.key.clone(),
-                ..Call::read(lane, object, Duration::from_millis(line.expiry))
+                ..Call::read(class, object, Duration::from_millis(line.expiry))
             };
             futures_lite::future::block_on(one(&client, call, 1))
         }
@@ -115,7 +115,7 @@
         Some(path) => {
             let text = std::fs::read_to_string(path)
                 .map_err(|e| vec![format!("{}: {e}", path.display())])?;
-            let named = |m: &tulipwall_config::Mistake| format!("{}:{m}", path.display());
+            let named = |m: &tulipwall_config::ConfigDiagnostic| format!("{}:{m}", path.display());
             tulipwall_config::read_service(&text)
                 .map_err(|all| all.iter().map(named).collect::<Vec<_>>())?
         }
@@ -124,18 +124,18 @@
     if !line.agent.is_empty() {
         service.agents.clone_from(&line.agent);
     }
-    if let (None, Some(name)) = (&line.service, &line.lane) {
-        let repeats = if line.idempotent {
-            Repeats::Idempotent
+    if let (None, Some(name)) = (&line.service, &line.class) {
+        let idempotency = if line.idempotent {
+            Idempotency::Idempotent
         } else {
-            Repeats::Unrepeatable
+            Idempotency::NonIdempotent
         };
-        let quoted = Duration::from_millis(line.expiry);
-        service.lanes.push(Lane {
+        let latency_objective = Duration::from_millis(line.expiry);
+        service.classes.push(RequestClass {
             name: name.clone(),
-            repeats,
-            quoted,
-            benefit: 1.0,
+            idempotency,
+            latency_objective,
+            priority_weight: 1.0,
         });
     }
     Ok(service)
@@ -151,15 +151,16 @@
         }
         Err(e) => {
             let code = match e {
-                Unanswered::Denied { .. } | Unanswered::Shed => 4,
+                Unanswered::Rejected { .. } | Unanswered::Shed => 4,
                 Unanswered::Scrapped { .. } => 5,
                 Unanswered::Expired { .. } => 6,
                 Unanswered::Faulty(_) => 7,
             };
             let mut told = json!({"answer": e.word(), "text": e.to_string()});
             match e {
-                Unanswered::Denied {
-                    come_back: Some(t), ..
+                Unanswered::Rejected {
+                    retry_after: Some(t),
+                    ..
                 } => told["come_back_ms"] = json!(t.as_millis() as u64),
                 Unanswered::Scrapped { code, .. } => told["code"] = json!(code),
                 _ => {}
@@ -249,7 +250,7 @@
             .transpose()
             .map_err(|e| format!("value: {e}"))?
             .map(|b| b.0),
-        customer: text("customer")?,
+        tenant: text("customer")?,
         key: text("key")?,
         ..Call::read(
             &need("lane")?,
--- a/crates/client/src/seen.rs
+++ b/crates/client/src/seen.rs
@@ -1,4 +1,4 @@
-//! What a caller can read of its client: counters, and times by lane and try.
+//! What a caller can read of its client: counters, and times by class and try.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -11,8 +11,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
     pub calls: u64,
-    pub satisfied: u64,
-    pub denied: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
     pub scrapped: u64,
     pub expired: u64,
     pub shed: u64,
@@ -31,9 +31,10 @@
     pub found_closed: u64,
 }
 
-/// One lane: microseconds of satisfied calls, from the call's beginning, by the number of tries they took.
+/// One class: microseconds of satisfied calls, from the call's beginning, by the number of tries
+/// they took.
 #[derive(Clone, Debug)]
-pub struct LaneSeen {
+pub struct ClassCounters {
     pub name: String,
     pub times: Vec<Histogram<u32>>,
 }
@@ -42,28 +43,29 @@
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub counters: Counters,
-    pub lanes: Vec<LaneSeen>,
+    pub classes: Vec<ClassCounters>,
     /// The bound on calls in flight, and how many are.
     pub bound: f64,
     pub in_flight: usize,
     /// Tokens left for retries.
     pub tokens: f64,
-    /// Connections that wait for a command, by agent.
+    /// Connections that wait for a request, by agent.
     pub idle: Vec<usize>,
 }
 
-impl LaneSeen {
-    pub(crate) fn new(name: &str) -> LaneSeen {
-        LaneSeen {
+impl ClassCounters {
+    pub(crate) fn new(name: &str) -> ClassCounters {
+        ClassCounters {
             name: name.to_owned(),
             times: Vec::new(),
         }
     }
 
-    pub(crate) fn satisfied(&mut self, tries: usize, took: Duration) {
+    pub(crate) fn succeeded(&mut self, tries: usize, took: Duration) {
         let n = tries.clamp(1, TRIES) - 1;
         while self.times.len() <= n {
-            // Two digits from 16 us to two minutes are 10 KB, and bounds that the library always takes.
+            // Two digits from 16 us to two minutes are 10 KB, and bounds that the library always
+            // takes.
             let Ok(new) = Histogram::new_with_bounds(16, 120_000_000, 2) else {
                 return;
             };
--- a/crates/client/tests/command.rs
+++ b/crates/client/tests/command.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-call` against a stand-in that speaks as an agent does.
+//! `tulipwall-call` against a fake that speaks as an agent does.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -7,9 +7,9 @@
 use std::process::{Command, Output, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
-use tulipwall_client::{blocking, Call, Client, Lane, Repeats, Service, Unanswered};
+use tulipwall_client::{blocking, Call, Client, Idempotency, RequestClass, Service, Unanswered};
 use tulipwall_testkit::ground::until;
-use tulipwall_testkit::{Act, Appliance, Speaker, Ways};
+use tulipwall_testkit::{Act, Endpoint, Speaker, Ways};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-call");
 
@@ -17,12 +17,12 @@
     Duration::from_millis(n)
 }
 
-/// An agent of one appliance, as far as a client can tell.
-fn agent(ways: Ways) -> Appliance {
-    Appliance::start(1, ways, 1).unwrap()
+/// An agent of one endpoint, as far as a client can tell.
+fn agent(ways: Ways) -> Endpoint {
+    Endpoint::start(1, ways, 1).unwrap()
 }
 
-fn call(of: &Appliance, arguments: &[&str]) -> (Option<i32>, Value) {
+fn call(of: &Endpoint, arguments: &[&str]) -> (Option<i32>, Value) {
     let out = Command::new(BINARY)
         .args(["--agent", &of.address(0).to_string()])
         .args(arguments)
@@ -69,7 +69,7 @@
     }
 }
 
-fn many(of: &Appliance, lines: &str, more: &[&str], stall: Option<Duration>) -> Output {
+fn many(of: &Endpoint, lines: &str, more: &[&str], stall: Option<Duration>) -> Output {
     let folder = std::env::temp_dir().join(format!(
         "tulipwall-call-{}-{}",
         std::process::id(),
@@ -77,8 +77,8 @@
     ));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("client.kdl");
-    let lane = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }";
-    std::fs::write(&file, format!("agent \"{}\"\n{lane}\n", of.address(0))).unwrap();
+    let class = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }";
+    std::fs::write(&file, format!("agent \"{}\"\n{class}\n", of.address(0))).unwrap();
     let mut child = Command::new(BINARY)
         .args(["--service", file.to_str().unwrap()])
         .args(more)
@@ -129,7 +129,7 @@
     numbers.sort();
     assert_eq!(numbers, (1..=53).collect::<Vec<_>>());
     assert_eq!(all.iter().filter(|t| t["answer"] == "value").count(), 50);
-    assert!(String::from_utf8_lossy(&out.stderr).contains("satisfied: 50"));
+    assert!(String::from_utf8_lossy(&out.stderr).contains("succeeded: 50"));
 }
 
 #[test]
@@ -150,18 +150,19 @@
     let all = told(&out);
     assert_eq!(all.len(), 64);
     let kinds = |k: &str| all.iter().filter(|t| t["answer"] == k).count();
-    // Those that were out when it stalled: their answers had come, or their time was over; nothing else is told.
+    // Those that were out when it stalled: their answers had come, or their time was over; nothing
+    // else is told.
     assert_eq!(kinds("value") + kinds("expired"), 64, "{all:?}");
     assert!(kinds("expired") <= 8);
 }
 
 #[test]
 fn what_is_no_answer_is_never_a_value_and_the_client_goes_on() {
-    let view = Lane {
+    let view = RequestClass {
         name: "view".into(),
-        repeats: Repeats::Idempotent,
-        quoted: ms(400),
-        benefit: 1.0,
+        idempotency: Idempotency::Idempotent,
+        latency_objective: ms(400),
+        priority_weight: 1.0,
     };
     let hostile = [
         "\u{1}\u{2}\u{3}\u{4}\u{5}\u{6}\u{7}",
@@ -203,11 +204,11 @@
 
 #[test]
 fn no_call_outlives_its_expiry_wherever_it_waits() {
-    let view = Lane {
+    let view = RequestClass {
         name: "view".into(),
-        repeats: Repeats::Idempotent,
-        quoted: ms(400),
-        benefit: 1.0,
+        idempotency: Idempotency::Idempotent,
+        latency_objective: ms(400),
+        priority_weight: 1.0,
     };
     let nobody = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -258,11 +259,11 @@
 
 #[test]
 fn an_agent_that_leaves_is_left_for_others_without_a_failed_call() {
-    let payment = Lane {
+    let payment = RequestClass {
         name: "payment".into(),
-        repeats: Repeats::Unrepeatable,
-        quoted: ms(400),
-        benefit: 1.0,
+        idempotency: Idempotency::NonIdempotent,
+        latency_objective: ms(400),
+        priority_weight: 1.0,
     };
     let (stays, leaves) = (agent(Ways::default()), agent(Ways::default()));
     let client = Client::new(Service::new(
@@ -285,10 +286,10 @@
         before + 1,
         "one of them told that it leaves; it is passed over then"
     );
-    // Closing between commands says the same.
+    // Closing between requests says the same.
     leaves.crash();
     thread::sleep(ms(2100));
     assert!((80..120).all(|n| pay(n).is_ok()));
     let c = client.seen().counters;
-    assert_eq!((c.satisfied, c.calls, c.ended["leaving"]), (120, 120, 1));
+    assert_eq!((c.succeeded, c.calls, c.ended["leaving"]), (120, 120, 1));
 }
--- a/crates/config/examples/settings.rs
+++ b/crates/config/examples/settings.rs
@@ -1,12 +1,13 @@
-//! What reading settings, looking a tenant up, and numbering settings after those in force take, by number of tenants.
+//! What reading settings, looking a tenant up, and numbering settings after those in force take, by
+//! number of tenants.
 //!
 //!     cargo run --release -p tulipwall-config --example settings
 
 use serde_json::{json, Value};
 use std::hint::black_box;
 use std::time::Instant;
-use tulipwall::InHand;
-use tulipwall_config::{Fields, Site};
+use tulipwall::IndicesInUse;
+use tulipwall_config::{Fields, ServiceConfig};
 
 fn settings(least: usize, tenants: usize) -> String {
     let share = 1.0 / tenants as f64;
@@ -20,9 +21,9 @@
     .to_string()
 }
 
-fn read(text: &str) -> Result<Site, String> {
+fn read(text: &str) -> Result<ServiceConfig, String> {
     let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    Site::read(&Fields::of(&value, "settings")?, 1).map_err(|f| f.to_string())
+    ServiceConfig::read(&Fields::of(&value, "settings")?, 1).map_err(|f| f.to_string())
 }
 
 /// The least of several times, in microseconds.
@@ -45,7 +46,7 @@
         let found = least(|| {
             names
                 .iter()
-                .filter(|n| site.customer(black_box(n)).is_some())
+                .filter(|n| site.tenant(black_box(n)).is_some())
                 .count()
         });
         print!(
@@ -53,8 +54,12 @@
             least(|| read(&text)),
             found / 200.0
         );
-        let mut copies: Vec<Site> = (0..7).map(|_| new.clone()).collect();
-        let after = least(|| copies.pop().map(|c| c.after(&site, &InHand::default())));
+        let mut copies: Vec<ServiceConfig> = (0..7).map(|_| new.clone()).collect();
+        let after = least(|| {
+            copies
+                .pop()
+                .map(|c| c.renumbered_after(&site, &IndicesInUse::default()))
+        });
         println!(
             ", numbered after those in force {after:.0} us; {} bytes",
             text.len()
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,5 +1,5 @@
-//! KDL documents read against what is known of them, with all mistakes at once: line, column, key, and what is
-//! wanted there.
+//! KDL documents read against what is known of them, with all mistakes at once: line, column, key,
+//! and what is wanted there.
 
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::collections::BTreeSet;
@@ -14,14 +14,14 @@
 
 /// One thing that is wrong, and where. Lines and columns count from 1, columns in characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mistake {
+pub struct ConfigDiagnostic {
     pub line: usize,
     pub column: usize,
     pub key: String,
     pub what: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConfigDiagnostic {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
@@ -33,7 +33,7 @@
 
 /// Where something stands in the document.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct SourceLocation {
     pub line: usize,
     pub column: usize,
 }
@@ -41,7 +41,7 @@
 /// What is read, and the mistakes met on the way.
 pub struct Reader<'a> {
     text: &'a str,
-    pub mistakes: Vec<Mistake>,
+    pub mistakes: Vec<ConfigDiagnostic>,
 }
 
 impl<'a> Reader<'a> {
@@ -54,7 +54,7 @@
 
     /// The document, unless it is no KDL.
     pub fn document(&mut self) -> Option<KdlDocument> {
-        let start = Place { line: 1, column: 1 };
+        let start = SourceLocation { line: 1, column: 1 };
         if self.text.len() > LENGTH_MOST {
             self.wrong(
                 start,
@@ -103,7 +103,7 @@
         }
     }
 
-    fn place(&self, offset: usize) -> Place {
+    fn place(&self, offset: usize) -> SourceLocation {
         let before = self.text.get(..offset).unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
         let column = before
@@ -113,22 +113,22 @@
             .chars()
             .count()
             + 1;
-        Place { line, column }
+        SourceLocation { line, column }
     }
 
-    pub fn of(&self, node: &KdlNode) -> Place {
+    pub fn of(&self, node: &KdlNode) -> SourceLocation {
         self.place(node.name().span().offset())
     }
 
-    fn of_entry(&self, entry: &KdlEntry) -> Place {
+    fn of_entry(&self, entry: &KdlEntry) -> SourceLocation {
         // An entry's span takes in the space before it.
         let span = entry.span();
         let text = self.text.get(span.offset()..).unwrap_or_default();
         self.place(span.offset() + text.len() - text.trim_start().len())
     }
 
-    pub fn wrong(&mut self, at: Place, key: &str, what: String) {
-        self.mistakes.push(Mistake {
+    pub fn wrong(&mut self, at: SourceLocation, key: &str, what: String) {
+        self.mistakes.push(ConfigDiagnostic {
             line: at.line,
             column: at.column,
             key: key.to_owned(),
@@ -136,8 +136,8 @@
         });
     }
 
-    /// The nodes of a document that are known here; the others are mistakes, and so are those that may come
-    /// once and come again.
+    /// The nodes of a document that are known here; the others are mistakes, and so are those that
+    /// may come once and come again.
     pub fn nodes<'d>(
         &mut self,
         document: Option<&'d KdlDocument>,
@@ -160,7 +160,7 @@
         nodes
     }
 
-    fn unknown(&mut self, at: Place, name: &str, within: &str, known: &[&str]) {
+    fn unknown(&mut self, at: SourceLocation, name: &str, within: &str, known: &[&str]) {
         let distance = |k: &&&str| strsim::damerau_levenshtein(name, k);
         let near = known
             .iter()
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -1,14 +1,14 @@
 //! What an installation sets beside the platform's configuration: one KDL file for all its agents.
 
-use crate::document::{Mistake, Place, Reader};
-use crate::Site;
+use crate::document::{ConfigDiagnostic, Reader, SourceLocation};
+use crate::ServiceConfig;
 use kdl::KdlNode;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use tulipwall::Shape;
-use tulipwall_zones::{Budget, LaneView, Limit, Link, Price, Routing, Zoning};
+use tulipwall::AlternativeSettings;
+use tulipwall_zones::{Budget, ClassProfile, Limit, Link, Price, Routing, Zoning};
 
 /// The name by which the file speaks of a zone that the settings do not know.
 pub const UNNAMED: &str = "(unnamed)";
@@ -25,7 +25,7 @@
     /// Where operators may ask for reports; nowhere if not given.
     pub door: Option<Door>,
     zones: Option<Traffic>,
-    watch: Option<(Place, Shape)>,
+    watch: Option<(SourceLocation, AlternativeSettings)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct StatedLink {
-    at: Place,
+    at: SourceLocation,
     from: String,
     to: String,
     link: Link,
@@ -75,10 +75,10 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct StatedBudget {
-    at: Place,
+    at: SourceLocation,
     name: String,
-    to: Option<(Place, String)>,
-    lane: Option<(Place, String)>,
+    to: Option<(SourceLocation, String)>,
+    class: Option<(SourceLocation, String)>,
     limits: Vec<Limit>,
     window: Duration,
     part: Option<f64>,
@@ -86,7 +86,7 @@
 
 impl Installation {
     /// Reads the file's text; all that is wrong with it otherwise, in the order of its lines.
-    pub fn read(text: &str) -> Result<Installation, Vec<Mistake>> {
+    pub fn read(text: &str) -> Result<Installation, Vec<ConfigDiagnostic>> {
         let mut reader = Reader::new(text);
         let mut installation = Installation::default();
         let document = reader.document();
@@ -121,20 +121,23 @@
     }
 
     /// The settings that are watched beside those that decide; none unless the file says so.
-    pub fn watch(&self, site: &Site) -> Result<Option<Shape>, Vec<Mistake>> {
+    pub fn watch(
+        &self,
+        site: &ServiceConfig,
+    ) -> Result<Option<AlternativeSettings>, Vec<ConfigDiagnostic>> {
         let Some((at, shape)) = &self.watch else {
             return Ok(None);
         };
         let stages = shape
             .caps
             .as_ref()
-            .map_or(site.deployment.rollout.caps.len(), Vec::len);
+            .map_or(site.settings.rollout.caps.len(), Vec::len);
         if shape.guarded_stages.is_some_and(|n| n > stages) {
             let (key, what) = (
                 "guarded-stages".to_owned(),
                 format!("there are {stages} stages"),
             );
-            return Err(vec![Mistake {
+            return Err(vec![ConfigDiagnostic {
                 line: at.line,
                 column: at.column,
                 key,
@@ -149,15 +152,15 @@
         self.zones.is_some()
     }
 
-    /// What is said of zones, in the numbers of this deployment; nothing where nothing is said. Names that the
-    /// deployment does not have are mistakes.
-    pub fn zoning(&self, site: &Site) -> Result<Option<Zoning>, Vec<Mistake>> {
+    /// What is said of zones, in the numbers of this deployment; nothing where nothing is said.
+    /// Names that the deployment does not have are mistakes.
+    pub fn zoning(&self, site: &ServiceConfig) -> Result<Option<Zoning>, Vec<ConfigDiagnostic>> {
         let Some(traffic) = &self.zones else {
             return Ok(None);
         };
         let mut mistakes = Vec::new();
-        let mut wrong = |at: Place, key: &str, what: String| {
-            mistakes.push(Mistake {
+        let mut wrong = |at: SourceLocation, key: &str, what: String| {
+            mistakes.push(ConfigDiagnostic {
                 line: at.line,
                 column: at.column,
                 key: key.to_owned(),
@@ -187,7 +190,7 @@
                 }
             }
             if let [Some(from), Some(to)] = ends {
-                if from == site.deployment.zone {
+                if from == site.settings.zone {
                     links[to] = l.link;
                 }
             }
@@ -195,33 +198,33 @@
         let mut budgets = Vec::new();
         for b in &traffic.budgets {
             let to = b.to.as_ref().map(|(at, name)| (at, name, zone(name)));
-            let lane = b
-                .lane
+            let class = b
+                .class
                 .as_ref()
-                .map(|(at, name)| (at, name, site.lane(name)));
+                .map(|(at, name)| (at, name, site.class(name)));
             if let Some((at, name, None)) = to {
                 wrong(*at, "to", no_zone(name));
             }
-            if let Some((at, name, None)) = lane {
-                let known = site.lanes.join(", ");
+            if let Some((at, name, None)) = class {
+                let known = site.classes.join(", ");
                 wrong(
                     *at,
                     "lane",
                     format!("no lane '{name}' in the settings; they have {known}"),
                 );
             }
-            let (to, lane) = (to.and_then(|t| t.2), lane.and_then(|l| l.2));
-            if to == Some(site.deployment.zone) {
+            let (to, class) = (to.and_then(|t| t.2), class.and_then(|l| l.2));
+            if to == Some(site.settings.zone) {
                 // It is some other agent's.
                 continue;
             }
             let part = b
                 .part
-                .unwrap_or(1.0 / f64::from(site.deployment.agents.max(1)));
+                .unwrap_or(1.0 / f64::from(site.settings.agents.max(1)));
             budgets.extend(b.limits.iter().map(|limit| Budget {
                 name: b.name.clone(),
                 to,
-                lane,
+                class,
                 limit: *limit,
                 window: b.window,
                 part,
@@ -230,14 +233,14 @@
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
-        let lanes = site.deployment.lanes.iter();
+        let classes = site.settings.classes.iter();
         Ok(Some(Zoning {
-            own: site.deployment.zone,
+            own: site.settings.zone,
             zones,
-            lanes: lanes
-                .map(|l| LaneView {
-                    benefit: l.benefit,
-                    quoted: l.quoted,
+            classes: classes
+                .map(|l| ClassProfile {
+                    priority_weight: l.priority_weight,
+                    latency_objective: l.latency_objective,
                 })
                 .collect(),
             links,
@@ -288,9 +291,9 @@
     traffic
 }
 
-fn shape(r: &mut Reader, node: &KdlNode) -> Shape {
+fn shape(r: &mut Reader, node: &KdlNode) -> AlternativeSettings {
     r.arguments(node, 0, &[]);
-    let mut shape = Shape::default();
+    let mut shape = AlternativeSettings::default();
     let known = [
         "guarded-stages",
         "caps",
@@ -314,10 +317,10 @@
                 }
             }
             "caps" => shape.caps = Some(r.numbers(node, 0.0, 1.0)),
-            "free" => shape.free = r.number(node, 0.0, COUNT_MOST),
-            "by-lane" => shape.by_lane = r.flag(node),
-            "cold-for" => shape.cold_for = r.span(node, Duration::ZERO),
-            _ => shape.warm_keys = r.flag(node),
+            "free" => shape.exposure_burst = r.number(node, 0.0, COUNT_MOST),
+            "by-lane" => shape.cap_per_class = r.flag(node),
+            "cold-for" => shape.slow_start_duration = r.span(node, Duration::ZERO),
+            _ => shape.key_affinity = r.flag(node),
         }
     }
     shape
@@ -337,7 +340,7 @@
             _ => {
                 r.arguments(node, 0, &["delivery", "out-gib", "in-gib"]);
                 link.price = Price {
-                    delivery: r.property(node, "delivery", 0.0, MONEY_MOST),
+                    attempt: r.property(node, "delivery", 0.0, MONEY_MOST),
                     out_gib: r.property(node, "out-gib", 0.0, MONEY_MOST),
                     in_gib: r.property(node, "in-gib", 0.0, MONEY_MOST),
                 };
@@ -362,7 +365,7 @@
         .arguments(node, 1, &[])
         .into_iter()
         .find_map(|e| r.text_of(e, "budget"));
-    let (mut to, mut lane, mut part, mut window, mut limits) =
+    let (mut to, mut class, mut part, mut window, mut limits) =
         (None, None, None, WINDOW, Vec::new());
     let known = [
         "to",
@@ -378,8 +381,8 @@
         let place = r.of(node);
         match node.name().value() {
             "to" => to = r.text(node).map(|name| (place, name)),
-            "lane" => lane = r.text(node).map(|name| (place, name)),
-            "deliveries" => limits.extend(r.number(node, 0.0, COUNT_MOST).map(Limit::Deliveries)),
+            "lane" => class = r.text(node).map(|name| (place, name)),
+            "deliveries" => limits.extend(r.number(node, 0.0, COUNT_MOST).map(Limit::Attempts)),
             "bytes" => limits.extend(r.size(node).map(Limit::Bytes)),
             "money" => limits.extend(r.number(node, 0.0, MONEY_MOST).map(Limit::Money)),
             "share" => limits.extend(r.number(node, 0.0, 1.0).map(Limit::Share)),
@@ -398,7 +401,7 @@
         at,
         name: name?,
         to,
-        lane,
+        class,
         limits,
         window,
         part,
--- a/crates/config/src/instance.rs
+++ b/crates/config/src/instance.rs
@@ -1,6 +1,6 @@
 //! What one agent is told of itself and of its parties, beside the deployment's settings.
 
-use crate::{Fields, Site};
+use crate::{Fields, ServiceConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -13,12 +13,12 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub platform: Option<SocketAddr>,
-    pub sockets: usize,
-    pub memory: usize, // in bytes
-    pub site: Site,
+    pub max_sockets: usize,
+    pub memory_limit: usize, // in bytes
+    pub service: ServiceConfig,
     /// The last copy of the list and the last news, in their wires' own forms.
-    pub known: Option<Fields<'a>>,
-    pub news: Option<Fields<'a>>,
+    pub known_list: Option<Fields<'a>>,
+    pub rollout_status: Option<Fields<'a>>,
 }
 
 impl<'a> Instance<'a> {
@@ -27,12 +27,13 @@
         let seed = c.text("seed")?;
         let seed = u64::from_str_radix(seed, 16)
             .map_err(|_| "field seed: up to 16 hex digits are wanted")?;
-        let mut site =
-            Site::read(&c.inner("settings")?, seed).map_err(|f| format!("settings: {f}"))?;
+        let mut site = ServiceConfig::read(&c.inner("settings")?, seed)
+            .map_err(|f| format!("settings: {f}"))?;
         // On sockets the list is always asked for, whatever the simulator does here.
-        site.deployment.list_asked = true;
-        // Nor is there a way to ask an appliance for its load; what it tells in its answers is heard.
-        site.deployment.probes = false;
+        site.settings.list_polled = true;
+        // Nor is there a way to ask an endpoint for its load; what it tells in its answers is
+        // heard.
+        site.settings.load_probes = false;
         let limits = c
             .maybe("limits")
             .map(|l| Fields::of(l, "limits"))
@@ -47,7 +48,7 @@
             .maybe("deployer")
             .map(|d| Fields::of(d, "deployer"))
             .transpose()?;
-        let news = platform.as_ref().and_then(|p| p.maybe("news"));
+        let rollout_status = platform.as_ref().and_then(|p| p.maybe("news"));
         Ok(Instance {
             name: c
                 .maybe("name")
@@ -61,14 +62,16 @@
                 .map(|p| address(p, "address"))
                 .transpose()
                 .map_err(|e| format!("deployer: {e}"))?,
-            sockets: limit("sockets", SOCKETS)?,
-            memory: limit("memory_mb", MEMORY_MB)?.saturating_mul(1024 * 1024),
-            known: c
+            max_sockets: limit("sockets", SOCKETS)?,
+            memory_limit: limit("memory_mb", MEMORY_MB)?.saturating_mul(1024 * 1024),
+            known_list: c
                 .maybe("known")
                 .map(|k| Fields::of(k, "known"))
                 .transpose()?,
-            news: news.map(|n| Fields::of(n, "deployer.news")).transpose()?,
-            site,
+            rollout_status: rollout_status
+                .map(|n| Fields::of(n, "deployer.news"))
+                .transpose()?,
+            service: site,
         })
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,5 @@
-//! The one place where a deployment's settings are read, checked and given defaults. A fault names its key.
+//! The one place where a deployment's settings are read, checked and given defaults. A fault names
+//! its key.
 
 mod document;
 mod fields;
@@ -7,7 +8,7 @@
 mod renewal;
 mod service;
 
-pub use document::{Mistake, Place, Reader};
+pub use document::{ConfigDiagnostic, Reader, SourceLocation};
 pub use fields::{millis, span, Fields};
 pub use installation::{Door, Installation, LogForm, UNNAMED};
 pub use instance::Instance;
@@ -15,7 +16,7 @@
 pub use service::read_service;
 use std::collections::HashMap;
 use std::time::Duration;
-use tulipwall::{Customer, Deployment, Group, Lane, Repeats, Rollout};
+use tulipwall::{DeduplicationScope, Idempotency, RequestClass, RolloutPolicy, Settings, Tenant};
 
 /// Names met at the door, numbered in the order they came.
 #[derive(Default)]
@@ -47,43 +48,44 @@
 
 /// What is wrong with the settings.
 #[derive(Debug, PartialEq)]
-pub enum Fault {
+pub enum ConfigError {
     /// A key is missing or of the wrong form.
     Key(String),
     /// A name is used that the settings themselves do not define.
     Undefined(String),
 }
 
-impl From<String> for Fault {
-    fn from(what: String) -> Fault {
-        Fault::Key(what)
+impl From<String> for ConfigError {
+    fn from(what: String) -> ConfigError {
+        ConfigError::Key(what)
     }
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let (Fault::Key(what) | Fault::Undefined(what)) = self;
+        let (ConfigError::Key(what) | ConfigError::Undefined(what)) = self;
         f.write_str(what)
     }
 }
 
 /// A deployment with the names that stand for its indices, and what connections are held to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
-    pub deployment: Deployment,
+pub struct ServiceConfig {
+    pub settings: Settings,
     /// By number, with those whose names have gone.
-    pub lanes: Vec<String>,
+    pub classes: Vec<String>,
     /// By number, with those whose names have gone.
     pub zones: Vec<String>,
-    pub connect_within: Duration,
-    pub idle_most: Duration,
-    /// What a connection opened for each command would cost, in points of service; 0 where connections cost nothing.
+    pub connect_timeout: Duration,
+    pub max_idle: Duration,
+    /// What a connection opened for each request would cost, in points of service; 0 where
+    /// connections cost nothing.
     pub handshake_price: f64,
-    pub longest_expiry: Duration,
-    lane_numbers: HashMap<String, usize>,
-    customer_numbers: HashMap<String, usize>,
-    zone_numbers: HashMap<String, usize>,
-    over: Vec<usize>, // lanes in which only commands in hand count
+    pub longest_timeout: Duration,
+    class_indices: HashMap<String, usize>,
+    tenant_indices: HashMap<String, usize>,
+    zone_indices: HashMap<String, usize>,
+    retired_classes: Vec<usize>, // classes in which only requests in hand count
 }
 
 /// The names of a list of settings by number; a name that stands there twice is at fault.
@@ -101,39 +103,40 @@
     Ok(numbers)
 }
 
-impl Site {
-    pub fn read(s: &Fields, seed: u64) -> Result<Site, Fault> {
+impl ServiceConfig {
+    pub fn read(s: &Fields, seed: u64) -> Result<ServiceConfig, ConfigError> {
         let zones = names(s.array("zones")?)?;
         let zone_numbers = numbers("zones", "zone", zones.iter().map(String::as_str))?;
         let zone = s.text("zone")?;
         let Some(zone) = zone_numbers.get(zone).copied() else {
-            return Err(Fault::Undefined(format!("unknown zone '{zone}'")));
+            return Err(ConfigError::Undefined(format!("unknown zone '{zone}'")));
         };
-        let (mut lanes, mut lane_names, mut longest_expiry) =
+        let (mut classes, mut class_names, mut longest_expiry) =
             (Vec::new(), Vec::new(), Duration::ZERO);
         for class in s.array("classes")? {
             let c = Fields::of(class, "classes")?;
-            lane_names.push(c.text("name")?.to_owned());
+            class_names.push(c.text("name")?.to_owned());
             longest_expiry = longest_expiry.max(c.span_or("give-up-ms", 0.0)?);
-            let repeats = match c.text("idempotency")? {
-                "repeatable" => Repeats::Idempotent,
-                "once" => Repeats::Unrepeatable,
-                "by_key" => Repeats::Deduplicated {
-                    group: group(&c)?,
+            let idempotency = match c.text("idempotency")? {
+                "repeatable" => Idempotency::Idempotent,
+                "once" => Idempotency::NonIdempotent,
+                "by_key" => Idempotency::Keyed {
+                    scope: group(&c)?,
                     window: c.span("window-ms")?,
                 },
                 other => return Err(format!("field idempotency: unknown value '{other}'").into()),
             };
-            lanes.push(Lane {
-                quoted: c.span("aim-ms")?,
-                benefit: c.number_or("points", 1.0)?,
-                repeats,
+            classes.push(RequestClass {
+                latency_objective: c.span("aim-ms")?,
+                priority_weight: c.number_or("points", 1.0)?,
+                idempotency,
             });
         }
-        let lane_numbers = numbers("classes", "class", lane_names.iter().map(String::as_str))?;
-        let tenants = s.array_or_none("tenants")?;
-        let (mut customers, mut customer_names) = (Vec::with_capacity(tenants.len()), Vec::new());
-        for tenant in tenants {
+        let class_indices = numbers("classes", "class", class_names.iter().map(String::as_str))?;
+        let tenant_fields = s.array_or_none("tenants")?;
+        let mut tenants = Vec::with_capacity(tenant_fields.len());
+        let mut tenant_names = Vec::new();
+        for tenant in tenant_fields {
             let t = Fields::of(tenant, "tenants")?;
             let (name, share) = (t.text("name")?, t.number_or("share", 1.0)?);
             if !(0.0..=1.0).contains(&share) {
@@ -141,10 +144,10 @@
                     format!("field share: tenant '{name}': a share from 0 to 1 is wanted").into(),
                 );
             }
-            customer_names.push(name);
-            customers.push(Customer { share });
+            tenant_names.push(name);
+            tenants.push(Tenant { share });
         }
-        let customer_numbers = numbers("tenants", "tenant", customer_names.into_iter())?;
+        let tenant_indices = numbers("tenants", "tenant", tenant_names.into_iter())?;
         let (limits, rules, prices) = (s.inner("limits")?, s.inner("rules")?, s.inner("prices")?);
         let domain = s.inner("domain")?;
         let mut caps = Vec::new();
@@ -155,90 +158,90 @@
             );
         }
         check(s, &domain, &rules, caps.len())?;
-        let come_back = limits
+        let retry_after = limits
             .flag("retry-after")?
             .then_some(limits.span_or("max-retry-after-ms", 0.0)?);
-        let deployment = Deployment {
+        let settings = Settings {
             seed,
             agents: s.whole_or("instances", 1)? as u32,
             zone,
-            lanes,
-            customers,
-            benefit_by_work: s.maybe("value-by").and_then(Value::as_str) == Some("work"),
-            list_asked: s.text("discovery")? == "ask",
-            list_shared: s.text("discovery")? == "ask",
-            ask_within: rules.span_or("must-ask-in-ms", 10_000.0)?,
-            second_copies: limits.flag("second-copies")?,
-            withdraw: limits.flag("cancel")?,
-            come_back,
-            deliveries: limits.whole_or("try-limit", 1)? as usize,
-            crossing_price: prices.number_or("cross-zone", 0.0)?,
-            cold_share: rules.number_or("cold-share", 0.1)?,
-            cold_for: rules.span_or("cold-ms", 10_000.0)?,
-            fall_for: rules.span_or("fall-ms", 2_000.0)?,
-            fall_multiple: rules.number_or("fall-multiple", 2.0)?,
-            probes: limits.flag("probes")?,
-            warm_keys: domain.flag("warm-keys")?,
-            tick: s.span_or("granularity-ms", 1.0)?,
-            rollout: Rollout {
+            classes,
+            tenants,
+            weight_by_work: s.maybe("value-by").and_then(Value::as_str) == Some("work"),
+            list_polled: s.text("discovery")? == "ask",
+            shared_discovery: s.text("discovery")? == "ask",
+            max_poll_interval: rules.span_or("must-ask-in-ms", 10_000.0)?,
+            hedging: limits.flag("second-copies")?,
+            cancellation: limits.flag("cancel")?,
+            retry_after,
+            max_attempts: limits.whole_or("try-limit", 1)? as usize,
+            cross_zone_price: prices.number_or("cross-zone", 0.0)?,
+            slow_start_share: rules.number_or("cold-share", 0.1)?,
+            slow_start_duration: rules.span_or("cold-ms", 10_000.0)?,
+            overload_window: rules.span_or("fall-ms", 2_000.0)?,
+            overload_factor: rules.number_or("fall-multiple", 2.0)?,
+            load_probes: limits.flag("probes")?,
+            key_affinity: domain.flag("warm-keys")?,
+            timer_granularity: s.span_or("granularity-ms", 1.0)?,
+            rollout: RolloutPolicy {
                 caps,
-                free: domain.number_or("spare-tries", 0.0)?,
-                by_lane: domain.text("cap-scope")? == "class",
+                exposure_burst: domain.number_or("spare-tries", 0.0)?,
+                cap_per_class: domain.text("cap-scope")? == "class",
                 guarded_stages: domain.whole_or("closed-stages", 0)? as usize,
-                one_way: domain.flag("no-return")?,
-                by_clock: domain.text("decided-by")? == "timer",
+                sticky_builds: domain.flag("no-return")?,
+                timed_stages: domain.text("decided-by")? == "timer",
                 in_place: domain.text("swap")? == "in_place",
-                back_votes: domain.whole_or("noes-needed", 1)? as u32,
-                tallied: domain.number_or("tally-every-ms", 0.0)? > 0.0
+                votes_to_roll_back: domain.whole_or("noes-needed", 1)? as u32,
+                platform_counts: domain.number_or("tally-every-ms", 0.0)? > 0.0
                     && domain.number_or("counted-share", 0.0)? > 0.0,
-                hold_votes: domain.whole_or("votes-to-hold", 1)? as u32,
-                vote_life: domain.span("vote-ttl-ms")?,
-                vote_wait: domain.span("vote-wait-ms")?,
-                votes_per_s: domain.number_or("api-rate", 1.0)?,
-                flagged_share: domain.number_or("reported-share", 1.0)?,
+                votes_to_hold: domain.whole_or("votes-to-hold", 1)? as u32,
+                vote_ttl: domain.span("vote-ttl-ms")?,
+                vote_timeout: domain.span("vote-wait-ms")?,
+                votes_per_second: domain.number_or("api-rate", 1.0)?,
+                reported_error_share: domain.number_or("reported-share", 1.0)?,
             },
         };
-        Ok(Site {
-            deployment,
-            lanes: lane_names,
+        Ok(ServiceConfig {
+            settings,
+            classes: class_names,
             zones,
-            connect_within: limits.span_or("dial-timeout-ms", 1000.0)?,
-            idle_most: limits.span_or("conn-idle-ms", 30_000.0)?,
+            connect_timeout: limits.span_or("dial-timeout-ms", 1000.0)?,
+            max_idle: limits.span_or("conn-idle-ms", 30_000.0)?,
             handshake_price: prices.number_or("handshake", 0.0)?,
-            longest_expiry,
-            lane_numbers,
-            customer_numbers,
-            zone_numbers,
-            over: Vec::new(),
+            longest_timeout: longest_expiry,
+            class_indices,
+            tenant_indices,
+            zone_indices: zone_numbers,
+            retired_classes: Vec::new(),
         })
     }
 
-    pub fn lane(&self, name: &str) -> Option<usize> {
-        self.lane_numbers.get(name).copied()
+    pub fn class(&self, name: &str) -> Option<usize> {
+        self.class_indices.get(name).copied()
     }
 
-    /// Whether commands of this lane have a key by which repeats are told.
-    pub fn deduplicates(&self, lane: usize) -> bool {
+    /// Whether requests of this class have a key by which repeats are told.
+    pub fn is_keyed(&self, class: usize) -> bool {
         matches!(
-            self.deployment.lanes[lane].repeats,
-            Repeats::Deduplicated { .. }
+            self.settings.classes[class].idempotency,
+            Idempotency::Keyed { .. }
         )
     }
 
-    pub fn customer(&self, name: &str) -> Option<usize> {
-        self.customer_numbers.get(name).copied()
+    pub fn tenant(&self, name: &str) -> Option<usize> {
+        self.tenant_indices.get(name).copied()
     }
 
     pub fn zone(&self, name: &str) -> Option<usize> {
-        self.zone_numbers.get(name).copied()
+        self.zone_indices.get(name).copied()
     }
 
-    /// How many lanes, customers and zones have names.
-    pub fn named(&self) -> [usize; 3] {
+    /// How many classes, tenants and zones have names.
+    pub fn named_counts(&self) -> [usize; 3] {
         [
-            self.lane_numbers.len(),
-            self.customer_numbers.len(),
-            self.zone_numbers.len(),
+            self.class_indices.len(),
+            self.tenant_indices.len(),
+            self.zone_indices.len(),
         ]
     }
 }
@@ -290,11 +293,11 @@
     Ok(())
 }
 
-fn group(c: &Fields) -> Result<Group, String> {
+fn group(c: &Fields) -> Result<DeduplicationScope, String> {
     Ok(match c.text("dedup-scope")? {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
         other => return Err(format!("field dedup-scope: unknown value '{other}'")),
     })
 }
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,17 +1,18 @@
 //! What a client of the agents sets, in KDL.
 
-use crate::document::{Mistake, Reader};
+use crate::document::{ConfigDiagnostic, Reader};
 use kdl::KdlNode;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall::{Group, Repeats};
-use tulipwall_client_policy::{Connections, InFlight, Lane, Retrying, Service};
+use tulipwall::{DeduplicationScope, Idempotency};
+use tulipwall_client_policy::{Connections, InFlight, RequestClass, Retrying, Service};
 
 const TIMES_MOST: f64 = 1e6;
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Reads the text of a client's file; all that is wrong with it otherwise, in the order of its lines.
-pub fn read_service(text: &str) -> Result<Service, Vec<Mistake>> {
+/// Reads the text of a client's file; all that is wrong with it otherwise, in the order of its
+/// lines.
+pub fn read_service(text: &str) -> Result<Service, Vec<ConfigDiagnostic>> {
     let mut r = Reader::new(text);
     let mut service = Service::new(Vec::new(), Vec::new());
     let document = r.document();
@@ -37,17 +38,17 @@
                 }
             }
             "lane" => {
-                let Some(lane) = lane(&mut r, node) else {
+                let Some(class) = class(&mut r, node) else {
                     continue;
                 };
-                if service.lane(&lane.name).is_some() {
+                if service.class(&class.name).is_some() {
                     r.wrong(
                         r.of(node),
                         "lane",
-                        format!("the name '{}' stands twice", lane.name),
+                        format!("the name '{}' stands twice", class.name),
                     );
                 }
-                service.lanes.push(lane);
+                service.classes.push(class);
             }
             "marks-retries" => service.marks_retries = r.flag(node).unwrap_or(false),
             "value-most" => {
@@ -60,7 +61,7 @@
     }
     let nothing = [
         ("agent", service.agents.is_empty()),
-        ("lane", service.lanes.is_empty()),
+        ("lane", service.classes.is_empty()),
     ];
     for (key, missing) in nothing.into_iter().filter(|_| whole) {
         if missing && !r.mistakes.iter().any(|m| m.key == key) {
@@ -74,14 +75,14 @@
     Err(r.mistakes)
 }
 
-fn lane(r: &mut Reader, node: &KdlNode) -> Option<Lane> {
+fn class(r: &mut Reader, node: &KdlNode) -> Option<RequestClass> {
     let at = r.of(node);
     let name = r
         .arguments(node, 1, &[])
         .into_iter()
         .find_map(|e| r.text_of(e, "lane"));
-    let (mut kind, mut group, mut window) = (None, Group::All, WINDOW);
-    let (mut quoted, mut benefit) = (None, 1.0);
+    let (mut kind, mut group, mut window) = (None, DeduplicationScope::All, WINDOW);
+    let (mut latency_objective, mut priority_weight) = (None, 1.0);
     for node in r.nodes(
         node.children(),
         "lane",
@@ -91,29 +92,36 @@
         match node.name().value() {
             "repeats" => kind = r.word(node, &["idempotent", "deduplicated", "unrepeatable"]),
             "group" => {
-                let groups = [Group::All, Group::Zone, Group::Cell];
+                let groups = [
+                    DeduplicationScope::All,
+                    DeduplicationScope::Zone,
+                    DeduplicationScope::Cell,
+                ];
                 group = r
                     .word(node, &["all", "zone", "cell"])
-                    .map_or(Group::All, |n| groups[n]);
+                    .map_or(DeduplicationScope::All, |n| groups[n]);
             }
             "window" => window = r.span(node, Duration::from_millis(1)).unwrap_or(WINDOW),
-            "quoted" => quoted = r.span(node, Duration::from_millis(1)),
-            _ => benefit = r.number(node, 0.0, 1e9).unwrap_or(1.0),
+            "quoted" => latency_objective = r.span(node, Duration::from_millis(1)),
+            _ => priority_weight = r.number(node, 0.0, 1e9).unwrap_or(1.0),
         }
     }
-    if (kind.is_none() || quoted.is_none()) && r.mistakes.is_empty() {
+    if (kind.is_none() || latency_objective.is_none()) && r.mistakes.is_empty() {
         r.wrong(at, "lane", "repeats and quoted are wanted in it".into());
     }
-    let repeats = match kind? {
-        0 => Repeats::Idempotent,
-        1 => Repeats::Deduplicated { group, window },
-        _ => Repeats::Unrepeatable,
+    let idempotency = match kind? {
+        0 => Idempotency::Idempotent,
+        1 => Idempotency::Keyed {
+            scope: group,
+            window,
+        },
+        _ => Idempotency::NonIdempotent,
     };
-    Some(Lane {
+    Some(RequestClass {
         name: name?,
-        repeats,
-        quoted: quoted?,
-        benefit,
+        idempotency,
+        latency_objective: latency_objective?,
+        priority_weight,
     })
 }
 
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 use std::time::Duration;
-use tulipwall_config::{Door, Fields, Installation, LogForm, Mistake, Site};
+use tulipwall_config::{ConfigDiagnostic, Door, Fields, Installation, LogForm, ServiceConfig};
 use tulipwall_zones::{Limit, Price, Routing};
 
 const GOOD: &str = r#"// A comment.
@@ -36,8 +36,8 @@
             "vote-ttl-ms": 1.0, "vote-wait-ms": 1.0}})
 }
 
-fn site() -> Site {
-    Site::read(&Fields::of(&settings(), "settings").unwrap(), 1).unwrap()
+fn site() -> ServiceConfig {
+    ServiceConfig::read(&Fields::of(&settings(), "settings").unwrap(), 1).unwrap()
 }
 
 #[test]
@@ -50,7 +50,7 @@
             &mut s[part]
         };
         of[key] = value;
-        Site::read(&Fields::of(&s, "settings").unwrap(), 1)
+        ServiceConfig::read(&Fields::of(&s, "settings").unwrap(), 1)
             .map(|_| ())
             .unwrap_err()
             .to_string()
@@ -80,7 +80,8 @@
         with("rules", "fall-multiple", json!(0.5)),
         "field fall-multiple: 1 or more is wanted"
     );
-    // At no granularity at all what is not yet sent would be asked after again and again without a pause.
+    // At no granularity at all what is not yet sent would be asked after again and again without a
+    // pause.
     for (of, key) in [
         ("", "granularity-ms"),
         ("rules", "must-ask-in-ms"),
@@ -93,9 +94,14 @@
         );
         assert!(with(of, key, json!(-5)).starts_with(&format!("field {key}:")));
     }
-    let d = site().deployment;
-    assert!(!d.warm_keys && !d.probes && !d.rollout.tallied && d.rollout.guarded_stages == 0);
-    assert_eq!((d.fall_multiple, d.rollout.back_votes), (2.0, 1));
+    let d = site().settings;
+    assert!(
+        !d.key_affinity
+            && !d.load_probes
+            && !d.rollout.platform_counts
+            && d.rollout.guarded_stages == 0
+    );
+    assert_eq!((d.overload_factor, d.rollout.votes_to_roll_back), (2.0, 1));
 }
 
 #[test]
@@ -108,11 +114,15 @@
         .unwrap()
         .unwrap();
     assert_eq!(
-        (shape.guarded_stages, shape.warm_keys, shape.free),
+        (
+            shape.guarded_stages,
+            shape.key_affinity,
+            shape.exposure_burst
+        ),
         (Some(1), Some(true), None)
     );
     assert_eq!(
-        (shape.caps, shape.cold_for),
+        (shape.caps, shape.slow_start_duration),
         (Some(vec![0.05, 0.3]), Some(Duration::from_secs(4)))
     );
     assert!(Installation::read("log \"text\"\n")
@@ -142,7 +152,7 @@
 fn mistakes(text: &str) -> Vec<String> {
     let read = Installation::read(text).and_then(|i| i.zoning(&site()));
     read.map_or_else(
-        |all: Vec<Mistake>| all.iter().map(Mistake::to_string).collect(),
+        |all: Vec<ConfigDiagnostic>| all.iter().map(ConfigDiagnostic::to_string).collect(),
         |_| Vec::new(),
     )
 }
@@ -165,7 +175,7 @@
     assert_eq!(
         z.links[1].price,
         Price {
-            delivery: 0.00001,
+            attempt: 0.00001,
             out_gib: 0.02,
             in_gib: 0.0
         }
@@ -179,7 +189,7 @@
     assert_eq!(
         budgets,
         [
-            ("all", Limit::Deliveries(1000.0), 600, 0.25),
+            ("all", Limit::Attempts(1000.0), 600, 0.25),
             ("all", Limit::Bytes(64.0 * 1024.0 * 1024.0), 600, 0.25),
             ("views", Limit::Share(0.05), 3600, 0.5),
         ],
@@ -349,15 +359,15 @@
 #[test]
 fn a_clients_file_is_read_and_all_its_mistakes_are_named() {
     let read = |text: &str| tulipwall_config::read_service(text);
-    let lane = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }\n";
+    let class = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }\n";
     let service = read(&format!(
-        "agent \"127.0.0.1:1\"\nagent \"[::1]:2\"\n{lane}retries {{ tries 2; }}\n"
+        "agent \"127.0.0.1:1\"\nagent \"[::1]:2\"\n{class}retries {{ tries 2; }}\n"
     ))
     .unwrap();
     assert_eq!(
         (
             service.agents.len(),
-            service.lanes.len(),
+            service.classes.len(),
             service.retrying.tries
         ),
         (2, 1, 2)
@@ -369,7 +379,7 @@
     let all: Vec<String> = read(wrong)
         .unwrap_err()
         .iter()
-        .map(Mistake::to_string)
+        .map(ConfigDiagnostic::to_string)
         .collect();
     for wanted in [
         "1:1: agent: 'nowhere' is no address with a port",
@@ -394,7 +404,7 @@
         "/../../deploy/client.kdl"
     ))
     .unwrap();
-    assert_eq!(read(&example).unwrap().lanes.len(), 3);
+    assert_eq!(read(&example).unwrap().classes.len(), 3);
     let zones = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/zones.kdl"
--- a/crates/config/tests/renewal.rs
+++ b/crates/config/tests/renewal.rs
@@ -4,11 +4,11 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use tulipwall::{Group, InHand, Origin, Repeats};
-use tulipwall_config::{Fields, Site};
+use tulipwall::{DeduplicationScope, Idempotency, IndexOrigin, IndicesInUse};
+use tulipwall_config::{Fields, ServiceConfig};
 
-fn class(name: &str, repeats: &str) -> Value {
-    json!({"name": name, "aim-ms": 400.0, "give-up-ms": 1500.0, "idempotency": repeats, "dedup-scope": "all",
+fn class(name: &str, idempotency: &str) -> Value {
+    json!({"name": name, "aim-ms": 400.0, "give-up-ms": 1500.0, "idempotency": idempotency, "dedup-scope": "all",
         "window-ms": 5000.0, "points": 3.0})
 }
 
@@ -24,11 +24,11 @@
             "vote-ttl-ms": 1.0, "vote-wait-ms": 1.0}})
 }
 
-fn read(settings: &Value, seed: u64) -> Result<Site, String> {
-    Site::read(&Fields::of(settings, "settings").unwrap(), seed).map_err(|f| f.to_string())
+fn read(settings: &Value, seed: u64) -> Result<ServiceConfig, String> {
+    ServiceConfig::read(&Fields::of(settings, "settings").unwrap(), seed).map_err(|f| f.to_string())
 }
 
-fn site(zones: &[&str], classes: &[(&str, &str)], tenants: &[(&str, f64)]) -> Site {
+fn site(zones: &[&str], classes: &[(&str, &str)], tenants: &[(&str, f64)]) -> ServiceConfig {
     read(&settings(zones, classes, tenants), 7).unwrap()
 }
 
@@ -46,13 +46,13 @@
         &[("pay", "once"), ("send", "by_key"), ("view", "repeatable")],
         &[("c", 0.3), ("b", 0.25), ("a", 0.1)],
     );
-    let (site, by) = new.after(&old, &InHand::default());
+    let (site, by) = new.renumbered_after(&old, &IndicesInUse::default());
     assert_eq!(
-        (site.lane("view"), site.lane("send"), site.lane("pay")),
+        (site.class("view"), site.class("send"), site.class("pay")),
         (Some(0), Some(1), Some(2))
     );
     assert_eq!(
-        (site.customer("a"), site.customer("b"), site.customer("c")),
+        (site.tenant("a"), site.tenant("b"), site.tenant("c")),
         (Some(0), Some(1), Some(2))
     );
     assert_eq!(
@@ -60,18 +60,26 @@
         (Some(0), Some(1), Some(2))
     );
     assert_eq!(
-        (site.deployment.zone, site.deployment.seed),
+        (site.settings.zone, site.settings.seed),
         (0, 7),
         "its own, by name"
     );
-    assert_eq!(by.lanes, [Origin::Same, Origin::Same, Origin::New]);
-    assert_eq!(site.lanes, ["view", "send", "pay"]);
-    assert_eq!(site.deployment.lanes[2].repeats, Repeats::Unrepeatable);
-    let shares: Vec<f64> = site.deployment.customers.iter().map(|c| c.share).collect();
+    assert_eq!(
+        by.classes,
+        [IndexOrigin::Same, IndexOrigin::Same, IndexOrigin::New]
+    );
+    assert_eq!(site.classes, ["view", "send", "pay"]);
+    assert_eq!(
+        site.settings.classes[2].idempotency,
+        Idempotency::NonIdempotent
+    );
+    let shares: Vec<f64> = site.settings.tenants.iter().map(|c| c.share).collect();
     assert_eq!(shares, [0.1, 0.25, 0.3]);
-    let (again, by) = site.clone().after(&site, &InHand::default());
+    let (again, by) = site
+        .clone()
+        .renumbered_after(&site, &IndicesInUse::default());
     assert!(
-        again == site && again.is(&site, &by) && by.lanes.iter().all(|o| *o == Origin::Same),
+        again == site && again.is(&site, &by) && by.classes.iter().all(|o| *o == IndexOrigin::Same),
         "the same again is the same"
     );
 }
@@ -80,49 +88,75 @@
 fn other_rules_of_repeats_give_a_new_number_only_while_commands_are_in_hand() {
     let old = site(&["a"], &[("view", "repeatable"), ("send", "by_key")], &[]);
     let once = || site(&["a"], &[("view", "once"), ("send", "by_key")], &[]);
-    let (free, by) = once().after(&old, &InHand::default());
-    assert_eq!((free.lane("view"), by.lanes[0]), (Some(0), Origin::Same));
-    assert_eq!(free.deployment.lanes[0].repeats, Repeats::Unrepeatable);
-    let held = InHand {
-        lanes: BTreeSet::from([0]),
-        ..InHand::default()
+    let (free, by) = once().renumbered_after(&old, &IndicesInUse::default());
+    assert_eq!(
+        (free.class("view"), by.classes[0]),
+        (Some(0), IndexOrigin::Same)
+    );
+    assert_eq!(
+        free.settings.classes[0].idempotency,
+        Idempotency::NonIdempotent
+    );
+    let held = IndicesInUse {
+        classes: BTreeSet::from([0]),
+        ..IndicesInUse::default()
     };
-    let (kept, by) = once().after(&old, &held);
-    assert_eq!(kept.lane("view"), Some(2));
-    assert_eq!(by.lanes, [Origin::Over, Origin::Same, Origin::Was(0)]);
+    let (kept, by) = once().renumbered_after(&old, &held);
+    assert_eq!(kept.class("view"), Some(2));
     assert_eq!(
-        kept.deployment.lanes[0].repeats,
-        Repeats::Idempotent,
+        by.classes,
+        [
+            IndexOrigin::Retired,
+            IndexOrigin::Same,
+            IndexOrigin::MovedFrom(0)
+        ]
+    );
+    assert_eq!(
+        kept.settings.classes[0].idempotency,
+        Idempotency::Idempotent,
         "for those in hand"
     );
-    assert_eq!(kept.deployment.lanes[2].repeats, Repeats::Unrepeatable);
-    assert!(kept.lingers() && !kept.outlives(&held) && kept.outlives(&InHand::default()));
-    let (after, by) = kept.clone().after(&kept, &InHand::default());
-    assert_eq!((after.lane("view"), by.lanes[0]), (Some(2), Origin::Free));
-    assert!(!after.lingers());
+    assert_eq!(
+        kept.settings.classes[2].idempotency,
+        Idempotency::NonIdempotent
+    );
+    assert!(
+        kept.has_retired_indices() && !kept.covers(&held) && kept.covers(&IndicesInUse::default())
+    );
+    let (after, by) = kept
+        .clone()
+        .renumbered_after(&kept, &IndicesInUse::default());
+    assert_eq!(
+        (after.class("view"), by.classes[0]),
+        (Some(2), IndexOrigin::Unused)
+    );
+    assert!(!after.has_retired_indices());
     // The number is given anew, and an earlier window or group counts as another rule.
     let more = site(
         &["a"],
         &[("view", "once"), ("send", "by_key"), ("new", "repeatable")],
         &[],
     );
-    let (more, by) = more.after(&after, &InHand::default());
-    assert_eq!((more.lane("new"), by.lanes[0]), (Some(0), Origin::New));
+    let (more, by) = more.renumbered_after(&after, &IndicesInUse::default());
+    assert_eq!(
+        (more.class("new"), by.classes[0]),
+        (Some(0), IndexOrigin::New)
+    );
     let mut other = settings(&["a"], &[("view", "once"), ("send", "by_key")], &[]);
     other["classes"][1]["window-ms"] = 900.into();
-    let held = InHand {
-        lanes: BTreeSet::from([1]),
-        ..InHand::default()
+    let held = IndicesInUse {
+        classes: BTreeSet::from([1]),
+        ..IndicesInUse::default()
     };
-    let (other, _) = read(&other, 7).unwrap().after(&more, &held);
+    let (other, _) = read(&other, 7).unwrap().renumbered_after(&more, &held);
     let window = Duration::from_millis(900);
-    let rule = Repeats::Deduplicated {
-        group: Group::All,
+    let rule = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window,
     };
-    assert_ne!(other.lane("send"), Some(1));
+    assert_ne!(other.class("send"), Some(1));
     assert_eq!(
-        other.deployment.lanes[other.lane("send").unwrap()].repeats,
+        other.settings.classes[other.class("send").unwrap()].idempotency,
         rule
     );
 }
@@ -134,31 +168,35 @@
         &[("view", "repeatable"), ("send", "by_key")],
         &[("t", 0.1), ("u", 0.1)],
     );
-    let held = InHand {
-        lanes: [1].into(),
-        customers: [0].into(),
+    let held = IndicesInUse {
+        classes: [1].into(),
+        tenants: [0].into(),
         zones: [0].into(),
     };
-    let (gone, by) = site(&["b"], &ONE, &[("u", 0.1)]).after(&old, &held);
+    let (gone, by) = site(&["b"], &ONE, &[("u", 0.1)]).renumbered_after(&old, &held);
     assert_eq!(
-        (gone.lane("send"), gone.customer("t"), gone.zone("a")),
+        (gone.class("send"), gone.tenant("t"), gone.zone("a")),
         (None, None, None)
     );
-    assert_eq!((by.lanes[1], by.customers[0]), (Origin::Over, Origin::Over));
-    assert_eq!((gone.deployment.lanes.len(), gone.deployment.zone), (2, 1));
+    assert_eq!(
+        (by.classes[1], by.tenants[0]),
+        (IndexOrigin::Retired, IndexOrigin::Retired)
+    );
+    assert_eq!((gone.settings.classes.len(), gone.settings.zone), (2, 1));
     let (next, _) = site(
         &["b", "c"],
         &[("view", "repeatable"), ("x", "once")],
         &[("u", 0.1), ("v", 0.1)],
     )
-    .after(&gone, &held);
+    .renumbered_after(&gone, &held);
     assert_eq!(
-        (next.lane("x"), next.customer("v"), next.zone("c")),
+        (next.class("x"), next.tenant("v"), next.zone("c")),
         (Some(2), Some(2), Some(2))
     );
-    let (last, _) = site(&["b", "c"], &ONE, &[("u", 0.1)]).after(&next, &InHand::default());
+    let (last, _) =
+        site(&["b", "c"], &ONE, &[("u", 0.1)]).renumbered_after(&next, &IndicesInUse::default());
     assert_eq!(
-        (last.deployment.lanes.len(), last.deployment.customers.len()),
+        (last.settings.classes.len(), last.settings.tenants.len()),
         (1, 2)
     );
 }
@@ -176,7 +214,9 @@
     let is = |change: &dyn Fn(&mut Value)| {
         let mut s = of();
         change(&mut s);
-        let (site, by) = read(&s, 99).unwrap().after(&old, &InHand::default());
+        let (site, by) = read(&s, 99)
+            .unwrap()
+            .renumbered_after(&old, &IndicesInUse::default());
         assert_eq!(site.is(&old, &by), site == old);
         site.is(&old, &by)
     };
@@ -203,20 +243,22 @@
     assert!(!is(&|s| s["domain"]["most-shares"] = json!([0.5])));
 }
 
-/// A delivery that is out to a zone without a name must not be taken for one to a zone that gets its number.
+/// An attempt that is out to a zone without a name must not be taken for one to a zone that gets
+/// its number.
 #[test]
 fn the_number_behind_all_names_is_nobodys_while_it_is_in_hand() {
     let old = site(&["a"], &ONE, &[]);
-    let held = InHand {
+    let held = IndicesInUse {
         zones: [1].into(),
-        ..InHand::default()
+        ..IndicesInUse::default()
     };
-    let (kept, _) = site(&["a", "b"], &ONE, &[]).after(&old, &held);
+    let (kept, _) = site(&["a", "b"], &ONE, &[]).renumbered_after(&old, &held);
     assert_eq!(
         (kept.zone("a"), kept.zone("b"), kept.zones.len()),
         (Some(0), Some(2), 3)
     );
-    let (after, _) = site(&["a", "b", "c"], &ONE, &[]).after(&kept, &InHand::default());
+    let (after, _) =
+        site(&["a", "b", "c"], &ONE, &[]).renumbered_after(&kept, &IndicesInUse::default());
     assert_eq!((after.zone("b"), after.zone("c")), (Some(2), Some(1)));
 }
 
@@ -226,42 +268,47 @@
     let mut now = site(&["z0"], &[("l0", "once")], &[]);
     let kinds = ["repeatable", "by_key", "once"];
     for n in 1..10_000usize {
-        let lanes: Vec<String> = (n..n + 1 + n % 5)
+        let classes: Vec<String> = (n..n + 1 + n % 5)
             .map(|l| format!("l{}", l % 977))
             .collect();
         let tenants: Vec<String> = (n * 3..n * 3 + n % 7).map(|t| format!("t{t}")).collect();
         let zones: Vec<String> = (n / 3..n / 3 + 2).map(|z| format!("z{z}")).collect();
-        let classes: Vec<_> = lanes
+        let classes: Vec<_> = classes
             .iter()
             .enumerate()
             .map(|(i, l)| (l.as_str(), kinds[(n + i) % 3]))
             .collect();
         let tenants: Vec<_> = tenants.iter().map(|t| (t.as_str(), 0.1)).collect();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
-        // Commands in hand count in what was in force a moment ago.
-        let lane = now.lane(&now.lanes[n % now.lanes.len()]);
-        let held = InHand {
-            lanes: lane.into_iter().collect(),
-            ..InHand::default()
+        // Requests in hand count in what was in force a moment ago.
+        let class = now.class(&now.classes[n % now.classes.len()]);
+        let held = IndicesInUse {
+            classes: class.into_iter().collect(),
+            ..IndicesInUse::default()
         };
-        now = site(&zones, &classes, &tenants).after(&now, &held).0;
-        let (lanes, zones) = (now.deployment.lanes.len(), now.zones.len());
+        now = site(&zones, &classes, &tenants)
+            .renumbered_after(&now, &held)
+            .0;
+        let (classes, zones) = (now.settings.classes.len(), now.zones.len());
         assert!(
-            lanes <= 12 && zones <= 4 && now.deployment.customers.len() <= 14,
-            "{n}: {lanes} {zones}"
+            classes <= 12 && zones <= 4 && now.settings.tenants.len() <= 14,
+            "{n}: {classes} {zones}"
+        );
+        assert_eq!(
+            (now.classes.len(), now.named_counts()[0]),
+            (classes, 1 + n % 5)
         );
-        assert_eq!((now.lanes.len(), now.named()[0]), (lanes, 1 + n % 5));
     }
 }
 
-/// Whatever changes, and whatever is in hand: each name has one number and its own figures, none of them is a
-/// number in hand that was another's, and what is in hand keeps its rules.
+/// Whatever changes, and whatever is in hand: each name has one number and its own figures, none of
+/// them is a number in hand that was another's, and what is in hand keeps its rules.
 #[test]
 fn no_command_in_hand_ever_sees_another_rule_or_another_name_under_its_number() {
     fn holds(seeds: Vec<(u8, u8, u8)>) -> bool {
         let kinds = ["repeatable", "by_key", "once"];
         let mut now = site(&["z"], &[("l0", "once")], &[]);
-        let mut held: BTreeMap<usize, (Repeats, u8)> = BTreeMap::new(); // rules, and how long still
+        let mut held: BTreeMap<usize, (Idempotency, u8)> = BTreeMap::new(); // rules, and how long still
         for (bits, kind, hold) in seeds {
             let names: Vec<String> = (0..8)
                 .filter(|b| bits >> b & 1 == 1)
@@ -271,29 +318,31 @@
                 kinds[(usize::from(kind) + n.len() + usize::from(n.as_bytes()[1])) % 3]
             };
             let classes: Vec<_> = names.iter().map(|n| (n.as_str(), rule(n))).collect();
-            let in_hand = InHand {
-                lanes: held.keys().copied().collect(),
-                ..InHand::default()
+            let indices_in_use = IndicesInUse {
+                classes: held.keys().copied().collect(),
+                ..IndicesInUse::default()
             };
-            now = site(&["z"], &classes, &[]).after(&now, &in_hand).0;
+            now = site(&["z"], &classes, &[])
+                .renumbered_after(&now, &indices_in_use)
+                .0;
             for (name, rule) in &classes {
-                let Some(n) = now.lane(name) else {
+                let Some(n) = now.class(name) else {
                     return false;
                 };
-                let wanted = site(&["z"], &[("x", rule)], &[]).deployment.lanes[0].repeats;
-                if now.deployment.lanes[n].repeats != wanted || now.lanes[n] != *name {
+                let wanted = site(&["z"], &[("x", rule)], &[]).settings.classes[0].idempotency;
+                if now.settings.classes[n].idempotency != wanted || now.classes[n] != *name {
                     return false;
                 }
             }
             if held
                 .iter()
-                .any(|(n, (repeats, _))| now.deployment.lanes[*n].repeats != *repeats)
+                .any(|(n, (idempotency, _))| now.settings.classes[*n].idempotency != *idempotency)
             {
                 return false;
             }
             held.retain(|_, (_, left)| std::mem::replace(left, left.saturating_sub(1)) > 0);
-            if let Some(n) = names.first().and_then(|n| now.lane(n)) {
-                held.insert(n, (now.deployment.lanes[n].repeats, hold % 6));
+            if let Some(n) = names.first().and_then(|n| now.class(n)) {
+                held.insert(n, (now.settings.classes[n].idempotency, hold % 6));
             }
         }
         true
--- a/crates/discovery/src/clock.rs
+++ b/crates/discovery/src/clock.rs
@@ -21,7 +21,8 @@
         }
     }
 
-    /// A clock whose zero for wall times is told: for simulated time, which runs from [`Clock::now`]'s first moment.
+    /// A clock whose zero for wall times is told: for simulated time, which runs from
+    /// [`Clock::now`]'s first moment.
     pub fn of_start(start_ms: u64) -> Clock {
         Clock {
             start: Instant::now(),
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -1,12 +1,12 @@
-//! The list of appliances as discovery last told it.
+//! The list of endpoints as discovery last told it.
 
 use crate::clock::Clock;
 use crate::listing::{Entry, Listing};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tulipwall::{Listed, Standing};
-use tulipwall_config::{number, Site};
+use tulipwall::{EndpointEntry, EndpointState};
+use tulipwall_config::{number, ServiceConfig};
 
 const KINDS_MOST: usize = 16;
 
@@ -16,14 +16,14 @@
     zone_name: String,
     zone: usize,
     build: u32,
-    standing: Standing,
+    standing: EndpointState,
     started_ms: Option<u64>,
     left: u64,    // the version that told that it leaves, while it does
-    held: Rc<()>, // by each delivery to it
+    held: Rc<()>, // by each attempt to it
 }
 
-/// Its numbers are given anew once their appliances are gone and the last delivery to them is over, so that
-/// no more is kept than what runs.
+/// Its numbers are given anew once their endpoints are gone and the last attempt to them is over,
+/// so that no more is kept than what runs.
 #[derive(Default)]
 pub struct List {
     numbers: HashMap<String, usize>,
@@ -32,86 +32,95 @@
     pub version: u64,
 }
 
-/// Where a delivery was decided to go: one build at one address.
+/// Where an attempt was decided to go: one build at one address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    pub appliance: usize,
+    pub endpoint: usize,
     pub address: SocketAddr,
     pub zone: usize,
     pub build: u32,
 }
 
 /// A zone that the settings do not know is nobody's own.
-fn zone(site: &Site, name: &str) -> usize {
+fn zone(site: &ServiceConfig, name: &str) -> usize {
     site.zone(name).unwrap_or(site.zones.len())
 }
 
 impl List {
-    /// Takes in what discovery told: the entries for the module, and the appliances whose connections are
-    /// of no more use. Of a spoilt list what can be read is obeyed; its version is not, so that all of it is told
-    /// again.
-    pub fn take(&mut self, told: Listing, site: &Site, clock: &Clock) -> (Vec<Listed>, Vec<usize>) {
+    /// Takes in what discovery told: the entries for the module, and the endpoints whose
+    /// connections are of no more use. Of a spoilt list what can be read is obeyed; its version is
+    /// not, so that all of it is told again.
+    pub fn take(
+        &mut self,
+        told: Listing,
+        site: &ServiceConfig,
+        clock: &Clock,
+    ) -> (Vec<EndpointEntry>, Vec<usize>) {
         if told.spoilt.is_none() {
             self.version = told.version;
         }
         let (mut listed, mut stale, mut named) = (Vec::new(), Vec::new(), BTreeSet::new());
         for e in told.entries {
             let zone = zone(site, &e.zone);
-            let Some(appliance) = self.number_for(&e, zone) else {
+            let Some(endpoint) = self.number_for(&e, zone) else {
                 continue;
             };
-            named.insert(appliance);
-            let kept = &mut self.kept[appliance];
+            named.insert(endpoint);
+            let kept = &mut self.kept[endpoint];
             let same = (kept.address, kept.zone, kept.build) == (e.address, zone, e.build);
-            // Guards against older lists, as another discovery may hold: who was told to leave goes on leaving
-            // until a newer list, or another life of the appliance, says otherwise.
+            // Guards against older lists, as another discovery may hold: who was told to leave goes
+            // on leaving until a newer list, or another life of the endpoint, says otherwise.
             let older = told.version < kept.left && same && e.started_ms <= kept.started_ms;
             let standing = match (e.standing, kept.standing) {
-                (Standing::Running, was @ (Standing::Draining | Standing::Gone)) if older => was,
+                (EndpointState::Running, was @ (EndpointState::Draining | EndpointState::Gone))
+                    if older =>
+                {
+                    was
+                }
                 (standing, _) => standing,
             };
-            if !same || standing != Standing::Running {
-                stale.push(appliance);
+            if !same || standing != EndpointState::Running {
+                stale.push(endpoint);
             }
             kept.left = match standing {
-                Standing::Running => 0,
+                EndpointState::Running => 0,
                 _ => kept.left.max(told.version),
             };
             (kept.address, kept.zone, kept.build) = (e.address, zone, e.build);
             (kept.standing, kept.started_ms, kept.zone_name) = (standing, e.started_ms, e.zone);
-            listed.push(Listed {
-                appliance,
+            listed.push(EndpointEntry {
+                endpoint,
                 zone,
                 cell: e.cell,
-                mark: number(&e.id),
-                kind: self.kind(&e.kind),
+                identity: number(&e.id),
+                endpoint_type: self.kind(&e.kind),
                 build: e.build,
-                standing,
+                state: standing,
                 started: e.started_ms.and_then(|ms| clock.of_wall(ms)),
             });
         }
         // What its entry says cannot be read: nothing goes there until it can be.
-        for appliance in told
+        for endpoint in told
             .doubtful
             .iter()
             .filter_map(|id| self.numbers.get(id).copied())
         {
-            let kept = &mut self.kept[appliance];
-            named.insert(appliance);
-            stale.push(appliance);
-            if kept.standing == Standing::Running {
-                (kept.standing, kept.left) = (Standing::Draining, told.version);
+            let kept = &mut self.kept[endpoint];
+            named.insert(endpoint);
+            stale.push(endpoint);
+            if kept.standing == EndpointState::Running {
+                (kept.standing, kept.left) = (EndpointState::Draining, told.version);
             }
             let (zone, build, standing) = (kept.zone, kept.build, kept.standing);
             let mark = number(&kept.id);
-            listed.push(Listed {
-                appliance,
+            listed.push(EndpointEntry {
+                endpoint,
                 zone,
                 cell: 0,
-                mark,
-                kind: 0,
+                identity: mark,
+                endpoint_type: 0,
                 build,
-                standing,
+                state: standing,
                 started: None,
             });
         }
@@ -119,20 +128,20 @@
             let lacking = (0..self.kept.len()).filter(|i| !named.contains(i));
             for i in lacking {
                 let kept = &mut self.kept[i];
-                (kept.standing, kept.left) = (Standing::Gone, kept.left.max(told.version));
+                (kept.standing, kept.left) = (EndpointState::Gone, kept.left.max(told.version));
                 stale.push(i);
             }
         }
         (listed, stale)
     }
 
-    /// Zones are numbered anew: the appliances whose zone has another number, with that.
-    pub fn rezone(&mut self, site: &Site) -> Vec<(usize, usize)> {
+    /// Zones are numbered anew: the endpoints whose zone has another number, with that.
+    pub fn rezone(&mut self, site: &ServiceConfig) -> Vec<(usize, usize)> {
         let mut moved = Vec::new();
-        for (appliance, kept) in self.kept.iter_mut().enumerate() {
+        for (endpoint, kept) in self.kept.iter_mut().enumerate() {
             let now = zone(site, &kept.zone_name);
             if std::mem::replace(&mut kept.zone, now) != now {
-                moved.push((appliance, now));
+                moved.push((endpoint, now));
             }
         }
         moved
@@ -154,10 +163,10 @@
         if let Some(known) = self.numbers.get(&e.id) {
             return Some(*known);
         }
-        if e.standing == Standing::Gone {
+        if e.standing == EndpointState::Gone {
             return None;
         }
-        let free = |k: &Kept| k.standing == Standing::Gone && Rc::strong_count(&k.held) == 1;
+        let free = |k: &Kept| k.standing == EndpointState::Gone && Rc::strong_count(&k.held) == 1;
         let number = self.kept.iter().position(free).unwrap_or(self.kept.len());
         let (id, address, build, standing) = (e.id.clone(), e.address, e.build, e.standing);
         let started_ms = e.started_ms;
@@ -185,12 +194,12 @@
     pub fn builds(&self) -> BTreeSet<u32> {
         self.kept
             .iter()
-            .filter(|k| k.standing != Standing::Gone)
+            .filter(|k| k.standing != EndpointState::Gone)
             .map(|k| k.build)
             .collect()
     }
 
-    /// How many appliances are kept.
+    /// How many endpoints are kept.
     pub fn len(&self) -> usize {
         self.kept.len()
     }
@@ -199,22 +208,24 @@
         self.kept.is_empty()
     }
 
-    /// Keeps this number with its appliance for as long as the result lives.
-    pub fn hold(&self, appliance: usize) -> Option<Rc<()>> {
-        self.kept.get(appliance).map(|k| k.held.clone())
+    /// Keeps this number with its endpoint for as long as the result lives.
+    pub fn hold(&self, endpoint: usize) -> Option<Rc<()>> {
+        self.kept.get(endpoint).map(|k| k.held.clone())
     }
 
     /// Something to serve from is known.
     pub fn serves(&self) -> bool {
-        self.kept.iter().any(|k| k.standing == Standing::Running)
+        self.kept
+            .iter()
+            .any(|k| k.standing == EndpointState::Running)
     }
 
     pub fn number(&self, id: &str) -> Option<usize> {
         self.numbers.get(id).copied()
     }
 
-    pub fn name(&self, appliance: usize) -> &str {
-        &self.kept[appliance].id
+    pub fn name(&self, endpoint: usize) -> &str {
+        &self.kept[endpoint].id
     }
 
     pub fn targets(&self) -> Vec<Target> {
@@ -224,13 +235,13 @@
     }
 
     /// Where to reach it now, while it runs.
-    pub fn target(&self, appliance: usize) -> Option<Target> {
+    pub fn target(&self, endpoint: usize) -> Option<Target> {
         let k = self
             .kept
-            .get(appliance)
-            .filter(|k| k.standing == Standing::Running)?;
+            .get(endpoint)
+            .filter(|k| k.standing == EndpointState::Running)?;
         Some(Target {
-            appliance,
+            endpoint,
             address: k.address,
             zone: k.zone,
             build: k.build,
--- a/crates/discovery/src/listing.rs
+++ b/crates/discovery/src/listing.rs
@@ -1,10 +1,10 @@
-//! Discovery's lists of appliances.
+//! Discovery's lists of endpoints.
 
 use serde_json::Value;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall::Standing;
+use tulipwall::EndpointState;
 use tulipwall_config::Fields;
 
 pub const LIST: &str = "/api/targets";
@@ -23,7 +23,7 @@
     /// Its kind of machine, where that is told.
     pub kind: String,
     pub build: u32,
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// The last start, in Unix time milliseconds; `None` means long ago.
     pub started_ms: Option<u64>,
 }
@@ -33,8 +33,8 @@
     pub version: u64,
     pub complete: bool,
     pub entries: Vec<Entry>,
-    /// What of it could not be read, where something could not: what could be is to be obeyed, as all of it counts
-    /// as told, and the rest to be asked for.
+    /// What of it could not be read, where something could not: what could be is to be obeyed, as
+    /// all of it counts as told, and the rest to be asked for.
     pub spoilt: Option<String>,
     /// Ids of entries that could not be read but for it.
     pub doubtful: Vec<String>,
@@ -51,8 +51,9 @@
         let (mut at, mut twice) = (HashMap::<String, usize>::new(), BTreeSet::new());
         for told in list.array("servers")? {
             match Fields::of(told, "servers").and_then(|e| entry(&e)) {
-                // Guards against two lines for one appliance that contradict each other: it may be told to leave. The
-                // newer start goes before the older one; of the same life neither line is believed. Harms one that runs.
+                // Guards against two lines for one endpoint that contradict each other: it may be
+                // told to leave. The newer start goes before the older one; of the same life
+                // neither line is believed. Harms one that runs.
                 Ok(entry) => match at.get(&entry.id).map(|i| &mut entries[*i]) {
                     Some(other) if other.started_ms == entry.started_ms => {
                         twice.extend((*other != entry).then_some(entry.id));
@@ -102,9 +103,9 @@
             .to_owned(),
         build: u32::try_from(e.whole("release")?).map_err(|_| "field release: too large")?,
         standing: match e.text("state")? {
-            "in_service" => Standing::Running,
-            "terminating" => Standing::Draining,
-            "terminated" => Standing::Gone,
+            "in_service" => EndpointState::Running,
+            "terminating" => EndpointState::Draining,
+            "terminated" => EndpointState::Gone,
             other => return Err(format!("field state: unknown value '{other}'")),
         },
         started_ms: Some(e.number("started_ms")? as u64).filter(|t| *t > 0),
--- a/crates/discovery/tests/calls.rs
+++ b/crates/discovery/tests/calls.rs
@@ -1,11 +1,11 @@
-//! Fleets whose calls for lists meet a discovery that answers so many a second and refuses the rest, in simulated time:
-//! the decisions and the watch of each agent, without sockets.
+//! Fleets whose calls for lists meet a discovery that answers so many a second and refuses the
+//! rest, in simulated time: the decisions and the watch of each agent, without sockets.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
-use tulipwall::{Answer, Choice, Command, Deployment, Listed, Standing};
-use tulipwall_config::{Fields, Site};
+use tulipwall::{Balancer, Decision, EndpointEntry, EndpointState, Request, Settings};
+use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
 use tulipwall_testkit::*;
 
@@ -15,7 +15,7 @@
 /// What is missed counts as told so long after; after SIGHUP this much later.
 const TOLD: Duration = ms(6000);
 const MOVED_TOLD: Duration = ms(4000);
-/// The time of a command; at half of it it is denied where it cannot be sent.
+/// The time of a request; at half of it it is rejected where it cannot be sent.
 const COMMAND: Duration = ms(1000);
 
 const fn ms(n: u64) -> Duration {
@@ -33,19 +33,19 @@
 }
 
 struct Agent {
-    choice: Choice,
+    choice: Balancer,
     watchdog: Watchdog,
-    vouched: Vouched,
+    list_valid_until: Vouched,
     again: Option<Duration>,
     stands: Option<Duration>, // until when its call waits
     moved: Duration,
     bound: Duration, // when what it missed counts as told
     heard: Option<Duration>,
-    sent: Option<Duration>, // the last delivery before it was heard
+    sent: Option<Duration>, // the last attempt before it was heard
     sends: bool,            // since it was heard
     open: Vec<u64>,
-    held: u64, // commands that were not sent as they came
-    denied: u64,
+    held: u64, // requests that were not sent as they came
+    rejected: u64,
     refused: bool,
 }
 
@@ -55,44 +55,45 @@
     tries: Vec<usize>, // by second
 }
 
-fn deployment(agents: u32, rate: f64, seed: u64) -> Deployment {
-    let value = program::settings(&["a"], "a", agents, &program::lanes());
-    let mut d = Site::read(&Fields::of(&value, "settings").unwrap(), seed)
+fn deployment(agents: u32, rate: f64, seed: u64) -> Settings {
+    let value = program::settings(&["a"], "a", agents, &program::classes());
+    let mut d = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), seed)
         .unwrap()
-        .deployment;
-    (d.list_asked, d.list_shared, d.ask_within) = (true, true, ms(10_000));
-    d.rollout.votes_per_s = rate;
+        .settings;
+    (d.list_polled, d.shared_discovery, d.max_poll_interval) = (true, true, ms(10_000));
+    d.rollout.votes_per_second = rate;
     d
 }
 
-fn appliance(n: usize) -> Listed {
-    let (started, standing) = (None, Standing::Running);
-    Listed {
-        appliance: n,
+fn endpoint(n: usize) -> EndpointEntry {
+    let (started, standing) = (None, EndpointState::Running);
+    EndpointEntry {
+        endpoint: n,
         zone: 0,
         cell: 0,
-        mark: n as u64,
-        kind: 0,
+        identity: n as u64,
+        endpoint_type: 0,
         build: 41,
-        standing,
+        state: standing,
         started,
     }
 }
 
-/// `agents` before a discovery that answers `bears` calls a second and refuses the rest; those of one second may come at once. The rate that the settings tell is `told`.
+/// `agents` before a discovery that answers `bears` calls a second and refuses the rest; those of
+/// one second may come at once. The rate that the settings tell is `told`.
 fn play(event: Event, agents: u32, bears: f64, told: f64, seed: u64) -> Day {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let each = |i: u32| {
         let d = deployment(agents, told, seed * 10_000 + u64::from(i));
-        let mut choice = Choice::new(BEGIN, d.clone());
-        choice.list(BEGIN, &[appliance(0), appliance(1), appliance(2)], true);
-        let (mut watchdog, mut vouched) = (Watchdog::new(&d), Vouched::new(&d, BEGIN));
+        let mut choice = Balancer::new(BEGIN, d.clone());
+        choice.update_endpoints(BEGIN, &[endpoint(0), endpoint(1), endpoint(2)], true);
+        let (mut watchdog, mut list_valid_until) = (Watchdog::new(&d), Vouched::new(&d, BEGIN));
         let (mut stands, mut moved, mut bound) = (None, BEGIN, BEGIN + TOLD);
         if event != Event::Start {
-            choice.wait(BEGIN + ms(20_000)); // its first call is behind it
+            choice.poll(BEGIN + ms(20_000)); // its first call is behind it
             watchdog.told();
             let wait = watchdog.wait(false);
-            vouched.told(BEGIN, wait);
+            list_valid_until.told(BEGIN, wait);
             stands = Some(BEGIN + wait);
             bound = BEGIN + TOLD.max(wait + ms(2000));
         }
@@ -108,7 +109,7 @@
         Agent {
             choice,
             watchdog,
-            vouched,
+            list_valid_until,
             again,
             stands,
             moved,
@@ -118,7 +119,7 @@
             sends: false,
             open: Vec::new(),
             held: 0,
-            denied: 0,
+            rejected: 0,
             refused: false,
         }
     };
@@ -130,17 +131,17 @@
         spare = (spare + bears * STEP.as_secs_f64()).min(most);
         for (i, a) in agents.iter_mut().enumerate() {
             if a.heard.is_none() {
-                let due = a.choice.wait(now).watch;
+                let due = a.choice.poll(now).open_watch;
                 if event == Event::Move && now >= a.moved && a.stands.take().is_some() {
                     // The old watch stood until then.
-                    a.vouched.told(now, ms(0));
-                    a.vouched.moved(now);
+                    a.list_valid_until.told(now, ms(0));
+                    a.list_valid_until.moved(now);
                     a.again = Some(now + a.watchdog.moved());
                 } else if event == Event::Silence
                     && a.stands.is_some_and(|t| now >= t + a.watchdog.late())
                 {
                     a.stands = None;
-                    a.vouched.ended(now, Ended::Silent);
+                    a.list_valid_until.ended(now, Ended::Silent);
                     a.again = a.watchdog.again(Ended::Silent).map(|gap| now + gap);
                 }
                 if a.stands.is_none()
@@ -148,38 +149,38 @@
                 {
                     tries[step as usize / 100] += 1;
                     a.again = None;
-                    a.vouched.begins(now);
+                    a.list_valid_until.begins(now);
                     if spare >= 1.0 {
                         spare -= 1.0;
                         a.heard = Some(now);
                         a.watchdog.told();
                         let wait = a.watchdog.wait(false);
-                        a.vouched.told(now, wait);
-                        a.choice.list(now, &[], false);
+                        a.list_valid_until.told(now, wait);
+                        a.choice.update_endpoints(now, &[], false);
                     } else {
-                        a.vouched.ended(now, Ended::Refused);
+                        a.list_valid_until.ended(now, Ended::Refused);
                         a.refused = true;
                         a.again = a.watchdog.again(Ended::Refused).map(|gap| now + gap);
                         if a.again.is_none() {
-                            a.choice.list_failed(now);
+                            a.choice.on_list_failure(now);
                         }
                     }
                 }
-                a.choice.vouched = a.vouched.until();
+                a.choice.list_valid_until = a.list_valid_until.until();
             }
             // Each asks five times a second, apart.
             if a.heard.is_none_or(|t| now < t + ms(500)) && (step as usize + i).is_multiple_of(20) {
                 let id = u64::from(step);
-                let (lane, left) = (0, COMMAND);
-                let command = Command {
-                    lane,
-                    customer: None,
+                let (class, left) = (0, COMMAND);
+                let command = Request {
+                    class,
+                    tenant: None,
                     key: None,
-                    left,
-                    work: None,
-                    again: false,
+                    time_left: left,
+                    estimated_work: None,
+                    is_retry: false,
                 };
-                a.choice.take(now, id, command);
+                a.choice.on_request(now, id, command);
                 a.open.push(id);
                 place(a, now);
                 a.held += u64::from(a.open.contains(&id));
@@ -196,24 +197,24 @@
     Day { agents, tries }
 }
 
-/// Asks what becomes of the commands that are open.
+/// Asks what becomes of the requests that are open.
 fn place(a: &mut Agent, now: Duration) {
     for id in std::mem::take(&mut a.open) {
-        match a.choice.place(now, id) {
-            Answer::Send { .. } if a.heard.is_some() => a.sends = true,
-            Answer::Send { .. } => a.sent = Some(now),
-            Answer::NotYet { .. } => {
+        match a.choice.route(now, id) {
+            Decision::Forward { .. } if a.heard.is_some() => a.sends = true,
+            Decision::Forward { .. } => a.sent = Some(now),
+            Decision::Defer { .. } => {
                 a.open.push(id);
                 continue;
             }
-            _ => a.denied += 1,
+            _ => a.rejected += 1,
         }
-        a.choice.left(id);
+        a.choice.close_request(id);
     }
 }
 
-/// Before a discovery that bears one call of each agent in `span` seconds, which is what the settings tell, or in `tight`,
-/// a tenth of that.
+/// Before a discovery that bears one call of each agent in `span` seconds, which is what the
+/// settings tell, or in `tight`, a tenth of that.
 fn borne(event: Event, span: f64, tight: f64) {
     for (agents, over) in [
         (30u32, 1.0),
@@ -222,7 +223,8 @@
         (30, 10.0),
         (300, 10.0),
     ] {
-        // Where the told rate spreads nothing the tries that follow refusals have to: those are closer then.
+        // Where the told rate spreads nothing the tries that follow refusals have to: those are
+        // closer then.
         let bears = f64::from(agents) / if over > 1.0 { tight } else { span };
         for seed in 1..9 {
             let day = play(event, agents, bears, bears * over, seed);
@@ -247,7 +249,8 @@
                 all as f64 <= f64::from(agents) * (1.05 + 0.3 * over),
                 "{of}: {all} calls"
             );
-            // Where all are heard in time nobody goes without, but starts: those send nothing before, and nothing waits for longer.
+            // Where all are heard in time nobody goes without, but starts: those send nothing
+            // before, and nothing waits for longer.
             let held = day
                 .agents
                 .iter()
@@ -261,9 +264,9 @@
                     .saturating_sub(BEGIN + COMMAND / 2)
                     .as_secs_f64();
                 assert!(
-                    a.denied as f64 <= waited * 5.0 + 1.0,
+                    a.rejected as f64 <= waited * 5.0 + 1.0,
                     "{of}: {} denied in {waited} s",
-                    a.denied
+                    a.rejected
                 );
             }
         }
@@ -285,8 +288,8 @@
     borne(Event::Silence, 8.0, 8.0);
 }
 
-/// Discovery bears far less than the settings tell: one call of each agent in 8 s, and in 30 s. Who was not heard in time
-/// sends nothing until it is heard; before that, and from then on, it does.
+/// Discovery bears far less than the settings tell: one call of each agent in 8 s, and in 30 s. Who
+/// was not heard in time sends nothing until it is heard; before that, and from then on, it does.
 #[test]
 fn who_is_refused_for_longer_than_the_bound_sends_nothing_until_it_is_heard() {
     for (event, agents, span) in [
@@ -304,7 +307,8 @@
             7,
         );
         let bound = |a: &Agent| match event {
-            // Lists that are asked for count 6 s after the move; what it heard before that is no news.
+            // Lists that are asked for count 6 s after the move; what it heard before that is no
+            // news.
             Event::Move => a.moved + TOLD,
             // What the process before it missed binds it from its first moment.
             Event::Start => BEGIN,
@@ -334,7 +338,7 @@
                 "{event:?}: sent {:?} after it counted",
                 sent - bound
             );
-            // Nobody goes without for longer than that: its commands come 0.2 s apart.
+            // Nobody goes without for longer than that: its requests come 0.2 s apart.
             let last = bound.min(heard);
             assert!(
                 sent + ms(250) >= last,
@@ -351,8 +355,9 @@
     }
 }
 
-/// A discovery that bears one call of each in 8 s, where the told rate spreads nothing: not all can be heard in time, and tries that
-/// are far apart leave what it bears unused. Counted over many fleets, as one late agent may be chance.
+/// A discovery that bears one call of each in 8 s, where the told rate spreads nothing: not all can
+/// be heard in time, and tries that are far apart leave what it bears unused. Counted over many
+/// fleets, as one late agent may be chance.
 #[test]
 fn refused_agents_try_often_enough_to_use_what_discovery_bears() {
     for agents in [30u32, 300] {
@@ -375,8 +380,9 @@
     }
 }
 
-/// Starts by a list of unknown age, which the process before may have missed any change of: 30, 300 and 770 at once, by rates that
-/// are told that spread their calls over 1, 3 and 5 s, before discoveries that bear a tenth, once and three times the rate told.
+/// Starts by a list of unknown age, which the process before may have missed any change of: 30, 300
+/// and 770 at once, by rates that are told that spread their calls over 1, 3 and 5 s, before
+/// discoveries that bear a tenth, once and three times the rate told.
 #[test]
 fn a_start_sends_nothing_by_a_list_of_unknown_age_before_discovery_was_heard() {
     for (agents, share) in [30u32, 300, 770]
@@ -398,7 +404,8 @@
                     sent.len(),
                     sent.iter().max()
                 );
-                // What discovery bears is used: the last is heard not much later than if every call had come in turn.
+                // What discovery bears is used: the last is heard not much later than if every call
+                // had come in turn.
                 let last = day
                     .agents
                     .iter()
@@ -409,7 +416,8 @@
                     last <= if times < 1.0 { need * 1.35 } else { 6.0 },
                     "{of}: the last after {last} s"
                 );
-                // A third more than are told at first, and chance; refused ones try again, a quarter of the share later at least.
+                // A third more than are told at first, and chance; refused ones try again, a
+                // quarter of the share later at least.
                 let (most, all) = (
                     *day.tries.iter().max().unwrap() as f64,
                     day.tries.iter().sum::<usize>(),
@@ -436,35 +444,44 @@
     }
 }
 
-/// Guards a start from silence for good: what a discovery holds that cannot be reached does not count.
+/// Guards a start from silence for good: what a discovery holds that cannot be reached does not
+/// count.
 #[test]
 fn a_start_whose_discovery_cannot_be_reached_serves_by_its_list_for_as_long() {
     let d = deployment(5, 1.0, 1);
     for ended in [Ended::Broken, Ended::Silent] {
-        let mut vouched = Vouched::new(&d, BEGIN);
+        let mut list_valid_until = Vouched::new(&d, BEGIN);
         assert_eq!(
-            vouched.until(),
+            list_valid_until.until(),
             Some(BEGIN),
             "nothing before its first call"
         );
         for n in 1..20 {
             // Further apart than what one call vouches for.
             let (begun, failed) = (BEGIN + ms(10_000 * n), BEGIN + ms(10_000 * n + 100));
-            vouched.begins(begun);
-            vouched.ended(failed, ended);
-            assert_eq!(vouched.until(), Some(begun + TOLD), "{ended:?}, call {n}");
+            list_valid_until.begins(begun);
+            list_valid_until.ended(failed, ended);
+            assert_eq!(
+                list_valid_until.until(),
+                Some(begun + TOLD),
+                "{ended:?}, call {n}"
+            );
         }
         // It was there: what it holds counts from then on.
-        vouched.begins(BEGIN + ms(201_000));
-        vouched.ended(BEGIN + ms(201_100), Ended::Refused);
-        assert!(vouched.until().is_some_and(|t| t <= BEGIN + ms(201_100)));
-        vouched.begins(BEGIN + ms(203_000));
-        vouched.ended(BEGIN + ms(203_100), ended);
+        list_valid_until.begins(BEGIN + ms(201_000));
+        list_valid_until.ended(BEGIN + ms(201_100), Ended::Refused);
+        assert!(list_valid_until
+            .until()
+            .is_some_and(|t| t <= BEGIN + ms(201_100)));
+        list_valid_until.begins(BEGIN + ms(203_000));
+        list_valid_until.ended(BEGIN + ms(203_100), ended);
         assert!(
-            vouched.until().is_some_and(|t| t <= BEGIN + ms(201_100)),
+            list_valid_until
+                .until()
+                .is_some_and(|t| t <= BEGIN + ms(201_100)),
             "{ended:?} after a refusal"
         );
-        vouched.told(BEGIN + ms(205_000), ms(1000));
-        assert_eq!(vouched.until(), Some(BEGIN + ms(211_000)));
+        list_valid_until.told(BEGIN + ms(205_000), ms(1000));
+        assert_eq!(list_valid_until.until(), Some(BEGIN + ms(211_000)));
     }
 }
--- a/crates/discovery/tests/large.rs
+++ b/crates/discovery/tests/large.rs
@@ -1,20 +1,21 @@
-//! Lists of the size to come, whole, spoilt and empty: what is known goes on, and what is wrong is named.
+//! Lists of the size to come, whole, spoilt and empty: what is known goes on, and what is wrong is
+//! named.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
-use tulipwall::{Answer, Choice, Command, Standing};
-use tulipwall_config::{Fields, Site};
+use tulipwall::{Balancer, Decision, EndpointState, Request};
+use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_discovery::{clock::Clock, list::List};
 use tulipwall_testkit::program;
 
-const APPLIANCES: usize = 7_700;
+const ENDPOINTS: usize = 7_700;
 
 struct Agent {
-    site: Site,
+    site: ServiceConfig,
     clock: Clock,
     list: List,
-    choice: Choice,
+    choice: Balancer,
     asked: u64,
 }
 
@@ -24,15 +25,15 @@
 }
 
 fn fleet() -> Vec<Value> {
-    (0..APPLIANCES).map(|n| entry(n, "in_service")).collect()
+    (0..ENDPOINTS).map(|n| entry(n, "in_service")).collect()
 }
 
 impl Agent {
     fn new() -> Agent {
-        let value = program::settings(&["a"], "a", 770, &program::lanes());
-        let site = Site::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
+        let value = program::settings(&["a"], "a", 770, &program::classes());
+        let site = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
         let clock = Clock::start();
-        let choice = Choice::new(clock.now(), site.deployment.clone());
+        let choice = Balancer::new(clock.now(), site.settings.clone());
         Agent {
             site,
             clock,
@@ -48,7 +49,8 @@
         let told = Listing::parse(text.as_bytes()).unwrap();
         let (complete, spoilt) = (told.complete, told.spoilt.clone());
         let (entries, _) = self.list.take(told, &self.site, &self.clock);
-        self.choice.list(self.clock.now(), &entries, complete);
+        self.choice
+            .update_endpoints(self.clock.now(), &entries, complete);
         spoilt
     }
 
@@ -56,25 +58,25 @@
         self.list.targets().len()
     }
 
-    /// What a command that comes now is told at once.
-    fn ask(&mut self) -> Answer {
+    /// What a request that comes now is told at once.
+    fn ask(&mut self) -> Decision {
         let (now, id) = (self.clock.now(), self.asked);
         self.asked += 1;
         let left = Duration::from_secs(1);
-        self.choice.take(
+        self.choice.on_request(
             now,
             id,
-            Command {
-                lane: 0,
-                customer: None,
+            Request {
+                class: 0,
+                tenant: None,
                 key: None,
-                left,
-                work: None,
-                again: false,
+                time_left: left,
+                estimated_work: None,
+                is_retry: false,
             },
         );
-        let answer = self.choice.place(now, id);
-        self.choice.left(id);
+        let answer = self.choice.route(now, id);
+        self.choice.close_request(id);
         answer
     }
 }
@@ -85,14 +87,15 @@
     assert_eq!(agent.told(1, true, &fleet()), None);
     assert_eq!(
         (agent.serving(), agent.list.len(), agent.list.version),
-        (APPLIANCES, APPLIANCES, 1)
+        (ENDPOINTS, ENDPOINTS, 1)
     );
     assert_eq!(
         agent.list.name(agent.list.number("s-00001e13").unwrap()),
         "s-00001e13"
     );
-    assert!(matches!(agent.ask(), Answer::Send { .. }));
-    // Far above what it takes: against a walk of the whole list for each entry of it, which took seconds.
+    assert!(matches!(agent.ask(), Decision::Forward { .. }));
+    // Far above what it takes: against a walk of the whole list for each entry of it, which took
+    // seconds.
     assert!(
         begun.elapsed() < Duration::from_secs(20),
         "{:?}",
@@ -100,7 +103,7 @@
     );
 }
 
-/// Guards the rule on drains: of two lines for one appliance only one can be true.
+/// Guards the rule on drains: of two lines for one endpoint only one can be true.
 #[test]
 fn an_appliance_that_stands_twice_and_differently_rests_and_is_named_and_the_others_go_on() {
     let mut agent = Agent::new();
@@ -117,21 +120,21 @@
         let mut other = entry(17, "in_service");
         other[key] = value;
         // Before and after the line that it contradicts.
-        servers.insert(if nth % 2 == 0 { 0 } else { APPLIANCES }, other);
+        servers.insert(if nth % 2 == 0 { 0 } else { ENDPOINTS }, other);
         let version = 2 + 2 * nth as u64;
         let what = agent.told(version, true, &servers).expect("it is named");
         assert!(
             what.contains("s-00000011") && what.contains("twice"),
             "{what}"
         );
-        assert_eq!(agent.serving(), APPLIANCES - 1);
+        assert_eq!(agent.serving(), ENDPOINTS - 1);
         assert_eq!(
             agent.list.target(agent.list.number("s-00000011").unwrap()),
             None
         );
         assert_eq!(agent.list.version, version - 1, "it is asked for anew");
         assert_eq!(agent.told(version + 1, true, &fleet()), None);
-        assert_eq!(agent.serving(), APPLIANCES);
+        assert_eq!(agent.serving(), ENDPOINTS);
     }
 }
 
@@ -141,10 +144,7 @@
     let mut servers = fleet();
     servers.extend(fleet().into_iter().take(500));
     assert_eq!(agent.told(1, true, &servers), None);
-    assert_eq!(
-        (agent.serving(), agent.list.len()),
-        (APPLIANCES, APPLIANCES)
-    );
+    assert_eq!((agent.serving(), agent.list.len()), (ENDPOINTS, ENDPOINTS));
 }
 
 #[test]
@@ -159,13 +159,14 @@
     servers[1] = entry(1, "terminating");
     let what = agent.told(2, true, &servers).expect("it is named");
     assert!(what.contains("asleep"), "{what}");
-    assert_eq!(agent.serving(), APPLIANCES - APPLIANCES / 10 - 1);
+    assert_eq!(agent.serving(), ENDPOINTS - ENDPOINTS / 10 - 1);
     assert_eq!(agent.list.version, 1);
     assert_eq!(agent.told(3, true, &fleet()), None);
-    assert_eq!(agent.serving(), APPLIANCES);
+    assert_eq!(agent.serving(), ENDPOINTS);
 }
 
-/// What a whole list lacks is gone, by the rules, also where it lacks all. Numbers and what was learnt come back with them.
+/// What a whole list lacks is gone, by the rules, also where it lacks all. Numbers and what was
+/// learnt come back with them.
 #[test]
 fn after_a_list_without_appliances_nothing_is_sent_until_they_are_told_again() {
     let mut agent = Agent::new();
@@ -174,18 +175,18 @@
     assert_eq!(agent.told(2, true, &[]), None);
     assert_eq!((agent.serving(), agent.list.serves()), (0, false));
     for _ in 0..100 {
-        assert!(!matches!(agent.ask(), Answer::Send { .. }));
+        assert!(!matches!(agent.ask(), Decision::Forward { .. }));
     }
-    assert_eq!(agent.told(3, true, &fleet()[..APPLIANCES / 2]), None);
-    assert_eq!(agent.serving(), APPLIANCES / 2);
+    assert_eq!(agent.told(3, true, &fleet()[..ENDPOINTS / 2]), None);
+    assert_eq!(agent.serving(), ENDPOINTS / 2);
     assert_eq!(agent.told(4, true, &fleet()), None);
     assert_eq!(
         (agent.serving(), agent.list.len()),
-        (APPLIANCES, APPLIANCES),
+        (ENDPOINTS, ENDPOINTS),
         "nothing is kept twice"
     );
     assert_eq!(agent.list.number("s-00000100"), Some(number));
-    assert!(matches!(agent.ask(), Answer::Send { .. }));
+    assert!(matches!(agent.ask(), Decision::Forward { .. }));
 }
 
 /// Guards against lists that name others at each version: what is kept follows what runs.
@@ -199,7 +200,7 @@
             e["id"] = json!(format!("r{version}-{n}"));
             e
         };
-        let servers: Vec<Value> = (0..APPLIANCES)
+        let servers: Vec<Value> = (0..ENDPOINTS)
             .map(|n| {
                 if n % 7 == 0 {
                     renamed(n)
@@ -209,9 +210,9 @@
             })
             .collect();
         assert_eq!(agent.told(version, true, &servers), None);
-        assert_eq!(agent.serving(), APPLIANCES);
+        assert_eq!(agent.serving(), ENDPOINTS);
         assert!(
-            agent.list.len() <= APPLIANCES + 2 * (APPLIANCES / 7 + 1),
+            agent.list.len() <= ENDPOINTS + 2 * (ENDPOINTS / 7 + 1),
             "{}",
             agent.list.len()
         );
@@ -220,11 +221,11 @@
     let standing = |n: usize| agent.list.target(n).is_some();
     assert_eq!(
         (0..agent.list.len()).filter(|n| standing(*n)).count(),
-        APPLIANCES
+        ENDPOINTS
     );
     assert_eq!(
-        Standing::default(),
-        Standing::Gone,
+        EndpointState::default(),
+        EndpointState::Gone,
         "a number without an appliance counts as gone"
     );
 }
