--- a/crates/discovery/tests/lists.rs
+++ b/crates/discovery/tests/lists.rs
@@ -1,17 +1,18 @@
-//! What lists say of who leaves, as the list and the module take it, and when discovery is called: without sockets.
+//! What lists say of who leaves, as the list and the module take it, and when discovery is called:
+//! without sockets.
 
 use serde_json::{json, Value};
 use std::time::Duration;
-use tulipwall::{Answer, Choice, Command};
-use tulipwall_config::{Fields, Site};
+use tulipwall::{Balancer, Decision, Request};
+use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
 use tulipwall_discovery::{clock::Clock, list::List};
 use tulipwall_testkit::*;
 
-fn site(agents: u32) -> Site {
-    let value = program::settings(&["a"], "a", agents, &program::lanes());
-    Site::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap()
+fn site(agents: u32) -> ServiceConfig {
+    let value = program::settings(&["a"], "a", agents, &program::classes());
+    ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap()
 }
 
 fn entry(id: &str, state: &str, port: u16, build: u32) -> Value {
@@ -21,16 +22,16 @@
 
 /// The list and the module beside it, which must agree on who may be sent to.
 struct Both {
-    site: Site,
+    site: ServiceConfig,
     clock: Clock,
     list: List,
-    choice: Choice,
+    choice: Balancer,
 }
 
 impl Both {
     fn new() -> Both {
         let (site, clock) = (site(1), Clock::start());
-        let choice = Choice::new(clock.now(), site.deployment.clone());
+        let choice = Balancer::new(clock.now(), site.settings.clone());
         Both {
             site,
             clock,
@@ -44,43 +45,45 @@
         let told = Listing::parse(serde_json::to_string_pretty(&told).unwrap().as_bytes()).unwrap();
         let complete = told.complete;
         let (entries, _) = self.list.take(told, &self.site, &self.clock);
-        self.choice.list(self.clock.now(), &entries, complete);
+        self.choice
+            .update_endpoints(self.clock.now(), &entries, complete);
     }
 
-    /// Ids that the list would send to, after the module sent a hundred commands to some of them only.
+    /// Ids that the list would send to, after the module sent a hundred requests to some of them
+    /// only.
     fn sent_to(&mut self) -> Vec<String> {
         let mut ids: Vec<_> = self
             .list
             .targets()
             .iter()
-            .map(|t| self.list.name(t.appliance).to_owned())
+            .map(|t| self.list.name(t.endpoint).to_owned())
             .collect();
         ids.sort();
         for id in 0..100 {
             let now = self.clock.now() + Duration::from_millis(id);
-            let command = Command {
-                lane: 0,
-                customer: None,
+            let command = Request {
+                class: 0,
+                tenant: None,
                 key: None,
-                left: Duration::from_secs(1),
-                work: None,
-                again: false,
+                time_left: Duration::from_secs(1),
+                estimated_work: None,
+                is_retry: false,
             };
-            self.choice.take(now, id, command);
-            if let Answer::Send { appliance, .. } = self.choice.place(now, id) {
+            self.choice.on_request(now, id, command);
+            if let Decision::Forward { endpoint, .. } = self.choice.route(now, id) {
                 assert!(
-                    ids.contains(&self.list.name(appliance).to_owned()),
+                    ids.contains(&self.list.name(endpoint).to_owned()),
                     "they differ"
                 );
             }
-            self.choice.left(id);
+            self.choice.close_request(id);
         }
         ids
     }
 }
 
-/// Guards against a discovery at another address that is behind. Harms an appliance that is called back within one
-/// version: it is told again by the next.
+/// Guards against a discovery at another address that is behind. Harms an endpoint that is called
+/// back within one version: it is told again by the next.
 #[test]
 fn an_older_list_brings_back_nobody_who_was_told_to_leave_but_another_life_of_it() {
     let mut both = Both::new();
@@ -116,7 +119,8 @@
     );
 }
 
-/// Guards against a list that counts as told though one entry cannot be read. Harms that appliance until it can be.
+/// Guards against a list that counts as told though one entry cannot be read. Harms that endpoint
+/// until it can be.
 #[test]
 fn of_a_list_with_an_unreadable_entry_the_rest_is_obeyed_and_its_appliance_rests() {
     let mut both = Both::new();
@@ -165,36 +169,40 @@
     }
 }
 
-/// Three hundred agents whose watches fall silent at the same moment, right after an answer to all; for half of them the
-/// first call anew is lost in silence, too. Guards the rule on drains and discovery, which is paid for each call. One call
-/// a silence: a second beside it put an end to the first (the incident on refused calls), so who was not heard in time
-/// must vouch for nothing from then on.
+/// Three hundred agents whose watches fall silent at the same moment, right after an answer to all;
+/// for half of them the first call anew is lost in silence, too. Guards the rule on drains and
+/// discovery, which is paid for each call. One call a silence: a second beside it put an end to the
+/// first (the incident on refused calls), so who was not heard in time must vouch for nothing from
+/// then on.
 #[test]
 fn three_hundred_watches_that_fall_silent_at_once_are_begun_anew_in_time_and_apart() {
     for (agents, within) in [(300, 10_000), (350, 4_000), (1024, 20_000), (4, 10_000)] {
         let mut calls = Vec::new();
         for seed in 0..agents {
-            let mut d = site(agents as u32).deployment;
-            (d.seed, d.list_shared, d.ask_within) = (seed, true, Duration::from_millis(within));
-            let (mut watchdog, mut vouched) = (Watchdog::new(&d), Vouched::new(&d, Duration::ZERO));
+            let mut d = site(agents as u32).settings;
+            (d.seed, d.shared_discovery, d.max_poll_interval) =
+                (seed, true, Duration::from_millis(within));
+            let (mut watchdog, mut list_valid_until) =
+                (Watchdog::new(&d), Vouched::new(&d, Duration::ZERO));
             watchdog.told();
             let wait = watchdog.wait(false);
-            vouched.told(Duration::ZERO, wait);
+            list_valid_until.told(Duration::ZERO, wait);
             let silent = wait + watchdog.late();
-            vouched.ended(silent, Ended::Silent);
+            list_valid_until.ended(silent, Ended::Silent);
             let at = silent + watchdog.again(Ended::Silent).unwrap();
             calls.push(at);
             let told = Duration::from_secs(6).max(wait + Duration::from_secs(2));
-            vouched.begins(at);
+            list_valid_until.begins(at);
             if seed % 2 == 0 {
                 // Nothing is vouched for between what counts as told and an answer.
-                assert!(vouched
+                assert!(list_valid_until
                     .until()
                     .is_some_and(|t| t <= told + Duration::from_millis(250)));
                 // What fails then is spread by the module.
                 assert_eq!(watchdog.again(Ended::Silent), None);
             } else {
-                // With a connection that comes up late, and some time to answer, which the call must be given.
+                // With a connection that comes up late, and some time to answer, which the call
+                // must be given.
                 let answer = Duration::from_millis(1300);
                 assert!(answer < wait + watchdog.within(true));
                 assert!(
@@ -210,7 +218,8 @@
                 .count()
         };
         let most = calls.iter().map(second).max().unwrap() as f64;
-        // Nine tenths of the longest wait at least are left to chance; each silence brings one call.
+        // Nine tenths of the longest wait at least are left to chance; each silence brings one
+        // call.
         let spread = 2.0 * within as f64 / 1000.0 * 0.9;
         let bound = agents as f64 / spread * 1.3 + 4.0;
         assert!(most <= bound, "{most} of {bound} in a second with {agents}");
@@ -219,7 +228,7 @@
 
 #[test]
 fn where_calls_are_free_silence_shows_within_the_time_of_one_short_wait() {
-    let mut watchdog = Watchdog::new(&site(300).deployment);
+    let mut watchdog = Watchdog::new(&site(300).settings);
     assert_eq!(watchdog.wait(true), Duration::ZERO);
     watchdog.told();
     let notice = watchdog.wait(false) + watchdog.late() + watchdog.again(Ended::Silent).unwrap();
--- a/crates/experiments/examples/beside.rs
+++ b/crates/experiments/examples/beside.rs
@@ -1,4 +1,5 @@
-//! The same small installation in the model and on real sockets, side by side: the real agent, stand-ins on loopback.
+//! The same small installation in the model and on real sockets, side by side: the real agent,
+//! fakes on loopback.
 //!
 //!     cargo build --release && cargo run --release -p tulipwall-experiments --example beside
 
@@ -6,7 +7,7 @@
 use std::time::Duration;
 use tulipwall_experiments::run;
 use tulipwall_experiments::scenario::Scenario;
-use tulipwall_testkit::{lanes, Caller, Link, Load, Program, Ways, World};
+use tulipwall_testkit::{classes, Caller, Link, Load, Program, Ways, World};
 
 const EACH: usize = 3;
 const CORES: usize = 2;
@@ -24,7 +25,7 @@
 type Row = [f64; 4];
 
 fn sockets(rate: f64) -> std::io::Result<Row> {
-    let world = World::new(&["east", "west"], lanes())?;
+    let world = World::new(&["east", "west"], classes())?;
     for n in 0..EACH {
         for (zone, name) in ["east", "west"].iter().enumerate() {
             let ways = Ways {
@@ -32,7 +33,7 @@
                 cores: CORES,
                 ..Ways::default()
             };
-            world.appliance(zone, &format!("{name}-{n}"), 41, ways)?;
+            world.endpoint(zone, &format!("{name}-{n}"), 41, ways)?;
         }
     }
     let way = Duration::from_millis(2);
@@ -52,7 +53,7 @@
         agent: agent.address()?,
         rate,
         span: Duration::from_secs(SECONDS),
-        lanes: [
+        classes: [
             ("view", 0.5, false),
             ("send", 0.4, true),
             ("payment", 0.1, false),
@@ -67,11 +68,11 @@
         world
             .counted(0, to)
             .values()
-            .map(|c| c.deliveries)
+            .map(|c| c.attempts)
             .sum::<u64>() as f64
     };
     let crossing = count(1) / (count(0) + count(1)).max(1.0);
-    let good = answered.satisfied as f64 / answered.asked.max(1) as f64;
+    let good = answered.succeeded as f64 / answered.asked.max(1) as f64;
     Ok([
         answered.quantile_ms(0.5),
         answered.quantile_ms(0.99),
@@ -95,14 +96,14 @@
     );
     let scenario = Scenario::read(&text).unwrap_or_else(|all| panic!("{all:?}"));
     let mut day = run::day(&scenario, 1);
-    // As the settings of the stand-ins say: crossing has no price.
-    day.deployment.crossing_price = 0.0;
+    // As the settings of the fakes say: crossing has no price.
+    day.deployment.cross_zone_price = 0.0;
     let p = day.play();
     [
         p.quantile_ms(0.5),
         p.quantile_ms(0.99),
         p.crossed(),
-        p.satisfied as f64 / p.taken.max(1) as f64,
+        p.succeeded as f64 / p.taken.max(1) as f64,
     ]
 }
 
--- a/crates/experiments/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -1,5 +1,6 @@
-//! How far verdicts on builds are from the best: reads the evidence that agents log, and prints for each build when all
-//! their outcomes together tell it, when enough agents spoke and when it went back; and what was lost in each second.
+//! How far verdicts on builds are from the best: reads the evidence that agents log, and prints for
+//! each build when all their outcomes together tell it, when enough agents spoke and when it went
+//! back; and what was lost in each second.
 //!
 //!     RUST_LOG=info,evidence=debug ...                      # at each agent, its log to a file of its own
 //!     cargo run --release -p tulipwall-experiments --example verdicts -- DIR [--seconds]
@@ -14,7 +15,7 @@
 /// The same for a share of failures (`FAILED_SHARE`).
 const SHARE: f64 = 0.04;
 
-struct Delivery {
+struct Attempt {
     at: f64,
     build: u32,
     outcome: String,
@@ -23,14 +24,14 @@
 
 #[derive(Default)]
 struct Log {
-    lanes: Vec<(f64, f64)>, // quoted seconds, benefit
+    classes: Vec<(f64, f64)>, // quoted seconds, benefit
     back: usize,
-    deliveries: Vec<Delivery>,
-    commands: Vec<(f64, usize, String, f64, f64)>, // when, lane, end, seconds, hinted work
+    attempts: Vec<Attempt>,
+    commands: Vec<(f64, usize, String, f64, f64)>, // when, class, end, seconds, hinted work
     flags: Vec<(f64, u32)>,
-    news: BTreeMap<(u32, u32, String), f64>, // since when
-    notes: Vec<(f64, usize, u32, String)>,   // regressed
-    votes: Vec<(f64, usize, u32, String)>,   // cast
+    rollout_status: BTreeMap<(u32, u32, String), f64>, // since when
+    notes: Vec<(f64, usize, u32, String)>,             // regressed
+    votes: Vec<(f64, usize, u32, String)>,             // cast
 }
 
 fn files(at: &Path, all: &mut Vec<PathBuf>) {
@@ -76,10 +77,10 @@
         let build = |i: usize| number(i) as u32;
         match w[0].as_str() {
             "start" => log.back = number(4) as usize,
-            "lanes" if log.lanes.is_empty() => {
+            "lanes" if log.classes.is_empty() => {
                 let text = w[1..].join(" ").replace(['[', ']', '(', ')'], "");
                 let all: Vec<f64> = text.split(", ").filter_map(|n| n.parse().ok()).collect();
-                log.lanes = all
+                log.classes = all
                     .chunks(2)
                     .filter(|c| c.len() == 2)
                     .map(|c| (c[0] / 1000.0, c[1]))
@@ -88,7 +89,7 @@
             "news" => {
                 let since = w.get(7).and_then(|w| w.parse().ok()).map_or(at, seconds);
                 let told = log
-                    .news
+                    .rollout_status
                     .entry((build(2), build(4), word(5)))
                     .or_insert(since);
                 *told = told.min(since);
@@ -99,7 +100,7 @@
             }
             "delivery" => {
                 let outcome = word(5);
-                log.deliveries.push(Delivery {
+                log.attempts.push(Attempt {
                     at,
                     build: build(4),
                     outcome,
@@ -150,12 +151,12 @@
     let mut bins = vec![Bin::default(); ((until - from) / BIN).ceil().max(0.0) as usize];
     let at = |t: f64| ((t - from) / BIN).floor().max(0.0) as usize;
     for d in log
-        .deliveries
+        .attempts
         .iter()
         .filter(|d| d.build > 0 && d.build <= build && d.at >= from)
     {
         let (came, failed) = (
-            matches!(d.outcome.as_str(), "Satisfied" | "Failed"),
+            matches!(d.outcome.as_str(), "Succeeded" | "Failed"),
             d.outcome == "Failed",
         );
         let begun = d.at - d.took;
@@ -186,9 +187,9 @@
     bins
 }
 
-/// The most likely slowing beyond what is excused: one in step with the trial's part of what was sent, and one at any one
-/// moment. How far each is likelier than none that is beyond that, and than the other, as logarithms. Answers are
-/// Poisson by the time waited.
+/// The most likely slowing beyond what is excused: one in step with the trial's part of what was
+/// sent, and one at any one moment. How far each is likelier than none that is beyond that, and
+/// than the other, as logarithms. Answers are Poisson by the time waited.
 fn slowing(bins: &[Bin]) -> [(f64, f64); 2] {
     let likely = |n: f64, waited: f64| n * (n.max(1e-9) / waited.max(1e-9)).ln();
     let answers = |b: &Bin| b.own[0] + b.others[0];
@@ -240,13 +241,14 @@
     ]
 }
 
-/// When all outcomes together tell of a build, by kind; the price of fitting a share or a pace is half the logarithm of
-/// how many outcomes there are. A slowing that came at one moment, out of step with the trial, is not the build's.
+/// When all outcomes together tell of a build, by kind; the price of fitting a share or a pace is
+/// half the logarithm of how many outcomes there are. A slowing that came at one moment, out of
+/// step with the trial, is not the build's.
 fn told(log: &Log, build: u32, from: f64, until: f64) -> BTreeMap<&'static str, f64> {
     let mut found = BTreeMap::new();
     let (begin, end) = (
         (from - 5.0).max(0.0),
-        until.min(log.deliveries.last().map_or(0.0, |d| d.at)),
+        until.min(log.attempts.last().map_or(0.0, |d| d.at)),
     );
     let bins = bins(log, build, begin, end);
     let first = ((from - begin) / BIN) as usize;
@@ -297,15 +299,16 @@
     found
 }
 
-/// The part of the deliveries of a second that went to a build, and the mean time of the others' answers.
+/// The part of the attempts of a second that went to a build, and the mean time of the others'
+/// answers.
 fn second(log: &Log, build: u32, from: f64) -> (f64, f64) {
     let here = || {
-        log.deliveries
+        log.attempts
             .iter()
             .filter(|d| d.at >= from && d.at < from + 1.0)
     };
     let (all, own) = (here().count(), here().filter(|d| d.build == build).count());
-    let others = here().filter(|d| d.build < build && d.outcome == "Satisfied");
+    let others = here().filter(|d| d.build < build && d.outcome == "Succeeded");
     let (took, n) = others.fold((0.0, 0), |(took, n), d| (took + d.took, n + 1));
     (own as f64 / all.max(1) as f64, took / f64::from(n.max(1)))
 }
@@ -318,14 +321,14 @@
     println!("| build | on trial from, first answer | all outcomes tell | first note | {} voices back | went back | released |", log.back);
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let tried: BTreeSet<u32> = log
-        .news
+        .rollout_status
         .keys()
-        .filter(|k| k.2 == "Trial")
+        .filter(|k| k.2 == "Canary")
         .map(|k| k.0)
         .collect();
     for build in &tried {
         let since = |phase: &str| {
-            log.news
+            log.rollout_status
                 .iter()
                 .filter(|(k, _)| k.0 == *build && k.2 == phase)
                 .map(|n| *n.1)
@@ -333,15 +336,15 @@
         };
         let next = tried.iter().find(|b| *b > build);
         let until = next.and_then(|n| {
-            log.news
+            log.rollout_status
                 .iter()
                 .filter(|(k, _)| k.0 == *n)
                 .map(|n| *n.1)
                 .reduce(f64::min)
         });
-        let until = since("GoingBack").or(until).unwrap_or(f64::MAX);
+        let until = since("RollingBack").or(until).unwrap_or(f64::MAX);
         let first = log
-            .deliveries
+            .attempts
             .iter()
             .find(|d| d.build == *build)
             .map(|d| d.at);
@@ -367,7 +370,7 @@
         }
         println!(
             "| {build} | {}, {} | {} | {} | {} | {} | {} |",
-            show(since("Trial")),
+            show(since("Canary")),
             show(first),
             if found.is_empty() {
                 "nothing".into()
@@ -376,13 +379,13 @@
             },
             note.map_or("-".into(), |n| format!("{:.1}: {}", n.0, n.3)),
             show(spoke),
-            show(since("GoingBack")),
+            show(since("RollingBack")),
             show(since("Released"))
         );
     }
     for build in &tried {
         let Some(first) = log
-            .deliveries
+            .attempts
             .iter()
             .find(|d| d.build == *build)
             .map(|d| d.at.floor())
@@ -406,14 +409,14 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let mut by: BTreeMap<i64, BTreeMap<&str, f64>> = BTreeMap::new();
     let mut day = 0.0;
-    for (at, lane, end, took, work) in &log.commands {
-        let Some((quoted, benefit)) = log.lanes.get(*lane) else {
+    for (at, class, end, took, work) in &log.commands {
+        let Some((latency_objective, priority_weight)) = log.classes.get(*class) else {
             continue;
         };
-        let worth = benefit * work.max(1.0);
-        let end = if end != "Satisfied" {
+        let worth = priority_weight * work.max(1.0);
+        let end = if end != "Succeeded" {
             end
-        } else if took <= quoted {
+        } else if took <= latency_objective {
             "in time"
         } else {
             "late"
@@ -431,7 +434,7 @@
             all / day * 100.0,
             part("in time"),
             part("late"),
-            part("Denied"),
+            part("Rejected"),
             part("Scrapped"),
             part("Left")
         );
@@ -445,7 +448,7 @@
         std::process::exit(2);
     };
     let log = read(Path::new(dir));
-    if log.deliveries.is_empty() {
+    if log.attempts.is_empty() {
         eprintln!(
             "{dir}: no evidence in its logs; agents write it with RUST_LOG=info,evidence=debug"
         );
--- a/crates/experiments/src/fleet/command.rs
+++ b/crates/experiments/src/fleet/command.rs
@@ -53,13 +53,14 @@
     }
 }
 
-/// Starts real agents before stand-ins on loopback and measures what they take and add: one figure against one size,
-/// with the straight line through the points (least squares). The first of each list of sizes is what the other
-/// measures go by. Agents and stand-ins end with the command.
+/// Starts real agents before fakes on loopback and measures what they take and add: one figure
+/// against one size, with the straight line through the points (least squares). The first of each
+/// list of sizes is what the other measures go by. Agents and fakes end with the request.
 ///
-/// Appliances of the list share 16 listeners at most; an idle measure sends nothing to any of them, a load goes to all
-/// that the agent chooses. Memory is VmRSS and VmHWM; processor time is what the kernel counts as utime and stime,
-/// read in nanoseconds. Bytes are counted between agent and stand-in, without the heads of TCP and IP.
+/// Endpoints of the list share 16 listeners at most; an idle measure sends nothing to any of them,
+/// a load goes to all that the agent chooses. Memory is VmRSS and VmHWM; processor time is what the
+/// kernel counts as utime and stime, read in nanoseconds. Bytes are counted between agent and fake,
+/// without the heads of TCP and IP.
 #[derive(Args)]
 pub struct Options {
     /// The agent's program; `tulipwall-agent` beside this one otherwise.
@@ -73,19 +74,19 @@
     agents: usize,
     #[arg(long, default_value_t = 7, value_parser = count)]
     zones: usize,
-    #[arg(long, num_args = 1.., default_values_t = [55, 550, 2200, 7700], value_parser = count)]
-    appliances: Vec<usize>,
-    #[arg(long, num_args = 1.., default_values_t = [11, 110, 400, 1600], value_parser = count)]
-    lanes: Vec<usize>,
+    #[arg(long = "appliances", num_args = 1.., default_values_t = [55, 550, 2200, 7700], value_parser = count)]
+    endpoints: Vec<usize>,
+    #[arg(long = "lanes", num_args = 1.., default_values_t = [11, 110, 400, 1600], value_parser = count)]
+    classes: Vec<usize>,
     #[arg(long, num_args = 1.., default_values_t = [400, 5600, 28_000, 56_000], value_parser = count)]
     tenants: Vec<usize>,
     /// Clients that are connected and ask nothing.
     #[arg(long, num_args = 1.., default_values_t = [50, 100, 200, 400], value_parser = count)]
     connections: Vec<usize>,
-    /// Commands that no appliance answers.
+    /// Requests that no endpoint answers.
     #[arg(long, num_args = 1.., default_values_t = [25, 50, 100, 200], value_parser = count)]
     open: Vec<usize>,
-    /// Commands a second.
+    /// Requests a second.
     #[arg(long, num_args = 1.., default_values_t = [20.0, 143.0, 500.0], value_parser = rate)]
     rate: Vec<f64>,
     /// Entries of the list that change at once; all of them come behind these.
@@ -103,7 +104,8 @@
     /// Milliseconds that an agent is left alone before.
     #[arg(long, default_value_t = 2000, value_parser = clap::value_parser!(u64).range(100..=60_000))]
     settle: u64,
-    /// What an appliance takes for a command in loads, in milliseconds, in the mean: half of it always, the rest by its id.
+    /// What an endpoint takes for a request in loads, in milliseconds, in the mean: half of it
+    /// always, the rest by its id.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
     work: u64,
     /// How often each start, change and load is measured; the median is told.
@@ -143,8 +145,8 @@
             measures,
             agents: self.agents,
             zones: self.zones,
-            appliances: self.appliances,
-            lanes: self.lanes,
+            endpoints: self.endpoints,
+            classes: self.classes,
             tenants: self.tenants,
             connections: self.connections,
             open: self.open,
--- a/crates/experiments/src/fleet/estimate.rs
+++ b/crates/experiments/src/fleet/estimate.rs
@@ -7,14 +7,15 @@
 pub const AGENTS_MOST: usize = 100;
 pub const MEMORY_MOST: u64 = 4 << 30;
 
-/// Bytes of an agent at its start, at most: alone, and for each of what it is told of. Above what was measured, as a
-/// refusal that comes too late is of no use; `tests/fleet.rs` holds them against a run.
+/// Bytes of an agent at its start, at most: alone, and for each of what it is told of. Above what
+/// was measured, as a refusal that comes too late is of no use; `tests/fleet.rs` holds them against
+/// a run.
 const AGENT: u64 = 22 << 20;
-const APPLIANCE: u64 = 5 << 10;
-const LANE: u64 = 8 << 10;
+const ENDPOINT: u64 = 5 << 10;
+const CLASS: u64 = 8 << 10;
 const TENANT: u64 = 3 << 10;
 const CLIENT: u64 = 64 << 10;
-/// Of each appliance for each lane.
+/// Of each endpoint for each class.
 const PAIR: u64 = 48;
 /// Bytes of this process: alone, for each entry of the list, tenant, agent and connection.
 const OWN: u64 = 64 << 20;
@@ -36,21 +37,22 @@
 
 /// Of one installation with so many connections of clients.
 pub fn size(s: &Size, clients: usize) -> Estimate {
-    let [agents, appliances, lanes, tenants, clients] =
-        [s.agents, s.appliances, s.lanes, s.tenants, clients].map(|n| n as u64);
+    let [agents, endpoints, classes, tenants, clients] =
+        [s.agents, s.endpoints, s.classes, s.tenants, clients].map(|n| n as u64);
     let each = u64::saturating_mul;
     let agent = AGENT
-        .saturating_add(each(APPLIANCE, appliances))
-        .saturating_add(each(LANE, lanes))
+        .saturating_add(each(ENDPOINT, endpoints))
+        .saturating_add(each(CLASS, classes))
         .saturating_add(each(TENANT, tenants))
         .saturating_add(each(CLIENT, clients))
-        .saturating_add(each(PAIR, appliances.saturating_mul(lanes)));
+        .saturating_add(each(PAIR, endpoints.saturating_mul(classes)));
     let own = OWN
-        .saturating_add(each(OWN_ENTRY, appliances))
+        .saturating_add(each(OWN_ENTRY, endpoints))
         .saturating_add(each(OWN_TENANT, tenants))
         .saturating_add(each(OWN_AGENT, agents))
         .saturating_add(each(OWN_CONNECTION, clients));
-    // A meter's two ends twice for each agent, its connections to appliances, clients with theirs, listeners.
+    // A meter's two ends twice for each agent, its connections to endpoints, clients with theirs,
+    // listeners.
     let descriptors = agents
         .saturating_mul(16 + s.sockets as u64)
         .saturating_add(clients * 2 + 200);
@@ -123,22 +125,22 @@
     /// The installations of a measure, each with the clients that connect.
     pub fn sizes(&self, m: Measure) -> Vec<(Size, usize)> {
         let base = self.base();
-        let appliances = || {
-            self.appliances.iter().map(|n| {
+        let endpoints = || {
+            self.endpoints.iter().map(|n| {
                 (
                     Size {
-                        appliances: *n,
+                        endpoints: *n,
                         ..base.clone()
                     },
                     0,
                 )
             })
         };
-        let lanes = || {
-            self.lanes.iter().map(|n| {
+        let classes = || {
+            self.classes.iter().map(|n| {
                 (
                     Size {
-                        lanes: *n,
+                        classes: *n,
                         ..base.clone()
                     },
                     0,
@@ -157,7 +159,8 @@
             })
         };
         let one = |s: Size| Size { agents: 1, ..s };
-        // Else the connections that it opens ahead, fewer the more appliances there are, would be in the figure.
+        // Else the connections that it opens ahead, fewer the more endpoints there are, would be in
+        // the figure.
         let bare = |(s, c): (Size, usize)| {
             (
                 Size {
@@ -168,17 +171,17 @@
             )
         };
         match m {
-            Measure::Appliances => appliances().map(bare).collect(),
-            Measure::Lanes => lanes().map(bare).collect(),
+            Measure::Endpoints => endpoints().map(bare).collect(),
+            Measure::Classes => classes().map(bare).collect(),
             Measure::Tenants => tenants().map(bare).collect(),
             Measure::Pairs => {
-                let most = self.appliances.iter().copied().max().unwrap_or(0);
-                lanes()
+                let most = self.endpoints.iter().copied().max().unwrap_or(0);
+                classes()
                     .map(bare)
                     .map(|(s, c)| {
                         (
                             Size {
-                                appliances: most,
+                                endpoints: most,
                                 ..s
                             },
                             c,
@@ -192,14 +195,14 @@
                 .map(|n| (one(base.clone()), *n))
                 .collect(),
             Measure::Open => {
-                // So many appliances that none is connected ahead.
-                let appliances = base.appliances.max(self.sockets / 4);
+                // So many endpoints that none is connected ahead.
+                let endpoints = base.endpoints.max(self.sockets / 4);
                 self.open
                     .iter()
                     .map(|n| {
                         (
                             Size {
-                                appliances,
+                                endpoints,
                                 ..one(base.clone())
                             },
                             *n,
@@ -207,27 +210,27 @@
                     })
                     .collect()
             }
-            Measure::Start => appliances().map(|(s, c)| (one(s), c)).collect(),
+            Measure::Start => endpoints().map(|(s, c)| (one(s), c)).collect(),
             Measure::Change => {
-                let most = self.appliances.iter().copied().max().unwrap_or(0);
+                let most = self.endpoints.iter().copied().max().unwrap_or(0);
                 vec![(
                     Size {
-                        appliances: most,
+                        endpoints: most,
                         ..one(base.clone())
                     },
                     0,
                 )]
             }
-            Measure::Idle => appliances().chain(tenants()).collect(),
-            Measure::Renew | Measure::Settings | Measure::Restart => appliances()
+            Measure::Idle => endpoints().chain(tenants()).collect(),
+            Measure::Renew | Measure::Settings | Measure::Restart => endpoints()
                 .chain(tenants())
                 .map(|(s, c)| (one(s), c))
                 .collect(),
-            Measure::Commands => appliances()
+            Measure::Commands => endpoints()
                 .chain(tenants())
                 .map(|(s, _)| (one(s), LOAD_CLIENTS))
                 .collect(),
-            Measure::Added => appliances().map(|(s, _)| (one(s), LOAD_CLIENTS)).collect(),
+            Measure::Added => endpoints().map(|(s, _)| (one(s), LOAD_CLIENTS)).collect(),
         }
     }
 
@@ -236,8 +239,8 @@
         let first = |of: &[usize]| of.first().copied().unwrap_or(1);
         Size {
             agents: self.agents,
-            appliances: first(&self.appliances),
-            lanes: first(&self.lanes),
+            endpoints: first(&self.endpoints),
+            classes: first(&self.classes),
             tenants: first(&self.tenants),
             zones: self.zones,
             sockets: self.sockets,
@@ -246,7 +249,7 @@
     }
 }
 
-/// With so few sockets an agent opens no connection to an appliance ahead, from 10 appliances on.
+/// With so few sockets an agent opens no connection to an endpoint ahead, from 10 endpoints on.
 const NONE_AHEAD: usize = 64;
 /// Connections of a load at most.
 pub const LOAD_CLIENTS: usize = 200;
--- a/crates/experiments/src/fleet/measure.rs
+++ b/crates/experiments/src/fleet/measure.rs
@@ -3,13 +3,13 @@
 use super::estimate::LOAD_CLIENTS;
 use super::meter::Meter;
 use super::process::{Machine, Usage};
-use super::stand::{lanes, tenant, until, until_or, Member, Stand};
+use super::stand::{classes, tenant, until, until_or, Member, Stand};
 use super::{worker, Measure, Plan, Results, Row, Size};
 use std::io;
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::{program, Act, Answered, Caller, Lane, Load, Told, Ways};
+use tulipwall_testkit::{program, Act, Answered, Caller, Load, RequestClass, Told, Ways};
 
 const MB: f64 = 1e6;
 const PAIRS: &str = "appliance-lane pairs";
@@ -17,10 +17,11 @@
 const TAKEN_OVER_WITHIN: Duration = Duration::from_secs(2);
 /// How long clients wait in loads.
 const WAIT: Duration = Duration::from_millis(1500);
-/// A load whose commands went out within so long of when they were due, for 99 in 100, had the cores that it needs.
+/// A load whose requests went out within so long of when they were due, for 99 in 100, had the
+/// cores that it needs.
 const ON_TIME_MS: f64 = 1.0;
-/// Lanes that a load goes by, at most.
-const LOAD_LANES: usize = 8;
+/// Classes that a load goes by, at most.
+const LOAD_CLASSES: usize = 8;
 
 fn ms(span: Duration) -> f64 {
     span.as_secs_f64() * 1000.0
@@ -54,7 +55,7 @@
     for m in &plan.measures {
         say(&format!("{m:?}"));
         match m {
-            Measure::Appliances | Measure::Lanes | Measure::Tenants | Measure::Pairs => {
+            Measure::Endpoints | Measure::Classes | Measure::Tenants | Measure::Pairs => {
                 results.add(memory(plan, *m)?, &["resident_mb", "peak_mb"]);
             }
             Measure::Connections => results.add(connections(plan)?, &["resident_mb"]),
@@ -129,10 +130,10 @@
     Ok(results)
 }
 
-/// The installations of a measure that goes by appliances and then by tenants.
+/// The installations of a measure that goes by endpoints and then by tenants.
 fn apart(plan: &Plan, m: Measure) -> [(&'static str, Vec<Size>); 2] {
     let mut sizes: Vec<Size> = plan.sizes(m).into_iter().map(|(s, _)| s).collect();
-    let tenants = sizes.split_off(plan.appliances.len());
+    let tenants = sizes.split_off(plan.endpoints.len());
     [("appliances", sizes), ("tenants", tenants)]
 }
 
@@ -154,10 +155,10 @@
 
 fn memory(plan: &Plan, m: Measure) -> io::Result<Vec<Row>> {
     let (by, of): (_, fn(&Size) -> usize) = match m {
-        Measure::Lanes => ("lanes", |s| s.lanes),
+        Measure::Classes => ("lanes", |s| s.classes),
         Measure::Tenants => ("tenants", |s| s.tenants),
-        Measure::Pairs => (PAIRS, |s| s.appliances * s.lanes),
-        _ => ("appliances", |s| s.appliances),
+        Measure::Pairs => (PAIRS, |s| s.endpoints * s.classes),
+        _ => ("appliances", |s| s.endpoints),
     };
     let row = |(size, _): (Size, usize)| {
         let stand = Stand::start(&size, Ways::default())?;
@@ -199,8 +200,8 @@
         .collect()
 }
 
-/// Commands that no appliance answers, each on a connection of its own: how many were out, and what the agent held
-/// meanwhile, with the connections of their clients and to appliances.
+/// Requests that no endpoint answers, each on a connection of its own: how many were out, and what
+/// the agent held meanwhile, with the connections of their clients and to endpoints.
 fn open(plan: &Plan) -> io::Result<Vec<Row>> {
     let row = |(size, count): (Size, usize)| {
         let stand = Stand::start(
@@ -218,7 +219,7 @@
         clients.iter_mut().for_each(|c| c.ask("route-0", 30_000));
         sleep(plan.settle);
         let mut ids: Vec<String> = stand
-            .appliances
+            .endpoints
             .iter()
             .flat_map(|a| a.seen())
             .map(|seen| seen.id)
@@ -227,7 +228,7 @@
         ids.dedup();
         let mut figures = vec![
             ("open", ids.len() as f64),
-            ("deliveries", stand.deliveries() as f64),
+            ("deliveries", stand.attempts() as f64),
         ];
         figures.extend(memory_of(std::slice::from_ref(&member))?);
         drop(clients);
@@ -290,8 +291,9 @@
     })
 }
 
-/// A start up to the answer to a first empty query. Without a list in its configuration the agent asks for the whole
-/// one; how long that took to be taken in, from its last byte to the next question.
+/// A start up to the answer to a first empty query. Without a list in its configuration the agent
+/// asks for the whole one; how long that took to be taken in, from its last byte to the next
+/// question.
 fn start(plan: &Plan, known: bool) -> io::Result<Vec<Row>> {
     let row = |(size, _): (Size, usize)| {
         let stand = Stand::start(&size, Ways::default())?;
@@ -330,7 +332,7 @@
         Ok(Row {
             measure,
             by: "appliances",
-            size: size.appliances as f64,
+            size: size.endpoints as f64,
             figures,
         })
     };
@@ -350,8 +352,8 @@
         .changed
         .iter()
         .copied()
-        .chain([size.appliances])
-        .filter(|n| *n <= size.appliances);
+        .chain([size.endpoints])
+        .filter(|n| *n <= size.endpoints);
     let mut counts: Vec<usize> = counts.collect();
     counts.sort_unstable();
     counts.dedup();
@@ -383,8 +385,9 @@
     Ok(rows)
 }
 
-/// SIGHUP with other addresses of discovery and the platform: until both were heard there, and until the list has been
-/// taken in. Processor time and bytes up to half a second later, less those of an idle time as long.
+/// SIGHUP with other addresses of discovery and the platform: until both were heard there, and
+/// until the list has been taken in. Processor time and bytes up to half a second later, less those
+/// of an idle time as long.
 fn renew(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
     let stand = Stand::start(size, Ways::default())?;
     let mut member = stand.agent(&plan.binary, 0, true)?;
@@ -405,14 +408,14 @@
         let taken = until("the question behind the new list", || {
             member.discovery.taken_in(told)
         })?;
-        let news = until("word of the platform", || member.platform.first_told())?;
+        let rollout_status = until("word of the platform", || member.platform.first_told())?;
         sleep(rest);
         let bytes: u64 = member.control().iter().sum();
         let ran = member.usage()?.ran.saturating_sub(before).as_secs_f64();
         let ran = (ran - idle_share * told.elapsed().as_secs_f64()).max(0.0);
         drop::<[Meter; 2]>(old);
-        let heard = taken.whole.max(news) - told;
-        let force = taken.next.max(news) - told;
+        let heard = taken.whole.max(rollout_status) - told;
+        let force = taken.next.max(rollout_status) - told;
         all.push([ms(heard), ms(force), ran * 1000.0, bytes as f64]);
     }
     let of = |n: usize| all.iter().map(|a| a[n]).collect::<Vec<f64>>();
@@ -434,8 +437,8 @@
     })
 }
 
-/// A further lane in the settings, told by SIGHUP: until a command of it is served. Some agents never take settings over
-/// so, which shows as none of the repeats.
+/// A further class in the settings, told by SIGHUP: until a request of it is served. Some agents
+/// never take settings over so, which shows as none of the repeats.
 fn settings(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
     let stand = Stand::start(size, Ways::default())?;
     let mut member = stand.agent(&plan.binary, 0, true)?;
@@ -444,10 +447,10 @@
     let mut all = Vec::new();
     for n in 0..plan.repeats {
         let name = format!("route-added-{n}");
-        let lane = Lane::new(&name, "repeatable", 3.0);
+        let class = RequestClass::new(&name, "repeatable", 3.0);
         let zones: Vec<String> = stand.zones();
         let names: Vec<&str> = zones.iter().map(String::as_str).collect();
-        let class = program::settings(&names, names[0], 1, &[lane])["classes"][0].take();
+        let class = program::settings(&names, names[0], 1, &[class])["classes"][0].take();
         let further = |s: &mut serde_json::Value| {
             if let Some(classes) = s["classes"].as_array_mut() {
                 classes.push(class);
@@ -534,41 +537,41 @@
 
 fn size_by(size: &Size, by: &str) -> f64 {
     let count = match by {
-        PAIRS => size.appliances * size.lanes,
+        PAIRS => size.endpoints * size.classes,
         "tenants" => size.tenants,
-        _ => size.appliances,
+        _ => size.endpoints,
     };
     count as f64
 }
 
-/// A load over lanes and tenants from all parts of the settings; it waits for its end.
+/// A load over classes and tenants from all parts of the settings; it waits for its end.
 pub fn load(size: &Size, at: SocketAddr, rate: f64, span: Duration, seed: u64) -> Answered {
-    let all = lanes(size.lanes);
-    let used = all.len().min(LOAD_LANES);
-    let lane = |n: usize| {
-        let lane = &all[n * all.len() / used];
+    let all = classes(size.classes);
+    let used = all.len().min(LOAD_CLASSES);
+    let class = |n: usize| {
+        let class = &all[n * all.len() / used];
         let t = tenant((n * size.tenants + size.tenants / 2) / used);
-        // A load writes the lane's name into the comment, so that a further field can follow it.
+        // A load writes the class's name into the comment, so that a further field can follow it.
         (
-            format!("{},t={t}", lane.name),
+            format!("{},t={t}", class.name),
             1.0,
             WAIT,
-            lane.repeats == "by_key",
+            class.idempotency == "by_key",
         )
     };
-    let lanes = (0..used).map(lane).collect();
+    let classes = (0..used).map(class).collect();
     Load {
         agent: at,
         rate,
         span,
-        lanes,
+        classes,
         connections: LOAD_CLIENTS,
         seed,
     }
     .play()
 }
 
-/// Processor time of a command, above that of an idle agent.
+/// Processor time of a request, above that of an idle agent.
 fn commands(plan: &Plan, size: &Size, by: &'static str, rate: f64) -> io::Result<Row> {
     let stand = Stand::working(size, plan.work)?;
     let member = stand.agent(&plan.binary, 0, true)?;
@@ -587,7 +590,7 @@
     let figures = vec![
         ("rate", rate),
         ("asked", answered.asked as f64),
-        ("satisfied", answered.satisfied as f64),
+        ("satisfied", answered.succeeded as f64),
         ("idle_core_%", idle * 100.0),
         ("core_%", ran / took * 100.0),
         ("us_a_command", (ran - idle * took).max(0.0) / count * 1e6),
@@ -609,7 +612,8 @@
     Box::leak(format!("{what} at {rate} a second").into_boxed_str())
 }
 
-/// What satisfied commands took beyond their work, in milliseconds: these parts of them within so long.
+/// What satisfied requests took beyond their work, in milliseconds: these parts of them within so
+/// long.
 fn beyond_work(answered: &Answered, work: Duration, parts: [f64; 2]) -> [f64; 2] {
     let beyond = |(id, took): &(String, u64)| *took as f64 / 1000.0 - ms(worker::work(id, work));
     let mut all: Vec<f64> = answered.each.iter().map(beyond).collect();
@@ -620,13 +624,14 @@
     })
 }
 
-/// The same load through an agent and straight at a stand-in, in turns, times from when a request was due.
+/// The same load through an agent and straight at a fake, in turns, times from when a request was
+/// due.
 fn added(plan: &Plan, rate: f64, say: &mut impl FnMut(&str)) -> io::Result<Vec<Row>> {
     let mut rows = Vec::new();
     for (size, _) in plan.sizes(Measure::Added) {
         say(&format!(
             "Added: {} appliances, {rate} a second",
-            size.appliances
+            size.endpoints
         ));
         let stand = Stand::working(&size, plan.work)?;
         let member = stand.agent(&plan.binary, 0, true)?;
@@ -634,13 +639,13 @@
         load(&size, agent, rate, plan.settle, 7);
         load(&size, straight, rate, plan.settle, 7);
         let mut all = Vec::new();
-        let (mut asked, mut satisfied) = (0, 0);
+        let (mut asked, mut succeeded) = (0, 0);
         for n in 0..plan.repeats as u64 {
             let before = member.usage()?.waited;
             let through = load(&size, agent, rate, plan.span, 100 + n);
             let waited = member.usage()?.waited.saturating_sub(before);
             let direct = load(&size, straight, rate, plan.span, 100 + n);
-            (asked, satisfied) = (asked + through.asked, satisfied + through.satisfied);
+            (asked, succeeded) = (asked + through.asked, succeeded + through.succeeded);
             let [p50, p99] = beyond_work(&through, plan.work, [0.5, 0.99]);
             let [direct_p50, direct_p99] = beyond_work(&direct, plan.work, [0.5, 0.99]);
             let late = through
@@ -666,7 +671,7 @@
         let figures = vec![
             ("rate", rate),
             ("asked", asked as f64),
-            ("satisfied", satisfied as f64),
+            ("satisfied", succeeded as f64),
             ("straight_p99_ms", median(&of(3))),
             ("through_p99_ms", median(&of(2))),
             ("added_p50_ms", median(&of(0))),
@@ -696,7 +701,7 @@
         rows.push(Row {
             measure: named("added to a request", rate),
             by: "appliances",
-            size: size.appliances as f64,
+            size: size.endpoints as f64,
             figures,
         });
     }
--- a/crates/experiments/src/fleet/meter.rs
+++ b/crates/experiments/src/fleet/meter.rs
@@ -1,4 +1,4 @@
-//! A way to a stand-in that counts what passes, for one agent and one party.
+//! A way to a fake that counts what passes, for one agent and one party.
 
 use async_io::Async;
 use futures_lite::future::FutureExt;
@@ -49,7 +49,7 @@
 }
 
 impl Meter {
-    /// Passes on all that comes to a stand-in at this address, and back.
+    /// Passes on all that comes to a fake at this address, and back.
     pub fn start(to: SocketAddr) -> io::Result<Meter> {
         let (passed, ends) = (Arc::<Mutex<Passed>>::default(), Arc::<Ends>::default());
         let p = passed.clone();
@@ -75,8 +75,8 @@
         locked(&self.passed).bytes()
     }
 
-    /// The first answer that began at or after `since` and was followed by another question on its connection: what came,
-    /// when it was whole and when that question came.
+    /// The first answer that began at or after `since` and was followed by another question on its
+    /// connection: what came, when it was whole and when that question came.
     pub fn taken_in(&self, since: Instant) -> Option<Taken> {
         let passed = locked(&self.passed);
         let mut answers: BTreeMap<u64, Taken> = BTreeMap::new();
--- a/crates/experiments/src/fleet/mod.rs
+++ b/crates/experiments/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! What a real agent takes and what it adds, measured on loopback: agents as processes before stand-ins, one figure
-//! against one size at a time, with the straight line through it.
+//! What a real agent takes and what it adds, measured on loopback: agents as processes before
+//! fakes, one figure against one size at a time, with the straight line through it.
 //!
-//! - [`stand`]: the installation. Entries of the list share a few listeners of appliances that take any command; most
+//! - [`stand`]: the installation. Entries of the list share a few listeners of endpoints that take any request; most
 //!   entries are sent nothing in most measures.
-//! - [`worker`]: an appliance whose time for each command is known, for latencies.
-//! - [`meter`]: counts what passes between an agent and a party, at the stand-in's end.
+//! - [`worker`]: an endpoint whose time for each request is known, for latencies.
+//! - [`meter`]: counts what passes between an agent and a party, at the fake's end.
 //! - [`process`]: memory and processor time as the kernel tells them.
 //! - [`measure`]: the measures. [`estimate`]: what a run would take, and whether it fits. [`command`]: the subcommand.
 
@@ -27,8 +27,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Size {
     pub agents: usize,
-    pub appliances: usize,
-    pub lanes: usize,
+    pub endpoints: usize,
+    pub classes: usize,
     pub tenants: usize,
     pub zones: usize,
     /// Of each agent, at most.
@@ -44,8 +44,8 @@
     pub measures: Vec<Measure>,
     pub agents: usize,
     pub zones: usize,
-    pub appliances: Vec<usize>,
-    pub lanes: Vec<usize>,
+    pub endpoints: Vec<usize>,
+    pub classes: Vec<usize>,
     pub tenants: Vec<usize>,
     pub connections: Vec<usize>,
     pub open: Vec<usize>,
@@ -58,7 +58,7 @@
     pub span: Duration,
     /// How long an agent is left alone before.
     pub settle: Duration,
-    /// What an appliance takes for a command in the mean: half of it always, the rest by its id.
+    /// What an endpoint takes for a request in the mean: half of it always, the rest by its id.
     pub work: Duration,
     pub repeats: usize,
     pub limits: Vec<Limit>,
@@ -66,33 +66,35 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Measure {
-    /// Memory by the appliances listed.
-    Appliances,
-    /// Memory by lanes.
-    Lanes,
+    /// Memory by the endpoints listed.
+    #[value(name = "appliances")]
+    Endpoints,
+    /// Memory by classes.
+    #[value(name = "lanes")]
+    Classes,
     /// Memory by tenants.
     Tenants,
-    /// Memory by pairs of appliance and lane: the most appliances with each count of lanes.
+    /// Memory by pairs of endpoint and class: the most endpoints with each count of classes.
     Pairs,
     /// Memory by idle connections of clients.
     Connections,
-    /// Memory by commands that are open.
+    /// Memory by requests that are open.
     Open,
-    /// Processor time and bytes of an idle agent, by appliances, by tenants and by pairs.
+    /// Processor time and bytes of an idle agent, by endpoints, by tenants and by pairs.
     Idle,
-    /// Start to ready, with and without a list, and the taking in of it, by appliances.
+    /// Start to ready, with and without a list, and the taking in of it, by endpoints.
     Start,
     /// Changes of the list, by how many entries change at once.
     Change,
-    /// A new configuration (SIGHUP) until it is in force, by appliances and by tenants.
+    /// A new configuration (SIGHUP) until it is in force, by endpoints and by tenants.
     Renew,
-    /// New settings by SIGHUP, where the agent takes them over so, by appliances and by tenants.
+    /// New settings by SIGHUP, where the agent takes them over so, by endpoints and by tenants.
     Settings,
-    /// New settings by a restart, by appliances and by tenants.
+    /// New settings by a restart, by endpoints and by tenants.
     Restart,
-    /// Processor time of a command, by rate, appliances and tenants.
+    /// Processor time of a request, by rate, endpoints and tenants.
     Commands,
-    /// p99 added to a request, by appliances and rate.
+    /// p99 added to a request, by endpoints and rate.
     Added,
 }
 
--- a/crates/experiments/src/fleet/stand.rs
+++ b/crates/experiments/src/fleet/stand.rs
@@ -1,4 +1,4 @@
-//! An installation of stand-ins with real agents before it.
+//! An installation of fakes with real agents before it.
 
 use super::meter::Meter;
 use super::process::{usage, Usage};
@@ -10,12 +10,12 @@
 use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::platform::News;
+use tulipwall_testkit::platform::RolloutStatus;
 use tulipwall_testkit::{
-    program, Appliance, Caller, Discovery, Entry, Lane, Platform, Program, Ways,
+    program, Caller, Discovery, Endpoint, Entry, Platform, Program, RequestClass, Ways,
 };
 
-/// Appliances of the list share so many listeners, one after another.
+/// Endpoints of the list share so many listeners, one after another.
 pub const LISTENERS: usize = 16;
 /// How long anything that must come is waited for.
 const SOON: Duration = Duration::from_secs(60);
@@ -23,7 +23,7 @@
 pub struct Stand {
     pub discovery: Discovery,
     pub platform: Platform,
-    pub appliances: Vec<Appliance>,
+    pub endpoints: Vec<Endpoint>,
     pub workers: Vec<Worker>,
     size: Size,
 }
@@ -39,19 +39,19 @@
 }
 
 impl Stand {
-    /// A list of so many appliances, all served by a few listeners that behave like this.
+    /// A list of so many endpoints, all served by a few listeners that behave like this.
     pub fn start(size: &Size, ways: Ways) -> io::Result<Stand> {
-        let listeners = 0..size.appliances.clamp(1, LISTENERS) as u64;
-        let appliances = listeners
-            .map(|n| Appliance::start(1, ways.clone(), n))
+        let listeners = 0..size.endpoints.clamp(1, LISTENERS) as u64;
+        let endpoints = listeners
+            .map(|n| Endpoint::start(1, ways.clone(), n))
             .collect::<io::Result<Vec<_>>>()?;
-        let addresses: Vec<SocketAddr> = appliances.iter().map(|a| a.address(0)).collect();
-        Stand::before(size, &addresses, appliances, Vec::new())
+        let addresses: Vec<SocketAddr> = endpoints.iter().map(|a| a.address(0)).collect();
+        Stand::before(size, &addresses, endpoints, Vec::new())
     }
 
-    /// The same of appliances whose time for each command is known.
+    /// The same of endpoints whose time for each request is known.
     pub fn working(size: &Size, mean: Duration) -> io::Result<Stand> {
-        let listeners = 0..size.appliances.clamp(1, LISTENERS);
+        let listeners = 0..size.endpoints.clamp(1, LISTENERS);
         let workers = listeners
             .map(|_| Worker::start(mean))
             .collect::<io::Result<Vec<_>>>()?;
@@ -62,7 +62,7 @@
     fn before(
         size: &Size,
         addresses: &[SocketAddr],
-        appliances: Vec<Appliance>,
+        endpoints: Vec<Endpoint>,
         workers: Vec<Worker>,
     ) -> io::Result<Stand> {
         let discovery = Discovery::start(size.zones)?;
@@ -75,12 +75,12 @@
             started_ms: 0,
             build: 41,
         };
-        discovery.tell((0..size.appliances).map(entry));
-        let platform = Platform::start(News::now(41, 0, "released", 1.0))?;
+        discovery.tell((0..size.endpoints).map(entry));
+        let platform = Platform::start(RolloutStatus::now(41, 0, "released", 1.0))?;
         Ok(Stand {
             discovery,
             platform,
-            appliances,
+            endpoints,
             workers,
             size: size.clone(),
         })
@@ -93,9 +93,9 @@
     fn settings(&self, zone_of: usize) -> Value {
         let zones = self.zones();
         let names: Vec<&str> = zones.iter().map(String::as_str).collect();
-        let lanes = lanes(self.size.lanes);
+        let classes = classes(self.size.classes);
         let mut settings =
-            program::settings(&names, names[zone_of], self.size.agents as u32, &lanes);
+            program::settings(&names, names[zone_of], self.size.agents as u32, &classes);
         let share = 1.0 / self.size.tenants.max(1) as f64;
         let tenants = (0..self.size.tenants).map(|n| json!({"name": tenant(n), "share": share}));
         settings["tenants"] = tenants.collect();
@@ -103,8 +103,8 @@
         settings
     }
 
-    /// Starts one and waits until it serves. With `known` its configuration holds the list as it is; it asks for the
-    /// whole otherwise.
+    /// Starts one and waits until it serves. With `known` its configuration holds the list as it
+    /// is; it asks for the whole otherwise.
     pub fn agent(&self, binary: &Path, number: usize, known: bool) -> io::Result<Member> {
         let zone = number % self.size.zones;
         let discovery = Meter::start(self.discovery.address(zone))?;
@@ -144,9 +144,9 @@
             .collect()
     }
 
-    /// Commands that came to any appliance.
-    pub fn deliveries(&self) -> usize {
-        self.appliances.iter().map(Appliance::seen_count).sum()
+    /// Requests that came to any endpoint.
+    pub fn attempts(&self) -> usize {
+        self.endpoints.iter().map(Endpoint::seen_count).sum()
     }
 }
 
@@ -180,8 +180,8 @@
         [self.discovery.bytes(), self.platform.bytes()]
     }
 
-    /// Tells it of a new configuration: discovery and the platform at other addresses, the list as it is now. Returns
-    /// when it was told. The ways that it knew stay open.
+    /// Tells it of a new configuration: discovery and the platform at other addresses, the list as
+    /// it is now. Returns when it was told. The ways that it knew stay open.
     pub fn renew(
         &mut self,
         stand: &Stand,
@@ -204,8 +204,8 @@
         Ok((told, old))
     }
 
-    /// Ends it and starts another under these settings at the same address: how long its end took, and until the other
-    /// one served.
+    /// Ends it and starts another under these settings at the same address: how long its end took,
+    /// and until the other one served.
     pub fn restart(
         &mut self,
         binary: &Path,
@@ -237,15 +237,15 @@
     format!("tenant-{n}")
 }
 
-/// Of each ten lanes six are idempotent, three deduplicated, one is unrepeatable.
-pub fn lanes(count: usize) -> Vec<Lane> {
+/// Of each ten classes six are idempotent, three deduplicated, one is non-idempotent.
+pub fn classes(count: usize) -> Vec<RequestClass> {
     let kind = |n: usize| match n % 10 {
         9 => "once",
         6..=8 => "by_key",
         _ => "repeatable",
     };
     (0..count)
-        .map(|n| Lane::new(&format!("route-{n}"), kind(n), 3.0))
+        .map(|n| RequestClass::new(&format!("route-{n}"), kind(n), 3.0))
         .collect()
 }
 
--- a/crates/experiments/src/fleet/worker.rs
+++ b/crates/experiments/src/fleet/worker.rs
@@ -1,5 +1,6 @@
-//! An appliance whose time for a command is known to who asked: it follows from the command's id alone. So what a
-//! request took beyond it is known one by one, and chance in the work is no chance in the figure.
+//! An endpoint whose time for a request is known to who asked: it follows from the request's id
+//! alone. So what a request took beyond it is known one by one, and chance in the work is no chance
+//! in the figure.
 
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -11,16 +12,17 @@
 use tulipwall_testkit::ground::{self, sleep, Ends};
 use tulipwall_testkit::pg;
 
-/// Takes any number of commands at once.
+/// Takes any number of requests at once.
 pub struct Worker {
     pub address: SocketAddr,
     ends: Arc<Ends>,
     _task: async_executor::Task<()>,
 }
 
-/// What the command of this id takes: half of `mean` always, the rest exponential.
+/// What the request of this id takes: half of `mean` always, the rest exponential.
 pub fn work(id: &str, mean: Duration) -> Duration {
-    // The last bytes of an id hardly reach the upper bits of its number: they are stirred (as splitmix64 does).
+    // The last bytes of an id hardly reach the upper bits of its number: they are stirred (as
+    // splitmix64 does).
     let mut n = number(id);
     n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,20 +1,22 @@
-//! Load on a real agent: open loop, times counted from when a command was due.
+//! Load on a real agent: open loop, times counted from when a request was due.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tulipwall_testkit::{Answered, Load};
 
-/// A command that goes out later than this after it was due shows that the load itself does not keep up.
+/// A request that goes out later than this after it was due shows that the load itself does not
+/// keep up.
 const LATE_MS: f64 = 5.0;
-/// Plays of a step of a search in which the load did not keep up, before its rate counts as not kept.
+/// Plays of a step of a search in which the load did not keep up, before its rate counts as not
+/// kept.
 const TRIES: usize = 4;
 
 /// What is asked of an agent.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub agent: SocketAddr,
-    pub lanes: Vec<(String, f64, Duration, bool)>,
+    pub classes: Vec<(String, f64, Duration, bool)>,
     pub connections: usize,
     pub seed: u64,
 }
@@ -37,8 +39,8 @@
         let a = &self.answered;
         let quantiles =
             [0.5, 0.9, 0.99, 0.999].map(|q| (format!("p{}", q * 100.0), json!(a.quantile_ms(q))));
-        json!({"rate": self.rate, "span_s": self.span.as_secs_f64(), "asked": a.asked, "satisfied": a.satisfied,
-            "denied": a.denied, "failed": a.failed, "unanswered": a.unanswered,
+        json!({"rate": self.rate, "span_s": self.span.as_secs_f64(), "asked": a.asked, "satisfied": a.succeeded,
+            "denied": a.rejected, "failed": a.failed, "unanswered": a.unanswered,
             "ms": quantiles.into_iter().collect::<serde_json::Map<_, _>>(),
             "issued_late_p99_ms": a.issued_late_ms(0.99), "load_is_the_bottleneck": self.limited()})
     }
@@ -48,8 +50,8 @@
         format!(
             "{:8.0}/s  satisfied {:7}  denied {:5}  failed {:5}  unanswered {:4}  p50 {:8.2} ms  p99 {:8.2} ms{}",
             self.rate,
-            a.satisfied,
-            a.denied,
+            a.succeeded,
+            a.rejected,
             a.failed,
             a.unanswered,
             a.quantile_ms(0.5),
@@ -61,7 +63,7 @@
     /// Whether the agent kept to it: the quantile, and at most a hundredth not satisfied.
     fn keeps(&self, p99_ms: f64) -> bool {
         let a = &self.answered;
-        a.quantile_ms(0.99) <= p99_ms && a.satisfied as f64 >= 0.99 * a.asked as f64
+        a.quantile_ms(0.99) <= p99_ms && a.succeeded as f64 >= 0.99 * a.asked as f64
     }
 }
 
@@ -72,7 +74,7 @@
             agent: self.agent,
             rate,
             span,
-            lanes: self.lanes.clone(),
+            classes: self.classes.clone(),
             connections: self.connections,
             seed: self.seed ^ rate.to_bits(),
         };
@@ -83,9 +85,9 @@
         }
     }
 
-    /// The highest rate that keeps this p99, to within a twentieth, between two rates; each step is told. One in which the
-    /// load itself was late says nothing of the agent and is played again, some times at most. Nothing where not even the
-    /// lowest rate is kept.
+    /// The highest rate that keeps this p99, to within a twentieth, between two rates; each step is
+    /// told. One in which the load itself was late says nothing of the agent and is played again,
+    /// some times at most. Nothing where not even the lowest rate is kept.
     pub fn limit(
         &self,
         from: f64,
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -46,7 +46,8 @@
         /// Only these figures.
         figures: Vec<String>,
     },
-    /// What differs beyond chance: two files point by point, or the points of one against its first.
+    /// What differs beyond chance: two files point by point, or the points of one against its
+    /// first.
     Compare {
         records: PathBuf,
         other: Option<PathBuf>,
@@ -70,7 +71,8 @@
         /// Its number at that agent, from 0.
         command: u64,
     },
-    /// Hollow agents by their number, appliances, services, lanes and tenants: what each costs, against the limits.
+    /// Hollow agents by their number, endpoints, services, classes and tenants: what each costs,
+    /// against the limits.
     Scale(tulipwall_experiments::scale::command::Scale),
     /// Drive a real agent over its protocol, open loop.
     Load(Drive),
@@ -82,9 +84,9 @@
 #[derive(Args)]
 struct Drive {
     agent: SocketAddr,
-    /// A lane with its weight, `NAME` or `NAME=WEIGHT`; `NAME=WEIGHT+k` carries a key.
-    #[arg(long, required = true, value_parser = lane)]
-    lane: Vec<(String, f64, bool)>,
+    /// A class with its weight, `NAME` or `NAME=WEIGHT`; `NAME=WEIGHT+k` carries a key.
+    #[arg(long = "lane", required = true, value_parser = class)]
+    class: Vec<(String, f64, bool)>,
     /// Commands a second; several are steps one after another.
     #[arg(long, default_values_t = [100.0], num_args = 1.., value_parser = rate)]
     rate: Vec<f64>,
@@ -96,7 +98,8 @@
     expiry: u64,
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u16).range(1..=20_000))]
     connections: u16,
-    /// Search the highest rate that keeps this p99, in milliseconds, from the first rate up to the last.
+    /// Search the highest rate that keeps this p99, in milliseconds, from the first rate up to the
+    /// last.
     #[arg(long, value_name = "MS")]
     limit: Option<f64>,
     /// A line of JSON for each step.
@@ -109,7 +112,7 @@
     rate.ok_or_else(|| "commands a second from 0.1 to 1000000 are wanted".into())
 }
 
-fn lane(text: &str) -> Result<(String, f64, bool), String> {
+fn class(text: &str) -> Result<(String, f64, bool), String> {
     let (name, weight) = text.split_once('=').unwrap_or((text, "1"));
     let (weight, keyed) = weight
         .strip_suffix("+k")
@@ -165,7 +168,7 @@
 /// The scenario and its text.
 fn read(path: &Path) -> Result<(Scenario, String), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let named = |m: &tulipwall_config::Mistake| format!("{}:{m}", path.display());
+    let named = |m: &tulipwall_config::ConfigDiagnostic| format!("{}:{m}", path.display());
     let read = Scenario::read(&text)
         .map_err(|all| all.iter().map(named).collect::<Vec<_>>().join("\n"))?;
     Ok((read, text))
@@ -309,8 +312,8 @@
         let expiry = Duration::from_millis(self.expiry);
         let plan = Plan {
             agent: self.agent,
-            lanes: self
-                .lane
+            classes: self
+                .class
                 .into_iter()
                 .map(|(name, weight, keyed)| (name, weight, expiry, keyed))
                 .collect(),
--- a/crates/experiments/src/records.rs
+++ b/crates/experiments/src/records.rs
@@ -1,5 +1,5 @@
-//! Results: a versioned file of records, a line each with its checksum. A torn last line is passed over, and a run
-//! that was broken off goes on behind what is whole.
+//! Results: a versioned file of records, a line each with its checksum. A torn last line is passed
+//! over, and a run that was broken off goes on behind what is whole.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     pub values: Vec<(String, String)>,
     pub seed: u64,
     pub figures: BTreeMap<String, f64>,
-    /// Times of satisfied commands: microseconds, and how many.
+    /// Times of satisfied requests: microseconds, and how many.
     pub delays_us: Vec<(u64, u64)>,
     /// Of all decisions: equal runs have equal ones.
     pub digest: u64,
@@ -101,7 +101,8 @@
 }
 
 impl Records {
-    /// Opens a file for more records of this scenario, or begins it. One of another scenario is refused.
+    /// Opens a file for more records of this scenario, or begins it. One of another scenario is
+    /// refused.
     pub fn open(path: &Path, head: Head) -> Result<Records, String> {
         let broken = |e: io::Error| format!("{}: {e}", path.display());
         let (old, all) = if path.exists() {
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -8,12 +8,12 @@
 use std::fmt::Write;
 
 /// All runs at one point.
-pub struct Group<'a> {
+pub struct DeduplicationScope<'a> {
     pub values: &'a [(String, String)],
     pub runs: Vec<&'a Record>,
 }
 
-impl Group<'_> {
+impl DeduplicationScope<'_> {
     pub fn figure(&self, name: &str) -> Mean {
         Mean::of(
             &self
@@ -24,7 +24,7 @@
         )
     }
 
-    /// A quantile, in milliseconds, over the commands of all runs: histograms add up without loss.
+    /// A quantile, in milliseconds, over the requests of all runs: histograms add up without loss.
     pub fn quantile_ms(&self, part: f64) -> f64 {
         let Ok(mut all) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else {
             return 0.0;
@@ -50,11 +50,11 @@
 }
 
 /// Runs by point, in the order of points.
-pub fn groups(all: &[Record]) -> Vec<Group<'_>> {
-    let mut by: BTreeMap<usize, Group> = BTreeMap::new();
+pub fn groups(all: &[Record]) -> Vec<DeduplicationScope<'_>> {
+    let mut by: BTreeMap<usize, DeduplicationScope> = BTreeMap::new();
     for r in all {
         by.entry(r.point)
-            .or_insert_with(|| Group {
+            .or_insert_with(|| DeduplicationScope {
                 values: &r.values,
                 runs: Vec::new(),
             })
@@ -79,7 +79,8 @@
     }
 }
 
-/// A table in Markdown: a row for each point, a column for each of these figures (all, if none is named).
+/// A table in Markdown: a row for each point, a column for each of these figures (all, if none is
+/// named).
 pub fn table(all: &[Record], figures: &[String]) -> String {
     let names = if figures.is_empty() {
         names(all)
@@ -105,8 +106,8 @@
     text
 }
 
-/// Each point against the first: what differs beyond chance (Welch's test at 5%). Of twenty figures that do not
-/// differ one will seem to.
+/// Each point against the first: what differs beyond chance (Welch's test at 5%). Of twenty figures
+/// that do not differ one will seem to.
 pub fn compare(one: &[Record], other: &[Record]) -> String {
     let mut text = String::new();
     let of = groups(other);
@@ -130,7 +131,7 @@
         return "no runs\n".into();
     };
     let first: Vec<Record> = first.runs.iter().map(|r| (*r).clone()).collect();
-    let one = |g: &Group| {
+    let one = |g: &DeduplicationScope| {
         let runs: Vec<Record> = g
             .runs
             .iter()
@@ -144,8 +145,8 @@
     others.iter().map(one).collect()
 }
 
-/// One page: the table, and a plot for each figure over the first key that varies, a curve for each of the others'
-/// values, bars for 95% confidence over seeds.
+/// One page: the table, and a plot for each figure over the first key that varies, a curve for each
+/// of the others' values, bars for 95% confidence over seeds.
 pub fn page(head: &Head, all: &[Record]) -> Result<String, String> {
     let escape = |s: &str| s.replace('&', "&amp;").replace('<', "&lt;");
     let mut html = format!(
--- a/crates/experiments/src/run.rs
+++ b/crates/experiments/src/run.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{ClientKind, FaultKind, Scenario, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tulipwall::{Deployment, Lane, Standing};
+use tulipwall::{EndpointState, RequestClass, Settings};
 use tulipwall_client_policy::Retrying;
 use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
 use tulipwall_zones::{Budget, Limit, Routing, Zoning};
@@ -22,21 +22,21 @@
     let mut nodes: Vec<Node> = Vec::new();
     let mut of_zone = vec![Vec::new(); zones];
     for (zone, z) in s.zones.iter().enumerate() {
-        for _ in 0..z.appliances {
+        for _ in 0..z.endpoints {
             of_zone[zone].push(nodes.len());
             nodes.push(Node::new(zone, OLD, z.cores));
         }
     }
     let offering = s.offer.as_ref().map(|o| {
         let mut own = Vec::new();
-        for n in 0..o.appliances {
+        for n in 0..o.endpoints {
             let zone = n % zones;
             own.push(nodes.len());
             let new = Node::new(zone, NEW, s.zones[zone].cores);
             nodes.push(Node {
                 slowness: o.slowness,
                 fails: o.fails,
-                standing: Standing::Gone,
+                standing: EndpointState::Gone,
                 ..new
             });
         }
@@ -68,8 +68,8 @@
         .map(|from| (0..=zones).map(|to| way(s, from, to)).collect())
         .collect();
     day.deployment = deployment(s);
-    day.work = s.lanes.iter().map(|l| l.work).collect();
-    day.lanes = s.lanes.iter().map(|l| (l.weight, l.expiry)).collect();
+    day.work = s.classes.iter().map(|l| l.work).collect();
+    day.classes = s.classes.iter().map(|l| (l.weight, l.expiry)).collect();
     (day.steady, day.loss, day.told_late) = (s.steady, s.loss, s.told_late);
     day.clients = match s.clients {
         ClientKind::Open => Clients::Open,
@@ -98,13 +98,13 @@
     let budget = |share| Budget {
         name: "share".into(),
         to: None,
-        lane: None,
+        class: None,
         limit: Limit::Share(share),
         window: WINDOW,
         part: 1.0,
     };
     let budgets = s.share.into_iter().map(budget).collect();
-    let zoning = day::zoning(&deployment(s).lanes, own, s.zones.len(), budgets);
+    let zoning = day::zoning(&deployment(s).classes, own, s.zones.len(), budgets);
     Zoning {
         routing: if s.near_first {
             Routing::NearFirst
@@ -115,15 +115,15 @@
     }
 }
 
-fn deployment(s: &Scenario) -> Deployment {
-    let lane = |l: &crate::scenario::Lane| Lane {
-        quoted: l.quoted,
-        benefit: l.benefit,
-        repeats: l.repeats,
+fn deployment(s: &Scenario) -> Settings {
+    let class = |l: &crate::scenario::RequestClass| RequestClass {
+        latency_objective: l.latency_objective,
+        priority_weight: l.priority_weight,
+        idempotency: l.idempotency,
     };
-    let mut d = day::deployment(s.lanes.iter().map(lane).collect());
+    let mut d = day::deployment(s.classes.iter().map(class).collect());
     d.rollout.caps = s.offer.as_ref().map_or(vec![1.0], |o| o.stages.clone());
-    d.rollout.back_votes = (s.agents as f64 * 0.05).ceil() as u32;
+    d.rollout.votes_to_roll_back = (s.agents as f64 * 0.05).ceil() as u32;
     d
 }
 
@@ -146,8 +146,11 @@
         match f.kind {
             FaultKind::Slow(by) => each(&|n| Change::Slows(n, by), &|n| Change::Slows(n, 1.0)),
             FaultKind::Fail(part) => each(&|n| Change::Fails(n, part), &|n| Change::Fails(n, 0.0)),
-            FaultKind::Drain => each(&|n| Change::Lists(n, Standing::Draining), &Change::Starts),
-            FaultKind::Gone => each(&|n| Change::Lists(n, Standing::Gone), &Change::Starts),
+            FaultKind::Drain => each(
+                &|n| Change::Lists(n, EndpointState::Draining),
+                &Change::Starts,
+            ),
+            FaultKind::Gone => each(&|n| Change::Lists(n, EndpointState::Gone), &Change::Starts),
             FaultKind::Mute => each(&|n| Change::Mutes(n, true), &|n| Change::Mutes(n, false)),
             FaultKind::Stall => {
                 let span = f.lasts.unwrap_or(Duration::from_secs(1));
@@ -183,7 +186,7 @@
     }
 }
 
-/// What is measured of a run. Shares are of commands as they first came.
+/// What is measured of a run. Shares are of requests as they first came.
 fn figures(s: &Scenario, p: &Played) -> BTreeMap<String, f64> {
     let seconds = s.span.as_secs() as usize;
     let sum = |from: usize, to: usize, of: &dyn Fn(&tulipwall_testkit::day::Second) -> u64| {
@@ -211,7 +214,7 @@
     );
     put("p50_ms", p.quantile_ms(0.5));
     put("p99_ms", p.quantile_ms(0.99));
-    put("denied", p.denied as f64 / p.taken.max(1) as f64);
+    put("denied", p.rejected as f64 / p.taken.max(1) as f64);
     put("scrapped", p.scrapped as f64 / p.taken.max(1) as f64);
     put("rules_broken", p.broken.len() as f64);
     put("commands", p.taken as f64);
--- a/crates/experiments/src/scale/command.rs
+++ b/crates/experiments/src/scale/command.rs
@@ -13,7 +13,7 @@
 /// Half of the machine's memory at most, and no more than this, in bytes.
 const MEMORY_MOST: f64 = 8e9;
 
-/// Pairs of agent and appliance beyond which only some rows are played.
+/// Pairs of agent and endpoint beyond which only some rows are played.
 const FEW_ROWS: usize = 1_000_000;
 /// Plays of each point of a full sweep, of which the least times count.
 const TIMES: usize = 3;
@@ -61,16 +61,16 @@
     /// All agents together.
     #[arg(long, value_parser = count)]
     agents: Option<usize>,
-    /// All appliances together.
-    #[arg(long, value_parser = count)]
-    appliances: Option<usize>,
+    /// All endpoints together.
+    #[arg(long = "appliances", value_parser = count)]
+    endpoints: Option<usize>,
     /// Of one service.
-    #[arg(long, value_parser = count)]
-    lanes: Option<usize>,
+    #[arg(long = "lanes", value_parser = count)]
+    classes: Option<usize>,
     /// Of one service.
     #[arg(long, value_parser = count)]
     tenants: Option<usize>,
-    /// Commands a second for each agent, at the peak.
+    /// Requests a second for each agent, at the peak.
     #[arg(long, value_parser = rate)]
     rate: Option<f64>,
     /// Calls a second that discovery answers, for each agent: those that begin a watch.
@@ -79,7 +79,8 @@
     /// Discovery counts each call, also those that go on with a watch.
     #[arg(long)]
     every_call: bool,
-    /// Commands a second for each agent in all rows but the peak and the calm one; the share of a core is reckoned at the peak's.
+    /// Requests a second for each agent in all rows but the peak and the calm one; the share of a
+    /// core is reckoned at the peak's.
     #[arg(long, value_parser = rate)]
     quiet: Option<f64>,
     /// One point of a sweep, in a process of its own.
@@ -200,8 +201,8 @@
         let counts = [
             self.services,
             self.agents,
-            self.appliances,
-            self.lanes,
+            self.endpoints,
+            self.classes,
             self.tenants,
         ];
         counts.iter().any(Option::is_some)
@@ -215,8 +216,8 @@
         Size {
             services: self.services.unwrap_or(d.services),
             agents: self.agents.unwrap_or(d.agents),
-            appliances: self.appliances.unwrap_or(d.appliances),
-            lanes: self.lanes.unwrap_or(d.lanes),
+            endpoints: self.endpoints.unwrap_or(d.endpoints),
+            classes: self.classes.unwrap_or(d.classes),
             tenants: self.tenants.unwrap_or(d.tenants),
             rate: self.rate.unwrap_or(d.rate),
             calls: self.calls.unwrap_or(d.calls),
@@ -236,7 +237,7 @@
             let two = Size {
                 services: 2,
                 agents: 12,
-                appliances: 110,
+                endpoints: 110,
                 ..one
             };
             return vec![("two mean services".into(), two, self.quiet)];
@@ -244,20 +245,20 @@
         let services = Size {
             services: 140,
             agents: 770,
-            appliances: 7700,
+            endpoints: 7700,
             ..one
         };
-        // As many lanes as fit, then as many agents; the lines reckon the rest.
-        let lanes = [1600, 160, 11].into_iter().find(|lanes| {
+        // As many classes as fit, then as many agents; the lines reckon the rest.
+        let classes = [1600, 160, 11].into_iter().find(|classes| {
             Size {
-                lanes: *lanes,
+                classes: *classes,
                 ..all
             }
             .memory(false)
                 <= most
         });
         let mut fits = Size {
-            lanes: lanes.unwrap_or(11),
+            classes: classes.unwrap_or(11),
             ..all
         };
         while fits.memory(false) > most && fits.agents > 1 {
@@ -271,7 +272,7 @@
             ),
             (largest.into(), tenth, self.quiet.or(Some(14.3))),
             (
-                format!("{every}, {} agents, {} lanes", fits.agents, fits.lanes),
+                format!("{every}, {} agents, {} lanes", fits.agents, fits.classes),
                 fits,
                 self.quiet.or(Some(1.0)),
             ),
@@ -341,10 +342,11 @@
         }
         println!("{reading}: {}\n\n{ROWS_HEAD}", json!(size));
         let (from, mut commands) = (report.rows.len(), 0.0);
-        // With every agent before everything the surveys alone take minutes: the rows that say most.
+        // With every agent before everything the surveys alone take minutes: the rows that say
+        // most.
         let few = self.full
             && self.row.is_empty()
-            && size.agents * size.appliances / size.services > FEW_ROWS;
+            && size.agents * size.endpoints / size.services > FEW_ROWS;
         let named = |r: &&Row| self.row.is_empty() || self.row.iter().any(|name| name == r.name);
         let said = |r: &&Row| !few || ["peak", "configuration", "zone"].contains(&r.name);
         for row in all.iter().filter(named).filter(said) {
--- a/crates/experiments/src/scale/fit.rs
+++ b/crates/experiments/src/scale/fit.rs
@@ -8,8 +8,8 @@
     pub intercept: f64,
     /// The farthest that any point lies from the line, as a part of the largest point.
     pub residual: f64,
-    /// The exponent of the power that fits best: 1 where it grows as the count does, 2 with its square. It leaves the
-    /// intercept aside.
+    /// The exponent of the power that fits best: 1 where it grows as the count does, 2 with its
+    /// square. It leaves the intercept aside.
     pub power: f64,
 }
 
--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -1,5 +1,6 @@
-//! A hollow agent: the real decisions, list, reading and watchdog in simulated time, without sockets. It decides
-//! nothing of its own; where an answer of an appliance comes from chance, the chance is drawn from the told seed.
+//! A hollow agent: the real decisions, list, reading and watchdog in simulated time, without
+//! sockets. It decides nothing of its own; where an answer of an endpoint comes from chance, the
+//! chance is drawn from the told seed.
 
 use super::meter::{cpu, Kind, Meter, Work};
 use super::size::{tenant, Size};
@@ -11,10 +12,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall::{Answer, Choice, Command, End, News, Outcome};
+use tulipwall::{AttemptEnd, Balancer, Decision, Outcome, Request, RolloutStatus};
 use tulipwall_agent::wire::http;
 use tulipwall_agent::wire::platform::{self, Line};
-use tulipwall_config::Site;
+use tulipwall_config::ServiceConfig;
 use tulipwall_discovery::clock::Clock;
 use tulipwall_discovery::list::List;
 use tulipwall_discovery::listing::{self, Listing};
@@ -25,13 +26,13 @@
 /// How long a client waits.
 const EXPIRY: Duration = Duration::from_millis(1500);
 const WORK_MS: f64 = 20.0;
-/// There and back to an appliance.
+/// There and back to an endpoint.
 const WAY: Duration = Duration::from_millis(1);
 
 /// What is so, whatever anyone was told.
 #[derive(Clone, Debug, Default)]
 pub struct Truth {
-    /// By appliance: its machine is gone, and silent.
+    /// By endpoint: its machine is gone, and silent.
     pub down: Vec<bool>,
     /// The regions do not reach each other. Discovery and platform are in the first.
     pub cut: bool,
@@ -81,7 +82,7 @@
     Ends(u64, usize, Outcome),
     Look(u64),
     Expires(u64),
-    Due,
+    PollResult,
     Begin(u64),
     Late(u64),
     Quiet,
@@ -110,9 +111,9 @@
     }
 }
 
-/// A command in hand.
+/// A request in hand.
 struct Live {
-    out: Vec<Option<(Duration, Option<Rc<()>>)>>, // deliveries: when sent, and the hold on its number
+    out: Vec<Option<(Duration, Option<Rc<()>>)>>, // attempts: when sent, and the hold on its number
     look: Option<Duration>,
     answered: bool,
 }
@@ -129,28 +130,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub commands: u64,
-    pub satisfied: u64,
-    pub deliveries: u64,
-    /// Looks at appliances by the module's walks.
+    pub succeeded: u64,
+    pub attempts: u64,
+    /// Looks at endpoints by the module's walks.
     pub looks: u64,
     pub surveys: u64,
     /// When which version was known.
     pub learnt: Vec<(Duration, u64)>,
     /// From a SIGHUP until discovery and the platform were heard anew.
     pub renewed: Vec<Duration>,
-    /// What it keeps: commands, appliances, builds, keys, and what is listed.
+    /// What it keeps: requests, endpoints, builds, keys, and what is listed.
     pub kept: [usize; 5],
 }
 
 pub struct Hollow {
     pub number: usize,
     size: Size,
-    site: Rc<Site>,
+    site: Rc<ServiceConfig>,
     clock: Rc<Clock>,
-    choice: Choice,
+    choice: Balancer,
     list: List,
     watchdog: Watchdog,
-    vouched: Vouched,
+    list_valid_until: Vouched,
     rng: Pcg64Mcg,
     events: BinaryHeap<Reverse<Event>>,
     order: u64,
@@ -175,13 +176,13 @@
     pub fn start(
         number: usize,
         size: Size,
-        site: Rc<Site>,
+        site: Rc<ServiceConfig>,
         clock: Rc<Clock>,
         seed: u64,
         now: Duration,
     ) -> Hollow {
         let seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
-        let (choice, watchdog, vouched) = begin(&site, &size, number, seed, now);
+        let (choice, watchdog, list_valid_until) = begin(&site, &size, number, seed, now);
         let mut hollow = Hollow {
             number,
             size,
@@ -190,7 +191,7 @@
             choice,
             list: List::default(),
             watchdog,
-            vouched,
+            list_valid_until,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xa11c),
             events: BinaryHeap::new(),
             order: 0,
@@ -211,7 +212,7 @@
             looked: 0,
         };
         hollow.starts(now);
-        hollow.push(now, What::Due);
+        hollow.push(now, What::PollResult);
         hollow.push(now, What::Quiet);
         hollow.arrive(now);
         hollow
@@ -256,13 +257,13 @@
             learnt,
             ..Counts::default()
         };
-        self.looked = self.choice.looks();
+        self.looked = self.choice.endpoints_scanned();
     }
 
     pub fn finish(&mut self) {
-        self.counts.looks += self.choice.looks() - self.looked;
-        let [commands, appliances, builds, keys] = self.choice.kept();
-        self.counts.kept = [commands, appliances, builds, keys, self.list.len()];
+        self.counts.looks += self.choice.endpoints_scanned() - self.looked;
+        let [commands, endpoints, builds, keys] = self.choice.retained_counts();
+        self.counts.kept = [commands, endpoints, builds, keys, self.list.len()];
     }
 
     fn event(&mut self, truth: &Truth) {
@@ -279,18 +280,18 @@
                     .is_some_and(|c| !c.answered && c.look == Some(now))
                 {
                     let begun = cpu();
-                    let answer = self.choice.place(now, id);
+                    let answer = self.choice.route(now, id);
                     self.meter.spent(now, Work::Decisions, begun);
                     self.act(now, id, answer, truth);
                 }
             }
             What::Expires(id) => {
                 if self.commands.get(&id).is_some_and(|c| !c.answered) {
-                    self.choice.left(id);
+                    self.choice.close_request(id);
                     self.done(id);
                 }
             }
-            What::Due => self.due(now),
+            What::PollResult => self.due(now),
             What::Begin(nth) if nth == self.begins && self.again => self.begin(now),
             What::Begin(_) => {}
             What::Late(call) => self.failed(now, call, Ended::Silent),
@@ -298,7 +299,7 @@
         }
     }
 
-    // Commands.
+    // Requests.
 
     fn arrive(&mut self, now: Duration) {
         if self.size.rate > 0.0 {
@@ -310,24 +311,24 @@
     fn command(&mut self, now: Duration, truth: &Truth) {
         self.arrive(now);
         let name = tenant(self.rng.gen_range(0..self.size.tenants.max(1)));
-        let (lane, key) = (self.rng.gen_range(0..self.size.lanes), self.rng.gen());
+        let (class, key) = (self.rng.gen_range(0..self.size.classes), self.rng.gen());
         let begun = cpu();
-        let customer = self.site.customer(&name);
+        let tenant = self.site.tenant(&name);
         self.meter.spent(now, Work::Tenants, begun);
-        let command = Command {
-            lane,
-            customer,
+        let command = Request {
+            class,
+            tenant,
             key: Some(key),
-            left: EXPIRY,
-            work: None,
-            again: false,
+            time_left: EXPIRY,
+            estimated_work: None,
+            is_retry: false,
         };
         let id = self.taken;
         self.taken += 1;
         self.counts.commands += 1;
         let begun = cpu();
-        self.choice.take(now, id, command);
-        let answer = self.choice.place(now, id);
+        self.choice.on_request(now, id, command);
+        let answer = self.choice.route(now, id);
         self.meter.spent(now, Work::Decisions, begun);
         self.commands.insert(
             id,
@@ -342,27 +343,27 @@
     }
 
     /// As the agent acts on what the module answers.
-    fn act(&mut self, now: Duration, id: u64, mut answer: Answer, truth: &Truth) {
+    fn act(&mut self, now: Duration, id: u64, mut answer: Decision, truth: &Truth) {
         loop {
             match answer {
-                Answer::Send {
-                    appliance,
-                    time_out,
-                    look,
+                Decision::Forward {
+                    endpoint,
+                    timeout,
+                    recheck_at: look,
                 } => {
-                    self.send(now, id, appliance, time_out, truth);
+                    self.send(now, id, endpoint, timeout, truth);
                     look.into_iter().for_each(|at| self.look(id, at));
                     return;
                 }
-                Answer::NotYet { until } => return self.look(id, until),
-                Answer::Deny { .. } | Answer::Scrap => return self.done(id),
-                Answer::Withdraw { delivery } => {
-                    match self.end(now, id, delivery, Outcome::Withdrawn, false) {
+                Decision::Defer { until } => return self.look(id, until),
+                Decision::Reject { .. } | Decision::Fail => return self.done(id),
+                Decision::Cancel { attempt } => {
+                    match self.end(now, id, attempt, Outcome::Cancelled, false) {
                         Some(next) => answer = next,
                         None => return,
                     }
                 }
-                Answer::Wait => return,
+                Decision::Await => return,
             }
         }
     }
@@ -374,16 +375,9 @@
         }
     }
 
-    fn send(
-        &mut self,
-        now: Duration,
-        id: u64,
-        appliance: usize,
-        time_out: Duration,
-        truth: &Truth,
-    ) {
+    fn send(&mut self, now: Duration, id: u64, endpoint: usize, timeout: Duration, truth: &Truth) {
         let begun = cpu();
-        let (target, held) = (self.list.target(appliance), self.list.hold(appliance));
+        let (target, held) = (self.list.target(endpoint), self.list.hold(endpoint));
         self.meter.spent(now, Work::Decisions, begun);
         let (took, outcome) = match target.map(|t| (t.address, t.zone)) {
             None => (Duration::ZERO, Outcome::NotSent),
@@ -394,11 +388,11 @@
                 let took = WAY + Duration::from_secs_f64(drawn);
                 match away || truth.down.get(place(address)) == Some(&true) {
                     true => (
-                        self.site.connect_within.min(time_out),
-                        Outcome::NoConnection,
+                        self.site.connect_timeout.min(timeout),
+                        Outcome::ConnectFailed,
                     ),
-                    false if took > time_out => (time_out, Outcome::TimedOut),
-                    false => (took, Outcome::Satisfied),
+                    false if took > timeout => (timeout, Outcome::TimedOut),
+                    false => (took, Outcome::Succeeded),
                 }
             }
         };
@@ -407,7 +401,7 @@
         };
         c.out.push(Some((now, held)));
         let nth = c.out.len() - 1;
-        self.counts.deliveries += 1;
+        self.counts.attempts += 1;
         self.push(now + took, What::Ends(id, nth, outcome));
     }
 
@@ -419,16 +413,16 @@
         n: usize,
         outcome: Outcome,
         closed: bool,
-    ) -> Option<Answer> {
+    ) -> Option<Decision> {
         let (sent, _held) = self.commands.get_mut(&id)?.out.get_mut(n)?.take()?;
-        let end = End {
+        let end = AttemptEnd {
             outcome,
-            took: now.saturating_sub(sent),
-            closed,
-            held: None,
+            latency: now.saturating_sub(sent),
+            request_closed: closed,
+            reported_load: None,
         };
         let begun = cpu();
-        let answer = self.choice.after(now, id, n, end);
+        let answer = self.choice.on_attempt_end(now, id, n, end);
         self.meter.spent(now, Work::Decisions, begun);
         Some(answer)
     }
@@ -437,14 +431,14 @@
         let Some(answered) = self.commands.get(&id).map(|c| c.answered) else {
             return;
         };
-        let satisfied = outcome == Outcome::Satisfied && !answered;
-        let Some(answer) = self.end(now, id, n, outcome, satisfied || answered) else {
+        let succeeded = outcome == Outcome::Succeeded && !answered;
+        let Some(answer) = self.end(now, id, n, outcome, succeeded || answered) else {
             return;
         };
-        if satisfied {
-            self.counts.satisfied += 1;
-            if let Answer::Withdraw { delivery } = answer {
-                self.end(now, id, delivery, Outcome::Withdrawn, true);
+        if succeeded {
+            self.counts.succeeded += 1;
+            if let Decision::Cancel { attempt } = answer {
+                self.end(now, id, attempt, Outcome::Cancelled, true);
             }
             self.done(id);
         } else if answered {
@@ -467,10 +461,10 @@
 
     fn due(&mut self, now: Duration) {
         let begun = cpu();
-        let due = self.choice.wait(now);
+        let due = self.choice.poll(now);
         self.meter.spent(now, Work::Surveys, begun);
         self.counts.surveys += 1;
-        self.due |= due.watch;
+        self.due |= due.open_watch;
         if let Some(vote) = due.vote {
             self.calls += 1;
             let line = platform::vote(self.calls, &vote);
@@ -480,7 +474,10 @@
         if self.due && !self.again && matches!(self.talk, Talk::Idle) {
             self.begin(now);
         }
-        self.push(due.until.max(now + Duration::from_millis(1)), What::Due);
+        self.push(
+            due.next_poll.max(now + Duration::from_millis(1)),
+            What::PollResult,
+        );
     }
 
     // Discovery, as `crates/agent/src/discovery.rs` talks to it where calls are paid for.
@@ -512,7 +509,7 @@
             false => listing::LIST.to_owned(),
         };
         let time = wait + self.watchdog.within(true);
-        self.vouched.begins(now);
+        self.list_valid_until.begins(now);
         self.talk = Talk::Begins(self.ask(now, &path, time, true));
     }
 
@@ -526,8 +523,8 @@
             return;
         }
         self.hang_up(now);
-        self.vouched.ended(now, ended);
-        self.choice.vouched = self.vouched.until();
+        self.list_valid_until.ended(now, ended);
+        self.choice.list_valid_until = self.list_valid_until.until();
         match self.watchdog.again(ended) {
             Some(gap) => {
                 (self.begins, self.again) = (self.begins + 1, true);
@@ -535,14 +532,14 @@
             }
             None => {
                 self.due = false;
-                self.choice.list_failed(now);
+                self.choice.on_list_failure(now);
             }
         }
     }
 
     /// As a process begins: what is vouched for, and when discovery is first called.
     fn starts(&mut self, now: Duration) {
-        self.choice.vouched = self.vouched.until();
+        self.choice.list_valid_until = self.list_valid_until.until();
         if let Some(gap) = self.watchdog.starts() {
             (self.begins, self.again) = (self.begins + 1, true);
             self.push(now + gap, What::Begin(self.begins));
@@ -578,14 +575,15 @@
         self.watchdog.told();
         self.renewed(now, 0);
         let wait = self.watchdog.wait(false);
-        self.vouched.told(now, wait);
-        self.choice.vouched = self.vouched.until();
+        self.list_valid_until.told(now, wait);
+        self.choice.list_valid_until = self.list_valid_until.until();
         let path = listing::watch(self.list.version, wait);
         let next = self.ask(now, &path, wait + self.watchdog.late(), false);
         self.talk = Talk::Watches(next);
     }
 
-    /// Reads and takes an HTTP answer; whether it was spoilt in part, nothing where it cannot be read.
+    /// Reads and takes an HTTP answer; whether it was spoilt in part, nothing where it cannot be
+    /// read.
     fn read(&mut self, now: Duration, bytes: &[u8]) -> Option<bool> {
         let begun = cpu();
         let answer = http::answer(bytes, false).ok().flatten();
@@ -608,7 +606,7 @@
         let (entries, _) = self.list.take(told, &self.site, &self.clock);
         self.meter.spent(now, Work::Taking, begun);
         let begun = cpu();
-        self.choice.list(now, &entries, complete);
+        self.choice.update_endpoints(now, &entries, complete);
         self.meter.spent(now, Work::Listing, begun);
         if self
             .counts
@@ -658,7 +656,7 @@
                 self.quiet_until = now + PLATFORM_SILENT;
                 let begun = cpu();
                 match platform::line(&bytes) {
-                    Ok(Line::News(told)) => {
+                    Ok(Line::RolloutStatus(told)) => {
                         let began = now.saturating_sub(told.age);
                         let platform::Told {
                             build,
@@ -667,25 +665,25 @@
                             cap,
                             ..
                         } = told;
-                        self.choice.news(News {
+                        self.choice.update_rollout(RolloutStatus {
                             build,
                             stage,
                             phase,
                             cap,
-                            began,
+                            since: began,
                         });
                     }
-                    Ok(Line::Answer { reply, .. }) => self.choice.reply(now, reply),
+                    Ok(Line::Answer { reply, .. }) => self.choice.on_vote_reply(now, reply),
                     _ => {}
                 }
-                self.meter.spent(now, Work::News, begun);
+                self.meter.spent(now, Work::RolloutStatus, begun);
                 self.renewed(now, 1);
             }
             Mail::Reload => {
                 (self.owes, self.reloaded) = ([true; 2], now);
                 self.hang_up(now);
-                self.vouched.moved(now);
-                self.choice.vouched = self.vouched.until();
+                self.list_valid_until.moved(now);
+                self.choice.list_valid_until = self.list_valid_until.until();
                 (self.begins, self.again) = (self.begins + 1, true);
                 let gap = self.watchdog.moved();
                 self.push(now + gap, What::Begin(self.begins));
@@ -695,13 +693,14 @@
         }
     }
 
-    /// Another process in its place: what was in hand is gone. Its list comes with its configuration.
+    /// Another process in its place: what was in hand is gone. Its list comes with its
+    /// configuration.
     pub fn restart(&mut self, now: Duration, known: &[u8]) {
         self.hang_up(now);
         self.lives = self.lives.wrapping_add(0x51_7c_c1);
-        self.counts.looks += self.choice.looks() - self.looked;
+        self.counts.looks += self.choice.endpoints_scanned() - self.looked;
         self.looked = 0;
-        (self.choice, self.watchdog, self.vouched) =
+        (self.choice, self.watchdog, self.list_valid_until) =
             begin(&self.site, &self.size, self.number, self.lives, now);
         self.list = List::default();
         self.commands.clear();
@@ -719,20 +718,20 @@
 }
 
 fn begin(
-    site: &Site,
+    site: &ServiceConfig,
     size: &Size,
     number: usize,
     seed: u64,
     now: Duration,
-) -> (Choice, Watchdog, Vouched) {
-    let mut deployment = site.deployment.clone();
+) -> (Balancer, Watchdog, Vouched) {
+    let mut deployment = site.settings.clone();
     (deployment.seed, deployment.zone) = (seed, size.zone(number));
     let watchdog = Watchdog::new(&deployment);
-    let vouched = Vouched::new(&deployment, now);
-    (Choice::new(now, deployment), watchdog, vouched)
+    let list_valid_until = Vouched::new(&deployment, now);
+    (Balancer::new(now, deployment), watchdog, list_valid_until)
 }
 
-/// The appliance at this address.
+/// The endpoint at this address.
 fn place(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(a) => u32::from_be_bytes(a.ip().octets()) as usize & 0xff_ffff,
--- a/crates/experiments/src/scale/meter.rs
+++ b/crates/experiments/src/scale/meter.rs
@@ -1,4 +1,5 @@
-//! What one agent spends: processor time of its thread by kind, messages and bytes by kind, and both by second.
+//! What one agent spends: processor time of its thread by kind, messages and bytes by kind, and
+//! both by second.
 
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -7,20 +8,20 @@
 /// What processor time goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// `Choice::take`, `place` and `after`, and where the target is.
+    /// `Balancer::on_request`, `route` and `on_attempt_end`, and where the target is.
     Decisions,
-    /// `Choice::wait`, ten times a second.
+    /// `Balancer::poll`, ten times a second.
     Surveys,
     /// Bytes to a list: `http::answer`, `Listing::parse`.
     Reading,
     /// `List::take`.
     Taking,
-    /// `Choice::list`.
+    /// `Balancer::update_endpoints`.
     Listing,
     /// `Site::customer`, a tenant's name to its number.
     Tenants,
-    /// The platform's lines: `platform::line`, `Choice::news` and `reply`.
-    News,
+    /// The platform's lines: `platform::line`, `Balancer::update_rollout` and `on_vote_reply`.
+    RolloutStatus,
 }
 
 pub const WORKS: [(Work, &str); 7] = [
@@ -30,7 +31,7 @@
     (Work::Taking, "taking"),
     (Work::Listing, "listing"),
     (Work::Tenants, "tenants"),
-    (Work::News, "news"),
+    (Work::RolloutStatus, "news"),
 ];
 
 /// What goes over the wire, to the agent but for what it asks and votes.
@@ -43,7 +44,7 @@
     Refused,
     /// Calls to discovery.
     Asked,
-    News,
+    RolloutStatus,
     Ping,
     /// The platform's answers.
     Answered,
@@ -57,7 +58,7 @@
     (Kind::Quiet, "quiet watches"),
     (Kind::Refused, "refusals"),
     (Kind::Asked, "list calls"),
-    (Kind::News, "news"),
+    (Kind::RolloutStatus, "news"),
     (Kind::Ping, "pings"),
     (Kind::Answered, "answers"),
     (Kind::Voted, "votes"),
@@ -74,7 +75,7 @@
 pub struct Second {
     pub bytes: u64,
     pub ns: u64,
-    /// Without what each command takes: its decisions and its tenant's name.
+    /// Without what each request takes: its decisions and its tenant's name.
     pub control_ns: u64,
 }
 
--- a/crates/experiments/src/scale/mod.rs
+++ b/crates/experiments/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! How an installation bears its size: hollow agents, hundreds in one process, in simulated time, against the
-//! stand-ins' discovery and platform. What each spends is counted by agents, appliances, services, lanes and tenants.
+//! How an installation bears its size: hollow agents, hundreds in one process, in simulated time,
+//! against the fakes' discovery and platform. What each spends is counted by agents, endpoints,
+//! services, classes and tenants.
 
 pub mod command;
 pub mod fit;
--- a/crates/experiments/src/scale/play.rs
+++ b/crates/experiments/src/scale/play.rs
@@ -1,5 +1,5 @@
-//! Plays an installation of hollow agents: threads with agents of their own, in steps no longer than anything takes
-//! to come to them, so that the outcome is the same on any number of threads.
+//! Plays an installation of hollow agents: threads with agents of their own, in steps no longer
+//! than anything takes to come to them, so that the outcome is the same on any number of threads.
 
 use super::hollow::{Counts, Hollow, Mail, Post, Truth};
 use super::meter::{clock_cost, Meter, KINDS, WORKS};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipwall_discovery::clock::{Clock, BEFORE};
-use tulipwall_testkit::News;
+use tulipwall_testkit::RolloutStatus;
 
 /// Unix time, in milliseconds, at which simulated time begins.
 const START_MS: u64 = 1_790_000_000_000;
@@ -25,17 +25,17 @@
     /// SIGHUP to these agents.
     Reload(Vec<usize>),
     Restart(Vec<usize>),
-    /// The machines of these appliances vanish, or are back.
+    /// The machines of these endpoints vanish, or are back.
     Down(Vec<usize>, bool),
     /// Discovery lists these so: their state, a new build, a start just now.
     List {
-        appliances: Vec<usize>,
+        endpoints: Vec<usize>,
         state: &'static str,
         build: Option<u32>,
         started: bool,
     },
     /// The platform tells of a build at each service.
-    News {
+    RolloutStatus {
         build: u32,
         stage: usize,
         phase: &'static str,
@@ -59,7 +59,8 @@
     pub own: bool,
 }
 
-/// What was measured. Bytes and messages are those on the agents' wires, both ways; TCP's own are not counted.
+/// What was measured. Bytes and messages are those on the agents' wires, both ways; TCP's own are
+/// not counted.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
     pub agents: usize,
@@ -69,13 +70,16 @@
     /// By kind of message: how many, and bytes. All agents.
     pub traffic: BTreeMap<&'static str, super::meter::Sum>,
     pub commands: u64,
-    pub satisfied: u64,
-    pub deliveries: u64,
+    #[serde(rename = "satisfied")]
+    pub succeeded: u64,
+    #[serde(rename = "deliveries")]
+    pub attempts: u64,
     pub looks: u64,
     pub surveys: u64,
-    /// The most that any agent keeps: commands, appliances, builds, keys, listed.
+    /// The most that any agent keeps: requests, endpoints, builds, keys, listed.
     pub kept: [usize; 5],
-    /// An agent's part of a core, on the mean and in the worst second of any; then without decisions for commands.
+    /// An agent's part of a core, on the mean and in the worst second of any; then without
+    /// decisions for requests.
     pub core: f64,
     pub core_worst: f64,
     pub control_core: f64,
@@ -89,25 +93,27 @@
     pub refused: u64,
     pub discovery_bytes: f64,
     pub discovery_bytes_worst: f64,
-    /// Processor time of the stand-in for discovery, parts of a core.
+    /// Processor time of the fake for discovery, parts of a core.
     pub discovery_core: f64,
     pub platform_bytes: f64,
     pub platform_calls: f64,
-    /// Seconds from a change of the list until an agent knew it: the mean, the longest; how many agents' changes were
-    /// told later than counts as told, or never.
+    /// Seconds from a change of the list until an agent knew it: the mean, the longest; how many
+    /// agents' changes were told later than counts as told, or never.
     pub heard_mean: f64,
     pub heard_most: f64,
     pub heard_late: u64,
-    /// Seconds from a SIGHUP until all was heard anew, the longest; how many took longer than the letter allows, or
-    /// were not through at the end.
+    /// Seconds from a SIGHUP until all was heard anew, the longest; how many took longer than the
+    /// letter allows, or were not through at the end.
     pub renewed_most: f64,
     pub renewed_late: u64,
-    /// Bytes of memory that the agents took, by the process's resident set; zero where it was not looked at.
+    /// Bytes of memory that the agents took, by the process's resident set; zero where it was not
+    /// looked at.
     pub memory: f64,
 }
 
 impl Outcome {
-    /// Of two plays of the same, which count the same, the lesser times: what else ran on the machine only adds.
+    /// Of two plays of the same, which count the same, the lesser times: what else ran on the
+    /// machine only adds.
     pub fn least(mut self, other: &Outcome) -> Outcome {
         for (name, sum) in &mut self.work {
             sum.total = other
@@ -208,9 +214,9 @@
         let mut discoveries: Vec<Discovery> = (0..size.services)
             .map(|_| Discovery::new(size.budget(), size.every_call))
             .collect();
-        let news = News::now(41, 0, "released", 1.0);
+        let rollout_status = RolloutStatus::now(41, 0, "released", 1.0);
         let mut platforms: Vec<Platform> = (0..size.services)
-            .map(|_| Platform::new(zero, news.clone()))
+            .map(|_| Platform::new(zero, rollout_status.clone()))
             .collect();
         for (s, d) in discoveries.iter_mut().enumerate() {
             d.registry.tell(size.of_service(s).map(|a| size.entry(a)));
@@ -250,7 +256,7 @@
         let (size, from) = (self.size, BEFORE + self.warm);
         let mut truth = Arc::new(vec![
             Truth {
-                down: vec![false; size.appliances],
+                down: vec![false; size.endpoints],
                 cut: false
             };
             size.services
@@ -337,7 +343,7 @@
                 }
             }
             Happens::List {
-                appliances,
+                endpoints,
                 state,
                 build,
                 started,
@@ -345,7 +351,7 @@
                 let mut by: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
                 let service =
                     |a: usize| (0..size.services).find(|s| size.of_service(*s).contains(&a));
-                for a in appliances {
+                for a in endpoints {
                     by.entry(service(*a).unwrap_or_default())
                         .or_default()
                         .push(*a);
@@ -364,15 +370,15 @@
                     ds[s].change(now, entries, letters);
                 }
             }
-            Happens::News {
+            Happens::RolloutStatus {
                 build,
                 stage,
                 phase,
                 cap,
             } => {
-                let news = News::now(*build, *stage, phase, *cap);
+                let rollout_status = RolloutStatus::now(*build, *stage, phase, *cap);
                 ps.iter_mut()
-                    .for_each(|p| p.news(now, news.clone(), letters));
+                    .for_each(|p| p.rollout_status(now, rollout_status.clone(), letters));
             }
             Happens::Cut(cut) => {
                 Arc::make_mut(truth).iter_mut().for_each(|t| t.cut = *cut);
@@ -404,9 +410,9 @@
                 add(o.traffic.entry(name).or_default(), sum);
             }
             let c = &p.counts;
-            (o.commands, o.satisfied) = (o.commands + c.commands, o.satisfied + c.satisfied);
-            (o.deliveries, o.looks, o.surveys) = (
-                o.deliveries + c.deliveries,
+            (o.commands, o.succeeded) = (o.commands + c.commands, o.succeeded + c.succeeded);
+            (o.attempts, o.looks, o.surveys) = (
+                o.attempts + c.attempts,
                 o.looks + c.looks,
                 o.surveys + c.surveys,
             );
@@ -459,8 +465,9 @@
         o
     }
 
-    /// Seconds until this agent knew each change of its list, from its return where it was out of reach; nothing where
-    /// it never did. What came in the last moments had no time to come, and says nothing.
+    /// Seconds until this agent knew each change of its list, from its return where it was out of
+    /// reach; nothing where it never did. What came in the last moments had no time to come, and
+    /// says nothing.
     fn heard(&self, p: &Played, d: &Discovery) -> Vec<Option<f64>> {
         let (from, end) = (BEFORE + self.warm, BEFORE + self.warm + self.span);
         let away = self.size.region(self.size.zone(p.number)) == 1;
--- a/crates/experiments/src/scale/reckon.rs
+++ b/crates/experiments/src/scale/reckon.rs
@@ -4,49 +4,54 @@
 use super::size::{Size, CORE_MOST, MEMORY_MOST};
 use serde::Serialize;
 
-/// A figure as a sum of slopes times counts: by appliances, lanes, both together, and tenants.
+/// A figure as a sum of slopes times counts: by endpoints, classes, both together, and tenants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Plane {
     pub base: f64,
-    pub appliance: f64,
-    pub lane: f64,
-    pub appliance_and_lane: f64,
+    #[serde(rename = "appliance")]
+    pub endpoint: f64,
+    #[serde(rename = "lane")]
+    pub class: f64,
+    #[serde(rename = "appliance_and_lane")]
+    pub endpoint_and_class: f64,
     pub tenant: f64,
-    at: [f64; 3], // where the slopes meet: appliances, lanes, tenants
+    at: [f64; 3], // where the slopes meet: endpoints, classes, tenants
 }
 
 impl Plane {
-    /// From four sweeps that share all counts but one, the two over lanes at few and at many appliances.
+    /// From four sweeps that share all counts but one, the two over classes at few and at many
+    /// endpoints.
     pub fn of(figure: &str, by: [&Swept; 4]) -> Option<Plane> {
         let line = |s: &Swept| s.curve(figure).and_then(|c| c.line);
-        let [appliances, lanes, far, tenants] = by;
+        let [endpoints, classes, far, tenants] = by;
         let at = [
-            lanes.size.appliances,
-            appliances.size.lanes,
-            appliances.size.tenants,
+            classes.size.endpoints,
+            endpoints.size.classes,
+            endpoints.size.tenants,
         ]
         .map(|n| n as f64);
-        let (a, l, f, t) = (line(appliances)?, line(lanes)?, line(far)?, line(tenants)?);
-        let both = (f.slope - l.slope) / (far.size.appliances as f64 - at[0]);
-        // As measured where the slopes meet: a line through large counts says little of a small one.
-        let base = appliances.curve(figure)?.points.first()?.1;
-        let (appliance, lane, tenant) = (a.slope, l.slope, t.slope);
+        let (a, l, f, t) = (line(endpoints)?, line(classes)?, line(far)?, line(tenants)?);
+        let both = (f.slope - l.slope) / (far.size.endpoints as f64 - at[0]);
+        // As measured where the slopes meet: a line through large counts says little of a small
+        // one.
+        let base = endpoints.curve(figure)?.points.first()?.1;
+        let (endpoint, class, tenant) = (a.slope, l.slope, t.slope);
         Some(Plane {
             base,
-            appliance,
-            lane,
-            appliance_and_lane: both,
+            endpoint,
+            class,
+            endpoint_and_class: both,
             tenant,
             at,
         })
     }
 
     pub fn at(&self, size: &Size) -> f64 {
-        let counts = [size.appliances, size.lanes, size.tenants].map(|n| n as f64);
+        let counts = [size.endpoints, size.classes, size.tenants].map(|n| n as f64);
         let [a, l, t] = [0, 1, 2].map(|n| counts[n] - self.at[n]);
         self.base
-            + self.appliance * a
-            + (self.lane + self.appliance_and_lane * a) * l
+            + self.endpoint * a
+            + (self.class + self.endpoint_and_class * a) * l
             + self.tenant * t
     }
 }
@@ -60,7 +65,7 @@
     pub decision_us: f64,
     pub survey_us: f64,
     pub tenant_us: f64,
-    /// Share of a core at the size's load, and without what each command takes.
+    /// Share of a core at the size's load, and without what each request takes.
     pub core: f64,
     pub control_core: f64,
 }
@@ -73,15 +78,15 @@
     };
     let largest = Size {
         agents: 77,
-        appliances: 770,
-        lanes: 160,
+        endpoints: 770,
+        classes: 160,
         tenants: 5600,
         ..mean
     };
     let all = Size {
         agents: 770,
-        appliances: 7700,
-        lanes: 1600,
+        endpoints: 7700,
+        classes: 1600,
         tenants: 56_000,
         ..mean
     };
@@ -147,8 +152,8 @@
         format!(
             "| {} | {} | {} | {} | {:.1} | {:.2} | {:.1} | {:.2} | {:.2}% | {:.2}% |",
             self.reading,
-            self.size.appliances,
-            self.size.lanes,
+            self.size.endpoints,
+            self.size.classes,
             self.size.tenants,
             self.memory / 1e6,
             self.decision_us,
--- a/crates/experiments/src/scale/report.rs
+++ b/crates/experiments/src/scale/report.rs
@@ -1,4 +1,5 @@
-//! What was measured, for people and programs: tables, JSON, and a plot with the lines through the points.
+//! What was measured, for people and programs: tables, JSON, and a plot with the lines through the
+//! points.
 
 use super::fit::Line;
 use super::play::Outcome;
@@ -108,7 +109,8 @@
 }
 
 impl Rowed {
-    /// `commands`: the share of a core that commands take at the peak, where the row's own load is not the peak's.
+    /// `commands`: the share of a core that requests take at the peak, where the row's own load is
+    /// not the peak's.
     pub fn of(reading: &str, row: &Row, outcome: Outcome, commands: Option<f64>) -> Rowed {
         let mut beyond = Vec::new();
         let mut most = |what: &str, is: f64, limit: f64| {
--- a/crates/experiments/src/scale/rows.rs
+++ b/crates/experiments/src/scale/rows.rs
@@ -1,4 +1,5 @@
-//! What befalls an installation, shrunk in time and not in size, and the counts over which it is measured.
+//! What befalls an installation, shrunk in time and not in size, and the counts over which it is
+//! measured.
 
 use super::play::{Happens, Outcome, Play};
 use super::size::Size;
@@ -51,17 +52,17 @@
     }
 }
 
-fn list(appliances: Vec<usize>, state: &'static str, build: Option<u32>, started: bool) -> Happens {
+fn list(endpoints: Vec<usize>, state: &'static str, build: Option<u32>, started: bool) -> Happens {
     Happens::List {
-        appliances,
+        endpoints,
         state,
         build,
         started,
     }
 }
 
-/// One appliance after another goes and comes back, as another build where one is named: first told to leave, then
-/// gone, then back.
+/// One endpoint after another goes and comes back, as another build where one is named: first told
+/// to leave, then gone, then back.
 fn roll(
     which: &[usize],
     from: Duration,
@@ -101,12 +102,12 @@
     events
 }
 
-/// The rows, by name; `quiet` plays all but the peak and the calm one with so many commands a second for each agent, where bytes and
-/// messages alone are asked for.
+/// The rows, by name; `quiet` plays all but the peak and the calm one with so many requests a
+/// second for each agent, where bytes and messages alone are asked for.
 pub fn rows(size: Size, quiet: Option<f64>) -> Vec<Row> {
     let rate = quiet.unwrap_or(size.rate);
     let agents: Vec<usize> = (0..size.agents).collect();
-    let of_zone = |zone: usize| (0..size.appliances).filter(move |a| size.zone(*a) == zone);
+    let of_zone = |zone: usize| (0..size.endpoints).filter(move |a| size.zone(*a) == zone);
     let zone_agents: Vec<usize> = agents
         .iter()
         .copied()
@@ -121,14 +122,14 @@
     };
     // A service is one of 140, or the whole of a smaller installation.
     let service: Vec<usize> = match size.services {
-        1 if size.appliances > 1000 => (0..size.appliances / 140).collect(),
+        1 if size.endpoints > 1000 => (0..size.endpoints / 140).collect(),
         _ => size.of_service(0).collect(),
     };
     let mut release = roll(&service, secs(1), secs(30), Some(42));
     let trial = |at: u64, stage, phase, cap| {
         (
             secs(at),
-            Happens::News {
+            Happens::RolloutStatus {
                 build: 42,
                 stage,
                 phase,
@@ -141,7 +142,7 @@
         trial(12, 1, "trial", 0.6),
         trial(36, 1, "released", 1.0),
     ]);
-    let everything: Vec<usize> = (0..size.appliances).collect();
+    let everything: Vec<usize> = (0..size.endpoints).collect();
     let mut all = roll(&everything, secs(1), secs(60), Some(42));
     all.extend([
         trial(1, 0, "trial", 0.2),
@@ -283,7 +284,7 @@
 pub const LOOKS_SURVEY: Figure = ("looks at appliances a survey", |o| {
     o.looks as f64 / o.surveys.max(1) as f64
 });
-pub const SURVEY: Figure = ("survey, us each", |o| each_us(o, "surveys", o.surveys));
+pub const EVALUATION_INTERVAL: Figure = ("survey, us each", |o| each_us(o, "surveys", o.surveys));
 pub const TENANTS: Figure = ("tenant's name, us a command", |o| {
     each_us(o, "tenants", o.commands)
 });
@@ -350,9 +351,9 @@
             apart: false,
         }
     };
-    let appliances = pick(&[55, 550, 1100, 2200, 4400, 7700], &[55, 110, 220, 440]);
-    let lanes = pick(&[11, 40, 160, 400, 1600], &[11, 20, 40, 80]);
-    let few_lanes = pick(&[11, 40, 80, 160], &[3, 6, 12, 24]);
+    let endpoints = pick(&[55, 550, 1100, 2200, 4400, 7700], &[55, 110, 220, 440]);
+    let classes = pick(&[11, 40, 160, 400, 1600], &[11, 20, 40, 80]);
+    let few_classes = pick(&[11, 40, 80, 160], &[3, 6, 12, 24]);
     let tenants = pick(
         &[400, 5600, 14_000, 28_000, 56_000],
         &[400, 800, 1600, 3200],
@@ -361,14 +362,14 @@
     let services = pick(&[1, 10, 35, 70, 140], &[1, 2, 4, 8]);
     let rates = pick(&[18, 36, 72, 143, 286], &[20, 40, 80, 160]);
     let far = if full { 770 } else { 110 };
-    let with = |appliances| Size { appliances, ..base };
-    let commands = [DECISIONS, LOOKS, SURVEY, CORE, CONTROL];
+    let with = |endpoints| Size { endpoints, ..base };
+    let commands = [DECISIONS, LOOKS, EVALUATION_INTERVAL, CORE, CONTROL];
     let lists = [READING, TAKING, LISTING];
     let mut sweeps = vec![
         sweep(
             "appliances",
             "appliances",
-            &appliances,
+            &endpoints,
             &with,
             &none,
             &commands,
@@ -376,18 +377,18 @@
         sweep(
             "surveys alone, by appliances",
             "appliances",
-            &appliances,
+            &endpoints,
             &|n| Size {
                 rate: 0.0,
                 ..with(n)
             },
             &none,
-            &[LOOKS_SURVEY, SURVEY],
+            &[LOOKS_SURVEY, EVALUATION_INTERVAL],
         ),
         sweep(
             "a list that is known, by appliances",
             "appliances",
-            &appliances,
+            &endpoints,
             &with,
             &reload,
             &[&lists[..], &[WHOLE]].concat(),
@@ -395,7 +396,7 @@
         sweep(
             "a start's first list, by appliances",
             "appliances",
-            &appliances,
+            &endpoints,
             &with,
             &restart,
             &lists,
@@ -403,18 +404,18 @@
         sweep(
             "lanes",
             "lanes",
-            &lanes,
-            &|lanes| Size { lanes, ..base },
+            &classes,
+            &|classes| Size { classes, ..base },
             &none,
             &commands,
         ),
         sweep(
             "lanes of many appliances",
             "lanes",
-            &few_lanes,
-            &|lanes| Size {
-                lanes,
-                appliances: far,
+            &few_classes,
+            &|classes| Size {
+                classes,
+                endpoints: far,
                 ..base
             },
             &none,
@@ -426,7 +427,7 @@
             &tenants,
             &|tenants| Size { tenants, ..base },
             &none,
-            &[TENANTS, DECISIONS, SURVEY, CORE, CONTROL],
+            &[TENANTS, DECISIONS, EVALUATION_INTERVAL, CORE, CONTROL],
         ),
         sweep(
             "load",
@@ -476,7 +477,7 @@
     let each = |services: usize| Size {
         services,
         agents: services * 11 / 2,
-        appliances: services * 55,
+        endpoints: services * 55,
         ..gentle
     };
     let mut s = sweep("services", "services", &services, &each, &none, &sums);
@@ -501,18 +502,18 @@
         Sweep { apart: true, ..s }
     };
     sweeps.extend([
-        memory("memory by appliances", "appliances", &appliances, &with),
-        memory("memory by lanes", "lanes", &lanes, &|lanes| Size {
-            lanes,
+        memory("memory by appliances", "appliances", &endpoints, &with),
+        memory("memory by lanes", "lanes", &classes, &|classes| Size {
+            classes,
             ..base
         }),
         memory(
             "memory by lanes of many appliances",
             "lanes",
-            &few_lanes,
-            &|lanes| Size {
-                lanes,
-                appliances: far,
+            &few_classes,
+            &|classes| Size {
+                classes,
+                endpoints: far,
                 ..base
             },
         ),
--- a/crates/experiments/src/scale/servers.rs
+++ b/crates/experiments/src/scale/servers.rs
@@ -1,4 +1,5 @@
-//! Discovery and the platform of one service in simulated time, by the stand-ins' own logic, and what they are asked.
+//! Discovery and the platform of one service in simulated time, by the fakes' own logic, and what
+//! they are asked.
 
 use super::hollow::{Mail, Post};
 use super::meter::{cpu, Kind};
@@ -7,9 +8,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipwall_testkit::platform::{note, Desk};
-use tulipwall_testkit::{registry, Entry, News, Registry};
+use tulipwall_testkit::{registry, Entry, Registry, RolloutStatus};
 
-/// How long anything takes to come to an agent. As long as a step, so that agents are played by themselves meanwhile.
+/// How long anything takes to come to an agent. As long as a step, so that agents are played by
+/// themselves meanwhile.
 pub const WAY: Duration = Duration::from_millis(25);
 
 /// Calls answered and refused, and bytes sent, by second.
@@ -18,7 +20,7 @@
     pub calls: Vec<u64>,
     pub refused: u64,
     pub bytes: Vec<u64>,
-    /// Processor time of the stand-in, in ns.
+    /// Processor time of the fake, in ns.
     pub ns: u64,
 }
 
@@ -50,8 +52,8 @@
 }
 
 impl Discovery {
-    /// Answers `budget` calls a second, and as many at once after a quiet second. What goes on with a watch costs
-    /// nothing, unless `every` call does.
+    /// Answers `budget` calls a second, and as many at once after a quiet second. What goes on with
+    /// a watch costs nothing, unless `every` call does.
     pub fn new(budget: f64, every: bool) -> Discovery {
         Discovery {
             registry: Registry::default(),
@@ -191,10 +193,10 @@
 }
 
 impl Platform {
-    pub fn new(zero: Instant, news: News) -> Platform {
+    pub fn new(zero: Instant, rollout_status: RolloutStatus) -> Platform {
         let (watching, served) = (BTreeSet::new(), Served::default());
         Platform {
-            desk: Desk::new(news),
+            desk: Desk::new(rollout_status),
             watching,
             zero,
             served,
@@ -241,22 +243,27 @@
         self.say(now, agent, Kind::Answered, &written(&heeded.answer), out);
         if heeded.watches {
             self.watching.insert(agent);
-            let news = written(&self.desk.news.line(self.zero + now));
-            self.say(now, agent, Kind::News, &news, out);
+            let rollout_status = written(&self.desk.rollout_status.line(self.zero + now));
+            self.say(now, agent, Kind::RolloutStatus, &rollout_status, out);
         }
-        if let Some(news) = heeded.news {
-            self.news(now, news, out);
+        if let Some(rollout_status) = heeded.rollout_status {
+            self.rollout_status(now, rollout_status, out);
         }
         self.served.ns += cpu() - begun;
     }
 
-    pub fn news(&mut self, now: Duration, news: News, out: &mut Vec<Letter>) {
-        self.desk.news = News {
+    pub fn rollout_status(
+        &mut self,
+        now: Duration,
+        rollout_status: RolloutStatus,
+        out: &mut Vec<Letter>,
+    ) {
+        self.desk.rollout_status = RolloutStatus {
             since: self.zero + now,
-            ..news
+            ..rollout_status
         };
-        let line = self.desk.news.line(self.zero + now);
-        self.all(now, Kind::News, &line, out);
+        let line = self.desk.rollout_status.line(self.zero + now);
+        self.all(now, Kind::RolloutStatus, &line, out);
     }
 
     pub fn ping(&mut self, now: Duration, out: &mut Vec<Letter>) {
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::time::Duration;
-use tulipwall_config::{Fields, Site};
-use tulipwall_testkit::{program, Entry, Lane};
+use tulipwall_config::{Fields, ServiceConfig};
+use tulipwall_testkit::{program, Entry, RequestClass};
 
 /// What the operators' letter allows an agent for control.
 pub const CORE_MOST: f64 = 0.012;
@@ -15,16 +15,19 @@
 /// From a change until it is in force everywhere.
 pub const FORCE_MOST: Duration = Duration::from_secs(4);
 
-/// All agents and appliances together, split evenly over the services; lanes and tenants are those of one agent.
+/// All agents and endpoints together, split evenly over the services; classes and tenants are those
+/// of one agent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Size {
     pub services: usize,
     pub agents: usize,
-    pub appliances: usize,
-    pub lanes: usize,
+    #[serde(rename = "appliances")]
+    pub endpoints: usize,
+    #[serde(rename = "lanes")]
+    pub classes: usize,
     pub tenants: usize,
     pub zones: usize,
-    /// Commands a second for each agent.
+    /// Requests a second for each agent.
     pub rate: f64,
     /// Calls a second that discovery answers, for each of its agents: those that begin a watch.
     pub calls: f64,
@@ -38,8 +41,8 @@
         Size {
             services: 1,
             agents: 6,
-            appliances: 55,
-            lanes: 11,
+            endpoints: 55,
+            classes: 11,
             tenants: 400,
             zones: 7,
             rate: 143.0,
@@ -54,9 +57,9 @@
         agent * self.services / self.agents.max(1)
     }
 
-    /// The appliances of a service.
+    /// The endpoints of a service.
     pub fn of_service(&self, service: usize) -> std::ops::Range<usize> {
-        let from = |s: usize| s * self.appliances / self.services.max(1);
+        let from = |s: usize| s * self.endpoints / self.services.max(1);
         from(service)..from(service + 1)
     }
 
@@ -84,10 +87,11 @@
         let zones: Vec<String> = (0..self.zones).map(|z| format!("zone-{z}")).collect();
         let zones: Vec<&str> = zones.iter().map(String::as_str).collect();
         let kinds = ["repeatable", "by_key", "once"];
-        let lane =
-            |n: usize| Lane::new(&format!("route-{n:05}"), kinds[n % 3], 1.0 + (n % 7) as f64);
-        let lanes: Vec<Lane> = (0..self.lanes).map(lane).collect();
-        let mut settings = program::settings(&zones, zones[0], self.together() as u32, &lanes);
+        let class = |n: usize| {
+            RequestClass::new(&format!("route-{n:05}"), kinds[n % 3], 1.0 + (n % 7) as f64)
+        };
+        let classes: Vec<RequestClass> = (0..self.classes).map(class).collect();
+        let mut settings = program::settings(&zones, zones[0], self.together() as u32, &classes);
         let share = 1.0 / self.tenants.max(1) as f64;
         let tenant = |n: usize| json!({"name": tenant(n), "share": share});
         settings["tenants"] = (0..self.tenants).map(tenant).collect();
@@ -100,55 +104,57 @@
     /// The same as an agent reads it.
     ///
     /// # Errors
-    /// Those of [`Site::read`], by their text.
-    pub fn site(&self) -> Result<Site, String> {
+    /// Those of [`ServiceConfig::read`], by their text.
+    pub fn site(&self) -> Result<ServiceConfig, String> {
         let settings = self.settings();
-        let read = Site::read(&Fields::of(&settings, "settings")?, 1);
+        let read = ServiceConfig::read(&Fields::of(&settings, "settings")?, 1);
         let mut site = read.map_err(|fault| fault.to_string())?;
         // As the agent sets it on sockets, whatever the settings say.
-        site.deployment.list_asked = true;
-        site.deployment.probes = false;
+        site.settings.list_polled = true;
+        site.settings.load_probes = false;
         Ok(site)
     }
 
-    /// An appliance as discovery lists it, long up.
-    pub fn entry(&self, appliance: usize) -> Entry {
-        let [_, a, b, c] = (appliance as u32).to_be_bytes();
+    /// An endpoint as discovery lists it, long up.
+    pub fn entry(&self, endpoint: usize) -> Entry {
+        let [_, a, b, c] = (endpoint as u32).to_be_bytes();
         Entry {
-            id: format!("s-{:08x}", (appliance as u32).wrapping_mul(0x9e37_79b1)),
+            id: format!("s-{:08x}", (endpoint as u32).wrapping_mul(0x9e37_79b1)),
             addresses: vec![([10, a, b, c], 6543).into()],
-            zone: format!("zone-{}", self.zone(appliance)),
-            cell: (appliance / 8) as u64,
+            zone: format!("zone-{}", self.zone(endpoint)),
+            cell: (endpoint / 8) as u64,
             state: "in_service".into(),
             started_ms: 0,
             build: 41,
         }
     }
 
-    /// Bytes that a play of this takes, about, from the slopes that `tulipwall-experiments scale` measures; `own` where each
-    /// agent holds its settings by itself.
+    /// Bytes that a play of this takes, about, from the slopes that `tulipwall-experiments scale`
+    /// measures; `own` where each agent holds its settings by itself.
     pub fn memory(&self, own: bool) -> f64 {
-        let (agents, lanes, tenants) = (self.agents as f64, self.lanes as f64, self.tenants as f64);
-        let listed = self.appliances as f64 / self.services.max(1) as f64;
+        let (agents, classes, tenants) =
+            (self.agents as f64, self.classes as f64, self.tenants as f64);
+        let listed = self.endpoints as f64 / self.services.max(1) as f64;
         let each = 60e3
-            + listed * (EACH_LISTED + EACH_COUNT * lanes)
-            + lanes * EACH_LANE
+            + listed * (EACH_LISTED + EACH_COUNT * classes)
+            + classes * EACH_CLASS
             + tenants * EACH_TENANT;
-        let site = tenants * SITE_TENANT + lanes * SITE_LANE;
-        let told = self.appliances as f64 * EACH_TOLD;
+        let site = tenants * SITE_TENANT + classes * SITE_CLASS;
+        let told = self.endpoints as f64 * EACH_TOLD;
         let work = listed * EACH_READ * WORKERS; // a whole list while it is read
         agents * (each + if own { site } else { 0.0 }) + site * WORKERS + told + work + 20e6
     }
 }
 
-/// Bytes by count, as measured: an appliance in list and module, its counts by lane, a lane, a tenant in the
-/// module, the settings' names, an entry at discovery and its JSON, and while it is read.
+/// Bytes by count, as measured: an endpoint in list and module, its counts by class, a class, a
+/// tenant in the module, the settings' names, an entry at discovery and its JSON, and while it is
+/// read.
 const EACH_LISTED: f64 = 560.0;
 const EACH_COUNT: f64 = 32.0;
-const EACH_LANE: f64 = 1400.0;
+const EACH_CLASS: f64 = 1400.0;
 const EACH_TENANT: f64 = 24.0;
 const SITE_TENANT: f64 = 160.0;
-const SITE_LANE: f64 = 120.0;
+const SITE_CLASS: f64 = 120.0;
 const EACH_TOLD: f64 = 1500.0;
 const EACH_READ: f64 = 2500.0;
 const WORKERS: f64 = 4.0;
--- a/crates/experiments/src/scenario.rs
+++ b/crates/experiments/src/scenario.rs
@@ -2,8 +2,8 @@
 
 use kdl::KdlNode;
 use std::time::Duration;
-use tulipwall::{Group, Repeats};
-use tulipwall_config::{Mistake, Place, Reader};
+use tulipwall::{DeduplicationScope, Idempotency};
+use tulipwall_config::{ConfigDiagnostic, Reader, SourceLocation};
 
 /// What may vary. Numbers but for `clients` and `routing`.
 pub const KEYS: [&str; 11] = [
@@ -25,12 +25,12 @@
     pub name: String,
     pub seeds: u64,
     pub span: Duration,
-    /// Commands a second, over all agents.
+    /// Requests a second, over all agents.
     pub rate: f64,
     pub agents: usize,
     /// Of agents' parts of the load: 0 for equal ones, 1 for the largest twice the mean.
     pub spread: f64,
-    pub lanes: Vec<Lane>,
+    pub classes: Vec<RequestClass>,
     pub zones: Vec<Zone>,
     /// One way each, from zone to zone; others take half a millisecond.
     pub ways: Vec<(usize, usize, Duration)>,
@@ -38,32 +38,32 @@
     pub near_first: bool,
     /// The part of work that is always the same, 0 to 1; the rest is exponential.
     pub steady: f64,
-    /// What ways between zones lose of deliveries and of answers, 0 to 1.
+    /// What ways between zones lose of attempts and of answers, 0 to 1.
     pub loss: f64,
     /// How much later agents are told of lists and news.
     pub told_late: Duration,
     /// A budget for crossing, as a share of what is taken.
     pub share: Option<f64>,
     pub offer: Option<Offer>,
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ConfigError>,
     pub vary: Vec<Vary>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lane {
+pub struct RequestClass {
     pub name: String,
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     pub work: Duration,
-    pub quoted: Duration,
+    pub latency_objective: Duration,
     pub expiry: Duration,
-    pub benefit: f64,
+    pub priority_weight: f64,
     pub weight: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
     pub name: String,
-    pub appliances: usize,
+    pub endpoints: usize,
     pub cores: usize,
 }
 
@@ -78,22 +78,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
     pub at: Duration,
-    /// What its appliances take of the usual work.
+    /// What its endpoints take of the usual work.
     pub slowness: f64,
     pub fails: f64,
     pub stages: Vec<f64>,
     pub step: Duration,
-    /// Its appliances, in turn in each zone.
-    pub appliances: usize,
+    /// Its endpoints, in turn in each zone.
+    pub endpoints: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     pub at: Duration,
     /// It ends after so long; drained and gone ones return cold.
     pub lasts: Option<Duration>,
     pub zone: Option<usize>,
-    /// How many of its appliances, from the first on.
+    /// How many of its endpoints, from the first on.
     pub most: usize,
     pub kind: FaultKind,
 }
@@ -135,7 +135,7 @@
 
 impl Scenario {
     /// Reads a scenario's text; all that is wrong with it otherwise, in the order of its lines.
-    pub fn read(text: &str) -> Result<Scenario, Vec<Mistake>> {
+    pub fn read(text: &str) -> Result<Scenario, Vec<ConfigDiagnostic>> {
         let mut r = Reader::new(text);
         let document = r.document();
         let node = r
@@ -145,7 +145,7 @@
         let scenario = node.and_then(|node| experiment(&mut r, node));
         if node.is_none() && r.mistakes.is_empty() {
             r.wrong(
-                Place { line: 1, column: 1 },
+                SourceLocation { line: 1, column: 1 },
                 "experiment",
                 "one is wanted".into(),
             );
@@ -200,16 +200,17 @@
         s
     }
 
-    /// Bytes that one run takes at most, about: what agents know of appliances, and what is in flight.
+    /// Bytes that one run takes at most, about: what agents know of endpoints, and what is in
+    /// flight.
     pub fn memory(&self) -> f64 {
-        let nodes = self.zones.iter().map(|z| z.appliances).sum::<usize>()
-            + self.offer.as_ref().map_or(0, |o| o.appliances);
-        let (agents, lanes) = (self.agents as f64, self.lanes.len() as f64);
-        let known = agents * nodes as f64 * (400.0 + 40.0 * lanes);
+        let nodes = self.zones.iter().map(|z| z.endpoints).sum::<usize>()
+            + self.offer.as_ref().map_or(0, |o| o.endpoints);
+        let (agents, classes) = (self.agents as f64, self.classes.len() as f64);
+        let known = agents * nodes as f64 * (400.0 + 40.0 * classes);
         // Each second has a histogram, each agent each second its counts.
         let seconds = self.span.as_secs_f64() + 1.0;
         let longest = self
-            .lanes
+            .classes
             .iter()
             .map(|l| l.expiry.as_secs_f64())
             .fold(0.0, f64::max);
@@ -238,7 +239,7 @@
         rate: 500.0,
         agents: 3,
         spread: 0.0,
-        lanes: Vec::new(),
+        classes: Vec::new(),
         zones: Vec::new(),
         ways: Vec::new(),
         clients: ClientKind::Open,
@@ -299,14 +300,14 @@
             "loss" => s.loss = r.number(node, 0.0, 1.0).unwrap_or(0.0),
             "told-late" => s.told_late = r.span(node, Duration::ZERO).unwrap_or(Duration::ZERO),
             "offer" => s.offer = Some(offer(r, node)),
-            "lane" => s.lanes.extend(lane(r, node)),
+            "lane" => s.classes.extend(class(r, node)),
             "way" => s.ways.extend(way(r, node, &s.zones)),
             "fault" => s.faults.extend(fault(r, node, &s.zones)),
             "vary" => s.vary.extend(vary(r, node)),
             _ => {}
         }
     }
-    for (key, missing) in [("lane", s.lanes.is_empty()), ("zone", s.zones.is_empty())] {
+    for (key, missing) in [("lane", s.classes.is_empty()), ("zone", s.zones.is_empty())] {
         if missing && !r.mistakes.iter().any(|m| m.key == key) {
             r.wrong(r.of(node), key, "one or more are wanted".into());
         }
@@ -329,32 +330,32 @@
         .find_map(|e| r.text_of(e, "zone"))?;
     let mut zone = Zone {
         name,
-        appliances: 1,
+        endpoints: 1,
         cores: 1,
     };
     for node in r.nodes(node.children(), "zone", &["appliances", "cores"], &[]) {
         let count = r.number(node, 0.0, 1e5).map_or(1, |n| n as usize);
         match node.name().value() {
-            "appliances" => zone.appliances = count,
+            "appliances" => zone.endpoints = count,
             _ => zone.cores = count.max(1),
         }
     }
     Some(zone)
 }
 
-fn lane(r: &mut Reader, node: &KdlNode) -> Option<Lane> {
+fn class(r: &mut Reader, node: &KdlNode) -> Option<RequestClass> {
     let name = r
         .arguments(node, 1, &[])
         .into_iter()
         .find_map(|e| r.text_of(e, "lane"))?;
     let ms = Duration::from_millis;
-    let mut lane = Lane {
+    let mut class = RequestClass {
         name,
-        repeats: Repeats::Idempotent,
+        idempotency: Idempotency::Idempotent,
         work: ms(20),
-        quoted: ms(400),
+        latency_objective: ms(400),
         expiry: ms(1500),
-        benefit: 1.0,
+        priority_weight: 1.0,
         weight: 1.0,
     };
     let known = ["repeats", "work", "quoted", "expiry", "benefit", "weight"];
@@ -363,27 +364,35 @@
             "repeats" => {
                 let window = Duration::from_secs(3);
                 let kinds = [
-                    Repeats::Idempotent,
-                    Repeats::Deduplicated {
-                        group: Group::All,
+                    Idempotency::Idempotent,
+                    Idempotency::Keyed {
+                        scope: DeduplicationScope::All,
                         window,
                     },
-                    Repeats::Unrepeatable,
+                    Idempotency::NonIdempotent,
                 ];
                 let word = r.word(node, &["idempotent", "deduplicated", "unrepeatable"]);
-                lane.repeats = word.map_or(lane.repeats, |n| kinds[n]);
+                class.idempotency = word.map_or(class.idempotency, |n| kinds[n]);
             }
-            "work" => lane.work = r.span(node, Duration::from_micros(1)).unwrap_or(lane.work),
-            "quoted" => lane.quoted = r.span(node, ms(1)).unwrap_or(lane.quoted),
-            "expiry" => lane.expiry = r.span(node, ms(1)).unwrap_or(lane.expiry),
-            "benefit" => lane.benefit = r.number(node, 0.0, 1e9).unwrap_or(1.0),
-            _ => lane.weight = r.number(node, 0.0, 1e9).unwrap_or(1.0),
+            "work" => class.work = r.span(node, Duration::from_micros(1)).unwrap_or(class.work),
+            "quoted" => {
+                class.latency_objective = r.span(node, ms(1)).unwrap_or(class.latency_objective)
+            }
+            "expiry" => class.expiry = r.span(node, ms(1)).unwrap_or(class.expiry),
+            "benefit" => class.priority_weight = r.number(node, 0.0, 1e9).unwrap_or(1.0),
+            _ => class.weight = r.number(node, 0.0, 1e9).unwrap_or(1.0),
         }
     }
-    Some(lane)
+    Some(class)
 }
 
-fn named(r: &mut Reader, at: Place, key: &str, name: &str, zones: &[Zone]) -> Option<usize> {
+fn named(
+    r: &mut Reader,
+    at: SourceLocation,
+    key: &str,
+    name: &str,
+    zones: &[Zone],
+) -> Option<usize> {
     let found = zones.iter().position(|z| z.name == name);
     if found.is_none() {
         let known: Vec<&str> = zones.iter().map(|z| z.name.as_str()).collect();
@@ -428,7 +437,7 @@
         fails: 0.0,
         stages: vec![0.1, 0.5, 1.0],
         step: secs(5),
-        appliances: 3,
+        endpoints: 3,
     };
     for node in r.nodes(
         node.children(),
@@ -441,7 +450,7 @@
             "slowness" => o.slowness = r.number(node, 0.1, 100.0).unwrap_or(1.0),
             "fails" => o.fails = r.number(node, 0.0, 1.0).unwrap_or(0.0),
             "step" => o.step = r.span(node, Duration::from_millis(100)).unwrap_or(o.step),
-            "appliances" => o.appliances = r.number(node, 1.0, 1e5).map_or(3, |n| n as usize),
+            "appliances" => o.endpoints = r.number(node, 1.0, 1e5).map_or(3, |n| n as usize),
             _ => {
                 let caps = r.numbers(node, 0.0, 1.0);
                 o.stages = if caps.is_empty() { o.stages } else { caps };
@@ -451,10 +460,10 @@
     o
 }
 
-fn fault(r: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<Fault> {
+fn fault(r: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<ConfigError> {
     let at = r.of(node);
     r.arguments(node, 0, &[]);
-    let mut f = Fault {
+    let mut f = ConfigError {
         at: Duration::ZERO,
         lasts: None,
         zone: None,
--- a/crates/experiments/src/stats.rs
+++ b/crates/experiments/src/stats.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Half of the interval that holds the true mean with 95% confidence; infinite for a single run.
+    /// Half of the interval that holds the true mean with 95% confidence; infinite for a single
+    /// run.
     pub fn half(&self) -> f64 {
         let n = self.of as f64;
         if self.of < 2 {
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Real agents before stand-ins: the figures that are the same each time, which are counts, bytes, and that each figure
-//! and line is there. No times: those are for the large form, on a quiet machine.
+//! Real agents before fakes: the figures that are the same each time, which are counts, bytes, and
+//! that each figure and line is there. No times: those are for the large form, on a quiet machine.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -26,8 +26,8 @@
     each.max().unwrap_or(SystemTime::UNIX_EPOCH)
 }
 
-/// The agent's program of this build. Cargo builds it with all tests, but not with those of this package alone: where
-/// it is missing, or older than what it is made of, it is built here.
+/// The agent's program of this build. Cargo builds it with all tests, but not with those of this
+/// package alone: where it is missing, or older than what it is made of, it is built here.
 fn agent() -> &'static Path {
     static AGENT: OnceLock<PathBuf> = OnceLock::new();
     AGENT.get_or_init(|| {
@@ -87,8 +87,8 @@
 fn size() -> Size {
     Size {
         agents: 1,
-        appliances: 40,
-        lanes: 11,
+        endpoints: 40,
+        classes: 11,
         tenants: 20,
         zones: 3,
         sockets: 64,
@@ -178,13 +178,15 @@
     }
     let after = usage(std::process::id()).unwrap();
     assert!(after.peak >= after.resident && after.resident > 8 << 20 && kept.len() == 8 << 20);
-    // The same clock in ticks; each of two counts may lack one, and time goes on between the two readings.
+    // The same clock in ticks; each of two counts may lack one, and time goes on between the two
+    // readings.
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
     assert!(ticks(&stat).unwrap() + Duration::from_millis(20) >= after.ran);
     assert!(usage(u32::MAX).is_err());
 }
 
-/// What the meter counts is what discovery wrote: its head and the list, to the byte; then what the agent asked.
+/// What the meter counts is what discovery wrote: its head and the list, to the byte; then what the
+/// agent asked.
 #[test]
 fn a_whole_list_is_counted_to_the_byte() {
     let stand = Stand::start(&size(), Ways::default()).unwrap();
@@ -207,7 +209,8 @@
     assert!(usage(id).is_err(), "it outlives its owner");
 }
 
-/// A change is one answer on the watch that stands: a part that is always the same, and each entry as long as the next.
+/// A change is one answer on the watch that stands: a part that is always the same, and each entry
+/// as long as the next.
 #[test]
 fn a_change_is_as_long_as_its_entries() {
     let arguments = [
@@ -245,12 +248,12 @@
         "4000",
         "16000",
     ];
-    let lanes = ["--lanes", "5", "100", "250"];
+    let classes = ["--lanes", "5", "100", "250"];
     let (_, told) = measured(
         &[
             &["--measure", "appliances", "tenants", "pairs"],
             &sizes[..],
-            &lanes,
+            &classes,
         ]
         .concat(),
     );
@@ -270,7 +273,7 @@
     );
 }
 
-/// Each command is out once at least, on a connection of its own, and as many as were asked.
+/// Each request is out once at least, on a connection of its own, and as many as were asked.
 #[test]
 fn what_is_open_and_connected_is_there_while_it_is_measured() {
     let arguments = [
@@ -290,11 +293,8 @@
         figures(&told, "memory", "open commands", "open"),
         [5.0, 20.0]
     );
-    let deliveries = figures(&told, "memory", "open commands", "deliveries");
-    assert!(
-        deliveries[0] >= 5.0 && deliveries[1] >= 20.0,
-        "{deliveries:?}"
-    );
+    let attempts = figures(&told, "memory", "open commands", "deliveries");
+    assert!(attempts[0] >= 5.0 && attempts[1] >= 20.0, "{attempts:?}");
     assert!(figures(&told, "memory", "connections", "resident_mb")
         .iter()
         .all(|mb| *mb > 1.0));
@@ -336,8 +336,8 @@
     assert!((120.0..170.0).contains(&entry), "{entry} bytes an entry");
 }
 
-/// How much is asked for is the agent's to say; here that it is counted, and no more than it may be at the very most: two
-/// calls for the whole list.
+/// How much is asked for is the agent's to say; here that it is counted, and no more than it may be
+/// at the very most: two calls for the whole list.
 #[test]
 fn a_new_configuration_and_a_restart_are_counted_until_they_are_in_force() {
     let (_, told) = measured(&[&["--measure", "start", "renew", "restart"][..], &FEW].concat());
@@ -363,7 +363,8 @@
     }
 }
 
-/// Whether an agent takes settings over at SIGHUP is its to say: either no time is told, or one for all repeats.
+/// Whether an agent takes settings over at SIGHUP is its to say: either no time is told, or one for
+/// all repeats.
 #[test]
 fn new_settings_are_found_in_force_or_not_at_all() {
     let (_, told) = measured(&[&["--measure", "settings"][..], &FEW].concat());
@@ -392,7 +393,7 @@
     "1",
 ];
 
-/// The load is the same each time: so many commands, whatever they are sent to.
+/// The load is the same each time: so many requests, whatever they are sent to.
 #[test]
 fn a_load_asks_as_many_commands_of_each_agent() {
     let (_, told) = measured(&[&["--measure", "added"][..], &LOADS].concat());
@@ -443,9 +444,9 @@
 #[test]
 fn a_load_goes_over_lanes_and_tenants_of_the_settings() {
     let stand = Stand::start(&size(), Ways::default()).unwrap();
-    let at = stand.appliances[0].address(0);
+    let at = stand.endpoints[0].address(0);
     let answered = measure::load(&size(), at, 60.0, Duration::from_secs(1), 3);
-    let seen = stand.appliances[0].seen();
+    let seen = stand.endpoints[0].seen();
     assert!(
         answered.asked > 20 && seen.len() as u64 == answered.asked,
         "{}",
@@ -453,13 +454,14 @@
     );
     assert!(seen
         .iter()
-        .all(|s| s.lane.starts_with("route-") && s.statement.contains(",t=tenant-")));
+        .all(|s| s.class.starts_with("route-") && s.statement.contains(",t=tenant-")));
     assert!(seen.iter().any(|s| s.key.is_some()));
-    let lanes: std::collections::BTreeSet<_> = seen.iter().map(|s| &s.lane).collect();
-    assert!(lanes.len() > 3, "{lanes:?}");
+    let classes: std::collections::BTreeSet<_> = seen.iter().map(|s| &s.class).collect();
+    assert!(classes.len() > 3, "{classes:?}");
 }
 
-/// What a command takes is known beforehand, by its id: no answer comes sooner, and the mean is the one that was told.
+/// What a request takes is known beforehand, by its id: no answer comes sooner, and the mean is the
+/// one that was told.
 #[test]
 fn a_worker_takes_the_time_that_the_id_says() {
     let mean = Duration::from_millis(4);
@@ -472,7 +474,7 @@
         5,
     );
     assert_eq!(
-        (answered.each.len() as u64, answered.satisfied),
+        (answered.each.len() as u64, answered.succeeded),
         (answered.asked, answered.asked)
     );
     for (id, took) in &answered.each {
@@ -574,8 +576,8 @@
 #[test]
 fn an_agent_takes_no_more_than_its_estimate() {
     let size = Size {
-        appliances: 3000,
-        lanes: 300,
+        endpoints: 3000,
+        classes: 300,
         tenants: 5000,
         ..size()
     };
--- a/crates/experiments/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -1,22 +1,22 @@
-//! The load tool against a stand-in that speaks as an agent does, and whose limit is known.
+//! The load tool against a fake that speaks as an agent does, and whose limit is known.
 
 use std::process::Command;
 use std::time::Duration;
 use tulipwall_experiments::load::{Plan, Step};
-use tulipwall_testkit::{ground, Act, Appliance, Ways};
+use tulipwall_testkit::{ground, Act, Endpoint, Ways};
 
-fn plan(of: &Appliance) -> Plan {
+fn plan(of: &Endpoint) -> Plan {
     let view = ("view".to_owned(), 1.0, Duration::from_millis(1500), false);
     Plan {
         agent: of.address(0),
-        lanes: vec![view],
+        classes: vec![view],
         connections: 200,
         seed: 1,
     }
 }
 
-fn of(cores: usize) -> Appliance {
-    Appliance::start(
+fn of(cores: usize) -> Endpoint {
+    Endpoint::start(
         1,
         Ways {
             work: Duration::from_millis(20),
@@ -30,8 +30,8 @@
 
 #[test]
 fn times_count_from_when_a_command_was_due() {
-    // One core takes 50 a second; at 100 the queue grows by a second in each two. Times that counted from the
-    // sending on a free connection would hide that.
+    // One core takes 50 a second; at 100 the queue grows by a second in each two. Times that
+    // counted from the sending on a free connection would hide that.
     let agent = of(1);
     let step = Plan {
         connections: 1,
@@ -65,7 +65,8 @@
     );
 }
 
-/// Guards a search against a machine that lets the load stand still for a moment: that tells nothing of the agent.
+/// Guards a search against a machine that lets the load stand still for a moment: that tells
+/// nothing of the agent.
 #[test]
 fn a_step_in_which_the_load_stood_still_is_played_again() {
     let agent = of(4);
@@ -84,7 +85,7 @@
 
 #[test]
 fn each_step_is_a_line_of_json_with_what_was_not_answered() {
-    let agent = Appliance::start(
+    let agent = Endpoint::start(
         1,
         Ways {
             act: Act::TurnsAway,
@@ -120,7 +121,7 @@
     assert!(agent
         .seen()
         .iter()
-        .any(|s| s.lane == "send" && s.key.is_some()));
+        .any(|s| s.class == "send" && s.key.is_some()));
     assert_eq!(run(&["--lane", "view=x"]).status.code(), Some(2));
     agent.crash();
     assert_eq!(
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -1,4 +1,5 @@
-//! Whether the model is right: against published formulas, against itself, and with the rules broken on purpose.
+//! Whether the model is right: against published formulas, against itself, and with the rules
+//! broken on purpose.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,17 +27,18 @@
 
 #[test]
 fn one_appliance_waits_as_the_formula_of_pollaczek_and_khinchine_says() {
-    // One core, Poisson arrivals; work is 0.4 of its mean and 0.6 of it exponential: squared variation 0.36.
+    // One core, Poisson arrivals; work is 0.4 of its mean and 0.6 of it exponential: squared
+    // variation 0.36.
     let s = scenario(
         "span \"400s\"; rate 30; agents 1; seeds 1\nzone \"a\" { appliances 1; cores 1; }\n\
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
     );
     let p = run::day(&s, 3).play();
     assert!(
-        p.broken.is_empty() && p.denied + p.scrapped == 0,
+        p.broken.is_empty() && p.rejected + p.scrapped == 0,
         "{:?} {} {}",
         p.broken,
-        p.denied,
+        p.rejected,
         p.scrapped
     );
     let (work, load) = (0.020, 30.0 * 0.020);
@@ -49,7 +51,7 @@
     );
 }
 
-/// The probability that a command waits where `c` cores share a load of `a` (Erlang's C formula).
+/// The probability that a request waits where `c` cores share a load of `a` (Erlang's C formula).
 fn erlang(c: usize, a: f64) -> f64 {
     let term = |n: usize| (1..=n).fold(1.0, |t, k| t * a / k as f64);
     let last = term(c) * c as f64 / (c as f64 - a);
@@ -65,9 +67,9 @@
         ));
         let p = run::day(&s, 5).play();
         assert!(
-            p.broken.is_empty() && p.denied + p.scrapped == 0,
+            p.broken.is_empty() && p.rejected + p.scrapped == 0,
             "{cores}: {} {}",
-            p.denied,
+            p.rejected,
             p.scrapped
         );
         let (work, load) = (0.020, rate * 0.020);
@@ -109,8 +111,8 @@
 
 #[test]
 fn two_choices_leave_shorter_queues_than_one_would() {
-    // Ten appliances of one core at 0.7: by chance alone each is an M/G/1 queue; two choices wait far less
-    // (Mitzenmacher 2001: the longest queues fall from log n to log log n).
+    // Ten endpoints of one core at 0.7: by chance alone each is an M/G/1 queue; two choices wait
+    // far less (Mitzenmacher 2001: the longest queues fall from log n to log log n).
     let s = scenario(
         "span \"60s\"; rate 350; agents 1\nzone \"a\" { appliances 10; cores 1; }\n\
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
@@ -161,7 +163,7 @@
     assert!(broken(&d.play(), "rule 1"), "an answer that never comes");
     // 2: the decisions think that payments repeat; the checker does not.
     let mut d = run::day(&two_zones("fault { at \"2s\"; fail 0.5; }"), 1);
-    d.lies.repeats = BTreeMap::from([(2, Repeats::Idempotent)]);
+    d.lies.idempotency = BTreeMap::from([(2, Idempotency::Idempotent)]);
     assert!(broken(&d.play(), "rule 2"), "a payment that runs twice");
     // 3: agents are not told of a drain.
     let mut d = run::day(
@@ -173,11 +175,14 @@
         broken(&d.play(), "rule 3"),
         "a delivery to a draining appliance"
     );
-    // 4: agents are not told that an appliance is cold, and are too many to see it each.
+    // 4: agents are not told that an endpoint is cold, and are too many to see it each.
     let cold = "agents 80\nfault { at \"2s\"; for \"1s\"; kind \"gone\"; appliances 3; }\nfault { at \"3s\"; burst 3; }";
     let mut d = run::day(&two_zones(cold), 1);
-    (d.lies.warm, d.deployment.cold_share, d.deployment.cold_for) =
-        (true, 0.01, Duration::from_secs(20));
+    (
+        d.lies.warm,
+        d.deployment.slow_start_share,
+        d.deployment.slow_start_duration,
+    ) = (true, 0.01, Duration::from_secs(20));
     assert!(
         broken(&d.play(), "rule 4"),
         "a cold appliance that gets too much"
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -1,5 +1,5 @@
-//! How an installation bears its size, by counts that are the same on any machine: walks, bytes and messages. Times are
-//! for `tulipwall-experiments scale`.
+//! How an installation bears its size, by counts that are the same on any machine: walks, bytes and
+//! messages. Times are for `tulipwall-experiments scale`.
 
 use std::process::{Command, Output};
 use std::time::Duration;
@@ -48,8 +48,8 @@
 fn counts(o: &Outcome) -> String {
     let load = (
         o.commands,
-        o.satisfied,
-        o.deliveries,
+        o.succeeded,
+        o.attempts,
         o.looks,
         o.surveys,
         o.kept,
@@ -66,11 +66,11 @@
     format!("{load:?} {wire:?}")
 }
 
-/// A fleet with an agent or two, that takes a few commands.
-fn small(appliances: usize) -> Size {
+/// A fleet with an agent or two, that takes a few requests.
+fn small(endpoints: usize) -> Size {
     Size {
         agents: 2,
-        appliances,
+        endpoints,
         rate: 20.0,
         ..Size::default()
     }
@@ -81,7 +81,7 @@
     let size = Size {
         services: 2,
         agents: 9,
-        appliances: 60,
+        endpoints: 60,
         rate: 30.0,
         ..Size::default()
     };
@@ -112,57 +112,59 @@
     let o = run(size, secs(10), Vec::new());
     assert!((1000..1400).contains(&o.commands), "{} of 1200", o.commands);
     assert!(
-        o.satisfied as f64 > o.commands as f64 * 0.99,
+        o.succeeded as f64 > o.commands as f64 * 0.99,
         "{} of {}",
-        o.satisfied,
+        o.succeeded,
         o.commands
     );
     assert_eq!(o.kept[1..], [55, 1, 0, 55]);
-    // A machine goes silent: what was sent there is sent again, and once it is told as gone nothing goes there.
+    // A machine goes silent: what was sent there is sent again, and once it is told as gone nothing
+    // goes there.
     let o = row(size, "machine").play(7, 2).run().unwrap();
     assert_eq!(o.heard_late, 0);
     assert!(
-        o.satisfied as f64 > o.commands as f64 * 0.99,
+        o.succeeded as f64 > o.commands as f64 * 0.99,
         "{} of {}",
-        o.satisfied,
+        o.succeeded,
         o.commands
     );
-    assert!(o.deliveries > o.commands, "none was sent in vain");
+    assert!(o.attempts > o.commands, "none was sent in vain");
     // While regions do not reach each other the second one serves by what it knows.
     let o = row(size, "cut").play(7, 2).run().unwrap();
     assert!(
-        o.satisfied as f64 > o.commands as f64 * 0.9,
+        o.succeeded as f64 > o.commands as f64 * 0.9,
         "{} of {}",
-        o.satisfied,
+        o.succeeded,
         o.commands
     );
 }
 
 #[test]
 fn walks_grow_with_the_appliances_and_no_faster() {
-    let looks = |appliances, rate| {
+    let looks = |endpoints, rate| {
         run(
             Size {
                 rate,
-                ..small(appliances)
+                ..small(endpoints)
             },
             secs(4),
             Vec::new(),
         )
     };
-    for appliances in [55, 220, 440] {
-        let (calm, busy) = (looks(appliances, 0.0), looks(appliances, 50.0));
+    for endpoints in [55, 220, 440] {
+        let (calm, busy) = (looks(endpoints, 0.0), looks(endpoints, 50.0));
         assert_eq!(calm.surveys, busy.surveys, "ten a second each");
-        let survey = calm.looks as f64 / calm.surveys as f64 / appliances as f64;
-        let command = (busy.looks - calm.looks) as f64 / busy.commands as f64 / appliances as f64;
-        // A survey: 12 walks. A command: two in `pick`, one as its answer is learnt. More is a step back; less is wanted.
+        let survey = calm.looks as f64 / calm.surveys as f64 / endpoints as f64;
+        let command = (busy.looks - calm.looks) as f64 / busy.commands as f64 / endpoints as f64;
+        // A survey: 12 walks. A request: two in `pick`, one as its answer is learnt. More is a step
+        // back; less is wanted.
         assert!(
             survey > 0.0 && survey <= 12.0,
-            "{appliances} appliances: {survey} walks a survey"
+            "{endpoints} appliances: {survey} walks a survey"
         );
         assert!(
             command > 0.0 && command <= 3.2,
-            "{appliances} appliances: {command} walks a command"
+            "{endpoints} appliances: {command} walks a command"
         );
     }
 }
@@ -192,7 +194,8 @@
         (130.0..170.0).contains(&line.slope) && line.residual < 0.01,
         "{line:?}"
     );
-    // At a new configuration it is asked for by nobody who knows one: what has changed is the same at any size.
+    // At a new configuration it is asked for by nobody who knows one: what has changed is the same
+    // at any size.
     let reload = |n: usize| {
         let o = run(
             small(n),
@@ -209,7 +212,7 @@
     );
     let changed = |n: usize| {
         let list = Happens::List {
-            appliances: (0..n).collect(),
+            endpoints: (0..n).collect(),
             state: "terminating",
             build: None,
             started: false,
@@ -235,8 +238,8 @@
     let many = Size {
         services: 3,
         agents: 30,
-        appliances: 600,
-        lanes: 40,
+        endpoints: 600,
+        classes: 40,
         tenants: 2000,
         ..small(0)
     };
@@ -281,7 +284,7 @@
     };
     let one = |a: usize| {
         let list = Happens::List {
-            appliances: vec![a],
+            endpoints: vec![a],
             state: "terminating",
             build: None,
             started: false,
@@ -307,7 +310,7 @@
     };
     let change = |n: usize| {
         let list = Happens::List {
-            appliances: vec![n % 55],
+            endpoints: vec![n % 55],
             state: "in_service",
             build: None,
             started: true,
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,10 +1,10 @@
-//! One instance: the wire's names on one side, a `Choice` with its small indices on the other.
+//! One instance: the wire's names on one side, a `Balancer` with its small indices on the other.
 
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_config::{millis, number, span, Fault, Fields, Names, Site};
+use tulipwall_config::{millis, number, span, ConfigError, Fields, Names, ServiceConfig};
 
 pub const KNOWN: [&str; 10] = [
     "Targets",
@@ -20,39 +20,39 @@
 ];
 
 pub struct Instance {
-    choice: Choice,
+    choice: Balancer,
     start: Duration,
-    site: Site,
-    appliances: Names,
+    site: ServiceConfig,
+    endpoints: Names,
     kinds: Names,
     commands: HashMap<String, u64>,
-    in_hand: BTreeMap<u64, InHand>,
+    indices_in_use: BTreeMap<u64, IndicesInUse>,
     taken: u64,
     wake: Option<Duration>,
 }
 
-/// A command in hand: its wire name, and how many deliveries are still out.
-struct InHand {
+/// A request in hand: its wire name, and how many attempts are still out.
+struct IndicesInUse {
     name: String,
     out: usize,
     closed: bool,
 }
 
 impl Instance {
-    pub fn open(now: Duration, start: Duration, item: &Fields) -> Result<Instance, Fault> {
+    pub fn open(now: Duration, start: Duration, item: &Fields) -> Result<Instance, ConfigError> {
         let seed = item
             .integer("salt")
             .map(|n| n as u64)
             .or_else(|_| item.whole("salt"))?;
-        let site = Site::read(&item.inner("settings")?, seed)?;
+        let site = ServiceConfig::read(&item.inner("settings")?, seed)?;
         Ok(Instance {
-            choice: Choice::new(now.saturating_sub(start), site.deployment.clone()),
+            choice: Balancer::new(now.saturating_sub(start), site.settings.clone()),
             start,
             site,
-            appliances: Names::default(),
+            endpoints: Names::default(),
             kinds: Names::default(),
             commands: HashMap::new(),
-            in_hand: BTreeMap::new(),
+            indices_in_use: BTreeMap::new(),
             taken: 0,
             wake: None,
         })
@@ -71,22 +71,22 @@
             "Targets" => self.targets(now, item, sheets, said)?,
             "Accept" => {
                 let (name, class) = (item.text("txn")?, item.text("tier-class")?);
-                let Some(lane) = self.site.lane(class) else {
+                let Some(class) = self.site.class(class) else {
                     said.push(
                         json!({"t": "Fatal", "note-text": format!("unknown lane '{class}'")}),
                     );
                     return Ok(());
                 };
                 let owner = item.maybe("owner").and_then(Value::as_str);
-                let customer = owner.and_then(|o| self.site.customer(o));
+                let tenant = owner.and_then(|o| self.site.tenant(o));
                 let key = item.maybe("route-key").and_then(Value::as_str).map(number);
                 let left = item.span("patience-left-ms")?;
                 let id = self.taken;
                 self.taken += 1;
                 self.commands.insert(name.to_owned(), id);
-                self.in_hand.insert(
+                self.indices_in_use.insert(
                     id,
-                    InHand {
+                    IndicesInUse {
                         name: name.to_owned(),
                         out: 0,
                         closed: false,
@@ -94,25 +94,25 @@
                 );
                 let work = item.maybe("estimate-ms").and_then(Value::as_f64).map(span);
                 let again = item.flag("again-by-client")?;
-                self.choice.take(
+                self.choice.on_request(
                     now,
                     id,
-                    Command {
-                        lane,
-                        customer,
+                    Request {
+                        class,
+                        tenant,
                         key,
-                        left,
-                        work,
-                        again,
+                        time_left: left,
+                        estimated_work: work,
+                        is_retry: again,
                     },
                 );
-                let answer = self.choice.place(now, id);
+                let answer = self.choice.route(now, id);
                 self.write(id, answer, said);
             }
             "UnderWay" => {
                 let (name, _) = (item.text("txn")?, item.whole("n")?);
                 if let Some(id) = self.commands.get(name) {
-                    self.choice.left(*id);
+                    self.choice.close_request(*id);
                 }
             }
             "ReportBack" => {
@@ -125,14 +125,14 @@
                 let Some(id) = self.commands.get(name).copied() else {
                     return Ok(());
                 };
-                let end = End {
+                let end = AttemptEnd {
                     outcome,
-                    took,
-                    closed: finished,
-                    held: held(item),
+                    latency: took,
+                    request_closed: finished,
+                    reported_load: held(item),
                 };
-                let answer = self.choice.after(now, id, n, end);
-                if let Some(c) = self.in_hand.get_mut(&id) {
+                let answer = self.choice.on_attempt_end(now, id, n, end);
+                if let Some(c) = self.indices_in_use.get_mut(&id) {
                     c.out = c.out.saturating_sub(1);
                     c.closed |= finished;
                 }
@@ -140,7 +140,7 @@
             }
             "Gone" => {
                 if let Some(id) = self.commands.get(item.text("txn")?).copied() {
-                    self.choice.left(id);
+                    self.choice.close_request(id);
                     self.done(id);
                 }
             }
@@ -149,8 +149,8 @@
                 if ctx == "wait" {
                     self.wake = None;
                 } else if let Ok(id) = ctx.parse::<u64>() {
-                    if self.in_hand.get(&id).is_some_and(|c| !c.closed) {
-                        let answer = self.choice.place(now, id);
+                    if self.indices_in_use.get(&id).is_some_and(|c| !c.closed) {
+                        let answer = self.choice.route(now, id);
                         self.write(id, answer, said);
                     }
                 }
@@ -158,29 +158,34 @@
             "Promotion" => self.promotion(now, item)?,
             "Flagged" => {
                 let class = item.text("tier-class")?;
-                let appliance = self.appliances.number(item.text("appliance")?);
-                if let Some(lane) = self.site.lane(class) {
-                    self.choice
-                        .flag(now, appliance, lane, item.span_or("lateness-ms", 0.0)?);
+                let endpoint = self.endpoints.number(item.text("appliance")?);
+                if let Some(class) = self.site.class(class) {
+                    self.choice.on_client_reported_error(
+                        now,
+                        endpoint,
+                        class,
+                        item.span_or("lateness-ms", 0.0)?,
+                    );
                 }
             }
             "PeriodSums" => {
-                if let Some(lane) = self.site.lane(item.text("tier-class")?) {
-                    self.choice.tally(&Tally {
+                if let Some(class) = self.site.class(item.text("tier-class")?) {
+                    self.choice.on_platform_counts(&PlatformCounts {
                         build: item.whole("rel")? as u32,
-                        lane,
-                        deliveries: item.whole_or("attempts", 0)? as f64,
+                        class,
+                        attempts: item.whole_or("attempts", 0)? as f64,
                         failed: item.whole_or("errors", 0)? as f64,
-                        took: item.span_or("lag-ms", 0.0)?,
+                        mean_latency: item.span_or("lag-ms", 0.0)?,
                         age: item.span_or("lateness-ms", 0.0)?,
                     });
                 }
             }
             "ProbeDone" => {
-                let appliance = self.appliances.number(item.text("appliance")?);
+                let endpoint = self.endpoints.number(item.text("appliance")?);
                 let outcome =
                     outcome(item.text("state-code")?).ok_or("field state-code: unknown outcome")?;
-                self.choice.told(now, appliance, outcome, held(item));
+                self.choice
+                    .on_load_report(now, endpoint, outcome, held(item));
             }
             "PeerData" => {}
             other => return Err(format!("field t: unknown message '{other}'")),
@@ -191,27 +196,27 @@
     /// After an instance's events: whatever the choice has due, and the timer for the next look.
     pub fn settle(&mut self, clock: Duration, said: &mut Vec<Value>) {
         let now = clock.saturating_sub(self.start);
-        let due = self.choice.wait(now);
-        if due.watch {
+        let due = self.choice.poll(now);
+        if due.open_watch {
             said.push(json!({"t": "Listen", "want": true}));
         }
         if let Some(v) = due.vote {
             let code = match v.verdict {
                 Verdict::Hold => 2,
-                Verdict::Back => 3,
-                Verdict::None => 0,
+                Verdict::RollBack => 3,
+                Verdict::Withdraw => 0,
             };
             said.push(json!({"t": "Verdict", "rel": v.build, "wave": v.stage, "code": code}));
         }
-        for appliance in due.asks {
-            said.push(json!({"t": "AskLoad", "appliance": self.appliances.name(appliance)}));
+        for endpoint in due.load_report_requests {
+            said.push(json!({"t": "AskLoad", "appliance": self.endpoints.name(endpoint)}));
         }
-        for note in due.notes {
+        for note in due.log_lines {
             said.push(json!({"t": "Debug", "note-text": note}));
         }
-        if self.wake.is_none_or(|w| due.until < w) {
-            self.wake = Some(due.until);
-            self.timer("wait".into(), due.until, said);
+        if self.wake.is_none_or(|w| due.next_poll < w) {
+            self.wake = Some(due.next_poll);
+            self.timer("wait".into(), due.next_poll, said);
         }
     }
 
@@ -219,42 +224,42 @@
         said.push(json!({"t": "Remind", "ctx": ctx, "instant-ms": millis(self.start + at)}));
     }
 
-    fn write(&mut self, id: u64, answer: Answer, said: &mut Vec<Value>) {
-        let Some(c) = self.in_hand.get_mut(&id) else {
+    fn write(&mut self, id: u64, answer: Decision, said: &mut Vec<Value>) {
+        let Some(c) = self.indices_in_use.get_mut(&id) else {
             return;
         };
         let name = c.name.clone();
         match answer {
-            Answer::Send {
-                appliance,
-                time_out,
-                look,
+            Decision::Forward {
+                endpoint,
+                timeout,
+                recheck_at: look,
             } => {
                 c.out += 1;
-                let appliance = self.appliances.name(appliance);
-                let ms = millis(time_out).max(0.001);
-                said.push(json!({"t": "Place", "txn": name, "appliance": appliance, "give-up-after-ms": ms}));
+                let endpoint = self.endpoints.name(endpoint);
+                let ms = millis(timeout).max(0.001);
+                said.push(json!({"t": "Place", "txn": name, "appliance": endpoint, "give-up-after-ms": ms}));
                 if let Some(at) = look {
                     self.timer(id.to_string(), at, said);
                 }
             }
-            Answer::NotYet { until } => self.timer(id.to_string(), until, said),
-            Answer::Deny { come_back } => {
+            Decision::Defer { until } => self.timer(id.to_string(), until, said),
+            Decision::Reject { retry_after } => {
                 c.closed = true;
-                let ms = come_back.map(millis);
+                let ms = retry_after.map(millis);
                 said.push(json!({"t": "Deny", "txn": name, "cool-down-ms": ms}));
             }
-            Answer::Scrap => {
+            Decision::Fail => {
                 c.closed = true;
                 said.push(json!({"t": "RespondError", "txn": name}));
             }
-            Answer::Withdraw { delivery } => {
-                said.push(json!({"t": "DropAttempt", "txn": name, "n": delivery}))
+            Decision::Cancel { attempt } => {
+                said.push(json!({"t": "DropAttempt", "txn": name, "n": attempt}))
             }
-            Answer::Wait => {}
+            Decision::Await => {}
         }
         if self
-            .in_hand
+            .indices_in_use
             .get(&id)
             .is_some_and(|c| c.closed && c.out == 0)
         {
@@ -263,13 +268,13 @@
     }
 
     fn done(&mut self, id: u64) {
-        let Some(c) = self.in_hand.get_mut(&id) else {
+        let Some(c) = self.indices_in_use.get_mut(&id) else {
             return;
         };
         c.closed = true;
         if c.out == 0 {
             self.commands.remove(&c.name);
-            self.in_hand.remove(&id);
+            self.indices_in_use.remove(&id);
         }
     }
 
@@ -282,7 +287,7 @@
     ) -> Result<(), String> {
         let complete = match item.text("how")? {
             "FAILED" => {
-                self.choice.list_failed(now);
+                self.choice.on_list_failure(now);
                 return Ok(());
             }
             "INCREMENTAL" => false,
@@ -301,27 +306,27 @@
                 return Ok(());
             };
             let standing = match e.text("availability")? {
-                "Running" => Standing::Running,
-                "Stopping" => Standing::Draining,
-                "Deleted" => Standing::Gone,
+                "Running" => EndpointState::Running,
+                "Stopping" => EndpointState::Draining,
+                "Deleted" => EndpointState::Gone,
                 other => return Err(format!("field availability: unknown value '{other}'")),
             };
             let born = span(e.number_or("born-ms", 0.0)?);
-            entries.push(Listed {
-                appliance: self.appliances.number(e.text("appliance")?),
+            entries.push(EndpointEntry {
+                endpoint: self.endpoints.number(e.text("appliance")?),
                 zone,
                 cell: e.whole_or("stripe", 0)?,
-                mark: number(e.text("appliance")?),
-                kind: e
+                identity: number(e.text("appliance")?),
+                endpoint_type: e
                     .maybe("hw")
                     .and_then(Value::as_str)
                     .map_or(0, |k| self.kinds.number(k)),
                 build: e.whole_or("release", 0)? as u32,
-                standing,
+                state: standing,
                 started: (born > self.start).then(|| born.saturating_sub(self.start)),
             });
         }
-        self.choice.list(now, &entries, complete);
+        self.choice.update_endpoints(now, &entries, complete);
         Ok(())
     }
 
@@ -329,34 +334,34 @@
         let state = item.text("state-code")?;
         if state == "success" {
             let phase = match item.whole_or("course", 0)? {
-                0 => Phase::Trial,
-                1 => Phase::GoingBack,
-                2 => Phase::Released,
-                3 => Phase::Withdrawn,
+                0 => RolloutPhase::Canary,
+                1 => RolloutPhase::RollingBack,
+                2 => RolloutPhase::Released,
+                3 => RolloutPhase::RolledBack,
                 other => return Err(format!("field course: unknown value {other}")),
             };
-            self.choice.news(News {
+            self.choice.update_rollout(RolloutStatus {
                 build: item.whole("rel")? as u32,
                 stage: item.whole_or("wave", 0)? as usize,
                 phase,
                 cap: item.number_or("ceiling", 0.0)?,
-                began: now.saturating_sub(item.span_or("lateness-ms", 0.0)?),
+                since: now.saturating_sub(item.span_or("lateness-ms", 0.0)?),
             });
         }
         if item.whole_or("code", 0)? == 1 {
             let reply = match state {
-                "success" => Reply::Counted,
-                "void" => Reply::Moot,
-                "timed_out" => Reply::Unknown,
-                _ => Reply::Refused,
+                "success" => VoteReply::Counted,
+                "void" => VoteReply::Moot,
+                "timed_out" => VoteReply::Unknown,
+                _ => VoteReply::Refused,
             };
-            self.choice.reply(now, reply);
+            self.choice.on_vote_reply(now, reply);
         }
         Ok(())
     }
 }
 
-/// What a load report says of the commands that an appliance holds.
+/// What a load report says of the requests that an endpoint holds.
 fn held(item: &Fields) -> Option<f64> {
     item.maybe("pressure")
         .and_then(|p| p.get("concurrent"))
@@ -365,13 +370,13 @@
 
 fn outcome(code: &str) -> Option<Outcome> {
     Some(match code {
-        "success" => Outcome::Satisfied,
+        "success" => Outcome::Succeeded,
         "failure" => Outcome::Failed,
-        "overloaded" => Outcome::TurnedAway,
+        "overloaded" => Outcome::Rejected,
         "timed_out" => Outcome::TimedOut,
-        "unreachable" => Outcome::NoConnection,
-        "broken" => Outcome::Broken,
-        "withdrawn" => Outcome::Withdrawn,
+        "unreachable" => Outcome::ConnectFailed,
+        "broken" => Outcome::ConnectionLost,
+        "withdrawn" => Outcome::Cancelled,
         "void" => Outcome::NotSent,
         _ => return None,
     })
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Puts the decisions of `tulipwall` on the bench's wire: one line in, one line out, many instances.
-//! It keeps timers and the names of commands in hand; it decides nothing.
+//! Puts the decisions of `tulipwall` on the bench's wire: one line in, one line out, many
+//! instances. It keeps timers and the names of requests in hand; it decides nothing.
 
 mod instance;
 
@@ -9,7 +9,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use std::time::Duration;
-use tulipwall_config::{Fault, Fields};
+use tulipwall_config::{ConfigError, Fields};
 
 /// The numbered lists that came ahead of the events that need them, shared by all instances here.
 type Sheets = BTreeMap<u64, Vec<Value>>;
@@ -66,9 +66,9 @@
                     Ok(instance) => {
                         instances.insert(id, instance);
                     }
-                    Err(Fault::Key(key)) => return Err(key),
+                    Err(ConfigError::Key(key)) => return Err(key),
                     // The wire's own fault: the settings name something they do not define.
-                    Err(Fault::Undefined(fault)) => {
+                    Err(ConfigError::Undefined(fault)) => {
                         said.push(json!({"t": "Fatal", "note-text": fault}))
                     }
                 },
--- a/crates/testkit/examples/renewal.rs
+++ b/crates/testkit/examples/renewal.rs
@@ -1,10 +1,11 @@
-//! What a change of settings takes at one agent, by number of tenants and of listed appliances: by SIGHUP, or by a
-//! restart, with commands in hand. Time until a client is answered under the new settings, the agent's processor time, and
-//! what discovery and the platform are asked for it.
+//! What a change of settings takes at one agent, by number of tenants and of listed endpoints: by
+//! SIGHUP, or by a restart, with requests in hand. Time until a client is answered under the new
+//! settings, the agent's processor time, and what discovery and the platform are asked for it.
 //!
 //!     cargo run --release -p tulipwall-testkit --example renewal -- AGENT hup|restart|signal|idle TENANTS APPLIANCES TIMES [WORK_MS]
 //!
-//! `signal` does not wait until it is in force, `idle` changes nothing: the load's own part of the processor time.
+//! `signal` does not wait until it is in force, `idle` changes nothing: the load's own part of the
+//! processor time.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -46,44 +47,44 @@
     let args: Vec<String> = std::env::args().skip(1).collect();
     let (args, work) = args.split_at(args.len().min(5));
     let work = work.first().map_or(Ok(20), |w| w.parse::<u64>())?;
-    let [binary, way, customers, appliances, times] = args else {
+    let [binary, way, tenant_count, endpoints, times] = args else {
         return Err(
             "AGENT hup|restart|signal|idle TENANTS APPLIANCES TIMES [WORK_MS] are wanted".into(),
         );
     };
-    let (customers, appliances, times): (usize, usize, usize) =
-        (customers.parse()?, appliances.parse()?, times.parse()?);
-    let world = World::new(&["a"], program::lanes())?;
+    let (tenant_count, endpoints, times): (usize, usize, usize) =
+        (tenant_count.parse()?, endpoints.parse()?, times.parse()?);
+    let world = World::new(&["a"], program::classes())?;
     // Ten that run stand for all of them.
-    let real = appliances.min(10);
+    let real = endpoints.min(10);
     for n in 0..real {
         let ways = Ways {
             work: Duration::from_millis(work),
             steady: 0.3,
             ..Ways::default()
         };
-        world.appliance(0, &format!("s-{n}"), 41, ways)?;
+        world.endpoint(0, &format!("s-{n}"), 41, ways)?;
     }
     let entries = world.discovery.entries();
-    let more = (real..appliances).map(|n| Entry {
+    let more = (real..endpoints).map(|n| Entry {
         id: format!("more-{n}"),
         ..entries[n % real].clone()
     });
     world.discovery.tell(more);
     let mut configuration = world.configuration("n1", 0)?;
-    configuration["settings"]["tenants"] = tenants(0, customers);
+    configuration["settings"]["tenants"] = tenants(0, tenant_count);
     let mut agent = Program::start(binary.as_str(), configuration.clone(), &[])?;
     let mut client = Caller::connect(agent.address()?)?;
-    let lane =
+    let class =
         |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     let load = Load {
         agent: agent.address()?,
         rate: 143.0,
         span: Duration::from_secs(3600),
-        lanes: vec![
-            lane("view", 4.0, false),
-            lane("send", 4.0, true),
-            lane("payment", 2.0, false),
+        classes: vec![
+            class("view", 4.0, false),
+            class("send", 4.0, true),
+            class("payment", 2.0, false),
         ],
         connections: 64,
         seed: 5,
@@ -105,7 +106,7 @@
     for n in 1..=times {
         let name = format!("extra-{n}");
         let settings = &mut configuration["settings"];
-        settings["tenants"] = tenants(n, customers);
+        settings["tenants"] = tenants(n, tenant_count);
         let extra = json!({"name": name, "aim-ms": 400.0, "give-up-ms": 1500.0, "idempotency": "repeatable",
             "points": 3.0});
         settings["classes"]
@@ -127,7 +128,7 @@
         }
         for i in (0..).take_while(|_| way == "hup" || way == "restart") {
             client.ask_as(&format!("n{n}-{i}"), &name, 1000);
-            // A lane that is not known is a fault of the statement; a denial is no such thing.
+            // A class that is not known is a fault of the statement; a rejection is no such thing.
             if client.told()?.code().as_deref() != Some("42601")
                 || begun.elapsed() > Duration::from_secs(30)
             {
@@ -146,7 +147,7 @@
     let (now, most) = memory(agent.id());
     let each = |a: usize, b: usize| (a - b) as f64 / times as f64;
     println!(
-        "{way}: tenants {customers} appliances {appliances}: in force after {:.3} s (median), {:.3} s at most; \
+        "{way}: tenants {tenant_count} appliances {endpoints}: in force after {:.3} s (median), {:.3} s at most; \
          {:.3} s of processor in each 1.5 s; each time whole lists {:.2} discovery connections {:.2} platform \
          connections {:.2} bytes {:.0}; {now} KiB now, {most} at most",
         took[took.len() / 2],
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -11,7 +11,7 @@
 pub enum Told {
     Value(Vec<u8>),
     /// A retry is harmless; the code, and when to come back where that was said.
-    Denied(String, Option<Duration>),
+    Rejected(String, Option<Duration>),
     /// The code: nothing is promised.
     Failed(String),
 }
@@ -21,7 +21,7 @@
     pub fn code(self) -> Option<String> {
         match self {
             Told::Value(_) => None,
-            Told::Denied(code, _) | Told::Failed(code) => Some(code),
+            Told::Rejected(code, _) | Told::Failed(code) => Some(code),
         }
     }
 }
@@ -43,7 +43,8 @@
         };
         stream.set_read_timeout(Some(SOON))?;
         stream.set_nodelay(true)?;
-        // The first query right behind the startup message: the empty one, answered once the agent serves.
+        // The first query right behind the startup message: the empty one, answered once the agent
+        // serves.
         stream.write_all(&[pg::startup(), pg::query("")].concat())?;
         let mut caller = Caller { stream };
         caller.until_ready()?;
@@ -78,15 +79,16 @@
         }
     }
 
-    /// Writes a read of one object; `wait` in milliseconds. The id is that of its port unless `id` is given.
-    pub fn ask(&mut self, lane: &str, wait: u32) {
+    /// Writes a read of one object; `wait` in milliseconds. The id is that of its port unless `id`
+    /// is given.
+    pub fn ask(&mut self, class: &str, wait: u32) {
         let id = self.stream.local_addr().map_or(0, |a| a.port());
-        self.ask_as(&id.to_string(), lane, wait);
+        self.ask_as(&id.to_string(), class, wait);
     }
 
-    pub fn ask_as(&mut self, id: &str, lane: &str, wait: u32) {
+    pub fn ask_as(&mut self, id: &str, class: &str, wait: u32) {
         self.say(&format!(
-            "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={lane},d={wait} */"
+            "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={class},d={wait} */"
         ));
     }
 
@@ -95,7 +97,7 @@
         let _ = self.stream.write_all(&pg::query(statement));
     }
 
-    /// The answer to the next command.
+    /// The answer to the next request.
     pub fn told(&mut self) -> io::Result<Told> {
         let heard = self.until_ready()?;
         let first = |tag| heard.iter().find(|(t, _)| *t == tag).map(|(_, body)| body);
@@ -105,7 +107,7 @@
                 .and_then(|d| d.parse().ok())
                 .map(Duration::from_millis);
             return Ok(match code.as_str() {
-                "53300" | "57P03" => Told::Denied(code, back),
+                "53300" | "57P03" => Told::Rejected(code, back),
                 _ => Told::Failed(code),
             });
         }
