--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -1,6 +1,6 @@
-//! A day in simulated time: agents with the real decisions and the real zones against modelled appliances. It
-//! is played from a seed and a script, takes no real time to speak of, and checks the five rules from outside:
-//! by what was taken, sent, run and answered, not by what an agent says.
+//! A day in simulated time: agents with the real decisions and the real zones against modelled
+//! endpoints. It is played from a seed and a script, takes no real time to speak of, and checks the
+//! five rules from outside: by what was taken, sent, run and answered, not by what an agent says.
 
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
@@ -10,7 +10,7 @@
 use tulipwall::*;
 use tulipwall_client_policy::{Ended as TryEnded, Next, Retries, Retrying, Tries};
 use tulipwall_zones::{
-    Budget, Ended, Flaw, LaneView, Link, Opening, Routing, Sending, Ticket, Zones, Zoning,
+    Budget, ClassProfile, Ended, Flaw, Link, Opening, Routing, Sending, Ticket, Zones, Zoning,
 };
 
 /// Time at which a day begins, so that what began before has a time, too.
@@ -18,12 +18,12 @@
 /// How late a final answer may be, and how soon a drain must be heeded.
 const SLACK: Duration = Duration::from_millis(50);
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// A cold appliance falls over when it gets so many times what it can do.
+/// A cold endpoint falls over when it gets so many times what it can do.
 const FALL_MULTIPLE: f64 = 4.0;
-/// What a delivery carries each way, in bytes.
+/// What an attempt carries each way, in bytes.
 pub const BYTES: (u64, u64) = (180, 420);
 
-/// A modelled appliance.
+/// A modelled endpoint.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub zone: usize,
@@ -31,11 +31,11 @@
     pub cores: usize,
     /// What it takes of the usual work: 2.0 is half as quick.
     pub slowness: f64,
-    /// Commands that may wait; what comes beyond is turned away.
+    /// Requests that may wait; what comes beyond is turned away.
     pub queue: usize,
     /// Answers that fail, 0 to 1.
     pub fails: f64,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub started: Option<Duration>,
     /// Neither answers nor refuses.
     pub mute: bool,
@@ -50,7 +50,7 @@
             slowness: 1.0,
             queue: 200,
             fails: 0.0,
-            standing: Standing::Running,
+            standing: EndpointState::Running,
             started: None,
             mute: false,
         }
@@ -65,116 +65,121 @@
     pub zoning: Option<Zoning>,
 }
 
-/// What clients do with a command that was denied or failed.
+/// What clients do with a request that was rejected or failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Clients {
-    /// Nothing: each command is asked for once.
+    /// Nothing: each request is asked for once.
     Open,
-    /// Ask again after a fixed pause, so many times in all, whatever happened and whatever it costs.
+    /// Ask again after a fixed pause, so many times in all, whatever happened and whatever it
+    /// costs.
     Naive { pause: Duration, tries: u32 },
     /// As the client library does, one client to each agent.
     Careful(Retrying),
 }
 
-/// A build that the platform takes through its stages by the clock, which stands still while a hold lasts.
+/// A build that the platform takes through its stages by the clock, which stands still while a hold
+/// lasts.
 #[derive(Clone, Debug)]
 pub struct Offering {
     pub build: u32,
     pub at: Duration,
     pub caps: Vec<f64>,
     pub step: Duration,
-    /// Its appliances, which start in equal parts with the stages. Until then they must be listed as gone.
+    /// Its endpoints, which start in equal parts with the stages. Until then they must be listed as
+    /// gone.
     pub nodes: Vec<usize>,
     /// Agents that must vote to send back.
     pub back_votes: usize,
 }
 
-/// What the agents are told wrongly, so that they break a rule and the checkers must see it. Nothing by default.
+/// What the agents are told wrongly, so that they break a rule and the checkers must see it.
+/// Nothing by default.
 #[derive(Clone, Debug, Default)]
 pub struct Lies {
-    /// How lanes repeat, as the decisions think.
-    pub repeats: BTreeMap<usize, Repeats>,
+    /// How classes repeat, as the decisions think.
+    pub idempotency: BTreeMap<usize, Idempotency>,
     /// Nothing that drains or goes is told.
     pub deaf: bool,
-    /// Cold appliances are told as warm.
+    /// Cold endpoints are told as warm.
     pub warm: bool,
     /// The cap that is told in the place of the one that holds.
     pub cap: Option<f64>,
 }
 
-/// The lanes of a small service: idempotent views, messages deduplicated among all, payments that never repeat.
-pub fn lanes() -> Vec<Lane> {
-    let lane = |quoted, benefit, repeats| Lane {
-        quoted: Duration::from_millis(quoted),
-        benefit,
-        repeats,
+/// The classes of a small service: idempotent views, messages deduplicated among all, payments that
+/// never repeat.
+pub fn classes() -> Vec<RequestClass> {
+    let class = |latency_objective, priority_weight, idempotency| RequestClass {
+        latency_objective: Duration::from_millis(latency_objective),
+        priority_weight,
+        idempotency,
     };
-    let keyed = Repeats::Deduplicated {
-        group: Group::All,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: Duration::from_secs(3),
     };
     vec![
-        lane(400, 3.0, Repeats::Idempotent),
-        lane(400, 3.5, keyed),
-        lane(750, 9.0, Repeats::Unrepeatable),
+        class(400, 3.0, Idempotency::Idempotent),
+        class(400, 3.5, keyed),
+        class(750, 9.0, Idempotency::NonIdempotent),
     ]
 }
 
-/// A deployment for days: crossing is priced, builds stand beside each other and pass by the clock, second copies
-/// and withdrawals are allowed, a time to come back may be named.
-pub fn deployment(lanes: Vec<Lane>) -> Deployment {
+/// A deployment for days: crossing is priced, builds stand beside each other and pass by the clock,
+/// hedged requests and withdrawals are allowed, a time to come back may be named.
+pub fn deployment(classes: Vec<RequestClass>) -> Settings {
     let secs = Duration::from_secs;
-    Deployment {
+    Settings {
         seed: 0,
         agents: 1,
         zone: 0,
-        lanes,
-        customers: Vec::new(),
-        benefit_by_work: false,
-        list_asked: false,
-        list_shared: false,
-        ask_within: secs(10),
-        second_copies: true,
-        withdraw: true,
-        come_back: Some(secs(2)),
-        deliveries: 5,
-        crossing_price: 0.04,
-        cold_share: 0.3,
-        cold_for: secs(4),
-        fall_for: secs(2),
-        fall_multiple: 3.0,
-        probes: false,
-        warm_keys: false,
-        tick: Duration::from_millis(1),
-        rollout: Rollout {
+        classes,
+        tenants: Vec::new(),
+        weight_by_work: false,
+        list_polled: false,
+        shared_discovery: false,
+        max_poll_interval: secs(10),
+        hedging: true,
+        cancellation: true,
+        retry_after: Some(secs(2)),
+        max_attempts: 5,
+        cross_zone_price: 0.04,
+        slow_start_share: 0.3,
+        slow_start_duration: secs(4),
+        overload_window: secs(2),
+        overload_factor: 3.0,
+        load_probes: false,
+        key_affinity: false,
+        timer_granularity: Duration::from_millis(1),
+        rollout: RolloutPolicy {
             caps: vec![0.08, 0.25, 0.6, 1.0],
-            free: 2.0,
-            by_lane: false,
+            exposure_burst: 2.0,
+            cap_per_class: false,
             guarded_stages: 0,
-            one_way: false,
-            by_clock: true,
+            sticky_builds: false,
+            timed_stages: true,
             in_place: false,
-            back_votes: 1,
-            hold_votes: 1,
-            tallied: false,
-            vote_life: secs(10),
-            vote_wait: Duration::from_millis(800),
-            votes_per_s: 120.0,
-            flagged_share: 0.3,
+            votes_to_roll_back: 1,
+            votes_to_hold: 1,
+            platform_counts: false,
+            vote_ttl: secs(10),
+            vote_timeout: Duration::from_millis(800),
+            votes_per_second: 120.0,
+            reported_error_share: 0.3,
         },
     }
 }
 
 /// Zones for an agent in `own` of so many, routed near first, without prices.
-pub fn zoning(lanes: &[Lane], own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
+pub fn zoning(classes: &[RequestClass], own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
     Zoning {
         own,
         zones,
-        lanes: lanes
+        classes: classes
             .iter()
-            .map(|l| LaneView {
-                benefit: l.benefit,
-                quoted: l.quoted,
+            .map(|l| ClassProfile {
+                priority_weight: l.priority_weight,
+                latency_objective: l.latency_objective,
             })
             .collect(),
         links: vec![Link::default(); zones + 1],
@@ -184,8 +189,8 @@
 }
 
 impl Day {
-    /// A day without a script on [`lanes`], build 41 released: ways of 2 ms between zones and of 0.15 ms within,
-    /// work of 20 ms (payments 30), open clients.
+    /// A day without a script on [`classes`], build 41 released: ways of 2 ms between zones and of
+    /// 0.15 ms within, work of 20 ms (payments 30), open clients.
     pub fn small(
         agents: Vec<Caller>,
         nodes: Vec<Node>,
@@ -209,7 +214,7 @@
             }
         };
         Day {
-            deployment: deployment(lanes()),
+            deployment: deployment(classes()),
             agents,
             nodes,
             ways: (0..zones)
@@ -219,19 +224,19 @@
             steady: 0.4,
             loss: 0.0,
             told_late: Duration::ZERO,
-            lanes: vec![(0.45, ms(1500)), (0.45, ms(1500)), (0.1, ms(2000))],
+            classes: vec![(0.45, ms(1500)), (0.45, ms(1500)), (0.1, ms(2000))],
             rate,
             clients: Clients::Open,
             offering: None,
             lies: Lies::default(),
             watch: None,
             span,
-            news: Some(News {
+            rollout_status: Some(RolloutStatus {
                 build: 41,
                 stage: 0,
-                phase: Phase::Released,
+                phase: RolloutPhase::Released,
                 cap: 1.0,
-                began: Duration::ZERO,
+                since: Duration::ZERO,
             }),
             script: Vec::new(),
             seed,
@@ -253,15 +258,15 @@
 /// Something that happens.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// What the list says of an appliance from now on; a start now makes it cold.
-    Lists(usize, Standing),
+    /// What the list says of an endpoint from now on; a start now makes it cold.
+    Lists(usize, EndpointState),
     Starts(usize),
     Moves(usize, usize),
     Slows(usize, f64),
     Fails(usize, f64),
     Mutes(usize, bool),
-    News(News),
-    /// Commands a second, over all agents.
+    RolloutStatus(RolloutStatus),
+    /// Requests a second, over all agents.
     Rate(f64),
     Stalls(usize, Duration),
     Zoning(usize, Zoning),
@@ -271,29 +276,30 @@
 
 #[derive(Clone, Debug)]
 pub struct Day {
-    pub deployment: Deployment,
+    pub deployment: Settings,
     pub agents: Vec<Caller>,
     pub nodes: Vec<Node>,
     /// Delay from zone to zone, one way.
     pub ways: Vec<Vec<Duration>>,
-    /// Mean work of each lane.
+    /// Mean work of each class.
     pub work: Vec<Duration>,
-    /// The part of it that is always the same; the rest is exponential. 0 gives the queues of the textbook.
+    /// The part of it that is always the same; the rest is exponential. 0 gives the queues of the
+    /// textbook.
     pub steady: f64,
-    /// What part of deliveries, and of their answers, a way between two zones loses.
+    /// What part of attempts, and of their answers, a way between two zones loses.
     pub loss: f64,
     /// How much later agents are told of lists and news.
     pub told_late: Duration,
-    /// Weights of lanes, and how long a command of each may take.
-    pub lanes: Vec<(f64, Duration)>,
+    /// Weights of classes, and how long a request of each may take.
+    pub classes: Vec<(f64, Duration)>,
     pub rate: f64,
     pub clients: Clients,
     pub offering: Option<Offering>,
     pub lies: Lies,
-    /// A command of an agent whose life is written down: agent and number.
+    /// A request of an agent whose life is written down: agent and number.
     pub watch: Option<(usize, u64)>,
     pub span: Duration,
-    pub news: Option<News>,
+    pub rollout_status: Option<RolloutStatus>,
     /// When, counted from the day's beginning, in any order.
     pub script: Vec<(Duration, Change)>,
     pub seed: u64,
@@ -303,7 +309,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Second {
     pub taken: u64,
-    /// Commands that came for the first time, and those of them satisfied within their quoted time.
+    /// Requests that came for the first time, and those of them satisfied within their latency
+    /// objective.
     pub asked: u64,
     pub good: u64,
     pub near: u64,
@@ -314,27 +321,27 @@
 #[derive(Debug)]
 pub struct Played {
     pub taken: u64,
-    pub satisfied: u64,
-    /// Within their quoted time.
+    pub succeeded: u64,
+    /// Within their latency objective.
     pub in_time: u64,
-    pub denied: u64,
+    pub rejected: u64,
     pub scrapped: u64,
     pub never: u64,
     /// Microseconds to satisfied answers, also of single seconds.
     pub times: Histogram<u64>,
     pub second_times: Vec<Histogram<u64>>,
     pub seconds: Vec<Vec<Second>>, // by agent
-    /// Crossings by agent and second: when, lane, whether it was over a budget.
+    /// Crossings by agent and second: when, class, whether it was over a budget.
     pub crossings: Vec<Vec<(Duration, usize, Option<tulipwall_zones::Reason>)>>,
     /// Broken rules.
     pub broken: Vec<String>,
     pub votes: Vec<(Duration, Vote)>,
     pub offered: Offered,
-    /// The life of the command that was watched.
+    /// The life of the request that was watched.
     pub life: Vec<String>,
     /// Events that were played.
     pub events: u64,
-    /// Sends by appliance.
+    /// Sends by endpoint.
     pub sends: Vec<u64>,
     /// The agents' zones at the end.
     pub zones: Vec<Option<Zones>>,
@@ -343,7 +350,7 @@
 }
 
 impl Played {
-    /// Of all deliveries, what crossed.
+    /// Of all attempts, what crossed.
     pub fn crossed(&self) -> f64 {
         let sum =
             |of: fn(&Second) -> u64| self.seconds.iter().flatten().map(of).sum::<u64>() as f64;
@@ -364,8 +371,8 @@
         far as f64 / (near + far).max(1) as f64
     }
 
-    /// How often an agent changed sides in a minute: seconds with most across after seconds with hardly any,
-    /// and back.
+    /// How often an agent changed sides in a minute: seconds with most across after seconds with
+    /// hardly any, and back.
     pub fn turns_per_minute(&self) -> f64 {
         let (mut turns, mut minutes) = (0, 0.0);
         for agent in &self.seconds {
@@ -385,7 +392,7 @@
         self.times.value_at_quantile(part) as f64 / 1000.0
     }
 
-    /// The same of commands answered between two seconds of the day.
+    /// The same of requests answered between two seconds of the day.
     pub fn quantile_between(&self, part: f64, from: usize, to: usize) -> f64 {
         let mut all = histogram();
         self.second_times[from..to.min(self.second_times.len())]
@@ -449,7 +456,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum How {
-    Satisfied,
+    Succeeded,
     Failed,
     TurnedAway,
     Refused,
@@ -465,9 +472,9 @@
 }
 
 struct Held {
-    lane: usize,
+    class: usize,
     taken: Duration,
-    expires: Duration,
+    deadline: Duration,
     out: Vec<Out>,
     answered: bool,
     look: Option<Duration>,
@@ -477,14 +484,14 @@
 /// What agents are told, some time after it came to be.
 #[derive(Clone, Debug)]
 enum Tell {
-    List(usize, Listed),
-    News(News),
+    List(usize, EndpointEntry),
+    RolloutStatus(RolloutStatus),
 }
 
 /// What a client wants, over all its tries.
 #[derive(Clone, Debug)]
 struct Asking {
-    lane: usize,
+    class: usize,
     first: Duration,
     key: Option<u64>,
     tries: Tries,
@@ -493,14 +500,14 @@
 struct Runner {
     retries: Retries,
     zone: usize,
-    choice: Choice,
+    choice: Balancer,
     zones: Option<Zones>,
     held: BTreeMap<u64, Held>,
     next: u64,
     stalled: Duration,
-    warm: Vec<bool>,                 // appliances to which a connection is open
-    told: BTreeMap<usize, Duration>, // when it heard that an appliance drains or is gone
-    exposed: f64, // the most deliveries less cap times commands in any window that ends now
+    warm: Vec<bool>,                 // endpoints to which a connection is open
+    told: BTreeMap<usize, Duration>, // when it heard that an endpoint drains or is gone
+    exposed: f64, // the most attempts less cap times requests in any window that ends now
     cap: f64,
     exposing: bool,
 }
@@ -535,8 +542,8 @@
     holds: Vec<Option<Duration>>,     // by agent: when its vote to hold lapses
     backs: Vec<bool>,
     /// What the platform says, and what agents were told of it.
-    news: Option<News>,
-    told: Option<News>,
+    rollout_status: Option<RolloutStatus>,
+    told: Option<RolloutStatus>,
     tells: Vec<Tell>,
     played: Played,
 }
@@ -557,23 +564,23 @@
         for (n, a) in day.agents.iter().enumerate() {
             let seed = day.seed.wrapping_mul(1_000_003).wrapping_add(n as u64);
             let agents_all = day.agents.len() as u32;
-            let mut d = Deployment {
+            let mut d = Settings {
                 seed,
                 zone: a.zone,
                 agents: agents_all,
                 ..day.deployment.clone()
             };
             day.lies
-                .repeats
+                .idempotency
                 .iter()
-                .for_each(|(lane, repeats)| d.lanes[*lane].repeats = *repeats);
-            let mut choice = Choice::new(ZERO, d);
-            let entries: Vec<Listed> = (0..day.nodes.len())
+                .for_each(|(class, idempotency)| d.classes[*class].idempotency = *idempotency);
+            let mut choice = Balancer::new(ZERO, d);
+            let entries: Vec<EndpointEntry> = (0..day.nodes.len())
                 .map(|i| listed(&day.nodes, i))
                 .collect();
-            choice.list(ZERO, &entries, true);
-            if let Some(news) = &day.news {
-                choice.news(news.clone());
+            choice.update_endpoints(ZERO, &entries, true);
+            if let Some(rollout_status) = &day.rollout_status {
+                choice.update_rollout(rollout_status.clone());
             }
             let retrying = match &day.clients {
                 Clients::Careful(by) => by.clone(),
@@ -596,9 +603,9 @@
         }
         let played = Played {
             taken: 0,
-            satisfied: 0,
+            succeeded: 0,
             in_time: 0,
-            denied: 0,
+            rejected: 0,
             scrapped: 0,
             never: 0,
             times: histogram(),
@@ -627,8 +634,8 @@
             again: Vec::new(),
             free: Vec::new(),
             stage: None,
-            news: day.news.clone(),
-            told: day.news.clone(),
+            rollout_status: day.rollout_status.clone(),
+            told: day.rollout_status.clone(),
             tells: Vec::new(),
             played,
             day,
@@ -690,7 +697,7 @@
                 self.played.never += 1;
                 self.played.broken.push(format!(
                     "rule 1: command {id} of lane {} has no answer",
-                    h.lane
+                    h.class
                 ));
             }
             self.played.zones.push(a.zones.take());
@@ -716,21 +723,21 @@
             What::Tell(n) => self.told(n),
             What::Tick(agent) => {
                 let (now, a) = (self.now, &mut self.agents[agent]);
-                let due = a.choice.wait(now);
+                let due = a.choice.poll(now);
                 if let Some(vote) = due.vote {
-                    a.choice.reply(now, Reply::Counted);
+                    a.choice.on_vote_reply(now, VoteReply::Counted);
                     self.vote(agent, vote);
                 }
                 let a = &mut self.agents[agent];
                 if let Some(z) = &mut a.zones {
-                    let rooms = a.choice.rooms(now, z.zoning().all());
-                    z.step(now, &rooms);
+                    let zone_capacities = a.choice.zone_capacities(now, z.zoning().all());
+                    z.step(now, &zone_capacities);
                     if let Some(told) = z.crossings() {
-                        a.choice.crossings(told);
+                        a.choice.set_cross_zone_policy(told);
                     }
                 }
                 self.at(
-                    due.until.max(now + Duration::from_millis(1)),
+                    due.next_poll.max(now + Duration::from_millis(1)),
                     What::Tick(agent),
                 );
             }
@@ -754,7 +761,7 @@
                     .get(&id)
                     .is_some_and(|h| !h.answered && h.look == Some(at));
                 if due {
-                    let answer = self.agents[agent].choice.place(self.now, id);
+                    let answer = self.agents[agent].choice.route(self.now, id);
                     self.obey(agent, id, answer);
                 }
             }
@@ -785,27 +792,27 @@
     }
 
     fn arrive(&mut self, agent: usize) {
-        let weights: f64 = self.day.lanes.iter().map(|l| l.0).sum();
+        let weights: f64 = self.day.classes.iter().map(|l| l.0).sum();
         let mut drawn = self.chance() * weights;
-        let lane = self.day.lanes.iter().position(|l| {
+        let class = self.day.classes.iter().position(|l| {
             drawn -= l.0;
             drawn < 0.0
         });
-        let lane = lane.unwrap_or(0);
+        let class = class.unwrap_or(0);
         let key = Some(self.rng.gen_range(0..100_000));
-        let (now, left) = (self.now, self.day.lanes[lane].1);
+        let (now, left) = (self.now, self.day.classes[class].1);
         // Clients of more than one try wait for as long again in all.
         let all = if self.day.clients == Clients::Open {
             left
         } else {
             left * 2
         };
-        let tries = Tries::new(self.day.deployment.lanes[lane].repeats, now + all);
+        let tries = Tries::new(self.day.deployment.classes[class].idempotency, now + all);
         self.second(agent).asked += 1;
         self.take(
             agent,
             Asking {
-                lane,
+                class,
                 first: now,
                 key,
                 tries,
@@ -813,19 +820,19 @@
         );
     }
 
-    /// A command comes to an agent, for the first time or again.
+    /// A request comes to an agent, for the first time or again.
     fn take(&mut self, agent: usize, mut asking: Asking) {
-        let (lane, key) = (asking.lane, asking.key);
+        let (class, key) = (asking.class, asking.key);
         let (now, a) = (self.now, &mut self.agents[agent]);
-        let left = self.day.lanes[lane].1;
+        let left = self.day.classes[class].1;
         asking.tries.begin(now);
         let id = a.next;
         a.next += 1;
-        let (expires, out) = (now + left, Vec::new());
+        let (deadline, out) = (now + left, Vec::new());
         let held = Held {
-            lane,
+            class,
             taken: now,
-            expires,
+            deadline,
             out,
             answered: false,
             look: None,
@@ -834,21 +841,21 @@
         a.held.insert(id, held);
         a.exposed = (a.exposed - a.cap).max(0.0);
         if let Some(z) = &mut a.zones {
-            z.taken(now, lane);
+            z.taken(now, class);
         }
-        a.choice.take(
+        a.choice.on_request(
             now,
             id,
-            Command {
-                lane,
-                customer: None,
+            Request {
+                class,
+                tenant: None,
                 key,
-                left,
-                work: None,
-                again: false,
+                time_left: left,
+                estimated_work: None,
+                is_retry: false,
             },
         );
-        let answer = a.choice.place(now, id);
+        let answer = a.choice.route(now, id);
         self.played.taken += 1;
         self.second(agent).taken += 1;
         self.at(
@@ -862,18 +869,16 @@
         self.obey(agent, id, answer);
     }
 
-    fn fold(&mut self, agent: usize, id: u64, answer: &Answer) {
+    fn fold(&mut self, agent: usize, id: u64, answer: &Decision) {
         let (kind, what) = match answer {
-            Answer::Send {
-                appliance,
-                time_out,
-                ..
-            } => (1, *appliance as u64 ^ time_out.as_micros() as u64),
-            Answer::NotYet { until } => (2, until.as_micros() as u64),
-            Answer::Deny { .. } => (3, 0),
-            Answer::Scrap => (4, 0),
-            Answer::Withdraw { delivery } => (5, *delivery as u64),
-            Answer::Wait => (6, 0),
+            Decision::Forward {
+                endpoint, timeout, ..
+            } => (1, *endpoint as u64 ^ timeout.as_micros() as u64),
+            Decision::Defer { until } => (2, until.as_micros() as u64),
+            Decision::Reject { .. } => (3, 0),
+            Decision::Fail => (4, 0),
+            Decision::Cancel { attempt } => (5, *attempt as u64),
+            Decision::Await => (6, 0),
         };
         let fold = |h: u64, n: u64| (h ^ n).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
         self.played.digest = [agent as u64, id, kind, what]
@@ -882,7 +887,7 @@
         self.tell(agent, id, || format!("the decisions: {answer:?}"));
     }
 
-    /// Writes down what happens to the command that is watched.
+    /// Writes down what happens to the request that is watched.
     fn tell(&mut self, agent: usize, id: u64, what: impl FnOnce() -> String) {
         if self.day.watch == Some((agent, id)) {
             let at = (self.now - ZERO).as_secs_f64();
@@ -892,9 +897,9 @@
 
     /// An agent's vote, as the platform takes it.
     fn vote(&mut self, agent: usize, vote: Vote) {
-        let (now, life) = (self.now, self.day.deployment.rollout.vote_life);
+        let (now, life) = (self.now, self.day.deployment.rollout.vote_ttl);
         let stands = self
-            .news
+            .rollout_status
             .as_ref()
             .is_some_and(|n| (n.build, n.stage) == (vote.build, vote.stage));
         self.played.votes.push((now - ZERO, vote.clone()));
@@ -908,7 +913,7 @@
                 .held
                 .get_or_insert((now - ZERO, vote.stage));
         }
-        self.backs[agent] = vote.verdict == Verdict::Back;
+        self.backs[agent] = vote.verdict == Verdict::RollBack;
         let (backs, need) = (
             self.backs.iter().filter(|b| **b).count(),
             self.day.offering.as_ref(),
@@ -924,16 +929,16 @@
         };
         self.stage = None;
         self.played.offered.back = Some(self.now - ZERO);
-        self.change(Change::News(News {
+        self.change(Change::RolloutStatus(RolloutStatus {
             build: o.build,
             stage: 0,
-            phase: Phase::GoingBack,
+            phase: RolloutPhase::RollingBack,
             cap: 0.0,
-            began: ZERO,
+            since: ZERO,
         }));
         o.nodes
             .iter()
-            .for_each(|n| self.change(Change::Lists(*n, Standing::Gone)));
+            .for_each(|n| self.change(Change::Lists(*n, EndpointState::Gone)));
     }
 
     /// The platform's clock: a stage begins, runs on, or is over. It stands while a hold does.
@@ -966,24 +971,24 @@
                     .iter()
                     .for_each(|n| self.change(Change::Starts(*n)));
                 let (build, cap) = (o.build, o.caps[stage]);
-                self.change(Change::News(News {
+                self.change(Change::RolloutStatus(RolloutStatus {
                     build,
                     stage,
-                    phase: Phase::Trial,
+                    phase: RolloutPhase::Canary,
                     cap,
-                    began: ZERO,
+                    since: ZERO,
                 }));
             }
             Some(stage) => {
                 self.stage = None;
                 self.played.offered.released = Some(now - ZERO);
                 let (build, stage) = (o.build, stage.saturating_sub(1));
-                self.change(Change::News(News {
+                self.change(Change::RolloutStatus(RolloutStatus {
                     build,
                     stage,
-                    phase: Phase::Released,
+                    phase: RolloutPhase::Released,
                     cap: 1.0,
-                    began: ZERO,
+                    since: ZERO,
                 }));
                 return;
             }
@@ -992,8 +997,8 @@
         self.at(now + look, What::Stage);
     }
 
-    /// A client was told that its command was denied, or failed: it may ask again.
-    fn ask_again(&mut self, agent: usize, id: u64, denied: bool) {
+    /// A client was told that its request was rejected, or failed: it may ask again.
+    fn ask_again(&mut self, agent: usize, id: u64, rejected: bool) {
         let Some(h) = self.agents[agent].held.get(&id) else {
             return;
         };
@@ -1002,17 +1007,17 @@
         let at = match &self.day.clients {
             Clients::Open => return,
             Clients::Naive { pause, tries } => {
-                let on = asking.tries.count < *tries && now + *pause < asking.tries.expires;
+                let on = asking.tries.count < *tries && now + *pause < asking.tries.deadline;
                 on.then_some(now + *pause)
             }
             Clients::Careful(_) => {
-                let come_back = self
+                let retry_after = self
                     .day
                     .deployment
-                    .come_back
+                    .retry_after
                     .map(|t| t.min(Duration::from_millis(500)));
-                let ended = if denied {
-                    TryEnded::Denied(come_back)
+                let ended = if rejected {
+                    TryEnded::Rejected(retry_after)
                 } else {
                     TryEnded::Failed
                 };
@@ -1035,46 +1040,46 @@
         }
     }
 
-    fn obey(&mut self, agent: usize, id: u64, answer: Answer) {
+    fn obey(&mut self, agent: usize, id: u64, answer: Decision) {
         self.fold(agent, id, &answer);
         let now = self.now;
         match answer {
-            Answer::Send {
-                appliance,
-                time_out,
-                look,
-            } => self.send(agent, id, appliance, time_out, look),
-            Answer::NotYet { until } => self.look(agent, id, until),
-            Answer::Deny { .. } => {
+            Decision::Forward {
+                endpoint,
+                timeout,
+                recheck_at: look,
+            } => self.send(agent, id, endpoint, timeout, look),
+            Decision::Defer { until } => self.look(agent, id, until),
+            Decision::Reject { .. } => {
                 let h = &self.agents[agent].held[&id];
-                let repeats = self.day.deployment.lanes[h.lane].repeats;
+                let idempotency = self.day.deployment.classes[h.class].idempotency;
                 let ran = self.ran.get(&(agent, id)).is_some_and(|r| !r.is_empty());
-                if ran && repeats == Repeats::Unrepeatable {
+                if ran && idempotency == Idempotency::NonIdempotent {
                     self.played
                         .broken
                         .push(format!("rule 2: command {id} was denied and had run"));
                 }
-                self.played.denied += 1;
+                self.played.rejected += 1;
                 self.ask_again(agent, id, true);
                 self.answered(agent, id);
             }
-            Answer::Scrap => {
+            Decision::Fail => {
                 self.played.scrapped += 1;
                 self.ask_again(agent, id, false);
                 self.answered(agent, id);
             }
-            Answer::Withdraw { delivery } => {
-                let out = |h: &Held| h.out.get(delivery).is_some_and(|o| !o.ended);
+            Decision::Cancel { attempt } => {
+                let out = |h: &Held| h.out.get(attempt).is_some_and(|o| !o.ended);
                 if self.agents[agent].held.get(&id).is_some_and(out) {
-                    self.end(agent, id, delivery, Outcome::Withdrawn);
+                    self.end(agent, id, attempt, Outcome::Cancelled);
                 }
             }
-            Answer::Wait => {}
+            Decision::Await => {}
         }
         let late = self.agents[agent]
             .held
             .get(&id)
-            .is_some_and(|h| !h.answered && now > h.expires + SLACK);
+            .is_some_and(|h| !h.answered && now > h.deadline + SLACK);
         if late && self.agents[agent].stalled + SLACK < now {
             self.played
                 .broken
@@ -1099,7 +1104,7 @@
                 .push(format!("rule 1: command {id} has two answers"));
         }
         h.answered = true;
-        if self.now > h.expires + SLACK && self.agents[agent].stalled + SLACK < self.now {
+        if self.now > h.deadline + SLACK && self.agents[agent].stalled + SLACK < self.now {
             self.played
                 .broken
                 .push(format!("rule 1: command {id} was answered late"));
@@ -1119,7 +1124,7 @@
         agent: usize,
         id: u64,
         node: usize,
-        time_out: Duration,
+        timeout: Duration,
         look: Option<Duration>,
     ) {
         let now = self.now;
@@ -1136,35 +1141,35 @@
         let a = &mut self.agents[agent];
         let Some(h) = a.held.get_mut(&id) else { return };
         let nth = h.out.len();
-        let repeats = self.day.deployment.lanes[h.lane].repeats;
+        let idempotency = self.day.deployment.classes[h.class].idempotency;
         let grouped = matches!(
-            repeats,
-            Repeats::Deduplicated {
-                group: Group::Zone | Group::Cell,
+            idempotency,
+            Idempotency::Keyed {
+                scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
                 ..
             }
         );
         let sending = Sending {
             to: n.zone,
-            lane: h.lane,
+            class: h.class,
             build: n.build,
             nth,
-            second_copy: h.out.iter().any(|o| !o.ended),
+            hedged: h.out.iter().any(|o| !o.ended),
             trial,
             bound: grouped && nth > 0 && self.ran.contains_key(&(agent, id)),
         };
         let choice = &a.choice;
         let ticket = a.zones.as_mut().map(|z| {
             let all = z.zoning().all();
-            z.sent(now, sending, || choice.rooms(now, all))
+            z.sent(now, sending, || choice.zone_capacities(now, all))
         });
         if let Some(told) = a.zones.as_mut().and_then(Zones::crossings) {
-            a.choice.crossings(told);
+            a.choice.set_cross_zone_policy(told);
         }
         let far = n.zone != a.zone;
         if far {
             let over = ticket.as_ref().and_then(|t| t.over);
-            self.played.crossings[agent].push((now - ZERO, h.lane, over));
+            self.played.crossings[agent].push((now - ZERO, h.class, over));
         }
         let connected = std::mem::replace(&mut a.warm[node], true);
         h.out.push(Out {
@@ -1217,21 +1222,23 @@
                 );
             }
         }
-        self.at(now + time_out, What::TimeOut { agent, id, nth });
+        self.at(now + timeout, What::TimeOut { agent, id, nth });
         if let Some(at) = look {
             self.at(at, What::Look { agent, id, at });
         }
     }
 
     fn on_trial(&self, build: u32) -> bool {
-        let on = |n: &News| build > n.build || build == n.build && n.phase != Phase::Released;
+        let on = |n: &RolloutStatus| {
+            build > n.build || build == n.build && n.phase != RolloutPhase::Released
+        };
         self.told.as_ref().is_some_and(on)
     }
 
     /// Rules 3, 4 (what comes to a cold one is checked as it comes) and 5.
     fn check_send(&mut self, agent: usize, id: u64, node: usize, n: &Node) {
         let (now, trial) = (self.now, self.on_trial(n.build));
-        let free = self.day.deployment.rollout.free;
+        let free = self.day.deployment.rollout.exposure_burst;
         let a = &mut self.agents[agent];
         if a.told.get(&node).is_some_and(|t| now > *t + DRAIN_GRACE) {
             let what = format!(
@@ -1263,8 +1270,8 @@
         let ramp = match n.started {
             Some(started) => {
                 let age = self.now.saturating_sub(started).as_secs_f64()
-                    / d.cold_for.as_secs_f64().max(1e-3);
-                d.cold_share + (1.0 - d.cold_share) * age.min(1.0)
+                    / d.slow_start_duration.as_secs_f64().max(1e-3);
+                d.slow_start_share + (1.0 - d.slow_start_share) * age.min(1.0)
             }
             None => 1.0,
         };
@@ -1273,8 +1280,8 @@
 
     fn reach(&mut self, agent: usize, id: u64, nth: usize, node: usize, life: u64) {
         let (now, n) = (self.now, self.day.nodes[node].clone());
-        let lane = self.agents[agent].held.get(&id).map(|h| h.lane);
-        let Some(lane) = lane else { return };
+        let class = self.agents[agent].held.get(&id).map(|h| h.class);
+        let Some(class) = class else { return };
         if n.mute {
             return;
         }
@@ -1285,15 +1292,15 @@
             how,
         };
         let back = now + self.day.ways[n.zone][self.agents[agent].zone];
-        if n.standing == Standing::Gone || self.running[node].life != life {
+        if n.standing == EndpointState::Gone || self.running[node].life != life {
             return self.at(back, refuse(How::Refused));
         }
-        self.check_cold(node, lane);
+        self.check_cold(node, class);
         let capacity = n.cores;
         if self.running[node].busy.len() >= capacity && self.running[node].waits.len() >= n.queue {
             return self.at(back, refuse(How::TurnedAway));
         }
-        self.check_run(agent, id, lane, node);
+        self.check_run(agent, id, class, node);
         let (busy, waits) = (
             self.running[node].busy.len(),
             self.running[node].waits.len(),
@@ -1305,15 +1312,15 @@
         self.take_up(node);
     }
 
-    /// Rule 4: what came to a cold appliance in the window against what it can do now.
-    fn check_cold(&mut self, node: usize, lane: usize) {
-        let (now, fall_for) = (self.now, self.day.deployment.fall_for);
-        let cold = |s: Duration| now < s + self.day.deployment.cold_for;
+    /// Rule 4: what came to a cold endpoint in the window against what it can do now.
+    fn check_cold(&mut self, node: usize, class: usize) {
+        let (now, fall_for) = (self.now, self.day.deployment.overload_window);
+        let cold = |s: Duration| now < s + self.day.deployment.slow_start_duration;
         if !self.day.nodes[node].started.is_some_and(cold) {
             return;
         }
         let capacity = self.capacity(node);
-        let work = self.day.work[lane].as_secs_f64();
+        let work = self.day.work[class].as_secs_f64();
         let came = &mut self.running[node].work;
         came.push_back((now, work));
         while came.front().is_some_and(|w| w.0 + fall_for < now) {
@@ -1329,17 +1336,21 @@
     }
 
     /// Rule 2, where it runs.
-    fn check_run(&mut self, agent: usize, id: u64, lane: usize, node: usize) {
-        let repeats = self.day.deployment.lanes[lane].repeats;
-        if repeats == Repeats::Idempotent {
+    fn check_run(&mut self, agent: usize, id: u64, class: usize, node: usize) {
+        let idempotency = self.day.deployment.classes[class].idempotency;
+        if idempotency == Idempotency::Idempotent {
             return;
         }
         let (now, zone) = (self.now, self.day.nodes[node].zone);
         let ran = self.ran.entry((agent, id)).or_default();
         for (other, at) in ran.iter() {
-            let apart = match repeats {
-                Repeats::Deduplicated { group, window } => {
-                    let far = group != Group::All && self.day.nodes[*other].zone != zone;
+            let apart = match idempotency {
+                Idempotency::Keyed {
+                    scope: group,
+                    window,
+                } => {
+                    let far =
+                        group != DeduplicationScope::All && self.day.nodes[*other].zone != zone;
                     far || now > *at + window + SLACK
                 }
                 _ => true,
@@ -1347,7 +1358,7 @@
             if apart {
                 self.played
                     .broken
-                    .push(format!("rule 2: command {id} of lane {lane} ran twice"));
+                    .push(format!("rule 2: command {id} of lane {class} ran twice"));
             }
         }
         ran.push((node, now));
@@ -1358,11 +1369,11 @@
             let Some(job) = self.running[node].waits.pop_front() else {
                 return;
             };
-            let lane = self.agents[job.agent].held.get(&job.id).map(|h| h.lane);
+            let class = self.agents[job.agent].held.get(&job.id).map(|h| h.class);
             // It was withdrawn meanwhile.
-            let Some(lane) = lane else { continue };
+            let Some(class) = class else { continue };
             let speed = self.capacity(node) / self.day.nodes[node].cores as f64;
-            let mean = self.day.work[lane].as_secs_f64();
+            let mean = self.day.work[class].as_secs_f64();
             let took = Duration::from_secs_f64(mean * self.drawn() / speed);
             let (slot, life) = (self.running[node].slots, self.running[node].life);
             self.running[node].slots += 1;
@@ -1371,7 +1382,7 @@
         }
     }
 
-    /// The work of one command against the mean.
+    /// The work of one request against the mean.
     fn drawn(&mut self) -> f64 {
         self.day.steady - (1.0 - self.day.steady) * (1.0 - self.chance()).ln()
     }
@@ -1392,7 +1403,7 @@
         let how = if self.chance() < fails {
             How::Failed
         } else {
-            How::Satisfied
+            How::Succeeded
         };
         let (from, to) = (self.day.nodes[node].zone, self.agents[agent].zone);
         let way = self.day.ways[from][to];
@@ -1416,10 +1427,10 @@
             return;
         }
         let outcome = match how {
-            How::Satisfied => Outcome::Satisfied,
+            How::Succeeded => Outcome::Succeeded,
             How::Failed => Outcome::Failed,
-            How::TurnedAway => Outcome::TurnedAway,
-            How::Refused => Outcome::NoConnection,
+            How::TurnedAway => Outcome::Rejected,
+            How::Refused => Outcome::ConnectFailed,
         };
         self.end(agent, id, nth, outcome);
     }
@@ -1431,15 +1442,15 @@
         let o = &mut h.out[nth];
         o.ended = true;
         let took = now.saturating_sub(o.sent);
-        let written = outcome != Outcome::NoConnection && outcome != Outcome::NotSent;
-        let back = if matches!(outcome, Outcome::Satisfied | Outcome::Failed) {
+        let written = outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
+        let back = if matches!(outcome, Outcome::Succeeded | Outcome::Failed) {
             BYTES.1
         } else {
             0
         };
         if !matches!(
             outcome,
-            Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway
+            Outcome::Succeeded | Outcome::Failed | Outcome::Rejected
         ) {
             // Its connection is closed.
             a.warm[o.node] = false;
@@ -1461,18 +1472,18 @@
                 },
             );
         }
-        let first = outcome == Outcome::Satisfied && !h.answered;
-        let (taken, lane, first_asked) = (h.taken, h.lane, h.asking.first);
+        let first = outcome == Outcome::Succeeded && !h.answered;
+        let (taken, class, first_asked) = (h.taken, h.class, h.asking.first);
         let closed = h.answered || first;
-        let answer = a.choice.after(
+        let answer = a.choice.on_attempt_end(
             now,
             id,
             nth,
-            End {
+            AttemptEnd {
                 outcome,
-                took,
-                closed,
-                held: None,
+                latency: took,
+                request_closed: closed,
+                reported_load: None,
             },
         );
         self.tell(agent, id, || {
@@ -1480,11 +1491,11 @@
         });
         if first {
             let took = now.saturating_sub(taken);
-            self.played.satisfied += 1;
-            self.agents[agent].retries.satisfied(0);
-            let quoted = self.day.deployment.lanes[lane].quoted;
-            self.played.in_time += u64::from(took <= quoted);
-            if now.saturating_sub(first_asked) <= quoted {
+            self.played.succeeded += 1;
+            self.agents[agent].retries.succeeded(0);
+            let latency_objective = self.day.deployment.classes[class].latency_objective;
+            self.played.in_time += u64::from(took <= latency_objective);
+            if now.saturating_sub(first_asked) <= latency_objective {
                 self.second(agent).good += 1;
             }
             let micros = took.as_micros().max(1) as u64;
@@ -1501,7 +1512,7 @@
     /// The cap that binds each agent; a lower one is counted anew.
     fn caps(&mut self) {
         let cap = self.told.as_ref().map_or(0.0, |n| {
-            if n.phase == Phase::Released {
+            if n.phase == RolloutPhase::Released {
                 1.0
             } else {
                 n.cap
@@ -1520,7 +1531,7 @@
         match change {
             Change::Lists(node, standing) => {
                 self.day.nodes[node].standing = standing;
-                if standing == Standing::Gone {
+                if standing == EndpointState::Gone {
                     self.fall(node);
                 }
                 self.list(node);
@@ -1528,7 +1539,7 @@
             Change::Starts(node) => {
                 self.fall(node);
                 let n = &mut self.day.nodes[node];
-                (n.standing, n.started, n.mute) = (Standing::Running, Some(now), false);
+                (n.standing, n.started, n.mute) = (EndpointState::Running, Some(now), false);
                 self.list(node);
             }
             Change::Moves(node, zone) => {
@@ -1539,21 +1550,24 @@
             Change::Slows(node, slowness) => self.day.nodes[node].slowness = slowness,
             Change::Fails(node, fails) => self.day.nodes[node].fails = fails,
             Change::Mutes(node, mute) => self.day.nodes[node].mute = mute,
-            Change::News(news) => {
-                let news = News { began: now, ..news };
-                self.news = Some(news.clone());
-                self.tell_later(Tell::News(news));
+            Change::RolloutStatus(rollout_status) => {
+                let rollout_status = RolloutStatus {
+                    since: now,
+                    ..rollout_status
+                };
+                self.rollout_status = Some(rollout_status.clone());
+                self.tell_later(Tell::RolloutStatus(rollout_status));
             }
             Change::Rate(rate) => self.day.rate = rate,
             Change::Stalls(agent, span) => self.agents[agent].stalled = now + span,
             Change::Zoning(agent, zoning) => {
                 let a = &mut self.agents[agent];
                 if let Some(z) = &mut a.zones {
-                    // Zones and lanes are those of before, which is all that is refused.
-                    let lanes = vec![Origin::Same; zoning.lanes.len()];
-                    z.renew(now, zoning, &lanes);
+                    // Zones and classes are those of before, which is all that is refused.
+                    let classes = vec![IndexOrigin::Same; zoning.classes.len()];
+                    z.renew(now, zoning, &classes);
                     if let Some(told) = z.crossings() {
-                        a.choice.crossings(told);
+                        a.choice.set_cross_zone_policy(told);
                     }
                 }
             }
@@ -1570,7 +1584,7 @@
         for Job { agent, id, nth } in jobs {
             let out = |h: &Held| h.out.get(nth).is_some_and(|o| !o.ended);
             if self.agents[agent].held.get(&id).is_some_and(out) {
-                self.end(agent, id, nth, Outcome::Broken);
+                self.end(agent, id, nth, Outcome::ConnectionLost);
             }
         }
         self.agents.iter_mut().for_each(|a| a.warm[node] = false);
@@ -1595,14 +1609,14 @@
         let now = self.now;
         let (node, mut entry) = match self.tells[n].clone() {
             Tell::List(node, entry) => (node, entry),
-            Tell::News(news) => {
-                self.told = Some(news.clone());
+            Tell::RolloutStatus(rollout_status) => {
+                self.told = Some(rollout_status.clone());
                 self.caps();
-                let cap = self.day.lies.cap.unwrap_or(news.cap);
+                let cap = self.day.lies.cap.unwrap_or(rollout_status.cap);
                 for a in &mut self.agents {
-                    a.choice.news(News {
+                    a.choice.update_rollout(RolloutStatus {
                         cap,
-                        ..news.clone()
+                        ..rollout_status.clone()
                     });
                 }
                 return;
@@ -1610,29 +1624,30 @@
         };
         let lies = &self.day.lies;
         entry.started = entry.started.filter(|_| !lies.warm);
-        let silent = lies.deaf && entry.standing != Standing::Running;
+        let silent = lies.deaf && entry.state != EndpointState::Running;
         for a in &mut self.agents {
             if !silent {
-                a.choice.list(now, std::slice::from_ref(&entry), false);
+                a.choice
+                    .update_endpoints(now, std::slice::from_ref(&entry), false);
             }
-            match entry.standing {
-                Standing::Running => drop(a.told.remove(&node)),
+            match entry.state {
+                EndpointState::Running => drop(a.told.remove(&node)),
                 _ => drop(a.told.entry(node).or_insert(now)),
             }
         }
     }
 }
 
-fn listed(nodes: &[Node], appliance: usize) -> Listed {
-    let n = &nodes[appliance];
-    Listed {
-        appliance,
+fn listed(nodes: &[Node], endpoint: usize) -> EndpointEntry {
+    let n = &nodes[endpoint];
+    EndpointEntry {
+        endpoint,
         zone: n.zone,
-        cell: appliance as u64 % 3,
-        mark: appliance as u64,
-        kind: 0,
+        cell: endpoint as u64 % 3,
+        identity: endpoint as u64,
+        endpoint_type: 0,
         build: n.build,
-        standing: n.standing,
+        state: n.standing,
         started: n.started,
     }
 }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the list over HTTP, whole or as a watch, told to each zone with the addresses that are its own.
+//! Discovery: the list over HTTP, whole or as a watch, told to each zone with the addresses that
+//! are its own.
 
 use crate::ground::{self, locked, sleep, Ends};
 pub use crate::registry::Entry;
@@ -127,8 +128,8 @@
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Watches that are open fall silent, though their connections stay; the next ones are met like this, then as
-    /// ever.
+    /// Watches that are open fall silent, though their connections stay; the next ones are met like
+    /// this, then as ever.
     pub fn hush(&self, next: impl IntoIterator<Item = Meets>) {
         let mut state = self.shared.state();
         state.hushes += 1;
@@ -141,10 +142,11 @@
         state.connections - state.own
     }
 
-    /// Waits until all that was asked before this call is counted: at most one of the connections that were opened by
-    /// then goes on. Whether it came to that within [`ground::SOON`].
+    /// Waits until all that was asked before this call is counted: at most one of the connections
+    /// that were opened by then goes on. Whether it came to that within [`ground::SOON`].
     pub fn settled(&self, from: usize) -> io::Result<bool> {
-        // Connections are taken in their order, so each earlier one has been once this one is answered.
+        // Connections are taken in their order, so each earlier one has been once this one is
+        // answered.
         let mut last = TcpStream::connect(self.address(from))?;
         last.set_read_timeout(Some(ground::SOON))?;
         write!(
--- a/crates/testkit/src/appliance.rs
+++ b/crates/testkit/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! An appliance: it listens once for each zone that calls it, so that the way from there can be slow, cut and
-//! counted apart.
+//! An endpoint: it listens once for each zone that calls it, so that the way from there can be
+//! slow, cut and counted apart.
 
 use crate::ground::{self, locked, sleep, Ends};
 use crate::pg;
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What is kept of single deliveries, at most.
+/// What is kept of single attempts, at most.
 const SEEN_MOST: usize = 1_000_000;
 
 /// What it does with a query that has come whole.
@@ -56,10 +56,11 @@
 pub struct Ways {
     /// What one query takes.
     pub work: Duration,
-    /// Of single lanes, where it is other.
-    pub lanes: BTreeMap<String, Duration>,
-    /// The part of it that is always the same, 0 to 1; the rest is exponential. Real work differs from command to
-    /// command, and decisions that compare quick answers with the median take equal ones for a standstill.
+    /// Of single classes, where it is other.
+    pub classes: BTreeMap<String, Duration>,
+    /// The part of it that is always the same, 0 to 1; the rest is exponential. Real work differs
+    /// from request to request, and decisions that compare quick answers with the median take equal
+    /// ones for a standstill.
     pub steady: f64,
     /// Queries that run at once; the others wait.
     pub cores: usize,
@@ -76,7 +77,7 @@
     fn default() -> Ways {
         Ways {
             work: Duration::ZERO,
-            lanes: BTreeMap::new(),
+            classes: BTreeMap::new(),
             steady: 1.0,
             cores: 64,
             act: Act::Answers,
@@ -101,7 +102,7 @@
 pub struct Seen {
     pub at: Instant,
     pub from: usize,
-    pub lane: String,
+    pub class: String,
     pub id: String,
     /// The key by which repeats are told, where there is one.
     pub key: Option<String>,
@@ -112,10 +113,10 @@
     pub behind: Option<Duration>,
 }
 
-/// What passed on one way and lane, counted at this end of the wire.
+/// What passed on one way and class, counted at this end of the wire.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counted {
-    pub deliveries: u64,
+    pub attempts: u64,
     pub read: u64,
     pub written: u64,
 }
@@ -137,16 +138,16 @@
     rng: Mutex<Pcg64Mcg>,
 }
 
-pub struct Appliance {
+pub struct Endpoint {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
     ends: Arc<Ends>,
     listening: Mutex<Vec<Task<()>>>,
 }
 
-impl Appliance {
+impl Endpoint {
     /// Listens for callers of `zones` zones.
-    pub fn start(zones: usize, ways: Ways, seed: u64) -> io::Result<Appliance> {
+    pub fn start(zones: usize, ways: Ways, seed: u64) -> io::Result<Endpoint> {
         let shared = Arc::new(Shared {
             cores: Semaphore::new(ways.cores.max(1)),
             state: Mutex::new(State {
@@ -156,15 +157,15 @@
             }),
             rng: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
         });
-        let mut appliance = Appliance {
+        let mut endpoint = Endpoint {
             shared,
             addresses: Vec::new(),
             ends: Arc::default(),
             listening: Mutex::default(),
         };
         let unbound = vec![SocketAddr::from(([127, 0, 0, 1], 0)); zones];
-        appliance.addresses = appliance.listen(&unbound)?;
-        Ok(appliance)
+        endpoint.addresses = endpoint.listen(&unbound)?;
+        Ok(endpoint)
     }
 
     fn listen(&self, at: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
@@ -212,13 +213,13 @@
         locked(&self.shared.state).seen.len()
     }
 
-    /// By zone of the caller and lane, [`CONNECTIONS`] for what belongs to no query.
+    /// By zone of the caller and class, [`CONNECTIONS`] for what belongs to no query.
     pub fn counted(&self) -> BTreeMap<(usize, String), Counted> {
         locked(&self.shared.state).counted.clone()
     }
 }
 
-impl Drop for Appliance {
+impl Drop for Endpoint {
     fn drop(&mut self) {
         self.crash();
     }
@@ -229,11 +230,11 @@
         locked(&self.state)
     }
 
-    fn count(&self, from: usize, lane: &str, add: impl FnOnce(&mut Counted)) {
+    fn count(&self, from: usize, class: &str, add: impl FnOnce(&mut Counted)) {
         add(self
             .state()
             .counted
-            .entry((from, lane.to_owned()))
+            .entry((from, class.to_owned()))
             .or_default());
     }
 
@@ -284,12 +285,12 @@
                 .find(|(n, _)| *n == name)
                 .map(|(_, value)| value.to_owned())
         };
-        let lane = named("c").unwrap_or_default();
+        let class = named("c").unwrap_or_default();
         let act = shared.act();
         let seen = Seen {
             at,
             from,
-            lane: lane.clone(),
+            class: class.clone(),
             id: named("id").unwrap_or_default(),
             key: named("k"),
             statement: text,
@@ -303,8 +304,8 @@
             }
             state.seen.len() - 1
         };
-        shared.count(from, &lane, |c| {
-            c.deliveries += 1;
+        shared.count(from, &class, |c| {
+            c.attempts += 1;
             c.read += body.len() as u64 + 5;
         });
         let answer = {
@@ -312,7 +313,7 @@
             let work = async {
                 cut(shared, from).await;
                 sleep(shared.link(from).there).await;
-                let answer = answer(shared, &lane, act).await;
+                let answer = answer(shared, &class, act).await;
                 cut(shared, from).await;
                 sleep(shared.link(from).back).await;
                 Some(answer)
@@ -336,7 +337,7 @@
         } else {
             stream.write_all(&answer).await?;
         }
-        shared.count(from, &lane, |c| c.written += answer.len() as u64);
+        shared.count(from, &class, |c| c.written += answer.len() as u64);
         if matches!(
             act,
             Act::EndsAfter | Act::HalfEnds | Act::Leaves | Act::Cut(_)
@@ -372,7 +373,7 @@
 }
 
 /// The bytes of its answer; nothing where the connection ends in its place.
-async fn answer(shared: &Shared, lane: &str, act: Act) -> Option<Vec<u8>> {
+async fn answer(shared: &Shared, class: &str, act: Act) -> Option<Vec<u8>> {
     if act == Act::TurnsAway {
         return Some(pg::error("53300", "full"));
     }
@@ -383,8 +384,8 @@
         let state = shared.state();
         let work = state
             .ways
-            .lanes
-            .get(lane)
+            .classes
+            .get(class)
             .copied()
             .unwrap_or(state.ways.work);
         let mut value = vec![0x9f; state.ways.value];
--- a/crates/testkit/src/ground.rs
+++ b/crates/testkit/src/ground.rs
@@ -1,4 +1,5 @@
-//! The thread on which all stand-ins of a process run. It is not the agent's: what they take of time is theirs.
+//! The thread on which all fakes of a process run. It is not the agent's: what they take of time is
+//! theirs.
 
 use async_executor::{Executor, Task};
 use async_io::{Async, Timer};
@@ -28,7 +29,8 @@
     EXECUTOR.spawn(work)
 }
 
-/// What a lock holds, also after a holder has panicked: a test that failed must not fail the others.
+/// What a lock holds, also after a holder has panicked: a test that failed must not fail the
+/// others.
 pub fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
@@ -74,8 +76,8 @@
     }
 }
 
-/// A listener on a free loopback port; each connection is served by a task of its own until `ends` ends it.
-/// Returns its address and the task that listens.
+/// A listener on a free loopback port; each connection is served by a task of its own until `ends`
+/// ends it. Returns its address and the task that listens.
 pub fn listen<F>(
     ends: &Arc<Ends>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,4 +1,5 @@
-//! Many clients at a rate of their own: each command is due at its time, whatever became of those before.
+//! Many clients at a rate of their own: each request is due at its time, whatever became of those
+//! before.
 
 use crate::ground::{self, locked, sleep};
 use crate::pg;
@@ -14,39 +15,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Satisfied commands that are kept one by one, at most.
+/// Satisfied requests that are kept one by one, at most.
 pub const EACH_MOST: usize = 50_000;
 
 /// What is asked for.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub agent: SocketAddr,
-    /// Commands a second, in the mean; they come as by chance.
+    /// Requests a second, in the mean; they come as by chance.
     pub rate: f64,
     pub span: Duration,
-    /// Lanes with their weights, the time that clients wait, and whether they carry a key.
-    pub lanes: Vec<(String, f64, Duration, bool)>,
-    /// Connections at most; a command that finds none free waits for one, and that time counts.
+    /// Classes with their weights, the time that clients wait, and whether they carry a key.
+    pub classes: Vec<(String, f64, Duration, bool)>,
+    /// Connections at most; a request that finds none free waits for one, and that time counts.
     pub connections: usize,
     pub seed: u64,
 }
 
-/// What came of it. Times count from when a command was due.
+/// What came of it. Times count from when a request was due.
 #[derive(Clone, Debug, Default)]
 pub struct Answered {
     pub asked: u64,
-    pub satisfied: u64,
-    pub denied: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
     pub failed: u64,
     /// No whole answer before its expiry and half a second, or its connection ended.
     pub unanswered: u64,
     /// Ids of those without an answer, the first hundred.
     pub lost: Vec<String>,
-    /// Microseconds by which commands went out later than they were due.
+    /// Microseconds by which requests went out later than they were due.
     pub late: Option<Histogram<u64>>,
-    /// Microseconds to each satisfied answer, by lane.
+    /// Microseconds to each satisfied answer, by class.
     pub times: BTreeMap<String, Histogram<u64>>,
-    /// Ids of satisfied commands with their microseconds, the first [`EACH_MOST`].
+    /// Ids of satisfied requests with their microseconds, the first [`EACH_MOST`].
     pub each: Vec<(String, u64)>,
 }
 
@@ -58,8 +59,8 @@
         all.value_at_quantile(part) as f64 / 1000.0
     }
 
-    /// How late, in milliseconds, this part of the commands went out at most: high where the load itself, or its
-    /// machine, does not keep up.
+    /// How late, in milliseconds, this part of the requests went out at most: high where the load
+    /// itself, or its machine, does not keep up.
     pub fn issued_late_ms(&self, part: f64) -> f64 {
         self.late
             .as_ref()
@@ -67,7 +68,7 @@
     }
 
     pub fn answered(&self) -> u64 {
-        self.satisfied + self.denied + self.failed
+        self.succeeded + self.rejected + self.failed
     }
 }
 
@@ -76,11 +77,11 @@
         .unwrap_or_else(|_| unreachable!("bounds that are taken"))
 }
 
-/// A command that is due.
-struct Due {
+/// A request that is due.
+struct PollResult {
     at: Instant,
     id: String,
-    lane: String,
+    class: String,
     wait: Duration,
     text: String,
 }
@@ -89,7 +90,7 @@
 type Idle = Arc<Mutex<Vec<Async<TcpStream>>>>;
 
 impl Load {
-    /// Begins; the result is there once the last command has had its answer or its time.
+    /// Begins; the result is there once the last request has had its answer or its time.
     pub fn begin(self) -> async_executor::Task<Answered> {
         ground::spawn(async move { self.run().await })
     }
@@ -104,7 +105,7 @@
         let (idle, result) = (Idle::default(), Arc::new(Mutex::new(Answered::default())));
         let places = Arc::new(async_lock::Semaphore::new(self.connections.max(1)));
         let (begun, mut at, mut tasks, mut n) = (Instant::now(), 0.0f64, Vec::new(), 0u64);
-        let weights: f64 = self.lanes.iter().map(|l| l.1).sum();
+        let weights: f64 = self.classes.iter().map(|l| l.1).sum();
         loop {
             at += -(1.0f64 - rng.gen_range(0.0..1.0)).ln() / self.rate.max(1e-6);
             if at >= self.span.as_secs_f64() {
@@ -113,11 +114,11 @@
             let due = begun + Duration::from_secs_f64(at);
             sleep(due.saturating_duration_since(Instant::now())).await;
             let mut drawn = rng.gen_range(0.0..weights.max(1e-9));
-            let lane = self.lanes.iter().find(|l| {
+            let class = self.classes.iter().find(|l| {
                 drawn -= l.1;
                 drawn < 0.0
             });
-            let Some((lane, _, wait, keyed)) = lane.or(self.lanes.last()) else {
+            let Some((class, _, wait, keyed)) = class.or(self.classes.last()) else {
                 break;
             };
             n += 1;
@@ -134,12 +135,12 @@
             };
             let ms = wait.as_millis();
             let text = format!(
-                "SELECT body FROM objects WHERE oid = 'o{object}' /* id={id},c={lane},d={ms}{key} */"
+                "SELECT body FROM objects WHERE oid = 'o{object}' /* id={id},c={class},d={ms}{key} */"
             );
-            let due = Due {
+            let due = PollResult {
                 at: due,
                 id,
-                lane: lane.clone(),
+                class: class.clone(),
                 wait: *wait,
                 text,
             };
@@ -165,22 +166,22 @@
     }
 }
 
-fn note(result: &Mutex<Answered>, due: &Due, told: io::Result<Option<String>>) {
+fn note(result: &Mutex<Answered>, due: &PollResult, told: io::Result<Option<String>>) {
     let mut r = locked(result);
     r.asked += 1;
     match told {
         Ok(None) => {
-            r.satisfied += 1;
+            r.succeeded += 1;
             let took = due.at.elapsed().as_micros() as u64;
             r.times
-                .entry(due.lane.clone())
+                .entry(due.class.clone())
                 .or_insert_with(empty)
                 .saturating_record(took.max(1));
             if r.each.len() < EACH_MOST {
                 r.each.push((due.id.clone(), took));
             }
         }
-        Ok(Some(code)) if code == "53300" || code == "57P03" => r.denied += 1,
+        Ok(Some(code)) if code == "53300" || code == "57P03" => r.rejected += 1,
         Ok(Some(_)) => r.failed += 1,
         Err(_) => {
             r.unanswered += 1;
@@ -191,8 +192,8 @@
     }
 }
 
-/// One command; the code of an error, nothing for a value.
-async fn call(agent: SocketAddr, idle: &Idle, due: &Due) -> io::Result<Option<String>> {
+/// One request; the code of an error, nothing for a value.
+async fn call(agent: SocketAddr, idle: &Idle, due: &PollResult) -> io::Result<Option<String>> {
     let waiting = locked(idle).pop();
     let mut stream = match waiting {
         Some(stream) => stream,
--- a/crates/testkit/src/pg.rs
+++ b/crates/testkit/src/pg.rs
@@ -1,5 +1,5 @@
-//! As much of PostgreSQL's protocol, version 3, as clients and appliances speak here. Written apart from the
-//! agent's own, so that neither hides the other's mistakes.
+//! As much of PostgreSQL's protocol, version 3, as clients and endpoints speak here. Written apart
+//! from the agent's own, so that neither hides the other's mistakes.
 
 use async_io::Async;
 use futures_lite::AsyncReadExt;
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: tells of the newest build, takes votes, and carries a build through its stages by the clock.
+//! The platform: tells of the newest build, takes votes, and carries a build through its stages by
+//! the clock.
 
 use crate::ground::{self, locked, sleep, Ends};
 use async_executor::Task;
@@ -15,7 +16,7 @@
 
 /// What it says of the newest build.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct RolloutStatus {
     pub build: u32,
     pub stage: usize,
     /// `trial`, `rolling_back`, `released` or `withdrawn`.
@@ -24,9 +25,9 @@
     pub since: Instant,
 }
 
-impl News {
-    pub fn now(build: u32, stage: usize, phase: &str, cap: f64) -> News {
-        News {
+impl RolloutStatus {
+    pub fn now(build: u32, stage: usize, phase: &str, cap: f64) -> RolloutStatus {
+        RolloutStatus {
             build,
             stage,
             phase: phase.to_owned(),
@@ -67,7 +68,7 @@
 
 /// The calls that the platform takes, and what it knows of the newest build. Without sockets.
 pub struct Desk {
-    pub news: News,
+    pub rollout_status: RolloutStatus,
     pub votes: Vec<(Instant, Value)>,
     held: Option<Instant>, // the last vote to hold
 }
@@ -78,13 +79,13 @@
     /// It asks to be told what comes.
     pub watches: bool,
     /// It changed the news, which are to be told to all.
-    pub news: Option<News>,
+    pub rollout_status: Option<RolloutStatus>,
 }
 
 impl Desk {
-    pub fn new(news: News) -> Desk {
+    pub fn new(rollout_status: RolloutStatus) -> Desk {
         Desk {
-            news,
+            rollout_status,
             votes: Vec::new(),
             held: None,
         }
@@ -96,7 +97,7 @@
         let other = |answer| Heeded {
             answer,
             watches: false,
-            news: None,
+            rollout_status: None,
         };
         match call["method"].as_str() {
             Some("Events.Watch") => Heeded {
@@ -106,8 +107,8 @@
             Some("Rollout.Judge") => {
                 let params = call["params"].clone();
                 self.votes.push((now, params.clone()));
-                if params["image"] != json!(self.news.build)
-                    || params["ring"] != json!(self.news.stage)
+                if params["image"] != json!(self.rollout_status.build)
+                    || params["ring"] != json!(self.rollout_status.stage)
                 {
                     return other(fault("ConditionFailed"));
                 }
@@ -118,15 +119,22 @@
                     _ => return other(fault("ValidationError")),
                 }
                 let abort = params["opinion"] == "abort";
-                let back = || News {
+                let back = || RolloutStatus {
                     since: now,
-                    ..News::now(self.news.build, self.news.stage, "rolling_back", 0.0)
+                    ..RolloutStatus::now(
+                        self.rollout_status.build,
+                        self.rollout_status.stage,
+                        "rolling_back",
+                        0.0,
+                    )
                 };
-                let news = abort.then(back);
-                self.news = news.clone().unwrap_or(self.news.clone());
-                let stands = self.news.value_at(now);
+                let rollout_status = abort.then(back);
+                self.rollout_status = rollout_status
+                    .clone()
+                    .unwrap_or(self.rollout_status.clone());
+                let stands = self.rollout_status.value_at(now);
                 Heeded {
-                    news,
+                    rollout_status,
                     ..other(json!({"jsonrpc": "2.0", "id": id, "result": stands}))
                 }
             }
@@ -157,9 +165,9 @@
         self.changed.notify(usize::MAX);
     }
 
-    fn news(&self, news: News) {
-        let value = news.value();
-        self.state().desk.news = news;
+    fn rollout_status(&self, rollout_status: RolloutStatus) {
+        let value = rollout_status.value();
+        self.state().desk.rollout_status = rollout_status;
         self.tell("ROLLOUT", value);
     }
 }
@@ -175,9 +183,9 @@
 const VOTE_LIFE: Duration = Duration::from_secs(10);
 
 impl Platform {
-    pub fn start(news: News) -> io::Result<Platform> {
+    pub fn start(rollout_status: RolloutStatus) -> io::Result<Platform> {
         let state = State {
-            desk: Desk::new(news),
+            desk: Desk::new(rollout_status),
             notes: Vec::new(),
             silent: false,
             connections: 0,
@@ -213,27 +221,28 @@
         })
     }
 
-    pub fn news(&self, news: News) {
-        self.shared.news(news);
+    pub fn rollout_status(&self, rollout_status: RolloutStatus) {
+        self.shared.rollout_status(rollout_status);
     }
 
-    pub fn newest(&self) -> News {
-        self.shared.state().desk.news.clone()
+    pub fn newest(&self) -> RolloutStatus {
+        self.shared.state().desk.rollout_status.clone()
     }
 
-    /// A client found an answer of this appliance wrong.
-    pub fn flag(&self, appliance: &str, lane: &str, age: Duration) {
+    /// A client found an answer of this endpoint wrong.
+    pub fn flag(&self, endpoint: &str, class: &str, age: Duration) {
         let lag = age.as_millis() as u64;
         self.shared.tell(
             "DISPUTE",
-            json!({"host": appliance, "type": lane, "lag_ms": lag}),
+            json!({"host": endpoint, "type": class, "lag_ms": lag}),
         );
     }
 
-    /// What was counted of a build and lane in a sample of all deliveries, `bad` of them not satisfied.
-    pub fn sample(&self, build: u32, lane: &str, n: u32, bad: u32, took: Duration) {
+    /// What was counted of a build and class in a sample of all attempts, `bad` of them not
+    /// satisfied.
+    pub fn sample(&self, build: u32, class: &str, n: u32, bad: u32, took: Duration) {
         let took = took.as_secs_f64() * 1000.0;
-        let params = json!({"image": build, "type": lane, "n": n, "bad": bad, "latency_ms": took, "lag_ms": 500});
+        let params = json!({"image": build, "type": class, "n": n, "bad": bad, "latency_ms": took, "lag_ms": 500});
         self.shared.tell("SAMPLE", params);
     }
 
@@ -257,14 +266,15 @@
         self.shared.state().desk.votes.clone()
     }
 
-    /// Takes a build through its stages by the clock, which stands still while a vote to hold lasts. A vote to
-    /// send back ends it. `staged` is called at each stage's beginning, with what part of the places it takes.
+    /// Takes a build through its stages by the clock, which stands still while a vote to hold
+    /// lasts. A vote to send back ends it. `staged` is called at each stage's beginning, with what
+    /// part of the places it takes.
     pub fn offer(&self, offer: Offer, staged: impl Fn(usize, f64) + Send + 'static) -> Task<()> {
         let shared = self.shared.clone();
         ground::spawn(async move {
             for (stage, cap) in offer.caps.iter().enumerate() {
                 staged(stage, *cap);
-                shared.news(News::now(offer.build, stage, "trial", *cap));
+                shared.rollout_status(RolloutStatus::now(offer.build, stage, "trial", *cap));
                 let mut ran = Duration::ZERO;
                 while ran < offer.step {
                     let step = Duration::from_millis(50);
@@ -272,7 +282,7 @@
                     let (held, back) = {
                         let state = shared.state();
                         let held = state.desk.held.is_some_and(|at| at.elapsed() < VOTE_LIFE);
-                        (held, state.desk.news.phase == "rolling_back")
+                        (held, state.desk.rollout_status.phase == "rolling_back")
                     };
                     if back {
                         return;
@@ -280,7 +290,7 @@
                     ran += if held { Duration::ZERO } else { step };
                 }
             }
-            shared.news(News::now(
+            shared.rollout_status(RolloutStatus::now(
                 offer.build,
                 offer.caps.len().saturating_sub(1),
                 "released",
@@ -316,12 +326,12 @@
                     .write_all(format!("{answer}\n").as_bytes())
                     .await?;
                 if watches {
-                    let (news, count) = {
+                    let (rollout_status, count) = {
                         let state = shared.state();
-                        (state.desk.news.value(), state.notes.len())
+                        (state.desk.rollout_status.value(), state.notes.len())
                     };
                     seen = Some(count);
-                    let told = note("ROLLOUT", news);
+                    let told = note("ROLLOUT", rollout_status);
                     (&*stream).write_all(format!("{told}\n").as_bytes()).await?;
                 }
             }
@@ -341,8 +351,8 @@
 fn heed(shared: &Shared, call: &Value) -> (Value, bool) {
     let heeded = shared.state().desk.heed(Instant::now(), call);
     // The lock is let go before anything else takes it.
-    if let Some(news) = heeded.news {
-        shared.news(news);
+    if let Some(rollout_status) = heeded.rollout_status {
+        shared.rollout_status(rollout_status);
     }
     (heeded.answer, heeded.watches)
 }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -12,27 +12,27 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 use tempfile::TempDir;
-use tulipwall::{Group, Repeats};
+use tulipwall::{DeduplicationScope, Idempotency};
 use tulipwall_client_policy::Service;
 
-/// A lane of the settings.
+/// A class of the settings.
 #[derive(Clone, Debug)]
-pub struct Lane {
+pub struct RequestClass {
     pub name: String,
     /// `repeatable`, `by_key` or `once`, with the group of `by_key`: `all`, `zone` or `cell`.
-    pub repeats: &'static str,
+    pub idempotency: &'static str,
     pub group: &'static str,
-    pub quoted_ms: f64,
+    pub latency_objective_ms: f64,
     pub points: f64,
 }
 
-impl Lane {
-    pub fn new(name: &str, repeats: &'static str, points: f64) -> Lane {
-        Lane {
+impl RequestClass {
+    pub fn new(name: &str, idempotency: &'static str, points: f64) -> RequestClass {
+        RequestClass {
             name: name.to_owned(),
-            repeats,
+            idempotency,
             group: "all",
-            quoted_ms: 400.0,
+            latency_objective_ms: 400.0,
             points,
         }
     }
@@ -40,44 +40,44 @@
 
 /// What a client of agents that serve views, messages (`send`) and payments sets.
 pub fn service(agents: Vec<SocketAddr>) -> Service {
-    let lane = |name: &str, repeats, benefit| {
-        let quoted = Duration::from_millis(400);
-        tulipwall_client_policy::Lane {
+    let class = |name: &str, idempotency, priority_weight| {
+        let latency_objective = Duration::from_millis(400);
+        tulipwall_client_policy::RequestClass {
             name: name.into(),
-            repeats,
-            quoted,
-            benefit,
+            idempotency,
+            latency_objective,
+            priority_weight,
         }
     };
-    let keyed = Repeats::Deduplicated {
-        group: Group::All,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: Duration::from_secs(5),
     };
-    let lanes = vec![
-        lane("view", Repeats::Idempotent, 3.0),
-        lane("send", keyed, 3.0),
-        lane("payment", Repeats::Unrepeatable, 9.0),
+    let classes = vec![
+        class("view", Idempotency::Idempotent, 3.0),
+        class("send", keyed, 3.0),
+        class("payment", Idempotency::NonIdempotent, 9.0),
     ];
-    Service::new(agents, lanes)
+    Service::new(agents, classes)
 }
 
-/// The lanes of that service, as settings name them.
-pub fn lanes() -> Vec<Lane> {
-    let lane = Lane::new;
+/// The classes of that service, as settings name them.
+pub fn classes() -> Vec<RequestClass> {
+    let class = RequestClass::new;
     vec![
-        lane("view", "repeatable", 3.0),
-        lane("send", "by_key", 3.0),
-        lane("payment", "once", 9.0),
+        class("view", "repeatable", 3.0),
+        class("send", "by_key", 3.0),
+        class("payment", "once", 9.0),
     ]
 }
 
 /// The settings of a deployment, as an agent in `zone` gets them.
-pub fn settings(zones: &[&str], zone: &str, agents: u32, lanes: &[Lane]) -> Value {
-    let class = |l: &Lane| {
-        json!({"name": l.name, "aim-ms": l.quoted_ms, "give-up-ms": 1500.0, "idempotency": l.repeats,
+pub fn settings(zones: &[&str], zone: &str, agents: u32, classes: &[RequestClass]) -> Value {
+    let class = |l: &RequestClass| {
+        json!({"name": l.name, "aim-ms": l.latency_objective_ms, "give-up-ms": 1500.0, "idempotency": l.idempotency,
             "dedup-scope": l.group, "window-ms": 5000.0, "points": l.points})
     };
-    let classes: Vec<Value> = lanes.iter().map(class).collect();
+    let classes: Vec<Value> = classes.iter().map(class).collect();
     json!({"zones": zones, "zone": zone, "classes": classes,
         "tenants": [], "discovery": "push", "granularity-ms": 1.0, "instances": agents,
         "limits": {"cancel": true, "second-copies": true, "try-limit": 5, "dial-timeout-ms": 250.0,
@@ -87,8 +87,8 @@
             "spare-tries": 2.0, "vote-ttl-ms": 10000.0, "vote-wait-ms": 800.0}})
 }
 
-/// A loopback address that nobody else is given: a port that was free a moment ago may be another's by now, and a
-/// client of the one would speak to the other.
+/// A loopback address that nobody else is given: a port that was free a moment ago may be another's
+/// by now, and a client of the one would speak to the other.
 pub fn free() -> SocketAddr {
     static GIVEN: AtomicU16 = AtomicU16::new(0);
     let (process, given) = (std::process::id(), GIVEN.fetch_add(1, Ordering::Relaxed));
@@ -102,14 +102,14 @@
     name: &str,
     discovery: SocketAddr,
     platform: SocketAddr,
-    news: Value,
+    rollout_status: Value,
     known: Value,
     settings: Value,
 ) -> io::Result<Value> {
     Ok(
         json!({"name": name, "listen": free().to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
         "limits": {"sockets": 1024}, "known": known, "settings": settings,
-        "deployer": {"address": platform.to_string(), "news": news}}),
+        "deployer": {"address": platform.to_string(), "news": rollout_status}}),
     )
 }
 
@@ -173,7 +173,8 @@
 
     /// Replaces the configuration's text and says so.
     pub fn renew(&self, text: &str) -> io::Result<()> {
-        // Whole or not at all, as a platform replaces it: the agent may just be reading the one before.
+        // Whole or not at all, as a platform replaces it: the agent may just be reading the one
+        // before.
         let next = self.folder().join("config.json.next");
         std::fs::write(&next, text)?;
         std::fs::rename(next, self.folder().join("config.json"))?;
@@ -185,8 +186,8 @@
         self.child.id()
     }
 
-    /// Stops it where it stands, or lets it go on: an agent that stalls. The signal takes a moment on a busy machine: that
-    /// it stands is waited for.
+    /// Stops it where it stands, or lets it go on: an agent that stalls. The signal takes a moment
+    /// on a busy machine: that it stands is waited for.
     pub fn stall(&self, stalls: bool) -> io::Result<()> {
         self.signal(if stalls { Signal::STOP } else { Signal::CONT })?;
         let stands = || {
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -1,12 +1,12 @@
-//! What discovery knows, without sockets: the appliances, each with the version of its last change, and what is told
-//! of them, as the wire has it.
+//! What discovery knows, without sockets: the endpoints, each with the version of its last change,
+//! and what is told of them, as the wire has it.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One appliance of the list.
+/// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub id: String,
@@ -73,7 +73,8 @@
         "state": e.state, "weight": 1.0, "started_ms": e.started_ms, "release": e.build})
 }
 
-/// The version that a watch names and how long it may wait; nothing where the whole list is asked for.
+/// The version that a watch names and how long it may wait; nothing where the whole list is asked
+/// for.
 pub fn watched(path: &str) -> Option<(u64, Duration)> {
     let query = path.split_once('?').map_or("", |(_, q)| q);
     let named = |name: &str| -> Option<u64> {
--- a/crates/testkit/src/speaker.rs
+++ b/crates/testkit/src/speaker.rs
@@ -1,4 +1,5 @@
-//! Takes connections, hears what is asked first, and says what it is given: for what no stand-in would say.
+//! Takes connections, hears what is asked first, and says what it is given: for what no fake would
+//! say.
 
 use crate::ground::{self, Ends};
 use async_executor::Task;
@@ -16,7 +17,8 @@
 }
 
 impl Speaker {
-    /// Says `what` on each connection once anything was asked there, and nothing more; it stays open.
+    /// Says `what` on each connection once anything was asked there, and nothing more; it stays
+    /// open.
     pub fn start(what: &str) -> io::Result<Speaker> {
         let (tell, asked) = channel();
         let what = what.to_owned();
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,10 +1,10 @@
-//! Zones with appliances, discovery and a platform, put together.
+//! Zones with endpoints, discovery and a platform, put together.
 
-use crate::appliance::{Appliance, Counted, Link, Seen, Ways};
 use crate::discovery::Discovery;
+use crate::endpoint::{Counted, Endpoint, Link, Seen, Ways};
 use crate::ground::locked;
-use crate::platform::{News, Platform};
-use crate::program::{configuration, settings, Lane};
+use crate::platform::{Platform, RolloutStatus};
+use crate::program::{configuration, settings, RequestClass};
 use crate::registry::Entry;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -14,43 +14,43 @@
 
 pub struct World {
     pub zones: Vec<String>,
-    pub lanes: Vec<Lane>,
+    pub classes: Vec<RequestClass>,
     pub discovery: Discovery,
     pub platform: Platform,
-    appliances: Mutex<BTreeMap<String, (usize, std::sync::Arc<Appliance>)>>,
+    endpoints: Mutex<BTreeMap<String, (usize, std::sync::Arc<Endpoint>)>>,
     pub agents: u32,
 }
 
 impl World {
-    /// Zones without appliances, build 41 released.
-    pub fn new(zones: &[&str], lanes: Vec<Lane>) -> io::Result<World> {
+    /// Zones without endpoints, build 41 released.
+    pub fn new(zones: &[&str], classes: Vec<RequestClass>) -> io::Result<World> {
         Ok(World {
             zones: zones.iter().map(|z| (*z).to_owned()).collect(),
-            lanes,
+            classes,
             discovery: Discovery::start(zones.len())?,
-            platform: Platform::start(News::now(41, 0, "released", 1.0))?,
-            appliances: Mutex::default(),
+            platform: Platform::start(RolloutStatus::now(41, 0, "released", 1.0))?,
+            endpoints: Mutex::default(),
             agents: 1,
         })
     }
 
-    fn appliances(
+    fn endpoints(
         &self,
-    ) -> std::sync::MutexGuard<'_, BTreeMap<String, (usize, std::sync::Arc<Appliance>)>> {
-        locked(&self.appliances)
+    ) -> std::sync::MutexGuard<'_, BTreeMap<String, (usize, std::sync::Arc<Endpoint>)>> {
+        locked(&self.endpoints)
     }
 
-    /// Starts an appliance in a zone, not yet listed. Its entry goes to [`Discovery::tell`].
+    /// Starts an endpoint in a zone, not yet listed. Its entry goes to [`Discovery::tell`].
     pub fn unlisted(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<Entry> {
         let seed = id
             .bytes()
             .fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-        let appliance = Appliance::start(self.zones.len(), ways, seed)?;
+        let endpoint = Endpoint::start(self.zones.len(), ways, seed)?;
         let addresses = (0..self.zones.len())
-            .map(|from| appliance.address(from))
+            .map(|from| endpoint.address(from))
             .collect();
-        self.appliances()
-            .insert(id.to_owned(), (zone, appliance.into()));
+        self.endpoints()
+            .insert(id.to_owned(), (zone, endpoint.into()));
         Ok(Entry {
             id: id.to_owned(),
             addresses,
@@ -63,7 +63,7 @@
     }
 
     /// Starts one and lists it as long up.
-    pub fn appliance(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<()> {
+    pub fn endpoint(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<()> {
         let entry = self.unlisted(zone, id, build, ways)?;
         self.discovery.tell([entry]);
         Ok(())
@@ -77,13 +77,13 @@
         Ok(())
     }
 
-    pub fn get(&self, id: &str) -> Option<std::sync::Arc<Appliance>> {
-        self.appliances().get(id).map(|(_, a)| a.clone())
+    pub fn get(&self, id: &str) -> Option<std::sync::Arc<Endpoint>> {
+        self.endpoints().get(id).map(|(_, a)| a.clone())
     }
 
     /// Those of one zone, by id.
-    pub fn of_zone(&self, zone: usize) -> Vec<(String, std::sync::Arc<Appliance>)> {
-        let all = self.appliances();
+    pub fn of_zone(&self, zone: usize) -> Vec<(String, std::sync::Arc<Endpoint>)> {
+        let all = self.endpoints();
         all.iter()
             .filter(|(_, (z, _))| *z == zone)
             .map(|(id, (_, a))| (id.clone(), a.clone()))
@@ -104,7 +104,7 @@
         }));
     }
 
-    /// Sets the way from one zone to all appliances of another.
+    /// Sets the way from one zone to all endpoints of another.
     pub fn link(&self, from: usize, to: usize, link: Link) {
         self.of_zone(to)
             .iter()
@@ -114,26 +114,26 @@
     /// The configuration of an agent in this zone.
     pub fn configuration(&self, name: &str, zone: usize) -> io::Result<Value> {
         let zones: Vec<&str> = self.zones.iter().map(String::as_str).collect();
-        let settings = settings(&zones, zones[zone], self.agents, &self.lanes);
-        let (known, news) = (self.discovery.known(zone), self.platform.newest().value());
+        let settings = settings(&zones, zones[zone], self.agents, &self.classes);
+        let (known, rollout_status) = (self.discovery.known(zone), self.platform.newest().value());
         configuration(
             name,
             self.discovery.address(zone),
             self.platform.address,
-            news,
+            rollout_status,
             known,
             settings,
         )
     }
 
-    /// What appliances of a zone have counted for callers of another, by lane.
+    /// What endpoints of a zone have counted for callers of another, by class.
     pub fn counted(&self, from: usize, to: usize) -> BTreeMap<String, Counted> {
         let mut sum: BTreeMap<String, Counted> = BTreeMap::new();
         for (_, a) in self.of_zone(to) {
-            for ((f, lane), c) in a.counted() {
+            for ((f, class), c) in a.counted() {
                 if f == from {
-                    let kept = sum.entry(lane).or_default();
-                    kept.deliveries += c.deliveries;
+                    let kept = sum.entry(class).or_default();
+                    kept.attempts += c.attempts;
                     kept.read += c.read;
                     kept.written += c.written;
                 }
@@ -142,9 +142,9 @@
         sum
     }
 
-    /// All deliveries that came anywhere, by id of their command.
+    /// All attempts that came anywhere, by id of their request.
     pub fn seen(&self) -> BTreeMap<String, Vec<Seen>> {
-        let all: Vec<_> = self.appliances().values().map(|(_, a)| a.clone()).collect();
+        let all: Vec<_> = self.endpoints().values().map(|(_, a)| a.clone()).collect();
         let mut seen: BTreeMap<String, Vec<Seen>> = BTreeMap::new();
         for s in all.iter().flat_map(|a| a.seen()) {
             seen.entry(s.id.clone()).or_default().push(s);
@@ -152,9 +152,9 @@
         seen
     }
 
-    /// Commands of a lane that may have run more than once.
-    pub fn ran_twice(&self, lane: &str) -> Vec<String> {
-        let twice = |s: &Vec<Seen>| s.iter().filter(|s| s.ran && s.lane == lane).count() > 1;
+    /// Requests of a class that may have run more than once.
+    pub fn ran_twice(&self, class: &str) -> Vec<String> {
+        let twice = |s: &Vec<Seen>| s.iter().filter(|s| s.ran && s.class == class).count() > 1;
         self.seen()
             .into_iter()
             .filter(|(_, s)| twice(s))
--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -1,4 +1,4 @@
-//! One agent that takes commands, places them and hears their outcomes, to be timed.
+//! One agent that takes requests, places them and hears their outcomes, to be timed.
 
 use std::time::Duration;
 use tulipwall::*;
@@ -9,60 +9,56 @@
     Duration::from_millis(n)
 }
 
-fn deployment(lanes: usize) -> Deployment {
-    let lane = || Lane {
-        quoted: ms(400),
-        benefit: 3.0,
-        repeats: Repeats::Idempotent,
+fn deployment(classes: usize) -> Settings {
+    let class = || RequestClass {
+        latency_objective: ms(400),
+        priority_weight: 3.0,
+        idempotency: Idempotency::Idempotent,
     };
-    Deployment {
+    Settings {
         agents: 3,
-        ..day::deployment((0..lanes).map(|_| lane()).collect())
+        ..day::deployment((0..classes).map(|_| class()).collect())
     }
 }
 
 pub struct Agent {
     now: Duration,
     id: u64,
-    lanes: usize,
-    pub choice: Choice,
+    classes: usize,
+    pub choice: Balancer,
     zones: Option<Zones>,
-    watch: Option<Watch>,
+    watch: Option<ShadowEvaluator>,
     build: u32,
     of_zone: usize,
 }
 
 impl Agent {
-    pub fn new(zones: usize, lanes: usize, appliances: usize, zoned: bool) -> Agent {
+    pub fn new(zones: usize, classes: usize, endpoints: usize, zoned: bool) -> Agent {
         let now = ms(3_600_000);
-        let mut choice = Choice::new(now, deployment(lanes));
-        let listed = |appliance| Listed {
-            appliance,
-            zone: appliance % zones,
+        let mut choice = Balancer::new(now, deployment(classes));
+        let listed = |endpoint| EndpointEntry {
+            endpoint,
+            zone: endpoint % zones,
             cell: 0,
-            mark: appliance as u64,
-            kind: 0,
+            identity: endpoint as u64,
+            endpoint_type: 0,
             build: 41,
-            standing: Standing::Running,
+            state: EndpointState::Running,
             started: None,
         };
-        choice.list(now, &(0..appliances).map(listed).collect::<Vec<_>>(), true);
-        choice.news(News {
+        choice.update_endpoints(now, &(0..endpoints).map(listed).collect::<Vec<_>>(), true);
+        choice.update_rollout(RolloutStatus {
             build: 41,
             stage: 0,
-            phase: Phase::Released,
+            phase: RolloutPhase::Released,
             cap: 1.0,
-            began: now,
+            since: now,
         });
-        let limits = [
-            Limit::Deliveries(1e9),
-            Limit::Bytes(1e15),
-            Limit::Share(0.05),
-        ];
+        let limits = [Limit::Attempts(1e9), Limit::Bytes(1e15), Limit::Share(0.05)];
         let budget = |limit: Limit| Budget {
             name: limit.unit().into(),
             to: None,
-            lane: None,
+            class: None,
             limit,
             window: ms(60_000),
             part: 0.3,
@@ -70,12 +66,12 @@
         let zoning = Zoning {
             own: 0,
             zones,
-            lanes: vec![
-                LaneView {
-                    benefit: 3.0,
-                    quoted: ms(400)
+            classes: vec![
+                ClassProfile {
+                    priority_weight: 3.0,
+                    latency_objective: ms(400)
                 };
-                lanes
+                classes
             ],
             links: vec![Link::default(); zones + 1],
             budgets: limits.into_iter().map(budget).collect(),
@@ -85,7 +81,7 @@
         Agent {
             now,
             id: 0,
-            lanes,
+            classes,
             choice,
             zones: zones_told,
             watch: None,
@@ -96,65 +92,66 @@
 
     /// Watches settings of another shape beside.
     #[allow(dead_code)] // `examples/measure.rs` has no use for it
-    pub fn watched(zones: usize, lanes: usize, appliances: usize) -> Agent {
-        let shape = Shape {
+    pub fn watched(zones: usize, classes: usize, endpoints: usize) -> Agent {
+        let shape = AlternativeSettings {
             guarded_stages: Some(1),
-            warm_keys: Some(true),
-            ..Shape::default()
+            key_affinity: Some(true),
+            ..AlternativeSettings::default()
         };
-        let watch = Some(Watch::new(&deployment(lanes), &shape));
+        let watch = Some(ShadowEvaluator::new(&deployment(classes), &shape));
         Agent {
             watch,
-            ..Agent::new(zones, lanes, appliances, false)
+            ..Agent::new(zones, classes, endpoints, false)
         }
     }
 
-    /// One command from its coming to its answer, at 3,000 a second.
+    /// One request from its coming to its answer, at 3,000 a second.
     pub fn command(&mut self) {
         self.id += 1;
         self.now += Duration::from_micros(333);
         let (id, now) = (self.id, self.now);
-        let lane = id as usize % self.lanes;
+        let class = id as usize % self.classes;
         if let Some(z) = &mut self.zones {
-            z.taken(now, lane);
+            z.taken(now, class);
         }
-        self.choice.take(
+        self.choice.on_request(
             now,
             id,
-            Command {
-                lane,
-                customer: None,
+            Request {
+                class,
+                tenant: None,
                 key: Some(id),
-                left: ms(1500),
-                work: None,
-                again: false,
+                time_left: ms(1500),
+                estimated_work: None,
+                is_retry: false,
             },
         );
         if let Some(w) = &mut self.watch {
-            w.take(&self.choice, lane);
+            w.on_request(&self.choice, class);
         }
-        if let Answer::Send { appliance, .. } = self.choice.place(now, id) {
+        if let Decision::Forward { endpoint, .. } = self.choice.route(now, id) {
             if let Some(w) = &mut self.watch {
-                w.sent(now, &self.choice, lane, Some(id), appliance);
+                w.on_attempt(now, &self.choice, class, Some(id), endpoint);
             }
-            let to = appliance % self.of_zone;
+            let to = endpoint % self.of_zone;
             let sending = Sending {
                 to,
-                lane,
+                class,
                 build: self.build,
                 nth: 0,
-                second_copy: false,
+                hedged: false,
                 trial: false,
                 bound: false,
             };
-            let ticket = self
-                .zones
-                .as_mut()
-                .map(|z| z.sent(now, sending, || self.choice.rooms(now, self.of_zone + 1)));
+            let ticket = self.zones.as_mut().map(|z| {
+                z.sent(now, sending, || {
+                    self.choice.zone_capacities(now, self.of_zone + 1)
+                })
+            });
             self.tell();
             let took = Duration::from_micros(9000 + to as u64 * 2000);
             let end = Ended {
-                outcome: Outcome::Satisfied,
+                outcome: Outcome::Succeeded,
                 flaw: Flaw::None,
                 written: true,
                 out: 180,
@@ -164,22 +161,22 @@
             if let (Some(z), Some(t)) = (&mut self.zones, ticket) {
                 z.ended(now, &t, &end);
             }
-            self.choice.after(
+            self.choice.on_attempt_end(
                 now,
                 id,
                 0,
-                End {
-                    outcome: Outcome::Satisfied,
-                    took,
-                    closed: true,
-                    held: None,
+                AttemptEnd {
+                    outcome: Outcome::Succeeded,
+                    latency: took,
+                    request_closed: true,
+                    reported_load: None,
                 },
             );
         }
         if id.is_multiple_of(300) {
-            self.choice.wait(now);
+            self.choice.poll(now);
             if let Some(z) = &mut self.zones {
-                z.step(now, &self.choice.rooms(now, self.of_zone + 1));
+                z.step(now, &self.choice.zone_capacities(now, self.of_zone + 1));
             }
             self.tell();
         }
@@ -187,30 +184,30 @@
 
     fn tell(&mut self) {
         if let Some(told) = self.zones.as_mut().and_then(Zones::crossings) {
-            self.choice.crossings(told);
+            self.choice.set_cross_zone_policy(told);
         }
     }
 }
 
 /// The same as [`Agent::new`] without an account, told once that crossing is dear.
 impl Agent {
-    pub fn told(zones: usize, lanes: usize, appliances: usize) -> Agent {
-        let mut agent = Agent::new(zones, lanes, appliances, false);
-        let far = Crossing {
-            draw: Some(0.01),
-            last: vec![false; lanes],
-            ..Crossing::default()
+    pub fn told(zones: usize, classes: usize, endpoints: usize) -> Agent {
+        let mut agent = Agent::new(zones, classes, endpoints, false);
+        let far = ZonePolicy {
+            weight: Some(0.01),
+            last_resort: vec![false; classes],
+            ..ZonePolicy::default()
         };
         let zones = (0..=zones).map(|z| {
             if z == 0 {
-                Crossing::default()
+                ZonePolicy::default()
             } else {
                 far.clone()
             }
         });
-        agent.choice.crossings(Crossings {
+        agent.choice.set_cross_zone_policy(CrossZonePolicy {
             zones: zones.collect(),
-            cold: 1.0,
+            slow_start_factor: 1.0,
         });
         agent
     }
--- a/crates/zones/benches/decision.rs
+++ b/crates/zones/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What one command costs in decisions: taken, placed, its outcome told, without zones and with them, and
-//! with other settings watched.
+//! What one request costs in decisions: taken, placed, its outcome told, without zones and with
+//! them, and with other settings watched.
 //!
 //!     cargo bench -p tulipwall-zones
 
@@ -7,14 +7,14 @@
 mod agent;
 
 use agent::Agent;
-/// Commands in one sample: as many as an agent takes in a tenth of a second, so that what is done ten times a
-/// second is a part of it.
+/// Requests in one sample: as many as an agent takes in a tenth of a second, so that what is done
+/// ten times a second is a part of it.
 const EACH: u64 = 300;
 
 fn decisions(c: &mut Criterion) {
-    for (zones, lanes, appliances) in [(2, 3, 40), (8, 20, 500)] {
+    for (zones, classes, endpoints) in [(2, 3, 40), (8, 20, 500)] {
         let mut group = c.benchmark_group(format!(
-            "{zones} zones, {lanes} lanes, {appliances} appliances"
+            "{zones} zones, {classes} lanes, {endpoints} appliances"
         ));
         group.throughput(Throughput::Elements(EACH));
         for (name, zoned, told) in [
@@ -23,13 +23,13 @@
             ("with the account", true, false),
         ] {
             let mut agent = match told {
-                true => Agent::told(zones, lanes, appliances),
-                false => Agent::new(zones, lanes, appliances, zoned),
+                true => Agent::told(zones, classes, endpoints),
+                false => Agent::new(zones, classes, endpoints, zoned),
             };
             (0..6000).for_each(|_| agent.command());
             group.bench_function(name, |b| b.iter(|| (0..EACH).for_each(|_| agent.command())));
         }
-        let mut agent = Agent::watched(zones, lanes, appliances);
+        let mut agent = Agent::watched(zones, classes, endpoints);
         (0..6000).for_each(|_| agent.command());
         group.bench_function("with a watch", |b| {
             b.iter(|| (0..EACH).for_each(|_| agent.command()))
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -1,4 +1,5 @@
-//! The figures of `docs/zones.md`: the same simulated days with the program as it was before zones and with them.
+//! The figures of `docs/zones.md`: the same simulated days with the program as it was before zones
+//! and with them.
 //!
 //!     cargo run --release -p tulipwall-zones --example measure
 
@@ -22,10 +23,11 @@
 }
 
 fn zoning(own: usize, budgets: Vec<Budget>) -> Zoning {
-    day::zoning(&day::lanes(), own, 2, budgets)
+    day::zoning(&day::classes(), own, 2, budgets)
 }
 
-/// Three agents, two in zone 0 and one in zone 1; six appliances of four cores in each zone; a way of 2 ms.
+/// Three agents, two in zone 0 and one in zone 1; six endpoints of four cores in each zone; a way
+/// of 2 ms.
 fn world(seed: u64, zoned: bool, script: Vec<(Duration, Change)>, span: u64) -> Day {
     let agent = |zone, part| Caller {
         zone,
@@ -44,10 +46,11 @@
     Vec::new()
 }
 
-/// Three of the six near appliances vanish without a word for 20 s, then are delisted, then return cold.
+/// Three of the six near endpoints vanish without a word for 20 s, then are delisted, then return
+/// cold.
 fn half_lost() -> Vec<(Duration, Change)> {
     let mut script: Vec<_> = (0..3).map(|n| (s(10), Change::Mutes(n, true))).collect();
-    script.extend((0..3).map(|n| (s(20), Change::Lists(n, Standing::Gone))));
+    script.extend((0..3).map(|n| (s(20), Change::Lists(n, EndpointState::Gone))));
     script.extend((0..3).map(|n| (s(35), Change::Starts(n))));
     script
 }
@@ -66,7 +69,7 @@
         .map(|n| {
             (
                 ms(10_000 + n as u64 * 100),
-                Change::Lists(n, Standing::Draining),
+                Change::Lists(n, EndpointState::Draining),
             )
         })
         .collect();
@@ -111,13 +114,14 @@
     }
 }
 
-/// Ten agents from idle to two fifths of the load; the most that all of them spent by choice in any window.
+/// Ten agents from idle to two fifths of the load; the most that all of them spent by choice in any
+/// window.
 fn sums() {
     let parts = [40.0, 20.0, 12.0, 10.0, 8.0, 5.0, 3.0, 1.5, 0.5, 0.0];
     println!("\n| budget over all agents | window | most in any window, least to most over the seeds | over budget | answered |");
     println!("| --- | --- | --- | --- | --- |");
     for (limit, label) in [
-        (Limit::Deliveries(2000.0), "2000 deliveries"),
+        (Limit::Attempts(2000.0), "2000 deliveries"),
         (Limit::Share(0.1), "a tenth of what is taken"),
     ] {
         let played: Vec<Played> = SEEDS
@@ -127,7 +131,7 @@
                 let budget = Budget {
                     name: "all".into(),
                     to: None,
-                    lane: None,
+                    class: None,
                     limit,
                     window: s(5),
                     part: 0.1,
@@ -189,15 +193,16 @@
         .unwrap_or_default()
 }
 
-/// Memory of an account of eight zones, twenty lanes and three builds, when each of its bins holds something.
+/// Memory of an account of eight zones, twenty classes and three builds, when each of its bins
+/// holds something.
 fn memory() {
     let before = resident();
     let z = Zoning {
         zones: 8,
-        lanes: vec![
-            LaneView {
-                benefit: 1.0,
-                quoted: ms(400)
+        classes: vec![
+            ClassProfile {
+                priority_weight: 1.0,
+                latency_objective: ms(400)
             };
             20
         ],
@@ -207,23 +212,24 @@
     let mut zones = Zones::new(s(3600), z);
     for step in 0..24 * 360u64 {
         let now = s(3600 + step * 10);
-        for (to, lane) in (0..9).flat_map(|to| (0..20).map(move |lane| (to, lane))) {
+        for (to, class) in (0..9).flat_map(|to| (0..20).map(move |class| (to, class))) {
             // Builds follow one another by the hour; the last hour has three.
             for build in [step / 360, step / 360 + 1, step / 360 + 2] {
                 let build = build as u32 + 1;
                 let sending = Sending {
                     to,
-                    lane,
+                    class,
                     build,
                     nth: 0,
-                    second_copy: false,
+                    hedged: false,
                     trial: false,
                     bound: false,
                 };
                 let ticket = zones.sent(now, sending, Vec::new);
-                let took = Duration::from_micros(500 + (step * 7919 + lane as u64 * 131) % 900_000);
+                let took =
+                    Duration::from_micros(500 + (step * 7919 + class as u64 * 131) % 900_000);
                 let end = Ended {
-                    outcome: Outcome::Satisfied,
+                    outcome: Outcome::Succeeded,
                     flaw: Flaw::None,
                     written: true,
                     out: 180,
@@ -245,16 +251,16 @@
     );
 }
 
-/// What a command costs in decisions, in turns so that a machine whose speed drifts drifts for all: medians over
-/// rounds of 300 commands, and against the first.
+/// What a request costs in decisions, in turns so that a machine whose speed drifts drifts for all:
+/// medians over rounds of 300 requests, and against the first.
 fn costs() {
     println!("\n| size | without, ns | told of crossing | with the account |");
     println!("| --- | --- | --- | --- |");
-    for (zones, lanes, appliances) in [(2, 3, 40), (8, 20, 500)] {
+    for (zones, classes, endpoints) in [(2, 3, 40), (8, 20, 500)] {
         let mut agents = [
-            Agent::new(zones, lanes, appliances, false),
-            Agent::told(zones, lanes, appliances),
-            Agent::new(zones, lanes, appliances, true),
+            Agent::new(zones, classes, endpoints, false),
+            Agent::told(zones, classes, endpoints),
+            Agent::new(zones, classes, endpoints, true),
         ];
         let mut took = [const { Vec::new() }; 3];
         for round in 0..1500 {
@@ -271,7 +277,7 @@
             t[t.len() / 2]
         });
         let against = |n: usize| format!("{:+.1}%", (median[n] / median[0] - 1.0) * 100.0);
-        let size = format!("{zones} zones, {lanes} lanes, {appliances} appliances");
+        let size = format!("{zones} zones, {classes} lanes, {endpoints} appliances");
         println!(
             "| {size} | {:.0} | {} | {} |",
             median[0],
--- a/crates/zones/src/account.rs
+++ b/crates/zones/src/account.rs
@@ -1,4 +1,4 @@
-//! What crossed: by link, lane and build, in total and over time.
+//! What crossed: by link, class and build, in total and over time.
 
 use crate::route::Reason;
 use crate::series::{Bin, Series};
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use tulipwall::{Origin, Outcome};
+use tulipwall::{IndexOrigin, Outcome};
 
 const RECENT: (Duration, u32) = (Duration::from_secs(10), 360);
 const DAY: (Duration, u32) = (Duration::from_secs(60), 1440);
@@ -16,13 +16,13 @@
 /// How fast the usual time of near answers follows.
 const FOLLOW: f64 = 0.05;
 
-/// What one row counts: deliveries of one lane and build over one link.
+/// What one row counts: attempts of one class and build over one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     pub to: u16,
-    /// The number after the last lane stands for connections: what opening and keeping them took; the one after that
-    /// for all lanes that are gone.
-    pub lane: u16,
+    /// The number after the last class stands for connections: what opening and keeping them took;
+    /// the one after that for all classes that are gone.
+    pub class: u16,
     /// 0 for all builds that are gone.
     pub build: u32,
 }
@@ -30,17 +30,18 @@
 /// Counts since the agent's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// Deliveries decided on.
+    /// Attempts decided on.
     pub decided: u64,
-    /// Written to their last byte: these may have run, and count as deliveries.
+    /// Written to their last byte: these may have run, and count as attempts.
     pub written: u64,
     /// How those decided on ended, as [`Outcome`] numbers them.
     pub ended: [u64; 8],
-    /// Of those that broke: answers that could not be read, and answers that stopped short of their end.
+    /// Of those that broke: answers that could not be read, and answers that stopped short of their
+    /// end.
     pub spoilt: u64,
     pub half: u64,
     /// Of those decided on: while another was out, and after another had ended.
-    pub second_copies: u64,
+    pub hedging: u64,
     pub further: u64,
     /// Over a budget, by [`Reason`].
     pub over: [u64; Reason::ALL.len()],
@@ -49,8 +50,8 @@
     /// Bytes written and read on the socket.
     pub out: u64,
     pub back: u64,
-    /// Seconds that crossing added to satisfied answers, against near ones of the lane; below zero where the
-    /// far side was quicker. And for how many answers.
+    /// Seconds that crossing added to satisfied answers, against near ones of the class; below zero
+    /// where the far side was quicker. And for how many answers.
     pub added: f64,
     pub compared: u64,
     pub cost: f64,
@@ -59,13 +60,13 @@
 /// The place of an outcome in [`Tally::ended`].
 pub fn place(outcome: Outcome) -> usize {
     match outcome {
-        Outcome::Satisfied => 0,
+        Outcome::Succeeded => 0,
         Outcome::Failed => 1,
-        Outcome::TurnedAway => 2,
+        Outcome::Rejected => 2,
         Outcome::TimedOut => 3,
-        Outcome::NoConnection => 4,
-        Outcome::Broken => 5,
-        Outcome::Withdrawn => 6,
+        Outcome::ConnectFailed => 4,
+        Outcome::ConnectionLost => 5,
+        Outcome::Cancelled => 6,
         Outcome::NotSent => 7,
     }
 }
@@ -77,7 +78,7 @@
 
     /// What provably never ran.
     pub fn never_ran(&self) -> u64 {
-        let kinds = [Outcome::TurnedAway, Outcome::NoConnection, Outcome::NotSent];
+        let kinds = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
         kinds.into_iter().map(|o| self.ended[place(o)]).sum()
     }
 
@@ -88,7 +89,7 @@
             ended,
             spoilt,
             half,
-            second_copies,
+            hedging,
             further,
             over,
             opened,
@@ -99,7 +100,7 @@
         self.ended.iter_mut().zip(ended).for_each(|(a, b)| *a += b);
         self.spoilt += spoilt;
         self.half += half;
-        self.second_copies += second_copies;
+        self.hedging += hedging;
         self.further += further;
         self.over.iter_mut().zip(over).for_each(|(a, b)| *a += b);
         self.opened += opened;
@@ -128,7 +129,7 @@
     Half,
 }
 
-/// How one delivery ended, as seen on the socket.
+/// How one attempt ended, as seen on the socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     pub outcome: Outcome,
@@ -147,13 +148,13 @@
     pub build: u32,
     pub out: u64,
     pub back: u64,
-    /// How long it took until it was ready for a command; nothing where it never was.
+    /// How long it took until it was ready for a request; nothing where it never was.
     pub took: Option<Duration>,
 }
 
-/// What is kept of one lane on one link, over all builds.
+/// What is kept of one class on one link, over all builds.
 #[derive(Debug)]
-struct Lane {
+struct RequestClass {
     /// By build, which are few at a time.
     rows: Vec<(u32, Row)>,
     /// Minute bins of the last day.
@@ -161,7 +162,7 @@
     delays: Option<Histogram<u32>>,
 }
 
-impl Lane {
+impl RequestClass {
     fn row(&mut self, build: u32) -> &mut Row {
         let n = match self.rows.iter().position(|(b, _)| *b >= build) {
             Some(n) if self.rows[n].0 == build => n,
@@ -179,16 +180,16 @@
     }
 }
 
-impl Lane {
-    fn new() -> Lane {
-        Lane {
+impl RequestClass {
+    fn new() -> RequestClass {
+        RequestClass {
             rows: Vec::new(),
             day: Series::new(DAY.0, DAY.1),
             delays: None,
         }
     }
 
-    fn merge(&mut self, o: Lane) {
+    fn merge(&mut self, o: RequestClass) {
         for (build, old) in o.rows {
             let row = self.row(build);
             row.tally.add(&old.tally);
@@ -203,34 +204,35 @@
     }
 }
 
-/// What was kept by lane, under the lanes' numbers of now; the rest stays in `old`.
-pub(crate) fn carried<T>(by: &[Origin], old: &mut [Option<T>]) -> Vec<Option<T>> {
+/// What was kept by class, under the classes' numbers of now; the rest stays in `old`.
+pub(crate) fn carried<T>(by: &[IndexOrigin], old: &mut [Option<T>]) -> Vec<Option<T>> {
     let mut of = |n: usize| old.get_mut(n).and_then(Option::take);
     let mut kept: Vec<Option<T>> = by.iter().map(|_| None).collect();
     for (n, o) in by.iter().enumerate() {
-        if let Origin::Was(was) = o {
+        if let IndexOrigin::MovedFrom(was) = o {
             kept[n] = of(*was);
         }
     }
     for (n, o) in by.iter().enumerate() {
-        if matches!(o, Origin::Same | Origin::Over) {
+        if matches!(o, IndexOrigin::Same | IndexOrigin::Retired) {
             kept[n] = of(n);
         }
     }
     kept
 }
 
-/// What is kept beside the lanes of a zone: connections, and lanes that are gone.
+/// What is kept beside the classes of a zone: connections, and classes that are gone.
 const OTHERS: usize = 2;
 
-/// The account of one agent. What it keeps follows zones x lanes x builds alive, never customers or keys.
+/// The account of one agent. What it keeps follows zones x classes x builds alive, never tenants or
+/// keys.
 #[derive(Debug)]
 pub struct Account {
     own: usize,
-    lanes: usize,
+    classes: usize,
     zones: usize,
-    /// By zone and lane, the last two of each zone for connections and for lanes that are gone.
-    links: Vec<Option<Box<Lane>>>,
+    /// By zone and class, the last two of each zone for connections and for classes that are gone.
+    links: Vec<Option<Box<RequestClass>>>,
     taken: Vec<u64>,
     taken_gone: u64,
     near: Vec<Option<f64>>, // the usual time of a near answer, in seconds
@@ -238,37 +240,39 @@
 
 impl Account {
     /// For an agent in zone `own` of so many zones with names.
-    pub fn new(own: usize, zones: usize, lanes: usize) -> Account {
-        let links = (0..(zones + 1) * (lanes + OTHERS)).map(|_| None).collect();
+    pub fn new(own: usize, zones: usize, classes: usize) -> Account {
+        let links = (0..(zones + 1) * (classes + OTHERS))
+            .map(|_| None)
+            .collect();
         Account {
             own,
-            lanes,
+            classes,
             zones,
             links,
-            taken: vec![0; lanes],
+            taken: vec![0; classes],
             taken_gone: 0,
-            near: vec![None; lanes],
+            near: vec![None; classes],
         }
     }
 
-    /// Goes on with other lanes, numbered as `by` says. What was counted of a lane whose number is another's now, or
-    /// nobody's any more, goes to those that are gone.
-    pub fn renew(&mut self, by: &[Origin]) {
-        let width = self.lanes + OTHERS;
+    /// Goes on with other classes, numbered as `by` says. What was counted of a class whose number
+    /// is another's now, or nobody's any more, goes to those that are gone.
+    pub fn renew(&mut self, by: &[IndexOrigin]) {
+        let width = self.classes + OTHERS;
         let mut old = std::mem::take(&mut self.links).into_iter();
         for _ in 0..=self.zones {
-            let mut of: Vec<Option<Box<Lane>>> = old.by_ref().take(width).collect();
+            let mut of: Vec<Option<Box<RequestClass>>> = old.by_ref().take(width).collect();
             let (gone, connections) = (of.pop().flatten(), of.pop().flatten());
             self.links.extend(carried(by, &mut of));
             let gone = of
                 .into_iter()
                 .flatten()
-                .fold(gone, |gone, lane| match gone {
+                .fold(gone, |gone, class| match gone {
                     Some(mut all) => {
-                        all.merge(*lane);
+                        all.merge(*class);
                         Some(all)
                     }
-                    None => Some(lane),
+                    None => Some(class),
                 });
             self.links.extend([connections, gone]);
         }
@@ -279,57 +283,60 @@
             .collect();
         self.taken_gone += taken.into_iter().flatten().sum::<u64>();
         self.near = carried(by, &mut self.near);
-        self.lanes = by.len();
+        self.classes = by.len();
     }
 
-    pub fn taken(&mut self, lane: usize) {
-        if let Some(n) = self.taken.get_mut(lane) {
+    pub fn taken(&mut self, class: usize) {
+        if let Some(n) = self.taken.get_mut(class) {
             *n += 1;
         }
     }
 
-    /// The number that stands for connections in the place of a lane.
+    /// The number that stands for connections in the place of a class.
     pub fn connections(&self) -> u16 {
-        self.lanes as u16
+        self.classes as u16
     }
 
-    fn place(&self, to: usize, lane: usize) -> usize {
-        to.min(self.zones) * (self.lanes + OTHERS) + lane.min(self.lanes + 1)
+    fn place(&self, to: usize, class: usize) -> usize {
+        to.min(self.zones) * (self.classes + OTHERS) + class.min(self.classes + 1)
     }
 
-    fn lane(&mut self, to: usize, lane: usize) -> &mut Lane {
-        let place = self.place(to, lane);
-        self.links[place].get_or_insert_with(|| Box::new(Lane::new()))
+    fn class(&mut self, to: usize, class: usize) -> &mut RequestClass {
+        let place = self.place(to, class);
+        self.links[place].get_or_insert_with(|| Box::new(RequestClass::new()))
     }
 
-    /// A delivery was decided on.
-    pub fn decided(&mut self, to: usize, lane: usize, build: u32, nth: usize, second_copy: bool) {
-        let tally = &mut self.lane(to, lane).row(build).tally;
+    /// An attempt was decided on.
+    pub fn decided(&mut self, to: usize, class: usize, build: u32, nth: usize, hedged: bool) {
+        let tally = &mut self.class(to, class).row(build).tally;
         tally.decided += 1;
-        tally.second_copies += u64::from(second_copy);
-        tally.further += u64::from(nth > 0 && !second_copy);
+        tally.hedging += u64::from(hedged);
+        tally.further += u64::from(nth > 0 && !hedged);
     }
 
-    /// It ended; `over` says why where it went over a budget, `cost` what it cost by its link's price.
+    /// It ended; `over` says why where it went over a budget, `cost` what it cost by its link's
+    /// price.
     pub fn ended(&mut self, now: Duration, t: &Ticket, e: &Ended, cost: f64) {
         let (own, took) = (self.own, e.took.as_secs_f64());
-        let usual = self.usual_near(t.lane);
-        let satisfied = e.outcome == Outcome::Satisfied;
-        if let (true, Some(near)) = (satisfied && t.to == own, self.near.get_mut(t.lane)) {
+        let usual = self.usual_near(t.class);
+        let succeeded = e.outcome == Outcome::Succeeded;
+        if let (true, Some(near)) = (succeeded && t.to == own, self.near.get_mut(t.class)) {
             *near = Some(near.map_or(took, |n| n + (took - n) * FOLLOW));
         }
-        let lane = self.lane(t.to, t.lane);
-        if satisfied {
+        let class = self.class(t.to, t.class);
+        if succeeded {
             let micros = (e.took.as_micros() as u64).clamp(LEAST_MICROS, MOST_MICROS);
-            if lane.delays.is_none() {
-                // Two digits between these bounds are 10 KB, and bounds that the library always takes.
-                lane.delays = Histogram::new_with_bounds(LEAST_MICROS, MOST_MICROS, 2).ok();
+            if class.delays.is_none() {
+                // Two digits between these bounds are 10 KB, and bounds that the library always
+                // takes.
+                class.delays = Histogram::new_with_bounds(LEAST_MICROS, MOST_MICROS, 2).ok();
             }
-            lane.delays
+            class
+                .delays
                 .iter_mut()
                 .for_each(|h| h.saturating_record(micros));
         }
-        let row = lane.row(t.build);
+        let row = class.row(t.build);
         row.tally.ended[place(e.outcome)] += 1;
         row.tally.written += u64::from(e.written);
         row.tally.spoilt += u64::from(e.flaw == Flaw::Spoilt);
@@ -340,26 +347,26 @@
         row.tally.out += e.out;
         row.tally.back += e.back;
         row.tally.cost += cost;
-        if let (true, Some(usual)) = (satisfied && t.to != own, usual) {
+        if let (true, Some(usual)) = (succeeded && t.to != own, usual) {
             row.tally.added += took - usual;
             row.tally.compared += 1;
         }
         let add = |bin: &mut Bin| {
-            bin.deliveries += u32::from(e.written);
+            bin.attempts += u32::from(e.written);
             bin.over += u32::from(t.over.is_some());
             bin.cost += cost as f32;
             bin.out += e.out;
             bin.back += e.back;
         };
         add(row.recent.bin(now));
-        add(lane.day.bin(now));
+        add(class.day.bin(now));
     }
 
     /// A connection was opened, or ended while nothing was out on it.
     pub fn opened(&mut self, now: Duration, o: &Opening, cost: f64) {
-        let connections = self.lanes;
-        let lane = self.lane(o.to, connections);
-        let row = lane.row(o.build);
+        let connections = self.classes;
+        let class = self.class(o.to, connections);
+        let row = class.row(o.build);
         row.tally.opened += u64::from(o.took.is_some());
         row.tally.out += o.out;
         row.tally.back += o.back;
@@ -369,30 +376,30 @@
                 (bin.out + o.out, bin.back + o.back, bin.cost + cost as f32);
         };
         add(row.recent.bin(now));
-        add(lane.day.bin(now));
+        add(class.day.bin(now));
     }
 
     /// Only these builds are alive: what the others' rows count goes into one of build 0.
     pub fn alive(&mut self, builds: &BTreeSet<u32>) {
-        for lane in self.links.iter_mut().flatten() {
+        for class in self.links.iter_mut().flatten() {
             let gone = |(build, _): &mut (u32, Row)| *build != 0 && !builds.contains(build);
-            let old: Vec<(u32, Row)> = lane.rows.extract_if(.., gone).collect();
+            let old: Vec<(u32, Row)> = class.rows.extract_if(.., gone).collect();
             for (_, old) in old {
-                let row = lane.row(0);
+                let row = class.row(0);
                 row.tally.add(&old.tally);
                 row.recent.merge(&old.recent);
             }
         }
     }
 
-    /// All rows, by zone, lane and build.
+    /// All rows, by zone, class and build.
     pub fn rows(&self) -> impl Iterator<Item = (Key, &Row)> {
-        self.from(0).flat_map(|(to, lane, l)| {
+        self.from(0).flat_map(|(to, class, l)| {
             l.rows.iter().map(move |(b, r)| {
                 (
                     Key {
                         to,
-                        lane,
+                        class,
                         build: *b,
                     },
                     r,
@@ -401,9 +408,9 @@
         })
     }
 
-    /// What is kept by link and lane, from a place on.
-    fn from(&self, place: usize) -> impl Iterator<Item = (u16, u16, &Lane)> {
-        let width = self.lanes + OTHERS;
+    /// What is kept by link and class, from a place on.
+    fn from(&self, place: usize) -> impl Iterator<Item = (u16, u16, &RequestClass)> {
+        let width = self.classes + OTHERS;
         let there = self.links.iter().enumerate().skip(place);
         there
             .filter_map(move |(n, l)| Some(((n / width) as u16, (n % width) as u16, l.as_deref()?)))
@@ -411,12 +418,12 @@
 
     /// The row at or after `from`, so that a reader may go through all while the account goes on.
     pub fn next_row(&self, from: Key) -> Option<(Key, &Row)> {
-        let place = self.place(usize::from(from.to), usize::from(from.lane));
+        let place = self.place(usize::from(from.to), usize::from(from.class));
         if usize::from(from.to) > self.zones {
             return None;
         }
-        self.from(place).find_map(|(to, lane, l)| {
-            let least = if (to, lane) == (from.to, from.lane) {
+        self.from(place).find_map(|(to, class, l)| {
+            let least = if (to, class) == (from.to, from.class) {
                 from.build
             } else {
                 0
@@ -425,7 +432,7 @@
             Some((
                 Key {
                     to,
-                    lane,
+                    class,
                     build: *build,
                 },
                 row,
@@ -433,37 +440,37 @@
         })
     }
 
-    /// The day's series at or after this link and lane.
-    pub fn next_day(&self, (to, lane): (u16, u16)) -> Option<((u16, u16), &Series)> {
+    /// The day's series at or after this link and class.
+    pub fn next_day(&self, (to, class): (u16, u16)) -> Option<((u16, u16), &Series)> {
         if usize::from(to) > self.zones {
             return None;
         }
-        let place = usize::from(to) * (self.lanes + OTHERS) + usize::from(lane);
+        let place = usize::from(to) * (self.classes + OTHERS) + usize::from(class);
         self.from(place)
             .next()
-            .map(|(to, lane, l)| ((to, lane), &l.day))
+            .map(|(to, class, l)| ((to, class), &l.day))
     }
 
-    /// Times of satisfied answers over a link, by lane, in microseconds.
-    pub fn delay(&self, to: u16, lane: u16) -> Option<&Histogram<u32>> {
-        self.links[self.place(usize::from(to), usize::from(lane))]
+    /// Times of satisfied answers over a link, by class, in microseconds.
+    pub fn delay(&self, to: u16, class: u16) -> Option<&Histogram<u32>> {
+        self.links[self.place(usize::from(to), usize::from(class))]
             .as_ref()?
             .delays
             .as_ref()
     }
 
-    /// Commands taken, by lane.
-    pub fn taken_by_lane(&self) -> &[u64] {
+    /// Requests taken, by class.
+    pub fn taken_by_class(&self) -> &[u64] {
         &self.taken
     }
 
-    /// Commands taken of lanes that are gone.
+    /// Requests taken of classes that are gone.
     pub fn taken_gone(&self) -> u64 {
         self.taken_gone
     }
 
-    /// The usual time of a near answer of this lane, in seconds.
-    pub fn usual_near(&self, lane: usize) -> Option<f64> {
-        self.near.get(lane).copied().flatten()
+    /// The usual time of a near answer of this class, in seconds.
+    pub fn usual_near(&self, class: usize) -> Option<f64> {
+        self.near.get(class).copied().flatten()
     }
 }
--- a/crates/zones/src/budget.rs
+++ b/crates/zones/src/budget.rs
@@ -1,35 +1,37 @@
 //! Budgets for what crosses, and what one agent may spend alone.
 //!
-//! Agents share nothing, so each keeps to a part of its own: of an absolute limit a fixed one (by default one
-//! over the number of agents), of a share the same share of what it took itself. Either way the sum over all
-//! agents keeps to the budget however unequal they are. What an idle agent leaves is used by nobody.
+//! Agents share nothing, so each keeps to a part of its own: of an absolute limit a fixed one (by
+//! default one over the number of agents), of a share the same share of what it took itself. Either
+//! way the sum over all agents keeps to the budget however unequal they are. What an idle agent
+//! leaves is used by nobody.
 //!
-//! Spending is counted in bins over a sliding window, always over one bin more than the window holds: no window
-//! ever sees more than the limit, and after a stall nothing is due at once that was not spent before.
+//! Spending is counted in bins over a sliding window, always over one bin more than the window
+//! holds: no window ever sees more than the limit, and after a stall nothing is due at once that
+//! was not spent before.
 
 use crate::account::carried;
 use crate::route::Reason;
-use crate::zoning::{Budget, LaneView, Limit, Price, Zoning};
+use crate::zoning::{Budget, ClassProfile, Limit, Price, Zoning};
 use std::collections::VecDeque;
 use std::time::Duration;
-use tulipwall::Origin;
+use tulipwall::IndexOrigin;
 
 /// Bins to a window.
 const BINS: u32 = 32;
-/// What must stay of a part after a delivery, for the lane of least benefit for its cost; nothing for the lane
-/// of most, and in proportion between.
+/// What must stay of a part after an attempt, for the class of least benefit for its cost; nothing
+/// for the class of most, and in proportion between.
 const RESERVE: f64 = 0.4;
-/// On top of that for further deliveries and second copies.
+/// On top of that for further attempts and hedged requests.
 const AGAIN: f64 = 0.5;
-/// What a delivery is taken to need before any was seen, in bytes each way.
+/// What an attempt is taken to need before any was seen, in bytes each way.
 const GUESS: f64 = 1024.0;
 /// How fast the largest of late is forgotten.
 const LARGEST_FADE: f64 = 0.98;
 
-/// What one delivery takes.
+/// What one attempt takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spending {
-    pub deliveries: f64,
+    pub attempts: f64,
     pub bytes: f64,
     pub money: f64,
 }
@@ -49,10 +51,10 @@
     bins: VecDeque<Spent>,
     until: Duration, // the newest bin's end
     sum: (f64, f64), // spent and taken in the bins
-    /// What may be used until another lane has to stay near.
+    /// What may be used until another class has to stay near.
     barred_at: f64,
-    held: f64,       // reserved by deliveries that are out
-    ranks: Vec<f64>, // by lane: 0 for most benefit for its cost, 1 for least
+    held: f64,       // reserved by attempts that are out
+    ranks: Vec<f64>, // by class: 0 for most benefit for its cost, 1 for least
     over: u64,
     over_for: [u64; Reason::ALL.len()],
     total: f64,
@@ -73,8 +75,8 @@
             over_for: Default::default(),
             total: 0.0,
         };
-        // An agent that starts does not know what it spent before it was restarted: as if its part had been
-        // spent evenly, so that restarts do not give it the window's part again and again.
+        // An agent that starts does not know what it spent before it was restarted: as if its part
+        // had been spent evenly, so that restarts do not give it the window's part again and again.
         if !matches!(purse.budget.limit, Limit::Share(_)) {
             let last = purse.bin(now);
             let each = purse.part() / f64::from(BINS + 1);
@@ -109,12 +111,12 @@
         }
     }
 
-    /// What it has spent in that window, with what is reserved by deliveries that are out.
+    /// What it has spent in that window, with what is reserved by attempts that are out.
     pub fn used(&self) -> f64 {
         self.sum.0 + self.held
     }
 
-    /// How many deliveries went over this limit.
+    /// How many attempts went over this limit.
     pub fn over(&self) -> u64 {
         self.over
     }
@@ -164,21 +166,21 @@
         self.total += amount;
     }
 
-    fn covers(&self, to: usize, lane: usize) -> bool {
-        self.budget.to.is_none_or(|t| t == to) && self.budget.lane.is_none_or(|l| l == lane)
+    fn covers(&self, to: usize, class: usize) -> bool {
+        self.budget.to.is_none_or(|t| t == to) && self.budget.class.is_none_or(|l| l == class)
     }
 
     fn amount(&self, s: &Spending) -> f64 {
         match self.budget.limit {
-            Limit::Deliveries(_) | Limit::Share(_) => s.deliveries,
+            Limit::Attempts(_) | Limit::Share(_) => s.attempts,
             Limit::Bytes(_) => s.bytes,
             Limit::Money(_) => s.money,
         }
     }
 
-    /// What must stay in it after a delivery of this lane.
-    fn reserve(&self, lane: usize, again: bool) -> f64 {
-        let rank = self.ranks.get(lane).copied().unwrap_or(1.0);
+    /// What must stay in it after an attempt of this class.
+    fn reserve(&self, class: usize, again: bool) -> f64 {
+        let rank = self.ranks.get(class).copied().unwrap_or(1.0);
         self.limit() * (RESERVE * rank + if again { AGAIN } else { 0.0 })
     }
 
@@ -187,7 +189,8 @@
         amount <= 0.0 || self.used() + amount + reserve <= self.limit() * (1.0 + 1e-9)
     }
 
-    /// Goes on under a budget that was read anew: what is spent stays spent, in the new window's bins.
+    /// Goes on under a budget that was read anew: what is spent stays spent, in the new window's
+    /// bins.
     fn renew(&mut self, now: Duration, budget: Budget) {
         let width = self.budget.window / BINS;
         let old = std::mem::take(&mut self.bins);
@@ -212,7 +215,7 @@
     }
 }
 
-/// What a delivery that is out has reserved, and at which purses there was no room for it.
+/// What an attempt that is out has reserved, and at which purses there was no room for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reserved {
     held: Vec<(u32, f64)>,
@@ -233,27 +236,27 @@
     ids: u32,
     prices: Vec<Price>,
     benefits: Vec<f64>,
-    /// The largest of late, out and back, by zone and lane.
+    /// The largest of late, out and back, by zone and class.
     largest: Vec<Vec<(f64, f64)>>,
 }
 
 impl Purses {
     pub fn new(now: Duration, zoning: &Zoning) -> Purses {
-        let lanes = zoning.lanes.len();
+        let classes = zoning.classes.len();
         let mut purses = Purses {
             purses: Vec::new(),
             ids: 0,
             prices: Vec::new(),
             benefits: Vec::new(),
-            largest: vec![vec![(GUESS, GUESS); lanes]; zoning.all()],
+            largest: vec![vec![(GUESS, GUESS); classes]; zoning.all()],
         };
-        purses.renew(now, zoning, &vec![Origin::Same; lanes]);
+        purses.renew(now, zoning, &vec![IndexOrigin::Same; classes]);
         purses
     }
 
-    /// Goes on under what was read anew, with lanes numbered as `by` says. A budget is the same if its name and its
-    /// unit are; a lower one holds at once, whatever was spent.
-    pub fn renew(&mut self, now: Duration, zoning: &Zoning, by: &[Origin]) {
+    /// Goes on under what was read anew, with classes numbered as `by` says. A budget is the same
+    /// if its name and its unit are; a lower one holds at once, whatever was spent.
+    pub fn renew(&mut self, now: Duration, zoning: &Zoning, by: &[IndexOrigin]) {
         for zone in &mut self.largest {
             let mut old: Vec<_> = std::mem::take(zone).into_iter().map(Some).collect();
             *zone = carried(by, &mut old)
@@ -263,7 +266,11 @@
         }
         let mut old = std::mem::take(&mut self.purses);
         self.prices = (0..zoning.all()).map(|z| zoning.link(z).price).collect();
-        self.benefits = zoning.lanes.iter().map(|l: &LaneView| l.benefit).collect();
+        self.benefits = zoning
+            .classes
+            .iter()
+            .map(|l: &ClassProfile| l.priority_weight)
+            .collect();
         for budget in &zoning.budgets {
             let same = |p: &Purse| {
                 p.budget.name == budget.name && p.budget.limit.unit() == budget.limit.unit()
@@ -283,16 +290,16 @@
         self.rank();
     }
 
-    /// Orders the lanes of each purse by benefit for cost.
+    /// Orders the classes of each purse by benefit for cost.
     pub fn rank(&mut self) {
         for n in 0..self.purses.len() {
             let purse = &self.purses[n];
             let to = purse.budget.to;
-            let cost = |lane: usize| {
+            let cost = |class: usize| {
                 // To no zone in particular: the dearest way counts.
                 let zones = (0..self.largest.len()).filter(|z| to.is_none_or(|t| t == *z));
                 zones
-                    .map(|z| purse.amount(&self.estimate(z, lane)))
+                    .map(|z| purse.amount(&self.estimate(z, class)))
                     .fold(0.0, f64::max)
             };
             let worth: Vec<f64> = self
@@ -301,36 +308,37 @@
                 .enumerate()
                 .map(|(l, b)| b.max(0.0) / cost(l).max(1e-12))
                 .collect();
-            let mut order: Vec<usize> =
-                (0..worth.len()).filter(|l| purse.covers_lane(*l)).collect();
+            let mut order: Vec<usize> = (0..worth.len())
+                .filter(|l| purse.covers_class(*l))
+                .collect();
             order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]));
             let last = order.len().saturating_sub(1).max(1) as f64;
             let mut ranks = vec![1.0; worth.len()];
             let mut before: Option<(f64, f64)> = None;
-            for (place, lane) in order.into_iter().enumerate() {
+            for (place, class) in order.into_iter().enumerate() {
                 // Equals stand together.
                 let rank = before
-                    .filter(|(w, _)| *w == worth[lane])
+                    .filter(|(w, _)| *w == worth[class])
                     .map_or(place as f64 / last, |(_, r)| r);
-                (ranks[lane], before) = (rank, Some((worth[lane], rank)));
+                (ranks[class], before) = (rank, Some((worth[class], rank)));
             }
             self.purses[n].ranks = ranks;
         }
     }
 
-    /// What each purse may use until another lane has to stay near; to be asked for whenever that may have
-    /// changed otherwise.
+    /// What each purse may use until another class has to stay near; to be asked for whenever that
+    /// may have changed otherwise.
     pub fn bars(&mut self) {
         for n in 0..self.purses.len() {
             let p = &self.purses[n];
             let zones = (0..self.largest.len()).filter(|z| p.budget.to.is_none_or(|t| t == *z));
-            let lanes = (0..self.benefits.len()).filter(|l| p.covers_lane(*l));
+            let classes = (0..self.benefits.len()).filter(|l| p.covers_class(*l));
             let (used, limit) = (p.used(), p.limit());
             let mut at = f64::INFINITY;
-            for (zone, lane) in zones.flat_map(|z| lanes.clone().map(move |l| (z, l))) {
-                let amount = p.amount(&self.estimate(zone, lane));
+            for (zone, class) in zones.flat_map(|z| classes.clone().map(move |l| (z, l))) {
+                let amount = p.amount(&self.estimate(zone, class));
                 for again in [false, true] {
-                    let last = limit - p.reserve(lane, again) - amount;
+                    let last = limit - p.reserve(class, again) - amount;
                     at = if last >= used { at.min(last) } else { at };
                 }
             }
@@ -338,31 +346,31 @@
         }
     }
 
-    /// Whether since then one has used so much that another lane has to stay near.
+    /// Whether since then one has used so much that another class has to stay near.
     pub fn barred(&self) -> bool {
         self.purses.iter().any(|p| p.used() > p.barred_at)
     }
 
-    /// What one more delivery may take.
-    pub fn estimate(&self, to: usize, lane: usize) -> Spending {
-        let largest = self.largest.get(to).and_then(|z| z.get(lane)).copied();
+    /// What one more attempt may take.
+    pub fn estimate(&self, to: usize, class: usize) -> Spending {
+        let largest = self.largest.get(to).and_then(|z| z.get(class)).copied();
         let (out, back) = largest.unwrap_or((GUESS, GUESS));
         let money = self
             .prices
             .get(to)
             .map_or(0.0, |p| p.of(1, out as u64, back as u64));
         Spending {
-            deliveries: 1.0,
+            attempts: 1.0,
             bytes: out + back,
             money,
         }
     }
 
-    pub fn taken(&mut self, now: Duration, lane: usize) {
+    pub fn taken(&mut self, now: Duration, class: usize) {
         for p in self
             .purses
             .iter_mut()
-            .filter(|p| p.budget.lane.is_none_or(|l| l == lane))
+            .filter(|p| p.budget.class.is_none_or(|l| l == class))
         {
             p.taken(now);
         }
@@ -375,18 +383,19 @@
         }
     }
 
-    /// Whether a delivery may cross by choice: it leaves in each purse what others are worth more for.
-    pub fn admits(&self, to: usize, lane: usize, again: bool) -> bool {
-        let takes = self.estimate(to, lane);
-        let short = |p: &Purse| !p.fits(p.amount(&takes), p.reserve(lane, again));
-        !self.purses.iter().any(|p| p.covers(to, lane) && short(p))
+    /// Whether an attempt may cross by choice: it leaves in each purse what others are worth more
+    /// for.
+    pub fn admits(&self, to: usize, class: usize, again: bool) -> bool {
+        let takes = self.estimate(to, class);
+        let short = |p: &Purse| !p.fits(p.amount(&takes), p.reserve(class, again));
+        !self.purses.iter().any(|p| p.covers(to, class) && short(p))
     }
 
-    /// A delivery crosses. It reserves what it may take, wherever there is room for it.
-    pub fn reserve(&mut self, now: Duration, to: usize, lane: usize) -> Reserved {
-        let takes = self.estimate(to, lane);
+    /// An attempt crosses. It reserves what it may take, wherever there is room for it.
+    pub fn reserve(&mut self, now: Duration, to: usize, class: usize) -> Reserved {
+        let takes = self.estimate(to, class);
         let mut reserved = Reserved::default();
-        for p in self.purses.iter_mut().filter(|p| p.covers(to, lane)) {
+        for p in self.purses.iter_mut().filter(|p| p.covers(to, class)) {
             p.roll(now);
             let amount = p.amount(&takes);
             if p.fits(amount, 0.0) {
@@ -399,8 +408,9 @@
         reserved
     }
 
-    /// It went over, for this reason: counted at each purse that was too short for it. It is not spent there,
-    /// so that what crosses by choice in any window is what the budget gives, whatever else had to cross.
+    /// It went over, for this reason: counted at each purse that was too short for it. It is not
+    /// spent there, so that what crosses by choice in any window is what the budget gives, whatever
+    /// else had to cross.
     pub fn over(&mut self, reserved: &Reserved, reason: Reason) {
         for p in self
             .purses
@@ -412,24 +422,25 @@
         }
     }
 
-    /// It has ended: what it took takes the place of what it reserved. What it cost, by its link's price.
+    /// It has ended: what it took takes the place of what it reserved. What it cost, by its link's
+    /// price.
     pub fn settle(
         &mut self,
         now: Duration,
-        (to, lane): (usize, usize),
+        (to, class): (usize, usize),
         reserved: &Reserved,
-        deliveries: u64,
+        attempts: u64,
         (out, back): (u64, u64),
     ) -> f64 {
         let money = self
             .prices
             .get(to)
-            .map_or(0.0, |p| p.of(deliveries, out, back));
+            .map_or(0.0, |p| p.of(attempts, out, back));
         if let Some(l) = self
             .largest
             .get_mut(to)
-            .and_then(|z| z.get_mut(lane))
-            .filter(|_| deliveries > 0)
+            .and_then(|z| z.get_mut(class))
+            .filter(|_| attempts > 0)
         {
             *l = (
                 (l.0 * LARGEST_FADE).max(out as f64),
@@ -437,7 +448,7 @@
             );
         }
         let took = Spending {
-            deliveries: deliveries as f64,
+            attempts: attempts as f64,
             bytes: (out + back) as f64,
             money,
         };
@@ -454,16 +465,16 @@
         money
     }
 
-    /// What opening a connection took: bytes and money, though no command crossed. Budgets of a lane are not
-    /// charged, as it serves any.
+    /// What opening a connection took: bytes and money, though no request crossed. Budgets of a
+    /// class are not charged, as it serves any.
     pub fn charge(&mut self, now: Duration, to: usize, (out, back): (u64, u64)) -> f64 {
         let money = self.prices.get(to).map_or(0.0, |p| p.of(0, out, back));
         let took = Spending {
-            deliveries: 0.0,
+            attempts: 0.0,
             bytes: (out + back) as f64,
             money,
         };
-        let any = |p: &&mut Purse| p.budget.lane.is_none() && p.budget.to.is_none_or(|t| t == to);
+        let any = |p: &&mut Purse| p.budget.class.is_none() && p.budget.to.is_none_or(|t| t == to);
         for p in self.purses.iter_mut().filter(any) {
             p.spend(now, p.amount(&took));
         }
@@ -480,7 +491,7 @@
 }
 
 impl Purse {
-    fn covers_lane(&self, lane: usize) -> bool {
-        self.budget.lane.is_none_or(|l| l == lane)
+    fn covers_class(&self, class: usize) -> bool {
+        self.budget.class.is_none_or(|l| l == class)
     }
 }
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -1,5 +1,5 @@
-//! The account as it is handed out: lines of JSON, one for the head, one for each row, one for each series.
-//! Lines of several agents are merged into one document.
+//! The account as it is handed out: lines of JSON, one for the head, one for each row, one for each
+//! series. Lines of several agents are merged into one document.
 
 use crate::account::{Key, Row};
 use crate::route::Reason;
@@ -19,7 +19,7 @@
 pub struct Names {
     pub agent: String,
     pub zones: Vec<String>,
-    pub lanes: Vec<String>,
+    pub classes: Vec<String>,
 }
 
 impl Names {
@@ -27,13 +27,13 @@
         self.zones.get(zone).map_or("(unnamed)", String::as_str)
     }
 
-    pub fn lane(&self, lane: usize) -> &str {
-        let others = if lane > self.lanes.len() {
+    pub fn class(&self, class: usize) -> &str {
+        let others = if class > self.classes.len() {
             "(gone)"
         } else {
             "(connections)"
         };
-        self.lanes.get(lane).map_or(others, String::as_str)
+        self.classes.get(class).map_or(others, String::as_str)
     }
 }
 
@@ -56,10 +56,11 @@
     /// Unix time, in seconds, and how long the account has run.
     pub at_s: f64,
     pub since_s: f64,
-    /// Commands taken, by lane.
+    /// Requests taken, by class.
     pub taken: BTreeMap<String, u64>,
     pub budgets: Vec<BudgetLine>,
-    /// By zone: what an appliance there draws against a near one, and how often routing turned towards it.
+    /// By zone: what an endpoint there draws against a near one, and how often routing turned
+    /// towards it.
     pub draws: BTreeMap<String, f64>,
     pub turns: BTreeMap<String, u64>,
 }
@@ -68,7 +69,8 @@
 pub struct BudgetLine {
     pub name: String,
     pub to: Option<String>,
-    pub lane: Option<String>,
+    #[serde(rename = "lane")]
+    pub class: Option<String>,
     pub unit: String,
     pub window_s: f64,
     /// Over all agents; a share is of what was taken.
@@ -77,25 +79,28 @@
     pub part: f64,
     pub used: f64,
     pub total: f64,
-    /// Deliveries over it since the start, by reason.
+    /// Attempts over it since the start, by reason.
     pub over: BTreeMap<String, u64>,
 }
 
-/// One lane and build on one link.
+/// One class and build on one link.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LinkLine {
     pub from: String,
     pub to: String,
-    pub lane: String,
+    #[serde(rename = "lane")]
+    pub class: String,
     /// 0 for all builds that are gone.
     pub build: u32,
     pub decided: u64,
-    pub deliveries: u64,
+    #[serde(rename = "deliveries")]
+    pub attempts: u64,
     pub ended: BTreeMap<String, u64>,
     pub never_ran: u64,
     pub spoilt: u64,
     pub half: u64,
-    pub second_copies: u64,
+    #[serde(rename = "second_copies")]
+    pub hedging: u64,
     pub further: u64,
     pub over: BTreeMap<String, u64>,
     pub opened: u64,
@@ -107,12 +112,13 @@
     pub cost: f64,
 }
 
-/// Times of satisfied answers of one lane on one link, over all builds.
+/// Times of satisfied answers of one class on one link, over all builds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct DelayLine {
     pub from: String,
     pub to: String,
-    pub lane: String,
+    #[serde(rename = "lane")]
+    pub class: String,
     /// Microseconds, and how many answers took that long.
     pub delays_us: Vec<(u64, u64)>,
 }
@@ -121,15 +127,18 @@
 pub struct SeriesLine {
     pub from: String,
     pub to: String,
-    pub lane: String,
+    #[serde(rename = "lane")]
+    pub class: String,
     /// Absent in series over all builds.
     pub build: Option<u32>,
     pub width_s: f64,
-    /// Unix time of the beginning in seconds, deliveries, those over a budget, bytes out and in, cost.
+    /// Unix time of the beginning in seconds, attempts, those over a budget, bytes out and in,
+    /// cost.
     pub bins: Vec<(f64, u64, u64, u64, u64, f64)>,
 }
 
-/// Where a reader stands: the head comes first, then each row, then each day's series, then the end.
+/// Where a reader stands: the head comes first, then each row, then each day's series, then the
+/// end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Place {
     #[default]
@@ -156,25 +165,25 @@
 
 pub fn outcome_word(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Satisfied => "satisfied",
+        Outcome::Succeeded => "satisfied",
         Outcome::Failed => "failed",
-        Outcome::TurnedAway => "turned_away",
+        Outcome::Rejected => "turned_away",
         Outcome::TimedOut => "timed_out",
-        Outcome::NoConnection => "no_connection",
-        Outcome::Broken => "broken",
-        Outcome::Withdrawn => "withdrawn",
+        Outcome::ConnectFailed => "no_connection",
+        Outcome::ConnectionLost => "broken",
+        Outcome::Cancelled => "withdrawn",
         Outcome::NotSent => "not_sent",
     }
 }
 
 const OUTCOMES: [Outcome; 8] = [
-    Outcome::Satisfied,
+    Outcome::Succeeded,
     Outcome::Failed,
-    Outcome::TurnedAway,
+    Outcome::Rejected,
     Outcome::TimedOut,
-    Outcome::NoConnection,
-    Outcome::Broken,
-    Outcome::Withdrawn,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
+    Outcome::Cancelled,
     Outcome::NotSent,
 ];
 
@@ -186,8 +195,8 @@
 }
 
 impl Zones {
-    /// The next lines of the report, and where to go on: one row at a time, so that no step of it takes long
-    /// however much there is. Rows that come between are seen or not.
+    /// The next lines of the report, and where to go on: one row at a time, so that no step of it
+    /// takes long however much there is. Rows that come between are seen or not.
     pub fn lines(&self, names: &Names, wall: Wall, place: Place) -> (Vec<Line>, Place) {
         let own = self.zoning().own;
         match place {
@@ -195,21 +204,32 @@
                 vec![Line::Head(self.head(names, wall))],
                 Place::Row(0, 0, 0),
             ),
-            Place::Row(to, lane, build) => {
-                let Some((key, row)) = self.account().next_row(Key { to, lane, build }) else {
+            Place::Row(to, class, build) => {
+                let Some((key, row)) = self.account().next_row(Key { to, class, build }) else {
                     return (Vec::new(), Place::Day(0, 0));
                 };
                 let next = match key.build.checked_add(1) {
-                    Some(build) => Place::Row(key.to, key.lane, build),
-                    None => Place::Row(key.to, key.lane + 1, 0),
+                    Some(build) => Place::Row(key.to, key.class, build),
+                    None => Place::Row(key.to, key.class + 1, 0),
                 };
                 (self.row(names, wall, own, key, row), next)
             }
-            Place::Day(to, lane) => {
-                let Some(((to, lane), series)) = self.account().next_day((to, lane)) else {
+            Place::Day(to, class) => {
+                let Some(((to, class), series)) = self.account().next_day((to, class)) else {
                     return (Vec::new(), Place::End);
                 };
-                let line = series_line(names, wall, own, Key { to, lane, build: 0 }, None, series);
+                let line = series_line(
+                    names,
+                    wall,
+                    own,
+                    Key {
+                        to,
+                        class,
+                        build: 0,
+                    },
+                    None,
+                    series,
+                );
                 let pairs = |h: &Histogram<u32>| {
                     h.iter_recorded()
                         .map(|v| (v.value_iterated_to(), u64::from(v.count_at_value())))
@@ -219,14 +239,14 @@
                     Line::Delay(DelayLine {
                         from: names.zone(own).to_owned(),
                         to: names.zone(usize::from(to)).to_owned(),
-                        lane: names.lane(usize::from(lane)).to_owned(),
+                        class: names.class(usize::from(class)).to_owned(),
                         delays_us: pairs(h),
                     })
                 };
-                let delays = self.account().delay(to, lane).map(delay);
+                let delays = self.account().delay(to, class).map(delay);
                 (
                     delays.into_iter().chain([line]).collect(),
-                    Place::Day(to, lane + 1),
+                    Place::Day(to, class + 1),
                 )
             }
             Place::End => (vec![Line::End], Place::Over),
@@ -240,7 +260,7 @@
         let budget = |p: &crate::Purse| BudgetLine {
             name: p.budget.name.clone(),
             to: p.budget.to.map(|z| names.zone(z).to_owned()),
-            lane: p.budget.lane.map(|l| names.lane(l).to_owned()),
+            class: p.budget.class.map(|l| names.class(l).to_owned()),
             unit: p.budget.limit.unit().to_owned(),
             window_s: p.budget.window.as_secs_f64(),
             limit: p.budget.limit.amount(),
@@ -249,10 +269,10 @@
             total: p.total(),
             over: counted(Reason::ALL.into_iter().map(|r| (r.word(), p.over_for(r)))),
         };
-        // A lane under other rules of repeats has two numbers for a while.
+        // A class under other rules of repeats has two numbers for a while.
         let mut taken = BTreeMap::new();
-        for (lane, n) in self.account().taken_by_lane().iter().enumerate() {
-            *taken.entry(names.lane(lane).to_owned()).or_default() += n;
+        for (class, n) in self.account().taken_by_class().iter().enumerate() {
+            *taken.entry(names.class(class).to_owned()).or_default() += n;
         }
         let gone = Some(self.account().taken_gone()).filter(|n| *n > 0);
         taken.extend(gone.map(|n| ("(gone)".to_owned(), n)));
@@ -278,10 +298,10 @@
         let line = LinkLine {
             from: names.zone(own).to_owned(),
             to: names.zone(usize::from(key.to)).to_owned(),
-            lane: names.lane(usize::from(key.lane)).to_owned(),
+            class: names.class(usize::from(key.class)).to_owned(),
             build: key.build,
             decided: t.decided,
-            deliveries: t.written,
+            attempts: t.written,
             ended: counted(
                 OUTCOMES
                     .iter()
@@ -291,7 +311,7 @@
             never_ran: t.never_ran(),
             spoilt: t.spoilt,
             half: t.half,
-            second_copies: t.second_copies,
+            hedging: t.hedging,
             further: t.further,
             over: counted(
                 Reason::ALL
@@ -329,7 +349,7 @@
         let at = wall.unix_of(width * b.at);
         (
             at,
-            u64::from(b.deliveries),
+            u64::from(b.attempts),
             u64::from(b.over),
             b.out,
             b.back,
@@ -339,7 +359,7 @@
     Line::Series(SeriesLine {
         from: names.zone(own).to_owned(),
         to: names.zone(usize::from(key.to)).to_owned(),
-        lane: names.lane(usize::from(key.lane)).to_owned(),
+        class: names.class(usize::from(key.class)).to_owned(),
         build,
         width_s: width.as_secs_f64(),
         bins: series.bins().map(bin).collect(),
@@ -381,11 +401,11 @@
         self.whole
     }
 
-    /// Adds the account of another agent: rows of one link, lane and build become one.
+    /// Adds the account of another agent: rows of one link, class and build become one.
     pub fn merge(&mut self, other: Document) {
         self.heads.extend(other.heads);
         self.whole &= other.whole;
-        let key = |l: &LinkLine| (l.from.clone(), l.to.clone(), l.lane.clone(), l.build);
+        let key = |l: &LinkLine| (l.from.clone(), l.to.clone(), l.class.clone(), l.build);
         for l in other.links {
             match self.links.iter_mut().find(|k| key(k) == key(&l)) {
                 Some(kept) => kept.merge(l),
@@ -393,7 +413,8 @@
             }
         }
         for d in other.delays {
-            let same = |k: &&mut DelayLine| (&k.from, &k.to, &k.lane) == (&d.from, &d.to, &d.lane);
+            let same =
+                |k: &&mut DelayLine| (&k.from, &k.to, &k.class) == (&d.from, &d.to, &d.class);
             match self.delays.iter_mut().find(same) {
                 Some(kept) => {
                     let mut all: BTreeMap<u64, u64> = kept.delays_us.iter().copied().collect();
@@ -409,7 +430,7 @@
             (
                 s.from.clone(),
                 s.to.clone(),
-                s.lane.clone(),
+                s.class.clone(),
                 s.build,
                 s.width_s as u64,
             )
@@ -422,13 +443,13 @@
         }
     }
 
-    /// Sums over builds: one row for each link and lane, the ones that cross first.
-    pub fn by_lane(&self) -> Vec<LinkLine> {
+    /// Sums over builds: one row for each link and class, the ones that cross first.
+    pub fn by_class(&self) -> Vec<LinkLine> {
         let mut rows: Vec<LinkLine> = Vec::new();
         for l in &self.links {
             match rows
                 .iter_mut()
-                .find(|r| (&r.from, &r.to, &r.lane) == (&l.from, &l.to, &l.lane))
+                .find(|r| (&r.from, &r.to, &r.class) == (&l.from, &l.to, &l.class))
             {
                 Some(row) => row.merge(l.clone()),
                 None => rows.push(LinkLine {
@@ -438,18 +459,26 @@
             }
         }
         rows.sort_by(|a, b| {
-            let key = |l: &LinkLine| (l.from.clone(), l.from == l.to, l.to.clone(), l.lane.clone());
+            let key = |l: &LinkLine| {
+                (
+                    l.from.clone(),
+                    l.from == l.to,
+                    l.to.clone(),
+                    l.class.clone(),
+                )
+            };
             key(a).cmp(&key(b))
         });
         rows
     }
 
-    /// The time, in milliseconds, that this part (0 to 1) of the answers over a link took at most, by lane.
+    /// The time, in milliseconds, that this part (0 to 1) of the answers over a link took at most,
+    /// by class.
     pub fn quantile_ms(&self, l: &LinkLine, part: f64) -> Option<f64> {
         let line = self
             .delays
             .iter()
-            .find(|d| (&d.from, &d.to, &d.lane) == (&l.from, &l.to, &l.lane))?;
+            .find(|d| (&d.from, &d.to, &d.class) == (&l.from, &l.to, &l.class))?;
         let mut h = Histogram::<u64>::new_with_bounds(16, 120_000_000, 2).ok()?;
         line.delays_us
             .iter()
@@ -475,12 +504,12 @@
         }
         self.compared = compared;
         self.decided += o.decided;
-        self.deliveries += o.deliveries;
+        self.attempts += o.attempts;
         sum(&mut self.ended, o.ended);
         self.never_ran += o.never_ran;
         self.spoilt += o.spoilt;
         self.half += o.half;
-        self.second_copies += o.second_copies;
+        self.hedging += o.hedging;
         self.further += o.further;
         sum(&mut self.over, o.over);
         self.opened += o.opened;
--- a/crates/zones/src/route.rs
+++ b/crates/zones/src/route.rs
@@ -1,16 +1,18 @@
-//! How much crosses: near first while near has room, more by degrees as it fills, and back by degrees.
+//! How much crosses: near first while near has room, more by degrees as it fills, and back by
+//! degrees.
 //!
-//! Two things say that near is full. *What it was seen to bear*: near is given up to [`TRUSTED`] times the
-//! highest rate per open appliance that it answered at its usual pace in the last minutes; what comes beyond
-//! goes over at once, so that losing half of near does not have to be felt first. And *its answers*: once they
-//! are slower than the far side's, way included, by [`FULL`], more crosses with each step; once they are quicker
-//! again ([`EASED`]), less. Rising is never delayed. Falling waits for a calm span, which doubles each time the
-//! direction turns and halves while it does not: near that flaps cannot make commands swing with it.
+//! Two things say that near is full. *What it was seen to bear*: near is given up to [`TRUSTED`]
+//! times the highest rate per open endpoint that it answered at its usual pace in the last minutes;
+//! what comes beyond goes over at once, so that losing half of near does not have to be felt first.
+//! And *its answers*: once they are slower than the far side's, way included, by [`FULL`], more
+//! crosses with each step; once they are quicker again ([`EASED`]), less. Rising is never delayed.
+//! Falling waits for a calm span, which doubles each time the direction turns and halves while it
+//! does not: near that flaps cannot make requests swing with it.
 
 use crate::account::carried;
-use crate::zoning::{LaneView, Routing};
+use crate::zoning::{ClassProfile, Routing};
 use std::time::Duration;
-use tulipwall::{Origin, Room};
+use tulipwall::{IndexOrigin, ZoneCapacity};
 
 /// A near answer is this much slower than a far one, its way included: near is full.
 const FULL: f64 = 1.25;
@@ -18,11 +20,13 @@
 const EASED: f64 = 1.02;
 /// Of the highest rate that near was seen to bear.
 const TRUSTED: f64 = 1.25;
-/// Its usual pace: no slower than this against its best of late, which for a mean of long-tailed times lies low.
+/// Its usual pace: no slower than this against its best of late, which for a mean of long-tailed
+/// times lies low.
 const AT_EASE: f64 = 1.8;
 /// How fast the rate that it was seen to bear is forgotten: by half in five minutes of steps.
 const BORNE_FADE: f64 = 0.99977;
-/// How fast the number of its open appliances of late falls to what it is: by half in a second and a half.
+/// How fast the number of its open endpoints of late falls to what it is: by half in a second and a
+/// half.
 const OPEN_FADE: f64 = 0.955;
 /// Each step that near is full: the part that crosses grows by half, by this at least.
 const RISE: f64 = 1.5;
@@ -39,27 +43,27 @@
 pub const STEP: Duration = Duration::from_millis(100);
 /// How fast the mean time of answers follows, each.
 const TIME_GAIN: f64 = 0.05;
-/// How fast the usual time of a lane follows.
+/// How fast the usual time of a class follows.
 const USUAL_GAIN: f64 = 0.005;
 /// A mean without an answer for as long says nothing.
 const TIME_KEPT: Duration = Duration::from_secs(10);
-/// Of the quoted time: a near answer that takes as long is near to being late, so that the budget yields. The
-/// decisions begin to deny at 0.4. Back below seven tenths of it.
+/// Of the latency objective: a near answer that takes as long is near to being late, so that the
+/// budget yields. The decisions begin to deny at 0.4. Back below seven tenths of it.
 const YIELDS: (f64, f64) = (0.15, 0.3);
 const YIELDS_OVER_LEAST: f64 = 1.5;
 const YIELDS_UNTIL: f64 = 0.7;
-/// How fast the number of warm appliances of late falls to what it is: by half in five seconds.
+/// How fast the number of warm endpoints of late falls to what it is: by half in five seconds.
 const WARM_FADE: f64 = 0.986;
 const COLD_LEAST: f64 = 0.2;
 
-/// Why a command crossed though a budget was spent.
+/// Why a request crossed though a budget was spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The build on trial must be judged, and its cap bounds what that takes.
     Trial,
     /// It is deduplicated in a group that lies there, where it may have run.
-    Group,
-    /// No appliance is near.
+    DeduplicationScope,
+    /// No endpoint is near.
     NoNear,
     /// All near ones drain.
     Drained,
@@ -78,7 +82,7 @@
 impl Reason {
     pub const ALL: [Reason; 9] = [
         Reason::Trial,
-        Reason::Group,
+        Reason::DeduplicationScope,
         Reason::NoNear,
         Reason::Drained,
         Reason::Aside,
@@ -92,7 +96,7 @@
     pub fn word(self) -> &'static str {
         match self {
             Reason::Trial => "trial",
-            Reason::Group => "group",
+            Reason::DeduplicationScope => "group",
             Reason::NoNear => "no_near",
             Reason::Drained => "drained",
             Reason::Aside => "aside",
@@ -103,17 +107,17 @@
         }
     }
 
-    /// Why a delivery that is neither to a trial nor bound to a group went over from this zone.
-    pub fn of(near: &Room, full: bool, nth: usize) -> Reason {
+    /// Why an attempt that is neither to a trial nor bound to a group went over from this zone.
+    pub fn of(near: &ZoneCapacity, full: bool, nth: usize) -> Reason {
         match near {
-            Room {
+            ZoneCapacity {
                 running: 0,
                 draining: 0,
                 ..
             } => Reason::NoNear,
-            Room { running: 0, .. } => Reason::Drained,
-            Room { awake: 0, .. } => Reason::Aside,
-            Room { warm: 0, .. } => Reason::Cold,
+            ZoneCapacity { running: 0, .. } => Reason::Drained,
+            ZoneCapacity { responsive: 0, .. } => Reason::Aside,
+            ZoneCapacity { warm: 0, .. } => Reason::Cold,
             _ if full => Reason::Full,
             _ if nth > 0 => Reason::Tried,
             _ => Reason::Barred,
@@ -124,12 +128,12 @@
 /// What is known of one zone.
 #[derive(Clone, Debug, Default)]
 struct Side {
-    /// Mean answer times by lane, in seconds, and when the last answer came.
+    /// Mean answer times by class, in seconds, and when the last answer came.
     times: Vec<Option<(f64, Duration)>>,
     sent: f64,            // since the last step
-    rate: f64,            // deliveries a second
-    open: f64,            // appliances of late: what was borne was borne by these
-    borne: f64,           // per open appliance, at its usual pace
+    rate: f64,            // attempts a second
+    open: f64,            // endpoints of late: what was borne was borne by these
+    borne: f64,           // per open endpoint, at its usual pace
     opening: Option<f64>, // seconds to a new connection, the least of late
     draw: f64,
     /// Part of what is wanted to cross by the answers.
@@ -141,7 +145,7 @@
     turns: u64,
 }
 
-/// The usual time of one lane, and of its near answers.
+/// The usual time of one class, and of its near answers.
 #[derive(Clone, Debug, Default)]
 struct Pace {
     usual: Option<f64>,
@@ -155,11 +159,11 @@
 pub struct Route {
     own: usize,
     routing: Routing,
-    quoted: Vec<f64>,
+    latency_objective: Vec<f64>,
     stated: Vec<Option<Duration>>,
-    lanes: Vec<Pace>,
+    classes: Vec<Pace>,
     sides: Vec<Side>,
-    warm: f64, // appliances of late
+    warm: f64, // endpoints of late
     cold: f64,
     stepped: Option<Duration>,
 }
@@ -169,17 +173,20 @@
     pub fn new(
         own: usize,
         routing: Routing,
-        lanes: &[LaneView],
+        classes: &[ClassProfile],
         stated: Vec<Option<Duration>>,
     ) -> Route {
         Route {
             own,
             routing,
-            quoted: lanes.iter().map(|l| l.quoted.as_secs_f64()).collect(),
-            lanes: vec![Pace::default(); lanes.len()],
+            latency_objective: classes
+                .iter()
+                .map(|l| l.latency_objective.as_secs_f64())
+                .collect(),
+            classes: vec![Pace::default(); classes.len()],
             sides: vec![
                 Side {
-                    times: vec![None; lanes.len()],
+                    times: vec![None; classes.len()],
                     calm: CALM_LEAST,
                     draw: 1.0,
                     ..Side::default()
@@ -193,21 +200,24 @@
         }
     }
 
-    /// What was read anew, with lanes numbered as `by` says; what was learned stays.
+    /// What was read anew, with classes numbered as `by` says; what was learned stays.
     pub fn renew(
         &mut self,
         routing: Routing,
-        lanes: &[LaneView],
+        classes: &[ClassProfile],
         stated: Vec<Option<Duration>>,
-        by: &[Origin],
+        by: &[IndexOrigin],
     ) {
         (self.routing, self.stated) = (routing, stated);
-        self.quoted = lanes.iter().map(|l| l.quoted.as_secs_f64()).collect();
-        let mut paces: Vec<Option<Pace>> = std::mem::take(&mut self.lanes)
+        self.latency_objective = classes
+            .iter()
+            .map(|l| l.latency_objective.as_secs_f64())
+            .collect();
+        let mut paces: Vec<Option<Pace>> = std::mem::take(&mut self.classes)
             .into_iter()
             .map(Some)
             .collect();
-        self.lanes = carried(by, &mut paces)
+        self.classes = carried(by, &mut paces)
             .into_iter()
             .map(Option::unwrap_or_default)
             .collect();
@@ -216,7 +226,7 @@
         }
     }
 
-    /// A delivery went to this zone.
+    /// An attempt went to this zone.
     pub fn sent(&mut self, zone: usize) {
         self.sides
             .get_mut(zone)
@@ -225,18 +235,19 @@
     }
 
     /// A satisfied answer from this zone took so long.
-    pub fn answered(&mut self, now: Duration, zone: usize, lane: usize, took: Duration) {
-        let (Some(pace), Some(side)) = (self.lanes.get_mut(lane), self.sides.get_mut(zone)) else {
+    pub fn answered(&mut self, now: Duration, zone: usize, class: usize, took: Duration) {
+        let (Some(pace), Some(side)) = (self.classes.get_mut(class), self.sides.get_mut(zone))
+        else {
             return;
         };
         let took = took.as_secs_f64().max(1e-6);
         let usual = pace.usual.get_or_insert(took);
         *usual += (took.min(*usual * 10.0) - *usual) * USUAL_GAIN;
-        let kept = side.times[lane]
+        let kept = side.times[class]
             .filter(|(_, at)| now < *at + TIME_KEPT)
             .map_or(took, |(t, _)| t);
         let mean = kept + (took - kept) * TIME_GAIN;
-        side.times[lane] = Some((mean, now));
+        side.times[class] = Some((mean, now));
         if zone == self.own {
             pace.near = Some(mean);
             pace.least = if pace.least == 0.0 {
@@ -256,8 +267,8 @@
         side.opening = Some(side.opening.map_or(took, |least| (least * 1.02).min(took)));
     }
 
-    /// What the way there and back adds to an answer: as stated, else what new connections there took longer
-    /// than near ones. Zero while neither is known.
+    /// What the way there and back adds to an answer: as stated, else what new connections there
+    /// took longer than near ones. Zero while neither is known.
     pub fn added(&self, zone: usize) -> Duration {
         if zone == self.own {
             return Duration::ZERO;
@@ -272,8 +283,9 @@
         Duration::from_secs_f64(added.min(60.0))
     }
 
-    /// Looks at how much should cross from now on; about every [`STEP`]. After a stall it counts once.
-    pub fn step(&mut self, now: Duration, rooms: &[Room]) {
+    /// Looks at how much should cross from now on; about every `STEP`. After a stall it counts
+    /// once.
+    pub fn step(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
         let span = self.stepped.map_or(STEP, |t| now.saturating_sub(t));
         if span < STEP / 2 {
             return;
@@ -287,15 +299,16 @@
                 .for_each(|t| *t = t.filter(|(_, at)| now < *at + TIME_KEPT));
         }
         self.yields();
-        let warm: f64 = rooms.iter().map(|r| r.warm as f64).sum();
+        let warm: f64 = zone_capacities.iter().map(|r| r.warm as f64).sum();
         self.warm = (self.warm * WARM_FADE).max(warm);
-        // Warm ones that take over from others carry more than they were made for; cold ones must not follow.
+        // Warm ones that take over from others carry more than they were made for; cold ones must
+        // not follow.
         self.cold = if self.warm > 0.0 {
             (warm / self.warm).clamp(COLD_LEAST, 1.0)
         } else {
             1.0
         };
-        let near = rooms.get(self.own).map_or(0.0, |r| r.open);
+        let near = zone_capacities.get(self.own).map_or(0.0, |r| r.capacity);
         let all: f64 = self.sides.iter().map(|s| s.rate).sum();
         let ease = self.ease();
         let Some(side) = self.sides.get_mut(self.own) else {
@@ -316,7 +329,7 @@
         let ways: Vec<f64> = (0..self.sides.len()).map(|z| self.way(z)).collect();
         let here = self.own;
         let others = (0..ways.len()).filter(move |z| *z != here);
-        let open = |z: usize| rooms.get(z).map_or(0.0, |r| r.open);
+        let open = |z: usize| zone_capacities.get(z).map_or(0.0, |r| r.capacity);
         let best = others
             .clone()
             .filter(|z| open(*z) > 0.0)
@@ -336,8 +349,9 @@
             } else {
                 1.0
             };
-            // No far appliance draws more than a near one: it has its own zone's load. Without this bound near
-            // that flaps drove the other zone into overload (0.31 to 0.64 crossing, p99 393 to 728 ms).
+            // No far endpoint draws more than a near one: it has its own zone's load. Without this
+            // bound near that flaps drove the other zone into overload (0.31 to 0.64 crossing, p99
+            // 393 to 728 ms).
             self.sides[zone].draw = (liking(zone) * wanted.min(1.0)).max(1e-4);
         }
     }
@@ -374,19 +388,25 @@
         side.felt = side.felt.max(TRICKLE);
     }
 
-    /// Whether near answers of a lane are so slow that a budget must yield.
+    /// Whether near answers of a class are so slow that a budget must yield.
     fn yields(&mut self) {
-        for (lane, quoted) in self.lanes.iter_mut().zip(&self.quoted) {
-            let Some(near) = lane.near else { continue };
-            let from = (lane.least * YIELDS_OVER_LEAST).clamp(quoted * YIELDS.0, quoted * YIELDS.1);
-            lane.full = near > if lane.full { from * YIELDS_UNTIL } else { from };
+        for (class, latency_objective) in self.classes.iter_mut().zip(&self.latency_objective) {
+            let Some(near) = class.near else { continue };
+            let from = (class.least * YIELDS_OVER_LEAST)
+                .clamp(latency_objective * YIELDS.0, latency_objective * YIELDS.1);
+            class.full = near
+                > if class.full {
+                    from * YIELDS_UNTIL
+                } else {
+                    from
+                };
         }
     }
 
-    /// Near answers against their best of late, in the mean over lanes.
+    /// Near answers against their best of late, in the mean over classes.
     fn ease(&self) -> f64 {
         let of = |l: &Pace| l.near.filter(|_| l.least > 0.0).map(|near| near / l.least);
-        let all: Vec<f64> = self.lanes.iter().filter_map(of).collect();
+        let all: Vec<f64> = self.classes.iter().filter_map(of).collect();
         if all.is_empty() {
             1.0
         } else {
@@ -394,35 +414,41 @@
         }
     }
 
-    /// The mean time of answers from a zone; where none came of late, near's best and the way there.
-    fn time(&self, zone: usize, lane: usize) -> Option<f64> {
+    /// The mean time of answers from a zone; where none came of late, near's best and the way
+    /// there.
+    fn time(&self, zone: usize, class: usize) -> Option<f64> {
         let heard = self
             .sides
             .get(zone)
-            .and_then(|s| s.times.get(lane).copied().flatten())
+            .and_then(|s| s.times.get(class).copied().flatten())
             .map(|(t, _)| t);
-        let least = self.lanes.get(lane).map(|l| l.least).filter(|t| *t > 0.0);
+        let least = self
+            .classes
+            .get(class)
+            .map(|l| l.least)
+            .filter(|t| *t > 0.0);
         heard.or(least
             .filter(|_| zone != self.own)
             .map(|t| t + self.added(zone).as_secs_f64()))
     }
 
-    /// How much slower near answers are than those from a zone, its way included: the geometric mean over the
-    /// lanes of which both are known. Set against each other lane by lane and not against a usual time that moves
-    /// with them: zones are heard unequally often, and would follow it unequally fast.
+    /// How much slower near answers are than those from a zone, its way included: the geometric
+    /// mean over the classes of which both are known. Set against each other class by class and not
+    /// against a usual time that moves with them: zones are heard unequally often, and would follow
+    /// it unequally fast.
     fn slower(&self, zone: usize) -> f64 {
-        let of = |lane| Some(self.time(self.own, lane)? / self.time(zone, lane)?);
-        mean((0..self.lanes.len()).filter_map(of))
+        let of = |class| Some(self.time(self.own, class)? / self.time(zone, class)?);
+        mean((0..self.classes.len()).filter_map(of))
     }
 
-    /// How long answers from a zone take against the usual of their lanes.
+    /// How long answers from a zone take against the usual of their classes.
     fn way(&self, zone: usize) -> f64 {
-        let of = |lane: usize| Some(self.time(zone, lane)? / self.lanes[lane].usual?);
-        mean((0..self.lanes.len()).filter_map(of))
+        let of = |class: usize| Some(self.time(zone, class)? / self.classes[class].usual?);
+        mean((0..self.classes.len()).filter_map(of))
     }
 
-    /// What an appliance of this zone draws against a near one, 0 to 1; `None` where the decisions' own figure
-    /// holds.
+    /// What an endpoint of this zone draws against a near one, 0 to 1; `None` where the decisions'
+    /// own figure holds.
     pub fn draw(&self, zone: usize) -> Option<f64> {
         let near_first = self.routing == Routing::NearFirst && zone != self.own;
         near_first
@@ -430,12 +456,12 @@
             .flatten()
     }
 
-    /// Near answers of this lane are near to being late.
-    pub fn full(&self, lane: usize) -> bool {
-        self.lanes.get(lane).is_some_and(|l| l.full)
+    /// Near answers of this class are near to being late.
+    pub fn full(&self, class: usize) -> bool {
+        self.classes.get(class).is_some_and(|l| l.full)
     }
 
-    /// What part of its share a cold appliance gets.
+    /// What part of its share a cold endpoint gets.
     pub fn cold(&self) -> f64 {
         self.cold
     }
--- a/crates/zones/src/series.rs
+++ b/crates/zones/src/series.rs
@@ -8,7 +8,7 @@
 pub struct Bin {
     /// Which bin it is, counted from the zero of time.
     pub at: u32,
-    pub deliveries: u32,
+    pub attempts: u32,
     /// Of these, over a budget.
     pub over: u32,
     pub cost: f32,
@@ -39,7 +39,8 @@
         self.width
     }
 
-    /// The bin of this time, which drops those that are too old. A time before the newest bin's counts there.
+    /// The bin of this time, which drops those that are too old. A time before the newest bin's
+    /// counts there.
     pub fn bin(&mut self, now: Duration) -> &mut Bin {
         if now >= self.until || self.bins.is_empty() {
             let at = (now.as_micros() / self.width.as_micros().max(1)) as u32;
@@ -72,7 +73,7 @@
         bins.dedup_by(|b, kept| {
             let same = b.at == kept.at;
             if same {
-                kept.deliveries += b.deliveries;
+                kept.attempts += b.attempts;
                 kept.over += b.over;
                 kept.cost += b.cost;
                 kept.out += b.out;
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,5 +1,5 @@
-//! All of it for one agent: told what is taken, sent and answered, it accounts, spends and says what crossing
-//! means just now.
+//! All of it for one agent: told what is taken, sent and answered, it accounts, spends and says
+//! what crossing means just now.
 
 use crate::account::{Account, Ended, Opening};
 use crate::budget::{Purses, Reserved};
@@ -7,29 +7,29 @@
 use crate::zoning::Zoning;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use tulipwall::{Crossing, Crossings, Origin, Outcome, Room};
+use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity, ZonePolicy};
 
-/// A delivery that was decided on.
+/// An attempt that was decided on.
 #[derive(Clone, Copy, Debug)]
 pub struct Sending {
     pub to: usize,
-    pub lane: usize,
+    pub class: usize,
     pub build: u32,
-    /// How many deliveries of its command came before.
+    /// How many attempts of its request came before.
     pub nth: usize,
-    /// Another delivery of its command is out.
-    pub second_copy: bool,
+    /// Another attempt of its request is out.
+    pub hedged: bool,
     /// Its build is on trial.
     pub trial: bool,
-    /// Its command is deduplicated in a zone or cell, and may have run there.
+    /// Its request is deduplicated in a zone or cell, and may have run there.
     pub bound: bool,
 }
 
-/// A delivery that is out, to be given back when it ends.
+/// An attempt that is out, to be given back when it ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
     pub to: usize,
-    pub lane: usize,
+    pub class: usize,
     pub build: u32,
     /// Why it went though a budget was spent; nothing where none was.
     pub over: Option<Reason>,
@@ -43,21 +43,21 @@
     account: Account,
     purses: Purses,
     route: Route,
-    told: Option<Crossings>,
+    told: Option<CrossZonePolicy>,
     due: bool,
     ranked: Duration,
 }
 
-/// How often lanes are ordered anew by benefit for cost.
+/// How often classes are ordered anew by benefit for cost.
 const RANK_EVERY: Duration = Duration::from_secs(1);
 
 impl Zones {
     pub fn new(now: Duration, zoning: Zoning) -> Zones {
         let stated = (0..zoning.all()).map(|z| zoning.link(z).delay).collect();
         Zones {
-            account: Account::new(zoning.own, zoning.zones, zoning.lanes.len()),
+            account: Account::new(zoning.own, zoning.zones, zoning.classes.len()),
             purses: Purses::new(now, &zoning),
-            route: Route::new(zoning.own, zoning.routing, &zoning.lanes, stated),
+            route: Route::new(zoning.own, zoning.routing, &zoning.classes, stated),
             zoning,
             told: None,
             due: true,
@@ -65,40 +65,47 @@
         }
     }
 
-    /// Goes on under what was read anew, with lanes numbered as `by` says: the account and what is spent stay. Its zones
-    /// must be those of before, or the account begins anew, and the budgets as after a restart; says whether it went on.
-    pub fn renew(&mut self, now: Duration, zoning: Zoning, by: &[Origin]) -> bool {
+    /// Goes on under what was read anew, with classes numbered as `by` says: the account and what
+    /// is spent stay. Its zones must be those of before, or the account begins anew, and the
+    /// budgets as after a restart; says whether it went on.
+    pub fn renew(&mut self, now: Duration, zoning: Zoning, by: &[IndexOrigin]) -> bool {
         let same = |z: &Zoning| (z.own, z.zones);
-        if same(&zoning) != same(&self.zoning) || zoning.lanes.len() != by.len() {
+        if same(&zoning) != same(&self.zoning) || zoning.classes.len() != by.len() {
             *self = Zones::new(now, zoning);
             return false;
         }
-        if self.zoning.lanes.len() != by.len() || by.iter().any(|o| *o != Origin::Same) {
+        if self.zoning.classes.len() != by.len() || by.iter().any(|o| *o != IndexOrigin::Same) {
             self.account.renew(by);
         }
         let stated = (0..zoning.all()).map(|z| zoning.link(z).delay).collect();
-        self.route.renew(zoning.routing, &zoning.lanes, stated, by);
+        self.route
+            .renew(zoning.routing, &zoning.classes, stated, by);
         self.purses.renew(now, &zoning, by);
         self.zoning = zoning;
         self.due = true;
         true
     }
 
-    /// A command was taken.
-    pub fn taken(&mut self, now: Duration, lane: usize) {
-        self.account.taken(lane);
-        self.purses.taken(now, lane);
+    /// A request was taken.
+    pub fn taken(&mut self, now: Duration, class: usize) {
+        self.account.taken(class);
+        self.purses.taken(now, class);
     }
 
-    /// A delivery was decided on; `rooms` is asked only where it goes over a budget, to say why.
-    pub fn sent(&mut self, now: Duration, s: Sending, rooms: impl FnOnce() -> Vec<Room>) -> Ticket {
+    /// An attempt was decided on; `zone_capacities` is asked only where it goes over a budget, to
+    /// say why.
+    pub fn sent(
+        &mut self,
+        now: Duration,
+        s: Sending,
+        zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
+    ) -> Ticket {
         let to = s.to.min(self.zoning.zones);
-        self.account
-            .decided(to, s.lane, s.build, s.nth, s.second_copy);
+        self.account.decided(to, s.class, s.build, s.nth, s.hedged);
         self.route.sent(to);
         let mut ticket = Ticket {
             to,
-            lane: s.lane,
+            class: s.class,
             build: s.build,
             over: None,
             reserved: Reserved::default(),
@@ -106,15 +113,18 @@
         if to == self.zoning.own || self.purses.is_empty() {
             return ticket;
         }
-        ticket.reserved = self.purses.reserve(now, to, s.lane);
+        ticket.reserved = self.purses.reserve(now, to, s.class);
         self.due |= self.purses.barred();
         if ticket.reserved.is_over() {
             let reason = match s {
                 Sending { trial: true, .. } => Reason::Trial,
-                Sending { bound: true, .. } => Reason::Group,
+                Sending { bound: true, .. } => Reason::DeduplicationScope,
                 _ => {
-                    let near = rooms().get(self.zoning.own).cloned().unwrap_or_default();
-                    Reason::of(&near, self.route.full(s.lane), s.nth)
+                    let near = zone_capacities()
+                        .get(self.zoning.own)
+                        .cloned()
+                        .unwrap_or_default();
+                    Reason::of(&near, self.route.full(s.class), s.nth)
                 }
             };
             self.purses.over(&ticket.reserved, reason);
@@ -128,13 +138,14 @@
         let written = u64::from(e.written);
         let cost = match t.to == self.zoning.own {
             true => 0.0,
-            false => self
-                .purses
-                .settle(now, (t.to, t.lane), &t.reserved, written, (e.out, e.back)),
+            false => {
+                self.purses
+                    .settle(now, (t.to, t.class), &t.reserved, written, (e.out, e.back))
+            }
         };
         self.account.ended(now, t, e, cost);
-        if e.outcome == Outcome::Satisfied {
-            self.route.answered(now, t.to, t.lane, e.took);
+        if e.outcome == Outcome::Succeeded {
+            self.route.answered(now, t.to, t.class, e.took);
         }
     }
 
@@ -153,8 +164,8 @@
     }
 
     /// Looks at how much should cross, about every 100 ms.
-    pub fn step(&mut self, now: Duration, rooms: &[Room]) {
-        self.route.step(now, rooms);
+    pub fn step(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
+        self.route.step(now, zone_capacities);
         self.purses.roll(now);
         if now >= self.ranked + RANK_EVERY {
             self.ranked = now;
@@ -164,7 +175,7 @@
     }
 
     /// What crossing means now, if that is other than what was told last.
-    pub fn crossings(&mut self) -> Option<Crossings> {
+    pub fn crossings(&mut self) -> Option<CrossZonePolicy> {
         if !std::mem::take(&mut self.due) {
             return None;
         }
@@ -172,9 +183,9 @@
         let zones = (0..self.zoning.all())
             .map(|zone| self.crossing(zone))
             .collect();
-        let now = Crossings {
+        let now = CrossZonePolicy {
             zones,
-            cold: self.route.cold(),
+            slow_start_factor: self.route.cold(),
         };
         if self.told.as_ref() == Some(&now) {
             return None;
@@ -183,25 +194,25 @@
         Some(now)
     }
 
-    fn crossing(&self, zone: usize) -> Crossing {
+    fn crossing(&self, zone: usize) -> ZonePolicy {
         if zone == self.zoning.own {
-            return Crossing::default();
+            return ZonePolicy::default();
         }
         let last = |again: bool| {
-            let lanes = if self.purses.is_empty() {
+            let classes = if self.purses.is_empty() {
                 0
             } else {
-                self.zoning.lanes.len()
+                self.zoning.classes.len()
             };
             let spared =
-                |lane: usize| !self.route.full(lane) && !self.purses.admits(zone, lane, again);
-            (0..lanes).map(spared).collect()
+                |class: usize| !self.route.full(class) && !self.purses.admits(zone, class, again);
+            (0..classes).map(spared).collect()
         };
-        Crossing {
-            draw: self.route.draw(zone),
-            added: self.route.added(zone),
-            last: last(false),
-            again_last: last(true),
+        ZonePolicy {
+            weight: self.route.draw(zone),
+            added_latency: self.route.added(zone),
+            last_resort: last(false),
+            last_resort_for_retries: last(true),
         }
     }
 
