--- a/crates/zones/src/zoning.rs
+++ b/crates/zones/src/zoning.rs
@@ -1,4 +1,5 @@
-//! What an installation says of its zones, as numbers; `tulipwall-config` reads, checks and names it.
+//! What an installation says of its zones, as numbers; `tulipwall-config` reads, checks and names
+//! it.
 
 use std::time::Duration;
 
@@ -7,10 +8,10 @@
 pub struct Zoning {
     /// The zone this agent stands in.
     pub own: usize,
-    /// How many zones have names. Number `zones` stands for a zone that the installation does not name: it is
-    /// never near, and a link of its own.
+    /// How many zones have names. Number `zones` stands for a zone that the installation does not
+    /// name: it is never near, and a link of its own.
     pub zones: usize,
-    pub lanes: Vec<LaneView>,
+    pub classes: Vec<ClassProfile>,
     /// The way to each zone, `zones + 1` of them.
     pub links: Vec<Link>,
     pub budgets: Vec<Budget>,
@@ -29,12 +30,12 @@
     }
 }
 
-/// What counts of a lane here.
+/// What counts of a class here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LaneView {
+pub struct ClassProfile {
     /// Points for an answer in time.
-    pub benefit: f64,
-    pub quoted: Duration,
+    pub priority_weight: f64,
+    pub latency_objective: Duration,
 }
 
 /// The way from the agent's zone to another, there and back.
@@ -48,7 +49,7 @@
 /// In the installation's own unit of money.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Price {
-    pub delivery: f64,
+    pub attempt: f64,
     /// For each GiB (2^30 bytes) written to the other zone.
     pub out_gib: f64,
     /// For each GiB read from it.
@@ -56,9 +57,9 @@
 }
 
 impl Price {
-    pub fn of(&self, deliveries: u64, out: u64, back: u64) -> f64 {
+    pub fn of(&self, attempts: u64, out: u64, back: u64) -> f64 {
         const GIB: f64 = (1u64 << 30) as f64;
-        self.delivery * deliveries as f64
+        self.attempt * attempts as f64
             + self.out_gib * out as f64 / GIB
             + self.in_gib * back as f64 / GIB
     }
@@ -70,30 +71,32 @@
     pub name: String,
     /// Only crossings to this zone, or to all others.
     pub to: Option<usize>,
-    /// Only of this lane, or of all.
-    pub lane: Option<usize>,
+    /// Only of this class, or of all.
+    pub class: Option<usize>,
     pub limit: Limit,
     pub window: Duration,
-    /// What part of an absolute limit this agent may spend, 0 to 1. The sum over all agents keeps to the limit
-    /// as long as the sum of their parts is 1 at most; what an idle one leaves, nobody else uses.
+    /// What part of an absolute limit this agent may spend, 0 to 1. The sum over all agents keeps
+    /// to the limit as long as the sum of their parts is 1 at most; what an idle one leaves, nobody
+    /// else uses.
     pub part: f64,
 }
 
 /// How much in a window, over all agents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    Deliveries(f64),
+    Attempts(f64),
     /// Written and read, summed.
     Bytes(f64),
     Money(f64),
-    /// Of the commands taken in the same window, 0 to 1; holds for the sum where each agent keeps to it.
+    /// Of the requests taken in the same window, 0 to 1; holds for the sum where each agent keeps
+    /// to it.
     Share(f64),
 }
 
 impl Limit {
     pub fn unit(&self) -> &'static str {
         match self {
-            Limit::Deliveries(_) => "deliveries",
+            Limit::Attempts(_) => "deliveries",
             Limit::Bytes(_) => "bytes",
             Limit::Money(_) => "money",
             Limit::Share(_) => "share",
@@ -102,7 +105,7 @@
 
     pub fn amount(&self) -> f64 {
         match *self {
-            Limit::Deliveries(n) | Limit::Bytes(n) | Limit::Money(n) | Limit::Share(n) => n,
+            Limit::Attempts(n) | Limit::Bytes(n) | Limit::Money(n) | Limit::Share(n) => n,
         }
     }
 }
--- a/crates/zones/tests/days.rs
+++ b/crates/zones/tests/days.rs
@@ -1,5 +1,5 @@
-//! Hard cases of traffic across zones, on days in simulated time: the real decisions, the real zones, modelled
-//! appliances. The five rules are checked after each step of each day.
+//! Hard cases of traffic across zones, on days in simulated time: the real decisions, the real
+//! zones, modelled endpoints. The five rules are checked after each step of each day.
 
 use std::time::Duration;
 use tulipwall::*;
@@ -19,14 +19,14 @@
 const PAYMENT: usize = 2;
 
 fn zoning(own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
-    day::zoning(&day::lanes(), own, zones, budgets)
+    day::zoning(&day::classes(), own, zones, budgets)
 }
 
 fn budget(limit: Limit, window: Duration) -> Budget {
     Budget {
         name: "all".into(),
         to: None,
-        lane: None,
+        class: None,
         limit,
         window,
         part: 1.0,
@@ -35,10 +35,10 @@
 
 /// A budget that is always spent.
 fn nothing() -> Vec<Budget> {
-    vec![budget(Limit::Deliveries(0.0), s(60))]
+    vec![budget(Limit::Attempts(0.0), s(60))]
 }
 
-/// One agent in zone 0 of two, with four appliances in each, at half of what near can bear.
+/// One agent in zone 0 of two, with four endpoints in each, at half of what near can bear.
 fn world(seed: u64, budgets: Vec<Budget>) -> Day {
     let agent = Caller {
         zone: 0,
@@ -70,7 +70,11 @@
     p.crossings.iter().flatten().filter(within).count()
 }
 
-fn lists(from: u64, nodes: std::ops::Range<usize>, standing: Standing) -> Vec<(Duration, Change)> {
+fn lists(
+    from: u64,
+    nodes: std::ops::Range<usize>,
+    standing: EndpointState,
+) -> Vec<(Duration, Change)> {
     nodes
         .map(|n| (ms(from), Change::Lists(n, standing)))
         .collect()
@@ -111,10 +115,12 @@
 fn all_near_drain_in_a_burst_with_the_budget_spent() {
     let mut d = world(2, nothing());
     d.script = vec![(s(8), Change::Rate(600.0))];
-    d.script.extend(lists(10_000, 0..4, Standing::Draining));
+    d.script
+        .extend(lists(10_000, 0..4, EndpointState::Draining));
     let p = d.play();
     kept(&p);
-    // Near had room before: nothing went over by choice. From the drain on all of it does, and says why.
+    // Near had room before: nothing went over by choice. From the drain on all of it does, and says
+    // why.
     assert_eq!(p.crossings[0].iter().filter(|c| c.0 < s(8)).count(), 0);
     let drained = over(&p, Reason::Drained, s(10), s(20));
     assert!(drained > 5000, "{drained}");
@@ -124,9 +130,9 @@
         "unrepeatable commands among them: {payments}"
     );
     assert!(
-        p.satisfied as f64 > 0.99 * p.taken as f64,
+        p.succeeded as f64 > 0.99 * p.taken as f64,
         "{} of {}",
-        p.satisfied,
+        p.succeeded,
         p.taken
     );
 }
@@ -135,7 +141,7 @@
 fn near_returns_cold_with_the_budget_spent() {
     let mut d = world(3, nothing());
     d.span = s(30);
-    d.script = lists(8000, 0..4, Standing::Gone);
+    d.script = lists(8000, 0..4, EndpointState::Gone);
     d.script.extend((0..4).map(|n| (s(14), Change::Starts(n))));
     let p = d.play();
     // Rule 4 is among those kept: it was not given all at once.
@@ -151,7 +157,7 @@
         "{}",
         p.crossed_between(24, 30)
     );
-    assert!(p.satisfied as f64 > 0.99 * p.taken as f64);
+    assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
 }
 
 #[test]
@@ -159,7 +165,7 @@
     let mut d = world(4, Vec::new());
     d.rate = 550.0;
     d.script = (4..6).map(|n| (ms(7500), Change::Starts(n))).collect();
-    d.script.extend(lists(8000, 0..4, Standing::Gone));
+    d.script.extend(lists(8000, 0..4, EndpointState::Gone));
     let cold = |p: &Played| p.sends[4] + p.sends[5];
     let p = d.clone().play();
     kept(&p);
@@ -179,21 +185,22 @@
     d.span = s(40);
     let mut far = Node::new(1, 42, 4);
     far.fails = fails;
-    far.standing = Standing::Gone;
+    far.standing = EndpointState::Gone;
     d.nodes.extend([far.clone(), far]);
     // A slow link, stated: answers over it are far from quick.
     d.ways[0][1] = ms(25);
     d.ways[1][0] = ms(25);
     d.script = vec![(s(9), Change::Starts(8)), (s(9), Change::Starts(9))];
-    let stage = |stage: usize, cap| News {
+    let stage = |stage: usize, cap| RolloutStatus {
         build: 42,
         stage,
-        phase: Phase::Trial,
+        phase: RolloutPhase::Canary,
         cap,
-        began: Duration::ZERO,
+        since: Duration::ZERO,
     };
-    d.script.push((s(9), Change::News(stage(0, 0.08))));
-    d.script.push((s(20), Change::News(stage(1, 0.25))));
+    d.script.push((s(9), Change::RolloutStatus(stage(0, 0.08))));
+    d.script
+        .push((s(20), Change::RolloutStatus(stage(1, 0.25))));
     d.play()
 }
 
@@ -206,7 +213,7 @@
     let holds = p
         .votes
         .iter()
-        .filter(|v| v.1.verdict != Verdict::None)
+        .filter(|v| v.1.verdict != Verdict::Withdraw)
         .count();
     assert_eq!(holds, 0, "{:?}", p.votes);
 }
@@ -241,7 +248,7 @@
         rows.iter().all(|(k, _)| k.to == 2),
         "neither near nor of another zone"
     );
-    assert!(p.satisfied as f64 > 0.99 * p.taken as f64);
+    assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
     let names = Names {
         zones: vec!["a".into(), "b".into()],
         ..Names::default()
@@ -256,7 +263,7 @@
     let p = d.play();
     kept(&p);
     assert!(over(&p, Reason::NoNear, s(0), s(20)) as f64 > 0.95 * p.taken as f64);
-    assert!(p.satisfied as f64 > 0.99 * p.taken as f64);
+    assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
 }
 
 /// The most that was spent by choice in any window of this length.
@@ -278,7 +285,7 @@
 
 #[test]
 fn an_agent_that_stalls_does_not_spend_a_window_at_once() {
-    let mut d = world(9, vec![budget(Limit::Deliveries(200.0), s(2))]);
+    let mut d = world(9, vec![budget(Limit::Attempts(200.0), s(2))]);
     d.rate = 900.0; // more than near bears: the budget is always wanted
     d.script = vec![(s(10), Change::Stalls(0, s(2)))];
     let p = d.play();
@@ -322,9 +329,9 @@
 
 #[test]
 fn a_budget_lowered_in_a_burst_holds_at_once() {
-    let mut d = world(11, vec![budget(Limit::Deliveries(3000.0), s(4))]);
+    let mut d = world(11, vec![budget(Limit::Attempts(3000.0), s(4))]);
     d.rate = 900.0;
-    let lower = zoning(0, 2, vec![budget(Limit::Deliveries(40.0), s(4))]);
+    let lower = zoning(0, 2, vec![budget(Limit::Attempts(40.0), s(4))]);
     d.script = vec![(s(10), Change::Zoning(0, lower))];
     let p = d.play();
     kept(&p);
@@ -334,7 +341,8 @@
         p.crossings[0].iter().filter(within).count()
     };
     assert!(by_choice(6, 10) > 300, "{}", by_choice(6, 10));
-    // What was spent before counts: nothing more until that window has passed, then the lower one holds.
+    // What was spent before counts: nothing more until that window has passed, then the lower one
+    // holds.
     assert_eq!(by_choice(10, 13), 0);
     assert!(
         most_in_window(&p, 0, s(4)) <= 3000 && by_choice(15, 19) <= 40,
@@ -357,7 +365,7 @@
     let one = || {
         vec![Budget {
             part: 0.1,
-            ..budget(Limit::Deliveries(600.0), s(5))
+            ..budget(Limit::Attempts(600.0), s(5))
         }]
     };
     // From a fortieth to a third of the load, one idle; more than near bears.
@@ -414,14 +422,14 @@
 
 #[test]
 fn when_it_runs_short_least_benefit_stays_near_first_and_copies_before_first_deliveries() {
-    let mut d = world(13, vec![budget(Limit::Deliveries(300.0), s(3))]);
+    let mut d = world(13, vec![budget(Limit::Attempts(300.0), s(3))]);
     d.rate = 800.0;
     let p = d.play();
     kept(&p);
-    let part = |lane: usize, weight: f64| {
+    let part = |class: usize, weight: f64| {
         let crossed = p.crossings[0]
             .iter()
-            .filter(|c| c.1 == lane && c.2.is_none())
+            .filter(|c| c.1 == class && c.2.is_none())
             .count();
         crossed as f64 / (p.taken as f64 * weight)
     };
@@ -441,7 +449,7 @@
     d.rate = 900.0;
     let z = d.agents[0].zoning.as_mut().unwrap();
     z.links[1].price = Price {
-        delivery: 0.01,
+        attempt: 0.01,
         out_gib: 1.0,
         in_gib: 2.0,
     };
@@ -518,8 +526,8 @@
     d.agents[0].zoning = Some(zoning(0, 2, Vec::new()));
     let free = d.play();
     let (with, without) = (
-        p.satisfied as f64 / p.taken as f64,
-        free.satisfied as f64 / free.taken as f64,
+        p.succeeded as f64 / p.taken as f64,
+        free.succeeded as f64 / free.taken as f64,
     );
     assert!(
         with > without - 0.01,
@@ -534,7 +542,7 @@
     for seed in 0..24u64 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let limits = [
-            Limit::Deliveries(200.0),
+            Limit::Attempts(200.0),
             Limit::Bytes(1e5),
             Limit::Money(0.5),
             Limit::Share(0.05),
@@ -557,8 +565,8 @@
         for _ in 0..rng.gen_range(3..14) {
             let (at, n) = (ms(rng.gen_range(2000..15_000)), rng.gen_range(0..8));
             let change = match rng.gen_range(0..9) {
-                0 => Change::Lists(n, Standing::Draining),
-                1 => Change::Lists(n, Standing::Gone),
+                0 => Change::Lists(n, EndpointState::Draining),
+                1 => Change::Lists(n, EndpointState::Gone),
                 2 => Change::Starts(n),
                 3 => Change::Moves(n, rng.gen_range(0..2)),
                 4 => Change::Slows(n, rng.gen_range(0.8..8.0)),
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -1,7 +1,8 @@
-//! Pins the decisions of two seeded days with cross-zone routing, budgets, client retries and a staged rollout.
+//! Pins the decisions of two seeded days with cross-zone routing, budgets, client retries and a
+//! staged rollout.
 //!
-//! The digest is folded from plain numbers (agent, request, kind of decision, endpoint or time), so that renamed types
-//! leave it alone.
+//! The digest is folded from plain numbers (agent, request, kind of decision, endpoint or time), so
+//! that renamed types leave it alone.
 
 use std::time::Duration;
 use tulipwall::*;
@@ -14,16 +15,16 @@
 }
 
 fn zoning(own: usize, limit: f64) -> Zoning {
-    let limit = Limit::Deliveries(limit);
+    let limit = Limit::Attempts(limit);
     let budget = Budget {
         name: "all".into(),
         to: None,
-        lane: None,
+        class: None,
         limit,
         window: seconds(20),
         part: 0.5,
     };
-    day::zoning(&day::lanes(), own, 2, vec![budget])
+    day::zoning(&day::classes(), own, 2, vec![budget])
 }
 
 fn two_zones(seed: u64, limit: f64, rate: f64, span: Duration) -> Day {
@@ -41,9 +42,9 @@
     [
         p.digest,
         p.taken,
-        p.satisfied,
+        p.succeeded,
         p.in_time,
-        p.denied,
+        p.rejected,
         p.scrapped,
         p.never,
         crossed as u64,
@@ -58,8 +59,8 @@
         (seconds(3), Change::Slows(1, 4.0)),
         (seconds(5), Change::Link(0, 1, seconds(2))),
         (seconds(8), Change::Link(0, 1, Duration::from_millis(2))),
-        (seconds(9), Change::Lists(2, Standing::Draining)),
-        (seconds(11), Change::Lists(2, Standing::Gone)),
+        (seconds(9), Change::Lists(2, EndpointState::Draining)),
+        (seconds(11), Change::Lists(2, EndpointState::Gone)),
         (seconds(12), Change::Starts(2)),
         (seconds(14), Change::Rate(1500.0)),
         (seconds(18), Change::Rate(500.0)),
@@ -83,7 +84,7 @@
     let nodes: Vec<usize> = (12..18).collect();
     for (i, number) in nodes.iter().enumerate() {
         let mut node = Node::new(i % 2, 42, 4);
-        node.standing = Standing::Gone;
+        node.standing = EndpointState::Gone;
         day.nodes.push(node);
         day.script.push((seconds(16), Change::Fails(*number, 0.3)));
     }
--- a/crates/zones/tests/renewal.rs
+++ b/crates/zones/tests/renewal.rs
@@ -1,26 +1,26 @@
-//! Lanes that come, go and change while an account of what crosses is kept.
+//! Classes that come, go and change while an account of what crosses is kept.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tulipwall::{Origin, Outcome, Room};
+use tulipwall::{IndexOrigin, Outcome, ZoneCapacity};
 use tulipwall_zones::*;
 
 const NOW: Duration = Duration::from_secs(7200);
 
-fn zoning(lanes: usize, lane: Option<usize>) -> Zoning {
-    let limit = Limit::Deliveries(1000.0);
+fn zoning(classes: usize, class: Option<usize>) -> Zoning {
+    let limit = Limit::Attempts(1000.0);
     let window = Duration::from_secs(60);
-    let lanes = vec![
-        LaneView {
-            benefit: 3.0,
-            quoted: Duration::from_millis(400)
+    let classes = vec![
+        ClassProfile {
+            priority_weight: 3.0,
+            latency_objective: Duration::from_millis(400)
         };
-        lanes
+        classes
     ];
     let budgets = vec![Budget {
         name: "b".into(),
         to: None,
-        lane,
+        class,
         limit,
         window,
         part: 1.0,
@@ -28,40 +28,40 @@
     Zoning {
         own: 0,
         zones: 2,
-        lanes,
+        classes,
         links: vec![Link::default(); 3],
         budgets,
         routing: Routing::AsEver,
     }
 }
 
-fn names(lanes: &[&str]) -> Names {
+fn names(classes: &[&str]) -> Names {
     let of = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
     Names {
         agent: "n".into(),
         zones: of(&["a", "b"]),
-        lanes: of(lanes),
+        classes: of(classes),
     }
 }
 
-fn send(zones: &mut Zones, lane: usize) -> Ticket {
-    zones.taken(NOW, lane);
+fn send(zones: &mut Zones, class: usize) -> Ticket {
+    zones.taken(NOW, class);
     let sending = Sending {
         to: 1,
-        lane,
+        class,
         build: 7,
         nth: 0,
-        second_copy: false,
+        hedged: false,
         trial: false,
         bound: false,
     };
-    zones.sent(NOW, sending, || vec![Room::default(); 3])
+    zones.sent(NOW, sending, || vec![ZoneCapacity::default(); 3])
 }
 
 fn end(zones: &mut Zones, ticket: &Ticket) {
     let took = Duration::from_millis(20);
     let ended = Ended {
-        outcome: Outcome::Satisfied,
+        outcome: Outcome::Succeeded,
         flaw: Flaw::None,
         written: true,
         out: 100,
@@ -71,26 +71,26 @@
     zones.ended(NOW, ticket, &ended);
 }
 
-/// Deliveries by lane, and commands taken by lane, as the report tells them.
+/// Attempts by class, and requests taken by class, as the report tells them.
 fn told(zones: &Zones, names: &Names) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
     let wall = Wall {
         now: NOW,
         unix: NOW,
         since: Duration::ZERO,
     };
-    let (mut place, mut deliveries, mut taken) = (Place::Head, BTreeMap::new(), BTreeMap::new());
+    let (mut place, mut attempts, mut taken) = (Place::Head, BTreeMap::new(), BTreeMap::new());
     while !matches!(place, Place::Over) {
         let (lines, next) = zones.lines(names, wall, place);
         for line in lines {
             match line {
                 Line::Head(head) => taken = head.taken,
-                Line::Link(l) => *deliveries.entry(l.lane).or_default() += l.deliveries,
+                Line::Link(l) => *attempts.entry(l.class).or_default() += l.attempts,
                 _ => {}
             }
         }
         place = next;
     }
-    (deliveries, taken)
+    (attempts, taken)
 }
 
 fn map(of: &[(&str, u64)]) -> BTreeMap<String, u64> {
@@ -102,37 +102,47 @@
 #[test]
 fn what_was_counted_follows_its_lane_and_what_went_is_summed_as_gone() {
     let mut zones = Zones::new(Duration::ZERO, zoning(2, Some(1)));
-    for lane in [0, 0, 1, 1, 1] {
-        let ticket = send(&mut zones, lane);
+    for class in [0, 0, 1, 1, 1] {
+        let ticket = send(&mut zones, class);
         end(&mut zones, &ticket);
     }
-    let in_hand = send(&mut zones, 0);
+    let indices_in_use = send(&mut zones, 0);
     let spent = zones.purses().purses()[0].used();
     assert!(spent >= 3.0);
-    // Lane 0 goes on under number 2 while one of its commands is in hand; lane 3 is new.
-    let by = [Origin::Over, Origin::Same, Origin::Was(0), Origin::New];
+    // Class 0 goes on under number 2 while one of its requests is in hand; class 3 is new.
+    let by = [
+        IndexOrigin::Retired,
+        IndexOrigin::Same,
+        IndexOrigin::MovedFrom(0),
+        IndexOrigin::New,
+    ];
     assert!(zones.renew(NOW, zoning(4, Some(1)), &by));
-    end(&mut zones, &in_hand);
+    end(&mut zones, &indices_in_use);
     let last = send(&mut zones, 2);
     end(&mut zones, &last);
-    let lanes = names(&["view", "send", "view", "new"]);
-    let (deliveries, taken) = told(&zones, &lanes);
-    assert_eq!(deliveries, map(&[("view", 4), ("send", 3)]));
+    let classes = names(&["view", "send", "view", "new"]);
+    let (attempts, taken) = told(&zones, &classes);
+    assert_eq!(attempts, map(&[("view", 4), ("send", 3)]));
     assert_eq!(taken, map(&[("view", 4), ("send", 3), ("new", 0)]));
     assert_eq!(
         zones.purses().purses()[0].used(),
         spent,
         "what is spent stays spent"
     );
-    // Its earlier number is given to another, and lane 1 went.
-    let by = [Origin::New, Origin::Free, Origin::Same, Origin::Same];
+    // Its earlier number is given to another, and class 1 went.
+    let by = [
+        IndexOrigin::New,
+        IndexOrigin::Unused,
+        IndexOrigin::Same,
+        IndexOrigin::Same,
+    ];
     assert!(zones.renew(NOW, zoning(4, None), &by));
-    let (deliveries, taken) = told(&zones, &names(&["other", "", "view", "new"]));
-    assert_eq!(deliveries, map(&[("view", 3), ("(gone)", 4)]));
+    let (attempts, taken) = told(&zones, &names(&["other", "", "view", "new"]));
+    assert_eq!(attempts, map(&[("view", 3), ("(gone)", 4)]));
     assert_eq!(taken["(gone)"] + taken["view"], 7, "{taken:?}");
     assert_eq!((taken["other"], taken["new"]), (0, 0));
-    // Fewer lanes, and connections still stand behind them.
-    assert!(zones.renew(NOW, zoning(1, None), &[Origin::Was(2)]));
+    // Fewer classes, and connections still stand behind them.
+    assert!(zones.renew(NOW, zoning(1, None), &[IndexOrigin::MovedFrom(2)]));
     zones.opened(
         NOW,
         &Opening {
@@ -143,9 +153,9 @@
             took: Some(Duration::from_millis(1)),
         },
     );
-    let (deliveries, _) = told(&zones, &names(&["view"]));
+    let (attempts, _) = told(&zones, &names(&["view"]));
     assert_eq!(
-        deliveries,
+        attempts,
         map(&[("view", 3), ("(connections)", 0), ("(gone)", 4)])
     );
 }
@@ -156,16 +166,13 @@
     for n in 0..10_000 {
         let ticket = send(&mut zones, n % 3);
         end(&mut zones, &ticket);
-        let mut by = [Origin::Same; 3];
-        by[n % 3] = Origin::New;
+        let mut by = [IndexOrigin::Same; 3];
+        by[n % 3] = IndexOrigin::New;
         assert!(zones.renew(NOW, zoning(3, None), &by));
     }
-    let (deliveries, taken) = told(&zones, &names(&["x", "y", "z"]));
+    let (attempts, taken) = told(&zones, &names(&["x", "y", "z"]));
     assert_eq!(
-        (
-            deliveries.values().sum::<u64>(),
-            taken.values().sum::<u64>()
-        ),
+        (attempts.values().sum::<u64>(), taken.values().sum::<u64>()),
         (10_000, 10_000)
     );
     assert!(zones.account().rows().count() <= 4);
@@ -180,7 +187,7 @@
         links: vec![Link::default(); 4],
         ..zoning(2, None)
     };
-    assert!(!zones.renew(NOW, more, &[Origin::Same; 2]));
+    assert!(!zones.renew(NOW, more, &[IndexOrigin::Same; 2]));
     // What was in hand is told to the one that is there.
     end(&mut zones, &ticket);
 }
--- a/crates/zones/tests/route.rs
+++ b/crates/zones/tests/route.rs
@@ -1,44 +1,45 @@
 //! The routing alone: what it makes of rooms and answer times, step by step.
 
 use std::time::Duration;
-use tulipwall::Room;
-use tulipwall_zones::{LaneView, Route, Routing};
+use tulipwall::ZoneCapacity;
+use tulipwall_zones::{ClassProfile, Route, Routing};
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-const LANE: LaneView = LaneView {
-    benefit: 1.0,
-    quoted: Duration::from_millis(400),
+const CLASS: ClassProfile = ClassProfile {
+    priority_weight: 1.0,
+    latency_objective: Duration::from_millis(400),
 };
 
-fn room(warm: usize, cold: usize) -> Room {
+fn room(warm: usize, cold: usize) -> ZoneCapacity {
     let open = warm as f64 + cold as f64 * 0.3;
-    Room {
+    ZoneCapacity {
         running: warm + cold,
         draining: 0,
-        awake: warm + cold,
+        responsive: warm + cold,
         warm,
-        open,
+        capacity: open,
         in_flight: 0,
     }
 }
 
-/// Steps from `from` to `to` (in 100 ms) under the same rooms; near and far answer in so many milliseconds, and
-/// `rate` deliveries go out in each step, one of them to each far zone. What `each` makes of the route then.
+/// Steps from `from` to `to` (in 100 ms) under the same rooms; near and far answer in so many
+/// milliseconds, and `rate` attempts go out in each step, one of them to each far zone. What `each`
+/// makes of the route then.
 fn steps(
     route: &mut Route,
     (from, to): (u64, u64),
-    rooms: &[Room],
+    zone_capacities: &[ZoneCapacity],
     answers: impl Fn(u64, usize) -> Option<u64>,
     rate: usize,
     mut each: impl FnMut(&Route),
 ) {
     for step in from..to {
         let now = ms(1_000_000 + step * 100);
-        for zone in 0..rooms.len() {
-            for _ in 0..if zone == 0 && rooms[0].running > 0 {
+        for zone in 0..zone_capacities.len() {
+            for _ in 0..if zone == 0 && zone_capacities[0].running > 0 {
                 rate
             } else {
                 1
@@ -49,13 +50,13 @@
                 }
             }
         }
-        route.step(now, rooms);
+        route.step(now, zone_capacities);
         each(route);
     }
 }
 
 fn route(zones: usize) -> Route {
-    Route::new(0, Routing::NearFirst, &[LANE], vec![None; zones])
+    Route::new(0, Routing::NearFirst, &[CLASS], vec![None; zones])
 }
 
 #[test]
@@ -158,7 +159,8 @@
 fn near_that_flaps_does_not_swing_the_draw_and_calm_brings_it_back() {
     for half_period in [5, 10, 20, 30, 50, 70, 90, 120] {
         let (swings, at_the_end) = swings(half_period);
-        // Without the calm span 17 at seven seconds and 13 at nine; beyond that near is slow long enough to follow.
+        // Without the calm span 17 at seven seconds and 13 at nine; beyond that near is slow long
+        // enough to follow.
         let most = (half_period / 12).max(5) as u32;
         assert!(
             swings <= most,
@@ -171,11 +173,11 @@
 #[test]
 fn of_two_far_zones_the_slower_draws_less_by_degrees() {
     let mut r = route(3);
-    let rooms = [room(4, 0), room(4, 0), room(4, 0)];
+    let zone_capacities = [room(4, 0), room(4, 0), room(4, 0)];
     steps(
         &mut r,
         (0, 100),
-        &rooms,
+        &zone_capacities,
         |_, z| Some([200, 60, 30][z]),
         10,
         |_| {},
--- a/crates/zones/tests/series.rs
+++ b/crates/zones/tests/series.rs
@@ -7,7 +7,7 @@
 fn old_bins_go_and_empty_ones_are_never_kept() {
     let mut series = Series::new(Duration::from_secs(10), 360);
     for n in 0..2000 {
-        series.bin(Duration::from_secs(n * 25)).deliveries += 1;
+        series.bin(Duration::from_secs(n * 25)).attempts += 1;
     }
     assert!(series.bins().count() <= 144 + 1);
     let (first, last) = (
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -1,90 +1,95 @@
-//! Settings taken over while commands are in hand. What is known of lanes, customers, builds and appliances is carried
-//! over by number; nothing is decided here, and no chance is drawn for settings that are the same.
+//! Settings taken over while requests are in hand. What is known of classes, tenants, builds and
+//! endpoints is carried over by number; nothing is decided here, and no chance is drawn for
+//! settings that are the same.
 
 use super::*;
 
-impl Choice {
-    /// What commands in hand count in: those numbers may not be given to others.
-    pub fn in_hand(&self) -> InHand {
-        let mut held = InHand::default();
+impl Balancer {
+    /// What requests in hand count in: those numbers may not be given to others.
+    pub fn indices_in_use(&self) -> IndicesInUse {
+        let mut held = IndicesInUse::default();
         for c in self.commands.values() {
-            held.lanes.insert(c.lane);
-            held.customers.extend(c.customer);
-            held.zones.extend(c.deliveries.iter().map(|d| d.zone));
+            held.classes.insert(c.class);
+            held.tenants.extend(c.tenant);
+            held.zones.extend(c.attempts.iter().map(|d| d.zone));
         }
         held
     }
 
-    /// From now on these settings decide, numbered as `by` says. Commands in hand keep their numbers, and with them
-    /// their rules of repeats; evidence and what was exposed stay.
-    pub fn renew(&mut self, now: Duration, d: &Deployment, by: &Numbering) {
-        let (at, lanes) = (Bounds::of(d), Carry::of(&by.lanes));
+    /// From now on these settings decide, numbered as `by` says. Requests in hand keep their
+    /// numbers, and with them their rules of repeats; evidence and what was exposed stay.
+    pub fn reload(&mut self, now: Duration, d: &Settings, by: &IndexMapping) {
+        let (at, classes) = (Bounds::of(d), Carry::of(&by.classes));
         let was = std::mem::replace(&mut self.at, at);
-        self.renew_lanes(d, by, &lanes);
+        self.reload_classes(d, by, &classes);
         for a in self.fleet.iter_mut().filter(|a| !a.counts.is_empty()) {
-            lanes.carry(&mut a.counts);
+            classes.carry(&mut a.counts);
         }
-        lanes.carry(&mut self.beside.counts);
+        classes.carry(&mut self.beside.counts);
         for b in self.builds.values_mut() {
-            lanes.carry(&mut b.past);
-            lanes.carry(&mut b.tallied);
-            b.tokens = tokens(std::mem::take(&mut b.tokens), &was, &self.at, &lanes);
+            classes.carry(&mut b.past);
+            classes.carry(&mut b.tallied);
+            b.tokens = tokens(std::mem::take(&mut b.tokens), &was, &self.at, &classes);
         }
         self.set_caps();
-        Carry::of(&by.customers).carry(&mut self.customer_load);
+        Carry::of(&by.tenants).carry(&mut self.tenant_load);
         if !self.at.one_way {
             self.bound.clear();
         }
         // A longer time to warm holds for who has not had it.
-        let cold_for = self.at.cold_for;
+        let warm_up = self.at.warm_up;
         for a in self
             .fleet
             .iter_mut()
-            .filter(|a| a.cold_since.is_none() && cold_for > was.cold_for)
+            .filter(|a| a.warming_since.is_none() && warm_up > was.warm_up)
         {
-            a.cold_since = a.started.filter(|s| *s + cold_for > now);
+            a.warming_since = a.started.filter(|s| *s + warm_up > now);
         }
         if was.ask_within.is_none() && self.at.ask_within.is_some() {
             self.watch_at = Some(now + self.at.call_share().mul_f64(chance(&mut self.rng)));
         }
     }
 
-    /// These appliances' zones have other numbers now.
-    pub fn rezone(&mut self, zones: &[(usize, usize)]) {
-        for (appliance, zone) in zones {
+    /// These endpoints' zones have other numbers now.
+    pub fn reassign_zones(&mut self, zones: &[(usize, usize)]) {
+        for (endpoint, zone) in zones {
             self.fleet
-                .get_mut(*appliance)
+                .get_mut(*endpoint)
                 .into_iter()
                 .for_each(|a| a.zone = *zone);
         }
     }
 
-    fn renew_lanes(&mut self, d: &Deployment, by: &Numbering, lanes: &Carry) {
-        let old = std::mem::take(&mut self.lanes);
-        let known = |n: usize, l: &Lane| match old.get(n) {
-            // Nothing was answered yet: a guess from the former quoted time is none from this one.
-            Some(o) if o.seen <= LaneView::UNSEEN && o.quoted != l.quoted.as_secs_f64() => {
-                LaneView::new(l, FIRST_GUESS)
+    fn reload_classes(&mut self, d: &Settings, by: &IndexMapping, classes: &Carry) {
+        let old = std::mem::take(&mut self.classes);
+        let known = |n: usize, l: &RequestClass| match old.get(n) {
+            // Nothing was answered yet: a guess from the former latency objective is none from this
+            // one.
+            Some(o)
+                if o.seen <= ClassState::UNSEEN
+                    && o.latency_objective != l.latency_objective.as_secs_f64() =>
+            {
+                ClassState::new(l, FIRST_GUESS)
             }
-            Some(o) => LaneView {
-                quoted: l.quoted.as_secs_f64(),
-                benefit: l.benefit,
-                repeats: l.repeats,
+            Some(o) => ClassState {
+                latency_objective: l.latency_objective.as_secs_f64(),
+                priority_weight: l.priority_weight,
+                idempotency: l.idempotency,
                 ..o.clone()
             },
-            None => LaneView::new(l, FIRST_GUESS),
+            None => ClassState::new(l, FIRST_GUESS),
         };
-        let view = |(n, (l, origin)): (usize, (&Lane, &Origin))| match *origin {
-            Origin::Same => known(n, l),
-            Origin::Was(n) => known(n, l),
-            Origin::New => LaneView::new(l, FIRST_GUESS),
-            Origin::Over if lanes.from[n].is_some() => known(n, l),
+        let view = |(n, (l, origin)): (usize, (&RequestClass, &IndexOrigin))| match *origin {
+            IndexOrigin::Same => known(n, l),
+            IndexOrigin::MovedFrom(n) => known(n, l),
+            IndexOrigin::New => ClassState::new(l, FIRST_GUESS),
+            IndexOrigin::Retired if classes.from[n].is_some() => known(n, l),
             // What it was answered goes on under its new number; here it would count twice.
-            Origin::Over => {
-                let LaneView {
-                    quoted,
-                    benefit,
-                    repeats,
+            IndexOrigin::Retired => {
+                let ClassState {
+                    latency_objective,
+                    priority_weight,
+                    idempotency,
                     seen,
                     usual,
                     least,
@@ -92,28 +97,28 @@
                     high,
                     ..
                 } = known(n, l);
-                LaneView {
-                    quoted,
-                    benefit,
-                    repeats,
+                ClassState {
+                    latency_objective,
+                    priority_weight,
+                    idempotency,
                     seen,
                     usual,
                     least,
                     half,
                     high,
-                    ..LaneView::default()
+                    ..ClassState::default()
                 }
             }
             // One that takes part in no sum, and is never slow.
-            Origin::Free => LaneView {
-                quoted: 1.0,
-                ..LaneView::default()
+            IndexOrigin::Unused => ClassState {
+                latency_objective: 1.0,
+                ..ClassState::default()
             },
         };
-        self.lanes = d
-            .lanes
+        self.classes = d
+            .classes
             .iter()
-            .zip(&by.lanes)
+            .zip(&by.classes)
             .enumerate()
             .map(view)
             .collect();
@@ -127,17 +132,17 @@
 }
 
 impl Carry {
-    fn of(by: &[Origin]) -> Carry {
+    fn of(by: &[IndexOrigin]) -> Carry {
         let mut moved = vec![false; by.len()];
         for o in by {
-            if let Origin::Was(n) = o {
+            if let IndexOrigin::MovedFrom(n) = o {
                 moved.get_mut(*n).into_iter().for_each(|m| *m = true);
             }
         }
-        let from = |(n, o): (usize, &Origin)| match o {
-            Origin::Same => Some(n),
-            Origin::Over if !moved[n] => Some(n),
-            Origin::Was(n) => Some(*n),
+        let from = |(n, o): (usize, &IndexOrigin)| match o {
+            IndexOrigin::Same => Some(n),
+            IndexOrigin::Retired if !moved[n] => Some(n),
+            IndexOrigin::MovedFrom(n) => Some(*n),
             _ => None,
         };
         let from: Vec<_> = by.iter().enumerate().map(from).collect();
@@ -156,23 +161,24 @@
     }
 }
 
-/// What may still be exposed. A renewal never adds to it: what a lower bound allows less is owed, a lane that is new
-/// earns its own, and what all lanes had is shared out, or owed together, where the cap counts otherwise from now on.
-/// So the bound holds in each window across the change, but for single lanes that were not counted before. May leave a
-/// build on trial unexposed for a while.
-fn tokens(mut old: Vec<f64>, was: &Bounds, at: &Bounds, lanes: &Carry) -> Vec<f64> {
+/// What may still be exposed. A renewal never adds to it: what a lower bound allows less is owed, a
+/// class that is new earns its own, and what all classes had is shared out, or owed together, where
+/// the cap counts otherwise from now on. So the bound holds in each window across the change, but
+/// for single classes that were not counted before. May leave a build on trial unexposed for a
+/// while.
+fn tokens(mut old: Vec<f64>, was: &Bounds, at: &Bounds, classes: &Carry) -> Vec<f64> {
     let less = (was.free - at.free).max(0.0);
-    match (was.by_lane, at.by_lane) {
+    match (was.by_class, at.by_class) {
         (true, false) => old = vec![was.free - old.iter().map(|t| was.free - t).sum::<f64>()],
         (false, true) => {
-            let each = old.iter().sum::<f64>() / lanes.from.len().max(1) as f64;
-            old = vec![each; lanes.from.len()];
+            let each = old.iter().sum::<f64>() / classes.from.len().max(1) as f64;
+            old = vec![each; classes.from.len()];
         }
         _ => {}
     }
     old.iter_mut().for_each(|t| *t = (*t - less).min(at.free));
-    if was.by_lane && at.by_lane {
-        lanes.carry(&mut old);
+    if was.by_class && at.by_class {
+        classes.carry(&mut old);
     }
     old
 }
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Choice {
+impl Balancer {
     pub(super) fn vote(&mut self, now: Duration) -> Option<Vote> {
         if self
             .votes
@@ -10,16 +10,16 @@
             .as_ref()
             .is_some_and(|(_, sent)| now >= *sent + self.at.vote_wait + GAP * 2)
         {
-            self.reply(now, Reply::Unknown);
+            self.on_vote_reply(now, VoteReply::Unknown);
         }
         if self.votes.pending.is_some() || now < self.votes.at || !self.at.votes {
             return None;
         }
         let (life, want) = (self.at.vote_life, self.votes.want.clone());
         let on = |v: &Vote| {
-            self.news
+            self.rollout_status
                 .as_ref()
-                .is_some_and(|n| n.build == v.build && n.phase == Phase::Trial)
+                .is_some_and(|n| n.build == v.build && n.phase == RolloutPhase::Canary)
         };
         let moot =
             |(v, at): &mut (Vote, Duration)| want.is_none() && (!on(v) || now > *at + life * 2);
@@ -28,7 +28,7 @@
             (Some(w), Some((s, at))) if w == *s && now < *at + life / 2 => return None,
             (Some(w), _) => w,
             (None, Some((s, _))) => Vote {
-                verdict: Verdict::None,
+                verdict: Verdict::Withdraw,
                 ..s.clone()
             },
             (None, None) => return None,
@@ -38,20 +38,20 @@
     }
 
     /// The platform's answer to the vote that is out.
-    pub fn reply(&mut self, now: Duration, r: Reply) {
+    pub fn on_vote_reply(&mut self, now: Duration, r: VoteReply) {
         let Some((vote, _)) = self.votes.pending.take() else {
             return;
         };
         self.votes.gap = match r {
-            Reply::Counted | Reply::Moot => GAP,
-            Reply::Refused | Reply::Unknown => (self.votes.gap * 2).clamp(GAP, ms(2000)),
+            VoteReply::Counted | VoteReply::Moot => GAP,
+            VoteReply::Refused | VoteReply::Unknown => (self.votes.gap * 2).clamp(GAP, ms(2000)),
         };
         let lapsed = now.saturating_sub(self.at.vote_life);
         self.votes.standing = match (r, vote.verdict) {
-            (Reply::Moot, _) | (Reply::Counted, Verdict::None) => None,
-            (Reply::Counted, _) => Some((vote, now)),
+            (VoteReply::Moot, _) | (VoteReply::Counted, Verdict::Withdraw) => None,
+            (VoteReply::Counted, _) => Some((vote, now)),
             // It may count: it is cast again, and taken away if it is no longer meant.
-            (Reply::Unknown, Verdict::Hold | Verdict::Back) => Some((vote, lapsed)),
+            (VoteReply::Unknown, Verdict::Hold | Verdict::RollBack) => Some((vote, lapsed)),
             _ => self.votes.standing.take(),
         };
         self.votes.at = now
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,17 @@
-//! tulipwall shifts calls between an old and a new build of the appliances behind a service.
+//! Decisions of one agent that forwards requests to the endpoints behind a service, while an
+//! earlier and a newer build of them run side by side.
 //!
-//! Ask a [`Choice`] where to send a command, what to do after an outcome, and how long to wait;
-//! tell it the facts that reach this agent. All decisions are in `choice`; `types` and `state` are plain
-//! data; `watch` counts where other settings would decide otherwise.
+//! Ask a [`Balancer`] where to forward a request, what to do after an attempt, and when to ask
+//! again; tell it the facts that reach this agent. All decisions are in the `balancer` module;
+//! `interface` is plain data, `model` is what a balancer remembers, `shadow` counts where other
+//! settings would decide otherwise. Nothing here opens sockets, reads files or looks at a clock.
 
 mod balancer;
 mod interface;
 mod model;
 mod shadow;
 
-pub use balancer::Choice;
+pub use balancer::Balancer;
 pub use interface::*;
 pub use model::call_share;
-pub use shadow::{Otherwise, Shape, Watch};
+pub use shadow::{AlternativeSettings, Divergences, ShadowEvaluator};
--- a/src/model.rs
+++ b/src/model.rs
@@ -1,8 +1,9 @@
-//! What a [`Choice`](crate::Choice) remembers, grouped by how long it lives: one delivery, one command, one
-//! appliance, one build, the instance. Plain data; every decision on it is in `choice.rs` and `choice/`.
+//! What a [`Balancer`](crate::Balancer) remembers, grouped by how long it lives: one attempt, one
+//! request, one endpoint, one build, the instance. Plain data; every decision on it is in
+//! `choice.rs` and `choice/`.
 
 use crate::interface::*;
-use crate::Choice;
+use crate::Balancer;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
@@ -37,7 +38,7 @@
     }
 }
 
-/// The keys of the last commands.
+/// The keys of the last requests.
 #[derive(Default)]
 pub(crate) struct Recent(VecDeque<u64>);
 
@@ -57,10 +58,10 @@
     pub in_flight: usize,
     pub stuck: usize,
     pub peak: f64, // the highest limit of late
-    pub done: f64, // answers of warm appliances in this survey
+    pub done: f64, // answers of warm endpoints in this survey
     pub limit: Option<f64>,
-    pub spare: f64, // further deliveries earned
-    pub blame: f64, // the part of failures that were the appliance's, not the command's
+    pub spare: f64, // further attempts earned
+    pub blame: f64, // the part of failures that were the endpoint's, not the request's
     pub near: f64,  // answer times of the own zone and of the others, against the usual
     pub far: f64,
     pub abroad: f64,
@@ -77,7 +78,8 @@
     pub gap: Duration,
 }
 
-/// Answer times counted by size, a quarter of an octave each: their sum fades, and what is kept does not grow.
+/// Answer times counted by size, a quarter of an octave each: their sum fades, and what is kept
+/// does not grow.
 #[derive(Clone)]
 pub(crate) struct Times([f64; 64]);
 
@@ -127,10 +129,10 @@
     }
 }
 
-/// Evidence in one lane. Flagged answers are failures; each stands for those that nobody reported.
+/// Evidence in one class. Flagged answers are failures; each stands for those that nobody reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Count {
-    pub satisfied: f64,
+    pub succeeded: f64,
     pub failed: f64,
     pub flagged: f64,
     pub lost: f64,
@@ -139,7 +141,7 @@
 impl Count {
     /// Fades by `by`, then adds `o`.
     pub fn mix(&mut self, by: f64, o: &Count) {
-        self.satisfied = self.satisfied * by + o.satisfied;
+        self.succeeded = self.succeeded * by + o.succeeded;
         self.failed = self.failed * by + o.failed;
         self.flagged = self.flagged * by + o.flagged;
         self.lost = self.lost * by + o.lost;
@@ -161,12 +163,12 @@
         self.bad() + self.flagged > 0.0
     }
     pub fn all(&self) -> f64 {
-        self.satisfied + self.failed + self.lost
+        self.succeeded + self.failed + self.lost
     }
 }
 
-pub(crate) struct Delivery {
-    pub appliance: usize,
+pub(crate) struct Attempt {
+    pub endpoint: usize,
     pub build: u32,
     pub zone: usize,
     pub cell: u64,
@@ -178,12 +180,12 @@
 }
 
 pub(crate) struct Open {
-    pub lane: usize,
-    pub customer: Option<usize>,
+    pub class: usize,
+    pub tenant: Option<usize>,
     pub key: Option<u64>,
-    pub expires: Duration,
+    pub deadline: Duration,
     pub half: Duration, // of its time is over
-    pub deliveries: Vec<Delivery>,
+    pub attempts: Vec<Attempt>,
     pub closed: bool,
     pub choices: Option<[usize; 2]>, // asked for their load
     pub home: Option<u64>,           // the key, where it has one
@@ -191,15 +193,15 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Appliance {
-    pub standing: Standing,
+pub(crate) struct Endpoint {
+    pub standing: EndpointState,
     pub zone: usize,
     pub cell: u64,
     pub mark: u64,
     pub kind: usize,
     pub build: u32,
     pub started: Option<Duration>,
-    pub cold_since: Option<Duration>,
+    pub warming_since: Option<Duration>,
     pub in_flight: usize,
     pub unheard: Option<Duration>, // since when it owes a sign of life
     pub strikes: u32,              // lost answers in a row
@@ -210,9 +212,9 @@
     pub high: f64, // a high quantile of its answer times
     pub weight: f64,
     pub counts: Vec<Count>,
-    pub quota: f64,                    // deliveries that it may get while cold,
+    pub quota: f64,                    // attempts that it may get while cold,
     pub turns: f64,                    // and how many within the time that topples one
-    pub held: Option<(f64, Duration)>, // commands that it said it held, and when
+    pub held: Option<(f64, Duration)>, // requests that it said it held, and when
     pub since: f64,                    // sent to it from here since then
     pub asked: Option<Duration>,       // for its load, and not yet heard
 }
@@ -263,14 +265,14 @@
 pub(crate) struct Build {
     pub tokens: Vec<f64>,
     pub cap: f64,
-    pub past: Vec<Count>, // of appliances that have gone
+    pub past: Vec<Count>, // of endpoints that have gone
     pub newest: Duration,
     pub regressed: bool,
     pub shown: f64, // failures times the seconds for which they showed, fading
-    pub tallied: Vec<Tallied>, // by lane
+    pub tallied: Vec<Tallied>, // by class
 }
 
-/// What the platform counted of a lane over all agents, fading.
+/// What the platform counted of a class over all agents, fading.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tallied {
     pub all: f64,
@@ -279,16 +281,16 @@
 }
 
 impl Tallied {
-    pub fn add(&mut self, t: &Tally) {
-        if !t.deliveries.is_finite() || !t.failed.is_finite() {
+    pub fn add(&mut self, t: &PlatformCounts) {
+        if !t.attempts.is_finite() || !t.failed.is_finite() {
             return;
         }
         let (all, failed) = (
-            t.deliveries.max(0.0),
-            t.failed.clamp(0.0, t.deliveries.max(0.0)),
+            t.attempts.max(0.0),
+            t.failed.clamp(0.0, t.attempts.max(0.0)),
         );
         (self.all, self.failed) = (self.all + all, self.failed + failed);
-        self.took += (all - failed) * t.took.as_secs_f64();
+        self.took += (all - failed) * t.mean_latency.as_secs_f64();
     }
     pub fn fade(&mut self, by: f64) {
         (self.all, self.failed, self.took) = (self.all * by, self.failed * by, self.took * by);
@@ -301,7 +303,8 @@
         };
         of.iter().fold(Tallied::default(), add)
     }
-    /// Of a build on trial against the earlier one, by lane: answers, and their mean time against that one's.
+    /// Of a build on trial against the earlier one, by class: answers, and their mean time against
+    /// that one's.
     pub fn pace(trial: &[Tallied], earlier: &[Tallied]) -> (f64, f64) {
         let (mut answers, mut took) = (0.0, 0.0);
         for (t, e) in trial.iter().zip(earlier).filter(|(_, e)| e.took > 0.0) {
@@ -312,7 +315,8 @@
     }
 }
 
-/// What the earlier build did while the trial got its traffic, so that troubles that meet both are seen in both.
+/// What the earlier build did while the trial got its traffic, so that troubles that meet both are
+/// seen in both.
 #[derive(Default)]
 pub(crate) struct Beside {
     pub counts: Vec<Count>,
@@ -328,7 +332,7 @@
     }
 }
 
-/// Commands taken in a survey: of late, and while no build was judged.
+/// Requests taken in a survey: of late, and while no build was judged.
 #[derive(Default)]
 pub(crate) struct Intake {
     pub taken: f64,
@@ -338,7 +342,8 @@
 }
 
 impl Intake {
-    /// At each survey; the mean of late follows by `gain`, the calm one by `least` once it knows as much.
+    /// At each survey; the mean of late follows by `gain`, the calm one by `least` once it knows as
+    /// much.
     pub fn survey(&mut self, judged: bool, gain: f64, least: f64) {
         let taken = std::mem::take(&mut self.taken);
         self.late += (taken - self.late) * gain;
@@ -364,10 +369,10 @@
 }
 
 #[derive(Clone, Default)]
-pub(crate) struct LaneView {
-    pub quoted: f64,
-    pub benefit: f64,
-    pub repeats: Repeats,
+pub(crate) struct ClassState {
+    pub latency_objective: f64,
+    pub priority_weight: f64,
+    pub idempotency: Idempotency,
     pub seen: f64,  // answers, fifty at most
     pub usual: f64, // seconds of an answer now,
     pub least: f64, // at its lowest of late,
@@ -387,24 +392,24 @@
 pub(crate) struct Bounds {
     pub zone: usize,
     pub tick: Duration,
-    pub deliveries: usize,
-    pub second_copies: bool,
+    pub attempts: usize,
+    pub hedging: bool,
     pub withdraw: bool,
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     pub by_work: bool,
     pub crossing: bool,               // it costs something
     pub ask_within: Option<Duration>, // where the list must be asked
     pub list_shared: bool,
-    pub cold_share: f64,
-    pub cold_for: Duration,
+    pub warm_up_share: f64,
+    pub warm_up: Duration,
     pub fall_for: Duration,
     pub cold_part: f64, // of what a warm one carries: half of what topples it
     pub probes: bool,
     pub warm_keys: bool,
-    pub shares: Vec<f64>, // of the customers
+    pub shares: Vec<f64>, // of the tenants
     pub first_cap: f64,
     pub free: f64,
-    pub by_lane: bool,
+    pub by_class: bool,
     pub guarded: usize,
     pub one_way: bool,
     pub votes: bool,
@@ -418,34 +423,35 @@
     pub vote_share: f64, // seconds between votes that leave the others theirs
     pub flag_worth: f64, // failures that one reported answer stands for
     pub agents: f64,
-    pub looks: Cell<u64>, // at appliances, by all walks so far
+    pub looks: Cell<u64>, // at endpoints, by all walks so far
 }
 
-impl LaneView {
+impl ClassState {
     /// What `seen` begins with: how many answers the first guess is worth.
     pub const UNSEEN: f64 = 5.0;
 
-    pub fn new(l: &Lane, guess: f64) -> LaneView {
-        let quoted = l.quoted.as_secs_f64();
-        let (usual, benefit, repeats) = (quoted * guess, l.benefit, l.repeats);
-        let view = LaneView {
-            quoted,
-            benefit,
-            repeats,
+    pub fn new(l: &RequestClass, guess: f64) -> ClassState {
+        let latency_objective = l.latency_objective.as_secs_f64();
+        let (usual, priority_weight, idempotency) =
+            (latency_objective * guess, l.priority_weight, l.idempotency);
+        let view = ClassState {
+            latency_objective,
+            priority_weight,
+            idempotency,
             usual,
             least: usual,
-            ..LaneView::default()
+            ..ClassState::default()
         };
-        LaneView {
+        ClassState {
             half: usual * 0.7,
             high: usual * 2.0,
-            seen: LaneView::UNSEEN,
+            seen: ClassState::UNSEEN,
             ..view
         }
     }
 }
 
-impl LaneView {
+impl ClassState {
     /// Fades the answer times of late, or the calm ones to so many.
     pub fn fade_times(&mut self, judged: bool, most: f64, least: f64, late: f64) {
         if !judged {
@@ -457,9 +463,10 @@
         self.waited *= if judged { late } else { 0.0 };
     }
 
-    /// Another build is judged from now on: where the build before it `stood`, what was answered of late, and waited
-    /// for in vain, is the calm sample, in the place of the older one once there is `enough` of it. What the fleet
-    /// bore under that build, slow or not, is nothing the next one does.
+    /// Another build is judged from now on: where the build before it `stood`, what was answered of
+    /// late, and waited for in vain, is the calm sample, in the place of the older one once there
+    /// is `enough` of it. What the fleet bore under that build, slow or not, is nothing the next
+    /// one does.
     pub fn settle(&mut self, stood: bool, enough: f64) {
         let (late, waited) = (
             std::mem::take(&mut self.late),
@@ -476,21 +483,22 @@
         }
     }
 
-    /// Of the answers of late: the share quicker than half of the calm ones of their lane, their mean time against
-    /// the calm ones' in quoted times, as a lane's own few calm ones tell little, and how many this is known from,
-    /// as both samples are small. The mean is that of a sample cut short: all time waited, by the answers that came.
-    pub fn slowed(lanes: &[LaneView]) -> (f64, f64, f64) {
+    /// Of the answers of late: the share quicker than half of the calm ones of their class, their
+    /// mean time against the calm ones' in quoted times, as a class's own few calm ones tell
+    /// little, and how many this is known from, as both samples are small. The mean is that of a
+    /// sample cut short: all time waited, by the answers that came.
+    pub fn slowed(classes: &[ClassState]) -> (f64, f64, f64) {
         let (mut slow, mut all, mut took, mut calm, mut usual) = (0.0, 1e-9, 0.0, 1e-9, 1e-9);
-        for l in lanes.iter().filter(|l| l.quoted > 0.0) {
+        for l in classes.iter().filter(|l| l.latency_objective > 0.0) {
             slow += l.late.from(l.calm.middle());
             let waited = (l.waited + l.open) * 1000.0;
             (all, took) = (
                 all + l.late.all(),
-                took + (l.late.sum() + waited) / l.quoted,
+                took + (l.late.sum() + waited) / l.latency_objective,
             );
             (calm, usual) = (
                 calm + l.calm.all(),
-                usual + (l.calm.sum() + l.calm_waited * 1000.0) / l.quoted,
+                usual + (l.calm.sum() + l.calm_waited * 1000.0) / l.latency_objective,
             );
         }
         (
@@ -524,12 +532,13 @@
     }
 }
 
-/// Chernoff's bound, as a logarithm, on a mean of so many long-tailed times that is `ratio` times the usual.
+/// Chernoff's bound, as a logarithm, on a mean of so many long-tailed times that is `ratio` times
+/// the usual.
 pub(crate) fn strange(answers: f64, ratio: f64) -> f64 {
     answers * (ratio - 1.0 - ratio.ln())
 }
 
-/// Weighted rendezvous hashing: how far an appliance of this mark and weight is from a key.
+/// Weighted rendezvous hashing: how far an endpoint of this mark and weight is from a key.
 fn rendezvous(key: u64, mark: u64, weight: f64) -> f64 {
     let mut n = key ^ mark.rotate_left(32);
     for factor in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
@@ -554,8 +563,9 @@
         .map_or(0, |(number, _)| *number)
 }
 
-/// How far two samples speak for two shares and not for one, as the logarithm of their likelihood ratio; 0 where
-/// the first share is not the higher one. It also weighs that the second is known from few.
+/// How far two samples speak for two shares and not for one, as the logarithm of their likelihood
+/// ratio; 0 where the first share is not the higher one. It also weighs that the second is known
+/// from few.
 pub(crate) fn apart((bad, all): (f64, f64), (base, of): (f64, f64)) -> f64 {
     if all <= 0.0 || of <= 0.0 || bad * of <= base * all {
         return 0.0;
@@ -569,24 +579,26 @@
     each - likely(bad + base, all + of, both)
 }
 
-/// How far apart the calls of one agent are, where all agents together keep to the rate that is told.
-pub fn call_share(d: &Deployment) -> Duration {
+/// How far apart the calls of one agent are, where all agents together keep to the rate that is
+/// told.
+pub fn call_share(d: &Settings) -> Duration {
     Bounds::of(d).call_share()
 }
 
 impl Bounds {
-    /// What part of its full load an appliance may get: less while cold, by the slowest warming allowed.
-    pub fn ramp(&self, now: Duration, a: &Appliance) -> f64 {
-        let Some(since) = a.cold_since else {
+    /// What part of its full load an endpoint may get: less while cold, by the slowest warming
+    /// allowed.
+    pub fn ramp(&self, now: Duration, a: &Endpoint) -> f64 {
+        let Some(since) = a.warming_since else {
             return 1.0;
         };
-        let age = now.saturating_sub(since).as_secs_f64() / self.cold_for.as_secs_f64().max(0.001);
-        self.cold_share + (1.0 - self.cold_share) * age.min(1.0)
+        let age = now.saturating_sub(since).as_secs_f64() / self.warm_up.as_secs_f64().max(0.001);
+        self.warm_up_share + (1.0 - self.warm_up_share) * age.min(1.0)
     }
 
-    /// How far apart the calls of one agent are where all agents together keep to the platform's rate, the only
-    /// one that is told for calls; at most half of the time within which the list must be asked for. None where
-    /// they cost discovery nothing.
+    /// How far apart the calls of one agent are where all agents together keep to the platform's
+    /// rate, the only one that is told for calls; at most half of the time within which the list
+    /// must be asked for. None where they cost discovery nothing.
     pub fn call_share(&self) -> Duration {
         let most = self
             .ask_within
@@ -596,72 +608,73 @@
         Duration::from_secs_f64(self.vote_share.clamp(0.0, 3600.0)).min(most)
     }
 
-    /// Counts the appliances that a walk has before it: what walks cost is told without a clock. One that ends early
-    /// counts as whole.
-    pub fn walk<'a>(&self, fleet: &'a [Appliance]) -> &'a [Appliance] {
+    /// Counts the endpoints that a walk has before it: what walks cost is told without a clock. One
+    /// that ends early counts as whole.
+    pub fn walk<'a>(&self, fleet: &'a [Endpoint]) -> &'a [Endpoint] {
         self.looks
             .set(self.looks.get().wrapping_add(fleet.len() as u64));
         fleet
     }
 
-    /// Where the cap counts a delivery of this lane.
-    pub fn slot(&self, lane: usize) -> usize {
-        if self.by_lane {
-            lane
+    /// Where the cap counts an attempt of this class.
+    pub fn slot(&self, class: usize) -> usize {
+        if self.by_class {
+            class
         } else {
             0
         }
     }
 
-    pub fn of(d: &Deployment) -> Bounds {
+    pub fn of(d: &Settings) -> Bounds {
         let r = &d.rollout;
         Bounds {
             zone: d.zone,
-            tick: d.tick,
-            deliveries: d.deliveries,
-            second_copies: d.second_copies,
-            withdraw: d.withdraw,
-            come_back: d.come_back,
-            by_work: d.benefit_by_work,
-            crossing: d.crossing_price > 0.0,
-            list_shared: d.list_shared,
-            ask_within: d.list_asked.then_some(d.ask_within),
-            cold_share: d.cold_share,
-            cold_for: d.cold_for,
-            fall_for: d.fall_for,
-            cold_part: (d.fall_multiple * 0.7).clamp(0.1, 3.0),
-            probes: d.probes,
-            warm_keys: d.warm_keys,
-            shares: d.customers.iter().map(|c| c.share).collect(),
+            tick: d.timer_granularity,
+            attempts: d.max_attempts,
+            hedging: d.hedging,
+            withdraw: d.cancellation,
+            retry_after: d.retry_after,
+            by_work: d.weight_by_work,
+            crossing: d.cross_zone_price > 0.0,
+            list_shared: d.shared_discovery,
+            ask_within: d.list_polled.then_some(d.max_poll_interval),
+            warm_up_share: d.slow_start_share,
+            warm_up: d.slow_start_duration,
+            fall_for: d.overload_window,
+            cold_part: (d.overload_factor * 0.7).clamp(0.1, 3.0),
+            probes: d.load_probes,
+            warm_keys: d.key_affinity,
+            shares: d.tenants.iter().map(|c| c.share).collect(),
             first_cap: r.caps.first().copied().unwrap_or(0.0),
-            free: r.free,
-            by_lane: r.by_lane,
+            free: r.exposure_burst,
+            by_class: r.cap_per_class,
             guarded: r.guarded_stages,
-            one_way: r.one_way,
-            votes: r.by_clock,
+            one_way: r.sticky_builds,
+            votes: r.timed_stages,
             in_place: r.in_place,
-            tallied: r.tallied,
-            jury: r.back_votes > 1,
-            voice: voice(d.agents, r.back_votes),
-            one_of: f64::from(d.agents).max(1.0) / f64::from(r.back_votes.max(1)),
-            vote_life: r.vote_life,
-            vote_wait: r.vote_wait,
-            vote_share: f64::from(d.agents) / r.votes_per_s.max(0.001),
-            flag_worth: 1.0 / r.flagged_share.clamp(0.1, 1.0),
+            tallied: r.platform_counts,
+            jury: r.votes_to_roll_back > 1,
+            voice: voice(d.agents, r.votes_to_roll_back),
+            one_of: f64::from(d.agents).max(1.0) / f64::from(r.votes_to_roll_back.max(1)),
+            vote_life: r.vote_ttl,
+            vote_wait: r.vote_timeout,
+            vote_share: f64::from(d.agents) / r.votes_per_second.max(0.001),
+            flag_worth: 1.0 / r.reported_error_share.clamp(0.1, 1.0),
             agents: f64::from(d.agents).max(1.0),
             looks: Cell::default(),
         }
     }
 }
 
-impl Choice {
-    /// Appliances that all walks over them have had before them so far: a count of work that no clock blurs.
-    pub fn looks(&self) -> u64 {
+impl Balancer {
+    /// Endpoints that all walks over them have had before them so far: a count of work that no
+    /// clock blurs.
+    pub fn endpoints_scanned(&self) -> u64 {
         self.at.looks.get()
     }
 
-    /// How many commands, appliances, builds and bound keys are kept.
-    pub fn kept(&self) -> [usize; 4] {
+    /// How many requests, endpoints, builds and bound keys are kept.
+    pub fn retained_counts(&self) -> [usize; 4] {
         [
             self.commands.len(),
             self.fleet.len(),
@@ -671,41 +684,43 @@
     }
 
     /// What each of so many zones holds now.
-    pub fn rooms(&self, now: Duration, zones: usize) -> Vec<Room> {
-        let (mut rooms, patience) = (vec![Room::default(); zones], self.patience());
+    pub fn zone_capacities(&self, now: Duration, zones: usize) -> Vec<ZoneCapacity> {
+        let (mut zone_capacities, patience) =
+            (vec![ZoneCapacity::default(); zones], self.patience());
         for a in &self.fleet {
-            let Some(room) = rooms
+            let Some(room) = zone_capacities
                 .get_mut(a.zone)
-                .filter(|_| a.standing != Standing::Gone)
+                .filter(|_| a.standing != EndpointState::Gone)
             else {
                 continue;
             };
             room.in_flight += a.in_flight;
-            if a.standing == Standing::Draining {
+            if a.standing == EndpointState::Draining {
                 room.draining += 1;
                 continue;
             }
             room.running += 1;
             if a.aside.is_none() && !a.silent(now, patience) {
-                room.awake += 1;
-                room.warm += usize::from(a.cold_since.is_none());
-                room.open += a.weight * self.at.ramp(now, a);
+                room.responsive += 1;
+                room.warm += usize::from(a.warming_since.is_none());
+                room.capacity += a.weight * self.at.ramp(now, a);
             }
         }
-        rooms
+        zone_capacities
     }
 
-    /// How far an appliance is from a key, by its mark and kind: all agents find the same one nearest.
-    pub(crate) fn distance(&self, key: u64, a: &Appliance) -> f64 {
+    /// How far an endpoint is from a key, by its mark and kind: all agents find the same one
+    /// nearest.
+    pub(crate) fn distance(&self, key: u64, a: &Endpoint) -> f64 {
         rendezvous(key, a.mark, self.kinds[a.kind].step)
     }
 }
 
-impl Delivery {
-    pub fn to(appliance: usize, a: &Appliance, sent: Duration) -> Delivery {
+impl Attempt {
+    pub fn to(endpoint: usize, a: &Endpoint, sent: Duration) -> Attempt {
         let (build, zone, cell) = (a.build, a.zone, a.cell);
-        Delivery {
-            appliance,
+        Attempt {
+            endpoint,
             build,
             zone,
             cell,
@@ -723,7 +738,8 @@
             (false, !outcome.never_ran(), outcome == Outcome::Failed);
     }
 
-    /// Whether this is new of it: that it was quick, which is known once it has ended, or that it is not.
+    /// Whether this is new of it: that it was quick, which is known once it has ended, or that it
+    /// is not.
     pub fn hear(&mut self, quick: bool) -> bool {
         let known = self.heard || self.out && quick;
         self.heard |= !known;
@@ -732,123 +748,143 @@
 }
 
 impl Open {
-    /// Whether its delivery of number `nth` may go to `a` beside all others that may have run: inside their group, and
-    /// before it forgets them.
-    pub fn within_group(&self, nth: usize, repeats: Repeats, a: &Appliance, at: Duration) -> bool {
-        let Repeats::Deduplicated { group, window } = repeats else {
+    /// Whether its attempt of number `nth` may go to `a` beside all others that may have run:
+    /// inside their group, and before it forgets them.
+    pub fn within_group(
+        &self,
+        nth: usize,
+        idempotency: Idempotency,
+        a: &Endpoint,
+        at: Duration,
+    ) -> bool {
+        let Idempotency::Keyed {
+            scope: group,
+            window,
+        } = idempotency
+        else {
             return true;
         };
         let others = self
-            .deliveries
+            .attempts
             .iter()
             .enumerate()
             .filter(|(n, d)| *n != nth && (d.out || d.may_have_run));
         others.map(|(_, d)| d).all(|d| {
             let here = match group {
-                Group::All => true,
-                Group::Zone => d.zone == a.zone,
-                Group::Cell => d.cell == a.cell,
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => d.zone == a.zone,
+                DeduplicationScope::Cell => d.cell == a.cell,
             };
             here && at < d.sent + window
         })
     }
 
-    /// The deliveries that are out, with their numbers.
-    pub fn out(&self) -> impl Iterator<Item = (usize, &Delivery)> {
-        self.deliveries.iter().enumerate().filter(|(_, d)| d.out)
+    /// The attempts that are out, with their numbers.
+    pub fn out(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+        self.attempts.iter().enumerate().filter(|(_, d)| d.out)
     }
 
-    /// Seconds for which its deliveries have been out, none of them from before `resumed`.
+    /// Seconds for which its attempts have been out, none of them from before `resumed`.
     pub fn waits(&self, now: Duration, resumed: Duration) -> f64 {
         self.out()
             .map(|(_, d)| now.saturating_sub(d.sent.max(resumed)).as_secs_f64())
             .sum()
     }
 
-    /// Whether repeats of what may have run are not told from it any more: nothing further may go out, anywhere.
-    pub fn forgotten(&self, repeats: Repeats, at: Duration) -> bool {
-        let Repeats::Deduplicated { window, .. } = repeats else {
+    /// Whether repeats of what may have run are not told from it any more: nothing further may go
+    /// out, anywhere.
+    pub fn forgotten(&self, idempotency: Idempotency, at: Duration) -> bool {
+        let Idempotency::Keyed { window, .. } = idempotency else {
             return false;
         };
-        self.deliveries
+        self.attempts
             .iter()
             .any(|d| (d.out || d.may_have_run) && at >= d.sent + window)
     }
 
     /// Whether a retry by the client, which comes until `back`, would be harmless.
-    pub fn harmless(&self, repeats: Repeats, back: Duration) -> bool {
-        let mut ran = self.deliveries.iter().filter(|d| d.out || d.may_have_run);
-        match repeats {
-            Repeats::Idempotent => true,
-            Repeats::Deduplicated { group, window } => {
-                ran.all(|d| group == Group::All && back < d.sent + window)
-            }
-            Repeats::Unrepeatable => ran.next().is_none(),
+    pub fn harmless(&self, idempotency: Idempotency, back: Duration) -> bool {
+        let mut ran = self.attempts.iter().filter(|d| d.out || d.may_have_run);
+        match idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                scope: group,
+                window,
+            } => ran.all(|d| group == DeduplicationScope::All && back < d.sent + window),
+            Idempotency::NonIdempotent => ran.next().is_none(),
         }
     }
 
-    pub fn new(now: Duration, c: &Command) -> Open {
-        let (lane, customer, key) = (c.lane, c.customer, c.key);
+    pub fn new(now: Duration, c: &Request) -> Open {
+        let (class, tenant, key) = (c.class, c.tenant, c.key);
         Open {
-            lane,
-            customer,
+            class,
+            tenant,
             key,
-            expires: now + c.left,
-            half: now + c.left / 2,
-            deliveries: Vec::new(),
+            deadline: now + c.time_left,
+            half: now + c.time_left / 2,
+            attempts: Vec::new(),
             closed: false,
             choices: None,
             home: None,
-            work: c.work,
+            work: c.estimated_work,
         }
     }
 }
 
-impl Appliance {
+impl Endpoint {
     pub fn silent(&self, now: Duration, patience: Duration) -> bool {
         self.unheard.is_some_and(|t| now >= t + patience)
     }
 
     /// Whether it is the same one that ran this build, and warm.
     pub fn warm_of(&self, build: u32) -> bool {
-        self.build == build && self.standing == Standing::Running && self.cold_since.is_none()
+        self.build == build
+            && self.standing == EndpointState::Running
+            && self.warming_since.is_none()
     }
 
-    /// One more delivery, to this one of number `i`.
-    pub fn send(&mut self, i: usize, now: Duration) -> Delivery {
+    /// One more attempt, to this one of number `i`.
+    pub fn send(&mut self, i: usize, now: Duration) -> Attempt {
         self.in_flight += 1;
         self.since += 1.0;
         self.unheard.get_or_insert(now);
         self.quota -= 1.0;
-        Delivery::to(i, self, now)
-    }
-
-    /// From now on it is what the list says. Commands in flight stay; all else is forgotten.
-    pub fn start(&mut self, e: &Listed, lanes: usize, cold_since: Option<Duration>, quota: f64) {
-        *self = Appliance {
-            standing: e.standing,
+        Attempt::to(i, self, now)
+    }
+
+    /// From now on it is what the list says. Requests in flight stay; all else is forgotten.
+    pub fn start(
+        &mut self,
+        e: &EndpointEntry,
+        classes: usize,
+        warming_since: Option<Duration>,
+        quota: f64,
+    ) {
+        *self = Endpoint {
+            standing: e.state,
             zone: e.zone,
             cell: e.cell,
-            mark: e.mark,
-            kind: e.kind,
+            mark: e.identity,
+            kind: e.endpoint_type,
             build: e.build,
             started: e.started,
-            cold_since,
+            warming_since,
             quota,
             in_flight: self.in_flight,
             high: 1.0,
             weight: 1.0,
-            counts: vec![Count::default(); lanes],
-            ..Appliance::default()
+            counts: vec![Count::default(); classes],
+            ..Endpoint::default()
         };
     }
 }
 
 impl Build {
-    pub fn new(lanes: usize, slots: usize, free: f64) -> Build {
+    pub fn new(classes: usize, slots: usize, free: f64) -> Build {
         let (none, tallied) = (
-            vec![Count::default(); lanes],
-            vec![Tallied::default(); lanes],
+            vec![Count::default(); classes],
+            vec![Tallied::default(); classes],
         );
         Build {
             tokens: vec![free; slots],
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -1,52 +1,53 @@
-//! Counts, by kind, where the settings of another shape would have decided otherwise, while the present ones
-//! decide. It decides nothing, and what only chance would have told apart is not counted.
+//! Counts, by kind, where the settings of another shape would have decided otherwise, while the
+//! present ones decide. It decides nothing, and what only chance would have told apart is not
+//! counted.
 
-use crate::balancer::Choice;
+use crate::balancer::Balancer;
 use crate::interface::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The settings that are watched; what is not given is as at present.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shape {
-    /// Stages that take idempotent lanes only.
+pub struct AlternativeSettings {
+    /// Stages that take idempotent classes only.
     pub guarded_stages: Option<usize>,
     /// The caps of the stages.
     pub caps: Option<Vec<f64>>,
-    pub free: Option<f64>,
-    /// The cap counts each lane by itself.
-    pub by_lane: Option<bool>,
-    /// How long an appliance may be cold.
-    pub cold_for: Option<Duration>,
-    pub warm_keys: Option<bool>,
+    pub exposure_burst: Option<f64>,
+    /// The cap counts each class by itself.
+    pub cap_per_class: Option<bool>,
+    /// How long an endpoint may be cold.
+    pub slow_start_duration: Option<Duration>,
+    pub key_affinity: Option<bool>,
 }
 
-/// Deliveries that were looked at, and those that would have been decided otherwise.
+/// Attempts that were looked at, and those that would have been decided otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Otherwise {
-    pub deliveries: u64,
-    /// A lane with an effect went to a build on trial in a guarded stage.
+pub struct Divergences {
+    pub attempts: u64,
+    /// A class with an effect went to a build on trial in a guarded stage.
     pub guarded: u64,
     /// A build on trial got more than its cap allows.
     pub exposure: u64,
-    /// An appliance still counts as cold.
-    pub cold: u64,
+    /// An endpoint still counts as cold.
+    pub slow_start: u64,
     /// The home of its key stood idle.
-    pub key: u64,
+    pub affinity: u64,
 }
 
-impl Otherwise {
-    /// The counts by name, the deliveries that were looked at first.
+impl Divergences {
+    /// The counts by name, the attempts that were looked at first.
     pub fn named(&self) -> [(&'static str, u64); 5] {
-        let Otherwise {
-            deliveries,
+        let Divergences {
+            attempts,
             guarded,
             exposure,
-            cold,
-            key,
+            slow_start: cold,
+            affinity: key,
         } = *self;
         [
-            ("deliveries", deliveries),
+            ("deliveries", attempts),
             ("guarded", guarded),
             ("exposure", exposure),
             ("cold", cold),
@@ -55,33 +56,33 @@
     }
 }
 
-impl std::fmt::Display for Otherwise {
+impl std::fmt::Display for Divergences {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let counts = self.named().map(|(name, n)| format!("{name} {n}"));
         f.write_str(&counts.join(" "))
     }
 }
 
-pub struct Watch {
-    other: Deployment,
+pub struct ShadowEvaluator {
+    other: Settings,
     own_caps: bool, // none are watched: what is told stands
     tokens: BTreeMap<u32, Vec<f64>>,
-    pub counts: Otherwise,
+    pub counts: Divergences,
 }
 
-impl Watch {
+impl ShadowEvaluator {
     /// `present` with what `shape` gives in its place.
-    pub fn new(present: &Deployment, shape: &Shape) -> Watch {
+    pub fn new(present: &Settings, shape: &AlternativeSettings) -> ShadowEvaluator {
         let mut d = present.clone();
         let r = &mut d.rollout;
         r.guarded_stages = shape.guarded_stages.unwrap_or(r.guarded_stages);
         r.caps = shape.caps.clone().unwrap_or(std::mem::take(&mut r.caps));
-        r.free = shape.free.unwrap_or(r.free);
-        r.by_lane = shape.by_lane.unwrap_or(r.by_lane);
-        d.cold_for = shape.cold_for.unwrap_or(d.cold_for);
-        d.warm_keys = shape.warm_keys.unwrap_or(d.warm_keys);
-        let (tokens, counts) = (BTreeMap::new(), Otherwise::default());
-        Watch {
+        r.exposure_burst = shape.exposure_burst.unwrap_or(r.exposure_burst);
+        r.cap_per_class = shape.cap_per_class.unwrap_or(r.cap_per_class);
+        d.slow_start_duration = shape.slow_start_duration.unwrap_or(d.slow_start_duration);
+        d.key_affinity = shape.key_affinity.unwrap_or(d.key_affinity);
+        let (tokens, counts) = (BTreeMap::new(), Divergences::default());
+        ShadowEvaluator {
             other: d,
             own_caps: shape.caps.is_none(),
             tokens,
@@ -90,12 +91,12 @@
     }
 
     /// Goes on beside settings that were read anew; what was counted stays.
-    pub fn renew(&mut self, present: &Deployment, shape: &Shape) {
-        let was = std::mem::replace(self, Watch::new(present, shape));
+    pub fn reload(&mut self, present: &Settings, shape: &AlternativeSettings) {
+        let was = std::mem::replace(self, ShadowEvaluator::new(present, shape));
         self.counts = was.counts;
-        if was.other.rollout.by_lane == self.other.rollout.by_lane {
-            let slots = if self.other.rollout.by_lane {
-                self.other.lanes.len()
+        if was.other.rollout.cap_per_class == self.other.rollout.cap_per_class {
+            let slots = if self.other.rollout.cap_per_class {
+                self.other.classes.len()
             } else {
                 1
             };
@@ -105,9 +106,9 @@
     }
 
     /// The cap that the watched settings give this build, as the news stand.
-    fn cap(&self, news: Option<&News>, build: u32) -> f64 {
+    fn cap(&self, rollout_status: Option<&RolloutStatus>, build: u32) -> f64 {
         let first = self.other.rollout.caps.first().copied().unwrap_or(0.0);
-        let Some(n) = news.filter(|n| n.build == build) else {
+        let Some(n) = rollout_status.filter(|n| n.build == build) else {
             return first;
         };
         match self.other.rollout.caps.get(n.stage) {
@@ -116,54 +117,61 @@
         }
     }
 
-    /// A command has come in; told right after the module was.
-    pub fn take(&mut self, choice: &Choice, lane: usize) {
-        let (r, slot) = (self.other.rollout.clone(), self.slot(lane));
-        let slots = if r.by_lane { self.other.lanes.len() } else { 1 };
+    /// A request has come in; told right after the module was.
+    pub fn on_request(&mut self, choice: &Balancer, class: usize) {
+        let (r, slot) = (self.other.rollout.clone(), self.slot(class));
+        let slots = if r.cap_per_class {
+            self.other.classes.len()
+        } else {
+            1
+        };
         let alive = choice.builds.keys().copied().collect::<Vec<_>>();
         self.tokens.retain(|b, _| alive.contains(b));
         for build in alive {
-            let cap = self.cap(choice.news.as_ref(), build);
+            let cap = self.cap(choice.rollout_status.as_ref(), build);
             let tokens = self
                 .tokens
                 .entry(build)
-                .or_insert_with(|| vec![r.free; slots]);
+                .or_insert_with(|| vec![r.exposure_burst; slots]);
             if let Some(t) = tokens.get_mut(slot) {
-                *t = (*t + cap).min(r.free);
+                *t = (*t + cap).min(r.exposure_burst);
             }
         }
     }
 
-    fn slot(&self, lane: usize) -> usize {
-        usize::from(self.other.rollout.by_lane) * lane
+    fn slot(&self, class: usize) -> usize {
+        usize::from(self.other.rollout.cap_per_class) * class
     }
 
-    /// The module sends a command there; told right before it does, or right after.
-    pub fn sent(
+    /// The module sends a request there; told right before it does, or right after.
+    pub fn on_attempt(
         &mut self,
         now: Duration,
-        choice: &Choice,
-        lane: usize,
+        choice: &Balancer,
+        class: usize,
         key: Option<u64>,
-        appliance: usize,
+        endpoint: usize,
     ) {
-        self.counts.deliveries += 1;
-        let (Some(a), Some(l)) = (choice.fleet.get(appliance), self.other.lanes.get(lane)) else {
+        self.counts.attempts += 1;
+        let (Some(a), Some(l)) = (choice.fleet.get(endpoint), self.other.classes.get(class)) else {
             return;
         };
         let (build, trial) = (a.build, choice.on_trial(a.build));
         let stage = choice
-            .news
+            .rollout_status
             .as_ref()
             .filter(|n| n.build == build)
             .map_or(0, |n| n.stage);
-        let guarded =
-            trial && stage < self.other.rollout.guarded_stages && l.repeats != Repeats::Idempotent;
+        let guarded = trial
+            && stage < self.other.rollout.guarded_stages
+            && l.idempotency != Idempotency::Idempotent;
         self.counts.guarded += u64::from(guarded);
-        let still =
-            a.started.is_some_and(|s| s + self.other.cold_for > now) && a.cold_since.is_none();
-        self.counts.cold += u64::from(still);
-        let slot = self.slot(lane);
+        let still = a
+            .started
+            .is_some_and(|s| s + self.other.slow_start_duration > now)
+            && a.warming_since.is_none();
+        self.counts.slow_start += u64::from(still);
+        let slot = self.slot(class);
         if let Some(t) = self
             .tokens
             .get_mut(&build)
@@ -174,16 +182,16 @@
             *t -= if *t < 1.0 { 0.0 } else { 1.0 };
         }
         // What may go nowhere else, and where two are alike, is no difference.
-        if let Some(key) = key.filter(|_| self.other.warm_keys) {
+        if let Some(key) = key.filter(|_| self.other.key_affinity) {
             let fit = choice
                 .running()
-                .filter(|(_, a)| !choice.on_trial(a.build) && a.cold_since.is_none());
+                .filter(|(_, a)| !choice.on_trial(a.build) && a.warming_since.is_none());
             let home = fit.min_by(|(_, a), (_, b)| {
                 choice.distance(key, a).total_cmp(&choice.distance(key, b))
             });
             let idle =
-                home.filter(|(i, a)| *i != appliance && a.in_flight == 0 && a.aside.is_none());
-            self.counts.key += u64::from(idle.is_some() && !trial);
+                home.filter(|(i, a)| *i != endpoint && a.in_flight == 0 && a.aside.is_none());
+            self.counts.affinity += u64::from(idle.is_some() && !trial);
         }
     }
 }
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -1,8 +1,8 @@
 //! Pins every decision of five seeded days in simulated time.
 //!
-//! Each day plays two agents against modelled endpoints. Every answer, with its agent, request and time, goes into a
-//! SHA-256 digest as plain numbers, so that renamed types leave it alone and any other threshold, draw or order of
-//! decisions alters it.
+//! Each day plays two agents against modelled endpoints. Every answer, with its agent, request and
+//! time, goes into a SHA-256 digest as plain numbers, so that renamed types leave it alone and any
+//! other threshold, draw or order of decisions alters it.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -19,7 +19,7 @@
 
 #[derive(Clone)]
 struct Server {
-    entry: Listed,
+    entry: EndpointEntry,
     service_time: Duration,
     cores: usize,
     failing_share: f64,
@@ -60,7 +60,7 @@
 enum Event {
     Arrival(usize),
     Decide(usize, u64),
-    End(usize, u64, usize, Outcome),
+    AttemptEnd(usize, u64, usize, Outcome),
     Deadline(usize, u64),
     Tick(usize),
 }
@@ -72,9 +72,9 @@
     digest: Sha256,
     counts: BTreeMap<u64, u64>,
     random: Pcg64Mcg,
-    settings: Deployment,
-    agents: Vec<Choice>,
-    shadows: Vec<Watch>,
+    settings: Settings,
+    agents: Vec<Balancer>,
+    shadows: Vec<ShadowEvaluator>,
     requests: Vec<BTreeMap<u64, Pending>>,
     servers: Vec<Server>,
     events: BTreeMap<(Duration, u64), Event>,
@@ -85,16 +85,16 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, settings: Deployment, servers: Vec<Server>, rate: f64) -> Simulation {
-        let shape = Shape {
+    fn new(seed: u64, settings: Settings, servers: Vec<Server>, rate: f64) -> Simulation {
+        let shape = AlternativeSettings {
             guarded_stages: Some(2),
             caps: Some(vec![0.05, 0.1, 0.5]),
-            free: Some(1.0),
-            by_lane: Some(true),
-            cold_for: Some(ms(6000)),
-            warm_keys: Some(true),
+            exposure_burst: Some(1.0),
+            cap_per_class: Some(true),
+            slow_start_duration: Some(ms(6000)),
+            key_affinity: Some(true),
         };
-        let own = |agent: u64| Deployment {
+        let own = |agent: u64| Settings {
             seed: seed * 100 + agent,
             zone: agent as usize,
             ..settings.clone()
@@ -104,9 +104,11 @@
             digest: Sha256::new(),
             counts: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            agents: (0..2).map(|agent| Choice::new(START, own(agent))).collect(),
+            agents: (0..2)
+                .map(|agent| Balancer::new(START, own(agent)))
+                .collect(),
             shadows: (0..2)
-                .map(|agent| Watch::new(&own(agent), &shape))
+                .map(|agent| ShadowEvaluator::new(&own(agent), &shape))
                 .collect(),
             requests: vec![BTreeMap::new(), BTreeMap::new()],
             settings,
@@ -141,15 +143,17 @@
     }
 
     fn publish_list(&mut self, complete: bool) {
-        let entries: Vec<Listed> = self.servers.iter().map(|s| s.entry.clone()).collect();
+        let entries: Vec<EndpointEntry> = self.servers.iter().map(|s| s.entry.clone()).collect();
         let now = self.now;
         self.agents
             .iter_mut()
-            .for_each(|a| a.list(now, &entries, complete));
+            .for_each(|a| a.update_endpoints(now, &entries, complete));
     }
 
-    fn publish_status(&mut self, status: News) {
-        self.agents.iter_mut().for_each(|a| a.news(status.clone()));
+    fn publish_status(&mut self, status: RolloutStatus) {
+        self.agents
+            .iter_mut()
+            .for_each(|a| a.update_rollout(status.clone()));
     }
 
     fn start(&mut self, server: usize, build: u32) {
@@ -157,7 +161,7 @@
         let entry = &mut self.servers[server].entry;
         entry.build = build;
         entry.started = Some(now);
-        entry.standing = Standing::Running;
+        entry.state = EndpointState::Running;
     }
 
     /// Plays so many seconds; `script` is called at the beginning of each, with its number.
@@ -173,21 +177,26 @@
             self.now = end;
         }
         for agent in 0..2 {
-            let kept = self.agents[agent].kept().map(|n| n as u64);
+            let kept = self.agents[agent].retained_counts().map(|n| n as u64);
             let watched = self.shadows[agent].counts.named().map(|(_, n)| n);
-            let looks = self.agents[agent].looks();
+            let looks = self.agents[agent].endpoints_scanned();
             self.record(agent, 0, 90, &kept);
             self.record(agent, 0, 91, &watched);
             self.record(agent, 0, 92, &[looks]);
-            for room in self.agents[agent].rooms(self.now, 2) {
+            for room in self.agents[agent].zone_capacities(self.now, 2) {
                 let numbers = [
                     room.running,
                     room.draining,
-                    room.awake,
+                    room.responsive,
                     room.warm,
                     room.in_flight,
                 ];
-                self.record(agent, room.open.to_bits(), 93, &numbers.map(|n| n as u64));
+                self.record(
+                    agent,
+                    room.capacity.to_bits(),
+                    93,
+                    &numbers.map(|n| n as u64),
+                );
             }
         }
         let digest = self.digest.finalize();
@@ -202,17 +211,17 @@
             Event::Arrival(agent) => self.arrive(agent),
             Event::Decide(agent, id) => {
                 if self.requests[agent].get(&id).is_some_and(|r| !r.answered) {
-                    let decision = self.agents[agent].place(self.now, id);
+                    let decision = self.agents[agent].route(self.now, id);
                     self.act(agent, id, decision);
                 }
             }
-            Event::End(agent, id, attempt, outcome) => self.end(agent, id, attempt, outcome),
+            Event::AttemptEnd(agent, id, attempt, outcome) => self.end(agent, id, attempt, outcome),
             Event::Deadline(agent, id) => {
                 let Some(request) = self.requests[agent].get_mut(&id) else {
                     return;
                 };
                 if !std::mem::replace(&mut request.answered, true) {
-                    self.agents[agent].left(id);
+                    self.agents[agent].close_request(id);
                     self.record(agent, id, 80, &[]);
                 }
             }
@@ -222,13 +231,13 @@
 
     fn arrive(&mut self, agent: usize) {
         let id = self.sequence;
-        let class = self.random.gen_range(0..self.settings.lanes.len());
+        let class = self.random.gen_range(0..self.settings.classes.len());
         let left = ms(self.random.gen_range(300..1500));
         let key = self
             .random
             .gen_bool(0.7)
             .then(|| self.random.gen_range(0..200u64));
-        let customer = Some(self.random.gen_range(0..self.settings.customers.len()));
+        let tenant = Some(self.random.gen_range(0..self.settings.tenants.len()));
         let work =
             (self.hints && self.random.gen_bool(0.5)).then(|| ms(self.random.gen_range(5..200)));
         let again = self.random.gen_bool(0.05);
@@ -241,20 +250,20 @@
             answered: false,
         };
         self.requests[agent].insert(id, request);
-        self.agents[agent].take(
+        self.agents[agent].on_request(
             self.now,
             id,
-            Command {
-                lane: class,
-                customer,
+            Request {
+                class,
+                tenant,
                 key,
-                left,
-                work,
-                again,
+                time_left: left,
+                estimated_work: work,
+                is_retry: again,
             },
         );
-        self.shadows[agent].take(&self.agents[agent], class);
-        let decision = self.agents[agent].place(self.now, id);
+        self.shadows[agent].on_request(&self.agents[agent], class);
+        let decision = self.agents[agent].route(self.now, id);
         self.act(agent, id, decision);
         self.schedule(deadline, Event::Deadline(agent, id));
         let gap = -self.random.gen_range(1e-9..1.0f64).ln() / self.rate;
@@ -264,38 +273,38 @@
         );
     }
 
-    fn act(&mut self, agent: usize, id: u64, decision: Answer) {
+    fn act(&mut self, agent: usize, id: u64, decision: Decision) {
         let nanos = |t: Duration| t.as_nanos() as u64;
         match decision {
-            Answer::Send {
-                appliance,
-                time_out,
-                look,
+            Decision::Forward {
+                endpoint,
+                timeout,
+                recheck_at: look,
             } => {
-                let fields = [appliance as u64, nanos(time_out), look.map_or(0, nanos)];
+                let fields = [endpoint as u64, nanos(timeout), look.map_or(0, nanos)];
                 self.record(agent, id, 1, &fields);
-                self.forward(agent, id, appliance, time_out);
+                self.forward(agent, id, endpoint, timeout);
                 if let Some(at) = look {
                     self.schedule(at, Event::Decide(agent, id));
                 }
             }
-            Answer::NotYet { until } => {
+            Decision::Defer { until } => {
                 self.record(agent, id, 2, &[nanos(until)]);
                 self.schedule(until, Event::Decide(agent, id));
             }
-            Answer::Deny { come_back } => {
-                self.record(agent, id, 3, &[come_back.map_or(0, nanos)]);
+            Decision::Reject { retry_after } => {
+                self.record(agent, id, 3, &[retry_after.map_or(0, nanos)]);
                 self.answer(agent, id);
             }
-            Answer::Scrap => {
+            Decision::Fail => {
                 self.record(agent, id, 4, &[]);
                 self.answer(agent, id);
             }
-            Answer::Withdraw { delivery } => {
-                self.record(agent, id, 5, &[delivery as u64]);
-                self.end(agent, id, delivery, Outcome::Withdrawn);
+            Decision::Cancel { attempt } => {
+                self.record(agent, id, 5, &[attempt as u64]);
+                self.end(agent, id, attempt, Outcome::Cancelled);
             }
-            Answer::Wait => self.record(agent, id, 6, &[]),
+            Decision::Await => self.record(agent, id, 6, &[]),
         }
     }
 
@@ -305,7 +314,7 @@
         }
     }
 
-    fn forward(&mut self, agent: usize, id: u64, server: usize, time_out: Duration) {
+    fn forward(&mut self, agent: usize, id: u64, server: usize, timeout: Duration) {
         let now = self.now;
         let Some(request) = self.requests[agent].get_mut(&id) else {
             return;
@@ -317,9 +326,9 @@
             open: true,
         });
         let (class, key) = (request.class, request.key);
-        let stands = self.agents[agent].holds(now + ms(1), id, attempt);
+        let stands = self.agents[agent].attempt_allowed(now + ms(1), id, attempt);
         self.record(agent, id, 7, &[u64::from(stands)]);
-        self.shadows[agent].sent(now, &self.agents[agent], class, key, server);
+        self.shadows[agent].on_attempt(now, &self.agents[agent], class, key, server);
         let draws: [f64; 3] = [self.random.gen(), self.random.gen(), self.random.gen()];
         let s = &mut self.servers[server];
         s.running += 1;
@@ -329,22 +338,22 @@
             + distance;
         let took = Duration::from_secs_f64(took);
         let outcome = match s {
-            _ if s.refuses => Outcome::NoConnection,
-            _ if s.entry.standing == Standing::Gone => Outcome::NoConnection,
-            _ if s.running > 60 => Outcome::TurnedAway,
+            _ if s.refuses => Outcome::ConnectFailed,
+            _ if s.entry.state == EndpointState::Gone => Outcome::ConnectFailed,
+            _ if s.running > 60 => Outcome::Rejected,
             _ if draws[1] < s.failing_share => Outcome::Failed,
-            _ if draws[2] < 0.001 => Outcome::Broken,
-            _ => Outcome::Satisfied,
+            _ if draws[2] < 0.001 => Outcome::ConnectionLost,
+            _ => Outcome::Succeeded,
         };
-        let quick = matches!(outcome, Outcome::NoConnection | Outcome::TurnedAway);
+        let quick = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
         let ends = now + if quick { ms(1) } else { took };
-        let in_time = !s.unresponsive && ends < now + time_out;
+        let in_time = !s.unresponsive && ends < now + timeout;
         let (at, outcome) = if in_time {
             (ends, outcome)
         } else {
-            (now + time_out, Outcome::TimedOut)
+            (now + timeout, Outcome::TimedOut)
         };
-        self.schedule(at, Event::End(agent, id, attempt, outcome));
+        self.schedule(at, Event::AttemptEnd(agent, id, attempt, outcome));
     }
 
     fn end(&mut self, agent: usize, id: u64, number: usize, outcome: Outcome) {
@@ -358,41 +367,41 @@
         }
         let (server, took) = (attempt.server, now - attempt.sent);
         let late = now >= request.deadline;
-        request.answered |= late || outcome == Outcome::Satisfied;
+        request.answered |= late || outcome == Outcome::Succeeded;
         let closed = request.answered;
         let s = &mut self.servers[server];
         s.running -= 1;
         let told = matches!(
             outcome,
-            Outcome::Satisfied | Outcome::Failed | Outcome::TurnedAway
+            Outcome::Succeeded | Outcome::Failed | Outcome::Rejected
         );
         let held = told.then_some(s.running as f64);
-        let end = End {
+        let end = AttemptEnd {
             outcome,
-            took,
-            closed,
-            held,
+            latency: took,
+            request_closed: closed,
+            reported_load: held,
         };
-        let decision = self.agents[agent].after(now, id, number, end);
+        let decision = self.agents[agent].on_attempt_end(now, id, number, end);
         self.act(agent, id, decision);
     }
 
     fn tick(&mut self, agent: usize) {
-        let due = self.agents[agent].wait(self.now);
+        let due = self.agents[agent].poll(self.now);
         self.record(
             agent,
             0,
             10,
-            &[due.until.as_nanos() as u64, u64::from(due.watch)],
+            &[due.next_poll.as_nanos() as u64, u64::from(due.open_watch)],
         );
-        if due.watch {
-            self.agents[agent].list_failed(self.now);
+        if due.open_watch {
+            self.agents[agent].on_list_failure(self.now);
         }
         if let Some(vote) = due.vote {
             let verdict = match vote.verdict {
                 Verdict::Hold => 1,
-                Verdict::Back => 2,
-                Verdict::None => 3,
+                Verdict::RollBack => 2,
+                Verdict::Withdraw => 3,
             };
             self.record(
                 agent,
@@ -401,30 +410,31 @@
                 &[u64::from(vote.build), vote.stage as u64],
             );
             let replies = [
-                Reply::Counted,
-                Reply::Counted,
-                Reply::Moot,
-                Reply::Refused,
-                Reply::Unknown,
+                VoteReply::Counted,
+                VoteReply::Counted,
+                VoteReply::Moot,
+                VoteReply::Refused,
+                VoteReply::Unknown,
             ];
             let reply = replies[self.random.gen_range(0..replies.len())];
-            self.agents[agent].reply(self.now, reply);
+            self.agents[agent].on_vote_reply(self.now, reply);
         }
-        for server in due.asks {
+        for server in due.load_report_requests {
             self.record(agent, 0, 20, &[server as u64]);
             let held = self.servers[server].running as f64;
-            self.agents[agent].told(self.now, server, Outcome::Satisfied, Some(held));
+            self.agents[agent].on_load_report(self.now, server, Outcome::Succeeded, Some(held));
         }
         self.schedule(self.now + TICK, Event::Tick(agent));
     }
 }
 
-/// Classes of all three kinds, hints of work, load reports and probes; a drain, starts, and an outlier that stalls.
+/// Classes of all three kinds, hints of work, load reports and probes; a drain, starts, and an
+/// outlier that stalls.
 fn endpoints_come_and_go() -> (String, BTreeMap<u64, u64>) {
-    let settings = Deployment {
-        probes: true,
-        warm_keys: true,
-        withdraw: false,
+    let settings = Settings {
+        load_probes: true,
+        key_affinity: true,
+        cancellation: false,
         ..deployment(1)
     };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
@@ -432,8 +442,8 @@
     simulation.hints = true;
     simulation.play(30, |s, second| {
         match second {
-            3 => s.servers[1].entry.standing = Standing::Draining,
-            5 => s.servers[1].entry.standing = Standing::Gone,
+            3 => s.servers[1].entry.state = EndpointState::Draining,
+            5 => s.servers[1].entry.state = EndpointState::Gone,
             6 => s.start(1, 40),
             8 => s.servers[2].unresponsive = true,
             12 => s.servers[2].unresponsive = false,
@@ -448,53 +458,58 @@
     })
 }
 
-/// A build is offered stage by stage and fails; the platform's counts and the clients' reports say so, too.
+/// A build is offered stage by stage and fails; the platform's counts and the clients' reports say
+/// so, too.
 fn a_regressed_build() -> (String, BTreeMap<u64, u64>) {
-    let mut settings = Deployment {
+    let mut settings = Settings {
         agents: 12,
-        second_copies: true,
+        hedging: true,
         ..deployment(2)
     };
-    settings.rollout.tallied = true;
-    settings.rollout.back_votes = 2;
-    settings.rollout.by_lane = true;
-    settings.rollout.one_way = true;
+    settings.rollout.platform_counts = true;
+    settings.rollout.votes_to_roll_back = 2;
+    settings.rollout.cap_per_class = true;
+    settings.rollout.sticky_builds = true;
     settings.rollout.guarded_stages = 1;
     let servers = (0..16).map(|n| Server::new(n, 40)).collect();
     Simulation::new(2, settings, servers, 120.0).play(40, |s, second| {
         match second {
             4 => (0..4).for_each(|n| s.start(n, 41)),
             8 => (4..8).for_each(|n| s.start(n, 41)),
-            9 => s.publish_status(News {
-                began: s.now,
+            9 => s.publish_status(RolloutStatus {
+                since: s.now,
                 ..trial(41, 1, 0.5)
             }),
             14 => (0..8).for_each(|n| s.servers[n].failing_share = 0.25),
             20 => {
-                let tally = |build, failed| Tally {
+                let tally = |build, failed| PlatformCounts {
                     build,
-                    lane: 0,
-                    deliveries: 300.0,
+                    class: 0,
+                    attempts: 300.0,
                     failed,
-                    took: ms(40),
+                    mean_latency: ms(40),
                     age: ms(500),
                 };
-                s.agents.iter_mut().for_each(|a| a.tally(&tally(40, 2.0)));
-                s.agents[1].tally(&tally(41, 90.0));
+                s.agents
+                    .iter_mut()
+                    .for_each(|a| a.on_platform_counts(&tally(40, 2.0)));
+                s.agents[1].on_platform_counts(&tally(41, 90.0));
+            }
+            22 => {
+                (0..3).for_each(|n| s.agents[0].on_client_reported_error(s.now, n, n % 3, ms(100)))
             }
-            22 => (0..3).for_each(|n| s.agents[0].flag(s.now, n, n % 3, ms(100))),
-            26 => s.publish_status(News {
-                phase: Phase::GoingBack,
-                began: s.now,
+            26 => s.publish_status(RolloutStatus {
+                phase: RolloutPhase::RollingBack,
+                since: s.now,
                 ..trial(41, 1, 0.0)
             }),
             28 => (0..8).for_each(|n| {
                 s.start(n, 40);
                 s.servers[n].failing_share = 0.0;
             }),
-            30 => s.publish_status(News {
-                phase: Phase::Withdrawn,
-                began: s.now,
+            30 => s.publish_status(RolloutStatus {
+                phase: RolloutPhase::RolledBack,
+                since: s.now,
                 ..trial(41, 1, 0.0)
             }),
             _ => return,
@@ -505,30 +520,30 @@
 
 /// A build that needs far more work replaces the earlier one in place and is released.
 fn a_slow_build_released_in_place() -> (String, BTreeMap<u64, u64>) {
-    let mut settings = Deployment {
+    let mut settings = Settings {
         agents: 300,
         ..deployment(3)
     };
     settings.rollout.in_place = true;
-    settings.rollout.hold_votes = 3;
-    settings.rollout.back_votes = 3;
+    settings.rollout.votes_to_hold = 3;
+    settings.rollout.votes_to_roll_back = 3;
     let servers = (0..10).map(|n| Server::new(n, 40)).collect();
     Simulation::new(3, settings, servers, 100.0).play(40, |s, second| {
         match second {
             6 => (0..2).for_each(|n| s.start(n, 41)),
-            7 => s.publish_status(News {
-                began: s.now,
+            7 => s.publish_status(RolloutStatus {
+                since: s.now,
                 ..trial(41, 0, 0.2)
             }),
             12 => (2..6).for_each(|n| s.start(n, 41)),
-            13 => s.publish_status(News {
-                began: s.now,
+            13 => s.publish_status(RolloutStatus {
+                since: s.now,
                 ..trial(41, 1, 0.5)
             }),
             16 => (0..6).for_each(|n| s.servers[n].service_time = ms(110)),
-            26 => s.publish_status(News {
-                phase: Phase::Released,
-                began: s.now,
+            26 => s.publish_status(RolloutStatus {
+                phase: RolloutPhase::Released,
+                since: s.now,
                 ..trial(41, 2, 1.0)
             }),
             27 => (6..10).for_each(|n| s.start(n, 41)),
@@ -538,13 +553,14 @@
     })
 }
 
-/// More than the endpoints can do, with hedged requests before and after, and lists that are refused.
+/// More than the endpoints can do, with hedged requests before and after, and lists that are
+/// refused.
 fn overload_with_hedged_requests() -> (String, BTreeMap<u64, u64>) {
-    let settings = Deployment {
-        second_copies: true,
-        list_asked: true,
-        list_shared: true,
-        benefit_by_work: true,
+    let settings = Settings {
+        hedging: true,
+        list_polled: true,
+        shared_discovery: true,
+        weight_by_work: true,
         ..deployment(4)
     };
     let servers = (0..6).map(|n| Server::new(n, 40)).collect();
@@ -555,32 +571,35 @@
         18 => s
             .agents
             .iter_mut()
-            .for_each(|a| a.vouched = Some(s.now + ms(1500))),
-        21 => s.agents.iter_mut().for_each(|a| a.vouched = None),
+            .for_each(|a| a.list_valid_until = Some(s.now + ms(1500))),
+        21 => s.agents.iter_mut().for_each(|a| a.list_valid_until = None),
         _ => {}
     })
 }
 
-/// Settings are read anew, with a class that moves and one that is new; then one zone is cut off and comes back.
+/// Settings are read anew, with a class that moves and one that is new; then one zone is cut off
+/// and comes back.
 fn a_reload_and_a_cut_zone() -> (String, BTreeMap<u64, u64>) {
-    let settings = Deployment {
-        crossing_price: 0.2,
+    let settings = Settings {
+        cross_zone_price: 0.2,
         ..deployment(5)
     };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     Simulation::new(5, settings, servers, 100.0).play(36, |s, second| match second {
         3 => {
-            let far = Crossing {
-                draw: Some(0.3),
-                added: ms(2),
-                last: vec![true, false],
-                again_last: vec![true],
+            let far = ZonePolicy {
+                weight: Some(0.3),
+                added_latency: ms(2),
+                last_resort: vec![true, false],
+                last_resort_for_retries: vec![true],
             };
-            let told = Crossings {
+            let told = CrossZonePolicy {
                 zones: vec![far.clone(), far],
-                cold: 0.8,
+                slow_start_factor: 0.8,
             };
-            s.agents.iter_mut().for_each(|a| a.crossings(told.clone()));
+            s.agents
+                .iter_mut()
+                .for_each(|a| a.set_cross_zone_policy(told.clone()));
         }
         4 => s.publish_status(trial(41, 0, 0.2)),
         5 => {
@@ -589,31 +608,36 @@
         }
         8 => {
             let mut new = s.settings.clone();
-            let moved = new.lanes[0].clone();
-            new.lanes.push(moved);
-            new.lanes[0] = Lane {
-                quoted: ms(250),
-                benefit: 5.0,
-                repeats: Repeats::Unrepeatable,
+            let moved = new.classes[0].clone();
+            new.classes.push(moved);
+            new.classes[0] = RequestClass {
+                latency_objective: ms(250),
+                priority_weight: 5.0,
+                idempotency: Idempotency::NonIdempotent,
             };
-            new.customers.push(Customer { share: 0.1 });
-            new.rollout.by_lane = true;
-            new.rollout.one_way = true;
-            new.rollout.free = 1.5;
-            new.cold_for = ms(5000);
-            new.list_asked = true;
-            let by = Numbering {
-                lanes: vec![Origin::New, Origin::Same, Origin::Same, Origin::Was(0)],
-                customers: vec![Origin::Same, Origin::Same, Origin::New],
+            new.tenants.push(Tenant { share: 0.1 });
+            new.rollout.cap_per_class = true;
+            new.rollout.sticky_builds = true;
+            new.rollout.exposure_burst = 1.5;
+            new.slow_start_duration = ms(5000);
+            new.list_polled = true;
+            let by = IndexMapping {
+                classes: vec![
+                    IndexOrigin::New,
+                    IndexOrigin::Same,
+                    IndexOrigin::Same,
+                    IndexOrigin::MovedFrom(0),
+                ],
+                tenants: vec![IndexOrigin::Same, IndexOrigin::Same, IndexOrigin::New],
             };
             let now = s.now;
             for agent in 0..2 {
-                let held = s.agents[agent].in_hand();
-                let numbers = [held.lanes.len(), held.customers.len(), held.zones.len()];
+                let held = s.agents[agent].indices_in_use();
+                let numbers = [held.classes.len(), held.tenants.len(), held.zones.len()];
                 s.record(agent, 0, 94, &numbers.map(|n| n as u64));
-                s.agents[agent].renew(
+                s.agents[agent].reload(
                     now,
-                    &Deployment {
+                    &Settings {
                         zone: agent,
                         ..new.clone()
                     },
@@ -625,7 +649,7 @@
         12 => s
             .agents
             .iter_mut()
-            .for_each(|a| a.rezone(&[(3, 0), (4, 1)])),
+            .for_each(|a| a.reassign_zones(&[(3, 0), (4, 1)])),
         15 => (0..12)
             .step_by(2)
             .for_each(|n| s.servers[n].unresponsive = true),
@@ -635,9 +659,9 @@
         25 => s
             .agents
             .iter_mut()
-            .for_each(|a| a.crossings(Crossings::default())),
-        30 => s.agents[0].news(News {
-            phase: Phase::Released,
+            .for_each(|a| a.set_cross_zone_policy(CrossZonePolicy::default())),
+        30 => s.agents[0].update_rollout(RolloutStatus {
+            phase: RolloutPhase::Released,
             ..trial(41, 2, 1.0)
         }),
         _ => {}
@@ -646,12 +670,12 @@
 
 /// Builds that fail, time out or answer wrongly now and then, at agents that see little of them.
 fn builds_that_fail_a_little(seed: u64) -> (String, BTreeMap<u64, u64>) {
-    let mut settings = Deployment {
+    let mut settings = Settings {
         agents: 4,
         ..deployment(seed)
     };
     settings.rollout.in_place = seed.is_multiple_of(2);
-    settings.rollout.back_votes = 1 + seed as u32 % 3;
+    settings.rollout.votes_to_roll_back = 1 + seed as u32 % 3;
     let servers = (0..8).map(|n| Server::new(n, 40)).collect();
     let rate = [25.0, 40.0, 70.0][seed as usize % 3];
     let mut simulation = Simulation::new(seed, settings, servers, rate);
@@ -662,8 +686,8 @@
         match second {
             0 => s.servers[7].failing_share = 0.02,
             3 => (0..2).for_each(|n| s.start(n, 41)),
-            4 => s.publish_status(News {
-                began: s.now,
+            4 => s.publish_status(RolloutStatus {
+                since: s.now,
                 ..trial(41, 0, 0.3)
             }),
             9 => (0..2).for_each(|n| s.servers[n].failing_share = failing_share),
@@ -672,11 +696,11 @@
             14..=19 if s.hints => s
                 .agents
                 .iter_mut()
-                .for_each(|a| a.flag(s.now, 0, second as usize % 3, ms(100))),
+                .for_each(|a| a.on_client_reported_error(s.now, 0, second as usize % 3, ms(100))),
             21 => (2..4).for_each(|n| s.start(n, 41)),
-            24 => s.publish_status(News {
-                phase: Phase::Released,
-                began: s.now,
+            24 => s.publish_status(RolloutStatus {
+                phase: RolloutPhase::Released,
+                since: s.now,
                 ..trial(41, 2, 1.0)
             }),
             _ => return,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A hundred instances that share nothing: what each does is harmless, and must be so when all do it.
+//! A hundred instances that share nothing: what each does is harmless, and must be so when all do
+//! it.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,21 +10,21 @@
 mod world;
 use world::{deployment, listed, ms, trial};
 
-fn fleet(n: u32, change: fn(&mut Deployment)) -> Vec<Choice> {
+fn fleet(n: u32, change: fn(&mut Settings)) -> Vec<Balancer> {
     let each = |i: u32| {
-        let mut d = Deployment {
+        let mut d = Settings {
             agents: n,
             ..deployment(u64::from(i) + 1)
         };
         change(&mut d);
-        Choice::new(ms(1000), d)
+        Balancer::new(ms(1000), d)
     };
     (0..n).map(each).collect()
 }
 
-/// A discovery that bears so many calls a second, saved up for two; a call that it refuses costs it as much. Half a
-/// minute: when the last watch began, if all have, and the most calls in a second.
-fn discovery(agents: u32, bears: f64, change: fn(&mut Deployment)) -> (Option<Duration>, usize) {
+/// A discovery that bears so many calls a second, saved up for two; a call that it refuses costs it
+/// as much. Half a minute: when the last watch began, if all have, and the most calls in a second.
+fn discovery(agents: u32, bears: f64, change: fn(&mut Settings)) -> (Option<Duration>, usize) {
     let mut fleet = fleet(agents, change);
     let (mut watches, mut spare) = (vec![None; fleet.len()], bears * 2.0);
     let mut calls = vec![0; 31];
@@ -31,14 +32,14 @@
         let now = ms(1000 + step * 10);
         spare = (spare + bears / 100.0).min(bears * 2.0);
         for (choice, watch) in fleet.iter_mut().zip(&mut watches) {
-            if watch.is_some() || !choice.wait(now).watch {
+            if watch.is_some() || !choice.poll(now).open_watch {
                 continue;
             }
             calls[step as usize / 100] += 1;
             spare = (spare - 1.0).max(-bears * 2.0);
             match spare >= 0.0 {
                 true => *watch = Some(now - ms(1000)),
-                false => choice.list_failed(now),
+                false => choice.on_list_failure(now),
             }
         }
     }
@@ -49,9 +50,9 @@
     )
 }
 
-fn asked(d: &mut Deployment) {
-    (d.list_asked, d.list_shared) = (true, true);
-    d.rollout.votes_per_s = 16.0;
+fn asked(d: &mut Settings) {
+    (d.list_polled, d.shared_discovery) = (true, true);
+    d.rollout.votes_per_second = 16.0;
 }
 
 #[test]
@@ -73,13 +74,13 @@
     let (mut watching, mut calls) = (vec![false; 100], 0u32);
     for step in 0..12_000 {
         for (choice, watching) in fleet.iter_mut().zip(&mut watching) {
-            if *watching || !choice.wait(ms(1000 + step * 10)).watch {
+            if *watching || !choice.poll(ms(1000 + step * 10)).open_watch {
                 continue;
             }
             calls += 1;
             *watching = calls.is_multiple_of(3);
             if !*watching {
-                choice.list_failed(ms(1000 + step * 10));
+                choice.on_list_failure(ms(1000 + step * 10));
             }
         }
     }
@@ -93,32 +94,32 @@
 #[test]
 fn where_discovery_tells_unasked_the_first_call_is_at_once() {
     // What it has to tell counts as told from the start, and may be a drain.
-    let mut d = Deployment {
+    let mut d = Settings {
         agents: 100,
-        list_asked: true,
+        list_polled: true,
         ..deployment(7)
     };
-    d.rollout.votes_per_s = 16.0;
-    assert!(Choice::new(ms(1000), d).wait(ms(1000)).watch);
+    d.rollout.votes_per_second = 16.0;
+    assert!(Balancer::new(ms(1000), d).poll(ms(1000)).open_watch);
 }
 
 #[test]
 fn calls_that_no_rate_is_told_for_still_keep_a_bounded_gap() {
     for rate in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e-300] {
-        let mut d = Deployment {
+        let mut d = Settings {
             agents: 100,
-            list_asked: true,
-            list_shared: true,
+            list_polled: true,
+            shared_discovery: true,
             ..deployment(7)
         };
-        d.rollout.votes_per_s = rate;
-        let mut choice = Choice::new(ms(1000), d);
+        d.rollout.votes_per_second = rate;
+        let mut choice = Balancer::new(ms(1000), d);
         let mut calls = Vec::new();
         for step in 0..6000 {
             let now = ms(1000 + step * 10);
-            if choice.wait(now).watch {
+            if choice.poll(now).open_watch {
                 calls.push(now);
-                choice.list_failed(now);
+                choice.on_list_failure(now);
             }
         }
         assert!(
@@ -134,25 +135,29 @@
     }
 }
 
-/// What an appliance does with a delivery of this time and build: its outcome, and how long it takes.
+/// What an endpoint does with an attempt of this time and build: its outcome, and how long it
+/// takes.
 type Ways<'a> = &'a dyn Fn(&mut Pcg64Mcg, Duration, usize, u32) -> (Outcome, Duration);
 
-/// Build 1 on appliances 0 to 59; from 6 s on build 2 beside it on 60 to 64, from 10 s on all up to 95. Each of a
-/// hundred agents takes nine commands a second, for 18 s. Returns who voted, by verdict, with their first time.
+/// Build 1 on endpoints 0 to 59; from 6 s on build 2 beside it on 60 to 64, from 10 s on all up to
+/// 95. Each of a hundred agents takes nine requests a second, for 18 s. Returns who voted, by
+/// verdict, with their first time.
 fn rollout(seed: u64, ways: Ways) -> Votes {
     rush(seed, 1.0, 0.0, ways)
 }
 
 type Votes = BTreeMap<&'static str, BTreeMap<usize, Duration>>;
 
-/// The same with so many times the commands from 9 s on, and with this share of the answers of build 2 told as wrong
-/// two seconds later.
+/// The same with so many times the requests from 9 s on, and with this share of the answers of
+/// build 2 told as wrong two seconds later.
 fn rush(seed: u64, commands: f64, wrong: f64, ways: Ways) -> Votes {
     let agents = fleet(100, |d| {
-        (d.seed, d.second_copies) = (d.seed * 977, true);
-        d.lanes.iter_mut().for_each(|l| l.quoted = ms(900));
-        d.rollout.votes_per_s = 16.0;
-        d.rollout.back_votes = 5;
+        (d.seed, d.hedging) = (d.seed * 977, true);
+        d.classes
+            .iter_mut()
+            .for_each(|l| l.latency_objective = ms(900));
+        d.rollout.votes_per_second = 16.0;
+        d.rollout.votes_to_roll_back = 5;
     });
     play(
         Day {
@@ -168,10 +173,11 @@
     )
 }
 
-/// A day as above. Of `leave` a third of the clients go away after that time, if they are not answered by then.
+/// A day as above. Of `leave` a third of the clients go away after that time, if they are not
+/// answered by then.
 struct Day {
-    agents: Vec<Choice>,
-    each: f64, // commands of an agent in 5 ms
+    agents: Vec<Balancer>,
+    each: f64, // requests of an agent in 5 ms
     left: Duration,
     leave: Option<Duration>,
     seed: u64,
@@ -193,11 +199,11 @@
         wrong,
     } = day;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let list = |of: std::ops::Range<usize>, build, started| -> Vec<Listed> {
+    let list = |of: std::ops::Range<usize>, build, started| -> Vec<EndpointEntry> {
         of.map(|i| listed(i, build, started)).collect()
     };
     let mut voted = BTreeMap::<_, BTreeMap<_, _>>::new();
-    let mut out: BTreeSet<(Duration, usize, u64, usize)> = BTreeSet::new(); // when, agent, command, delivery
+    let mut out: BTreeSet<(Duration, usize, u64, usize)> = BTreeSet::new(); // when, agent, request, attempt
     let mut ends: BTreeMap<(usize, u64, usize), (Duration, Outcome, Duration)> = BTreeMap::new();
     let mut sent: BTreeMap<(usize, u64), usize> = BTreeMap::new();
     let mut served: BTreeMap<(usize, u64), usize> = BTreeMap::new();
@@ -207,45 +213,45 @@
         for (n, choice) in agents.iter_mut().enumerate() {
             match step {
                 0 => {
-                    let released = News {
-                        phase: Phase::Released,
+                    let released = RolloutStatus {
+                        phase: RolloutPhase::Released,
                         ..trial(1, 2, 1.0)
                     };
-                    choice.news(News {
-                        began: Duration::ZERO,
+                    choice.update_rollout(RolloutStatus {
+                        since: Duration::ZERO,
                         ..released
                     });
-                    choice.list(now, &list(0..60, 1, None), true);
+                    choice.update_endpoints(now, &list(0..60, 1, None), true);
                 }
-                1000 => choice.news(News {
-                    began: now,
+                1000 => choice.update_rollout(RolloutStatus {
+                    since: now,
                     ..trial(2, 0, 0.16)
                 }),
-                1200 => choice.list(now, &list(60..65, 2, Some(6900)), false),
-                1800 => choice.news(News {
-                    began: now,
+                1200 => choice.update_endpoints(now, &list(60..65, 2, Some(6900)), false),
+                1800 => choice.update_rollout(RolloutStatus {
+                    since: now,
                     ..trial(2, 1, 1.0)
                 }),
-                2000 => choice.list(now, &list(65..96, 2, Some(10_900)), false),
+                2000 => choice.update_endpoints(now, &list(65..96, 2, Some(10_900)), false),
                 _ => {}
             }
-            flags.retain(|(at, agent, appliance)| {
+            flags.retain(|(at, agent, endpoint)| {
                 if *agent == n && *at <= now {
-                    choice.flag(now, *appliance, 0, ms(2000));
+                    choice.on_client_reported_error(now, *endpoint, 0, ms(2000));
                 }
                 *agent != n || *at > now
             });
-            let due = choice.wait(now);
+            let due = choice.poll(now);
             if let Some(v) = due.vote {
                 let said = match v.verdict {
                     Verdict::Hold => "hold",
-                    Verdict::Back => "back",
-                    Verdict::None => "none",
+                    Verdict::RollBack => "back",
+                    Verdict::Withdraw => "none",
                 };
                 voted.entry(said).or_default().entry(n).or_insert(now);
-                choice.reply(now, Reply::Counted);
+                choice.on_vote_reply(now, VoteReply::Counted);
             }
-            let mut asks: Vec<(u64, Answer)> = Vec::new();
+            let mut load_report_requests: Vec<(u64, Decision)> = Vec::new();
             let dues: Vec<_> = out
                 .iter()
                 .take_while(|o| o.0 <= now)
@@ -256,92 +262,95 @@
                 out.remove(&o);
                 let at_work = (n, o.2, 0)..(n, o.2, LEAVE);
                 if o.3 == LEAVE && ends.range(at_work.clone()).next().is_some() {
-                    choice.left(o.2);
+                    choice.close_request(o.2);
                     let gone: Vec<_> = ends.range(at_work).map(|(key, e)| (*key, e.2)).collect();
                     for (key, began) in gone {
                         ends.remove(&key);
                         let took = now - began;
-                        let end = End {
-                            outcome: Outcome::Withdrawn,
-                            took,
-                            closed: true,
-                            held: None,
+                        let end = AttemptEnd {
+                            outcome: Outcome::Cancelled,
+                            latency: took,
+                            request_closed: true,
+                            reported_load: None,
                         };
-                        choice.after(now, key.1, key.2, end);
+                        choice.on_attempt_end(now, key.1, key.2, end);
                     }
                 }
                 match ends.remove(&(n, o.2, o.3)) {
                     Some((took, outcome, _)) => {
-                        let closed = outcome == Outcome::Satisfied;
-                        if let Some(appliance) = served.remove(&(n, o.2)) {
-                            if appliance >= 60 && rng.gen_bool(wrong) {
-                                flags.push((now + ms(2000), n, appliance));
+                        let closed = outcome == Outcome::Succeeded;
+                        if let Some(endpoint) = served.remove(&(n, o.2)) {
+                            if endpoint >= 60 && rng.gen_bool(wrong) {
+                                flags.push((now + ms(2000), n, endpoint));
                             }
                         }
-                        asks.push((
+                        load_report_requests.push((
                             o.2,
-                            choice.after(
+                            choice.on_attempt_end(
                                 now,
                                 o.2,
                                 o.3,
-                                End {
+                                AttemptEnd {
                                     outcome,
-                                    took,
-                                    closed,
-                                    held: None,
+                                    latency: took,
+                                    request_closed: closed,
+                                    reported_load: None,
                                 },
                             ),
                         ));
                     }
-                    None if o.3 == LOOK => asks.push((o.2, choice.place(now, o.2))),
+                    None if o.3 == LOOK => load_report_requests.push((o.2, choice.route(now, o.2))),
                     None => {}
                 }
             }
             if rng.gen_bool(each * if step > 1600 { commands } else { 1.0 }) {
-                let lane = [0, 0, 0, 0, 1, 1, 1, 1, 2][rng.gen_range(0..9)];
+                let class = [0, 0, 0, 0, 1, 1, 1, 1, 2][rng.gen_range(0..9)];
                 let id = step * 100 + n as u64;
-                choice.take(
+                choice.on_request(
                     now,
                     id,
-                    Command {
-                        lane,
-                        customer: Some(0),
+                    Request {
+                        class,
+                        tenant: Some(0),
                         key: None,
-                        left,
-                        work: None,
-                        again: false,
+                        time_left: left,
+                        estimated_work: None,
+                        is_retry: false,
                     },
                 );
                 let leaves = leave.filter(|_| rng.gen_bool(1.0 / 3.0));
                 out.extend(leaves.map(|after| (now + after, n, id, LEAVE)));
-                asks.push((id, choice.place(now, id)));
+                load_report_requests.push((id, choice.route(now, id)));
             }
-            while let Some((id, answer)) = asks.pop() {
+            while let Some((id, answer)) = load_report_requests.pop() {
                 match answer {
-                    Answer::Send {
-                        appliance, look, ..
+                    Decision::Forward {
+                        endpoint,
+                        recheck_at: look,
+                        ..
                     } => {
-                        let delivery = sent.entry((n, id)).or_default();
-                        let build = if appliance < 60 { 1 } else { 2 };
-                        let (outcome, took) = ways(&mut rng, now, appliance, build);
-                        out.insert((now + took, n, id, *delivery));
-                        ends.insert((n, id, *delivery), (took, outcome, now));
-                        *delivery += 1;
-                        served.insert((n, id), appliance);
+                        let attempt = sent.entry((n, id)).or_default();
+                        let build = if endpoint < 60 { 1 } else { 2 };
+                        let (outcome, took) = ways(&mut rng, now, endpoint, build);
+                        out.insert((now + took, n, id, *attempt));
+                        ends.insert((n, id, *attempt), (took, outcome, now));
+                        *attempt += 1;
+                        served.insert((n, id), endpoint);
                         out.extend(look.map(|at| (at, n, id, LOOK)));
                     }
-                    Answer::NotYet { until } => {
+                    Decision::Defer { until } => {
                         out.insert((until, n, id, LOOK));
                     }
-                    Answer::Withdraw { delivery } => {
-                        if let Some((took, ..)) = ends.remove(&(n, id, delivery)) {
-                            let end = End {
-                                outcome: Outcome::Withdrawn,
-                                took,
-                                closed: true,
-                                held: None,
+                    Decision::Cancel { attempt } => {
+                        if let Some((took, ..)) = ends.remove(&(n, id, attempt)) {
+                            let end = AttemptEnd {
+                                outcome: Outcome::Cancelled,
+                                latency: took,
+                                request_closed: true,
+                                reported_load: None,
                             };
-                            asks.push((id, choice.after(now, id, delivery, end)));
+                            load_report_requests
+                                .push((id, choice.on_attempt_end(now, id, attempt, end)));
                         }
                     }
                     _ => {}
@@ -352,17 +361,19 @@
     voted
 }
 
-/// Six agents, of which each sees eight commands a second that take 2.3 s each, on machines of which one in five
-/// takes six times as long; a third of the clients leave after five seconds.
+/// Six agents, of which each sees eight requests a second that take 2.3 s each, on machines of
+/// which one in five takes six times as long; a third of the clients leave after five seconds.
 fn few(seed: u64, slows: f64) -> Votes {
     let agents = fleet(6, |d| {
-        (d.seed, d.second_copies, d.crossing_price) = (d.seed * 977, true, 0.04);
-        d.lanes.iter_mut().for_each(|l| l.quoted = ms(14_000));
+        (d.seed, d.hedging, d.cross_zone_price) = (d.seed * 977, true, 0.04);
+        d.classes
+            .iter_mut()
+            .for_each(|l| l.latency_objective = ms(14_000));
     });
-    let ways = |rng: &mut Pcg64Mcg, now: Duration, appliance: usize, _: u32| {
-        let machine = if appliance % 5 == 3 { 6.0 } else { 1.0 };
+    let ways = |rng: &mut Pcg64Mcg, now: Duration, endpoint: usize, _: u32| {
+        let machine = if endpoint % 5 == 3 { 6.0 } else { 1.0 };
         let drag = if now > ms(11_000) { slows } else { 1.0 };
-        (Outcome::Satisfied, exponential(rng, 2.3 * machine * drag))
+        (Outcome::Succeeded, exponential(rng, 2.3 * machine * drag))
     };
     let leave = Some(ms(5000));
     play(
@@ -407,13 +418,13 @@
 #[test]
 fn a_good_build_beside_sick_machines_of_both_builds_is_held_by_next_to_nobody() {
     // One machine in six fails four in five while the trial gets its traffic.
-    let ways = |rng: &mut Pcg64Mcg, now: Duration, appliance: usize, _: u32| {
-        let sick = appliance % 6 == 3 && now > ms(10_000) && rng.gen_bool(0.8);
+    let ways = |rng: &mut Pcg64Mcg, now: Duration, endpoint: usize, _: u32| {
+        let sick = endpoint % 6 == 3 && now > ms(10_000) && rng.gen_bool(0.8);
         (
             if sick {
                 Outcome::Failed
             } else {
-                Outcome::Satisfied
+                Outcome::Succeeded
             },
             exponential(rng, 0.15),
         )
@@ -436,7 +447,7 @@
             if fails {
                 Outcome::Failed
             } else {
-                Outcome::Satisfied
+                Outcome::Succeeded
             },
             exponential(rng, 0.15),
         )
@@ -458,7 +469,7 @@
     for (seed, slows) in [(1, true), (2, true), (3, false), (4, false), (5, false)] {
         let ways = |rng: &mut Pcg64Mcg, now: Duration, _: usize, _: u32| {
             let mean = if slows && now > ms(11_000) { 0.5 } else { 0.15 };
-            (Outcome::Satisfied, exponential(rng, mean))
+            (Outcome::Succeeded, exponential(rng, mean))
         };
         let votes = rollout(seed, &ways);
         let back = votes.get("back").map_or(0, BTreeMap::len);
@@ -474,7 +485,7 @@
     for seed in 1..3 {
         let ways = |rng: &mut Pcg64Mcg, now: Duration, _: usize, _: u32| {
             (
-                Outcome::Satisfied,
+                Outcome::Succeeded,
                 exponential(rng, if now > ms(9500) { 0.5 } else { 0.15 }),
             )
         };
@@ -486,7 +497,7 @@
 #[test]
 fn wrong_answers_of_which_each_agent_is_told_few_are_sent_back_and_single_ones_are_not() {
     let ways = |rng: &mut Pcg64Mcg, _: Duration, _: usize, _: u32| {
-        (Outcome::Satisfied, exponential(rng, 0.15))
+        (Outcome::Succeeded, exponential(rng, 0.15))
     };
     for (seed, told) in [(1, 0.045), (2, 0.045), (3, 0.002), (4, 0.002)] {
         let votes = rush(seed, 1.0, told, &ways);
@@ -498,32 +509,35 @@
     }
 }
 
-/// Guards large fleets before the platform's first news: each decision walked all appliances for each of them, 5.2 ms
-/// at 1,024 where it takes 0.04 ms now.
+/// Guards large fleets before the platform's first news: each decision walked all endpoints for
+/// each of them, 5.2 ms at 1,024 where it takes 0.04 ms now.
 #[test]
 fn without_news_a_decision_among_a_thousand_appliances_is_no_slower_than_with() {
     let mut choice = fleet(1, |d| d.agents = 1024).remove(0);
-    let list: Vec<Listed> = (0..1024).map(|i| listed(i, 41, None)).collect();
-    choice.list(ms(1000), &list, true);
+    let list: Vec<EndpointEntry> = (0..1024).map(|i| listed(i, 41, None)).collect();
+    choice.update_endpoints(ms(1000), &list, true);
     let begun = std::time::Instant::now();
     for id in 0..200 {
-        let command = Command {
-            lane: 0,
-            customer: None,
+        let command = Request {
+            class: 0,
+            tenant: None,
             key: None,
-            left: ms(1000),
-            work: None,
-            again: false,
+            time_left: ms(1000),
+            estimated_work: None,
+            is_retry: false,
         };
-        choice.take(ms(1000), id, command);
-        assert!(matches!(choice.place(ms(1000), id), Answer::Send { .. }));
-        let end = End {
-            outcome: Outcome::Satisfied,
-            took: ms(15),
-            closed: true,
-            held: None,
+        choice.on_request(ms(1000), id, command);
+        assert!(matches!(
+            choice.route(ms(1000), id),
+            Decision::Forward { .. }
+        ));
+        let end = AttemptEnd {
+            outcome: Outcome::Succeeded,
+            latency: ms(15),
+            request_closed: true,
+            reported_load: None,
         };
-        choice.after(ms(1015), id, 0, end);
+        choice.on_attempt_end(ms(1015), id, 0, end);
     }
     assert!(begun.elapsed() < ms(2000), "{:?} for 200", begun.elapsed());
 }
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -6,24 +6,24 @@
 use tulipwall::*;
 use world::*;
 
-/// Eight appliances of build 7 that have answered, and two of build 8 on trial, warm.
-fn rollout(change: fn(&mut Deployment)) -> World {
+/// Eight endpoints of build 7 that have answered, and two of build 8 on trial, warm.
+fn rollout(change: fn(&mut Settings)) -> World {
     let mut d = deployment(11);
     change(&mut d);
     let mut w = World::new(d);
     w.list(&(0..8).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
-    w.news(News {
-        phase: Phase::Released,
+    w.rollout_status(RolloutStatus {
+        phase: RolloutPhase::Released,
         ..trial(7, 0, 1.0)
     });
-    w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
-    w.news(trial(8, 0, 0.5));
+    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
+    w.rollout_status(trial(8, 0, 0.5));
     w.list(&[listed(8, 8, Some(1100)), listed(9, 8, Some(1100))]);
     w.pass(ms(4200));
     w
 }
 
-fn failing(build: u32) -> impl Fn(&Listed) -> Outcome {
+fn failing(build: u32) -> impl Fn(&EndpointEntry) -> Outcome {
     move |e| bad(e.build == build, Outcome::Failed)
 }
 
@@ -31,7 +31,7 @@
     if is {
         outcome
     } else {
-        Outcome::Satisfied
+        Outcome::Succeeded
     }
 }
 
@@ -49,14 +49,14 @@
     assert_eq!(w.last_vote(), Some(Verdict::Hold), "{:?}", w.notes);
     assert_eq!(w.votes.last().map(|v| (v.1.build, v.1.stage)), Some((8, 0)));
     let first = w.votes.len();
-    w.choice.reply(w.now, Reply::Counted);
+    w.choice.on_vote_reply(w.now, VoteReply::Counted);
     w.serve(150, 0, ms(20), failing(8));
     assert!(w.votes.len() > first, "renewed before its life is over");
-    w.choice.reply(w.now, Reply::Counted);
-    w.serve(1200, 0, ms(20), |_| Outcome::Satisfied);
+    w.choice.on_vote_reply(w.now, VoteReply::Counted);
+    w.serve(1200, 0, ms(20), |_| Outcome::Succeeded);
     assert_eq!(
         w.last_vote(),
-        Some(Verdict::None),
+        Some(Verdict::Withdraw),
         "lifted once nothing shows"
     );
 }
@@ -97,15 +97,15 @@
         w.votes.iter().all(|v| v.1.verdict == Verdict::Hold),
         "a hold protects while it is on trial"
     );
-    w.choice.reply(w.now, Reply::Counted);
-    w.news(News {
-        phase: Phase::Released,
+    w.choice.on_vote_reply(w.now, VoteReply::Counted);
+    w.rollout_status(RolloutStatus {
+        phase: RolloutPhase::Released,
         ..trial(8, 2, 1.0)
     });
     let before = got(&w, 8);
     w.serve(200, 0, ms(20), failing(8));
     assert!(got(&w, 8) > before);
-    assert_eq!(w.last_vote(), Some(Verdict::Back));
+    assert_eq!(w.last_vote(), Some(Verdict::RollBack));
 }
 
 #[test]
@@ -121,12 +121,12 @@
 fn one_sick_machine_of_several_says_nothing_of_its_build() {
     let mut w = rollout(|_| {});
     w.list(&[listed(10, 8, Some(1100)), listed(11, 8, Some(1100))]);
-    w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
     w.serve(300, 0, ms(20), |e| {
-        if e.appliance == 8 {
+        if e.endpoint == 8 {
             Outcome::Failed
         } else {
-            Outcome::Satisfied
+            Outcome::Succeeded
         }
     });
     assert!(w.votes.is_empty(), "{:?}", w.notes);
@@ -135,31 +135,39 @@
 #[test]
 fn flagged_answers_are_failures() {
     let mut w = rollout(|_| {});
-    w.serve(100, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(100, 0, ms(20), |_| Outcome::Succeeded);
     for i in 0..6 {
-        w.choice.flag(w.now, 8 + i % 2, 0, ms(50));
+        w.choice
+            .on_client_reported_error(w.now, 8 + i % 2, 0, ms(50));
     }
     w.pass(ms(300));
     assert_eq!(w.last_vote(), Some(Verdict::Hold), "{:?}", w.notes);
 }
 
-/// The hold of one agent keeps only its own commands from the build; wrong answers come from no sick machine.
+/// The hold of one agent keeps only its own requests from the build; wrong answers come from no
+/// sick machine.
 #[test]
 fn wrong_answers_are_sent_back_once_the_hold_stands_and_failures_are_not() {
     for wrong in [true, false] {
         let mut w = rollout(|_| {});
-        w.serve(100, 0, ms(20), |_| Outcome::Satisfied);
+        w.serve(100, 0, ms(20), |_| Outcome::Succeeded);
         for i in 0..6 {
             match wrong {
-                true => w.choice.flag(w.now, 8 + i % 2, 0, ms(50)),
+                true => w
+                    .choice
+                    .on_client_reported_error(w.now, 8 + i % 2, 0, ms(50)),
                 false => w.serve(8, 0, ms(20), failing(8)),
             }
         }
         w.pass(ms(300));
         assert_eq!(w.last_vote(), Some(Verdict::Hold), "{:?}", w.notes);
-        w.choice.reply(w.now, Reply::Counted);
+        w.choice.on_vote_reply(w.now, VoteReply::Counted);
         w.pass(ms(600));
-        let then = if wrong { Verdict::Back } else { Verdict::Hold };
+        let then = if wrong {
+            Verdict::RollBack
+        } else {
+            Verdict::Hold
+        };
         assert_eq!(w.last_vote(), Some(then), "{:?}", w.notes);
     }
 }
@@ -170,8 +178,8 @@
     for _ in 0..20 {
         w.serve(5, 0, ms(20), |e| match e {
             e if e.build == 8 => Outcome::Failed,
-            e if e.appliance < 3 => Outcome::Broken,
-            _ => Outcome::Satisfied,
+            e if e.endpoint < 3 => Outcome::ConnectionLost,
+            _ => Outcome::Succeeded,
         });
     }
     assert_eq!(w.last_vote(), Some(Verdict::Hold), "{:?}", w.notes);
@@ -184,13 +192,13 @@
         w.list(&[listed(10, 8, Some(w.now.as_millis() as u64))]);
         for _ in 0..120 {
             let id = w.held.len() as u64;
-            if let Answer::Send { appliance, .. } = w.take(id, 0, ms(1500)) {
-                w.pass(if slow.contains(&appliance) {
+            if let Decision::Forward { endpoint, .. } = w.take(id, 0, ms(1500)) {
+                w.pass(if slow.contains(&endpoint) {
                     ms(45)
                 } else {
                     ms(15)
                 });
-                w.end(id, 0, Outcome::Satisfied);
+                w.end(id, 0, Outcome::Succeeded);
             }
         }
         assert_eq!(!w.votes.is_empty(), held, "{:?}", w.notes);
@@ -210,44 +218,44 @@
             w.take(id, 0, ms(1500));
             w.pass(ms(10));
             let took = |i: usize| ms(if i >= 8 { slow } else { 10 });
-            let late = |d: &Out| d.ended.is_none() && w.now - d.sent >= took(d.appliance);
+            let late = |d: &Out| d.ended.is_none() && w.now - d.sent >= took(d.endpoint);
             let over: Vec<(u64, usize)> = w
                 .held
                 .iter()
-                .filter_map(|(id, h)| Some((*id, h.deliveries.iter().position(late)?)))
+                .filter_map(|(id, h)| Some((*id, h.attempts.iter().position(late)?)))
                 .collect();
             over.into_iter()
-                .for_each(|(id, n)| w.end(id, n, Outcome::Satisfied));
+                .for_each(|(id, n)| w.end(id, n, Outcome::Succeeded));
         }
     };
     play(&mut w, 1000, 1000, 60);
     w.list(
         &(0..8)
-            .map(|i| Listed {
-                standing: Standing::Gone,
+            .map(|i| EndpointEntry {
+                state: EndpointState::Gone,
                 ..listed(i, 7, None)
             })
             .collect::<Vec<_>>(),
     );
-    w.news(News {
-        phase: Phase::Released,
+    w.rollout_status(RolloutStatus {
+        phase: RolloutPhase::Released,
         ..trial(8, 0, 1.0)
     });
     play(&mut w, 2000, 3000, 300);
-    let denied = |h: &Held| matches!(h.answers[..], [Answer::Deny { .. }]);
-    let denied = w.held.range(4000..5000).filter(|h| denied(h.1)).count();
-    assert!(denied < 300, "{denied} of the last 1000");
+    let rejected = |h: &Held| matches!(h.answers[..], [Decision::Reject { .. }]);
+    let rejected = w.held.range(4000..5000).filter(|h| rejected(h.1)).count();
+    assert!(rejected < 300, "{rejected} of the last 1000");
 }
 
 #[test]
 fn what_nobody_takes_is_denied_in_the_first_half_of_its_time() {
     let mut w = World::new(deployment(6));
-    w.news(trial(8, 0, 0.0));
+    w.rollout_status(trial(8, 0, 0.0));
     w.list(&[listed(0, 8, None)]);
     w.take(0, 2, ms(2000));
     w.pass(ms(1000));
     assert!(
-        matches!(w.held[&0].answers[..], [Answer::Deny { .. }]),
+        matches!(w.held[&0].answers[..], [Decision::Reject { .. }]),
         "{:?}",
         w.held[&0].answers
     );
@@ -261,15 +269,15 @@
     }
     w.serve(30, 0, ms(20), failing(8));
     assert_eq!(w.votes.len(), 1, "one at a time");
-    w.choice.reply(w.now, Reply::Moot);
+    w.choice.on_vote_reply(w.now, VoteReply::Moot);
     w.serve(30, 0, ms(20), failing(8));
     for n in 3..6 {
-        w.choice.reply(
+        w.choice.on_vote_reply(
             w.now,
             if n == 3 {
-                Reply::Unknown
+                VoteReply::Unknown
             } else {
-                Reply::Refused
+                VoteReply::Refused
             },
         );
         let (from, votes) = (w.now, w.votes.len());
@@ -285,46 +293,49 @@
     let mut w = rollout(|d| d.rollout.in_place = true);
     w.list(
         &(0..4)
-            .map(|i| Listed {
-                standing: Standing::Gone,
+            .map(|i| EndpointEntry {
+                state: EndpointState::Gone,
                 ..listed(i, 7, None)
             })
             .collect::<Vec<_>>(),
     );
     w.serve(250, 0, ms(20), failing(8));
-    w.choice.reply(w.now, Reply::Counted);
+    w.choice.on_vote_reply(w.now, VoteReply::Counted);
     w.serve(50, 0, ms(20), failing(8));
-    assert_eq!(w.last_vote(), Some(Verdict::Back));
+    assert_eq!(w.last_vote(), Some(Verdict::RollBack));
 }
 
 #[test]
 fn an_unannounced_build_counts_as_in_the_first_stage_and_cap_zero_closes() {
     let mut w = rollout(|_| {});
-    w.news(News {
-        phase: Phase::Released,
+    w.rollout_status(RolloutStatus {
+        phase: RolloutPhase::Released,
         ..trial(8, 2, 1.0)
     });
     w.list(&[listed(10, 9, None)]);
-    w.serve(100, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(100, 0, ms(20), |_| Outcome::Succeeded);
     let before = got(&w, 9);
     assert!(before > 0);
-    w.news(News {
-        phase: Phase::GoingBack,
+    w.rollout_status(RolloutStatus {
+        phase: RolloutPhase::RollingBack,
         ..trial(9, 0, 0.0)
     });
-    w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
     assert_eq!(got(&w, 9), before);
 }
 
 #[test]
 fn an_unrepeatable_command_is_sent_again_only_if_it_never_ran() {
     let mut w = rollout(|_| {});
-    for (id, outcome, sends) in [(900, Outcome::TurnedAway, 2), (901, Outcome::Broken, 1)] {
+    for (id, outcome, sends) in [
+        (900, Outcome::Rejected, 2),
+        (901, Outcome::ConnectionLost, 1),
+    ] {
         w.take(id, 2, ms(1500));
         w.end(id, 0, outcome);
-        assert_eq!(w.held[&id].deliveries.len(), sends);
+        assert_eq!(w.held[&id].attempts.len(), sends);
     }
-    assert_eq!(w.held[&901].answers, [Answer::Scrap], "given up at once");
+    assert_eq!(w.held[&901].answers, [Decision::Fail], "given up at once");
 }
 
 #[test]
@@ -334,20 +345,19 @@
     for id in 1000..1120 {
         w.take(id, 0, ms(1500));
         w.pass(ms(20));
-        for n in 0..w.held[&id].deliveries.len() {
-            let d = &w.held[&id].deliveries[n];
-            if d.ended.is_none() && d.appliance != silent {
-                w.end(id, n, Outcome::Satisfied);
+        for n in 0..w.held[&id].attempts.len() {
+            let d = &w.held[&id].attempts[n];
+            if d.ended.is_none() && d.endpoint != silent {
+                w.end(id, n, Outcome::Succeeded);
             }
         }
     }
     w.pass(ms(2000));
-    let saved =
-        |h: &Held| h.deliveries.len() > 1 && h.deliveries.iter().any(|d| d.appliance == silent);
+    let saved = |h: &Held| h.attempts.len() > 1 && h.attempts.iter().any(|d| d.endpoint == silent);
     assert!(w.held.values().any(saved), "what it held went elsewhere");
     let before = w.sends.iter().filter(|s| s.1 == silent).count();
     assert!(before < 12, "{before} to a silent appliance");
-    w.serve(600, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(600, 0, ms(20), |_| Outcome::Succeeded);
     assert!(
         w.sends.iter().filter(|s| s.1 == silent).count() > before + 20,
         "back in use"
@@ -356,9 +366,9 @@
 
 #[test]
 fn under_overload_what_is_worth_least_is_denied_at_once_with_a_time_to_come_back() {
-    let mut w = World::new(Deployment {
-        benefit_by_work: true,
-        customers: Vec::new(),
+    let mut w = World::new(Settings {
+        weight_by_work: true,
+        tenants: Vec::new(),
         ..deployment(2)
     });
     w.list(&(0..4).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
@@ -369,41 +379,48 @@
             let oldest = w
                 .held
                 .iter()
-                .find(|h| h.1.deliveries.iter().any(|d| d.ended.is_none()));
+                .find(|h| h.1.attempts.iter().any(|d| d.ended.is_none()));
             let (id, h) = oldest.unwrap();
             let (id, n) = (
                 *id,
-                h.deliveries.iter().position(|d| d.ended.is_none()).unwrap(),
+                h.attempts.iter().position(|d| d.ended.is_none()).unwrap(),
             );
-            w.end(id, n, Outcome::Satisfied);
+            w.end(id, n, Outcome::Succeeded);
         }
     }
-    let denied = |lane| {
-        let of = w.held.values().filter(|h| h.lane == lane);
-        of.filter(|h| matches!(h.answers[..], [Answer::Deny { come_back: Some(_) }]))
-            .count()
+    let rejected = |class| {
+        let of = w.held.values().filter(|h| h.class == class);
+        of.filter(|h| {
+            matches!(
+                h.answers[..],
+                [Decision::Reject {
+                    retry_after: Some(_)
+                }]
+            )
+        })
+        .count()
     };
     assert!(
-        denied(0) > denied(2) && denied(0) > 100,
+        rejected(0) > rejected(2) && rejected(0) > 100,
         "{} {}",
-        denied(0),
-        denied(2)
+        rejected(0),
+        rejected(2)
     );
     let kept =
-        |h: &Held| h.deliveries.is_empty() || !matches!(h.answers[..], [Answer::Deny { .. }]);
+        |h: &Held| h.attempts.is_empty() || !matches!(h.answers[..], [Decision::Reject { .. }]);
     assert!(w.held.values().all(kept));
 }
 
 #[test]
 fn a_failing_list_is_asked_less_and_less_often_but_always_again() {
     let mut d = deployment(3);
-    d.list_asked = true;
+    d.list_polled = true;
     let mut w = World::new(d);
     w.pass(ms(100));
     let mut waits = Vec::new();
     for n in 2..8 {
         let from = w.now;
-        w.choice.list_failed(w.now);
+        w.choice.on_list_failure(w.now);
         while w.watches < n {
             w.pass(ms(10));
         }
@@ -418,10 +435,10 @@
 #[test]
 fn what_a_complete_list_lacks_is_gone() {
     let mut w = rollout(|_| {});
-    let kept: Vec<Listed> = (0..3).map(|i| listed(i, 7, None)).collect();
-    w.choice.list(w.now, &kept, true);
+    let kept: Vec<EndpointEntry> = (0..3).map(|i| listed(i, 7, None)).collect();
+    w.choice.update_endpoints(w.now, &kept, true);
     let before = w.sends.len();
-    w.serve(60, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
     assert!(w.sends[before..].iter().all(|s| s.1 < 3));
 }
 
@@ -430,11 +447,7 @@
     let mut w = rollout(|d| d.rollout.caps[0] = 1.0);
     for id in 9000..9200 {
         w.take(id, 0, ms(1500));
-        while let Some(n) = w.held[&id]
-            .deliveries
-            .iter()
-            .position(|d| d.ended.is_none())
-        {
+        while let Some(n) = w.held[&id].attempts.iter().position(|d| d.ended.is_none()) {
             w.pass(ms(10));
             w.end(
                 id,
@@ -442,7 +455,7 @@
                 if id % 3 == 0 {
                     Outcome::Failed
                 } else {
-                    Outcome::Satisfied
+                    Outcome::Succeeded
                 },
             );
         }
@@ -455,9 +468,7 @@
         .filter(|n| n.starts_with("set aside"))
         .count();
     assert!(aside < 4, "{:?}", w.notes);
-    let retries: usize = (9100..9200)
-        .map(|id| w.held[&id].deliveries.len() - 1)
-        .sum();
+    let retries: usize = (9100..9200).map(|id| w.held[&id].attempts.len() - 1).sum();
     assert!(
         retries < 20,
         "what fails anywhere is hardly tried again: {retries}"
@@ -467,15 +478,15 @@
 #[test]
 fn after_an_own_stall_nobody_counts_as_silent_and_a_late_answer_gets_a_second_copy_in_time() {
     for stalled in [true, false] {
-        let mut w = rollout(|d| d.second_copies = true);
+        let mut w = rollout(|d| d.hedging = true);
         w.take(7000, 0, ms(1500));
         if stalled {
             w.now += ms(300);
-            let answer = w.choice.place(w.now, 7000);
-            assert!(matches!(answer, Answer::NotYet { .. }), "{answer:?}");
+            let answer = w.choice.route(w.now, 7000);
+            assert!(matches!(answer, Decision::Defer { .. }), "{answer:?}");
         } else {
-            w.pass(w.d.lanes[0].quoted.mul_f64(0.55));
-            assert_eq!(w.held[&7000].deliveries.len(), 2);
+            w.pass(w.d.classes[0].latency_objective.mul_f64(0.55));
+            assert_eq!(w.held[&7000].attempts.len(), 2);
         }
     }
 }
@@ -483,53 +494,53 @@
 #[test]
 fn earlier_appliances_that_stay_until_the_release_leave_their_load_to_the_trial() {
     let mut w = rollout(|d| d.rollout.caps[0] = 1.0);
-    w.news(trial(8, 2, 1.0));
+    w.rollout_status(trial(8, 2, 1.0));
     w.list(
         &(8..16)
             .map(|i| listed(i, 8, Some(1100)))
             .collect::<Vec<_>>(),
     );
     let before = got(&w, 8);
-    w.serve(200, 0, ms(20), |_| Outcome::Satisfied);
+    w.serve(200, 0, ms(20), |_| Outcome::Succeeded);
     assert!(got(&w, 8) - before > 150, "{}", got(&w, 8) - before);
 }
 
-/// Where commands go when the other zone's appliances (odd ones) are told of like this.
-fn sides(far: Crossing, lane: usize, entries: &[Listed]) -> [usize; 2] {
+/// Where requests go when the other zone's endpoints (odd ones) are told of like this.
+fn sides(far: ZonePolicy, class: usize, entries: &[EndpointEntry]) -> [usize; 2] {
     let mut w = World::new(deployment(3));
     w.list(entries);
-    w.choice.crossings(Crossings {
-        zones: vec![Crossing::default(), far],
-        cold: 1.0,
+    w.choice.set_cross_zone_policy(CrossZonePolicy {
+        zones: vec![ZonePolicy::default(), far],
+        slow_start_factor: 1.0,
     });
-    w.serve(200, lane, ms(10), |_| Outcome::Satisfied);
+    w.serve(200, class, ms(10), |_| Outcome::Succeeded);
     let far = w.sends.iter().filter(|(_, i)| i % 2 == 1).count();
     [w.sends.len() - far, far]
 }
 
 #[test]
 fn what_is_told_of_crossing_weighs_and_what_crosses_last_goes_only_where_nothing_near_can() {
-    let four: Vec<Listed> = (0..4).map(|i| listed(i, 7, None)).collect();
+    let four: Vec<EndpointEntry> = (0..4).map(|i| listed(i, 7, None)).collect();
     let [near, far] = sides(
-        Crossing {
-            draw: Some(0.1),
-            ..Crossing::default()
+        ZonePolicy {
+            weight: Some(0.1),
+            ..ZonePolicy::default()
         },
         0,
         &four,
     );
     assert!(far > 3 && near > 4 * far, "{near} {far}");
-    let last = Crossing {
-        draw: Some(1.0),
-        last: vec![true, false, false],
-        ..Crossing::default()
+    let last = ZonePolicy {
+        weight: Some(1.0),
+        last_resort: vec![true, false, false],
+        ..ZonePolicy::default()
     };
     assert_eq!(sides(last.clone(), 0, &four), [200, 0]);
     let [_, other_lane] = sides(last.clone(), 2, &four);
     assert!(other_lane > 50, "only the lanes that are named");
-    let drained: Vec<Listed> = (0..4)
-        .map(|i| Listed {
-            standing: [Standing::Draining, Standing::Running][i % 2],
+    let drained: Vec<EndpointEntry> = (0..4)
+        .map(|i| EndpointEntry {
+            state: [EndpointState::Draining, EndpointState::Running][i % 2],
             ..listed(i, 7, None)
         })
         .collect();
@@ -542,19 +553,19 @@
     w.list(&[listed(0, 7, None)]);
     assert_eq!(
         w.choice
-            .rooms(w.now, 2)
+            .zone_capacities(w.now, 2)
             .iter()
             .map(|r| r.running)
             .collect::<Vec<_>>(),
         [1, 0]
     );
-    w.list(&[Listed {
+    w.list(&[EndpointEntry {
         zone: 1,
         ..listed(0, 7, None)
     }]);
     assert_eq!(
         w.choice
-            .rooms(w.now, 2)
+            .zone_capacities(w.now, 2)
             .iter()
             .map(|r| r.running)
             .collect::<Vec<_>>(),
@@ -562,21 +573,22 @@
     );
 }
 
-/// One appliance lost its answer; whatever its group remembers or not, the answer is final and comes in time.
-fn lost_once(window: Duration, passes: Duration) -> (World, Vec<Answer>) {
+/// One endpoint lost its answer; whatever its group remembers or not, the answer is final and comes
+/// in time.
+fn lost_once(window: Duration, passes: Duration) -> (World, Vec<Decision>) {
     let mut d = deployment(11);
-    d.lanes[1].repeats = Repeats::Deduplicated {
-        group: Group::All,
+    d.classes[1].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window,
     };
     let mut w = World::new(d);
     w.list(&[listed(0, 7, None)]);
     w.take(1, 1, ms(2000));
-    w.list(&[Listed {
-        standing: Standing::Draining,
+    w.list(&[EndpointEntry {
+        state: EndpointState::Draining,
         ..listed(0, 7, None)
     }]);
-    w.end(1, 0, Outcome::Broken);
+    w.end(1, 0, Outcome::ConnectionLost);
     w.pass(passes);
     let answers = w.held[&1].answers.clone();
     (w, answers)
@@ -586,7 +598,7 @@
 fn a_deduplicated_command_whose_repeat_is_forgotten_is_scrapped_at_once() {
     assert_eq!(
         lost_once(ms(300), ms(400)).1,
-        [Answer::Scrap],
+        [Decision::Fail],
         "nothing may go out any more, nor a retry come"
     );
     assert!(
@@ -598,8 +610,8 @@
 #[test]
 fn a_delivery_holds_until_its_commands_time_is_over_and_a_repeat_while_it_is_remembered() {
     let mut d = deployment(11);
-    d.lanes[1].repeats = Repeats::Deduplicated {
-        group: Group::All,
+    d.classes[1].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: ms(300),
     };
     let mut w = World::new(d);
@@ -607,33 +619,34 @@
     w.take(1, 1, ms(1000));
     let first = w.now;
     assert!(
-        w.choice.holds(first + ms(900), 1, 0),
+        w.choice.attempt_allowed(first + ms(900), 1, 0),
         "the first one repeats nothing, however late"
     );
-    assert!(!w.choice.holds(first + ms(1000), 1, 0));
-    w.end(1, 0, Outcome::Broken);
-    assert_eq!(w.held[&1].deliveries.len(), 2);
-    assert!(w.choice.holds(first + ms(290), 1, 1));
-    assert!(!w.choice.holds(first + ms(300), 1, 1));
+    assert!(!w.choice.attempt_allowed(first + ms(1000), 1, 0));
+    w.end(1, 0, Outcome::ConnectionLost);
+    assert_eq!(w.held[&1].attempts.len(), 2);
+    assert!(w.choice.attempt_allowed(first + ms(290), 1, 1));
+    assert!(!w.choice.attempt_allowed(first + ms(300), 1, 1));
     assert!(
-        !w.choice.holds(first, 1, 2) && !w.choice.holds(first, 2, 0),
+        !w.choice.attempt_allowed(first, 1, 2) && !w.choice.attempt_allowed(first, 2, 0),
         "what was never decided"
     );
 }
 
-/// One of four agents of which two must agree, and the earlier build's quick answers; then build 8 on trial.
+/// One of four agents of which two must agree, and the earlier build's quick answers; then build 8
+/// on trial.
 fn agreeing() -> World {
-    rollout(|d| (d.agents, d.rollout.back_votes) = (4, 2))
+    rollout(|d| (d.agents, d.rollout.votes_to_roll_back) = (4, 2))
 }
 
 fn sent_back(w: &World, build: u32) -> bool {
     w.votes
         .iter()
-        .any(|(_, v)| v.build == build && v.verdict == Verdict::Back)
+        .any(|(_, v)| v.build == build && v.verdict == Verdict::RollBack)
 }
 
-/// Guards against a build that slows all so much that hardly an answer comes: what came was quick enough. Sends back a
-/// good one where appliances hang while the other answers are slow.
+/// Guards against a build that slows all so much that hardly an answer comes: what came was quick
+/// enough. Sends back a good one where endpoints hang while the other answers are slow.
 #[test]
 fn what_is_still_out_tells_of_a_build_that_slows_all_before_its_answers_do() {
     for hangs in [true, false] {
@@ -643,7 +656,7 @@
             w.take(id, 0, ms(6000));
             w.pass(ms(30));
             if n % 4 == 0 || !hangs {
-                w.end(id, 0, Outcome::Satisfied);
+                w.end(id, 0, Outcome::Succeeded);
             }
             w.pass(ms(20));
         }
@@ -655,16 +668,16 @@
 #[test]
 fn a_build_is_judged_by_what_the_fleet_bore_under_the_one_released_before_it() {
     let mut w = agreeing();
-    w.news(News {
-        phase: Phase::Released,
+    w.rollout_status(RolloutStatus {
+        phase: RolloutPhase::Released,
         ..trial(8, 0, 1.0)
     });
-    w.serve(50, 0, ms(100), |_| Outcome::Satisfied);
-    w.news(trial(9, 0, 0.5));
+    w.serve(50, 0, ms(100), |_| Outcome::Succeeded);
+    w.rollout_status(trial(9, 0, 0.5));
     w.list(&[
         listed(10, 9, Some(w.now.as_millis() as u64)),
         listed(11, 9, Some(w.now.as_millis() as u64)),
     ]);
-    w.serve(30, 0, ms(100), |_| Outcome::Satisfied);
+    w.serve(30, 0, ms(100), |_| Outcome::Succeeded);
     assert!(!sent_back(&w, 9), "{:?}", w.notes);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Seeded random runs: whatever the lists, the news, the outcomes and the stops, each rule holds after every step.
+//! Seeded random runs: whatever the lists, the news, the outcomes and the stops, each rule holds
+//! after every step.
 
 mod world;
 
@@ -7,22 +8,26 @@
 use world::*;
 
 const OUTCOMES: [Outcome; 8] = [
-    Outcome::Satisfied,
-    Outcome::Satisfied,
+    Outcome::Succeeded,
+    Outcome::Succeeded,
     Outcome::Failed,
-    Outcome::TurnedAway,
-    Outcome::NoConnection,
-    Outcome::Broken,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionLost,
     Outcome::NotSent,
-    Outcome::Satisfied,
+    Outcome::Succeeded,
 ];
 
 /// Plays one script; `World` checks the rules after every step.
-fn play(mut d: Deployment, script: &[(u8, u8)]) {
-    let groups = [Group::All, Group::Zone, Group::Cell];
+fn play(mut d: Settings, script: &[(u8, u8)]) {
+    let groups = [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ];
     let pick = script.first().map_or(0, |s| s.0 as usize);
-    d.lanes[1].repeats = Repeats::Deduplicated {
-        group: groups[pick % 3],
+    d.classes[1].idempotency = Idempotency::Keyed {
+        scope: groups[pick % 3],
         window: ms(900),
     };
     let mut w = World::new(d);
@@ -39,13 +44,13 @@
                 w.end_at(i, OUTCOMES[*how as usize % 8]);
             }
             9 => {
-                w.list(&[Listed {
-                    standing: Standing::Draining,
+                w.list(&[EndpointEntry {
+                    state: EndpointState::Draining,
                     ..listed(i, build, None)
                 }]);
             }
-            10 => w.list(&[Listed {
-                standing: Standing::Gone,
+            10 => w.list(&[EndpointEntry {
+                state: EndpointState::Gone,
                 ..listed(i, build, None)
             }]),
             11 => {
@@ -54,35 +59,41 @@
             }
             12 => {
                 let phases = [
-                    Phase::Trial,
-                    Phase::Trial,
-                    Phase::Released,
-                    Phase::GoingBack,
+                    RolloutPhase::Canary,
+                    RolloutPhase::Canary,
+                    RolloutPhase::Released,
+                    RolloutPhase::RollingBack,
                 ];
                 let phase = phases[i % 4];
-                build += u32::from(phase == Phase::Released);
-                let cap = if phase == Phase::GoingBack {
+                build += u32::from(phase == RolloutPhase::Released);
+                let cap = if phase == RolloutPhase::RollingBack {
                     0.0
                 } else {
                     [0.2, 0.5, 1.0][i % 3]
                 };
-                w.news(News {
+                w.rollout_status(RolloutStatus {
                     build: build + 1,
                     stage: i % 3,
                     phase,
                     cap,
-                    began: w.now,
+                    since: w.now,
                 });
             }
             13 => {
-                w.choice.flag(w.now, i, *how as usize % 3, ms(100));
+                w.choice
+                    .on_client_reported_error(w.now, i, *how as usize % 3, ms(100));
             }
             14 => {
-                let all = [Reply::Counted, Reply::Moot, Reply::Refused, Reply::Unknown];
-                w.choice.reply(w.now, all[i % 4]);
-                w.choice.list_failed(w.now);
+                let all = [
+                    VoteReply::Counted,
+                    VoteReply::Moot,
+                    VoteReply::Refused,
+                    VoteReply::Unknown,
+                ];
+                w.choice.on_vote_reply(w.now, all[i % 4]);
+                w.choice.on_list_failure(w.now);
             }
-            15 if w.d.crossing_price > 0.1 => w.choice.crossings(crossings(*how)),
+            15 if w.d.cross_zone_price > 0.1 => w.choice.set_cross_zone_policy(crossings(*how)),
             _ => w.pass(ms(u64::from(*how))),
         }
         if *what > 200 {
@@ -96,18 +107,18 @@
     );
 }
 
-/// What crossing means, drawn anew: any draws, any lanes that cross last, any part for cold ones.
-fn crossings(how: u8) -> Crossings {
-    let bits = |n: u8| (0..3).map(|lane| how >> (lane + n) & 1 == 1).collect();
-    let far = Crossing {
-        draw: (!how.is_multiple_of(3)).then(|| f64::from(how % 16) / 15.0),
-        added: ms(u64::from(how)),
-        last: bits(0),
-        again_last: bits(3),
+/// What crossing means, drawn anew: any draws, any classes that cross last, any part for cold ones.
+fn crossings(how: u8) -> CrossZonePolicy {
+    let bits = |n: u8| (0..3).map(|class| how >> (class + n) & 1 == 1).collect();
+    let far = ZonePolicy {
+        weight: (!how.is_multiple_of(3)).then(|| f64::from(how % 16) / 15.0),
+        added_latency: ms(u64::from(how)),
+        last_resort: bits(0),
+        last_resort_for_retries: bits(3),
     };
-    Crossings {
-        zones: vec![Crossing::default(), far],
-        cold: 0.2 + f64::from(how % 5) / 5.0,
+    CrossZonePolicy {
+        zones: vec![ZonePolicy::default(), far],
+        slow_start_factor: 0.2 + f64::from(how % 5) / 5.0,
     }
 }
 
@@ -127,9 +138,9 @@
 fn asked_list_cap_by_lane_and_guarded_stage() {
     check(2, |script| {
         let mut d = deployment(2);
-        (d.list_asked, d.come_back) = (true, None);
+        (d.list_polled, d.retry_after) = (true, None);
         (
-            d.rollout.by_lane,
+            d.rollout.cap_per_class,
             d.rollout.guarded_stages,
             d.rollout.in_place,
         ) = (true, 1, true);
@@ -141,7 +152,7 @@
 fn second_copies_one_way_keys_and_priced_crossing() {
     check(3, |script| {
         let mut d = deployment(3);
-        (d.second_copies, d.crossing_price, d.rollout.one_way) = (true, 0.04, true);
+        (d.hedging, d.cross_zone_price, d.rollout.sticky_builds) = (true, 0.04, true);
         play(d, &script);
     });
 }
@@ -150,8 +161,8 @@
 fn no_withdrawing_no_customers_no_votes() {
     check(4, |script| {
         let mut d = deployment(4);
-        (d.withdraw, d.rollout.by_clock, d.benefit_by_work) = (false, false, true);
-        d.customers.clear();
+        (d.cancellation, d.rollout.timed_stages, d.weight_by_work) = (false, false, true);
+        d.tenants.clear();
         play(d, &script);
     });
 }
@@ -160,7 +171,7 @@
 fn crossings_told_anew_again_and_again() {
     check(5, |script| {
         let mut d = deployment(5);
-        (d.second_copies, d.crossing_price) = (true, 0.2);
+        (d.hedging, d.cross_zone_price) = (true, 0.2);
         play(d, &script);
     });
 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,5 +1,5 @@
-//! Fleets of another shape: hundreds of agents with little traffic each, two kinds of machines, load reports,
-//! warm keys, guarded stages, tallies, places that are taken over one by one.
+//! Fleets of another shape: hundreds of agents with little traffic each, two kinds of machines,
+//! load reports, warm keys, guarded stages, tallies, places that are taken over one by one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,72 +8,78 @@
 mod world;
 use world::{deployment, listed, ms, trial, World};
 
-fn shape(seed: u64, agents: u32) -> Deployment {
-    let mut d = Deployment {
+fn shape(seed: u64, agents: u32) -> Settings {
+    let mut d = Settings {
         agents,
-        second_copies: true,
-        warm_keys: true,
-        probes: true,
+        hedging: true,
+        key_affinity: true,
+        load_probes: true,
         ..deployment(seed)
     };
-    (d.fall_multiple, d.customers) = (2.0, Vec::new());
+    (d.overload_factor, d.tenants) = (2.0, Vec::new());
     let r = &mut d.rollout;
-    (r.guarded_stages, r.by_lane, r.in_place, r.tallied) = (1, true, true, true);
-    (r.caps, r.back_votes, r.hold_votes) = (vec![0.048, 0.3, 1.0], agents / 4, agents / 3);
+    (
+        r.guarded_stages,
+        r.cap_per_class,
+        r.in_place,
+        r.platform_counts,
+    ) = (1, true, true, true);
+    (r.caps, r.votes_to_roll_back, r.votes_to_hold) =
+        (vec![0.048, 0.3, 1.0], agents / 4, agents / 3);
     d
 }
 
-fn fleet(agents: u32) -> Vec<Choice> {
+fn fleet(agents: u32) -> Vec<Balancer> {
     (0..agents)
-        .map(|i| Choice::new(ms(1000), shape(u64::from(i) * 977 + 1, agents)))
+        .map(|i| Balancer::new(ms(1000), shape(u64::from(i) * 977 + 1, agents)))
         .collect()
 }
 
-fn entries(of: std::ops::Range<usize>, build: u32, started: Option<u64>) -> Vec<Listed> {
-    of.map(|i| Listed {
+fn entries(of: std::ops::Range<usize>, build: u32, started: Option<u64>) -> Vec<EndpointEntry> {
+    of.map(|i| EndpointEntry {
         zone: 0,
-        kind: i % 2,
+        endpoint_type: i % 2,
         ..listed(i, build, started)
     })
     .collect()
 }
 
-fn command(lane: usize, key: u64) -> Command {
-    Command {
-        lane,
-        customer: None,
+fn command(class: usize, key: u64) -> Request {
+    Request {
+        class,
+        tenant: None,
         key: Some(key),
-        left: ms(1500),
-        work: None,
-        again: false,
+        time_left: ms(1500),
+        estimated_work: None,
+        is_retry: false,
     }
 }
 
-/// Where a command of this key goes; answered at once.
-fn sent(choice: &mut Choice, now: Duration, id: u64, lane: usize, key: u64) -> Option<usize> {
-    choice.take(now, id, command(lane, key));
-    let mut answer = choice.place(now, id);
-    if let Answer::NotYet { until } = answer {
-        choice.wait(now);
-        answer = choice.place(until, id);
+/// Where a request of this key goes; answered at once.
+fn sent(choice: &mut Balancer, now: Duration, id: u64, class: usize, key: u64) -> Option<usize> {
+    choice.on_request(now, id, command(class, key));
+    let mut answer = choice.route(now, id);
+    if let Decision::Defer { until } = answer {
+        choice.poll(now);
+        answer = choice.route(until, id);
     }
     match answer {
-        Answer::Send { appliance, .. } => Some(appliance),
+        Decision::Forward { endpoint, .. } => Some(endpoint),
         _ => None,
     }
 }
 
-/// Against all agents choosing the one idle appliance of the same old report.
+/// Against all agents choosing the one idle endpoint of the same old report.
 #[test]
 fn four_hundred_agents_on_one_stale_report_do_not_all_choose_the_idle_appliance() {
     let mut got = BTreeMap::<usize, usize>::new();
     for (n, choice) in fleet(400).iter_mut().enumerate() {
-        choice.list(ms(1000), &entries(0..20, 1, None), true);
+        choice.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
         (0..20).for_each(|i| {
-            choice.told(
+            choice.on_load_report(
                 ms(1000),
                 i,
-                Outcome::Satisfied,
+                Outcome::Succeeded,
                 Some(if i == 7 { 0.0 } else { 6.0 }),
             )
         });
@@ -84,19 +90,21 @@
     assert!(got[&7] > 20, "and yet more than its share: {got:?}");
 }
 
-/// Against a key so popular that its home would overflow; and homes must be the same for all while they can bear it.
+/// Against a key so popular that its home would overflow; and homes must be the same for all while
+/// they can bear it.
 #[test]
 fn a_key_has_one_home_for_all_until_that_is_busy() {
     let homes = |load: f64| {
         let mut got = BTreeMap::<usize, usize>::new();
         for choice in &mut fleet(100) {
-            choice.list(ms(1000), &entries(0..20, 1, None), true);
-            (0..20).for_each(|i| choice.told(ms(1000), i, Outcome::Satisfied, Some(4.0)));
-            // Another key between them: one that comes again at once is warm anywhere and has no home.
+            choice.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
+            (0..20).for_each(|i| choice.on_load_report(ms(1000), i, Outcome::Succeeded, Some(4.0)));
+            // Another key between them: one that comes again at once is warm anywhere and has no
+            // home.
             if let Some(home) = sent(choice, ms(1100), 1, 0, 4711) {
                 let others = (10..50).filter_map(|n| sent(choice, ms(1150), n, 0, n));
                 assert_eq!(others.count(), 40);
-                choice.told(ms(1200), home, Outcome::Satisfied, Some(load));
+                choice.on_load_report(ms(1200), home, Outcome::Succeeded, Some(load));
                 *got.entry(sent(choice, ms(1210), 2, 0, 4711).unwrap())
                     .or_default() += 1;
             }
@@ -107,32 +115,33 @@
     assert!(homes(40.0) < 30, "{}", homes(40.0));
 }
 
-fn tally(build: u32, lane: usize, deliveries: f64, failed: f64, took: u64) -> Tally {
-    Tally {
+fn tally(build: u32, class: usize, attempts: f64, failed: f64, took: u64) -> PlatformCounts {
+    PlatformCounts {
         build,
-        lane,
-        deliveries,
+        class,
+        attempts,
         failed,
-        took: ms(took),
+        mean_latency: ms(took),
         age: ms(1000),
     }
 }
 
 /// Five seconds of tallies of an earlier build and a trial; the verdict then.
-fn verdict(stage: usize, earlier: Tally, of_trial: Tally) -> Option<Verdict> {
+fn verdict(stage: usize, earlier: PlatformCounts, of_trial: PlatformCounts) -> Option<Verdict> {
     let mut w = World::new(shape(5, 400));
     w.list(&entries(0..20, 7, None));
     w.list(&entries(20..22, 8, Some(900)));
-    w.news(trial(8, stage, 0.3));
+    w.rollout_status(trial(8, stage, 0.3));
     for _ in 0..5 {
-        w.choice.tally(&earlier);
-        w.choice.tally(&of_trial);
+        w.choice.on_platform_counts(&earlier);
+        w.choice.on_platform_counts(&of_trial);
         w.pass(ms(1000));
     }
     w.last_vote()
 }
 
-/// Against a good build taken for slow as nothing is warm yet; harms where a build is only a little slower.
+/// Against a good build taken for slow as nothing is warm yet; harms where a build is only a little
+/// slower.
 #[test]
 fn a_good_build_without_warm_keys_is_let_on_by_the_tallies_and_a_slow_one_is_not() {
     assert_eq!(
@@ -140,14 +149,14 @@
         None
     );
     let slow = verdict(1, tally(7, 0, 200.0, 1.0, 100), tally(8, 0, 20.0, 0.0, 270));
-    assert_eq!(slow, Some(Verdict::Back));
+    assert_eq!(slow, Some(Verdict::RollBack));
 }
 
-/// Against a lane that fails only once the guard is open, and against nonsense in a tally.
+/// Against a class that fails only once the guard is open, and against nonsense in a tally.
 #[test]
 fn a_lane_with_an_effect_that_fails_once_the_guard_opens_is_sent_back() {
     let bad = verdict(1, tally(7, 2, 100.0, 1.0, 100), tally(8, 2, 12.0, 7.0, 100));
-    assert_eq!(bad, Some(Verdict::Back));
+    assert_eq!(bad, Some(Verdict::RollBack));
     assert_eq!(
         verdict(
             1,
@@ -173,38 +182,40 @@
     let mut w = World::new(shape(5, 400));
     w.list(&entries(0..20, 7, None));
     w.list(&entries(20..22, 8, Some(900)));
-    w.news(trial(8, 1, 0.3));
-    w.choice.tally(&tally(8, 0, 5.0, f64::NAN, 100));
-    w.choice.tally(&tally(8, 0, f64::INFINITY, -3.0, 100));
+    w.rollout_status(trial(8, 1, 0.3));
+    w.choice
+        .on_platform_counts(&tally(8, 0, 5.0, f64::NAN, 100));
+    w.choice
+        .on_platform_counts(&tally(8, 0, f64::INFINITY, -3.0, 100));
     for _ in 0..5 {
-        w.choice.tally(&tally(7, 0, 400.0, 2.0, 100));
-        w.choice.tally(&tally(8, 0, 40.0, 20.0, 100));
+        w.choice.on_platform_counts(&tally(7, 0, 400.0, 2.0, 100));
+        w.choice.on_platform_counts(&tally(8, 0, 40.0, 20.0, 100));
         w.pass(ms(1000));
     }
-    assert_eq!(w.last_vote(), Some(Verdict::Back));
+    assert_eq!(w.last_vote(), Some(Verdict::RollBack));
 }
 
-/// Against evidence that is dropped with its stage: tallies are late, and the build is out by then. Harms a build that
-/// failed at first only.
+/// Against evidence that is dropped with its stage: tallies are late, and the build is out by then.
+/// Harms a build that failed at first only.
 #[test]
 fn tallies_that_come_after_the_stage_has_moved_count_until_the_build_has_served() {
     let told_after = |served: Duration| {
         let mut w = World::new(shape(5, 400));
         w.list(&entries(0..20, 7, None));
         w.list(&entries(20..22, 8, Some(900)));
-        w.news(trial(8, 1, 0.3));
-        w.choice.tally(&tally(7, 0, 400.0, 2.0, 100));
-        w.news(News {
-            phase: Phase::Released,
+        w.rollout_status(trial(8, 1, 0.3));
+        w.choice.on_platform_counts(&tally(7, 0, 400.0, 2.0, 100));
+        w.rollout_status(RolloutStatus {
+            phase: RolloutPhase::Released,
             ..trial(8, 2, 1.0)
         });
         w.pass(served);
-        w.choice.tally(&tally(7, 0, 400.0, 2.0, 100));
-        w.choice.tally(&tally(8, 0, 40.0, 20.0, 100));
+        w.choice.on_platform_counts(&tally(7, 0, 400.0, 2.0, 100));
+        w.choice.on_platform_counts(&tally(8, 0, 40.0, 20.0, 100));
         w.pass(ms(500));
         w.last_vote()
     };
-    assert_eq!(told_after(ms(100)), Some(Verdict::Back));
+    assert_eq!(told_after(ms(100)), Some(Verdict::RollBack));
     assert_eq!(
         told_after(ms(16_000)),
         None,
@@ -212,73 +223,76 @@
     );
 }
 
-/// Against a fault on the way to some appliances, at just the agents whose voices suffice to send back.
+/// Against a fault on the way to some endpoints, at just the agents whose voices suffice to send
+/// back.
 #[test]
 fn an_agent_that_cannot_reach_half_of_both_builds_does_not_send_a_good_one_back() {
     let mut d = shape(11, 56);
     (
-        d.rollout.back_votes,
-        d.rollout.tallied,
-        d.warm_keys,
-        d.probes,
+        d.rollout.votes_to_roll_back,
+        d.rollout.platform_counts,
+        d.key_affinity,
+        d.load_probes,
     ) = (2, false, false, false);
     let mut w = World::new(d);
     w.list(&entries(0..10, 7, None));
-    w.serve(60, 0, ms(40), |_| Outcome::Satisfied);
+    w.serve(60, 0, ms(40), |_| Outcome::Succeeded);
     w.list(&entries(10..16, 8, Some(3000)));
-    w.news(trial(8, 2, 1.0));
+    w.rollout_status(trial(8, 2, 1.0));
     w.serve(300, 0, ms(40), |e| {
-        if e.appliance % 2 == 0 {
-            Outcome::Broken
+        if e.endpoint % 2 == 0 {
+            Outcome::ConnectionLost
         } else {
-            Outcome::Satisfied
+            Outcome::Succeeded
         }
     });
     assert!(
-        w.votes.iter().all(|v| v.1.verdict != Verdict::Back),
+        w.votes.iter().all(|v| v.1.verdict != Verdict::RollBack),
         "{:?}",
         w.notes
     );
 }
 
-/// Against the first delivery of each of many agents: together they topple a cold appliance.
+/// Against the first attempt of each of many agents: together they topple a cold endpoint.
 #[test]
 fn half_the_fleet_cold_at_once_gets_no_more_than_its_part_from_all_together() {
-    // Nothing else holds them off: no key has a home, no appliance tells its load.
-    let plain = |i: u64| Deployment {
-        warm_keys: false,
-        probes: false,
+    // Nothing else holds them off: no key has a home, no endpoint tells its load.
+    let plain = |i: u64| Settings {
+        key_affinity: false,
+        load_probes: false,
         ..shape(i * 977 + 1, 300)
     };
-    let mut fleet: Vec<Choice> = (0..300).map(|i| Choice::new(ms(1000), plain(i))).collect();
+    let mut fleet: Vec<Balancer> = (0..300)
+        .map(|i| Balancer::new(ms(1000), plain(i)))
+        .collect();
     for choice in &mut fleet {
-        choice.list(ms(1000), &entries(0..20, 1, None), true);
-        let released = News {
-            phase: Phase::Released,
+        choice.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
+        let released = RolloutStatus {
+            phase: RolloutPhase::Released,
             ..trial(1, 2, 1.0)
         };
-        choice.news(released);
+        choice.update_rollout(released);
     }
     let (mut id, mut cold, mut warm) = (0, [0usize; 10], 0);
     for step in 0..1200u64 {
         let now = ms(1000 + step * 10);
         for (n, choice) in fleet.iter_mut().enumerate() {
             if step == 1000 {
-                choice.list(now, &entries(10..20, 1, Some(10_990)), false);
+                choice.update_endpoints(now, &entries(10..20, 1, Some(10_990)), false);
             }
-            choice.wait(now);
+            choice.poll(now);
             if (step + n as u64 * 7).is_multiple_of(25) {
                 id += 1;
                 let Some(i) = sent(choice, now, id, 0, id) else {
                     continue;
                 };
-                let end = End {
-                    outcome: Outcome::Satisfied,
-                    took: ms(60),
-                    closed: true,
-                    held: Some(if i < 10 { 2.0 } else { 0.2 }),
+                let end = AttemptEnd {
+                    outcome: Outcome::Succeeded,
+                    latency: ms(60),
+                    request_closed: true,
+                    reported_load: Some(if i < 10 { 2.0 } else { 0.2 }),
                 };
-                choice.after(now, id, 0, end);
+                choice.on_attempt_end(now, id, 0, end);
                 // The first second and a half after the start.
                 if (1000..1150).contains(&step) {
                     *(if i < 10 { &mut warm } else { &mut cold[i - 10] }) += 1;
@@ -286,7 +300,8 @@
             }
         }
     }
-    // The ramp at the end of that time, and seven tenths of the fall multiple, of what a warm one got.
+    // The ramp at the end of that time, and seven tenths of the fall multiple, of what a warm one
+    // got.
     let part = (0.3 + 0.7 * 1.5 / 4.0) * 0.7 * 2.0 * warm as f64 / 10.0;
     assert!(
         cold.iter().all(|n| (*n as f64) < part),
@@ -296,21 +311,22 @@
     assert!(cold.iter().sum::<usize>() > 60, "{cold:?}");
 }
 
-/// Against agents that come back with nothing but a list: they keep to the first stage, and judge nothing.
+/// Against agents that come back with nothing but a list: they keep to the first stage, and judge
+/// nothing.
 #[test]
 fn an_agent_restarted_within_a_stage_exposes_no_lane_with_an_effect_and_votes_for_nothing() {
     let mut w = World::new(shape(3, 120));
     w.list(&entries(0..6, 7, None));
     w.list(&entries(6..12, 8, Some(500)));
     for id in 0..200 {
-        if let Answer::Send { appliance, .. } = w.take(id, 1 + id as usize % 2, ms(1500)) {
+        if let Decision::Forward { endpoint, .. } = w.take(id, 1 + id as usize % 2, ms(1500)) {
             assert!(
-                appliance < 6,
+                endpoint < 6,
                 "an unannounced build counts as in the first stage"
             );
         }
         w.pass(ms(20));
-        (0..12).for_each(|i| while w.end_at(i, Outcome::Satisfied) {});
+        (0..12).for_each(|i| while w.end_at(i, Outcome::Succeeded) {});
     }
     assert_eq!(w.last_vote(), None);
 }
@@ -319,44 +335,52 @@
 #[test]
 fn the_same_settings_watched_count_no_difference_and_others_do() {
     let mut d = shape(9, 120);
-    (d.rollout.guarded_stages, d.warm_keys, d.rollout.caps) = (0, false, vec![0.5, 0.5, 1.0]);
-    let other = Shape {
+    (d.rollout.guarded_stages, d.key_affinity, d.rollout.caps) = (0, false, vec![0.5, 0.5, 1.0]);
+    let other = AlternativeSettings {
         guarded_stages: Some(1),
         caps: Some(vec![0.02]),
-        warm_keys: Some(true),
-        ..Shape::default()
+        key_affinity: Some(true),
+        ..AlternativeSettings::default()
     };
-    let mut watches = [Watch::new(&d, &Shape::default()), Watch::new(&d, &other)];
-    let (mut choice, mut plain) = (Choice::new(ms(1000), d.clone()), Choice::new(ms(1000), d));
+    let mut watches = [
+        ShadowEvaluator::new(&d, &AlternativeSettings::default()),
+        ShadowEvaluator::new(&d, &other),
+    ];
+    let (mut choice, mut plain) = (
+        Balancer::new(ms(1000), d.clone()),
+        Balancer::new(ms(1000), d),
+    );
     for c in [&mut choice, &mut plain] {
-        c.list(ms(1000), &entries(0..6, 7, None), true);
-        c.list(ms(1000), &entries(6..9, 8, Some(900)), false);
-        c.news(trial(8, 0, 0.5));
+        c.update_endpoints(ms(1000), &entries(0..6, 7, None), true);
+        c.update_endpoints(ms(1000), &entries(6..9, 8, Some(900)), false);
+        c.update_rollout(trial(8, 0, 0.5));
     }
     for id in 0..400 {
-        let (now, lane) = (ms(1000 + id * 30), id as usize % 3);
+        let (now, class) = (ms(1000 + id * 30), id as usize % 3);
         for c in [&mut choice, &mut plain] {
-            c.wait(now);
-            c.take(now, id, command(lane, id % 9));
+            c.poll(now);
+            c.on_request(now, id, command(class, id % 9));
         }
-        watches.iter_mut().for_each(|w| w.take(&choice, lane));
-        let answer = choice.place(now, id);
-        assert_eq!(answer, plain.place(now, id), "it decides as before");
-        if let Answer::Send { appliance, .. } = answer {
+        watches
+            .iter_mut()
+            .for_each(|w| w.on_request(&choice, class));
+        let answer = choice.route(now, id);
+        assert_eq!(answer, plain.route(now, id), "it decides as before");
+        if let Decision::Forward { endpoint, .. } = answer {
             watches
                 .iter_mut()
-                .for_each(|w| w.sent(now, &choice, lane, Some(id % 9), appliance));
+                .for_each(|w| w.on_attempt(now, &choice, class, Some(id % 9), endpoint));
         }
         for c in [&mut choice, &mut plain] {
-            c.after(
+            c.on_attempt_end(
                 now,
                 id,
                 0,
-                End {
-                    outcome: Outcome::Satisfied,
-                    took: ms(20),
-                    closed: true,
-                    held: None,
+                AttemptEnd {
+                    outcome: Outcome::Succeeded,
+                    latency: ms(20),
+                    request_closed: true,
+                    reported_load: None,
                 },
             );
         }
@@ -364,127 +388,130 @@
     let [same, other] = watches.map(|w| w.counts);
     assert_eq!(
         same,
-        Otherwise {
-            deliveries: same.deliveries,
-            ..Otherwise::default()
+        Divergences {
+            attempts: same.attempts,
+            ..Divergences::default()
         }
     );
     assert!(
-        other.guarded > 10 && other.exposure > 10 && other.key > 100,
+        other.guarded > 10 && other.exposure > 10 && other.affinity > 100,
         "{other}"
     );
 }
 
-fn satisfied(took: u64, held: Option<f64>) -> End {
-    End {
-        outcome: Outcome::Satisfied,
-        took: ms(took),
-        closed: true,
-        held,
+fn succeeded(took: u64, held: Option<f64>) -> AttemptEnd {
+    AttemptEnd {
+        outcome: Outcome::Succeeded,
+        latency: ms(took),
+        request_closed: true,
+        reported_load: held,
     }
 }
 
-fn plain(agents: u32) -> Choice {
-    Choice::new(
+fn plain(agents: u32) -> Balancer {
+    Balancer::new(
         ms(1000),
-        Deployment {
-            warm_keys: false,
-            probes: false,
+        Settings {
+            key_affinity: false,
+            load_probes: false,
             ..shape(7, agents)
         },
     )
 }
 
-/// Against copies that slow all where there is no room: an agent of hundreds has one or two commands out, far under
-/// any bound of its own. Harms a command on a slow machine in a rush, which waits longer for its copy.
+/// Against copies that slow all where there is no room: an agent of hundreds has one or two
+/// requests out, far under any bound of its own. Harms a request on a slow machine in a rush, which
+/// waits longer for its copy.
 #[test]
 fn no_early_second_copy_goes_out_while_answers_are_not_quick() {
     let copied = |took: u64| {
         let mut choice = plain(300);
-        choice.list(ms(1000), &entries(0..10, 1, None), true);
+        choice.update_endpoints(ms(1000), &entries(0..10, 1, None), true);
         for id in 0..200 {
             let now = ms(1000 + id * 100);
-            choice.wait(now);
+            choice.poll(now);
             sent(&mut choice, now, id, 0, id).unwrap();
-            choice.after(now + ms(took), id, 0, satisfied(took, None));
+            choice.on_attempt_end(now + ms(took), id, 0, succeeded(took, None));
         }
-        choice.wait(ms(21_500));
+        choice.poll(ms(21_500));
         sent(&mut choice, ms(21_500), 1000, 0, 1).unwrap();
-        (216..219).for_each(|t| drop(choice.wait(ms(t * 100))));
-        matches!(choice.place(ms(21_830), 1000), Answer::Send { .. })
+        (216..219).for_each(|t| drop(choice.poll(ms(t * 100))));
+        matches!(choice.route(ms(21_830), 1000), Decision::Forward { .. })
     };
     assert!(copied(40), "quick answers leave room to ask again");
     assert!(!copied(200));
 }
 
-/// Against heavy commands on slow machines that happen to be idle. Harms nothing where kinds are alike or no hint comes.
+/// Against heavy requests on slow machines that happen to be idle. Harms nothing where kinds are
+/// alike or no hint comes.
 #[test]
 fn commands_with_a_heavy_hint_go_to_the_quicker_kind() {
     let mut choice = plain(300);
-    choice.list(ms(1000), &entries(0..20, 1, None), true);
+    choice.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
     let mut slow = [0, 0];
     for id in 0..2400 {
         let (now, heavy) = (ms(1000 + id * 20), id % 2 == 1);
-        choice.wait(now);
+        choice.poll(now);
         let work = Some(ms(if heavy { 200 } else { 20 }));
-        choice.take(
+        choice.on_request(
             now,
             id,
-            Command {
-                work,
+            Request {
+                estimated_work: work,
                 ..command(0, id)
             },
         );
-        let Answer::Send { appliance, .. } = choice.place(now, id) else {
+        let Decision::Forward { endpoint, .. } = choice.route(now, id) else {
             panic!("nothing is in the way")
         };
-        choice.after(
+        choice.on_attempt_end(
             now,
             id,
             0,
-            satisfied(if appliance % 2 == 0 { 40 } else { 80 }, Some(2.0)),
+            succeeded(if endpoint % 2 == 0 { 40 } else { 80 }, Some(2.0)),
         );
-        slow[usize::from(heavy)] += usize::from(id > 400 && appliance % 2 == 1);
+        slow[usize::from(heavy)] += usize::from(id > 400 && endpoint % 2 == 1);
     }
     assert!(slow[0] > 60 && slow[1] < 30, "of 1000 each: {slow:?}");
 }
 
-/// Against a bad build whose one failing lane is rare: too few outcomes of the earlier build are left to set it against.
-/// Harms a lane that the earlier build failed as badly and hardly ever had.
+/// Against a bad build whose one failing class is rare: too few outcomes of the earlier build are
+/// left to set it against. Harms a class that the earlier build failed as badly and hardly ever
+/// had.
 #[test]
 fn a_rare_lane_that_fails_is_seen_by_what_is_known_of_all_lanes() {
     let voted = |known: u64, fails: bool| {
         let mut d = shape(13, 120);
         (
-            d.rollout.back_votes,
-            d.rollout.tallied,
-            d.warm_keys,
-            d.probes,
+            d.rollout.votes_to_roll_back,
+            d.rollout.platform_counts,
+            d.key_affinity,
+            d.load_probes,
         ) = (4, false, false, false);
         let mut w = World::new(d);
         w.list(&entries(0..10, 7, None));
-        w.serve(120, 0, ms(40), |_| Outcome::Satisfied);
-        w.serve(known, 2, ms(40), |_| Outcome::Satisfied);
+        w.serve(120, 0, ms(40), |_| Outcome::Succeeded);
+        w.serve(known, 2, ms(40), |_| Outcome::Succeeded);
         w.list(&entries(10..16, 8, Some(3000)));
-        w.news(trial(8, 2, 1.0));
+        w.rollout_status(trial(8, 2, 1.0));
         w.pass(ms(4500));
         w.list(
             &(0..10)
-                .map(|i| Listed {
-                    standing: Standing::Draining,
+                .map(|i| EndpointEntry {
+                    state: EndpointState::Draining,
                     ..listed(i, 7, None)
                 })
                 .collect::<Vec<_>>(),
         );
-        w.serve(40, 0, ms(40), |_| Outcome::Satisfied);
+        w.serve(40, 0, ms(40), |_| Outcome::Succeeded);
         w.serve(9, 2, ms(40), |e| {
-            if fails && e.appliance != 12 {
+            if fails && e.endpoint != 12 {
                 Outcome::Failed
             } else {
-                Outcome::Satisfied
+                Outcome::Succeeded
             }
         });
-        w.votes.iter().any(|v| v.1.verdict != Verdict::None)
+        w.votes.iter().any(|v| v.1.verdict != Verdict::Withdraw)
     };
     assert!(voted(4, true));
     assert!(!voted(4, false), "nothing fails");
@@ -494,33 +521,33 @@
     );
 }
 
-/// Against lanes with an effect that would follow the room to the trial while a stage is guarded and the earlier
-/// appliances grow fewer. Harms them: what the last ones cannot take is denied.
+/// Against classes with an effect that would follow the room to the trial while a stage is guarded
+/// and the earlier endpoints grow fewer. Harms them: what the last ones cannot take is rejected.
 #[test]
 fn a_guarded_stage_exposes_no_lane_with_an_effect_however_few_earlier_appliances_are_left() {
-    let mut w = World::new(Deployment {
-        warm_keys: false,
-        probes: false,
+    let mut w = World::new(Settings {
+        key_affinity: false,
+        load_probes: false,
         ..shape(17, 120)
     });
     w.list(&entries(0..6, 7, None));
-    (0..3).for_each(|lane| w.serve(40, lane, ms(20), |_| Outcome::Satisfied));
+    (0..3).for_each(|class| w.serve(40, class, ms(20), |_| Outcome::Succeeded));
     w.list(&entries(6..12, 8, Some(3000)));
-    w.news(trial(8, 0, 0.3));
+    w.rollout_status(trial(8, 0, 0.3));
     w.pass(ms(4500));
     let before = w.held.len() as u64;
     for left in (1..6).rev() {
-        w.list(&[Listed {
-            standing: Standing::Draining,
+        w.list(&[EndpointEntry {
+            state: EndpointState::Draining,
             ..listed(left, 7, None)
         }]);
-        (0..3).for_each(|lane| w.serve(20, lane, ms(20), |_| Outcome::Satisfied));
+        (0..3).for_each(|class| w.serve(20, class, ms(20), |_| Outcome::Succeeded));
     }
-    let at_trial = |lane| {
-        let of_lane = w.held.range(before..).filter(|(_, h)| h.lane == lane);
+    let at_trial = |class| {
+        let of_lane = w.held.range(before..).filter(|(_, h)| h.class == class);
         of_lane
-            .flat_map(|(_, h)| &h.deliveries)
-            .filter(|d| d.appliance >= 6)
+            .flat_map(|(_, h)| &h.attempts)
+            .filter(|d| d.endpoint >= 6)
             .count()
     };
     assert_eq!((at_trial(1), at_trial(2)), (0, 0));
