--- a/crates/agent/src/door.rs
+++ b/crates/agent/src/admin/mod.rs
@@ -7,7 +7,7 @@
 //! others have their turn between two, and a reader that does not read is dropped.
 
 use crate::agent::Agent;
-use crate::reactor::{Source, Timer};
+use crate::runtime::reactor::{Source, Timer};
 use futures_lite::future::{self, FutureExt};
 use std::cell::Cell;
 use std::io::{self, Read, Write};
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,14 +1,14 @@
 //! What the tasks of one agent share, each part with its owner.
 
-use crate::lifecycle::life::{Life, Party};
+use crate::balancer_handle::Hand;
+use crate::lifecycle::phase::{Life, Party};
 use crate::lifecycle::start::Start;
-use crate::logs::EVIDENCE;
-use crate::memory::border::Border;
-use crate::memory::counters::Counters;
-use crate::memory::hand::Hand;
-use crate::memory::pools::{Held, Pools, Sockets};
-use crate::reactor::Timer;
-use crate::wire::platform::Told;
+use crate::observability::counters::Counters;
+use crate::observability::logging::EVIDENCE;
+use crate::protocol::platform::Told;
+use crate::runtime::reactor::Timer;
+use crate::upstream::pool::{Held, Pools, Sockets};
+use crate::upstream::zone_traffic::Border;
 use async_executor::LocalExecutor;
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
--- a/crates/agent/src/memory/hand.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -1,7 +1,7 @@
 //! The one owner of the `Balancer`: all that the agent tells and asks it passes here, with the
 //! time.
 
-use super::counters::Counters;
+use crate::observability::counters::Counters;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
--- a/crates/agent/src/commands/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -5,8 +5,8 @@
 mod plot;
 mod report;
 
+use crate::lifecycle::run;
 use crate::lifecycle::start::Files;
-use crate::program;
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -79,7 +79,7 @@
 /// Does what the command line says.
 pub fn main() -> ExitCode {
     let run = |config, installation, log: Option<Form>| {
-        let ended = program::run(
+        let ended = run::run(
             Files {
                 configuration: config,
                 installation,
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/control/discovery.rs
@@ -2,9 +2,9 @@
 //! begun anew as `watchdog` says.
 
 use crate::agent::Agent;
-use crate::lifecycle::life::Party;
-use crate::wire::connection::Connection;
-use crate::wire::{http, Malformed};
+use crate::lifecycle::phase::Party;
+use crate::protocol::connection::Connection;
+use crate::protocol::{http, Malformed};
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::time::Duration;
--- a/crates/agent/src/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -2,11 +2,11 @@
 //! an old one that is heard out once the address has changed.
 
 use crate::agent::Agent;
-use crate::lifecycle::life::Party;
-use crate::logs::EVIDENCE;
-use crate::wire::connection::Connection;
-use crate::wire::platform::{self, Line};
-use crate::wire::Malformed;
+use crate::lifecycle::phase::Party;
+use crate::observability::logging::EVIDENCE;
+use crate::protocol::connection::Connection;
+use crate::protocol::platform::{self, Line};
+use crate::protocol::Malformed;
 use futures_lite::FutureExt;
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,18 +1,18 @@
-//! The parts of the real agent. `program` puts them together; `wire` is what is spoken, `memory`
-//! what is kept, `lifecycle` start and stop; a request lives in `command`. `commands` is the
-//! command line.
+//! The agent: it forwards requests from clients to endpoints over sockets, by the decisions of `tulipwall`.
+//!
+//! One thread runs all tasks. `server` holds the clients' side, `upstream` the endpoints' side,
+//! `control` the discovery service and the rollout platform, `admin` the operators' endpoint.
+//! `protocol` parses what is spoken, `runtime` is the event loop, `lifecycle` starts and stops it
+//! all, `observability` counts and logs, `cli` is the command line.
 
+pub mod admin;
 pub mod agent;
-pub mod attempt;
-pub mod client;
-pub mod command;
-pub mod commands;
-pub mod discovery;
-pub mod door;
+pub mod balancer_handle;
+pub mod cli;
+pub mod control;
 pub mod lifecycle;
-pub mod logs;
-pub mod memory;
-pub mod platform;
-pub mod program;
-pub mod reactor;
-pub mod wire;
+pub mod observability;
+pub mod protocol;
+pub mod runtime;
+pub mod server;
+pub mod upstream;
--- a/crates/agent/src/lifecycle/mod.rs
+++ b/crates/agent/src/lifecycle/mod.rs
@@ -1,5 +1,6 @@
 //! Start, new configuration and stop: what is read, the signals, and the phases from start to exit.
 
-pub mod life;
+pub mod phase;
+pub mod run;
 pub mod signals;
 pub mod start;
--- a/crates/agent/src/program.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -1,15 +1,19 @@
 //! The agent as a program: its tasks, from the listener to the last answer.
 
+use crate::admin;
 use crate::agent::Agent;
-use crate::lifecycle::life::Phase;
+use crate::control::{discovery, platform};
+use crate::lifecycle::phase::Phase;
 use crate::lifecycle::signals::{self, Signals};
 use crate::lifecycle::start::{Files, Start};
-use crate::logs::EVIDENCE;
-use crate::memory::pools::Slot;
-use crate::reactor::{self, Source, Timer};
-use crate::wire::buffer::KEPT;
-use crate::wire::connection::Connection;
-use crate::{attempt, client, discovery, door, logs, platform};
+use crate::observability::logging;
+use crate::observability::logging::EVIDENCE;
+use crate::protocol::buffer::KEPT;
+use crate::protocol::connection::Connection;
+use crate::runtime::reactor::{self, Source, Timer};
+use crate::server::connection as client;
+use crate::upstream::attempt;
+use crate::upstream::pool::Slot;
 use futures_lite::future::{self, FutureExt};
 use std::io;
 use std::net::TcpListener;
@@ -36,7 +40,7 @@
     let read = Signals::new().map_err(|e| vec![format!("signals: {e}")]);
     let read = read.and_then(|signals| Ok((signals, Start::read(&files)?)));
     let told = read.as_ref().ok().and_then(|(_, start)| start.log);
-    logs::begin(form.or(told).unwrap_or(LogForm::Text));
+    logging::begin(form.or(told).unwrap_or(LogForm::Text));
     let (signals, start) = match read {
         Ok(both) => both,
         Err(faults) => {
@@ -61,13 +65,13 @@
         let queue = agent.sockets.clients_most().min(bears).max(QUEUE_LEAST);
         rustix::net::listen(&listener, i32::try_from(queue).unwrap_or(i32::MAX))?;
         let listener = Rc::new(Source::new(listener)?);
-        let opened = opening.as_ref().map(door::open).transpose();
+        let opened = opening.as_ref().map(admin::open).transpose();
         let opened = opened.map_err(|e| io::Error::new(e.kind(), format!("door: {e}")))?;
         let door = opened.map(|listening| {
             let a = agent.clone();
             agent
                 .tasks
-                .spawn(async move { door::run(&a, listening).await })
+                .spawn(async move { admin::run(&a, listening).await })
         });
         let a = agent.clone();
         agent
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -1,9 +1,9 @@
 //! What the operator asks for by signals: the counters, a new configuration, the end.
 
-use super::life::{Phase, LAST_WORDS, LEAST_EXPIRY, LEAVING};
+use super::phase::{Phase, LAST_WORDS, LEAST_EXPIRY, LEAVING};
 use super::start::{Files, Start};
 use crate::agent::Agent;
-use crate::reactor::Timer;
+use crate::runtime::reactor::Timer;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -1,7 +1,7 @@
 //! What is read at the start and again at each new configuration. A message names the key that is
 //! at fault.
 
-use crate::wire::platform::{self, Told};
+use crate::protocol::platform::{self, Told};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -7,5 +7,5 @@
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
 fn main() -> ExitCode {
-    tulipwall_agent::commands::main()
+    tulipwall_agent::cli::main()
 }
--- /dev/null
+++ b/crates/agent/src/observability/mod.rs
@@ -0,0 +1,4 @@
+//! Counters and the form of the log.
+
+pub mod counters;
+pub mod logging;
--- a/crates/agent/src/wire/connection.rs
+++ b/crates/agent/src/protocol/connection.rs
@@ -2,7 +2,7 @@
 
 use super::arrivals::Arrivals;
 use super::buffer::Buffer;
-use crate::reactor::Source;
+use crate::runtime::reactor::Source;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 use std::cell::Cell;
 use std::io::{self, Read, Write};
--- /dev/null
+++ b/crates/agent/src/runtime/mod.rs
@@ -0,0 +1,3 @@
+//! The event loop that carries all tasks of the one thread.
+
+pub mod reactor;
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/server/connection.rs
@@ -1,15 +1,15 @@
 //! A client's connection, from its startup message to its end.
 
 use crate::agent::Agent;
-use crate::command::{live, Final};
-use crate::lifecycle::life::Phase;
-use crate::memory::pools::Slot;
-use crate::reactor::Timer;
-use crate::wire::buffer::Weight;
-use crate::wire::connection::Connection;
-use crate::wire::postgres::{self, Opening};
-use crate::wire::statement::Statement;
-use crate::wire::{malformed, Malformed};
+use crate::lifecycle::phase::Phase;
+use crate::protocol::buffer::Weight;
+use crate::protocol::connection::Connection;
+use crate::protocol::postgres::{self, Opening};
+use crate::protocol::statement::Statement;
+use crate::protocol::{malformed, Malformed};
+use crate::runtime::reactor::Timer;
+use crate::server::request::{live, Final};
+use crate::upstream::pool::Slot;
 use futures_lite::future::{self, FutureExt};
 use std::pin::pin;
 use std::rc::Rc;
--- a/crates/agent/src/command.rs
+++ b/crates/agent/src/server/request.rs
@@ -1,13 +1,13 @@
 //! The life of one request, from top to bottom: the module is asked at each point of choice.
 
 use crate::agent::Agent;
-use crate::attempt::{deliver, Order};
-use crate::client::class;
-use crate::logs::EVIDENCE;
-use crate::memory::border::Meter;
-use crate::reactor::Timer;
-use crate::wire::connection::Connection;
-use crate::wire::statement::Statement;
+use crate::observability::logging::EVIDENCE;
+use crate::protocol::connection::Connection;
+use crate::protocol::statement::Statement;
+use crate::runtime::reactor::Timer;
+use crate::server::connection::class;
+use crate::upstream::attempt::{deliver, Order};
+use crate::upstream::zone_traffic::Meter;
 use futures_lite::future::poll_fn;
 use std::future::Future;
 use std::pin::{pin, Pin};
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,12 +1,12 @@
 //! One attempt: a connection, the statement written, the answer heard.
 
 use crate::agent::Agent;
-use crate::memory::border::Meter;
-use crate::memory::pools::Held;
-use crate::wire::connection::{Connection, Traffic};
-use crate::wire::postgres::{self, Hearing, Verdict};
-use crate::wire::statement::Statement;
-use crate::wire::Malformed;
+use crate::protocol::connection::{Connection, Traffic};
+use crate::protocol::postgres::{self, Hearing, Verdict};
+use crate::protocol::statement::Statement;
+use crate::protocol::Malformed;
+use crate::upstream::pool::Held;
+use crate::upstream::zone_traffic::Meter;
 use futures_lite::FutureExt;
 use std::cell::RefCell;
 use std::io;
--- a/crates/agent/src/memory/pools.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints that wait for their next request, and the bound on all sockets.
 
-use crate::wire::connection::Connection;
+use crate::protocol::connection::Connection;
 use event_listener::Event;
 use std::cell::Cell;
 use std::collections::VecDeque;
--- a/crates/agent/src/memory/border.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -1,7 +1,7 @@
 //! What crosses between zones, where the installation says something of them: the one owner of
 //! `Zones`, and the meters that follow each attempt and each new connection on its socket.
 
-use crate::wire::connection::Traffic;
+use crate::protocol::connection::Traffic;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/agent/tests/reactor.rs
+++ b/crates/agent/tests/reactor.rs
@@ -1,7 +1,7 @@
 //! Whose turn comes first in the agent's one thread.
 
 use std::time::Duration;
-use tulipwall_agent::reactor::{self, Timer};
+use tulipwall_agent::runtime::reactor::{self, Timer};
 
 /// Guards against a list that waits, unread, behind a burst of requests.
 #[test]
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use tulipwall::{RolloutPhase, Vote, VoteReply};
 use tulipwall_agent::lifecycle::start::Start;
-use tulipwall_agent::wire::buffer::Buffer;
-use tulipwall_agent::wire::platform::{self, Line, Told};
-use tulipwall_agent::wire::postgres::{self, Hearing, Opening, Verdict};
-use tulipwall_agent::wire::{http, statement::Statement, Malformed};
+use tulipwall_agent::protocol::buffer::Buffer;
+use tulipwall_agent::protocol::platform::{self, Line, Told};
+use tulipwall_agent::protocol::postgres::{self, Hearing, Opening, Verdict};
+use tulipwall_agent::protocol::{http, statement::Statement, Malformed};
 use tulipwall_discovery::listing::Listing;
 
 const READ: &str = "SELECT body FROM objects WHERE oid = 'a1' /* id=9b1f,c=view,t=acme,d=480 */";
