--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -122,7 +122,7 @@
     /// Where the watched settings would have decided otherwise so far; nothing while none are
     /// watched.
     pub fn otherwise(&self) -> Option<Divergences> {
-        self.watch.borrow().as_ref().map(|w| w.counts)
+        self.watch.borrow().as_ref().map(|w| w.divergences())
     }
 
     /// An endpoint said how many requests it holds.
@@ -183,7 +183,7 @@
 
     /// Until when the list tells all that counts as told.
     pub fn vouch(&self, until: Option<Duration>) {
-        self.choice.borrow_mut().list_valid_until = until;
+        self.choice.borrow_mut().set_list_valid_until(until);
     }
 
     pub fn rollout_status(&self, rollout_status: RolloutStatus) {
--- a/crates/discovery/src/watchdog.rs
+++ b/crates/discovery/src/watchdog.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
-use tulipwall::{call_share, Settings};
+use tulipwall::{list_call_interval, Settings};
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -71,7 +71,7 @@
 
 /// Over so long the first calls of starts are spread, where that is not the agent's whole share.
 fn first(d: &Settings) -> Option<Duration> {
-    let share = call_share(d);
+    let share = list_call_interval(d);
     (share > FIRST_WITHIN).then(|| FIRST_WITHIN.max(share * 3 / 4))
 }
 
@@ -101,7 +101,7 @@
 impl Watchdog {
     pub fn new(d: &Settings) -> Watchdog {
         let rng = Pcg64Mcg::seed_from_u64(d.seed);
-        let (spread, first) = (call_share(d).min(MOVED_WITHIN), first(d));
+        let (spread, first) = (list_call_interval(d).min(MOVED_WITHIN), first(d));
         Watchdog {
             pushed: !d.shared_discovery,
             longest: longest(d),
@@ -115,7 +115,7 @@
     /// Goes on under settings that were read anew.
     pub fn renew(&mut self, d: &Settings) {
         (self.pushed, self.longest) = (!d.shared_discovery, longest(d));
-        (self.spread, self.first) = (call_share(d).min(MOVED_WITHIN), first(d));
+        (self.spread, self.first) = (list_call_interval(d).min(MOVED_WITHIN), first(d));
     }
 
     /// Calls are free: the list is asked for at once, and again and again while no answer comes.
--- a/crates/discovery/tests/calls.rs
+++ b/crates/discovery/tests/calls.rs
@@ -166,7 +166,7 @@
                         }
                     }
                 }
-                a.choice.list_valid_until = a.list_valid_until.until();
+                a.choice.set_list_valid_until(a.list_valid_until.until());
             }
             // Each asks five times a second, apart.
             if a.heard.is_none_or(|t| now < t + ms(500)) && (step as usize + i).is_multiple_of(20) {
--- a/crates/experiments/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -108,9 +108,9 @@
                 });
             }
             "flag" => log.flags.push((at, build(4))),
-            "note" if word(1) == "regressed:" => {
+            "note" if word(1) == "regression:" => {
                 let why = w[4..].join(" ");
-                let why = why.split(", trial").next().unwrap_or_default().to_owned();
+                let why = why.split(", canary").next().unwrap_or_default().to_owned();
                 log.notes.push((
                     at,
                     agent,
--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -524,7 +524,8 @@
         }
         self.hang_up(now);
         self.list_valid_until.ended(now, ended);
-        self.choice.list_valid_until = self.list_valid_until.until();
+        self.choice
+            .set_list_valid_until(self.list_valid_until.until());
         match self.watchdog.again(ended) {
             Some(gap) => {
                 (self.begins, self.again) = (self.begins + 1, true);
@@ -539,7 +540,8 @@
 
     /// As a process begins: what is vouched for, and when discovery is first called.
     fn starts(&mut self, now: Duration) {
-        self.choice.list_valid_until = self.list_valid_until.until();
+        self.choice
+            .set_list_valid_until(self.list_valid_until.until());
         if let Some(gap) = self.watchdog.starts() {
             (self.begins, self.again) = (self.begins + 1, true);
             self.push(now + gap, What::Begin(self.begins));
@@ -576,7 +578,8 @@
         self.renewed(now, 0);
         let wait = self.watchdog.wait(false);
         self.list_valid_until.told(now, wait);
-        self.choice.list_valid_until = self.list_valid_until.until();
+        self.choice
+            .set_list_valid_until(self.list_valid_until.until());
         let path = listing::watch(self.list.version, wait);
         let next = self.ask(now, &path, wait + self.watchdog.late(), false);
         self.talk = Talk::Watches(next);
@@ -683,7 +686,8 @@
                 (self.owes, self.reloaded) = ([true; 2], now);
                 self.hang_up(now);
                 self.list_valid_until.moved(now);
-                self.choice.list_valid_until = self.list_valid_until.until();
+                self.choice
+                    .set_list_valid_until(self.list_valid_until.until());
                 (self.begins, self.again) = (self.begins + 1, true);
                 let gap = self.watchdog.moved();
                 self.push(now + gap, What::Begin(self.begins));
--- a/src/balancer/build_evaluation.rs
+++ b/src/balancer/build_evaluation.rs
@@ -216,7 +216,7 @@
             if let Some(what) = regressed([t, b, &known], self.at.flag_worth, sure * ease, ease) {
                 strength = strength.max(t.failed + t.flagged + t.lost);
                 why = Some(format!(
-                    "lane {class} {what}, trial {t:.0?}, earlier {b:.0?}, beside {s:.0?}"
+                    "class {class} {what}, canary {t:.0?}, earlier {b:.0?}, peers {s:.0?}"
                 ));
             }
         }
@@ -256,9 +256,9 @@
         }
         let seen = why.is_some();
         if seen != was {
-            let lift = || format!("lift: build {} shows no regression", n.build);
+            let lift = || format!("recovered: build {} shows no regression", n.build);
             self.notes
-                .push(why.map_or_else(lift, |why| format!("regressed: build {}, {why}", n.build)));
+                .push(why.map_or_else(lift, |why| format!("regression: build {}, {why}", n.build)));
         }
         let b = self.build(n.build);
         b.regressed = seen;
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -210,7 +210,7 @@
             if a.failing < SICK_SHARE && a.aside.take().is_some() {
                 a.aside_for = ASIDE_FIRST;
                 self.notes.extend(
-                    std::mem::take(&mut a.noted).then(|| format!("taken back: appliance {i}")),
+                    std::mem::take(&mut a.noted).then(|| format!("readmitted: endpoint {i}")),
                 );
             }
         }
@@ -219,7 +219,7 @@
         if (lost || heard && a.failing > SICK_SHARE) && a.aside.is_none_or(|t| now >= t) {
             if a.aside_for > ASIDE_FIRST && !std::mem::replace(&mut a.noted, true) {
                 self.notes.push(format!(
-                    "set aside: appliance {i}, build {build}, after {:?}",
+                    "ejected: endpoint {i}, build {build}, after {:?}",
                     end.outcome
                 ));
             }
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -38,9 +38,12 @@
     /// share of the calls. Guards against a discovery that all keep overbooked. May delay a list
     /// beyond `list_valid_until`.
     pub fn on_list_failure(&mut self, now: Duration) {
-        let gap = self.watch_gap.max(GAP).max(self.at.call_share() / 4);
+        let gap = self
+            .watch_gap
+            .max(GAP)
+            .max(self.at.list_call_interval() / 4);
         self.watch_at = Some(now + gap.mul_f64(0.7 + 0.6 * chance(&mut self.rng)));
-        self.watch_gap = (gap * 3 / 2).min(self.at.call_share().max(GAP * 8));
+        self.watch_gap = (gap * 3 / 2).min(self.at.list_call_interval().max(GAP * 8));
     }
 
     fn retire(&mut self, i: usize, standing: EndpointState) {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -59,7 +59,7 @@
     watch_gap: Duration,
     /// Until when the list tells who left; then nothing is sent. Guards drains, denies while it is
     /// refused.
-    pub list_valid_until: Option<Duration>,
+    list_valid_until: Option<Duration>,
     notes: Vec<String>,
 }
 
@@ -83,7 +83,7 @@
             },
             watch_at: at
                 .ask_within
-                .map(|_| now + at.call_share().mul_f64(rng.gen_range(0.0..1.0))),
+                .map(|_| now + at.list_call_interval().mul_f64(rng.gen_range(0.0..1.0))),
             rng: Some(rng),
             at,
             load: Load {
@@ -160,6 +160,12 @@
         });
     }
 
+    /// Sets until when the endpoint list holds; nothing is sent from then on. `None` where it holds
+    /// without a limit.
+    pub fn set_list_valid_until(&mut self, until: Option<Duration>) {
+        self.list_valid_until = until;
+    }
+
     /// Where to send this request now.
     pub fn route(&mut self, now: Duration, id: u64) -> Decision {
         self.resume(now);
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -46,7 +46,7 @@
             a.warming_since = a.started.filter(|s| *s + warm_up > now);
         }
         if was.ask_within.is_none() && self.at.ask_within.is_some() {
-            self.watch_at = Some(now + self.at.call_share().mul_f64(chance(&mut self.rng)));
+            self.watch_at = Some(now + self.at.list_call_interval().mul_f64(chance(&mut self.rng)));
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,5 +13,5 @@
 
 pub use balancer::Balancer;
 pub use interface::*;
-pub use model::call_share;
+pub use model::list_call_interval;
 pub use shadow::{AlternativeSettings, Divergences, ShadowEvaluator};
--- a/src/model.rs
+++ b/src/model.rs
@@ -579,10 +579,10 @@
     each - likely(bad + base, all + of, both)
 }
 
-/// How far apart the calls of one agent are, where all agents together keep to the rate that is
-/// told.
-pub fn call_share(d: &Settings) -> Duration {
-    Bounds::of(d).call_share()
+/// Shortest time between two calls of one agent for the endpoint list, so that all agents together
+/// keep to the rate that the discovery service bears. Zero where calls cost it nothing.
+pub fn list_call_interval(settings: &Settings) -> Duration {
+    Bounds::of(settings).list_call_interval()
 }
 
 impl Bounds {
@@ -599,7 +599,7 @@
     /// How far apart the calls of one agent are where all agents together keep to the platform's
     /// rate, the only one that is told for calls; at most half of the time within which the list
     /// must be asked for. None where they cost discovery nothing.
-    pub fn call_share(&self) -> Duration {
+    pub fn list_call_interval(&self) -> Duration {
         let most = self
             .ask_within
             .filter(|_| self.list_shared)
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -67,7 +67,7 @@
     other: Settings,
     own_caps: bool, // none are watched: what is told stands
     tokens: BTreeMap<u32, Vec<f64>>,
-    pub counts: Divergences,
+    counts: Divergences,
 }
 
 impl ShadowEvaluator {
@@ -90,6 +90,11 @@
         }
     }
 
+    /// What was counted so far.
+    pub fn divergences(&self) -> Divergences {
+        self.counts
+    }
+
     /// Goes on beside settings that were read anew; what was counted stays.
     pub fn reload(&mut self, present: &Settings, shape: &AlternativeSettings) {
         let was = std::mem::replace(self, ShadowEvaluator::new(present, shape));
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -178,7 +178,7 @@
         }
         for agent in 0..2 {
             let kept = self.agents[agent].retained_counts().map(|n| n as u64);
-            let watched = self.shadows[agent].counts.named().map(|(_, n)| n);
+            let watched = self.shadows[agent].divergences().named().map(|(_, n)| n);
             let looks = self.agents[agent].endpoints_scanned();
             self.record(agent, 0, 90, &kept);
             self.record(agent, 0, 91, &watched);
@@ -571,8 +571,11 @@
         18 => s
             .agents
             .iter_mut()
-            .for_each(|a| a.list_valid_until = Some(s.now + ms(1500))),
-        21 => s.agents.iter_mut().for_each(|a| a.list_valid_until = None),
+            .for_each(|a| a.set_list_valid_until(Some(s.now + ms(1500)))),
+        21 => s
+            .agents
+            .iter_mut()
+            .for_each(|a| a.set_list_valid_until(None)),
         _ => {}
     })
 }
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -462,11 +462,7 @@
         w.pass(ms(10));
     }
     assert!(w.votes.is_empty(), "{:?}", w.notes);
-    let aside = w
-        .notes
-        .iter()
-        .filter(|n| n.starts_with("set aside"))
-        .count();
+    let aside = w.notes.iter().filter(|n| n.starts_with("ejected")).count();
     assert!(aside < 4, "{:?}", w.notes);
     let retries: usize = (9100..9200).map(|id| w.held[&id].attempts.len() - 1).sum();
     assert!(
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -385,7 +385,7 @@
             );
         }
     }
-    let [same, other] = watches.map(|w| w.counts);
+    let [same, other] = watches.map(|w| w.divergences());
     assert_eq!(
         same,
         Divergences {
