--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,106 +1,149 @@
-//! How much is let in: requests in flight here, attempts to a build on trial.
+//! How many requests are let in: the limit of attempts in flight, and what it rejects first.
 
-use super::*;
+use super::{Balancer, EVALUATION_INTERVAL};
+use crate::model::{ActiveRequest, ClassState};
+use std::time::Duration;
 
-const TARGET: f64 = 0.4; // of the latency objective: a mean answer that keeps nearly all within it
-const EASY: f64 = 0.2; // of the latency objective: answers this quick need no bound
-const FALLEN: f64 = 0.6; // of the highest limit of late
-const RATE_GAIN: f64 = 0.2; // each survey
+/// Mean latency that keeps nearly all answers within the latency objective, as a part of it.
+const TARGET_LATENCY: f64 = 0.4;
+/// The same where even the lowest latency is above it, as a multiple of that one.
+const TARGET_OVER_FLOOR: f64 = 1.2;
+/// Part of the latency objective below which answers need no limit.
+const UNLIMITED_LATENCY: f64 = 0.2;
+/// Part of the highest limit of late below which the limit counts as collapsed.
+const COLLAPSED_LIMIT: f64 = 0.6;
+/// Decay of the highest limit of late, each evaluation interval.
+const PEAK_DECAY: f64 = 0.998;
+/// Growth of the latency floor, each evaluation interval, so that it forgets.
+const FLOOR_GROWTH: f64 = 1.002;
+/// Gain of the mean rate of answers, each evaluation interval.
+const ANSWER_RATE_GAIN: f64 = 0.2;
+/// Decay of the tenants' load, each evaluation interval.
+const TENANT_LOAD_DECAY: f64 = 0.98;
+/// Multiple of its fair share beyond which a tenant counts as over it.
+const TENANT_TOLERANCE: f64 = 1.15;
+/// Part of the limit that a tenant over its fair share may use.
+const OVER_SHARE_LIMIT: f64 = 0.8;
+/// Part of the limit that the class of least value may use; the rest is given by value.
+const LEAST_VALUE_LIMIT: f64 = 0.8;
+/// The rest of the limit.
+const VALUE_LIMIT: f64 = 0.2;
+/// Least latency, in seconds, that the value of a class is divided by.
+const MIN_SERVICE_TIME: f64 = 1e-4;
 
 impl Balancer {
-    /// What may be in flight: the answers that come, times the mean answer time that is still good.
-    /// Below it, answers grow with what is sent; above it, only the waiting does. Quick answers
-    /// need no limit.
-    pub(super) fn limit(&mut self, now: Duration) {
-        self.tenant_load.iter_mut().for_each(|l| *l *= 0.98);
-        let by = if self.load.near > self.load.far * 1.2 {
-            1.1
-        } else {
-            0.95
-        };
-        self.load.abroad = if self.at.crossing {
-            (self.load.abroad * by).clamp(0.03, 1.0)
-        } else {
-            1.0
-        };
-        let (mut room, mut good) = (0.0, true);
-        for l in &mut self.classes {
-            l.rate += (std::mem::take(&mut l.done) / EVALUATION_INTERVAL.as_secs_f64() - l.rate)
-                * RATE_GAIN;
-            l.least = (l.least * 1.002).min(l.usual);
-            room += l.rate * (l.latency_objective * TARGET).max(l.least * 1.2);
-            good &= l.usual < l.latency_objective * EASY;
+    /// Counts a request of this tenant.
+    pub(super) fn count_tenant(&mut self, tenant: Option<usize>) {
+        if let Some(load) = tenant.and_then(|t| self.admission.tenant_load.get_mut(t)) {
+            *load += 1.0;
+        }
+    }
+
+    /// Sets the limit of attempts in flight, by Little's law: the rate of answers times the mean
+    /// latency that is still good. Below it, answers grow with what is sent; above it, only the
+    /// waiting does. Where answers are fast there is no limit.
+    pub(super) fn update_limit(&mut self, now: Duration) {
+        for load in &mut self.admission.tenant_load {
+            *load *= TENANT_LOAD_DECAY;
+        }
+        let mut capacity = 0.0;
+        let mut is_fast = true;
+        for class in &mut self.classes {
+            update_answer_rate(class);
+            let objective = class.rules.latency_objective;
+            let latency = &class.latency;
+            let target = (objective * TARGET_LATENCY).max(latency.floor * TARGET_OVER_FLOOR);
+            capacity += class.answer_rate * target;
+            is_fast &= latency.mean < objective * UNLIMITED_LATENCY;
+        }
+        let limit = capacity + capacity.sqrt() + 2.0;
+        self.apply_limit(limit, is_fast);
+        self.count_unresponsive(now);
+    }
+
+    fn apply_limit(&mut self, limit: f64, is_fast: bool) {
+        let collapsed = self.has_collapsed(limit, is_fast);
+        if collapsed {
+            for class in &mut self.classes {
+                class.latency.floor = class.latency.mean;
+            }
         }
-        let limit = room + room.sqrt() + 2.0;
-        // Guards against a limit that falls with the rate it lets through, once the newest build is
-        // slow.
-        let fell = limit < self.load.peak * FALLEN && self.drag.heavy && !good;
-        self.classes
-            .iter_mut()
-            .filter(|_| fell)
-            .for_each(|l| l.least = l.usual);
-        self.load.peak = if good || fell {
+        let peak = self.admission.peak_limit;
+        self.admission.peak_limit = if is_fast || collapsed {
             limit
         } else {
-            (self.load.peak * 0.998).max(limit)
+            (peak * PEAK_DECAY).max(limit)
         };
-        self.load.limit = (!good).then_some(limit);
-        let patience = self.patience();
-        self.load.stuck = self
+        self.admission.limit = (!is_fast).then_some(limit);
+    }
+
+    /// Guards against a limit that falls with the rate that it lets through, once the newest build
+    /// is slow: the present latency is the floor from then on. Does harm where the newest build is
+    /// slow and load falls on its own, as waiting then counts as work.
+    fn has_collapsed(&self, limit: f64, is_fast: bool) -> bool {
+        limit < self.admission.peak_limit * COLLAPSED_LIMIT
+            && self.evaluation.latency.is_newest_slower
+            && !is_fast
+    }
+
+    fn count_unresponsive(&mut self, now: Duration) {
+        let stall_timeout = self.stall_timeout();
+        self.admission.unresponsive_in_flight = self
             .fleet
+            .endpoints
             .iter()
-            .filter(|a| a.silent(now, patience))
-            .map(|a| a.in_flight)
+            .filter(|e| e.is_unresponsive(now, stall_timeout))
+            .map(|e| e.in_flight)
             .sum();
     }
 
-    pub(super) fn crowded(&self, c: &Open) -> bool {
-        let Some(limit) = self.load.limit else {
+    /// Whether the limit leaves no room for this request: least for classes of little value and
+    /// tenants over their fair share.
+    pub(super) fn is_over_limit(&self, request: &ActiveRequest) -> bool {
+        let Some(limit) = self.admission.limit else {
             return false;
         };
-        let density = |l: &ClassState| {
-            l.priority_weight
-                / if self.at.by_work {
-                    1.0
-                } else {
-                    l.least.max(1e-4)
-                }
-        };
-        let best = self.classes.iter().map(density).fold(1e-9, f64::max);
-        let total = self.tenant_load.iter().sum::<f64>().max(1.0);
-        let over = |i: usize| {
-            self.at
-                .shares
-                .get(i)
-                .is_some_and(|s| self.tenant_load[i] > total * s * 1.15)
+        let values = self.classes.iter().map(|class| self.value(class));
+        let best = values.fold(1e-9, f64::max);
+        let tenant_factor = if self.is_over_share(request.tenant) {
+            OVER_SHARE_LIMIT
+        } else {
+            1.0
         };
-        let fair = if c.tenant.is_some_and(over) { 0.8 } else { 1.0 };
-        let room = (0.8 + 0.2 * density(&self.classes[c.class]) / best) * fair;
-        self.load.in_flight.saturating_sub(self.load.stuck) as f64 >= limit * room
+        let value = self.value(&self.classes[request.class]);
+        let usable = (LEAST_VALUE_LIMIT + VALUE_LIMIT * value / best) * tenant_factor;
+        let admission = &self.admission;
+        let in_flight = admission
+            .in_flight
+            .saturating_sub(admission.unresponsive_in_flight);
+        in_flight as f64 >= limit * usable
     }
 
-    /// Tokens: each request taken adds the cap, each attempt takes one, `free` at most are kept.
-    pub(super) fn set_caps(&mut self) {
-        let cap = |b| {
-            self.rollout_status
-                .as_ref()
-                .filter(|n| n.build == b)
-                .map_or(self.at.first_cap, |n| n.cap)
+    /// What a class is worth for the work that it costs.
+    fn value(&self, class: &ClassState) -> f64 {
+        let work = if self.parameters.weight_by_work {
+            1.0
+        } else {
+            class.latency.floor.max(MIN_SERVICE_TIME)
         };
-        self.builds
-            .iter_mut()
-            .for_each(|(number, b)| b.cap = cap(*number));
+        class.rules.priority_weight / work
     }
 
-    pub(super) fn may_expose(&self, build: u32, class: usize) -> bool {
-        let stage = self
-            .rollout_status
-            .as_ref()
-            .filter(|n| n.build == build)
-            .map_or(0, |n| n.stage);
-        let open =
-            stage >= self.at.guarded || self.classes[class].idempotency == Idempotency::Idempotent;
-        let left = |b: &Build| b.cap > 0.0 && b.tokens[self.at.slot(class)] >= 1.0;
-        !self.on_trial(build) || open && self.builds.get(&build).is_some_and(left)
+    fn is_over_share(&self, tenant: Option<usize>) -> bool {
+        let load = &self.admission.tenant_load;
+        let total = load.iter().sum::<f64>().max(1.0);
+        tenant.is_some_and(|tenant| {
+            self.parameters
+                .tenant_shares
+                .get(tenant)
+                .is_some_and(|share| load[tenant] > total * share * TENANT_TOLERANCE)
+        })
     }
 }
+
+fn update_answer_rate(class: &mut ClassState) {
+    let answered = std::mem::take(&mut class.answered);
+    let rate = answered / EVALUATION_INTERVAL.as_secs_f64();
+    class.answer_rate += (rate - class.answer_rate) * ANSWER_RATE_GAIN;
+    class.latency.floor = (class.latency.floor * FLOOR_GROWTH).min(class.latency.mean);
+}
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -1,241 +1,327 @@
 //! What each answer, and each one that does not come, says of its endpoint.
 
-use super::*;
+use super::endpoint_weights::ENDPOINT_TYPE_GAIN;
+use super::evidence::MIN_OUTCOMES;
+use super::{Balancer, EVALUATION_INTERVAL};
+use crate::interface::{AttemptEnd, EndpointState, Outcome};
+use crate::model::EndedAttempt;
+use crate::stats::OutcomeCounts;
+use rand::Rng;
+use std::time::Duration;
 
-const BESIDE: f64 = 3.0; // outcomes of the earlier build set against one of the trial of the same time
-const ASIDE_FIRST: Duration = ms(500);
-const ASIDE_MOST: Duration = ms(4000);
-const FORGIVE: f64 = 0.01; // each survey, of what sets an endpoint off from its fellows
-const SICK_SHARE: f64 = 0.3;
-const SICK_FOR: Duration = ms(8000);
+/// Evaluation intervals after which a poll that is missed counts as a stall of this agent.
+const STALL_INTERVALS: u32 = 2;
+/// Outcomes of the earlier build that count for one of the newest build of the same time.
+const PEERS_PER_ATTEMPT: f64 = 3.0;
+/// Gain of an endpoint's failure rate, each failure.
+const FAILURE_RATE_GAIN: f64 = 0.15;
+/// Decay of an endpoint's failure rate, each success.
+pub(super) const FAILURE_RATE_DECAY: f64 = 0.85;
+/// Failure rate beyond which an endpoint is ejected.
+const EJECTION_FAILURE_RATE: f64 = 0.3;
+/// Consecutive faults beyond which an endpoint is ejected.
+const EJECTION_FAULTS: u32 = 1;
+/// Consecutive faults beyond which an endpoint that answers again is taken to have restarted.
+const RESTART_FAULTS: u32 = 2;
+/// Length of the first ejection.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
+/// Length of the longest ejection; each is twice the one before.
+const MAX_EJECTION: Duration = Duration::from_millis(4000);
+/// How long a failing endpoint of the earlier build speaks for others of the newest one.
+const FAULTY_ENDPOINTS_FOR: Duration = Duration::from_millis(8000);
+/// Samples that the mean latency of a class is taken from, at most.
+const MAX_LATENCY_SAMPLES: f64 = 50.0;
+/// Multiple of the mean latency at which single latencies are cut off.
+const MAX_LATENCY_RATIO: f64 = 10.0;
+/// Step up of a high quantile, each value above it.
+const HIGH_QUANTILE_UP: f64 = 1.135;
+/// Step down of a high quantile, each value below it. Both balance at about one value in ten.
+const HIGH_QUANTILE_DOWN: f64 = 0.985;
+/// Bounds of a high quantile, in seconds or as a ratio.
+const HIGH_QUANTILE_RANGE: (f64, f64) = (0.001, 1000.0);
 
-impl Balancer {
-    /// Guards against this agent's own stalls: what is found at once after one says nothing of
-    /// anyone else.
-    pub(super) fn resume(&mut self, now: Duration) {
-        if now > self.next_evaluation + EVALUATION_INTERVAL * 2 && self.resumed < now {
-            self.resumed = now;
-            self.fleet
-                .iter_mut()
-                .for_each(|a| a.unheard = a.unheard.map(|_| now));
-        }
-    }
+/// The end of an attempt as evidence.
+struct Observation {
+    now: Duration,
+    /// Index of the endpoint.
+    endpoint: usize,
+    build: u32,
+    class: usize,
+    outcome: Outcome,
+    /// Time since it was sent.
+    elapsed: Duration,
+    /// Whether the build is the newest one.
+    is_newest: bool,
+    is_canary: bool,
+    /// Whether the newest build is being evaluated.
+    is_evaluating: bool,
+    /// Whether this agent has just resumed after a stall.
+    after_stall: bool,
+    /// What a failure says of the endpoint, 0 to 1.
+    fault_weight: f64,
+    /// What the outcome counts among the newest build's peers, 0 to 1.
+    peer_weight: f64,
+}
 
-    /// An endpoint answered, and told or did not tell what it holds.
-    pub fn on_load_report(&mut self, now: Duration, i: usize, outcome: Outcome, held: Option<f64>) {
-        let Some(a) = self.fleet.get_mut(i) else {
-            return;
-        };
-        a.asked = a.asked.filter(|_| outcome == Outcome::TimedOut);
-        let Some(held) = held.filter(|h| (0.0..1e6).contains(h)) else {
+impl Balancer {
+    /// Guards against this agent's own stalls: what is found right after one says nothing of anyone
+    /// else. Does harm where an endpoint fell silent during the stall, which is noticed later.
+    pub(super) fn detect_stall(&mut self, now: Duration) {
+        let overdue = self.clock.next_evaluation + EVALUATION_INTERVAL * STALL_INTERVALS;
+        if now <= overdue || self.clock.resumed_at >= now {
             return;
-        };
-        (a.held, a.since) = (Some((held, now)), 0.0);
-        if a.warming_since.is_none() && a.standing == EndpointState::Running {
-            self.kinds[a.kind].held.follow(held, KIND_GAIN);
         }
-    }
-
-    /// Each survey: what each may draw, by its answer times against its fellows', and its quota
-    /// while cold.
-    pub(super) fn weigh(&mut self, now: Duration) {
-        let trial = self.rollout_status.as_ref().map_or(0, |n| n.build);
-        let warm = self
-            .running()
-            .filter(|(_, a)| a.warming_since.is_none())
-            .count() as f64;
-        let (done, window) = (
-            std::mem::take(&mut self.load.done),
-            self.at.fall_for.div_duration_f64(EVALUATION_INTERVAL),
-        );
-        if warm * 4.0 > self.running().count() as f64 {
-            self.carried.follow(done / warm, KIND_GAIN);
-        }
-        let median = |of: &dyn Fn(&Endpoint) -> bool| {
-            let warm = self
-                .running()
-                .filter(|(_, a)| a.warming_since.is_none() && of(a));
-            let highs = sorted(warm.map(|(_, a)| a.high));
-            highs
-                .get(highs.len() / 2)
-                .copied()
-                .filter(|_| highs.len() > 2)
-        };
-        let all = median(&|_| true).unwrap_or(1.0);
-        let side = |kind, newest| {
-            median(&|a| a.kind == kind && (a.build >= trial) == newest).unwrap_or(all)
-        };
-        let fellows: Vec<_> = (0..self.kinds.len())
-            .map(|k| [side(k, false), side(k, true)])
-            .collect();
-        Kind::weigh(&mut self.kinds);
-        let carried = self.carried.now * self.crossings.slow_start_factor * self.at.cold_part;
-        for a in &mut self.fleet {
-            a.warming_since = a.warming_since.filter(|t| now < *t + self.at.warm_up);
-            // Cold: its part of what a warm one answers here, beginning by chance, so that the sum
-            // over all agents keeps to it. Guards against a first attempt of each. Denies where
-            // nearly all are cold.
-            let turns = self.at.ramp(now, a) * self.kinds[a.kind].rate * carried * window;
-            let begins = if a.turns > 0.0 { 0.0 } else { turns };
-            a.quota = (a.quota.max(-1.0) + begins + turns / window).min(1.0 + turns);
-            a.turns = turns;
-            let median = fellows[a.kind][usize::from(a.build >= trial)];
-            let pace = (a.high / median).max(0.3);
-            a.weight = if pace < 1.5 {
-                pace.powf(-0.5)
-            } else {
-                1.5f64.powf(1.5) * pace.powi(-2)
-            };
-            a.high += (median - a.high) * FORGIVE;
+        self.clock.resumed_at = now;
+        for endpoint in &mut self.fleet.endpoints {
+            let silent_since = &mut endpoint.health.silent_since;
+            *silent_since = silent_since.map(|_| now);
         }
     }
 
-    pub(super) fn learn(
+    /// Takes in the end of an attempt: what it says of its endpoint, its class, its hardware type
+    /// and its build.
+    pub(super) fn record_attempt(
         &mut self,
         now: Duration,
-        i: usize,
-        build: u32,
-        class: usize,
+        ended: &EndedAttempt,
         end: &AttemptEnd,
-        blame: f64,
+        fault_weight: f64,
     ) {
-        let newest = self
-            .rollout_status
-            .as_ref()
-            .is_some_and(|n| build >= n.build);
-        let round =
-            self.fleet.len() as f64 / self.classes.iter().map(|l| l.rate).sum::<f64>().max(1.0);
-        let round = Duration::from_secs_f64(round).clamp(ASIDE_FIRST, ASIDE_MOST * 2);
-        let way = self
-            .crossings
-            .zones
-            .get(self.fleet[i].zone)
-            .map_or(0.0, |t| t.added_latency.as_secs_f64());
-        let (judged, trial, took) = (
-            self.judged(now),
-            self.on_trial(build),
-            end.latency.as_secs_f64(),
-        );
-        let (a, l) = (&mut self.fleet[i], &mut self.classes[class]);
-        a.in_flight = a.in_flight.saturating_sub(1);
-        if a.build != build || a.standing != EndpointState::Running {
+        let is_evaluating = self.is_evaluating(now);
+        let endpoint = &mut self.fleet.endpoints[ended.endpoint];
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+        if endpoint.build != ended.build || endpoint.state != EndpointState::Running {
             return;
         }
-        // The earlier build's outcomes are weighed by what the trial gets at the same time.
-        self.beside.late[usize::from(newest)] += 1.0;
-        let [base, tried] = self.beside.late;
-        let weight = if newest {
-            0.0
-        } else {
-            (BESIDE * tried / base.max(1.0)).min(1.0)
+        let is_newest = self.rollout.is_newest(ended.build);
+        self.evaluation.peers.count_attempt(is_newest);
+        let observation = Observation {
+            now,
+            endpoint: ended.endpoint,
+            build: ended.build,
+            class: ended.class,
+            outcome: end.outcome,
+            elapsed: end.latency,
+            is_newest,
+            is_canary: self.rollout.is_canary(ended.build),
+            is_evaluating,
+            after_stall: self.clock.resumed_at == now,
+            fault_weight,
+            peer_weight: self.peer_weight(is_newest),
         };
-        let beside = &mut self.beside.counts[class];
-        // Lost, unless the endpoint has answered others since: then this one was only heavy.
-        let stalled = self.resumed == now;
-        let mute = !stalled
-            && a.unheard
-                .is_some_and(|t| t + end.latency <= now + self.at.tick);
-        let mut lost = end.outcome == Outcome::ConnectFailed;
-        match end.outcome {
+        let is_lost = self.record_sign_of_life(&observation);
+        self.record_wait(&observation);
+        match observation.outcome {
+            Outcome::Failed => self.record_failure(&observation),
+            Outcome::Succeeded => self.record_success(&observation),
+            _ => {}
+        }
+        self.eject_if_faulty(&observation, is_lost);
+    }
+
+    /// Outcomes of the earlier build count by what the newest one gets at the same time.
+    fn peer_weight(&self, is_newest: bool) -> f64 {
+        if is_newest {
+            return 0.0;
+        }
+        let peers = &self.evaluation.peers;
+        (PEERS_PER_ATTEMPT * peers.recent_newest / peers.recent_earlier.max(1.0)).min(1.0)
+    }
+
+    /// Counts an answer, or the lack of one. Whether the endpoint seems to be lost.
+    fn record_sign_of_life(&mut self, observation: &Observation) -> bool {
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let health = &mut endpoint.health;
+        let now = observation.now;
+        let mut is_lost = observation.outcome == Outcome::ConnectFailed;
+        match observation.outcome {
             Outcome::Succeeded | Outcome::Failed | Outcome::Rejected => {
-                if a.strikes > 2 && a.warming_since.is_none() {
-                    // Back from silence: it may be a restart that the list has not told yet.
-                    (a.warming_since, a.quota) = (Some(now), chance(&mut self.rng));
+                if health.consecutive_faults > RESTART_FAULTS && endpoint.warming_since.is_none() {
+                    // It may have restarted, which the list has not said yet.
+                    endpoint.warming_since = Some(now);
+                    endpoint.slow_start.attempts = self.rng.gen_range(0.0..1.0);
                 }
-                (a.unheard, a.strikes) = (Some(now), 0);
-            }
-            o if o == Outcome::NotSent
-                || !mute && matches!(o, Outcome::TimedOut | Outcome::Cancelled) => {}
-            _ => {
-                a.strikes += 1;
-                a.counts[class].lost += 1.0;
-                beside.lost += weight;
-                lost |= a.strikes > 1;
-            }
-        }
-        let vain = !stalled && matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
-        l.waited += if vain { took } else { 0.0 };
-        // Nothing out, nothing owed: after its rest one request tries whether it is back.
-        a.unheard = a.unheard.filter(|_| a.in_flight > 0);
-        l.done += if matches!(end.outcome, Outcome::Succeeded | Outcome::Failed) {
-            1.0
-        } else {
-            0.0
-        };
-        if end.outcome == Outcome::Failed {
-            a.failing += 0.15 * blame * (1.0 - a.failing);
-            // Guards against machines that fail whatever they run: while some of the earlier build
-            // do, one of the trial that fails as badly says nothing of its build. May let a bad
-            // build on for that time.
-            let sick = newest && now < self.sick_until && a.failing > SICK_SHARE;
-            a.counts
-                .iter_mut()
-                .filter(|_| sick)
-                .for_each(|c| c.failed = 0.0);
-            a.counts[class].failed += if sick { 0.0 } else { blame };
-            beside.failed += weight * blame;
-            self.sick_until = if !newest && a.failing > SICK_SHARE {
-                now + SICK_FOR
-            } else {
-                self.sick_until
-            };
-        }
-        if end.outcome == Outcome::Succeeded {
-            a.counts[class].succeeded += 1.0;
-            beside.succeeded += weight;
-            a.failing *= 0.85;
-            let x = (took / l.usual).min(10.0);
-            if !stalled {
-                follow(&mut l.high, took);
-                follow(&mut a.high, x);
+                health.silent_since = Some(now);
+                health.consecutive_faults = 0;
             }
-            self.load.done += if a.warming_since.is_none() { 1.0 } else { 0.0 };
-            if a.warming_since.is_none() && !stalled {
-                self.kinds[a.kind].pace.follow(x, KIND_GAIN);
-                // Guards a build that only other zones hold, as the way there is not its work, and
-                // agents that some troubles leave the slower kind of machines only.
-                let alike = (took - way).max(0.0) / self.kinds[a.kind].slower;
-                (if judged { &mut l.late } else { &mut l.calm }).add(alike);
-                if !trial {
-                    l.seen = (l.seen + 1.0).min(50.0);
-                    l.usual += (took.min(l.usual * 10.0) - l.usual) / l.seen;
-                    let side = if a.zone == self.at.zone {
-                        &mut self.load.near
-                    } else {
-                        &mut self.load.far
-                    };
-                    *side += (x - *side) * 0.03;
+            Outcome::NotSent => {}
+            Outcome::TimedOut
+            | Outcome::Cancelled
+            | Outcome::ConnectFailed
+            | Outcome::ConnectionLost => {
+                // Where the endpoint has answered others since, this request was only heavy.
+                let latest = now + self.parameters.timer_granularity;
+                let is_silent = !observation.after_stall
+                    && health
+                        .silent_since
+                        .is_some_and(|since| since + observation.elapsed <= latest);
+                let has_waited =
+                    matches!(observation.outcome, Outcome::TimedOut | Outcome::Cancelled);
+                if is_silent || !has_waited {
+                    health.consecutive_faults += 1;
+                    endpoint.outcomes[observation.class].lost += 1.0;
+                    self.evaluation.peers.outcomes[observation.class].lost +=
+                        observation.peer_weight;
+                    is_lost |= health.consecutive_faults > EJECTION_FAULTS;
                 }
             }
-            if a.failing < SICK_SHARE && a.aside.take().is_some() {
-                a.aside_for = ASIDE_FIRST;
-                self.notes.extend(
-                    std::mem::take(&mut a.noted).then(|| format!("readmitted: endpoint {i}")),
-                );
+        }
+        // Nothing in flight, nothing owed: after its ejection one request finds out whether it is
+        // back.
+        let is_awaited = endpoint.in_flight > 0;
+        health.silent_since = health.silent_since.filter(|_| is_awaited);
+        is_lost
+    }
+
+    /// Counts answers of the class, and the time waited for those that never came.
+    fn record_wait(&mut self, observation: &Observation) {
+        let class = &mut self.classes[observation.class];
+        match observation.outcome {
+            Outcome::TimedOut | Outcome::Cancelled if !observation.after_stall => {
+                class.recent.unanswered_seconds += observation.elapsed.as_secs_f64();
             }
+            Outcome::Succeeded | Outcome::Failed => class.answered += 1.0,
+            _ => {}
         }
-        // A build on trial must be heard before its endpoints rest, or it would never be judged.
-        let heard = !newest || Count::sum(&a.counts).all() >= LEAST_OUTCOMES;
-        if (lost || heard && a.failing > SICK_SHARE) && a.aside.is_none_or(|t| now >= t) {
-            if a.aside_for > ASIDE_FIRST && !std::mem::replace(&mut a.noted, true) {
-                self.notes.push(format!(
-                    "ejected: endpoint {i}, build {build}, after {:?}",
-                    end.outcome
-                ));
+    }
+
+    /// Guards, by endpoints of the earlier build that fail, too, against hardware that fails
+    /// whatever it runs: then one of the newest build that fails as badly says nothing of its
+    /// build. May let a bad build go on for that time.
+    fn record_failure(&mut self, observation: &Observation) {
+        let weight = observation.fault_weight;
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let rate = &mut endpoint.health.failure_rate;
+        *rate += FAILURE_RATE_GAIN * weight * (1.0 - *rate);
+        let is_failing = *rate > EJECTION_FAILURE_RATE;
+        let is_endpoint_fault = observation.is_newest
+            && observation.now < self.evaluation.faulty_endpoints_until
+            && is_failing;
+        if is_endpoint_fault {
+            for outcomes in &mut endpoint.outcomes {
+                outcomes.failed = 0.0;
             }
-            // Guards a quiet agent against dead machines whose rest is over whenever their turn
-            // comes.
-            let dead = if end.outcome == Outcome::ConnectFailed {
-                round
-            } else {
-                ASIDE_FIRST
-            };
-            a.aside = Some(now + a.aside_for.max(dead));
-            a.aside_for = (a.aside_for * 2).clamp(ASIDE_FIRST * 2, ASIDE_MOST);
+        } else {
+            endpoint.outcomes[observation.class].failed += weight;
+        }
+        let peers = &mut self.evaluation.peers.outcomes[observation.class];
+        peers.failed += observation.peer_weight * weight;
+        if !observation.is_newest && is_failing {
+            self.evaluation.faulty_endpoints_until = observation.now + FAULTY_ENDPOINTS_FOR;
+        }
+    }
+
+    fn record_success(&mut self, observation: &Observation) {
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        endpoint.outcomes[observation.class].succeeded += 1.0;
+        endpoint.health.failure_rate *= FAILURE_RATE_DECAY;
+        let is_warm = endpoint.is_warm();
+        self.evaluation.peers.outcomes[observation.class].succeeded += observation.peer_weight;
+        if is_warm {
+            self.slow_start.completed += 1.0;
+        }
+        if !observation.after_stall {
+            self.observe_latency(observation, is_warm);
+        }
+        self.readmit(observation.endpoint);
+    }
+
+    fn observe_latency(&mut self, observation: &Observation, is_warm: bool) {
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let class = &mut self.classes[observation.class];
+        let latency = observation.elapsed.as_secs_f64();
+        let ratio = (latency / class.latency.mean).min(MAX_LATENCY_RATIO);
+        update_high_quantile(&mut class.latency.high, latency);
+        update_high_quantile(&mut endpoint.high_latency, ratio);
+        if !is_warm {
+            return;
+        }
+        let zone = endpoint.zone;
+        let hardware = &mut self.fleet.types[endpoint.endpoint_type];
+        hardware.latency_ratio.update(ratio, ENDPOINT_TYPE_GAIN);
+        // Guards a build that runs only in other zones, as the way there is not its work, and
+        // agents that some faults leave the slower hardware only.
+        let own_latency = (latency - self.cross_zone.added_latency(zone)).max(0.0);
+        let sample = if observation.is_evaluating {
+            &mut class.recent
+        } else {
+            &mut class.baseline
+        };
+        sample
+            .histogram
+            .record(own_latency / hardware.relative_latency);
+        if observation.is_canary {
+            return;
+        }
+        let mean = &mut class.latency.mean;
+        class.latency.samples = (class.latency.samples + 1.0).min(MAX_LATENCY_SAMPLES);
+        *mean += (latency.min(*mean * MAX_LATENCY_RATIO) - *mean) / class.latency.samples;
+        self.observe_zone_latency(zone, ratio);
+    }
+
+    /// Ends the ejection of an endpoint that answers well again.
+    fn readmit(&mut self, index: usize) {
+        let endpoint = &mut self.fleet.endpoints[index];
+        let ejection = &mut endpoint.ejection;
+        let is_healthy = endpoint.health.failure_rate < EJECTION_FAILURE_RATE;
+        if !is_healthy || ejection.until.take().is_none() {
+            return;
+        }
+        ejection.duration = MIN_EJECTION;
+        if std::mem::take(&mut ejection.logged) {
+            let line = format!("readmitted: endpoint {index}");
+            self.output.log_lines.push(line);
+        }
+    }
+
+    /// Ejects an endpoint that is lost or fails much, for longer each time. One of the newest build
+    /// must have answered before, or that build would never be evaluated.
+    fn eject_if_faulty(&mut self, observation: &Observation, is_lost: bool) {
+        let duration_if_unreachable = self.unreachable_ejection(observation.outcome);
+        let index = observation.endpoint;
+        let endpoint = &mut self.fleet.endpoints[index];
+        let is_known = !observation.is_newest
+            || OutcomeCounts::sum(&endpoint.outcomes).total() >= MIN_OUTCOMES;
+        let is_failing = is_known && endpoint.health.failure_rate > EJECTION_FAILURE_RATE;
+        let ejection = &mut endpoint.ejection;
+        let may_eject = ejection.until.is_none_or(|until| observation.now >= until);
+        if !may_eject || !is_lost && !is_failing {
+            return;
+        }
+        let is_repeated = ejection.duration > MIN_EJECTION;
+        if is_repeated && !std::mem::replace(&mut ejection.logged, true) {
+            self.output.log_lines.push(format!(
+                "ejected: endpoint {index}, build {}, after {:?}",
+                observation.build, observation.outcome
+            ));
+        }
+        let duration = ejection.duration.max(duration_if_unreachable);
+        ejection.until = Some(observation.now + duration);
+        ejection.duration = (ejection.duration * 2).clamp(MIN_EJECTION * 2, MAX_EJECTION);
+    }
+
+    /// Least length of an ejection.
+    ///
+    /// Guards an agent with little traffic against unreachable endpoints: their ejection would be
+    /// over whenever it is their turn. Does harm where an endpoint is back at once, by one round of
+    /// all endpoints.
+    fn unreachable_ejection(&self, outcome: Outcome) -> Duration {
+        if outcome != Outcome::ConnectFailed {
+            return MIN_EJECTION;
         }
+        let rate = self.classes.iter().map(|c| c.answer_rate).sum::<f64>();
+        let round = self.fleet.endpoints.len() as f64 / rate.max(1.0);
+        Duration::from_secs_f64(round).clamp(MIN_EJECTION, MAX_EJECTION * 2)
     }
 }
 
-fn follow(high: &mut f64, x: f64) {
-    *high = (*high * if x > *high { 1.135 } else { 0.985 }).clamp(0.001, 1000.0);
+/// Follows a high quantile by one value.
+fn update_high_quantile(high: &mut f64, value: f64) {
+    let step = if value > *high {
+        HIGH_QUANTILE_UP
+    } else {
+        HIGH_QUANTILE_DOWN
+    };
+    let (min, max) = HIGH_QUANTILE_RANGE;
+    *high = (*high * step).clamp(min, max);
 }
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,60 +1,99 @@
-//! What the endpoint list says, and when it is asked for again.
+//! What the endpoint list says, and when it is called for again.
 
-use super::*;
+use super::{Balancer, MIN_CALL_GAP};
+use crate::interface::{EndpointEntry, EndpointState};
+use crate::model::{Endpoint, EndpointType};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Part of the agent's interval between calls that a call after a failure waits for, at the least.
+const RETRIES_PER_INTERVAL: u32 = 4;
+/// Longest time between calls after failures, in least gaps, where the agent's interval is shorter.
+const MAX_BACKOFF_GAPS: u32 = 8;
+/// Bounds of the random factor on the time to the next call: the least, and what chance adds.
+const BACKOFF_JITTER: (f64, f64) = (0.7, 0.6);
 
 impl Balancer {
-    /// Entries of the list; `complete` when whatever it lacks is gone.
+    /// Takes in entries of the endpoint list. Where they are `complete`, endpoints that they lack
+    /// are gone.
     pub fn update_endpoints(&mut self, now: Duration, entries: &[EndpointEntry], complete: bool) {
-        self.watch_gap = GAP;
+        self.list.backoff = MIN_CALL_GAP;
         if complete {
-            let named: BTreeSet<usize> = entries.iter().map(|e| e.endpoint).collect();
-            (0..self.fleet.len())
-                .filter(|i| !named.contains(i))
-                .for_each(|i| self.retire(i, EndpointState::Gone));
+            self.retire_missing(entries);
         }
-        for e in entries {
-            self.fleet
-                .resize_with(self.fleet.len().max(e.endpoint + 1), Endpoint::default);
-            self.kinds
-                .resize(self.kinds.len().max(e.endpoint_type + 1), Kind::default());
-            let (a, runs) = (&self.fleet[e.endpoint], e.state == EndpointState::Running);
-            let same =
-                (a.standing, a.build, a.started, a.zone) == (e.state, e.build, e.started, e.zone);
-            if !runs || !same {
-                self.retire(e.endpoint, e.state);
-            }
-            if runs && !same {
-                let cold = e.started.filter(|s| *s + self.at.warm_up > now);
-                self.fleet[e.endpoint].start(e, self.classes.len(), cold, chance(&mut self.rng));
-                let b = self.build(e.build);
-                b.newest = b.newest.max(e.started.unwrap_or_default());
+        for entry in entries {
+            self.update_endpoint(now, entry);
+        }
+        let running_builds = self.fleet.running().map(|(_, e)| e.build);
+        self.rollout.oldest_build = running_builds.min().unwrap_or(0);
+        self.set_exposure_caps();
+    }
+
+    fn retire_missing(&mut self, entries: &[EndpointEntry]) {
+        let listed: BTreeSet<usize> = entries.iter().map(|e| e.endpoint).collect();
+        for index in 0..self.fleet.endpoints.len() {
+            if !listed.contains(&index) {
+                self.retire(index, EndpointState::Gone);
             }
         }
-        self.oldest = self.running().map(|(_, a)| a.build).min().unwrap_or(0);
-        self.set_caps();
     }
 
-    /// A list call failed, or the watch broke: ask again, less and less often, down to the agent's
-    /// share of the calls. Guards against a discovery that all keep overbooked. May delay a list
-    /// beyond `list_valid_until`.
+    fn update_endpoint(&mut self, now: Duration, entry: &EndpointEntry) {
+        self.make_room_for(entry);
+        let known = &self.fleet.endpoints[entry.endpoint];
+        let is_running = entry.state == EndpointState::Running;
+        let is_same = known.state == entry.state
+            && known.build == entry.build
+            && known.started == entry.started
+            && known.zone == entry.zone;
+        if !is_running || !is_same {
+            self.retire(entry.endpoint, entry.state);
+        }
+        if is_running && !is_same {
+            self.restart_endpoint(now, entry);
+        }
+    }
+
+    fn make_room_for(&mut self, entry: &EndpointEntry) {
+        let endpoints = self.fleet.endpoints.len().max(entry.endpoint + 1);
+        self.fleet
+            .endpoints
+            .resize_with(endpoints, Endpoint::default);
+        let types = self.fleet.types.len().max(entry.endpoint_type + 1);
+        self.fleet.types.resize(types, EndpointType::default());
+    }
+
+    fn restart_endpoint(&mut self, now: Duration, entry: &EndpointEntry) {
+        let warm_after = self.parameters.slow_start.duration;
+        let warming_since = entry.started.filter(|s| *s + warm_after > now);
+        let first_attempts = self.random_fraction();
+        let classes = self.classes.len();
+        self.fleet.endpoints[entry.endpoint].restart(entry, classes, warming_since, first_attempts);
+        let build = self.build_mut(entry.build);
+        build.newest_start = build.newest_start.max(entry.started.unwrap_or_default());
+    }
+
+    /// Takes in that a call for the list failed or a watch broke: the next call comes later and
+    /// later, up to the agent's share of the calls.
+    ///
+    /// Guards against a discovery service that all agents keep overloaded. May delay a list beyond
+    /// the end of its lease.
     pub fn on_list_failure(&mut self, now: Duration) {
-        let gap = self
-            .watch_gap
-            .max(GAP)
-            .max(self.at.list_call_interval() / 4);
-        self.watch_at = Some(now + gap.mul_f64(0.7 + 0.6 * chance(&mut self.rng)));
-        self.watch_gap = (gap * 3 / 2).min(self.at.list_call_interval().max(GAP * 8));
+        let interval = self.parameters.list_call_interval();
+        let backoff = self
+            .list
+            .backoff
+            .max(MIN_CALL_GAP)
+            .max(interval / RETRIES_PER_INTERVAL);
+        let (least, spread) = BACKOFF_JITTER;
+        let jitter = least + spread * self.random_fraction();
+        self.list.next_call = Some(now + backoff.mul_f64(jitter));
+        self.list.backoff = (backoff * 3 / 2).min(interval.max(MIN_CALL_GAP * MAX_BACKOFF_GAPS));
     }
 
-    fn retire(&mut self, i: usize, standing: EndpointState) {
-        let a = &mut self.fleet[i];
-        let was = std::mem::replace(&mut a.standing, standing);
-        if was == EndpointState::Running && a.aside.is_none() {
-            let (past, counts) = (self.builds.get_mut(&a.build), std::mem::take(&mut a.counts));
-            past.into_iter()
-                .flat_map(|b| &mut b.past)
-                .zip(&counts)
-                .for_each(|(p, c)| p.mix(1.0, c));
-        }
+    /// Whether the lease of the list holds. Nothing is sent once it does not: guards endpoints that
+    /// have begun to drain since. Rejects requests while the list is refused.
+    pub(super) fn is_list_valid(&self, now: Duration) -> bool {
+        self.list.valid_until.is_none_or(|until| now < until)
     }
 }
--- /dev/null
+++ b/src/balancer/hedging.rs
@@ -0,0 +1,107 @@
+//! When an attempt in flight is hedged or cancelled.
+
+use super::routing::Outlook;
+use super::Balancer;
+use crate::interface::{Decision, Idempotency};
+use crate::model::{ActiveRequest, ClassState};
+use std::time::Duration;
+
+/// Time after which a hedged request is sent, as a part of the latency objective.
+const HEDGE_AFTER_OBJECTIVE: f64 = 0.45;
+/// The same in mean latencies.
+const HEDGE_AFTER_MEANS: f64 = 1.5;
+/// Multiple of the stall timeout after which one is sent under overload.
+const HEDGE_AFTER_STALLS: u32 = 2;
+/// Where hedging is off no attempt is late; far from the largest time, as times are added to it.
+const NEVER: Duration = Duration::new(u64::MAX / 4, 999_999_999);
+/// High quantile of the latency, at the least, in mean latencies.
+const HIGH_LATENCY_MEANS: f64 = 2.3;
+/// Multiple of the highest latency of any class after which silence is a stall.
+const STALL_FACTOR: f64 = 2.0;
+/// Bounds of the stall timeout in seconds.
+const STALL_TIMEOUT_RANGE: (f64, f64) = (0.1, 3.0);
+/// Looks at an attempt within a stall timeout.
+const RECHECKS_PER_STALL: u32 = 4;
+
+impl Balancer {
+    /// Silence after which an endpoint counts as unresponsive: beyond what any class needs.
+    pub(super) fn stall_timeout(&self) -> Duration {
+        let latencies = self.classes.iter().map(|c| &c.latency);
+        let highest = latencies
+            .map(|latency| latency.high.max(latency.mean * HIGH_LATENCY_MEANS))
+            .fold(0.0, f64::max);
+        let (min, max) = STALL_TIMEOUT_RANGE;
+        Duration::from_secs_f64((highest * STALL_FACTOR).clamp(min, max))
+    }
+
+    /// Time after which an attempt counts as lost though its endpoint answers others: short only
+    /// where answers are fast, as hedged requests slow all.
+    ///
+    /// Guards against networks that lose answers, and slow endpoints. Does harm to heavy requests,
+    /// which run twice.
+    pub(super) fn late_after(&self, class: &ClassState, stall_timeout: Duration) -> Duration {
+        if !self.parameters.hedging {
+            return NEVER;
+        }
+        if self.admission.limit.is_some() {
+            return stall_timeout * HEDGE_AFTER_STALLS;
+        }
+        let seconds = (class.rules.latency_objective * HEDGE_AFTER_OBJECTIVE)
+            .max(class.latency.mean * HEDGE_AFTER_MEANS);
+        Duration::from_secs_f64(seconds)
+    }
+
+    /// Decides what to do with a request whose attempt is in flight.
+    ///
+    /// Guards against endpoints that hang, vanish, pause or crawl: where one has said nothing at
+    /// all since, or the answer is very late, a request that may be repeated goes to another.
+    pub(super) fn recheck_attempt(
+        &mut self,
+        now: Duration,
+        id: u64,
+        outlook: &Outlook,
+    ) -> Decision {
+        let request = &self.requests[&id];
+        let Some((number, attempt)) = request.in_flight().last() else {
+            return Decision::Await;
+        };
+        if !self.may_hedge(request, outlook) {
+            return Decision::Await;
+        }
+        let sent_at = attempt.sent_at.max(self.clock.resumed_at);
+        let endpoint = &self.fleet.endpoints[attempt.endpoint];
+        let is_stalled = now >= sent_at + outlook.stall_timeout
+            && endpoint.is_unresponsive(now, outlook.stall_timeout);
+        let late_at = sent_at + outlook.late_after;
+        if !is_stalled && now < late_at {
+            let recheck_at = now + outlook.stall_timeout / RECHECKS_PER_STALL;
+            return Decision::Defer {
+                until: late_at
+                    .min(recheck_at)
+                    .max(now + self.parameters.timer_granularity),
+            };
+        }
+        if !self.parameters.hedging {
+            return Decision::Cancel { attempt: number };
+        }
+        self.hedge(now, id, outlook)
+    }
+
+    fn may_hedge(&self, request: &ActiveRequest, outlook: &Outlook) -> bool {
+        let is_hedged = request.in_flight().count() > 1;
+        let class = &self.classes[request.class];
+        class.rules.idempotency != Idempotency::NonIdempotent
+            && !is_hedged
+            && !outlook.attempts_spent
+            && !outlook.past_deadline
+            && self.has_retry_budget()
+    }
+
+    fn hedge(&mut self, now: Duration, id: u64, outlook: &Outlook) -> Decision {
+        self.spend_hedge();
+        match self.choose_endpoints(now, id) {
+            Some(choices) => self.forward(now, id, choices.chosen, outlook.recheck_after()),
+            None => Decision::Await,
+        }
+    }
+}
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,251 +1,211 @@
 //! The decisions of one agent.
 //!
 //! A caller asks [`Balancer::route`] where to forward a request, [`Balancer::on_attempt_end`] what
-//! to do after an attempt, and [`Balancer::poll`] what is due and when to ask again.
+//! to do after an attempt, and [`Balancer::poll`] what is due and when to ask again. This file
+//! holds the public calls; each concern behind them has a file of its own.
 
 mod admission;
+mod affinity;
 mod build_evaluation;
+mod candidates;
+mod cross_zone;
 mod endpoint_health;
 mod endpoint_list;
+mod endpoint_weights;
+mod evidence;
+mod exposure;
+mod hedging;
+mod latency_regression;
+mod load_reports;
+mod outcome_regression;
+mod parameters;
+mod platform_evidence;
 mod reload;
+mod request_class;
+mod retries;
 mod rollout_votes;
 mod routing;
+mod slow_start;
 
-use crate::interface::*;
-use crate::model::*;
-use rand::{seq::SliceRandom, Rng, SeedableRng};
+pub use parameters::list_call_interval;
+
+use crate::interface::{
+    AttemptEnd, Decision, Outcome, PollResult, Request, RolloutPhase, RolloutStatus, Settings,
+};
+use crate::model::{
+    ActiveRequest, AdmissionState, AffinityState, BuildState, ClassState, ClockState,
+    CrossZoneState, EvaluationState, Fleet, ListState, PeerOutcomes, PendingOutput, RetryState,
+    RolloutState, SlowStartState, VoteState,
+};
+use crate::stats::OutcomeCounts;
+use evidence::MIN_OUTCOMES;
+use parameters::Parameters;
+use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-const LEAST_OUTCOMES: f64 = 10.0;
-const POPULAR: usize = 32; // a key met within so many requests is warm anywhere, and would swamp a home
-const KIND_GAIN: f64 = 0.02;
-const EVALUATION_INTERVAL: Duration = ms(100);
-const FIRST_GUESS: f64 = 0.15; // of the latency objective: an answer before any has come
-const GAP: Duration = ms(250); // between calls of a kind, doubled as they fail
-const BLAME_GAIN: f64 = 0.15;
-const RETRY_EACH: f64 = 0.1; // further attempts earned by each request
-const RETRY_MOST: f64 = 20.0;
-const RETRY_AFTER: Duration = ms(500);
+/// How often evidence is weighed and limits are set.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Least time between two calls or votes, longer as they fail.
+const MIN_CALL_GAP: Duration = Duration::from_millis(250);
 
-/// One agent's decisions.
-#[derive(Default)]
+/// The decisions of one agent.
+///
+/// Its state is grouped by owner; each part is changed by the file of its concern.
 pub struct Balancer {
-    pub(crate) at: Bounds,
-    rng: Option<Pcg64Mcg>,
+    parameters: Parameters,
+    rng: Pcg64Mcg,
     classes: Vec<ClassState>,
-    pub(crate) commands: BTreeMap<u64, Open>,
-    pub(crate) fleet: Vec<Endpoint>,
-    pub(crate) kinds: Vec<Kind>,
-    load_report_requests: Vec<usize>, // for their load
-    recent: Recent,
-    pub(crate) builds: BTreeMap<u32, Build>,
-    oldest: u32,                          // build that runs
-    pub(crate) bound: BTreeMap<u64, u32>, // keys that a build on trial has answered
-    pub(crate) rollout_status: Option<RolloutStatus>,
-    beside: Beside,
-    intake: Intake,
-    drag: Drag,
-    tenant_load: Vec<f64>,
-    crossings: CrossZonePolicy,
-    carried: Mean,        // answers of a warm endpoint in a survey
-    sick_until: Duration, // single machines of the earlier build fail, too
-    load: Load,
-    votes: Votes,
-    next_evaluation: Duration,
-    resumed: Duration, // after this agent's last stall
-    watch_at: Option<Duration>,
-    watch_gap: Duration,
-    /// Until when the list tells who left; then nothing is sent. Guards drains, denies while it is
-    /// refused.
-    list_valid_until: Option<Duration>,
-    notes: Vec<String>,
+    requests: BTreeMap<u64, ActiveRequest>,
+    pub(crate) fleet: Fleet,
+    pub(crate) rollout: RolloutState,
+    admission: AdmissionState,
+    affinity: AffinityState,
+    clock: ClockState,
+    cross_zone: CrossZoneState,
+    evaluation: EvaluationState,
+    list: ListState,
+    output: PendingOutput,
+    retries: RetryState,
+    slow_start: SlowStartState,
+    votes: VoteState,
 }
 
 impl Balancer {
-    pub fn new(now: Duration, d: Settings) -> Balancer {
-        let (mut rng, at) = (Pcg64Mcg::seed_from_u64(d.seed), Bounds::of(&d));
+    /// A balancer that knows no endpoint and no build yet.
+    pub fn new(now: Duration, settings: Settings) -> Balancer {
+        let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
+        let parameters = Parameters::from(&settings);
+        let votes = VoteState {
+            rolls_back_first: rng.gen_bool(0.5),
+            ..VoteState::default()
+        };
+        let list = ListState {
+            next_call: parameters.list_poll_interval.map(|_| {
+                now + parameters
+                    .list_call_interval()
+                    .mul_f64(rng.gen_range(0.0..1.0))
+            }),
+            ..ListState::default()
+        };
         Balancer {
-            classes: d
+            classes: settings
                 .classes
                 .iter()
-                .map(|l| ClassState::new(l, FIRST_GUESS))
+                .map(request_class::initial)
                 .collect(),
-            tenant_load: vec![0.0; d.tenants.len()],
-            beside: Beside {
-                counts: vec![Count::default(); d.classes.len()],
-                ..Beside::default()
-            },
-            votes: Votes {
-                severe: rng.gen_bool(0.5),
-                ..Votes::default()
+            requests: BTreeMap::new(),
+            fleet: Fleet::default(),
+            rollout: RolloutState::default(),
+            admission: AdmissionState {
+                tenant_load: vec![0.0; settings.tenants.len()],
+                ..AdmissionState::default()
             },
-            watch_at: at
-                .ask_within
-                .map(|_| now + at.list_call_interval().mul_f64(rng.gen_range(0.0..1.0))),
-            rng: Some(rng),
-            at,
-            load: Load {
-                spare: RETRY_MOST,
-                blame: 1.0,
-                ..Load::default()
+            affinity: AffinityState::default(),
+            clock: ClockState::default(),
+            cross_zone: CrossZoneState::default(),
+            evaluation: EvaluationState {
+                peers: PeerOutcomes {
+                    outcomes: vec![OutcomeCounts::default(); settings.classes.len()],
+                    ..PeerOutcomes::default()
+                },
+                ..EvaluationState::default()
             },
-            carried: Mean {
-                now: 0.0,
-                seen: 1.0 / KIND_GAIN,
-            }, // from nothing: a start knows no pace
-            ..Balancer::default()
+            list,
+            output: PendingOutput::default(),
+            retries: retries::initial(),
+            slow_start: slow_start::initial(),
+            votes,
+            parameters,
+            rng,
         }
     }
 
-    pub fn on_request(&mut self, now: Duration, id: u64, c: Request) {
-        self.load.spare = (self.load.spare + RETRY_EACH).min(RETRY_MOST);
-        self.intake.taken += if c.is_retry { 0.0 } else { 1.0 };
-        let (slot, free) = (self.at.slot(c.class), self.at.free);
-        self.builds
-            .values_mut()
-            .for_each(|b| b.tokens[slot] = (b.tokens[slot] + b.cap).min(free));
-        c.tenant
-            .and_then(|i| self.tenant_load.get_mut(i))
-            .into_iter()
-            .for_each(|l| *l += 1.0);
-        let home = c
-            .key
-            .filter(|k| self.at.warm_keys && !self.recent.met(*k, POPULAR));
-        self.commands.insert(
-            id,
-            Open {
-                home,
-                ..Open::new(now, &c)
-            },
-        );
+    /// Takes in a request, which [`Balancer::route`] then decides on under the same `id`.
+    pub fn on_request(&mut self, now: Duration, id: u64, request: Request) {
+        self.earn_retry();
+        if !request.is_retry {
+            self.evaluation.arrivals.arrived += 1.0;
+        }
+        self.earn_exposure(request.class);
+        self.count_tenant(request.tenant);
+        let affinity_key = self.affinity_key(request.key);
+        let request = ActiveRequest::new(now, &request, affinity_key);
+        self.requests.insert(id, request);
     }
 
-    /// What the platform says of the newest build.
-    pub fn update_rollout(&mut self, n: RolloutStatus) {
-        let known = self.rollout_status.as_ref().map(|o| o.build);
-        if known > Some(n.build) {
+    /// Takes in what the rollout platform says of the newest build. Older news are left out.
+    pub fn update_rollout(&mut self, status: RolloutStatus) {
+        let known = self.rollout.status.as_ref().map(|s| s.build);
+        if known > Some(status.build) {
             return;
         }
-        if known != Some(n.build) {
-            let stood = self
-                .rollout_status
-                .as_ref()
-                .is_some_and(|o| o.phase == RolloutPhase::Released);
-            self.classes
-                .iter_mut()
-                .for_each(|l| l.settle(stood, LEAST_OUTCOMES));
-            self.drag = Drag::default();
-            self.beside.counts.fill(Count::default());
-            self.bound.retain(|_, b| *b >= n.build);
-            let oldest = earlier(&self.builds, n.build);
-            self.builds.retain(|b, _| *b >= oldest);
+        if known != Some(status.build) {
+            self.begin_evaluation(status.build);
         }
-        self.build(n.build);
-        self.rollout_status = Some(n);
-        self.set_caps();
+        self.build_mut(status.build);
+        self.rollout.status = Some(status);
+        self.set_exposure_caps();
     }
 
-    /// What crossing means from now on. It weighs where requests go, after the rules and a trial's
-    /// evidence.
-    pub fn set_cross_zone_policy(&mut self, told: CrossZonePolicy) {
-        self.crossings = told;
-        let own = self.crossings.zones.get_mut(self.at.zone);
-        own.into_iter().for_each(|c| {
-            *c = ZonePolicy {
-                weight: Some(1.0),
-                ..ZonePolicy::default()
-            }
-        });
+    /// Forgets what was known of the earlier newest build, and sets its latencies as the baseline.
+    fn begin_evaluation(&mut self, build: u32) {
+        let status = self.rollout.status.as_ref();
+        let released = status.is_some_and(|s| s.phase == RolloutPhase::Released);
+        for class in &mut self.classes {
+            class.freeze_baseline(released, MIN_OUTCOMES);
+        }
+        self.evaluation.latency = Default::default();
+        self.evaluation
+            .peers
+            .outcomes
+            .fill(OutcomeCounts::default());
+        self.affinity.sticky_builds.retain(|_, b| *b >= build);
+        let earlier = self.rollout.build_before(build);
+        self.rollout.builds.retain(|b, _| *b >= earlier);
     }
 
     /// Sets until when the endpoint list holds; nothing is sent from then on. `None` where it holds
     /// without a limit.
     pub fn set_list_valid_until(&mut self, until: Option<Duration>) {
-        self.list_valid_until = until;
+        self.list.valid_until = until;
     }
 
-    /// Where to send this request now.
+    /// Decides where to forward a request now, or what else to do with it.
     pub fn route(&mut self, now: Duration, id: u64) -> Decision {
-        self.resume(now);
-        let Some(c) = self.commands.get(&id).filter(|c| !c.closed) else {
+        self.detect_stall(now);
+        let Some(request) = self.requests.get(&id).filter(|r| !r.closed) else {
             return Decision::Await;
         };
-        let (class, left) = (&self.classes[c.class], c.deadline.saturating_sub(now));
-        let spent = c.attempts.len() >= self.at.attempts;
-        let hopeless =
-            left.as_secs_f64() < class.usual || c.forgotten(class.idempotency, now + self.at.tick);
-        let (patience, late_after) = (self.patience(), self.late_after(class));
-        let wait = patience.min(late_after);
-
-        if let Some((attempt, d)) = c.out().last() {
-            // It is out. Guards against endpoints that hang, vanish, pause or crawl: when one has
-            // said nothing at all since, or is very late, an idempotent request goes to another.
-            let twice = c.out().count() > 1;
-            if class.idempotency == Idempotency::NonIdempotent
-                || twice
-                || spent
-                || hopeless
-                || self.load.spare < 1.0
-            {
-                return Decision::Await;
-            }
-            let sent = d.sent.max(self.resumed);
-            let silent = now >= sent + patience && self.fleet[d.endpoint].silent(now, patience);
-            let late = sent + late_after;
-            if !silent && now < late {
-                return Decision::Defer {
-                    until: late.min(now + patience / 4).max(now + self.at.tick),
-                };
-            }
-            if !self.at.hedging {
-                return Decision::Cancel { attempt };
-            }
-            self.load.spare -= 1.0;
-            return self.pick(now, id).map_or(Decision::Await, |[other, _]| {
-                self.send(now, id, other, wait)
-            });
+        let outlook = self.outlook(now, request);
+        if request.in_flight().next().is_some() {
+            return self.recheck_attempt(now, id, &outlook);
         }
-        // Overload: what is worth least is rejected before it costs anything.
-        if left <= self.at.tick * 2 || spent || c.attempts.is_empty() && self.crowded(c) {
+        if self.is_rejected_at_once(now, request, &outlook) {
             return self.give_up(now, id);
         }
-        // Unsent at half its time: its client may find another agent. Denies what might yet be
-        // taken.
-        let unsent = now + self.at.tick * 4 > c.half && !c.attempts.iter().any(|d| d.may_have_run);
-        match self.pick(now, id) {
-            Some(two) if self.ask(now, id, two) => Decision::Defer {
-                until: now + self.at.tick * 2,
-            },
-            Some([chosen, _]) => self.send(now, id, chosen, wait),
-            None if hopeless || unsent => self.give_up(now, id),
-            None => Decision::Defer {
-                until: now + self.at.tick * 4,
-            },
-        }
+        self.start_attempt(now, id, &outlook)
     }
 
-    /// Whether an attempt still stands as it is about to be written: its connection may have come
-    /// up late.
-    pub fn attempt_allowed(&self, now: Duration, id: u64, nth: usize) -> bool {
-        let Some(c) = self.commands.get(&id).filter(|c| now < c.deadline) else {
+    /// Whether an attempt may still be written: its connection may have come up late.
+    pub fn attempt_allowed(&self, now: Duration, id: u64, attempt: usize) -> bool {
+        let Some(request) = self.requests.get(&id).filter(|r| now < r.deadline) else {
+            return false;
+        };
+        let Some(planned) = request.attempts.get(attempt) else {
+            return false;
+        };
+        let Some(endpoint) = self.fleet.endpoints.get(planned.endpoint) else {
             return false;
         };
-        let list_valid_until = self.list_valid_until.is_none_or(|t| now < t);
-        let to = c.attempts.get(nth).and_then(|d| self.fleet.get(d.endpoint));
-        list_valid_until
-            && to.is_some_and(|a| {
-                c.within_group(
-                    nth,
-                    self.classes[c.class].idempotency,
-                    a,
-                    now + self.at.tick,
-                )
-            })
+        let idempotency = self.classes[request.class].rules.idempotency;
+        let written_at = now + self.parameters.timer_granularity;
+        self.is_list_valid(now)
+            && request.is_deduplicated_at(attempt, idempotency, endpoint, written_at)
     }
 
-    /// What to do after an attempt ended; `closed` when the request has had its final answer.
+    /// Takes in the end of an attempt, and decides what to do with its request.
     pub fn on_attempt_end(
         &mut self,
         now: Duration,
@@ -253,144 +213,88 @@
         attempt: usize,
         end: AttemptEnd,
     ) -> Decision {
-        self.resume(now);
-        let Some(c) = self.commands.get_mut(&id) else {
-            return Decision::Await;
-        };
-        let Some(d) = c.attempts.get_mut(attempt).filter(|d| d.out) else {
+        self.detect_stall(now);
+        let Some(ended) = self.end_attempt(id, attempt, end.outcome) else {
             return Decision::Await;
         };
-        d.end(end.outcome);
-        let (endpoint, build, class, key) = (d.endpoint, d.build, c.class, c.key);
-        self.load.in_flight = self.load.in_flight.saturating_sub(1);
-        // Guards against requests that fail anywhere: what fails at a second endpoint, too, is held
-        // against neither. Should also spare a broken dependency; may spare a build that fails
-        // nearly all of a class.
-        let first = c.attempts[..attempt]
-            .iter()
-            .find(|d| d.failed)
-            .map(|d| (d.endpoint, d.build));
-        match (end.outcome, first) {
-            (Outcome::Failed, Some((i, b))) => {
-                self.load.blame *= 1.0 - BLAME_GAIN;
-                let a = &mut self.fleet[i];
-                if let Some(count) = a.counts.get_mut(class).filter(|_| a.build == b) {
-                    count.failed = (count.failed - 1.0).max(0.0);
-                    a.failing *= 0.85;
-                }
-            }
-            (Outcome::Succeeded, Some(_)) => {
-                self.load.blame += (1.0 - self.load.blame) * BLAME_GAIN
-            }
-            _ => {}
-        }
-        let weight = if first.is_some() {
-            0.0
-        } else {
-            self.load.blame
-        };
-        self.on_load_report(now, endpoint, end.outcome, end.reported_load);
-        if end.outcome == Outcome::Succeeded && self.resumed < now {
-            self.hear(id, attempt, end.latency);
-        }
-        self.learn(now, endpoint, build, class, &end, weight);
-        let by = build.max(self.fleet[endpoint].build);
-        let binds = self.at.one_way && self.rollout_status.as_ref().is_none_or(|n| by >= n.build);
-        self.bound.extend(
-            key.filter(|_| binds && end.outcome == Outcome::Succeeded)
-                .map(|k| (k, by)),
-        );
-        let c = &self.commands[&id];
-        let other = c.out().next().map(|(nth, _)| nth);
-        if end.request_closed || c.closed {
-            self.close_request(id);
-            let waste = other.filter(|_| self.at.withdraw);
-            return waste.map_or(Decision::Await, |attempt| Decision::Cancel { attempt });
-        }
-        if other.is_some() {
-            return Decision::Await;
-        }
-        let ran = c.attempts.iter().any(|d| d.may_have_run);
-        let cost = if ran { 1.0 } else { 0.3 };
-        let moot =
-            end.outcome == Outcome::Failed && chance(&mut self.rng) > self.load.blame.max(0.2);
-        let late = c.deadline.saturating_sub(now).as_secs_f64() < self.classes[class].usual * 0.5;
-        let barred = ran && self.classes[class].idempotency == Idempotency::NonIdempotent;
-        if late || barred || moot || self.load.spare < cost {
-            return self.give_up(now, id);
+        let fault_weight = self.attribute_fault(&ended, end.outcome);
+        self.on_load_report(now, ended.endpoint, end.outcome, end.reported_load);
+        if end.outcome == Outcome::Succeeded && self.clock.resumed_at < now {
+            self.count_speed(id, attempt, end.latency);
         }
-        self.load.spare -= cost;
-        self.route(now, id)
+        self.record_attempt(now, &ended, &end, fault_weight);
+        self.bind_key(&ended, end.outcome);
+        self.after_attempt(now, id, &end)
     }
 
-    /// What is due now, and when to ask again.
+    /// Does what is due now, and says when to poll again.
     pub fn poll(&mut self, now: Duration) -> PollResult {
-        if now >= self.next_evaluation {
-            self.weigh(now);
-            self.fade(now);
-            self.limit(now);
-            self.judge(now);
-            self.next_evaluation = now + EVALUATION_INTERVAL;
+        if now >= self.clock.next_evaluation {
+            self.evaluate(now);
+            self.clock.next_evaluation = now + EVALUATION_INTERVAL;
         }
-        let watch = self.watch_at.take_if(|t| now >= *t).is_some();
-        let until = self
-            .watch_at
-            .map_or(self.next_evaluation, |t| t.min(self.next_evaluation));
-        let (load_report_requests, vote) = (
-            std::mem::take(&mut self.load_report_requests),
-            self.vote(now),
-        );
+        let open_watch = self.list.next_call.take_if(|at| now >= *at).is_some();
+        let next_evaluation = self.clock.next_evaluation;
+        let next_call = self.list.next_call;
         PollResult {
-            next_poll: until,
-            vote,
-            open_watch: watch,
-            load_report_requests,
-            log_lines: std::mem::take(&mut self.notes),
+            next_poll: next_call.map_or(next_evaluation, |at| at.min(next_evaluation)),
+            vote: self.next_vote(now),
+            open_watch,
+            load_report_requests: std::mem::take(&mut self.output.load_report_requests),
+            log_lines: std::mem::take(&mut self.output.log_lines),
         }
     }
 
-    fn give_up(&mut self, now: Duration, id: u64) -> Decision {
-        let Some(c) = self.commands.get(&id) else {
-            return Decision::Await;
-        };
-        let deny = Decision::Reject {
-            retry_after: self.at.retry_after.map(|most| most.min(RETRY_AFTER)),
-        };
-        let harmless = c.harmless(self.classes[c.class].idempotency, now + RETRY_AFTER);
-        let answer = if harmless { deny } else { Decision::Fail };
-        self.close_request(id);
-        answer
+    /// Weighs endpoints and builds by the evidence of the last interval.
+    fn evaluate(&mut self, now: Duration) {
+        self.update_slow_start_pace();
+        self.weigh_endpoints(now);
+        self.decay_evidence(now);
+        self.update_remote_weight();
+        self.update_limit(now);
+        self.evaluate_canary(now);
     }
 
+    /// Notes that a request has had its final answer.
     pub fn close_request(&mut self, id: u64) {
-        let Some(c) = self.commands.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        c.closed = true;
-        if c.attempts.iter().all(|d| !d.out) {
-            self.commands.remove(&id);
+        request.closed = true;
+        if request.in_flight().next().is_none() {
+            self.requests.remove(&id);
         }
     }
 
-    pub(crate) fn running(&self) -> impl Iterator<Item = (usize, &Endpoint)> {
-        self.at
-            .walk(&self.fleet)
-            .iter()
-            .enumerate()
-            .filter(|(_, a)| a.standing == EndpointState::Running)
+    /// Endpoints that all walks over them have scanned since the last reload: a measure of work
+    /// that does not depend on a clock.
+    pub fn endpoints_scanned(&self) -> u64 {
+        self.fleet.scanned()
     }
 
-    fn build(&mut self, number: u32) -> &mut Build {
-        let (classes, slots) = (
-            self.classes.len(),
-            if self.at.by_class {
-                self.classes.len()
-            } else {
-                1
-            },
-        );
-        self.builds
+    /// How many requests, endpoints, builds and keys with a sticky build are kept.
+    pub fn retained_counts(&self) -> [usize; 4] {
+        [
+            self.requests.len(),
+            self.fleet.endpoints.len(),
+            self.rollout.builds.len(),
+            self.affinity.sticky_builds.len(),
+        ]
+    }
+
+    /// A random number from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
+        self.rng.gen_range(0.0..1.0)
+    }
+
+    /// State of a build, which is begun where nothing is known of it.
+    fn build_mut(&mut self, number: u32) -> &mut BuildState {
+        let classes = self.classes.len();
+        let slots = self.parameters.exposure_slots(classes);
+        let burst = self.parameters.rollout.exposure_burst;
+        self.rollout
+            .builds
             .entry(number)
-            .or_insert_with(|| Build::new(classes, slots, self.at.free))
+            .or_insert_with(|| BuildState::new(classes, slots, burst))
     }
 }
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -1,184 +1,219 @@
-//! Settings taken over while requests are in hand. What is known of classes, tenants, builds and
-//! endpoints is carried over by number; nothing is decided here, and no chance is drawn for
-//! settings that are the same.
+//! Takes over other settings while requests are in flight. What is known of classes, tenants,
+//! builds and endpoints is carried over by index; nothing is decided here, and no random number is
+//! drawn for settings that are the same.
 
-use super::*;
+use super::parameters::Parameters;
+use super::{request_class, Balancer};
+use crate::interface::{IndexMapping, IndexOrigin, IndicesInUse, RequestClass, Settings};
+use crate::model::{ClassRules, ClassState};
+use std::time::Duration;
 
 impl Balancer {
-    /// What requests in hand count in: those numbers may not be given to others.
+    /// The indices that requests in flight are counted under: they may not be given to others.
     pub fn indices_in_use(&self) -> IndicesInUse {
-        let mut held = IndicesInUse::default();
-        for c in self.commands.values() {
-            held.classes.insert(c.class);
-            held.tenants.extend(c.tenant);
-            held.zones.extend(c.attempts.iter().map(|d| d.zone));
+        let mut in_use = IndicesInUse::default();
+        for request in self.requests.values() {
+            in_use.classes.insert(request.class);
+            in_use.tenants.extend(request.tenant);
+            in_use.zones.extend(request.attempts.iter().map(|a| a.zone));
         }
-        held
+        in_use
     }
 
-    /// From now on these settings decide, numbered as `by` says. Requests in hand keep their
-    /// numbers, and with them their rules of repeats; evidence and what was exposed stay.
-    pub fn reload(&mut self, now: Duration, d: &Settings, by: &IndexMapping) {
-        let (at, classes) = (Bounds::of(d), Carry::of(&by.classes));
-        let was = std::mem::replace(&mut self.at, at);
-        self.reload_classes(d, by, &classes);
-        for a in self.fleet.iter_mut().filter(|a| !a.counts.is_empty()) {
-            classes.carry(&mut a.counts);
+    /// Decides by these settings from now on, whose indices come from where `mapping` says.
+    /// Requests in flight keep their indices, and with them their idempotency; evidence and what
+    /// was exposed stay.
+    pub fn reload(&mut self, now: Duration, settings: &Settings, mapping: &IndexMapping) {
+        let classes = CarryOver::new(&mapping.classes);
+        let before = std::mem::replace(&mut self.parameters, Parameters::from(settings));
+        self.fleet.reset_scanned();
+        self.reload_classes(settings, mapping, &classes);
+        self.carry_over_evidence(&classes);
+        self.carry_over_exposure(&before, &classes);
+        CarryOver::new(&mapping.tenants).apply(&mut self.admission.tenant_load);
+        if !self.parameters.rollout.sticky_builds {
+            self.affinity.sticky_builds.clear();
         }
-        classes.carry(&mut self.beside.counts);
-        for b in self.builds.values_mut() {
-            classes.carry(&mut b.past);
-            classes.carry(&mut b.tallied);
-            b.tokens = tokens(std::mem::take(&mut b.tokens), &was, &self.at, &classes);
+        self.extend_slow_start(now, before.slow_start.duration);
+        if before.list_poll_interval.is_none() && self.parameters.list_poll_interval.is_some() {
+            let interval = self.parameters.list_call_interval();
+            self.list.next_call = Some(now + interval.mul_f64(self.random_fraction()));
         }
-        self.set_caps();
-        Carry::of(&by.tenants).carry(&mut self.tenant_load);
-        if !self.at.one_way {
-            self.bound.clear();
+    }
+
+    /// Gives these endpoints, by index, other zone indices.
+    pub fn reassign_zones(&mut self, zones: &[(usize, usize)]) {
+        for (endpoint, zone) in zones {
+            if let Some(endpoint) = self.fleet.endpoints.get_mut(*endpoint) {
+                endpoint.zone = *zone;
+            }
         }
-        // A longer time to warm holds for who has not had it.
-        let warm_up = self.at.warm_up;
-        for a in self
-            .fleet
-            .iter_mut()
-            .filter(|a| a.warming_since.is_none() && warm_up > was.warm_up)
-        {
-            a.warming_since = a.started.filter(|s| *s + warm_up > now);
+    }
+
+    fn carry_over_evidence(&mut self, classes: &CarryOver) {
+        let endpoints = self.fleet.endpoints.iter_mut();
+        for endpoint in endpoints.filter(|e| !e.outcomes.is_empty()) {
+            classes.apply(&mut endpoint.outcomes);
         }
-        if was.ask_within.is_none() && self.at.ask_within.is_some() {
-            self.watch_at = Some(now + self.at.list_call_interval().mul_f64(chance(&mut self.rng)));
+        classes.apply(&mut self.evaluation.peers.outcomes);
+        for build in self.rollout.builds.values_mut() {
+            classes.apply(&mut build.departed_outcomes);
+            classes.apply(&mut build.platform_totals);
         }
     }
 
-    /// These endpoints' zones have other numbers now.
-    pub fn reassign_zones(&mut self, zones: &[(usize, usize)]) {
-        for (endpoint, zone) in zones {
-            self.fleet
-                .get_mut(*endpoint)
-                .into_iter()
-                .for_each(|a| a.zone = *zone);
+    fn carry_over_exposure(&mut self, before: &Parameters, classes: &CarryOver) {
+        for build in self.rollout.builds.values_mut() {
+            let tokens = std::mem::take(&mut build.exposure_tokens);
+            build.exposure_tokens = exposure_tokens(tokens, before, &self.parameters, classes);
         }
+        self.set_exposure_caps();
     }
 
-    fn reload_classes(&mut self, d: &Settings, by: &IndexMapping, classes: &Carry) {
-        let old = std::mem::take(&mut self.classes);
-        let known = |n: usize, l: &RequestClass| match old.get(n) {
-            // Nothing was answered yet: a guess from the former latency objective is none from this
-            // one.
-            Some(o)
-                if o.seen <= ClassState::UNSEEN
-                    && o.latency_objective != l.latency_objective.as_secs_f64() =>
-            {
-                ClassState::new(l, FIRST_GUESS)
-            }
-            Some(o) => ClassState {
-                latency_objective: l.latency_objective.as_secs_f64(),
-                priority_weight: l.priority_weight,
-                idempotency: l.idempotency,
-                ..o.clone()
-            },
-            None => ClassState::new(l, FIRST_GUESS),
-        };
-        let view = |(n, (l, origin)): (usize, (&RequestClass, &IndexOrigin))| match *origin {
-            IndexOrigin::Same => known(n, l),
-            IndexOrigin::MovedFrom(n) => known(n, l),
-            IndexOrigin::New => ClassState::new(l, FIRST_GUESS),
-            IndexOrigin::Retired if classes.from[n].is_some() => known(n, l),
-            // What it was answered goes on under its new number; here it would count twice.
-            IndexOrigin::Retired => {
-                let ClassState {
-                    latency_objective,
-                    priority_weight,
-                    idempotency,
-                    seen,
-                    usual,
-                    least,
-                    half,
-                    high,
-                    ..
-                } = known(n, l);
-                ClassState {
-                    latency_objective,
-                    priority_weight,
-                    idempotency,
-                    seen,
-                    usual,
-                    least,
-                    half,
-                    high,
-                    ..ClassState::default()
+    /// Where slow start lasts longer from now on, endpoints that have not warmed up for as long are
+    /// in slow start again.
+    fn extend_slow_start(&mut self, now: Duration, before: Duration) {
+        let duration = self.parameters.slow_start.duration;
+        if duration <= before {
+            return;
+        }
+        for endpoint in self.fleet.endpoints.iter_mut().filter(|e| e.is_warm()) {
+            endpoint.warming_since = endpoint.started.filter(|s| *s + duration > now);
+        }
+    }
+
+    fn reload_classes(&mut self, settings: &Settings, mapping: &IndexMapping, classes: &CarryOver) {
+        let before = std::mem::take(&mut self.classes);
+        let origins = settings.classes.iter().zip(&mapping.classes).enumerate();
+        self.classes = origins
+            .map(|(index, (class, origin))| match *origin {
+                IndexOrigin::Same => carried_over(&before, index, class),
+                IndexOrigin::MovedFrom(from) => carried_over(&before, from, class),
+                IndexOrigin::New => request_class::initial(class),
+                IndexOrigin::Retired if classes.from[index].is_some() => {
+                    carried_over(&before, index, class)
                 }
-            }
-            // One that takes part in no sum, and is never slow.
-            IndexOrigin::Unused => ClassState {
-                latency_objective: 1.0,
-                ..ClassState::default()
-            },
-        };
-        self.classes = d
-            .classes
-            .iter()
-            .zip(&by.classes)
-            .enumerate()
-            .map(view)
+                IndexOrigin::Retired => without_samples(carried_over(&before, index, class)),
+                IndexOrigin::Unused => unused(),
+            })
             .collect();
     }
 }
 
-/// Under which number each number's evidence was kept.
-struct Carry {
+/// What was known of the class at index `from`, under the rules of `class`.
+fn carried_over(before: &[ClassState], from: usize, class: &RequestClass) -> ClassState {
+    let Some(known) = before.get(from) else {
+        return request_class::initial(class);
+    };
+    let rules = ClassRules::from(class);
+    // A guess from the former latency objective is none from this one.
+    let has_other_objective = known.rules.latency_objective != rules.latency_objective;
+    if request_class::is_initial(known) && has_other_objective {
+        return request_class::initial(class);
+    }
+    ClassState {
+        rules,
+        ..known.clone()
+    }
+}
+
+/// A class whose samples go on under another index: here they would count twice.
+fn without_samples(class: ClassState) -> ClassState {
+    ClassState {
+        rules: class.rules,
+        latency: class.latency,
+        ..ClassState::default()
+    }
+}
+
+/// A class that takes part in no sum, and is never slow.
+fn unused() -> ClassState {
+    ClassState {
+        rules: ClassRules {
+            latency_objective: 1.0,
+            ..ClassRules::default()
+        },
+        ..ClassState::default()
+    }
+}
+
+/// Under which index the evidence of each index was kept.
+struct CarryOver {
     from: Vec<Option<usize>>,
-    same: bool,
+    is_unchanged: bool,
 }
 
-impl Carry {
-    fn of(by: &[IndexOrigin]) -> Carry {
-        let mut moved = vec![false; by.len()];
-        for o in by {
-            if let IndexOrigin::MovedFrom(n) = o {
-                moved.get_mut(*n).into_iter().for_each(|m| *m = true);
+impl CarryOver {
+    fn new(origins: &[IndexOrigin]) -> CarryOver {
+        let mut has_moved = vec![false; origins.len()];
+        for origin in origins {
+            if let IndexOrigin::MovedFrom(from) = origin {
+                if let Some(has_moved) = has_moved.get_mut(*from) {
+                    *has_moved = true;
+                }
             }
         }
-        let from = |(n, o): (usize, &IndexOrigin)| match o {
-            IndexOrigin::Same => Some(n),
-            IndexOrigin::Retired if !moved[n] => Some(n),
-            IndexOrigin::MovedFrom(n) => Some(*n),
-            _ => None,
-        };
-        let from: Vec<_> = by.iter().enumerate().map(from).collect();
-        Carry {
-            same: from.iter().enumerate().all(|(n, f)| *f == Some(n)),
+        let from: Vec<Option<usize>> = origins
+            .iter()
+            .enumerate()
+            .map(|(index, origin)| match origin {
+                IndexOrigin::Same => Some(index),
+                IndexOrigin::Retired if !has_moved[index] => Some(index),
+                IndexOrigin::MovedFrom(from) => Some(*from),
+                IndexOrigin::Retired | IndexOrigin::New | IndexOrigin::Unused => None,
+            })
+            .collect();
+        let mut sources = from.iter().enumerate();
+        CarryOver {
+            is_unchanged: sources.all(|(index, from)| *from == Some(index)),
             from,
         }
     }
 
-    fn carry<T: Clone + Default>(&self, kept: &mut Vec<T>) {
-        if self.same && kept.len() == self.from.len() {
+    fn apply<T: Clone + Default>(&self, values: &mut Vec<T>) {
+        if self.is_unchanged && values.len() == self.from.len() {
             return;
         }
-        let of = |n: &Option<usize>| n.and_then(|n| kept.get(n)).cloned().unwrap_or_default();
-        *kept = self.from.iter().map(of).collect();
+        *values = self
+            .from
+            .iter()
+            .map(|from| from.and_then(|index| values.get(index)))
+            .map(|value| value.cloned().unwrap_or_default())
+            .collect();
     }
 }
 
-/// What may still be exposed. A renewal never adds to it: what a lower bound allows less is owed, a
-/// class that is new earns its own, and what all classes had is shared out, or owed together, where
-/// the cap counts otherwise from now on. So the bound holds in each window across the change, but
-/// for single classes that were not counted before. May leave a build on trial unexposed for a
-/// while.
-fn tokens(mut old: Vec<f64>, was: &Bounds, at: &Bounds, classes: &Carry) -> Vec<f64> {
-    let less = (was.free - at.free).max(0.0);
-    match (was.by_class, at.by_class) {
-        (true, false) => old = vec![was.free - old.iter().map(|t| was.free - t).sum::<f64>()],
+/// The tokens that a build has under other settings.
+///
+/// A reload never adds to what may still be exposed. What a lower burst allows less is owed. A
+/// class that is new earns its own tokens. Where the cap counts otherwise from now on, what all
+/// classes had is shared out, or owed together. So the cap holds in each window across the reload,
+/// but for single classes that were not counted before. May leave a canary unexposed for a while.
+fn exposure_tokens(
+    mut tokens: Vec<f64>,
+    before: &Parameters,
+    now: &Parameters,
+    classes: &CarryOver,
+) -> Vec<f64> {
+    let before = &before.rollout;
+    let now = &now.rollout;
+    match (before.cap_per_class, now.cap_per_class) {
+        (true, false) => {
+            let spent: f64 = tokens.iter().map(|t| before.exposure_burst - t).sum();
+            tokens = vec![before.exposure_burst - spent];
+        }
         (false, true) => {
-            let each = old.iter().sum::<f64>() / classes.from.len().max(1) as f64;
-            old = vec![each; classes.from.len()];
+            let share = tokens.iter().sum::<f64>() / classes.from.len().max(1) as f64;
+            tokens = vec![share; classes.from.len()];
         }
-        _ => {}
+        (true, true) | (false, false) => {}
+    }
+    let owed = (before.exposure_burst - now.exposure_burst).max(0.0);
+    for count in &mut tokens {
+        *count = (*count - owed).min(now.exposure_burst);
     }
-    old.iter_mut().for_each(|t| *t = (*t - less).min(at.free));
-    if was.by_class && at.by_class {
-        classes.carry(&mut old);
+    if before.cap_per_class && now.cap_per_class {
+        classes.apply(&mut tokens);
     }
-    old
+    tokens
 }
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -1,63 +1,102 @@
-//! Which vote is cast, cast again or taken back.
+//! Which vote is sent, renewed or withdrawn.
 
-use super::*;
+use super::{Balancer, MIN_CALL_GAP};
+use crate::interface::{RolloutPhase, Verdict, Vote, VoteReply};
+use crate::model::SentVote;
+use std::time::Duration;
+
+/// Longest time between two votes after refusals.
+const MAX_VOTE_BACKOFF: Duration = Duration::from_millis(2000);
+/// Longest interval, in seconds, that is kept for the other agents' sake.
+const MAX_VOTE_INTERVAL: f64 = 2.0;
+/// Time beyond the timeout, in gaps between calls, after which the reply to a vote is given up.
+const REPLY_GRACE: u32 = 2;
+/// Part of its time to live after which a vote is renewed.
+const RENEWALS_PER_TTL: u32 = 2;
+/// Times to live after which a standing vote is forgotten.
+const FORGOTTEN_AFTER_TTLS: u32 = 2;
 
 impl Balancer {
-    pub(super) fn vote(&mut self, now: Duration) -> Option<Vote> {
-        if self
-            .votes
-            .pending
-            .as_ref()
-            .is_some_and(|(_, sent)| now >= *sent + self.at.vote_wait + GAP * 2)
-        {
+    /// The vote to send now, if any.
+    pub(super) fn next_vote(&mut self, now: Duration) -> Option<Vote> {
+        self.expire_pending_vote(now);
+        let may_vote = self.parameters.rollout.timed_stages
+            && self.votes.pending.is_none()
+            && now >= self.votes.next_at;
+        if !may_vote {
+            return None;
+        }
+        self.forget_moot_vote(now);
+        let vote = self.due_vote(now)?;
+        self.votes.pending = Some(SentVote {
+            vote: vote.clone(),
+            at: now,
+        });
+        Some(vote)
+    }
+
+    fn expire_pending_vote(&mut self, now: Duration) {
+        let timeout = self.parameters.rollout.vote_timeout + MIN_CALL_GAP * REPLY_GRACE;
+        let pending = self.votes.pending.as_ref();
+        if pending.is_some_and(|p| now >= p.at + timeout) {
             self.on_vote_reply(now, VoteReply::Unknown);
         }
-        if self.votes.pending.is_some() || now < self.votes.at || !self.at.votes {
-            return None;
+    }
+
+    /// Forgets the standing vote where it is not meant any more and has ceased to matter.
+    fn forget_moot_vote(&mut self, now: Duration) {
+        if self.votes.wanted.is_some() {
+            return;
         }
-        let (life, want) = (self.at.vote_life, self.votes.want.clone());
-        let on = |v: &Vote| {
-            self.rollout_status
-                .as_ref()
-                .is_some_and(|n| n.build == v.build && n.phase == RolloutPhase::Canary)
+        let forgotten_after = self.parameters.rollout.vote_ttl * FORGOTTEN_AFTER_TTLS;
+        let status = self.rollout.status.as_ref();
+        let is_moot = |standing: &mut SentVote| {
+            let is_open = status
+                .is_some_and(|s| s.build == standing.vote.build && s.phase == RolloutPhase::Canary);
+            !is_open || now > standing.at + forgotten_after
         };
-        let moot =
-            |(v, at): &mut (Vote, Duration)| want.is_none() && (!on(v) || now > *at + life * 2);
-        self.votes.standing.take_if(moot);
-        let vote = match (want, &self.votes.standing) {
-            (Some(w), Some((s, at))) if w == *s && now < *at + life / 2 => return None,
-            (Some(w), _) => w,
-            (None, Some((s, _))) => Vote {
+        self.votes.standing.take_if(is_moot);
+    }
+
+    /// The vote that is meant, unless it stands; a withdrawal where none is meant and one stands.
+    fn due_vote(&self, now: Duration) -> Option<Vote> {
+        let standing = self.votes.standing.as_ref();
+        let Some(wanted) = &self.votes.wanted else {
+            return standing.map(|s| Vote {
                 verdict: Verdict::Withdraw,
-                ..s.clone()
-            },
-            (None, None) => return None,
+                ..s.vote.clone()
+            });
         };
-        self.votes.pending = Some((vote.clone(), now));
-        Some(vote)
+        let renewed_after = self.parameters.rollout.vote_ttl / RENEWALS_PER_TTL;
+        let stands = standing.is_some_and(|s| *wanted == s.vote && now < s.at + renewed_after);
+        (!stands).then(|| wanted.clone())
     }
 
-    /// The platform's answer to the vote that is out.
-    pub fn on_vote_reply(&mut self, now: Duration, r: VoteReply) {
-        let Some((vote, _)) = self.votes.pending.take() else {
+    /// Takes in the platform's reply to the vote in flight.
+    pub fn on_vote_reply(&mut self, now: Duration, reply: VoteReply) {
+        let Some(SentVote { vote, .. }) = self.votes.pending.take() else {
             return;
         };
-        self.votes.gap = match r {
-            VoteReply::Counted | VoteReply::Moot => GAP,
-            VoteReply::Refused | VoteReply::Unknown => (self.votes.gap * 2).clamp(GAP, ms(2000)),
+        let backoff = self.votes.backoff;
+        self.votes.backoff = match reply {
+            VoteReply::Counted | VoteReply::Moot => MIN_CALL_GAP,
+            VoteReply::Refused | VoteReply::Unknown => {
+                (backoff * 2).clamp(MIN_CALL_GAP, MAX_VOTE_BACKOFF)
+            }
         };
-        let lapsed = now.saturating_sub(self.at.vote_life);
-        self.votes.standing = match (r, vote.verdict) {
+        let rollout = &self.parameters.rollout;
+        let lapsed_at = now.saturating_sub(rollout.vote_ttl);
+        self.votes.standing = match (reply, vote.verdict) {
             (VoteReply::Moot, _) | (VoteReply::Counted, Verdict::Withdraw) => None,
-            (VoteReply::Counted, _) => Some((vote, now)),
-            // It may count: it is cast again, and taken away if it is no longer meant.
-            (VoteReply::Unknown, Verdict::Hold | Verdict::RollBack) => Some((vote, lapsed)),
+            (VoteReply::Counted, _) => Some(SentVote { vote, at: now }),
+            // It may count: it is sent again, and withdrawn if it is no longer meant.
+            (VoteReply::Unknown, Verdict::Hold | Verdict::RollBack) => Some(SentVote {
+                vote,
+                at: lapsed_at,
+            }),
             _ => self.votes.standing.take(),
         };
-        self.votes.at = now
-            + self
-                .votes
-                .gap
-                .max(Duration::from_secs_f64(self.at.vote_share.min(2.0)));
+        let interval = Duration::from_secs_f64(rollout.vote_interval.min(MAX_VOTE_INTERVAL));
+        self.votes.next_at = now + self.votes.backoff.max(interval);
     }
 }
--- /dev/null
+++ b/src/stats/mod.rs
@@ -0,0 +1,16 @@
+//! Statistics without a word of balancing: averages, histograms, tests and hashing.
+
+mod ewma;
+mod latency_histogram;
+mod likelihood;
+mod outcome_counts;
+mod rendezvous;
+
+pub(crate) use ewma::Ewma;
+pub(crate) use latency_histogram::LatencyHistogram;
+pub(crate) use likelihood::{
+    chernoff_bound_of_fair_coin, chernoff_bound_of_mean, ln_factorial, log_likelihood_ratio,
+    Proportion,
+};
+pub(crate) use outcome_counts::OutcomeCounts;
+pub(crate) use rendezvous::rendezvous_distance;
--- /dev/null
+++ b/src/stats/rendezvous.rs
@@ -0,0 +1,16 @@
+//! Weighted rendezvous hashing.
+
+/// Distance of a node from a key: the node with the least distance is the key's. Each node is
+/// nearest to a share of all keys in proportion to its weight, and a node that comes or goes moves
+/// no other node's keys.
+///
+/// With a hash `h` of key and node, uniform on 0 to 1, it is `-ln h / weight`.
+pub(crate) fn rendezvous_distance(key: u64, node: u64, weight: f64) -> f64 {
+    let mut hash = key ^ node.rotate_left(32);
+    // The finalizer of MurmurHash3.
+    for factor in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
+        hash = (hash ^ hash >> 33).wrapping_mul(factor);
+    }
+    let uniform = ((hash ^ hash >> 33) >> 11) as f64 / (1u64 << 53) as f64;
+    -uniform.max(1e-18).ln() / weight.max(1e-9)
+}
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Each file that decides is named as policy in the deploy file, and stays small enough to be read.
+//! Each file that decides is named as policy in the deploy file, and stays small enough to be read;
+//! what is remembered and the plain data hold no tuned values.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -33,6 +34,24 @@
     paths.filter(|path| path != DECIDES_NOTHING).collect()
 }
 
+fn files_of(folder: &str) -> Vec<String> {
+    let entries = fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join(folder)).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    names.map(|name| format!("{folder}/{name}")).collect()
+}
+
+/// Tuned values are shares, factors and times; sizes of a data structure are integers.
+#[test]
+fn no_tuned_value_stands_outside_the_files_that_decide() {
+    for folder in ["src/model", "src/interface"] {
+        for path in files_of(folder) {
+            let text = read(&path);
+            let constant = text.lines().find(|line| line.contains("const "));
+            assert_eq!(constant, None, "{path}");
+        }
+    }
+}
+
 #[test]
 fn each_file_that_decides_is_named_as_policy_and_bounded() {
     let files = deciding_files();
