--- /dev/null
+++ b/crates/zones/tests/report_format.rs
@@ -0,0 +1,116 @@
+//! Pins the JSON of the report: one serialized line of each kind, to the last byte.
+
+use std::time::Duration;
+use tulipwall::{Outcome, ZoneCapacity};
+use tulipwall_zones::*;
+
+const START: Duration = Duration::from_secs(7200);
+
+fn config() -> Zoning {
+    let class = ClassProfile {
+        priority_weight: 3.0,
+        latency_objective: Duration::from_millis(400),
+    };
+    let budget = Budget {
+        name: "hourly".into(),
+        to: Some(1),
+        class: Some(0),
+        limit: Limit::Attempts(2.0),
+        window: Duration::from_secs(60),
+        part: 0.25,
+    };
+    Zoning {
+        own: 0,
+        zones: 2,
+        classes: vec![class],
+        links: vec![Link::default(); 3],
+        budgets: vec![budget],
+        routing: Routing::NearFirst,
+    }
+}
+
+/// An account with one attempt over its budget, which stopped short, and one that was answered.
+fn account() -> Zones {
+    let mut zones = Zones::new(START, config());
+    let attempts = [
+        (0, Outcome::Succeeded, Flaw::None),
+        (1, Outcome::ConnectionLost, Flaw::Half),
+        (1, Outcome::Succeeded, Flaw::None),
+    ];
+    for (nth, (to, outcome, flaw)) in attempts.into_iter().enumerate() {
+        let now = START + Duration::from_millis(500 * nth as u64);
+        zones.taken(now, 0);
+        let start = Sending {
+            to,
+            class: 0,
+            build: 7,
+            nth,
+            hedged: nth == 2,
+            trial: false,
+            bound: false,
+        };
+        let reservation = zones.sent(now, start, || vec![ZoneCapacity::default(); 3]);
+        let end = Ended {
+            outcome,
+            flaw,
+            written: true,
+            out: 180,
+            back: 420,
+            took: Duration::from_millis(20 + 5 * nth as u64),
+        };
+        zones.ended(now, &reservation, &end);
+    }
+    zones
+}
+
+fn serialized() -> Vec<String> {
+    let names = Names {
+        agent: "agent-1".into(),
+        zones: vec!["a".into(), "b".into()],
+        classes: vec!["view".into()],
+    };
+    let wall = Wall {
+        now: START + Duration::from_secs(5),
+        unix: Duration::from_secs(1_700_000_000),
+        since: START,
+    };
+    let zones = account();
+    let mut place = Place::Head;
+    let mut written = Vec::new();
+    while place != Place::Over {
+        let (lines, next) = zones.lines(&names, wall, place);
+        written.extend(lines.iter().map(|l| serde_json::to_string(l).unwrap()));
+        place = next;
+    }
+    written
+}
+
+#[test]
+fn each_kind_of_line_keeps_its_serialized_form() {
+    let expected: Vec<&str> = include_str!("data/report_lines.jsonl").lines().collect();
+    assert_eq!(expected.len(), 10);
+    assert_eq!(serialized(), expected);
+}
+
+#[test]
+fn a_document_keeps_its_serialized_form_and_reads_back_what_was_written() {
+    let mut document = Document::default();
+    for text in serialized() {
+        let line: Line = serde_json::from_str(&text).unwrap();
+        assert_eq!(serde_json::to_string(&line).unwrap(), text);
+        document.take(line).unwrap();
+    }
+    assert!(document.is_whole());
+    let value = serde_json::to_value(&document).unwrap();
+    let keys: Vec<&String> = value.as_object().unwrap().keys().collect();
+    assert_eq!(keys, ["delays", "heads", "links", "series"]);
+    assert_eq!(value["series"][0]["bins"][0].as_array().unwrap().len(), 6);
+}
+
+#[test]
+fn refuses_a_header_of_another_version() {
+    let text = serialized()[0].replace("\"version\":1", "\"version\":2");
+    let line: Line = serde_json::from_str(&text).unwrap();
+    let error = Document::default().take(line).unwrap_err();
+    assert_eq!(error.to_string(), "version 2: this program reads version 1");
+}
