--- a/crates/agent/src/admin/mod.rs
+++ b/crates/agent/src/admin/mod.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tulipwall_config::Door;
-use tulipwall_zones::Place;
+use tulipwall_zones::ReportCursor;
 
 /// Readers at once; who comes beyond waits in the queue of connections.
 const READERS_MOST: usize = 4;
@@ -204,12 +204,12 @@
         )
         .await;
     }
-    let mut place = Place::default();
+    let mut place = ReportCursor::default();
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let now = agent.clock.now();
-    while place != Place::Over {
+    while place != ReportCursor::Finished {
         // A new configuration may have ended the account meanwhile.
         let Some((lines, next)) = agent.border.lines(now, unix, place) else {
             return Ok(());
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -20,7 +20,7 @@
 use tulipwall_discovery::clock::Clock;
 use tulipwall_discovery::list::{List, Target};
 use tulipwall_discovery::listing::Listing;
-use tulipwall_zones::Names;
+use tulipwall_zones::DisplayNames;
 
 pub struct Agent {
     site: RefCell<Rc<ServiceConfig>>,
@@ -418,8 +418,8 @@
     }
 }
 
-fn names(agent: &str, site: &ServiceConfig) -> Names {
-    Names {
+fn names(agent: &str, site: &ServiceConfig) -> DisplayNames {
+    DisplayNames {
         agent: agent.to_owned(),
         zones: site.zones.clone(),
         classes: site.classes.clone(),
--- a/crates/agent/src/cli/demo.rs
+++ b/crates/agent/src/cli/demo.rs
@@ -223,7 +223,7 @@
 impl Sums {
     fn of(d: &Document) -> Sums {
         let mut sums = Sums {
-            taken: d.heads.iter().flat_map(|h| h.taken.values()).sum(),
+            taken: d.heads.iter().flat_map(|h| h.requests.values()).sum(),
             ..Sums::default()
         };
         for l in &d.links {
@@ -232,7 +232,7 @@
             } else {
                 &mut sums.crossed
             }) += l.attempts;
-            sums.over += l.over_all();
+            sums.over += l.over_budget_total();
             sums.fresh += if l.build == 42 { l.attempts } else { 0 };
         }
         sums
--- a/crates/agent/src/cli/plot.rs
+++ b/crates/agent/src/cli/plot.rs
@@ -50,7 +50,7 @@
 
 /// Ten-second bins while the account is younger than these are kept for, else minutes.
 fn fine(d: &Document) -> bool {
-    d.heads.iter().all(|h| h.since_s < 3600.0)
+    d.heads.iter().all(|h| h.uptime_s < 3600.0)
 }
 
 fn crossing(d: &Document) -> impl Iterator<Item = &SeriesLine> {
@@ -69,7 +69,7 @@
         width = s.width_s;
         s.bins
             .iter()
-            .for_each(|b| *link.entry(b.0 as u64).or_default() += b.1 as f64);
+            .for_each(|b| *link.entry(b.start_s as u64).or_default() += b.attempts as f64);
     }
     let curves = links.into_iter().map(|(name, bins)| Curve {
         name,
@@ -98,7 +98,7 @@
     }
     for ((name, unit), lines) in budgets {
         let b = lines[0];
-        let parts: f64 = lines.iter().map(|l| l.part).sum();
+        let parts: f64 = lines.iter().map(|l| l.agent_limit).sum();
         let mut spent: BTreeMap<u64, f64> = BTreeMap::new();
         let holds = |s: &&SeriesLine| {
             b.to.as_ref().is_none_or(|to| *to == s.to)
@@ -107,11 +107,11 @@
         for s in crossing(d).filter(holds) {
             for bin in &s.bins {
                 let amount = match unit.as_str() {
-                    "deliveries" => bin.1 as f64,
-                    "bytes" => (bin.3 + bin.4) as f64,
-                    _ => bin.5,
+                    "deliveries" => bin.attempts as f64,
+                    "bytes" => (bin.bytes_sent + bin.bytes_received) as f64,
+                    _ => bin.cost,
                 };
-                *spent.entry(bin.0 as u64).or_default() += amount;
+                *spent.entry(bin.start_s as u64).or_default() += amount;
             }
         }
         // At each bin: what was spent in the window that ends with it.
--- a/crates/agent/src/cli/report.rs
+++ b/crates/agent/src/cli/report.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tulipwall::Divergences;
 use tulipwall_config::Door;
-use tulipwall_zones::{BudgetLine, Document, Line, LinkLine};
+use tulipwall_zones::{BudgetLine, Document, LinkLine, ReportLine};
 
 const WITHIN: Duration = Duration::from_secs(5);
 /// What a report may hold at most, in bytes.
@@ -166,11 +166,11 @@
 pub fn ask(door: &Door) -> Result<Document, String> {
     let mut document = Document::default();
     get(door, "/zones", |line| {
-        let line: Line =
+        let line: ReportLine =
             serde_json::from_str(line).map_err(|e| format!("a line that is no report: {e}"))?;
-        document.take(line)
+        document.add_line(line).map_err(|e| e.to_string())
     })?;
-    if document.is_whole() {
+    if document.is_complete() {
         Ok(document)
     } else {
         Err("the report stops short of its end".into())
@@ -232,10 +232,10 @@
 pub fn tables(d: &Document, builds: bool) -> String {
     let mut text = String::new();
     for head in &d.heads {
-        let taken: u64 = head.taken.values().sum();
+        let taken: u64 = head.requests.values().sum();
         text += &format!(
             "{} in {}: {taken} commands taken in {:.0} s\n",
-            head.agent, head.zone, head.since_s
+            head.agent, head.zone, head.uptime_s
         );
     }
     let budgets: Vec<(&str, &BudgetLine)> = d
@@ -266,8 +266,12 @@
             } else {
                 format!("{} {}", shown(b.limit), b.unit)
             };
-            let over: u64 = b.over.values().sum();
-            let why: Vec<String> = b.over.iter().map(|(why, n)| format!("{why} {n}")).collect();
+            let over: u64 = b.over_budget.values().sum();
+            let why: Vec<String> = b
+                .over_budget
+                .iter()
+                .map(|(why, n)| format!("{why} {n}"))
+                .collect();
             let over = if over > 0 {
                 format!("{over}: {}", why.join(", "))
             } else {
@@ -279,7 +283,7 @@
                 scope,
                 span(b.window_s),
                 limit,
-                shown(b.part),
+                shown(b.agent_limit),
                 shown(b.used),
                 over,
             ];
@@ -321,7 +325,7 @@
     };
     for l in &rows {
         let time = |part| {
-            d.quantile_ms(l, part)
+            d.latency_quantile_ms(l, part)
                 .map_or("-".to_owned(), |ms| format!("{ms:.1}"))
         };
         let build = match (builds, l.build) {
@@ -329,8 +333,8 @@
             (_, 0) => "gone".to_owned(),
             (_, n) => n.to_string(),
         };
-        let adds = if l.compared > 0 {
-            format!("{:.1}", l.added_ms)
+        let adds = if l.compared_responses > 0 {
+            format!("{:.1}", l.added_latency_ms)
         } else {
             "-".into()
         };
@@ -342,13 +346,13 @@
             l.attempts.to_string(),
             l.never_ran.to_string(),
             ended(l, "withdrawn"),
-            l.spoilt.to_string(),
-            l.half.to_string(),
-            l.hedging.to_string(),
-            l.further.to_string(),
-            l.over_all().to_string(),
-            l.bytes_out.to_string(),
-            l.bytes_in.to_string(),
+            l.malformed.to_string(),
+            l.truncated.to_string(),
+            l.hedges.to_string(),
+            l.retries.to_string(),
+            l.over_budget_total().to_string(),
+            l.bytes_sent.to_string(),
+            l.bytes_received.to_string(),
             shown(l.cost),
             adds,
             time(0.5),
@@ -365,7 +369,7 @@
 }
 
 fn ended(l: &LinkLine, how: &str) -> String {
-    l.ended.get(how).copied().unwrap_or_default().to_string()
+    l.outcomes.get(how).copied().unwrap_or_default().to_string()
 }
 
 fn shown(n: f64) -> String {
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -8,7 +8,7 @@
 use tulipwall::AlternativeSettings;
 use tulipwall_config::{ConfigDiagnostic, Door, Installation, Instance, LogForm, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
-use tulipwall_zones::Zoning;
+use tulipwall_zones::ZoneConfig;
 
 /// Which files are read.
 #[derive(Clone, Debug, Default)]
@@ -63,7 +63,7 @@
 
     /// What the installation says of zones, in the numbers of these settings; looked at for
     /// mistakes as it was read.
-    pub fn zoning(&self) -> Option<Zoning> {
+    pub fn zoning(&self) -> Option<ZoneConfig> {
         self.installation.zoning(&self.site).unwrap_or_default()
     }
 
--- a/crates/agent/src/observability/counters.rs
+++ b/crates/agent/src/observability/counters.rs
@@ -58,7 +58,7 @@
 
 impl Counters {
     pub fn end(&self, outcome: Outcome) {
-        self.ended[tulipwall_zones::place(outcome)].add();
+        self.ended[tulipwall_zones::outcome_index(outcome)].add();
     }
 }
 
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
 use tulipwall_config::number;
-use tulipwall_zones::{Sending, Ticket};
+use tulipwall_zones::{AttemptStart, Reservation};
 
 /// What a client may write ahead of its answers before it is held back.
 const AHEAD_MOST: usize = 16 * 1024;
@@ -49,7 +49,7 @@
     class: usize,
     build: u32,
     meter: Rc<Meter>,
-    ticket: Option<Ticket>,
+    ticket: Option<Reservation>,
     ends: Pin<Box<dyn Future<Output = Ended>>>,
 }
 
@@ -102,14 +102,14 @@
                 timeout,
                 recheck_at: at,
             } => {
-                let sending = Sending {
+                let sending = AttemptStart {
                     to: 0,
                     class,
                     build: 0,
-                    nth: out.len(),
+                    previous_attempts: out.len(),
                     hedged: out.iter().any(Option::is_some),
-                    trial: false,
-                    bound: ran && bound(idempotency),
+                    is_canary: false,
+                    pinned_to_scope: ran && bound(idempotency),
                 };
                 out.push(Some(send(
                     agent, &statement, id, endpoint, timeout, sending,
@@ -177,7 +177,7 @@
     id: u64,
     endpoint: usize,
     timeout: Duration,
-    sending: Sending,
+    sending: AttemptStart,
 ) -> Out {
     let sent = agent.clock.now();
     let (give_up, meter) = (sent + timeout, Rc::new(Meter::default()));
@@ -194,10 +194,10 @@
         };
     };
     let trial = agent.hand.on_trial(target.build);
-    let sending = Sending {
+    let sending = AttemptStart {
         to: target.zone,
         build: target.build,
-        trial,
+        is_canary: trial,
         ..sending
     };
     let ticket = agent.border.sent(sent, sending, || {
@@ -209,7 +209,7 @@
     let (turn, held) = (agent.hand.turn(), agent.hold(endpoint));
     let order = Order {
         id,
-        nth: sending.nth,
+        nth: sending.previous_attempts,
         target,
         turn,
         give_up,
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tulipwall::Outcome;
 use tulipwall_discovery::list::Target;
-use tulipwall_zones::{Flaw, Opening};
+use tulipwall_zones::{ConnectionTraffic, ResponseFault};
 
 /// How soon the rest of an answer that has begun must come.
 const REST_WITHIN: Duration = Duration::from_millis(500);
@@ -104,20 +104,20 @@
         }
         Ok(()) => agent.counters.unasked.add(),
         Err(Heard::Garbage(m)) => {
-            meter.flaw.set(Flaw::Spoilt);
+            meter.flaw.set(ResponseFault::Malformed);
             agent.counters.spoilt.add();
             let name = agent.endpoint_name(order.target.endpoint);
             log::debug!("appliance {name}: {m}; its connection is closed");
         }
         Err(Heard::Half) => {
-            meter.flaw.set(Flaw::Half);
+            meter.flaw.set(ResponseFault::Truncated);
             agent.counters.spoilt.add();
         }
         Err(Heard::End)
             if outcome == Outcome::ConnectionLost
                 && (hearing.begun() || !held.connection.inbox.is_empty()) =>
         {
-            meter.flaw.set(Flaw::Half);
+            meter.flaw.set(ResponseFault::Truncated);
         }
         Err(Heard::End) => {}
     }
@@ -242,12 +242,12 @@
         let Target { zone, build, .. } = self.target;
         self.agent.border.opened(
             now,
-            Opening {
+            ConnectionTraffic {
                 to: zone,
                 build,
-                out,
-                back,
-                took,
+                bytes_sent: out,
+                bytes_received: back,
+                handshake: took,
             },
         );
     }
--- a/crates/agent/src/upstream/zone_traffic.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity};
 use tulipwall_zones::{
-    Ended, Flaw, Line, Names, Opening, Place, Sending, Ticket, Wall, Zones, Zoning,
+    AttemptStart, ClockMapping, CompletedAttempt, ConnectionTraffic, DisplayNames, ReportCursor,
+    ReportLine, Reservation, ResponseFault, ZoneConfig, Zones,
 };
 
 /// How often a budget that is spent is written of.
@@ -17,13 +18,13 @@
 #[derive(Default)]
 pub struct Border {
     zones: RefCell<Option<Zones>>,
-    names: RefCell<Names>,
+    names: RefCell<DisplayNames>,
     since: Cell<Duration>,
     noted: RefCell<BTreeMap<String, (Duration, u64)>>, // by budget: when, and how many were over by then
 }
 
 impl Border {
-    pub fn new(now: Duration, zoning: Option<Zoning>, names: Names) -> Border {
+    pub fn new(now: Duration, zoning: Option<ZoneConfig>, names: DisplayNames) -> Border {
         Border {
             zones: RefCell::new(zoning.map(|z| Zones::new(now, z))),
             names: RefCell::new(names),
@@ -48,15 +49,15 @@
     pub fn renew(
         &self,
         now: Duration,
-        zoning: Option<Zoning>,
-        names: Names,
+        zoning: Option<ZoneConfig>,
+        names: DisplayNames,
         by: &[IndexOrigin],
     ) -> bool {
         let mut zones = self.zones.borrow_mut();
         let before = self.names.replace(names);
         let goes_on = match (zones.as_mut(), zoning) {
             (Some(z), Some(zoning)) if before.zones == self.names.borrow().zones => {
-                z.renew(now, zoning, by)
+                z.reload(now, zoning, by)
             }
             (was, Some(zoning)) => {
                 let goes_on = was.is_none();
@@ -77,27 +78,27 @@
 
     pub fn taken(&self, now: Duration, class: usize) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.taken(now, class);
+            z.on_request(now, class);
         }
     }
 
     pub fn sent(
         &self,
         now: Duration,
-        sending: Sending,
+        sending: AttemptStart,
         zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
-    ) -> Option<Ticket> {
+    ) -> Option<Reservation> {
         self.zones
             .borrow_mut()
             .as_mut()
-            .map(|z| z.sent(now, sending, zone_capacities))
+            .map(|z| z.on_attempt(now, sending, zone_capacities))
     }
 
     /// An attempt has ended: what its meter read goes into the account.
     pub fn ended(
         &self,
         now: Duration,
-        ticket: Option<&Ticket>,
+        ticket: Option<&Reservation>,
         meter: &Meter,
         outcome: Outcome,
         took: Duration,
@@ -105,31 +106,31 @@
         if let (Some(ticket), Some(z)) = (ticket, self.zones.borrow_mut().as_mut()) {
             let (out, back) = meter.read();
             let (written, flaw) = (meter.written.get(), meter.flaw.get());
-            z.ended(
+            z.on_attempt_end(
                 now,
                 ticket,
-                &Ended {
+                &CompletedAttempt {
                     outcome,
-                    flaw,
-                    written,
-                    out,
-                    back,
-                    took,
+                    fault: flaw,
+                    fully_written: written,
+                    bytes_sent: out,
+                    bytes_received: back,
+                    latency: took,
                 },
             );
         }
     }
 
-    pub fn opened(&self, now: Duration, opening: Opening) {
+    pub fn opened(&self, now: Duration, opening: ConnectionTraffic) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.opened(now, &opening);
+            z.on_connection(now, &opening);
         }
     }
 
     pub fn step(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
-            let all = z.zoning().all();
-            z.step(now, &zone_capacities(all));
+            let all = z.config().zone_count_with_unnamed();
+            z.tick(now, &zone_capacities(all));
             self.note(now, z);
         }
     }
@@ -137,26 +138,26 @@
     /// A line for each budget that attempts went over, with why; none for a single request.
     fn note(&self, now: Duration, zones: &Zones) {
         let mut noted = self.noted.borrow_mut();
-        for p in zones.purses().purses() {
+        for p in zones.budget_meters().meters() {
             let (at, before) = noted.get(&p.budget.name).copied().unwrap_or_default();
-            if p.over() <= before || now < at + NOTED_EVERY {
+            if p.over_budget_total() <= before || now < at + NOTED_EVERY {
                 continue;
             }
-            let why = tulipwall_zones::Reason::ALL
+            let why = tulipwall_zones::OverBudgetReason::ALL
                 .into_iter()
-                .filter(|r| p.over_for(*r) > 0);
+                .filter(|r| p.over_budget(*r) > 0);
             let why: Vec<String> = why
-                .map(|r| format!("{} {}", r.word(), p.over_for(r)))
+                .map(|r| format!("{} {}", r.as_str(), p.over_budget(r)))
                 .collect();
-            log::warn!(budget = p.budget.name.as_str(), over = p.over(), used = p.used(), part = p.limit();
+            log::warn!(budget = p.budget.name.as_str(), over = p.over_budget_total(), used = p.used(), part = p.limit();
                 "zones: budget '{}' is spent; {} deliveries went over it since the start: {}",
-                p.budget.name, p.over(), why.join(", "));
-            noted.insert(p.budget.name.clone(), (now, p.over()));
+                p.budget.name, p.over_budget_total(), why.join(", "));
+            noted.insert(p.budget.name.clone(), (now, p.over_budget_total()));
         }
         noted.retain(|name, _| {
             zones
-                .purses()
-                .purses()
+                .budget_meters()
+                .meters()
                 .iter()
                 .any(|p| p.budget.name == *name)
         });
@@ -164,21 +165,29 @@
 
     /// What crossing means now, if that has changed.
     pub fn crossings(&self) -> Option<CrossZonePolicy> {
-        self.zones.borrow_mut().as_mut().and_then(Zones::crossings)
+        self.zones
+            .borrow_mut()
+            .as_mut()
+            .and_then(Zones::cross_zone_policy)
     }
 
     pub fn alive(&self, builds: impl FnOnce() -> BTreeSet<u32>) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.alive(&builds());
+            z.retain_builds(&builds());
         }
     }
 
     /// The next lines of the report and where it goes on; nothing where there is no account.
-    pub fn lines(&self, now: Duration, unix: Duration, place: Place) -> Option<(Vec<Line>, Place)> {
-        let wall = Wall {
+    pub fn lines(
+        &self,
+        now: Duration,
+        unix: Duration,
+        place: ReportCursor,
+    ) -> Option<(Vec<ReportLine>, ReportCursor)> {
+        let wall = ClockMapping {
             now,
-            unix,
-            since: self.since.get(),
+            unix_now: unix,
+            started: self.since.get(),
         };
         self.zones
             .borrow()
@@ -192,7 +201,7 @@
 pub struct Meter {
     /// All of the statement went out.
     pub written: Cell<bool>,
-    pub flaw: Cell<Flaw>,
+    pub flaw: Cell<ResponseFault>,
     before: Cell<(u64, u64)>,
     on: RefCell<Option<Rc<Traffic>>>,
 }
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tulipwall::AlternativeSettings;
-use tulipwall_zones::{Budget, ClassProfile, Limit, Link, Price, Routing, Zoning};
+use tulipwall_zones::{Budget, ClassProfile, Limit, Link, Price, RoutingPolicy, ZoneConfig};
 
 /// The name by which the file speaks of a zone that the settings do not know.
 pub const UNNAMED: &str = "(unnamed)";
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Traffic {
-    routing: Routing,
+    routing: RoutingPolicy,
     links: Vec<StatedLink>,
     budgets: Vec<StatedBudget>,
 }
@@ -154,7 +154,10 @@
 
     /// What is said of zones, in the numbers of this deployment; nothing where nothing is said.
     /// Names that the deployment does not have are mistakes.
-    pub fn zoning(&self, site: &ServiceConfig) -> Result<Option<Zoning>, Vec<ConfigDiagnostic>> {
+    pub fn zoning(
+        &self,
+        site: &ServiceConfig,
+    ) -> Result<Option<ZoneConfig>, Vec<ConfigDiagnostic>> {
         let Some(traffic) = &self.zones else {
             return Ok(None);
         };
@@ -227,16 +230,16 @@
                 class,
                 limit: *limit,
                 window: b.window,
-                part,
+                agent_fraction: part,
             }));
         }
         if !mistakes.is_empty() {
             return Err(mistakes);
         }
         let classes = site.settings.classes.iter();
-        Ok(Some(Zoning {
-            own: site.settings.zone,
-            zones,
+        Ok(Some(ZoneConfig {
+            local_zone: site.settings.zone,
+            zone_count: zones,
             classes: classes
                 .map(|l| ClassProfile {
                     priority_weight: l.priority_weight,
@@ -257,10 +260,10 @@
     for node in r.nodes(node.children(), "zones", &["routing"], &["link", "budget"]) {
         match node.name().value() {
             "routing" => {
-                let kinds = [Routing::AsEver, Routing::NearFirst];
+                let kinds = [RoutingPolicy::BalancerDefault, RoutingPolicy::LocalFirst];
                 traffic.routing = r
                     .word(node, &["as-ever", "near-first"])
-                    .map_or(Routing::AsEver, |n| kinds[n]);
+                    .map_or(RoutingPolicy::BalancerDefault, |n| kinds[n]);
             }
             "link" => {
                 let Some(link) = link(r, node) else { continue };
@@ -336,13 +339,13 @@
     let mut link = Link::default();
     for node in r.nodes(node.children(), "link", &["price", "delay"], &[]) {
         match node.name().value() {
-            "delay" => link.delay = r.span(node, Duration::ZERO),
+            "delay" => link.added_latency = r.span(node, Duration::ZERO),
             _ => {
                 r.arguments(node, 0, &["delivery", "out-gib", "in-gib"]);
                 link.price = Price {
-                    attempt: r.property(node, "delivery", 0.0, MONEY_MOST),
-                    out_gib: r.property(node, "out-gib", 0.0, MONEY_MOST),
-                    in_gib: r.property(node, "in-gib", 0.0, MONEY_MOST),
+                    per_attempt: r.property(node, "delivery", 0.0, MONEY_MOST),
+                    per_gib_sent: r.property(node, "out-gib", 0.0, MONEY_MOST),
+                    per_gib_received: r.property(node, "in-gib", 0.0, MONEY_MOST),
                 };
             }
         }
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use std::time::Duration;
 use tulipwall_config::{ConfigDiagnostic, Door, Fields, Installation, LogForm, ServiceConfig};
-use tulipwall_zones::{Limit, Price, Routing};
+use tulipwall_zones::{Limit, Price, RoutingPolicy};
 
 const GOOD: &str = r#"// A comment.
 log "json"
@@ -166,25 +166,38 @@
         Some(Door::Tcp("127.0.0.1:9190".parse().unwrap()))
     );
     let z = installation.zoning(&site()).unwrap().unwrap();
-    assert_eq!((z.own, z.zones, z.routing), (0, 2, Routing::NearFirst));
     assert_eq!(
-        z.links[1].delay,
+        (z.local_zone, z.zone_count, z.routing),
+        (0, 2, RoutingPolicy::LocalFirst)
+    );
+    assert_eq!(
+        z.links[1].added_latency,
         Some(Duration::from_millis(4)),
         "not that of the way back"
     );
     assert_eq!(
         z.links[1].price,
         Price {
-            attempt: 0.00001,
-            out_gib: 0.02,
-            in_gib: 0.0
+            per_attempt: 0.00001,
+            per_gib_sent: 0.02,
+            per_gib_received: 0.0
         }
     );
-    assert_eq!(z.links[2].price.out_gib, 9.0, "the way to what has no name");
+    assert_eq!(
+        z.links[2].price.per_gib_sent, 9.0,
+        "the way to what has no name"
+    );
     let budgets: Vec<_> = z
         .budgets
         .iter()
-        .map(|b| (b.name.as_str(), b.limit, b.window.as_secs(), b.part))
+        .map(|b| {
+            (
+                b.name.as_str(),
+                b.limit,
+                b.window.as_secs(),
+                b.agent_fraction,
+            )
+        })
         .collect();
     assert_eq!(
         budgets,
--- a/crates/experiments/src/run.rs
+++ b/crates/experiments/src/run.rs
@@ -7,7 +7,7 @@
 use tulipwall::{EndpointState, RequestClass, Settings};
 use tulipwall_client_policy::Retrying;
 use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
-use tulipwall_zones::{Budget, Limit, Routing, Zoning};
+use tulipwall_zones::{Budget, Limit, RoutingPolicy, ZoneConfig};
 
 const OLD: u32 = 41;
 const NEW: u32 = 42;
@@ -94,22 +94,22 @@
     said.unwrap_or(if from == to { SAME_ZONE } else { OTHER_ZONE })
 }
 
-fn zoning(s: &Scenario, own: usize) -> Zoning {
+fn zoning(s: &Scenario, own: usize) -> ZoneConfig {
     let budget = |share| Budget {
         name: "share".into(),
         to: None,
         class: None,
         limit: Limit::Share(share),
         window: WINDOW,
-        part: 1.0,
+        agent_fraction: 1.0,
     };
     let budgets = s.share.into_iter().map(budget).collect();
     let zoning = day::zoning(&deployment(s).classes, own, s.zones.len(), budgets);
-    Zoning {
+    ZoneConfig {
         routing: if s.near_first {
-            Routing::NearFirst
+            RoutingPolicy::LocalFirst
         } else {
-            Routing::AsEver
+            RoutingPolicy::BalancerDefault
         },
         ..zoning
     }
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -10,7 +10,8 @@
 use tulipwall::*;
 use tulipwall_client_policy::{Ended as TryEnded, Next, Retries, Retrying, Tries};
 use tulipwall_zones::{
-    Budget, ClassProfile, Ended, Flaw, Link, Opening, Routing, Sending, Ticket, Zones, Zoning,
+    AttemptStart, Budget, ClassProfile, CompletedAttempt, ConnectionTraffic, Link, Reservation,
+    ResponseFault, RoutingPolicy, ZoneConfig, Zones,
 };
 
 /// Time at which a day begins, so that what began before has a time, too.
@@ -62,7 +63,7 @@
 pub struct Caller {
     pub zone: usize,
     pub part: f64,
-    pub zoning: Option<Zoning>,
+    pub zoning: Option<ZoneConfig>,
 }
 
 /// What clients do with a request that was rejected or failed.
@@ -171,10 +172,15 @@
 }
 
 /// Zones for an agent in `own` of so many, routed near first, without prices.
-pub fn zoning(classes: &[RequestClass], own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
-    Zoning {
-        own,
-        zones,
+pub fn zoning(
+    classes: &[RequestClass],
+    own: usize,
+    zones: usize,
+    budgets: Vec<Budget>,
+) -> ZoneConfig {
+    ZoneConfig {
+        local_zone: own,
+        zone_count: zones,
         classes: classes
             .iter()
             .map(|l| ClassProfile {
@@ -184,7 +190,7 @@
             .collect(),
         links: vec![Link::default(); zones + 1],
         budgets,
-        routing: Routing::NearFirst,
+        routing: RoutingPolicy::LocalFirst,
     }
 }
 
@@ -269,7 +275,7 @@
     /// Requests a second, over all agents.
     Rate(f64),
     Stalls(usize, Duration),
-    Zoning(usize, Zoning),
+    Zoning(usize, ZoneConfig),
     /// One direction of the way between two zones.
     Link(usize, usize, Duration),
 }
@@ -332,7 +338,7 @@
     pub second_times: Vec<Histogram<u64>>,
     pub seconds: Vec<Vec<Second>>, // by agent
     /// Crossings by agent and second: when, class, whether it was over a budget.
-    pub crossings: Vec<Vec<(Duration, usize, Option<tulipwall_zones::Reason>)>>,
+    pub crossings: Vec<Vec<(Duration, usize, Option<tulipwall_zones::OverBudgetReason>)>>,
     /// Broken rules.
     pub broken: Vec<String>,
     pub votes: Vec<(Duration, Vote)>,
@@ -467,7 +473,7 @@
     zone: usize,
     sent: Duration,
     ended: bool,
-    ticket: Option<Ticket>,
+    ticket: Option<Reservation>,
     connected: bool,
 }
 
@@ -730,9 +736,11 @@
                 }
                 let a = &mut self.agents[agent];
                 if let Some(z) = &mut a.zones {
-                    let zone_capacities = a.choice.zone_capacities(now, z.zoning().all());
-                    z.step(now, &zone_capacities);
-                    if let Some(told) = z.crossings() {
+                    let zone_capacities = a
+                        .choice
+                        .zone_capacities(now, z.config().zone_count_with_unnamed());
+                    z.tick(now, &zone_capacities);
+                    if let Some(told) = z.cross_zone_policy() {
                         a.choice.set_cross_zone_policy(told);
                     }
                 }
@@ -841,7 +849,7 @@
         a.held.insert(id, held);
         a.exposed = (a.exposed - a.cap).max(0.0);
         if let Some(z) = &mut a.zones {
-            z.taken(now, class);
+            z.on_request(now, class);
         }
         a.choice.on_request(
             now,
@@ -1149,26 +1157,26 @@
                 ..
             }
         );
-        let sending = Sending {
+        let sending = AttemptStart {
             to: n.zone,
             class: h.class,
             build: n.build,
-            nth,
+            previous_attempts: nth,
             hedged: h.out.iter().any(|o| !o.ended),
-            trial,
-            bound: grouped && nth > 0 && self.ran.contains_key(&(agent, id)),
+            is_canary: trial,
+            pinned_to_scope: grouped && nth > 0 && self.ran.contains_key(&(agent, id)),
         };
         let choice = &a.choice;
         let ticket = a.zones.as_mut().map(|z| {
-            let all = z.zoning().all();
-            z.sent(now, sending, || choice.zone_capacities(now, all))
+            let all = z.config().zone_count_with_unnamed();
+            z.on_attempt(now, sending, || choice.zone_capacities(now, all))
         });
-        if let Some(told) = a.zones.as_mut().and_then(Zones::crossings) {
+        if let Some(told) = a.zones.as_mut().and_then(Zones::cross_zone_policy) {
             a.choice.set_cross_zone_policy(told);
         }
         let far = n.zone != a.zone;
         if far {
-            let over = ticket.as_ref().and_then(|t| t.over);
+            let over = ticket.as_ref().and_then(|t| t.over_budget);
             self.played.crossings[agent].push((now - ZERO, h.class, over));
         }
         let connected = std::mem::replace(&mut a.warm[node], true);
@@ -1210,14 +1218,14 @@
         }
         if !connected {
             if let Some(z) = &mut self.agents[agent].zones {
-                z.opened(
+                z.on_connection(
                     now,
-                    &Opening {
+                    &ConnectionTraffic {
                         to: n.zone,
                         build: n.build,
-                        out: 60,
-                        back: 60,
-                        took: Some(first),
+                        bytes_sent: 60,
+                        bytes_received: 60,
+                        handshake: Some(first),
                     },
                 );
             }
@@ -1459,16 +1467,16 @@
         let ticket = h.out[nth].ticket.take();
         if let (Some(z), Some(ticket)) = (&mut a.zones, ticket) {
             let out = if written { BYTES.0 } else { 0 };
-            z.ended(
+            z.on_attempt_end(
                 now,
                 &ticket,
-                &Ended {
+                &CompletedAttempt {
                     outcome,
-                    flaw: Flaw::None,
-                    written,
-                    out,
-                    back,
-                    took,
+                    fault: ResponseFault::None,
+                    fully_written: written,
+                    bytes_sent: out,
+                    bytes_received: back,
+                    latency: took,
                 },
             );
         }
@@ -1565,8 +1573,8 @@
                 if let Some(z) = &mut a.zones {
                     // Zones and classes are those of before, which is all that is refused.
                     let classes = vec![IndexOrigin::Same; zoning.classes.len()];
-                    z.renew(now, zoning, &classes);
-                    if let Some(told) = z.crossings() {
+                    z.reload(now, zoning, &classes);
+                    if let Some(told) = z.cross_zone_policy() {
                         a.choice.set_cross_zone_policy(told);
                     }
                 }
--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -61,11 +61,11 @@
             class: None,
             limit,
             window: ms(60_000),
-            part: 0.3,
+            agent_fraction: 0.3,
         };
-        let zoning = Zoning {
-            own: 0,
-            zones,
+        let zoning = ZoneConfig {
+            local_zone: 0,
+            zone_count: zones,
             classes: vec![
                 ClassProfile {
                     priority_weight: 3.0,
@@ -75,7 +75,7 @@
             ],
             links: vec![Link::default(); zones + 1],
             budgets: limits.into_iter().map(budget).collect(),
-            routing: Routing::NearFirst,
+            routing: RoutingPolicy::LocalFirst,
         };
         let zones_told = zoned.then(|| Zones::new(now, zoning));
         Agent {
@@ -112,7 +112,7 @@
         let (id, now) = (self.id, self.now);
         let class = id as usize % self.classes;
         if let Some(z) = &mut self.zones {
-            z.taken(now, class);
+            z.on_request(now, class);
         }
         self.choice.on_request(
             now,
@@ -134,32 +134,32 @@
                 w.on_attempt(now, &self.choice, class, Some(id), endpoint);
             }
             let to = endpoint % self.of_zone;
-            let sending = Sending {
+            let sending = AttemptStart {
                 to,
                 class,
                 build: self.build,
-                nth: 0,
+                previous_attempts: 0,
                 hedged: false,
-                trial: false,
-                bound: false,
+                is_canary: false,
+                pinned_to_scope: false,
             };
             let ticket = self.zones.as_mut().map(|z| {
-                z.sent(now, sending, || {
+                z.on_attempt(now, sending, || {
                     self.choice.zone_capacities(now, self.of_zone + 1)
                 })
             });
             self.tell();
             let took = Duration::from_micros(9000 + to as u64 * 2000);
-            let end = Ended {
+            let end = CompletedAttempt {
                 outcome: Outcome::Succeeded,
-                flaw: Flaw::None,
-                written: true,
-                out: 180,
-                back: 420,
-                took,
+                fault: ResponseFault::None,
+                fully_written: true,
+                bytes_sent: 180,
+                bytes_received: 420,
+                latency: took,
             };
             if let (Some(z), Some(t)) = (&mut self.zones, ticket) {
-                z.ended(now, &t, &end);
+                z.on_attempt_end(now, &t, &end);
             }
             self.choice.on_attempt_end(
                 now,
@@ -176,14 +176,14 @@
         if id.is_multiple_of(300) {
             self.choice.poll(now);
             if let Some(z) = &mut self.zones {
-                z.step(now, &self.choice.zone_capacities(now, self.of_zone + 1));
+                z.tick(now, &self.choice.zone_capacities(now, self.of_zone + 1));
             }
             self.tell();
         }
     }
 
     fn tell(&mut self) {
-        if let Some(told) = self.zones.as_mut().and_then(Zones::crossings) {
+        if let Some(told) = self.zones.as_mut().and_then(Zones::cross_zone_policy) {
             self.choice.set_cross_zone_policy(told);
         }
     }
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -22,7 +22,7 @@
     Duration::from_secs(n)
 }
 
-fn zoning(own: usize, budgets: Vec<Budget>) -> Zoning {
+fn zoning(own: usize, budgets: Vec<Budget>) -> ZoneConfig {
     day::zoning(&day::classes(), own, 2, budgets)
 }
 
@@ -134,7 +134,7 @@
                     class: None,
                     limit,
                     window: s(5),
-                    part: 0.1,
+                    agent_fraction: 0.1,
                 };
                 d.agents = parts
                     .map(|part| Caller {
@@ -197,8 +197,8 @@
 /// holds something.
 fn memory() {
     let before = resident();
-    let z = Zoning {
-        zones: 8,
+    let z = ZoneConfig {
+        zone_count: 8,
         classes: vec![
             ClassProfile {
                 priority_weight: 1.0,
@@ -216,32 +216,32 @@
             // Builds follow one another by the hour; the last hour has three.
             for build in [step / 360, step / 360 + 1, step / 360 + 2] {
                 let build = build as u32 + 1;
-                let sending = Sending {
+                let sending = AttemptStart {
                     to,
                     class,
                     build,
-                    nth: 0,
+                    previous_attempts: 0,
                     hedged: false,
-                    trial: false,
-                    bound: false,
+                    is_canary: false,
+                    pinned_to_scope: false,
                 };
-                let ticket = zones.sent(now, sending, Vec::new);
+                let ticket = zones.on_attempt(now, sending, Vec::new);
                 let took =
                     Duration::from_micros(500 + (step * 7919 + class as u64 * 131) % 900_000);
-                let end = Ended {
+                let end = CompletedAttempt {
                     outcome: Outcome::Succeeded,
-                    flaw: Flaw::None,
-                    written: true,
-                    out: 180,
-                    back: 420,
-                    took,
+                    fault: ResponseFault::None,
+                    fully_written: true,
+                    bytes_sent: 180,
+                    bytes_received: 420,
+                    latency: took,
                 };
-                zones.ended(now, &ticket, &end);
+                zones.on_attempt_end(now, &ticket, &end);
             }
         }
         if step % 360 == 0 {
             let alive = (1..=3).map(|b| (step / 360 + b) as u32).collect();
-            zones.alive(&alive);
+            zones.retain_builds(&alive);
         }
     }
     let rows = zones.account().rows().count();
--- a/crates/zones/src/account.rs
+++ b/crates/zones/src/account.rs
@@ -1,8 +1,8 @@
 //! What crossed: by link, class and build, in total and over time.
 
-use crate::route::Reason;
-use crate::series::{Bin, Series};
-use crate::zones::Ticket;
+use crate::route::OverBudgetReason;
+use crate::series::{TimeBin, TimeSeries};
+use crate::zones::Reservation;
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 /// What one row counts: attempts of one class and build over one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct LinkKey {
     pub to: u16,
     /// The number after the last class stands for connections: what opening and keeping them took;
     /// the one after that for all classes that are gone.
@@ -29,36 +29,36 @@
 
 /// Counts since the agent's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct LinkCounts {
     /// Attempts decided on.
     pub decided: u64,
     /// Written to their last byte: these may have run, and count as attempts.
     pub written: u64,
     /// How those decided on ended, as [`Outcome`] numbers them.
-    pub ended: [u64; 8],
+    pub outcomes: [u64; 8],
     /// Of those that broke: answers that could not be read, and answers that stopped short of their
     /// end.
-    pub spoilt: u64,
-    pub half: u64,
+    pub malformed: u64,
+    pub truncated: u64,
     /// Of those decided on: while another was out, and after another had ended.
-    pub hedging: u64,
-    pub further: u64,
-    /// Over a budget, by [`Reason`].
-    pub over: [u64; Reason::ALL.len()],
+    pub hedges: u64,
+    pub retries: u64,
+    /// Over a budget, by [`OverBudgetReason`].
+    pub over_budget: [u64; OverBudgetReason::ALL.len()],
     /// Connections opened.
-    pub opened: u64,
+    pub connections_opened: u64,
     /// Bytes written and read on the socket.
-    pub out: u64,
-    pub back: u64,
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
     /// Seconds that crossing added to satisfied answers, against near ones of the class; below zero
     /// where the far side was quicker. And for how many answers.
-    pub added: f64,
-    pub compared: u64,
+    pub added_latency_s: f64,
+    pub compared_responses: u64,
     pub cost: f64,
 }
 
-/// The place of an outcome in [`Tally::ended`].
-pub fn place(outcome: Outcome) -> usize {
+/// The place of an outcome in [`LinkCounts::ended`].
+pub fn outcome_index(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Succeeded => 0,
         Outcome::Failed => 1,
@@ -71,106 +71,115 @@
     }
 }
 
-impl Tally {
-    pub fn over(&self) -> u64 {
-        self.over.iter().sum()
+impl LinkCounts {
+    pub fn over_budget_total(&self) -> u64 {
+        self.over_budget.iter().sum()
     }
 
     /// What provably never ran.
     pub fn never_ran(&self) -> u64 {
         let kinds = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
-        kinds.into_iter().map(|o| self.ended[place(o)]).sum()
+        kinds
+            .into_iter()
+            .map(|o| self.outcomes[outcome_index(o)])
+            .sum()
     }
 
-    pub fn add(&mut self, o: &Tally) {
-        let Tally {
+    pub fn add(&mut self, o: &LinkCounts) {
+        let LinkCounts {
             decided,
             written,
-            ended,
-            spoilt,
-            half,
-            hedging,
-            further,
-            over,
-            opened,
+            outcomes: ended,
+            malformed: spoilt,
+            truncated: half,
+            hedges: hedging,
+            retries: further,
+            over_budget: over,
+            connections_opened: opened,
             ..
         } = o;
         self.decided += decided;
         self.written += written;
-        self.ended.iter_mut().zip(ended).for_each(|(a, b)| *a += b);
-        self.spoilt += spoilt;
-        self.half += half;
-        self.hedging += hedging;
-        self.further += further;
-        self.over.iter_mut().zip(over).for_each(|(a, b)| *a += b);
-        self.opened += opened;
-        self.out += o.out;
-        self.back += o.back;
-        self.added += o.added;
-        self.compared += o.compared;
+        self.outcomes
+            .iter_mut()
+            .zip(ended)
+            .for_each(|(a, b)| *a += b);
+        self.malformed += spoilt;
+        self.truncated += half;
+        self.hedges += hedging;
+        self.retries += further;
+        self.over_budget
+            .iter_mut()
+            .zip(over)
+            .for_each(|(a, b)| *a += b);
+        self.connections_opened += opened;
+        self.bytes_sent += o.bytes_sent;
+        self.bytes_received += o.bytes_received;
+        self.added_latency_s += o.added_latency_s;
+        self.compared_responses += o.compared_responses;
         self.cost += o.cost;
     }
 }
 
 /// One row of the account.
 #[derive(Clone, Debug)]
-pub struct Row {
-    pub tally: Tally,
+pub struct LinkRow {
+    pub counts: LinkCounts,
     /// Ten-second bins of the last hour.
-    pub recent: Series,
+    pub recent: TimeSeries,
 }
 
 /// What was wrong with an answer that broke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Flaw {
+pub enum ResponseFault {
     #[default]
     None,
-    Spoilt,
-    Half,
+    Malformed,
+    Truncated,
 }
 
 /// How one attempt ended, as seen on the socket.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct CompletedAttempt {
     pub outcome: Outcome,
-    pub flaw: Flaw,
+    pub fault: ResponseFault,
     /// Its last byte was written.
-    pub written: bool,
-    pub out: u64,
-    pub back: u64,
-    pub took: Duration,
+    pub fully_written: bool,
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
+    pub latency: Duration,
 }
 
 /// A connection that was opened, or closed while nothing was out on it.
 #[derive(Clone, Copy, Debug)]
-pub struct Opening {
+pub struct ConnectionTraffic {
     pub to: usize,
     pub build: u32,
-    pub out: u64,
-    pub back: u64,
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
     /// How long it took until it was ready for a request; nothing where it never was.
-    pub took: Option<Duration>,
+    pub handshake: Option<Duration>,
 }
 
 /// What is kept of one class on one link, over all builds.
 #[derive(Debug)]
 struct RequestClass {
     /// By build, which are few at a time.
-    rows: Vec<(u32, Row)>,
+    rows: Vec<(u32, LinkRow)>,
     /// Minute bins of the last day.
-    day: Series,
+    day: TimeSeries,
     delays: Option<Histogram<u32>>,
 }
 
 impl RequestClass {
-    fn row(&mut self, build: u32) -> &mut Row {
+    fn row(&mut self, build: u32) -> &mut LinkRow {
         let n = match self.rows.iter().position(|(b, _)| *b >= build) {
             Some(n) if self.rows[n].0 == build => n,
             place => {
                 let n = place.unwrap_or(self.rows.len());
-                let row = Row {
-                    tally: Tally::default(),
-                    recent: Series::new(RECENT.0, RECENT.1),
+                let row = LinkRow {
+                    counts: LinkCounts::default(),
+                    recent: TimeSeries::new(RECENT.0, RECENT.1),
                 };
                 self.rows.insert(n, (build, row));
                 n
@@ -184,7 +193,7 @@
     fn new() -> RequestClass {
         RequestClass {
             rows: Vec::new(),
-            day: Series::new(DAY.0, DAY.1),
+            day: TimeSeries::new(DAY.0, DAY.1),
             delays: None,
         }
     }
@@ -192,7 +201,7 @@
     fn merge(&mut self, o: RequestClass) {
         for (build, old) in o.rows {
             let row = self.row(build);
-            row.tally.add(&old.tally);
+            row.counts.add(&old.counts);
             row.recent.merge(&old.recent);
         }
         self.day.merge(&o.day);
@@ -257,7 +266,7 @@
 
     /// Goes on with other classes, numbered as `by` says. What was counted of a class whose number
     /// is another's now, or nobody's any more, goes to those that are gone.
-    pub fn renew(&mut self, by: &[IndexOrigin]) {
+    pub fn reload(&mut self, by: &[IndexOrigin]) {
         let width = self.classes + OTHERS;
         let mut old = std::mem::take(&mut self.links).into_iter();
         for _ in 0..=self.zones {
@@ -286,14 +295,14 @@
         self.classes = by.len();
     }
 
-    pub fn taken(&mut self, class: usize) {
+    pub fn record_request(&mut self, class: usize) {
         if let Some(n) = self.taken.get_mut(class) {
             *n += 1;
         }
     }
 
     /// The number that stands for connections in the place of a class.
-    pub fn connections(&self) -> u16 {
+    pub fn connections_class(&self) -> u16 {
         self.classes as u16
     }
 
@@ -307,25 +316,38 @@
     }
 
     /// An attempt was decided on.
-    pub fn decided(&mut self, to: usize, class: usize, build: u32, nth: usize, hedged: bool) {
-        let tally = &mut self.class(to, class).row(build).tally;
+    pub fn record_attempt(
+        &mut self,
+        to: usize,
+        class: usize,
+        build: u32,
+        nth: usize,
+        hedged: bool,
+    ) {
+        let tally = &mut self.class(to, class).row(build).counts;
         tally.decided += 1;
-        tally.hedging += u64::from(hedged);
-        tally.further += u64::from(nth > 0 && !hedged);
+        tally.hedges += u64::from(hedged);
+        tally.retries += u64::from(nth > 0 && !hedged);
     }
 
     /// It ended; `over` says why where it went over a budget, `cost` what it cost by its link's
     /// price.
-    pub fn ended(&mut self, now: Duration, t: &Ticket, e: &Ended, cost: f64) {
-        let (own, took) = (self.own, e.took.as_secs_f64());
-        let usual = self.usual_near(t.class);
+    pub fn record_attempt_end(
+        &mut self,
+        now: Duration,
+        t: &Reservation,
+        e: &CompletedAttempt,
+        cost: f64,
+    ) {
+        let (own, took) = (self.own, e.latency.as_secs_f64());
+        let usual = self.typical_local_latency(t.class);
         let succeeded = e.outcome == Outcome::Succeeded;
         if let (true, Some(near)) = (succeeded && t.to == own, self.near.get_mut(t.class)) {
             *near = Some(near.map_or(took, |n| n + (took - n) * FOLLOW));
         }
         let class = self.class(t.to, t.class);
         if succeeded {
-            let micros = (e.took.as_micros() as u64).clamp(LEAST_MICROS, MOST_MICROS);
+            let micros = (e.latency.as_micros() as u64).clamp(LEAST_MICROS, MOST_MICROS);
             if class.delays.is_none() {
                 // Two digits between these bounds are 10 KB, and bounds that the library always
                 // takes.
@@ -337,67 +359,70 @@
                 .for_each(|h| h.saturating_record(micros));
         }
         let row = class.row(t.build);
-        row.tally.ended[place(e.outcome)] += 1;
-        row.tally.written += u64::from(e.written);
-        row.tally.spoilt += u64::from(e.flaw == Flaw::Spoilt);
-        row.tally.half += u64::from(e.flaw == Flaw::Half);
-        if let Some(reason) = t.over {
-            row.tally.over[reason as usize] += 1;
+        row.counts.outcomes[outcome_index(e.outcome)] += 1;
+        row.counts.written += u64::from(e.fully_written);
+        row.counts.malformed += u64::from(e.fault == ResponseFault::Malformed);
+        row.counts.truncated += u64::from(e.fault == ResponseFault::Truncated);
+        if let Some(reason) = t.over_budget {
+            row.counts.over_budget[reason as usize] += 1;
         }
-        row.tally.out += e.out;
-        row.tally.back += e.back;
-        row.tally.cost += cost;
+        row.counts.bytes_sent += e.bytes_sent;
+        row.counts.bytes_received += e.bytes_received;
+        row.counts.cost += cost;
         if let (true, Some(usual)) = (succeeded && t.to != own, usual) {
-            row.tally.added += took - usual;
-            row.tally.compared += 1;
+            row.counts.added_latency_s += took - usual;
+            row.counts.compared_responses += 1;
         }
-        let add = |bin: &mut Bin| {
-            bin.attempts += u32::from(e.written);
-            bin.over += u32::from(t.over.is_some());
+        let add = |bin: &mut TimeBin| {
+            bin.attempts += u32::from(e.fully_written);
+            bin.over_budget += u32::from(t.over_budget.is_some());
             bin.cost += cost as f32;
-            bin.out += e.out;
-            bin.back += e.back;
+            bin.bytes_sent += e.bytes_sent;
+            bin.bytes_received += e.bytes_received;
         };
         add(row.recent.bin(now));
         add(class.day.bin(now));
     }
 
     /// A connection was opened, or ended while nothing was out on it.
-    pub fn opened(&mut self, now: Duration, o: &Opening, cost: f64) {
+    pub fn record_connection(&mut self, now: Duration, o: &ConnectionTraffic, cost: f64) {
         let connections = self.classes;
         let class = self.class(o.to, connections);
         let row = class.row(o.build);
-        row.tally.opened += u64::from(o.took.is_some());
-        row.tally.out += o.out;
-        row.tally.back += o.back;
-        row.tally.cost += cost;
-        let add = |bin: &mut Bin| {
-            (bin.out, bin.back, bin.cost) =
-                (bin.out + o.out, bin.back + o.back, bin.cost + cost as f32);
+        row.counts.connections_opened += u64::from(o.handshake.is_some());
+        row.counts.bytes_sent += o.bytes_sent;
+        row.counts.bytes_received += o.bytes_received;
+        row.counts.cost += cost;
+        let add = |bin: &mut TimeBin| {
+            (bin.bytes_sent, bin.bytes_received, bin.cost) = (
+                bin.bytes_sent + o.bytes_sent,
+                bin.bytes_received + o.bytes_received,
+                bin.cost + cost as f32,
+            );
         };
         add(row.recent.bin(now));
         add(class.day.bin(now));
     }
 
     /// Only these builds are alive: what the others' rows count goes into one of build 0.
-    pub fn alive(&mut self, builds: &BTreeSet<u32>) {
+    pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
         for class in self.links.iter_mut().flatten() {
-            let gone = |(build, _): &mut (u32, Row)| *build != 0 && !builds.contains(build);
-            let old: Vec<(u32, Row)> = class.rows.extract_if(.., gone).collect();
+            let gone = |(build, _): &mut (u32, LinkRow)| *build != 0 && !builds.contains(build);
+            let old: Vec<(u32, LinkRow)> = class.rows.extract_if(.., gone).collect();
             for (_, old) in old {
                 let row = class.row(0);
-                row.tally.add(&old.tally);
+                row.counts.add(&old.counts);
                 row.recent.merge(&old.recent);
             }
         }
     }
 
     /// All rows, by zone, class and build.
-    pub fn rows(&self) -> impl Iterator<Item = (Key, &Row)> {
+    pub fn rows(&self) -> impl Iterator<Item = (LinkKey, &LinkRow)> {
         self.from(0).flat_map(|(to, class, l)| {
             l.rows.iter().map(move |(b, r)| {
                 (
-                    Key {
+                    LinkKey {
                         to,
                         class,
                         build: *b,
@@ -417,7 +442,7 @@
     }
 
     /// The row at or after `from`, so that a reader may go through all while the account goes on.
-    pub fn next_row(&self, from: Key) -> Option<(Key, &Row)> {
+    pub fn next_row(&self, from: LinkKey) -> Option<(LinkKey, &LinkRow)> {
         let place = self.place(usize::from(from.to), usize::from(from.class));
         if usize::from(from.to) > self.zones {
             return None;
@@ -430,7 +455,7 @@
             };
             let (build, row) = l.rows.iter().find(|(b, _)| *b >= least)?;
             Some((
-                Key {
+                LinkKey {
                     to,
                     class,
                     build: *build,
@@ -441,7 +466,7 @@
     }
 
     /// The day's series at or after this link and class.
-    pub fn next_day(&self, (to, class): (u16, u16)) -> Option<((u16, u16), &Series)> {
+    pub fn next_daily_series(&self, (to, class): (u16, u16)) -> Option<((u16, u16), &TimeSeries)> {
         if usize::from(to) > self.zones {
             return None;
         }
@@ -452,7 +477,7 @@
     }
 
     /// Times of satisfied answers over a link, by class, in microseconds.
-    pub fn delay(&self, to: u16, class: u16) -> Option<&Histogram<u32>> {
+    pub fn latencies(&self, to: u16, class: u16) -> Option<&Histogram<u32>> {
         self.links[self.place(usize::from(to), usize::from(class))]
             .as_ref()?
             .delays
@@ -460,17 +485,17 @@
     }
 
     /// Requests taken, by class.
-    pub fn taken_by_class(&self) -> &[u64] {
+    pub fn requests_by_class(&self) -> &[u64] {
         &self.taken
     }
 
     /// Requests taken of classes that are gone.
-    pub fn taken_gone(&self) -> u64 {
+    pub fn requests_of_removed_classes(&self) -> u64 {
         self.taken_gone
     }
 
     /// The usual time of a near answer of this class, in seconds.
-    pub fn usual_near(&self, class: usize) -> Option<f64> {
+    pub fn typical_local_latency(&self, class: usize) -> Option<f64> {
         self.near.get(class).copied().flatten()
     }
 }
--- a/crates/zones/src/budget.rs
+++ b/crates/zones/src/budget.rs
@@ -10,8 +10,8 @@
 //! was not spent before.
 
 use crate::account::carried;
-use crate::route::Reason;
-use crate::zoning::{Budget, ClassProfile, Limit, Price, Zoning};
+use crate::route::OverBudgetReason;
+use crate::zoning::{Budget, ClassProfile, Limit, Price, ZoneConfig};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tulipwall::IndexOrigin;
@@ -30,7 +30,7 @@
 
 /// What one attempt takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spending {
+pub struct ResourceUsage {
     pub attempts: f64,
     pub bytes: f64,
     pub money: f64,
@@ -45,7 +45,7 @@
 
 /// One limit of one budget.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct BudgetMeter {
     pub budget: Budget,
     id: u32,
     bins: VecDeque<Spent>,
@@ -56,13 +56,13 @@
     held: f64,       // reserved by attempts that are out
     ranks: Vec<f64>, // by class: 0 for most benefit for its cost, 1 for least
     over: u64,
-    over_for: [u64; Reason::ALL.len()],
+    over_for: [u64; OverBudgetReason::ALL.len()],
     total: f64,
 }
 
-impl Purse {
-    fn new(now: Duration, budget: Budget, id: u32) -> Purse {
-        let mut purse = Purse {
+impl BudgetMeter {
+    fn new(now: Duration, budget: Budget, id: u32) -> BudgetMeter {
+        let mut purse = BudgetMeter {
             budget,
             id,
             bins: VecDeque::new(),
@@ -100,7 +100,7 @@
 
     /// This agent's part of an absolute limit.
     fn part(&self) -> f64 {
-        self.budget.limit.amount() * self.budget.part
+        self.budget.limit.amount() * self.budget.agent_fraction
     }
 
     /// What this agent may spend in the window that ends now.
@@ -117,11 +117,11 @@
     }
 
     /// How many attempts went over this limit.
-    pub fn over(&self) -> u64 {
+    pub fn over_budget_total(&self) -> u64 {
         self.over
     }
 
-    pub fn over_for(&self, reason: Reason) -> u64 {
+    pub fn over_budget(&self, reason: OverBudgetReason) -> u64 {
         self.over_for[reason as usize]
     }
 
@@ -170,7 +170,7 @@
         self.budget.to.is_none_or(|t| t == to) && self.budget.class.is_none_or(|l| l == class)
     }
 
-    fn amount(&self, s: &Spending) -> f64 {
+    fn amount(&self, s: &ResourceUsage) -> f64 {
         match self.budget.limit {
             Limit::Attempts(_) | Limit::Share(_) => s.attempts,
             Limit::Bytes(_) => s.bytes,
@@ -217,12 +217,12 @@
 
 /// What an attempt that is out has reserved, and at which purses there was no room for it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reserved {
+pub struct BudgetHold {
     held: Vec<(u32, f64)>,
     short: Vec<u32>,
 }
 
-impl Reserved {
+impl BudgetHold {
     /// Some budget was too short for it.
     pub fn is_over(&self) -> bool {
         !self.short.is_empty()
@@ -231,8 +231,8 @@
 
 /// All budgets of one agent.
 #[derive(Clone, Debug)]
-pub struct Purses {
-    purses: Vec<Purse>,
+pub struct BudgetMeters {
+    purses: Vec<BudgetMeter>,
     ids: u32,
     prices: Vec<Price>,
     benefits: Vec<f64>,
@@ -240,23 +240,23 @@
     largest: Vec<Vec<(f64, f64)>>,
 }
 
-impl Purses {
-    pub fn new(now: Duration, zoning: &Zoning) -> Purses {
+impl BudgetMeters {
+    pub fn new(now: Duration, zoning: &ZoneConfig) -> BudgetMeters {
         let classes = zoning.classes.len();
-        let mut purses = Purses {
+        let mut purses = BudgetMeters {
             purses: Vec::new(),
             ids: 0,
             prices: Vec::new(),
             benefits: Vec::new(),
-            largest: vec![vec![(GUESS, GUESS); classes]; zoning.all()],
+            largest: vec![vec![(GUESS, GUESS); classes]; zoning.zone_count_with_unnamed()],
         };
-        purses.renew(now, zoning, &vec![IndexOrigin::Same; classes]);
+        purses.reload(now, zoning, &vec![IndexOrigin::Same; classes]);
         purses
     }
 
     /// Goes on under what was read anew, with classes numbered as `by` says. A budget is the same
     /// if its name and its unit are; a lower one holds at once, whatever was spent.
-    pub fn renew(&mut self, now: Duration, zoning: &Zoning, by: &[IndexOrigin]) {
+    pub fn reload(&mut self, now: Duration, zoning: &ZoneConfig, by: &[IndexOrigin]) {
         for zone in &mut self.largest {
             let mut old: Vec<_> = std::mem::take(zone).into_iter().map(Some).collect();
             *zone = carried(by, &mut old)
@@ -265,14 +265,16 @@
                 .collect();
         }
         let mut old = std::mem::take(&mut self.purses);
-        self.prices = (0..zoning.all()).map(|z| zoning.link(z).price).collect();
+        self.prices = (0..zoning.zone_count_with_unnamed())
+            .map(|z| zoning.link(z).price)
+            .collect();
         self.benefits = zoning
             .classes
             .iter()
             .map(|l: &ClassProfile| l.priority_weight)
             .collect();
         for budget in &zoning.budgets {
-            let same = |p: &Purse| {
+            let same = |p: &BudgetMeter| {
                 p.budget.name == budget.name && p.budget.limit.unit() == budget.limit.unit()
             };
             match old.iter().position(same) {
@@ -283,15 +285,16 @@
                 }
                 None => {
                     self.ids += 1;
-                    self.purses.push(Purse::new(now, budget.clone(), self.ids));
+                    self.purses
+                        .push(BudgetMeter::new(now, budget.clone(), self.ids));
                 }
             }
         }
-        self.rank();
+        self.rank_classes();
     }
 
     /// Orders the classes of each purse by benefit for cost.
-    pub fn rank(&mut self) {
+    pub fn rank_classes(&mut self) {
         for n in 0..self.purses.len() {
             let purse = &self.purses[n];
             let to = purse.budget.to;
@@ -328,7 +331,7 @@
 
     /// What each purse may use until another class has to stay near; to be asked for whenever that
     /// may have changed otherwise.
-    pub fn bars(&mut self) {
+    pub fn update_restriction_thresholds(&mut self) {
         for n in 0..self.purses.len() {
             let p = &self.purses[n];
             let zones = (0..self.largest.len()).filter(|z| p.budget.to.is_none_or(|t| t == *z));
@@ -347,26 +350,26 @@
     }
 
     /// Whether since then one has used so much that another class has to stay near.
-    pub fn barred(&self) -> bool {
+    pub fn restrictions_outdated(&self) -> bool {
         self.purses.iter().any(|p| p.used() > p.barred_at)
     }
 
     /// What one more attempt may take.
-    pub fn estimate(&self, to: usize, class: usize) -> Spending {
+    pub fn estimate(&self, to: usize, class: usize) -> ResourceUsage {
         let largest = self.largest.get(to).and_then(|z| z.get(class)).copied();
         let (out, back) = largest.unwrap_or((GUESS, GUESS));
         let money = self
             .prices
             .get(to)
-            .map_or(0.0, |p| p.of(1, out as u64, back as u64));
-        Spending {
+            .map_or(0.0, |p| p.cost(1, out as u64, back as u64));
+        ResourceUsage {
             attempts: 1.0,
             bytes: out + back,
             money,
         }
     }
 
-    pub fn taken(&mut self, now: Duration, class: usize) {
+    pub fn record_request(&mut self, now: Duration, class: usize) {
         for p in self
             .purses
             .iter_mut()
@@ -377,7 +380,7 @@
     }
 
     /// Lets old spending go.
-    pub fn roll(&mut self, now: Duration) {
+    pub fn advance(&mut self, now: Duration) {
         for p in &mut self.purses {
             p.roll(now);
         }
@@ -387,14 +390,14 @@
     /// for.
     pub fn admits(&self, to: usize, class: usize, again: bool) -> bool {
         let takes = self.estimate(to, class);
-        let short = |p: &Purse| !p.fits(p.amount(&takes), p.reserve(class, again));
+        let short = |p: &BudgetMeter| !p.fits(p.amount(&takes), p.reserve(class, again));
         !self.purses.iter().any(|p| p.covers(to, class) && short(p))
     }
 
     /// An attempt crosses. It reserves what it may take, wherever there is room for it.
-    pub fn reserve(&mut self, now: Duration, to: usize, class: usize) -> Reserved {
+    pub fn reserve(&mut self, now: Duration, to: usize, class: usize) -> BudgetHold {
         let takes = self.estimate(to, class);
-        let mut reserved = Reserved::default();
+        let mut reserved = BudgetHold::default();
         for p in self.purses.iter_mut().filter(|p| p.covers(to, class)) {
             p.roll(now);
             let amount = p.amount(&takes);
@@ -411,7 +414,7 @@
     /// It went over, for this reason: counted at each purse that was too short for it. It is not
     /// spent there, so that what crosses by choice in any window is what the budget gives, whatever
     /// else had to cross.
-    pub fn over(&mut self, reserved: &Reserved, reason: Reason) {
+    pub fn record_over_budget(&mut self, reserved: &BudgetHold, reason: OverBudgetReason) {
         for p in self
             .purses
             .iter_mut()
@@ -428,14 +431,14 @@
         &mut self,
         now: Duration,
         (to, class): (usize, usize),
-        reserved: &Reserved,
+        reserved: &BudgetHold,
         attempts: u64,
         (out, back): (u64, u64),
     ) -> f64 {
         let money = self
             .prices
             .get(to)
-            .map_or(0.0, |p| p.of(attempts, out, back));
+            .map_or(0.0, |p| p.cost(attempts, out, back));
         if let Some(l) = self
             .largest
             .get_mut(to)
@@ -447,7 +450,7 @@
                 (l.1 * LARGEST_FADE).max(back as f64),
             );
         }
-        let took = Spending {
+        let took = ResourceUsage {
             attempts: attempts as f64,
             bytes: (out + back) as f64,
             money,
@@ -468,20 +471,21 @@
     /// What opening a connection took: bytes and money, though no request crossed. Budgets of a
     /// class are not charged, as it serves any.
     pub fn charge(&mut self, now: Duration, to: usize, (out, back): (u64, u64)) -> f64 {
-        let money = self.prices.get(to).map_or(0.0, |p| p.of(0, out, back));
-        let took = Spending {
+        let money = self.prices.get(to).map_or(0.0, |p| p.cost(0, out, back));
+        let took = ResourceUsage {
             attempts: 0.0,
             bytes: (out + back) as f64,
             money,
         };
-        let any = |p: &&mut Purse| p.budget.class.is_none() && p.budget.to.is_none_or(|t| t == to);
+        let any =
+            |p: &&mut BudgetMeter| p.budget.class.is_none() && p.budget.to.is_none_or(|t| t == to);
         for p in self.purses.iter_mut().filter(any) {
             p.spend(now, p.amount(&took));
         }
         money
     }
 
-    pub fn purses(&self) -> &[Purse] {
+    pub fn meters(&self) -> &[BudgetMeter] {
         &self.purses
     }
 
@@ -490,7 +494,7 @@
     }
 }
 
-impl Purse {
+impl BudgetMeter {
     fn covers_class(&self, class: usize) -> bool {
         self.budget.class.is_none_or(|l| l == class)
     }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -9,27 +9,37 @@
 //! use std::time::Duration;
 //! use tulipwall_zones::*;
 //!
-//! let zoning = Zoning {
-//!     own: 0,
-//!     zones: 2,
-//!     classes: vec![ClassProfile { priority_weight: 3.0, latency_objective: Duration::from_millis(400) }],
+//! let view = ClassProfile { priority_weight: 3.0, latency_objective: Duration::from_millis(400) };
+//! let budget = Budget {
+//!     name: "all".into(),
+//!     to: None,
+//!     class: None,
+//!     limit: Limit::Attempts(10.0),
+//!     window: Duration::from_secs(60),
+//!     agent_fraction: 0.5,
+//! };
+//! let config = ZoneConfig {
+//!     local_zone: 0,
+//!     zone_count: 2,
+//!     classes: vec![view],
 //!     links: vec![Link::default(); 3],
-//!     budgets: vec![Budget {
-//!         name: "all".into(),
-//!         to: None,
-//!         class: None,
-//!         limit: Limit::Attempts(10.0),
-//!         window: Duration::from_secs(60),
-//!         part: 0.5,
-//!     }],
-//!     routing: Routing::NearFirst,
+//!     budgets: vec![budget],
+//!     routing: RoutingPolicy::LocalFirst,
 //! };
-//! let mut zones = Zones::new(Duration::ZERO, zoning);
+//! let mut zones = Zones::new(Duration::ZERO, config);
 //! let now = Duration::from_secs(3600);
-//! zones.taken(now, 0);
-//! let sent = Sending { to: 1, class: 0, build: 7, nth: 0, hedged: false, trial: false, bound: false };
-//! let ticket = zones.sent(now, sent, || vec![tulipwall::ZoneCapacity::default(); 3]);
-//! assert_eq!(ticket.over, None, "the first of the five that this agent may send");
+//! zones.on_request(now, 0);
+//! let attempt = AttemptStart {
+//!     to: 1,
+//!     class: 0,
+//!     build: 7,
+//!     previous_attempts: 0,
+//!     hedged: false,
+//!     is_canary: false,
+//!     pinned_to_scope: false,
+//! };
+//! let reservation = zones.on_attempt(now, attempt, || vec![tulipwall::ZoneCapacity::default(); 3]);
+//! assert_eq!(reservation.over_budget, None, "the first of the five that this agent may send");
 //! ```
 
 mod account;
@@ -40,12 +50,16 @@
 mod zones;
 mod zoning;
 
-pub use account::{place, Account, Ended, Flaw, Key, Opening, Row, Tally};
-pub use budget::{Purse, Purses, Reserved, Spending};
+pub use account::{
+    outcome_index, Account, CompletedAttempt, ConnectionTraffic, LinkCounts, LinkKey, LinkRow,
+    ResponseFault,
+};
+pub use budget::{BudgetHold, BudgetMeter, BudgetMeters, ResourceUsage};
 pub use report::{
-    BudgetLine, Document, Head, Line, LinkLine, Names, Place, SeriesLine, Wall, VERSION,
+    BudgetLine, ClockMapping, DelayLine, DisplayNames, Document, LatencyBucket, LinkLine,
+    ReportCursor, ReportError, ReportHeader, ReportLine, SeriesBin, SeriesLine, VERSION,
 };
-pub use route::{Reason, Route};
-pub use series::{Bin, Series};
-pub use zones::{Sending, Ticket, Zones};
-pub use zoning::{Budget, ClassProfile, Limit, Link, Price, Routing, Zoning};
+pub use route::{OverBudgetReason, ZoneRouter};
+pub use series::{TimeBin, TimeSeries};
+pub use zones::{AttemptStart, Reservation, Zones};
+pub use zoning::{Budget, ClassProfile, Limit, Link, Price, RoutingPolicy, ZoneConfig};
--- a/crates/zones/src/route.rs
+++ b/crates/zones/src/route.rs
@@ -10,7 +10,7 @@
 //! does not: near that flaps cannot make requests swing with it.
 
 use crate::account::carried;
-use crate::zoning::{ClassProfile, Routing};
+use crate::zoning::{ClassProfile, RoutingPolicy};
 use std::time::Duration;
 use tulipwall::{IndexOrigin, ZoneCapacity};
 
@@ -58,69 +58,69 @@
 
 /// Why a request crossed though a budget was spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum OverBudgetReason {
     /// The build on trial must be judged, and its cap bounds what that takes.
-    Trial,
+    Canary,
     /// It is deduplicated in a group that lies there, where it may have run.
     DeduplicationScope,
     /// No endpoint is near.
-    NoNear,
+    NoLocalEndpoint,
     /// All near ones drain.
-    Drained,
+    LocalDraining,
     /// All near ones are set aside or silent.
-    Aside,
+    LocalUnavailable,
     /// All near ones that answer are cold and had their part.
-    Cold,
+    LocalWarmingUp,
     /// Near answers would come too late.
-    Full,
+    LocalSaturated,
     /// Each near one that could take it has failed it.
-    Tried,
+    LocalAlreadyTried,
     /// The cap of a build on trial, or the builds that a key is bound to, left nothing near.
-    Barred,
+    LocalExcluded,
 }
 
-impl Reason {
-    pub const ALL: [Reason; 9] = [
-        Reason::Trial,
-        Reason::DeduplicationScope,
-        Reason::NoNear,
-        Reason::Drained,
-        Reason::Aside,
-        Reason::Cold,
-        Reason::Full,
-        Reason::Tried,
-        Reason::Barred,
+impl OverBudgetReason {
+    pub const ALL: [OverBudgetReason; 9] = [
+        OverBudgetReason::Canary,
+        OverBudgetReason::DeduplicationScope,
+        OverBudgetReason::NoLocalEndpoint,
+        OverBudgetReason::LocalDraining,
+        OverBudgetReason::LocalUnavailable,
+        OverBudgetReason::LocalWarmingUp,
+        OverBudgetReason::LocalSaturated,
+        OverBudgetReason::LocalAlreadyTried,
+        OverBudgetReason::LocalExcluded,
     ];
 
     /// As reports write it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Reason::Trial => "trial",
-            Reason::DeduplicationScope => "group",
-            Reason::NoNear => "no_near",
-            Reason::Drained => "drained",
-            Reason::Aside => "aside",
-            Reason::Cold => "cold",
-            Reason::Full => "full",
-            Reason::Tried => "tried",
-            Reason::Barred => "barred",
+            OverBudgetReason::Canary => "trial",
+            OverBudgetReason::DeduplicationScope => "group",
+            OverBudgetReason::NoLocalEndpoint => "no_near",
+            OverBudgetReason::LocalDraining => "drained",
+            OverBudgetReason::LocalUnavailable => "aside",
+            OverBudgetReason::LocalWarmingUp => "cold",
+            OverBudgetReason::LocalSaturated => "full",
+            OverBudgetReason::LocalAlreadyTried => "tried",
+            OverBudgetReason::LocalExcluded => "barred",
         }
     }
 
     /// Why an attempt that is neither to a trial nor bound to a group went over from this zone.
-    pub fn of(near: &ZoneCapacity, full: bool, nth: usize) -> Reason {
+    pub fn for_capacity(near: &ZoneCapacity, full: bool, nth: usize) -> OverBudgetReason {
         match near {
             ZoneCapacity {
                 running: 0,
                 draining: 0,
                 ..
-            } => Reason::NoNear,
-            ZoneCapacity { running: 0, .. } => Reason::Drained,
-            ZoneCapacity { responsive: 0, .. } => Reason::Aside,
-            ZoneCapacity { warm: 0, .. } => Reason::Cold,
-            _ if full => Reason::Full,
-            _ if nth > 0 => Reason::Tried,
-            _ => Reason::Barred,
+            } => OverBudgetReason::NoLocalEndpoint,
+            ZoneCapacity { running: 0, .. } => OverBudgetReason::LocalDraining,
+            ZoneCapacity { responsive: 0, .. } => OverBudgetReason::LocalUnavailable,
+            ZoneCapacity { warm: 0, .. } => OverBudgetReason::LocalWarmingUp,
+            _ if full => OverBudgetReason::LocalSaturated,
+            _ if nth > 0 => OverBudgetReason::LocalAlreadyTried,
+            _ => OverBudgetReason::LocalExcluded,
         }
     }
 }
@@ -156,9 +156,9 @@
 
 /// The routing of one agent.
 #[derive(Clone, Debug)]
-pub struct Route {
+pub struct ZoneRouter {
     own: usize,
-    routing: Routing,
+    routing: RoutingPolicy,
     latency_objective: Vec<f64>,
     stated: Vec<Option<Duration>>,
     classes: Vec<Pace>,
@@ -168,15 +168,15 @@
     stepped: Option<Duration>,
 }
 
-impl Route {
+impl ZoneRouter {
     /// `stated`: what the way to each zone adds to an answer, where the installation says so.
     pub fn new(
         own: usize,
-        routing: Routing,
+        routing: RoutingPolicy,
         classes: &[ClassProfile],
         stated: Vec<Option<Duration>>,
-    ) -> Route {
-        Route {
+    ) -> ZoneRouter {
+        ZoneRouter {
             own,
             routing,
             latency_objective: classes
@@ -201,9 +201,9 @@
     }
 
     /// What was read anew, with classes numbered as `by` says; what was learned stays.
-    pub fn renew(
+    pub fn reload(
         &mut self,
-        routing: Routing,
+        routing: RoutingPolicy,
         classes: &[ClassProfile],
         stated: Vec<Option<Duration>>,
         by: &[IndexOrigin],
@@ -227,7 +227,7 @@
     }
 
     /// An attempt went to this zone.
-    pub fn sent(&mut self, zone: usize) {
+    pub fn on_attempt(&mut self, zone: usize) {
         self.sides
             .get_mut(zone)
             .into_iter()
@@ -235,7 +235,7 @@
     }
 
     /// A satisfied answer from this zone took so long.
-    pub fn answered(&mut self, now: Duration, zone: usize, class: usize, took: Duration) {
+    pub fn on_response(&mut self, now: Duration, zone: usize, class: usize, took: Duration) {
         let (Some(pace), Some(side)) = (self.classes.get_mut(class), self.sides.get_mut(zone))
         else {
             return;
@@ -259,7 +259,7 @@
     }
 
     /// A connection to this zone was ready after so long.
-    pub fn opened(&mut self, zone: usize, took: Duration) {
+    pub fn on_connection(&mut self, zone: usize, took: Duration) {
         let Some(side) = self.sides.get_mut(zone) else {
             return;
         };
@@ -269,7 +269,7 @@
 
     /// What the way there and back adds to an answer: as stated, else what new connections there
     /// took longer than near ones. Zero while neither is known.
-    pub fn added(&self, zone: usize) -> Duration {
+    pub fn added_latency(&self, zone: usize) -> Duration {
         if zone == self.own {
             return Duration::ZERO;
         }
@@ -285,7 +285,7 @@
 
     /// Looks at how much should cross from now on; about every `STEP`. After a stall it counts
     /// once.
-    pub fn step(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
+    pub fn tick(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
         let span = self.stepped.map_or(STEP, |t| now.saturating_sub(t));
         if span < STEP / 2 {
             return;
@@ -429,7 +429,7 @@
             .filter(|t| *t > 0.0);
         heard.or(least
             .filter(|_| zone != self.own)
-            .map(|t| t + self.added(zone).as_secs_f64()))
+            .map(|t| t + self.added_latency(zone).as_secs_f64()))
     }
 
     /// How much slower near answers are than those from a zone, its way included: the geometric
@@ -449,25 +449,25 @@
 
     /// What an endpoint of this zone draws against a near one, 0 to 1; `None` where the decisions'
     /// own figure holds.
-    pub fn draw(&self, zone: usize) -> Option<f64> {
-        let near_first = self.routing == Routing::NearFirst && zone != self.own;
+    pub fn weight(&self, zone: usize) -> Option<f64> {
+        let near_first = self.routing == RoutingPolicy::LocalFirst && zone != self.own;
         near_first
             .then(|| self.sides.get(zone).map(|s| s.draw))
             .flatten()
     }
 
     /// Near answers of this class are near to being late.
-    pub fn full(&self, class: usize) -> bool {
+    pub fn is_saturated(&self, class: usize) -> bool {
         self.classes.get(class).is_some_and(|l| l.full)
     }
 
     /// What part of its share a cold endpoint gets.
-    pub fn cold(&self) -> f64 {
+    pub fn slow_start_factor(&self) -> f64 {
         self.cold
     }
 
     /// How often the direction to this zone has turned upwards.
-    pub fn turns(&self, zone: usize) -> u64 {
+    pub fn direction_changes(&self, zone: usize) -> u64 {
         self.sides.get(zone).map_or(0, |s| s.turns)
     }
 }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,48 +1,48 @@
 //! All of it for one agent: told what is taken, sent and answered, it accounts, spends and says
 //! what crossing means just now.
 
-use crate::account::{Account, Ended, Opening};
-use crate::budget::{Purses, Reserved};
-use crate::route::{Reason, Route};
-use crate::zoning::Zoning;
+use crate::account::{Account, CompletedAttempt, ConnectionTraffic};
+use crate::budget::{BudgetHold, BudgetMeters};
+use crate::route::{OverBudgetReason, ZoneRouter};
+use crate::zoning::ZoneConfig;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity, ZonePolicy};
 
 /// An attempt that was decided on.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending {
+pub struct AttemptStart {
     pub to: usize,
     pub class: usize,
     pub build: u32,
     /// How many attempts of its request came before.
-    pub nth: usize,
+    pub previous_attempts: usize,
     /// Another attempt of its request is out.
     pub hedged: bool,
     /// Its build is on trial.
-    pub trial: bool,
+    pub is_canary: bool,
     /// Its request is deduplicated in a zone or cell, and may have run there.
-    pub bound: bool,
+    pub pinned_to_scope: bool,
 }
 
 /// An attempt that is out, to be given back when it ends.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ticket {
+pub struct Reservation {
     pub to: usize,
     pub class: usize,
     pub build: u32,
     /// Why it went though a budget was spent; nothing where none was.
-    pub over: Option<Reason>,
-    reserved: Reserved,
+    pub over_budget: Option<OverBudgetReason>,
+    reserved: BudgetHold,
 }
 
 /// The zones as one agent sees them.
 #[derive(Debug)]
 pub struct Zones {
-    zoning: Zoning,
+    zoning: ZoneConfig,
     account: Account,
-    purses: Purses,
-    route: Route,
+    purses: BudgetMeters,
+    route: ZoneRouter,
     told: Option<CrossZonePolicy>,
     due: bool,
     ranked: Duration,
@@ -52,12 +52,14 @@
 const RANK_EVERY: Duration = Duration::from_secs(1);
 
 impl Zones {
-    pub fn new(now: Duration, zoning: Zoning) -> Zones {
-        let stated = (0..zoning.all()).map(|z| zoning.link(z).delay).collect();
+    pub fn new(now: Duration, zoning: ZoneConfig) -> Zones {
+        let stated = (0..zoning.zone_count_with_unnamed())
+            .map(|z| zoning.link(z).added_latency)
+            .collect();
         Zones {
-            account: Account::new(zoning.own, zoning.zones, zoning.classes.len()),
-            purses: Purses::new(now, &zoning),
-            route: Route::new(zoning.own, zoning.routing, &zoning.classes, stated),
+            account: Account::new(zoning.local_zone, zoning.zone_count, zoning.classes.len()),
+            purses: BudgetMeters::new(now, &zoning),
+            route: ZoneRouter::new(zoning.local_zone, zoning.routing, &zoning.classes, stated),
             zoning,
             told: None,
             due: true,
@@ -68,124 +70,141 @@
     /// Goes on under what was read anew, with classes numbered as `by` says: the account and what
     /// is spent stay. Its zones must be those of before, or the account begins anew, and the
     /// budgets as after a restart; says whether it went on.
-    pub fn renew(&mut self, now: Duration, zoning: Zoning, by: &[IndexOrigin]) -> bool {
-        let same = |z: &Zoning| (z.own, z.zones);
+    pub fn reload(&mut self, now: Duration, zoning: ZoneConfig, by: &[IndexOrigin]) -> bool {
+        let same = |z: &ZoneConfig| (z.local_zone, z.zone_count);
         if same(&zoning) != same(&self.zoning) || zoning.classes.len() != by.len() {
             *self = Zones::new(now, zoning);
             return false;
         }
         if self.zoning.classes.len() != by.len() || by.iter().any(|o| *o != IndexOrigin::Same) {
-            self.account.renew(by);
+            self.account.reload(by);
         }
-        let stated = (0..zoning.all()).map(|z| zoning.link(z).delay).collect();
+        let stated = (0..zoning.zone_count_with_unnamed())
+            .map(|z| zoning.link(z).added_latency)
+            .collect();
         self.route
-            .renew(zoning.routing, &zoning.classes, stated, by);
-        self.purses.renew(now, &zoning, by);
+            .reload(zoning.routing, &zoning.classes, stated, by);
+        self.purses.reload(now, &zoning, by);
         self.zoning = zoning;
         self.due = true;
         true
     }
 
     /// A request was taken.
-    pub fn taken(&mut self, now: Duration, class: usize) {
-        self.account.taken(class);
-        self.purses.taken(now, class);
+    pub fn on_request(&mut self, now: Duration, class: usize) {
+        self.account.record_request(class);
+        self.purses.record_request(now, class);
     }
 
     /// An attempt was decided on; `zone_capacities` is asked only where it goes over a budget, to
     /// say why.
-    pub fn sent(
+    pub fn on_attempt(
         &mut self,
         now: Duration,
-        s: Sending,
+        s: AttemptStart,
         zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
-    ) -> Ticket {
-        let to = s.to.min(self.zoning.zones);
-        self.account.decided(to, s.class, s.build, s.nth, s.hedged);
-        self.route.sent(to);
-        let mut ticket = Ticket {
+    ) -> Reservation {
+        let to = s.to.min(self.zoning.zone_count);
+        self.account
+            .record_attempt(to, s.class, s.build, s.previous_attempts, s.hedged);
+        self.route.on_attempt(to);
+        let mut ticket = Reservation {
             to,
             class: s.class,
             build: s.build,
-            over: None,
-            reserved: Reserved::default(),
+            over_budget: None,
+            reserved: BudgetHold::default(),
         };
-        if to == self.zoning.own || self.purses.is_empty() {
+        if to == self.zoning.local_zone || self.purses.is_empty() {
             return ticket;
         }
         ticket.reserved = self.purses.reserve(now, to, s.class);
-        self.due |= self.purses.barred();
+        self.due |= self.purses.restrictions_outdated();
         if ticket.reserved.is_over() {
             let reason = match s {
-                Sending { trial: true, .. } => Reason::Trial,
-                Sending { bound: true, .. } => Reason::DeduplicationScope,
+                AttemptStart {
+                    is_canary: true, ..
+                } => OverBudgetReason::Canary,
+                AttemptStart {
+                    pinned_to_scope: true,
+                    ..
+                } => OverBudgetReason::DeduplicationScope,
                 _ => {
                     let near = zone_capacities()
-                        .get(self.zoning.own)
+                        .get(self.zoning.local_zone)
                         .cloned()
                         .unwrap_or_default();
-                    Reason::of(&near, self.route.full(s.class), s.nth)
+                    OverBudgetReason::for_capacity(
+                        &near,
+                        self.route.is_saturated(s.class),
+                        s.previous_attempts,
+                    )
                 }
             };
-            self.purses.over(&ticket.reserved, reason);
-            ticket.over = Some(reason);
+            self.purses.record_over_budget(&ticket.reserved, reason);
+            ticket.over_budget = Some(reason);
         }
         ticket
     }
 
     /// It ended.
-    pub fn ended(&mut self, now: Duration, t: &Ticket, e: &Ended) {
-        let written = u64::from(e.written);
-        let cost = match t.to == self.zoning.own {
+    pub fn on_attempt_end(&mut self, now: Duration, t: &Reservation, e: &CompletedAttempt) {
+        let written = u64::from(e.fully_written);
+        let cost = match t.to == self.zoning.local_zone {
             true => 0.0,
-            false => {
-                self.purses
-                    .settle(now, (t.to, t.class), &t.reserved, written, (e.out, e.back))
-            }
+            false => self.purses.settle(
+                now,
+                (t.to, t.class),
+                &t.reserved,
+                written,
+                (e.bytes_sent, e.bytes_received),
+            ),
         };
-        self.account.ended(now, t, e, cost);
+        self.account.record_attempt_end(now, t, e, cost);
         if e.outcome == Outcome::Succeeded {
-            self.route.answered(now, t.to, t.class, e.took);
+            self.route.on_response(now, t.to, t.class, e.latency);
         }
     }
 
     /// A connection was opened, or ended while nothing was out on it.
-    pub fn opened(&mut self, now: Duration, o: &Opening) {
-        let to = o.to.min(self.zoning.zones);
-        let cost = if to == self.zoning.own {
+    pub fn on_connection(&mut self, now: Duration, o: &ConnectionTraffic) {
+        let to = o.to.min(self.zoning.zone_count);
+        let cost = if to == self.zoning.local_zone {
             0.0
         } else {
-            self.purses.charge(now, to, (o.out, o.back))
+            self.purses
+                .charge(now, to, (o.bytes_sent, o.bytes_received))
         };
-        self.account.opened(now, &Opening { to, ..*o }, cost);
-        if let Some(took) = o.took {
-            self.route.opened(to, took);
+        self.account
+            .record_connection(now, &ConnectionTraffic { to, ..*o }, cost);
+        if let Some(took) = o.handshake {
+            self.route.on_connection(to, took);
         }
     }
 
     /// Looks at how much should cross, about every 100 ms.
-    pub fn step(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
-        self.route.step(now, zone_capacities);
-        self.purses.roll(now);
+    pub fn tick(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
+        self.route.tick(now, zone_capacities);
+        self.purses.advance(now);
         if now >= self.ranked + RANK_EVERY {
             self.ranked = now;
-            self.purses.rank();
+            self.purses.rank_classes();
         }
         self.due = true;
     }
 
     /// What crossing means now, if that is other than what was told last.
-    pub fn crossings(&mut self) -> Option<CrossZonePolicy> {
+    pub fn cross_zone_policy(&mut self) -> Option<CrossZonePolicy> {
         if !std::mem::take(&mut self.due) {
             return None;
         }
-        self.purses.bars();
-        let zones = (0..self.zoning.all())
+        self.purses.update_restriction_thresholds();
+        let zones = (0..self.zoning.zone_count_with_unnamed())
             .map(|zone| self.crossing(zone))
             .collect();
         let now = CrossZonePolicy {
             zones,
-            slow_start_factor: self.route.cold(),
+            slow_start_factor: self.route.slow_start_factor(),
         };
         if self.told.as_ref() == Some(&now) {
             return None;
@@ -195,7 +214,7 @@
     }
 
     fn crossing(&self, zone: usize) -> ZonePolicy {
-        if zone == self.zoning.own {
+        if zone == self.zoning.local_zone {
             return ZonePolicy::default();
         }
         let last = |again: bool| {
@@ -204,24 +223,25 @@
             } else {
                 self.zoning.classes.len()
             };
-            let spared =
-                |class: usize| !self.route.full(class) && !self.purses.admits(zone, class, again);
+            let spared = |class: usize| {
+                !self.route.is_saturated(class) && !self.purses.admits(zone, class, again)
+            };
             (0..classes).map(spared).collect()
         };
         ZonePolicy {
-            weight: self.route.draw(zone),
-            added_latency: self.route.added(zone),
+            weight: self.route.weight(zone),
+            added_latency: self.route.added_latency(zone),
             last_resort: last(false),
             last_resort_for_retries: last(true),
         }
     }
 
     /// Only these builds are alive.
-    pub fn alive(&mut self, builds: &BTreeSet<u32>) {
-        self.account.alive(builds);
+    pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
+        self.account.retain_builds(builds);
     }
 
-    pub fn zoning(&self) -> &Zoning {
+    pub fn config(&self) -> &ZoneConfig {
         &self.zoning
     }
 
@@ -229,11 +249,11 @@
         &self.account
     }
 
-    pub fn purses(&self) -> &Purses {
+    pub fn budget_meters(&self) -> &BudgetMeters {
         &self.purses
     }
 
-    pub fn route(&self) -> &Route {
+    pub fn router(&self) -> &ZoneRouter {
         &self.route
     }
 }
--- a/crates/zones/src/zoning.rs
+++ b/crates/zones/src/zoning.rs
@@ -5,23 +5,23 @@
 
 /// All that one agent goes by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Zoning {
+pub struct ZoneConfig {
     /// The zone this agent stands in.
-    pub own: usize,
+    pub local_zone: usize,
     /// How many zones have names. Number `zones` stands for a zone that the installation does not
     /// name: it is never near, and a link of its own.
-    pub zones: usize,
+    pub zone_count: usize,
     pub classes: Vec<ClassProfile>,
     /// The way to each zone, `zones + 1` of them.
     pub links: Vec<Link>,
     pub budgets: Vec<Budget>,
-    pub routing: Routing,
+    pub routing: RoutingPolicy,
 }
 
-impl Zoning {
+impl ZoneConfig {
     /// How many zones there are with the unnamed one.
-    pub fn all(&self) -> usize {
-        self.zones + 1
+    pub fn zone_count_with_unnamed(&self) -> usize {
+        self.zone_count + 1
     }
 
     /// The way to this zone; one without price or delay where nothing was said of it.
@@ -43,25 +43,25 @@
 pub struct Link {
     pub price: Price,
     /// What there and back adds to an answer; measured on new connections where it is not stated.
-    pub delay: Option<Duration>,
+    pub added_latency: Option<Duration>,
 }
 
 /// In the installation's own unit of money.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Price {
-    pub attempt: f64,
+    pub per_attempt: f64,
     /// For each GiB (2^30 bytes) written to the other zone.
-    pub out_gib: f64,
+    pub per_gib_sent: f64,
     /// For each GiB read from it.
-    pub in_gib: f64,
+    pub per_gib_received: f64,
 }
 
 impl Price {
-    pub fn of(&self, attempts: u64, out: u64, back: u64) -> f64 {
+    pub fn cost(&self, attempts: u64, out: u64, back: u64) -> f64 {
         const GIB: f64 = (1u64 << 30) as f64;
-        self.attempt * attempts as f64
-            + self.out_gib * out as f64 / GIB
-            + self.in_gib * back as f64 / GIB
+        self.per_attempt * attempts as f64
+            + self.per_gib_sent * out as f64 / GIB
+            + self.per_gib_received * back as f64 / GIB
     }
 }
 
@@ -78,7 +78,7 @@
     /// What part of an absolute limit this agent may spend, 0 to 1. The sum over all agents keeps
     /// to the limit as long as the sum of their parts is 1 at most; what an idle one leaves, nobody
     /// else uses.
-    pub part: f64,
+    pub agent_fraction: f64,
 }
 
 /// How much in a window, over all agents.
@@ -111,10 +111,10 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Routing {
+pub enum RoutingPolicy {
     /// The decisions' own figure for all other zones.
     #[default]
-    AsEver,
+    BalancerDefault,
     /// Near first while near has room.
-    NearFirst,
+    LocalFirst,
 }
--- a/crates/zones/tests/days.rs
+++ b/crates/zones/tests/days.rs
@@ -18,7 +18,7 @@
 const SEND: usize = 1;
 const PAYMENT: usize = 2;
 
-fn zoning(own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
+fn zoning(own: usize, zones: usize, budgets: Vec<Budget>) -> ZoneConfig {
     day::zoning(&day::classes(), own, zones, budgets)
 }
 
@@ -29,7 +29,7 @@
         class: None,
         limit,
         window,
-        part: 1.0,
+        agent_fraction: 1.0,
     }
 }
 
@@ -64,9 +64,10 @@
 }
 
 /// Over-budget crossings by reason, between two times.
-fn over(p: &Played, why: Reason, from: Duration, to: Duration) -> usize {
-    let within =
-        |c: &&(Duration, usize, Option<Reason>)| c.0 >= from && c.0 < to && c.2 == Some(why);
+fn over(p: &Played, why: OverBudgetReason, from: Duration, to: Duration) -> usize {
+    let within = |c: &&(Duration, usize, Option<OverBudgetReason>)| {
+        c.0 >= from && c.0 < to && c.2 == Some(why)
+    };
     p.crossings.iter().flatten().filter(within).count()
 }
 
@@ -122,7 +123,7 @@
     // Near had room before: nothing went over by choice. From the drain on all of it does, and says
     // why.
     assert_eq!(p.crossings[0].iter().filter(|c| c.0 < s(8)).count(), 0);
-    let drained = over(&p, Reason::Drained, s(10), s(20));
+    let drained = over(&p, OverBudgetReason::LocalDraining, s(10), s(20));
     assert!(drained > 5000, "{drained}");
     let payments = p.crossings[0].iter().filter(|c| c.1 == PAYMENT).count();
     assert!(
@@ -146,11 +147,11 @@
     let p = d.play();
     // Rule 4 is among those kept: it was not given all at once.
     kept(&p);
-    assert!(over(&p, Reason::NoNear, s(8), s(14)) > 1500);
+    assert!(over(&p, OverBudgetReason::NoLocalEndpoint, s(8), s(14)) > 1500);
     assert!(
-        over(&p, Reason::Cold, s(14), s(19)) > 100,
+        over(&p, OverBudgetReason::LocalWarmingUp, s(14), s(19)) > 100,
         "{}",
-        over(&p, Reason::Cold, s(14), s(19))
+        over(&p, OverBudgetReason::LocalWarmingUp, s(14), s(19))
     );
     assert!(
         p.crossed_between(24, 30) < 0.02,
@@ -208,7 +209,7 @@
 fn a_good_build_that_lives_only_far_is_judged_beyond_the_budget_and_not_held_for_its_way() {
     let p = trial_in_far_only(0.0);
     kept(&p); // exposure among it
-    let judged = over(&p, Reason::Trial, s(9), s(40));
+    let judged = over(&p, OverBudgetReason::Canary, s(9), s(40));
     assert!(judged > 500, "{judged}");
     let holds = p
         .votes
@@ -233,7 +234,7 @@
     let p = d.play();
     kept(&p);
     assert!(p.seconds[0][12].near == 0 && p.seconds[0][12].far > 300);
-    assert!(over(&p, Reason::NoNear, s(11), s(20)) > 3000);
+    assert!(over(&p, OverBudgetReason::NoLocalEndpoint, s(11), s(20)) > 3000);
 }
 
 #[test]
@@ -249,9 +250,9 @@
         "neither near nor of another zone"
     );
     assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
-    let names = Names {
+    let names = DisplayNames {
         zones: vec!["a".into(), "b".into()],
-        ..Names::default()
+        ..DisplayNames::default()
     };
     assert_eq!(names.zone(2), "(unnamed)");
 }
@@ -262,7 +263,9 @@
     d.nodes.iter_mut().for_each(|n| n.zone = 1);
     let p = d.play();
     kept(&p);
-    assert!(over(&p, Reason::NoNear, s(0), s(20)) as f64 > 0.95 * p.taken as f64);
+    assert!(
+        over(&p, OverBudgetReason::NoLocalEndpoint, s(0), s(20)) as f64 > 0.95 * p.taken as f64
+    );
     assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
 }
 
@@ -336,8 +339,9 @@
     let p = d.play();
     kept(&p);
     let by_choice = |from: u64, to: u64| {
-        let within =
-            |c: &&(Duration, usize, Option<Reason>)| c.0 >= s(from) && c.0 < s(to) && c.2.is_none();
+        let within = |c: &&(Duration, usize, Option<OverBudgetReason>)| {
+            c.0 >= s(from) && c.0 < s(to) && c.2.is_none()
+        };
         p.crossings[0].iter().filter(within).count()
     };
     assert!(by_choice(6, 10) > 300, "{}", by_choice(6, 10));
@@ -354,7 +358,7 @@
         zones
             .account()
             .rows()
-            .any(|(k, r)| k.to == 1 && r.tally.written > 300),
+            .any(|(k, r)| k.to == 1 && r.counts.written > 300),
         "the account survives"
     );
 }
@@ -364,7 +368,7 @@
     let mut d = world(12, Vec::new());
     let one = || {
         vec![Budget {
-            part: 0.1,
+            agent_fraction: 0.1,
             ..budget(Limit::Attempts(600.0), s(5))
         }]
     };
@@ -436,7 +440,7 @@
     let (view, send, payment) = (part(VIEW, 0.45), part(SEND, 0.45), part(PAYMENT, 0.1));
     assert!(payment > send && send > view, "{payment} {send} {view}");
     let zones = p.zones[0].as_ref().unwrap();
-    let admits = |again| zones.purses().admits(1, VIEW, again);
+    let admits = |again| zones.budget_meters().admits(1, VIEW, again);
     assert!(
         !admits(true) || admits(false),
         "copies are left before first ones"
@@ -449,9 +453,9 @@
     d.rate = 900.0;
     let z = d.agents[0].zoning.as_mut().unwrap();
     z.links[1].price = Price {
-        attempt: 0.01,
-        out_gib: 1.0,
-        in_gib: 2.0,
+        per_attempt: 0.01,
+        per_gib_sent: 1.0,
+        per_gib_received: 2.0,
     };
     let p = d.play();
     kept(&p);
@@ -460,15 +464,15 @@
         account
             .rows()
             .filter(|(k, _)| k.to == 1)
-            .map(|(_, r)| r.tally)
+            .map(|(_, r)| r.counts)
     };
     let (written, cost) = (
         far().map(|t| t.written).sum::<u64>(),
         far().map(|t| t.cost).sum::<f64>(),
     );
     let (out, back) = (
-        far().map(|t| t.out).sum::<u64>(),
-        far().map(|t| t.back).sum::<u64>(),
+        far().map(|t| t.bytes_sent).sum::<u64>(),
+        far().map(|t| t.bytes_received).sum::<u64>(),
     );
     let gib = (1u64 << 30) as f64;
     let wanted = 0.01 * written as f64 + out as f64 / gib + 2.0 * back as f64 / gib;
@@ -498,7 +502,7 @@
             .account()
             .rows()
             .filter(|(k, _)| k.to == to)
-            .map(|(_, r)| r.tally.written)
+            .map(|(_, r)| r.counts.written)
             .sum::<u64>()
     };
     assert!(
@@ -533,7 +537,11 @@
         with > without - 0.01,
         "{with} with the budget spent, {without} without a budget"
     );
-    assert!(over(&p, Reason::Full, s(8), s(30)) + over(&p, Reason::Aside, s(8), s(30)) > 1000);
+    assert!(
+        over(&p, OverBudgetReason::LocalSaturated, s(8), s(30))
+            + over(&p, OverBudgetReason::LocalUnavailable, s(8), s(30))
+            > 1000
+    );
 }
 
 #[test]
@@ -552,8 +560,8 @@
             vec![budget(limits[rng.gen_range(0..4)], s(rng.gen_range(1..8)))],
         );
         let zoned = d.agents[0].zoning.clone().unwrap();
-        let other = Zoning {
-            own: 1,
+        let other = ZoneConfig {
+            local_zone: 1,
             ..zoned.clone()
         };
         d.agents.push(Caller {
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -14,7 +14,7 @@
     Duration::from_secs(n)
 }
 
-fn zoning(own: usize, limit: f64) -> Zoning {
+fn zoning(own: usize, limit: f64) -> ZoneConfig {
     let limit = Limit::Attempts(limit);
     let budget = Budget {
         name: "all".into(),
@@ -22,7 +22,7 @@
         class: None,
         limit,
         window: seconds(20),
-        part: 0.5,
+        agent_fraction: 0.5,
     };
     day::zoning(&day::classes(), own, 2, vec![budget])
 }
--- a/crates/zones/tests/renewal.rs
+++ b/crates/zones/tests/renewal.rs
@@ -7,7 +7,7 @@
 
 const NOW: Duration = Duration::from_secs(7200);
 
-fn zoning(classes: usize, class: Option<usize>) -> Zoning {
+fn zoning(classes: usize, class: Option<usize>) -> ZoneConfig {
     let limit = Limit::Attempts(1000.0);
     let window = Duration::from_secs(60);
     let classes = vec![
@@ -23,68 +23,69 @@
         class,
         limit,
         window,
-        part: 1.0,
+        agent_fraction: 1.0,
     }];
-    Zoning {
-        own: 0,
-        zones: 2,
+    ZoneConfig {
+        local_zone: 0,
+        zone_count: 2,
         classes,
         links: vec![Link::default(); 3],
         budgets,
-        routing: Routing::AsEver,
+        routing: RoutingPolicy::BalancerDefault,
     }
 }
 
-fn names(classes: &[&str]) -> Names {
+fn names(classes: &[&str]) -> DisplayNames {
     let of = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
-    Names {
+    DisplayNames {
         agent: "n".into(),
         zones: of(&["a", "b"]),
         classes: of(classes),
     }
 }
 
-fn send(zones: &mut Zones, class: usize) -> Ticket {
-    zones.taken(NOW, class);
-    let sending = Sending {
+fn send(zones: &mut Zones, class: usize) -> Reservation {
+    zones.on_request(NOW, class);
+    let sending = AttemptStart {
         to: 1,
         class,
         build: 7,
-        nth: 0,
+        previous_attempts: 0,
         hedged: false,
-        trial: false,
-        bound: false,
+        is_canary: false,
+        pinned_to_scope: false,
     };
-    zones.sent(NOW, sending, || vec![ZoneCapacity::default(); 3])
+    zones.on_attempt(NOW, sending, || vec![ZoneCapacity::default(); 3])
 }
 
-fn end(zones: &mut Zones, ticket: &Ticket) {
+fn end(zones: &mut Zones, ticket: &Reservation) {
     let took = Duration::from_millis(20);
-    let ended = Ended {
+    let ended = CompletedAttempt {
         outcome: Outcome::Succeeded,
-        flaw: Flaw::None,
-        written: true,
-        out: 100,
-        back: 200,
-        took,
+        fault: ResponseFault::None,
+        fully_written: true,
+        bytes_sent: 100,
+        bytes_received: 200,
+        latency: took,
     };
-    zones.ended(NOW, ticket, &ended);
+    zones.on_attempt_end(NOW, ticket, &ended);
 }
 
 /// Attempts by class, and requests taken by class, as the report tells them.
-fn told(zones: &Zones, names: &Names) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
-    let wall = Wall {
+fn told(zones: &Zones, names: &DisplayNames) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
+    let wall = ClockMapping {
         now: NOW,
-        unix: NOW,
-        since: Duration::ZERO,
+        unix_now: NOW,
+        started: Duration::ZERO,
     };
-    let (mut place, mut attempts, mut taken) = (Place::Head, BTreeMap::new(), BTreeMap::new());
-    while !matches!(place, Place::Over) {
+    let (mut place, mut attempts, mut taken) =
+        (ReportCursor::Head, BTreeMap::new(), BTreeMap::new());
+    while !matches!(place, ReportCursor::Finished) {
         let (lines, next) = zones.lines(names, wall, place);
         for line in lines {
             match line {
-                Line::Head(head) => taken = head.taken,
-                Line::Link(l) => *attempts.entry(l.class).or_default() += l.attempts,
+                ReportLine::Head(head) => taken = head.requests,
+                ReportLine::Link(l) => *attempts.entry(l.class).or_default() += l.attempts,
                 _ => {}
             }
         }
@@ -107,7 +108,7 @@
         end(&mut zones, &ticket);
     }
     let indices_in_use = send(&mut zones, 0);
-    let spent = zones.purses().purses()[0].used();
+    let spent = zones.budget_meters().meters()[0].used();
     assert!(spent >= 3.0);
     // Class 0 goes on under number 2 while one of its requests is in hand; class 3 is new.
     let by = [
@@ -116,7 +117,7 @@
         IndexOrigin::MovedFrom(0),
         IndexOrigin::New,
     ];
-    assert!(zones.renew(NOW, zoning(4, Some(1)), &by));
+    assert!(zones.reload(NOW, zoning(4, Some(1)), &by));
     end(&mut zones, &indices_in_use);
     let last = send(&mut zones, 2);
     end(&mut zones, &last);
@@ -125,7 +126,7 @@
     assert_eq!(attempts, map(&[("view", 4), ("send", 3)]));
     assert_eq!(taken, map(&[("view", 4), ("send", 3), ("new", 0)]));
     assert_eq!(
-        zones.purses().purses()[0].used(),
+        zones.budget_meters().meters()[0].used(),
         spent,
         "what is spent stays spent"
     );
@@ -136,21 +137,21 @@
         IndexOrigin::Same,
         IndexOrigin::Same,
     ];
-    assert!(zones.renew(NOW, zoning(4, None), &by));
+    assert!(zones.reload(NOW, zoning(4, None), &by));
     let (attempts, taken) = told(&zones, &names(&["other", "", "view", "new"]));
     assert_eq!(attempts, map(&[("view", 3), ("(gone)", 4)]));
     assert_eq!(taken["(gone)"] + taken["view"], 7, "{taken:?}");
     assert_eq!((taken["other"], taken["new"]), (0, 0));
     // Fewer classes, and connections still stand behind them.
-    assert!(zones.renew(NOW, zoning(1, None), &[IndexOrigin::MovedFrom(2)]));
-    zones.opened(
+    assert!(zones.reload(NOW, zoning(1, None), &[IndexOrigin::MovedFrom(2)]));
+    zones.on_connection(
         NOW,
-        &Opening {
+        &ConnectionTraffic {
             to: 1,
             build: 7,
-            out: 5,
-            back: 5,
-            took: Some(Duration::from_millis(1)),
+            bytes_sent: 5,
+            bytes_received: 5,
+            handshake: Some(Duration::from_millis(1)),
         },
     );
     let (attempts, _) = told(&zones, &names(&["view"]));
@@ -168,7 +169,7 @@
         end(&mut zones, &ticket);
         let mut by = [IndexOrigin::Same; 3];
         by[n % 3] = IndexOrigin::New;
-        assert!(zones.renew(NOW, zoning(3, None), &by));
+        assert!(zones.reload(NOW, zoning(3, None), &by));
     }
     let (attempts, taken) = told(&zones, &names(&["x", "y", "z"]));
     assert_eq!(
@@ -182,12 +183,12 @@
 fn other_zones_begin_another_account() {
     let mut zones = Zones::new(Duration::ZERO, zoning(2, None));
     let ticket = send(&mut zones, 0);
-    let more = Zoning {
-        zones: 3,
+    let more = ZoneConfig {
+        zone_count: 3,
         links: vec![Link::default(); 4],
         ..zoning(2, None)
     };
-    assert!(!zones.renew(NOW, more, &[IndexOrigin::Same; 2]));
+    assert!(!zones.reload(NOW, more, &[IndexOrigin::Same; 2]));
     // What was in hand is told to the one that is there.
     end(&mut zones, &ticket);
 }
--- a/crates/zones/tests/report_format.rs
+++ b/crates/zones/tests/report_format.rs
@@ -6,7 +6,7 @@
 
 const START: Duration = Duration::from_secs(7200);
 
-fn config() -> Zoning {
+fn config() -> ZoneConfig {
     let class = ClassProfile {
         priority_weight: 3.0,
         latency_objective: Duration::from_millis(400),
@@ -17,15 +17,15 @@
         class: Some(0),
         limit: Limit::Attempts(2.0),
         window: Duration::from_secs(60),
-        part: 0.25,
+        agent_fraction: 0.25,
     };
-    Zoning {
-        own: 0,
-        zones: 2,
+    ZoneConfig {
+        local_zone: 0,
+        zone_count: 2,
         classes: vec![class],
         links: vec![Link::default(); 3],
         budgets: vec![budget],
-        routing: Routing::NearFirst,
+        routing: RoutingPolicy::LocalFirst,
     }
 }
 
@@ -33,51 +33,51 @@
 fn account() -> Zones {
     let mut zones = Zones::new(START, config());
     let attempts = [
-        (0, Outcome::Succeeded, Flaw::None),
-        (1, Outcome::ConnectionLost, Flaw::Half),
-        (1, Outcome::Succeeded, Flaw::None),
+        (0, Outcome::Succeeded, ResponseFault::None),
+        (1, Outcome::ConnectionLost, ResponseFault::Truncated),
+        (1, Outcome::Succeeded, ResponseFault::None),
     ];
     for (nth, (to, outcome, flaw)) in attempts.into_iter().enumerate() {
         let now = START + Duration::from_millis(500 * nth as u64);
-        zones.taken(now, 0);
-        let start = Sending {
+        zones.on_request(now, 0);
+        let start = AttemptStart {
             to,
             class: 0,
             build: 7,
-            nth,
+            previous_attempts: nth,
             hedged: nth == 2,
-            trial: false,
-            bound: false,
+            is_canary: false,
+            pinned_to_scope: false,
         };
-        let reservation = zones.sent(now, start, || vec![ZoneCapacity::default(); 3]);
-        let end = Ended {
+        let reservation = zones.on_attempt(now, start, || vec![ZoneCapacity::default(); 3]);
+        let end = CompletedAttempt {
             outcome,
-            flaw,
-            written: true,
-            out: 180,
-            back: 420,
-            took: Duration::from_millis(20 + 5 * nth as u64),
+            fault: flaw,
+            fully_written: true,
+            bytes_sent: 180,
+            bytes_received: 420,
+            latency: Duration::from_millis(20 + 5 * nth as u64),
         };
-        zones.ended(now, &reservation, &end);
+        zones.on_attempt_end(now, &reservation, &end);
     }
     zones
 }
 
 fn serialized() -> Vec<String> {
-    let names = Names {
+    let names = DisplayNames {
         agent: "agent-1".into(),
         zones: vec!["a".into(), "b".into()],
         classes: vec!["view".into()],
     };
-    let wall = Wall {
+    let wall = ClockMapping {
         now: START + Duration::from_secs(5),
-        unix: Duration::from_secs(1_700_000_000),
-        since: START,
+        unix_now: Duration::from_secs(1_700_000_000),
+        started: START,
     };
     let zones = account();
-    let mut place = Place::Head;
+    let mut place = ReportCursor::Head;
     let mut written = Vec::new();
-    while place != Place::Over {
+    while place != ReportCursor::Finished {
         let (lines, next) = zones.lines(&names, wall, place);
         written.extend(lines.iter().map(|l| serde_json::to_string(l).unwrap()));
         place = next;
@@ -96,11 +96,11 @@
 fn a_document_keeps_its_serialized_form_and_reads_back_what_was_written() {
     let mut document = Document::default();
     for text in serialized() {
-        let line: Line = serde_json::from_str(&text).unwrap();
+        let line: ReportLine = serde_json::from_str(&text).unwrap();
         assert_eq!(serde_json::to_string(&line).unwrap(), text);
-        document.take(line).unwrap();
+        document.add_line(line).unwrap();
     }
-    assert!(document.is_whole());
+    assert!(document.is_complete());
     let value = serde_json::to_value(&document).unwrap();
     let keys: Vec<&String> = value.as_object().unwrap().keys().collect();
     assert_eq!(keys, ["delays", "heads", "links", "series"]);
@@ -110,7 +110,7 @@
 #[test]
 fn refuses_a_header_of_another_version() {
     let text = serialized()[0].replace("\"version\":1", "\"version\":2");
-    let line: Line = serde_json::from_str(&text).unwrap();
-    let error = Document::default().take(line).unwrap_err();
+    let line: ReportLine = serde_json::from_str(&text).unwrap();
+    let error = Document::default().add_line(line).unwrap_err();
     assert_eq!(error.to_string(), "version 2: this program reads version 1");
 }
--- a/crates/zones/tests/route.rs
+++ b/crates/zones/tests/route.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tulipwall::ZoneCapacity;
-use tulipwall_zones::{ClassProfile, Route, Routing};
+use tulipwall_zones::{ClassProfile, RoutingPolicy, ZoneRouter};
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -29,12 +29,12 @@
 /// milliseconds, and `rate` attempts go out in each step, one of them to each far zone. What `each`
 /// makes of the route then.
 fn steps(
-    route: &mut Route,
+    route: &mut ZoneRouter,
     (from, to): (u64, u64),
     zone_capacities: &[ZoneCapacity],
     answers: impl Fn(u64, usize) -> Option<u64>,
     rate: usize,
-    mut each: impl FnMut(&Route),
+    mut each: impl FnMut(&ZoneRouter),
 ) {
     for step in from..to {
         let now = ms(1_000_000 + step * 100);
@@ -45,18 +45,18 @@
                 1
             } {
                 if let Some(took) = answers(step, zone) {
-                    route.sent(zone);
-                    route.answered(now, zone, 0, ms(took));
+                    route.on_attempt(zone);
+                    route.on_response(now, zone, 0, ms(took));
                 }
             }
         }
-        route.step(now, zone_capacities);
+        route.tick(now, zone_capacities);
         each(route);
     }
 }
 
-fn route(zones: usize) -> Route {
-    Route::new(0, Routing::NearFirst, &[CLASS], vec![None; zones])
+fn route(zones: usize) -> ZoneRouter {
+    ZoneRouter::new(0, RoutingPolicy::LocalFirst, &[CLASS], vec![None; zones])
 }
 
 #[test]
@@ -70,7 +70,7 @@
         10,
         |_| {},
     );
-    assert_eq!(r.cold(), 1.0);
+    assert_eq!(r.slow_start_factor(), 1.0);
     steps(
         &mut r,
         (100, 101),
@@ -80,9 +80,9 @@
         |_| {},
     );
     assert!(
-        r.cold() < 0.3,
+        r.slow_start_factor() < 0.3,
         "two warm ones carry what eight did: {}",
-        r.cold()
+        r.slow_start_factor()
     );
     steps(
         &mut r,
@@ -93,9 +93,9 @@
         |_| {},
     );
     assert!(
-        r.cold() > 0.9,
+        r.slow_start_factor() > 0.9,
         "and that is then what they carry: {}",
-        r.cold()
+        r.slow_start_factor()
     );
 }
 
@@ -111,7 +111,7 @@
         40,
         |_| {},
     );
-    let before = r.draw(1).unwrap();
+    let before = r.weight(1).unwrap();
     let lost = [room(2, 0), room(8, 0)];
     steps(
         &mut r,
@@ -121,7 +121,7 @@
         40,
         |_| {},
     );
-    let after = r.draw(1).unwrap();
+    let after = r.weight(1).unwrap();
     assert!(before < 0.02 && after > 0.4, "{before}, then {after}");
 }
 
@@ -138,7 +138,7 @@
         |step, z| Some(if z == 0 { near(step) } else { 24 }),
         10,
         |r| {
-            let draw = r.draw(1).unwrap();
+            let draw = r.weight(1).unwrap();
             if (over && draw < 0.25) || (!over && draw > 0.5) {
                 (over, swings) = (!over, swings + 1);
             }
@@ -152,7 +152,7 @@
         10,
         |_| {},
     );
-    (swings, r.draw(1).unwrap())
+    (swings, r.weight(1).unwrap())
 }
 
 #[test]
@@ -182,7 +182,7 @@
         10,
         |_| {},
     );
-    let (slow, quick) = (r.draw(1).unwrap(), r.draw(2).unwrap());
+    let (slow, quick) = (r.weight(1).unwrap(), r.weight(2).unwrap());
     assert!(quick > 3.0 * slow && slow > 0.0, "{slow} {quick}");
 }
 
@@ -198,15 +198,19 @@
         10,
         |_| {},
     );
-    let before = r.draw(1).unwrap();
+    let before = r.weight(1).unwrap();
     steps(&mut r, (300, 301), &both, |_, _| None, 0, |_| {});
     assert!(
-        (r.draw(1).unwrap() - before).abs() < 0.02,
+        (r.weight(1).unwrap() - before).abs() < 0.02,
         "{before}, then {:?}",
-        r.draw(1)
+        r.weight(1)
+    );
+    assert_eq!(r.added_latency(1), Duration::ZERO, "not known");
+    (0..5).for_each(|_| r.on_connection(0, ms(2)));
+    (0..5).for_each(|_| r.on_connection(1, ms(10)));
+    assert_eq!(
+        r.added_latency(1),
+        ms(8),
+        "what new connections take longer"
     );
-    assert_eq!(r.added(1), Duration::ZERO, "not known");
-    (0..5).for_each(|_| r.opened(0, ms(2)));
-    (0..5).for_each(|_| r.opened(1, ms(10)));
-    assert_eq!(r.added(1), ms(8), "what new connections take longer");
 }
--- a/crates/zones/tests/series.rs
+++ b/crates/zones/tests/series.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn old_bins_go_and_empty_ones_are_never_kept() {
-    let mut series = Series::new(Duration::from_secs(10), 360);
+    let mut series = TimeSeries::new(Duration::from_secs(10), 360);
     for n in 0..2000 {
         series.bin(Duration::from_secs(n * 25)).attempts += 1;
     }
     assert!(series.bins().count() <= 144 + 1);
     let (first, last) = (
-        series.bins().next().unwrap().at,
-        series.bins().last().unwrap().at,
+        series.bins().next().unwrap().index,
+        series.bins().last().unwrap().index,
     );
     assert!(last - first < 360);
 }
@@ -20,16 +20,16 @@
 #[test]
 fn merged_series_hold_the_sum_of_both() {
     let (mut one, mut two) = (
-        Series::new(Duration::from_secs(1), 10),
-        Series::new(Duration::from_secs(1), 10),
+        TimeSeries::new(Duration::from_secs(1), 10),
+        TimeSeries::new(Duration::from_secs(1), 10),
     );
     for n in [1, 3, 5] {
-        one.bin(Duration::from_secs(n)).out += 10;
+        one.bin(Duration::from_secs(n)).bytes_sent += 10;
     }
     for n in [3, 4, 5, 12] {
-        two.bin(Duration::from_secs(n)).out += 1;
+        two.bin(Duration::from_secs(n)).bytes_sent += 1;
     }
     one.merge(&two);
-    let bins: Vec<(u32, u64)> = one.bins().map(|b| (b.at, b.out)).collect();
+    let bins: Vec<(u32, u64)> = one.bins().map(|b| (b.index, b.bytes_sent)).collect();
     assert_eq!(bins, [(3, 11), (4, 1), (5, 11), (12, 1)]);
 }
