--- a/crates/agent/src/admin/mod.rs
+++ b/crates/agent/src/admin/mod.rs
@@ -150,7 +150,7 @@
         }
         drop(reader);
     };
-    agent.tasks.spawn(task).detach();
+    agent.executors.tasks.spawn(task).detach();
     Ok(())
 }
 
@@ -173,9 +173,9 @@
         words.next().unwrap_or_default(),
     );
     let path = path.split('?').next().unwrap_or_default();
-    let watched = agent.hand.otherwise();
+    let watched = agent.balancer.divergences();
     let refusal = match (method, path) {
-        ("GET", "/zones") if agent.border.watches() => None,
+        ("GET", "/zones") if agent.zone_traffic.is_enabled() => None,
         ("GET", "/zones") => Some(("404 Not Found", "the installation says nothing of zones")),
         ("GET", "/watch") if watched.is_some() => None,
         ("GET", "/watch") => Some((
@@ -211,7 +211,7 @@
     let now = agent.clock.now();
     while place != Place::Over {
         // A new configuration may have ended the account meanwhile.
-        let Some((lines, next)) = agent.border.lines(now, unix, place) else {
+        let Some((lines, next)) = agent.zone_traffic.report_lines(now, unix, place) else {
             return Ok(());
         };
         place = next;
--- /dev/null
+++ b/crates/agent/src/agent/endpoint_directory.rs
@@ -0,0 +1,139 @@
+//! The endpoints that are known, and when requests may go by them.
+
+use event_listener::Event;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use tulipwall::EndpointEntry;
+use tulipwall_config::ServiceConfig;
+use tulipwall_discovery::clock::Clock;
+use tulipwall_discovery::list::{List, Target};
+use tulipwall_discovery::listing::Listing;
+
+/// The endpoint list as discovery last told it.
+///
+/// Written by the discovery watch, and by a configuration reload where zones have other indices;
+/// read by every attempt.
+#[derive(Default)]
+pub struct EndpointDirectory {
+    list: RefCell<List>,
+    first_usable: Event,
+    serving_allowed: Cell<bool>, // discovery was heard, or not in time
+    serving_changed: Event,
+}
+
+/// What a response of discovery changed.
+pub struct ListUpdate {
+    /// The entries for the balancer.
+    pub entries: Vec<EndpointEntry>,
+    /// Endpoints whose pooled connections are of no more use.
+    pub stale_endpoints: Vec<usize>,
+    /// The last usable endpoint has gone with it.
+    pub became_unusable: bool,
+}
+
+impl EndpointDirectory {
+    /// Takes a response of discovery in.
+    pub fn update(&self, response: Listing, config: &ServiceConfig, clock: &Clock) -> ListUpdate {
+        let mut list = self.list.borrow_mut();
+        let was_usable = list.serves();
+        let (entries, stale_endpoints) = list.take(response, config, clock);
+        ListUpdate {
+            entries,
+            stale_endpoints,
+            became_unusable: was_usable && !list.serves(),
+        }
+    }
+
+    /// Wakes whoever waits for endpoints, if any can be used.
+    pub fn announce_usable(&self) {
+        if self.list.borrow().serves() {
+            self.first_usable.notify(usize::MAX);
+        }
+    }
+
+    /// Gives zones their indices under another configuration: the endpoints with another zone index
+    /// than before, with it.
+    pub fn reassign_zones(&self, config: &ServiceConfig) -> Vec<(usize, usize)> {
+        self.list.borrow_mut().rezone(config)
+    }
+
+    /// Discovery was heard, or a start need not wait for it any longer.
+    pub fn allow_serving(&self) {
+        if !self.serving_allowed.replace(true) {
+            self.serving_changed.notify(usize::MAX);
+        }
+    }
+
+    /// Ready once requests may go by the list that is known, as far as the balancer vouches for it.
+    /// Guards a new process that was given an old list.
+    pub async fn serving_allowed(&self) {
+        while !self.serving_allowed.get() {
+            self.serving_changed.listen().await;
+        }
+    }
+
+    /// The endpoints to serve from, once some are known.
+    pub async fn usable_targets(&self) -> Vec<Target> {
+        loop {
+            let usable = self.first_usable.listen();
+            let targets = self.list.borrow().targets();
+            if !targets.is_empty() {
+                return targets;
+            }
+            usable.await;
+        }
+    }
+
+    /// How many endpoints are known.
+    pub fn len(&self) -> usize {
+        self.list.borrow().len()
+    }
+
+    /// Whether no endpoint is known.
+    pub fn is_empty(&self) -> bool {
+        self.len() == 0
+    }
+
+    /// The version of the list that is known.
+    pub fn version(&self) -> u64 {
+        self.list.borrow().version
+    }
+
+    /// The version of the list that is known, where one is to serve from: who has nothing to lose
+    /// asks for all of it.
+    pub fn usable_version(&self) -> Option<u64> {
+        let list = self.list.borrow();
+        list.serves().then_some(list.version)
+    }
+
+    /// The builds of all endpoints that are known.
+    pub fn builds(&self) -> BTreeSet<u32> {
+        self.list.borrow().builds()
+    }
+
+    /// The index of the endpoint with this id.
+    pub fn index_of(&self, id: &str) -> Option<usize> {
+        self.list.borrow().number(id)
+    }
+
+    /// The id of an endpoint.
+    pub fn name(&self, endpoint: usize) -> String {
+        self.list.borrow().name(endpoint).to_owned()
+    }
+
+    /// Keeps an endpoint's index from being given to another for as long as the result lives.
+    pub fn retain_index(&self, endpoint: usize) -> Option<Rc<()>> {
+        self.list.borrow().hold(endpoint)
+    }
+
+    /// Where an attempt to this endpoint goes, while it is usable.
+    pub fn target(&self, endpoint: usize) -> Option<Target> {
+        self.list.borrow().target(endpoint)
+    }
+
+    /// Whether the endpoint still runs the same build at the same address.
+    pub fn is_current(&self, target: Target) -> bool {
+        self.target(target.endpoint) == Some(target)
+    }
+}
--- /dev/null
+++ b/crates/agent/src/agent/reload.rs
@@ -0,0 +1,186 @@
+//! Configuration reload: a configuration that was read anew is put in force, all of it or none.
+
+use super::{report_names, Agent};
+use crate::lifecycle::phase::Party;
+use crate::lifecycle::start::Start;
+use std::fmt;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tulipwall::{AlternativeSettings, CrossZonePolicy, IndexMapping};
+use tulipwall_config::{ConfigDiagnostic, Installation, ServiceConfig};
+use tulipwall_zones::Zoning;
+
+/// What of a configuration decides requests: all that is checked before any of it is in force.
+struct DecisionConfig<'a> {
+    agent_name: &'a str,
+    service: ServiceConfig,
+    installation: &'a Installation,
+    alternative: Option<&'a AlternativeSettings>,
+}
+
+/// What a reload changed in the settings.
+enum SettingsChange {
+    Unchanged,
+    Replaced {
+        classes: usize,
+        tenants: usize,
+        zones: usize,
+    },
+}
+
+impl fmt::Display for SettingsChange {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            SettingsChange::Unchanged => f.write_str("settings as before"),
+            SettingsChange::Replaced {
+                classes,
+                tenants,
+                zones,
+            } => write!(
+                f,
+                "new settings: {classes} classes, {tenants} tenants, {zones} zones"
+            ),
+        }
+    }
+}
+
+impl Agent {
+    /// Goes on under a configuration that was read anew, all of it or none, but for what only a
+    /// restart can change, which is named and stays. A peer whose address is another is asked anew
+    /// there; its list and rollout status in the file are no newer than what it tells.
+    pub fn reload(&self, start: Start) {
+        let before = self.service_config();
+        let applied = self.apply_decision_config(DecisionConfig {
+            agent_name: &start.name,
+            service: start.site,
+            installation: &start.installation,
+            alternative: start.watch.as_ref(),
+        });
+        let change = match applied {
+            Ok(change) => change,
+            Err(diagnostics) => {
+                for diagnostic in &diagnostics {
+                    log::error!("installation: {diagnostic}; the configuration read before stays");
+                }
+                return;
+            }
+        };
+        let name = start.name.as_str();
+        let discovery = start.discovery;
+        log::info!(agent = name, discovery:% = discovery;
+            "{name}: a new configuration; discovery at {discovery}; {change}");
+        if start.listen != self.start_addresses.listen {
+            let listen = self.start_addresses.listen;
+            log::warn!("field listen: {listen} stays until a restart");
+        }
+        if start.door != self.start_addresses.admin {
+            log::warn!("installation: door stays as it was until a restart");
+        }
+        self.config.replace_installation(start.installation);
+        self.limits.resize(start.sockets, start.memory);
+        self.move_discovery(discovery, &before);
+        self.move_platform(start.platform);
+    }
+
+    /// The watch begins anew where discovery is another, or is to be asked at other times.
+    fn move_discovery(&self, address: SocketAddr, before: &ServiceConfig) {
+        let poll_settings =
+            |c: &ServiceConfig| (c.settings.shared_discovery, c.settings.max_poll_interval);
+        let moved = self.control.discovery.replace(address);
+        if moved || poll_settings(before) != poll_settings(&self.service_config()) {
+            self.lifecycle.moves(Party::Discovery, false);
+            self.control.discovery.announce_change();
+        }
+    }
+
+    /// The session begins anew where the platform is another, and ends where there is none.
+    fn move_platform(&self, address: Option<SocketAddr>) {
+        if self.control.platform.replace(address) {
+            self.lifecycle.moves(Party::Platform, address.is_none());
+            self.control.platform.announce_change();
+        }
+    }
+
+    /// Puts settings, installation and alternative settings in force, with what is known and active
+    /// kept; says what changed. Nothing does if the installation names what the settings do not.
+    fn apply_decision_config(
+        &self,
+        new: DecisionConfig,
+    ) -> Result<SettingsChange, Vec<ConfigDiagnostic>> {
+        let before = self.service_config();
+        let (service, mapping) = new
+            .service
+            .renumbered_after(&before, &self.balancer.indices_in_use());
+        let zoning = new.installation.zoning(&service)?;
+        let unchanged = service.is(&before, &mapping);
+        if !unchanged {
+            self.replace_service_config(service, &mapping);
+        }
+        self.replace_alternative(new.alternative);
+        self.reload_zone_traffic(new.agent_name, zoning, &mapping);
+        if unchanged {
+            return Ok(SettingsChange::Unchanged);
+        }
+        let [classes, tenants, zones] = self.service_config().named_counts();
+        Ok(SettingsChange::Replaced {
+            classes,
+            tenants,
+            zones,
+        })
+    }
+
+    fn replace_service_config(&self, service: ServiceConfig, mapping: &IndexMapping) {
+        let moved_zones = self.endpoints.reassign_zones(&service);
+        self.pool.set_endpoint_idle_timeout(service.max_idle);
+        self.config.replace_service(self.clock.now(), service);
+        self.balancer.reload(
+            &self.service_config().settings,
+            mapping,
+            &moved_zones,
+            self.config.alternative().as_ref(),
+        );
+    }
+
+    fn replace_alternative(&self, alternative: Option<&AlternativeSettings>) {
+        if alternative != self.config.alternative().as_ref() {
+            self.balancer
+                .evaluate_alternative(&self.service_config().settings, alternative);
+            self.config.replace_alternative(alternative.cloned());
+        }
+    }
+
+    fn reload_zone_traffic(
+        &self,
+        agent_name: &str,
+        zoning: Option<Zoning>,
+        mapping: &IndexMapping,
+    ) {
+        let names = report_names(agent_name, &self.service_config());
+        let continued = self
+            .zone_traffic
+            .reload(self.clock.now(), zoning, names, &mapping.classes);
+        if !continued {
+            log::warn!("zones: others than before; the account of what crosses begins anew");
+        }
+        if !self.zone_traffic.is_enabled() {
+            self.balancer
+                .set_cross_zone_policy(CrossZonePolicy::default());
+        }
+        self.apply_cross_zone_policy();
+    }
+
+    /// Classes that only active requests kept go once these are over.
+    pub fn drop_retired_classes(&self) {
+        let service = self.service_config();
+        if !service.has_retired_indices() || !service.covers(&self.balancer.indices_in_use()) {
+            return;
+        }
+        // The same names, so that nothing can be wrong with them.
+        let _ = self.apply_decision_config(DecisionConfig {
+            agent_name: &self.zone_traffic.agent_name(),
+            service: Rc::unwrap_or_clone(service),
+            installation: &self.config.installation(),
+            alternative: self.config.alternative().as_ref(),
+        });
+    }
+}
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -9,260 +9,319 @@
 use tulipwall::*;
 use tulipwall_discovery::clock::Clock;
 
-pub struct Hand {
-    choice: RefCell<Balancer>,
+/// The balancer behind a shared reference.
+///
+/// Written by client connections (requests and ends of attempts) and by the control tasks (endpoint
+/// list, rollout, votes); read by the same and by the admin endpoint.
+pub struct BalancerHandle {
+    balancer: RefCell<Balancer>,
     clock: Rc<Clock>,
     counters: Rc<Counters>,
-    taken: Cell<u64>,
-    open: RefCell<HashSet<String>>, // the ids of requests in hand
-    rollout_status: RefCell<Option<RolloutStatus>>,
-    turns: Cell<u64>, // how often the news changed
-    watch: RefCell<Option<ShadowEvaluator>>,
-    keys: RefCell<HashMap<u64, (usize, Option<u64>)>>, // class and key of requests in hand, while something is watched
+    next_request: Cell<u64>,
+    open_ids: RefCell<HashSet<String>>, // the clients' ids of active requests
+    rollout: RefCell<Option<RolloutStatus>>,
+    rollout_revision: Cell<u64>, // how often the rollout status changed
+    shadow: RefCell<Option<ShadowEvaluator>>,
+    shadowed_requests: RefCell<HashMap<u64, ShadowedRequest>>, // active ones, while there is a shadow
 }
 
-/// A request is open under its id for as long as this lives.
-pub struct Opened<'a>(&'a Hand, String);
+/// What the shadow evaluation needs of an active request.
+#[derive(Clone, Copy)]
+struct ShadowedRequest {
+    class: usize,
+    key: Option<u64>,
+}
+
+/// The balancer's number of a request that has come in, and where it goes first.
+pub struct AdmittedRequest {
+    /// The number that all later calls name.
+    pub id: u64,
+    /// What is to be done with it.
+    pub decision: Decision,
+}
+
+/// A request is open under its client's id for as long as this lives.
+pub struct OpenRequestGuard<'a> {
+    handle: &'a BalancerHandle,
+    id: String,
+}
 
-impl Drop for Opened<'_> {
+impl Drop for OpenRequestGuard<'_> {
     fn drop(&mut self) {
-        self.0.open.borrow_mut().remove(&self.1);
+        self.handle.open_ids.borrow_mut().remove(&self.id);
     }
 }
 
-impl Hand {
-    /// Nothing while another request is open under this id: its answers could not be told apart.
-    pub fn open(&self, id: &str) -> Option<Opened<'_>> {
-        self.open
-            .borrow_mut()
-            .insert(id.to_owned())
-            .then(|| Opened(self, id.to_owned()))
-    }
+/// How an attempt ended.
+pub struct AttemptResult {
+    /// Which of its request's attempts it is.
+    pub attempt: usize,
+    /// When it was decided.
+    pub sent: Duration,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Whether its request has its final response.
+    pub request_closed: bool,
+}
 
-    pub fn new(deployment: Settings, clock: Rc<Clock>, counters: Rc<Counters>) -> Hand {
-        Hand {
-            choice: RefCell::new(Balancer::new(clock.now(), deployment)),
+impl BalancerHandle {
+    /// A balancer under these settings.
+    pub fn new(settings: Settings, clock: Rc<Clock>, counters: Rc<Counters>) -> BalancerHandle {
+        BalancerHandle {
+            balancer: RefCell::new(Balancer::new(clock.now(), settings)),
             clock,
             counters,
-            taken: Cell::default(),
-            open: RefCell::default(),
-            rollout_status: RefCell::default(),
-            turns: Cell::default(),
-            watch: RefCell::default(),
-            keys: RefCell::default(),
+            next_request: Cell::default(),
+            open_ids: RefCell::default(),
+            rollout: RefCell::default(),
+            rollout_revision: Cell::default(),
+            shadow: RefCell::default(),
+            shadowed_requests: RefCell::default(),
         }
     }
 
-    /// A request has come in: its number, and where to send it.
-    pub fn take(&self, command: Request) -> (u64, Decision) {
-        let id = self.taken.get();
-        self.taken.set(id + 1);
-        self.counters.taken.add();
-        let (now, class, key) = (self.clock.now(), command.class, command.key);
-        self.choice.borrow_mut().on_request(now, id, command);
-        if let Some(watch) = self.watch.borrow_mut().as_mut() {
-            watch.on_request(&self.choice.borrow(), class);
-            self.keys.borrow_mut().insert(id, (class, key));
-        }
-        let answer = self.choice.borrow_mut().route(now, id);
-        (id, self.watched(now, id, answer))
+    /// Nothing while another request is open under this id: its answers could not be told apart.
+    pub fn open_request(&self, id: &str) -> Option<OpenRequestGuard<'_>> {
+        let inserted = self.open_ids.borrow_mut().insert(id.to_owned());
+        inserted.then(|| OpenRequestGuard {
+            handle: self,
+            id: id.to_owned(),
+        })
     }
 
-    pub fn place(&self, id: u64) -> Decision {
+    /// A request has come in.
+    pub fn on_request(&self, request: Request) -> AdmittedRequest {
+        let id = self.next_request.get();
+        self.next_request.set(id + 1);
+        self.counters.taken.add();
         let now = self.clock.now();
-        let answer = self.choice.borrow_mut().route(now, id);
-        self.watched(now, id, answer)
-    }
-
-    /// Counts where the watched settings would have decided otherwise; the answer stands as it is.
-    fn watched(&self, now: Duration, id: u64, answer: Decision) -> Decision {
-        if let Some(watch) = self.watch.borrow_mut().as_mut() {
-            let known = self.keys.borrow().get(&id).copied();
-            match (&answer, known) {
-                (Decision::Forward { endpoint, .. }, Some((class, key))) => {
-                    watch.on_attempt(now, &self.choice.borrow(), class, key, *endpoint);
-                }
-                (Decision::Reject { .. } | Decision::Fail, _) => {
-                    self.keys.borrow_mut().remove(&id);
-                }
-                _ => {}
-            }
+        let shadowed = ShadowedRequest {
+            class: request.class,
+            key: request.key,
+        };
+        self.balancer.borrow_mut().on_request(now, id, request);
+        if let Some(shadow) = self.shadow.borrow_mut().as_mut() {
+            shadow.on_request(&self.balancer.borrow(), shadowed.class);
+            self.shadowed_requests.borrow_mut().insert(id, shadowed);
         }
-        answer
-    }
-
-    /// From now on this shape is watched, or none.
-    pub fn watch(&self, present: &Settings, shape: Option<&AlternativeSettings>) {
-        *self.watch.borrow_mut() = shape.map(|s| ShadowEvaluator::new(present, s));
-        self.keys.borrow_mut().clear();
+        let decision = self.balancer.borrow_mut().route(now, id);
+        self.observe_decision(now, id, &decision);
+        AdmittedRequest { id, decision }
     }
 
-    /// What requests in hand count in.
-    pub fn indices_in_use(&self) -> IndicesInUse {
-        self.choice.borrow().indices_in_use()
+    /// Where an active request goes by now.
+    pub fn route(&self, id: u64) -> Decision {
+        let now = self.clock.now();
+        let decision = self.balancer.borrow_mut().route(now, id);
+        self.observe_decision(now, id, &decision);
+        decision
     }
 
-    /// From now on these settings decide, numbered as `by` says; `zones` are endpoints whose zone
-    /// has another number.
-    pub fn renew(
-        &self,
-        d: &Settings,
-        by: &IndexMapping,
-        zones: &[(usize, usize)],
-        shape: Option<&AlternativeSettings>,
-    ) {
-        let mut choice = self.choice.borrow_mut();
-        choice.reload(self.clock.now(), d, by);
-        choice.reassign_zones(zones);
-        if let (Some(watch), Some(shape)) = (self.watch.borrow_mut().as_mut(), shape) {
-            watch.reload(d, shape);
+    /// An attempt has ended.
+    pub fn on_attempt_end(&self, id: u64, result: AttemptResult) -> Decision {
+        self.counters.end(result.outcome);
+        let now = self.clock.now();
+        let end = AttemptEnd {
+            outcome: result.outcome,
+            latency: now.saturating_sub(result.sent),
+            request_closed: result.request_closed,
+            reported_load: None,
+        };
+        let decision = self
+            .balancer
+            .borrow_mut()
+            .on_attempt_end(now, id, result.attempt, end);
+        self.observe_decision(now, id, &decision);
+        if result.request_closed {
+            self.shadowed_requests.borrow_mut().remove(&id);
         }
+        decision
     }
 
-    /// Where the watched settings would have decided otherwise so far; nothing while none are
-    /// watched.
-    pub fn otherwise(&self) -> Option<Divergences> {
-        self.watch.borrow().as_ref().map(|w| w.counts)
+    /// The request has no further use for an answer.
+    pub fn close_request(&self, id: u64) {
+        self.balancer.borrow_mut().close_request(id);
+        self.shadowed_requests.borrow_mut().remove(&id);
     }
 
-    /// An endpoint said how many requests it holds.
-    pub fn told(&self, endpoint: usize, held: f64) {
-        self.choice.borrow_mut().on_load_report(
-            self.clock.now(),
-            endpoint,
-            Outcome::Succeeded,
-            Some(held),
-        );
+    /// Whether an attempt that was decided may still be written.
+    pub fn attempt_allowed(&self, id: u64, attempt: usize) -> bool {
+        let now = self.clock.now();
+        self.balancer.borrow().attempt_allowed(now, id, attempt)
     }
 
-    /// An attempt that was decided at `sent` has ended.
-    pub fn after(
-        &self,
-        id: u64,
-        attempt: usize,
-        sent: Duration,
-        outcome: Outcome,
-        closed: bool,
-    ) -> Decision {
-        self.counters.end(outcome);
+    /// An endpoint said how many requests it holds.
+    pub fn on_load_report(&self, endpoint: usize, load: f64) {
         let now = self.clock.now();
-        let end = AttemptEnd {
-            outcome,
-            latency: now.saturating_sub(sent),
-            request_closed: closed,
-            reported_load: None,
-        };
-        let answer = self
-            .choice
+        self.balancer
             .borrow_mut()
-            .on_attempt_end(now, id, attempt, end);
-        let answer = self.watched(now, id, answer);
-        if closed {
-            self.keys.borrow_mut().remove(&id);
-        }
-        answer
+            .on_load_report(now, endpoint, Outcome::Succeeded, Some(load));
     }
 
-    /// The client went away.
-    pub fn left(&self, id: u64) {
-        self.choice.borrow_mut().close_request(id);
-        self.keys.borrow_mut().remove(&id);
-    }
-
-    pub fn list(&self, entries: &[EndpointEntry], complete: bool) {
+    /// Discovery told of endpoints, of all of them if `complete`.
+    pub fn update_endpoints(&self, entries: &[EndpointEntry], complete: bool) {
         self.counters.lists.add();
-        self.choice
+        self.balancer
             .borrow_mut()
             .update_endpoints(self.clock.now(), entries, complete);
     }
 
-    pub fn list_failed(&self) {
+    /// Discovery could not be heard.
+    pub fn on_list_failure(&self) {
         self.counters.list_failures.add();
-        self.choice.borrow_mut().on_list_failure(self.clock.now());
+        self.balancer.borrow_mut().on_list_failure(self.clock.now());
     }
 
     /// Until when the list tells all that counts as told.
-    pub fn vouch(&self, until: Option<Duration>) {
-        self.choice.borrow_mut().list_valid_until = until;
+    pub fn set_list_valid_until(&self, until: Option<Duration>) {
+        self.balancer.borrow_mut().list_valid_until = until;
     }
 
-    pub fn rollout_status(&self, rollout_status: RolloutStatus) {
+    /// The platform told of a rollout.
+    pub fn update_rollout(&self, status: RolloutStatus) {
         self.counters.rollout_status.add();
-        let told = |n: &RolloutStatus| (n.build, n.stage, n.phase, n.cap.to_bits());
-        if self.rollout_status.borrow().as_ref().map(told) != Some(told(&rollout_status)) {
-            self.turns.set(self.turns.get() + 1);
+        let before = self.rollout.replace(Some(status.clone()));
+        if !before.is_some_and(|before| says_the_same(&before, &status)) {
+            self.rollout_revision.set(self.rollout_revision.get() + 1);
         }
-        *self.rollout_status.borrow_mut() = Some(rollout_status.clone());
-        self.choice.borrow_mut().update_rollout(rollout_status);
+        self.balancer.borrow_mut().update_rollout(status);
     }
 
-    /// Whether this build is on trial, as far as the news go.
-    pub fn on_trial(&self, build: u32) -> bool {
-        let rollout_status = self.rollout_status.borrow();
-        rollout_status.as_ref().is_some_and(|n| {
-            build > n.build || build == n.build && n.phase != RolloutPhase::Released
-        })
+    /// Whether this build is under evaluation, as far as the rollout status goes.
+    pub fn is_canary(&self, build: u32) -> bool {
+        match self.rollout.borrow().as_ref() {
+            Some(rollout) if build == rollout.build => rollout.phase != RolloutPhase::Released,
+            Some(rollout) => build > rollout.build,
+            None => false,
+        }
     }
 
     /// The newest build that the platform told of.
-    pub fn newest(&self) -> Option<u32> {
-        self.rollout_status.borrow().as_ref().map(|n| n.build)
+    pub fn newest_rollout_build(&self) -> Option<u32> {
+        self.rollout.borrow().as_ref().map(|rollout| rollout.build)
     }
 
-    pub fn crossings(&self, told: CrossZonePolicy) {
-        self.choice.borrow_mut().set_cross_zone_policy(told);
+    /// How often the rollout status has changed: an attempt notes it as it is decided.
+    pub fn rollout_revision(&self) -> u64 {
+        self.rollout_revision.get()
     }
 
-    pub fn zone_capacities(&self, zones: usize) -> Vec<ZoneCapacity> {
-        self.choice
-            .borrow()
-            .zone_capacities(self.clock.now(), zones)
-    }
-
-    /// What the news stood at when an attempt was decided.
-    pub fn turn(&self) -> u64 {
-        self.turns.get()
+    /// Whether an attempt to `build` that was decided at `revision` still goes by the rollout
+    /// status it was decided on.
+    pub fn rollout_allows(&self, build: u32, revision: u64) -> bool {
+        if revision == self.rollout_revision.get() {
+            return true;
+        }
+        match self.rollout.borrow().as_ref() {
+            Some(rollout) => build < rollout.build,
+            None => false,
+        }
     }
 
-    /// Whether an attempt to `build` decided at `turn` still goes by the news it was decided on.
-    pub fn stands(&self, build: u32, turn: u64) -> bool {
-        turn == self.turns.get()
-            || self
-                .rollout_status
-                .borrow()
-                .as_ref()
-                .is_some_and(|n| build < n.build)
+    /// What crossing a zone means from now on.
+    pub fn set_cross_zone_policy(&self, policy: CrossZonePolicy) {
+        self.balancer.borrow_mut().set_cross_zone_policy(policy);
     }
 
-    /// Whether an attempt that was decided may still be written.
-    pub fn holds(&self, id: u64, attempt: usize) -> bool {
-        self.choice
-            .borrow()
-            .attempt_allowed(self.clock.now(), id, attempt)
+    /// What each of so many zones can take.
+    pub fn zone_capacities(&self, zones: usize) -> Vec<ZoneCapacity> {
+        let now = self.clock.now();
+        self.balancer.borrow().zone_capacities(now, zones)
     }
 
-    pub fn flag(&self, endpoint: usize, class: usize, age: Duration) {
-        self.choice
+    /// A client reported an error of an endpoint, `age` ago.
+    pub fn on_client_reported_error(&self, endpoint: usize, class: usize, age: Duration) {
+        self.balancer
             .borrow_mut()
             .on_client_reported_error(self.clock.now(), endpoint, class, age);
     }
 
-    pub fn tally(&self, tally: &PlatformCounts) {
-        self.choice.borrow_mut().on_platform_counts(tally);
+    /// The platform told what it counted of a build.
+    pub fn on_platform_counts(&self, counts: &PlatformCounts) {
+        self.balancer.borrow_mut().on_platform_counts(counts);
     }
 
-    pub fn reply(&self, reply: VoteReply) {
-        self.choice
+    /// The platform answered a vote, or never will.
+    pub fn on_vote_reply(&self, reply: VoteReply) {
+        self.balancer
             .borrow_mut()
             .on_vote_reply(self.clock.now(), reply);
     }
 
-    /// Requests, endpoints, builds and keys that the module keeps.
-    pub fn kept(&self) -> [usize; 4] {
-        self.choice.borrow().retained_counts()
+    /// What is due.
+    pub fn poll(&self) -> PollResult {
+        self.balancer.borrow_mut().poll(self.clock.now())
     }
 
-    pub fn wait(&self) -> PollResult {
-        self.choice.borrow_mut().poll(self.clock.now())
+    /// The indices that active requests count in.
+    pub fn indices_in_use(&self) -> IndicesInUse {
+        self.balancer.borrow().indices_in_use()
     }
+
+    /// From now on these settings decide, with indices as `mapping` says; `moved_zones` are
+    /// endpoints whose zone has another index.
+    pub fn reload(
+        &self,
+        settings: &Settings,
+        mapping: &IndexMapping,
+        moved_zones: &[(usize, usize)],
+        alternative: Option<&AlternativeSettings>,
+    ) {
+        let mut balancer = self.balancer.borrow_mut();
+        balancer.reload(self.clock.now(), settings, mapping);
+        balancer.reassign_zones(moved_zones);
+        if let (Some(shadow), Some(alternative)) = (self.shadow.borrow_mut().as_mut(), alternative)
+        {
+            shadow.reload(settings, alternative);
+        }
+    }
+
+    /// Requests, endpoints, builds and keys that the balancer keeps.
+    pub fn retained_counts(&self) -> [usize; 4] {
+        self.balancer.borrow().retained_counts()
+    }
+
+    /// From now on these alternative settings are evaluated beside those in force, or none.
+    pub fn evaluate_alternative(
+        &self,
+        present: &Settings,
+        alternative: Option<&AlternativeSettings>,
+    ) {
+        *self.shadow.borrow_mut() = alternative.map(|a| ShadowEvaluator::new(present, a));
+        self.shadowed_requests.borrow_mut().clear();
+    }
+
+    /// Where the alternative settings would have decided otherwise so far; nothing while none are
+    /// evaluated.
+    pub fn divergences(&self) -> Option<Divergences> {
+        self.shadow.borrow().as_ref().map(|shadow| shadow.counts)
+    }
+
+    /// Counts where the alternative settings would have decided otherwise.
+    fn observe_decision(&self, now: Duration, id: u64, decision: &Decision) {
+        let mut shadow = self.shadow.borrow_mut();
+        let Some(shadow) = shadow.as_mut() else {
+            return;
+        };
+        match decision {
+            Decision::Forward { endpoint, .. } => {
+                let request = self.shadowed_requests.borrow().get(&id).copied();
+                if let Some(ShadowedRequest { class, key }) = request {
+                    shadow.on_attempt(now, &self.balancer.borrow(), class, key, *endpoint);
+                }
+            }
+            Decision::Reject { .. } | Decision::Fail => {
+                self.shadowed_requests.borrow_mut().remove(&id);
+            }
+            Decision::Defer { .. } | Decision::Cancel { .. } | Decision::Await => {}
+        }
+    }
+}
+
+/// Whether two statuses say the same of a rollout, leaving aside since when.
+fn says_the_same(a: &RolloutStatus, b: &RolloutStatus) -> bool {
+    a.build == b.build
+        && a.stage == b.stage
+        && a.phase == b.phase
+        && a.cap.to_bits() == b.cap.to_bits()
 }
--- a/crates/agent/src/control/discovery.rs
+++ b/crates/agent/src/control/discovery.rs
@@ -31,33 +31,29 @@
 type Told = (Listing, bool);
 
 pub async fn run(agent: &Agent) {
-    let (moves, mut watch) = (agent.discovery_moves.seen(), Watch::new(agent));
+    let (moves, mut watch) = (agent.control.discovery.changes(), Watch::new(agent));
     let (mut moves, mut again) = (moves, watch.starts(agent.clock.now()));
     loop {
         let due = async {
             match again {
-                Some(at) => agent.until(at).await,
-                None => {
-                    while !agent.watch_due.take() {
-                        agent.watch.listen().await;
-                    }
-                }
+                Some(at) => agent.sleep_until(at).await,
+                None => agent.control.watch_request.received().await,
             }
         };
-        due.or(agent.discovery_moves.beyond(moves)).await;
-        if agent.discovery_moves.seen() != moves {
+        due.or(agent.control.discovery.changed_since(moves)).await;
+        if agent.control.discovery.changes() != moves {
             // A change of the address ends the old watch and is no failure.
-            moves = agent.discovery_moves.seen();
+            moves = agent.control.discovery.changes();
             watch.renew(agent.clock.now());
             again = watch.moves(agent.clock.now());
             if again.is_some() {
                 continue;
             }
         }
-        agent.watch_due.set(false);
+        agent.control.watch_request.clear();
         watch.renew(agent.clock.now());
         let moved = async {
-            agent.discovery_moves.beyond(moves).await;
+            agent.control.discovery.changed_since(moves).await;
             None
         };
         let ended = moved.or(async { Some(watch.run().await) }).await;
@@ -81,9 +77,11 @@
 
 impl Watch<'_> {
     fn new(agent: &Agent) -> Watch<'_> {
-        let d = &agent.site().settings;
+        let d = &agent.service_config().settings;
         let list_valid_until = Vouched::new(d, agent.clock.now());
-        agent.hand.vouch(list_valid_until.until());
+        agent
+            .balancer
+            .set_list_valid_until(list_valid_until.until());
         Watch {
             agent,
             watchdog: Watchdog::new(d),
@@ -102,17 +100,21 @@
 
     /// Settings may have been read anew.
     fn renew(&mut self, now: Duration) {
-        let d = &self.agent.site().settings;
+        let d = &self.agent.service_config().settings;
         self.watchdog.renew(d);
         self.list_valid_until.renew(d, now);
-        self.agent.hand.vouch(self.list_valid_until.until());
+        self.agent
+            .balancer
+            .set_list_valid_until(self.list_valid_until.until());
     }
 
     /// When the new address is first called; none for at once.
     fn moves(&mut self, now: Duration) -> Option<Duration> {
         self.owes = true;
         self.list_valid_until.moved(now);
-        self.agent.hand.vouch(self.list_valid_until.until());
+        self.agent
+            .balancer
+            .set_list_valid_until(self.list_valid_until.until());
         let gap = self.watchdog.moved();
         (!gap.is_zero()).then_some(now + gap)
     }
@@ -132,7 +134,9 @@
             self.named.push(ended);
         }
         self.list_valid_until.ended(now, ended);
-        agent.hand.vouch(self.list_valid_until.until());
+        agent
+            .balancer
+            .set_list_valid_until(self.list_valid_until.until());
         if self.list_valid_until.until().is_some_and(|t| now >= t)
             && !std::mem::replace(&mut self.doubts, true)
         {
@@ -145,8 +149,8 @@
             Some(_) => agent.counters.list_failures.add(),
             None => {
                 // What the module said before is no more.
-                agent.watch_due.set(false);
-                agent.hand.list_failed();
+                agent.control.watch_request.clear();
+                agent.balancer.on_list_failure();
             }
         }
         again
@@ -162,7 +166,8 @@
         let agent = self.agent;
         let wait = self.watchdog.wait(true);
         let known = agent
-            .known()
+            .endpoints
+            .usable_version()
             .filter(|_| !self.owes || !self.watchdog.free());
         let path = known.map_or(listing::LIST.to_owned(), |version| {
             listing::watch(version, wait)
@@ -193,11 +198,13 @@
         }
         loop {
             let spoilt = told.spoilt.clone();
-            agent.listed(told);
+            agent.update_endpoints(told);
             let wait = self.watchdog.wait(false);
             self.list_valid_until.told(agent.clock.now(), wait);
-            agent.hand.vouch(self.list_valid_until.until());
-            agent.heard();
+            agent
+                .balancer
+                .set_list_valid_until(self.list_valid_until.until());
+            agent.endpoints.allow_serving();
             if let Some(what) = spoilt {
                 return End(Ended::Spoilt, format!("list: {what}"));
             }
@@ -210,12 +217,12 @@
                 );
             }
             if std::mem::take(&mut self.owes) {
-                agent.life.heard(Party::Discovery);
+                agent.lifecycle.heard(Party::Discovery);
             }
             if last {
                 return End(Ended::Broken, "it closes after an answer".into());
             }
-            let path = listing::watch(agent.version(), wait);
+            let path = listing::watch(agent.endpoints.version(), wait);
             let late = wait + self.watchdog.late();
             match within(agent, late, ask(agent, &mut connection, &path)).await {
                 Ok(next) => (told, last) = next,
@@ -228,7 +235,7 @@
 /// A connection and its first answer.
 async fn begin(agent: &Agent, path: &str, time: Duration) -> Result<(Connection, Told), End> {
     let begun = async {
-        let mut connection = Connection::open(agent.discovery.get())
+        let mut connection = Connection::open(agent.control.discovery.get())
             .await
             .map_err(broken)?;
         let told = ask(agent, &mut connection, path).await?;
@@ -246,7 +253,11 @@
 ) -> Result<(Connection, Told), End> {
     loop {
         match begin(agent, path, time).await {
-            Err(End(ended, _)) => agent.until(agent.clock.now() + watchdog.gap(ended)).await,
+            Err(End(ended, _)) => {
+                agent
+                    .sleep_until(agent.clock.now() + watchdog.gap(ended))
+                    .await
+            }
             begun => return begun,
         }
     }
@@ -254,7 +265,7 @@
 
 async fn ask(agent: &Agent, connection: &mut Connection, path: &str) -> Result<Told, End> {
     connection
-        .write(&http::get(&agent.discovery.get().to_string(), path))
+        .write(&http::get(&agent.control.discovery.get().to_string(), path))
         .await
         .map_err(broken)?;
     let mut ended = false;
@@ -292,7 +303,7 @@
     work: impl Future<Output = Result<T, End>>,
 ) -> Result<T, End> {
     let late = async {
-        agent.until(agent.clock.now() + time).await;
+        agent.sleep_until(agent.clock.now() + time).await;
         Err(End(Ended::Silent, "it is silent".into()))
     };
     work.or(late).await
--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -1,7 +1,7 @@
 //! The conversation with the platform: what it tells, and votes. One connection at a time, but for
 //! an old one that is heard out once the address has changed.
 
-use crate::agent::Agent;
+use crate::agent::{Agent, CastVote};
 use crate::lifecycle::phase::Party;
 use crate::observability::logging::EVIDENCE;
 use crate::protocol::connection::Connection;
@@ -51,20 +51,20 @@
     let calls = Rc::new(Calls::default());
     let mut pause = PAUSE;
     loop {
-        let moves = agent.platform_moves.seen();
-        let Some(address) = agent.platform.get() else {
-            agent.platform_moves.beyond(moves).await;
+        let moves = agent.control.platform.changes();
+        let Some(address) = agent.control.platform.get() else {
+            agent.control.platform.changed_since(moves).await;
             calls.owes.set(true);
             continue;
         };
         let mut talk = None;
         let moved = async {
-            agent.platform_moves.beyond(moves).await;
+            agent.control.platform.changed_since(moves).await;
             "its address has changed".to_owned()
         };
         let what = moved.or(converse(agent, address, &calls, &mut talk)).await;
         log::debug!("platform: {what}");
-        if agent.platform_moves.seen() != moves {
+        if agent.control.platform.changes() != moves {
             // At once, and the old connection is heard out meanwhile: what it tells is not told
             // again.
             calls.owes.set(true);
@@ -72,6 +72,7 @@
                 let (agent, calls) = (agent.clone(), calls.clone());
                 agent
                     .clone()
+                    .executors
                     .tasks
                     .spawn(async move { hear_out(&agent, talk, &calls).await })
                     .detach();
@@ -90,18 +91,19 @@
         if let Some(talk) = talk {
             lost(agent, &talk, &calls);
         }
-        if !spoke && agent.vote.take().is_some() {
+        if !spoke && agent.control.pending_vote.take().is_some() {
             // It was not written and never will count.
-            agent.hand.reply(VoteReply::Refused);
+            agent.balancer.on_vote_reply(VoteReply::Refused);
         }
         agent
-            .platform_moves
-            .beyond(moves)
-            .or(agent.until(agent.clock.now() + pause))
+            .control
+            .platform
+            .changed_since(moves)
+            .or(agent.sleep_until(agent.clock.now() + pause))
             .await;
         calls
             .owes
-            .set(calls.owes.get() || agent.platform_moves.seen() != moves);
+            .set(calls.owes.get() || agent.control.platform.changes() != moves);
     }
 }
 
@@ -109,7 +111,7 @@
 fn lost(agent: &Agent, talk: &Talk, calls: &Calls) {
     if talk.vote.is_some() && calls.vote.get() == talk.vote {
         calls.vote.set(None);
-        agent.hand.reply(VoteReply::Unknown);
+        agent.balancer.on_vote_reply(VoteReply::Unknown);
     }
 }
 
@@ -127,7 +129,7 @@
     talk: &mut Option<Talk>,
 ) -> String {
     let late = async {
-        agent.until(agent.clock.now() + SILENT).await;
+        agent.sleep_until(agent.clock.now() + SILENT).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
     let connection = match Connection::open(address).or(late).await {
@@ -150,23 +152,23 @@
     loop {
         match lines(agent, talk, calls, true) {
             Ok(0) => {}
-            Ok(_) if calls.owes.take() => agent.life.heard(Party::Platform),
+            Ok(_) if calls.owes.take() => agent.lifecycle.heard(Party::Platform),
             Ok(_) => {}
             Err(garbage) => {
                 log::warn!("platform: {garbage}; its connection is closed");
                 return garbage.to_string();
             }
         }
-        if let Some((vote, cast)) = agent.vote.take() {
+        if let Some(CastVote { vote, cast_at }) = agent.control.pending_vote.take() {
             // One that waited for its connection for as long as an answer may take is cast anew.
-            if agent.clock.now() < cast + agent.site().settings.rollout.vote_timeout {
+            if agent.clock.now() < cast_at + agent.service_config().settings.rollout.vote_timeout {
                 let id = calls.next();
                 if let Err(e) = talk
                     .connection
                     .write(platform::vote(id, &vote).as_bytes())
                     .await
                 {
-                    agent.hand.reply(VoteReply::Refused);
+                    agent.balancer.on_vote_reply(VoteReply::Refused);
                     return e.to_string();
                 }
                 let Vote {
@@ -181,8 +183,8 @@
                 agent.counters.votes.add();
             }
         }
-        let voted = agent.voted.listen();
-        if agent.vote.borrow().is_some() {
+        let voted = agent.control.pending_vote.listen();
+        if agent.control.pending_vote.is_some() {
             continue;
         }
         // Guards against a line that stops short of its end, behind which nothing can be read.
@@ -198,7 +200,7 @@
             Ok(Next::Vote)
         };
         let silent = async {
-            agent.until(quiet_until.min(rest)).await;
+            agent.sleep_until(quiet_until.min(rest)).await;
             Ok(Next::Silent)
         };
         match heard.or(vote).or(silent).await {
@@ -219,7 +221,9 @@
             && talk.connection.more().await.is_ok_and(|n| n > 0)
         {}
     };
-    heard.or(agent.until(agent.clock.now() + HEARD_OUT)).await;
+    heard
+        .or(agent.sleep_until(agent.clock.now() + HEARD_OUT))
+        .await;
     lost(agent, &talk, calls);
 }
 
@@ -232,17 +236,19 @@
         talk.connection.inbox.consume(took);
         (count, talk.heard) = (count + 1, true);
         match line {
-            Line::RolloutStatus(told) if all => agent.rollout_status(told),
+            Line::RolloutStatus(told) if all => agent.update_rollout(told),
             Line::Flag {
                 endpoint,
                 class,
                 age,
             } if all => {
-                if let (Some(a), Some(l)) = (agent.endpoint(&endpoint), agent.site().class(&class))
-                {
-                    let build = agent.target(a).map_or(0, |t| t.build);
+                if let (Some(a), Some(l)) = (
+                    agent.endpoints.index_of(&endpoint),
+                    agent.service_config().class(&class),
+                ) {
+                    let build = agent.endpoints.target(a).map_or(0, |t| t.build);
                     log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.wall(agent.clock.now()));
-                    agent.hand.flag(a, l, age);
+                    agent.balancer.on_client_reported_error(a, l, age);
                 }
             }
             Line::Counted {
@@ -253,9 +259,9 @@
                 took,
                 age,
             } if all => {
-                if let Some(class) = agent.site().class(&class) {
+                if let Some(class) = agent.service_config().class(&class) {
                     let (attempts, failed) = (attempts.into(), failed.into());
-                    agent.hand.tally(&PlatformCounts {
+                    agent.balancer.on_platform_counts(&PlatformCounts {
                         build,
                         class,
                         attempts,
@@ -267,12 +273,12 @@
             }
             Line::Answer { id, reply, told } => {
                 if let Some(told) = told.filter(|_| all) {
-                    agent.rollout_status(told);
+                    agent.update_rollout(told);
                 }
                 if calls.vote.get() == Some(id) {
                     calls.vote.set(None);
                     log::debug!(target: EVIDENCE, "{} vote {reply:?}", agent.clock.wall(agent.clock.now()));
-                    agent.hand.reply(reply);
+                    agent.balancer.on_vote_reply(reply);
                 }
             }
             Line::RolloutStatus(_)
--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -13,7 +13,7 @@
 use crate::runtime::reactor::{self, Source, Timer};
 use crate::server::connection as client;
 use crate::upstream::attempt;
-use crate::upstream::pool::Slot;
+use crate::upstream::limits::ConnectionPermit;
 use futures_lite::future::{self, FutureExt};
 use std::io;
 use std::net::TcpListener;
@@ -53,16 +53,24 @@
     let opening = start.door.clone();
     let agent = Agent::start(start);
     let run = async {
-        let listener = TcpListener::bind(agent.listen).map_err(|e| {
-            io::Error::new(e.kind(), format!("field listen: {}: {e}", agent.listen))
+        let listener = TcpListener::bind(agent.start_addresses.listen).map_err(|e| {
+            io::Error::new(
+                e.kind(),
+                format!("field listen: {}: {e}", agent.start_addresses.listen),
+            )
         })?;
         listener.set_nonblocking(true)?;
         // Guards a rush while this agent does not get to run: whoever finds the queue full has its
         // first packet dropped, which it sends again a second later. Harms where it stands still
         // for long: more requests are late then. All that wait are taken in at once, and each may
         // hold a small buffer before it is held back: a quarter of that memory at most.
-        let bears = agent.buffers_most.get() / 4 / KEPT;
-        let queue = agent.sockets.clients_most().min(bears).max(QUEUE_LEAST);
+        let bears = agent.limits.max_buffered_bytes() / 4 / KEPT;
+        let queue = agent
+            .limits
+            .connections
+            .max_clients()
+            .min(bears)
+            .max(QUEUE_LEAST);
         rustix::net::listen(&listener, i32::try_from(queue).unwrap_or(i32::MAX))?;
         let listener = Rc::new(Source::new(listener)?);
         let opened = opening.as_ref().map(admin::open).transpose();
@@ -70,23 +78,31 @@
         let door = opened.map(|listening| {
             let a = agent.clone();
             agent
+                .executors
                 .tasks
                 .spawn(async move { admin::run(&a, listening).await })
         });
         let a = agent.clone();
         agent
-            .first
+            .executors
+            .urgent
             .spawn(async move { discovery::run(&a).await })
             .detach();
         let a = agent.clone();
         agent
+            .executors
             .tasks
             .spawn(async move { platform::run(&a).await })
             .detach();
         let a = agent.clone();
-        agent.tasks.spawn(async move { watch(&a).await }).detach();
+        agent
+            .executors
+            .tasks
+            .spawn(async move { watch(&a).await })
+            .detach();
         let a = agent.clone();
         agent
+            .executors
             .tasks
             .spawn(async move { signals::obey(&a, signals, &files).await })
             .detach();
@@ -96,35 +112,41 @@
                 // Where calls are paid for, requests and connections do not wait here: nothing is
                 // vouched for yet, so that the module sends nothing and denies at half of a
                 // request's time.
-                if let Some(within) = Watchdog::new(&a.site().settings).start_within() {
-                    a.until(a.clock.now() + within).or(a.may_serve()).await;
+                if let Some(within) = Watchdog::new(&a.service_config().settings).start_within() {
+                    a.sleep_until(a.clock.now() + within)
+                        .or(a.endpoints.serving_allowed())
+                        .await;
                 }
-                a.heard();
+                a.endpoints.allow_serving();
                 attempt::warm(&a).await;
             };
-            warm.or(a.until(a.clock.now() + READY_WITHIN)).await;
-            a.life.reach(Phase::Serving);
+            warm.or(a.sleep_until(a.clock.now() + READY_WITHIN)).await;
+            a.lifecycle.reach(Phase::Serving);
         };
-        agent.tasks.spawn(ready).detach();
+        agent.executors.tasks.spawn(ready).detach();
         let (a, l) = (agent.clone(), listener.clone());
-        let accepting = agent.tasks.spawn(async move { accept(&a, &l).await });
+        let accepting = agent
+            .executors
+            .tasks
+            .spawn(async move { accept(&a, &l).await });
         // It ends once the program closes and nobody waits to be taken in any more.
         let stopped = async {
-            agent.life.reached(Phase::Stopped).await;
+            agent.lifecycle.reached(Phase::Stopped).await;
             Ok(())
         };
         accepting.or(stopped).await?;
         drop(listener);
-        agent.life.shut();
-        agent.life.reached(Phase::Stopped).await;
+        agent.lifecycle.shut();
+        agent.lifecycle.reached(Phase::Stopped).await;
         if let Some(door) = door {
             // Its socket's file goes with it.
             door.cancel().await;
         }
         Ok::<(), io::Error>(())
     };
-    let outcome = reactor::run(&agent.tasks, &agent.first, run).and_then(|outcome| outcome);
-    log::info!("{}; {}", agent.counters, agent.kept());
+    let outcome = reactor::run(&agent.executors.tasks, &agent.executors.urgent, run)
+        .and_then(|outcome| outcome);
+    log::info!("{}; {}", agent.counters, agent.retained_summary());
     outcome.inspect_err(|fault| log::error!("{fault}")).is_ok()
 }
 
@@ -134,29 +156,30 @@
 /// Ends when the program closes and all that had connected before are in.
 async fn accept(agent: &Rc<Agent>, listener: &Source<TcpListener>) -> io::Result<()> {
     loop {
-        let mut slot = agent.sockets.client();
+        let mut slot = agent.limits.connections.client_permit();
         let overflow = if slot.is_none() {
-            agent.sockets.overflow()
+            agent.limits.connections.overflow_permit()
         } else {
             None
         };
-        if agent.sockets.clients_crowd() {
-            agent.life.evict_idle(agent.clock.now());
+        if agent.limits.connections.is_nearly_full() {
+            agent.lifecycle.evict_idle(agent.clock.now());
         }
         if slot.is_none() && overflow.is_none() {
             agent
-                .sockets
-                .client_gone()
+                .limits
+                .connections
+                .client_permit_freed()
                 .or(Timer::after(ROOM_AGAIN))
                 .await;
             continue;
         }
         let closing = async {
-            agent.life.reached(Phase::Closing).await;
+            agent.lifecycle.reached(Phase::Closing).await;
             None
         };
         let next = async { Some(listener.read(|| Connection::accept(listener.get())).await) };
-        let accepted = match agent.life.closes() {
+        let accepted = match agent.lifecycle.closes() {
             // Asked of the listener itself: the event of who connected just now may be still to
             // come.
             true => Connection::accept(listener.get()),
@@ -168,12 +191,13 @@
         match accepted {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
             Ok(client) => {
-                slot = slot.or_else(|| agent.sockets.client());
+                slot = slot.or_else(|| agent.limits.connections.client_permit());
                 match (slot, overflow) {
                     (Some(slot), _) => welcome(agent, client, slot),
                     (None, Some(slot)) => {
                         agent.counters.clients_rejected.add();
                         agent
+                            .executors
                             .tasks
                             .spawn(client::deny(agent.clone(), client, slot))
                             .detach();
@@ -184,7 +208,7 @@
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(e) => {
                 log::warn!("accept: {e}");
-                agent.evict_idle();
+                agent.pool.evict_idle();
                 Timer::after(ROOM_AGAIN).await;
             }
         }
@@ -193,9 +217,10 @@
     }
 }
 
-fn welcome(agent: &Rc<Agent>, client: Connection, slot: Slot) {
+fn welcome(agent: &Rc<Agent>, client: Connection, slot: ConnectionPermit) {
     agent.counters.clients.add();
     agent
+        .executors
         .tasks
         .spawn(client::serve(agent.clone(), client, slot))
         .detach();
@@ -207,32 +232,30 @@
     loop {
         // What came in while this agent stood still is told first, in its order.
         future::yield_now().await;
-        let due = agent.hand.wait();
+        let due = agent.balancer.poll();
         if due.open_watch {
-            agent.watch_due.set(true);
-            agent.watch.notify(1);
+            agent.control.watch_request.raise();
         }
         let now = agent.clock.now();
         if let Some(vote) = due.vote {
-            *agent.vote.borrow_mut() = Some((vote, now));
-            agent.voted.notify(1);
+            agent.control.pending_vote.cast(vote, now);
         }
-        agent.look_at_zones();
+        agent.update_zone_traffic();
         due.log_lines.iter().for_each(|note| log::info!("{note}"));
         for note in &due.log_lines {
             log::debug!(target: EVIDENCE, "{} note {note}", agent.clock.wall(now));
         }
         if now >= swept + Duration::from_secs(1) {
-            agent.sweep();
-            agent.forget_classes();
+            agent.pool.close_stale();
+            agent.drop_retired_classes();
             swept = now;
         }
         if now >= said + WATCH_EVERY {
-            if let Some(otherwise) = agent.hand.otherwise() {
+            if let Some(otherwise) = agent.balancer.divergences() {
                 log::info!("watched settings would have decided otherwise: {otherwise}");
             }
             said = now;
         }
-        agent.until(due.next_poll).await;
+        agent.sleep_until(due.next_poll).await;
     }
 }
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -73,14 +73,14 @@
     let (mut asked, mut reading) = (None, None::<Reading>);
     loop {
         if signals.usr1.swap(false, Ordering::Relaxed) {
-            log::info!("{}; {}", agent.counters, agent.kept());
+            log::info!("{}; {}", agent.counters, agent.retained_summary());
         }
         if reading.is_none() && signals.hup.swap(false, Ordering::Relaxed) {
             reading = Some(Reading::begin(files));
         }
         if let Some(read) = reading.take_if(|r| r.is_over()) {
             match read.end() {
-                Ok(start) => agent.renew(start),
+                Ok(start) => agent.reload(start),
                 Err(faults) => faults
                     .iter()
                     .for_each(|fault| log::error!("{fault}; the configuration read before stays")),
@@ -89,14 +89,16 @@
         let now = agent.clock.now();
         if asked.is_none() && signals.term.load(Ordering::Relaxed) {
             asked = Some(now);
-            agent.life.reach(Phase::Leaving);
+            agent.lifecycle.reach(Phase::Leaving);
         }
         if let Some(closes) = asked.map(|at| at + LEAVING).filter(|at| now >= *at) {
-            let last = (closes + agent.site().longest_timeout.max(LEAST_EXPIRY))
-                .max(agent.owed_until.get());
-            agent.life.close(last);
-            if agent.life.is_shut() && agent.sockets.nobody() || now >= last + LAST_WORDS {
-                return agent.life.reach(Phase::Stopped);
+            let last = (closes + agent.service_config().longest_timeout.max(LEAST_EXPIRY))
+                .max(agent.config.earlier_requests_end());
+            agent.lifecycle.close(last);
+            if agent.lifecycle.is_shut() && agent.limits.connections.is_without_clients()
+                || now >= last + LAST_WORDS
+            {
+                return agent.lifecycle.reach(Phase::Stopped);
             }
         }
         Timer::after(if asked.is_some() { LOOK / 4 } else { LOOK }).await;
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -8,8 +8,8 @@
 use crate::protocol::statement::Statement;
 use crate::protocol::{malformed, Malformed};
 use crate::runtime::reactor::Timer;
-use crate::server::request::{live, Final};
-use crate::upstream::pool::Slot;
+use crate::server::request::{handle_request, FinalResponse};
+use crate::upstream::limits::ConnectionPermit;
 use futures_lite::future::{self, FutureExt};
 use std::pin::pin;
 use std::rc::Rc;
@@ -37,13 +37,13 @@
 const TAKEN_WITHIN: Duration = Duration::from_secs(5);
 
 /// Serves a client until it leaves, breaks the protocol, or is idle when the agent needs it to go.
-pub async fn serve(agent: Rc<Agent>, mut client: Connection, _slot: Slot) {
+pub async fn serve(agent: Rc<Agent>, mut client: Connection, _slot: ConnectionPermit) {
     let (mut reply, mut open) = (Vec::new(), false);
     // When what was begun must be whole: the first request, later each message.
     let mut whole_by = Some(agent.clock.now() + HEARD_WITHIN);
     loop {
         let step = if open {
-            heed(&agent, &mut client, &mut reply).await
+            handle_message(&agent, &mut client, &mut reply).await
         } else {
             greet(&mut client, &mut reply)
         };
@@ -105,7 +105,7 @@
     loop {
         let taken = traffic.written();
         let late = async {
-            agent.until(agent.clock.now() + TAKEN_WITHIN).await;
+            agent.sleep_until(agent.clock.now() + TAKEN_WITHIN).await;
             None
         };
         match async { Some(writing.as_mut().await) }.or(late).await {
@@ -122,7 +122,7 @@
 
 /// Serves a client for which there is no room up to its first request, which is rejected: a retry
 /// is harmless. The connection is not closed before: that request would be taken and lost.
-pub async fn deny(agent: Rc<Agent>, mut client: Connection, _slot: Slot) {
+pub async fn deny(agent: Rc<Agent>, mut client: Connection, _slot: ConnectionPermit) {
     let talk = async {
         let (mut reply, mut open) = (Vec::new(), false);
         loop {
@@ -147,7 +147,7 @@
         }
     };
     let late = async {
-        agent.until(agent.clock.now() + FIRST_WITHIN).await;
+        agent.sleep_until(agent.clock.now() + FIRST_WITHIN).await;
     };
     talk.or(late).await;
     finish(&agent, client).await;
@@ -184,7 +184,9 @@
             client.inbox.consume(usize::MAX);
         }
     };
-    heard.or(agent.until(agent.clock.now() + HEARD_OUT)).await;
+    heard
+        .or(agent.sleep_until(agent.clock.now() + HEARD_OUT))
+        .await;
 }
 
 enum Step {
@@ -218,16 +220,20 @@
     // memory. Who holds half a message meanwhile has little time left for it: all would wait for
     // each other.
     let room = async {
-        while Weight::held() > agent.buffers_most.get() {
+        while Weight::held() > agent.limits.max_buffered_bytes() {
             Timer::after(HELD_BACK).await;
         }
     };
     let begun = !client.inbox.is_empty();
-    let short = begun && Weight::held() > agent.buffers_most.get();
+    let short = begun && Weight::held() > agent.limits.max_buffered_bytes();
     let late = async {
         match whole_by {
-            Some(at) if short => agent.until(at.min(agent.clock.now() + FIRST_WITHIN)).await,
-            Some(at) => agent.until(at).await,
+            Some(at) if short => {
+                agent
+                    .sleep_until(at.min(agent.clock.now() + FIRST_WITHIN))
+                    .await
+            }
+            Some(at) => agent.sleep_until(at).await,
             None => future::pending().await,
         }
         More::Late
@@ -235,7 +241,7 @@
     let idle = if begun {
         None
     } else {
-        agent.life.idle(agent.clock.now(), whole_by.is_some())
+        agent.lifecycle.idle(agent.clock.now(), whole_by.is_some())
     };
     let read = async {
         room.or(client.ended()).await;
@@ -253,7 +259,7 @@
             Duration::ZERO
         };
         let late = async {
-            agent.until(agent.clock.now() + owed).await;
+            agent.sleep_until(agent.clock.now() + owed).await;
             More::Late
         };
         return match read.or(late).await {
@@ -292,7 +298,7 @@
     })
 }
 
-async fn heed(
+async fn handle_message(
     agent: &Rc<Agent>,
     client: &mut Connection,
     reply: &mut Vec<u8>,
@@ -318,7 +324,7 @@
     if word.is_empty() || word == ";" {
         client.consume(took);
         // This answer tells the front that requests may come.
-        agent.life.reached(Phase::Serving).await;
+        agent.lifecycle.reached(Phase::Serving).await;
         postgres::empty(reply);
     } else if let Some(word) = ["SET", "RESET", "DISCARD"]
         .iter()
@@ -334,7 +340,7 @@
         let open = read
             .as_ref()
             .ok()
-            .map(|statement| agent.hand.open(&statement.id));
+            .map(|statement| agent.balancer.open_request(&statement.id));
         match read {
             Ok(_) if open.as_ref().is_some_and(Option::is_none) => {
                 agent.counters.faulty.add();
@@ -348,24 +354,24 @@
                 postgres::rejected(reply, None);
             }
             // Its time outlasts the program's: another agent may serve it.
-            Ok(statement) if agent.life.ends_before(heard + statement.wait) => {
+            Ok(statement) if agent.lifecycle.ends_before(heard + statement.wait) => {
                 agent.counters.rejected.add();
                 postgres::rejected(reply, None);
             }
-            Ok(statement) => match live(agent, client, statement, heard).await {
-                Final::Succeeded(value) => {
+            Ok(statement) => match handle_request(agent, client, statement, heard).await {
+                FinalResponse::Succeeded(value) => {
                     agent.counters.succeeded.add();
                     *reply = value;
                 }
-                Final::Rejected(retry_after) => {
+                FinalResponse::Rejected(retry_after) => {
                     agent.counters.rejected.add();
                     postgres::rejected(reply, retry_after);
                 }
-                Final::Scrapped => {
+                FinalResponse::Failed => {
                     agent.counters.scrapped.add();
                     postgres::scrapped(reply);
                 }
-                Final::Left => {
+                FinalResponse::Left => {
                     agent.counters.left.add();
                     return Ok(Step::End);
                 }
@@ -386,7 +392,7 @@
 
 fn read(agent: &Agent, text: &str) -> Result<Statement, Malformed> {
     let statement = Statement::parse(text)?;
-    class(&agent.site(), &statement).map(|_| statement)
+    class(&agent.service_config(), &statement).map(|_| statement)
 }
 
 /// The class of a statement under the settings in force.
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -1,13 +1,14 @@
 //! The life of one request, from top to bottom: the module is asked at each point of choice.
 
 use crate::agent::Agent;
+use crate::balancer_handle::{AdmittedRequest, AttemptResult};
 use crate::observability::logging::EVIDENCE;
 use crate::protocol::connection::Connection;
 use crate::protocol::statement::Statement;
 use crate::runtime::reactor::Timer;
 use crate::server::connection::class;
-use crate::upstream::attempt::{deliver, Order};
-use crate::upstream::zone_traffic::Meter;
+use crate::upstream::attempt::{send_attempt, AttemptPlan};
+use crate::upstream::zone_traffic::TransferMeter;
 use futures_lite::future::poll_fn;
 use std::future::Future;
 use std::pin::{pin, Pin};
@@ -22,20 +23,20 @@
 const AHEAD_MOST: usize = 16 * 1024;
 
 /// What the client is told; nothing when it has left.
-pub enum Final {
+pub enum FinalResponse {
     Succeeded(Vec<u8>),
     Rejected(Option<Duration>),
-    Scrapped,
+    Failed,
     Left,
 }
 
-impl Final {
+impl FinalResponse {
     fn name(&self) -> &'static str {
         match self {
-            Final::Succeeded(_) => "Succeeded",
-            Final::Rejected(_) => "Rejected",
-            Final::Scrapped => "Scrapped",
-            Final::Left => "Left",
+            FinalResponse::Succeeded(_) => "Succeeded",
+            FinalResponse::Rejected(_) => "Rejected",
+            FinalResponse::Failed => "Failed",
+            FinalResponse::Left => "Left",
         }
     }
 }
@@ -43,12 +44,12 @@
 type Ended = (Outcome, Vec<u8>);
 
 /// An attempt that is out.
-struct Out {
+struct InFlightAttempt {
     sent: Duration,
     give_up: Duration,
     class: usize,
     build: u32,
-    meter: Rc<Meter>,
+    meter: Rc<TransferMeter>,
     ticket: Option<Ticket>,
     ends: Pin<Box<dyn Future<Output = Ended>>>,
 }
@@ -61,20 +62,20 @@
 }
 
 /// Takes a request that came in whole at `heard`, and sees it to its final answer.
-pub async fn live(
+pub async fn handle_request(
     agent: &Rc<Agent>,
     client: &mut Connection,
     statement: Statement,
     heard: Duration,
-) -> Final {
-    agent.may_serve().await;
+) -> FinalResponse {
+    agent.endpoints.serving_allowed().await;
     // Numbers are those of the settings in force as the module takes it, and stay its own to its
     // end.
     let (class, tenant, idempotency) = {
-        let site = agent.site();
+        let site = agent.service_config();
         // They may have changed while it waited above: nothing ran, and a retry is told more.
         let Ok(class) = class(&site, &statement) else {
-            return Final::Rejected(None);
+            return FinalResponse::Rejected(None);
         };
         let tenant = statement.tenant.as_deref().and_then(|c| site.tenant(c));
         (class, tenant, site.settings.classes[class].idempotency)
@@ -91,10 +92,13 @@
         is_retry: again,
     };
     let statement = Rc::new(statement);
-    let mut out: Vec<Option<Out>> = Vec::new();
+    let mut out: Vec<Option<InFlightAttempt>> = Vec::new();
     let (mut look, mut ran): (Option<Duration>, bool) = (None, false);
-    agent.border.taken(agent.clock.now(), class);
-    let (id, mut answer) = agent.hand.take(command);
+    agent.zone_traffic.on_request(agent.clock.now(), class);
+    let AdmittedRequest {
+        id,
+        decision: mut answer,
+    } = agent.balancer.on_request(command);
     let end = loop {
         match answer {
             Decision::Forward {
@@ -117,8 +121,8 @@
                 look = at.or(look);
             }
             Decision::Defer { until } => look = Some(until),
-            Decision::Reject { retry_after } => break Final::Rejected(retry_after),
-            Decision::Fail => break Final::Scrapped,
+            Decision::Reject { retry_after } => break FinalResponse::Rejected(retry_after),
+            Decision::Fail => break FinalResponse::Failed,
             Decision::Cancel { attempt } => {
                 answer = withdraw(agent, id, &mut out, attempt, false);
                 continue;
@@ -127,32 +131,46 @@
         }
         answer = match next(agent, &mut out, &mut look, client, deadline).await {
             Next::Ended(n, sent, (Outcome::Succeeded, value)) => {
-                if let Decision::Cancel { attempt } =
-                    agent.hand.after(id, n, sent, Outcome::Succeeded, true)
-                {
+                if let Decision::Cancel { attempt } = agent.balancer.on_attempt_end(
+                    id,
+                    AttemptResult {
+                        attempt: n,
+                        sent,
+                        outcome: Outcome::Succeeded,
+                        request_closed: true,
+                    },
+                ) {
                     withdraw(agent, id, &mut out, attempt, true);
                 }
-                break Final::Succeeded(value);
+                break FinalResponse::Succeeded(value);
             }
             Next::Ended(n, sent, (outcome, _)) => {
                 ran |= !outcome.never_ran();
-                agent.hand.after(id, n, sent, outcome, false)
+                agent.balancer.on_attempt_end(
+                    id,
+                    AttemptResult {
+                        attempt: n,
+                        sent,
+                        outcome,
+                        request_closed: false,
+                    },
+                )
             }
-            Next::Look => agent.hand.place(id),
+            Next::Look => agent.balancer.route(id),
             Next::Left => {
-                agent.hand.left(id);
-                break Final::Left;
+                agent.balancer.close_request(id);
+                break FinalResponse::Left;
             }
             // A net under the module's own time-outs: an answer is owed before the expiry, come
             // what may.
             Next::Expired => {
-                agent.hand.left(id);
-                break Final::Scrapped;
+                agent.balancer.close_request(id);
+                break FinalResponse::Failed;
             }
         };
     };
     let now = agent.clock.now();
-    log::debug!(target: EVIDENCE, "{} command lane {class} {} {} us work {} us",
+    log::debug!(target: EVIDENCE, "{} request class {class} {} {} us work {} us",
         agent.clock.wall(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
     // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
     // and the module hears of it.
@@ -164,6 +182,7 @@
     if out.iter().any(Option::is_some) {
         let shared = agent.clone();
         agent
+            .executors
             .tasks
             .spawn(async move { rest(&shared, id, out).await })
             .detach();
@@ -178,12 +197,12 @@
     endpoint: usize,
     timeout: Duration,
     sending: Sending,
-) -> Out {
+) -> InFlightAttempt {
     let sent = agent.clock.now();
-    let (give_up, meter) = (sent + timeout, Rc::new(Meter::default()));
-    let Some(target) = agent.target(endpoint) else {
+    let (give_up, meter) = (sent + timeout, Rc::new(TransferMeter::default()));
+    let Some(target) = agent.endpoints.target(endpoint) else {
         let ends = Box::pin(async { (Outcome::NotSent, Vec::new()) });
-        return Out {
+        return InFlightAttempt {
             sent,
             give_up,
             class: sending.class,
@@ -193,21 +212,26 @@
             ends,
         };
     };
-    let trial = agent.hand.on_trial(target.build);
+    let trial = agent.balancer.is_canary(target.build);
     let sending = Sending {
         to: target.zone,
         build: target.build,
         trial,
         ..sending
     };
-    let ticket = agent.border.sent(sent, sending, || {
-        agent.hand.zone_capacities(agent.site().zones.len() + 1)
+    let ticket = agent.zone_traffic.on_attempt(sent, sending, || {
+        agent
+            .balancer
+            .zone_capacities(agent.service_config().zones.len() + 1)
     });
-    if target.zone != agent.site().settings.zone {
-        agent.crossings();
+    if target.zone != agent.service_config().settings.zone {
+        agent.apply_cross_zone_policy();
     }
-    let (turn, held) = (agent.hand.turn(), agent.hold(endpoint));
-    let order = Order {
+    let (turn, held) = (
+        agent.balancer.rollout_revision(),
+        agent.endpoints.retain_index(endpoint),
+    );
+    let order = AttemptPlan {
         id,
         nth: sending.nth,
         target,
@@ -216,14 +240,14 @@
         held,
     };
     let (agent, statement, on) = (agent.clone(), statement.clone(), meter.clone());
-    Out {
+    InFlightAttempt {
         sent,
         give_up,
         class: sending.class,
         build: target.build,
         meter,
         ticket,
-        ends: Box::pin(async move { deliver(&agent, &statement, order, &on).await }),
+        ends: Box::pin(async move { send_attempt(&agent, &statement, order, &on).await }),
     }
 }
 
@@ -238,10 +262,10 @@
     )
 }
 
-impl Out {
+impl InFlightAttempt {
     /// It is over: what it did goes into the account of what crosses.
     fn account(self, agent: &Agent, outcome: Outcome) {
-        let Out {
+        let InFlightAttempt {
             sent,
             class,
             build,
@@ -253,11 +277,11 @@
         drop(ends);
         let now = agent.clock.now();
         let took = now.saturating_sub(sent);
-        log::debug!(target: EVIDENCE, "{} delivery lane {class} build {build} {outcome:?} {} us",
+        log::debug!(target: EVIDENCE, "{} attempt class {class} build {build} {outcome:?} {} us",
             agent.clock.wall(now), took.as_micros());
         agent
-            .border
-            .ended(now, ticket.as_ref(), &meter, outcome, took);
+            .zone_traffic
+            .on_attempt_end(now, ticket.as_ref(), &meter, outcome, took);
     }
 }
 
@@ -265,7 +289,7 @@
 fn withdraw(
     agent: &Agent,
     id: u64,
-    out: &mut [Option<Out>],
+    out: &mut [Option<InFlightAttempt>],
     attempt: usize,
     closed: bool,
 ) -> Decision {
@@ -273,20 +297,34 @@
         Some(o) => {
             let sent = o.sent;
             o.account(agent, Outcome::Cancelled);
-            agent
-                .hand
-                .after(id, attempt, sent, Outcome::Cancelled, closed)
+            agent.balancer.on_attempt_end(
+                id,
+                AttemptResult {
+                    attempt,
+                    sent,
+                    outcome: Outcome::Cancelled,
+                    request_closed: closed,
+                },
+            )
         }
         None => Decision::Await,
     }
 }
 
 /// Gives up an attempt that was not written whole.
-fn end_unwritten(agent: &Agent, id: u64, out: &mut [Option<Out>], attempt: usize) {
+fn end_unwritten(agent: &Agent, id: u64, out: &mut [Option<InFlightAttempt>], attempt: usize) {
     if let Some(o) = out[attempt].take() {
         let sent = o.sent;
         o.account(agent, Outcome::NotSent);
-        agent.hand.after(id, attempt, sent, Outcome::NotSent, true);
+        agent.balancer.on_attempt_end(
+            id,
+            AttemptResult {
+                attempt,
+                sent,
+                outcome: Outcome::NotSent,
+                request_closed: true,
+            },
+        );
     }
 }
 
@@ -295,7 +333,7 @@
 /// also its first byte.
 async fn next(
     agent: &Agent,
-    out: &mut [Option<Out>],
+    out: &mut [Option<InFlightAttempt>],
     look: &mut Option<Duration>,
     client: &mut Connection,
     deadline: Duration,
@@ -329,7 +367,11 @@
 }
 
 /// An attempt whose time is over is closed. It never ran if it was not yet written whole.
-fn late(agent: &Agent, out: &mut [Option<Out>], now: Duration) -> Option<(usize, Duration, Ended)> {
+fn late(
+    agent: &Agent,
+    out: &mut [Option<InFlightAttempt>],
+    now: Duration,
+) -> Option<(usize, Duration, Ended)> {
     let n = out
         .iter()
         .position(|o| o.as_ref().is_some_and(|o| o.give_up <= now))?;
@@ -346,7 +388,7 @@
 
 fn ended(
     agent: &Agent,
-    out: &mut [Option<Out>],
+    out: &mut [Option<InFlightAttempt>],
     cx: &mut Context,
 ) -> Option<(usize, Duration, Ended)> {
     for (n, slot) in out.iter_mut().enumerate() {
@@ -373,7 +415,7 @@
 }
 
 /// Hears out the attempts of a request that has its final answer.
-async fn rest(agent: &Agent, id: u64, mut out: Vec<Option<Out>>) {
+async fn rest(agent: &Agent, id: u64, mut out: Vec<Option<InFlightAttempt>>) {
     while let Some(give_up) = out.iter().flatten().map(|o| o.give_up).min() {
         let mut timer = pin!(Timer::at(agent.clock.instant(give_up)));
         let ends = poll_fn(|cx| match ended(agent, &mut out, cx) {
@@ -386,7 +428,15 @@
         let Some((n, sent, (outcome, _))) = ends.await else {
             continue;
         };
-        if let Decision::Cancel { attempt } = agent.hand.after(id, n, sent, outcome, true) {
+        if let Decision::Cancel { attempt } = agent.balancer.on_attempt_end(
+            id,
+            AttemptResult {
+                attempt: n,
+                sent,
+                outcome,
+                request_closed: true,
+            },
+        ) {
             withdraw(agent, id, &mut out, attempt, true);
         }
     }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -5,8 +5,8 @@
 use crate::protocol::postgres::{self, Hearing, Verdict};
 use crate::protocol::statement::Statement;
 use crate::protocol::Malformed;
-use crate::upstream::pool::Held;
-use crate::upstream::zone_traffic::Meter;
+use crate::upstream::pool::PooledConnection;
+use crate::upstream::zone_traffic::TransferMeter;
 use futures_lite::FutureExt;
 use std::cell::RefCell;
 use std::io;
@@ -20,7 +20,7 @@
 const REST_WITHIN: Duration = Duration::from_millis(500);
 
 /// What was decided, and the news it was decided on.
-pub struct Order {
+pub struct AttemptPlan {
     /// Its request, and which of that request's attempts it is.
     pub id: u64,
     pub nth: usize,
@@ -34,15 +34,15 @@
 /// Runs one attempt to its end; the messages of the value where there is one. `meter` tells once
 /// all of it went out, and what went over its sockets. Dropping it closes its connection, which
 /// withdraws it.
-pub async fn deliver(
+pub async fn send_attempt(
     agent: &Agent,
     statement: &Statement,
-    order: Order,
-    meter: &Meter,
+    order: AttemptPlan,
+    meter: &TransferMeter,
 ) -> (Outcome, Vec<u8>) {
     let none = |outcome| (outcome, Vec::new());
     let mut held = loop {
-        let (mut held, reused) = match agent.waiting(order.target.endpoint) {
+        let (mut held, reused) = match agent.pool.take(order.target.endpoint) {
             Some(held) => (held, true),
             None => match open(agent, order.target).await {
                 Ok(held) => (held, false),
@@ -52,15 +52,17 @@
         meter.on(held.connection.traffic.clone());
         // It may have waited for its connection: nothing goes out that would be decided otherwise
         // by now.
-        let listed = agent.target(order.target.endpoint) == Some(order.target);
-        let stands = agent.hand.stands(order.target.build, order.turn);
-        if !listed || !stands || !agent.hand.holds(order.id, order.nth) {
-            agent.keep(order.target, held);
+        let listed = agent.endpoints.target(order.target.endpoint) == Some(order.target);
+        let stands = agent
+            .balancer
+            .rollout_allows(order.target.build, order.turn);
+        if !listed || !stands || !agent.balancer.attempt_allowed(order.id, order.nth) {
+            agent.return_connection(order.target, held);
             return none(Outcome::NotSent);
         }
         let wait = order.give_up.saturating_sub(agent.clock.now());
         let query = postgres::query(&statement.with_wait(wait));
-        held.asked(agent.clock.now());
+        held.on_request(agent.clock.now());
         match held.connection.write(&query).await {
             Ok(()) => {}
             // The endpoint closed it as the request went out: not all of it was written, so it
@@ -85,9 +87,9 @@
     let ended = hear(agent, &mut held.connection, &mut hearing).await;
     if let Some(load) = hearing
         .held
-        .filter(|_| agent.target(order.target.endpoint) == Some(order.target))
+        .filter(|_| agent.endpoints.target(order.target.endpoint) == Some(order.target))
     {
-        agent.hand.told(order.target.endpoint, load);
+        agent.balancer.on_load_report(order.target.endpoint, load);
     }
     // A spoilt answer says nothing, not even that the request never ran.
     let outcome = match (&ended, hearing.verdict) {
@@ -99,14 +101,14 @@
     match ended {
         // What comes behind an answer belongs to nobody, and would be heard as the next request's.
         Ok(()) if held.connection.inbox.is_empty() => {
-            held.answered(agent.clock.now());
-            agent.keep(order.target, held);
+            held.on_answer(agent.clock.now());
+            agent.return_connection(order.target, held);
         }
         Ok(()) => agent.counters.unasked.add(),
         Err(Heard::Garbage(m)) => {
             meter.flaw.set(Flaw::Spoilt);
             agent.counters.spoilt.add();
-            let name = agent.endpoint_name(order.target.endpoint);
+            let name = agent.endpoints.name(order.target.endpoint);
             log::debug!("appliance {name}: {m}; its connection is closed");
         }
         Err(Heard::Half) => {
@@ -162,7 +164,7 @@
         let more = async { connection.more().await.map_err(Heard::from) };
         let got = if begun {
             let late = async {
-                agent.until(agent.clock.now() + REST_WITHIN).await;
+                agent.sleep_until(agent.clock.now() + REST_WITHIN).await;
                 Err(Heard::Half)
             };
             more.or(late).await?
@@ -176,17 +178,17 @@
 }
 
 /// A new connection, ready for its first query.
-async fn open(agent: &Agent, target: Target) -> Result<Held, Outcome> {
+async fn open(agent: &Agent, target: Target) -> Result<PooledConnection, Outcome> {
     let slot = loop {
-        match agent.sockets.endpoint() {
+        match agent.limits.connections.endpoint_permit() {
             Some(slot) => break slot,
-            None if agent.evict_idle() => {}
+            None if agent.pool.evict_idle() => {}
             None => return Err(Outcome::NotSent),
         }
     };
     let late = async {
         agent
-            .until(agent.clock.now() + agent.site().connect_timeout)
+            .sleep_until(agent.clock.now() + agent.service_config().connect_timeout)
             .await;
         Err(Outcome::ConnectFailed)
     };
@@ -217,7 +219,7 @@
     let opened = opening
         .or(late)
         .await
-        .map(|c| Held::new(c, slot, agent.clock.now()));
+        .map(|c| PooledConnection::new(c, slot, agent.clock.now()));
     if opened.is_ok() {
         handshake.charge(true);
     }
@@ -240,7 +242,7 @@
         let ((out, back), now) = (traffic.charge(), self.agent.clock.now());
         let took = open.then(|| now.saturating_sub(self.begun));
         let Target { zone, build, .. } = self.target;
-        self.agent.border.opened(
+        self.agent.zone_traffic.on_connection_opened(
             now,
             Opening {
                 to: zone,
@@ -263,19 +265,19 @@
 /// handshakes. None where each is paid for, as most would close again before a request came for
 /// them; there the first requests wait for their own.
 pub async fn warm(agent: &Rc<Agent>) {
-    let targets = agent.targets().await;
-    if agent.site().handshake_price > 0.0 {
+    let targets = agent.endpoints.usable_targets().await;
+    if agent.service_config().handshake_price > 0.0 {
         return;
     }
-    let each = agent.sockets.max_endpoints() / 2 / targets.len().max(1);
+    let each = agent.limits.connections.max_endpoint_connections() / 2 / targets.len().max(1);
     let opening: Vec<_> = targets
         .into_iter()
         .map(|target| {
             let agent = agent.clone();
-            agent.clone().tasks.spawn(async move {
+            agent.clone().executors.tasks.spawn(async move {
                 for _ in 0..each {
                     match open(&agent, target).await {
-                        Ok(held) => agent.keep(target, held),
+                        Ok(held) => agent.return_connection(target, held),
                         Err(_) => return,
                     }
                 }
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -1,5 +1,6 @@
-//! What goes to endpoints: attempts, the connection pool, and the accounting of cross-zone traffic.
+//! What goes to endpoints: attempts, the connection pool, the limits on connections, and the accounting of cross-zone traffic.
 
 pub mod attempt;
+pub mod limits;
 pub mod pool;
 pub mod zone_traffic;
--- a/crates/agent/src/upstream/zone_traffic.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -12,40 +12,40 @@
 };
 
 /// How often a budget that is spent is written of.
-const NOTED_EVERY: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 #[derive(Default)]
-pub struct Border {
+pub struct ZoneTraffic {
     zones: RefCell<Option<Zones>>,
     names: RefCell<Names>,
     since: Cell<Duration>,
-    noted: RefCell<BTreeMap<String, (Duration, u64)>>, // by budget: when, and how many were over by then
+    logged: RefCell<BTreeMap<String, (Duration, u64)>>, // by budget: when, and how many were over by then
 }
 
-impl Border {
-    pub fn new(now: Duration, zoning: Option<Zoning>, names: Names) -> Border {
-        Border {
+impl ZoneTraffic {
+    pub fn new(now: Duration, zoning: Option<Zoning>, names: Names) -> ZoneTraffic {
+        ZoneTraffic {
             zones: RefCell::new(zoning.map(|z| Zones::new(now, z))),
             names: RefCell::new(names),
             since: Cell::new(now),
-            noted: RefCell::default(),
+            logged: RefCell::default(),
         }
     }
 
     /// The name of the agent.
-    pub fn agent(&self) -> String {
+    pub fn agent_name(&self) -> String {
         self.names.borrow().agent.clone()
     }
 
     /// Whether anything is accounted for.
-    pub fn watches(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.zones.borrow().is_some()
     }
 
     /// Goes on under an installation and settings read anew, the classes numbered as `by` says. The
     /// account and what is spent stay as long as there is one and the zones are those of before;
     /// says whether they do.
-    pub fn renew(
+    pub fn reload(
         &self,
         now: Duration,
         zoning: Option<Zoning>,
@@ -75,13 +75,13 @@
         goes_on
     }
 
-    pub fn taken(&self, now: Duration, class: usize) {
+    pub fn on_request(&self, now: Duration, class: usize) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
             z.taken(now, class);
         }
     }
 
-    pub fn sent(
+    pub fn on_attempt(
         &self,
         now: Duration,
         sending: Sending,
@@ -94,11 +94,11 @@
     }
 
     /// An attempt has ended: what its meter read goes into the account.
-    pub fn ended(
+    pub fn on_attempt_end(
         &self,
         now: Duration,
         ticket: Option<&Ticket>,
-        meter: &Meter,
+        meter: &TransferMeter,
         outcome: Outcome,
         took: Duration,
     ) {
@@ -120,26 +120,26 @@
         }
     }
 
-    pub fn opened(&self, now: Duration, opening: Opening) {
+    pub fn on_connection_opened(&self, now: Duration, opening: Opening) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
             z.opened(now, &opening);
         }
     }
 
-    pub fn step(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
+    pub fn update(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
             let all = z.zoning().all();
             z.step(now, &zone_capacities(all));
-            self.note(now, z);
+            self.log_exhausted_budgets(now, z);
         }
     }
 
     /// A line for each budget that attempts went over, with why; none for a single request.
-    fn note(&self, now: Duration, zones: &Zones) {
-        let mut noted = self.noted.borrow_mut();
+    fn log_exhausted_budgets(&self, now: Duration, zones: &Zones) {
+        let mut logged = self.logged.borrow_mut();
         for p in zones.purses().purses() {
-            let (at, before) = noted.get(&p.budget.name).copied().unwrap_or_default();
-            if p.over() <= before || now < at + NOTED_EVERY {
+            let (at, before) = logged.get(&p.budget.name).copied().unwrap_or_default();
+            if p.over() <= before || now < at + LOG_INTERVAL {
                 continue;
             }
             let why = tulipwall_zones::Reason::ALL
@@ -151,9 +151,9 @@
             log::warn!(budget = p.budget.name.as_str(), over = p.over(), used = p.used(), part = p.limit();
                 "zones: budget '{}' is spent; {} deliveries went over it since the start: {}",
                 p.budget.name, p.over(), why.join(", "));
-            noted.insert(p.budget.name.clone(), (now, p.over()));
+            logged.insert(p.budget.name.clone(), (now, p.over()));
         }
-        noted.retain(|name, _| {
+        logged.retain(|name, _| {
             zones
                 .purses()
                 .purses()
@@ -163,18 +163,23 @@
     }
 
     /// What crossing means now, if that has changed.
-    pub fn crossings(&self) -> Option<CrossZonePolicy> {
+    pub fn changed_policy(&self) -> Option<CrossZonePolicy> {
         self.zones.borrow_mut().as_mut().and_then(Zones::crossings)
     }
 
-    pub fn alive(&self, builds: impl FnOnce() -> BTreeSet<u32>) {
+    pub fn retain_builds(&self, builds: impl FnOnce() -> BTreeSet<u32>) {
         if let Some(z) = self.zones.borrow_mut().as_mut() {
             z.alive(&builds());
         }
     }
 
     /// The next lines of the report and where it goes on; nothing where there is no account.
-    pub fn lines(&self, now: Duration, unix: Duration, place: Place) -> Option<(Vec<Line>, Place)> {
+    pub fn report_lines(
+        &self,
+        now: Duration,
+        unix: Duration,
+        place: Place,
+    ) -> Option<(Vec<Line>, Place)> {
         let wall = Wall {
             now,
             unix,
@@ -189,7 +194,7 @@
 
 /// What one attempt does on its sockets, also when it is dropped halfway.
 #[derive(Default)]
-pub struct Meter {
+pub struct TransferMeter {
     /// All of the statement went out.
     pub written: Cell<bool>,
     pub flaw: Cell<Flaw>,
@@ -197,7 +202,7 @@
     on: RefCell<Option<Rc<Traffic>>>,
 }
 
-impl Meter {
+impl TransferMeter {
     /// It goes on on this connection.
     pub fn on(&self, traffic: Rc<Traffic>) {
         self.before.set(self.read());
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn each_end_of_a_delivery_and_of_a_command_is_logged_where_evidence_is_asked_for_and_else_none() {
+fn logs_each_end_of_an_attempt_and_of_a_request_where_evidence_is_asked_for_and_else_none() {
     let log = logged("RUST_LOG=info,evidence=debug");
     let lines = |begin: &str, with: &str| {
         let said = log
@@ -72,19 +72,19 @@
     };
     let (taken, succeeded) = (counted("taken "), counted("satisfied "));
     assert!(taken > 100 && succeeded > 100, "{counters}");
-    assert_eq!(lines("command lane 0 ", ""), taken, "{counters}");
+    assert_eq!(lines("request class 0 ", ""), taken, "{counters}");
     assert_eq!(
-        lines("command lane 0 Succeeded", ""),
+        lines("request class 0 Succeeded", ""),
         succeeded,
         "{counters}"
     );
     assert_eq!(
-        lines("delivery lane 0 build 41 ", " Succeeded "),
+        lines("attempt class 0 build 41 ", " Succeeded "),
         succeeded,
         "{counters}"
     );
     assert!(
-        lines("news build 41 stage 2 Released", "") > 0 && lines("start agents ", " back ") == 1,
+        lines("rollout build 41 stage 2 Released", "") > 0 && lines("start agents ", " back ") == 1,
         "{log}"
     );
 
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -105,7 +105,7 @@
     assert!(
         agent
             .log()
-            .contains("new settings: 4 lanes, 1 tenants, 1 zones"),
+            .contains("new settings: 4 classes, 1 tenants, 1 zones"),
         "{}",
         agent.log()
     );
