--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -12,8 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tulipwall_client::{
-    Answered, Call, Client, Connections, DeduplicationScope, Idempotency, Retrying, Service,
-    Unanswered,
+    Call, CallError, CallResponse, Client, ClientConfig, ConnectionPolicy, DeduplicationScope,
+    Idempotency, RetryPolicy,
 };
 use tulipwall_testkit::ground::{sleep, spawn, until};
 use tulipwall_testkit::{
@@ -70,7 +70,7 @@
 }
 
 impl Met {
-    fn note(&self, begun: Instant, expiry: Duration, ended: &Result<Answered, Unanswered>) {
+    fn note(&self, begun: Instant, expiry: Duration, ended: &Result<CallResponse, CallError>) {
         let count = if ended.is_ok() {
             &self.succeeded
         } else {
@@ -160,7 +160,7 @@
     let opened = || {
         clients
             .iter()
-            .map(|c| c.seen().counters.opened)
+            .map(|c| c.stats().counters.connections_opened)
             .sum::<u64>()
     };
     // New connections in each 100 ms from the restart on.
@@ -248,8 +248,10 @@
     drop(agent);
     let _agent = Program::start(BINARY, configuration, &[]).unwrap();
     match block_on(paying) {
-        Err(Unanswered::Scrapped { tried, .. }) => {
-            assert!(tried.may_have_run && tried.agents.len() == 1)
+        Err(CallError::Failed {
+            attempts: tried, ..
+        }) => {
+            assert!(tried.may_have_executed && tried.agents.len() == 1)
         }
         other => panic!("{other:?}"),
     }
@@ -267,21 +269,23 @@
     let cutter = Cutter::start(address, vec![half]).unwrap();
     let client = Client::new(service(vec![cutter.address]));
     match block_on(client.call(Call::read("payment", "p1", ms(1500)))) {
-        Err(Unanswered::Scrapped { tried, .. }) => assert!(tried.may_have_run),
+        Err(CallError::Failed {
+            attempts: tried, ..
+        }) => assert!(tried.may_have_executed),
         other => panic!("{other:?}"),
     }
     let cutter = Cutter::start(address, vec![half]).unwrap();
-    let quick = Connections {
-        spread: ms(50),
-        ..Connections::default()
+    let quick = ConnectionPolicy {
+        reconnect_spread: ms(50),
+        ..ConnectionPolicy::default()
     };
-    let client = Client::new(Service {
+    let client = Client::new(ClientConfig {
         connections: quick,
         ..service(vec![cutter.address])
     });
     let answered = block_on(client.call(Call::read("view", "v1", ms(1500)))).unwrap();
     assert_eq!(
-        (answered.value, answered.tried.ended),
+        (answered.value, answered.attempts.failures),
         (vec![0x9f, 3], vec!["broken"])
     );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
@@ -405,10 +409,10 @@
     let agent = start(&world);
     let client = Client::new(service(vec![agent.address().unwrap()]));
     let call = client.call(Call::read("payment", "p1", ms(5000)));
-    let keeps = async { thread::sleep(client.service().connections.within + ms(200)) };
+    let keeps = async { thread::sleep(client.config().connections.connect_timeout + ms(200)) };
     let (answered, ()) = block_on(zip(call, keeps));
-    let tried = answered.unwrap().tried;
-    assert_eq!((tried.agents.len(), tried.ended), (1, vec![]));
+    let tried = answered.unwrap().attempts;
+    assert_eq!((tried.agents.len(), tried.failures), (1, vec![]));
 }
 
 #[test]
@@ -428,8 +432,18 @@
         agent.signal(rustix::process::Signal::KILL).unwrap();
     }
     thread::sleep(Duration::from_secs(5));
-    let tries = || clients.iter().map(|c| c.seen().counters.tries).sum::<u64>();
-    let calls_made = || clients.iter().map(|c| c.seen().counters.calls).sum::<u64>();
+    let tries = || {
+        clients
+            .iter()
+            .map(|c| c.stats().counters.attempts)
+            .sum::<u64>()
+    };
+    let calls_made = || {
+        clients
+            .iter()
+            .map(|c| c.stats().counters.calls)
+            .sum::<u64>()
+    };
     let (before, called) = (tries(), calls_made());
     thread::sleep(ms(500));
     assert!(
@@ -470,7 +484,7 @@
     let slow = ended
         .iter()
         .flatten()
-        .filter(|a| a.tried.took > ms(400))
+        .filter(|a| a.attempts.elapsed > ms(400))
         .count();
     assert!(slow <= 6, "it is tried gently: {slow} of 60 met it");
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
@@ -521,9 +535,9 @@
         window: ms(40),
     };
     // New connections wait for longer than the window.
-    s.connections = Connections {
-        spread: Duration::from_secs(60),
-        ..Connections::default()
+    s.connections = ConnectionPolicy {
+        reconnect_spread: Duration::from_secs(60),
+        ..ConnectionPolicy::default()
     };
     let client = Client::new(s);
     let begun = Instant::now();
@@ -531,7 +545,7 @@
     assert!(
         ended
             .as_ref()
-            .is_err_and(|e| e.tried().is_some_and(|t| t.may_have_run)),
+            .is_err_and(|e| e.attempts().is_some_and(|t| t.may_have_executed)),
         "{ended:?}"
     );
     assert!(begun.elapsed() < ms(1200) + SLACK);
@@ -558,7 +572,7 @@
     assert!(until(|| world.seen().len() == 1));
     assert!(matches!(
         block_on(two.call(call())),
-        Err(Unanswered::Faulty(_))
+        Err(CallError::InvalidCall(_))
     ));
     assert!(block_on(first).is_ok());
     assert!(
@@ -580,11 +594,11 @@
     });
     assert!(until(|| world.seen().len() == 1));
     drop(call);
-    assert!(until(|| client.seen().in_flight == 0));
+    assert!(until(|| client.stats().in_flight == 0));
     assert_eq!(
         (
-            client.seen().counters.left,
-            client.seen().idle.iter().sum::<usize>()
+            client.stats().counters.cancelled,
+            client.stats().idle_connections.iter().sum::<usize>()
         ),
         (1, 0)
     );
@@ -622,13 +636,14 @@
                 });
                 let cutter = Cutter::start(address, cuts.collect()).unwrap();
                 let mut s = service(vec![cutter.address]);
-                s.connections = Connections {
-                    spread: ms(4),
-                    ..Connections::default()
+                s.connections = ConnectionPolicy {
+                    reconnect_spread: ms(4),
+                    ..ConnectionPolicy::default()
                 };
-                s.retrying = Retrying {
-                    pause: (ms(2), ms(10)),
-                    ..Retrying::default()
+                s.retry = RetryPolicy {
+                    initial_backoff: ms(2),
+                    max_backoff: ms(10),
+                    ..RetryPolicy::default()
                 };
                 let client = Client::new(s);
                 for n in 0..4 {
@@ -646,18 +661,20 @@
                             assert_eq!(answered.value, [0x9f, 3], "seed {seed}");
                             good.fetch_add(1, Ordering::Relaxed);
                         }
-                        Err(Unanswered::Rejected { tried, .. }) => {
+                        Err(CallError::Rejected {
+                            attempts: tried, ..
+                        }) => {
                             assert!(
-                                !tried.may_have_run || class == "view",
+                                !tried.may_have_executed || class == "view",
                                 "seed {seed}: {ended:?}"
                             );
                         }
                         Err(_) => {}
                     }
                 }
-                let c = client.seen().counters;
+                let c = client.stats().counters;
                 assert_eq!(
-                    (c.calls, c.left, client.seen().in_flight),
+                    (c.calls, c.cancelled, client.stats().in_flight),
                     (4, 0, 0),
                     "seed {seed}"
                 );
--- a/crates/client-policy/tests/endpoints.rs
+++ b/crates/client-policy/tests/agents.rs
@@ -7,8 +7,8 @@
     Duration::from_millis(n)
 }
 
-fn endpoints(agents: usize, seed: u64) -> Endpoints {
-    Endpoints::new(Connections::default(), agents, seed)
+fn endpoints(agents: usize, seed: u64) -> AgentSelector {
+    AgentSelector::new(ConnectionPolicy::default(), agents, seed)
 }
 
 #[test]
@@ -17,14 +17,14 @@
     // The third answers ten times slower: by turns of a millisecond.
     let (mut out, mut got): (Vec<(u64, usize)>, [u32; 3]) = (Vec::new(), [0; 3]);
     for now in 0..5000u64 {
-        if let Chosen::Agent(a) = e.choose(ms(now), None, |_| true) {
+        if let Selection::Agent(a) = e.select(ms(now), None, |_| true) {
             got[a] += 1;
             out.push((now + if a == 2 { 50 } else { 5 }, a));
         }
         out.retain(|(at, a)| {
             let over = *at <= now;
             if over {
-                e.ended(ms(now), *a, Some(true));
+                e.on_attempt_end(ms(now), *a, AttemptSignal::Success);
             }
             !over
         });
@@ -36,24 +36,24 @@
 fn one_that_fails_rests_and_comes_back_one_call_at_a_time() {
     let mut e = endpoints(1, 2);
     for _ in 0..3 {
-        assert_eq!(e.choose(ms(0), None, |_| true), Chosen::Agent(0));
-        e.ended(ms(0), 0, Some(false));
+        assert_eq!(e.select(ms(0), None, |_| true), Selection::Agent(0));
+        e.on_attempt_end(ms(0), 0, AttemptSignal::Failure);
     }
-    let Chosen::NotBefore(until) = e.choose(ms(0), None, |_| true) else {
+    let Selection::NotBefore(until) = e.select(ms(0), None, |_| true) else {
         panic!("it rests")
     };
     assert!(until >= ms(50) && until <= ms(100));
-    assert_eq!(e.choose(until, None, |_| true), Chosen::Agent(0));
+    assert_eq!(e.select(until, None, |_| true), Selection::Agent(0));
     assert!(
-        matches!(e.choose(until, None, |_| true), Chosen::NotBefore(_)),
+        matches!(e.select(until, None, |_| true), Selection::NotBefore(_)),
         "one at a time"
     );
-    e.ended(until, 0, Some(true));
-    assert_eq!(e.state(0), State::Trying(2));
-    assert_eq!(e.choose(until, None, |_| true), Chosen::Agent(0));
-    e.ended(until, 0, Some(false));
+    e.on_attempt_end(until, 0, AttemptSignal::Success);
+    assert_eq!(e.health(0), AgentHealth::Probing { max_in_flight: 2 });
+    assert_eq!(e.select(until, None, |_| true), Selection::Agent(0));
+    e.on_attempt_end(until, 0, AttemptSignal::Failure);
     assert!(
-        matches!(e.state(0), State::Resting(at) if at > until),
+        matches!(e.health(0), AgentHealth::Ejected { until: at } if at > until),
         "and rests again at the first failure"
     );
 }
@@ -61,10 +61,10 @@
 #[test]
 fn a_retry_goes_to_another_agent_and_one_that_leaves_gets_nothing() {
     let mut e = endpoints(2, 3);
-    assert!((0..50).all(|_| e.choose(ms(0), Some(1), |_| true) == Chosen::Agent(0)));
-    e.leaves(ms(0), 0);
+    assert!((0..50).all(|_| e.select(ms(0), Some(1), |_| true) == Selection::Agent(0)));
+    e.on_draining(ms(0), 0);
     assert!(
-        (0..50).all(|_| e.choose(ms(0), Some(1), |_| true) == Chosen::Agent(1)),
+        (0..50).all(|_| e.select(ms(0), Some(1), |_| true) == Selection::Agent(1)),
         "the only one that is left"
     );
 }
@@ -72,32 +72,32 @@
 #[test]
 fn one_whose_gate_is_closed_is_chosen_only_where_a_connection_waits() {
     let mut e = endpoints(2, 5);
-    e.lost(ms(0), 0);
-    assert!((0..50).all(|_| e.choose(ms(0), None, |_| false) == Chosen::Agent(1)));
-    assert!((0..50).any(|_| e.choose(ms(0), None, |a| a == 0) == Chosen::Agent(0)));
-    e.lost(ms(0), 1);
+    e.on_connection_loss(ms(0), 0);
+    assert!((0..50).all(|_| e.select(ms(0), None, |_| false) == Selection::Agent(1)));
+    assert!((0..50).any(|_| e.select(ms(0), None, |a| a == 0) == Selection::Agent(0)));
+    e.on_connection_loss(ms(0), 1);
     assert!(
-        matches!(e.choose(ms(0), None, |_| false), Chosen::NotBefore(at) if at > ms(0) && at < ms(3000))
+        matches!(e.select(ms(0), None, |_| false), Selection::NotBefore(at) if at > ms(0) && at < ms(3000))
     );
 }
 
 #[test]
 fn an_agent_that_makes_room_again_and_again_is_not_taken_for_one_that_is_lost() {
-    let gate = |e: &mut Endpoints, now| match e.open(now, 0) {
-        Opening::NotBefore(at) => at - now,
+    let gate = |e: &mut AgentSelector, now| match e.try_connect(now, 0) {
+        ConnectDecision::NotBefore(at) => at - now,
         _ => ms(0),
     };
     let first: Vec<Duration> = (0..50)
         .map(|seed| {
             let mut e = endpoints(1, seed);
-            e.closed(ms(1000), 0);
+            e.on_idle_close(ms(1000), 0);
             gate(&mut e, ms(1000))
         })
         .collect();
     assert!(first.iter().max() > Some(&ms(2500)), "as after a loss");
     let mut e = endpoints(1, 7);
-    e.closed(ms(1000), 0);
-    e.closed(ms(9000), 0);
+    e.on_idle_close(ms(1000), 0);
+    e.on_idle_close(ms(9000), 0);
     assert!(gate(&mut e, ms(9000)) <= ms(300));
 }
 
@@ -105,11 +105,11 @@
 fn reopened(clients: u64) -> Vec<Duration> {
     let open = |seed| {
         let mut e = endpoints(1, seed);
-        e.lost(ms(1000), 0);
-        match e.open(ms(1000), 0) {
-            Opening::NotBefore(at) => at,
-            Opening::Now => ms(1000),
-            Opening::Full => panic!("nothing is being opened"),
+        e.on_connection_loss(ms(1000), 0);
+        match e.try_connect(ms(1000), 0) {
+            ConnectDecision::NotBefore(at) => at,
+            ConnectDecision::Connect => ms(1000),
+            ConnectDecision::AtLimit => panic!("nothing is being opened"),
         }
     };
     (0..clients).map(open).collect()
@@ -136,22 +136,22 @@
 #[test]
 fn new_connections_keep_to_their_number_and_rate() {
     let mut e = endpoints(1, 4);
-    assert!((0..4).all(|_| e.open(ms(0), 0) == Opening::Now));
-    assert_eq!(e.open(ms(0), 0), Opening::Full);
+    assert!((0..4).all(|_| e.try_connect(ms(0), 0) == ConnectDecision::Connect));
+    assert_eq!(e.try_connect(ms(0), 0), ConnectDecision::AtLimit);
     let mut opened = 0;
     for now in 0..1000 {
-        while e.open(ms(now), 0) == Opening::Now {
+        while e.try_connect(ms(now), 0) == ConnectDecision::Connect {
             opened += 1;
-            e.opened(ms(now), 0, true);
+            e.on_connect_end(ms(now), 0, true);
         }
         if now == 0 {
-            (0..4).for_each(|_| e.opened(ms(0), 0, true));
+            (0..4).for_each(|_| e.on_connect_end(ms(0), 0, true));
         }
     }
     assert!((45..=54).contains(&opened), "fifty a second: {opened}");
-    e.opened(ms(1000), 0, false);
+    e.on_connect_end(ms(1000), 0, false);
     assert!(
-        matches!(e.open(ms(1000), 0), Opening::NotBefore(_)),
+        matches!(e.try_connect(ms(1000), 0), ConnectDecision::NotBefore(_)),
         "after a refusal it waits"
     );
 }
--- a/crates/client-policy/tests/bound.rs
+++ b/crates/client-policy/tests/concurrency.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tulipwall::Idempotency;
-use tulipwall_client_policy::{Bound, InFlight, RequestClass};
+use tulipwall_client_policy::{ConcurrencyLimit, ConcurrencyPolicy, RequestClass};
 
 fn classes() -> Vec<RequestClass> {
     let class = |priority_weight| RequestClass {
@@ -16,49 +16,49 @@
 
 #[test]
 fn least_benefit_is_shed_first_and_there_is_always_room_for_one() {
-    let mut bound = Bound::new(
-        InFlight {
-            least: 10.0,
-            most: 10.0,
-            ..InFlight::default()
+    let mut bound = ConcurrencyLimit::new(
+        ConcurrencyPolicy {
+            min_limit: 10.0,
+            max_limit: 10.0,
+            ..ConcurrencyPolicy::default()
         },
         &classes(),
     );
-    let view = (0..20).filter(|_| bound.take(0)).count();
-    let payment = (0..20).filter(|_| bound.take(1)).count();
+    let view = (0..20).filter(|_| bound.try_acquire(0)).count();
+    let payment = (0..20).filter(|_| bound.try_acquire(1)).count();
     assert_eq!((view, view + payment), (8, 10));
-    let mut small = Bound::new(
-        InFlight {
-            least: 0.0,
-            most: 0.0,
-            ..InFlight::default()
+    let mut small = ConcurrencyLimit::new(
+        ConcurrencyPolicy {
+            min_limit: 0.0,
+            max_limit: 0.0,
+            ..ConcurrencyPolicy::default()
         },
         &classes(),
     );
-    assert!(small.take(0) && !small.take(1));
+    assert!(small.try_acquire(0) && !small.try_acquire(1));
 }
 
 #[test]
 fn it_follows_what_the_agents_can_bear() {
     // They bear 40 at once; beyond that they deny.
-    let mut bound = Bound::new(
-        InFlight {
-            most: 500.0,
-            ..InFlight::default()
+    let mut bound = ConcurrencyLimit::new(
+        ConcurrencyPolicy {
+            max_limit: 500.0,
+            ..ConcurrencyPolicy::default()
         },
         &classes(),
     );
     let mut seen = Vec::new();
     for round in 0..2000u64 {
-        let taken = (0..600).filter(|_| bound.take(1)).count();
+        let taken = (0..600).filter(|_| bound.try_acquire(1)).count();
         for n in 0..taken {
             if n < 40 {
-                bound.good();
+                bound.on_timely_response();
             } else {
-                bound.bad(Duration::from_millis(round * 50));
+                bound.on_overload(Duration::from_millis(round * 50));
             }
         }
-        (0..taken).for_each(|_| bound.left());
+        (0..taken).for_each(|_| bound.release());
         seen.push(taken);
     }
     let late = &seen[1000..];
--- a/crates/client-policy/tests/answer.rs
+++ b/crates/client-policy/tests/response.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
-use tulipwall_client_policy::answer::*;
+use tulipwall_client_policy::response::*;
 
 fn put(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![tag];
@@ -30,24 +30,38 @@
 #[test]
 fn answers_are_read_whole_or_byte_by_byte() {
     let bytes = [put(b'N', b"SNOTICE\0\0"), value(&[7; 300])].concat();
-    let whole = Reading::new(1000).take(&bytes).unwrap();
-    assert_eq!(whole, (bytes.len(), Some(Said::Value(vec![7; 300]))));
-    let (mut reading, mut from, mut said) = (Reading::new(1000), 0, None);
+    let whole = ResponseParser::new(1000).feed(&bytes).unwrap();
+    assert_eq!(whole, (bytes.len(), Some(Response::Value(vec![7; 300]))));
+    let (mut reading, mut from, mut said) = (ResponseParser::new(1000), 0, None);
     for to in 0..=bytes.len() {
-        let (took, s) = reading.take(&bytes[from..to]).unwrap();
+        let (took, s) = reading.feed(&bytes[from..to]).unwrap();
         (from, said) = (from + took, s);
     }
-    assert_eq!(said, Some(Said::Value(vec![7; 300])));
-    let said = |fields: &[u8]| Reading::new(9).take(&failed(fields)).unwrap().1.unwrap();
+    assert_eq!(said, Some(Response::Value(vec![7; 300])));
+    let said = |fields: &[u8]| {
+        ResponseParser::new(9)
+            .feed(&failed(fields))
+            .unwrap()
+            .1
+            .unwrap()
+    };
     assert_eq!(
         said(b"SERROR\0C53300\0D250"),
-        Said::Rejected(Some(Duration::from_millis(250)))
+        Response::Rejected {
+            retry_after: Some(Duration::from_millis(250))
+        }
+    );
+    assert_eq!(
+        said(b"C53300\0Dsoon"),
+        Response::Rejected { retry_after: None }
     );
-    assert_eq!(said(b"C53300\0Dsoon"), Said::Rejected(None));
-    assert_eq!(said(b"C57P03\0Mleaving"), Said::Leaving);
+    assert_eq!(said(b"C57P03\0Mleaving"), Response::Draining);
     assert_eq!(
         said(b"CXX000\0Mno"),
-        Said::Failed("XX000".into(), "no".into())
+        Response::Error {
+            code: "XX000".into(),
+            message: "no".into()
+        }
     );
 }
 
@@ -69,7 +83,7 @@
     wrong.push((0..100).flat_map(|_| put(b'N', b"x\0\0")).collect());
     wrong.push((0..10).flat_map(|_| put(b'S', &[b'x'; 9000])).collect());
     for bytes in wrong {
-        let heard = Reading::new(1000).take(&bytes);
+        let heard = ResponseParser::new(1000).feed(&bytes);
         assert!(
             heard.is_err() || heard == Ok((0, None)) && bytes.len() < 5,
             "{bytes:?}: {heard:?}"
@@ -80,14 +94,14 @@
 #[test]
 fn no_bytes_make_it_panic_and_a_flipped_answer_is_the_value_or_none() {
     fn any(bytes: Vec<u8>, flips: Vec<(u16, u8)>) {
-        let _ = Reading::new(100).take(&bytes);
+        let _ = ResponseParser::new(100).feed(&bytes);
         let good = value(&bytes);
         let mut flipped = good.clone();
         let length = flipped.len();
         flips
             .iter()
             .for_each(|(at, with)| flipped[*at as usize % length] ^= with);
-        if let Ok((_, Some(Said::Value(v)))) = Reading::new(100_000).take(&flipped) {
+        if let Ok((_, Some(Response::Value(v)))) = ResponseParser::new(100_000).feed(&flipped) {
             assert!(v.len() == bytes.len(), "its own length is held to");
         }
     }
--- a/crates/client-policy/tests/retries.rs
+++ b/crates/client-policy/tests/retries.rs
@@ -9,24 +9,26 @@
     Duration::from_millis(n)
 }
 
-const ALL: [Ended; 9] = [
-    Ended::Rejected(None),
-    Ended::Rejected(Some(ms(300))),
-    Ended::Leaving,
-    Ended::NotSent,
-    Ended::Crossed,
-    Ended::Broken,
-    Ended::Failed,
-    Ended::Garbage,
-    Ended::Late,
+const ALL: [AttemptOutcome; 9] = [
+    AttemptOutcome::Rejected { retry_after: None },
+    AttemptOutcome::Rejected {
+        retry_after: Some(ms(300)),
+    },
+    AttemptOutcome::Draining,
+    AttemptOutcome::NotSent,
+    AttemptOutcome::StaleConnection,
+    AttemptOutcome::ConnectionLost,
+    AttemptOutcome::Failed,
+    AttemptOutcome::MalformedResponse,
+    AttemptOutcome::TimedOut,
 ];
 
-fn once() -> Tries {
-    Tries::new(Idempotency::NonIdempotent, ms(2000))
+fn once() -> AttemptHistory {
+    AttemptHistory::new(Idempotency::NonIdempotent, ms(2000))
 }
 
-fn keyed(group: DeduplicationScope) -> Tries {
-    Tries::new(
+fn keyed(group: DeduplicationScope) -> AttemptHistory {
+    AttemptHistory::new(
         Idempotency::Keyed {
             scope: group,
             window: ms(500),
@@ -38,56 +40,67 @@
 #[test]
 fn unrepeatable_goes_again_only_where_it_provably_never_ran() {
     for ended in ALL {
-        let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, 1), once());
-        tries.begin(ms(0));
-        let next = retries.next(ms(10), &mut tries, 0, ended);
-        let again = matches!(next, Next::Again(_));
-        assert_eq!(again, !ended.may_have_run(), "{ended:?}: {next:?}");
+        let (mut retries, mut tries) = (RetryController::new(RetryPolicy::default(), 1, 1), once());
+        tries.on_attempt_start(ms(0));
+        let next = retries.decide(ms(10), &mut tries, 0, ended);
+        let again = matches!(next, RetryDecision::RetryAt(_));
+        assert_eq!(again, !ended.may_have_executed(), "{ended:?}: {next:?}");
         // A later end of which it is known that it never ran does not help one that may have run
         // before.
         if !again {
-            tries.begin(ms(20));
-            let later = retries.next(ms(30), &mut tries, 0, Ended::NotSent);
-            assert_eq!(later, Next::Over(Cause::MayNotRepeat));
+            tries.on_attempt_start(ms(20));
+            let later = retries.decide(ms(30), &mut tries, 0, AttemptOutcome::NotSent);
+            assert_eq!(later, RetryDecision::GiveUp(GiveUpReason::NotRepeatable));
         }
     }
 }
 
 #[test]
 fn deduplicated_goes_again_only_in_its_window_counted_from_the_first_that_may_have_run() {
-    let mut retries = Retries::new(Retrying::default(), 1, 2);
+    let mut retries = RetryController::new(RetryPolicy::default(), 1, 2);
     let mut tries = keyed(DeduplicationScope::All);
-    tries.begin(ms(0));
+    tries.on_attempt_start(ms(0));
     assert!(
-        matches!(retries.next(ms(100), &mut tries, 0, Ended::Broken), Next::Again(at) if at < ms(500))
+        matches!(retries.decide(ms(100), &mut tries, 0, AttemptOutcome::ConnectionLost), RetryDecision::RetryAt(at) if at < ms(500))
     );
-    tries.begin(ms(150));
-    let next = retries.next(ms(499), &mut tries, 0, Ended::NotSent);
+    tries.on_attempt_start(ms(150));
+    let next = retries.decide(ms(499), &mut tries, 0, AttemptOutcome::NotSent);
     assert!(
-        matches!(next, Next::Over(Cause::WindowOver)),
+        matches!(
+            next,
+            RetryDecision::GiveUp(GiveUpReason::DeduplicationWindowExpired)
+        ),
         "its pause would end after it: {next:?}"
     );
-    assert_eq!(tries.may_go(ms(500)), Err(Cause::WindowOver));
+    assert_eq!(
+        tries.check_repeatable(ms(500)),
+        Err(GiveUpReason::DeduplicationWindowExpired)
+    );
     for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
         let mut tries = keyed(group);
-        tries.begin(ms(0));
-        let next = retries.next(ms(100), &mut tries, 0, Ended::Broken);
-        assert_eq!(next, Next::Over(Cause::MayNotRepeat));
+        tries.on_attempt_start(ms(0));
+        let next = retries.decide(ms(100), &mut tries, 0, AttemptOutcome::ConnectionLost);
+        assert_eq!(next, RetryDecision::GiveUp(GiveUpReason::NotRepeatable));
     }
 }
 
 #[test]
 fn when_nothing_works_retries_are_a_tenth_and_vanish() {
-    let mut retries = Retries::new(Retrying::default(), 2, 3);
+    let mut retries = RetryController::new(RetryPolicy::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
-        let mut tries = Tries::new(Idempotency::Idempotent, ms(call + 5000));
+        let mut tries = AttemptHistory::new(Idempotency::Idempotent, ms(call + 5000));
         loop {
-            tries.begin(ms(call));
+            tries.on_attempt_start(ms(call));
             sent += 1;
             if !matches!(
-                retries.next(ms(call), &mut tries, call as usize % 2, Ended::Broken),
-                Next::Again(_)
+                retries.decide(
+                    ms(call),
+                    &mut tries,
+                    call as usize % 2,
+                    AttemptOutcome::ConnectionLost
+                ),
+                RetryDecision::RetryAt(_)
             ) {
                 break;
             }
@@ -97,19 +110,21 @@
         sent <= 10_000 + 10,
         "{sent}: only what was kept at the start"
     );
-    let mut retries = Retries::new(Retrying::default(), 2, 3);
+    let mut retries = RetryController::new(RetryPolicy::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
-        let mut tries = Tries::new(Idempotency::Idempotent, ms(call + 5000));
-        tries.begin(ms(call));
+        let mut tries = AttemptHistory::new(Idempotency::Idempotent, ms(call + 5000));
+        tries.on_attempt_start(ms(call));
         sent += 1;
         if call % 3 == 0 {
-            while let Next::Again(at) = retries.next(ms(call), &mut tries, 0, Ended::Failed) {
-                tries.begin(at);
+            while let RetryDecision::RetryAt(at) =
+                retries.decide(ms(call), &mut tries, 0, AttemptOutcome::Failed)
+            {
+                tries.on_attempt_start(at);
                 sent += 1;
             }
         } else {
-            retries.succeeded(0);
+            retries.on_success(0);
         }
     }
     assert!(sent as f64 <= 11_000.0, "{sent}");
@@ -120,10 +135,20 @@
 {
     let mut times = Vec::new();
     for seed in 0..200 {
-        let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, seed), once());
-        tries.begin(ms(0));
-        match retries.next(ms(0), &mut tries, 0, Ended::Rejected(Some(ms(400)))) {
-            Next::Again(at) => times.push(at),
+        let (mut retries, mut tries) = (
+            RetryController::new(RetryPolicy::default(), 1, seed),
+            once(),
+        );
+        tries.on_attempt_start(ms(0));
+        match retries.decide(
+            ms(0),
+            &mut tries,
+            0,
+            AttemptOutcome::Rejected {
+                retry_after: Some(ms(400)),
+            },
+        ) {
+            RetryDecision::RetryAt(at) => times.push(at),
             over => panic!("{over:?}"),
         }
     }
@@ -140,13 +165,20 @@
         most.unwrap() < 50,
         "two hundred at once come back spread: {most:?} in 50 ms"
     );
-    let (mut retries, mut tries) = (Retries::new(Retrying::default(), 1, 1), once());
-    tries.begin(ms(0));
-    let next = retries.next(ms(0), &mut tries, 0, Ended::Rejected(Some(ms(2000))));
-    assert_eq!(next, Next::Over(Cause::Expiry));
+    let (mut retries, mut tries) = (RetryController::new(RetryPolicy::default(), 1, 1), once());
+    tries.on_attempt_start(ms(0));
+    let next = retries.decide(
+        ms(0),
+        &mut tries,
+        0,
+        AttemptOutcome::Rejected {
+            retry_after: Some(ms(2000)),
+        },
+    );
+    assert_eq!(next, RetryDecision::GiveUp(GiveUpReason::Deadline));
     assert_eq!(
-        retries.tokens(),
-        Retrying::default().kept,
+        retries.available_tokens(),
+        RetryPolicy::default().max_tokens,
         "which costs no token"
     );
 }
@@ -154,35 +186,35 @@
 #[test]
 fn a_close_that_crossed_a_command_is_resent_once_without_a_token() {
     let (mut retries, mut tries) = (
-        Retries::new(
-            Retrying {
-                kept: 0.0,
-                ..Retrying::default()
+        RetryController::new(
+            RetryPolicy {
+                max_tokens: 0.0,
+                ..RetryPolicy::default()
             },
             1,
             1,
         ),
-        Tries::new(Idempotency::Idempotent, ms(2000)),
+        AttemptHistory::new(Idempotency::Idempotent, ms(2000)),
     );
-    tries.begin(ms(0));
+    tries.on_attempt_start(ms(0));
     assert_eq!(
-        retries.next(ms(5), &mut tries, 0, Ended::Crossed),
-        Next::Again(ms(5))
+        retries.decide(ms(5), &mut tries, 0, AttemptOutcome::StaleConnection),
+        RetryDecision::RetryAt(ms(5))
     );
-    tries.begin(ms(5));
+    tries.on_attempt_start(ms(5));
     assert_eq!(
-        retries.next(ms(9), &mut tries, 0, Ended::Crossed),
-        Next::Over(Cause::Tokens)
+        retries.decide(ms(9), &mut tries, 0, AttemptOutcome::StaleConnection),
+        RetryDecision::GiveUp(GiveUpReason::RetryBudget)
     );
 }
 
 #[test]
 fn whatever_happens_no_try_goes_out_after_the_expiry_or_twice_where_it_may_not() {
     fn play(seed: u64, script: Vec<(u8, u8)>) {
-        let mut retries = Retries::new(
-            Retrying {
-                kept: 1e9,
-                ..Retrying::default()
+        let mut retries = RetryController::new(
+            RetryPolicy {
+                max_tokens: 1e9,
+                ..RetryPolicy::default()
             },
             3,
             seed,
@@ -191,22 +223,24 @@
             once(),
             keyed(DeduplicationScope::All),
             keyed(DeduplicationScope::Zone),
-            Tries::new(Idempotency::Idempotent, ms(2000)),
+            AttemptHistory::new(Idempotency::Idempotent, ms(2000)),
         ];
         let mut tries = kinds[seed as usize % 4].clone();
         let (mut now, mut ran): (Duration, Option<Duration>) = (ms(0), None);
         for (how, took) in script {
-            tries.begin(now);
+            tries.on_attempt_start(now);
             let began = now;
             now += ms(u64::from(took) * 4);
             let ended = ALL[how as usize % ALL.len()];
-            if ended.may_have_run() {
+            if ended.may_have_executed() {
                 ran.get_or_insert(began);
             }
-            let Next::Again(at) = retries.next(now, &mut tries, how as usize % 4, ended) else {
+            let RetryDecision::RetryAt(at) =
+                retries.decide(now, &mut tries, how as usize % 4, ended)
+            else {
                 return;
             };
-            assert!(at >= now && at < ms(2000) && tries.count <= 5);
+            assert!(at >= now && at < ms(2000) && tries.attempts <= 5);
             match (tries.idempotency, ran) {
                 (Idempotency::NonIdempotent, ran) => assert_eq!(ran, None),
                 (
--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 use tulipwall_client::{
-    blocking, Call, DeduplicationScope, Idempotency, RequestClass, Service, Unanswered,
+    blocking, Call, CallError, ClientConfig, DeduplicationScope, Idempotency, RequestClass,
 };
 use tulipwall_testkit::{Act, Endpoint, Ways};
 
@@ -26,7 +26,7 @@
         latency_objective,
         priority_weight,
     };
-    let client = blocking::Client::new(Service::new(
+    let client = blocking::Client::new(ClientConfig::new(
         vec![agent.address(0)],
         classes.map(class).to_vec(),
     ));
@@ -42,15 +42,17 @@
         .key("m-1");
     println!(
         "send: {:?}",
-        client.call(message).map(|a| a.tried.agents.len())
+        client.call(message).map(|a| a.attempts.agents.len())
     );
     agent.ways(|w| w.act = Act::Resets);
     match client.call(Call::write("payment", "p-1", vec![1], expiry)) {
-        Err(Unanswered::Scrapped { tried, .. }) => {
-            println!("payment: it may have run: {}", tried.may_have_run)
+        Err(CallError::Failed {
+            attempts: tried, ..
+        }) => {
+            println!("payment: it may have run: {}", tried.may_have_executed)
         }
         other => println!("payment: {other:?}"),
     }
-    println!("{:?}", client.seen().counters);
+    println!("{:?}", client.stats().counters);
     Ok(())
 }
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -9,7 +9,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 use tulipwall_client::Client;
-use tulipwall_client_policy::{Chosen, Connections, Endpoints};
+use tulipwall_client_policy::{AgentSelector, AttemptSignal, ConnectionPolicy, Selection};
 use tulipwall_testkit::service;
 
 const AGENTS: [usize; 4] = [6, 77, 385, 770];
@@ -58,12 +58,12 @@
 }
 
 fn choice(agents: usize) -> f64 {
-    let mut endpoints = Endpoints::new(Connections::default(), agents, 1);
+    let mut endpoints = AgentSelector::new(ConnectionPolicy::default(), agents, 1);
     let (calls, begun) = (200_000u64, Instant::now());
     for n in 0..calls {
         let now = Duration::from_micros(n);
-        if let Chosen::Agent(a) = endpoints.choose(now, None, |_| true) {
-            endpoints.ended(now, black_box(a), Some(true));
+        if let Selection::Agent(a) = endpoints.select(now, None, |_| true) {
+            endpoints.on_attempt_end(now, black_box(a), AttemptSignal::Success);
         }
     }
     begun.elapsed().as_secs_f64() * 1e6 / calls as f64
--- a/crates/client/examples/measure.rs
+++ b/crates/client/examples/measure.rs
@@ -153,12 +153,17 @@
     }
     let ours = clients.clone();
     let tries: Arc<dyn Fn() -> u64 + Send + Sync> = if careful {
-        Arc::new(move || ours.iter().map(|c| c.seen().counters.tries).sum())
+        Arc::new(move || ours.iter().map(|c| c.stats().counters.attempts).sum())
     } else {
         Arc::new(move || naive_tries.load(Ordering::Relaxed))
     };
     let opened: Box<dyn Fn() -> u64> = if careful {
-        Box::new(move || clients.iter().map(|c| c.seen().counters.opened).sum())
+        Box::new(move || {
+            clients
+                .iter()
+                .map(|c| c.stats().counters.connections_opened)
+                .sum()
+        })
     } else {
         Box::new(move || naive_opened.load(Ordering::Relaxed))
     };
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -28,9 +28,9 @@
     /// By which repeats of a deduplicated request are told; drawn where it is not given.
     pub key: Option<String>,
     /// How long the caller waits. No call outlives it.
-    pub expiry: Duration,
+    pub timeout: Duration,
     /// An estimate of the work, where clients supply one.
-    pub estimate: Option<Duration>,
+    pub estimated_work: Option<Duration>,
 }
 
 impl Call {
@@ -42,8 +42,8 @@
             value: None,
             tenant: None,
             key: None,
-            expiry,
-            estimate: None,
+            timeout: expiry,
+            estimated_work: None,
         }
     }
 
@@ -92,7 +92,7 @@
             Some(v) if v.len() > VALUE_MOST => {
                 Err(format!("value: {VALUE_MOST} bytes at most are wanted"))
             }
-            _ if self.expiry.is_zero() => Err("expiry: more than nothing is wanted".into()),
+            _ if self.timeout.is_zero() => Err("expiry: more than nothing is wanted".into()),
             _ => Ok(()),
         }
     }
@@ -130,7 +130,7 @@
         if again {
             text += ",r=1";
         }
-        if let Some(h) = self.estimate {
+        if let Some(h) = self.estimated_work {
             let _ = write!(text, ",h={}", h.as_micros());
         }
         text + " */"
@@ -139,86 +139,99 @@
 
 /// What was tried for a call.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tried {
+pub struct AttemptSummary {
     /// The agents that were tried, in their order; one may come again.
     pub agents: Vec<SocketAddr>,
     /// How each try but the last ended.
-    pub ended: Vec<&'static str>,
+    pub failures: Vec<&'static str>,
     /// It may have run at some of them.
-    pub may_have_run: bool,
-    pub took: Duration,
+    pub may_have_executed: bool,
+    pub elapsed: Duration,
 }
 
 /// A value.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
+pub struct CallResponse {
     pub value: Vec<u8>,
-    pub tried: Tried,
+    pub attempts: AttemptSummary,
 }
 
 /// No value, and why.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Unanswered {
+#[non_exhaustive]
+pub enum CallError {
     /// It did not run, or a repeat is harmless: the caller may ask again, not before `retry_after`
     /// where that is given.
     Rejected {
         retry_after: Option<Duration>,
-        tried: Tried,
+        attempts: AttemptSummary,
     },
     /// It failed. Where `tried.may_have_run` is set and the class is not idempotent, it must not be
     /// asked again.
-    Scrapped { code: String, tried: Tried },
+    Failed {
+        code: String,
+        attempts: AttemptSummary,
+    },
     /// Its time is over.
-    Expired { tried: Tried },
+    DeadlineExceeded { attempts: AttemptSummary },
     /// More calls are in flight than the agents bear, or wait than may wait: it did not go out.
-    Shed,
+    Overloaded,
     /// The call itself is wrong.
-    Faulty(String),
+    InvalidCall(String),
 }
 
-impl Unanswered {
-    pub fn tried(&self) -> Option<&Tried> {
+impl CallError {
+    pub fn attempts(&self) -> Option<&AttemptSummary> {
         match self {
-            Unanswered::Rejected { tried, .. }
-            | Unanswered::Scrapped { tried, .. }
-            | Unanswered::Expired { tried } => Some(tried),
-            Unanswered::Shed | Unanswered::Faulty(_) => None,
+            CallError::Rejected {
+                attempts: tried, ..
+            }
+            | CallError::Failed {
+                attempts: tried, ..
+            }
+            | CallError::DeadlineExceeded { attempts: tried } => Some(tried),
+            CallError::Overloaded | CallError::InvalidCall(_) => None,
         }
     }
 
     /// As counters and the command line write it.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
-            Unanswered::Rejected { .. } => "denied",
-            Unanswered::Scrapped { .. } => "scrapped",
-            Unanswered::Expired { .. } => "expired",
-            Unanswered::Shed => "shed",
-            Unanswered::Faulty(_) => "faulty",
+            CallError::Rejected { .. } => "denied",
+            CallError::Failed { .. } => "scrapped",
+            CallError::DeadlineExceeded { .. } => "expired",
+            CallError::Overloaded => "shed",
+            CallError::InvalidCall(_) => "faulty",
         }
     }
 }
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let ran = |t: &Tried| {
-            if t.may_have_run {
+        let ran = |t: &AttemptSummary| {
+            if t.may_have_executed {
                 "it may have run"
             } else {
                 "it never ran"
             }
         };
         match self {
-            Unanswered::Rejected {
+            CallError::Rejected {
                 retry_after: Some(t),
                 ..
             } => write!(f, "denied; come back after {t:?}"),
-            Unanswered::Rejected { .. } => f.write_str("denied"),
-            Unanswered::Scrapped { code, tried } => write!(f, "scrapped ({code}); {}", ran(tried)),
-            Unanswered::Expired { tried } => write!(f, "expired; {}", ran(tried)),
-            Unanswered::Shed => f.write_str("shed: more calls are in flight than the agents bear"),
-            Unanswered::Faulty(what) => write!(f, "faulty call: {what}"),
+            CallError::Rejected { .. } => f.write_str("denied"),
+            CallError::Failed {
+                code,
+                attempts: tried,
+            } => write!(f, "scrapped ({code}); {}", ran(tried)),
+            CallError::DeadlineExceeded { attempts: tried } => write!(f, "expired; {}", ran(tried)),
+            CallError::Overloaded => {
+                f.write_str("shed: more calls are in flight than the agents bear")
+            }
+            CallError::InvalidCall(what) => write!(f, "faulty call: {what}"),
         }
     }
 }
 
-impl std::error::Error for Unanswered {}
+impl std::error::Error for CallError {}
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,8 +1,8 @@
 //! A client: its calls, from the first try to the answer.
 
-use crate::call::{Answered, Call, Tried, Unanswered};
+use crate::call::{AttemptSummary, Call, CallError, CallResponse};
 use crate::connection::{Connection, Heard};
-use crate::seen::{ClassCounters, Counters, Seen};
+use crate::stats::{ClassStats, ClientStats, Counters};
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future::FutureExt;
@@ -14,9 +14,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tulipwall::Idempotency;
-use tulipwall_client_policy::answer::Said;
+use tulipwall_client_policy::response::Response;
 use tulipwall_client_policy::{
-    Bound, Chosen, Ended, Endpoints, Next, Opening, Retries, Service, Tries,
+    AgentSelector, AttemptHistory, AttemptOutcome, AttemptSignal, ClientConfig, ConcurrencyLimit,
+    ConnectDecision, RetryController, RetryDecision, Selection,
 };
 
 /// A timer that is seen so late tells of a client that stood still.
@@ -28,7 +29,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    service: Service,
+    service: ClientConfig,
     start: Instant,
     prefix: String,
     next: AtomicU64,
@@ -39,14 +40,14 @@
 
 #[derive(Debug)]
 struct State {
-    retries: Retries,
-    endpoints: Endpoints,
-    bound: Bound,
+    retries: RetryController,
+    endpoints: AgentSelector,
+    bound: ConcurrencyLimit,
     pools: Vec<Pool>,
     waiting: usize,
     keys: BTreeSet<String>, // of deduplicated calls in hand
     counters: Counters,
-    classes: Vec<ClassCounters>,
+    classes: Vec<ClassStats>,
 }
 
 impl State {
@@ -57,12 +58,12 @@
         let before = pool.idle.len();
         pool.idle.retain(Connection::quiet);
         pool.open = pool.open.saturating_sub(before - pool.idle.len());
-        self.counters.found_closed += (before - pool.idle.len()) as u64;
+        self.counters.idle_found_closed += (before - pool.idle.len()) as u64;
         match (pool.idle.is_empty(), before) {
             (false, _) => {}
-            (true, 0) => self.endpoints.closed(now, agent),
-            (true, _) if self.pools.len() > 1 => self.endpoints.leaves(now, agent),
-            (true, _) => self.endpoints.lost(now, agent),
+            (true, 0) => self.endpoints.on_idle_close(now, agent),
+            (true, _) if self.pools.len() > 1 => self.endpoints.on_draining(now, agent),
+            (true, _) => self.endpoints.on_connection_loss(now, agent),
         }
     }
 }
@@ -84,11 +85,11 @@
 impl Drop for Held<'_> {
     fn drop(&mut self) {
         let mut state = self.inner.state();
-        state.bound.left();
+        state.bound.release();
         if let Some(key) = &self.key {
             state.keys.remove(key);
         }
-        state.counters.left += u64::from(!self.over);
+        state.counters.cancelled += u64::from(!self.over);
         drop(state);
         self.inner.freed.notify(usize::MAX);
     }
@@ -98,7 +99,7 @@
 struct Trying<'a> {
     inner: &'a Inner,
     agent: usize,
-    good: Option<bool>,
+    good: AttemptSignal,
 }
 
 impl Drop for Trying<'_> {
@@ -107,7 +108,7 @@
         self.inner
             .state()
             .endpoints
-            .ended(now, self.agent, self.good);
+            .on_attempt_end(now, self.agent, self.good);
         self.inner.freed.notify(usize::MAX);
     }
 }
@@ -154,10 +155,10 @@
         // One that a call gave up for its own expiry says nothing of the agent.
         state
             .endpoints
-            .opened(now, self.agent, self.open != Some(false));
+            .on_connect_end(now, self.agent, self.open != Some(false));
         match self.open {
-            Some(true) => state.counters.opened += 1,
-            _ => state.counters.not_opened += 1,
+            Some(true) => state.counters.connections_opened += 1,
+            _ => state.counters.connect_failures += 1,
         }
         drop(state);
         self.inner.freed.notify(usize::MAX);
@@ -167,7 +168,7 @@
 enum Got<'a> {
     Connection(Box<Connection>, Place<'a>),
     /// The agent would not take it.
-    Refused(Said),
+    Refused(Response),
     /// It could not be reached.
     Not,
     /// No place in the time that a call may wait, or too many wait.
@@ -176,13 +177,13 @@
 
 impl Client {
     /// A client of this service. Nothing is opened before the first call, or [`Client::warm`].
-    pub fn new(service: Service) -> Client {
+    pub fn new(service: ClientConfig) -> Client {
         let mut rng = rand::thread_rng();
         let (seed, agents) = (rng.next_u64(), service.agents.len());
         let state = State {
-            retries: Retries::new(service.retrying.clone(), agents, seed),
-            endpoints: Endpoints::new(service.connections.clone(), agents, seed ^ 1),
-            bound: Bound::new(service.in_flight.clone(), &service.classes),
+            retries: RetryController::new(service.retry.clone(), agents, seed),
+            endpoints: AgentSelector::new(service.connections.clone(), agents, seed ^ 1),
+            bound: ConcurrencyLimit::new(service.concurrency.clone(), &service.classes),
             pools: (0..agents).map(|_| Pool::default()).collect(),
             waiting: 0,
             keys: BTreeSet::new(),
@@ -190,7 +191,7 @@
             classes: service
                 .classes
                 .iter()
-                .map(|l| ClassCounters::new(&l.name))
+                .map(|l| ClassStats::new(&l.name))
                 .collect(),
         };
         Client(Arc::new(Inner {
@@ -207,10 +208,10 @@
     /// are open.
     pub async fn warm(&self) -> usize {
         let inner = &*self.0;
-        let within = inner.service.connections.within;
+        let within = inner.service.connections.connect_timeout;
         for agent in 0..inner.service.agents.len() {
-            for _ in 0..inner.service.connections.least {
-                if inner.state().pools[agent].open >= inner.service.connections.least {
+            for _ in 0..inner.service.connections.min_connections {
+                if inner.state().pools[agent].open >= inner.service.connections.min_connections {
                     break;
                 }
                 let until = Instant::now() + within;
@@ -225,45 +226,45 @@
     }
 
     /// One call, to its answer. Dropping it closes what it had out.
-    pub async fn call(&self, call: Call) -> Result<Answered, Unanswered> {
+    pub async fn call(&self, call: Call) -> Result<CallResponse, CallError> {
         let inner = &*self.0;
         let begun = Instant::now();
         let checked = call.check().and_then(|()| {
             let unknown = || format!("lane: '{}' is not one of this service", call.class);
-            inner.service.class(&call.class).ok_or_else(unknown)
+            inner.service.class_index(&call.class).ok_or_else(unknown)
         });
         let ended = match checked {
             Ok(class) => inner.call(&call, class, begun).await,
-            Err(what) => Err(Unanswered::Faulty(what)),
+            Err(what) => Err(CallError::InvalidCall(what)),
         };
         let mut state = inner.state();
         let c = &mut state.counters;
         c.calls += 1;
         match &ended {
             Ok(_) => c.succeeded += 1,
-            Err(Unanswered::Rejected { .. }) => c.rejected += 1,
-            Err(Unanswered::Scrapped { .. }) => c.scrapped += 1,
-            Err(Unanswered::Expired { .. }) => c.expired += 1,
-            Err(Unanswered::Shed) => c.shed += 1,
-            Err(Unanswered::Faulty(_)) => c.faulty += 1,
+            Err(CallError::Rejected { .. }) => c.rejected += 1,
+            Err(CallError::Failed { .. }) => c.failed += 1,
+            Err(CallError::DeadlineExceeded { .. }) => c.deadline_exceeded += 1,
+            Err(CallError::Overloaded) => c.overloaded += 1,
+            Err(CallError::InvalidCall(_)) => c.invalid += 1,
         }
         ended
     }
 
     /// What can be seen of it now.
-    pub fn seen(&self) -> Seen {
+    pub fn stats(&self) -> ClientStats {
         let state = self.0.state();
-        Seen {
+        ClientStats {
             counters: state.counters.clone(),
             classes: state.classes.clone(),
-            bound: state.bound.now(),
+            concurrency_limit: state.bound.limit(),
             in_flight: state.bound.in_flight(),
-            tokens: state.retries.tokens(),
-            idle: state.pools.iter().map(|p| p.idle.len()).collect(),
+            retry_tokens: state.retries.available_tokens(),
+            idle_connections: state.pools.iter().map(|p| p.idle.len()).collect(),
         }
     }
 
-    pub fn service(&self) -> &Service {
+    pub fn config(&self) -> &ClientConfig {
         &self.0.service
     }
 }
@@ -297,7 +298,7 @@
         call: &Call,
         class: usize,
         begun: Instant,
-    ) -> Result<Answered, Unanswered> {
+    ) -> Result<CallResponse, CallError> {
         let of = &self.service.classes[class];
         let keyed = matches!(of.idempotency, Idempotency::Keyed { .. });
         let key = keyed.then(|| call.key.clone().unwrap_or_else(|| self.id()));
@@ -305,12 +306,12 @@
             let mut state = self.state();
             // Two calls under one key at once could not tell whose answer is whose.
             if key.as_ref().is_some_and(|k| state.keys.contains(k)) {
-                return Err(Unanswered::Faulty(
+                return Err(CallError::InvalidCall(
                     "key: another call with it is in hand".into(),
                 ));
             }
-            if !state.bound.take(class) {
-                return Err(Unanswered::Shed);
+            if !state.bound.try_acquire(class) {
+                return Err(CallError::Overloaded);
             }
             state.keys.extend(key.clone());
             Held {
@@ -319,39 +320,48 @@
                 over: false,
             }
         };
-        let deadline = begun + call.expiry;
-        let mut tries = Tries::new(
+        let deadline = begun + call.timeout;
+        let mut tries = AttemptHistory::new(
             of.idempotency,
             self.now() + deadline.saturating_duration_since(Instant::now()),
         );
-        let mut tried = Tried::default();
+        let mut tried = AttemptSummary::default();
         let ended = self
             .tries(call, key.as_deref(), deadline, &mut tries, &mut tried)
             .await;
         held.over = true;
-        tried.took = begun.elapsed();
-        tried.may_have_run = tries.may_have_run();
+        tried.elapsed = begun.elapsed();
+        tried.may_have_executed = tries.may_have_executed();
         // What may have run and may not simply run again is not rejected, wherever the call ended.
-        let harmless = !tries.may_have_run() || of.idempotency == Idempotency::Idempotent;
+        let harmless = !tries.may_have_executed() || of.idempotency == Idempotency::Idempotent;
         match ended {
-            Err(Given::Rejected(_)) if !harmless => Err(Unanswered::Scrapped {
+            Err(Given::Rejected(_)) if !harmless => Err(CallError::Failed {
                 code: "unreachable".into(),
-                tried,
+                attempts: tried,
             }),
             Ok(value) => {
                 let mut state = self.state();
-                state.classes[class].succeeded(tries.count as usize, tried.took);
-                if tried.took <= of.latency_objective {
-                    state.bound.good();
+                state.classes[class].succeeded(tries.attempts as usize, tried.elapsed);
+                if tried.elapsed <= of.latency_objective {
+                    state.bound.on_timely_response();
                 } else {
-                    state.bound.bad(self.now());
+                    state.bound.on_overload(self.now());
                 }
-                Ok(Answered { value, tried })
+                Ok(CallResponse {
+                    value,
+                    attempts: tried,
+                })
             }
-            Err(Given::Rejected(retry_after)) => Err(Unanswered::Rejected { retry_after, tried }),
-            Err(Given::Failed(code)) => Err(Unanswered::Scrapped { code, tried }),
-            Err(Given::Expired) => Err(Unanswered::Expired { tried }),
-            Err(Given::Shed) => Err(Unanswered::Shed),
+            Err(Given::Rejected(retry_after)) => Err(CallError::Rejected {
+                retry_after,
+                attempts: tried,
+            }),
+            Err(Given::Failed(code)) => Err(CallError::Failed {
+                code,
+                attempts: tried,
+            }),
+            Err(Given::Expired) => Err(CallError::DeadlineExceeded { attempts: tried }),
+            Err(Given::Shed) => Err(CallError::Overloaded),
         }
     }
 
@@ -361,8 +371,8 @@
         call: &Call,
         key: Option<&str>,
         deadline: Instant,
-        tries: &mut Tries,
-        tried: &mut Tried,
+        tries: &mut AttemptHistory,
+        tried: &mut AttemptSummary,
     ) -> Result<Vec<u8>, Given> {
         let mut last = None;
         loop {
@@ -370,36 +380,39 @@
             let mut trying = Trying {
                 inner: self,
                 agent,
-                good: None,
+                good: AttemptSignal::Neutral,
             };
             let got = limited(deadline, self.connection(agent, deadline)).await;
             // Its window may have ended while it waited.
-            if let Err(cause) = tries.may_go(self.now()) {
-                self.note(call, agent, "window", cause.word());
-                return Err(Given::Failed(cause.word().into()));
+            if let Err(cause) = tries.check_repeatable(self.now()) {
+                self.note(call, agent, "window", cause.as_str());
+                return Err(Given::Failed(cause.as_str().into()));
             }
-            tries.begin(self.now());
+            tries.on_attempt_start(self.now());
             tried.agents.push(self.service.agents[agent]);
-            self.state().counters.tries += 1;
+            self.state().counters.attempts += 1;
             let (ended, failure) = match got {
                 None => return Err(Given::Expired),
-                Some(Got::NoPlace) if tries.count == 1 && !tries.may_have_run() => {
+                Some(Got::NoPlace) if tries.attempts == 1 && !tries.may_have_executed() => {
                     return Err(Given::Shed)
                 }
-                Some(Got::NoPlace | Got::Not) => (Ended::NotSent, Given::Rejected(None)),
-                Some(Got::Refused(Said::Leaving)) => (Ended::Leaving, Given::Rejected(None)),
-                Some(Got::Refused(Said::Rejected(back))) => {
-                    (Ended::Rejected(back), Given::Rejected(back))
+                Some(Got::NoPlace | Got::Not) => (AttemptOutcome::NotSent, Given::Rejected(None)),
+                Some(Got::Refused(Response::Draining)) => {
+                    (AttemptOutcome::Draining, Given::Rejected(None))
                 }
-                Some(Got::Refused(_)) => (Ended::NotSent, Given::Rejected(None)),
+                Some(Got::Refused(Response::Rejected { retry_after: back })) => (
+                    AttemptOutcome::Rejected { retry_after: back },
+                    Given::Rejected(back),
+                ),
+                Some(Got::Refused(_)) => (AttemptOutcome::NotSent, Given::Rejected(None)),
                 Some(Got::Connection(connection, place)) => {
                     let left = deadline.saturating_duration_since(Instant::now());
-                    let again = self.service.marks_retries && tries.count > 1;
+                    let again = self.service.marks_retries && tries.attempts > 1;
                     let statement = call.statement(&self.id(), key, left, again);
                     match self.ask(*connection, place, &statement, deadline).await {
                         Ok(value) => {
-                            trying.good = Some(true);
-                            self.state().retries.succeeded(agent);
+                            trying.good = AttemptSignal::Success;
+                            self.state().retries.on_success(agent);
                             return Ok(value);
                         }
                         Err(failed) => failed,
@@ -407,42 +420,52 @@
                 }
             };
             trying.good = match ended {
-                Ended::Rejected(_) | Ended::Failed => Some(true),
-                Ended::Leaving | Ended::Crossed => None,
-                _ => Some(false),
+                AttemptOutcome::Rejected { .. } | AttemptOutcome::Failed => AttemptSignal::Success,
+                AttemptOutcome::Draining | AttemptOutcome::StaleConnection => {
+                    AttemptSignal::Neutral
+                }
+                _ => AttemptSignal::Failure,
             };
             let now = self.now();
             let next = {
                 let mut state = self.state();
-                *state.counters.ended.entry(ended.word()).or_default() += 1;
+                *state
+                    .counters
+                    .attempt_failures
+                    .entry(ended.as_str())
+                    .or_default() += 1;
                 match ended {
-                    Ended::Leaving => state.endpoints.leaves(now, agent),
-                    Ended::Broken | Ended::Crossed => state.broke(now, agent),
-                    Ended::Rejected(_) | Ended::Late => state.bound.bad(now),
+                    AttemptOutcome::Draining => state.endpoints.on_draining(now, agent),
+                    AttemptOutcome::ConnectionLost | AttemptOutcome::StaleConnection => {
+                        state.broke(now, agent)
+                    }
+                    AttemptOutcome::Rejected { .. } | AttemptOutcome::TimedOut => {
+                        state.bound.on_overload(now)
+                    }
                     _ => {}
                 }
-                state.retries.next(now, tries, agent, ended)
+                state.retries.decide(now, tries, agent, ended)
             };
             drop(trying);
-            if ended == Ended::Late {
+            if ended == AttemptOutcome::TimedOut {
                 return Err(Given::Expired);
             }
             match next {
-                Next::Again(at) => {
-                    self.note(call, agent, ended.word(), "again");
-                    tried.ended.push(ended.word());
+                RetryDecision::RetryAt(at) => {
+                    self.note(call, agent, ended.as_str(), "again");
+                    tried.failures.push(ended.as_str());
                     last = Some(agent);
                     if limited(deadline, Timer::at(self.at(at))).await.is_none() {
                         return Err(Given::Expired);
                     }
                 }
-                Next::Over(cause) => {
-                    self.note(call, agent, ended.word(), cause.word());
+                RetryDecision::GiveUp(cause) => {
+                    self.note(call, agent, ended.as_str(), cause.as_str());
                     *self
                         .state()
                         .counters
                         .given_up
-                        .entry(cause.word())
+                        .entry(cause.as_str())
                         .or_default() += 1;
                     return Err(failure);
                 }
@@ -474,14 +497,14 @@
                 let State {
                     endpoints, pools, ..
                 } = &mut *self.state();
-                endpoints.choose(now, but, |agent| !pools[agent].idle.is_empty())
+                endpoints.select(now, but, |agent| !pools[agent].idle.is_empty())
             };
             match chosen {
-                Chosen::Agent(agent) => return Ok(agent),
-                Chosen::NotBefore(at) if self.at(at) >= deadline => {
+                Selection::Agent(agent) => return Ok(agent),
+                Selection::NotBefore(at) if self.at(at) >= deadline => {
                     return Err(Given::Rejected(Some(at.saturating_sub(now))));
                 }
-                Chosen::NotBefore(at) => {
+                Selection::NotBefore(at) => {
                     limited(self.at(at), freed).await;
                     if Instant::now() >= deadline {
                         return Err(Given::Expired);
@@ -494,7 +517,7 @@
     /// A connection to this agent: one that waits, or a new one where its gate lets it, or the next
     /// that is free.
     async fn connection(&self, agent: usize, deadline: Instant) -> Got<'_> {
-        let until = deadline.min(Instant::now() + self.service.in_flight.wait);
+        let until = deadline.min(Instant::now() + self.service.concurrency.queue_timeout);
         let mut waiting: Option<Waiting> = None;
         loop {
             let freed = self.freed.listen();
@@ -504,24 +527,24 @@
             let opening = {
                 let now = self.now();
                 let mut state = self.state();
-                if state.pools[agent].open >= self.service.connections.most.max(1) {
-                    Opening::Full
+                if state.pools[agent].open >= self.service.connections.max_connections.max(1) {
+                    ConnectDecision::AtLimit
                 } else {
-                    let opening = state.endpoints.open(now, agent);
-                    if opening == Opening::Now {
+                    let opening = state.endpoints.try_connect(now, agent);
+                    if opening == ConnectDecision::Connect {
                         state.pools[agent].open += 1;
                     }
                     opening
                 }
             };
             let look = match opening {
-                Opening::Now => return self.open(agent, deadline).await,
-                Opening::NotBefore(at) => self.at(at).min(until),
-                Opening::Full => until,
+                ConnectDecision::Connect => return self.open(agent, deadline).await,
+                ConnectDecision::NotBefore(at) => self.at(at).min(until),
+                ConnectDecision::AtLimit => until,
             };
             if waiting.is_none() {
                 let mut state = self.state();
-                if state.waiting >= self.service.in_flight.waiting {
+                if state.waiting >= self.service.concurrency.max_queued {
                     return Got::NoPlace;
                 }
                 state.waiting += 1;
@@ -541,10 +564,10 @@
         let by = &self.service.connections;
         let mut state = self.state();
         while let Some(c) = state.pools[agent].idle.pop_front() {
-            let fresh = c.since.elapsed() < c.life && c.idle_from.elapsed() < by.idle;
+            let fresh = c.since.elapsed() < c.life && c.idle_from.elapsed() < by.idle_timeout;
             let quiet = c.quiet();
             if fresh && quiet {
-                state.counters.reused += 1;
+                state.counters.connections_reused += 1;
                 return Some((
                     c,
                     Place {
@@ -556,7 +579,7 @@
             }
             state.pools[agent].open = state.pools[agent].open.saturating_sub(1);
             if fresh && !quiet {
-                state.counters.found_closed += 1;
+                state.counters.idle_found_closed += 1;
                 let now = self.now();
                 state.broke(now, agent);
             }
@@ -575,8 +598,8 @@
             agent,
             open: None,
         };
-        let life = self.state().endpoints.life();
-        let within = self.service.connections.within;
+        let life = self.state().endpoints.draw_connection_lifetime();
+        let within = self.service.connections.connect_timeout;
         let mut until = Instant::now() + within;
         let mut opening = pin!(Connection::open(self.service.agents[agent], life));
         let heard = loop {
@@ -617,32 +640,44 @@
         place: Place<'_>,
         statement: &str,
         deadline: Instant,
-    ) -> Result<Vec<u8>, (Ended, Given)> {
+    ) -> Result<Vec<u8>, (AttemptOutcome, Given)> {
         let mut written = false;
         let heard = limited(
             deadline,
-            connection.ask(statement, self.service.value_most, &mut written),
+            connection.ask(statement, self.service.max_value_bytes, &mut written),
         )
         .await;
         match heard {
-            Some(Heard::Said(said)) => {
-                let leaving = said == Said::Leaving;
+            Some(Heard::Response(said)) => {
+                let leaving = said == Response::Draining;
                 if !leaving {
                     self.keep(connection, place);
                 }
                 match said {
-                    Said::Value(value) => Ok(value),
-                    Said::Rejected(back) => Err((Ended::Rejected(back), Given::Rejected(back))),
-                    Said::Leaving => Err((Ended::Leaving, Given::Rejected(None))),
-                    Said::Failed(code, _) => Err((Ended::Failed, Given::Failed(code))),
-                    Said::Ready => Err((Ended::Garbage, Given::Failed("garbage".into()))),
+                    Response::Value(value) => Ok(value),
+                    Response::Rejected { retry_after: back } => Err((
+                        AttemptOutcome::Rejected { retry_after: back },
+                        Given::Rejected(back),
+                    )),
+                    Response::Draining => Err((AttemptOutcome::Draining, Given::Rejected(None))),
+                    Response::Error { code, .. } => {
+                        Err((AttemptOutcome::Failed, Given::Failed(code)))
+                    }
+                    Response::Ready => Err((
+                        AttemptOutcome::MalformedResponse,
+                        Given::Failed("garbage".into()),
+                    )),
                 }
             }
-            Some(Heard::Ended(Ended::NotSent)) => Err((Ended::NotSent, Given::Rejected(None))),
-            Some(Heard::Ended(ended)) => Err((ended, Given::Failed(ended.word().into()))),
+            Some(Heard::AttemptOutcome(AttemptOutcome::NotSent)) => {
+                Err((AttemptOutcome::NotSent, Given::Rejected(None)))
+            }
+            Some(Heard::AttemptOutcome(ended)) => {
+                Err((ended, Given::Failed(ended.as_str().into())))
+            }
             // Before its last byte was written it never ran, but its time is over all the same.
-            None if written => Err((Ended::Late, Given::Expired)),
-            None => Err((Ended::NotSent, Given::Expired)),
+            None if written => Err((AttemptOutcome::TimedOut, Given::Expired)),
+            None => Err((AttemptOutcome::NotSent, Given::Expired)),
         }
     }
 
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tulipwall_client_policy::answer::{Reading, Said};
-use tulipwall_client_policy::Ended;
+use tulipwall_client_policy::response::{Response, ResponseParser};
+use tulipwall_client_policy::AttemptOutcome;
 
 const READ: usize = 4096;
 
@@ -23,14 +23,17 @@
 
 /// What came of one request on a connection.
 pub enum Heard {
-    Said(Said),
+    Response(Response),
     /// No answer; the connection is of no further use.
-    Ended(Ended),
+    AttemptOutcome(AttemptOutcome),
 }
 
 impl Connection {
     /// Opens one and waits until it is ready, or until the agent says that it is not.
-    pub async fn open(agent: SocketAddr, life: Duration) -> io::Result<Result<Connection, Said>> {
+    pub async fn open(
+        agent: SocketAddr,
+        life: Duration,
+    ) -> io::Result<Result<Connection, Response>> {
         let stream = Async::<TcpStream>::connect(agent).await?;
         stream.get_ref().set_nodelay(true)?;
         let now = Instant::now();
@@ -46,10 +49,10 @@
         let startup = [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat();
         connection.stream.write_all(&startup).await?;
         match connection.hear(0).await {
-            Heard::Said(Said::Ready) => Ok(Ok(connection)),
-            Heard::Said(said @ (Said::Rejected(_) | Said::Leaving | Said::Failed(..))) => {
-                Ok(Err(said))
-            }
+            Heard::Response(Response::Ready) => Ok(Ok(connection)),
+            Heard::Response(
+                said @ (Response::Rejected { .. } | Response::Draining | Response::Error { .. }),
+            ) => Ok(Err(said)),
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     }
@@ -69,7 +72,7 @@
         query.push(0);
         // The last byte goes out with the rest or not at all: until then it never ran.
         if self.stream.write_all(&query).await.is_err() {
-            return Heard::Ended(Ended::NotSent);
+            return Heard::AttemptOutcome(AttemptOutcome::NotSent);
         }
         *written = true;
         let heard = self.hear(value_most).await;
@@ -79,7 +82,7 @@
     }
 
     async fn hear(&mut self, value_most: usize) -> Heard {
-        let mut reading = Reading::new(value_most);
+        let mut reading = ResponseParser::new(value_most);
         let mut unread = std::mem::take(&mut self.room);
         unread.clear();
         loop {
@@ -94,19 +97,19 @@
             unread.truncate(from + got);
             if got == 0 {
                 // A fatal error needs nothing behind it, but half an answer is none.
-                let whole = reading.end().filter(|_| unread.is_empty());
+                let whole = reading.finish().filter(|_| unread.is_empty());
                 return match whole {
-                    Some(said) => Heard::Said(said),
-                    None if self.used && !reading.begun() && unread.is_empty() => {
-                        Heard::Ended(Ended::Crossed)
+                    Some(said) => Heard::Response(said),
+                    None if self.used && !reading.started() && unread.is_empty() => {
+                        Heard::AttemptOutcome(AttemptOutcome::StaleConnection)
                     }
-                    None => Heard::Ended(Ended::Broken),
+                    None => Heard::AttemptOutcome(AttemptOutcome::ConnectionLost),
                 };
             }
-            match reading.take(&unread) {
-                Err(fault) => {
-                    log::debug!(agent:? = self.stream.get_ref().peer_addr().ok(); "answer: {}", fault.0);
-                    return Heard::Ended(Ended::Garbage);
+            match reading.feed(&unread) {
+                Err(error) => {
+                    log::debug!(agent:? = self.stream.get_ref().peer_addr().ok(); "malformed response: {error}");
+                    return Heard::AttemptOutcome(AttemptOutcome::MalformedResponse);
                 }
                 Ok((took, said)) => {
                     unread.drain(..took);
@@ -119,7 +122,7 @@
                             // Bytes behind an answer: it stands, but nothing more is heard here.
                             self.life = Duration::ZERO;
                         }
-                        return Heard::Said(said);
+                        return Heard::Response(said);
                     }
                 }
             }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```no_run
 //! use std::time::Duration;
-//! use tulipwall_client::{Call, Client, RequestClass, Idempotency, Service, Unanswered};
+//! use tulipwall_client::{Call, Client, RequestClass, Idempotency, ClientConfig, CallError};
 //!
 //! let view = RequestClass {
 //!     name: "view".into(),
@@ -14,12 +14,12 @@
 //!     latency_objective: Duration::from_millis(400),
 //!     priority_weight: 3.0,
 //! };
-//! let service = Service::new(vec!["127.0.0.1:6543".parse().unwrap()], vec![view]);
+//! let service = ClientConfig::new(vec!["127.0.0.1:6543".parse().unwrap()], vec![view]);
 //! let client = Client::new(service);
 //! let call = Call::read("view", "7f3a9c21", Duration::from_millis(1500));
 //! match futures_lite::future::block_on(client.call(call)) {
 //!     Ok(answer) => println!("{} bytes", answer.value.len()),
-//!     Err(Unanswered::Rejected { retry_after, .. }) => println!("retry after {retry_after:?}"),
+//!     Err(CallError::Rejected { retry_after, .. }) => println!("retry after {retry_after:?}"),
 //!     Err(other) => println!("{other}"),
 //! }
 //! ```
@@ -28,10 +28,12 @@
 mod call;
 mod client;
 mod connection;
-mod seen;
+mod stats;
 
-pub use call::{Answered, Call, Tried, Unanswered};
+pub use call::{AttemptSummary, Call, CallError, CallResponse};
 pub use client::Client;
-pub use seen::{ClassCounters, Counters, Seen};
+pub use stats::{ClassStats, ClientStats, Counters};
 pub use tulipwall::{DeduplicationScope, Idempotency};
-pub use tulipwall_client_policy::{Connections, InFlight, RequestClass, Retrying, Service};
+pub use tulipwall_client_policy::{
+    ClientConfig, ConcurrencyPolicy, ConnectionPolicy, RequestClass, RetryPolicy,
+};
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tulipwall_client::{Call, Client, Idempotency, RequestClass, Service, Unanswered};
+use tulipwall_client::{Call, CallError, Client, ClientConfig, Idempotency, RequestClass};
 
 const EXITS: &str = "\
 Each answer is a line of JSON: the call's line number, answer, value (hex) or code, come_back_ms, tries, agents,
@@ -101,16 +101,16 @@
         _ => many(&client, line.at_once, line.expiry),
     };
     if line.counters {
-        let seen = client.seen();
+        let seen = client.stats();
         eprintln!(
             "{:?}; bound {:.0}, tokens {:.1}",
-            seen.counters, seen.bound, seen.tokens
+            seen.counters, seen.concurrency_limit, seen.retry_tokens
         );
     }
     worst.into()
 }
 
-fn service(line: &Line) -> Result<Service, Vec<String>> {
+fn service(line: &Line) -> Result<ClientConfig, Vec<String>> {
     let mut service = match &line.service {
         Some(path) => {
             let text = std::fs::read_to_string(path)
@@ -119,7 +119,7 @@
             tulipwall_config::read_service(&text)
                 .map_err(|all| all.iter().map(named).collect::<Vec<_>>())?
         }
-        None => Service::new(Vec::new(), Vec::new()),
+        None => ClientConfig::new(Vec::new(), Vec::new()),
     };
     if !line.agent.is_empty() {
         service.agents.clone_from(&line.agent);
@@ -151,26 +151,27 @@
         }
         Err(e) => {
             let code = match e {
-                Unanswered::Rejected { .. } | Unanswered::Shed => 4,
-                Unanswered::Scrapped { .. } => 5,
-                Unanswered::Expired { .. } => 6,
-                Unanswered::Faulty(_) => 7,
+                CallError::Rejected { .. } | CallError::Overloaded => 4,
+                CallError::Failed { .. } => 5,
+                CallError::DeadlineExceeded { .. } => 6,
+                CallError::InvalidCall(_) => 7,
+                _ => 5,
             };
-            let mut told = json!({"answer": e.word(), "text": e.to_string()});
+            let mut told = json!({"answer": e.as_str(), "text": e.to_string()});
             match e {
-                Unanswered::Rejected {
+                CallError::Rejected {
                     retry_after: Some(t),
                     ..
                 } => told["come_back_ms"] = json!(t.as_millis() as u64),
-                Unanswered::Scrapped { code, .. } => told["code"] = json!(code),
+                CallError::Failed { code, .. } => told["code"] = json!(code),
                 _ => {}
             }
             (told, code)
         }
     };
     let tried = match &ended {
-        Ok(answer) => Some(&answer.tried),
-        Err(e) => e.tried(),
+        Ok(answer) => Some(&answer.attempts),
+        Err(e) => e.attempts(),
     };
     if let Some(t) = tried {
         told["tries"] = json!(t.agents.len());
@@ -179,8 +180,8 @@
             .iter()
             .map(SocketAddr::to_string)
             .collect::<Vec<_>>());
-        told["may_have_run"] = json!(t.may_have_run);
-        told["took_ms"] = json!(t.took.as_micros() as f64 / 1000.0);
+        told["may_have_run"] = json!(t.may_have_executed);
+        told["took_ms"] = json!(t.elapsed.as_micros() as f64 / 1000.0);
     }
     told["line"] = json!(number);
     let mut out = std::io::stdout().lock();
--- a/crates/client/src/seen.rs
+++ b/crates/client/src/stats.rs
@@ -13,64 +13,65 @@
     pub calls: u64,
     pub succeeded: u64,
     pub rejected: u64,
-    pub scrapped: u64,
-    pub expired: u64,
-    pub shed: u64,
-    pub faulty: u64,
+    pub failed: u64,
+    pub deadline_exceeded: u64,
+    pub overloaded: u64,
+    pub invalid: u64,
     /// Dropped by the caller before their end.
-    pub left: u64,
+    pub cancelled: u64,
     /// Tries, and how those ended that were not satisfied.
-    pub tries: u64,
-    pub ended: BTreeMap<&'static str, u64>,
+    pub attempts: u64,
+    pub attempt_failures: BTreeMap<&'static str, u64>,
     /// Why calls were not tried again.
     pub given_up: BTreeMap<&'static str, u64>,
-    pub opened: u64,
-    pub reused: u64,
-    pub not_opened: u64,
+    pub connections_opened: u64,
+    pub connections_reused: u64,
+    pub connect_failures: u64,
     /// Idle connections that were found closed or with bytes on them.
-    pub found_closed: u64,
+    pub idle_found_closed: u64,
 }
 
 /// One class: microseconds of satisfied calls, from the call's beginning, by the number of tries
 /// they took.
 #[derive(Clone, Debug)]
-pub struct ClassCounters {
+pub struct ClassStats {
     pub name: String,
-    pub times: Vec<Histogram<u32>>,
+    pub latencies_by_attempts: Vec<Histogram<u32>>,
 }
 
 /// All of it, as it stands.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ClientStats {
     pub counters: Counters,
-    pub classes: Vec<ClassCounters>,
+    pub classes: Vec<ClassStats>,
     /// The bound on calls in flight, and how many are.
-    pub bound: f64,
+    pub concurrency_limit: f64,
     pub in_flight: usize,
     /// Tokens left for retries.
-    pub tokens: f64,
+    pub retry_tokens: f64,
     /// Connections that wait for a request, by agent.
-    pub idle: Vec<usize>,
+    pub idle_connections: Vec<usize>,
 }
 
-impl ClassCounters {
-    pub(crate) fn new(name: &str) -> ClassCounters {
-        ClassCounters {
+impl ClassStats {
+    pub(crate) fn new(name: &str) -> ClassStats {
+        ClassStats {
             name: name.to_owned(),
-            times: Vec::new(),
+            latencies_by_attempts: Vec::new(),
         }
     }
 
     pub(crate) fn succeeded(&mut self, tries: usize, took: Duration) {
         let n = tries.clamp(1, TRIES) - 1;
-        while self.times.len() <= n {
+        while self.latencies_by_attempts.len() <= n {
             // Two digits from 16 us to two minutes are 10 KB, and bounds that the library always
             // takes.
             let Ok(new) = Histogram::new_with_bounds(16, 120_000_000, 2) else {
                 return;
             };
-            self.times.push(new);
+            self.latencies_by_attempts.push(new);
         }
-        self.times[n].saturating_record((took.as_micros() as u64).clamp(16, 120_000_000));
+        self.latencies_by_attempts[n]
+            .saturating_record((took.as_micros() as u64).clamp(16, 120_000_000));
     }
 }
--- a/crates/client/tests/command.rs
+++ b/crates/client/tests/command.rs
@@ -7,7 +7,9 @@
 use std::process::{Command, Output, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
-use tulipwall_client::{blocking, Call, Client, Idempotency, RequestClass, Service, Unanswered};
+use tulipwall_client::{
+    blocking, Call, CallError, Client, ClientConfig, Idempotency, RequestClass,
+};
 use tulipwall_testkit::ground::until;
 use tulipwall_testkit::{Act, Endpoint, Speaker, Ways};
 
@@ -172,7 +174,7 @@
     ];
     for text in hostile {
         let speaker = Speaker::start(&text.repeat(500)).unwrap();
-        let client = Client::new(Service::new(vec![speaker.address], vec![view.clone()]));
+        let client = Client::new(ClientConfig::new(vec![speaker.address], vec![view.clone()]));
         let begun = Instant::now();
         let ended = futures_lite::future::block_on(client.call(Call::read("view", "a1", ms(700))));
         assert!(
@@ -191,7 +193,8 @@
             now_and_then: vec![(act, 0.5)],
             ..Ways::default()
         });
-        let client = blocking::Client::new(Service::new(vec![of.address(0)], vec![view.clone()]));
+        let client =
+            blocking::Client::new(ClientConfig::new(vec![of.address(0)], vec![view.clone()]));
         let ended: Vec<_> = (0..12)
             .map(|n| client.call(Call::read("view", &format!("o{n}"), ms(300))))
             .collect();
@@ -223,8 +226,12 @@
         ..Ways::default()
     });
     for address in [nobody, mute.address(0), silent.address(0)] {
-        let mut s = Service::new(vec![address], vec![view.clone()]);
-        (s.connections.most, s.in_flight.waiting, s.in_flight.wait) = (2, 2, ms(150));
+        let mut s = ClientConfig::new(vec![address], vec![view.clone()]);
+        (
+            s.connections.max_connections,
+            s.concurrency.max_queued,
+            s.concurrency.queue_timeout,
+        ) = (2, 2, ms(150));
         let client = Client::new(s);
         let threads: Vec<_> = (0..12)
             .map(|_| {
@@ -247,13 +254,13 @@
         );
         let at_once = ended
             .iter()
-            .filter(|(took, e)| *took < ms(300) && *e == Err(Unanswered::Shed))
+            .filter(|(took, e)| *took < ms(300) && *e == Err(CallError::Overloaded))
             .count();
         assert!(
             address != silent.address(0) || at_once >= 8,
             "shed, not queued: {ended:?}"
         );
-        assert_eq!(client.seen().in_flight, 0);
+        assert_eq!(client.stats().in_flight, 0);
     }
 }
 
@@ -266,7 +273,7 @@
         priority_weight: 1.0,
     };
     let (stays, leaves) = (agent(Ways::default()), agent(Ways::default()));
-    let client = Client::new(Service::new(
+    let client = Client::new(ClientConfig::new(
         vec![stays.address(0), leaves.address(0)],
         vec![payment],
     ));
@@ -290,6 +297,9 @@
     leaves.crash();
     thread::sleep(ms(2100));
     assert!((80..120).all(|n| pay(n).is_ok()));
-    let c = client.seen().counters;
-    assert_eq!((c.succeeded, c.calls, c.ended["leaving"]), (120, 120, 1));
+    let c = client.stats().counters;
+    assert_eq!(
+        (c.succeeded, c.calls, c.attempt_failures["leaving"]),
+        (120, 120, 1)
+    );
 }
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -5,16 +5,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, Idempotency};
-use tulipwall_client_policy::{Connections, InFlight, RequestClass, Retrying, Service};
+use tulipwall_client_policy::{
+    ClientConfig, ConcurrencyPolicy, ConnectionPolicy, RequestClass, RetryPolicy,
+};
 
 const TIMES_MOST: f64 = 1e6;
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// Reads the text of a client's file; all that is wrong with it otherwise, in the order of its
 /// lines.
-pub fn read_service(text: &str) -> Result<Service, Vec<ConfigDiagnostic>> {
+pub fn read_service(text: &str) -> Result<ClientConfig, Vec<ConfigDiagnostic>> {
     let mut r = Reader::new(text);
-    let mut service = Service::new(Vec::new(), Vec::new());
+    let mut service = ClientConfig::new(Vec::new(), Vec::new());
     let document = r.document();
     let whole = document.is_some();
     let once = [
@@ -41,7 +43,7 @@
                 let Some(class) = class(&mut r, node) else {
                     continue;
                 };
-                if service.class(&class.name).is_some() {
+                if service.class_index(&class.name).is_some() {
                     r.wrong(
                         r.of(node),
                         "lane",
@@ -52,11 +54,12 @@
             }
             "marks-retries" => service.marks_retries = r.flag(node).unwrap_or(false),
             "value-most" => {
-                service.value_most = r.size(node).map_or(service.value_most, |n| n as usize)
+                service.max_value_bytes =
+                    r.size(node).map_or(service.max_value_bytes, |n| n as usize)
             }
-            "retries" => service.retrying = retrying(&mut r, node),
+            "retries" => service.retry = retrying(&mut r, node),
             "connections" => service.connections = connections(&mut r, node),
-            _ => service.in_flight = in_flight(&mut r, node),
+            _ => service.concurrency = in_flight(&mut r, node),
         }
     }
     let nothing = [
@@ -125,9 +128,9 @@
     })
 }
 
-fn retrying(r: &mut Reader, node: &KdlNode) -> Retrying {
+fn retrying(r: &mut Reader, node: &KdlNode) -> RetryPolicy {
     r.arguments(node, 0, &[]);
-    let mut by = Retrying::default();
+    let mut by = RetryPolicy::default();
     for node in r.nodes(
         node.children(),
         "retries",
@@ -135,55 +138,73 @@
         &[],
     ) {
         match node.name().value() {
-            "tries" => by.tries = r.number(node, 1.0, 100.0).map_or(by.tries, |n| n as u32),
-            "earned" => by.earned = r.number(node, 0.0, 1.0).unwrap_or(by.earned),
-            "kept" => by.kept = r.number(node, 0.0, TIMES_MOST).unwrap_or(by.kept),
-            "pause" => by.pause.0 = r.span(node, Duration::from_millis(1)).unwrap_or(by.pause.0),
-            _ => by.pause.1 = r.span(node, Duration::from_millis(1)).unwrap_or(by.pause.1),
+            "tries" => {
+                by.max_attempts = r
+                    .number(node, 1.0, 100.0)
+                    .map_or(by.max_attempts, |n| n as u32)
+            }
+            "earned" => {
+                by.tokens_per_success = r.number(node, 0.0, 1.0).unwrap_or(by.tokens_per_success)
+            }
+            "kept" => by.max_tokens = r.number(node, 0.0, TIMES_MOST).unwrap_or(by.max_tokens),
+            "pause" => {
+                by.initial_backoff = r
+                    .span(node, Duration::from_millis(1))
+                    .unwrap_or(by.initial_backoff)
+            }
+            _ => {
+                by.max_backoff = r
+                    .span(node, Duration::from_millis(1))
+                    .unwrap_or(by.max_backoff)
+            }
         }
     }
     by
 }
 
-fn connections(r: &mut Reader, node: &KdlNode) -> Connections {
+fn connections(r: &mut Reader, node: &KdlNode) -> ConnectionPolicy {
     r.arguments(node, 0, &[]);
-    let (mut by, least) = (Connections::default(), Duration::from_millis(1));
+    let (mut by, least) = (ConnectionPolicy::default(), Duration::from_millis(1));
     let known = [
         "least", "most", "idle", "life", "within", "opening", "rate", "spread",
     ];
     for node in r.nodes(node.children(), "connections", &known, &[]) {
         match node.name().value() {
             "least" => {
-                by.least = r
+                by.min_connections = r
                     .number(node, 0.0, TIMES_MOST)
-                    .map_or(by.least, |n| n as usize)
+                    .map_or(by.min_connections, |n| n as usize)
             }
             "most" => {
-                by.most = r
+                by.max_connections = r
                     .number(node, 1.0, TIMES_MOST)
-                    .map_or(by.most, |n| n as usize)
+                    .map_or(by.max_connections, |n| n as usize)
             }
-            "idle" => by.idle = r.span(node, least).unwrap_or(by.idle),
-            "life" => by.life = r.span(node, least).unwrap_or(by.life),
-            "within" => by.within = r.span(node, least).unwrap_or(by.within),
+            "idle" => by.idle_timeout = r.span(node, least).unwrap_or(by.idle_timeout),
+            "life" => by.max_lifetime = r.span(node, least).unwrap_or(by.max_lifetime),
+            "within" => by.connect_timeout = r.span(node, least).unwrap_or(by.connect_timeout),
             "opening" => {
-                by.opening = r
+                by.max_connecting = r
                     .number(node, 1.0, TIMES_MOST)
-                    .map_or(by.opening, |n| n as usize)
+                    .map_or(by.max_connecting, |n| n as usize)
+            }
+            "rate" => {
+                by.connects_per_second = r
+                    .number(node, 0.1, TIMES_MOST)
+                    .unwrap_or(by.connects_per_second)
             }
-            "rate" => by.rate = r.number(node, 0.1, TIMES_MOST).unwrap_or(by.rate),
-            _ => by.spread = r.span(node, Duration::ZERO).unwrap_or(by.spread),
+            _ => by.reconnect_spread = r.span(node, Duration::ZERO).unwrap_or(by.reconnect_spread),
         }
     }
-    if by.least > by.most {
+    if by.min_connections > by.max_connections {
         r.wrong(r.of(node), "connections", "least is more than most".into());
     }
     by
 }
 
-fn in_flight(r: &mut Reader, node: &KdlNode) -> InFlight {
+fn in_flight(r: &mut Reader, node: &KdlNode) -> ConcurrencyPolicy {
     r.arguments(node, 0, &[]);
-    let mut by = InFlight::default();
+    let mut by = ConcurrencyPolicy::default();
     for node in r.nodes(
         node.children(),
         "in-flight",
@@ -191,17 +212,17 @@
         &[],
     ) {
         match node.name().value() {
-            "least" => by.least = r.number(node, 1.0, TIMES_MOST).unwrap_or(by.least),
-            "most" => by.most = r.number(node, 1.0, TIMES_MOST).unwrap_or(by.most),
+            "least" => by.min_limit = r.number(node, 1.0, TIMES_MOST).unwrap_or(by.min_limit),
+            "most" => by.max_limit = r.number(node, 1.0, TIMES_MOST).unwrap_or(by.max_limit),
             "waiting" => {
-                by.waiting = r
+                by.max_queued = r
                     .number(node, 0.0, TIMES_MOST)
-                    .map_or(by.waiting, |n| n as usize)
+                    .map_or(by.max_queued, |n| n as usize)
             }
-            _ => by.wait = r.span(node, Duration::ZERO).unwrap_or(by.wait),
+            _ => by.queue_timeout = r.span(node, Duration::ZERO).unwrap_or(by.queue_timeout),
         }
     }
-    if by.least > by.most {
+    if by.min_limit > by.max_limit {
         r.wrong(r.of(node), "in-flight", "least is more than most".into());
     }
     by
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -368,7 +368,7 @@
         (
             service.agents.len(),
             service.classes.len(),
-            service.retrying.tries
+            service.retry.max_attempts
         ),
         (2, 1, 2)
     );
--- a/crates/experiments/src/run.rs
+++ b/crates/experiments/src/run.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::{EndpointState, RequestClass, Settings};
-use tulipwall_client_policy::Retrying;
+use tulipwall_client_policy::RetryPolicy;
 use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
 use tulipwall_zones::{Budget, Limit, Routing, Zoning};
 
@@ -77,7 +77,7 @@
             pause: Duration::from_millis(50),
             tries: 20,
         },
-        ClientKind::Careful => Clients::Careful(Retrying::default()),
+        ClientKind::Careful => Clients::Careful(RetryPolicy::default()),
     };
     day.offering = offering;
     day.script = script(s, &of_zone);
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_client_policy::{Ended as TryEnded, Next, Retries, Retrying, Tries};
+use tulipwall_client_policy::{
+    AttemptHistory, AttemptOutcome, RetryController, RetryDecision, RetryPolicy,
+};
 use tulipwall_zones::{
     Budget, ClassProfile, Ended, Flaw, Link, Opening, Routing, Sending, Ticket, Zones, Zoning,
 };
@@ -74,7 +76,7 @@
     /// costs.
     Naive { pause: Duration, tries: u32 },
     /// As the client library does, one client to each agent.
-    Careful(Retrying),
+    Careful(RetryPolicy),
 }
 
 /// A build that the platform takes through its stages by the clock, which stands still while a hold
@@ -494,11 +496,11 @@
     class: usize,
     first: Duration,
     key: Option<u64>,
-    tries: Tries,
+    tries: AttemptHistory,
 }
 
 struct Runner {
-    retries: Retries,
+    retries: RetryController,
     zone: usize,
     choice: Balancer,
     zones: Option<Zones>,
@@ -584,10 +586,10 @@
             }
             let retrying = match &day.clients {
                 Clients::Careful(by) => by.clone(),
-                _ => Retrying::default(),
+                _ => RetryPolicy::default(),
             };
             agents.push(Runner {
-                retries: Retries::new(retrying, 1, seed),
+                retries: RetryController::new(retrying, 1, seed),
                 zone: a.zone,
                 choice,
                 zones: a.zoning.clone().map(|z| Zones::new(ZERO, z)),
@@ -807,7 +809,7 @@
         } else {
             left * 2
         };
-        let tries = Tries::new(self.day.deployment.classes[class].idempotency, now + all);
+        let tries = AttemptHistory::new(self.day.deployment.classes[class].idempotency, now + all);
         self.second(agent).asked += 1;
         self.take(
             agent,
@@ -825,7 +827,7 @@
         let (class, key) = (asking.class, asking.key);
         let (now, a) = (self.now, &mut self.agents[agent]);
         let left = self.day.classes[class].1;
-        asking.tries.begin(now);
+        asking.tries.on_attempt_start(now);
         let id = a.next;
         a.next += 1;
         let (deadline, out) = (now + left, Vec::new());
@@ -1007,7 +1009,7 @@
         let at = match &self.day.clients {
             Clients::Open => return,
             Clients::Naive { pause, tries } => {
-                let on = asking.tries.count < *tries && now + *pause < asking.tries.deadline;
+                let on = asking.tries.attempts < *tries && now + *pause < asking.tries.deadline;
                 on.then_some(now + *pause)
             }
             Clients::Careful(_) => {
@@ -1017,16 +1019,16 @@
                     .retry_after
                     .map(|t| t.min(Duration::from_millis(500)));
                 let ended = if rejected {
-                    TryEnded::Rejected(retry_after)
+                    AttemptOutcome::Rejected { retry_after }
                 } else {
-                    TryEnded::Failed
+                    AttemptOutcome::Failed
                 };
                 match self.agents[agent]
                     .retries
-                    .next(now, &mut asking.tries, 0, ended)
+                    .decide(now, &mut asking.tries, 0, ended)
                 {
-                    Next::Again(at) => Some(at),
-                    Next::Over(_) => None,
+                    RetryDecision::RetryAt(at) => Some(at),
+                    RetryDecision::GiveUp(_) => None,
                 }
             }
         };
@@ -1492,7 +1494,7 @@
         if first {
             let took = now.saturating_sub(taken);
             self.played.succeeded += 1;
-            self.agents[agent].retries.succeeded(0);
+            self.agents[agent].retries.on_success(0);
             let latency_objective = self.day.deployment.classes[class].latency_objective;
             self.played.in_time += u64::from(took <= latency_objective);
             if now.saturating_sub(first_asked) <= latency_objective {
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tempfile::TempDir;
 use tulipwall::{DeduplicationScope, Idempotency};
-use tulipwall_client_policy::Service;
+use tulipwall_client_policy::ClientConfig;
 
 /// A class of the settings.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 }
 
 /// What a client of agents that serve views, messages (`send`) and payments sets.
-pub fn service(agents: Vec<SocketAddr>) -> Service {
+pub fn service(agents: Vec<SocketAddr>) -> ClientConfig {
     let class = |name: &str, idempotency, priority_weight| {
         let latency_objective = Duration::from_millis(400);
         tulipwall_client_policy::RequestClass {
@@ -58,7 +58,7 @@
         class("send", keyed, 3.0),
         class("payment", Idempotency::NonIdempotent, 9.0),
     ];
-    Service::new(agents, classes)
+    ClientConfig::new(agents, classes)
 }
 
 /// The classes of that service, as settings name them.
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_client_policy::Retrying;
+use tulipwall_client_policy::RetryPolicy;
 use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
 use tulipwall_zones::*;
 
@@ -54,7 +54,7 @@
 #[test]
 fn decides_as_before_while_a_zone_is_cut_and_drains() {
     let mut day = two_zones(11, 400.0, 600.0, seconds(30));
-    day.clients = Clients::Careful(Retrying::default());
+    day.clients = Clients::Careful(RetryPolicy::default());
     day.script = vec![
         (seconds(3), Change::Slows(1, 4.0)),
         (seconds(5), Change::Link(0, 1, seconds(2))),
