--- a/crates/agent/src/admin/mod.rs
+++ b/crates/agent/src/admin/mod.rs
@@ -33,15 +33,15 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// A socket that listens, and its file where it has one.
-pub enum Listening {
+pub enum AdminListener {
     Tcp(Source<TcpListener>),
-    Unix(Source<UnixListener>, Remove),
+    Unix(Source<UnixListener>, SocketFileGuard),
 }
 
 /// Removes the socket's file at the end.
-pub struct Remove(PathBuf);
+pub struct SocketFileGuard(PathBuf);
 
-impl Drop for Remove {
+impl Drop for SocketFileGuard {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -49,20 +49,20 @@
 
 /// Opens the door. A Unix socket is its owner's alone; one that a program left behind which no
 /// longer listens is taken over, any other file is not.
-pub fn open(door: &Door) -> io::Result<Listening> {
+pub fn open(door: &Door) -> io::Result<AdminListener> {
     match door {
         Door::Tcp(address) => {
             let listener = TcpListener::bind(address)?;
             listener.set_nonblocking(true)?;
-            Ok(Listening::Tcp(Source::new(listener)?))
+            Ok(AdminListener::Tcp(Source::new(listener)?))
         }
         Door::Unix(path) => {
             clear(path)?;
             let listener = UnixListener::bind(path)?;
-            let remove = Remove(path.clone());
+            let remove = SocketFileGuard(path.clone());
             std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
             listener.set_nonblocking(true)?;
-            Ok(Listening::Unix(Source::new(listener)?, remove))
+            Ok(AdminListener::Unix(Source::new(listener)?, remove))
         }
     }
 }
@@ -80,7 +80,7 @@
 }
 
 /// Answers whoever asks, for as long as the program runs.
-pub async fn run(agent: &Rc<Agent>, listening: Listening) {
+pub async fn run(agent: &Rc<Agent>, listening: AdminListener) {
     let readers = Rc::new(Cell::new(0));
     loop {
         if readers.get() >= READERS_MOST {
@@ -88,14 +88,16 @@
             continue;
         }
         let came = match &listening {
-            Listening::Tcp(l) => l.read(|| l.get().accept()).await.and_then(|(stream, _)| {
-                stream.set_nonblocking(true)?;
-                welcome(agent, &readers, stream)
-            }),
-            Listening::Unix(l, _) => l.read(|| l.get().accept()).await.and_then(|(stream, _)| {
+            AdminListener::Tcp(l) => l.read(|| l.get().accept()).await.and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 welcome(agent, &readers, stream)
             }),
+            AdminListener::Unix(l, _) => {
+                l.read(|| l.get().accept()).await.and_then(|(stream, _)| {
+                    stream.set_nonblocking(true)?;
+                    welcome(agent, &readers, stream)
+                })
+            }
         };
         if let Err(e) = came {
             log::warn!("door: {e}");
@@ -146,7 +148,7 @@
     let task = async move {
         if let Err(e) = within(ALL_WITHIN, serve(&shared, &source)).await {
             log::debug!("door: {e}; its reader is dropped");
-            shared.counters.door_dropped.add();
+            shared.counters.admin_dropped.increment();
         }
         drop(reader);
     };
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,11 +1,11 @@
 //! What the tasks of one agent share, each part with its owner.
 
 use crate::balancer_handle::Hand;
-use crate::lifecycle::phase::{Life, Party};
-use crate::lifecycle::start::Start;
+use crate::lifecycle::phase::{ControlService, Lifecycle};
+use crate::lifecycle::start::StartupConfig;
 use crate::observability::counters::Counters;
 use crate::observability::logging::EVIDENCE;
-use crate::protocol::platform::Told;
+use crate::protocol::platform::RolloutReport;
 use crate::runtime::reactor::Timer;
 use crate::upstream::pool::{Held, Pools, Sockets};
 use crate::upstream::zone_traffic::Border;
@@ -27,12 +27,12 @@
     installation: RefCell<Installation>,
     pub owed_until: Cell<Duration>, // requests taken under longer expiries end by then
     pub listen: SocketAddr,
-    pub door: Option<Door>,
+    pub admin_address: Option<Door>,
     pub discovery: Cell<SocketAddr>,
     pub platform: Cell<Option<SocketAddr>>,
     pub clock: Rc<Clock>,
     pub counters: Rc<Counters>,
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     pub hand: Hand,
     pub border: Border,
     pub sockets: Sockets,
@@ -85,46 +85,50 @@
 }
 
 impl Agent {
-    pub fn start(start: Start) -> Rc<Agent> {
+    pub fn start(start: StartupConfig) -> Rc<Agent> {
         let (clock, counters) = (Rc::new(Clock::start()), Rc::new(Counters::default()));
-        let names = names(&start.name, &start.site);
+        let names = names(&start.name, &start.service);
         let zoning = start.zoning();
         let agent = Rc::new(Agent {
             listen: start.listen,
-            door: start.door,
+            admin_address: start.admin_address,
             discovery: Cell::new(start.discovery),
             platform: Cell::new(start.platform),
-            hand: Hand::new(start.site.settings.clone(), clock.clone(), counters.clone()),
+            hand: Hand::new(
+                start.service.settings.clone(),
+                clock.clone(),
+                counters.clone(),
+            ),
             border: Border::new(clock.now(), zoning, names),
             clock,
             counters,
-            life: Life::start(),
-            sockets: Sockets::new(start.sockets),
-            buffers_most: Cell::new(start.memory / 4),
+            lifecycle: Lifecycle::new(),
+            sockets: Sockets::new(start.max_sockets),
+            buffers_most: Cell::new(start.memory_limit / 4),
             tasks: LocalExecutor::new(),
             first: LocalExecutor::new(),
             watch_due: Cell::default(),
             watch: Event::new(),
             vote: RefCell::default(),
             voted: Event::new(),
-            watched: RefCell::new(start.watch.clone()),
+            watched: RefCell::new(start.alternative_settings.clone()),
             discovery_moves: Moves::none(),
             platform_moves: Moves::none(),
             first_list: Event::new(),
             heard: Cell::default(),
             first_heard: Event::new(),
             list: RefCell::default(),
-            pools: RefCell::new(Pools::new(start.site.max_idle)),
-            site: RefCell::new(Rc::new(start.site)),
+            pools: RefCell::new(Pools::new(start.service.max_idle)),
+            site: RefCell::new(Rc::new(start.service)),
             installation: RefCell::new(start.installation),
             owed_until: Cell::default(),
         });
         agent
             .hand
-            .watch(&agent.site().settings, start.watch.as_ref());
+            .watch(&agent.site().settings, start.alternative_settings.as_ref());
         let (now, site) = (agent.clock.now(), agent.site());
         let (agents, r) = (site.settings.agents, &site.settings.rollout);
-        log::debug!(target: EVIDENCE, "{} start agents {agents} back {} hold {}", agent.clock.wall(now), r.votes_to_roll_back,
+        log::debug!(target: EVIDENCE, "{} start agents {agents} votes_to_roll_back {} votes_to_hold {}", agent.clock.wall(now), r.votes_to_roll_back,
             r.votes_to_hold);
         let latency_objective: Vec<_> = site
             .settings
@@ -132,11 +136,11 @@
             .iter()
             .map(|l| (l.latency_objective.as_millis(), l.priority_weight))
             .collect();
-        log::debug!(target: EVIDENCE, "{} lanes {latency_objective:?}", agent.clock.wall(now));
+        log::debug!(target: EVIDENCE, "{} classes {latency_objective:?}", agent.clock.wall(now));
         if let Some(told) = start.rollout_status {
             agent.rollout_status(told);
         }
-        if let Some(known) = start.known {
+        if let Some(known) = start.known_list {
             if let Some(what) = &known.spoilt {
                 log::warn!("field known: {what}; nothing goes there");
             }
@@ -153,18 +157,18 @@
     /// Goes on under a configuration that was read anew, all of it or none, but for what only a
     /// restart can change, which is named and stays. A party whose address is another is asked anew
     /// there; its list and news in the file are no newer than what it tells.
-    pub fn renew(&self, start: Start) {
-        let Start {
+    pub fn reload(&self, start: StartupConfig) {
+        let StartupConfig {
             name,
             listen,
             discovery,
             platform,
-            sockets,
-            memory,
-            site,
-            door,
+            max_sockets,
+            memory_limit,
+            service: site,
+            admin_address,
             installation,
-            watch,
+            alternative_settings: watch,
             ..
         } = start;
         let was = self.site();
@@ -182,22 +186,24 @@
         if listen != self.listen {
             log::warn!("field listen: {} stays until a restart", self.listen);
         }
-        if door != self.door {
+        if admin_address != self.admin_address {
             log::warn!("installation: door stays as it was until a restart");
         }
         *self.installation.borrow_mut() = installation;
-        self.sockets.resize(sockets);
-        self.buffers_most.set(memory / 4);
+        self.sockets.resize(max_sockets);
+        self.buffers_most.set(memory_limit / 4);
         let load_report_requests =
             |s: &ServiceConfig| (s.settings.shared_discovery, s.settings.max_poll_interval);
         if self.discovery.replace(discovery) != discovery
             || load_report_requests(&was) != load_report_requests(&self.site())
         {
-            self.life.moves(Party::Discovery, false);
+            self.lifecycle
+                .on_address_change(ControlService::Discovery, false);
             self.discovery_moves.tell();
         }
         if self.platform.replace(platform) != platform {
-            self.life.moves(Party::Platform, platform.is_none());
+            self.lifecycle
+                .on_address_change(ControlService::Platform, platform.is_none());
             self.platform_moves.tell();
         }
     }
@@ -248,7 +254,7 @@
         let [classes, tenants, zones] = site.named_counts();
         Ok(match same {
             true => "settings as before".into(),
-            false => format!("new settings: {classes} lanes, {tenants} tenants, {zones} zones"),
+            false => format!("new settings: {classes} classes, {tenants} tenants, {zones} zones"),
         })
     }
 
@@ -266,10 +272,10 @@
         }
     }
 
-    pub fn rollout_status(&self, t: Told) {
+    pub fn rollout_status(&self, t: RolloutReport) {
         let now = self.clock.now();
         let began = now.saturating_sub(t.age);
-        log::debug!(target: EVIDENCE, "{} news build {} stage {} {:?} since {}", self.clock.wall(now), t.build, t.stage,
+        log::debug!(target: EVIDENCE, "{} rollout build {} stage {} {:?} since {}", self.clock.wall(now), t.build, t.stage,
             t.phase, self.clock.wall(began));
         self.hand.rollout_status(RolloutStatus {
             build: t.build,
@@ -329,7 +335,7 @@
         self.border.alive(|| self.builds());
         if served && !self.list.borrow().serves() {
             log::warn!(
-                "discovery: no appliance runs, of {}; commands are denied",
+                "discovery: no endpoint runs, of {}; requests are rejected",
                 self.list.borrow().len()
             );
         }
@@ -375,10 +381,10 @@
 
     /// What is kept, for the counters: it should follow what is alive.
     pub fn kept(&self) -> String {
-        let [commands, endpoints, builds, keys] = self.hand.kept();
+        let [requests, endpoints, builds, keys] = self.hand.kept();
         let (listed, clients) = (self.list.borrow().len(), self.sockets.clients());
         let module =
-            format!("commands {commands} appliances {endpoints} builds {builds} keys {keys}");
+            format!("requests {requests} endpoints {endpoints} builds {builds} keys {keys}");
         let otherwise = self
             .hand
             .otherwise()
@@ -393,7 +399,7 @@
     /// A connection that waits for work, known open.
     pub fn waiting(&self, endpoint: usize) -> Option<Held> {
         let (held, closed) = self.pools.borrow_mut().take(self.clock.now(), endpoint);
-        (0..closed).for_each(|_| self.counters.gone_idle.add());
+        (0..closed).for_each(|_| self.counters.connections_found_closed.increment());
         held
     }
 
@@ -410,7 +416,7 @@
 
     pub fn sweep(&self) {
         let closed = self.pools.borrow_mut().sweep(self.clock.now());
-        (0..closed).for_each(|_| self.counters.gone_idle.add());
+        (0..closed).for_each(|_| self.counters.connections_found_closed.increment());
     }
 
     pub async fn until(&self, at: Duration) {
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -57,7 +57,7 @@
     pub fn take(&self, command: Request) -> (u64, Decision) {
         let id = self.taken.get();
         self.taken.set(id + 1);
-        self.counters.taken.add();
+        self.counters.requests_taken.increment();
         let (now, class, key) = (self.clock.now(), command.class, command.key);
         self.choice.borrow_mut().on_request(now, id, command);
         if let Some(watch) = self.watch.borrow_mut().as_mut() {
@@ -144,7 +144,7 @@
         outcome: Outcome,
         closed: bool,
     ) -> Decision {
-        self.counters.end(outcome);
+        self.counters.attempt_ended(outcome);
         let now = self.clock.now();
         let end = AttemptEnd {
             outcome,
@@ -170,14 +170,14 @@
     }
 
     pub fn list(&self, entries: &[EndpointEntry], complete: bool) {
-        self.counters.lists.add();
+        self.counters.lists_received.increment();
         self.choice
             .borrow_mut()
             .update_endpoints(self.clock.now(), entries, complete);
     }
 
     pub fn list_failed(&self) {
-        self.counters.list_failures.add();
+        self.counters.list_failures.increment();
         self.choice.borrow_mut().on_list_failure(self.clock.now());
     }
 
@@ -187,7 +187,7 @@
     }
 
     pub fn rollout_status(&self, rollout_status: RolloutStatus) {
-        self.counters.rollout_status.add();
+        self.counters.rollout_updates.increment();
         let told = |n: &RolloutStatus| (n.build, n.stage, n.phase, n.cap.to_bits());
         if self.rollout_status.borrow().as_ref().map(told) != Some(told(&rollout_status)) {
             self.turns.set(self.turns.get() + 1);
--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -1,6 +1,6 @@
 //! Checks an installation's file before an agent reads it.
 
-use crate::lifecycle::start::{read_installation, Files, Start};
+use crate::lifecycle::start::{read_installation, ConfigPaths, StartupConfig};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -8,11 +8,11 @@
 pub fn check(file: &Path, configuration: Option<&Path>) -> ExitCode {
     let told = match configuration {
         Some(c) => {
-            let files = Files {
+            let files = ConfigPaths {
                 configuration: Some(c.to_owned()),
                 installation: Some(file.to_owned()),
             };
-            Start::read(&files).map(|start| match start.zoning() {
+            StartupConfig::read(&files).map(|start| match start.zoning() {
                 Some(z) => {
                     let priced = z
                         .links
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -6,7 +6,7 @@
 mod report;
 
 use crate::lifecycle::run;
-use crate::lifecycle::start::Files;
+use crate::lifecycle::start::ConfigPaths;
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -80,7 +80,7 @@
 pub fn main() -> ExitCode {
     let run = |config, installation, log: Option<Form>| {
         let ended = run::run(
-            Files {
+            ConfigPaths {
                 configuration: config,
                 installation,
             },
--- a/crates/agent/src/control/discovery.rs
+++ b/crates/agent/src/control/discovery.rs
@@ -2,9 +2,9 @@
 //! begun anew as `watchdog` says.
 
 use crate::agent::Agent;
-use crate::lifecycle::phase::Party;
+use crate::lifecycle::phase::ControlService;
 use crate::protocol::connection::Connection;
-use crate::protocol::{http, Malformed};
+use crate::protocol::{http, ProtocolError};
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 /// How a watch ended, and what there is to say of it.
 struct End(Ended, String);
 
-impl From<Malformed> for End {
-    fn from(what: Malformed) -> End {
-        End(Ended::Spoilt, what.0)
+impl From<ProtocolError> for End {
+    fn from(what: ProtocolError) -> End {
+        End(Ended::Spoilt, what.to_string())
     }
 }
 
@@ -121,7 +121,7 @@
     fn ended(&mut self, End(ended, what): End) -> Option<Duration> {
         let (agent, now) = (self.agent, self.agent.clock.now());
         if ended == Ended::Silent {
-            agent.counters.list_silences.add();
+            agent.counters.list_timeouts.increment();
         }
         if self.away.is_none() {
             log::warn!("discovery: {what}; it is asked anew");
@@ -142,7 +142,7 @@
         }
         let again = self.watchdog.again(ended).map(|gap| now + gap);
         match again {
-            Some(_) => agent.counters.list_failures.add(),
+            Some(_) => agent.counters.list_failures.increment(),
             None => {
                 // What the module said before is no more.
                 agent.watch_due.set(false);
@@ -210,7 +210,7 @@
                 );
             }
             if std::mem::take(&mut self.owes) {
-                agent.life.heard(Party::Discovery);
+                agent.lifecycle.on_contact(ControlService::Discovery);
             }
             if last {
                 return End(Ended::Broken, "it closes after an answer".into());
@@ -254,21 +254,20 @@
 
 async fn ask(agent: &Agent, connection: &mut Connection, path: &str) -> Result<Told, End> {
     connection
-        .write(&http::get(&agent.discovery.get().to_string(), path))
+        .write(&http::get_request(&agent.discovery.get().to_string(), path))
         .await
         .map_err(broken)?;
     let mut ended = false;
     loop {
-        if let Some(answer) = http::answer(connection.inbox.unread(), ended)? {
-            connection.inbox.consume(answer.took);
+        if let Some(answer) = http::parse_response(connection.inbox.unread(), ended)? {
+            connection.inbox.consume(answer.length);
             if answer.status != 200 {
                 return Err(End(Ended::Refused, format!("status {}", answer.status)));
             }
             // Where the connection does not go on, this much is told, and the watch begins anew.
-            return Ok((
-                Listing::parse(&answer.body).map_err(Malformed)?,
-                answer.last,
-            ));
+            let list = Listing::parse(&answer.body)
+                .map_err(|error| End(Ended::Spoilt, error.to_string()))?;
+            return Ok((list, answer.closes_connection));
         }
         if ended {
             return Err(End(Ended::Broken, "it ended within an answer".into()));
@@ -276,7 +275,7 @@
         // Guards against an answer that stops short of its end, which would be waited for as long
         // as a watch.
         let begun = !connection.inbox.is_empty();
-        let more = async { connection.more().await.map_err(broken) };
+        let more = async { connection.read_more().await.map_err(broken) };
         let got = if begun {
             within(agent, REST_WITHIN, more).await?
         } else {
--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -2,11 +2,11 @@
 //! an old one that is heard out once the address has changed.
 
 use crate::agent::Agent;
-use crate::lifecycle::phase::Party;
+use crate::lifecycle::phase::ControlService;
 use crate::observability::logging::EVIDENCE;
 use crate::protocol::connection::Connection;
-use crate::protocol::platform::{self, Line};
-use crate::protocol::Malformed;
+use crate::protocol::platform::{self, PlatformMessage};
+use crate::protocol::ProtocolError;
 use futures_lite::FutureExt;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
             }
             continue;
         }
-        agent.counters.platform_ends.add();
+        agent.counters.platform_disconnects.increment();
         // What is told while no connection is open is not told again: at once where it spoke, later
         // and later where it did not.
         let spoke = talk.as_ref().is_some_and(|t| t.heard);
@@ -141,7 +141,7 @@
     });
     if let Err(e) = talk
         .connection
-        .write(platform::watch(calls.next()).as_bytes())
+        .write(platform::watch_request(calls.next()).as_bytes())
         .await
     {
         return e.to_string();
@@ -150,7 +150,7 @@
     loop {
         match lines(agent, talk, calls, true) {
             Ok(0) => {}
-            Ok(_) if calls.owes.take() => agent.life.heard(Party::Platform),
+            Ok(_) if calls.owes.take() => agent.lifecycle.on_contact(ControlService::Platform),
             Ok(_) => {}
             Err(garbage) => {
                 log::warn!("platform: {garbage}; its connection is closed");
@@ -163,7 +163,7 @@
                 let id = calls.next();
                 if let Err(e) = talk
                     .connection
-                    .write(platform::vote(id, &vote).as_bytes())
+                    .write(platform::vote_request(id, &vote).as_bytes())
                     .await
                 {
                     agent.hand.reply(VoteReply::Refused);
@@ -178,7 +178,7 @@
                 log::debug!(target: EVIDENCE, "{now} vote build {build} stage {stage} {verdict:?}");
                 talk.vote = Some(id);
                 calls.vote.set(Some(id));
-                agent.counters.votes.add();
+                agent.counters.votes_sent.increment();
             }
         }
         let voted = agent.voted.listen();
@@ -192,7 +192,7 @@
         } else {
             quiet_until
         };
-        let heard = async { talk.connection.more().await.map(Next::Heard) };
+        let heard = async { talk.connection.read_more().await.map(Next::Heard) };
         let vote = async {
             voted.await;
             Ok(Next::Vote)
@@ -216,7 +216,7 @@
 async fn hear_out(agent: &Agent, mut talk: Talk, calls: &Calls) {
     let heard = async {
         while lines(agent, &mut talk, calls, calls.owes.get()).is_ok()
-            && talk.connection.more().await.is_ok_and(|n| n > 0)
+            && talk.connection.read_more().await.is_ok_and(|n| n > 0)
         {}
     };
     heard.or(agent.until(agent.clock.now() + HEARD_OUT)).await;
@@ -225,15 +225,15 @@
 
 /// Tells the module all whole lines that have come in; only the answer to its vote unless `all`.
 /// How many there were.
-fn lines(agent: &Agent, talk: &mut Talk, calls: &Calls, all: bool) -> Result<usize, Malformed> {
+fn lines(agent: &Agent, talk: &mut Talk, calls: &Calls, all: bool) -> Result<usize, ProtocolError> {
     let mut count = 0;
-    while let Some((bytes, took)) = platform::split(talk.connection.inbox.unread())? {
-        let line = platform::line(bytes)?;
+    while let Some((bytes, took)) = platform::split_line(talk.connection.inbox.unread())? {
+        let line = platform::parse_message(bytes)?;
         talk.connection.inbox.consume(took);
         (count, talk.heard) = (count + 1, true);
         match line {
-            Line::RolloutStatus(told) if all => agent.rollout_status(told),
-            Line::Flag {
+            PlatformMessage::RolloutStatus(told) if all => agent.rollout_status(told),
+            PlatformMessage::ClientReportedError {
                 endpoint,
                 class,
                 age,
@@ -241,16 +241,16 @@
                 if let (Some(a), Some(l)) = (agent.endpoint(&endpoint), agent.site().class(&class))
                 {
                     let build = agent.target(a).map_or(0, |t| t.build);
-                    log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.wall(agent.clock.now()));
+                    log::debug!(target: EVIDENCE, "{} client_error class {l} build {build}", agent.clock.wall(agent.clock.now()));
                     agent.hand.flag(a, l, age);
                 }
             }
-            Line::Counted {
+            PlatformMessage::AggregatedCounts {
                 build,
                 class,
                 attempts,
                 failed,
-                took,
+                mean_latency,
                 age,
             } if all => {
                 if let Some(class) = agent.site().class(&class) {
@@ -260,13 +260,13 @@
                         class,
                         attempts,
                         failed,
-                        mean_latency: took,
+                        mean_latency,
                         age,
                     });
                 }
             }
-            Line::Answer { id, reply, told } => {
-                if let Some(told) = told.filter(|_| all) {
+            PlatformMessage::Response { id, reply, rollout } => {
+                if let Some(told) = rollout.filter(|_| all) {
                     agent.rollout_status(told);
                 }
                 if calls.vote.get() == Some(id) {
@@ -275,10 +275,10 @@
                     agent.hand.reply(reply);
                 }
             }
-            Line::RolloutStatus(_)
-            | Line::Flag { .. }
-            | Line::Counted { .. }
-            | Line::SignOfLife => {}
+            PlatformMessage::RolloutStatus(_)
+            | PlatformMessage::ClientReportedError { .. }
+            | PlatformMessage::AggregatedCounts { .. }
+            | PlatformMessage::Heartbeat => {}
         }
     }
     Ok(count)
--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -1,173 +1,227 @@
-//! The phases of the program, from start to exit, as states of one object.
+//! The phases of the program from start to exit, and who waits for them.
 
 use event_listener::{Event, EventListener};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// New clients still come for this long after SIGTERM.
-pub const LEAVING: Duration = Duration::from_millis(550);
-/// A client is asked to go only when it was idle for as long; sooner if it has never asked
-/// anything. The longer this is, the fewer new ones a second find a place; the shorter, the more
-/// requests cross with the end.
-const IDLE_LEAST: Duration = Duration::from_millis(200);
-const NEW_LEAST: Duration = Duration::from_millis(50);
-/// SIGKILL comes no sooner than the longest expiry, of this at least, and somewhat more.
-pub const LEAST_EXPIRY: Duration = Duration::from_secs(3);
-/// For answers that are given at the expiry itself. With it the program ends before SIGKILL: 0.7 s
-/// and the longest expiry after SIGTERM.
-pub const LAST_WORDS: Duration = Duration::from_millis(100);
-
+/// New clients are still accepted for this long after SIGTERM.
+pub const DRAIN_TIME: Duration = Duration::from_millis(550);
+/// A client is asked to close its connection only after it was idle for as long. The longer this
+/// is, the fewer new clients a second find a place; the shorter, the more requests cross with the
+/// end of their connection.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
+/// The same for a client that has never sent a request.
+const MIN_IDLE_TIME_BEFORE_FIRST_REQUEST: Duration = Duration::from_millis(50);
+/// SIGKILL comes no sooner than the longest request timeout, of this at least, and somewhat more.
+pub const MIN_TERMINATION_TIME: Duration = Duration::from_secs(3);
+/// For responses that are given at the deadline itself. With it the program ends before SIGKILL:
+/// 0.7 s and the longest request timeout after SIGTERM.
+pub const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(100);
+
+/// A phase of the program. Phases are only left for later ones, except for [`Phase::Reloading`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Nothing to serve from is known yet: clients wait.
     Starting,
+    /// All is served.
     Serving,
-    /// Serving on under a configuration read anew, until each party was heard at its new address.
-    Renewing,
-    /// SIGTERM has come: all is served as before, for those who do not know yet.
-    Leaving,
-    /// No new clients; what is in hand is answered, and each connection ends once it is idle.
-    Closing,
+    /// All is served under a configuration read anew, until each control service was reached at
+    /// its new address.
+    Reloading,
+    /// SIGTERM has come: all is served as before, for clients that do not know yet.
+    Draining,
+    /// No new clients; requests in progress are finished, and each connection ends once it is
+    /// idle.
+    Terminating,
+    /// The program ends.
     Stopped,
 }
 
-/// Whom the agent hears of the endpoints and the builds.
+/// A service that the agent learns the endpoints or the builds from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
+pub enum ControlService {
+    /// The discovery service.
     Discovery,
+    /// The rollout platform.
     Platform,
 }
 
-pub struct Life {
+impl ControlService {
+    const COUNT: usize = 2;
+}
+
+/// Orders idle clients by when they may first be asked to close; the number tells equal times
+/// apart.
+type IdleKey = (Duration, u64);
+
+/// The current phase, and the clients that are idle.
+pub struct Lifecycle {
     phase: Cell<Phase>,
-    changed: Event,
-    awaited: Cell<[bool; 2]>, // parties not yet heard at their new addresses
-    idle: RefCell<BTreeMap<(Duration, u64), Event>>, // clients between requests, the first to go first
-    idled: Cell<u64>,
-    ends: Cell<Option<Duration>>, // when the last request does, known once it closes
-    shut: Cell<bool>,             // the listener: all that had connected are taken in
+    phase_changed: Event,
+    /// By control service: whether it was not yet reached at its new address.
+    awaiting_contact: Cell<[bool; ControlService::COUNT]>,
+    idle_clients: RefCell<BTreeMap<IdleKey, Event>>,
+    next_idle_number: Cell<u64>,
+    /// When the last request ends; known once the program terminates.
+    ends_at: Cell<Option<Duration>>,
+    /// Whether the listener is closed and all clients that had connected were accepted.
+    listener_closed: Cell<bool>,
 }
 
-/// A client's time between two requests; it may be asked to end its connection.
-pub struct Idle<'a> {
-    life: &'a Life,
-    key: (Duration, u64),
-    pub asked: EventListener,
+/// A client between two requests; it may be asked to close its connection.
+pub struct IdleClientGuard<'a> {
+    lifecycle: &'a Lifecycle,
+    key: IdleKey,
+    /// Notified when the client is to close its connection.
+    pub close_requested: EventListener,
 }
 
-impl Drop for Idle<'_> {
+impl Drop for IdleClientGuard<'_> {
     fn drop(&mut self) {
-        self.life.idle.borrow_mut().remove(&self.key);
+        self.lifecycle.idle_clients.borrow_mut().remove(&self.key);
     }
 }
 
-impl Life {
-    pub fn start() -> Life {
-        Life {
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
+        Lifecycle::new()
+    }
+}
+
+impl Lifecycle {
+    /// In [`Phase::Starting`].
+    pub fn new() -> Lifecycle {
+        Lifecycle {
             phase: Cell::new(Phase::Starting),
-            changed: Event::new(),
-            awaited: Cell::default(),
-            idle: RefCell::default(),
-            idled: Cell::default(),
-            ends: Cell::default(),
-            shut: Cell::default(),
+            phase_changed: Event::new(),
+            awaiting_contact: Cell::default(),
+            idle_clients: RefCell::default(),
+            next_idle_number: Cell::default(),
+            ends_at: Cell::default(),
+            listener_closed: Cell::default(),
         }
     }
 
-    /// A new configuration was read, also while another is under way: this party is to be heard at
-    /// a new address, or is `gone`.
-    pub fn moves(&self, party: Party, gone: bool) {
-        self.awaits(party, !gone);
-        if !gone && self.phase.get() == Phase::Serving {
-            self.reach(Phase::Renewing);
+    /// A configuration with another address for `service` was read, also while another reload is
+    /// under way: it is to be reached there, or is not used any more where it was `removed`.
+    pub fn on_address_change(&self, service: ControlService, removed: bool) {
+        self.set_awaiting_contact(service, !removed);
+        if !removed && self.phase.get() == Phase::Serving {
+            self.advance_to(Phase::Reloading);
         }
     }
 
-    /// A party was heard at its new address.
-    pub fn heard(&self, party: Party) {
-        self.awaits(party, false);
+    /// A control service was reached at its new address.
+    pub fn on_contact(&self, service: ControlService) {
+        self.set_awaiting_contact(service, false);
     }
 
-    fn awaits(&self, party: Party, awaited: bool) {
-        let mut all = self.awaited.get();
-        all[party as usize] = awaited;
-        self.awaited.set(all);
-        if all == [false; 2] && self.phase.get() == Phase::Renewing {
-            log::info!(phase:? = Phase::Serving; "phase: {:?}", Phase::Serving);
+    fn set_awaiting_contact(&self, service: ControlService, awaiting: bool) {
+        let mut all = self.awaiting_contact.get();
+        all[service as usize] = awaiting;
+        self.awaiting_contact.set(all);
+        if !all.contains(&true) && self.phase.get() == Phase::Reloading {
+            log_phase(Phase::Serving);
             self.phase.set(Phase::Serving);
         }
     }
 
-    /// Goes on to a later phase; back only from a new configuration.
-    pub fn reach(&self, phase: Phase) {
-        if phase > self.phase.get() {
-            log::info!(phase:?; "phase: {phase:?}");
-            self.phase.set(phase);
-            self.changed.notify(usize::MAX);
-            if phase >= Phase::Closing {
-                for asked in self.idle.borrow().values() {
-                    asked.notify(1);
-                }
+    /// Goes on to `phase` if that is a later one.
+    pub fn advance_to(&self, phase: Phase) {
+        if phase <= self.phase.get() {
+            return;
+        }
+        log_phase(phase);
+        self.phase.set(phase);
+        self.phase_changed.notify(usize::MAX);
+        if phase >= Phase::Terminating {
+            for close_request in self.idle_clients.borrow().values() {
+                close_request.notify(1);
             }
         }
     }
 
-    /// No new clients from now on, and no request is taken whose time goes beyond `ends`.
-    pub fn close(&self, ends: Duration) {
-        if self.ends.get().is_none() {
-            self.ends.set(Some(ends));
-            self.reach(Phase::Closing);
+    /// From now on there are no new clients, and no request with a deadline after `ends_at` is
+    /// taken. Only the first call counts.
+    pub fn begin_termination(&self, ends_at: Duration) {
+        if self.ends_at.get().is_none() {
+            self.ends_at.set(Some(ends_at));
+            self.advance_to(Phase::Terminating);
         }
     }
 
-    /// Whether the program ends before this time.
-    pub fn ends_before(&self, at: Duration) -> bool {
-        self.ends.get().is_some_and(|ends| ends < at)
+    /// Whether the program ends before `time`.
+    pub fn ends_before(&self, time: Duration) -> bool {
+        self.ends_at.get().is_some_and(|ends_at| ends_at < time)
     }
 
-    pub fn closes(&self) -> bool {
-        self.phase.get() >= Phase::Closing
+    /// Whether no new clients are accepted any more.
+    pub fn is_terminating(&self) -> bool {
+        self.phase.get() >= Phase::Terminating
     }
 
-    /// All that had connected are taken in, and nobody else can.
-    pub fn shut(&self) {
-        self.shut.set(true);
+    /// All clients that had connected were accepted, and nobody else can connect.
+    pub fn mark_listener_closed(&self) {
+        self.listener_closed.set(true);
     }
 
-    pub fn is_shut(&self) -> bool {
-        self.shut.get()
+    /// Whether [`Lifecycle::mark_listener_closed`] was called.
+    pub fn is_listener_closed(&self) -> bool {
+        self.listener_closed.get()
     }
 
-    pub async fn reached(&self, phase: Phase) {
+    /// Ready once `phase` or a later one is reached.
+    pub async fn wait_for(&self, phase: Phase) {
         while self.phase.get() < phase {
-            self.changed.listen().await;
+            self.phase_changed.listen().await;
         }
     }
 
-    /// A client has no request in hand, `new` if it never had one; `None` when it is time to go.
-    pub fn idle(&self, now: Duration, new: bool) -> Option<Idle<'_>> {
-        if self.phase.get() >= Phase::Closing {
+    /// Registers a client without a request in progress; `None` when it is to close its connection
+    /// at once.
+    pub fn register_idle_client(
+        &self,
+        now: Duration,
+        before_first_request: bool,
+    ) -> Option<IdleClientGuard<'_>> {
+        if self.is_terminating() {
             return None;
         }
-        let number = self.idled.get();
-        self.idled.set(number + 1);
-        let event = Event::new();
-        let asked = event.listen();
-        let key = (now + if new { NEW_LEAST } else { IDLE_LEAST }, number);
-        self.idle.borrow_mut().insert(key, event);
-        Some(Idle {
-            life: self,
+        let number = self.next_idle_number.get();
+        self.next_idle_number.set(number + 1);
+        let close_request = Event::new();
+        let close_requested = close_request.listen();
+        let min_idle_time = if before_first_request {
+            MIN_IDLE_TIME_BEFORE_FIRST_REQUEST
+        } else {
+            MIN_IDLE_TIME
+        };
+        let key = (now + min_idle_time, number);
+        self.idle_clients.borrow_mut().insert(key, close_request);
+        Some(IdleClientGuard {
+            lifecycle: self,
             key,
-            asked,
+            close_requested,
         })
     }
 
-    /// Asks the client that has been idle for longest to go; false when none was idle for a while.
-    /// One that was not has likely written its next request already.
-    pub fn evict_idle(&self, now: Duration) -> bool {
-        let mut idle = self.idle.borrow_mut();
-        let longest = idle.first_entry().filter(|e| now >= e.key().0);
-        longest.map(|e| e.remove().notify(1)).is_some()
+    /// Asks the client that has been idle for longest to close its connection; false when none
+    /// was idle for long enough: one that was not has likely written its next request already.
+    pub fn evict_idle_client(&self, now: Duration) -> bool {
+        let mut idle_clients = self.idle_clients.borrow_mut();
+        let Some(longest_idle) = idle_clients.first_entry() else {
+            return false;
+        };
+        let (evictable_from, _) = *longest_idle.key();
+        if now < evictable_from {
+            return false;
+        }
+        longest_idle.remove().notify(1);
+        true
     }
 }
+
+fn log_phase(phase: Phase) {
+    log::info!(phase:?; "phase: {phase:?}");
+}
--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -5,10 +5,10 @@
 use crate::control::{discovery, platform};
 use crate::lifecycle::phase::Phase;
 use crate::lifecycle::signals::{self, Signals};
-use crate::lifecycle::start::{Files, Start};
+use crate::lifecycle::start::{ConfigPaths, StartupConfig, StartupError};
 use crate::observability::logging;
 use crate::observability::logging::EVIDENCE;
-use crate::protocol::buffer::KEPT;
+use crate::protocol::buffer::MAX_RETAINED_CAPACITY;
 use crate::protocol::connection::Connection;
 use crate::runtime::reactor::{self, Source, Timer};
 use crate::server::connection as client;
@@ -36,10 +36,10 @@
 
 /// Runs one agent until it is told to leave; whether it ended as it should. `form` is that of its
 /// log, where the installation's own does not count.
-pub fn run(files: Files, form: Option<LogForm>) -> bool {
-    let read = Signals::new().map_err(|e| vec![format!("signals: {e}")]);
-    let read = read.and_then(|signals| Ok((signals, Start::read(&files)?)));
-    let told = read.as_ref().ok().and_then(|(_, start)| start.log);
+pub fn run(files: ConfigPaths, form: Option<LogForm>) -> bool {
+    let read = Signals::new().map_err(|e| vec![StartupError::Signals(e)]);
+    let read = read.and_then(|signals| Ok((signals, StartupConfig::read(&files)?)));
+    let told = read.as_ref().ok().and_then(|(_, start)| start.log_format);
     logging::begin(form.or(told).unwrap_or(LogForm::Text));
     let (signals, start) = match read {
         Ok(both) => both,
@@ -50,7 +50,7 @@
     };
     log::info!(agent = start.name.as_str(), address:% = start.listen;
         "{}: listening on {}", start.name, start.listen);
-    let opening = start.door.clone();
+    let opening = start.admin_address.clone();
     let agent = Agent::start(start);
     let run = async {
         let listener = TcpListener::bind(agent.listen).map_err(|e| {
@@ -61,7 +61,7 @@
         // first packet dropped, which it sends again a second later. Harms where it stands still
         // for long: more requests are late then. All that wait are taken in at once, and each may
         // hold a small buffer before it is held back: a quarter of that memory at most.
-        let bears = agent.buffers_most.get() / 4 / KEPT;
+        let bears = agent.buffers_most.get() / 4 / MAX_RETAINED_CAPACITY;
         let queue = agent.sockets.clients_most().min(bears).max(QUEUE_LEAST);
         rustix::net::listen(&listener, i32::try_from(queue).unwrap_or(i32::MAX))?;
         let listener = Rc::new(Source::new(listener)?);
@@ -103,20 +103,20 @@
                 attempt::warm(&a).await;
             };
             warm.or(a.until(a.clock.now() + READY_WITHIN)).await;
-            a.life.reach(Phase::Serving);
+            a.lifecycle.advance_to(Phase::Serving);
         };
         agent.tasks.spawn(ready).detach();
         let (a, l) = (agent.clone(), listener.clone());
         let accepting = agent.tasks.spawn(async move { accept(&a, &l).await });
         // It ends once the program closes and nobody waits to be taken in any more.
         let stopped = async {
-            agent.life.reached(Phase::Stopped).await;
+            agent.lifecycle.wait_for(Phase::Stopped).await;
             Ok(())
         };
         accepting.or(stopped).await?;
         drop(listener);
-        agent.life.shut();
-        agent.life.reached(Phase::Stopped).await;
+        agent.lifecycle.mark_listener_closed();
+        agent.lifecycle.wait_for(Phase::Stopped).await;
         if let Some(door) = door {
             // Its socket's file goes with it.
             door.cancel().await;
@@ -141,7 +141,7 @@
             None
         };
         if agent.sockets.clients_crowd() {
-            agent.life.evict_idle(agent.clock.now());
+            agent.lifecycle.evict_idle_client(agent.clock.now());
         }
         if slot.is_none() && overflow.is_none() {
             agent
@@ -152,11 +152,11 @@
             continue;
         }
         let closing = async {
-            agent.life.reached(Phase::Closing).await;
+            agent.lifecycle.wait_for(Phase::Terminating).await;
             None
         };
         let next = async { Some(listener.read(|| Connection::accept(listener.get())).await) };
-        let accepted = match agent.life.closes() {
+        let accepted = match agent.lifecycle.is_terminating() {
             // Asked of the listener itself: the event of who connected just now may be still to
             // come.
             true => Connection::accept(listener.get()),
@@ -172,7 +172,7 @@
                 match (slot, overflow) {
                     (Some(slot), _) => welcome(agent, client, slot),
                     (None, Some(slot)) => {
-                        agent.counters.clients_rejected.add();
+                        agent.counters.clients_rejected.increment();
                         agent
                             .tasks
                             .spawn(client::deny(agent.clone(), client, slot))
@@ -194,7 +194,7 @@
 }
 
 fn welcome(agent: &Rc<Agent>, client: Connection, slot: Slot) {
-    agent.counters.clients.add();
+    agent.counters.clients_accepted.increment();
     agent
         .tasks
         .spawn(client::serve(agent.clone(), client, slot))
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -1,7 +1,7 @@
 //! What the operator asks for by signals: the counters, a new configuration, the end.
 
-use super::phase::{Phase, LAST_WORDS, LEAST_EXPIRY, LEAVING};
-use super::start::{Files, Start};
+use super::phase::{Phase, DRAIN_TIME, FINAL_RESPONSE_TIME, MIN_TERMINATION_TIME};
+use super::start::{ConfigPaths, StartupConfig, StartupError};
 use crate::agent::Agent;
 use crate::runtime::reactor::Timer;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -41,16 +41,16 @@
 /// A configuration that is being read, beside all requests: large settings take a while.
 struct Reading(Result<JoinHandle<Read>, Box<Read>>);
 
-type Read = Result<Start, Vec<String>>;
+type Read = Result<StartupConfig, Vec<StartupError>>;
 
 impl Reading {
-    fn begin(files: &Files) -> Reading {
+    fn begin(files: &ConfigPaths) -> Reading {
         let own = files.clone();
         let begun = std::thread::Builder::new()
             .name("settings".into())
-            .spawn(move || Start::read(&own));
+            .spawn(move || StartupConfig::read(&own));
         // Without a thread of its own all else waits for it.
-        Reading(begun.map_err(|_| Box::new(Start::read(files))))
+        Reading(begun.map_err(|_| Box::new(StartupConfig::read(files))))
     }
 
     fn is_over(&self) -> bool {
@@ -61,7 +61,7 @@
         match self.0 {
             Ok(thread) => thread
                 .join()
-                .unwrap_or_else(|_| Err(vec!["configuration: not read".into()])),
+                .unwrap_or_else(|_| Err(vec![StartupError::ReaderPanicked])),
             Err(read) => *read,
         }
     }
@@ -69,7 +69,7 @@
 
 /// SIGUSR1 prints the counters, SIGHUP reads the configuration again, also on the way out; SIGTERM
 /// takes the program through its last phases.
-pub async fn obey(agent: &Agent, signals: Signals, files: &Files) {
+pub async fn obey(agent: &Agent, signals: Signals, files: &ConfigPaths) {
     let (mut asked, mut reading) = (None, None::<Reading>);
     loop {
         if signals.usr1.swap(false, Ordering::Relaxed) {
@@ -80,7 +80,7 @@
         }
         if let Some(read) = reading.take_if(|r| r.is_over()) {
             match read.end() {
-                Ok(start) => agent.renew(start),
+                Ok(start) => agent.reload(start),
                 Err(faults) => faults
                     .iter()
                     .for_each(|fault| log::error!("{fault}; the configuration read before stays")),
@@ -89,14 +89,16 @@
         let now = agent.clock.now();
         if asked.is_none() && signals.term.load(Ordering::Relaxed) {
             asked = Some(now);
-            agent.life.reach(Phase::Leaving);
+            agent.lifecycle.advance_to(Phase::Draining);
         }
-        if let Some(closes) = asked.map(|at| at + LEAVING).filter(|at| now >= *at) {
-            let last = (closes + agent.site().longest_timeout.max(LEAST_EXPIRY))
+        if let Some(closes) = asked.map(|at| at + DRAIN_TIME).filter(|at| now >= *at) {
+            let last = (closes + agent.site().longest_timeout.max(MIN_TERMINATION_TIME))
                 .max(agent.owed_until.get());
-            agent.life.close(last);
-            if agent.life.is_shut() && agent.sockets.nobody() || now >= last + LAST_WORDS {
-                return agent.life.reach(Phase::Stopped);
+            agent.lifecycle.begin_termination(last);
+            if agent.lifecycle.is_listener_closed() && agent.sockets.nobody()
+                || now >= last + FINAL_RESPONSE_TIME
+            {
+                return agent.lifecycle.advance_to(Phase::Stopped);
             }
         }
         Timer::after(if asked.is_some() { LOOK / 4 } else { LOOK }).await;
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -1,8 +1,9 @@
-//! What is read at the start and again at each new configuration. A message names the key that is
-//! at fault.
+//! What is read at the start and again at each reload. An error names the key that is at fault.
 
-use crate::protocol::platform::{self, Told};
+use crate::protocol::error::PlatformError;
+use crate::protocol::platform::{self, RolloutReport};
 use serde_json::Value;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tulipwall::AlternativeSettings;
@@ -10,113 +11,199 @@
 use tulipwall_discovery::listing::Listing;
 use tulipwall_zones::Zoning;
 
+/// The environment variable that names the configuration where the command line does not.
+const CONFIGURATION_VARIABLE: &str = "PROXY_CONFIG";
+
 /// Which files are read.
 #[derive(Clone, Debug, Default)]
-pub struct Files {
-    /// The platform's; PROXY_CONFIG names it otherwise.
+pub struct ConfigPaths {
+    /// The platform's configuration; PROXY_CONFIG names it where this is `None`.
     pub configuration: Option<PathBuf>,
-    /// The installation's own; none where none is named.
+    /// The installation's own file, if there is one.
     pub installation: Option<PathBuf>,
 }
 
-pub struct Start {
+/// Why the files could not be read: one fault in one of them.
+#[derive(Debug, thiserror::Error)]
+pub enum StartupError {
+    /// The signal handlers could not be registered.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// Neither the command line nor the environment names a configuration.
+    #[error("variable {CONFIGURATION_VARIABLE}: missing")]
+    MissingVariable,
+    /// A file could not be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What the operating system says.
+        source: io::Error,
+    },
+    /// The platform's configuration has a fault.
+    #[error("{}: {source}", path.display())]
+    Configuration {
+        /// The file.
+        path: PathBuf,
+        /// The fault.
+        source: ConfigurationError,
+    },
+    /// The installation's file has a fault; its place in the file is part of the diagnostic.
+    #[error("{}:{diagnostic}", path.display())]
+    Installation {
+        /// The file.
+        path: PathBuf,
+        /// Line, column and fault.
+        diagnostic: ConfigDiagnostic,
+    },
+    /// The thread that read a configuration anew panicked.
+    #[error("configuration: not read")]
+    ReaderPanicked,
+}
+
+/// A fault in the platform's configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigurationError {
+    /// It is not JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[source] serde_json::Error),
+    /// A setting is missing or wrong; the message names its key.
+    #[error("{0}")]
+    Settings(String),
+    /// The endpoint list known from before is wrong.
+    #[error("known: {0}")]
+    KnownList(String),
+    /// The rollout status known from before is wrong.
+    #[error("deployer.news: {0}")]
+    RolloutStatus(#[source] PlatformError),
+}
+
+/// All that one agent starts with, or goes on with after a reload.
+pub struct StartupConfig {
+    /// The agent's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where the discovery service is.
     pub discovery: SocketAddr,
+    /// Where the rollout platform is, if there is one.
     pub platform: Option<SocketAddr>,
-    pub sockets: usize,
-    pub memory: usize, // in bytes
-    pub known: Option<Listing>,
-    pub rollout_status: Option<Told>,
-    pub site: ServiceConfig,
-    pub log: Option<LogForm>,
-    pub door: Option<Door>,
+    /// The limit on sockets.
+    pub max_sockets: usize,
+    /// The limit on memory, in bytes.
+    pub memory_limit: usize,
+    /// The endpoint list known from before.
+    pub known_list: Option<Listing>,
+    /// The rollout status known from before.
+    pub rollout_status: Option<RolloutReport>,
+    /// The settings of the service.
+    pub service: ServiceConfig,
+    /// The format of log lines that the installation sets.
+    pub log_format: Option<LogForm>,
+    /// Where the admin endpoint listens, if the installation sets one.
+    pub admin_address: Option<Door>,
+    /// The installation's own settings.
     pub installation: Installation,
-    pub watch: Option<AlternativeSettings>,
+    /// Settings that are only evaluated beside those in force.
+    pub alternative_settings: Option<AlternativeSettings>,
 }
 
-impl Start {
-    /// Reads the files; every mistake in them otherwise, a line each.
-    pub fn read(files: &Files) -> Result<Start, Vec<String>> {
-        let variable = || std::env::var_os("PROXY_CONFIG").map(PathBuf::from);
-        let Some(path) = files.configuration.clone().or_else(variable) else {
-            return Err(vec!["variable PROXY_CONFIG: missing".into()]);
-        };
-        let bytes = std::fs::read(&path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
-        let start = Start::parse(&bytes).map_err(|e| vec![format!("{}: {e}", path.display())])?;
-        let Some(path) = &files.installation else {
-            return Ok(start);
-        };
+impl StartupConfig {
+    /// Reads the files, or names every fault in them.
+    pub fn read(paths: &ConfigPaths) -> Result<StartupConfig, Vec<StartupError>> {
+        let from_environment = || std::env::var_os(CONFIGURATION_VARIABLE).map(PathBuf::from);
+        let path = paths
+            .configuration
+            .clone()
+            .or_else(from_environment)
+            .ok_or_else(|| vec![StartupError::MissingVariable])?;
+        let config = StartupConfig::read_configuration(path).map_err(|error| vec![error])?;
+        match &paths.installation {
+            Some(path) => config.with_installation(path),
+            None => Ok(config),
+        }
+    }
+
+    fn read_configuration(path: PathBuf) -> Result<StartupConfig, StartupError> {
+        match std::fs::read(&path) {
+            Ok(bytes) => StartupConfig::parse(&bytes)
+                .map_err(|source| StartupError::Configuration { path, source }),
+            Err(source) => Err(StartupError::Unreadable { path, source }),
+        }
+    }
+
+    fn with_installation(self, path: &Path) -> Result<StartupConfig, Vec<StartupError>> {
         let installation = read_installation(path)?;
-        let named = |mistakes| named(path, mistakes);
-        installation.zoning(&start.site).map_err(named)?;
-        let watch = installation.watch(&start.site).map_err(named)?;
-        let (log, door) = (installation.log, installation.door.clone());
-        Ok(Start {
-            log,
-            door,
+        let in_file = |diagnostics| in_installation_file(path, diagnostics);
+        installation.zoning(&self.service).map_err(in_file)?;
+        let alternative_settings = installation.watch(&self.service).map_err(in_file)?;
+        Ok(StartupConfig {
+            log_format: installation.log,
+            admin_address: installation.door.clone(),
             installation,
-            watch,
-            ..start
+            alternative_settings,
+            ..self
         })
     }
 
-    /// What the installation says of zones, in the numbers of these settings; looked at for
-    /// mistakes as it was read.
+    /// What the installation says of zones, in the indices of these settings. The installation was
+    /// checked for faults when it was read.
     pub fn zoning(&self) -> Option<Zoning> {
-        self.installation.zoning(&self.site).unwrap_or_default()
+        self.installation.zoning(&self.service).unwrap_or_default()
     }
 
-    pub fn parse(bytes: &[u8]) -> Result<Start, String> {
-        let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
-        let i = Instance::read(&value)?;
-        let known = i
-            .known_list
-            .as_ref()
-            .map(Listing::read)
-            .transpose()
-            .map_err(|e| format!("known: {e}"))?;
-        let rollout_status = i.rollout_status.as_ref().map(platform::told).transpose();
-        let rollout_status = rollout_status.map_err(|e| format!("deployer.news: {e}"))?;
-        let Instance {
-            name,
-            listen,
-            discovery,
-            platform,
-            max_sockets: sockets,
-            memory_limit: memory,
-            service: site,
-            ..
-        } = i;
-        let (log, door, installation, watch) = (None, None, Installation::default(), None);
-        Ok(Start {
-            name,
-            listen,
-            discovery,
-            platform,
-            sockets,
-            memory,
-            known,
+    /// Reads the platform's configuration, without an installation's file.
+    pub fn parse(bytes: &[u8]) -> Result<StartupConfig, ConfigurationError> {
+        let value: Value = serde_json::from_slice(bytes).map_err(ConfigurationError::NotJson)?;
+        let instance = Instance::read(&value)
+            .map_err(|error| ConfigurationError::Settings(error.to_string()))?;
+        let known_list = match &instance.known_list {
+            Some(fields) => {
+                let list = Listing::read(fields);
+                Some(list.map_err(|error| ConfigurationError::KnownList(error.to_string()))?)
+            }
+            None => None,
+        };
+        let rollout_status = match &instance.rollout_status {
+            Some(fields) => Some(
+                platform::parse_rollout_report(fields)
+                    .map_err(ConfigurationError::RolloutStatus)?,
+            ),
+            None => None,
+        };
+        Ok(StartupConfig {
+            name: instance.name,
+            listen: instance.listen,
+            discovery: instance.discovery,
+            platform: instance.platform,
+            max_sockets: instance.max_sockets,
+            memory_limit: instance.memory_limit,
+            known_list,
             rollout_status,
-            site,
-            log,
-            door,
-            installation,
-            watch,
+            service: instance.service,
+            log_format: None,
+            admin_address: None,
+            installation: Installation::default(),
+            alternative_settings: None,
         })
     }
 }
 
-/// Reads an installation's file; every mistake in it otherwise, with file, line and column.
-pub fn read_installation(path: &Path) -> Result<Installation, Vec<String>> {
-    let text =
-        std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
-    Installation::read(&text).map_err(|mistakes| named(path, mistakes))
+/// Reads an installation's file, or names every fault in it with file, line and column.
+pub fn read_installation(path: &Path) -> Result<Installation, Vec<StartupError>> {
+    let text = std::fs::read_to_string(path).map_err(|source| {
+        vec![StartupError::Unreadable {
+            path: path.to_owned(),
+            source,
+        }]
+    })?;
+    Installation::read(&text).map_err(|diagnostics| in_installation_file(path, diagnostics))
 }
 
-fn named(path: &Path, mistakes: Vec<ConfigDiagnostic>) -> Vec<String> {
-    mistakes
-        .into_iter()
-        .map(|m| format!("{}:{m}", path.display()))
-        .collect()
+fn in_installation_file(path: &Path, diagnostics: Vec<ConfigDiagnostic>) -> Vec<StartupError> {
+    let in_file = |diagnostic| StartupError::Installation {
+        path: path.to_owned(),
+        diagnostic,
+    };
+    diagnostics.into_iter().map(in_file).collect()
 }
--- a/crates/agent/src/observability/counters.rs
+++ b/crates/agent/src/observability/counters.rs
@@ -1,128 +1,144 @@
-//! Counts of what is taken, sent and answered, printed on request or at exit.
+//! Counters of clients, requests, attempts and control services, printed at SIGUSR1 and at the exit.
 
 use std::cell::Cell;
 use std::fmt;
 use tulipwall::Outcome;
 
+/// A count that only grows.
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
-    pub fn add(&self) {
+impl Counter {
+    /// Adds one.
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
+
+    /// The count so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-#[derive(Default)]
-pub struct Counters {
-    pub clients: Count,
-    pub clients_closed: Count,   // between two requests, by either side
-    pub clients_rejected: Count, // at the limit of descriptors
-    pub clients_late: Count,     // ended for want of a whole request or message
-    pub floods: Count,           // requests rejected for how many their clients wrote ahead
-    pub taken: Count,
-    pub faulty: Count, // statements that were answered with their fault
-    pub succeeded: Count,
-    pub rejected: Count,
-    pub scrapped: Count,
-    pub left: Count, // clients that went away
-    pub opened: Count,
-    pub reused: Count,
-    pub gone_idle: Count, // connections found closed by the endpoint while idle
-    pub sent: Count,
-    pub spoilt: Count,  // answers that could not be read
-    pub unasked: Count, // connections closed for what came behind an answer
-    pub ended: [Count; 8],
-    pub lists: Count,
-    pub list_failures: Count,
-    pub list_silences: Count, // watches that fell silent, and calls without an answer
-    pub rollout_status: Count,
-    pub votes: Count,
-    pub platform_ends: Count,
-    pub door_dropped: Count, // readers of the operators' door that did not read
+impl fmt::Display for Counter {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        self.get().fmt(f)
+    }
 }
 
-const OUTCOMES: [&str; 8] = [
-    "satisfied",
+/// The number of outcomes that an attempt can have.
+const OUTCOME_COUNT: usize = 8;
+
+/// Their names in the line of counters, in the order of [`tulipwall_zones::place`].
+const OUTCOME_NAMES: [&str; OUTCOME_COUNT] = [
+    "succeeded",
     "failed",
-    "turned_away",
+    "rejected",
     "timed_out",
-    "no_connection",
-    "broken",
-    "withdrawn",
+    "connect_failed",
+    "connection_lost",
+    "cancelled",
     "not_sent",
 ];
 
+/// What one agent has done since its start.
+#[derive(Default)]
+pub struct Counters {
+    /// Clients that were accepted.
+    pub clients_accepted: Counter,
+    /// Connections that either side closed between two requests.
+    pub clients_closed: Counter,
+    /// Clients that were rejected at the limit of sockets.
+    pub clients_rejected: Counter,
+    /// Clients that were disconnected because a request, a message or the reading of a response
+    /// took too long.
+    pub clients_timed_out: Counter,
+    /// Requests that were rejected because their client had pipelined too many.
+    pub requests_over_pipeline_limit: Counter,
+    /// Requests that were passed to the balancer.
+    pub requests_taken: Counter,
+    /// Statements and messages that were answered with their fault.
+    pub requests_invalid: Counter,
+    /// Requests that were answered with a value.
+    pub requests_succeeded: Counter,
+    /// Requests that were rejected: a retry is safe.
+    pub requests_rejected: Counter,
+    /// Requests that failed and may have run.
+    pub requests_failed: Counter,
+    /// Requests whose client went away.
+    pub requests_abandoned: Counter,
+    /// Attempts that were sent on a new connection.
+    pub connections_opened: Counter,
+    /// Attempts that were sent on a pooled connection.
+    pub connections_reused: Counter,
+    /// Pooled connections that the endpoint had closed.
+    pub connections_found_closed: Counter,
+    /// Attempts that were written whole.
+    pub attempts_written: Counter,
+    /// Responses of endpoints that could not be read.
+    pub responses_malformed: Counter,
+    /// Connections that were closed because of data behind a response.
+    pub responses_unsolicited: Counter,
+    /// Attempts that ended, by outcome.
+    attempts_ended: [Counter; OUTCOME_COUNT],
+    /// Endpoint lists that were received.
+    pub lists_received: Counter,
+    /// Calls to the discovery service that failed.
+    pub list_failures: Counter,
+    /// Calls to the discovery service that were not answered in time.
+    pub list_timeouts: Counter,
+    /// Reports of the rollout status that were received.
+    pub rollout_updates: Counter,
+    /// Votes that were sent to the rollout platform.
+    pub votes_sent: Counter,
+    /// Connections to the rollout platform that ended.
+    pub platform_disconnects: Counter,
+    /// Readers of the admin endpoint that were dropped.
+    pub admin_dropped: Counter,
+}
+
 impl Counters {
-    pub fn end(&self, outcome: Outcome) {
-        self.ended[tulipwall_zones::place(outcome)].add();
+    /// Counts an attempt that ended.
+    pub fn attempt_ended(&self, outcome: Outcome) {
+        self.attempts_ended[tulipwall_zones::place(outcome)].increment();
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let n = |c: &Count| c.get();
-        write!(
-            f,
-            "clients: taken {} denied {} late {} closed {}; ",
-            n(&self.clients),
-            n(&self.clients_rejected),
-            n(&self.clients_late),
-            n(&self.clients_closed)
-        )?;
-        write!(
-            f,
-            "commands: taken {} faulty {} satisfied {} ",
-            n(&self.taken),
-            n(&self.faulty),
-            n(&self.succeeded)
-        )?;
-        write!(f, "floods {} ", n(&self.floods))?;
-        write!(
-            f,
-            "denied {} scrapped {} left {}; ",
-            n(&self.rejected),
-            n(&self.scrapped),
-            n(&self.left)
-        )?;
-        write!(f, "deliveries: written {}", n(&self.sent))?;
-        for (name, count) in OUTCOMES.iter().zip(&self.ended) {
-            write!(f, " {name} {}", n(count))?;
+        let c = self;
+        write!(f, "clients: taken {} ", c.clients_accepted)?;
+        write!(f, "rejected {} ", c.clients_rejected)?;
+        write!(f, "timed_out {} ", c.clients_timed_out)?;
+        write!(f, "closed {}; ", c.clients_closed)?;
+
+        write!(f, "requests: taken {} ", c.requests_taken)?;
+        write!(f, "invalid {} ", c.requests_invalid)?;
+        write!(f, "succeeded {} ", c.requests_succeeded)?;
+        write!(f, "over_pipeline_limit {} ", c.requests_over_pipeline_limit)?;
+        write!(f, "rejected {} ", c.requests_rejected)?;
+        write!(f, "failed {} ", c.requests_failed)?;
+        write!(f, "abandoned {}; ", c.requests_abandoned)?;
+
+        write!(f, "attempts: written {}", c.attempts_written)?;
+        for (name, count) in OUTCOME_NAMES.iter().zip(&c.attempts_ended) {
+            write!(f, " {name} {count}")?;
         }
-        write!(
-            f,
-            "; connections: opened {} reused {} ",
-            n(&self.opened),
-            n(&self.reused)
-        )?;
-        write!(
-            f,
-            "spoilt {} unasked {} ",
-            n(&self.spoilt),
-            n(&self.unasked)
-        )?;
-        write!(
-            f,
-            "found_closed {}; lists: told {} ",
-            n(&self.gone_idle),
-            n(&self.lists)
-        )?;
-        write!(
-            f,
-            "failed {} silent {}; ",
-            n(&self.list_failures),
-            n(&self.list_silences)
-        )?;
-        write!(f, "platform: news {} ", n(&self.rollout_status))?;
-        write!(
-            f,
-            "votes {} ended {}",
-            n(&self.votes),
-            n(&self.platform_ends)
-        )?;
-        write!(f, "; door: dropped {}", n(&self.door_dropped))
+
+        write!(f, "; connections: opened {} ", c.connections_opened)?;
+        write!(f, "reused {} ", c.connections_reused)?;
+        write!(f, "malformed {} ", c.responses_malformed)?;
+        write!(f, "unsolicited {} ", c.responses_unsolicited)?;
+        write!(f, "found_closed {}; ", c.connections_found_closed)?;
+
+        write!(f, "lists: received {} ", c.lists_received)?;
+        write!(f, "failed {} ", c.list_failures)?;
+        write!(f, "timed_out {}; ", c.list_timeouts)?;
+
+        write!(f, "platform: rollout_updates {} ", c.rollout_updates)?;
+        write!(f, "votes {} ", c.votes_sent)?;
+        write!(f, "disconnects {}; ", c.platform_disconnects)?;
+
+        write!(f, "admin: dropped {}", c.admin_dropped)
     }
 }
--- a/crates/agent/src/protocol/arrivals.rs
+++ b/crates/agent/src/protocol/arrivals.rs
@@ -1,34 +1,39 @@
-//! When messages that wait in a buffer came in whole.
+//! When each message in a receive buffer became whole.
 
 use super::postgres;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// One instant for each whole message that is unread, the first one's first. Guards what was
-/// written ahead against a time that begins when something behind it came.
+/// The arrival time of each whole unread message, the first message's first.
+///
+/// A pipelined request's deadline counts from its own arrival, not from that of later bytes.
 #[derive(Default)]
-pub struct Arrivals {
-    scanned: usize,
-    whole: VecDeque<Instant>,
+pub struct ArrivalTracker {
+    /// Bytes at the start of the unread data that hold the whole messages noted so far.
+    scanned_bytes: usize,
+    arrival_times: VecDeque<Instant>,
 }
 
-impl Arrivals {
-    /// `unread` has grown, or is looked at for the first time.
-    pub fn note(&mut self, unread: &[u8], now: Instant) {
-        while let Some(Ok(Some((_, _, took)))) = unread.get(self.scanned..).map(postgres::message) {
-            self.scanned += took;
-            self.whole.push_back(now);
+impl ArrivalTracker {
+    /// Notes the messages that have become whole at `now` in all unread bytes.
+    pub fn on_data(&mut self, unread: &[u8], now: Instant) {
+        while let Some(Ok(Some(message))) = unread
+            .get(self.scanned_bytes..)
+            .map(postgres::parse_message)
+        {
+            self.scanned_bytes += message.length;
+            self.arrival_times.push_back(now);
         }
     }
 
-    /// The first message, of so many bytes, is consumed: when it was whole.
-    pub fn took(&mut self, bytes: usize) -> Option<Instant> {
-        self.scanned = self.scanned.saturating_sub(bytes);
-        self.whole.pop_front()
+    /// Forgets the first message, of `length` bytes, and returns when it had become whole.
+    pub fn on_consumed(&mut self, length: usize) -> Option<Instant> {
+        self.scanned_bytes = self.scanned_bytes.saturating_sub(length);
+        self.arrival_times.pop_front()
     }
 
-    /// How many whole messages wait.
-    pub fn waiting(&self) -> usize {
-        self.whole.len()
+    /// The number of whole unread messages.
+    pub fn whole_messages(&self) -> usize {
+        self.arrival_times.len()
     }
 }
--- a/crates/agent/src/protocol/buffer.rs
+++ b/crates/agent/src/protocol/buffer.rs
@@ -1,93 +1,106 @@
-//! The one buffer of a connection: it grows as it needs and is compacted in place. All that is
-//! buffered here is weighed, so that readers can be held back.
+//! The receive buffer of a connection. It grows on demand and is compacted in place. All buffered
+//! bytes of the process are counted, so that readers can be held back while memory is short.
 
 use std::cell::Cell;
 
 thread_local! {
-    static HELD: Cell<usize> = const { Cell::new(0) };
+    static RESERVED_BYTES: Cell<usize> = const { Cell::new(0) };
 }
 
-/// Bytes that count as held for as long as this lives.
+/// Bytes that count as buffered until this is dropped.
 #[derive(Debug, Default, PartialEq)]
-pub struct Weight(usize);
+pub struct MemoryReservation(usize);
 
-impl Weight {
-    pub fn of(bytes: usize) -> Weight {
-        let mut weight = Weight(0);
-        weight.set(bytes);
-        weight
+impl MemoryReservation {
+    /// Reserves `bytes`; this never fails.
+    pub fn new(bytes: usize) -> MemoryReservation {
+        let mut reservation = MemoryReservation(0);
+        reservation.resize(bytes);
+        reservation
     }
 
-    fn set(&mut self, bytes: usize) {
-        HELD.set(HELD.get() + bytes - self.0);
+    fn resize(&mut self, bytes: usize) {
+        RESERVED_BYTES.set(RESERVED_BYTES.get() + bytes - self.0);
         self.0 = bytes;
     }
 
-    /// What all of them hold.
-    pub fn held() -> usize {
-        HELD.get()
+    /// The bytes of all reservations of this thread.
+    pub fn total() -> usize {
+        RESERVED_BYTES.get()
     }
 }
 
-impl Drop for Weight {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
 
-/// What is asked for at least when more is read.
-const READ: usize = 4096;
-/// An empty buffer that grew beyond this many bytes gives its memory back.
-pub const KEPT: usize = 16 * 1024;
+/// The least free space that is offered to a read, in bytes.
+const MIN_READ_SPACE: usize = 4096;
+/// An empty buffer with a larger capacity than this many bytes releases its memory.
+pub const MAX_RETAINED_CAPACITY: usize = 16 * 1024;
 
+/// Received bytes that were not consumed yet.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
-    weight: Weight,
+    reservation: MemoryReservation,
 }
 
 impl Buffer {
-    /// What has come in and was not consumed.
+    /// The bytes received and not consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
+    /// Whether all received bytes were consumed.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
+    /// The number of unread bytes.
     pub fn len(&self) -> usize {
         self.end - self.start
     }
 
+    /// Drops the first `count` unread bytes, or all where there are fewer.
     pub fn consume(&mut self, count: usize) {
         self.start = self.start.saturating_add(count).min(self.end);
         if self.is_empty() {
-            (self.start, self.end) = (0, 0);
-            if self.bytes.len() > KEPT {
+            self.start = 0;
+            self.end = 0;
+            if self.bytes.len() > MAX_RETAINED_CAPACITY {
                 self.bytes = Vec::new();
             }
-            self.weight.set(self.bytes.len());
+            self.reservation.resize(self.bytes.len());
         }
     }
 
-    /// Takes in what `read` puts into the free end, of which it says how much.
+    /// Appends what `read` writes into the free space; `read` returns how many bytes that were.
     pub fn fill<E>(
         &mut self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
     ) -> Result<usize, E> {
-        if self.bytes.len() - self.end < READ {
-            self.bytes.copy_within(self.start..self.end, 0);
-            (self.start, self.end) = (0, self.end - self.start);
-            if self.bytes.len() - self.end < READ {
-                self.bytes.resize((self.bytes.len() * 2).max(READ), 0);
-                self.weight.set(self.bytes.len());
-            }
+        self.make_space();
+        let received = read(&mut self.bytes[self.end..])?;
+        self.end = (self.end + received).min(self.bytes.len());
+        Ok(received)
+    }
+
+    fn make_space(&mut self) {
+        if self.bytes.len() - self.end >= MIN_READ_SPACE {
+            return;
+        }
+        self.bytes.copy_within(self.start..self.end, 0);
+        self.end -= self.start;
+        self.start = 0;
+        if self.bytes.len() - self.end < MIN_READ_SPACE {
+            self.bytes
+                .resize((self.bytes.len() * 2).max(MIN_READ_SPACE), 0);
+            self.reservation.resize(self.bytes.len());
         }
-        let got = read(&mut self.bytes[self.end..])?;
-        self.end = (self.end + got).min(self.bytes.len());
-        Ok(got)
     }
 }
--- a/crates/agent/src/protocol/connection.rs
+++ b/crates/agent/src/protocol/connection.rs
@@ -1,6 +1,6 @@
 //! A TCP connection with its buffer.
 
-use super::arrivals::Arrivals;
+use super::arrivals::ArrivalTracker;
 use super::buffer::Buffer;
 use crate::runtime::reactor::Source;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
@@ -12,19 +12,19 @@
 
 /// Bytes that went over one connection, and those of them that are accounted for.
 #[derive(Default)]
-pub struct Traffic {
+pub struct ConnectionTraffic {
     out: Cell<u64>,
     back: Cell<u64>,
     charged: Cell<(u64, u64)>,
 }
 
-impl Traffic {
+impl ConnectionTraffic {
     pub fn written(&self) -> u64 {
         self.out.get()
     }
 
     /// Bytes written and read since this was asked last.
-    pub fn charge(&self) -> (u64, u64) {
+    pub fn take_uncharged(&self) -> (u64, u64) {
         let (all, before) = ((self.out.get(), self.back.get()), self.charged.get());
         self.charged.set(all);
         (all.0 - before.0, all.1 - before.1)
@@ -34,9 +34,9 @@
 pub struct Connection {
     source: Source<TcpStream>,
     pub inbox: Buffer,
-    pub traffic: Rc<Traffic>,
+    pub traffic: Rc<ConnectionTraffic>,
     /// When each message that is unread was whole, where that is wanted.
-    pub arrivals: Option<Arrivals>,
+    pub arrivals: Option<ArrivalTracker>,
 }
 
 impl Connection {
@@ -90,7 +90,7 @@
 
     /// Reads what is there, at least a byte, or 0 at the end. Nothing is lost when this is dropped
     /// unready.
-    pub async fn more(&mut self) -> io::Result<usize> {
+    pub async fn read_more(&mut self) -> io::Result<usize> {
         let Connection { source, inbox, .. } = self;
         let room_for = Cell::new(0);
         let read = |room: &mut [u8]| {
@@ -99,10 +99,10 @@
         };
         let got = source.read(|| inbox.fill(read)).await;
         if got.as_ref().is_ok_and(|n| *n < room_for.get()) {
-            source.drained();
+            source.clear_read_readiness();
         }
         if let Some(arrivals) = &mut self.arrivals {
-            arrivals.note(self.inbox.unread(), Instant::now());
+            arrivals.on_data(self.inbox.unread(), Instant::now());
         }
         self.traffic
             .back
@@ -127,34 +127,34 @@
     }
 
     /// From now on it is noted when each message was whole.
-    pub fn note_arrivals(&mut self) {
-        let mut arrivals = Arrivals::default();
-        arrivals.note(self.inbox.unread(), Instant::now());
+    pub fn track_arrivals(&mut self) {
+        let mut arrivals = ArrivalTracker::default();
+        arrivals.on_data(self.inbox.unread(), Instant::now());
         self.arrivals = Some(arrivals);
     }
 
     /// The first message, of so many bytes, is done with: when it was whole, where that was noted.
     pub fn consume(&mut self, bytes: usize) -> Option<Instant> {
         self.inbox.consume(bytes);
-        self.arrivals.as_mut()?.took(bytes)
+        self.arrivals.as_mut()?.on_consumed(bytes)
     }
 
     /// Ready once the other side has ended its sending, or all of the connection.
-    pub async fn ended(&self) {
-        self.source.ended().await;
+    pub async fn peer_closed(&self) {
+        self.source.peer_closed().await;
     }
 
     /// Says that nothing more will be written here.
-    pub fn end(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.source.get().shutdown(Shutdown::Write);
     }
 
     /// Whether it is open with nothing to read: what an idle connection should be.
-    pub fn quiet(&self) -> bool {
+    pub fn is_open_and_quiet(&self) -> bool {
         let read = self.source.get().peek(&mut [0]);
         let empty = read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
         if empty {
-            self.source.drained();
+            self.source.clear_read_readiness();
         }
         self.inbox.is_empty() && empty
     }
--- a/crates/agent/src/protocol/http.rs
+++ b/crates/agent/src/protocol/http.rs
@@ -1,122 +1,176 @@
-//! HTTP/1.1 as discovery speaks it: a GET, and an answer with its body.
+//! HTTP/1.1 as spoken with the discovery service: a GET request, and a response with its body.
 
-use super::{malformed, Malformed};
+use super::error::HttpError;
+use super::ProtocolError;
 
-pub const HEAD_MOST: usize = 16 * 1024;
-pub const BODY_MOST: usize = 4 * 1024 * 1024;
+/// The longest head of a response that is read, in bytes.
+pub const MAX_HEAD_LENGTH: usize = 16 * 1024;
+/// The longest body of a response that is read, in bytes.
+pub const MAX_BODY_LENGTH: usize = 4 * 1024 * 1024;
+/// The longest size line of a chunk that is read, in bytes.
+const MAX_CHUNK_SIZE_LINE: usize = 1024;
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+const END_OF_LINE: &[u8] = b"\r\n";
 
-pub fn get(host: &str, path: &str) -> Vec<u8> {
+/// A GET request for `path`.
+pub fn get_request(host: &str, path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
+/// A whole response.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
+pub struct HttpResponse {
+    /// The status code.
     pub status: u16,
+    /// The body, without chunk framing.
     pub body: Vec<u8>,
-    /// The connection does not go on.
-    pub last: bool,
-    pub took: usize,
+    /// Whether the connection ends with this response.
+    pub closes_connection: bool,
+    /// The bytes of the response with its head.
+    pub length: usize,
 }
 
-/// One whole answer; `None` while it is not whole. `ended` once nothing more will come.
-pub fn answer(bytes: &[u8], ended: bool) -> Result<Option<Answer>, Malformed> {
+/// How the body of a response is delimited, and whether the connection goes on behind it.
+struct Head {
+    status: u16,
+    content_length: Option<usize>,
+    chunked: bool,
+    closes_connection: bool,
+}
+
+/// Parses one response; `None` while it is not whole. `ended` says that no more bytes will come.
+pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<HttpResponse>, ProtocolError> {
+    Ok(try_parse_response(bytes, ended)?)
+}
+
+fn try_parse_response(bytes: &[u8], ended: bool) -> Result<Option<HttpResponse>, HttpError> {
     if !bytes.iter().zip(b"HTTP/1.").all(|(b, h)| b == h) {
-        return malformed("HTTP: no status line");
+        return Err(HttpError::MissingStatusLine);
     }
-    let Some(head) = bytes
-        .windows(4)
-        .take(HEAD_MOST)
-        .position(|w| w == b"\r\n\r\n")
-    else {
-        return if bytes.len() > HEAD_MOST {
-            malformed("HTTP: a head without end")
-        } else {
-            Ok(None)
-        };
+    let Some(head_length) = find_end_of_head(bytes)? else {
+        return Ok(None);
     };
-    let text = std::str::from_utf8(&bytes[..head])
-        .map_err(|_| Malformed("HTTP: head is not text".into()))?;
-    let mut lines = text.split("\r\n");
-    let first = lines.next().unwrap_or_default();
-    let mut words = first.split(' ');
-    let version = words.next().unwrap_or_default();
-    let status = words.next().and_then(|s| s.parse::<u16>().ok());
-    let Some(status) = status.filter(|s| version.starts_with("HTTP/1.") && (100..600).contains(s))
-    else {
-        return malformed("HTTP: no status line");
+    let head = parse_head(&bytes[..head_length])?;
+    let body_start = head_length + END_OF_HEAD.len();
+    let rest = &bytes[body_start..];
+    if head.chunked {
+        let chunked = parse_chunked_body(rest)?;
+        return Ok(chunked.map(|(body, length)| HttpResponse {
+            status: head.status,
+            body,
+            closes_connection: head.closes_connection,
+            length: body_start + length,
+        }));
+    }
+    let body = match head.content_length {
+        Some(length) => rest.get(..length),
+        None if head.status == 204 || head.status == 304 => Some(&rest[..0]),
+        None if rest.len() > MAX_BODY_LENGTH => return Err(HttpError::UnboundedBody),
+        None => ended.then_some(rest),
     };
-    let (mut length, mut chunked, mut last) = (None, false, version == "HTTP/1.0");
+    Ok(body.map(|body| HttpResponse {
+        status: head.status,
+        body: body.to_vec(),
+        closes_connection: head.closes_connection || head.content_length.is_none(),
+        length: body_start + body.len(),
+    }))
+}
+
+/// The length of the head without the empty line behind it; `None` while that has not come.
+fn find_end_of_head(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
+    let end = bytes
+        .windows(END_OF_HEAD.len())
+        .take(MAX_HEAD_LENGTH)
+        .position(|window| window == END_OF_HEAD);
+    if end.is_none() && bytes.len() > MAX_HEAD_LENGTH {
+        return Err(HttpError::HeadTooLong);
+    }
+    Ok(end)
+}
+
+fn parse_head(bytes: &[u8]) -> Result<Head, HttpError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotText)?;
+    let mut lines = text.split("\r\n");
+    let mut head = parse_status_line(lines.next().unwrap_or_default())?;
     for line in lines {
         let Some((name, value)) = line.split_once(':') else {
-            return malformed("HTTP: a header without ':'");
+            return Err(HttpError::MalformedHeader);
         };
         let value = value.trim();
         match name.trim().to_ascii_lowercase().as_str() {
-            "content-length" => match value.parse::<usize>() {
-                Ok(n) if n <= BODY_MOST => length = Some(n),
-                Ok(n) => {
-                    return malformed(format!(
-                        "HTTP: a body of {n} bytes, {BODY_MOST} are read at most"
-                    ))
-                }
-                Err(_) => return malformed("HTTP: content-length"),
-            },
-            "transfer-encoding" => chunked = value.eq_ignore_ascii_case("chunked"),
-            "connection" => last = value.eq_ignore_ascii_case("close"),
+            "content-length" => head.content_length = Some(parse_content_length(value)?),
+            "transfer-encoding" => head.chunked = value.eq_ignore_ascii_case("chunked"),
+            "connection" => head.closes_connection = value.eq_ignore_ascii_case("close"),
             _ => {}
         }
     }
-    let rest = &bytes[head + 4..];
-    if chunked {
-        return Ok(chunks(rest)?.map(|(body, took)| Answer {
-            status,
-            body,
-            last,
-            took: head + 4 + took,
-        }));
+    Ok(head)
+}
+
+fn parse_status_line(line: &str) -> Result<Head, HttpError> {
+    let mut words = line.split(' ');
+    let version = words.next().unwrap_or_default();
+    let status = words.next().and_then(|word| word.parse::<u16>().ok());
+    match status {
+        Some(status) if version.starts_with("HTTP/1.") && (100..600).contains(&status) => {
+            Ok(Head {
+                status,
+                content_length: None,
+                chunked: false,
+                closes_connection: version == "HTTP/1.0",
+            })
+        }
+        _ => Err(HttpError::MissingStatusLine),
+    }
+}
+
+fn parse_content_length(value: &str) -> Result<usize, HttpError> {
+    match value.parse::<usize>() {
+        Ok(length) if length <= MAX_BODY_LENGTH => Ok(length),
+        Ok(length) => Err(HttpError::BodyTooLong { length }),
+        Err(_) => Err(HttpError::InvalidContentLength),
     }
-    let whole = match length {
-        Some(n) => rest.get(..n),
-        None if status == 204 || status == 304 => Some(&rest[..0]),
-        None if rest.len() > BODY_MOST => return malformed("HTTP: a body without end"),
-        None => ended.then_some(rest),
-    };
-    let last = last || length.is_none();
-    Ok(whole.map(|b| Answer {
-        status,
-        body: b.to_vec(),
-        last,
-        took: head + 4 + b.len(),
-    }))
 }
 
-fn chunks(mut rest: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
-    let (mut body, all) = (Vec::new(), rest.len());
+/// The body and the bytes it takes with its framing; `None` while it is not whole.
+fn parse_chunked_body(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    let mut body = Vec::new();
+    let mut rest = bytes;
     loop {
-        let Some(end) = rest.windows(2).take(1024).position(|w| w == b"\r\n") else {
-            return if rest.len() > 1024 {
-                malformed("HTTP: a chunk without size")
+        let size_line_length = rest
+            .windows(END_OF_LINE.len())
+            .take(MAX_CHUNK_SIZE_LINE)
+            .position(|window| window == END_OF_LINE);
+        let Some(size_line_length) = size_line_length else {
+            return if rest.len() > MAX_CHUNK_SIZE_LINE {
+                Err(HttpError::MissingChunkSize)
             } else {
                 Ok(None)
             };
         };
-        let size = std::str::from_utf8(&rest[..end])
-            .ok()
-            .and_then(|s| s.split(';').next());
-        let size = size.and_then(|s| usize::from_str_radix(s.trim(), 16).ok());
-        let Some(size) = size.filter(|s| *s <= BODY_MOST - body.len()) else {
-            return malformed("HTTP: chunk size");
-        };
-        let Some(chunk) = rest.get(end + 2..end + 4 + size) else {
+        let size = parse_chunk_size(&rest[..size_line_length])
+            .filter(|size| *size <= MAX_BODY_LENGTH - body.len())
+            .ok_or(HttpError::InvalidChunkSize)?;
+        let data_start = size_line_length + END_OF_LINE.len();
+        let data_end = data_start + size;
+        let chunk_end = data_end + END_OF_LINE.len();
+        let Some(framed) = rest.get(data_start..chunk_end) else {
             return Ok(None);
         };
-        if !chunk.ends_with(b"\r\n") {
-            return malformed("HTTP: a chunk longer than its size");
+        if !framed.ends_with(END_OF_LINE) {
+            return Err(HttpError::ChunkLengthMismatch);
         }
-        rest = &rest[end + 4 + size..];
+        rest = &rest[chunk_end..];
         if size == 0 {
-            return Ok(Some((body, all - rest.len())));
+            return Ok(Some((body, bytes.len() - rest.len())));
         }
-        body.extend_from_slice(&chunk[..size]);
+        body.extend_from_slice(&framed[..size]);
     }
 }
+
+/// The size of a chunk; extensions behind it are skipped.
+fn parse_chunk_size(line: &[u8]) -> Option<usize> {
+    let text = std::str::from_utf8(line).ok()?;
+    let size = text.split(';').next()?;
+    usize::from_str_radix(size.trim(), 16).ok()
+}
--- a/crates/agent/src/protocol/mod.rs
+++ b/crates/agent/src/protocol/mod.rs
@@ -1,30 +1,15 @@
-//! What is spoken: PostgreSQL v3 to clients and endpoints, HTTP/1.1 to discovery, JSON-RPC to the
-//! platform. The parsers are pure over bytes and bounded; the kit's words end here.
+//! The protocols spoken: PostgreSQL v3 with clients and endpoints, HTTP/1.1 with the discovery
+//! service, JSON-RPC with the rollout platform.
+//!
+//! The parsers are pure functions over bytes with bounded input. Names of the wire end here.
 
 pub mod arrivals;
 pub mod buffer;
 pub mod connection;
+pub mod error;
 pub mod http;
 pub mod platform;
 pub mod postgres;
 pub mod statement;
 
-/// What is wrong with bytes that came in.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
-
-impl std::fmt::Display for Malformed {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl From<String> for Malformed {
-    fn from(what: String) -> Malformed {
-        Malformed(what)
-    }
-}
-
-pub fn malformed<T>(what: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(what.into()))
-}
+pub use error::ProtocolError;
--- a/crates/agent/src/protocol/platform.rs
+++ b/crates/agent/src/protocol/platform.rs
@@ -1,153 +1,194 @@
-//! The platform's calls and notifications: JSON-RPC 2.0, one object per line.
+//! The rollout platform's calls and notifications: JSON-RPC 2.0, one object a line.
 
-use super::{malformed, Malformed};
+use super::error::PlatformError;
+use super::ProtocolError;
 use serde_json::{json, Value};
 use std::time::Duration;
 use tulipwall::{RolloutPhase, Verdict, Vote, VoteReply};
 use tulipwall_config::Fields;
 
-/// No line of the platform's is as long.
-pub const LINE_MOST: usize = 8 * 1024;
+/// The longest line that is read, in bytes.
+pub const MAX_LINE_LENGTH: usize = 8 * 1024;
 
-/// What the platform says of the newest build; `age` since it came to stand so.
+/// The state of the newest rollout as the platform reports it.
 #[derive(Debug, PartialEq)]
-pub struct Told {
+pub struct RolloutReport {
+    /// The build that is rolled out.
     pub build: u32,
+    /// The stage of the rollout, from 0.
     pub stage: usize,
+    /// Whether the build is a canary, released, or on its way back.
     pub phase: RolloutPhase,
+    /// The largest share of requests that the build may receive.
     pub cap: f64,
+    /// For how long the rollout has been in this state.
     pub age: Duration,
 }
 
+/// One line from the platform.
 #[derive(Debug, PartialEq)]
-pub enum Line {
-    RolloutStatus(Told),
-    /// An endpoint gave a wrong answer to an attempt sent `age` ago.
-    Flag {
+pub enum PlatformMessage {
+    /// The state of the newest rollout has changed.
+    RolloutStatus(RolloutReport),
+    /// A client reported a wrong response to an attempt.
+    ClientReportedError {
+        /// The endpoint that gave the response.
         endpoint: String,
+        /// The request class of the attempt.
         class: String,
+        /// For how long the attempt had been sent.
         age: Duration,
     },
-    /// What it counted of a build and class in a sample of all agents' attempts.
-    Counted {
+    /// Counts of a build and class in a sample of all agents' attempts.
+    AggregatedCounts {
+        /// The build that the attempts went to.
         build: u32,
+        /// The request class of the attempts.
         class: String,
+        /// The number of attempts in the sample.
         attempts: u32,
+        /// How many of them failed.
         failed: u32,
-        took: Duration,
+        /// Their mean latency.
+        mean_latency: Duration,
+        /// How old the sample is.
         age: Duration,
     },
-    /// The answer to call `id`.
-    Answer {
+    /// The response to the call with this id.
+    Response {
+        /// The id of the call.
         id: u64,
+        /// What became of the vote, where the call was one.
         reply: VoteReply,
-        told: Option<Told>,
+        /// The state of the newest rollout, where the response holds it.
+        rollout: Option<RolloutReport>,
     },
-    SignOfLife,
+    /// A periodic sign that the platform is alive.
+    Heartbeat,
 }
 
-pub fn watch(id: u64) -> String {
-    json!({"jsonrpc": "2.0", "id": id, "method": "Events.Watch"}).to_string() + "\n"
+/// The call that subscribes to notifications.
+pub fn watch_request(id: u64) -> String {
+    let call = json!({"jsonrpc": "2.0", "id": id, "method": "Events.Watch"});
+    call.to_string() + "\n"
 }
 
-pub fn vote(id: u64, v: &Vote) -> String {
-    let opinion = match v.verdict {
+/// The call that casts a vote on a rollout.
+pub fn vote_request(id: u64, vote: &Vote) -> String {
+    let opinion = match vote.verdict {
         Verdict::Hold => "pause",
         Verdict::RollBack => "abort",
         Verdict::Withdraw => "abstain",
     };
-    let params = json!({"image": v.build, "ring": v.stage, "opinion": opinion});
-    json!({"jsonrpc": "2.0", "id": id, "method": "Rollout.Judge", "params": params}).to_string()
-        + "\n"
+    let params = json!({"image": vote.build, "ring": vote.stage, "opinion": opinion});
+    let call = json!({"jsonrpc": "2.0", "id": id, "method": "Rollout.Judge", "params": params});
+    call.to_string() + "\n"
 }
 
-fn number(f: &Fields, name: &str) -> Result<u32, String> {
-    u32::try_from(f.whole(name)?).map_err(|_| format!("field {name}: too large"))
-}
-
-pub fn told(f: &Fields) -> Result<Told, String> {
-    Ok(Told {
-        build: number(f, "image")?,
-        stage: f.whole("ring")? as usize,
-        phase: match f.text("progress")? {
+/// Reads the state of a rollout; the error names the field at fault.
+pub fn parse_rollout_report(fields: &Fields) -> Result<RolloutReport, PlatformError> {
+    Ok(RolloutReport {
+        build: read_u32(fields, "image")?,
+        stage: fields.whole("ring")? as usize,
+        phase: match fields.text("progress")? {
             "trial" => RolloutPhase::Canary,
             "rolling_back" => RolloutPhase::RollingBack,
             "released" => RolloutPhase::Released,
             "withdrawn" => RolloutPhase::RolledBack,
-            other => return Err(format!("field progress: unknown value '{other}'")),
+            other => {
+                let message = format!("field progress: unknown value '{other}'");
+                return Err(PlatformError::Field(message));
+            }
         },
-        cap: f.number("ceiling")?,
-        age: f.span("lag_ms")?,
+        cap: fields.number("ceiling")?,
+        age: fields.span("lag_ms")?,
     })
 }
 
-pub fn line(bytes: &[u8]) -> Result<Line, Malformed> {
+/// Parses one line without its end.
+pub fn parse_message(line: &[u8]) -> Result<PlatformMessage, ProtocolError> {
+    Ok(try_parse_message(line)?)
+}
+
+fn try_parse_message(line: &[u8]) -> Result<PlatformMessage, PlatformError> {
     let value: Value =
-        serde_json::from_slice(bytes).map_err(|e| Malformed(format!("line: {e}")))?;
-    let f = Fields::of(&value, "line")?;
-    if let Some(method) = f.maybe("method") {
-        return Ok(match method.as_str() {
-            Some("ROLLOUT") => Line::RolloutStatus(told(&f.inner("params")?)?),
-            Some("DISPUTE") => {
-                let p = f.inner("params")?;
-                let (endpoint, class) = (p.text("host")?.to_owned(), p.text("type")?.to_owned());
-                Line::Flag {
-                    endpoint,
-                    class,
-                    age: p.span("lag_ms")?,
-                }
-            }
-            Some("SAMPLE") => {
-                let p = f.inner("params")?;
-                Line::Counted {
-                    build: number(&p, "image")?,
-                    class: p.text("type")?.to_owned(),
-                    attempts: number(&p, "n")?,
-                    failed: number(&p, "bad")?,
-                    took: p.span("latency_ms")?,
-                    age: p.span("lag_ms")?,
-                }
-            }
-            Some("ping") => Line::SignOfLife,
-            _ => return malformed("line: field method: unknown value"),
-        });
+        serde_json::from_slice(line).map_err(|e| PlatformError::NotJson(e.to_string()))?;
+    let fields = Fields::of(&value, "line")?;
+    match fields.maybe("method") {
+        Some(method) => parse_notification(method.as_str(), &fields),
+        None => parse_call_response(&fields),
+    }
+}
+
+fn parse_notification(
+    method: Option<&str>,
+    fields: &Fields,
+) -> Result<PlatformMessage, PlatformError> {
+    match method {
+        Some("ROLLOUT") => {
+            let report = parse_rollout_report(&fields.inner("params")?)?;
+            Ok(PlatformMessage::RolloutStatus(report))
+        }
+        Some("DISPUTE") => {
+            let params = fields.inner("params")?;
+            Ok(PlatformMessage::ClientReportedError {
+                endpoint: params.text("host")?.to_owned(),
+                class: params.text("type")?.to_owned(),
+                age: params.span("lag_ms")?,
+            })
+        }
+        Some("SAMPLE") => {
+            let params = fields.inner("params")?;
+            Ok(PlatformMessage::AggregatedCounts {
+                build: read_u32(&params, "image")?,
+                class: params.text("type")?.to_owned(),
+                attempts: read_u32(&params, "n")?,
+                failed: read_u32(&params, "bad")?,
+                mean_latency: params.span("latency_ms")?,
+                age: params.span("lag_ms")?,
+            })
+        }
+        Some("ping") => Ok(PlatformMessage::Heartbeat),
+        _ => Err(PlatformError::UnknownMethod),
     }
-    let id = f.whole("id")?;
-    if let Some(error) = f.maybe("error") {
+}
+
+fn parse_call_response(fields: &Fields) -> Result<PlatformMessage, PlatformError> {
+    let id = fields.whole("id")?;
+    if let Some(error) = fields.maybe("error") {
         let reply = match Fields::of(error, "error")?.text("message")? {
             "ConditionFailed" => VoteReply::Moot,
             "Throttling" | "InternalFailure" | "ValidationError" => VoteReply::Refused,
-            _ => return malformed("line: field message: unknown value"),
+            _ => return Err(PlatformError::UnknownErrorMessage),
         };
-        return Ok(Line::Answer {
+        return Ok(PlatformMessage::Response {
             id,
             reply,
-            told: None,
+            rollout: None,
         });
     }
-    match f.maybe("result") {
-        Some(Value::Object(_)) => {
-            let told = Some(told(&f.inner("result")?)?);
-            Ok(Line::Answer {
-                id,
-                reply: VoteReply::Counted,
-                told,
-            })
-        }
-        Some(_) => Ok(Line::Answer {
-            id,
-            reply: VoteReply::Counted,
-            told: None,
-        }),
-        None => malformed("line: neither method, result nor error"),
-    }
+    let rollout = match fields.maybe("result") {
+        Some(Value::Object(_)) => Some(parse_rollout_report(&fields.inner("result")?)?),
+        Some(_) => None,
+        None => return Err(PlatformError::UnknownLine),
+    };
+    Ok(PlatformMessage::Response {
+        id,
+        reply: VoteReply::Counted,
+        rollout,
+    })
+}
+
+fn read_u32(fields: &Fields, name: &str) -> Result<u32, PlatformError> {
+    u32::try_from(fields.whole(name)?)
+        .map_err(|_| PlatformError::Field(format!("field {name}: too large")))
 }
 
-/// The next whole line and the bytes it took with its end.
-pub fn split(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, Malformed> {
-    match bytes.iter().position(|b| *b == b'\n') {
+/// The first whole line, and the bytes it takes with its end; `None` while it is not whole.
+pub fn split_line(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
+    match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) => Ok(Some((&bytes[..end], end + 1))),
-        None if bytes.len() > LINE_MOST => malformed("line: too long"),
+        None if bytes.len() > MAX_LINE_LENGTH => Err(PlatformError::LineTooLong.into()),
         None => Ok(None),
     }
 }
--- /dev/null
+++ b/crates/agent/src/protocol/postgres/mod.rs
@@ -0,0 +1,70 @@
+//! PostgreSQL's protocol, version 3: message framing, the client's side, the endpoint's side.
+
+mod client;
+mod endpoint;
+
+pub use client::*;
+pub use endpoint::*;
+
+use super::error::PostgresError;
+use super::ProtocolError;
+
+/// A value holds 64 KiB at most; written as hex digits in a statement it takes twice that.
+const MAX_VALUE_LENGTH: usize = 64 * 1024;
+/// The longest message that is read, in bytes without its type byte.
+pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
+const PROTOCOL_VERSION_3: u32 = 196_608;
+/// The bytes of a message's type and length.
+const HEADER_LENGTH: usize = 5;
+
+/// SQLSTATE `too_many_connections`: nothing ran, a retry is safe.
+const SQLSTATE_TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE `cannot_connect_now`: nothing ran, a retry is safe.
+const SQLSTATE_CANNOT_CONNECT_NOW: &str = "57P03";
+const SQLSTATE_INTERNAL_ERROR: &str = "XX000";
+const SQLSTATE_SYNTAX_ERROR: &str = "42601";
+const SQLSTATE_PROTOCOL_VIOLATION: &str = "08P01";
+
+/// One whole message.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Message<'a> {
+    /// The type byte.
+    pub tag: u8,
+    /// What follows the length.
+    pub body: &'a [u8],
+    /// The bytes of the whole message with its type and length.
+    pub length: usize,
+}
+
+/// The first message of `bytes`; `None` while it is not whole.
+pub fn parse_message(bytes: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
+    Ok(try_parse_message(bytes)?)
+}
+
+fn try_parse_message(bytes: &[u8]) -> Result<Option<Message<'_>>, PostgresError> {
+    let (Some(tag), Some(length)) = (bytes.first(), bytes.get(1..).and_then(read_u32)) else {
+        return Ok(None);
+    };
+    let tag = *tag;
+    let length = length as usize;
+    if !(4..=MAX_MESSAGE_LENGTH).contains(&length) {
+        return Err(PostgresError::MessageLength { tag, length });
+    }
+    let whole_length = 1 + length;
+    Ok(bytes.get(HEADER_LENGTH..whole_length).map(|body| Message {
+        tag,
+        body,
+        length: whole_length,
+    }))
+}
+
+/// The big-endian number at the start of `bytes`.
+fn read_u32(bytes: &[u8]) -> Option<u32> {
+    Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
+}
+
+fn write_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
+    out.push(tag);
+    out.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
+    out.extend_from_slice(body);
+}
--- a/crates/agent/src/protocol/statement.rs
+++ b/crates/agent/src/protocol/statement.rs
@@ -1,142 +1,174 @@
-//! The statements of clients, with the comment that says what a request is.
+//! The statements of clients, with the comment that holds the attributes of a request.
 
-use super::buffer::Weight;
-use super::{malformed, Malformed};
+use super::buffer::MemoryReservation;
+use super::error::StatementError;
+use super::ProtocolError;
 use std::ops::Range;
 use std::time::Duration;
 
+/// A client's statement and the attributes of its request.
 #[derive(Debug, PartialEq)]
 pub struct Statement {
+    /// The id of the request.
     pub id: String,
-    /// It has the key by which repeats are told.
-    pub keyed: bool,
+    /// Whether it carries the key by which repeats are deduplicated.
+    pub has_deduplication_key: bool,
+    /// The name of its request class.
     pub class: String,
+    /// The name of its tenant.
     pub tenant: Option<String>,
-    /// What it is about: requests on the same object share it.
+    /// The object it reads or writes; requests on the same object share affinity.
     pub object: String,
+    /// For how long its client waits.
     pub wait: Duration,
-    /// A rough hint of what it costs; one that makes no sense is disregarded.
-    pub work: Option<Duration>,
-    /// Its client marks it as a retry.
-    pub again: bool,
+    /// The client's estimate of its work; an unreadable one is ignored.
+    pub estimated_work: Option<Duration>,
+    /// Whether its client marks it as a retry.
+    pub is_retry: bool,
     text: String,
+    /// Where the value of the wait stands in `text`.
     wait_at: Range<usize>,
-    _weight: Weight,
+    _reservation: MemoryReservation,
 }
 
-const READ: [&str; 2] = ["SELECT body FROM objects WHERE oid = ", ""];
-const WRITE: [&str; 3] = [
+/// The pieces of the known statements, with a quoted literal between any two.
+const SELECT_PIECES: [&str; 2] = ["SELECT body FROM objects WHERE oid = ", ""];
+const INSERT_PIECES: [&str; 3] = [
     "INSERT INTO objects (oid, body) VALUES (",
     ", ",
     ") RETURNING body",
 ];
-/// An hour: longer waits are cut to it, so that no sum of times runs over.
-const WAIT_MOST: f64 = 3_600_000.0;
+/// An hour, in milliseconds: longer waits are cut to it, so that no sum of times overflows.
+const MAX_WAIT_MS: f64 = 3_600_000.0;
+/// The characters of a malformed attribute that an error quotes.
+const MAX_QUOTED_CHARS: usize = 40;
 
-impl Statement {
-    pub fn parse(text: &str) -> Result<Statement, Malformed> {
-        let Some(start) = text.rfind("/*") else {
-            return malformed("statement: its comment is missing");
-        };
-        let comment = text[start + 2..].trim_end().strip_suffix("*/");
-        let Some(comment) = comment else {
-            return malformed("statement: its comment does not close");
-        };
-        let object = match (form(&text[..start], &READ), form(&text[..start], &WRITE)) {
-            (Some(object), _) | (_, Some(object)) => object,
-            _ => return malformed("statement: neither the known SELECT nor the known INSERT"),
-        };
-        let (mut id, mut class, mut tenant, mut wait, mut keyed) = (None, None, None, None, false);
-        let (mut work, mut again) = (None, false);
-        let mut at = start + 2;
+/// The attributes of a comment as they stand there.
+#[derive(Default)]
+struct Attributes<'a> {
+    id: Option<&'a str>,
+    class: Option<&'a str>,
+    tenant: Option<&'a str>,
+    has_deduplication_key: bool,
+    estimated_work: Option<Duration>,
+    is_retry: bool,
+    /// The value of the wait, and where it stands in the statement.
+    wait: Option<(&'a str, Range<usize>)>,
+}
+
+impl<'a> Attributes<'a> {
+    /// Parses the inside of a comment that begins at `offset` of the statement.
+    fn parse(comment: &'a str, offset: usize) -> Result<Attributes<'a>, StatementError> {
+        let mut attributes = Attributes::default();
+        let mut offset = offset;
         for pair in comment.split(',') {
             let Some((name, value)) = pair.split_once('=') else {
-                return malformed(format!("statement: '{}' in its comment", short(pair)));
+                let quoted = pair.chars().take(MAX_QUOTED_CHARS).collect();
+                return Err(StatementError::MalformedAttribute(quoted));
             };
-            let value_at = at + name.len() + 1;
-            at += pair.len() + 1;
-            match name.trim() {
-                "id" => id = Some(value.trim()).filter(|v| !v.is_empty()),
-                "c" => class = Some(value.trim()),
-                "t" => tenant = Some(value.trim()),
-                "k" => keyed = !value.trim().is_empty(),
-                "h" => {
-                    work = value
-                        .trim()
-                        .parse::<u32>()
-                        .ok()
-                        .map(|us| Duration::from_micros(us.into()))
-                }
-                "r" => again = value.trim() == "1",
-                "d" => wait = Some((value.trim(), value_at..value_at + value.len())),
-                _ => {}
+            let value_start = offset + name.len() + 1;
+            let value_range = value_start..value_start + value.len();
+            offset += pair.len() + 1;
+            attributes.set(name.trim(), value.trim(), value_range);
+        }
+        Ok(attributes)
+    }
+
+    fn set(&mut self, name: &str, value: &'a str, value_range: Range<usize>) {
+        match name {
+            "id" => self.id = Some(value).filter(|value| !value.is_empty()),
+            "c" => self.class = Some(value),
+            "t" => self.tenant = Some(value),
+            "k" => self.has_deduplication_key = !value.is_empty(),
+            "h" => {
+                let microseconds = value.parse::<u32>().ok();
+                self.estimated_work = microseconds.map(|us| Duration::from_micros(us.into()));
             }
+            "r" => self.is_retry = value == "1",
+            "d" => self.wait = Some((value, value_range)),
+            _ => {}
         }
-        let Some(id) = id else {
-            return malformed("statement: field id is missing");
-        };
-        let Some(class) = class else {
-            return malformed("statement: field c is missing");
-        };
-        let Some((ms, wait_at)) = wait else {
-            return malformed("statement: field d is missing");
-        };
-        let ms = ms
-            .parse::<f64>()
-            .ok()
-            .filter(|ms| *ms >= 0.0 && ms.is_finite());
-        let Some(ms) = ms else {
-            return malformed("statement: field d: milliseconds are wanted");
-        };
-        let wait = Duration::from_secs_f64(ms.min(WAIT_MOST) / 1000.0);
-        let (id, class, tenant) = (id.to_owned(), class.to_owned(), tenant.map(str::to_owned));
-        // Once here, and once more as it is written on.
-        let _weight = Weight::of(text.len() * 2);
+    }
+}
+
+impl Statement {
+    /// Parses a statement of one of the two known forms.
+    pub fn parse(text: &str) -> Result<Statement, ProtocolError> {
+        Ok(Statement::try_parse(text)?)
+    }
+
+    fn try_parse(text: &str) -> Result<Statement, StatementError> {
+        let comment_start = text.rfind("/*").ok_or(StatementError::MissingComment)?;
+        let attributes_start = comment_start + 2;
+        let comment = text[attributes_start..]
+            .trim_end()
+            .strip_suffix("*/")
+            .ok_or(StatementError::UnclosedComment)?;
+        let sql = &text[..comment_start];
+        let object = match_pieces(sql, &SELECT_PIECES)
+            .or_else(|| match_pieces(sql, &INSERT_PIECES))
+            .ok_or(StatementError::UnknownStatement)?;
+        let attributes = Attributes::parse(comment, attributes_start)?;
+        let id = attributes.id.ok_or(StatementError::MissingField("id"))?;
+        let class = attributes.class.ok_or(StatementError::MissingField("c"))?;
+        let (wait, wait_at) = attributes.wait.ok_or(StatementError::MissingField("d"))?;
         Ok(Statement {
-            id,
-            keyed,
-            class,
-            tenant,
+            id: id.to_owned(),
+            has_deduplication_key: attributes.has_deduplication_key,
+            class: class.to_owned(),
+            tenant: attributes.tenant.map(str::to_owned),
             object: object.to_owned(),
-            wait,
-            work,
-            again,
+            wait: parse_wait(wait)?,
+            estimated_work: attributes.estimated_work,
+            is_retry: attributes.is_retry,
             text: text.to_owned(),
             wait_at,
-            _weight,
+            // Once here, and once more as it is written on.
+            _reservation: MemoryReservation::new(text.len() * 2),
         })
     }
 
-    /// The same statement, with the time for which the agent will wait.
+    /// The same statement, with the time for which the agent will wait, at least 1 ms.
     pub fn with_wait(&self, wait: Duration) -> String {
-        let (before, after) = (
-            &self.text[..self.wait_at.start],
-            &self.text[self.wait_at.end..],
-        );
-        let blank = if after.starts_with("*/") { " " } else { "" };
-        format!("{before}{}{blank}{after}", wait.as_millis().max(1))
+        let before = &self.text[..self.wait_at.start];
+        let after = &self.text[self.wait_at.end..];
+        let separator = if after.starts_with("*/") { " " } else { "" };
+        format!("{before}{}{separator}{after}", wait.as_millis().max(1))
     }
 }
 
-/// The first quoted text where `text` is the given pieces with a quoted text between any two.
-fn form<'a>(text: &'a str, pieces: &[&str]) -> Option<&'a str> {
-    let (mut rest, mut first) = (text.strip_prefix(pieces[0])?, None);
+fn parse_wait(milliseconds: &str) -> Result<Duration, StatementError> {
+    let wait_ms = milliseconds
+        .parse::<f64>()
+        .ok()
+        .filter(|ms| *ms >= 0.0 && ms.is_finite())
+        .ok_or(StatementError::InvalidWait)?;
+    Ok(Duration::from_secs_f64(wait_ms.min(MAX_WAIT_MS) / 1000.0))
+}
+
+/// The inside of the first quoted literal where `text` is the given pieces with a quoted literal
+/// between any two.
+fn match_pieces<'a>(text: &'a str, pieces: &[&str]) -> Option<&'a str> {
+    let mut rest = text.strip_prefix(pieces[0])?;
+    let mut first = None;
     for piece in &pieces[1..] {
         let inner = rest.strip_prefix('\'')?;
-        // A doubled quote stands for one.
-        let mut end = inner.find('\'')?;
-        while inner[end + 1..].starts_with('\'') {
-            end += 2 + inner[end + 2..].find('\'')?;
-        }
+        let end = find_closing_quote(inner)?;
         first.get_or_insert(&inner[..end]);
         rest = inner[end + 1..].strip_prefix(piece)?;
     }
-    rest.trim_end()
-        .trim_end_matches(';')
-        .is_empty()
-        .then_some(first)?
+    if rest.trim_end().trim_end_matches(';').is_empty() {
+        first
+    } else {
+        None
+    }
 }
 
-fn short(text: &str) -> String {
-    text.chars().take(40).collect()
+/// Where the literal ends; a doubled quote stands for one inside it.
+fn find_closing_quote(literal: &str) -> Option<usize> {
+    let mut end = literal.find('\'')?;
+    while literal[end + 1..].starts_with('\'') {
+        end += 2 + literal[end + 2..].find('\'')?;
+    }
+    Some(end)
 }
--- a/crates/agent/src/runtime/reactor.rs
+++ b/crates/agent/src/runtime/reactor.rs
@@ -190,7 +190,7 @@
 
     /// All that had come was read. What comes from now on is a new event; an end told before is
     /// not.
-    pub fn drained(&self) {
+    pub fn clear_read_readiness(&self) {
         self.readiness
             .read
             .ready
@@ -202,7 +202,7 @@
     }
 
     /// Ready once the other side has ended its sending, whatever it sent before and was not read.
-    pub async fn ended(&self) {
+    pub async fn peer_closed(&self) {
         std::future::poll_fn(|cx| self.readiness.ended.poll(cx)).await;
     }
 }
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -2,11 +2,12 @@
 
 use crate::agent::Agent;
 use crate::lifecycle::phase::Phase;
-use crate::protocol::buffer::Weight;
+use crate::protocol::buffer::MemoryReservation;
 use crate::protocol::connection::Connection;
-use crate::protocol::postgres::{self, Opening};
+use crate::protocol::error::{PostgresError, StatementError};
+use crate::protocol::postgres::{self, ClientOpening};
 use crate::protocol::statement::Statement;
-use crate::protocol::{malformed, Malformed};
+use crate::protocol::ProtocolError;
 use crate::runtime::reactor::Timer;
 use crate::server::request::{live, Final};
 use crate::upstream::pool::Slot;
@@ -63,19 +64,19 @@
                 match more(&agent, &mut client, whole_by).await {
                     More::Came => continue,
                     More::Over => {
-                        agent.counters.clients_closed.add();
+                        agent.counters.clients_closed.increment();
                         return;
                     }
                     More::Late => {
-                        agent.counters.clients_late.add();
+                        agent.counters.clients_timed_out.increment();
                         let missing = if client.inbox.is_empty() {
                             "command"
                         } else {
                             "message"
                         };
-                        postgres::fatal(
+                        postgres::write_fatal(
                             &mut reply,
-                            &Malformed(format!("no whole {missing} in time")),
+                            &PostgresError::ReceiveTimeout { missing }.into(),
                         );
                         false
                     }
@@ -83,8 +84,8 @@
             }
             Ok(Step::End) => false,
             Err(fault) => {
-                agent.counters.faulty.add();
-                postgres::fatal(&mut reply, &fault);
+                agent.counters.requests_invalid.increment();
+                postgres::write_fatal(&mut reply, &fault);
                 false
             }
         };
@@ -112,7 +113,7 @@
             Some(outcome) => return outcome,
             None if traffic.written() > taken => {}
             None => {
-                agent.counters.clients_late.add();
+                agent.counters.clients_timed_out.increment();
                 log::info!("a client leaves its answers unread; it is let go");
                 return Err(std::io::ErrorKind::TimedOut.into());
             }
@@ -132,7 +133,7 @@
                 greet(&mut client, &mut reply)
             };
             let go_on = match step {
-                Ok(Step::More) => client.more().await.is_ok_and(|n| n > 0),
+                Ok(Step::More) => client.read_more().await.is_ok_and(|n| n > 0),
                 Ok(Step::Open) => {
                     open = true;
                     true
@@ -153,31 +154,32 @@
     finish(&agent, client).await;
 }
 
-fn turn_away(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, Malformed> {
-    let Some((tag, body, took)) = postgres::message(client.inbox.unread())? else {
+fn turn_away(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
+    let Some(message) = postgres::parse_message(client.inbox.unread())? else {
         return Ok(Step::More);
     };
-    let empty = tag == b'Q' && matches!(body.trim_ascii(), b"\0" | b";\0");
-    client.consume(took);
+    let empty = message.tag == b'Q' && matches!(message.body.trim_ascii(), b"\0" | b";\0");
+    let length = message.length;
+    client.consume(length);
     if empty {
-        postgres::empty(reply);
-        postgres::ready(reply);
+        postgres::write_empty_query(reply);
+        postgres::write_ready(reply);
         return Ok(Step::Answer);
     }
-    postgres::no_room(reply);
+    postgres::write_too_many_clients(reply);
     Ok(Step::End)
 }
 
 /// Ends a connection so that its last answer arrives: closed with something unread it would be
 /// reset. Whoever writes on and on is reset.
 async fn finish(agent: &Agent, mut client: Connection) {
-    client.end();
+    client.shutdown_write();
     client.arrivals = None;
     let heard = async {
         let mut heard = 0;
         client.inbox.consume(usize::MAX);
-        while heard < HEARD_OUT_MOST && !client.quiet() {
-            match client.more().await {
+        while heard < HEARD_OUT_MOST && !client.is_open_and_quiet() {
+            match client.read_more().await {
                 Ok(n) if n > 0 => heard += n,
                 _ => return,
             }
@@ -218,12 +220,12 @@
     // memory. Who holds half a message meanwhile has little time left for it: all would wait for
     // each other.
     let room = async {
-        while Weight::held() > agent.buffers_most.get() {
+        while MemoryReservation::total() > agent.buffers_most.get() {
             Timer::after(HELD_BACK).await;
         }
     };
     let begun = !client.inbox.is_empty();
-    let short = begun && Weight::held() > agent.buffers_most.get();
+    let short = begun && MemoryReservation::total() > agent.buffers_most.get();
     let late = async {
         match whole_by {
             Some(at) if short => agent.until(at.min(agent.clock.now() + FIRST_WITHIN)).await,
@@ -235,11 +237,13 @@
     let idle = if begun {
         None
     } else {
-        agent.life.idle(agent.clock.now(), whole_by.is_some())
+        agent
+            .lifecycle
+            .register_idle_client(agent.clock.now(), whole_by.is_some())
     };
     let read = async {
-        room.or(client.ended()).await;
-        came(client.more().await)
+        room.or(client.peer_closed()).await;
+        came(client.read_more().await)
     };
     if begun {
         return read.or(late).await;
@@ -257,38 +261,38 @@
             More::Late
         };
         return match read.or(late).await {
-            More::Late if client.quiet() => More::Over,
-            More::Late => came(client.more().await),
+            More::Late if client.is_open_and_quiet() => More::Over,
+            More::Late => came(client.read_more().await),
             more => more,
         };
     };
     let asked = async {
-        (&mut idle.asked).await;
+        (&mut idle.close_requested).await;
         More::Over
     };
     match read.or(asked).or(late).await {
         // A request that has come meanwhile is still served: closing would lose it.
-        More::Over | More::Late if !client.quiet() => came(client.more().await),
+        More::Over | More::Late if !client.is_open_and_quiet() => came(client.read_more().await),
         more => more,
     }
 }
 
-fn greet(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, Malformed> {
-    let Some((opening, took)) = postgres::opening(client.inbox.unread())? else {
+fn greet(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
+    let Some((opening, took)) = postgres::parse_opening(client.inbox.unread())? else {
         return Ok(Step::More);
     };
     client.consume(took);
     Ok(match opening {
-        Opening::Startup => {
-            client.note_arrivals();
-            postgres::welcome(reply);
+        ClientOpening::Startup => {
+            client.track_arrivals();
+            postgres::write_welcome(reply);
             Step::Open
         }
-        Opening::Encryption => {
+        ClientOpening::Encryption => {
             reply.push(b'N');
             Step::Answer
         }
-        Opening::Cancel => Step::End,
+        ClientOpening::Cancel => Step::End,
     })
 }
 
@@ -296,36 +300,34 @@
     agent: &Rc<Agent>,
     client: &mut Connection,
     reply: &mut Vec<u8>,
-) -> Result<Step, Malformed> {
-    let Some((tag, body, took)) = postgres::message(client.inbox.unread())? else {
+) -> Result<Step, ProtocolError> {
+    let Some(message) = postgres::parse_message(client.inbox.unread())? else {
         return Ok(Step::More);
     };
-    let text = match tag {
-        b'Q' => postgres::text(body)?,
+    let took = message.length;
+    let text = match message.tag {
+        b'Q' => postgres::parse_query_text(message.body)?,
         b'X' => return Ok(Step::End),
         other => {
-            return malformed(format!(
-                "message '{}': only simple queries",
-                other.escape_ascii()
-            ))
+            return Err(PostgresError::UnsupportedMessage(other).into());
         }
     };
     let word = text.split_whitespace().next().unwrap_or_default();
     let flood = client
         .arrivals
         .as_ref()
-        .is_some_and(|a| a.waiting() > BEHIND_MOST);
+        .is_some_and(|a| a.whole_messages() > BEHIND_MOST);
     if word.is_empty() || word == ";" {
         client.consume(took);
         // This answer tells the front that requests may come.
-        agent.life.reached(Phase::Serving).await;
-        postgres::empty(reply);
+        agent.lifecycle.wait_for(Phase::Serving).await;
+        postgres::write_empty_query(reply);
     } else if let Some(word) = ["SET", "RESET", "DISCARD"]
         .iter()
         .find(|w| word.eq_ignore_ascii_case(w))
     {
         client.consume(took);
-        postgres::complete(reply, word);
+        postgres::write_command_complete(reply, word);
     } else {
         let read = read(agent, text);
         let heard = client
@@ -337,46 +339,43 @@
             .map(|statement| agent.hand.open(&statement.id));
         match read {
             Ok(_) if open.as_ref().is_some_and(Option::is_none) => {
-                agent.counters.faulty.add();
-                postgres::faulty(
-                    reply,
-                    &Malformed("statement: field id: its command is still open".into()),
-                );
+                agent.counters.requests_invalid.increment();
+                postgres::write_statement_error(reply, &StatementError::RequestStillOpen.into());
             }
             Ok(_) if flood => {
-                agent.counters.floods.add();
-                postgres::rejected(reply, None);
+                agent.counters.requests_over_pipeline_limit.increment();
+                postgres::write_rejected(reply, None);
             }
             // Its time outlasts the program's: another agent may serve it.
-            Ok(statement) if agent.life.ends_before(heard + statement.wait) => {
-                agent.counters.rejected.add();
-                postgres::rejected(reply, None);
+            Ok(statement) if agent.lifecycle.ends_before(heard + statement.wait) => {
+                agent.counters.requests_rejected.increment();
+                postgres::write_rejected(reply, None);
             }
             Ok(statement) => match live(agent, client, statement, heard).await {
                 Final::Succeeded(value) => {
-                    agent.counters.succeeded.add();
+                    agent.counters.requests_succeeded.increment();
                     *reply = value;
                 }
                 Final::Rejected(retry_after) => {
-                    agent.counters.rejected.add();
-                    postgres::rejected(reply, retry_after);
+                    agent.counters.requests_rejected.increment();
+                    postgres::write_rejected(reply, retry_after);
                 }
                 Final::Scrapped => {
-                    agent.counters.scrapped.add();
-                    postgres::scrapped(reply);
+                    agent.counters.requests_failed.increment();
+                    postgres::write_failed(reply);
                 }
                 Final::Left => {
-                    agent.counters.left.add();
+                    agent.counters.requests_abandoned.increment();
                     return Ok(Step::End);
                 }
             },
             Err(fault) => {
-                agent.counters.faulty.add();
-                postgres::faulty(reply, &fault);
+                agent.counters.requests_invalid.increment();
+                postgres::write_statement_error(reply, &fault);
             }
         }
     }
-    postgres::ready(reply);
+    postgres::write_ready(reply);
     if !client.inbox.is_empty() {
         // Others have their turn, however much this client has written ahead.
         future::yield_now().await;
@@ -384,21 +383,18 @@
     Ok(Step::Answer)
 }
 
-fn read(agent: &Agent, text: &str) -> Result<Statement, Malformed> {
+fn read(agent: &Agent, text: &str) -> Result<Statement, ProtocolError> {
     let statement = Statement::parse(text)?;
     class(&agent.site(), &statement).map(|_| statement)
 }
 
 /// The class of a statement under the settings in force.
-pub fn class(site: &ServiceConfig, statement: &Statement) -> Result<usize, Malformed> {
+pub fn class(site: &ServiceConfig, statement: &Statement) -> Result<usize, ProtocolError> {
     match site.class(&statement.class) {
-        Some(class) if !statement.keyed && site.is_keyed(class) => {
-            malformed("statement: field k is missing")
+        Some(class) if !statement.has_deduplication_key && site.is_keyed(class) => {
+            Err(StatementError::MissingField("k").into())
         }
         Some(class) => Ok(class),
-        None => malformed(format!(
-            "statement: field c: unknown lane '{}'",
-            statement.class
-        )),
+        None => Err(StatementError::UnknownClass(statement.class.clone()).into()),
     }
 }
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -34,8 +34,8 @@
         match self {
             Final::Succeeded(_) => "Succeeded",
             Final::Rejected(_) => "Rejected",
-            Final::Scrapped => "Scrapped",
-            Final::Left => "Left",
+            Final::Scrapped => "Failed",
+            Final::Left => "Abandoned",
         }
     }
 }
@@ -81,7 +81,11 @@
     };
     let deadline = heard + statement.wait;
     let left = deadline.saturating_sub(agent.clock.now());
-    let Statement { work, again, .. } = statement;
+    let Statement {
+        estimated_work: work,
+        is_retry: again,
+        ..
+    } = statement;
     let command = Request {
         class,
         tenant,
@@ -152,7 +156,7 @@
         };
     };
     let now = agent.clock.now();
-    log::debug!(target: EVIDENCE, "{} command lane {class} {} {} us work {} us",
+    log::debug!(target: EVIDENCE, "{} request class {class} {} {} us work {} us",
         agent.clock.wall(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
     // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
     // and the module hears of it.
@@ -253,7 +257,7 @@
         drop(ends);
         let now = agent.clock.now();
         let took = now.saturating_sub(sent);
-        log::debug!(target: EVIDENCE, "{} delivery lane {class} build {build} {outcome:?} {} us",
+        log::debug!(target: EVIDENCE, "{} attempt class {class} build {build} {outcome:?} {} us",
             agent.clock.wall(now), took.as_micros());
         agent
             .border
@@ -365,11 +369,11 @@
 /// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
 async fn leaves(client: &mut Connection) {
     while client.inbox.len() <= AHEAD_MOST {
-        if client.more().await.map_or(true, |n| n == 0) {
+        if client.read_more().await.map_or(true, |n| n == 0) {
             return;
         }
     }
-    client.ended().await;
+    client.peer_closed().await;
 }
 
 /// Hears out the attempts of a request that has its final answer.
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt: a connection, the statement written, the answer heard.
 
 use crate::agent::Agent;
-use crate::protocol::connection::{Connection, Traffic};
-use crate::protocol::postgres::{self, Hearing, Verdict};
+use crate::protocol::connection::{Connection, ConnectionTraffic};
+use crate::protocol::postgres::{self, QueryOutcome, ResponseReader};
 use crate::protocol::statement::Statement;
-use crate::protocol::Malformed;
+use crate::protocol::ProtocolError;
 use crate::upstream::pool::Held;
 use crate::upstream::zone_traffic::Meter;
 use futures_lite::FutureExt;
@@ -66,35 +66,35 @@
             // The endpoint closed it as the request went out: not all of it was written, so it
             // never ran.
             Err(_) if reused => {
-                agent.counters.gone_idle.add();
+                agent.counters.connections_found_closed.increment();
                 continue;
             }
             Err(_) => return none(Outcome::ConnectFailed),
         }
         (if reused {
-            &agent.counters.reused
+            &agent.counters.connections_reused
         } else {
-            &agent.counters.opened
+            &agent.counters.connections_opened
         })
-        .add();
+        .increment();
         break held;
     };
     meter.written.set(true);
-    agent.counters.sent.add();
-    let mut hearing = Hearing::default();
+    agent.counters.attempts_written.increment();
+    let mut hearing = ResponseReader::default();
     let ended = hear(agent, &mut held.connection, &mut hearing).await;
     if let Some(load) = hearing
-        .held
+        .reported_load
         .filter(|_| agent.target(order.target.endpoint) == Some(order.target))
     {
         agent.hand.told(order.target.endpoint, load);
     }
     // A spoilt answer says nothing, not even that the request never ran.
-    let outcome = match (&ended, hearing.verdict) {
+    let outcome = match (&ended, hearing.outcome) {
         (Err(Heard::Garbage(_) | Heard::Half), _) | (_, None) => Outcome::ConnectionLost,
-        (_, Some(Verdict::Value)) => Outcome::Succeeded,
-        (_, Some(Verdict::Failed)) => Outcome::Failed,
-        (_, Some(Verdict::TurnedAway)) => Outcome::Rejected,
+        (_, Some(QueryOutcome::Value)) => Outcome::Succeeded,
+        (_, Some(QueryOutcome::Failed)) => Outcome::Failed,
+        (_, Some(QueryOutcome::Rejected)) => Outcome::Rejected,
     };
     match ended {
         // What comes behind an answer belongs to nobody, and would be heard as the next request's.
@@ -102,20 +102,20 @@
             held.answered(agent.clock.now());
             agent.keep(order.target, held);
         }
-        Ok(()) => agent.counters.unasked.add(),
+        Ok(()) => agent.counters.responses_unsolicited.increment(),
         Err(Heard::Garbage(m)) => {
             meter.flaw.set(Flaw::Spoilt);
-            agent.counters.spoilt.add();
+            agent.counters.responses_malformed.increment();
             let name = agent.endpoint_name(order.target.endpoint);
-            log::debug!("appliance {name}: {m}; its connection is closed");
+            log::debug!("endpoint {name}: {m}; its connection is closed");
         }
         Err(Heard::Half) => {
             meter.flaw.set(Flaw::Half);
-            agent.counters.spoilt.add();
+            agent.counters.responses_malformed.increment();
         }
         Err(Heard::End)
             if outcome == Outcome::ConnectionLost
-                && (hearing.begun() || !held.connection.inbox.is_empty()) =>
+                && (hearing.has_begun() || !held.connection.inbox.is_empty()) =>
         {
             meter.flaw.set(Flaw::Half);
         }
@@ -129,7 +129,7 @@
     End,
     /// An answer stopped short of its end, and the connection did not.
     Half,
-    Garbage(Malformed),
+    Garbage(ProtocolError),
 }
 
 impl From<io::Error> for Heard {
@@ -142,15 +142,16 @@
 async fn hear(
     agent: &Agent,
     connection: &mut Connection,
-    hearing: &mut Hearing,
+    hearing: &mut ResponseReader,
 ) -> Result<(), Heard> {
     loop {
         let bytes = connection.inbox.unread();
-        if let Some((tag, body, took)) = postgres::answer(bytes).map_err(Heard::Garbage)? {
+        if let Some(message) = postgres::parse_endpoint_message(bytes).map_err(Heard::Garbage)? {
             let ready = hearing
-                .hear(tag, body, &bytes[..took])
+                .on_message(message.tag, message.body, &bytes[..message.length])
                 .map_err(Heard::Garbage)?;
-            connection.inbox.consume(took);
+            let length = message.length;
+            connection.inbox.consume(length);
             if ready {
                 return Ok(());
             }
@@ -158,8 +159,8 @@
         }
         // Guards against an answer that stops short of its end. A whole one comes at once, however
         // large; one whose rest was held up on its way for as long is given up, too.
-        let begun = hearing.begun() || !connection.inbox.is_empty();
-        let more = async { connection.more().await.map_err(Heard::from) };
+        let begun = hearing.has_begun() || !connection.inbox.is_empty();
+        let more = async { connection.read_more().await.map_err(Heard::from) };
         let got = if begun {
             let late = async {
                 agent.until(agent.clock.now() + REST_WITHIN).await;
@@ -206,10 +207,10 @@
             .write(&startup)
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
-        let mut hearing = Hearing::default();
+        let mut hearing = ResponseReader::default();
         let heard = hear(agent, &mut connection, &mut hearing).await;
-        match (heard, hearing.verdict) {
-            (_, Some(Verdict::TurnedAway)) => Err(Outcome::Rejected),
+        match (heard, hearing.outcome) {
+            (_, Some(QueryOutcome::Rejected)) => Err(Outcome::Rejected),
             (Ok(()), None) => Ok(connection),
             _ => Err(Outcome::ConnectFailed),
         }
@@ -229,7 +230,7 @@
     agent: &'a Agent,
     target: Target,
     begun: Duration,
-    traffic: RefCell<Option<Rc<Traffic>>>,
+    traffic: RefCell<Option<Rc<ConnectionTraffic>>>,
 }
 
 impl HandshakeCost<'_> {
@@ -237,7 +238,7 @@
         let Some(traffic) = self.traffic.take() else {
             return;
         };
-        let ((out, back), now) = (traffic.charge(), self.agent.clock.now());
+        let ((out, back), now) = (traffic.take_uncharged(), self.agent.clock.now());
         let took = open.then(|| now.saturating_sub(self.begun));
         let Target { zone, build, .. } = self.target;
         self.agent.border.opened(
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -190,7 +190,7 @@
                 .remove(rested)
                 .filter(|held| now < held.since + self.idle_most)
             {
-                Some(held) if held.connection.quiet() => return (Some(held), closed),
+                Some(held) if held.connection.is_open_and_quiet() => return (Some(held), closed),
                 Some(_) => closed += 1,
                 None => {}
             }
@@ -218,7 +218,7 @@
         let mut closed = 0;
         for pool in &mut self.idle {
             pool.retain(|held| {
-                let quiet = held.connection.quiet();
+                let quiet = held.connection.is_open_and_quiet();
                 closed += usize::from(!quiet);
                 quiet && now < held.since + self.idle_most
             });
--- a/crates/agent/src/upstream/zone_traffic.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -1,7 +1,7 @@
 //! What crosses between zones, where the installation says something of them: the one owner of
 //! `Zones`, and the meters that follow each attempt and each new connection on its socket.
 
-use crate::protocol::connection::Traffic;
+use crate::protocol::connection::ConnectionTraffic;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -194,19 +194,23 @@
     pub written: Cell<bool>,
     pub flaw: Cell<Flaw>,
     before: Cell<(u64, u64)>,
-    on: RefCell<Option<Rc<Traffic>>>,
+    on: RefCell<Option<Rc<ConnectionTraffic>>>,
 }
 
 impl Meter {
     /// It goes on on this connection.
-    pub fn on(&self, traffic: Rc<Traffic>) {
+    pub fn on(&self, traffic: Rc<ConnectionTraffic>) {
         self.before.set(self.read());
         *self.on.borrow_mut() = Some(traffic);
     }
 
     /// Bytes written and read since its beginning. Each byte of a connection is charged once.
     pub fn read(&self) -> (u64, u64) {
-        let (out, back) = self.on.borrow_mut().take().map_or((0, 0), |t| t.charge());
+        let (out, back) = self
+            .on
+            .borrow_mut()
+            .take()
+            .map_or((0, 0), |t| t.take_uncharged());
         let before = self.before.get();
         self.before.set((before.0 + out, before.1 + back));
         self.before.get()
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -590,7 +590,7 @@
     );
     agent.signal(rustix::process::Signal::USR1).unwrap();
     assert!(
-        until(|| agent.log().contains("left 1;")),
+        until(|| agent.log().contains("abandoned 1;")),
         "the agent sees that it has gone: {}",
         agent.log()
     );
--- a/crates/agent/tests/crossing.rs
+++ b/crates/agent/tests/crossing.rs
@@ -105,13 +105,13 @@
 /// should have.
 fn across_the_close(agent: &Program, crosses: impl FnOnce()) {
     agent.terminate().unwrap();
-    assert!(until(|| agent.log().contains("phase: Leaving")));
+    assert!(until(|| agent.log().contains("phase: Draining")));
     sleep(ms(400));
     agent.stall(true).unwrap();
     crosses();
     sleep(ms(250));
     assert!(
-        !agent.log().contains("phase: Closing"),
+        !agent.log().contains("phase: Terminating"),
         "it stood still before it closed"
     );
     agent.stall(false).unwrap();
@@ -667,7 +667,7 @@
     across_the_close(&agent, || {
         fresh.extend((0..5).map(|_| eager(&agent, &pg::startup())))
     });
-    assert!(until(|| agent.log().contains("phase: Closing")));
+    assert!(until(|| agent.log().contains("phase: Terminating")));
     sleep(ms(60));
     for (n, client) in fresh.iter_mut().enumerate() {
         client
@@ -687,7 +687,7 @@
     client.ask_as("first", "payment", 1400);
     client.ask_as("second", "payment", 2500);
     agent.terminate().unwrap();
-    assert!(until(|| agent.log().contains("phase: Closing")));
+    assert!(until(|| agent.log().contains("phase: Terminating")));
     client.ask_as("third", "payment", 60_000);
     let begun = Instant::now();
     let codes = [(); 3].map(|()| client.told().unwrap().code());
@@ -707,7 +707,7 @@
     agent.terminate().unwrap();
     agent.renew(&agent.configuration.to_string()).unwrap();
     agent.terminate().unwrap();
-    assert!(until(|| agent.log().contains("phase: Leaving")));
+    assert!(until(|| agent.log().contains("phase: Draining")));
     agent.terminate().unwrap();
     let mut client = caller(&agent);
     client.ask("view", 1400);
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -37,7 +37,7 @@
     .play();
     program.signal(Signal::USR1).unwrap();
     assert!(
-        until(|| program.log().contains("commands: taken")),
+        until(|| program.log().contains("requests: taken")),
         "{}",
         program.log()
     );
@@ -54,10 +54,10 @@
         said.filter(|(_, s)| s.starts_with(begin) && s.contains(with))
             .count()
     };
-    let counters = log.lines().find(|l| l.contains("commands: taken")).unwrap();
+    let counters = log.lines().find(|l| l.contains("requests: taken")).unwrap();
     let counted = |word: &str| {
         let after = counters
-            .split_once("commands: ")
+            .split_once("requests: ")
             .unwrap()
             .1
             .split_once(word)
@@ -70,21 +70,22 @@
             .parse::<usize>()
             .unwrap()
     };
-    let (taken, succeeded) = (counted("taken "), counted("satisfied "));
+    let (taken, succeeded) = (counted("taken "), counted("succeeded "));
     assert!(taken > 100 && succeeded > 100, "{counters}");
-    assert_eq!(lines("command lane 0 ", ""), taken, "{counters}");
+    assert_eq!(lines("request class 0 ", ""), taken, "{counters}");
     assert_eq!(
-        lines("command lane 0 Succeeded", ""),
+        lines("request class 0 Succeeded", ""),
         succeeded,
         "{counters}"
     );
     assert_eq!(
-        lines("delivery lane 0 build 41 ", " Succeeded "),
+        lines("attempt class 0 build 41 ", " Succeeded "),
         succeeded,
         "{counters}"
     );
     assert!(
-        lines("news build 41 stage 2 Released", "") > 0 && lines("start agents ", " back ") == 1,
+        lines("rollout build 41 stage 2 Released", "") > 0
+            && lines("start agents ", " votes_to_roll_back ") == 1,
         "{log}"
     );
 
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large.rs
@@ -59,7 +59,7 @@
     // By the rules, what a whole list lacks is gone.
     let none = json!({"version": 99, "full": true, "servers": []}).to_string();
     world.discovery.manner(Manner::Says(Speaker::http(&none)));
-    says(&agent, "no appliance runs, of 7700");
+    says(&agent, "no endpoint runs, of 7700");
     assert!(
         ask().is_some_and(|code| code == "53300"),
         "what cannot be sent is denied"
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -105,7 +105,7 @@
     assert!(
         agent
             .log()
-            .contains("new settings: 4 lanes, 1 tenants, 1 zones"),
+            .contains("new settings: 4 classes, 1 tenants, 1 zones"),
         "{}",
         agent.log()
     );
@@ -300,7 +300,7 @@
     }
     sleep(ms(300));
     assert_eq!(asked(&world), before);
-    assert!(!agent.log().contains("Renewing"), "{}", agent.log());
+    assert!(!agent.log().contains("Reloading"), "{}", agent.log());
     // Who moves is, alone.
     configuration["deployer"]["address"] = next.address.to_string().into();
     renew(&agent, &configuration);
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -3,11 +3,11 @@
 use quickcheck::quickcheck;
 use std::time::Duration;
 use tulipwall::{RolloutPhase, Vote, VoteReply};
-use tulipwall_agent::lifecycle::start::Start;
+use tulipwall_agent::lifecycle::start::StartupConfig;
 use tulipwall_agent::protocol::buffer::Buffer;
-use tulipwall_agent::protocol::platform::{self, Line, Told};
-use tulipwall_agent::protocol::postgres::{self, Hearing, Opening, Verdict};
-use tulipwall_agent::protocol::{http, statement::Statement, Malformed};
+use tulipwall_agent::protocol::platform::{self, PlatformMessage, RolloutReport};
+use tulipwall_agent::protocol::postgres::{self, ClientOpening, QueryOutcome, ResponseReader};
+use tulipwall_agent::protocol::{http, statement::Statement, ProtocolError};
 use tulipwall_discovery::listing::Listing;
 
 const READ: &str = "SELECT body FROM objects WHERE oid = 'a1' /* id=9b1f,c=view,t=acme,d=480 */";
@@ -23,9 +23,10 @@
                 .fill(|room| std::io::Read::read(&mut rest, room))
                 .unwrap();
         }
-        while let Some((tag, body, took)) = postgres::message(inbox.unread()).unwrap() {
-            heard.push((tag, body.to_vec()));
-            inbox.consume(took);
+        while let Some(message) = postgres::parse_message(inbox.unread()).unwrap() {
+            heard.push((message.tag, message.body.to_vec()));
+            let length = message.length;
+            inbox.consume(length);
         }
     }
     assert!(inbox.is_empty());
@@ -36,22 +37,23 @@
     let mut bytes =
         b"T\0\0\0\x1d\0\x01body\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01".to_vec();
     bytes.extend(b"D\0\0\0\x0c\0\x01\0\0\0\x02\x9f\x03");
-    postgres::complete(&mut bytes, "SELECT 1");
-    postgres::ready(&mut bytes);
+    postgres::write_command_complete(&mut bytes, "SELECT 1");
+    postgres::write_ready(&mut bytes);
     bytes
 }
 
 /// What an answer in these pieces is heard as: its verdict once it is over, nothing while it is
 /// not.
-fn heard(pieces: &[&[u8]]) -> Result<Option<(Verdict, Vec<u8>)>, Malformed> {
-    let (mut inbox, mut hearing) = (Vec::new(), Hearing::default());
+fn heard(pieces: &[&[u8]]) -> Result<Option<(QueryOutcome, Vec<u8>)>, ProtocolError> {
+    let (mut inbox, mut hearing) = (Vec::new(), ResponseReader::default());
     for piece in pieces {
         inbox.extend_from_slice(piece);
-        while let Some((tag, body, took)) = postgres::answer(&inbox)? {
-            if hearing.hear(tag, body, &inbox[..took])? {
-                return Ok(hearing.verdict.map(|v| (v, hearing.value)));
+        while let Some(message) = postgres::parse_endpoint_message(&inbox)? {
+            if hearing.on_message(message.tag, message.body, &inbox[..message.length])? {
+                return Ok(hearing.outcome.map(|v| (v, hearing.value)));
             }
-            inbox.drain(..took);
+            let length = message.length;
+            inbox.drain(..length);
         }
     }
     Ok(None)
@@ -62,14 +64,14 @@
         let whole = answer();
         let (cut, at, by) = (cut % whole.len(), at % whole.len(), by.max(1));
         let value = whole[..whole.len() - 6].to_vec();
-        assert_eq!(heard(&[&whole[..cut], &whole[cut..]]), Ok(Some((Verdict::Value, value.clone()))));
+        assert_eq!(heard(&[&whole[..cut], &whole[cut..]]), Ok(Some((QueryOutcome::Value, value.clone()))));
         assert_eq!(heard(&[&whole[..cut]]), Ok(None), "only a part");
         // Bytes of the value, of the column's description and of the request's words say nothing of
         // themselves.
         let free = [7..30, 41..43, 48..57].iter().any(|r| r.contains(&at));
         let mut spoilt = whole.clone();
         spoilt[at] = spoilt[at].wrapping_add(by);
-        free || !matches!(heard(&[&spoilt[..cut], &spoilt[cut..]]), Ok(Some((Verdict::Value, _))))
+        free || !matches!(heard(&[&spoilt[..cut], &spoilt[cut..]]), Ok(Some((QueryOutcome::Value, _))))
     }
 
     fn messages_are_the_same_however_they_are_split(cuts: Vec<usize>) -> bool {
@@ -86,17 +88,17 @@
         let valid = [
             answer(), postgres::query(WRITE), postgres::startup("worker", "catalog"), READ.into(), WRITE.into(),
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_vec(),
-            platform::vote(7, &Vote { build: 3, stage: 1, verdict: tulipwall::Verdict::Hold }).into_bytes(), noise,
+            platform::vote_request(7, &Vote { build: 3, stage: 1, verdict: tulipwall::Verdict::Hold }).into_bytes(), noise,
         ];
         for mut bytes in valid {
             for (at, to) in &seed {
                 let at = at % bytes.len().max(1);
                 bytes.get_mut(at).into_iter().for_each(|b| *b = *to);
             }
-            let _ = (postgres::opening(&bytes), http::answer(&bytes, true), http::answer(&bytes, false));
-            let _ = (platform::line(&bytes), platform::split(&bytes), Listing::parse(&bytes), Start::parse(&bytes).is_ok());
+            let _ = (postgres::parse_opening(&bytes), http::parse_response(&bytes, true), http::parse_response(&bytes, false));
+            let _ = (platform::parse_message(&bytes), platform::split_line(&bytes), Listing::parse(&bytes), StartupConfig::parse(&bytes).is_ok());
             let _ = std::str::from_utf8(&bytes).map(Statement::parse);
-            let _ = (heard(&[&bytes]), postgres::message(&bytes).map(|m| m.map(|m| postgres::text(m.1).is_ok())));
+            let _ = (heard(&[&bytes]), postgres::parse_message(&bytes).map(|m| m.map(|m| postgres::parse_query_text(m.body).is_ok())));
         }
         true
     }
@@ -131,28 +133,35 @@
         ("*/", "", "does not close"),
     ] {
         let told = Statement::parse(&READ.replace(from, to)).unwrap_err();
-        assert!(told.0.contains(fault), "{told}");
+        assert!(told.to_string().contains(fault), "{told}");
     }
 }
 
 #[test]
 fn an_appliance_that_answers_out_of_turn_is_garbage() {
-    let mut hearing = Hearing::default();
-    assert!(hearing.hear(b'D', b"\0\x01\0\0\0\0", b"").is_err());
-    assert!(Hearing::default().hear(b'T', b"\0\x02", b"").is_err());
-    assert!(Hearing::default().hear(b'C', b"SELECT 0\0", b"").is_err());
+    let mut hearing = ResponseReader::default();
+    assert!(hearing.on_message(b'D', b"\0\x01\0\0\0\0", b"").is_err());
+    assert!(ResponseReader::default()
+        .on_message(b'T', b"\0\x02", b"")
+        .is_err());
+    assert!(ResponseReader::default()
+        .on_message(b'C', b"SELECT 0\0", b"")
+        .is_err());
     // What can't be read says nothing, not even that the request never ran; what is too large is
     // not awaited.
-    assert!(Hearing::default()
-        .hear(b'E', b"SERROR\0C53300", b"")
+    assert!(ResponseReader::default()
+        .on_message(b'E', b"SERROR\0C53300", b"")
         .is_err());
-    assert!(postgres::answer(b"D\xb2\xd0\x5e\x0a").is_err() && postgres::answer(b"x").is_err());
+    assert!(
+        postgres::parse_endpoint_message(b"D\xb2\xd0\x5e\x0a").is_err()
+            && postgres::parse_endpoint_message(b"x").is_err()
+    );
     assert_eq!(
-        postgres::opening(&[0, 0, 0, 8, 4, 0xd2, 0x16, 0x2f]),
-        Ok(Some((Opening::Encryption, 8)))
+        postgres::parse_opening(&[0, 0, 0, 8, 4, 0xd2, 0x16, 0x2f]),
+        Ok(Some((ClientOpening::Encryption, 8)))
     );
-    assert!(postgres::message(b"Q\x7f\xff\xff\xff").is_err());
-    assert!(postgres::opening(b"\0\0\0\x02").is_err());
+    assert!(postgres::parse_message(b"Q\x7f\xff\xff\xff").is_err());
+    assert!(postgres::parse_opening(b"\0\0\0\x02").is_err());
 }
 
 #[test]
@@ -162,11 +171,11 @@
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n",
     ] {
         for cut in 0..whole.len() {
-            assert_eq!(http::answer(&whole[..cut], false), Ok(None));
+            assert_eq!(http::parse_response(&whole[..cut], false), Ok(None));
         }
-        let answer = http::answer(whole, false).unwrap().unwrap();
+        let answer = http::parse_response(whole, false).unwrap().unwrap();
         assert_eq!(
-            (answer.status, &answer.body[..], answer.took),
+            (answer.status, &answer.body[..], answer.length),
             (200, &b"{}"[..], whole.len())
         );
     }
@@ -174,7 +183,7 @@
 
 #[test]
 fn each_answer_of_the_platform_is_told_as_what_it_is() {
-    let told = Told {
+    let told = RolloutReport {
         build: 42,
         stage: 1,
         phase: RolloutPhase::Canary,
@@ -182,10 +191,10 @@
         age: Duration::from_millis(310),
     };
     let state = r#"{"image":42,"ring":1,"progress":"trial","ceiling":0.28,"lag_ms":310}"#;
-    let line = |text: String| platform::line(text.as_bytes());
+    let line = |text: String| platform::parse_message(text.as_bytes());
     assert_eq!(
         line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)),
-        Ok(Line::RolloutStatus(told))
+        Ok(PlatformMessage::RolloutStatus(told))
     );
     for (message, reply) in [
         ("Throttling", VoteReply::Refused),
@@ -198,22 +207,25 @@
         ));
         assert_eq!(
             answer,
-            Ok(Line::Answer {
+            Ok(PlatformMessage::Response {
                 id: 7,
                 reply,
-                told: None
+                rollout: None
             })
         );
     }
-    assert_eq!(line(r#"{"method":"ping"}"#.into()), Ok(Line::SignOfLife));
+    assert_eq!(
+        line(r#"{"method":"ping"}"#.into()),
+        Ok(PlatformMessage::Heartbeat)
+    );
     let sample = r#"{"bad":1,"image":42,"lag_ms":828,"latency_ms":564.324,"n":3,"type":"view"}"#;
     let (took, age) = (Duration::from_micros(564_324), Duration::from_millis(828));
-    let counted = Line::Counted {
+    let counted = PlatformMessage::AggregatedCounts {
         build: 42,
         class: "view".into(),
         attempts: 3,
         failed: 1,
-        took,
+        mean_latency: took,
         age,
     };
     assert_eq!(
--- a/crates/experiments/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -77,7 +77,7 @@
         let build = |i: usize| number(i) as u32;
         match w[0].as_str() {
             "start" => log.back = number(4) as usize,
-            "lanes" if log.classes.is_empty() => {
+            "classes" if log.classes.is_empty() => {
                 let text = w[1..].join(" ").replace(['[', ']', '(', ')'], "");
                 let all: Vec<f64> = text.split(", ").filter_map(|n| n.parse().ok()).collect();
                 log.classes = all
@@ -86,7 +86,7 @@
                     .map(|c| (c[0] / 1000.0, c[1]))
                     .collect();
             }
-            "news" => {
+            "rollout" => {
                 let since = w.get(7).and_then(|w| w.parse().ok()).map_or(at, seconds);
                 let told = log
                     .rollout_status
@@ -94,11 +94,11 @@
                     .or_insert(since);
                 *told = told.min(since);
             }
-            "command" => {
+            "request" => {
                 log.commands
                     .push((at, number(2) as usize, word(3), number(4) / 1e6, number(7)))
             }
-            "delivery" => {
+            "attempt" => {
                 let outcome = word(5);
                 log.attempts.push(Attempt {
                     at,
@@ -107,7 +107,7 @@
                     took: number(6) / 1e6,
                 });
             }
-            "flag" => log.flags.push((at, build(4))),
+            "client_error" => log.flags.push((at, build(4))),
             "note" if word(1) == "regressed:" => {
                 let why = w[4..].join(" ");
                 let why = why.split(", trial").next().unwrap_or_default().to_owned();
@@ -435,8 +435,8 @@
             part("in time"),
             part("late"),
             part("Rejected"),
-            part("Scrapped"),
-            part("Left")
+            part("Failed"),
+            part("Abandoned")
         );
     }
 }
--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tulipwall::{AttemptEnd, Balancer, Decision, Outcome, Request, RolloutStatus};
 use tulipwall_agent::protocol::http;
-use tulipwall_agent::protocol::platform::{self, Line};
+use tulipwall_agent::protocol::platform::{self, PlatformMessage};
 use tulipwall_config::ServiceConfig;
 use tulipwall_discovery::clock::Clock;
 use tulipwall_discovery::list::List;
@@ -467,7 +467,7 @@
         self.due |= due.open_watch;
         if let Some(vote) = due.vote {
             self.calls += 1;
-            let line = platform::vote(self.calls, &vote);
+            let line = platform::vote_request(self.calls, &vote);
             self.meter.passed(now, Kind::Voted, line.len());
             self.posts.push((now, self.number, Post::Vote { line }));
         }
@@ -485,8 +485,11 @@
     fn ask(&mut self, now: Duration, path: &str, time: Duration, begins: bool) -> u64 {
         self.calls += 1;
         let call = self.calls;
-        self.meter
-            .passed(now, Kind::Asked, http::get("10.200.0.1:8500", path).len());
+        self.meter.passed(
+            now,
+            Kind::Asked,
+            http::get_request("10.200.0.1:8500", path).len(),
+        );
         self.posts.push((
             now,
             self.number,
@@ -586,7 +589,7 @@
     /// read.
     fn read(&mut self, now: Duration, bytes: &[u8]) -> Option<bool> {
         let begun = cpu();
-        let answer = http::answer(bytes, false).ok().flatten();
+        let answer = http::parse_response(bytes, false).ok().flatten();
         let told = answer.and_then(|a| Listing::parse(&a.body).ok());
         self.meter.spent(now, Work::Reading, begun);
         let told = told?;
@@ -638,7 +641,7 @@
 
     fn open(&mut self, now: Duration) {
         self.calls += 1;
-        let line = platform::watch(self.calls);
+        let line = platform::watch_request(self.calls);
         self.meter.passed(now, Kind::Voted, line.len());
         self.posts.push((now, self.number, Post::Open { line }));
         self.quiet_until = now + PLATFORM_SILENT;
@@ -655,10 +658,10 @@
                 self.meter.passed(now, kind, bytes.len());
                 self.quiet_until = now + PLATFORM_SILENT;
                 let begun = cpu();
-                match platform::line(&bytes) {
-                    Ok(Line::RolloutStatus(told)) => {
+                match platform::parse_message(&bytes) {
+                    Ok(PlatformMessage::RolloutStatus(told)) => {
                         let began = now.saturating_sub(told.age);
-                        let platform::Told {
+                        let platform::RolloutReport {
                             build,
                             stage,
                             phase,
@@ -673,7 +676,9 @@
                             since: began,
                         });
                     }
-                    Ok(Line::Answer { reply, .. }) => self.choice.on_vote_reply(now, reply),
+                    Ok(PlatformMessage::Response { reply, .. }) => {
+                        self.choice.on_vote_reply(now, reply)
+                    }
                     _ => {}
                 }
                 self.meter.spent(now, Work::RolloutStatus, begun);
