--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -9,7 +9,7 @@
 use tulipwall::AlternativeSettings;
 use tulipwall_config::{ConfigDiagnostic, Door, Installation, Instance, LogForm, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
-use tulipwall_zones::Zoning;
+use tulipwall_zones::ZoneConfig;
 
 /// The environment variable that names the configuration where the command line does not.
 const CONFIGURATION_VARIABLE: &str = "PROXY_CONFIG";
@@ -148,7 +148,7 @@
 
     /// What the installation says of zones, in the indices of these settings. The installation was
     /// checked for faults when it was read.
-    pub fn zoning(&self) -> Option<Zoning> {
+    pub fn zoning(&self) -> Option<ZoneConfig> {
         self.installation.zoning(&self.service).unwrap_or_default()
     }
 
--- a/crates/agent/src/observability/counters.rs
+++ b/crates/agent/src/observability/counters.rs
@@ -29,7 +29,7 @@
 /// The number of outcomes that an attempt can have.
 const OUTCOME_COUNT: usize = 8;
 
-/// Their names in the line of counters, in the order of [`tulipwall_zones::place`].
+/// Their names in the line of counters, in the order of [`tulipwall_zones::outcome_index`].
 const OUTCOME_NAMES: [&str; OUTCOME_COUNT] = [
     "succeeded",
     "failed",
@@ -100,7 +100,7 @@
 impl Counters {
     /// Counts an attempt that ended.
     pub fn attempt_ended(&self, outcome: Outcome) {
-        self.attempts_ended[tulipwall_zones::place(outcome)].increment();
+        self.attempts_ended[tulipwall_zones::outcome_index(outcome)].increment();
     }
 }
 
--- a/crates/agent/src/protocol/connection.rs
+++ b/crates/agent/src/protocol/connection.rs
@@ -12,13 +12,13 @@
 
 /// Bytes that went over one connection, and those of them that are accounted for.
 #[derive(Default)]
-pub struct ConnectionTraffic {
+pub struct SocketTraffic {
     out: Cell<u64>,
     back: Cell<u64>,
     charged: Cell<(u64, u64)>,
 }
 
-impl ConnectionTraffic {
+impl SocketTraffic {
     pub fn written(&self) -> u64 {
         self.out.get()
     }
@@ -34,7 +34,7 @@
 pub struct Connection {
     source: Source<TcpStream>,
     pub inbox: Buffer,
-    pub traffic: Rc<ConnectionTraffic>,
+    pub traffic: Rc<SocketTraffic>,
     /// When each message that is unread was whole, where that is wanted.
     pub arrivals: Option<ArrivalTracker>,
 }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: a connection, the statement written, the answer heard.
 
 use crate::agent::Agent;
-use crate::protocol::connection::{Connection, ConnectionTraffic};
+use crate::protocol::connection::{Connection, SocketTraffic};
 use crate::protocol::postgres::{self, QueryOutcome, ResponseReader};
 use crate::protocol::statement::Statement;
 use crate::protocol::ProtocolError;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tulipwall::Outcome;
 use tulipwall_discovery::list::Target;
-use tulipwall_zones::{Flaw, Opening};
+use tulipwall_zones::{ConnectionTraffic, ResponseFault};
 
 /// How soon the rest of an answer that has begun must come.
 const REST_WITHIN: Duration = Duration::from_millis(500);
@@ -104,20 +104,20 @@
         }
         Ok(()) => agent.counters.responses_unsolicited.increment(),
         Err(Heard::Garbage(m)) => {
-            meter.flaw.set(Flaw::Spoilt);
+            meter.flaw.set(ResponseFault::Malformed);
             agent.counters.responses_malformed.increment();
             let name = agent.endpoint_name(order.target.endpoint);
             log::debug!("endpoint {name}: {m}; its connection is closed");
         }
         Err(Heard::Half) => {
-            meter.flaw.set(Flaw::Half);
+            meter.flaw.set(ResponseFault::Truncated);
             agent.counters.responses_malformed.increment();
         }
         Err(Heard::End)
             if outcome == Outcome::ConnectionLost
                 && (hearing.has_begun() || !held.connection.inbox.is_empty()) =>
         {
-            meter.flaw.set(Flaw::Half);
+            meter.flaw.set(ResponseFault::Truncated);
         }
         Err(Heard::End) => {}
     }
@@ -230,7 +230,7 @@
     agent: &'a Agent,
     target: Target,
     begun: Duration,
-    traffic: RefCell<Option<Rc<ConnectionTraffic>>>,
+    traffic: RefCell<Option<Rc<SocketTraffic>>>,
 }
 
 impl HandshakeCost<'_> {
@@ -243,12 +243,12 @@
         let Target { zone, build, .. } = self.target;
         self.agent.border.opened(
             now,
-            Opening {
+            ConnectionTraffic {
                 to: zone,
                 build,
-                out,
-                back,
-                took,
+                bytes_sent: out,
+                bytes_received: back,
+                handshake: took,
             },
         );
     }
