--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -14,11 +14,11 @@
 pub use limits::ResourceLimits;
 
 use crate::balancer_handle::BalancerHandle;
-use crate::lifecycle::phase::Life;
-use crate::lifecycle::start::Start;
+use crate::lifecycle::phase::Lifecycle;
+use crate::lifecycle::start::StartupConfig;
 use crate::observability::counters::Counters;
 use crate::observability::logging::EVIDENCE;
-use crate::protocol::platform::Told;
+use crate::protocol::platform::RolloutReport;
 use crate::runtime::reactor::Timer;
 use crate::upstream::pool::{ConnectionPool, PooledConnection};
 use crate::upstream::zone_traffic::ZoneTraffic;
@@ -42,7 +42,7 @@
     pub counters: Rc<Counters>,
     /// The phase of the program: written by signals, the listener and the control tasks, read by
     /// client connections.
-    pub lifecycle: Life,
+    pub lifecycle: Lifecycle,
     /// Where the agent itself is reached.
     pub start_addresses: StartAddresses,
     /// The configuration in force.
@@ -75,38 +75,43 @@
 impl Agent {
     /// An agent with the configuration that was read, and the list and rollout status that came
     /// with it.
-    pub fn start(start: Start) -> Rc<Agent> {
+    pub fn start(start: StartupConfig) -> Rc<Agent> {
         let clock = Rc::new(Clock::start());
         let counters = Rc::new(Counters::default());
-        let names = report_names(&start.name, &start.site);
+        let names = report_names(&start.name, &start.service);
         let zoning = start.zoning();
-        let settings = start.site.settings.clone();
-        let max_idle = start.site.max_idle;
+        let settings = start.service.settings.clone();
+        let max_idle = start.service.max_idle;
         let agent = Rc::new(Agent {
             balancer: BalancerHandle::new(settings, clock.clone(), counters.clone()),
             zone_traffic: ZoneTraffic::new(clock.now(), zoning, names),
             pool: ConnectionPool::new(max_idle, clock.clone(), counters.clone()),
             clock,
             counters,
-            lifecycle: Life::start(),
+            lifecycle: Lifecycle::new(),
             start_addresses: StartAddresses {
                 listen: start.listen,
-                admin: start.door,
+                admin: start.admin_address,
             },
-            config: ConfigState::new(start.site, start.installation, start.watch.clone()),
+            config: ConfigState::new(
+                start.service,
+                start.installation,
+                start.alternative_settings.clone(),
+            ),
             control: ControlState::new(start.discovery, start.platform),
             endpoints: EndpointDirectory::default(),
-            limits: ResourceLimits::new(start.sockets, start.memory),
+            limits: ResourceLimits::new(start.max_sockets, start.memory_limit),
             executors: Executors::default(),
         });
-        agent
-            .balancer
-            .evaluate_alternative(&agent.service_config().settings, start.watch.as_ref());
+        agent.balancer.evaluate_alternative(
+            &agent.service_config().settings,
+            start.alternative_settings.as_ref(),
+        );
         agent.log_start();
         if let Some(status) = start.rollout_status {
             agent.update_rollout(status);
         }
-        if let Some(known) = start.known {
+        if let Some(known) = start.known_list {
             if let Some(what) = &known.spoilt {
                 log::warn!("field known: {what}; nothing goes there");
             }
@@ -121,7 +126,7 @@
         let config = self.service_config();
         let agents = config.settings.agents;
         let rollout = &config.settings.rollout;
-        log::debug!(target: EVIDENCE, "{wall} start agents {agents} back {} hold {}",
+        log::debug!(target: EVIDENCE, "{wall} start agents {agents} votes_to_roll_back {} votes_to_hold {}",
             rollout.votes_to_roll_back, rollout.votes_to_hold);
         let objectives: Vec<_> = config
             .settings
@@ -138,7 +143,7 @@
     }
 
     /// The platform told of a rollout.
-    pub fn update_rollout(&self, told: Told) {
+    pub fn update_rollout(&self, told: RolloutReport) {
         let now = self.clock.now();
         let began = now.saturating_sub(told.age);
         log::debug!(target: EVIDENCE, "{} rollout build {} stage {} {:?} since {}", self.clock.wall(now), told.build,
@@ -211,7 +216,7 @@
             Some(divergences) => format!("; watched: {divergences}"),
             None => String::new(),
         };
-        format!("kept: clients {clients} listed {listed} commands {requests} appliances {endpoints} builds {builds} keys {keys}{divergences}")
+        format!("kept: clients {clients} listed {listed} requests {requests} endpoints {endpoints} builds {builds} keys {keys}{divergences}")
     }
 
     /// Sleeps until a time on the agent's clock.
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -1,8 +1,8 @@
 //! Configuration reload: a configuration that was read anew is put in force, all of it or none.
 
 use super::{report_names, Agent};
-use crate::lifecycle::phase::Party;
-use crate::lifecycle::start::Start;
+use crate::lifecycle::phase::ControlService;
+use crate::lifecycle::start::StartupConfig;
 use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -48,13 +48,13 @@
     /// Goes on under a configuration that was read anew, all of it or none, but for what only a
     /// restart can change, which is named and stays. A peer whose address is another is asked anew
     /// there; its list and rollout status in the file are no newer than what it tells.
-    pub fn reload(&self, start: Start) {
+    pub fn reload(&self, start: StartupConfig) {
         let before = self.service_config();
         let applied = self.apply_decision_config(DecisionConfig {
             agent_name: &start.name,
-            service: start.site,
+            service: start.service,
             installation: &start.installation,
-            alternative: start.watch.as_ref(),
+            alternative: start.alternative_settings.as_ref(),
         });
         let change = match applied {
             Ok(change) => change,
@@ -73,11 +73,11 @@
             let listen = self.start_addresses.listen;
             log::warn!("field listen: {listen} stays until a restart");
         }
-        if start.door != self.start_addresses.admin {
+        if start.admin_address != self.start_addresses.admin {
             log::warn!("installation: door stays as it was until a restart");
         }
         self.config.replace_installation(start.installation);
-        self.limits.resize(start.sockets, start.memory);
+        self.limits.resize(start.max_sockets, start.memory_limit);
         self.move_discovery(discovery, &before);
         self.move_platform(start.platform);
     }
@@ -88,7 +88,8 @@
             |c: &ServiceConfig| (c.settings.shared_discovery, c.settings.max_poll_interval);
         let moved = self.control.discovery.replace(address);
         if moved || poll_settings(before) != poll_settings(&self.service_config()) {
-            self.lifecycle.moves(Party::Discovery, false);
+            self.lifecycle
+                .on_address_change(ControlService::Discovery, false);
             self.control.discovery.announce_change();
         }
     }
@@ -96,7 +97,8 @@
     /// The session begins anew where the platform is another, and ends where there is none.
     fn move_platform(&self, address: Option<SocketAddr>) {
         if self.control.platform.replace(address) {
-            self.lifecycle.moves(Party::Platform, address.is_none());
+            self.lifecycle
+                .on_address_change(ControlService::Platform, address.is_none());
             self.control.platform.announce_change();
         }
     }
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -36,7 +36,7 @@
             FinalResponse::Succeeded(_) => "Succeeded",
             FinalResponse::Rejected(_) => "Rejected",
             FinalResponse::Failed => "Failed",
-            FinalResponse::Left => "Left",
+            FinalResponse::Left => "Abandoned",
         }
     }
 }
@@ -82,7 +82,11 @@
     };
     let deadline = heard + statement.wait;
     let left = deadline.saturating_sub(agent.clock.now());
-    let Statement { work, again, .. } = statement;
+    let Statement {
+        estimated_work: work,
+        is_retry: again,
+        ..
+    } = statement;
     let command = Request {
         class,
         tenant,
@@ -407,11 +411,11 @@
 /// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
 async fn leaves(client: &mut Connection) {
     while client.inbox.len() <= AHEAD_MOST {
-        if client.more().await.map_or(true, |n| n == 0) {
+        if client.read_more().await.map_or(true, |n| n == 0) {
             return;
         }
     }
-    client.ended().await;
+    client.peer_closed().await;
 }
 
 /// Hears out the attempts of a request that has its final answer.
--- a/crates/experiments/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -107,7 +107,7 @@
                     took: number(6) / 1e6,
                 });
             }
-            "flag" => log.flags.push((at, build(4))),
+            "client_error" => log.flags.push((at, build(4))),
             "note" if word(1) == "regression:" => {
                 let why = w[4..].join(" ");
                 let why = why.split(", canary").next().unwrap_or_default().to_owned();
@@ -436,7 +436,7 @@
             part("late"),
             part("Rejected"),
             part("Failed"),
-            part("Left")
+            part("Abandoned")
         );
     }
 }
