--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,9 +1,11 @@
-//! What crosses between zones: an account of it, budgets for it, and routing that keeps to both.
+//! Cross-zone traffic of one agent: an account of it, budgets for it, and hints for the routing
+//! between zones.
 //!
-//! Pure: no sockets, no files, no clock. Times are handed in as spans since one fixed zero; zones, classes and
-//! builds are the numbers that the decisions use. [`Zones`] is the whole of it for one agent: it is told what
-//! was taken, sent and answered, and says what crossing means just now as [`tulipwall::CrossZonePolicy`]. The
-//! decisions stay with [`tulipwall::Balancer`]; nothing here sends, delays or denies a request.
+//! Pure: no sockets, files or clock. Times are durations since one fixed zero, passed in by the
+//! caller; zones, classes and builds are the numbers that the balancer uses. [`Zones`] is the entry
+//! point: it is told of requests, attempts and connections, and returns how the balancer is to treat
+//! other zones as a [`tulipwall::CrossZonePolicy`]. The decisions stay with [`tulipwall::Balancer`];
+//! nothing here sends, delays or rejects a request.
 //!
 //! ```
 //! use std::time::Duration;
@@ -41,25 +43,32 @@
 //! let reservation = zones.on_attempt(now, attempt, || vec![tulipwall::ZoneCapacity::default(); 3]);
 //! assert_eq!(reservation.over_budget, None, "the first of the five that this agent may send");
 //! ```
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 mod account;
 mod budget;
+mod config;
+mod events;
+mod latency_histogram;
+mod link_counts;
+mod reason;
+mod remap;
 mod report;
-mod route;
-mod series;
+mod router;
+mod time_series;
 mod zones;
-mod zoning;
 
-pub use account::{
-    outcome_index, Account, CompletedAttempt, ConnectionTraffic, LinkCounts, LinkKey, LinkRow,
-    ResponseFault,
-};
-pub use budget::{BudgetHold, BudgetMeter, BudgetMeters, ResourceUsage};
+pub use account::{Account, LinkClass, LinkKey, LinkRow};
+pub use budget::{BudgetHold, BudgetMeter, BudgetMeters, ResourceUsage, Transfer};
+pub use config::{Budget, ClassProfile, Limit, Link, Price, RoutingPolicy, ZoneConfig};
+pub use events::{AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation, ResponseFault};
+pub use link_counts::{outcome_index, LinkCounts};
+pub use reason::OverBudgetReason;
 pub use report::{
     BudgetLine, ClockMapping, DelayLine, DisplayNames, Document, LatencyBucket, LinkLine,
     ReportCursor, ReportError, ReportHeader, ReportLine, SeriesBin, SeriesLine, VERSION,
 };
-pub use route::{OverBudgetReason, ZoneRouter};
-pub use series::{TimeBin, TimeSeries};
-pub use zones::{AttemptStart, Reservation, Zones};
-pub use zoning::{Budget, ClassProfile, Limit, Link, Price, RoutingPolicy, ZoneConfig};
+pub use router::ZoneRouter;
+pub use time_series::{TimeBin, TimeSeries};
+pub use zones::Zones;
--- /dev/null
+++ b/crates/zones/src/reason.rs
@@ -0,0 +1,84 @@
+//! Why an attempt crossed to another zone although a budget was exhausted.
+
+use tulipwall::ZoneCapacity;
+
+/// Why an attempt crossed although a budget was exhausted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OverBudgetReason {
+    /// It went to a canary, which must be evaluated; the canary's cap bounds the traffic.
+    Canary,
+    /// Its request is deduplicated within a group of endpoints in that zone, where it may have run.
+    DeduplicationScope,
+    /// The local zone has no endpoint.
+    NoLocalEndpoint,
+    /// All local endpoints are draining.
+    LocalDraining,
+    /// All local endpoints are ejected or unresponsive.
+    LocalUnavailable,
+    /// All responsive local endpoints are warming up and have received their share.
+    LocalWarmingUp,
+    /// Local responses would come too late.
+    LocalSaturated,
+    /// Each local endpoint that could serve the request has failed it.
+    LocalAlreadyTried,
+    /// The cap of a canary, or the builds allowed for a key, left no local endpoint.
+    LocalExcluded,
+}
+
+impl OverBudgetReason {
+    /// How many reasons there are.
+    pub const COUNT: usize = Self::ALL.len();
+
+    /// All reasons, in the order of their discriminants.
+    pub const ALL: [OverBudgetReason; 9] = [
+        OverBudgetReason::Canary,
+        OverBudgetReason::DeduplicationScope,
+        OverBudgetReason::NoLocalEndpoint,
+        OverBudgetReason::LocalDraining,
+        OverBudgetReason::LocalUnavailable,
+        OverBudgetReason::LocalWarmingUp,
+        OverBudgetReason::LocalSaturated,
+        OverBudgetReason::LocalAlreadyTried,
+        OverBudgetReason::LocalExcluded,
+    ];
+
+    /// The word that stands for it in reports.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            OverBudgetReason::Canary => "trial",
+            OverBudgetReason::DeduplicationScope => "group",
+            OverBudgetReason::NoLocalEndpoint => "no_near",
+            OverBudgetReason::LocalDraining => "drained",
+            OverBudgetReason::LocalUnavailable => "aside",
+            OverBudgetReason::LocalWarmingUp => "cold",
+            OverBudgetReason::LocalSaturated => "full",
+            OverBudgetReason::LocalAlreadyTried => "tried",
+            OverBudgetReason::LocalExcluded => "barred",
+        }
+    }
+
+    /// The reason that follows from the state of the local zone, for an attempt that goes neither
+    /// to a canary nor to the deduplication scope of its request.
+    ///
+    /// `saturated`: local responses of its class are close to being late. `previous_attempts`: how
+    /// many attempts of the request came before.
+    pub fn for_capacity(
+        local: &ZoneCapacity,
+        saturated: bool,
+        previous_attempts: usize,
+    ) -> OverBudgetReason {
+        match local {
+            ZoneCapacity {
+                running: 0,
+                draining: 0,
+                ..
+            } => OverBudgetReason::NoLocalEndpoint,
+            ZoneCapacity { running: 0, .. } => OverBudgetReason::LocalDraining,
+            ZoneCapacity { responsive: 0, .. } => OverBudgetReason::LocalUnavailable,
+            ZoneCapacity { warm: 0, .. } => OverBudgetReason::LocalWarmingUp,
+            _ if saturated => OverBudgetReason::LocalSaturated,
+            _ if previous_attempts > 0 => OverBudgetReason::LocalAlreadyTried,
+            _ => OverBudgetReason::LocalExcluded,
+        }
+    }
+}
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,259 +1,263 @@
-//! All of it for one agent: told what is taken, sent and answered, it accounts, spends and says
-//! what crossing means just now.
+//! Cross-zone traffic of one agent: accounts for it, spends budgets for it, and says how the
+//! balancer is to treat other zones.
 
-use crate::account::{Account, CompletedAttempt, ConnectionTraffic};
-use crate::budget::{BudgetHold, BudgetMeters};
-use crate::route::{OverBudgetReason, ZoneRouter};
-use crate::zoning::ZoneConfig;
+use crate::account::Account;
+use crate::budget::{BudgetHold, BudgetMeters, Transfer};
+use crate::config::ZoneConfig;
+use crate::events::{AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation};
+use crate::reason::OverBudgetReason;
+use crate::router::ZoneRouter;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity, ZonePolicy};
 
-/// An attempt that was decided on.
-#[derive(Clone, Copy, Debug)]
-pub struct AttemptStart {
-    pub to: usize,
-    pub class: usize,
-    pub build: u32,
-    /// How many attempts of its request came before.
-    pub previous_attempts: usize,
-    /// Another attempt of its request is out.
-    pub hedged: bool,
-    /// Its build is on trial.
-    pub is_canary: bool,
-    /// Its request is deduplicated in a zone or cell, and may have run there.
-    pub pinned_to_scope: bool,
-}
-
-/// An attempt that is out, to be given back when it ends.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Reservation {
-    pub to: usize,
-    pub class: usize,
-    pub build: u32,
-    /// Why it went though a budget was spent; nothing where none was.
-    pub over_budget: Option<OverBudgetReason>,
-    reserved: BudgetHold,
-}
+/// How often classes are ranked anew by benefit for cost.
+const RANKING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The zones as one agent sees them.
+/// Cross-zone traffic of one agent.
 #[derive(Debug)]
 pub struct Zones {
-    zoning: ZoneConfig,
+    config: ZoneConfig,
     account: Account,
-    purses: BudgetMeters,
-    route: ZoneRouter,
-    told: Option<CrossZonePolicy>,
-    due: bool,
-    ranked: Duration,
+    budget_meters: BudgetMeters,
+    router: ZoneRouter,
+    /// The policy that was returned last.
+    last_policy: Option<CrossZonePolicy>,
+    /// The policy may have changed since.
+    policy_outdated: bool,
+    ranked_at: Duration,
 }
 
-/// How often classes are ordered anew by benefit for cost.
-const RANK_EVERY: Duration = Duration::from_secs(1);
-
 impl Zones {
-    pub fn new(now: Duration, zoning: ZoneConfig) -> Zones {
-        let stated = (0..zoning.zone_count_with_unnamed())
-            .map(|z| zoning.link(z).added_latency)
-            .collect();
+    /// Begins an account, with budgets as after a restart.
+    pub fn new(now: Duration, config: ZoneConfig) -> Zones {
         Zones {
-            account: Account::new(zoning.local_zone, zoning.zone_count, zoning.classes.len()),
-            purses: BudgetMeters::new(now, &zoning),
-            route: ZoneRouter::new(zoning.local_zone, zoning.routing, &zoning.classes, stated),
-            zoning,
-            told: None,
-            due: true,
-            ranked: now,
+            account: Account::new(config.local_zone, config.zone_count, config.classes.len()),
+            budget_meters: BudgetMeters::new(now, &config),
+            router: ZoneRouter::new(&config),
+            config,
+            last_policy: None,
+            policy_outdated: true,
+            ranked_at: now,
         }
     }
 
-    /// Goes on under what was read anew, with classes numbered as `by` says: the account and what
-    /// is spent stay. Its zones must be those of before, or the account begins anew, and the
-    /// budgets as after a restart; says whether it went on.
-    pub fn reload(&mut self, now: Duration, zoning: ZoneConfig, by: &[IndexOrigin]) -> bool {
-        let same = |z: &ZoneConfig| (z.local_zone, z.zone_count);
-        if same(&zoning) != same(&self.zoning) || zoning.classes.len() != by.len() {
-            *self = Zones::new(now, zoning);
+    /// Continues under a new configuration, with its classes mapped by `origins`: the account and
+    /// what is spent stay. Where the zones differ from those of before, the account begins anew,
+    /// and the budgets as after a restart. Returns whether it continued.
+    pub fn reload(&mut self, now: Duration, config: ZoneConfig, origins: &[IndexOrigin]) -> bool {
+        if !self.has_zones_of(&config) || config.classes.len() != origins.len() {
+            *self = Zones::new(now, config);
             return false;
         }
-        if self.zoning.classes.len() != by.len() || by.iter().any(|o| *o != IndexOrigin::Same) {
-            self.account.reload(by);
+        let classes_unchanged = self.config.classes.len() == origins.len()
+            && origins.iter().all(|origin| *origin == IndexOrigin::Same);
+        if !classes_unchanged {
+            self.account.reload(origins);
         }
-        let stated = (0..zoning.zone_count_with_unnamed())
-            .map(|z| zoning.link(z).added_latency)
-            .collect();
-        self.route
-            .reload(zoning.routing, &zoning.classes, stated, by);
-        self.purses.reload(now, &zoning, by);
-        self.zoning = zoning;
-        self.due = true;
+        self.router.reload(&config, origins);
+        self.budget_meters.reload(now, &config, origins);
+        self.config = config;
+        self.policy_outdated = true;
         true
     }
 
-    /// A request was taken.
+    fn has_zones_of(&self, other: &ZoneConfig) -> bool {
+        self.config.local_zone == other.local_zone && self.config.zone_count == other.zone_count
+    }
+
+    /// A request was received.
     pub fn on_request(&mut self, now: Duration, class: usize) {
         self.account.record_request(class);
-        self.purses.record_request(now, class);
+        self.budget_meters.record_request(now, class);
     }
 
-    /// An attempt was decided on; `zone_capacities` is asked only where it goes over a budget, to
-    /// say why.
+    /// An attempt was decided on. `zone_capacities`, by zone index, is asked for only where the
+    /// attempt goes over a budget, to find out why.
     pub fn on_attempt(
         &mut self,
         now: Duration,
-        s: AttemptStart,
+        attempt: AttemptStart,
         zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
     ) -> Reservation {
-        let to = s.to.min(self.zoning.zone_count);
-        self.account
-            .record_attempt(to, s.class, s.build, s.previous_attempts, s.hedged);
-        self.route.on_attempt(to);
-        let mut ticket = Reservation {
+        let to = self.known_zone(attempt.to);
+        let attempt = AttemptStart { to, ..attempt };
+        self.account.record_attempt(&attempt);
+        self.router.on_attempt(to);
+        let mut reservation = Reservation {
             to,
-            class: s.class,
-            build: s.build,
+            class: attempt.class,
+            build: attempt.build,
             over_budget: None,
-            reserved: BudgetHold::default(),
+            hold: BudgetHold::default(),
         };
-        if to == self.zoning.local_zone || self.purses.is_empty() {
-            return ticket;
+        if to == self.config.local_zone || self.budget_meters.is_empty() {
+            return reservation;
+        }
+        reservation.hold = self.budget_meters.reserve(now, to, attempt.class);
+        self.policy_outdated |= self.budget_meters.restrictions_outdated();
+        if reservation.hold.is_over_budget() {
+            let reason = self.over_budget_reason(&attempt, zone_capacities);
+            self.budget_meters
+                .record_over_budget(&reservation.hold, reason);
+            reservation.over_budget = Some(reason);
         }
-        ticket.reserved = self.purses.reserve(now, to, s.class);
-        self.due |= self.purses.restrictions_outdated();
-        if ticket.reserved.is_over() {
-            let reason = match s {
-                AttemptStart {
-                    is_canary: true, ..
-                } => OverBudgetReason::Canary,
-                AttemptStart {
-                    pinned_to_scope: true,
-                    ..
-                } => OverBudgetReason::DeduplicationScope,
-                _ => {
-                    let near = zone_capacities()
-                        .get(self.zoning.local_zone)
-                        .cloned()
-                        .unwrap_or_default();
-                    OverBudgetReason::for_capacity(
-                        &near,
-                        self.route.is_saturated(s.class),
-                        s.previous_attempts,
-                    )
-                }
-            };
-            self.purses.record_over_budget(&ticket.reserved, reason);
-            ticket.over_budget = Some(reason);
+        reservation
+    }
+
+    fn over_budget_reason(
+        &self,
+        attempt: &AttemptStart,
+        zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
+    ) -> OverBudgetReason {
+        if attempt.is_canary {
+            return OverBudgetReason::Canary;
+        }
+        if attempt.pinned_to_scope {
+            return OverBudgetReason::DeduplicationScope;
         }
-        ticket
+        let local = zone_capacities()
+            .get(self.config.local_zone)
+            .cloned()
+            .unwrap_or_default();
+        OverBudgetReason::for_capacity(
+            &local,
+            self.router.is_saturated(attempt.class),
+            attempt.previous_attempts,
+        )
     }
 
-    /// It ended.
-    pub fn on_attempt_end(&mut self, now: Duration, t: &Reservation, e: &CompletedAttempt) {
-        let written = u64::from(e.fully_written);
-        let cost = match t.to == self.zoning.local_zone {
-            true => 0.0,
-            false => self.purses.settle(
-                now,
-                (t.to, t.class),
-                &t.reserved,
-                written,
-                (e.bytes_sent, e.bytes_received),
-            ),
+    /// An attempt ended.
+    pub fn on_attempt_end(
+        &mut self,
+        now: Duration,
+        reservation: &Reservation,
+        end: &CompletedAttempt,
+    ) {
+        let (to, class) = (reservation.to, reservation.class);
+        let transfer = Transfer {
+            attempts: u64::from(end.fully_written),
+            bytes_sent: end.bytes_sent,
+            bytes_received: end.bytes_received,
         };
-        self.account.record_attempt_end(now, t, e, cost);
-        if e.outcome == Outcome::Succeeded {
-            self.route.on_response(now, t.to, t.class, e.latency);
+        let cost = if to == self.config.local_zone {
+            0.0
+        } else {
+            self.budget_meters
+                .settle(now, to, class, &reservation.hold, transfer)
+        };
+        self.account.record_attempt_end(now, reservation, end, cost);
+        if end.outcome == Outcome::Succeeded {
+            self.router.on_response(now, to, class, end.latency);
         }
     }
 
-    /// A connection was opened, or ended while nothing was out on it.
-    pub fn on_connection(&mut self, now: Duration, o: &ConnectionTraffic) {
-        let to = o.to.min(self.zoning.zone_count);
-        let cost = if to == self.zoning.local_zone {
+    /// A connection was opened, or closed while no attempt used it.
+    pub fn on_connection(&mut self, now: Duration, connection: &ConnectionTraffic) {
+        let to = self.known_zone(connection.to);
+        let connection = ConnectionTraffic { to, ..*connection };
+        let transfer = Transfer {
+            attempts: 0,
+            bytes_sent: connection.bytes_sent,
+            bytes_received: connection.bytes_received,
+        };
+        let cost = if to == self.config.local_zone {
             0.0
         } else {
-            self.purses
-                .charge(now, to, (o.bytes_sent, o.bytes_received))
+            self.budget_meters.charge(now, to, transfer)
         };
-        self.account
-            .record_connection(now, &ConnectionTraffic { to, ..*o }, cost);
-        if let Some(took) = o.handshake {
-            self.route.on_connection(to, took);
+        self.account.record_connection(now, &connection, cost);
+        if let Some(handshake) = connection.handshake {
+            self.router.on_connection(to, handshake);
         }
     }
 
-    /// Looks at how much should cross, about every 100 ms.
+    /// Zones beyond the known ones count as the unnamed one.
+    fn known_zone(&self, zone: usize) -> usize {
+        zone.min(self.config.zone_count)
+    }
+
+    /// Updates how much is to cross; to be called about every 100 ms.
     pub fn tick(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
-        self.route.tick(now, zone_capacities);
-        self.purses.advance(now);
-        if now >= self.ranked + RANK_EVERY {
-            self.ranked = now;
-            self.purses.rank_classes();
+        self.router.tick(now, zone_capacities);
+        self.budget_meters.advance(now);
+        if now >= self.ranked_at + RANKING_INTERVAL {
+            self.ranked_at = now;
+            self.budget_meters.rank_classes();
         }
-        self.due = true;
+        self.policy_outdated = true;
     }
 
-    /// What crossing means now, if that is other than what was told last.
+    /// How the balancer is to treat other zones, if that differs from what was returned last.
     pub fn cross_zone_policy(&mut self) -> Option<CrossZonePolicy> {
-        if !std::mem::take(&mut self.due) {
+        if !std::mem::take(&mut self.policy_outdated) {
             return None;
         }
-        self.purses.update_restriction_thresholds();
-        let zones = (0..self.zoning.zone_count_with_unnamed())
-            .map(|zone| self.crossing(zone))
-            .collect();
-        let now = CrossZonePolicy {
-            zones,
-            slow_start_factor: self.route.slow_start_factor(),
-        };
-        if self.told.as_ref() == Some(&now) {
+        self.budget_meters.update_restriction_thresholds();
+        let policy = self.current_policy();
+        if self.last_policy.as_ref() == Some(&policy) {
             return None;
         }
-        self.told = Some(now.clone());
-        Some(now)
+        self.last_policy = Some(policy.clone());
+        Some(policy)
     }
 
-    fn crossing(&self, zone: usize) -> ZonePolicy {
-        if zone == self.zoning.local_zone {
+    fn current_policy(&self) -> CrossZonePolicy {
+        let zones = 0..self.config.zone_count_with_unnamed();
+        CrossZonePolicy {
+            zones: zones.map(|zone| self.zone_policy(zone)).collect(),
+            slow_start_factor: self.router.slow_start_factor(),
+        }
+    }
+
+    fn zone_policy(&self, zone: usize) -> ZonePolicy {
+        if zone == self.config.local_zone {
             return ZonePolicy::default();
         }
-        let last = |again: bool| {
-            let classes = if self.purses.is_empty() {
-                0
-            } else {
-                self.zoning.classes.len()
-            };
-            let spared = |class: usize| {
-                !self.route.is_saturated(class) && !self.purses.admits(zone, class, again)
-            };
-            (0..classes).map(spared).collect()
-        };
         ZonePolicy {
-            weight: self.route.weight(zone),
-            added_latency: self.route.added_latency(zone),
-            last_resort: last(false),
-            last_resort_for_retries: last(true),
+            weight: self.router.weight(zone),
+            added_latency: self.router.added_latency(zone),
+            last_resort: self.last_resort_classes(zone, false),
+            last_resort_for_retries: self.last_resort_classes(zone, true),
+        }
+    }
+
+    /// For each class, whether its attempts may go to this zone only where no other can serve them;
+    /// empty without budgets. A saturated local zone takes precedence over the budgets.
+    fn last_resort_classes(&self, zone: usize, is_repeat: bool) -> Vec<bool> {
+        if self.budget_meters.is_empty() {
+            return Vec::new();
         }
+        (0..self.config.classes.len())
+            .map(|class| {
+                !self.router.is_saturated(class)
+                    && !self.budget_meters.admits(zone, class, is_repeat)
+            })
+            .collect()
     }
 
-    /// Only these builds are alive.
+    /// Only these builds are alive; the counts of others are summed.
     pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
         self.account.retain_builds(builds);
     }
 
+    /// The configuration in force.
     pub fn config(&self) -> &ZoneConfig {
-        &self.zoning
+        &self.config
     }
 
+    /// The account since the start.
     pub fn account(&self) -> &Account {
         &self.account
     }
 
+    /// The meters of the budgets.
     pub fn budget_meters(&self) -> &BudgetMeters {
-        &self.purses
+        &self.budget_meters
     }
 
+    /// The state of the routing between zones.
     pub fn router(&self) -> &ZoneRouter {
-        &self.route
+        &self.router
     }
 }
--- a/crates/zones/tests/route.rs
+++ b/crates/zones/tests/route.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tulipwall::ZoneCapacity;
-use tulipwall_zones::{ClassProfile, RoutingPolicy, ZoneRouter};
+use tulipwall_zones::{ClassProfile, Link, RoutingPolicy, ZoneConfig, ZoneRouter};
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -56,7 +56,15 @@
 }
 
 fn route(zones: usize) -> ZoneRouter {
-    ZoneRouter::new(0, RoutingPolicy::LocalFirst, &[CLASS], vec![None; zones])
+    let config = ZoneConfig {
+        local_zone: 0,
+        zone_count: zones - 1,
+        classes: vec![CLASS],
+        links: vec![Link::default(); zones],
+        budgets: Vec::new(),
+        routing: RoutingPolicy::LocalFirst,
+    };
+    ZoneRouter::new(&config)
 }
 
 #[test]
