--- a/crates/agent/src/observability/mod.rs
+++ b/crates/agent/src/observability/mod.rs
@@ -1,4 +1,4 @@
-//! Counters and the form of the log.
+//! Counters and the log's format.
 
 pub mod counters;
 pub mod logging;
