--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -73,7 +73,7 @@
     let (mut asked, mut reading) = (None, None::<Reading>);
     loop {
         if signals.usr1.swap(false, Ordering::Relaxed) {
-            log::info!("{}; {}", agent.counters, agent.kept());
+            log::info!("{}; {}", agent.counters, agent.retained_summary());
         }
         if reading.is_none() && signals.hup.swap(false, Ordering::Relaxed) {
             reading = Some(Reading::begin(files));
@@ -92,10 +92,14 @@
             agent.lifecycle.advance_to(Phase::Draining);
         }
         if let Some(closes) = asked.map(|at| at + DRAIN_TIME).filter(|at| now >= *at) {
-            let last = (closes + agent.site().longest_timeout.max(MIN_TERMINATION_TIME))
-                .max(agent.owed_until.get());
+            let last = (closes
+                + agent
+                    .service_config()
+                    .longest_timeout
+                    .max(MIN_TERMINATION_TIME))
+            .max(agent.config.earlier_requests_end());
             agent.lifecycle.begin_termination(last);
-            if agent.lifecycle.is_listener_closed() && agent.sockets.nobody()
+            if agent.lifecycle.is_listener_closed() && agent.limits.connections.is_without_clients()
                 || now >= last + FINAL_RESPONSE_TIME
             {
                 return agent.lifecycle.advance_to(Phase::Stopped);
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -9,8 +9,8 @@
 use crate::protocol::statement::Statement;
 use crate::protocol::ProtocolError;
 use crate::runtime::reactor::Timer;
-use crate::server::request::{live, Final};
-use crate::upstream::pool::Slot;
+use crate::server::request::{handle_request, FinalResponse};
+use crate::upstream::limits::ConnectionPermit;
 use futures_lite::future::{self, FutureExt};
 use std::pin::pin;
 use std::rc::Rc;
@@ -38,13 +38,13 @@
 const TAKEN_WITHIN: Duration = Duration::from_secs(5);
 
 /// Serves a client until it leaves, breaks the protocol, or is idle when the agent needs it to go.
-pub async fn serve(agent: Rc<Agent>, mut client: Connection, _slot: Slot) {
+pub async fn serve(agent: Rc<Agent>, mut client: Connection, _slot: ConnectionPermit) {
     let (mut reply, mut open) = (Vec::new(), false);
     // When what was begun must be whole: the first request, later each message.
     let mut whole_by = Some(agent.clock.now() + HEARD_WITHIN);
     loop {
         let step = if open {
-            heed(&agent, &mut client, &mut reply).await
+            handle_message(&agent, &mut client, &mut reply).await
         } else {
             greet(&mut client, &mut reply)
         };
@@ -106,7 +106,7 @@
     loop {
         let taken = traffic.written();
         let late = async {
-            agent.until(agent.clock.now() + TAKEN_WITHIN).await;
+            agent.sleep_until(agent.clock.now() + TAKEN_WITHIN).await;
             None
         };
         match async { Some(writing.as_mut().await) }.or(late).await {
@@ -123,7 +123,7 @@
 
 /// Serves a client for which there is no room up to its first request, which is rejected: a retry
 /// is harmless. The connection is not closed before: that request would be taken and lost.
-pub async fn deny(agent: Rc<Agent>, mut client: Connection, _slot: Slot) {
+pub async fn deny(agent: Rc<Agent>, mut client: Connection, _slot: ConnectionPermit) {
     let talk = async {
         let (mut reply, mut open) = (Vec::new(), false);
         loop {
@@ -148,7 +148,7 @@
         }
     };
     let late = async {
-        agent.until(agent.clock.now() + FIRST_WITHIN).await;
+        agent.sleep_until(agent.clock.now() + FIRST_WITHIN).await;
     };
     talk.or(late).await;
     finish(&agent, client).await;
@@ -186,7 +186,9 @@
             client.inbox.consume(usize::MAX);
         }
     };
-    heard.or(agent.until(agent.clock.now() + HEARD_OUT)).await;
+    heard
+        .or(agent.sleep_until(agent.clock.now() + HEARD_OUT))
+        .await;
 }
 
 enum Step {
@@ -220,16 +222,20 @@
     // memory. Who holds half a message meanwhile has little time left for it: all would wait for
     // each other.
     let room = async {
-        while MemoryReservation::total() > agent.buffers_most.get() {
+        while MemoryReservation::total() > agent.limits.max_buffered_bytes() {
             Timer::after(HELD_BACK).await;
         }
     };
     let begun = !client.inbox.is_empty();
-    let short = begun && MemoryReservation::total() > agent.buffers_most.get();
+    let short = begun && MemoryReservation::total() > agent.limits.max_buffered_bytes();
     let late = async {
         match whole_by {
-            Some(at) if short => agent.until(at.min(agent.clock.now() + FIRST_WITHIN)).await,
-            Some(at) => agent.until(at).await,
+            Some(at) if short => {
+                agent
+                    .sleep_until(at.min(agent.clock.now() + FIRST_WITHIN))
+                    .await
+            }
+            Some(at) => agent.sleep_until(at).await,
             None => future::pending().await,
         }
         More::Late
@@ -257,7 +263,7 @@
             Duration::ZERO
         };
         let late = async {
-            agent.until(agent.clock.now() + owed).await;
+            agent.sleep_until(agent.clock.now() + owed).await;
             More::Late
         };
         return match read.or(late).await {
@@ -296,7 +302,7 @@
     })
 }
 
-async fn heed(
+async fn handle_message(
     agent: &Rc<Agent>,
     client: &mut Connection,
     reply: &mut Vec<u8>,
@@ -336,7 +342,7 @@
         let open = read
             .as_ref()
             .ok()
-            .map(|statement| agent.hand.open(&statement.id));
+            .map(|statement| agent.balancer.open_request(&statement.id));
         match read {
             Ok(_) if open.as_ref().is_some_and(Option::is_none) => {
                 agent.counters.requests_invalid.increment();
@@ -351,20 +357,20 @@
                 agent.counters.requests_rejected.increment();
                 postgres::write_rejected(reply, None);
             }
-            Ok(statement) => match live(agent, client, statement, heard).await {
-                Final::Succeeded(value) => {
+            Ok(statement) => match handle_request(agent, client, statement, heard).await {
+                FinalResponse::Succeeded(value) => {
                     agent.counters.requests_succeeded.increment();
                     *reply = value;
                 }
-                Final::Rejected(retry_after) => {
+                FinalResponse::Rejected(retry_after) => {
                     agent.counters.requests_rejected.increment();
                     postgres::write_rejected(reply, retry_after);
                 }
-                Final::Scrapped => {
+                FinalResponse::Failed => {
                     agent.counters.requests_failed.increment();
                     postgres::write_failed(reply);
                 }
-                Final::Left => {
+                FinalResponse::Left => {
                     agent.counters.requests_abandoned.increment();
                     return Ok(Step::End);
                 }
@@ -385,7 +391,7 @@
 
 fn read(agent: &Agent, text: &str) -> Result<Statement, ProtocolError> {
     let statement = Statement::parse(text)?;
-    class(&agent.site(), &statement).map(|_| statement)
+    class(&agent.service_config(), &statement).map(|_| statement)
 }
 
 /// The class of a statement under the settings in force.
