--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -247,7 +247,7 @@
                     agent.service_config().class(&class),
                 ) {
                     let build = agent.endpoints.target(a).map_or(0, |t| t.build);
-                    log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.wall(agent.clock.now()));
+                    log::debug!(target: EVIDENCE, "{} client_error class {l} build {build}", agent.clock.wall(agent.clock.now()));
                     agent.balancer.on_client_reported_error(a, l, age);
                 }
             }
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -158,8 +158,8 @@
     let Some(message) = postgres::parse_message(client.inbox.unread())? else {
         return Ok(Step::More);
     };
-    let empty = message.tag == b'Q' && matches!(message.body.trim_ascii(), b"\0" | b";\0");
     let length = message.length;
+    let empty = message.tag == b'Q' && matches!(message.body.trim_ascii(), b"\0" | b";\0");
     client.consume(length);
     if empty {
         postgres::write_empty_query(reply);
@@ -314,9 +314,7 @@
     let text = match message.tag {
         b'Q' => postgres::parse_query_text(message.body)?,
         b'X' => return Ok(Step::End),
-        other => {
-            return Err(PostgresError::UnsupportedMessage(other).into());
-        }
+        other => return Err(PostgresError::UnsupportedMessage(other).into()),
     };
     let word = text.split_whitespace().next().unwrap_or_default();
     let flood = client
