--- /dev/null
+++ b/crates/client/src/attempts.rs
@@ -0,0 +1,393 @@
+//! One call: its attempts, until there is a value, none may follow, or its deadline has passed.
+
+use crate::call::{AttemptSummary, Call, CallResponse};
+use crate::deadline::with_deadline;
+use crate::error::CallError;
+use crate::pool::{AcquireError, PooledConnection};
+use crate::shared::Shared;
+use crate::statement::{self, AttemptHeader};
+use async_io::Timer;
+use std::time::{Duration, Instant};
+use tulipwall::Idempotency;
+use tulipwall_client_policy::response::Response;
+use tulipwall_client_policy::{
+    AttemptHistory, AttemptOutcome, AttemptSignal, RetryDecision, Selection,
+};
+
+/// The code of a call that was rejected at last, but may have run and may not run again.
+const CODE_UNREACHABLE: &str = "unreachable";
+
+/// One call in progress.
+pub struct CallRun<'a> {
+    shared: &'a Shared,
+    call: &'a Call,
+    key: Option<String>,
+    deadline: Instant,
+    history: AttemptHistory,
+    summary: AttemptSummary,
+}
+
+/// How a call ends without a value.
+enum CallFailure {
+    Rejected { retry_after: Option<Duration> },
+    Failed { code: String },
+    DeadlineExceeded,
+    Overloaded,
+}
+
+impl CallFailure {
+    const REJECTED: CallFailure = CallFailure::Rejected { retry_after: None };
+
+    fn failed(code: &str) -> CallFailure {
+        CallFailure::Failed {
+            code: code.to_owned(),
+        }
+    }
+}
+
+/// An attempt without a value.
+struct FailedAttempt {
+    outcome: AttemptOutcome,
+    /// How the call ends if no attempt follows.
+    failure: CallFailure,
+}
+
+impl FailedAttempt {
+    fn new(outcome: AttemptOutcome, failure: CallFailure) -> FailedAttempt {
+        FailedAttempt { outcome, failure }
+    }
+
+    fn rejected(retry_after: Option<Duration>) -> FailedAttempt {
+        let outcome = AttemptOutcome::Rejected { retry_after };
+        FailedAttempt::new(outcome, CallFailure::Rejected { retry_after })
+    }
+}
+
+/// Why an attempt has no value.
+enum AttemptError {
+    /// The call may be attempted again.
+    Failed(FailedAttempt),
+    /// The call ends at once, and nothing is said of the agent.
+    EndCall(CallFailure),
+}
+
+impl From<FailedAttempt> for AttemptError {
+    fn from(failed: FailedAttempt) -> AttemptError {
+        AttemptError::Failed(failed)
+    }
+}
+
+/// An attempt at an agent. Dropping it reports the signal, `Neutral` unless another was set.
+struct AttemptGuard<'a> {
+    shared: &'a Shared,
+    agent: usize,
+    signal: AttemptSignal,
+}
+
+impl Drop for AttemptGuard<'_> {
+    fn drop(&mut self) {
+        let now = self.shared.now();
+        let mut state = self.shared.state();
+        state.agents.on_attempt_end(now, self.agent, self.signal);
+        drop(state);
+        self.shared.notify_released();
+    }
+}
+
+impl<'a> CallRun<'a> {
+    /// Makes a valid call of this class.
+    pub async fn execute(
+        shared: &'a Shared,
+        call: &'a Call,
+        class: usize,
+        started: Instant,
+    ) -> Result<CallResponse, CallError> {
+        let idempotency = shared.config.classes[class].idempotency;
+        let key = deduplication_key(shared, call, idempotency);
+        let mut permit = shared.admit(class, key.clone())?;
+        let deadline = started + call.timeout;
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        let mut run = CallRun {
+            shared,
+            call,
+            key,
+            deadline,
+            history: AttemptHistory::new(idempotency, shared.now() + time_left),
+            summary: AttemptSummary::default(),
+        };
+        let result = run.attempt_until_done().await;
+        permit.complete();
+        run.summary.elapsed = started.elapsed();
+        run.summary.may_have_executed = run.history.may_have_executed();
+        match result {
+            Ok(value) => Ok(run.into_response(class, value)),
+            Err(failure) => Err(run.into_error(failure)),
+        }
+    }
+
+    async fn attempt_until_done(&mut self) -> Result<Vec<u8>, CallFailure> {
+        let mut last_agent = None;
+        loop {
+            let agent = self.select_agent(last_agent).await?;
+            let mut guard = AttemptGuard {
+                shared: self.shared,
+                agent,
+                signal: AttemptSignal::Neutral,
+            };
+            let failed = match self.attempt(agent).await {
+                Ok(value) => {
+                    guard.signal = AttemptSignal::Success;
+                    self.shared.state().retries.on_success(agent);
+                    return Ok(value);
+                }
+                Err(AttemptError::EndCall(failure)) => return Err(failure),
+                Err(AttemptError::Failed(failed)) => failed,
+            };
+            guard.signal = agent_signal(failed.outcome);
+            let decision = self.decide_retry(agent, failed.outcome);
+            drop(guard);
+            let retry_at = self.apply_decision(agent, failed, decision)?;
+            last_agent = Some(agent);
+            self.sleep_until(retry_at).await?;
+        }
+    }
+
+    /// The agent for the next attempt, once there is one. Where that is beyond the deadline, the
+    /// call ends at once.
+    async fn select_agent(&self, excluded: Option<usize>) -> Result<usize, CallFailure> {
+        let shared = self.shared;
+        loop {
+            // Listens before it looks, so that no release in between is missed.
+            let released = shared.released.listen();
+            let now = shared.now();
+            let available_at = match shared.state().select_agent(now, excluded) {
+                Selection::Agent(agent) => return Ok(agent),
+                Selection::NotBefore(time) => time,
+            };
+            if shared.instant(available_at) >= self.deadline {
+                return Err(CallFailure::Rejected {
+                    retry_after: Some(available_at.saturating_sub(now)),
+                });
+            }
+            with_deadline(shared.instant(available_at), released).await;
+            if Instant::now() >= self.deadline {
+                return Err(CallFailure::DeadlineExceeded);
+            }
+        }
+    }
+
+    /// One attempt at this agent.
+    async fn attempt(&mut self, agent: usize) -> Result<Vec<u8>, AttemptError> {
+        let acquired = with_deadline(
+            self.deadline,
+            self.shared.acquire_connection(agent, self.deadline),
+        )
+        .await;
+        // Its deduplication window may have ended while it waited.
+        if let Err(reason) = self.history.check_repeatable(self.shared.now()) {
+            self.log_end(agent, "window", reason.as_str());
+            let failure = CallFailure::failed(reason.as_str());
+            return Err(AttemptError::EndCall(failure));
+        }
+        self.record_attempt_start(agent);
+        match acquired {
+            Some(Ok(connection)) => Ok(self.exchange(connection).await?),
+            Some(Err(error)) => Err(self.on_no_connection(error)),
+            None => Err(AttemptError::EndCall(CallFailure::DeadlineExceeded)),
+        }
+    }
+
+    fn record_attempt_start(&mut self, agent: usize) {
+        self.history.on_attempt_start(self.shared.now());
+        let address = self.shared.config.agents[agent];
+        self.summary.agents.push(address);
+        self.shared.state().counters.attempts += 1;
+    }
+
+    /// What an attempt without a connection comes to. It never ran.
+    fn on_no_connection(&self, error: AcquireError) -> AttemptError {
+        let is_first_attempt = self.history.attempts == 1 && !self.history.may_have_executed();
+        let failed = match error {
+            AcquireError::NoneFree if is_first_attempt => {
+                return AttemptError::EndCall(CallFailure::Overloaded);
+            }
+            AcquireError::Refused(Response::Rejected { retry_after }) => {
+                FailedAttempt::rejected(retry_after)
+            }
+            AcquireError::Refused(Response::Draining) => {
+                interpret_outcome(AttemptOutcome::Draining)
+            }
+            AcquireError::Refused(_) | AcquireError::Unreachable | AcquireError::NoneFree => {
+                interpret_outcome(AttemptOutcome::NotSent)
+            }
+        };
+        AttemptError::Failed(failed)
+    }
+
+    /// Sends the request and reads the response. The connection goes back to the pool where it may
+    /// be used again.
+    async fn exchange(&self, mut pooled: PooledConnection<'_>) -> Result<Vec<u8>, FailedAttempt> {
+        let statement = self.render_statement();
+        let max_value_bytes = self.shared.config.max_value_bytes;
+        let mut written = false;
+        let exchange = pooled
+            .connection
+            .exchange(&statement, max_value_bytes, &mut written);
+        match with_deadline(self.deadline, exchange).await {
+            Some(Ok(response)) => {
+                if response != Response::Draining {
+                    self.shared.put_back(pooled);
+                }
+                interpret_response(response)
+            }
+            Some(Err(error)) => Err(interpret_outcome(error.into())),
+            None => {
+                // Before its last byte was written it never ran, but its deadline has passed all
+                // the same.
+                let outcome = if written {
+                    AttemptOutcome::TimedOut
+                } else {
+                    AttemptOutcome::NotSent
+                };
+                Err(FailedAttempt::new(outcome, CallFailure::DeadlineExceeded))
+            }
+        }
+    }
+
+    fn render_statement(&self) -> String {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        let header = AttemptHeader {
+            id: &self.shared.new_id(),
+            deduplication_key: self.key.as_deref(),
+            time_left,
+            marked_as_retry: self.shared.config.marks_retries && self.history.attempts > 1,
+        };
+        statement::render(self.call, &header)
+    }
+
+    /// Records how an attempt at this agent ended, and decides what follows.
+    fn decide_retry(&mut self, agent: usize, outcome: AttemptOutcome) -> RetryDecision {
+        let now = self.shared.now();
+        let mut state = self.shared.state();
+        state.on_attempt_failure(now, agent, outcome);
+        state.retries.decide(now, &mut self.history, agent, outcome)
+    }
+
+    /// The time of the next attempt, or how the call ends.
+    fn apply_decision(
+        &mut self,
+        agent: usize,
+        failed: FailedAttempt,
+        decision: RetryDecision,
+    ) -> Result<Duration, CallFailure> {
+        let outcome = failed.outcome.as_str();
+        if failed.outcome == AttemptOutcome::TimedOut {
+            return Err(CallFailure::DeadlineExceeded);
+        }
+        match decision {
+            RetryDecision::RetryAt(time) => {
+                self.log_end(agent, outcome, "again");
+                self.summary.failures.push(outcome);
+                Ok(time)
+            }
+            RetryDecision::GiveUp(reason) => {
+                self.log_end(agent, outcome, reason.as_str());
+                self.shared.state().counters.record_give_up(reason);
+                Err(failed.failure)
+            }
+        }
+    }
+
+    async fn sleep_until(&self, time: Duration) -> Result<(), CallFailure> {
+        let timer = Timer::at(self.shared.instant(time));
+        match with_deadline(self.deadline, timer).await {
+            Some(_) => Ok(()),
+            None => Err(CallFailure::DeadlineExceeded),
+        }
+    }
+
+    fn log_end(&self, agent: usize, outcome: &str, next: &str) {
+        let class = self.call.class.as_str();
+        log::debug!(class, agent:% = self.shared.config.agents[agent], outcome, next;
+            "an attempt of {class} ended: {outcome}; {next}");
+    }
+
+    fn into_response(self, class: usize, value: Vec<u8>) -> CallResponse {
+        let now = self.shared.now();
+        let mut state = self.shared.state();
+        state.on_call_success(
+            now,
+            class,
+            self.history.attempts,
+            self.summary.elapsed,
+            self.shared.config.classes[class].latency_objective,
+        );
+        CallResponse {
+            value,
+            attempts: self.summary,
+        }
+    }
+
+    fn into_error(self, failure: CallFailure) -> CallError {
+        let attempts = self.summary;
+        let safe_to_retry =
+            !attempts.may_have_executed || self.history.idempotency == Idempotency::Idempotent;
+        match failure {
+            // What may have run and may not simply run again is not rejected, wherever the call
+            // ended.
+            CallFailure::Rejected { .. } if !safe_to_retry => CallError::Failed {
+                code: CODE_UNREACHABLE.to_owned(),
+                attempts,
+            },
+            CallFailure::Rejected { retry_after } => CallError::Rejected {
+                retry_after,
+                attempts,
+            },
+            CallFailure::Failed { code } => CallError::Failed { code, attempts },
+            CallFailure::DeadlineExceeded => CallError::DeadlineExceeded { attempts },
+            CallFailure::Overloaded => CallError::Overloaded,
+        }
+    }
+}
+
+/// The key of a deduplicated call: the caller's, or else a new one.
+fn deduplication_key(shared: &Shared, call: &Call, idempotency: Idempotency) -> Option<String> {
+    match idempotency {
+        Idempotency::Keyed { .. } => Some(call.key.clone().unwrap_or_else(|| shared.new_id())),
+        Idempotency::Idempotent | Idempotency::NonIdempotent => None,
+    }
+}
+
+/// What the end of an attempt says of its agent.
+fn agent_signal(outcome: AttemptOutcome) -> AttemptSignal {
+    match outcome {
+        AttemptOutcome::Rejected { .. } | AttemptOutcome::Failed => AttemptSignal::Success,
+        AttemptOutcome::Draining | AttemptOutcome::StaleConnection => AttemptSignal::Neutral,
+        AttemptOutcome::NotSent
+        | AttemptOutcome::ConnectionLost
+        | AttemptOutcome::MalformedResponse
+        | AttemptOutcome::TimedOut => AttemptSignal::Failure,
+    }
+}
+
+fn interpret_response(response: Response) -> Result<Vec<u8>, FailedAttempt> {
+    match response {
+        Response::Value(value) => Ok(value),
+        Response::Rejected { retry_after } => Err(FailedAttempt::rejected(retry_after)),
+        Response::Draining => Err(interpret_outcome(AttemptOutcome::Draining)),
+        Response::Error { code, .. } => Err(FailedAttempt::new(
+            AttemptOutcome::Failed,
+            CallFailure::Failed { code },
+        )),
+        Response::Ready => Err(interpret_outcome(AttemptOutcome::MalformedResponse)),
+    }
+}
+
+/// How the call ends after an attempt without a response, if no attempt follows.
+fn interpret_outcome(outcome: AttemptOutcome) -> FailedAttempt {
+    let failure = match outcome {
+        AttemptOutcome::Draining | AttemptOutcome::NotSent => CallFailure::REJECTED,
+        _ => CallFailure::failed(outcome.as_str()),
+    };
+    FailedAttempt::new(outcome, failure)
+}
--- a/crates/client/src/blocking.rs
+++ b/crates/client/src/blocking.rs
@@ -2,27 +2,35 @@
 
 use crate::{Call, CallError, CallResponse, ClientConfig, ClientStats};
 
-/// A client whose calls block the calling thread, never for longer than their expiry.
+/// A client whose calls block the calling thread, never for longer than their timeout.
 ///
 /// ```no_run
 /// use std::time::Duration;
 /// use tulipwall_client::{blocking, Call, ClientConfig};
 ///
-/// let client = blocking::Client::new(ClientConfig::new(vec!["127.0.0.1:6543".parse().unwrap()], vec![]));
-/// let answer = client.call(Call::read("view", "7f3a", Duration::from_secs(1)));
+/// let agent = "127.0.0.1:6543".parse().unwrap();
+/// let client = blocking::Client::new(ClientConfig::new(vec![agent], vec![]));
+/// let response = client.call(Call::read("view", "7f3a", Duration::from_secs(1)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Client(crate::Client);
 
 impl Client {
-    pub fn new(service: ClientConfig) -> Client {
-        Client(crate::Client::new(service))
+    /// A client of this service; nothing is opened before the first call.
+    pub fn new(config: ClientConfig) -> Client {
+        Client(crate::Client::new(config))
     }
 
+    /// Makes one call and blocks until its response.
+    ///
+    /// # Errors
+    ///
+    /// As [`Client::call`](crate::Client::call).
     pub fn call(&self, call: Call) -> Result<CallResponse, CallError> {
         futures_lite::future::block_on(self.0.call(call))
     }
 
+    /// The counters and gauges of the client as they stand.
     pub fn stats(&self) -> ClientStats {
         self.0.stats()
     }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -5,127 +5,200 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tulipwall_client_policy::response::{Response, ResponseParser};
+use thiserror::Error;
+use tulipwall_client_policy::response::{ProtocolError, Response, ResponseParser};
 use tulipwall_client_policy::AttemptOutcome;
 
-const READ: usize = 4096;
+/// Bytes that are read at once.
+const READ_BYTES: usize = 4096;
+/// A buffer that grew beyond this is not kept for the next response.
+const MAX_KEPT_BUFFER: usize = READ_BYTES * 4;
+/// The body of the startup message: protocol 3.0, then names and values. Agents read none of them.
+const STARTUP_BODY: &[u8] = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
+/// The length of a message counts its own four bytes.
+const LENGTH_BYTES: usize = 4;
 
+/// A connection that the agent has accepted.
 #[derive(Debug)]
 pub struct Connection {
     stream: Async<TcpStream>,
-    pub since: Instant,
-    pub idle_from: Instant,
-    pub life: Duration,
-    /// A request was answered on it before.
-    pub used: bool,
-    room: Vec<u8>,
+    opened_at: Instant,
+    idle_since: Instant,
+    lifetime: Duration,
+    /// Whether a request was made on it before.
+    used: bool,
+    buffer: Vec<u8>,
 }
 
-/// What came of one request on a connection.
-pub enum Heard {
-    Response(Response),
-    /// No answer; the connection is of no further use.
-    AttemptOutcome(AttemptOutcome),
+/// Why a connection could not be opened.
+#[derive(Debug, Error)]
+pub enum ConnectError {
+    /// The agent could not be reached.
+    #[error("the agent could not be reached: {0}")]
+    Io(#[from] io::Error),
+    /// The agent answered the startup with an error.
+    #[error("the agent refused the connection: {0:?}")]
+    Refused(Response),
+    /// The agent answered the startup with something else.
+    #[error("the agent's answer to the startup is malformed")]
+    Malformed,
+}
+
+/// Why a request on a connection has no response. The connection is of no further use.
+#[derive(Debug, Error)]
+pub enum ExchangeError {
+    #[error("the request was not written to its last byte")]
+    NotSent,
+    #[error("a connection used before was closed without a byte of a response")]
+    StaleConnection,
+    #[error("the connection was lost before the response was whole")]
+    ConnectionLost,
+    #[error("malformed response: {0}")]
+    Malformed(#[from] ProtocolError),
+}
+
+impl From<ExchangeError> for AttemptOutcome {
+    fn from(error: ExchangeError) -> AttemptOutcome {
+        match error {
+            ExchangeError::NotSent => AttemptOutcome::NotSent,
+            ExchangeError::StaleConnection => AttemptOutcome::StaleConnection,
+            ExchangeError::ConnectionLost => AttemptOutcome::ConnectionLost,
+            ExchangeError::Malformed(_) => AttemptOutcome::MalformedResponse,
+        }
+    }
 }
 
 impl Connection {
-    /// Opens one and waits until it is ready, or until the agent says that it is not.
-    pub async fn open(
-        agent: SocketAddr,
-        life: Duration,
-    ) -> io::Result<Result<Connection, Response>> {
+    /// Opens a connection and waits until the agent is ready, or says that it is not.
+    pub async fn open(agent: SocketAddr, lifetime: Duration) -> Result<Connection, ConnectError> {
         let stream = Async::<TcpStream>::connect(agent).await?;
         stream.get_ref().set_nodelay(true)?;
         let now = Instant::now();
         let mut connection = Connection {
             stream,
-            since: now,
-            idle_from: now,
-            life,
+            opened_at: now,
+            idle_since: now,
+            lifetime,
             used: false,
-            room: Vec::new(),
+            buffer: Vec::new(),
         };
-        let body = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
-        let startup = [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat();
-        connection.stream.write_all(&startup).await?;
-        match connection.hear(0).await {
-            Heard::Response(Response::Ready) => Ok(Ok(connection)),
-            Heard::Response(
-                said @ (Response::Rejected { .. } | Response::Draining | Response::Error { .. }),
-            ) => Ok(Err(said)),
-            _ => Err(io::ErrorKind::InvalidData.into()),
+        connection.stream.write_all(&startup_message()).await?;
+        match connection.read_response(0).await {
+            Ok(Response::Ready) => Ok(connection),
+            Ok(Response::Value(_)) | Err(_) => Err(ConnectError::Malformed),
+            Ok(refusal) => Err(ConnectError::Refused(refusal)),
         }
     }
 
-    /// Whether it is open with nothing to read. What came unasked belongs to nobody.
-    pub fn quiet(&self) -> bool {
-        let read = self.stream.get_ref().peek(&mut [0]);
-        read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    /// Whether its lifetime is not over.
+    pub fn within_lifetime(&self) -> bool {
+        self.opened_at.elapsed() < self.lifetime
     }
 
-    /// Writes a statement and hears the answer. `written` tells once its last byte went out.
-    pub async fn ask(&mut self, statement: &str, value_most: usize, written: &mut bool) -> Heard {
-        let mut query = Vec::with_capacity(statement.len() + 6);
-        query.push(b'Q');
-        query.extend((statement.len() as u32 + 5).to_be_bytes());
-        query.extend(statement.as_bytes());
-        query.push(0);
-        // The last byte goes out with the rest or not at all: until then it never ran.
+    /// How long it has waited for a request.
+    pub fn idle_time(&self) -> Duration {
+        self.idle_since.elapsed()
+    }
+
+    /// Whether it is open with nothing to read. Bytes that no request asked for belong to nobody.
+    pub fn is_quiet(&self) -> bool {
+        let peeked = self.stream.get_ref().peek(&mut [0]);
+        peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Sends a statement and reads the response. `written` is set once the last byte went out, also
+    /// where the future is dropped.
+    pub async fn exchange(
+        &mut self,
+        statement: &str,
+        max_value_bytes: usize,
+        written: &mut bool,
+    ) -> Result<Response, ExchangeError> {
+        let query = query_message(statement);
+        // The last byte goes out with the rest or not at all: until then the request never ran.
         if self.stream.write_all(&query).await.is_err() {
-            return Heard::AttemptOutcome(AttemptOutcome::NotSent);
+            return Err(ExchangeError::NotSent);
         }
         *written = true;
-        let heard = self.hear(value_most).await;
+        let response = self.read_response(max_value_bytes).await;
         self.used = true;
-        self.idle_from = Instant::now();
-        heard
+        self.idle_since = Instant::now();
+        response
     }
 
-    async fn hear(&mut self, value_most: usize) -> Heard {
-        let mut reading = ResponseParser::new(value_most);
-        let mut unread = std::mem::take(&mut self.room);
+    async fn read_response(&mut self, max_value_bytes: usize) -> Result<Response, ExchangeError> {
+        let mut parser = ResponseParser::new(max_value_bytes);
+        let mut unread = std::mem::take(&mut self.buffer);
         unread.clear();
         loop {
-            let from = unread.len();
-            unread.resize(from + READ, 0);
-            // A connection that broke has ended, too.
-            let got = self
-                .stream
-                .read(&mut unread[from..])
-                .await
-                .unwrap_or_default();
-            unread.truncate(from + got);
-            if got == 0 {
-                // A fatal error needs nothing behind it, but half an answer is none.
-                let whole = reading.finish().filter(|_| unread.is_empty());
-                return match whole {
-                    Some(said) => Heard::Response(said),
-                    None if self.used && !reading.started() && unread.is_empty() => {
-                        Heard::AttemptOutcome(AttemptOutcome::StaleConnection)
-                    }
-                    None => Heard::AttemptOutcome(AttemptOutcome::ConnectionLost),
-                };
+            if self.read_more(&mut unread).await == 0 {
+                return self.on_end_of_stream(parser, &unread);
             }
-            match reading.feed(&unread) {
+            let (consumed, response) = match parser.feed(&unread) {
+                Ok(progress) => progress,
                 Err(error) => {
-                    log::debug!(agent:? = self.stream.get_ref().peer_addr().ok(); "malformed response: {error}");
-                    return Heard::AttemptOutcome(AttemptOutcome::MalformedResponse);
-                }
-                Ok((took, said)) => {
-                    unread.drain(..took);
-                    if let Some(said) = said {
-                        let behind = !unread.is_empty();
-                        if unread.capacity() <= READ * 4 {
-                            self.room = unread;
-                        }
-                        if behind {
-                            // Bytes behind an answer: it stands, but nothing more is heard here.
-                            self.life = Duration::ZERO;
-                        }
-                        return Heard::Response(said);
-                    }
+                    let agent = self.stream.get_ref().peer_addr().ok();
+                    log::debug!(agent:?; "malformed response: {error}");
+                    return Err(error.into());
                 }
+            };
+            unread.drain(..consumed);
+            if let Some(response) = response {
+                self.keep_buffer(unread);
+                return Ok(response);
             }
         }
     }
+
+    /// Appends what can be read; how many bytes that was. A connection that broke has ended, too.
+    async fn read_more(&mut self, unread: &mut Vec<u8>) -> usize {
+        let start = unread.len();
+        unread.resize(start + READ_BYTES, 0);
+        let read = self.stream.read(&mut unread[start..]).await;
+        let read = read.unwrap_or_default();
+        unread.truncate(start + read);
+        read
+    }
+
+    fn on_end_of_stream(
+        &self,
+        mut parser: ResponseParser,
+        unread: &[u8],
+    ) -> Result<Response, ExchangeError> {
+        // A fatal error needs nothing behind it, but half a message is none.
+        if let Some(response) = parser.finish().filter(|_| unread.is_empty()) {
+            return Ok(response);
+        }
+        if self.used && !parser.started() && unread.is_empty() {
+            return Err(ExchangeError::StaleConnection);
+        }
+        Err(ExchangeError::ConnectionLost)
+    }
+
+    /// Keeps the buffer for the next response. Bytes behind a response do not change it, but end
+    /// the use of the connection.
+    fn keep_buffer(&mut self, unread: Vec<u8>) {
+        if !unread.is_empty() {
+            self.lifetime = Duration::ZERO;
+        }
+        if unread.capacity() <= MAX_KEPT_BUFFER {
+            self.buffer = unread;
+        }
+    }
+}
+
+fn startup_message() -> Vec<u8> {
+    let length = (STARTUP_BODY.len() + LENGTH_BYTES) as u32;
+    [&length.to_be_bytes()[..], STARTUP_BODY].concat()
+}
+
+fn query_message(statement: &str) -> Vec<u8> {
+    let terminated_length = statement.len() + 1;
+    let length = (terminated_length + LENGTH_BYTES) as u32;
+    let mut message = Vec::with_capacity(1 + LENGTH_BYTES + terminated_length);
+    message.push(b'Q');
+    message.extend(length.to_be_bytes());
+    message.extend(statement.as_bytes());
+    message.push(0);
+    message
 }
