--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,239 +1,263 @@
-//! All of it for one agent: told what is taken, sent and answered, it accounts, spends and says
-//! what crossing means just now.
+//! Cross-zone traffic of one agent: accounts for it, spends budgets for it, and says how the
+//! balancer is to treat other zones.
 
-use crate::account::{Account, Ended, Opening};
-use crate::budget::{Purses, Reserved};
-use crate::route::{Reason, Route};
-use crate::zoning::Zoning;
+use crate::account::Account;
+use crate::budget::{BudgetHold, BudgetMeters, Transfer};
+use crate::config::ZoneConfig;
+use crate::events::{AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation};
+use crate::reason::OverBudgetReason;
+use crate::router::ZoneRouter;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity, ZonePolicy};
 
-/// An attempt that was decided on.
-#[derive(Clone, Copy, Debug)]
-pub struct Sending {
-    pub to: usize,
-    pub class: usize,
-    pub build: u32,
-    /// How many attempts of its request came before.
-    pub nth: usize,
-    /// Another attempt of its request is out.
-    pub hedged: bool,
-    /// Its build is on trial.
-    pub trial: bool,
-    /// Its request is deduplicated in a zone or cell, and may have run there.
-    pub bound: bool,
-}
-
-/// An attempt that is out, to be given back when it ends.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Ticket {
-    pub to: usize,
-    pub class: usize,
-    pub build: u32,
-    /// Why it went though a budget was spent; nothing where none was.
-    pub over: Option<Reason>,
-    reserved: Reserved,
-}
+/// How often classes are ranked anew by benefit for cost.
+const RANKING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The zones as one agent sees them.
+/// Cross-zone traffic of one agent.
 #[derive(Debug)]
 pub struct Zones {
-    zoning: Zoning,
+    config: ZoneConfig,
     account: Account,
-    purses: Purses,
-    route: Route,
-    told: Option<CrossZonePolicy>,
-    due: bool,
-    ranked: Duration,
+    budget_meters: BudgetMeters,
+    router: ZoneRouter,
+    /// The policy that was returned last.
+    last_policy: Option<CrossZonePolicy>,
+    /// The policy may have changed since.
+    policy_outdated: bool,
+    ranked_at: Duration,
 }
 
-/// How often classes are ordered anew by benefit for cost.
-const RANK_EVERY: Duration = Duration::from_secs(1);
-
 impl Zones {
-    pub fn new(now: Duration, zoning: Zoning) -> Zones {
-        let stated = (0..zoning.all()).map(|z| zoning.link(z).delay).collect();
+    /// Begins an account, with budgets as after a restart.
+    pub fn new(now: Duration, config: ZoneConfig) -> Zones {
         Zones {
-            account: Account::new(zoning.own, zoning.zones, zoning.classes.len()),
-            purses: Purses::new(now, &zoning),
-            route: Route::new(zoning.own, zoning.routing, &zoning.classes, stated),
-            zoning,
-            told: None,
-            due: true,
-            ranked: now,
-        }
-    }
-
-    /// Goes on under what was read anew, with classes numbered as `by` says: the account and what
-    /// is spent stay. Its zones must be those of before, or the account begins anew, and the
-    /// budgets as after a restart; says whether it went on.
-    pub fn renew(&mut self, now: Duration, zoning: Zoning, by: &[IndexOrigin]) -> bool {
-        let same = |z: &Zoning| (z.own, z.zones);
-        if same(&zoning) != same(&self.zoning) || zoning.classes.len() != by.len() {
-            *self = Zones::new(now, zoning);
+            account: Account::new(config.local_zone, config.zone_count, config.classes.len()),
+            budget_meters: BudgetMeters::new(now, &config),
+            router: ZoneRouter::new(&config),
+            config,
+            last_policy: None,
+            policy_outdated: true,
+            ranked_at: now,
+        }
+    }
+
+    /// Continues under a new configuration, with its classes mapped by `origins`: the account and
+    /// what is spent stay. Where the zones differ from those of before, the account begins anew,
+    /// and the budgets as after a restart. Returns whether it continued.
+    pub fn reload(&mut self, now: Duration, config: ZoneConfig, origins: &[IndexOrigin]) -> bool {
+        if !self.has_zones_of(&config) || config.classes.len() != origins.len() {
+            *self = Zones::new(now, config);
             return false;
         }
-        if self.zoning.classes.len() != by.len() || by.iter().any(|o| *o != IndexOrigin::Same) {
-            self.account.renew(by);
+        let classes_unchanged = self.config.classes.len() == origins.len()
+            && origins.iter().all(|origin| *origin == IndexOrigin::Same);
+        if !classes_unchanged {
+            self.account.reload(origins);
         }
-        let stated = (0..zoning.all()).map(|z| zoning.link(z).delay).collect();
-        self.route
-            .renew(zoning.routing, &zoning.classes, stated, by);
-        self.purses.renew(now, &zoning, by);
-        self.zoning = zoning;
-        self.due = true;
+        self.router.reload(&config, origins);
+        self.budget_meters.reload(now, &config, origins);
+        self.config = config;
+        self.policy_outdated = true;
         true
     }
 
-    /// A request was taken.
-    pub fn taken(&mut self, now: Duration, class: usize) {
-        self.account.taken(class);
-        self.purses.taken(now, class);
+    fn has_zones_of(&self, other: &ZoneConfig) -> bool {
+        self.config.local_zone == other.local_zone && self.config.zone_count == other.zone_count
+    }
+
+    /// A request was received.
+    pub fn on_request(&mut self, now: Duration, class: usize) {
+        self.account.record_request(class);
+        self.budget_meters.record_request(now, class);
     }
 
-    /// An attempt was decided on; `zone_capacities` is asked only where it goes over a budget, to
-    /// say why.
-    pub fn sent(
+    /// An attempt was decided on. `zone_capacities`, by zone index, is asked for only where the
+    /// attempt goes over a budget, to find out why.
+    pub fn on_attempt(
         &mut self,
         now: Duration,
-        s: Sending,
+        attempt: AttemptStart,
         zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
-    ) -> Ticket {
-        let to = s.to.min(self.zoning.zones);
-        self.account.decided(to, s.class, s.build, s.nth, s.hedged);
-        self.route.sent(to);
-        let mut ticket = Ticket {
+    ) -> Reservation {
+        let to = self.known_zone(attempt.to);
+        let attempt = AttemptStart { to, ..attempt };
+        self.account.record_attempt(&attempt);
+        self.router.on_attempt(to);
+        let mut reservation = Reservation {
             to,
-            class: s.class,
-            build: s.build,
-            over: None,
-            reserved: Reserved::default(),
+            class: attempt.class,
+            build: attempt.build,
+            over_budget: None,
+            hold: BudgetHold::default(),
+        };
+        if to == self.config.local_zone || self.budget_meters.is_empty() {
+            return reservation;
+        }
+        reservation.hold = self.budget_meters.reserve(now, to, attempt.class);
+        self.policy_outdated |= self.budget_meters.restrictions_outdated();
+        if reservation.hold.is_over_budget() {
+            let reason = self.over_budget_reason(&attempt, zone_capacities);
+            self.budget_meters
+                .record_over_budget(&reservation.hold, reason);
+            reservation.over_budget = Some(reason);
+        }
+        reservation
+    }
+
+    fn over_budget_reason(
+        &self,
+        attempt: &AttemptStart,
+        zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
+    ) -> OverBudgetReason {
+        if attempt.is_canary {
+            return OverBudgetReason::Canary;
+        }
+        if attempt.pinned_to_scope {
+            return OverBudgetReason::DeduplicationScope;
+        }
+        let local = zone_capacities()
+            .get(self.config.local_zone)
+            .cloned()
+            .unwrap_or_default();
+        OverBudgetReason::for_capacity(
+            &local,
+            self.router.is_saturated(attempt.class),
+            attempt.previous_attempts,
+        )
+    }
+
+    /// An attempt ended.
+    pub fn on_attempt_end(
+        &mut self,
+        now: Duration,
+        reservation: &Reservation,
+        end: &CompletedAttempt,
+    ) {
+        let (to, class) = (reservation.to, reservation.class);
+        let transfer = Transfer {
+            attempts: u64::from(end.fully_written),
+            bytes_sent: end.bytes_sent,
+            bytes_received: end.bytes_received,
         };
-        if to == self.zoning.own || self.purses.is_empty() {
-            return ticket;
-        }
-        ticket.reserved = self.purses.reserve(now, to, s.class);
-        self.due |= self.purses.barred();
-        if ticket.reserved.is_over() {
-            let reason = match s {
-                Sending { trial: true, .. } => Reason::Trial,
-                Sending { bound: true, .. } => Reason::DeduplicationScope,
-                _ => {
-                    let near = zone_capacities()
-                        .get(self.zoning.own)
-                        .cloned()
-                        .unwrap_or_default();
-                    Reason::of(&near, self.route.full(s.class), s.nth)
-                }
-            };
-            self.purses.over(&ticket.reserved, reason);
-            ticket.over = Some(reason);
-        }
-        ticket
-    }
-
-    /// It ended.
-    pub fn ended(&mut self, now: Duration, t: &Ticket, e: &Ended) {
-        let written = u64::from(e.written);
-        let cost = match t.to == self.zoning.own {
-            true => 0.0,
-            false => {
-                self.purses
-                    .settle(now, (t.to, t.class), &t.reserved, written, (e.out, e.back))
-            }
+        let cost = if to == self.config.local_zone {
+            0.0
+        } else {
+            self.budget_meters
+                .settle(now, to, class, &reservation.hold, transfer)
         };
-        self.account.ended(now, t, e, cost);
-        if e.outcome == Outcome::Succeeded {
-            self.route.answered(now, t.to, t.class, e.took);
+        self.account.record_attempt_end(now, reservation, end, cost);
+        if end.outcome == Outcome::Succeeded {
+            self.router.on_response(now, to, class, end.latency);
         }
     }
 
-    /// A connection was opened, or ended while nothing was out on it.
-    pub fn opened(&mut self, now: Duration, o: &Opening) {
-        let to = o.to.min(self.zoning.zones);
-        let cost = if to == self.zoning.own {
+    /// A connection was opened, or closed while no attempt used it.
+    pub fn on_connection(&mut self, now: Duration, connection: &ConnectionTraffic) {
+        let to = self.known_zone(connection.to);
+        let connection = ConnectionTraffic { to, ..*connection };
+        let transfer = Transfer {
+            attempts: 0,
+            bytes_sent: connection.bytes_sent,
+            bytes_received: connection.bytes_received,
+        };
+        let cost = if to == self.config.local_zone {
             0.0
         } else {
-            self.purses.charge(now, to, (o.out, o.back))
+            self.budget_meters.charge(now, to, transfer)
         };
-        self.account.opened(now, &Opening { to, ..*o }, cost);
-        if let Some(took) = o.took {
-            self.route.opened(to, took);
+        self.account.record_connection(now, &connection, cost);
+        if let Some(handshake) = connection.handshake {
+            self.router.on_connection(to, handshake);
         }
     }
 
-    /// Looks at how much should cross, about every 100 ms.
-    pub fn step(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
-        self.route.step(now, zone_capacities);
-        self.purses.roll(now);
-        if now >= self.ranked + RANK_EVERY {
-            self.ranked = now;
-            self.purses.rank();
+    /// Zones beyond the known ones count as the unnamed one.
+    fn known_zone(&self, zone: usize) -> usize {
+        zone.min(self.config.zone_count)
+    }
+
+    /// Updates how much is to cross; to be called about every 100 ms.
+    pub fn tick(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
+        self.router.tick(now, zone_capacities);
+        self.budget_meters.advance(now);
+        if now >= self.ranked_at + RANKING_INTERVAL {
+            self.ranked_at = now;
+            self.budget_meters.rank_classes();
         }
-        self.due = true;
+        self.policy_outdated = true;
     }
 
-    /// What crossing means now, if that is other than what was told last.
-    pub fn crossings(&mut self) -> Option<CrossZonePolicy> {
-        if !std::mem::take(&mut self.due) {
+    /// How the balancer is to treat other zones, if that differs from what was returned last.
+    pub fn cross_zone_policy(&mut self) -> Option<CrossZonePolicy> {
+        if !std::mem::take(&mut self.policy_outdated) {
             return None;
         }
-        self.purses.bars();
-        let zones = (0..self.zoning.all())
-            .map(|zone| self.crossing(zone))
-            .collect();
-        let now = CrossZonePolicy {
-            zones,
-            slow_start_factor: self.route.cold(),
-        };
-        if self.told.as_ref() == Some(&now) {
+        self.budget_meters.update_restriction_thresholds();
+        let policy = self.current_policy();
+        if self.last_policy.as_ref() == Some(&policy) {
             return None;
         }
-        self.told = Some(now.clone());
-        Some(now)
+        self.last_policy = Some(policy.clone());
+        Some(policy)
+    }
+
+    fn current_policy(&self) -> CrossZonePolicy {
+        let zones = 0..self.config.zone_count_with_unnamed();
+        CrossZonePolicy {
+            zones: zones.map(|zone| self.zone_policy(zone)).collect(),
+            slow_start_factor: self.router.slow_start_factor(),
+        }
     }
 
-    fn crossing(&self, zone: usize) -> ZonePolicy {
-        if zone == self.zoning.own {
+    fn zone_policy(&self, zone: usize) -> ZonePolicy {
+        if zone == self.config.local_zone {
             return ZonePolicy::default();
         }
-        let last = |again: bool| {
-            let classes = if self.purses.is_empty() {
-                0
-            } else {
-                self.zoning.classes.len()
-            };
-            let spared =
-                |class: usize| !self.route.full(class) && !self.purses.admits(zone, class, again);
-            (0..classes).map(spared).collect()
-        };
         ZonePolicy {
-            weight: self.route.draw(zone),
-            added_latency: self.route.added(zone),
-            last_resort: last(false),
-            last_resort_for_retries: last(true),
+            weight: self.router.weight(zone),
+            added_latency: self.router.added_latency(zone),
+            last_resort: self.last_resort_classes(zone, false),
+            last_resort_for_retries: self.last_resort_classes(zone, true),
+        }
+    }
+
+    /// For each class, whether its attempts may go to this zone only where no other can serve them;
+    /// empty without budgets. A saturated local zone takes precedence over the budgets.
+    fn last_resort_classes(&self, zone: usize, is_repeat: bool) -> Vec<bool> {
+        if self.budget_meters.is_empty() {
+            return Vec::new();
         }
+        (0..self.config.classes.len())
+            .map(|class| {
+                !self.router.is_saturated(class)
+                    && !self.budget_meters.admits(zone, class, is_repeat)
+            })
+            .collect()
     }
 
-    /// Only these builds are alive.
-    pub fn alive(&mut self, builds: &BTreeSet<u32>) {
-        self.account.alive(builds);
+    /// Only these builds are alive; the counts of others are summed.
+    pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
+        self.account.retain_builds(builds);
     }
 
-    pub fn zoning(&self) -> &Zoning {
-        &self.zoning
+    /// The configuration in force.
+    pub fn config(&self) -> &ZoneConfig {
+        &self.config
     }
 
+    /// The account since the start.
     pub fn account(&self) -> &Account {
         &self.account
     }
 
-    pub fn purses(&self) -> &Purses {
-        &self.purses
+    /// The meters of the budgets.
+    pub fn budget_meters(&self) -> &BudgetMeters {
+        &self.budget_meters
     }
 
-    pub fn route(&self) -> &Route {
-        &self.route
+    /// The state of the routing between zones.
+    pub fn router(&self) -> &ZoneRouter {
+        &self.router
     }
 }
