--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tulipwall::*;
 
-mod world;
-use world::{deployment, listed, ms, trial};
+mod harness;
+use harness::{canary_status, default_settings, endpoint_entry, ms};
 
 const START: Duration = Duration::from_secs(1);
 const TICK: Duration = Duration::from_millis(10);
@@ -31,7 +31,7 @@
 impl Server {
     fn new(number: usize, build: u32) -> Server {
         Server {
-            entry: listed(number, build, None),
+            entry: endpoint_entry(number, build, None),
             service_time: ms(30),
             cores: 4,
             failing_share: 0.0,
@@ -435,7 +435,7 @@
         load_probes: true,
         key_affinity: true,
         cancellation: false,
-        ..deployment(1)
+        ..default_settings(1)
     };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     let mut simulation = Simulation::new(1, settings, servers, 110.0);
@@ -464,7 +464,7 @@
     let mut settings = Settings {
         agents: 12,
         hedging: true,
-        ..deployment(2)
+        ..default_settings(2)
     };
     settings.rollout.platform_counts = true;
     settings.rollout.votes_to_roll_back = 2;
@@ -478,7 +478,7 @@
             8 => (4..8).for_each(|n| s.start(n, 41)),
             9 => s.publish_status(RolloutStatus {
                 since: s.now,
-                ..trial(41, 1, 0.5)
+                ..canary_status(41, 1, 0.5)
             }),
             14 => (0..8).for_each(|n| s.servers[n].failing_share = 0.25),
             20 => {
@@ -501,7 +501,7 @@
             26 => s.publish_status(RolloutStatus {
                 phase: RolloutPhase::RollingBack,
                 since: s.now,
-                ..trial(41, 1, 0.0)
+                ..canary_status(41, 1, 0.0)
             }),
             28 => (0..8).for_each(|n| {
                 s.start(n, 40);
@@ -510,7 +510,7 @@
             30 => s.publish_status(RolloutStatus {
                 phase: RolloutPhase::RolledBack,
                 since: s.now,
-                ..trial(41, 1, 0.0)
+                ..canary_status(41, 1, 0.0)
             }),
             _ => return,
         }
@@ -522,7 +522,7 @@
 fn a_slow_build_released_in_place() -> (String, BTreeMap<u64, u64>) {
     let mut settings = Settings {
         agents: 300,
-        ..deployment(3)
+        ..default_settings(3)
     };
     settings.rollout.in_place = true;
     settings.rollout.votes_to_hold = 3;
@@ -533,18 +533,18 @@
             6 => (0..2).for_each(|n| s.start(n, 41)),
             7 => s.publish_status(RolloutStatus {
                 since: s.now,
-                ..trial(41, 0, 0.2)
+                ..canary_status(41, 0, 0.2)
             }),
             12 => (2..6).for_each(|n| s.start(n, 41)),
             13 => s.publish_status(RolloutStatus {
                 since: s.now,
-                ..trial(41, 1, 0.5)
+                ..canary_status(41, 1, 0.5)
             }),
             16 => (0..6).for_each(|n| s.servers[n].service_time = ms(110)),
             26 => s.publish_status(RolloutStatus {
                 phase: RolloutPhase::Released,
                 since: s.now,
-                ..trial(41, 2, 1.0)
+                ..canary_status(41, 2, 1.0)
             }),
             27 => (6..10).for_each(|n| s.start(n, 41)),
             _ => return,
@@ -561,7 +561,7 @@
         list_polled: true,
         shared_discovery: true,
         weight_by_work: true,
-        ..deployment(4)
+        ..default_settings(4)
     };
     let servers = (0..6).map(|n| Server::new(n, 40)).collect();
     Simulation::new(4, settings, servers, 60.0).play(30, |s, second| match second {
@@ -585,7 +585,7 @@
 fn a_reload_and_a_cut_zone() -> (String, BTreeMap<u64, u64>) {
     let settings = Settings {
         cross_zone_price: 0.2,
-        ..deployment(5)
+        ..default_settings(5)
     };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     Simulation::new(5, settings, servers, 100.0).play(36, |s, second| match second {
@@ -604,7 +604,7 @@
                 .iter_mut()
                 .for_each(|a| a.set_cross_zone_policy(told.clone()));
         }
-        4 => s.publish_status(trial(41, 0, 0.2)),
+        4 => s.publish_status(canary_status(41, 0, 0.2)),
         5 => {
             (0..3).for_each(|n| s.start(n, 41));
             s.publish_list(true);
@@ -665,7 +665,7 @@
             .for_each(|a| a.set_cross_zone_policy(CrossZonePolicy::default())),
         30 => s.agents[0].update_rollout(RolloutStatus {
             phase: RolloutPhase::Released,
-            ..trial(41, 2, 1.0)
+            ..canary_status(41, 2, 1.0)
         }),
         _ => {}
     })
@@ -675,7 +675,7 @@
 fn builds_that_fail_a_little(seed: u64) -> (String, BTreeMap<u64, u64>) {
     let mut settings = Settings {
         agents: 4,
-        ..deployment(seed)
+        ..default_settings(seed)
     };
     settings.rollout.in_place = seed.is_multiple_of(2);
     settings.rollout.votes_to_roll_back = 1 + seed as u32 % 3;
@@ -691,7 +691,7 @@
             3 => (0..2).for_each(|n| s.start(n, 41)),
             4 => s.publish_status(RolloutStatus {
                 since: s.now,
-                ..trial(41, 0, 0.3)
+                ..canary_status(41, 0, 0.3)
             }),
             9 => (0..2).for_each(|n| s.servers[n].failing_share = failing_share),
             12 => s.servers[1].unresponsive = true,
@@ -704,7 +704,7 @@
             24 => s.publish_status(RolloutStatus {
                 phase: RolloutPhase::Released,
                 since: s.now,
-                ..trial(41, 2, 1.0)
+                ..canary_status(41, 2, 1.0)
             }),
             _ => return,
         }
--- a/tests/world/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A client of `Balancer` that keeps timers and requests in hand as an adapter does, and checks the
+//! A driver of `Balancer` that keeps timers and requests in flight as an adapter does, and checks the
 //! rules as it goes.
 #![allow(dead_code)] // each test file uses a part of it
 
@@ -10,7 +10,7 @@
     Duration::from_millis(n)
 }
 
-pub fn deployment(seed: u64) -> Settings {
+pub fn default_settings(seed: u64) -> Settings {
     let class = |latency_objective, priority_weight, idempotency| RequestClass {
         latency_objective: ms(latency_objective),
         priority_weight,
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn listed(endpoint: usize, build: u32, started: Option<u64>) -> EndpointEntry {
+pub fn endpoint_entry(endpoint: usize, build: u32, started: Option<u64>) -> EndpointEntry {
     let (zone, cell) = (endpoint % 2, endpoint as u64 % 3);
     EndpointEntry {
         endpoint,
@@ -82,7 +82,7 @@
     }
 }
 
-pub fn trial(build: u32, stage: usize, cap: f64) -> RolloutStatus {
+pub fn canary_status(build: u32, stage: usize, cap: f64) -> RolloutStatus {
     RolloutStatus {
         build,
         stage,
@@ -92,127 +92,170 @@
     }
 }
 
+/// Eight endpoints of build 7 that have answered, and two of build 8 as a canary, warm.
+pub fn canary_rollout(change: fn(&mut Settings)) -> Harness {
+    let mut d = default_settings(11);
+    change(&mut d);
+    let mut w = Harness::new(d);
+    w.update_endpoints(
+        &(0..8)
+            .map(|i| endpoint_entry(i, 7, None))
+            .collect::<Vec<_>>(),
+    );
+    w.update_rollout(RolloutStatus {
+        phase: RolloutPhase::Released,
+        ..canary_status(7, 0, 1.0)
+    });
+    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
+    w.update_rollout(canary_status(8, 0, 0.5));
+    w.update_endpoints(&[
+        endpoint_entry(8, 8, Some(1100)),
+        endpoint_entry(9, 8, Some(1100)),
+    ]);
+    w.advance(ms(4200));
+    w
+}
+
+pub fn failing(build: u32) -> impl Fn(&EndpointEntry) -> Outcome {
+    move |e| outcome_if(e.build == build, Outcome::Failed)
+}
+
+pub fn outcome_if(is: bool, outcome: Outcome) -> Outcome {
+    if is {
+        outcome
+    } else {
+        Outcome::Succeeded
+    }
+}
+
+pub fn attempts_to(w: &Harness, build: u32) -> usize {
+    w.forwarded
+        .iter()
+        .filter(|(_, i)| w.endpoints[i].build == build)
+        .count()
+}
+
 #[derive(Clone, Debug)]
-pub struct Out {
+pub struct SentAttempt {
     pub endpoint: usize,
     pub sent: Duration,
     pub ended: Option<Outcome>,
-    give_up: Duration,
+    times_out_at: Duration,
 }
 
-pub struct Held {
+pub struct TrackedRequest {
     pub class: usize,
     pub deadline: Duration,
-    pub attempts: Vec<Out>,
+    pub attempts: Vec<SentAttempt>,
     pub answers: Vec<Decision>,
-    pub look: Option<Duration>,
+    pub recheck_at: Option<Duration>,
 }
 
-pub struct World {
+pub struct Harness {
     pub now: Duration,
-    pub choice: Balancer,
-    pub d: Settings,
-    pub held: BTreeMap<u64, Held>,
-    pub list: BTreeMap<usize, EndpointEntry>,
-    pub told: Option<RolloutStatus>,
+    pub balancer: Balancer,
+    pub settings: Settings,
+    pub requests: BTreeMap<u64, TrackedRequest>,
+    pub endpoints: BTreeMap<usize, EndpointEntry>,
+    pub status: Option<RolloutStatus>,
     pub votes: Vec<(Duration, Vote)>,
-    pub watches: usize,
-    pub notes: Vec<String>,
-    pub sends: Vec<(Duration, usize)>,
-    exposed: Vec<(Duration, u32, usize)>,
-    taken: Vec<(Duration, usize)>,
-    bound: BTreeMap<u64, u32>,
-    counted_from: usize,
+    pub list_calls: usize,
+    pub log_lines: Vec<String>,
+    pub forwarded: Vec<(Duration, usize)>,
+    canary_attempts: Vec<(Duration, u32, usize)>,
+    arrivals: Vec<(Duration, usize)>,
+    sticky_builds: BTreeMap<u64, u32>,
+    exposure_counted_from: usize,
     listed_at: BTreeMap<usize, usize>,
-    wake: Duration,
+    next_poll: Duration,
 }
 
-impl World {
-    pub fn new(d: Settings) -> World {
+impl Harness {
+    pub fn new(settings: Settings) -> Harness {
         let now = ms(1000);
-        let choice = Balancer::new(now, d.clone());
-        World {
+        let balancer = Balancer::new(now, settings.clone());
+        Harness {
             now,
-            choice,
-            d,
-            held: BTreeMap::new(),
-            list: BTreeMap::new(),
-            told: None,
+            balancer,
+            settings,
+            requests: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            status: None,
             votes: Vec::new(),
-            watches: 0,
-            notes: Vec::new(),
-            sends: Vec::new(),
-            exposed: Vec::new(),
-            taken: Vec::new(),
-            bound: BTreeMap::new(),
-            counted_from: 0,
+            list_calls: 0,
+            log_lines: Vec::new(),
+            forwarded: Vec::new(),
+            canary_attempts: Vec::new(),
+            arrivals: Vec::new(),
+            sticky_builds: BTreeMap::new(),
+            exposure_counted_from: 0,
             listed_at: BTreeMap::new(),
-            wake: now,
+            next_poll: now,
         }
     }
 
-    pub fn list(&mut self, entries: &[EndpointEntry]) {
-        self.choice.update_endpoints(self.now, entries, false);
+    pub fn update_endpoints(&mut self, entries: &[EndpointEntry]) {
+        self.balancer.update_endpoints(self.now, entries, false);
         for e in entries {
-            let old = self.list.insert(e.endpoint, e.clone());
+            let old = self.endpoints.insert(e.endpoint, e.clone());
             if old
                 .is_none_or(|o| o.started != e.started || o.build != e.build || o.state != e.state)
             {
-                self.listed_at.insert(e.endpoint, self.sends.len());
+                self.listed_at.insert(e.endpoint, self.forwarded.len());
             }
         }
     }
 
-    pub fn rollout_status(&mut self, n: RolloutStatus) {
-        let lower = self
-            .told
+    pub fn update_rollout(&mut self, n: RolloutStatus) {
+        let restarts_count = self
+            .status
             .as_ref()
             .is_none_or(|o| o.build != n.build || n.cap < o.cap);
-        if lower {
-            self.counted_from = self.exposed.len();
+        if restarts_count {
+            self.exposure_counted_from = self.canary_attempts.len();
         }
-        self.choice.update_rollout(n.clone());
-        self.told = Some(n);
+        self.balancer.update_rollout(n.clone());
+        self.status = Some(n);
     }
 
-    /// Goes on under other settings; the rules are checked by these. What nobody could know before
-    /// is checked from now on: exposure by class where it was counted for all, a lower cap, and
-    /// keys that bind one way.
-    pub fn renew(&mut self, d: Settings, by: &IndexMapping) {
-        let (was, now) = (&self.d.rollout, &d.rollout);
+    /// Reloads the settings; the rules are checked by these. What nobody could know before is
+    /// checked from now on: exposure by class where it was counted for all, a lower cap, and
+    /// sticky builds.
+    pub fn reload(&mut self, d: Settings, by: &IndexMapping) {
+        let (was, now) = (&self.settings.rollout, &d.rollout);
         if now.cap_per_class && !was.cap_per_class || now.caps[0] < was.caps[0] {
-            self.counted_from = self.exposed.len();
+            self.exposure_counted_from = self.canary_attempts.len();
         }
         if now.sticky_builds && !was.sticky_builds {
-            self.bound.clear();
+            self.sticky_builds.clear();
         }
-        self.choice.reload(self.now, &d, by);
-        self.d = d;
+        self.balancer.reload(self.now, &d, by);
+        self.settings = d;
     }
 
-    pub fn on_trial(&self, build: u32) -> bool {
-        match &self.told {
+    pub fn is_canary(&self, build: u32) -> bool {
+        match &self.status {
             Some(n) => build > n.build || build == n.build && n.phase != RolloutPhase::Released,
             None => self
-                .list
+                .endpoints
                 .values()
                 .any(|l| l.build < build && l.state == EndpointState::Running),
         }
     }
 
-    pub fn take(&mut self, id: u64, class: usize, left: Duration) -> Decision {
+    pub fn send_request(&mut self, id: u64, class: usize, left: Duration) -> Decision {
         let deadline = self.now + left;
-        let held = Held {
+        let request = TrackedRequest {
             class,
             deadline,
             attempts: Vec::new(),
             answers: Vec::new(),
-            look: None,
+            recheck_at: None,
         };
-        self.held.insert(id, held);
-        self.taken.push((self.now, class));
+        self.requests.insert(id, request);
+        self.arrivals.push((self.now, class));
         let tenant = Some(id as usize % 2);
-        self.choice.on_request(
+        self.balancer.on_request(
             self.now,
             id,
             Request {
@@ -224,41 +267,41 @@
                 is_retry: false,
             },
         );
-        let answer = self.choice.route(self.now, id);
-        self.obey(id, answer.clone());
+        let answer = self.balancer.route(self.now, id);
+        self.apply(id, answer.clone());
         answer
     }
 
-    /// Ends the oldest attempt that is out to `endpoint`, if any.
+    /// Ends the oldest attempt in flight to `endpoint`, if any.
     pub fn end_at(&mut self, endpoint: usize, outcome: Outcome) -> bool {
-        let out = |h: &Held| {
+        let in_flight = |h: &TrackedRequest| {
             h.attempts
                 .iter()
                 .position(|d| d.ended.is_none() && d.endpoint == endpoint)
         };
         let found = self
-            .held
+            .requests
             .iter()
-            .find_map(|(id, h)| out(h).map(|n| (*id, n)));
+            .find_map(|(id, h)| in_flight(h).map(|n| (*id, n)));
         if let Some((id, n)) = found {
-            self.end(id, n, outcome);
+            self.end_attempt(id, n, outcome);
         }
         found.is_some()
     }
 
-    pub fn end(&mut self, id: u64, n: usize, outcome: Outcome) {
-        let h = self.held.get_mut(&id).unwrap();
+    pub fn end_attempt(&mut self, id: u64, n: usize, outcome: Outcome) {
+        let h = self.requests.get_mut(&id).unwrap();
         h.attempts[n].ended = Some(outcome);
         if outcome == Outcome::Succeeded && h.answers.is_empty() {
             h.answers.push(Decision::Await);
         }
         let closed = !h.answers.is_empty();
-        let build = self.list[&h.attempts[n].endpoint].build;
-        if outcome == Outcome::Succeeded && self.told.as_ref().is_some_and(|t| build >= t.build) {
-            self.bound.insert(id % 7, build);
+        let build = self.endpoints[&h.attempts[n].endpoint].build;
+        if outcome == Outcome::Succeeded && self.status.as_ref().is_some_and(|t| build >= t.build) {
+            self.sticky_builds.insert(id % 7, build);
         }
         let took = self.now - h.attempts[n].sent;
-        let answer = self.choice.on_attempt_end(
+        let answer = self.balancer.on_attempt_end(
             self.now,
             id,
             n,
@@ -269,28 +312,28 @@
                 reported_load: None,
             },
         );
-        self.obey(id, answer);
+        self.apply(id, answer);
     }
 
-    fn obey(&mut self, id: u64, answer: Decision) {
-        let h = self.held.get_mut(&id).unwrap();
+    fn apply(&mut self, id: u64, answer: Decision) {
+        let h = self.requests.get_mut(&id).unwrap();
         let (class, now) = (h.class, self.now);
-        let ran = |d: &Out| d.ended.is_none_or(|o| !o.never_ran());
+        let ran = |d: &SentAttempt| d.ended.is_none_or(|o| !o.never_ran());
         match answer.clone() {
             Decision::Forward {
                 endpoint,
                 timeout,
-                recheck_at: look,
+                recheck_at,
             } => {
                 assert!(
                     h.answers.is_empty(),
                     "nothing is sent after the final answer"
                 );
-                assert!(now < h.deadline && h.attempts.len() < self.d.max_attempts);
-                let out = h.attempts.iter().filter(|d| d.ended.is_none()).count();
-                assert!(out == 0 || self.d.hedging && out == 1);
-                let e = self.list[&endpoint].clone();
-                match self.d.classes[class].idempotency {
+                assert!(now < h.deadline && h.attempts.len() < self.settings.max_attempts);
+                let in_flight = h.attempts.iter().filter(|d| d.ended.is_none()).count();
+                assert!(in_flight == 0 || self.settings.hedging && in_flight == 1);
+                let e = self.endpoints[&endpoint].clone();
+                match self.settings.classes[class].idempotency {
                     Idempotency::Idempotent => {}
                     Idempotency::NonIdempotent => {
                         assert!(!h.attempts.iter().any(ran), "it may have run")
@@ -300,7 +343,7 @@
                         window,
                     } => {
                         for d in h.attempts.iter().filter(|d| ran(d)) {
-                            let o = &self.list[&d.endpoint];
+                            let o = &self.endpoints[&d.endpoint];
                             let here = match group {
                                 DeduplicationScope::All => true,
                                 DeduplicationScope::Zone => o.zone == e.zone,
@@ -311,41 +354,45 @@
                     }
                 }
                 let rollout_status = self
-                    .told
+                    .status
                     .as_ref()
                     .filter(|t| matches!(t.phase, RolloutPhase::Canary | RolloutPhase::Released));
-                let floor = rollout_status
-                    .filter(|t| self.bound.get(&(id % 7)).is_some_and(|b| *b >= t.build));
+                let floor = rollout_status.filter(|t| {
+                    self.sticky_builds
+                        .get(&(id % 7))
+                        .is_some_and(|b| *b >= t.build)
+                });
                 assert!(
-                    !self.d.rollout.sticky_builds || floor.is_none_or(|t| e.build >= t.build),
-                    "one way"
+                    !self.settings.rollout.sticky_builds
+                        || floor.is_none_or(|t| e.build >= t.build),
+                    "sticky build"
                 );
                 assert_eq!(
                     e.state,
                     EndpointState::Running,
-                    "nothing to a draining or gone appliance"
+                    "nothing to a draining or gone endpoint"
                 );
-                let give_up = h.deadline.min(now + timeout);
-                h.attempts.push(Out {
+                let times_out_at = h.deadline.min(now + timeout);
+                h.attempts.push(SentAttempt {
                     endpoint,
                     sent: now,
                     ended: None,
-                    give_up,
+                    times_out_at,
                 });
-                h.look = look;
-                self.sends.push((now, endpoint));
-                self.check_cold(&e);
+                h.recheck_at = recheck_at;
+                self.forwarded.push((now, endpoint));
+                self.check_slow_start(&e);
                 self.check_exposure(&e, class);
             }
             Decision::Defer { until } => {
                 assert!(until > now);
-                h.look = Some(until);
+                h.recheck_at = Some(until);
             }
             Decision::Reject { .. } => {
-                let harmless = match self.d.classes[class].idempotency {
+                let is_safe = match self.settings.classes[class].idempotency {
                     Idempotency::Idempotent => true,
-                    // Its client may be back half a second later, and the repeat must be told as
-                    // one then.
+                    // Its client may retry half a second later, and the repeat must be recognized
+                    // then.
                     Idempotency::Keyed {
                         scope: DeduplicationScope::All,
                         window,
@@ -356,75 +403,80 @@
                         .all(|d| now + ms(500) < d.sent + window),
                     _ => !h.attempts.iter().any(ran),
                 };
-                assert!(harmless, "denied though it may have run");
+                assert!(is_safe, "rejected though it may have run");
                 h.answers.push(answer);
             }
             Decision::Fail => h.answers.push(answer),
             Decision::Cancel { attempt } => {
                 if h.attempts[attempt].ended.is_none() {
-                    self.end(id, attempt, Outcome::Cancelled);
+                    self.end_attempt(id, attempt, Outcome::Cancelled);
                 }
                 return;
             }
             Decision::Await => {}
         }
-        assert!(self.held[&id].answers.len() <= 1, "one final answer");
+        assert!(self.requests[&id].answers.len() <= 1, "one final answer");
     }
 
-    fn check_cold(&self, e: &EndpointEntry) {
+    fn check_slow_start(&self, e: &EndpointEntry) {
         if e.started
-            .is_none_or(|s| s + self.d.slow_start_duration <= self.now)
+            .is_none_or(|s| s + self.settings.slow_start_duration <= self.now)
         {
             return;
         }
-        let told = self.listed_at[&e.endpoint];
-        let recent = |t: Duration| t + self.d.overload_window > self.now && t <= self.now;
-        let cold = |l: &EndpointEntry| {
+        let since_listed = self.listed_at[&e.endpoint];
+        let recent = |t: Duration| t + self.settings.overload_window > self.now && t <= self.now;
+        let is_warming = |l: &EndpointEntry| {
             l.started
-                .is_some_and(|s| s + self.d.slow_start_duration > self.now)
+                .is_some_and(|s| s + self.settings.slow_start_duration > self.now)
         };
         let running = self
-            .list
+            .endpoints
             .values()
             .filter(|l| l.state == EndpointState::Running);
         let all = running.clone().count() as f64;
-        let warm = (running.filter(|l| !cold(l)).count() as f64).max(all / 2.0);
-        let here = self.sends[told..]
+        let warm = (running.filter(|l| !is_warming(l)).count() as f64).max(all / 2.0);
+        let here = self.forwarded[since_listed..]
             .iter()
             .filter(|(t, i)| recent(*t) && *i == e.endpoint)
             .count();
-        // What went out in the busiest window so far: the pace of warm ones is remembered.
-        let span = self.d.overload_window;
+        // Attempts in the busiest window so far: the pace of warm endpoints is remembered.
+        let span = self.settings.overload_window;
         let within = |from: Duration| {
-            self.sends
+            self.forwarded
                 .iter()
                 .filter(|s| s.0 >= from && s.0 < from + span)
                 .count()
         };
-        let most = self.sends.iter().map(|s| within(s.0)).max().unwrap_or(0) as f64;
-        let part = 0.7 * self.d.overload_factor;
+        let most = self
+            .forwarded
+            .iter()
+            .map(|s| within(s.0))
+            .max()
+            .unwrap_or(0) as f64;
+        let part = 0.7 * self.settings.overload_factor;
         assert!(
             here as f64 <= 2.0 + 2.0 * part * most / warm,
-            "cold appliance got {here}, all at most {most}"
+            "an endpoint in slow start got {here}, all at most {most}"
         );
     }
 
     fn check_exposure(&mut self, e: &EndpointEntry, class: usize) {
-        if !self.on_trial(e.build) {
+        if !self.is_canary(e.build) {
             return;
         }
-        let r = &self.d.rollout;
-        let rollout_status = self.told.as_ref().filter(|n| n.build == e.build);
+        let r = &self.settings.rollout;
+        let rollout_status = self.status.as_ref().filter(|n| n.build == e.build);
         let (stage, cap) = rollout_status.map_or((0, r.caps[0]), |n| (n.stage, n.cap));
         assert!(cap > 0.0, "nothing at cap 0");
         assert!(
             stage >= r.guarded_stages
-                || self.d.classes[class].idempotency == Idempotency::Idempotent,
+                || self.settings.classes[class].idempotency == Idempotency::Idempotent,
             "guarded stage"
         );
-        self.exposed.push((self.now, e.build, class));
+        self.canary_attempts.push((self.now, e.build, class));
         let ours = |l: usize| !r.cap_per_class || l == class;
-        let counted = &self.exposed[self.counted_from..];
+        let counted = &self.canary_attempts[self.exposure_counted_from..];
         let starts: Vec<Duration> = counted.iter().map(|x| x.0).collect();
         for from in starts.into_iter().filter(|t| *t + ms(3000) > self.now) {
             let sent = counted
@@ -433,53 +485,53 @@
                 .count() as f64;
             // Strictest: only requests that came after the window began, or in the same step.
             let came = self
-                .taken
+                .arrivals
                 .iter()
                 .filter(|x| x.0 >= from && ours(x.1))
                 .count() as f64;
             assert!(
                 sent <= r.exposure_burst + cap * came + 1e-9,
-                "{sent} deliveries, {came} commands at {cap}"
+                "{sent} attempts, {came} requests at {cap}"
             );
         }
     }
 
     /// Lets time pass in steps of one tick, as the adapter would: timers, time-outs, votes.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            self.now += self.d.timer_granularity;
+            self.now += self.settings.timer_granularity;
             let ids: Vec<u64> = self
-                .held
+                .requests
                 .iter()
                 .filter(|h| h.1.busy())
                 .map(|h| *h.0)
                 .collect();
             for id in ids {
-                let late = |d: &Out| d.ended.is_none() && self.now >= d.give_up;
-                let over = self.held[&id].attempts.iter().position(late);
+                let late = |d: &SentAttempt| d.ended.is_none() && self.now >= d.times_out_at;
+                let over = self.requests[&id].attempts.iter().position(late);
                 if let Some(n) = over {
-                    self.end(id, n, Outcome::TimedOut);
+                    self.end_attempt(id, n, Outcome::TimedOut);
                 }
-                let h = self.held.get_mut(&id).unwrap();
-                let due = h.answers.is_empty() && h.look.is_some_and(|t| self.now >= t);
+                let h = self.requests.get_mut(&id).unwrap();
+                let due = h.answers.is_empty() && h.recheck_at.is_some_and(|t| self.now >= t);
                 if due {
-                    h.look = None;
-                    let answer = self.choice.route(self.now, id);
-                    self.obey(id, answer);
+                    h.recheck_at = None;
+                    let answer = self.balancer.route(self.now, id);
+                    self.apply(id, answer);
                 }
-                let h = &self.held[&id];
+                let h = &self.requests[&id];
                 assert!(
                     !h.answers.is_empty() || self.now < h.deadline + ms(20),
-                    "command {id} was lost"
+                    "request {id} was lost"
                 );
             }
-            if self.now >= self.wake {
-                let due = self.choice.poll(self.now);
+            if self.now >= self.next_poll {
+                let due = self.balancer.poll(self.now);
                 assert!(due.next_poll > self.now);
-                self.wake = due.next_poll;
-                self.watches += usize::from(due.open_watch);
-                self.notes.extend(due.log_lines);
+                self.next_poll = due.next_poll;
+                self.list_calls += usize::from(due.open_watch);
+                self.log_lines.extend(due.log_lines);
                 if let Some(v) = due.vote {
                     self.votes.push((self.now, v));
                 }
@@ -496,30 +548,30 @@
         outcome: impl Fn(&EndpointEntry) -> Outcome,
     ) {
         for _ in 0..n {
-            let id = self.held.len() as u64;
-            self.take(id, class, ms(1500));
-            while let Some(n) = self.held[&id]
+            let id = self.requests.len() as u64;
+            self.send_request(id, class, ms(1500));
+            while let Some(n) = self.requests[&id]
                 .attempts
                 .iter()
                 .position(|d| d.ended.is_none())
             {
-                self.pass(took);
-                let d = &self.held[&id].attempts[n];
+                self.advance(took);
+                let d = &self.requests[&id].attempts[n];
                 if d.ended.is_none() {
-                    let e = self.list[&d.endpoint].clone();
-                    self.end(id, n, outcome(&e));
+                    let e = self.endpoints[&d.endpoint].clone();
+                    self.end_attempt(id, n, outcome(&e));
                 }
             }
-            self.pass(self.d.timer_granularity);
+            self.advance(self.settings.timer_granularity);
         }
     }
 
-    pub fn last_vote(&self) -> Option<Verdict> {
+    pub fn last_verdict(&self) -> Option<Verdict> {
         self.votes.last().map(|v| v.1.verdict)
     }
 }
 
-impl Held {
+impl TrackedRequest {
     fn busy(&self) -> bool {
         self.answers.is_empty() || self.attempts.iter().any(|d| d.ended.is_none())
     }
--- a/tests/rules.rs
+++ b/tests/invariants.rs
@@ -1,11 +1,11 @@
-//! Seeded random runs: whatever the lists, the news, the outcomes and the stops, each rule holds
-//! after every step.
+//! Seeded random runs: whatever the lists, the rollout statuses, the outcomes and the stalls, each
+//! rule holds after every step.
 
-mod world;
+mod harness;
 
+use harness::*;
 use quickcheck::{Gen, QuickCheck};
 use tulipwall::*;
-use world::*;
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Succeeded,
@@ -18,7 +18,7 @@
     Outcome::Succeeded,
 ];
 
-/// Plays one script; `World` checks the rules after every step.
+/// Plays one script; the harness checks the rules after every step.
 fn play(mut d: Settings, script: &[(u8, u8)]) {
     let groups = [
         DeduplicationScope::All,
@@ -30,32 +30,36 @@
         scope: groups[pick % 3],
         window: ms(900),
     };
-    let mut w = World::new(d);
-    w.list(&(0..5).map(|i| listed(i, 7, None)).collect::<Vec<_>>());
+    let mut w = Harness::new(d);
+    w.update_endpoints(
+        &(0..5)
+            .map(|i| endpoint_entry(i, 7, None))
+            .collect::<Vec<_>>(),
+    );
     let (mut next, mut build) = (0, 7);
     for (what, how) in script {
         let i = *how as usize % 9;
         match what % 16 {
             0..=5 => {
-                w.take(next, *how as usize % 3, ms(100 + u64::from(*how) * 6));
+                w.send_request(next, *how as usize % 3, ms(100 + u64::from(*how) * 6));
                 next += 1;
             }
             6..=8 => {
                 w.end_at(i, OUTCOMES[*how as usize % 8]);
             }
             9 => {
-                w.list(&[EndpointEntry {
+                w.update_endpoints(&[EndpointEntry {
                     state: EndpointState::Draining,
-                    ..listed(i, build, None)
+                    ..endpoint_entry(i, build, None)
                 }]);
             }
-            10 => w.list(&[EndpointEntry {
+            10 => w.update_endpoints(&[EndpointEntry {
                 state: EndpointState::Gone,
-                ..listed(i, build, None)
+                ..endpoint_entry(i, build, None)
             }]),
             11 => {
                 let started = w.now.as_millis() as u64 - u64::from(*how) * 10 % 900;
-                w.list(&[listed(i, build + u32::from(how % 2), Some(started))]);
+                w.update_endpoints(&[endpoint_entry(i, build + u32::from(how % 2), Some(started))]);
             }
             12 => {
                 let phases = [
@@ -71,7 +75,7 @@
                 } else {
                     [0.2, 0.5, 1.0][i % 3]
                 };
-                w.rollout_status(RolloutStatus {
+                w.update_rollout(RolloutStatus {
                     build: build + 1,
                     stage: i % 3,
                     phase,
@@ -80,7 +84,7 @@
                 });
             }
             13 => {
-                w.choice
+                w.balancer
                     .on_client_reported_error(w.now, i, *how as usize % 3, ms(100));
             }
             14 => {
@@ -90,25 +94,27 @@
                     VoteReply::Refused,
                     VoteReply::Unknown,
                 ];
-                w.choice.on_vote_reply(w.now, all[i % 4]);
-                w.choice.on_list_failure(w.now);
+                w.balancer.on_vote_reply(w.now, all[i % 4]);
+                w.balancer.on_list_failure(w.now);
+            }
+            15 if w.settings.cross_zone_price > 0.1 => {
+                w.balancer.set_cross_zone_policy(cross_zone_policy(*how))
             }
-            15 if w.d.cross_zone_price > 0.1 => w.choice.set_cross_zone_policy(crossings(*how)),
-            _ => w.pass(ms(u64::from(*how))),
+            _ => w.advance(ms(u64::from(*how))),
         }
         if *what > 200 {
-            w.pass(ms(25));
+            w.advance(ms(25));
         }
     }
-    w.pass(ms(4000));
+    w.advance(ms(4000));
     assert!(
-        w.held.values().all(|h| h.answers.len() == 1),
-        "every command has its one answer"
+        w.requests.values().all(|h| h.answers.len() == 1),
+        "every request has its one answer"
     );
 }
 
-/// What crossing means, drawn anew: any draws, any classes that cross last, any part for cold ones.
-fn crossings(how: u8) -> CrossZonePolicy {
+/// A random cross-zone policy: any weights, any last resorts, any factor for slow start.
+fn cross_zone_policy(how: u8) -> CrossZonePolicy {
     let bits = |n: u8| (0..3).map(|class| how >> (class + n) & 1 == 1).collect();
     let far = ZonePolicy {
         weight: (!how.is_multiple_of(3)).then(|| f64::from(how % 16) / 15.0),
@@ -130,14 +136,14 @@
 }
 
 #[test]
-fn watched_list_cap_by_all() {
-    check(1, |script| play(deployment(1), &script));
+fn rules_hold_with_a_pushed_list_and_one_cap_for_all_classes() {
+    check(1, |script| play(default_settings(1), &script));
 }
 
 #[test]
-fn asked_list_cap_by_lane_and_guarded_stage() {
+fn rules_hold_with_a_polled_list_a_cap_by_class_and_a_guarded_stage() {
     check(2, |script| {
-        let mut d = deployment(2);
+        let mut d = default_settings(2);
         (d.list_polled, d.retry_after) = (true, None);
         (
             d.rollout.cap_per_class,
@@ -149,18 +155,18 @@
 }
 
 #[test]
-fn second_copies_one_way_keys_and_priced_crossing() {
+fn rules_hold_with_hedging_sticky_builds_and_priced_cross_zone_traffic() {
     check(3, |script| {
-        let mut d = deployment(3);
+        let mut d = default_settings(3);
         (d.hedging, d.cross_zone_price, d.rollout.sticky_builds) = (true, 0.04, true);
         play(d, &script);
     });
 }
 
 #[test]
-fn no_withdrawing_no_customers_no_votes() {
+fn rules_hold_without_cancellation_tenants_or_votes() {
     check(4, |script| {
-        let mut d = deployment(4);
+        let mut d = default_settings(4);
         (d.cancellation, d.rollout.timed_stages, d.weight_by_work) = (false, false, true);
         d.tenants.clear();
         play(d, &script);
@@ -168,9 +174,9 @@
 }
 
 #[test]
-fn crossings_told_anew_again_and_again() {
+fn rules_hold_while_the_cross_zone_policy_changes() {
     check(5, |script| {
-        let mut d = deployment(5);
+        let mut d = default_settings(5);
         (d.hedging, d.cross_zone_price) = (true, 0.2);
         play(d, &script);
     });
--- /dev/null
+++ b/tests/many_small_agents.rs
@@ -0,0 +1,601 @@
+//! Hundreds of agents with little traffic each: two endpoint types, load reports, key affinity,
+//! guarded stages, platform counts, and endpoints that are replaced in place.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tulipwall::*;
+
+mod harness;
+use harness::{canary_status, default_settings, endpoint_entry, ms, Harness};
+
+fn many_agents_settings(seed: u64, agents: u32) -> Settings {
+    let mut d = Settings {
+        agents,
+        hedging: true,
+        key_affinity: true,
+        load_probes: true,
+        ..default_settings(seed)
+    };
+    (d.overload_factor, d.tenants) = (2.0, Vec::new());
+    let r = &mut d.rollout;
+    (
+        r.guarded_stages,
+        r.cap_per_class,
+        r.in_place,
+        r.platform_counts,
+    ) = (1, true, true, true);
+    (r.caps, r.votes_to_roll_back, r.votes_to_hold) =
+        (vec![0.048, 0.3, 1.0], agents / 4, agents / 3);
+    d
+}
+
+fn fleet(agents: u32) -> Vec<Balancer> {
+    (0..agents)
+        .map(|i| {
+            Balancer::new(
+                ms(1000),
+                many_agents_settings(u64::from(i) * 977 + 1, agents),
+            )
+        })
+        .collect()
+}
+
+fn entries(of: std::ops::Range<usize>, build: u32, started: Option<u64>) -> Vec<EndpointEntry> {
+    of.map(|i| EndpointEntry {
+        zone: 0,
+        endpoint_type: i % 2,
+        ..endpoint_entry(i, build, started)
+    })
+    .collect()
+}
+
+fn request(class: usize, key: u64) -> Request {
+    Request {
+        class,
+        tenant: None,
+        key: Some(key),
+        time_left: ms(1500),
+        estimated_work: None,
+        is_retry: false,
+    }
+}
+
+/// Where a request of this key is forwarded.
+fn route_request(
+    balancer: &mut Balancer,
+    now: Duration,
+    id: u64,
+    class: usize,
+    key: u64,
+) -> Option<usize> {
+    balancer.on_request(now, id, request(class, key));
+    let mut answer = balancer.route(now, id);
+    if let Decision::Defer { until } = answer {
+        balancer.poll(now);
+        answer = balancer.route(until, id);
+    }
+    match answer {
+        Decision::Forward { endpoint, .. } => Some(endpoint),
+        _ => None,
+    }
+}
+
+/// Against all agents choosing the one idle endpoint of the same old report.
+#[test]
+fn four_hundred_agents_on_one_stale_report_do_not_all_choose_the_idle_endpoint() {
+    let mut got = BTreeMap::<usize, usize>::new();
+    for (n, balancer) in fleet(400).iter_mut().enumerate() {
+        balancer.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
+        (0..20).for_each(|i| {
+            balancer.on_load_report(
+                ms(1000),
+                i,
+                Outcome::Succeeded,
+                Some(if i == 7 { 0.0 } else { 6.0 }),
+            )
+        });
+        *got.entry(route_request(balancer, ms(1100), 1, 0, n as u64).unwrap())
+            .or_default() += 1;
+    }
+    assert!(got[&7] < 80, "twice its share and a little: {got:?}");
+    assert!(got[&7] > 20, "and yet more than its share: {got:?}");
+}
+
+/// Against a key so popular that its affinity endpoint would be overloaded; and that endpoint must
+/// be the same for all agents while it can bear the load.
+#[test]
+fn a_key_has_one_affinity_endpoint_for_all_agents_until_that_is_busy() {
+    let busiest_share = |load: f64| {
+        let mut got = BTreeMap::<usize, usize>::new();
+        for balancer in &mut fleet(100) {
+            balancer.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
+            (0..20)
+                .for_each(|i| balancer.on_load_report(ms(1000), i, Outcome::Succeeded, Some(4.0)));
+            // Other keys between them: one that comes again at once is popular, and has no affinity
+            // endpoint.
+            if let Some(affinity_endpoint) = route_request(balancer, ms(1100), 1, 0, 4711) {
+                let others = (10..50).filter_map(|n| route_request(balancer, ms(1150), n, 0, n));
+                assert_eq!(others.count(), 40);
+                balancer.on_load_report(
+                    ms(1200),
+                    affinity_endpoint,
+                    Outcome::Succeeded,
+                    Some(load),
+                );
+                *got.entry(route_request(balancer, ms(1210), 2, 0, 4711).unwrap())
+                    .or_default() += 1;
+            }
+        }
+        got.values().copied().max().unwrap()
+    };
+    assert!(busiest_share(4.0) >= 95, "{}", busiest_share(4.0));
+    assert!(busiest_share(40.0) < 30, "{}", busiest_share(40.0));
+}
+
+fn counts_of(build: u32, class: usize, attempts: f64, failed: f64, took: u64) -> PlatformCounts {
+    PlatformCounts {
+        build,
+        class,
+        attempts,
+        failed,
+        mean_latency: ms(took),
+        age: ms(1000),
+    }
+}
+
+/// The verdict after five seconds of platform counts of an earlier build and a canary.
+fn verdict(stage: usize, earlier: PlatformCounts, of_trial: PlatformCounts) -> Option<Verdict> {
+    let mut w = Harness::new(many_agents_settings(5, 400));
+    w.update_endpoints(&entries(0..20, 7, None));
+    w.update_endpoints(&entries(20..22, 8, Some(900)));
+    w.update_rollout(canary_status(8, stage, 0.3));
+    for _ in 0..5 {
+        w.balancer.on_platform_counts(&earlier);
+        w.balancer.on_platform_counts(&of_trial);
+        w.advance(ms(1000));
+    }
+    w.last_verdict()
+}
+
+/// Against a good build taken for slow as nothing is warm yet; harms where a build is only a little
+/// slower.
+#[test]
+fn platform_counts_let_a_good_build_without_warm_keys_on_but_not_a_slow_one() {
+    assert_eq!(
+        verdict(
+            1,
+            counts_of(7, 0, 200.0, 1.0, 100),
+            counts_of(8, 0, 20.0, 0.0, 130)
+        ),
+        None
+    );
+    let slow = verdict(
+        1,
+        counts_of(7, 0, 200.0, 1.0, 100),
+        counts_of(8, 0, 20.0, 0.0, 270),
+    );
+    assert_eq!(slow, Some(Verdict::RollBack));
+}
+
+/// Against a class that fails only once the guard is open, and against invalid platform counts.
+#[test]
+fn rolls_back_a_non_idempotent_class_that_fails_after_the_guarded_stages() {
+    let bad = verdict(
+        1,
+        counts_of(7, 2, 100.0, 1.0, 100),
+        counts_of(8, 2, 12.0, 7.0, 100),
+    );
+    assert_eq!(bad, Some(Verdict::RollBack));
+    assert_eq!(
+        verdict(
+            1,
+            counts_of(7, 2, 100.0, 1.0, 100),
+            counts_of(8, 99, -5.0, f64::NAN, 0)
+        ),
+        None
+    );
+    assert_eq!(
+        verdict(
+            1,
+            counts_of(7, 2, 100.0, 30.0, 100),
+            counts_of(8, 2, 12.0, 4.0, 100)
+        ),
+        None,
+        "the same of both"
+    );
+}
+
+/// Against one invalid count that would spoil all that come after it.
+#[test]
+fn invalid_platform_counts_do_not_hide_a_bad_build() {
+    let mut w = Harness::new(many_agents_settings(5, 400));
+    w.update_endpoints(&entries(0..20, 7, None));
+    w.update_endpoints(&entries(20..22, 8, Some(900)));
+    w.update_rollout(canary_status(8, 1, 0.3));
+    w.balancer
+        .on_platform_counts(&counts_of(8, 0, 5.0, f64::NAN, 100));
+    w.balancer
+        .on_platform_counts(&counts_of(8, 0, f64::INFINITY, -3.0, 100));
+    for _ in 0..5 {
+        w.balancer
+            .on_platform_counts(&counts_of(7, 0, 400.0, 2.0, 100));
+        w.balancer
+            .on_platform_counts(&counts_of(8, 0, 40.0, 20.0, 100));
+        w.advance(ms(1000));
+    }
+    assert_eq!(w.last_verdict(), Some(Verdict::RollBack));
+}
+
+/// Against evidence that is dropped with its stage: platform counts are late, and the build is
+/// released by then.
+/// Harms a build that failed at first only.
+#[test]
+fn platform_counts_that_come_after_the_release_count_for_a_while() {
+    let verdict_after = |elapsed: Duration| {
+        let mut w = Harness::new(many_agents_settings(5, 400));
+        w.update_endpoints(&entries(0..20, 7, None));
+        w.update_endpoints(&entries(20..22, 8, Some(900)));
+        w.update_rollout(canary_status(8, 1, 0.3));
+        w.balancer
+            .on_platform_counts(&counts_of(7, 0, 400.0, 2.0, 100));
+        w.update_rollout(RolloutStatus {
+            phase: RolloutPhase::Released,
+            ..canary_status(8, 2, 1.0)
+        });
+        w.advance(elapsed);
+        w.balancer
+            .on_platform_counts(&counts_of(7, 0, 400.0, 2.0, 100));
+        w.balancer
+            .on_platform_counts(&counts_of(8, 0, 40.0, 20.0, 100));
+        w.advance(ms(500));
+        w.last_verdict()
+    };
+    assert_eq!(verdict_after(ms(100)), Some(Verdict::RollBack));
+    assert_eq!(
+        verdict_after(ms(16_000)),
+        None,
+        "a build that has served is not rolled back"
+    );
+}
+
+/// Against a fault on the way to some endpoints, at just the agents whose voices suffice to send
+/// back.
+#[test]
+fn does_not_roll_back_a_good_build_when_half_of_both_builds_is_unreachable() {
+    let mut d = many_agents_settings(11, 56);
+    (
+        d.rollout.votes_to_roll_back,
+        d.rollout.platform_counts,
+        d.key_affinity,
+        d.load_probes,
+    ) = (2, false, false, false);
+    let mut w = Harness::new(d);
+    w.update_endpoints(&entries(0..10, 7, None));
+    w.serve(60, 0, ms(40), |_| Outcome::Succeeded);
+    w.update_endpoints(&entries(10..16, 8, Some(3000)));
+    w.update_rollout(canary_status(8, 2, 1.0));
+    w.serve(300, 0, ms(40), |e| {
+        if e.endpoint % 2 == 0 {
+            Outcome::ConnectionLost
+        } else {
+            Outcome::Succeeded
+        }
+    });
+    assert!(
+        w.votes.iter().all(|v| v.1.verdict != Verdict::RollBack),
+        "{:?}",
+        w.log_lines
+    );
+}
+
+/// Against the first attempt of each of many agents: together they overload an endpoint in slow
+/// start.
+#[test]
+fn half_the_fleet_in_slow_start_gets_no_more_than_its_share_from_all_agents() {
+    // Nothing else holds them off: no affinity, no load reports.
+    let plain = |i: u64| Settings {
+        key_affinity: false,
+        load_probes: false,
+        ..many_agents_settings(i * 977 + 1, 300)
+    };
+    let mut fleet: Vec<Balancer> = (0..300)
+        .map(|i| Balancer::new(ms(1000), plain(i)))
+        .collect();
+    for balancer in &mut fleet {
+        balancer.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
+        let released = RolloutStatus {
+            phase: RolloutPhase::Released,
+            ..canary_status(1, 2, 1.0)
+        };
+        balancer.update_rollout(released);
+    }
+    let (mut id, mut warming, mut warm) = (0, [0usize; 10], 0);
+    for step in 0..1200u64 {
+        let now = ms(1000 + step * 10);
+        for (n, balancer) in fleet.iter_mut().enumerate() {
+            if step == 1000 {
+                balancer.update_endpoints(now, &entries(10..20, 1, Some(10_990)), false);
+            }
+            balancer.poll(now);
+            if (step + n as u64 * 7).is_multiple_of(25) {
+                id += 1;
+                let Some(i) = route_request(balancer, now, id, 0, id) else {
+                    continue;
+                };
+                let end = AttemptEnd {
+                    outcome: Outcome::Succeeded,
+                    latency: ms(60),
+                    request_closed: true,
+                    reported_load: Some(if i < 10 { 2.0 } else { 0.2 }),
+                };
+                balancer.on_attempt_end(now, id, 0, end);
+                // The first second and a half after the start.
+                if (1000..1150).contains(&step) {
+                    *(if i < 10 {
+                        &mut warm
+                    } else {
+                        &mut warming[i - 10]
+                    }) += 1;
+                }
+            }
+        }
+    }
+    // The slow start share at the end of that time, and seven tenths of the overload factor, of what
+    // a warm one got.
+    let part = (0.3 + 0.7 * 1.5 / 4.0) * 0.7 * 2.0 * warm as f64 / 10.0;
+    assert!(
+        warming.iter().all(|n| (*n as f64) < part),
+        "{warming:?} of which each may have {part}, warm {warm}"
+    );
+    // Not idle either: an agent whose turn it is takes it.
+    assert!(warming.iter().sum::<usize>() > 60, "{warming:?}");
+}
+
+/// Against agents that come back with nothing but a list: they keep to the first stage, and evaluate
+/// nothing.
+#[test]
+fn a_restarted_agent_exposes_only_idempotent_classes_and_does_not_vote() {
+    let mut w = Harness::new(many_agents_settings(3, 120));
+    w.update_endpoints(&entries(0..6, 7, None));
+    w.update_endpoints(&entries(6..12, 8, Some(500)));
+    for id in 0..200 {
+        if let Decision::Forward { endpoint, .. } =
+            w.send_request(id, 1 + id as usize % 2, ms(1500))
+        {
+            assert!(
+                endpoint < 6,
+                "an unannounced build counts as in the first stage"
+            );
+        }
+        w.advance(ms(20));
+        (0..12).for_each(|i| while w.end_at(i, Outcome::Succeeded) {});
+    }
+    assert_eq!(w.last_verdict(), None);
+}
+
+/// Chance alone is no difference: the same settings count nothing.
+#[test]
+fn counts_divergences_for_other_settings_but_none_for_the_same() {
+    let mut d = many_agents_settings(9, 120);
+    (d.rollout.guarded_stages, d.key_affinity, d.rollout.caps) = (0, false, vec![0.5, 0.5, 1.0]);
+    let other = AlternativeSettings {
+        guarded_stages: Some(1),
+        caps: Some(vec![0.02]),
+        key_affinity: Some(true),
+        ..AlternativeSettings::default()
+    };
+    let mut shadows = [
+        ShadowEvaluator::new(&d, &AlternativeSettings::default()),
+        ShadowEvaluator::new(&d, &other),
+    ];
+    let (mut balancer, mut plain) = (
+        Balancer::new(ms(1000), d.clone()),
+        Balancer::new(ms(1000), d),
+    );
+    for c in [&mut balancer, &mut plain] {
+        c.update_endpoints(ms(1000), &entries(0..6, 7, None), true);
+        c.update_endpoints(ms(1000), &entries(6..9, 8, Some(900)), false);
+        c.update_rollout(canary_status(8, 0, 0.5));
+    }
+    for id in 0..400 {
+        let (now, class) = (ms(1000 + id * 30), id as usize % 3);
+        for c in [&mut balancer, &mut plain] {
+            c.poll(now);
+            c.on_request(now, id, request(class, id % 9));
+        }
+        shadows
+            .iter_mut()
+            .for_each(|w| w.on_request(&balancer, class));
+        let answer = balancer.route(now, id);
+        assert_eq!(answer, plain.route(now, id), "it decides as before");
+        if let Decision::Forward { endpoint, .. } = answer {
+            shadows
+                .iter_mut()
+                .for_each(|w| w.on_attempt(now, &balancer, class, Some(id % 9), endpoint));
+        }
+        for c in [&mut balancer, &mut plain] {
+            c.on_attempt_end(
+                now,
+                id,
+                0,
+                AttemptEnd {
+                    outcome: Outcome::Succeeded,
+                    latency: ms(20),
+                    request_closed: true,
+                    reported_load: None,
+                },
+            );
+        }
+    }
+    let [same, other] = shadows.map(|w| w.divergences());
+    assert_eq!(
+        same,
+        Divergences {
+            attempts: same.attempts,
+            ..Divergences::default()
+        }
+    );
+    assert!(
+        other.guarded > 10 && other.exposure > 10 && other.affinity > 100,
+        "{other}"
+    );
+}
+
+fn succeeded(took: u64, reported_load: Option<f64>) -> AttemptEnd {
+    AttemptEnd {
+        outcome: Outcome::Succeeded,
+        latency: ms(took),
+        request_closed: true,
+        reported_load: reported_load,
+    }
+}
+
+fn plain(agents: u32) -> Balancer {
+    Balancer::new(
+        ms(1000),
+        Settings {
+            key_affinity: false,
+            load_probes: false,
+            ..many_agents_settings(7, agents)
+        },
+    )
+}
+
+/// Against hedged requests that slow all under overload: an agent of hundreds has one or two
+/// requests in flight, far under any limit of its own. Harms a request on a slow endpoint in a
+/// surge, which waits longer for its hedge.
+#[test]
+fn hedges_early_only_while_answers_are_fast() {
+    let hedges = |took: u64| {
+        let mut balancer = plain(300);
+        balancer.update_endpoints(ms(1000), &entries(0..10, 1, None), true);
+        for id in 0..200 {
+            let now = ms(1000 + id * 100);
+            balancer.poll(now);
+            route_request(&mut balancer, now, id, 0, id).unwrap();
+            balancer.on_attempt_end(now + ms(took), id, 0, succeeded(took, None));
+        }
+        balancer.poll(ms(21_500));
+        route_request(&mut balancer, ms(21_500), 1000, 0, 1).unwrap();
+        (216..219).for_each(|t| drop(balancer.poll(ms(t * 100))));
+        matches!(balancer.route(ms(21_830), 1000), Decision::Forward { .. })
+    };
+    assert!(hedges(40), "fast answers leave room for a hedge");
+    assert!(!hedges(200));
+}
+
+/// Against heavy requests on slow hardware that happens to be idle. Harms nothing where endpoint
+/// types are alike or no estimate comes.
+#[test]
+fn sends_heavy_requests_to_the_faster_endpoint_type() {
+    let mut balancer = plain(300);
+    balancer.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
+    let mut slow = [0, 0];
+    for id in 0..2400 {
+        let (now, heavy) = (ms(1000 + id * 20), id % 2 == 1);
+        balancer.poll(now);
+        let work = Some(ms(if heavy { 200 } else { 20 }));
+        balancer.on_request(
+            now,
+            id,
+            Request {
+                estimated_work: work,
+                ..request(0, id)
+            },
+        );
+        let Decision::Forward { endpoint, .. } = balancer.route(now, id) else {
+            panic!("nothing is in the way")
+        };
+        balancer.on_attempt_end(
+            now,
+            id,
+            0,
+            succeeded(if endpoint % 2 == 0 { 40 } else { 80 }, Some(2.0)),
+        );
+        slow[usize::from(heavy)] += usize::from(id > 400 && endpoint % 2 == 1);
+    }
+    assert!(slow[0] > 60 && slow[1] < 30, "of 1000 each: {slow:?}");
+}
+
+/// Against a bad build whose one failing class is rare: too few outcomes of the earlier build are
+/// left to set it against. Harms a class that the earlier build failed as badly and hardly ever
+/// had.
+#[test]
+fn detects_a_failing_rare_class_by_the_baseline_of_all_classes() {
+    let voted = |known: u64, fails: bool| {
+        let mut d = many_agents_settings(13, 120);
+        (
+            d.rollout.votes_to_roll_back,
+            d.rollout.platform_counts,
+            d.key_affinity,
+            d.load_probes,
+        ) = (4, false, false, false);
+        let mut w = Harness::new(d);
+        w.update_endpoints(&entries(0..10, 7, None));
+        w.serve(120, 0, ms(40), |_| Outcome::Succeeded);
+        w.serve(known, 2, ms(40), |_| Outcome::Succeeded);
+        w.update_endpoints(&entries(10..16, 8, Some(3000)));
+        w.update_rollout(canary_status(8, 2, 1.0));
+        w.advance(ms(4500));
+        w.update_endpoints(
+            &(0..10)
+                .map(|i| EndpointEntry {
+                    state: EndpointState::Draining,
+                    ..endpoint_entry(i, 7, None)
+                })
+                .collect::<Vec<_>>(),
+        );
+        w.serve(40, 0, ms(40), |_| Outcome::Succeeded);
+        w.serve(9, 2, ms(40), |e| {
+            if fails && e.endpoint != 12 {
+                Outcome::Failed
+            } else {
+                Outcome::Succeeded
+            }
+        });
+        w.votes.iter().any(|v| v.1.verdict != Verdict::Withdraw)
+    };
+    assert!(voted(4, true));
+    assert!(!voted(4, false), "nothing fails");
+    assert!(
+        !voted(0, true),
+        "a class that was never answered does not gate"
+    );
+}
+
+/// Against non-idempotent classes that would follow the capacity to the canary while a stage is guarded
+/// and the earlier endpoints grow fewer. Harms them: what the last ones cannot take is rejected.
+#[test]
+fn a_guarded_stage_exposes_only_idempotent_classes_however_few_earlier_endpoints_are_left() {
+    let mut w = Harness::new(Settings {
+        key_affinity: false,
+        load_probes: false,
+        ..many_agents_settings(17, 120)
+    });
+    w.update_endpoints(&entries(0..6, 7, None));
+    (0..3).for_each(|class| w.serve(40, class, ms(20), |_| Outcome::Succeeded));
+    w.update_endpoints(&entries(6..12, 8, Some(3000)));
+    w.update_rollout(canary_status(8, 0, 0.3));
+    w.advance(ms(4500));
+    let before = w.requests.len() as u64;
+    for left in (1..6).rev() {
+        w.update_endpoints(&[EndpointEntry {
+            state: EndpointState::Draining,
+            ..endpoint_entry(left, 7, None)
+        }]);
+        (0..3).for_each(|class| w.serve(20, class, ms(20), |_| Outcome::Succeeded));
+    }
+    let at_canary = |class| {
+        let of_class = w.requests.range(before..).filter(|(_, h)| h.class == class);
+        of_class
+            .flat_map(|(_, h)| &h.attempts)
+            .filter(|d| d.endpoint >= 6)
+            .count()
+    };
+    assert_eq!((at_canary(1), at_canary(2)), (0, 0));
+    assert!(
+        at_canary(0) > 10,
+        "idempotent requests show what the build does: {}",
+        at_canary(0)
+    );
+}
