--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -2,145 +2,20 @@
 //! rules as it goes.
 #![allow(dead_code)] // each test file uses a part of it
 
+mod fixtures;
+mod rules;
+
+pub use fixtures::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::*;
 
-pub fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
-pub fn default_settings(seed: u64) -> Settings {
-    let class = |latency_objective, priority_weight, idempotency| RequestClass {
-        latency_objective: ms(latency_objective),
-        priority_weight,
-        idempotency,
-    };
-    Settings {
-        seed,
-        agents: 3,
-        zone: 0,
-        classes: vec![
-            class(400, 2.0, Idempotency::Idempotent),
-            class(
-                400,
-                2.0,
-                Idempotency::Keyed {
-                    scope: DeduplicationScope::Zone,
-                    window: ms(900),
-                },
-            ),
-            class(600, 6.0, Idempotency::NonIdempotent),
-        ],
-        tenants: vec![Tenant { share: 0.6 }, Tenant { share: 0.4 }],
-        weight_by_work: false,
-        list_polled: false,
-        shared_discovery: false,
-        max_poll_interval: ms(10_000),
-        hedging: false,
-        cancellation: true,
-        retry_after: Some(ms(2000)),
-        max_attempts: 4,
-        cross_zone_price: 0.0,
-        slow_start_share: 0.3,
-        slow_start_duration: ms(4000),
-        overload_window: ms(2000),
-        overload_factor: 3.0,
-        load_probes: false,
-        key_affinity: false,
-        timer_granularity: ms(5),
-        rollout: RolloutPolicy {
-            caps: vec![0.2, 0.5, 1.0],
-            exposure_burst: 2.0,
-            cap_per_class: false,
-            guarded_stages: 0,
-            sticky_builds: false,
-            timed_stages: true,
-            in_place: false,
-            votes_to_roll_back: 1,
-            votes_to_hold: 1,
-            platform_counts: false,
-            vote_ttl: ms(6000),
-            vote_timeout: ms(1000),
-            votes_per_second: 40.0,
-            reported_error_share: 0.5,
-        },
-    }
-}
-
-pub fn endpoint_entry(endpoint: usize, build: u32, started: Option<u64>) -> EndpointEntry {
-    let (zone, cell) = (endpoint % 2, endpoint as u64 % 3);
-    EndpointEntry {
-        endpoint,
-        zone,
-        cell,
-        identity: endpoint as u64,
-        endpoint_type: 0,
-        build,
-        state: EndpointState::Running,
-        started: started.map(ms),
-    }
-}
-
-pub fn canary_status(build: u32, stage: usize, cap: f64) -> RolloutStatus {
-    RolloutStatus {
-        build,
-        stage,
-        phase: RolloutPhase::Canary,
-        cap,
-        since: ms(1000),
-    }
-}
-
-/// Eight endpoints of build 7 that have answered, and two of build 8 as a canary, warm.
-pub fn canary_rollout(change: fn(&mut Settings)) -> Harness {
-    let mut d = default_settings(11);
-    change(&mut d);
-    let mut w = Harness::new(d);
-    w.update_endpoints(
-        &(0..8)
-            .map(|i| endpoint_entry(i, 7, None))
-            .collect::<Vec<_>>(),
-    );
-    w.update_rollout(RolloutStatus {
-        phase: RolloutPhase::Released,
-        ..canary_status(7, 0, 1.0)
-    });
-    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
-    w.update_rollout(canary_status(8, 0, 0.5));
-    w.update_endpoints(&[
-        endpoint_entry(8, 8, Some(1100)),
-        endpoint_entry(9, 8, Some(1100)),
-    ]);
-    w.advance(ms(4200));
-    w
-}
-
-pub fn failing(build: u32) -> impl Fn(&EndpointEntry) -> Outcome {
-    move |e| outcome_if(e.build == build, Outcome::Failed)
-}
-
-pub fn outcome_if(is: bool, outcome: Outcome) -> Outcome {
-    if is {
-        outcome
-    } else {
-        Outcome::Succeeded
-    }
-}
-
-pub fn attempts_to(w: &Harness, build: u32) -> usize {
-    w.forwarded
-        .iter()
-        .filter(|(_, i)| w.endpoints[i].build == build)
-        .count()
-}
-
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub endpoint: usize,
     pub sent: Duration,
     pub ended: Option<Outcome>,
-    times_out_at: Duration,
+    pub times_out_at: Duration,
 }
 
 pub struct TrackedRequest {
@@ -315,100 +190,24 @@
         self.apply(id, answer);
     }
 
-    fn apply(&mut self, id: u64, answer: Decision) {
-        let h = self.requests.get_mut(&id).unwrap();
-        let (class, now) = (h.class, self.now);
-        let ran = |d: &SentAttempt| d.ended.is_none_or(|o| !o.never_ran());
-        match answer.clone() {
+    fn apply(&mut self, id: u64, decision: Decision) {
+        match decision {
             Decision::Forward {
                 endpoint,
                 timeout,
                 recheck_at,
-            } => {
-                assert!(
-                    h.answers.is_empty(),
-                    "nothing is sent after the final answer"
-                );
-                assert!(now < h.deadline && h.attempts.len() < self.settings.max_attempts);
-                let in_flight = h.attempts.iter().filter(|d| d.ended.is_none()).count();
-                assert!(in_flight == 0 || self.settings.hedging && in_flight == 1);
-                let e = self.endpoints[&endpoint].clone();
-                match self.settings.classes[class].idempotency {
-                    Idempotency::Idempotent => {}
-                    Idempotency::NonIdempotent => {
-                        assert!(!h.attempts.iter().any(ran), "it may have run")
-                    }
-                    Idempotency::Keyed {
-                        scope: group,
-                        window,
-                    } => {
-                        for d in h.attempts.iter().filter(|d| ran(d)) {
-                            let o = &self.endpoints[&d.endpoint];
-                            let here = match group {
-                                DeduplicationScope::All => true,
-                                DeduplicationScope::Zone => o.zone == e.zone,
-                                DeduplicationScope::Cell => o.cell == e.cell,
-                            };
-                            assert!(here && now < d.sent + window, "outside its group or window");
-                        }
-                    }
-                }
-                let rollout_status = self
-                    .status
-                    .as_ref()
-                    .filter(|t| matches!(t.phase, RolloutPhase::Canary | RolloutPhase::Released));
-                let floor = rollout_status.filter(|t| {
-                    self.sticky_builds
-                        .get(&(id % 7))
-                        .is_some_and(|b| *b >= t.build)
-                });
-                assert!(
-                    !self.settings.rollout.sticky_builds
-                        || floor.is_none_or(|t| e.build >= t.build),
-                    "sticky build"
-                );
-                assert_eq!(
-                    e.state,
-                    EndpointState::Running,
-                    "nothing to a draining or gone endpoint"
-                );
-                let times_out_at = h.deadline.min(now + timeout);
-                h.attempts.push(SentAttempt {
-                    endpoint,
-                    sent: now,
-                    ended: None,
-                    times_out_at,
-                });
-                h.recheck_at = recheck_at;
-                self.forwarded.push((now, endpoint));
-                self.check_slow_start(&e);
-                self.check_exposure(&e, class);
-            }
+            } => self.forward(id, endpoint, timeout, recheck_at),
             Decision::Defer { until } => {
-                assert!(until > now);
-                h.recheck_at = Some(until);
+                assert!(until > self.now);
+                self.request_mut(id).recheck_at = Some(until);
             }
             Decision::Reject { .. } => {
-                let is_safe = match self.settings.classes[class].idempotency {
-                    Idempotency::Idempotent => true,
-                    // Its client may retry half a second later, and the repeat must be recognized
-                    // then.
-                    Idempotency::Keyed {
-                        scope: DeduplicationScope::All,
-                        window,
-                    } => h
-                        .attempts
-                        .iter()
-                        .filter(|d| ran(d))
-                        .all(|d| now + ms(500) < d.sent + window),
-                    _ => !h.attempts.iter().any(ran),
-                };
-                assert!(is_safe, "rejected though it may have run");
-                h.answers.push(answer);
+                self.check_rejection(&self.requests[&id]);
+                self.request_mut(id).answers.push(decision);
             }
-            Decision::Fail => h.answers.push(answer),
+            Decision::Fail => self.request_mut(id).answers.push(decision),
             Decision::Cancel { attempt } => {
-                if h.attempts[attempt].ended.is_none() {
+                if self.requests[&id].attempts[attempt].ended.is_none() {
                     self.end_attempt(id, attempt, Outcome::Cancelled);
                 }
                 return;
@@ -418,82 +217,32 @@
         assert!(self.requests[&id].answers.len() <= 1, "one final answer");
     }
 
-    fn check_slow_start(&self, e: &EndpointEntry) {
-        if e.started
-            .is_none_or(|s| s + self.settings.slow_start_duration <= self.now)
-        {
-            return;
-        }
-        let since_listed = self.listed_at[&e.endpoint];
-        let recent = |t: Duration| t + self.settings.overload_window > self.now && t <= self.now;
-        let is_warming = |l: &EndpointEntry| {
-            l.started
-                .is_some_and(|s| s + self.settings.slow_start_duration > self.now)
-        };
-        let running = self
-            .endpoints
-            .values()
-            .filter(|l| l.state == EndpointState::Running);
-        let all = running.clone().count() as f64;
-        let warm = (running.filter(|l| !is_warming(l)).count() as f64).max(all / 2.0);
-        let here = self.forwarded[since_listed..]
-            .iter()
-            .filter(|(t, i)| recent(*t) && *i == e.endpoint)
-            .count();
-        // Attempts in the busiest window so far: the pace of warm endpoints is remembered.
-        let span = self.settings.overload_window;
-        let within = |from: Duration| {
-            self.forwarded
-                .iter()
-                .filter(|s| s.0 >= from && s.0 < from + span)
-                .count()
-        };
-        let most = self
-            .forwarded
-            .iter()
-            .map(|s| within(s.0))
-            .max()
-            .unwrap_or(0) as f64;
-        let part = 0.7 * self.settings.overload_factor;
-        assert!(
-            here as f64 <= 2.0 + 2.0 * part * most / warm,
-            "an endpoint in slow start got {here}, all at most {most}"
-        );
+    fn request_mut(&mut self, id: u64) -> &mut TrackedRequest {
+        self.requests.get_mut(&id).unwrap()
     }
 
-    fn check_exposure(&mut self, e: &EndpointEntry, class: usize) {
-        if !self.is_canary(e.build) {
-            return;
-        }
-        let r = &self.settings.rollout;
-        let rollout_status = self.status.as_ref().filter(|n| n.build == e.build);
-        let (stage, cap) = rollout_status.map_or((0, r.caps[0]), |n| (n.stage, n.cap));
-        assert!(cap > 0.0, "nothing at cap 0");
-        assert!(
-            stage >= r.guarded_stages
-                || self.settings.classes[class].idempotency == Idempotency::Idempotent,
-            "guarded stage"
-        );
-        self.canary_attempts.push((self.now, e.build, class));
-        let ours = |l: usize| !r.cap_per_class || l == class;
-        let counted = &self.canary_attempts[self.exposure_counted_from..];
-        let starts: Vec<Duration> = counted.iter().map(|x| x.0).collect();
-        for from in starts.into_iter().filter(|t| *t + ms(3000) > self.now) {
-            let sent = counted
-                .iter()
-                .filter(|x| x.0 >= from && x.1 == e.build && ours(x.2))
-                .count() as f64;
-            // Strictest: only requests that came after the window began, or in the same step.
-            let came = self
-                .arrivals
-                .iter()
-                .filter(|x| x.0 >= from && ours(x.1))
-                .count() as f64;
-            assert!(
-                sent <= r.exposure_burst + cap * came + 1e-9,
-                "{sent} attempts, {came} requests at {cap}"
-            );
-        }
+    fn forward(
+        &mut self,
+        id: u64,
+        endpoint: usize,
+        timeout: Duration,
+        recheck_at: Option<Duration>,
+    ) {
+        let now = self.now;
+        let entry = self.endpoints[&endpoint].clone();
+        self.check_attempt(id, &entry);
+        let request = self.request_mut(id);
+        let class = request.class;
+        request.attempts.push(SentAttempt {
+            endpoint,
+            sent: now,
+            ended: None,
+            times_out_at: request.deadline.min(now + timeout),
+        });
+        request.recheck_at = recheck_at;
+        self.forwarded.push((now, endpoint));
+        self.check_slow_start(&entry);
+        self.check_exposure(&entry, class);
     }
 
     /// Lets time pass in steps of one tick, as the adapter would: timers, time-outs, votes.
@@ -501,44 +250,48 @@
         let end = self.now + span;
         while self.now < end {
             self.now += self.settings.timer_granularity;
-            let ids: Vec<u64> = self
-                .requests
-                .iter()
-                .filter(|h| h.1.busy())
-                .map(|h| *h.0)
-                .collect();
-            for id in ids {
-                let late = |d: &SentAttempt| d.ended.is_none() && self.now >= d.times_out_at;
-                let over = self.requests[&id].attempts.iter().position(late);
-                if let Some(n) = over {
-                    self.end_attempt(id, n, Outcome::TimedOut);
-                }
-                let h = self.requests.get_mut(&id).unwrap();
-                let due = h.answers.is_empty() && h.recheck_at.is_some_and(|t| self.now >= t);
-                if due {
-                    h.recheck_at = None;
-                    let answer = self.balancer.route(self.now, id);
-                    self.apply(id, answer);
-                }
-                let h = &self.requests[&id];
-                assert!(
-                    !h.answers.is_empty() || self.now < h.deadline + ms(20),
-                    "request {id} was lost"
-                );
+            let busy = self.requests.iter().filter(|(_, r)| r.busy());
+            let busy: Vec<u64> = busy.map(|(id, _)| *id).collect();
+            for id in busy {
+                self.tick_request(id);
             }
             if self.now >= self.next_poll {
-                let due = self.balancer.poll(self.now);
-                assert!(due.next_poll > self.now);
-                self.next_poll = due.next_poll;
-                self.list_calls += usize::from(due.open_watch);
-                self.log_lines.extend(due.log_lines);
-                if let Some(v) = due.vote {
-                    self.votes.push((self.now, v));
-                }
+                self.poll();
             }
         }
     }
 
+    fn tick_request(&mut self, id: u64) {
+        let is_late = |a: &SentAttempt| a.ended.is_none() && self.now >= a.times_out_at;
+        if let Some(number) = self.requests[&id].attempts.iter().position(is_late) {
+            self.end_attempt(id, number, Outcome::TimedOut);
+        }
+        let now = self.now;
+        let request = self.request_mut(id);
+        let is_due = request.answers.is_empty() && request.recheck_at.is_some_and(|t| now >= t);
+        if is_due {
+            request.recheck_at = None;
+            let decision = self.balancer.route(now, id);
+            self.apply(id, decision);
+        }
+        let request = &self.requests[&id];
+        assert!(
+            !request.answers.is_empty() || self.now < request.deadline + ms(20),
+            "request {id} was lost"
+        );
+    }
+
+    fn poll(&mut self) {
+        let due = self.balancer.poll(self.now);
+        assert!(due.next_poll > self.now);
+        self.next_poll = due.next_poll;
+        self.list_calls += usize::from(due.open_watch);
+        self.log_lines.extend(due.log_lines);
+        if let Some(vote) = due.vote {
+            self.votes.push((self.now, vote));
+        }
+    }
+
     /// `n` idempotent requests, each answered after `took` by `outcome` of the endpoint it went to.
     pub fn serve(
         &mut self,
--- a/tests/independent_agents.rs
+++ b/tests/independent_agents.rs
@@ -186,7 +186,8 @@
 /// answered by then.
 struct Scenario {
     agents: Vec<Balancer>,
-    requests_per_step: f64, // requests of an agent in 5 ms
+    /// Requests of an agent in 5 ms.
+    requests_per_step: f64,
     time_left: Duration,
     leave: Option<Duration>,
     seed: u64,
@@ -194,183 +195,285 @@
     wrong_share: f64,
 }
 
-const RECHECK: usize = usize::MAX;
-const LEAVE: usize = usize::MAX - 1;
+/// What becomes of a request later.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    /// The attempt of this number ends.
+    AttemptEnd(usize),
+    /// The client goes away.
+    Leave,
+    /// The balancer asked to be called again.
+    Recheck,
+}
+
+struct AttemptInFlight {
+    latency: Duration,
+    outcome: Outcome,
+    sent_at: Duration,
+}
+
+struct ReportedError {
+    at: Duration,
+    agent: usize,
+    endpoint: usize,
+}
+
+struct Simulation<'a> {
+    scenario: Scenario,
+    behavior: Behavior<'a>,
+    now: Duration,
+    random: Pcg64Mcg,
+    /// By time, agent and request.
+    pending: BTreeSet<(Duration, usize, u64, Event)>,
+    /// By agent, request and number.
+    in_flight: BTreeMap<(usize, u64, usize), AttemptInFlight>,
+    /// By agent and request.
+    attempts_sent: BTreeMap<(usize, u64), usize>,
+    /// By agent and request.
+    last_endpoint: BTreeMap<(usize, u64), usize>,
+    reported_errors: Vec<ReportedError>,
+    votes: Votes,
+}
 
 fn play(scenario: Scenario, behavior: Behavior) -> Votes {
-    let Scenario {
-        mut agents,
-        requests_per_step,
-        time_left,
-        leave,
-        seed,
-        load_factor,
-        wrong_share,
-    } = scenario;
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let list = |of: std::ops::Range<usize>, build, started| -> Vec<EndpointEntry> {
-        of.map(|i| endpoint_entry(i, build, started)).collect()
+    let mut simulation = Simulation {
+        random: Pcg64Mcg::seed_from_u64(scenario.seed),
+        scenario,
+        behavior,
+        now: Duration::ZERO,
+        pending: BTreeSet::new(),
+        in_flight: BTreeMap::new(),
+        attempts_sent: BTreeMap::new(),
+        last_endpoint: BTreeMap::new(),
+        reported_errors: Vec::new(),
+        votes: BTreeMap::new(),
     };
-    let mut voted = BTreeMap::<_, BTreeMap<_, _>>::new();
-    let mut pending: BTreeSet<(Duration, usize, u64, usize)> = BTreeSet::new(); // when, agent, request, attempt
-    let mut attempts_in_flight: BTreeMap<(usize, u64, usize), (Duration, Outcome, Duration)> =
-        BTreeMap::new();
-    let mut sent: BTreeMap<(usize, u64), usize> = BTreeMap::new();
-    let mut last_endpoint: BTreeMap<(usize, u64), usize> = BTreeMap::new();
-    let mut reported_errors: Vec<(Duration, usize, usize)> = Vec::new();
-    for step in 0..3600u64 {
-        let now = ms(1000 + step * 5);
-        for (n, balancer) in agents.iter_mut().enumerate() {
-            match step {
-                0 => {
-                    let released = RolloutStatus {
-                        phase: RolloutPhase::Released,
-                        ..canary_status(1, 2, 1.0)
-                    };
-                    balancer.update_rollout(RolloutStatus {
-                        since: Duration::ZERO,
-                        ..released
-                    });
-                    balancer.update_endpoints(now, &list(0..60, 1, None), true);
-                }
-                1000 => balancer.update_rollout(RolloutStatus {
-                    since: now,
-                    ..canary_status(2, 0, 0.16)
-                }),
-                1200 => balancer.update_endpoints(now, &list(60..65, 2, Some(6900)), false),
-                1800 => balancer.update_rollout(RolloutStatus {
-                    since: now,
-                    ..canary_status(2, 1, 1.0)
-                }),
-                2000 => balancer.update_endpoints(now, &list(65..96, 2, Some(10_900)), false),
-                _ => {}
+    for step in 0..3600 {
+        simulation.now = ms(1000 + step * 5);
+        for agent in 0..simulation.scenario.agents.len() {
+            simulation.step(step, agent);
+        }
+    }
+    simulation.votes
+}
+
+fn endpoints(
+    range: std::ops::Range<usize>,
+    build: u32,
+    started: Option<u64>,
+) -> Vec<EndpointEntry> {
+    range.map(|i| endpoint_entry(i, build, started)).collect()
+}
+
+impl Simulation<'_> {
+    fn step(&mut self, step: u64, agent: usize) {
+        self.publish(step, agent);
+        self.report_errors(agent);
+        self.poll(agent);
+        let mut decisions = self.handle_events(agent);
+        decisions.extend(self.send_request(step, agent));
+        while let Some((id, decision)) = decisions.pop() {
+            decisions.extend(self.apply(agent, id, decision));
+        }
+    }
+
+    /// What discovery and the rollout platform publish at this step.
+    fn publish(&mut self, step: u64, agent: usize) {
+        let now = self.now;
+        let balancer = &mut self.scenario.agents[agent];
+        match step {
+            0 => {
+                balancer.update_rollout(RolloutStatus {
+                    phase: RolloutPhase::Released,
+                    since: Duration::ZERO,
+                    ..canary_status(1, 2, 1.0)
+                });
+                balancer.update_endpoints(now, &endpoints(0..60, 1, None), true);
             }
-            reported_errors.retain(|(at, agent, endpoint)| {
-                if *agent == n && *at <= now {
-                    balancer.on_client_reported_error(now, *endpoint, 0, ms(2000));
-                }
-                *agent != n || *at > now
-            });
-            let due = balancer.poll(now);
-            if let Some(v) = due.vote {
-                let said = match v.verdict {
-                    Verdict::Hold => "hold",
-                    Verdict::RollBack => "back",
-                    Verdict::Withdraw => "none",
-                };
-                voted.entry(said).or_default().entry(n).or_insert(now);
-                balancer.on_vote_reply(now, VoteReply::Counted);
+            1000 => balancer.update_rollout(RolloutStatus {
+                since: now,
+                ..canary_status(2, 0, 0.16)
+            }),
+            1200 => balancer.update_endpoints(now, &endpoints(60..65, 2, Some(6900)), false),
+            1800 => balancer.update_rollout(RolloutStatus {
+                since: now,
+                ..canary_status(2, 1, 1.0)
+            }),
+            2000 => balancer.update_endpoints(now, &endpoints(65..96, 2, Some(10_900)), false),
+            _ => {}
+        }
+    }
+
+    fn report_errors(&mut self, agent: usize) {
+        let now = self.now;
+        let balancer = &mut self.scenario.agents[agent];
+        self.reported_errors.retain(|error| {
+            let is_due = error.agent == agent && error.at <= now;
+            if is_due {
+                balancer.on_client_reported_error(now, error.endpoint, 0, ms(2000));
             }
-            let mut decisions: Vec<(u64, Decision)> = Vec::new();
-            let dues: Vec<_> = pending
-                .iter()
-                .take_while(|o| o.0 <= now)
-                .filter(|o| o.1 == n)
-                .copied()
-                .collect();
-            for o in dues {
-                pending.remove(&o);
-                let at_work = (n, o.2, 0)..(n, o.2, LEAVE);
-                if o.3 == LEAVE && attempts_in_flight.range(at_work.clone()).next().is_some() {
-                    balancer.close_request(o.2);
-                    let gone: Vec<_> = attempts_in_flight
-                        .range(at_work)
-                        .map(|(key, e)| (*key, e.2))
-                        .collect();
-                    for (key, began) in gone {
-                        attempts_in_flight.remove(&key);
-                        let took = now - began;
-                        let end = AttemptEnd {
-                            outcome: Outcome::Cancelled,
-                            latency: took,
-                            request_closed: true,
-                            reported_load: None,
-                        };
-                        balancer.on_attempt_end(now, key.1, key.2, end);
-                    }
-                }
-                match attempts_in_flight.remove(&(n, o.2, o.3)) {
-                    Some((took, outcome, _)) => {
-                        let closed = outcome == Outcome::Succeeded;
-                        if let Some(endpoint) = last_endpoint.remove(&(n, o.2)) {
-                            if endpoint >= 60 && rng.gen_bool(wrong_share) {
-                                reported_errors.push((now + ms(2000), n, endpoint));
-                            }
-                        }
-                        decisions.push((
-                            o.2,
-                            balancer.on_attempt_end(
-                                now,
-                                o.2,
-                                o.3,
-                                AttemptEnd {
-                                    outcome,
-                                    latency: took,
-                                    request_closed: closed,
-                                    reported_load: None,
-                                },
-                            ),
-                        ));
-                    }
-                    None if o.3 == RECHECK => decisions.push((o.2, balancer.route(now, o.2))),
-                    None => {}
+            !is_due
+        });
+    }
+
+    fn poll(&mut self, agent: usize) {
+        let balancer = &mut self.scenario.agents[agent];
+        let Some(vote) = balancer.poll(self.now).vote else {
+            return;
+        };
+        let verdict = match vote.verdict {
+            Verdict::Hold => "hold",
+            Verdict::RollBack => "back",
+            Verdict::Withdraw => "none",
+        };
+        let voters = self.votes.entry(verdict).or_default();
+        voters.entry(agent).or_insert(self.now);
+        balancer.on_vote_reply(self.now, VoteReply::Counted);
+    }
+
+    fn handle_events(&mut self, agent: usize) -> Vec<(u64, Decision)> {
+        let due: Vec<_> = self
+            .pending
+            .iter()
+            .take_while(|(at, ..)| *at <= self.now)
+            .filter(|(_, of_agent, ..)| *of_agent == agent)
+            .copied()
+            .collect();
+        let mut decisions = Vec::new();
+        for event in due {
+            self.pending.remove(&event);
+            let (_, _, id, event) = event;
+            let decision = match event {
+                Event::AttemptEnd(number) => self.end_attempt(agent, id, number),
+                Event::Leave => {
+                    self.leave(agent, id);
+                    None
                 }
+                Event::Recheck => Some(self.scenario.agents[agent].route(self.now, id)),
+            };
+            decisions.extend(decision.map(|decision| (id, decision)));
+        }
+        decisions
+    }
+
+    fn end_attempt(&mut self, agent: usize, id: u64, number: usize) -> Option<Decision> {
+        let attempt = self.in_flight.remove(&(agent, id, number))?;
+        if let Some(endpoint) = self.last_endpoint.remove(&(agent, id)) {
+            if endpoint >= 60 && self.random.gen_bool(self.scenario.wrong_share) {
+                self.reported_errors.push(ReportedError {
+                    at: self.now + ms(2000),
+                    agent,
+                    endpoint,
+                });
             }
-            if rng.gen_bool(requests_per_step * if step > 1600 { load_factor } else { 1.0 }) {
-                let class = [0, 0, 0, 0, 1, 1, 1, 1, 2][rng.gen_range(0..9)];
-                let id = step * 100 + n as u64;
-                balancer.on_request(
-                    now,
-                    id,
-                    Request {
-                        class,
-                        tenant: Some(0),
-                        key: None,
-                        time_left: time_left,
-                        estimated_work: None,
-                        is_retry: false,
-                    },
-                );
-                let leaves = leave.filter(|_| rng.gen_bool(1.0 / 3.0));
-                pending.extend(leaves.map(|after| (now + after, n, id, LEAVE)));
-                decisions.push((id, balancer.route(now, id)));
+        }
+        let end = AttemptEnd {
+            outcome: attempt.outcome,
+            latency: attempt.latency,
+            request_closed: attempt.outcome == Outcome::Succeeded,
+            reported_load: None,
+        };
+        Some(self.scenario.agents[agent].on_attempt_end(self.now, id, number, end))
+    }
+
+    /// The client goes away: its attempts in flight are cancelled.
+    fn leave(&mut self, agent: usize, id: u64) {
+        let numbers: Vec<usize> = self
+            .in_flight
+            .range((agent, id, 0)..=(agent, id, usize::MAX))
+            .map(|((_, _, number), _)| *number)
+            .collect();
+        if numbers.is_empty() {
+            return;
+        }
+        self.scenario.agents[agent].close_request(id);
+        for number in numbers {
+            let attempt = self.in_flight.remove(&(agent, id, number)).unwrap();
+            self.cancelled(agent, id, number, self.now - attempt.sent_at);
+        }
+    }
+
+    fn cancelled(&mut self, agent: usize, id: u64, number: usize, latency: Duration) -> Decision {
+        let end = AttemptEnd {
+            outcome: Outcome::Cancelled,
+            latency,
+            request_closed: true,
+            reported_load: None,
+        };
+        self.scenario.agents[agent].on_attempt_end(self.now, id, number, end)
+    }
+
+    fn send_request(&mut self, step: u64, agent: usize) -> Option<(u64, Decision)> {
+        let load_factor = if step > 1600 {
+            self.scenario.load_factor
+        } else {
+            1.0
+        };
+        let probability = self.scenario.requests_per_step * load_factor;
+        if !self.random.gen_bool(probability) {
+            return None;
+        }
+        let request = Request {
+            class: [0, 0, 0, 0, 1, 1, 1, 1, 2][self.random.gen_range(0..9)],
+            tenant: Some(0),
+            key: None,
+            time_left: self.scenario.time_left,
+            estimated_work: None,
+            is_retry: false,
+        };
+        let id = step * 100 + agent as u64;
+        self.scenario.agents[agent].on_request(self.now, id, request);
+        if let Some(after) = self.scenario.leave {
+            if self.random.gen_bool(1.0 / 3.0) {
+                let leave = (self.now + after, agent, id, Event::Leave);
+                self.pending.insert(leave);
             }
-            while let Some((id, answer)) = decisions.pop() {
-                match answer {
-                    Decision::Forward {
-                        endpoint,
-                        recheck_at,
-                        ..
-                    } => {
-                        let attempt = sent.entry((n, id)).or_default();
-                        let build = if endpoint < 60 { 1 } else { 2 };
-                        let (outcome, took) = behavior(&mut rng, now, endpoint, build);
-                        pending.insert((now + took, n, id, *attempt));
-                        attempts_in_flight.insert((n, id, *attempt), (took, outcome, now));
-                        *attempt += 1;
-                        last_endpoint.insert((n, id), endpoint);
-                        pending.extend(recheck_at.map(|at| (at, n, id, RECHECK)));
-                    }
-                    Decision::Defer { until } => {
-                        pending.insert((until, n, id, RECHECK));
-                    }
-                    Decision::Cancel { attempt } => {
-                        if let Some((took, ..)) = attempts_in_flight.remove(&(n, id, attempt)) {
-                            let end = AttemptEnd {
-                                outcome: Outcome::Cancelled,
-                                latency: took,
-                                request_closed: true,
-                                reported_load: None,
-                            };
-                            decisions.push((id, balancer.on_attempt_end(now, id, attempt, end)));
-                        }
-                    }
-                    _ => {}
-                }
+        }
+        Some((id, self.scenario.agents[agent].route(self.now, id)))
+    }
+
+    fn apply(&mut self, agent: usize, id: u64, decision: Decision) -> Option<(u64, Decision)> {
+        match decision {
+            Decision::Forward {
+                endpoint,
+                recheck_at,
+                ..
+            } => {
+                self.forward(agent, id, endpoint);
+                let recheck = recheck_at.map(|at| (at, agent, id, Event::Recheck));
+                self.pending.extend(recheck);
+                None
+            }
+            Decision::Defer { until } => {
+                self.pending.insert((until, agent, id, Event::Recheck));
+                None
+            }
+            Decision::Cancel { attempt } => {
+                let cancelled = self.in_flight.remove(&(agent, id, attempt))?;
+                Some((id, self.cancelled(agent, id, attempt, cancelled.latency)))
             }
+            _ => None,
         }
     }
-    voted
+
+    fn forward(&mut self, agent: usize, id: u64, endpoint: usize) {
+        let number = self.attempts_sent.entry((agent, id)).or_default();
+        let build = if endpoint < 60 { 1 } else { 2 };
+        let (outcome, latency) = (self.behavior)(&mut self.random, self.now, endpoint, build);
+        let ends_at = self.now + latency;
+        self.pending
+            .insert((ends_at, agent, id, Event::AttemptEnd(*number)));
+        self.in_flight.insert(
+            (agent, id, *number),
+            AttemptInFlight {
+                latency,
+                outcome,
+                sent_at: self.now,
+            },
+        );
+        *number += 1;
+        self.last_endpoint.insert((agent, id), endpoint);
+    }
 }
 
 /// Six agents, of which each sees eight requests a second that take 2.3 s each, on hardware of
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -446,7 +446,7 @@
         outcome: Outcome::Succeeded,
         latency: ms(took),
         request_closed: true,
-        reported_load: reported_load,
+        reported_load,
     }
 }
 
