--- a/crates/agent/src/cli/demo.rs
+++ b/crates/agent/src/cli/demo.rs
@@ -10,7 +10,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipwall_config::Door;
-use tulipwall_testkit::{classes, Caller, Link, Load, Offer, Program, Ways, World};
+use tulipwall_testkit::{
+    classes, AgentProcess, EndpointBehavior, Link, Load, StagedRollout, TestClient, TestCluster,
+};
 use tulipwall_zones::Document;
 
 const ZONES: [&str; 2] = ["akl-east", "akl-west"];
@@ -52,22 +54,22 @@
     }
 }
 
-fn ways() -> Ways {
-    Ways {
+fn ways() -> EndpointBehavior {
+    EndpointBehavior {
         work: Duration::from_millis(8),
-        steady: 0.4,
+        fixed_work_share: 0.4,
         cores: 2,
-        value: 400,
-        ..Ways::default()
+        value_bytes: 400,
+        ..EndpointBehavior::default()
     }
 }
 
 /// Plays it; whether every command had its answer.
 fn play(rate: f64) -> io::Result<bool> {
-    let world = Arc::new(World::new(&ZONES, classes())?);
+    let world = Arc::new(TestCluster::new(&ZONES, classes())?);
     for (zone, name) in ZONES.iter().enumerate() {
         for n in 0..EACH {
-            world.endpoint(zone, &format!("{name}-{n}"), 41, ways())?;
+            world.add_endpoint(zone, &format!("{name}-{n}"), 41, ways())?;
         }
     }
     link(&world);
@@ -85,13 +87,13 @@
     println!("What is set for the zones:\n\n{text}");
     let installation = file.display().to_string();
     let arguments = ["run", "--installation", installation.as_str()];
-    let agent = Program::start(
+    let agent = AgentProcess::start(
         std::env::current_exe()?,
         world.configuration("demo", 0)?,
         &arguments,
     )?;
     let address = agent.address()?;
-    Caller::connect(address)?;
+    TestClient::connect(address)?;
     let wait = Duration::from_millis(1500);
     let classes = [
         ("view", 4.0, false),
@@ -101,14 +103,14 @@
     let load = Load {
         agent: address,
         rate,
-        span: Duration::from_secs(ENDS),
+        duration: Duration::from_secs(ENDS),
         classes: classes
             .map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed))
             .to_vec(),
         connections: 200,
         seed: 1,
     };
-    let (begun, load) = (Instant::now(), load.begin());
+    let (begun, load) = (Instant::now(), load.start());
     let (released, door) = (Arc::new(AtomicBool::new(false)), Door::Unix(socket));
     println!("  time   taken  near  cross   over  build 42   what happens");
     let (mut before, mut offer) = (Sums::default(), None);
@@ -125,26 +127,26 @@
             let staged = move |stage: usize, _: f64| {
                 // One more endpoint of each zone comes up with it at each stage, cold.
                 for (zone, name) in ZONES.iter().enumerate() {
-                    let _ = w.cold(zone, &format!("{name}-new-{stage}"), 42, ways());
+                    let _ = w.add_cold_endpoint(zone, &format!("{name}-new-{stage}"), 42, ways());
                 }
                 link(&w);
                 r.store(stage + 1 == CAPS.len(), Ordering::SeqCst);
             };
-            let stages = Offer {
+            let stages = StagedRollout {
                 build: 42,
                 caps: CAPS.to_vec(),
-                step: STEP,
+                stage_duration: STEP,
             };
-            offer = Some(world.platform.offer(stages, staged));
+            offer = Some(world.platform.run_rollout(stages, staged));
         }
         if second == DRAINS {
-            world.state(0, "terminating");
+            world.set_zone_state(0, "terminating");
             what = format!("all of {} drains; the budget is for a twentieth", ZONES[0]);
         }
         if second == RETURNS {
             for n in 0..EACH {
                 let id = format!("{}-back-{n}", ZONES[0]);
-                world.cold(
+                world.add_cold_endpoint(
                     0,
                     &id,
                     if released.load(Ordering::SeqCst) {
@@ -184,7 +186,7 @@
     println!(
         "{} commands: {} satisfied, {} denied, {} scrapped, {} without an answer; half within {:.1} ms, all but a \
          hundredth within {:.1} ms.",
-        answered.asked,
+        answered.requests,
         answered.succeeded,
         answered.rejected,
         answered.failed,
@@ -192,19 +194,19 @@
         answered.quantile_ms(0.5),
         answered.quantile_ms(0.99),
     );
-    let twice = world.ran_twice("payment");
+    let twice = world.executed_twice("payment");
     println!("Payments that ran twice: {}.", twice.len());
     Ok(answered.unanswered == 0 && twice.is_empty())
 }
 
-fn link(world: &World) {
+fn link(world: &TestCluster) {
     let way = Duration::from_millis(4);
-    world.link(
+    world.set_link(
         0,
         1,
         Link {
-            there: way,
-            back: way,
+            request_delay: way,
+            reply_delay: way,
             cut: false,
         },
     );
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -15,9 +15,10 @@
     Answered, Call, Client, Connections, DeduplicationScope, Idempotency, Retrying, Service,
     Unanswered,
 };
-use tulipwall_testkit::ground::{sleep, spawn, until};
+use tulipwall_testkit::runtime::{sleep, spawn, wait_until};
 use tulipwall_testkit::{
-    classes, pg, service, Act, Caller, Cut, Cutter, Program, Speaker, Ways, World,
+    classes, pg, service, AgentProcess, ConnectionCutter, CutPoint, EndpointBehavior,
+    ResponseBehavior, ScriptedServer, TestClient, TestCluster,
 };
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -28,17 +29,17 @@
     Duration::from_millis(n)
 }
 
-fn world(work: Duration) -> World {
-    let world = World::new(&["a"], classes()).unwrap();
+fn world(work: Duration) -> TestCluster {
+    let world = TestCluster::new(&["a"], classes()).unwrap();
     for n in 0..2 {
         world
-            .endpoint(
+            .add_endpoint(
                 0,
                 &format!("s-{n}"),
                 41,
-                Ways {
+                EndpointBehavior {
                     work,
-                    ..Ways::default()
+                    ..EndpointBehavior::default()
                 },
             )
             .unwrap();
@@ -46,9 +47,9 @@
     world
 }
 
-fn start(world: &World) -> Program {
-    let program = Program::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
-    tulipwall_testkit::Caller::connect(program.address().unwrap()).unwrap();
+fn start(world: &TestCluster) -> AgentProcess {
+    let program = AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
+    tulipwall_testkit::TestClient::connect(program.address().unwrap()).unwrap();
     program
 }
 
@@ -56,8 +57,8 @@
 fn welcome(agent: SocketAddr) -> usize {
     let mut stream = std::net::TcpStream::connect(agent).unwrap();
     stream.write_all(&pg::startup()).unwrap();
-    let mut caller = Caller { stream };
-    let heard = caller.until_ready().unwrap();
+    let mut caller = TestClient { stream };
+    let heard = caller.read_until_ready().unwrap();
     heard.iter().map(|(_, body)| body.len() + 5).sum::<usize>() + 6
 }
 
@@ -119,9 +120,9 @@
 }
 
 /// Objects of a class that came to endpoints more than once.
-fn twice(world: &World, class: &str) -> Vec<String> {
+fn twice(world: &TestCluster, class: &str) -> Vec<String> {
     let mut objects: Vec<String> = world
-        .seen()
+        .received_queries()
         .into_values()
         .flatten()
         .filter(|s| s.ran && s.class == class)
@@ -143,7 +144,7 @@
     twice
 }
 
-fn restarted(stop: impl Fn(&mut Program)) {
+fn restarted(stop: impl Fn(&mut AgentProcess)) {
     let world = world(ms(5));
     let mut agent = start(&world);
     let address = agent.address().unwrap();
@@ -152,11 +153,11 @@
         .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(100), &met, &over);
-    assert!(until(|| met.succeeded.load(Ordering::Relaxed) > 1000));
+    assert!(wait_until(|| met.succeeded.load(Ordering::Relaxed) > 1000));
     stop(&mut agent);
     let configuration = agent.configuration.clone();
     drop(agent);
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     let opened = || {
         clients
             .iter()
@@ -210,7 +211,7 @@
     let _turn = beside();
     restarted(|agent| {
         agent.terminate().unwrap();
-        assert!(agent.ended_well().unwrap());
+        assert!(agent.wait_for_success().unwrap());
     });
 }
 
@@ -236,17 +237,17 @@
     });
     let seen = || {
         world
-            .seen()
+            .received_queries()
             .values()
             .flatten()
             .filter(|s| s.class == "payment")
             .count()
     };
-    assert!(until(|| seen() == 1));
+    assert!(wait_until(|| seen() == 1));
     let configuration = agent.configuration.clone();
     agent.signal(rustix::process::Signal::KILL).unwrap();
     drop(agent);
-    let _agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let _agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     match block_on(paying) {
         Err(Unanswered::Scrapped { tried, .. }) => {
             assert!(tried.may_have_run && tried.agents.len() == 1)
@@ -263,14 +264,14 @@
     let world = world(ms(1));
     let agent = start(&world);
     let address = agent.address().unwrap();
-    let half = Cut::Back(welcome(address) + 20);
-    let cutter = Cutter::start(address, vec![half]).unwrap();
+    let half = CutPoint::FromAgent(welcome(address) + 20);
+    let cutter = ConnectionCutter::start(address, vec![half]).unwrap();
     let client = Client::new(service(vec![cutter.address]));
     match block_on(client.call(Call::read("payment", "p1", ms(1500)))) {
         Err(Unanswered::Scrapped { tried, .. }) => assert!(tried.may_have_run),
         other => panic!("{other:?}"),
     }
-    let cutter = Cutter::start(address, vec![half]).unwrap();
+    let cutter = ConnectionCutter::start(address, vec![half]).unwrap();
     let quick = Connections {
         spread: ms(50),
         ..Connections::default()
@@ -296,15 +297,15 @@
 }
 
 impl Standstill {
-    fn watch(mut caller: Caller) -> Standstill {
+    fn watch(mut caller: TestClient) -> Standstill {
         let over = Arc::<AtomicBool>::default();
         let (here, there) = (over.clone(), over.clone());
         let agent = thread::spawn(move || {
             let mut longest = Duration::ZERO;
             while !there.load(Ordering::Relaxed) {
                 let asked = Instant::now();
-                caller.say("");
-                caller.until_ready().unwrap();
+                caller.send_statement("");
+                caller.read_until_ready().unwrap();
                 longest = longest.max(asked.elapsed());
                 thread::sleep(ms(1));
             }
@@ -338,14 +339,14 @@
     let world = world(ms(1));
     let turns_away = |act| {
         world
-            .of_zone(0)
+            .endpoints_in_zone(0)
             .iter()
-            .for_each(|(_, a)| a.ways(|w| w.act = act))
+            .for_each(|(_, a)| a.update_behavior(|w| w.response = act))
     };
-    turns_away(Act::TurnsAway);
+    turns_away(ResponseBehavior::Reject);
     let agent = start(&world);
     let address = agent.address().unwrap();
-    let standstill = Standstill::watch(Caller::connect(address).unwrap());
+    let standstill = Standstill::watch(TestClient::connect(address).unwrap());
     let calls: Vec<_> = (0..200)
         .map(|n| {
             let client = Client::new(service(vec![address]));
@@ -358,7 +359,7 @@
         .collect();
     thread::sleep(ms(450));
     let healed = Instant::now();
-    turns_away(Act::Answers);
+    turns_away(ResponseBehavior::Answer);
     let ended: Vec<_> = calls.into_iter().map(block_on).collect();
     let stood = standstill.end();
     let good = ended.iter().filter(|e| e.is_ok()).count();
@@ -369,7 +370,7 @@
     );
     assert_eq!(twice(&world, "payment"), Vec::<String>::new());
     let came = |n: u64| {
-        let all = world.seen().into_values().flatten();
+        let all = world.received_queries().into_values().flatten();
         all.filter(|s| s.ran && s.at >= healed + ms(n * 50) && s.at < healed + ms(n * 50 + 50))
             .count()
     };
@@ -422,7 +423,7 @@
         .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(50), &met, &over);
-    assert!(until(|| met.succeeded.load(Ordering::Relaxed) > 200));
+    assert!(wait_until(|| met.succeeded.load(Ordering::Relaxed) > 200));
     let configuration = one.configuration.clone();
     for agent in [one, two] {
         agent.signal(rustix::process::Signal::KILL).unwrap();
@@ -436,10 +437,10 @@
         tries() - before <= (calls_made() - called) * 11 / 10 + 20,
         "retries do not multiply an outage"
     );
-    let _one = Program::start(BINARY, configuration, &[]).unwrap();
+    let _one = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     let succeeded = met.succeeded.load(Ordering::Relaxed);
     assert!(
-        until(|| met.succeeded.load(Ordering::Relaxed) > succeeded + 500),
+        wait_until(|| met.succeeded.load(Ordering::Relaxed) > succeeded + 500),
         "they find it again"
     );
     over.store(true, Ordering::Relaxed);
@@ -457,7 +458,7 @@
     let _turn = beside();
     let world = world(ms(2));
     let agent = start(&world);
-    let mute = Speaker::start("").unwrap();
+    let mute = ScriptedServer::start("").unwrap();
     let client = Client::new(service(vec![mute.address, agent.address().unwrap()]));
     let ended: Vec<_> = (0..60)
         .map(|n| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(1500)))))
@@ -499,7 +500,7 @@
         })
         .collect();
     calls.into_iter().for_each(block_on);
-    let got = |w: &World| w.seen().len();
+    let got = |w: &TestCluster| w.received_queries().len();
     assert!(
         got(&slow) * 2 < got(&quick),
         "{} and {}",
@@ -513,8 +514,8 @@
     let _turn = beside();
     let world = world(ms(1));
     let agent = start(&world);
-    let half = Cut::Back(welcome(agent.address().unwrap()) + 20);
-    let cutter = Cutter::start(agent.address().unwrap(), vec![half]).unwrap();
+    let half = CutPoint::FromAgent(welcome(agent.address().unwrap()) + 20);
+    let cutter = ConnectionCutter::start(agent.address().unwrap(), vec![half]).unwrap();
     let mut s = service(vec![cutter.address]);
     s.classes[1].idempotency = Idempotency::Keyed {
         scope: DeduplicationScope::All,
@@ -537,7 +538,7 @@
     assert!(begun.elapsed() < ms(1200) + SLACK);
     assert_eq!(
         world
-            .seen()
+            .received_queries()
             .values()
             .flatten()
             .filter(|s| s.class == "send")
@@ -555,7 +556,7 @@
     let (one, two) = (client.clone(), client.clone());
     let call = || Call::write("send", "m1", vec![7], ms(1200)).key("k1");
     let first = spawn(async move { one.call(call()).await });
-    assert!(until(|| world.seen().len() == 1));
+    assert!(wait_until(|| world.received_queries().len() == 1));
     assert!(matches!(
         block_on(two.call(call())),
         Err(Unanswered::Faulty(_))
@@ -578,9 +579,9 @@
         c.call(Call::write("send", "m1", vec![7], ms(1500)).key("k1"))
             .await
     });
-    assert!(until(|| world.seen().len() == 1));
+    assert!(wait_until(|| world.received_queries().len() == 1));
     drop(call);
-    assert!(until(|| client.seen().in_flight == 0));
+    assert!(wait_until(|| client.seen().in_flight == 0));
     assert_eq!(
         (
             client.seen().counters.left,
@@ -590,7 +591,7 @@
     );
     agent.signal(rustix::process::Signal::USR1).unwrap();
     assert!(
-        until(|| agent.log().contains("left 1;")),
+        wait_until(|| agent.log().contains("left 1;")),
         "the agent sees that it has gone: {}",
         agent.log()
     );
@@ -616,11 +617,11 @@
                 // A statement is some 130 bytes behind a startup message of 41, an answer some 80
                 // behind a welcome.
                 let cuts = (0..rng.gen_range(1..5)).map(|_| match rng.gen_range(0..3) {
-                    0 => Cut::There(rng.gen_range(0..200)),
-                    1 => Cut::Back(rng.gen_range(0..opens + 100)),
-                    _ => Cut::Never,
+                    0 => CutPoint::ToAgent(rng.gen_range(0..200)),
+                    1 => CutPoint::FromAgent(rng.gen_range(0..opens + 100)),
+                    _ => CutPoint::Never,
                 });
-                let cutter = Cutter::start(address, cuts.collect()).unwrap();
+                let cutter = ConnectionCutter::start(address, cuts.collect()).unwrap();
                 let mut s = service(vec![cutter.address]);
                 s.connections = Connections {
                     spread: ms(4),
@@ -675,7 +676,7 @@
     // endpoint.
     assert!(
         world
-            .seen()
+            .received_queries()
             .values()
             .flatten()
             .filter(|s| s.class == "payment")
--- a/crates/agent/tests/crossing.rs
+++ b/crates/agent/tests/crossing.rs
@@ -8,7 +8,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tulipwall_testkit::endpoint::Link;
-use tulipwall_testkit::ground::{until, SOON};
+use tulipwall_testkit::runtime::{wait_until, TEST_TIMEOUT};
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -17,35 +17,35 @@
     Duration::from_millis(n)
 }
 
-fn acts(act: Act) -> Ways {
-    Ways {
-        act,
-        ..Ways::default()
+fn acts(act: ResponseBehavior) -> EndpointBehavior {
+    EndpointBehavior {
+        response: act,
+        ..EndpointBehavior::default()
     }
 }
 
-fn works(time: u64) -> Ways {
-    Ways {
+fn works(time: u64) -> EndpointBehavior {
+    EndpointBehavior {
         work: ms(time),
-        ..Ways::default()
+        ..EndpointBehavior::default()
     }
 }
 
-fn world(ways: &[Ways]) -> World {
-    let world = World::new(&["a"], program::classes()).unwrap();
+fn world(ways: &[EndpointBehavior]) -> TestCluster {
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
         world
-            .endpoint(0, &format!("s-{n}"), 41, ways.clone())
+            .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
     world
 }
 
 /// Starts an agent after a change of its configuration.
-fn start(world: &World, change: impl FnOnce(&mut serde_json::Value)) -> Program {
+fn start(world: &TestCluster, change: impl FnOnce(&mut serde_json::Value)) -> AgentProcess {
     let mut configuration = world.configuration("n1", 0).unwrap();
     change(&mut configuration);
-    Program::start(BINARY, configuration, &[]).unwrap()
+    AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
 /// Without room for connections kept ahead, and with time for those that come up late: each attempt
@@ -58,22 +58,22 @@
 fn as_it_is(_: &mut serde_json::Value) {}
 
 /// The connections to this endpoint come up so much later.
-fn late(world: &World, id: &str, time: u64) {
-    world.get(id).unwrap().link(
+fn late(world: &TestCluster, id: &str, time: u64) {
+    world.endpoint(id).unwrap().set_link(
         0,
         Link {
-            back: ms(time),
+            reply_delay: ms(time),
             ..Link::default()
         },
     );
 }
 
-fn caller(agent: &Program) -> Caller {
-    Caller::connect(agent.address().unwrap()).unwrap()
+fn caller(agent: &AgentProcess) -> TestClient {
+    TestClient::connect(agent.address().unwrap()).unwrap()
 }
 
-fn seen(world: &World, id: &str) -> usize {
-    world.get(id).unwrap().seen_count()
+fn seen(world: &TestCluster, id: &str) -> usize {
+    world.endpoint(id).unwrap().received_count()
 }
 
 fn view(id: &str, wait: u32) -> String {
@@ -81,20 +81,20 @@
 }
 
 /// A client that connects without waiting for anything, and writes this at once.
-fn eager(agent: &Program, bytes: &[u8]) -> Caller {
+fn eager(agent: &AgentProcess, bytes: &[u8]) -> TestClient {
     let mut stream = TcpStream::connect(agent.address().unwrap()).unwrap();
-    stream.set_read_timeout(Some(SOON)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.write_all(bytes).unwrap();
-    Caller { stream }
+    TestClient { stream }
 }
 
 /// The code of its first answer, nothing for a value; an error where its connection ended without
 /// one.
-fn first_answer(client: &mut Caller) -> std::io::Result<Option<String>> {
+fn first_answer(client: &mut TestClient) -> std::io::Result<Option<String>> {
     loop {
-        match client.message()? {
-            (b'E', body) => return Ok(pg::field(&body, b'C')),
+        match client.read_message()? {
+            (b'E', body) => return Ok(pg::error_field(&body, b'C')),
             (b'D', _) => return Ok(None),
             _ => {}
         }
@@ -103,18 +103,18 @@
 
 /// SIGTERM has come, and the agent stands still from just before it closes until just after it
 /// should have.
-fn across_the_close(agent: &Program, crosses: impl FnOnce()) {
+fn across_the_close(agent: &AgentProcess, crosses: impl FnOnce()) {
     agent.terminate().unwrap();
-    assert!(until(|| agent.log().contains("phase: Leaving")));
+    assert!(wait_until(|| agent.log().contains("phase: Leaving")));
     sleep(ms(400));
-    agent.stall(true).unwrap();
+    agent.set_stalled(true).unwrap();
     crosses();
     sleep(ms(250));
     assert!(
         !agent.log().contains("phase: Closing"),
         "it stood still before it closed"
     );
-    agent.stall(false).unwrap();
+    agent.set_stalled(false).unwrap();
 }
 
 // Clients that go.
@@ -125,7 +125,7 @@
     late(&world, "s-0", 300);
     let agent = start(&world, opens_late);
     let mut client = caller(&agent);
-    client.ask("view", 1400);
+    client.send_query("view", 1400);
     sleep(ms(100));
     drop(client);
     sleep(ms(700));
@@ -137,15 +137,15 @@
     let world = world(&[works(0)]);
     let agent = start(&world, as_it_is);
     let clients: Vec<_> = (0..20).map(|_| caller(&agent)).collect();
-    agent.stall(true).unwrap();
+    agent.set_stalled(true).unwrap();
     for mut client in clients {
-        client.ask("view", 1400);
+        client.send_query("view", 1400);
     }
     sleep(ms(50));
-    agent.stall(false).unwrap();
+    agent.set_stalled(false).unwrap();
     let mut other = caller(&agent);
-    other.ask_as("other", "view", 1400);
-    assert_eq!(other.told().unwrap().code(), None);
+    other.send_query_as("other", "view", 1400);
+    assert_eq!(other.read_reply().unwrap().code(), None);
     sleep(ms(100));
     assert_eq!(seen(&world, "s-0"), 1, "only of the one that stayed");
 }
@@ -156,12 +156,12 @@
     let world = world(&[works(500)]);
     let agent = start(&world, as_it_is);
     let mut client = caller(&agent);
-    client.ask_as("first", "payment", 1400);
-    assert!(until(|| seen(&world, "s-0") == 1));
+    client.send_query_as("first", "payment", 1400);
+    assert!(wait_until(|| seen(&world, "s-0") == 1));
     // Few enough statements for none to be a flood.
     let object = "a".repeat(4000);
     for n in 0..20 {
-        client.say(&format!(
+        client.send_statement(&format!(
             "SELECT body FROM objects WHERE oid = '{object}' /* id=q{n},c=payment,d=1400 */"
         ));
     }
@@ -177,7 +177,7 @@
     late(&world, "s-0", 300);
     let agent = start(&world, opens_late);
     let mut client = caller(&agent);
-    client.ask("view", 1400);
+    client.send_query("view", 1400);
     client.stream.shutdown(Shutdown::Write).unwrap();
     let mut rest = Vec::new();
     client.stream.read_to_end(&mut rest).unwrap();
@@ -200,8 +200,8 @@
         c["limits"]["sockets"] = 29.into();
     });
     let mut client = caller(&agent);
-    client.ask("view", 1400);
-    assert_eq!(client.told().unwrap().code(), None);
+    client.send_query("view", 1400);
+    assert_eq!(client.read_reply().unwrap().code(), None);
     sleep(ms(1000));
     assert_eq!((seen(&world, "s-0"), seen(&world, "s-1")), (1, 0));
 }
@@ -212,13 +212,13 @@
     late(&world, "s-0", 300);
     let agent = start(&world, opens_late);
     let mut client = caller(&agent);
-    client.ask("payment", 500);
+    client.send_query("payment", 500);
     sleep(ms(50));
     // The agent stands still until both the connection is up and the time is over.
-    agent.stall(true).unwrap();
+    agent.set_stalled(true).unwrap();
     sleep(ms(700));
-    agent.stall(false).unwrap();
-    assert!(client.told().unwrap().code().is_some());
+    agent.set_stalled(false).unwrap();
+    assert!(client.read_reply().unwrap().code().is_some());
     sleep(ms(100));
     assert_eq!(seen(&world, "s-0"), 0);
 }
@@ -228,18 +228,18 @@
     let world = world(&[works(600)]);
     let agent = start(&world, as_it_is);
     let mut client = caller(&agent);
-    client.ask_as("first", "payment", 2000);
-    client.ask_as("second", "payment", 300);
-    assert!(until(|| seen(&world, "s-0") == 1));
+    client.send_query_as("first", "payment", 2000);
+    client.send_query_as("second", "payment", 300);
+    assert!(wait_until(|| seen(&world, "s-0") == 1));
     // By this one's arrival the second would still have time at its turn.
     sleep(ms(450));
-    client.ask_as("third", "payment", 2000);
-    let codes = [(); 3].map(|()| client.told().unwrap().code());
+    client.send_query_as("third", "payment", 2000);
+    let codes = [(); 3].map(|()| client.read_reply().unwrap().code());
     assert_eq!(codes, [None, Some("53300".into()), None]);
     let sent: Vec<_> = world
-        .get("s-0")
+        .endpoint("s-0")
         .unwrap()
-        .seen()
+        .received_queries()
         .into_iter()
         .map(|s| s.id)
         .collect();
@@ -254,7 +254,7 @@
 /// forgotten the repeat.
 #[test]
 fn a_deduplicated_repeat_whose_group_has_forgotten_is_not_sent_and_answered_at_once() {
-    let world = world(&[acts(Act::Resets), works(0)]);
+    let world = world(&[acts(ResponseBehavior::Close), works(0)]);
     late(&world, "s-1", 600);
     let agent = start(&world, |c| {
         opens_late(c);
@@ -265,16 +265,16 @@
         let mut client = caller(&agent);
         let begun = Instant::now();
         let comment = format!("id=d{n},c=send,d=1900,k=key{n}");
-        client.say(&format!(
+        client.send_statement(&format!(
             "INSERT INTO objects (oid, body) VALUES ('a', '\\x00') RETURNING body /* {comment} */"
         ));
-        let code = client.told().unwrap().code();
+        let code = client.read_reply().unwrap().code();
         let took = begun.elapsed();
         let at = |id: &str| {
             world
-                .get(id)
+                .endpoint(id)
                 .unwrap()
-                .seen()
+                .received_queries()
                 .iter()
                 .find(|s| s.id == format!("d{n}"))
                 .map(|s| s.at)
@@ -298,14 +298,17 @@
 /// Its connection ends right behind each answer, as the next request is on its way.
 #[test]
 fn an_unrepeatable_command_on_a_connection_that_closes_under_it_runs_once_at_most() {
-    for act in [Act::EndsAfter, Act::Resets] {
+    for act in [ResponseBehavior::AnswerAndClose, ResponseBehavior::Close] {
         let world = world(&[acts(act)]);
         let agent = start(&world, as_it_is);
         let mut client = caller(&agent);
         for n in 0..40 {
-            client.ask_as(&format!("p{n}"), "payment", 1000);
-            let code = client.told().unwrap().code();
-            let ran = world.seen().get(&format!("p{n}")).map_or(0, Vec::len);
+            client.send_query_as(&format!("p{n}"), "payment", 1000);
+            let code = client.read_reply().unwrap().code();
+            let ran = world
+                .received_queries()
+                .get(&format!("p{n}"))
+                .map_or(0, Vec::len);
             match code.as_deref() {
                 None => assert_eq!(ran, 1),
                 Some("53300") => assert_eq!(ran, 0, "a denial says that it never ran"),
@@ -325,13 +328,13 @@
     let talk = move |mut stream: TcpStream| -> std::io::Result<()> {
         let mut startup = vec![0; pg::startup().len()];
         stream.read_exact(&mut startup)?;
-        stream.write_all(&pg::welcome())?;
+        stream.write_all(&pg::startup_reply())?;
         let mut head = [0; 5];
         stream.read_exact(&mut head)?;
         let mut body =
             vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
         stream.read_exact(&mut body)?;
-        stream.write_all(&pg::value(&[0x9f, 3]))?;
+        stream.write_all(&pg::value_reply(&[0x9f, 3]))?;
         stream.read_exact(&mut [0; 700])?;
         seen.fetch_add(1, Ordering::SeqCst);
         // What is unread is answered by a reset.
@@ -355,7 +358,7 @@
     let address = resets_during_the_second(begun.clone());
     world
         .discovery
-        .change("s-0", |e| e.addresses = vec![address]);
+        .update_entry("s-0", |e| e.addresses = vec![address]);
     // Few connections are opened ahead, so that each is soon used again.
     let agent = start(&world, |c| c["limits"]["sockets"] = 64.into());
     let mut client = caller(&agent);
@@ -365,9 +368,12 @@
         let text = format!(
             "INSERT INTO objects (oid, body) VALUES ('a', '\\x{value}') RETURNING body /* {comment} */"
         );
-        client.say(&text);
-        let code = client.told().unwrap().code();
-        let ran = world.seen().get(&format!("w{n}")).map_or(0, Vec::len);
+        client.send_statement(&text);
+        let code = client.read_reply().unwrap().code();
+        let ran = world
+            .received_queries()
+            .get(&format!("w{n}"))
+            .map_or(0, Vec::len);
         match code.as_deref() {
             None => assert!(ran <= 1, "{ran} runs"),
             other => assert_eq!(
@@ -388,22 +394,22 @@
 /// whether all were right. A wrong one is the agent's fault unless that second answer was really
 /// written after more than a connection's rest.
 fn second_answers_are_nobodys(gap: u16) -> bool {
-    let world = world(&[acts(Act::TwiceAfter(gap))]);
+    let world = world(&[acts(ResponseBehavior::AnswerAgainAfterMs(gap))]);
     // Room for one connection, which would be the next request's.
     let agent = start(&world, opens_late);
     let mut client = caller(&agent);
     for n in 0..30 {
-        client.ask_as(&format!("c{n}"), "payment", 1000);
-        let told = client.told().unwrap();
-        if told != Told::Value(vec![0x9f, 3]) {
+        client.send_query_as(&format!("c{n}"), "payment", 1000);
+        let told = client.read_reply().unwrap();
+        if told != Reply::Value(vec![0x9f, 3]) {
             let before = format!("c{}", n - 1);
             let behind = || {
-                let seen = world.get("s-0").unwrap().seen();
+                let seen = world.endpoint("s-0").unwrap().received_queries();
                 seen.into_iter()
                     .find(|s| s.id == before)
-                    .and_then(|s| s.behind)
+                    .and_then(|s| s.duplicate_delay)
             };
-            until(|| behind().is_some());
+            wait_until(|| behind().is_some());
             assert!(
                 behind() >= Some(ms(20)),
                 "command {n}, {gap} ms: {told:?}, {:?} behind",
@@ -431,42 +437,47 @@
 fn an_answer_cut_at_any_byte_is_no_value_until_its_command_is_complete() {
     let world = world(&[works(0)]);
     let agent = start(&world, as_it_is);
-    let whole = pg::value(&[0x9f, 3]).len();
+    let whole = pg::value_reply(&[0x9f, 3]).len();
     let ready = pg::ready().len();
     for cut in 0..whole {
         world
-            .get("s-0")
+            .endpoint("s-0")
             .unwrap()
-            .ways(|w| w.act = Act::Cut(cut as u16));
+            .update_behavior(|w| w.response = ResponseBehavior::CloseAfterBytes(cut as u16));
         let mut client = caller(&agent);
         // So many failures may have it rejected, unrun: then it is asked again.
         let (id, told) = (0..200)
             .map(|n| {
                 let id = format!("c{cut}-{n}");
-                client.ask_as(&id, "payment", 1000);
-                (id, client.told().unwrap())
+                client.send_query_as(&id, "payment", 1000);
+                (id, client.read_reply().unwrap())
+            })
+            .find(|(id, told)| {
+                !matches!(told, Reply::Rejected(..)) || world.received_queries().contains_key(id)
             })
-            .find(|(id, told)| !matches!(told, Told::Rejected(..)) || world.seen().contains_key(id))
             .unwrap();
         if cut < whole - ready {
             assert_eq!(told.code().as_deref(), Some("XX000"), "cut at {cut}");
         } else {
-            assert_eq!(told, Told::Value(vec![0x9f, 3]), "cut at {cut}");
+            assert_eq!(told, Reply::Value(vec![0x9f, 3]), "cut at {cut}");
         }
-        assert_eq!(world.seen()[&id].len(), 1);
+        assert_eq!(world.received_queries()[&id].len(), 1);
     }
 }
 
 #[test]
 fn an_answer_that_trickles_is_the_value_or_a_failure_within_the_clients_time() {
-    let world = world(&[acts(Act::Trickles(10)), acts(Act::Trickles(40))]);
+    let world = world(&[
+        acts(ResponseBehavior::ByteEveryMs(10)),
+        acts(ResponseBehavior::ByteEveryMs(40)),
+    ]);
     let agent = start(&world, as_it_is);
     for n in 0..8 {
         let mut client = caller(&agent);
         let begun = Instant::now();
-        client.ask_as(&format!("t{n}"), "payment", 1200);
-        match client.told().unwrap() {
-            Told::Value(value) => assert_eq!(value, [0x9f, 3]),
+        client.send_query_as(&format!("t{n}"), "payment", 1200);
+        match client.read_reply().unwrap() {
+            Reply::Value(value) => assert_eq!(value, [0x9f, 3]),
             other => assert_eq!(other.code().as_deref(), Some("XX000")),
         }
         assert!(begun.elapsed() < ms(1700));
@@ -505,12 +516,12 @@
             .for_each(|stream| drop(stream.write(b" ")));
     }
     for _ in 0..5 {
-        good.ask("view", 15_000);
-        assert_eq!(good.told().unwrap().code(), None);
+        good.send_query("view", 15_000);
+        assert_eq!(good.read_reply().unwrap().code(), None);
     }
     let mut new = caller(&agent);
-    new.ask("view", 15_000);
-    assert_eq!(new.told().unwrap().code(), None);
+    new.send_query("view", 15_000);
+    assert_eq!(new.read_reply().unwrap().code(), None);
     assert!(
         begun.elapsed() < ms(8000),
         "served after {:?}",
@@ -528,7 +539,7 @@
     agent.terminate().unwrap();
     let begun = Instant::now();
     assert!(
-        agent.ended_well().unwrap() && begun.elapsed() < ms(4500),
+        agent.wait_for_success().unwrap() && begun.elapsed() < ms(4500),
         "ended after {:?}",
         begun.elapsed()
     );
@@ -537,14 +548,14 @@
 
 #[test]
 fn a_client_that_never_reads_is_let_go_and_one_that_reads_and_writes_a_byte_at_a_time_is_served() {
-    let world = world(&[Ways {
-        value: 60_000,
-        ..Ways::default()
+    let world = world(&[EndpointBehavior {
+        value_bytes: 60_000,
+        ..EndpointBehavior::default()
     }]);
     let agent = start(&world, as_it_is);
     let mut deaf = caller(&agent);
     for n in 0..400 {
-        deaf.ask_as(&format!("n{n}"), "view", 60_000);
+        deaf.send_query_as(&format!("n{n}"), "view", 60_000);
         sleep(ms(2));
     }
     let mut slow = caller(&agent);
@@ -558,11 +569,13 @@
         sleep(ms(3));
     }
     let mut other = caller(&agent);
-    other.ask("view", 1000);
-    assert_eq!(other.told().unwrap().code(), None);
+    other.send_query("view", 1000);
+    assert_eq!(other.read_reply().unwrap().code(), None);
     // Long after it was let go, it reads: what it gets ends before its last answer.
-    assert!(until(|| agent.log().contains("leaves its answers unread")));
-    let ends = (0..400).any(|_| deaf.told().is_err());
+    assert!(wait_until(|| agent
+        .log()
+        .contains("leaves its answers unread")));
+    let ends = (0..400).any(|_| deaf.read_reply().is_err());
     assert!(ends);
 }
 
@@ -589,12 +602,12 @@
     client.stream.write_all(&all).unwrap();
     let mut ran = Vec::new();
     for n in 0..200 {
-        let heard = client.until_ready().unwrap();
+        let heard = client.read_until_ready().unwrap();
         let tags: Vec<u8> = heard.iter().map(|(tag, _)| *tag).collect();
         let code = heard
             .iter()
             .find(|(tag, _)| *tag == b'E')
-            .and_then(|(_, body)| pg::field(body, b'C'));
+            .and_then(|(_, body)| pg::error_field(body, b'C'));
         match n % 5 {
             0 => assert_eq!(code.as_deref(), Some("42601"), "{n}"),
             1 => assert_eq!(tags, [b'I'], "{n}"),
@@ -603,7 +616,7 @@
         }
     }
     assert!(!ran.is_empty());
-    let seen = world.seen();
+    let seen = world.received_queries();
     assert!(seen.values().all(|s| s.len() == 1));
     ran.sort();
     assert_eq!(seen.into_keys().collect::<Vec<_>>(), ran);
@@ -633,7 +646,7 @@
             "{code:?}"
         );
     }
-    assert!(agent.ended_well().unwrap());
+    assert!(agent.wait_for_success().unwrap());
 }
 
 #[test]
@@ -643,18 +656,23 @@
     let mut clients: Vec<_> = (0..40).map(|_| caller(&agent)).collect();
     across_the_close(&agent, || {
         for (n, client) in clients.iter_mut().enumerate() {
-            client.ask_as(&format!("i{n}"), "payment", 1400);
+            client.send_query_as(&format!("i{n}"), "payment", 1400);
         }
     });
     for (n, client) in clients.iter_mut().enumerate() {
-        let ran = || world.seen().get(&format!("i{n}")).map_or(0, Vec::len);
-        match client.told() {
+        let ran = || {
+            world
+                .received_queries()
+                .get(&format!("i{n}"))
+                .map_or(0, Vec::len)
+        };
+        match client.read_reply() {
             Ok(told) => assert!(told.code().is_none() && ran() == 1),
             // Reset, as what it wrote was not read: it asks again elsewhere.
             Err(e) => assert!(e.kind() == ErrorKind::ConnectionReset && ran() == 0, "{e}"),
         }
     }
-    assert!(agent.ended_well().unwrap());
+    assert!(agent.wait_for_success().unwrap());
 }
 
 /// It was taken in at the very end, and its first request is still on its way.
@@ -667,7 +685,7 @@
     across_the_close(&agent, || {
         fresh.extend((0..5).map(|_| eager(&agent, &pg::startup())))
     });
-    assert!(until(|| agent.log().contains("phase: Closing")));
+    assert!(wait_until(|| agent.log().contains("phase: Closing")));
     sleep(ms(60));
     for (n, client) in fresh.iter_mut().enumerate() {
         client
@@ -676,7 +694,7 @@
             .unwrap();
         assert_eq!(first_answer(client).unwrap(), None);
     }
-    assert!(agent.ended_well().unwrap());
+    assert!(agent.wait_for_success().unwrap());
 }
 
 #[test]
@@ -684,17 +702,17 @@
     let world = world(&[works(700)]);
     let mut agent = start(&world, as_it_is);
     let mut client = caller(&agent);
-    client.ask_as("first", "payment", 1400);
-    client.ask_as("second", "payment", 2500);
+    client.send_query_as("first", "payment", 1400);
+    client.send_query_as("second", "payment", 2500);
     agent.terminate().unwrap();
-    assert!(until(|| agent.log().contains("phase: Closing")));
-    client.ask_as("third", "payment", 60_000);
+    assert!(wait_until(|| agent.log().contains("phase: Closing")));
+    client.send_query_as("third", "payment", 60_000);
     let begun = Instant::now();
-    let codes = [(); 3].map(|()| client.told().unwrap().code());
+    let codes = [(); 3].map(|()| client.read_reply().unwrap().code());
     assert_eq!(codes, [None, None, Some("53300".into())]);
     assert!(begun.elapsed() < ms(2500));
     assert_eq!(seen(&world, "s-0"), 2);
-    assert!(agent.ended_well().unwrap());
+    assert!(agent.wait_for_success().unwrap());
 }
 
 #[test]
@@ -703,17 +721,17 @@
     late(&world, "s-0", 200);
     let mut agent = start(&world, as_it_is);
     // Its connections ahead are still being opened.
-    assert!(until(|| agent.log().contains("listening on")));
+    assert!(wait_until(|| agent.log().contains("listening on")));
     agent.terminate().unwrap();
-    agent.renew(&agent.configuration.to_string()).unwrap();
+    agent.reload(&agent.configuration.to_string()).unwrap();
     agent.terminate().unwrap();
-    assert!(until(|| agent.log().contains("phase: Leaving")));
+    assert!(wait_until(|| agent.log().contains("phase: Leaving")));
     agent.terminate().unwrap();
     let mut client = caller(&agent);
-    client.ask("view", 1400);
-    assert_eq!(client.told().unwrap().code(), None);
+    client.send_query("view", 1400);
+    assert_eq!(client.read_reply().unwrap().code(), None);
     let begun = Instant::now();
-    assert!(agent.ended_well().unwrap() && begun.elapsed() < ms(4500));
+    assert!(agent.wait_for_success().unwrap() && begun.elapsed() < ms(4500));
 }
 
 // Starts.
@@ -731,10 +749,11 @@
         "ready after {:?}",
         begun.elapsed()
     );
-    client.ask("view", 1400);
-    assert_eq!(client.told().unwrap().code(), None);
+    client.send_query("view", 1400);
+    assert_eq!(client.read_reply().unwrap().code(), None);
     // No more than half of the places for endpoints are opened ahead, here for one of them.
-    let opened = world.counted(0, 0)[endpoint::CONNECTIONS].read as usize / pg::startup().len();
+    let opened =
+        world.transfer_counts(0, 0)[endpoint::CONNECTIONS].read as usize / pg::startup().len();
     assert!((1..=230).contains(&opened), "{opened} connections");
 }
 
@@ -748,11 +767,11 @@
             c["settings"]["prices"]["handshake"] = price.into()
         });
         let mut client = caller(&agent);
-        assert!(until(|| agent.log().contains("phase: Serving")));
+        assert!(wait_until(|| agent.log().contains("phase: Serving")));
         sleep(ms(200));
         let opened = || {
             let connections = world
-                .counted(0, 0)
+                .transfer_counts(0, 0)
                 .get(endpoint::CONNECTIONS)
                 .copied()
                 .unwrap_or_default();
@@ -764,8 +783,8 @@
             ahead,
             "{before} connections at a price of {price}"
         );
-        client.ask("view", 1400);
-        assert_eq!(client.told().unwrap().code(), None);
+        client.send_query("view", 1400);
+        assert_eq!(client.read_reply().unwrap().code(), None);
         assert_eq!(
             opened(),
             before + usize::from(!ahead),
@@ -777,7 +796,9 @@
 #[test]
 fn a_start_without_any_list_while_discovery_is_away_is_ready_and_denies() {
     let world = world(&[works(0)]);
-    world.discovery.manner(Manner::Silent);
+    world
+        .discovery
+        .set_behavior(DiscoveryBehavior::Unresponsive);
     let begun = Instant::now();
     let agent = start(&world, |c| c["known"]["servers"] = serde_json::json!([]));
     let mut client = caller(&agent);
@@ -786,12 +807,12 @@
         "ready after {:?}",
         begun.elapsed()
     );
-    client.ask("view", 600);
-    assert_eq!(client.told().unwrap().code(), Some("53300".into()));
-    world.discovery.manner(Manner::Tells);
-    assert!(until(|| {
-        client.ask("view", 600);
-        client.told().unwrap().code().is_none()
+    client.send_query("view", 600);
+    assert_eq!(client.read_reply().unwrap().code(), Some("53300".into()));
+    world.discovery.set_behavior(DiscoveryBehavior::Normal);
+    assert!(wait_until(|| {
+        client.send_query("view", 600);
+        client.read_reply().unwrap().code().is_none()
     }));
 }
 
@@ -803,19 +824,19 @@
 fn counts_of_the_platform_are_read_beside_its_news_and_a_build_that_they_show_as_failing_goes_back()
 {
     let world = world(&[works(0), works(0)]);
-    world.endpoint(0, "t-0", 42, works(0)).unwrap();
+    world.add_endpoint(0, "t-0", 42, works(0)).unwrap();
     world
         .platform
-        .rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.2));
+        .set_rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.2));
     let agent = start(&world, |c| {
         let domain = &mut c["settings"]["domain"];
         domain["tally-every-ms"] = 500.into();
         domain["counted-share"] = 0.5.into();
     });
     caller(&agent);
-    let back = until(|| {
-        world.platform.sample(41, "view", 20, 0, ms(20));
-        world.platform.sample(42, "view", 20, 12, ms(20));
+    let back = wait_until(|| {
+        world.platform.report_counts(41, "view", 20, 0, ms(20));
+        world.platform.report_counts(42, "view", 20, 12, ms(20));
         sleep(ms(50));
         world
             .platform
--- a/crates/agent/tests/customers.rs
+++ b/crates/agent/tests/customers.rs
@@ -3,45 +3,50 @@
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
-use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::runtime::TEST_TIMEOUT;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
 /// A world of these zones and classes, two endpoints in each zone.
-fn world(zones: &[&str], classes: Vec<RequestClass>) -> World {
-    let world = World::new(zones, classes).unwrap();
+fn world(zones: &[&str], classes: Vec<RequestClass>) -> TestCluster {
+    let world = TestCluster::new(zones, classes).unwrap();
     for (zone, name) in zones.iter().enumerate() {
         for n in 0..2 {
             world
-                .endpoint(zone, &format!("{name}-{n}"), 41, Ways::default())
+                .add_endpoint(
+                    zone,
+                    &format!("{name}-{n}"),
+                    41,
+                    EndpointBehavior::default(),
+                )
                 .unwrap();
         }
     }
     world
 }
 
-fn ask(client: &mut Caller, n: usize, class: &RequestClass, wait: u32) -> Option<String> {
+fn ask(client: &mut TestClient, n: usize, class: &RequestClass, wait: u32) -> Option<String> {
     let key = if class.idempotency == "by_key" {
         format!(",k=k{n}")
     } else {
         String::new()
     };
     let comment = format!("id=r{n},c={},t=whoever,d={wait}{key}", class.name);
-    client.say(&format!(
+    client.send_statement(&format!(
         "INSERT INTO objects (oid, body) VALUES ('a{n}', '\\x00') RETURNING body /* {comment} */"
     ));
-    client.told().unwrap().code()
+    client.read_reply().unwrap().code()
 }
 
 /// Starts it twice under these settings; every class is served with `wait` milliseconds each time.
-fn starts_serves_and_restarts(world: &World, wait: u32, change: impl FnOnce(&mut Value)) {
+fn starts_serves_and_restarts(world: &TestCluster, wait: u32, change: impl FnOnce(&mut Value)) {
     let mut configuration = world.configuration("n1", 0).unwrap();
     change(&mut configuration);
     for round in 0..2 {
         let begun = Instant::now();
-        let mut agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
-        let mut client = Caller::connect(agent.address().unwrap()).unwrap();
+        let mut agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
+        let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
         assert!(
             begun.elapsed() < Duration::from_secs(10),
             "ready after {:?}",
@@ -56,10 +61,10 @@
         }
         agent.terminate().unwrap();
         let begun = Instant::now();
-        assert!(agent.ended_well().unwrap() && begun.elapsed() < SOON);
+        assert!(agent.wait_for_success().unwrap() && begun.elapsed() < TEST_TIMEOUT);
     }
     for class in world.classes.iter().filter(|l| l.idempotency == "once") {
-        assert!(world.ran_twice(&class.name).is_empty());
+        assert!(world.executed_twice(&class.name).is_empty());
     }
 }
 
@@ -127,7 +132,7 @@
 
 #[test]
 fn the_fewest_descriptors_the_least_memory_and_no_time_to_warm() {
-    let world = world(&["only"], program::classes());
+    let world = world(&["only"], agent_process::classes());
     starts_serves_and_restarts(&world, 1000, |c| {
         c["limits"] = json!({"sockets": 64, "memory_mb": 32, "cores": 0.05});
         let settings = &mut c["settings"];
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -2,7 +2,7 @@
 
 use rustix::process::Signal;
 use std::time::Duration;
-use tulipwall_testkit::ground::until;
+use tulipwall_testkit::runtime::wait_until;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -10,34 +10,34 @@
 /// A second of requests at an agent whose log has this filter: its log, with its counters in the
 /// end.
 fn logged(filter: &str) -> String {
-    let world = World::new(&["a"], classes()).unwrap();
+    let world = TestCluster::new(&["a"], classes()).unwrap();
     for n in 0..2 {
         world
-            .endpoint(0, &format!("e-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("e-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     world
         .platform
-        .rollout_status(platform::RolloutStatus::now(41, 2, "released", 1.0));
-    let program = Program::start(
+        .set_rollout_status(platform::RolloutStatus::now(41, 2, "released", 1.0));
+    let program = AgentProcess::start(
         "env",
         world.configuration("n1", 0).unwrap(),
         &[filter, BINARY],
     )
     .unwrap();
-    Caller::connect(program.address().unwrap()).unwrap();
+    TestClient::connect(program.address().unwrap()).unwrap();
     Load {
         agent: program.address().unwrap(),
         rate: 150.0,
-        span: Duration::from_secs(1),
+        duration: Duration::from_secs(1),
         classes: vec![("view".to_owned(), 1.0, Duration::from_millis(1500), false)],
         connections: 32,
         seed: 7,
     }
-    .play();
+    .run();
     program.signal(Signal::USR1).unwrap();
     assert!(
-        until(|| program.log().contains("commands: taken")),
+        wait_until(|| program.log().contains("commands: taken")),
         "{}",
         program.log()
     );
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large.rs
@@ -16,9 +16,9 @@
         .collect()
 }
 
-fn says(agent: &Program, line: &str) {
+fn says(agent: &AgentProcess, line: &str) {
     assert!(
-        ground::until(|| agent.log().contains(line)),
+        runtime::wait_until(|| agent.log().contains(line)),
         "'{line}' is not in {}",
         agent.log()
     );
@@ -26,39 +26,49 @@
 
 #[test]
 fn lists_of_thousands_are_obeyed_and_what_is_wrong_with_them_is_one_line() {
-    let world = World::new(&["a"], program::classes()).unwrap();
-    let one = world.unlisted(0, "s-0", 41, Ways::default()).unwrap();
-    world.discovery.tell(fleet(&one));
-    let agent = Program::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
-    let mut client = Caller::connect(agent.address().unwrap()).unwrap();
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+    let one = world
+        .start_unlisted(0, "s-0", 41, EndpointBehavior::default())
+        .unwrap();
+    world.discovery.update(fleet(&one));
+    let agent = AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
+    let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
     let mut ask = || {
-        client.ask("view", 1000);
-        client.told().unwrap().code()
+        client.send_query("view", 1000);
+        client.read_reply().unwrap().code()
     };
     assert_eq!(ask(), None);
 
     // Of two lines for one endpoint neither is believed; the others go on.
-    let mut twice = world.discovery.known(0);
+    let mut twice = world.discovery.full_list(0);
     let mut other = twice["servers"][17].clone();
     other["state"] = json!("terminating");
     twice["servers"].as_array_mut().unwrap().push(other);
     world
         .discovery
-        .manner(Manner::Says(Speaker::http(&twice.to_string())));
+        .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
+            &twice.to_string(),
+        )));
     says(&agent, "'s-00000011' stands twice");
     assert_eq!(ask(), None);
 
     // Beyond what is read nothing is believed: what is known goes on.
     let long = "HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n{";
-    world.discovery.manner(Manner::Tells);
+    world.discovery.set_behavior(DiscoveryBehavior::Normal);
     says(&agent, "heard again");
-    world.discovery.manner(Manner::Says(long.into()));
+    world
+        .discovery
+        .set_behavior(DiscoveryBehavior::Sends(long.into()));
     says(&agent, "a body of 4194305 bytes, 4194304 are read at most");
     assert_eq!(ask(), None);
 
     // By the rules, what a whole list lacks is gone.
     let none = json!({"version": 99, "full": true, "servers": []}).to_string();
-    world.discovery.manner(Manner::Says(Speaker::http(&none)));
+    world
+        .discovery
+        .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
+            &none,
+        )));
     says(&agent, "no appliance runs, of 7700");
     assert!(
         ask().is_some_and(|code| code == "53300"),
@@ -67,7 +77,7 @@
 
     // Whole again, none of it changed since the version that was heard: who has nothing to serve
     // from asks for all of it.
-    (0..100).for_each(|_| world.discovery.tell([]));
-    world.discovery.manner(Manner::Tells);
-    assert!(ground::until(|| ask().is_none()), "{}", agent.log());
+    (0..100).for_each(|_| world.discovery.update([]));
+    world.discovery.set_behavior(DiscoveryBehavior::Normal);
+    assert!(runtime::wait_until(|| ask().is_none()), "{}", agent.log());
 }
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tulipwall_testkit::endpoint::Link;
-use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::runtime::TEST_TIMEOUT;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -21,49 +21,54 @@
     Duration::from_millis(n)
 }
 
-fn world(endpoints: usize) -> World {
-    let world = World::new(&["a"], program::classes()).unwrap();
+fn world(endpoints: usize) -> TestCluster {
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..endpoints {
         world
-            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     world
 }
 
-fn start(world: &World) -> Program {
-    Program::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap()
+fn start(world: &TestCluster) -> AgentProcess {
+    AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap()
 }
 
-fn caller(agent: &Program) -> Caller {
-    Caller::connect(agent.address().unwrap()).unwrap()
+fn caller(agent: &AgentProcess) -> TestClient {
+    TestClient::connect(agent.address().unwrap()).unwrap()
 }
 
-fn leaves(world: &World, id: &str) {
+fn leaves(world: &TestCluster, id: &str) {
     world
         .discovery
-        .change(id, |e| e.state = "terminating".into());
+        .update_entry(id, |e| e.state = "terminating".into());
 }
 
 /// Asks until `until`, and says when `s-0` was last sent anything.
-fn last_sent(world: &World, agent: &Program, until: Instant) -> Option<Instant> {
+fn last_sent(world: &TestCluster, agent: &AgentProcess, until: Instant) -> Option<Instant> {
     let mut client = caller(agent);
     while Instant::now() < until {
-        client.ask("view", 1000);
-        assert_eq!(client.told().unwrap().code(), None);
+        client.send_query("view", 1000);
+        assert_eq!(client.read_reply().unwrap().code(), None);
         sleep(ms(5));
     }
-    world.get("s-0").unwrap().seen().last().map(|s| s.at)
+    world
+        .endpoint("s-0")
+        .unwrap()
+        .received_queries()
+        .last()
+        .map(|s| s.at)
 }
 
 /// The watch falls silent, its next connections are met like this, and one endpoint is to leave.
-fn silence(next: &[Meets]) {
+fn silence(next: &[ConnectionBehavior]) {
     let world = world(2);
     let agent = start(&world);
     // Past its first call, which waits for less.
     last_sent(&world, &agent, Instant::now() + ms(1300));
     let silent = Instant::now();
-    world.discovery.hush(next.iter().cloned());
+    world.discovery.silence_watches(next.iter().cloned());
     leaves(&world, "s-0");
     let told = silent + TOLD_AFTER + GRACE;
     let last = last_sent(&world, &agent, told + GRACE).unwrap();
@@ -72,7 +77,7 @@
         "sent {:?} after the silence began",
         last - silent
     );
-    assert!(ground::until(|| agent
+    assert!(runtime::wait_until(|| agent
         .log()
         .contains("discovery: heard again")));
 }
@@ -86,15 +91,15 @@
 
 #[test]
 fn so_it_is_where_the_next_connections_are_late_refused_and_silent() {
-    let late = || Meets::Late(ms(1000));
+    let late = || ConnectionBehavior::AnsweredAfter(ms(1000));
     silence(&[
         late(),
-        Meets::Refuses,
-        Meets::Mute,
+        ConnectionBehavior::Closed,
+        ConnectionBehavior::Unanswered,
         late(),
         late(),
-        Meets::Refuses,
-        Meets::Mute,
+        ConnectionBehavior::Closed,
+        ConnectionBehavior::Unanswered,
         late(),
     ]);
 }
@@ -106,10 +111,10 @@
 fn what_was_decided_before_the_announcement_goes_elsewhere_when_its_connection_comes_up() {
     let world = world(2);
     for id in ["s-0", "s-1"] {
-        world.get(id).unwrap().link(
+        world.endpoint(id).unwrap().set_link(
             0,
             Link {
-                back: ms(300),
+                reply_delay: ms(300),
                 ..Link::default()
             },
         );
@@ -117,15 +122,17 @@
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 26.into();
     configuration["settings"]["limits"]["dial-timeout-ms"] = 2000.into();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     let mut client = caller(&agent);
-    client.ask("view", 1400);
+    client.send_query("view", 1400);
     sleep(ms(120));
-    world.endpoint(0, "s-2", 41, Ways::default()).unwrap();
+    world
+        .add_endpoint(0, "s-2", 41, EndpointBehavior::default())
+        .unwrap();
     leaves(&world, "s-0");
     leaves(&world, "s-1");
-    assert_eq!(client.told().unwrap().code(), None);
-    let seen = |id: &str| world.get(id).unwrap().seen_count();
+    assert_eq!(client.read_reply().unwrap().code(), None);
+    let seen = |id: &str| world.endpoint(id).unwrap().received_count();
     assert_eq!((seen("s-0"), seen("s-1"), seen("s-2")), (0, 0, 1));
 }
 
@@ -137,10 +144,11 @@
     let configuration = world.configuration("n1", 0).unwrap();
     leaves(&world, "s-0");
     // Both of its first tries.
-    world
-        .discovery
-        .hush([Meets::Late(ms(120)), Meets::Late(ms(120))]);
-    let agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
+    world.discovery.silence_watches([
+        ConnectionBehavior::AnsweredAfter(ms(120)),
+        ConnectionBehavior::AnsweredAfter(ms(120)),
+    ]);
+    let agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
     // Clients that do not wait until they are told that the agent serves, as after a restart.
     let ask = |n: usize| {
         let query =
@@ -153,43 +161,45 @@
         stream
             .write_all(&[pg::startup(), pg::query(&query)].concat())
             .unwrap();
-        Caller { stream }
+        TestClient { stream }
     };
     let eager: Vec<_> = (0..12).map(ask).collect();
     for mut client in eager {
-        client.until_ready().unwrap();
-        assert_eq!(client.told().unwrap().code(), None);
+        client.read_until_ready().unwrap();
+        assert_eq!(client.read_reply().unwrap().code(), None);
     }
     assert_eq!(last_sent(&world, &agent, Instant::now() + ms(300)), None);
     // Discovery that is away keeps nobody from serving by that list.
-    world.discovery.manner(Manner::Silent);
+    world
+        .discovery
+        .set_behavior(DiscoveryBehavior::Unresponsive);
     let mut configuration = configuration;
-    configuration["listen"] = program::free().to_string().into();
+    configuration["listen"] = agent_process::free_address().to_string().into();
     let begun = Instant::now();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     let mut client = caller(&agent);
-    client.ask("view", 900);
-    assert!(client.told().unwrap().code().is_none() && begun.elapsed() < SOON);
+    client.send_query("view", 900);
+    assert!(client.read_reply().unwrap().code().is_none() && begun.elapsed() < TEST_TIMEOUT);
 }
 
 /// Guards the rule where the address moves: what the new one holds counts as told 4 s later.
 #[test]
 fn at_a_new_address_that_is_late_the_list_is_heard_before_it_counts() {
     let (world, next) = (world(2), Discovery::start(1).unwrap());
-    next.tell(world.discovery.entries());
-    next.change("s-0", |e| e.state = "terminating".into());
-    next.hush([
-        Meets::Refuses,
-        Meets::Mute,
-        Meets::Late(ms(1000)),
-        Meets::Late(ms(1000)),
+    next.update(world.discovery.entries());
+    next.update_entry("s-0", |e| e.state = "terminating".into());
+    next.silence_watches([
+        ConnectionBehavior::Closed,
+        ConnectionBehavior::Unanswered,
+        ConnectionBehavior::AnsweredAfter(ms(1000)),
+        ConnectionBehavior::AnsweredAfter(ms(1000)),
     ]);
     let agent = start(&world);
     last_sent(&world, &agent, Instant::now() + ms(300));
     let mut configuration = agent.configuration.clone();
     configuration["discovery"] = next.address(0).to_string().into();
     let moved = Instant::now();
-    agent.renew(&configuration.to_string()).unwrap();
+    agent.reload(&configuration.to_string()).unwrap();
     let last = last_sent(&world, &agent, moved + ms(4000) + GRACE).unwrap();
     assert!(last < moved + ms(4000), "sent {:?} after it", last - moved);
 }
@@ -201,18 +211,22 @@
     let world = world(3);
     let agent = start(&world);
     last_sent(&world, &agent, Instant::now() + ms(200));
-    let mut list = world.discovery.known(0);
+    let mut list = world.discovery.full_list(0);
     let entries = list["servers"].as_array_mut().unwrap();
     entries[0]["state"] = "terminating".into();
     entries[1]["cell"] = Value::Null;
     entries.push(json!({"id": 7}));
     list["version"] = 99.into();
     let text = serde_json::to_string_pretty(&list).unwrap();
-    let (spoilt, asked) = (Instant::now(), world.discovery.asked());
-    world.discovery.manner(Manner::Says(Speaker::http(&text)));
+    let (spoilt, asked) = (Instant::now(), world.discovery.requests());
+    world
+        .discovery
+        .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
+            &text,
+        )));
     let last = last_sent(&world, &agent, spoilt + ms(2000)).unwrap();
     assert!(last < spoilt + GRACE, "sent {:?} after it", last - spoilt);
-    let asked = world.discovery.asked() - asked;
+    let asked = world.discovery.requests() - asked;
     assert!((2..40).contains(&asked), "asked {asked} times in 2 s");
     assert_eq!(
         agent.log().matches("is asked anew").count(),
@@ -225,12 +239,12 @@
 type Drains = BTreeMap<String, Instant>;
 
 /// Attempts to endpoints after their announcement bound.
-fn late(world: &World, drains: &Drains) -> usize {
+fn late(world: &TestCluster, drains: &Drains) -> usize {
     let late = |(id, bound): (&String, &Instant)| {
         world
-            .get(id)
+            .endpoint(id)
             .unwrap()
-            .seen()
+            .received_queries()
             .iter()
             .filter(|s| s.at > *bound)
             .count()
@@ -240,38 +254,38 @@
 
 /// Silences, late and refused connections, spoilt lists, restarts from the old list, new
 /// configurations and drains by chance; `told` is what the agent hears.
-fn days(seed: u64, world: &World, told: &Discovery) -> usize {
+fn days(seed: u64, world: &TestCluster, told: &Discovery) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["discovery"] = told.address(0).to_string().into();
-    let mut agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
+    let mut agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
     let (mut drains, mut silent) = (Drains::new(), None::<Instant>);
     for step in 0..9 {
         let mut client = caller(&agent);
         let until = Instant::now() + ms(rng.gen_range(400..1600));
         while Instant::now() < until {
-            client.ask("view", 800);
-            let _ = client.told().unwrap();
+            client.send_query("view", 800);
+            let _ = client.read_reply().unwrap();
         }
         match rng.gen_range(0..4) {
             0 | 1 => {
                 let meets = [
-                    Meets::Refuses,
-                    Meets::Mute,
-                    Meets::Late(ms(rng.gen_range(50..1000))),
+                    ConnectionBehavior::Closed,
+                    ConnectionBehavior::Unanswered,
+                    ConnectionBehavior::AnsweredAfter(ms(rng.gen_range(50..1000))),
                 ];
                 let next: Vec<_> = (0..rng.gen_range(0..4))
                     .map(|_| meets[rng.gen_range(0..3)].clone())
                     .collect();
-                told.hush(next);
+                told.silence_watches(next);
                 silent = Some(Instant::now());
             }
-            2 => agent.renew(&configuration.to_string()).unwrap(),
+            2 => agent.reload(&configuration.to_string()).unwrap(),
             _ => {
                 drop(client);
                 drop(agent);
-                told.hush([]);
-                agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
+                told.silence_watches([]);
+                agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
                 caller(&agent);
             }
         }
@@ -288,8 +302,8 @@
     let mut client = caller(&agent);
     let end = *drains.values().max().unwrap() + ms(300);
     while Instant::now() < end {
-        client.ask("view", 800);
-        let _ = client.told().unwrap();
+        client.send_query("view", 800);
+        let _ = client.read_reply().unwrap();
     }
     late(world, &drains)
 }
@@ -314,7 +328,7 @@
 #[test]
 fn an_agent_that_hears_of_no_drain_is_found_out() {
     let (world, deaf) = (world(12), Discovery::start(1).unwrap());
-    deaf.tell(world.discovery.entries());
+    deaf.update(world.discovery.entries());
     assert!(days(1, &world, &deaf) > 0);
 }
 
@@ -334,32 +348,43 @@
         };
         (0..1020).map(entry).collect()
     };
-    world.discovery.tell(many("in_service"));
+    world.discovery.update(many("in_service"));
     let begun = Instant::now();
     let agent = start(&world);
     let mut client = caller(&agent);
-    assert!(begun.elapsed() < SOON);
+    assert!(begun.elapsed() < TEST_TIMEOUT);
     for _ in 0..300 {
-        client.ask("view", 1000);
-        assert_eq!(client.told().unwrap().code(), None);
+        client.send_query("view", 1000);
+        assert_eq!(client.read_reply().unwrap().code(), None);
     }
     let (told, seen) = (
         Instant::now(),
-        world.seen().values().map(Vec::len).sum::<usize>(),
+        world
+            .received_queries()
+            .values()
+            .map(Vec::len)
+            .sum::<usize>(),
     );
-    world.discovery.tell(many("terminating"));
+    world.discovery.update(many("terminating"));
     ["s-0", "s-1", "s-2"]
         .into_iter()
         .for_each(|id| leaves(&world, id));
     sleep(GRACE);
-    let only = world.get("s-3").unwrap().seen_count();
+    let only = world.endpoint("s-3").unwrap().received_count();
     for _ in 0..100 {
-        client.ask("view", 1000);
-        assert_eq!(client.told().unwrap().code(), None);
+        client.send_query("view", 1000);
+        assert_eq!(client.read_reply().unwrap().code(), None);
     }
-    let all = world.seen().values().map(Vec::len).sum::<usize>();
+    let all = world
+        .received_queries()
+        .values()
+        .map(Vec::len)
+        .sum::<usize>();
     assert_eq!(
-        (all - seen, world.get("s-3").unwrap().seen_count() - only),
+        (
+            all - seen,
+            world.endpoint("s-3").unwrap().received_count() - only
+        ),
         (100, 100),
         "after {:?}",
         told.elapsed()
@@ -382,18 +407,21 @@
 fn a_silence_a_new_address_and_a_drain_cross_in_each_order_and_the_drain_is_kept() {
     let order = |order: [u8; 3]| {
         let (world, next) = (world(2), Discovery::start(1).unwrap());
-        next.tell(world.discovery.entries());
+        next.update(world.discovery.entries());
         let agent = start(&world);
         last_sent(&world, &agent, Instant::now() + ms(1300));
         let mut configuration = agent.configuration.clone();
         configuration["discovery"] = next.address(0).to_string().into();
         for event in order {
             match event {
-                0 => world.discovery.hush([Meets::Mute, Meets::Late(ms(300))]),
-                1 => agent.renew(&configuration.to_string()).unwrap(),
+                0 => world.discovery.silence_watches([
+                    ConnectionBehavior::Unanswered,
+                    ConnectionBehavior::AnsweredAfter(ms(300)),
+                ]),
+                1 => agent.reload(&configuration.to_string()).unwrap(),
                 _ => {
                     leaves(&world, "s-0");
-                    next.change("s-0", |e| e.state = "terminating".into());
+                    next.update_entry("s-0", |e| e.state = "terminating".into());
                 }
             }
             sleep(ms(60));
--- a/crates/agent/tests/refused.rs
+++ b/crates/agent/tests/refused.rs
@@ -17,35 +17,39 @@
 
 /// A world where lists are asked for, an agent that has heard its list, and a second discovery that
 /// tells the same.
-fn begin() -> (World, Discovery, Program) {
-    let world = World::new(&["a"], program::classes()).unwrap();
+fn begin() -> (TestCluster, Discovery, AgentProcess) {
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..3 {
         world
-            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     let next = Discovery::start(1).unwrap();
-    next.tell(world.discovery.entries());
+    next.update(world.discovery.entries());
     // The versions are the list's: as many changes at either address.
-    while next.known(0)["version"].as_u64() < world.discovery.known(0)["version"].as_u64() {
-        next.tell(world.discovery.entries());
+    while next.full_list(0)["version"].as_u64() < world.discovery.full_list(0)["version"].as_u64() {
+        next.update(world.discovery.entries());
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["settings"]["discovery"] = "ask".into();
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     ask_until(&world, &agent, Instant::now() + ms(700));
-    assert!(world.discovery.asked() > 0, "it has asked");
+    assert!(world.discovery.requests() > 0, "it has asked");
     (world, next, agent)
 }
 
 /// Asks until `until`: how many were served and rejected, and when `s-0` was last sent anything.
-fn ask_until(world: &World, agent: &Program, until: Instant) -> (usize, usize, Option<Instant>) {
-    let mut client = Caller::connect(agent.address().unwrap()).unwrap();
+fn ask_until(
+    world: &TestCluster,
+    agent: &AgentProcess,
+    until: Instant,
+) -> (usize, usize, Option<Instant>) {
+    let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
     let (mut served, mut rejected) = (0, 0);
     while Instant::now() < until {
-        client.ask("view", 400);
-        match client.told().unwrap().code() {
+        client.send_query("view", 400);
+        match client.read_reply().unwrap().code() {
             None => served += 1,
             Some(_) => rejected += 1,
         }
@@ -54,15 +58,20 @@
     (
         served,
         rejected,
-        world.get("s-0").unwrap().seen().last().map(|s| s.at),
+        world
+            .endpoint("s-0")
+            .unwrap()
+            .received_queries()
+            .last()
+            .map(|s| s.at),
     )
 }
 
-fn moves(agent: &Program, next: &Discovery) -> Instant {
+fn moves(agent: &AgentProcess, next: &Discovery) -> Instant {
     let mut configuration = agent.configuration.clone();
     configuration["discovery"] = next.address(0).to_string().into();
     let moved = Instant::now();
-    agent.renew(&configuration.to_string()).unwrap();
+    agent.reload(&configuration.to_string()).unwrap();
     moved
 }
 
@@ -70,20 +79,20 @@
 #[test]
 fn after_a_new_address_refuses_for_three_seconds_its_changes_are_heard_before_they_count() {
     let (world, next, agent) = begin();
-    next.manner(Manner::Says(REFUSES.into()));
+    next.set_behavior(DiscoveryBehavior::Sends(REFUSES.into()));
     let moved = moves(&agent, &next);
-    next.change("s-0", |e| e.state = "terminating".into());
+    next.update_entry("s-0", |e| e.state = "terminating".into());
     let (served, rejected, _) = ask_until(&world, &agent, moved + ms(3000));
     assert!(
         served > 50 && rejected == 0,
         "{served} served, {rejected} denied meanwhile"
     );
     assert!(
-        (3..20).contains(&next.asked()),
+        (3..20).contains(&next.requests()),
         "asked {} times in 3 s",
-        next.asked()
+        next.requests()
     );
-    next.manner(Manner::Tells);
+    next.set_behavior(DiscoveryBehavior::Normal);
     let (_, _, last) = ask_until(&world, &agent, moved + TOLD_AFTER + GRACE * 2);
     let last = last.unwrap();
     assert!(
@@ -97,7 +106,7 @@
         agent.log()
     );
     assert_eq!(
-        next.asked_whole(),
+        next.full_list_requests(),
         0,
         "changes are asked for, not the whole list"
     );
@@ -107,19 +116,30 @@
 #[test]
 fn an_agent_refused_for_longer_than_that_sends_nothing_until_it_is_heard_and_then_does_again() {
     let (world, next, agent) = begin();
-    next.manner(Manner::Says(REFUSES.into()));
+    next.set_behavior(DiscoveryBehavior::Sends(REFUSES.into()));
     let moved = moves(&agent, &next);
-    next.change("s-0", |e| e.state = "terminating".into());
+    next.update_entry("s-0", |e| e.state = "terminating".into());
     let (_, rejected, last) = ask_until(&world, &agent, moved + ms(5500));
     assert!(
         rejected == 0 && last.is_some_and(|t| t > moved + ms(4500)),
         "it serves as long as it may"
     );
     ask_until(&world, &agent, moved + TOLD_AFTER + GRACE);
-    let sent = world.seen().values().map(Vec::len).sum::<usize>();
+    let sent = world
+        .received_queries()
+        .values()
+        .map(Vec::len)
+        .sum::<usize>();
     let (served, rejected, _) = ask_until(&world, &agent, moved + ms(8000));
     assert_eq!(
-        (served, world.seen().values().map(Vec::len).sum::<usize>()),
+        (
+            served,
+            world
+                .received_queries()
+                .values()
+                .map(Vec::len)
+                .sum::<usize>()
+        ),
         (0, sent),
         "nothing is sent"
     );
@@ -129,8 +149,8 @@
         "{}",
         agent.log()
     );
-    next.manner(Manner::Tells);
-    assert!(ground::until(|| agent
+    next.set_behavior(DiscoveryBehavior::Normal);
+    assert!(runtime::wait_until(|| agent
         .log()
         .contains("discovery: heard again")));
     let (served, rejected, last) = ask_until(&world, &agent, Instant::now() + ms(500));
@@ -145,10 +165,10 @@
 /// Denies meanwhile.
 #[test]
 fn a_start_sends_nothing_by_the_list_it_was_given_while_its_first_call_is_under_way() {
-    let world = World::new(&["a"], program::classes()).unwrap();
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..3 {
         world
-            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
@@ -156,18 +176,24 @@
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
     world
         .discovery
-        .change("s-0", |e| e.state = "terminating".into());
-    world.discovery.hush([Meets::Late(ms(2700))]);
+        .update_entry("s-0", |e| e.state = "terminating".into());
+    world
+        .discovery
+        .silence_watches([ConnectionBehavior::AnsweredAfter(ms(2700))]);
     let started = Instant::now();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     ask_until(&world, &agent, started + ms(2600));
-    let sent = world.seen().values().map(Vec::len).sum::<usize>();
+    let sent = world
+        .received_queries()
+        .values()
+        .map(Vec::len)
+        .sum::<usize>();
     assert_eq!(
-        (sent, world.discovery.asked()),
+        (sent, world.discovery.requests()),
         (0, 0),
         "sent and asked before it was heard"
     );
-    assert!(ground::until(|| world.discovery.asked() > 0));
+    assert!(runtime::wait_until(|| world.discovery.requests() > 0));
     let (served, _, last) = ask_until(&world, &agent, Instant::now() + ms(1000));
     assert!(
         served > 10 && last.is_none(),
@@ -183,21 +209,21 @@
     let anew = Discovery::start(1).unwrap();
     let mut entries = world.discovery.entries();
     entries.retain(|e| e.id != "s-0");
-    anew.tell(entries);
+    anew.update(entries);
     let moved = moves(&agent, &anew);
     let (_, _, last) = ask_until(&world, &agent, moved + ms(4000));
-    assert_eq!(anew.asked_whole(), 1);
+    assert_eq!(anew.full_list_requests(), 1);
     assert!(last.unwrap() < moved + ms(2500), "what it lacks is gone");
 }
 
 /// An agent at its start whose share of the calls is 4 s, before a discovery that told 7 s ago that
 /// `s-0` has left, which the process before was not told: its `known` names it.
-fn starts_unaware(seed: &str, down: bool) -> (World, Program, Instant) {
-    let mut world = World::new(&["a"], program::classes()).unwrap();
+fn starts_unaware(seed: &str, down: bool) -> (TestCluster, AgentProcess, Instant) {
+    let mut world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     world.agents = 4; // one call a second is told for all
     for n in 0..3 {
         world
-            .endpoint(0, &format!("s-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
@@ -206,13 +232,15 @@
     configuration["seed"] = seed.into();
     world
         .discovery
-        .change("s-0", |e| e.state = "terminated".into());
+        .update_entry("s-0", |e| e.state = "terminated".into());
     if down {
-        world.discovery.manner(Manner::Down);
+        world
+            .discovery
+            .set_behavior(DiscoveryBehavior::ClosesConnections);
     }
     sleep(ms(7000));
     let begun = Instant::now();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     (world, agent, begun)
 }
 
@@ -222,12 +250,12 @@
 fn a_start_that_is_spread_over_four_seconds_sends_nothing_to_who_left_before_it() {
     let play = |seed: &str| {
         let (world, agent, begun) = starts_unaware(seed, false);
-        let mut client = Caller::connect(agent.address().unwrap()).unwrap();
+        let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
         let (mut first, mut served, mut rejected, mut slowest) = (None, 0, 0, ms(0));
         while begun.elapsed() < ms(5000) {
             let asked = Instant::now();
-            client.ask("view", 400);
-            match client.told().unwrap().code() {
+            client.send_query("view", 400);
+            match client.read_reply().unwrap().code() {
                 None => {
                     first.get_or_insert(begun.elapsed());
                     served += 1;
@@ -238,7 +266,7 @@
             sleep(ms(5));
         }
         assert_eq!(
-            world.get("s-0").unwrap().seen().len(),
+            world.endpoint("s-0").unwrap().received_queries().len(),
             0,
             "seed {seed}: it left 7 s before the start"
         );
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tulipwall_testkit::endpoint::CONNECTIONS;
-use tulipwall_testkit::ground::{until, SOON};
+use tulipwall_testkit::runtime::{wait_until, TEST_TIMEOUT};
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -14,35 +14,35 @@
     Duration::from_millis(n)
 }
 
-fn world(endpoints: usize, ways: Ways) -> World {
-    let world = World::new(&["a"], program::classes()).unwrap();
+fn world(endpoints: usize, ways: EndpointBehavior) -> TestCluster {
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..endpoints {
         world
-            .endpoint(0, &format!("s-{n}"), 41, ways.clone())
+            .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
     world
 }
 
-fn start(world: &World, change: impl FnOnce(&mut Value)) -> Program {
+fn start(world: &TestCluster, change: impl FnOnce(&mut Value)) -> AgentProcess {
     let mut configuration = world.configuration("n1", 0).unwrap();
     change(&mut configuration);
-    Program::start(BINARY, configuration, &[]).unwrap()
+    AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
-fn caller(agent: &Program) -> Caller {
-    Caller::connect(agent.address().unwrap()).unwrap()
+fn caller(agent: &AgentProcess) -> TestClient {
+    TestClient::connect(agent.address().unwrap()).unwrap()
 }
 
-fn taken_over(agent: &Program) -> usize {
+fn taken_over(agent: &AgentProcess) -> usize {
     agent.log().matches("a new configuration").count()
 }
 
 /// Replaces the configuration and waits until it is in force; for how long that took.
-fn renew(agent: &Program, configuration: &Value) -> Duration {
+fn renew(agent: &AgentProcess, configuration: &Value) -> Duration {
     let (before, begun) = (taken_over(agent), Instant::now());
-    agent.renew(&configuration.to_string()).unwrap();
-    assert!(until(|| taken_over(agent) > before), "{}", agent.log());
+    agent.reload(&configuration.to_string()).unwrap();
+    assert!(wait_until(|| taken_over(agent) > before), "{}", agent.log());
     begun.elapsed()
 }
 
@@ -52,22 +52,22 @@
 }
 
 /// A request of its own; the code of what it was told, nothing for a value.
-fn ask(client: &mut Caller, id: &str, class: &str) -> Option<String> {
-    client.ask_as(id, class, 3000);
-    client.told().unwrap().code()
+fn ask(client: &mut TestClient, id: &str, class: &str) -> Option<String> {
+    client.send_query_as(id, class, 3000);
+    client.read_reply().unwrap().code()
 }
 
-fn attempts(world: &World, id: &str) -> usize {
-    world.seen().get(id).map_or(0, Vec::len)
+fn attempts(world: &TestCluster, id: &str) -> usize {
+    world.received_queries().get(id).map_or(0, Vec::len)
 }
 
 /// What is asked of discovery and the platform: whole lists, and connections to either. Of two
 /// tries at a start the later one may be on its way for a while after the first was answered; it is
 /// waited for.
-fn asked(world: &World) -> (usize, usize, usize) {
+fn asked(world: &TestCluster) -> (usize, usize, usize) {
     assert!(world.discovery.settled(0).unwrap(), "one watch at a time");
     (
-        world.discovery.asked_whole(),
+        world.discovery.full_list_requests(),
         world.discovery.connections(),
         world.platform.connections(),
     )
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_lane_and_a_tenant_that_are_added_serve_the_next_command_of_an_open_connection() {
-    let world = world(1, Ways::default());
+    let world = world(1, EndpointBehavior::default());
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
     assert_eq!(ask(&mut client, "v1", "view"), None);
@@ -84,7 +84,8 @@
         "no such lane yet"
     );
     let before = asked(&world);
-    let opened = || world.get("s-0").unwrap().counted()[&(0, CONNECTIONS.to_owned())].written;
+    let opened =
+        || world.endpoint("s-0").unwrap().transfer_counts()[&(0, CONNECTIONS.to_owned())].written;
     let connections = opened();
     let mut configuration = agent.configuration.clone();
     let settings = &mut configuration["settings"];
@@ -97,10 +98,10 @@
     for (n, class) in ["extra", "view", "send", "payment"].into_iter().enumerate() {
         sleep(ms(30));
         let key = if class == "send" { ",k=k1" } else { "" };
-        client.say(&format!(
+        client.send_statement(&format!(
             "SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c={class},t=acme,d=3000{key} */"
         ));
-        assert_eq!(client.told().unwrap().code(), None, "{class}");
+        assert_eq!(client.read_reply().unwrap().code(), None, "{class}");
     }
     assert!(
         agent
@@ -124,9 +125,9 @@
 fn a_quoted_time_decides_from_then_on() {
     let world = world(
         2,
-        Ways {
+        EndpointBehavior {
             work: ms(1200),
-            ..Ways::default()
+            ..EndpointBehavior::default()
         },
     );
     let classes = |latency_objective| {
@@ -151,9 +152,9 @@
 fn a_lane_that_becomes_unrepeatable_and_one_that_becomes_repeatable_with_commands_in_hand() {
     let world = world(
         3,
-        Ways {
-            act: Act::Silent,
-            ..Ways::default()
+        EndpointBehavior {
+            response: ResponseBehavior::NeverAnswer,
+            ..EndpointBehavior::default()
         },
     );
     let classes = |view, payment| {
@@ -166,28 +167,28 @@
     let agent = start(&world, |c| {
         c["settings"]["classes"] = classes("repeatable", "once")
     });
-    let mut clients: Vec<Caller> = (0..4).map(|_| caller(&agent)).collect();
+    let mut clients: Vec<TestClient> = (0..4).map(|_| caller(&agent)).collect();
     // Each shows to be late after 2 s.
-    clients[0].ask_as("view-before", "view", 7000);
-    clients[1].ask_as("payment-before", "payment", 7000);
-    assert!(until(|| attempts(&world, "view-before")
+    clients[0].send_query_as("view-before", "view", 7000);
+    clients[1].send_query_as("payment-before", "payment", 7000);
+    assert!(wait_until(|| attempts(&world, "view-before")
         + attempts(&world, "payment-before")
         == 2));
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes("once", "repeatable");
     let took = renew(&agent, &configuration);
     assert!(took < ms(1500), "in force before either is late: {took:?}");
-    clients[2].ask_as("view-after", "view", 5000);
-    clients[3].ask_as("payment-after", "payment", 5000);
-    assert!(until(
+    clients[2].send_query_as("view-after", "view", 5000);
+    clients[3].send_query_as("payment-after", "payment", 5000);
+    assert!(wait_until(
         || attempts(&world, "view-before") == 2 && attempts(&world, "payment-after") >= 2
     ));
     // Another that changes nothing keeps them under their rules.
     renew(&agent, &configuration);
     for client in &mut clients {
-        client.stream.set_read_timeout(Some(SOON)).unwrap();
+        client.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         assert!(
-            client.told().unwrap().code().is_some(),
+            client.read_reply().unwrap().code().is_some(),
             "nobody answers them"
         );
     }
@@ -202,7 +203,7 @@
 
 #[test]
 fn settings_at_fault_are_named_in_one_line_and_change_nothing() {
-    let world = world(1, Ways::default());
+    let world = world(1, EndpointBehavior::default());
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
     let before = asked(&world);
@@ -222,8 +223,8 @@
                 .count()
         };
         let (seen, over) = (faults(), taken_over(&agent));
-        agent.renew(&configuration.to_string()).unwrap();
-        assert!(until(|| faults() > seen), "{}", agent.log());
+        agent.reload(&configuration.to_string()).unwrap();
+        assert!(wait_until(|| faults() > seen), "{}", agent.log());
         assert!(agent.log().contains(&line), "{line}: {}", agent.log());
         assert_eq!(
             (faults(), taken_over(&agent)),
@@ -267,8 +268,8 @@
     // A start is refused.
     let mut configuration = world.configuration("n2", 0).unwrap();
     configuration["settings"]["tenants"] = double.clone();
-    let mut refused = Program::start(BINARY, configuration, &[]).unwrap();
-    assert!(!refused.ended_well().unwrap());
+    let mut refused = AgentProcess::start(BINARY, configuration, &[]).unwrap();
+    assert!(!refused.wait_for_success().unwrap());
     assert!(
         refused
             .log()
@@ -283,12 +284,12 @@
 #[test]
 fn who_did_not_move_is_neither_asked_nor_connected_to_anew() {
     let (world, next) = (
-        world(1, Ways::default()),
+        world(1, EndpointBehavior::default()),
         Platform::start(RolloutStatus::now(41, 0, "released", 1.0)).unwrap(),
     );
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
-    assert!(until(|| world.platform.connections() == 1));
+    assert!(wait_until(|| world.platform.connections() == 1));
     let before = asked(&world);
     let mut configuration = agent.configuration.clone();
     for n in 0..20 {
@@ -304,30 +305,34 @@
     // Who moves is, alone.
     configuration["deployer"]["address"] = next.address.to_string().into();
     renew(&agent, &configuration);
-    assert!(until(
+    assert!(wait_until(
         || next.connections() == 1 && agent.log().matches("phase: Serving").count() == 2
     ));
     assert_eq!(asked(&world), before);
     let discovery = Discovery::start(1).unwrap();
-    discovery.tell(world.discovery.entries());
+    discovery.update(world.discovery.entries());
     configuration["discovery"] = discovery.address(0).to_string().into();
     renew(&agent, &configuration);
-    assert!(until(|| agent.log().matches("phase: Serving").count() == 3));
+    assert!(wait_until(
+        || agent.log().matches("phase: Serving").count() == 3
+    ));
     // Two tries may be made there, of which one goes on.
     assert!(discovery.settled(0).unwrap());
-    let wholes = discovery.asked_whole();
+    let wholes = discovery.full_list_requests();
     assert!(wholes >= 1);
     assert_eq!((next.connections(), asked(&world)), (1, before));
     // Another way to ask is a move as well: asked once more there, and where calls are paid for,
     // for changes alone.
-    let (opened, wholes) = (discovery.connections(), discovery.asked_whole());
+    let (opened, wholes) = (discovery.connections(), discovery.full_list_requests());
     configuration["settings"]["discovery"] = "ask".into();
     renew(&agent, &configuration);
-    assert!(until(|| agent.log().matches("phase: Serving").count() == 4));
+    assert!(wait_until(
+        || agent.log().matches("phase: Serving").count() == 4
+    ));
     sleep(ms(300));
     assert!(discovery.settled(0).unwrap());
     assert_eq!(
-        (discovery.connections(), discovery.asked_whole()),
+        (discovery.connections(), discovery.full_list_requests()),
         (opened + 1, wholes)
     );
     assert_eq!(next.connections(), 1);
@@ -336,11 +341,11 @@
 
 #[test]
 fn what_only_a_restart_can_change_is_named_and_the_rest_is_taken_over() {
-    let world = world(1, Ways::default());
+    let world = world(1, EndpointBehavior::default());
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
     let mut configuration = agent.configuration.clone();
-    configuration["listen"] = program::free().to_string().into();
+    configuration["listen"] = agent_process::free_address().to_string().into();
     configuration["settings"]["classes"]
         .as_array_mut()
         .unwrap()
@@ -350,7 +355,11 @@
         "field listen: {} stays until a restart",
         agent.address().unwrap()
     );
-    assert!(until(|| agent.log().contains(&line)), "{}", agent.log());
+    assert!(
+        wait_until(|| agent.log().contains(&line)),
+        "{}",
+        agent.log()
+    );
     assert_eq!(ask(&mut client, "x", "extra"), None);
     caller(&agent);
 }
@@ -359,16 +368,19 @@
 /// is cut off, and what may not run twice does not.
 #[test]
 fn two_hundred_renewals_under_load_lose_no_command() {
-    let ways = Ways {
+    let ways = EndpointBehavior {
         work: ms(15),
-        steady: 0.3,
+        fixed_work_share: 0.3,
         cores: 8,
-        ..Ways::default()
+        ..EndpointBehavior::default()
     };
     let world = world(
         6,
-        Ways {
-            now_and_then: vec![(Act::Fails, 0.02), (Act::TurnsAway, 0.02)],
+        EndpointBehavior {
+            random_responses: vec![
+                (ResponseBehavior::Fail, 0.02),
+                (ResponseBehavior::Reject, 0.02),
+            ],
             ..ways
         },
     );
@@ -378,7 +390,7 @@
     let load = Load {
         agent: agent.address().unwrap(),
         rate: 150.0,
-        span: Duration::from_secs(8),
+        duration: Duration::from_secs(8),
         classes: vec![
             load_class("view", 4.0, false),
             load_class("send", 4.0, true),
@@ -387,7 +399,7 @@
         connections: 200,
         seed: 17,
     }
-    .begin();
+    .start();
     let before = asked(&world);
     let mut configuration = agent.configuration.clone();
     for n in 0..200usize {
@@ -423,23 +435,26 @@
         sleep(ms(10));
     }
     let answered = futures_lite::future::block_on(load);
-    assert!(answered.asked > 800, "{answered:?}");
+    assert!(answered.requests > 800, "{answered:?}");
     assert_eq!(
-        (answered.unanswered, answered.lost.len()),
+        (answered.unanswered, answered.unanswered_ids.len()),
         (0, 0),
         "{:?}",
-        answered.lost
+        answered.unanswered_ids
+    );
+    assert!(
+        answered.succeeded * 10 > answered.requests * 9,
+        "{answered:?}"
     );
-    assert!(answered.succeeded * 10 > answered.asked * 9, "{answered:?}");
-    assert_eq!(answered.answered(), answered.asked);
-    assert!(world.ran_twice("payment").is_empty());
+    assert_eq!(answered.answered(), answered.requests);
+    assert!(world.executed_twice("payment").is_empty());
     assert_eq!(asked(&world), before);
     assert!(!agent.log().contains("panicked"), "{}", agent.log());
 }
 
 #[test]
 fn fifty_six_thousand_tenants_are_in_force_within_four_seconds() {
-    let world = world(1, Ways::default());
+    let world = world(1, EndpointBehavior::default());
     let tenants = |least: usize| -> Value {
         (least..least + 56_000)
             .map(|n| json!({"name": format!("tenant-{n}"), "share": 0.00002}))
@@ -457,11 +472,11 @@
             .push(class(&name, "repeatable", 400.0));
         let text = configuration.to_string();
         let begun = Instant::now();
-        agent.renew(&text).unwrap();
+        agent.reload(&text).unwrap();
         // By what a client is told, not by the log.
         let served = (0..).find_map(|i| match ask(&mut client, &format!("n{n}-{i}"), &name) {
             None => Some(begun.elapsed()),
-            Some(_) if begun.elapsed() > SOON => Some(SOON),
+            Some(_) if begun.elapsed() > TEST_TIMEOUT => Some(TEST_TIMEOUT),
             Some(_) => None,
         });
         assert!(served.unwrap() < Duration::from_secs(4), "{served:?}");
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -10,7 +10,7 @@
 use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_discovery::{clock::Clock, list::List};
-use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::runtime::TEST_TIMEOUT;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -22,52 +22,52 @@
     ]
 }
 
-fn acts(act: Act) -> Ways {
-    Ways {
-        act,
-        ..Ways::default()
+fn acts(act: ResponseBehavior) -> EndpointBehavior {
+    EndpointBehavior {
+        response: act,
+        ..EndpointBehavior::default()
     }
 }
 
-fn late() -> Ways {
-    Ways {
+fn late() -> EndpointBehavior {
+    EndpointBehavior {
         work: Duration::from_millis(400),
-        ..Ways::default()
+        ..EndpointBehavior::default()
     }
 }
 
 /// One zone with an endpoint for each of these, `s-0` first.
-fn world(ways: &[Ways]) -> World {
-    let world = World::new(&["a"], classes()).unwrap();
+fn world(ways: &[EndpointBehavior]) -> TestCluster {
+    let world = TestCluster::new(&["a"], classes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
         world
-            .endpoint(0, &format!("s-{n}"), 41, ways.clone())
+            .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
     world
 }
 
-fn start(world: &World, sockets: usize) -> Program {
+fn start(world: &TestCluster, sockets: usize) -> AgentProcess {
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = sockets.into();
-    Program::start(BINARY, configuration, &[]).unwrap()
+    AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
-fn caller(program: &Program) -> Caller {
-    Caller::connect(program.address().unwrap()).unwrap()
+fn caller(program: &AgentProcess) -> TestClient {
+    TestClient::connect(program.address().unwrap()).unwrap()
 }
 
 /// The code of the error, or nothing where the value came.
-fn told(caller: &mut Caller) -> Option<String> {
-    let told = caller.told().unwrap();
-    if let Told::Value(bytes) = &told {
+fn told(caller: &mut TestClient) -> Option<String> {
+    let told = caller.read_reply().unwrap();
+    if let Reply::Value(bytes) = &told {
         assert_eq!(bytes, &[0x9f, 3]);
     }
     told.code()
 }
 
-fn seen(world: &World, id: &str) -> usize {
-    world.get(id).unwrap().seen_count()
+fn seen(world: &TestCluster, id: &str) -> usize {
+    world.endpoint(id).unwrap().received_count()
 }
 
 /// An address where nobody listens.
@@ -80,15 +80,15 @@
 
 #[test]
 fn a_value_passes_and_queries_written_ahead_are_answered_in_their_order() {
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
-    client.ask("view", 1000);
-    client.ask("nothing", 1000);
-    client.ask("payment", 1000);
+    client.send_query("view", 1000);
+    client.send_query("nothing", 1000);
+    client.send_query("payment", 1000);
     let codes = (told(&mut client), told(&mut client), told(&mut client));
     assert_eq!(codes, (None, Some("42601".into()), None));
-    let sent = world.get("s-0").unwrap().seen();
+    let sent = world.endpoint("s-0").unwrap().received_queries();
     assert_eq!(sent.len(), 2, "a faulty statement goes nowhere");
     assert!(sent[0]
         .statement
@@ -98,10 +98,10 @@
 #[test]
 fn an_unrepeatable_command_whose_connection_ended_after_its_last_byte_is_scrapped_and_not_sent_again(
 ) {
-    let world = world(&[acts(Act::Resets), acts(Act::Resets)]);
+    let world = world(&[acts(ResponseBehavior::Close), acts(ResponseBehavior::Close)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
-    client.ask("payment", 1000);
+    client.send_query("payment", 1000);
     assert_eq!(told(&mut client), Some("XX000".into()));
     assert_eq!(seen(&world, "s-0") + seen(&world, "s-1"), 1);
 }
@@ -109,23 +109,23 @@
 #[test]
 fn a_command_without_connection_never_ran_and_is_denied() {
     // Refused before the last byte.
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     world
         .discovery
-        .change("s-0", |e| e.addresses = vec![nobody()]);
+        .update_entry("s-0", |e| e.addresses = vec![nobody()]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
-    client.ask("payment", 600);
+    client.send_query("payment", 600);
     assert_eq!(told(&mut client), Some("53300".into()));
 }
 
 #[test]
 fn a_connection_that_ended_behind_its_answer_is_not_used_again() {
-    let world = world(&[acts(Act::EndsAfter)]);
+    let world = world(&[acts(ResponseBehavior::AnswerAndClose)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     for _ in 0..5 {
-        client.ask("payment", 1000);
+        client.send_query("payment", 1000);
         assert_eq!(told(&mut client), None);
         thread::sleep(Duration::from_millis(50));
     }
@@ -134,11 +134,11 @@
 
 #[test]
 fn what_comes_behind_an_answer_is_no_answer_to_the_next() {
-    let world = world(&[acts(Act::Twice)]);
+    let world = world(&[acts(ResponseBehavior::AnswerTwice)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     for n in 1..6 {
-        client.ask("payment", 1000);
+        client.send_query("payment", 1000);
         assert_eq!(
             (told(&mut client), seen(&world, "s-0")),
             (None, n),
@@ -149,56 +149,60 @@
 
 #[test]
 fn a_spoilt_answer_is_a_failed_delivery_that_may_have_run() {
-    let one = world(&[acts(Act::Half)]);
+    let one = world(&[acts(ResponseBehavior::StallMidAnswer)]);
     let agent = start(&one, 1024);
     let mut client = caller(&agent);
     let begun = Instant::now();
-    client.ask("payment", 1500);
+    client.send_query("payment", 1500);
     assert_eq!(told(&mut client), Some("XX000".into()));
     assert!(
         begun.elapsed() < Duration::from_millis(1000),
         "its end is not waited for"
     );
     assert_eq!(seen(&one, "s-0"), 1);
-    let both = world(&[acts(Act::Half), acts(Act::Answers)]);
+    let both = world(&[
+        acts(ResponseBehavior::StallMidAnswer),
+        acts(ResponseBehavior::Answer),
+    ]);
     let agent = start(&both, 1024);
     let mut client = caller(&agent);
     for _ in 0..5 {
-        client.ask("view", 1500);
+        client.send_query("view", 1500);
         assert_eq!(told(&mut client), None);
     }
 }
 
 #[test]
 fn spoilt_lists_and_lines_are_asked_for_anew() {
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     // Spoilt here, not by a change there: the agent could be moved on between the change and its
     // taking back.
     let drains = world
         .discovery
-        .known(0)
+        .full_list(0)
         .to_string()
         .replace("in_service", "terminating");
     assert!(drains.contains("terminating"));
     let again_soon = || {
-        let lists = Speaker::start(Speaker::http(&drains).split_at(150).0).unwrap();
-        let watches = Speaker::start("{\"method\":\"ROLL").unwrap();
+        let lists =
+            ScriptedServer::start(ScriptedServer::http_response(&drains).split_at(150).0).unwrap();
+        let watches = ScriptedServer::start("{\"method\":\"ROLL").unwrap();
         let mut next = agent.configuration.clone();
         next["discovery"] = lists.address.to_string().into();
         next["deployer"]["address"] = watches.address.to_string().into();
-        agent.renew(&next.to_string()).unwrap();
+        agent.reload(&next.to_string()).unwrap();
         let begun = Instant::now();
         for _ in 0..2 {
             assert!(lists
-                .asked
-                .recv_timeout(SOON)
+                .requests
+                .recv_timeout(TEST_TIMEOUT)
                 .unwrap()
                 .starts_with("GET /api/targets HTTP/1.1"));
             assert!(watches
-                .asked
-                .recv_timeout(SOON)
+                .requests
+                .recv_timeout(TEST_TIMEOUT)
                 .unwrap()
                 .contains("Events.Watch"));
         }
@@ -207,7 +211,7 @@
     // A rest that is waited for as long as silence takes over 2 s at every try; a busy machine at
     // some.
     assert!((0..3).any(|_| again_soon()));
-    client.ask("view", 1000);
+    client.send_query("view", 1000);
     assert_eq!(
         (told(&mut client), seen(&world, "s-0")),
         (None, 1),
@@ -217,11 +221,14 @@
 
 #[test]
 fn what_is_turned_away_goes_to_another() {
-    let world = world(&[acts(Act::TurnsAway), acts(Act::Answers)]);
+    let world = world(&[
+        acts(ResponseBehavior::Reject),
+        acts(ResponseBehavior::Answer),
+    ]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     for _ in 0..8 {
-        client.ask("payment", 1000);
+        client.send_query("payment", 1000);
         assert_eq!(told(&mut client), None);
     }
     assert!(seen(&world, "s-0") > 0 && seen(&world, "s-1") == 8);
@@ -229,14 +236,17 @@
 
 #[test]
 fn nothing_goes_to_a_draining_appliance() {
-    let world = world(&[acts(Act::Answers), acts(Act::Answers)]);
+    let world = world(&[
+        acts(ResponseBehavior::Answer),
+        acts(ResponseBehavior::Answer),
+    ]);
     world
         .discovery
-        .change("s-0", |e| e.state = "terminating".into());
+        .update_entry("s-0", |e| e.state = "terminating".into());
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     for _ in 0..8 {
-        client.ask("view", 1000);
+        client.send_query("view", 1000);
         assert_eq!(told(&mut client), None);
     }
     assert_eq!((seen(&world, "s-0"), seen(&world, "s-1")), (0, 8));
@@ -244,14 +254,14 @@
 
 #[test]
 fn a_mute_appliance_costs_no_final_answer() {
-    let world = world(&[Ways {
-        mute: true,
-        ..Ways::default()
+    let world = world(&[EndpointBehavior {
+        unresponsive: true,
+        ..EndpointBehavior::default()
     }]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
     let begun = Instant::now();
-    client.ask("payment", 300);
+    client.send_query("payment", 300);
     assert!(told(&mut client).is_some());
     assert!(begun.elapsed() < Duration::from_millis(400));
 }
@@ -261,53 +271,56 @@
     let world = world(&[late()]);
     let mut agent = start(&world, 1024);
     let mut client = caller(&agent);
-    client.ask("payment", 1500);
-    assert!(ground::until(|| seen(&world, "s-0") == 1));
+    client.send_query("payment", 1500);
+    assert!(runtime::wait_until(|| seen(&world, "s-0") == 1));
     agent.terminate().unwrap();
     // A new configuration on the way out ends nothing.
-    agent.renew(&agent.configuration.to_string()).unwrap();
+    agent.reload(&agent.configuration.to_string()).unwrap();
     // New clients still come for a while.
     let mut later = caller(&agent);
-    later.ask("view", 1500);
+    later.send_query("view", 1500);
     assert_eq!((told(&mut client), told(&mut later)), (None, None));
-    assert!(agent.ended_well().unwrap());
+    assert!(agent.wait_for_success().unwrap());
 }
 
 #[test]
 fn a_new_configuration_moves_discovery_and_platform_while_commands_are_served() {
-    let (old, new) = (world(&[acts(Act::Answers)]), world(&[acts(Act::Answers)]));
+    let (old, new) = (
+        world(&[acts(ResponseBehavior::Answer)]),
+        world(&[acts(ResponseBehavior::Answer)]),
+    );
     let agent = start(&old, 1024);
     let mut client = caller(&agent);
     let mut serve = |until: &dyn Fn() -> bool| {
         let begun = Instant::now();
         while !until() {
-            assert!(begun.elapsed() < SOON);
-            client.ask("view", 1000);
+            assert!(begun.elapsed() < TEST_TIMEOUT);
+            client.send_query("view", 1000);
             assert_eq!(told(&mut client), None);
         }
     };
     serve(&|| seen(&old, "s-0") > 0);
     // A faulty file changes nothing.
-    agent.renew("{\"seed\": \"1\"").unwrap();
+    agent.reload("{\"seed\": \"1\"").unwrap();
     thread::sleep(Duration::from_millis(100));
     let before = seen(&old, "s-0");
     serve(&|| seen(&old, "s-0") > before);
     // Several in a row: the last one counts. The list that is told there has the first endpoint no
     // more.
-    new.discovery.change("s-0", |e| e.id = "s-9".into());
+    new.discovery.update_entry("s-0", |e| e.id = "s-9".into());
     new.discovery
-        .change("s-0", |e| e.state = "terminated".into());
+        .update_entry("s-0", |e| e.state = "terminated".into());
     let mut next = agent.configuration.clone();
     next["discovery"] = new.discovery.address(0).to_string().into();
     next["deployer"]["address"] = new.platform.address.to_string().into();
     let mut between = next.clone();
     between["discovery"] = "127.0.0.1:1".into();
-    agent.renew(&between.to_string()).unwrap();
-    agent.renew(&next.to_string()).unwrap();
+    agent.reload(&between.to_string()).unwrap();
+    agent.reload(&next.to_string()).unwrap();
     serve(&|| seen(&new, "s-0") > 0);
     assert!(
-        new.discovery.asked() > 0
-            && ground::until(|| agent.log().matches("phase: Serving").count() > 1)
+        new.discovery.requests() > 0
+            && runtime::wait_until(|| agent.log().matches("phase: Serving").count() > 1)
     );
     let before = seen(&old, "s-0");
     let there = seen(&new, "s-0");
@@ -317,7 +330,7 @@
 
 #[test]
 fn who_says_nothing_or_half_is_told_so_and_let_go_and_who_asked_once_may_stay() {
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     let mut stays = caller(&agent);
     let startup = pg::startup();
@@ -329,7 +342,7 @@
         .map(|bytes| {
             let mut stream = TcpStream::connect(agent.address().unwrap()).unwrap();
             stream.write_all(bytes).unwrap();
-            stream.set_read_timeout(Some(SOON)).unwrap();
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             stream
         })
         .collect();
@@ -339,7 +352,7 @@
         assert!(heard.windows(6).any(|w| w == b"C08P01"));
         assert!(begun.elapsed() < Duration::from_millis(2900));
     }
-    stays.ask("view", 1000);
+    stays.send_query("view", 1000);
     assert_eq!(told(&mut stays), None);
 }
 
@@ -348,17 +361,17 @@
     let world = world(&[late()]);
     let agent = start(&world, 1024);
     let (mut one, mut two) = (caller(&agent), caller(&agent));
-    one.ask_as("7", "payment", 1500);
-    assert!(ground::until(|| seen(&world, "s-0") == 1));
-    two.ask_as("7", "payment", 1500);
+    one.send_query_as("7", "payment", 1500);
+    assert!(runtime::wait_until(|| seen(&world, "s-0") == 1));
+    two.send_query_as("7", "payment", 1500);
     assert_eq!(
         (told(&mut two), told(&mut one)),
         (Some("42601".into()), None)
     );
-    two.ask_as("7", "payment", 1500);
+    two.send_query_as("7", "payment", 1500);
     assert_eq!(told(&mut two), None, "the id is free again");
     let begun = Instant::now();
-    (0..100).for_each(|_| one.ask("view", 900));
+    (0..100).for_each(|_| one.send_query("view", 900));
     let rejected = (0..60)
         .filter(|_| told(&mut one) == Some("53300".into()))
         .count();
@@ -371,23 +384,25 @@
 #[test]
 fn clients_that_hold_a_third_of_the_descriptors_are_all_served_at_once() {
     let work = Duration::from_secs(2);
-    let world = world(&[Ways {
+    let world = world(&[EndpointBehavior {
         work,
         cores: 85,
-        ..Ways::default()
+        ..EndpointBehavior::default()
     }]);
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 256.into();
     // Of the machine's pace a connection that comes up late tells, not of the sockets.
     configuration["settings"]["limits"]["dial-timeout-ms"] = 5000.into();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
-    let mut clients: Vec<Caller> = (0..85).map(|_| caller(&agent)).collect();
-    clients.iter_mut().for_each(|c| c.ask("payment", 15_000));
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
+    let mut clients: Vec<TestClient> = (0..85).map(|_| caller(&agent)).collect();
+    clients
+        .iter_mut()
+        .for_each(|c| c.send_query("payment", 15_000));
     assert_eq!(clients.iter_mut().filter_map(told).count(), 0);
     let mut sent: Vec<Instant> = world
-        .get("s-0")
+        .endpoint("s-0")
         .unwrap()
-        .seen()
+        .received_queries()
         .into_iter()
         .map(|s| s.at)
         .collect();
@@ -403,35 +418,35 @@
 /// again a second later.
 #[test]
 fn a_rush_that_comes_while_the_agent_stands_still_is_taken_in_whole_and_served() {
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     drop(caller(&agent));
-    agent.stall(true).unwrap();
+    agent.set_stalled(true).unwrap();
     // The queue is the machine's: this waits for nothing that the agent does.
     let rush: Vec<_> = (0..200)
         .map(|n| {
             let mut stream =
                 TcpStream::connect_timeout(&agent.address().unwrap(), Duration::from_secs(5))
                     .unwrap_or_else(|e| panic!("{n} came before: {e}"));
-            stream.set_read_timeout(Some(SOON)).unwrap();
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             let query =
                 format!("SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c=view,d=15000 */");
             stream
                 .write_all(&[pg::startup(), pg::query(&query)].concat())
                 .unwrap();
-            Caller { stream }
+            TestClient { stream }
         })
         .collect();
-    agent.stall(false).unwrap();
+    agent.set_stalled(false).unwrap();
     for mut client in rush {
-        client.until_ready().unwrap();
+        client.read_until_ready().unwrap();
         assert_eq!(told(&mut client), None);
     }
 }
 
 #[test]
 fn what_is_kept_follows_what_is_alive_however_many_came() {
-    let value = program::settings(&["a"], "a", 1, &classes());
+    let value = agent_process::settings(&["a"], "a", 1, &classes());
     let site = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
     let (mut kept, clock) = (List::default(), Clock::start());
     let mut choice = Balancer::new(clock.now(), site.settings.clone());
@@ -483,20 +498,20 @@
 
 #[test]
 fn at_the_descriptor_limit_it_goes_on_serving() {
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 60);
     // Twenty-one clients are the most here. Who comes then is rejected, and those that are in are
     // served.
-    let mut clients: Vec<Caller> = (0..21).map(|_| caller(&agent)).collect();
+    let mut clients: Vec<TestClient> = (0..21).map(|_| caller(&agent)).collect();
     let query = pg::query("SELECT body FROM objects WHERE oid = 'a1' /* id=1,c=view,d=900 */");
     let ahead = [pg::startup(), query].concat();
     let load_report_requests = || {
         let mut more = TcpStream::connect(agent.address().unwrap()).unwrap();
-        more.set_read_timeout(Some(SOON)).unwrap();
+        more.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         more.write_all(&ahead).unwrap();
-        let mut more = Caller { stream: more };
+        let mut more = TestClient { stream: more };
         loop {
-            let (tag, body) = more.message().unwrap();
+            let (tag, body) = more.read_message().unwrap();
             if tag == b'E' || tag == b'D' {
                 return (tag, body);
             }
@@ -505,7 +520,7 @@
     let (tag, body) = load_report_requests();
     assert!(tag == b'E' && body.windows(6).any(|w| w == b"C53300"));
     for client in &mut clients {
-        client.ask("view", 1000);
+        client.send_query("view", 1000);
         assert_eq!(told(client), None);
     }
     // The one that has been idle for longest makes room.
@@ -521,7 +536,7 @@
 fn the_platform_answers_each_vote_and_goes_on_telling() {
     let platform = Platform::start(platform::RolloutStatus::now(42, 0, "trial", 0.1)).unwrap();
     let mut stream = TcpStream::connect(platform.address).unwrap();
-    stream.set_read_timeout(Some(SOON)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut lines = std::io::BufReader::new(stream.try_clone().unwrap());
     let mut ask = |opinion: &str, ring: u32| {
         let params = json!({"image": 42, "ring": ring, "opinion": opinion});
@@ -536,7 +551,10 @@
     assert_eq!(ask("pause", 3)["error"]["message"], "ConditionFailed");
     assert_eq!(ask("shout", 0)["error"]["message"], "ValidationError");
     assert_eq!(ask("abort", 0)["result"]["progress"], "rolling_back");
-    assert_eq!((platform.votes().len(), platform.newest().cap), (5, 0.0));
+    assert_eq!(
+        (platform.votes().len(), platform.current_rollout().cap),
+        (5, 0.0)
+    );
 }
 
 #[test]
@@ -558,16 +576,18 @@
 
 #[test]
 fn an_agent_that_knows_a_list_asks_only_for_what_has_changed_since() {
-    let world = world(&[acts(Act::Answers)]);
+    let world = world(&[acts(ResponseBehavior::Answer)]);
     let mut configuration = world.configuration("n1", 0).unwrap();
-    configuration["known"] = world.discovery.known(0);
-    world.endpoint(0, "s-1", 41, acts(Act::Answers)).unwrap();
-    let agent = Program::start(BINARY, configuration, &[]).unwrap();
+    configuration["known"] = world.discovery.full_list(0);
+    world
+        .add_endpoint(0, "s-1", 41, acts(ResponseBehavior::Answer))
+        .unwrap();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     let mut client = caller(&agent);
-    let both = ground::until(|| {
-        client.ask("view", 1000);
+    let both = runtime::wait_until(|| {
+        client.send_query("view", 1000);
         told(&mut client).is_none() && seen(&world, "s-0") > 0 && seen(&world, "s-1") > 0
     });
     assert!(both, "what came after the known list is told");
-    assert_eq!(world.discovery.asked_whole(), 0);
+    assert_eq!(world.discovery.full_list_requests(), 0);
 }
--- a/crates/agent/tests/watch.rs
+++ b/crates/agent/tests/watch.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::process::Command;
 use std::time::Duration;
-use tulipwall_testkit::ground::until;
+use tulipwall_testkit::runtime::wait_until;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -24,36 +24,36 @@
 
 #[test]
 fn a_guarded_stage_is_counted_as_the_stand_ins_saw_it_and_sighup_takes_the_watch_back() {
-    let world = World::new(&["a"], classes()).unwrap();
+    let world = TestCluster::new(&["a"], classes()).unwrap();
     for n in 0..3 {
         world
-            .endpoint(0, &format!("e-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("e-{n}"), 41, EndpointBehavior::default())
             .unwrap();
         world
-            .endpoint(0, &format!("t-{n}"), 42, Ways::default())
+            .add_endpoint(0, &format!("t-{n}"), 42, EndpointBehavior::default())
             .unwrap();
     }
     world
         .platform
-        .rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.5));
+        .set_rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.5));
     let file = std::env::temp_dir().join(format!("tulipwall-watch-{}.kdl", std::process::id()));
     let door = file.with_extension("door").to_str().unwrap().to_owned();
     let shape = "watch {\n    guarded-stages 1\n    cold-for \"3s\"\n}\n";
     std::fs::write(&file, format!("door \"unix:{door}\"\n{shape}")).unwrap();
     let configuration = world.configuration("n1", 0).unwrap();
-    let program = Program::start(
+    let program = AgentProcess::start(
         BINARY,
         configuration,
         &["run", "--installation", file.to_str().unwrap()],
     )
     .unwrap();
-    Caller::connect(program.address().unwrap()).unwrap();
+    TestClient::connect(program.address().unwrap()).unwrap();
     let class =
         |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     Load {
         agent: program.address().unwrap(),
         rate: 300.0,
-        span: Duration::from_secs(2),
+        duration: Duration::from_secs(2),
         classes: vec![
             class("view", 4.0, false),
             class("send", 4.0, true),
@@ -62,17 +62,22 @@
         connections: 64,
         seed: 7,
     }
-    .play();
+    .run();
     program.signal(Signal::USR1).unwrap();
     assert!(
-        until(|| counted(&program.log(), "guarded").is_some()),
+        wait_until(|| counted(&program.log(), "guarded").is_some()),
         "{}",
         program.log()
     );
     let log = program.log();
     let seen = |id: &str| {
         (0..3)
-            .flat_map(|n| world.get(&format!("{id}-{n}")).unwrap().seen())
+            .flat_map(|n| {
+                world
+                    .endpoint(&format!("{id}-{n}"))
+                    .unwrap()
+                    .received_queries()
+            })
             .collect::<Vec<_>>()
     };
     let (early, late) = (seen("e"), seen("t"));
@@ -116,7 +121,7 @@
     // The way back: a file without the watch, and a signal.
     std::fs::write(&file, format!("door \"unix:{door}\"\n")).unwrap();
     program.signal(Signal::HUP).unwrap();
-    assert!(until(|| program.log().contains("a new configuration")));
+    assert!(wait_until(|| program.log().contains("a new configuration")));
     program.signal(Signal::USR1).unwrap();
     let last = |log: &str| {
         log.lines()
@@ -125,7 +130,7 @@
             .map(str::to_owned)
     };
     assert!(
-        until(|| last(&program.log()).is_some_and(|l| !l.contains("watched:"))),
+        wait_until(|| last(&program.log()).is_some_and(|l| !l.contains("watched:"))),
         "{}",
         program.log()
     );
--- a/crates/agent/tests/world.rs
+++ b/crates/agent/tests/world.rs
@@ -11,7 +11,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tulipwall_testkit::endpoint::Link;
-use tulipwall_testkit::ground::SOON;
+use tulipwall_testkit::runtime::TEST_TIMEOUT;
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -64,7 +64,7 @@
     fn ask(&self, address: SocketAddr, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         while !self.over.load(Ordering::Relaxed) {
-            let Ok(mut client) = Caller::connect(address) else {
+            let Ok(mut client) = TestClient::connect(address) else {
                 continue;
             };
             while !self.over.load(Ordering::Relaxed) {
@@ -73,7 +73,7 @@
                 let (begun, manner) = (Instant::now(), rng.gen_range(0..20));
                 match manner {
                     0..3 => {
-                        client.say(&text);
+                        client.send_statement(&text);
                         sleep(ms(rng.gen_range(0..30)));
                         drop(client);
                         self.left.lock().unwrap().push((id, Instant::now()));
@@ -81,9 +81,9 @@
                     }
                     3 => {
                         let ahead: Vec<_> = (0..40).map(|_| self.statement(&mut rng).3).collect();
-                        ahead.iter().for_each(|text| client.say(text));
+                        ahead.iter().for_each(|text| client.send_statement(text));
                         // One answer each, in order, or the end of the connection.
-                        if (0..40).any(|_| client.told().is_err()) {
+                        if (0..40).any(|_| client.read_reply().is_err()) {
                             break;
                         }
                         continue;
@@ -92,9 +92,9 @@
                         let _ = std::io::Write::write_all(&mut client.stream, some);
                         sleep(ms(2));
                     }),
-                    _ => client.say(&text),
+                    _ => client.send_statement(&text),
                 }
-                let told = client.told().map(Told::code).map_err(|e| e.kind());
+                let told = client.read_reply().map(Reply::code).map_err(|e| e.kind());
                 let ended = told.is_err();
                 let asked = Asked {
                     id,
@@ -115,18 +115,18 @@
 /// One world; what was broken, by rule.
 fn play(seed: u64) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let world = World::new(&["a"], program::classes()).unwrap();
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..6 {
-        let ways = Ways {
+        let ways = EndpointBehavior {
             work: ms(8),
-            steady: 0.3,
-            ..Ways::default()
+            fixed_work_share: 0.3,
+            ..EndpointBehavior::default()
         };
-        world.endpoint(0, &format!("s-{n}"), 41, ways).unwrap();
+        world.add_endpoint(0, &format!("s-{n}"), 41, ways).unwrap();
     }
     for n in 0..8 {
         world
-            .endpoint(0, &format!("d-{n}"), 41, Ways::default())
+            .add_endpoint(0, &format!("d-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     let mut configuration = world.configuration("n1", 0).unwrap();
@@ -134,7 +134,7 @@
     configuration["settings"]["limits"]["dial-timeout-ms"] = 1200.into();
     // No room for connections kept ahead: they are opened as requests come.
     configuration["limits"]["sockets"] = 80.into();
-    let mut agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
+    let mut agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
     let address = agent.address().unwrap();
     let clients = Arc::new(Clients::default());
     let threads: Vec<_> = (0..5)
@@ -148,64 +148,70 @@
     let trial = Instant::now();
     world
         .platform
-        .rollout_status(platform::RolloutStatus::now(42, 0, "trial", CAP));
+        .set_rollout_status(platform::RolloutStatus::now(42, 0, "trial", CAP));
     sleep(ms(100));
-    world.endpoint(0, "t-0", 42, Ways::default()).unwrap();
+    world
+        .add_endpoint(0, "t-0", 42, EndpointBehavior::default())
+        .unwrap();
     let (mut drains, mut silent) = (BTreeMap::<String, Instant>::new(), None::<Instant>);
     // Connections to two of them come up late from the start.
     (0..2).for_each(|n| {
-        world.get(&format!("s-{n}")).unwrap().link(
+        world.endpoint(&format!("s-{n}")).unwrap().set_link(
             0,
             Link {
-                back: ms(700),
+                reply_delay: ms(700),
                 ..Link::default()
             },
         )
     });
     for step in 0..8 {
         sleep(ms(rng.gen_range(150..600)));
-        let one = world.get(&format!("s-{}", rng.gen_range(0..6))).unwrap();
+        let one = world
+            .endpoint(&format!("s-{}", rng.gen_range(0..6)))
+            .unwrap();
         match rng.gen_range(0..9) {
             0 => one.crash(),
             1 => drop(one.restart()),
-            2 => one.link(
+            2 => one.set_link(
                 0,
                 Link {
-                    back: ms(rng.gen_range(400..900)),
+                    reply_delay: ms(rng.gen_range(400..900)),
                     ..Link::default()
                 },
             ),
-            3 => one.link(
+            3 => one.set_link(
                 0,
                 Link {
                     cut: rng.gen(),
                     ..Link::default()
                 },
             ),
-            4 => one.ways(|w| {
-                w.now_and_then = vec![
-                    (Act::Resets, 0.2),
-                    (Act::TwiceAfter(3), 0.2),
-                    (Act::Half, 0.1),
+            4 => one.update_behavior(|w| {
+                w.random_responses = vec![
+                    (ResponseBehavior::Close, 0.2),
+                    (ResponseBehavior::AnswerAgainAfterMs(3), 0.2),
+                    (ResponseBehavior::StallMidAnswer, 0.1),
                 ]
             }),
             5 => {
-                world
-                    .discovery
-                    .hush([Meets::Mute, Meets::Refuses, Meets::Late(ms(500))]);
+                world.discovery.silence_watches([
+                    ConnectionBehavior::Unanswered,
+                    ConnectionBehavior::Closed,
+                    ConnectionBehavior::AnsweredAfter(ms(500)),
+                ]);
                 silent = Some(Instant::now());
             }
-            6 => agent.renew(&configuration.to_string()).unwrap(),
+            6 => agent.reload(&configuration.to_string()).unwrap(),
             _ => {
                 agent.terminate().unwrap();
-                assert!(agent.ended_well().unwrap(), "seed {seed}");
-                agent = Program::start(BINARY, configuration.clone(), &[]).unwrap();
+                assert!(agent.wait_for_success().unwrap(), "seed {seed}");
+                agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
             }
         }
         let (id, now) = (format!("d-{step}"), Instant::now());
         world
             .discovery
-            .change(&id, |e| e.state = "terminating".into());
+            .update_entry(&id, |e| e.state = "terminating".into());
         let told = silent
             .filter(|s| *s + TOLD_AFTER > now)
             .map_or(now + ms(400), |s| s + TOLD_AFTER);
@@ -218,12 +224,12 @@
 }
 
 fn broken(
-    world: &World,
+    world: &TestCluster,
     clients: &Clients,
     drains: &BTreeMap<String, Instant>,
     trial: Duration,
 ) -> Vec<String> {
-    let (seen, asked) = (world.seen(), clients.asked.lock().unwrap());
+    let (seen, asked) = (world.received_queries(), clients.asked.lock().unwrap());
     let ran = |id: &str| {
         seen.get(id)
             .map_or(0, |s| s.iter().filter(|s| s.ran).count())
@@ -286,9 +292,9 @@
     }
     for (id, bound) in drains {
         let late = world
-            .get(id)
+            .endpoint(id)
             .unwrap()
-            .seen()
+            .received_queries()
             .iter()
             .filter(|s| s.at > *bound)
             .count();
@@ -297,7 +303,7 @@
         }
     }
     // Each process may spend what is free anew; the share is of all that was taken.
-    let (exposed, starts) = (world.get("t-0").unwrap().seen_count() as f64, 9.0);
+    let (exposed, starts) = (world.endpoint("t-0").unwrap().received_count() as f64, 9.0);
     let taken = clients.ids.load(Ordering::Relaxed) as f64;
     if exposed > starts * 4.0 + taken * CAP * 1.04 {
         broken.push(format!(
@@ -325,21 +331,21 @@
 /// chance allowed for.
 #[test]
 fn a_cold_appliance_among_warm_ones_is_not_pushed_over() {
-    let world = World::new(&["a"], program::classes()).unwrap();
+    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..4 {
         world
-            .endpoint(
+            .add_endpoint(
                 0,
                 &format!("s-{n}"),
                 41,
-                Ways {
+                EndpointBehavior {
                     work: ms(5),
-                    ..Ways::default()
+                    ..EndpointBehavior::default()
                 },
             )
             .unwrap();
     }
-    let agent = Program::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
+    let agent = AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
     let address = agent.address().unwrap();
     let clients = Arc::new(Clients::default());
     let threads: Vec<_> = (0..6)
@@ -351,13 +357,13 @@
     sleep(ms(1500));
     let started = Instant::now();
     world
-        .cold(
+        .add_cold_endpoint(
             0,
             "cold",
             41,
-            Ways {
+            EndpointBehavior {
                 work: ms(5),
-                ..Ways::default()
+                ..EndpointBehavior::default()
             },
         )
         .unwrap();
@@ -367,7 +373,7 @@
     // The window of the settings is 1 s, their share 0.3 at the start and all after 3 s, the
     // multiple 2.
     let within = |id: &str| {
-        let seen = world.get(id).unwrap().seen();
+        let seen = world.endpoint(id).unwrap().received_queries();
         seen.iter()
             .filter(|s| s.at >= started && s.at < started + ms(1000))
             .count() as f64
@@ -375,7 +381,7 @@
     let warm = (0..4).map(|n| within(&format!("s-{n}"))).sum::<f64>() / 4.0;
     let allowed = warm * (0.3 + 0.7 / 6.0) * 2.0;
     let cold = within("cold");
-    assert!(warm > 10.0 && started.elapsed() < SOON);
+    assert!(warm > 10.0 && started.elapsed() < TEST_TIMEOUT);
     assert!(
         cold <= allowed + 3.0 * allowed.sqrt() + 3.0,
         "{cold} to the cold one, {allowed} allowed"
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::ground::{until, SOON};
+use tulipwall_testkit::runtime::{wait_until, TEST_TIMEOUT};
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
@@ -19,22 +19,22 @@
 }
 
 /// Two zones, three endpoints in each, the far ones 8 ms away.
-fn world(near: Ways, far: Ways) -> World {
-    let world = World::new(&["akl-east", "akl-west"], classes()).unwrap();
+fn world(near: EndpointBehavior, far: EndpointBehavior) -> TestCluster {
+    let world = TestCluster::new(&["akl-east", "akl-west"], classes()).unwrap();
     for n in 0..3 {
         world
-            .endpoint(0, &format!("e-{n}"), 41, near.clone())
+            .add_endpoint(0, &format!("e-{n}"), 41, near.clone())
             .unwrap();
         world
-            .endpoint(1, &format!("w-{n}"), 41, far.clone())
+            .add_endpoint(1, &format!("w-{n}"), 41, far.clone())
             .unwrap();
     }
-    world.link(
+    world.set_link(
         0,
         1,
         Link {
-            there: ms(3),
-            back: ms(5),
+            request_delay: ms(3),
+            reply_delay: ms(5),
             cut: false,
         },
     );
@@ -52,11 +52,11 @@
 /// An agent in akl-east with this said of zones, and its door.
 struct Agent {
     _turn: MutexGuard<'static, ()>,
-    program: Program,
+    program: AgentProcess,
     door: String,
 }
 
-fn start(world: &World, zones: &str) -> Agent {
+fn start(world: &TestCluster, zones: &str) -> Agent {
     let turn = turn();
     let door = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -70,7 +70,7 @@
         door.replace(':', "-")
     ));
     std::fs::write(&file, text(&door, zones)).unwrap();
-    let program = Program::start(
+    let program = AgentProcess::start(
         BINARY,
         configuration,
         &["run", "--installation", file.to_str().unwrap()],
@@ -81,7 +81,7 @@
         door,
         _turn: turn,
     };
-    Caller::connect(agent.program.address().unwrap()).unwrap();
+    TestClient::connect(agent.program.address().unwrap()).unwrap();
     agent
 }
 
@@ -145,7 +145,7 @@
         Load {
             agent: self.address(),
             rate,
-            span,
+            duration: span,
             classes: vec![
                 class("view", 4.0, false),
                 class("send", 4.0, true),
@@ -172,12 +172,12 @@
     );
 }
 
-fn compare(agent: &Agent, world: &World) -> Value {
+fn compare(agent: &Agent, world: &TestCluster) -> Value {
     // What is still out, such as hedged requests, ends first.
     thread::sleep(ms(300));
     let report = agent.report();
     for (to, zone) in world.zones.iter().enumerate() {
-        let counted = world.counted(0, to);
+        let counted = world.transfer_counts(0, to);
         for class in ["view", "send", "payment"] {
             let c = counted.get(class).copied().unwrap_or_default();
             let what = format!("{class} to {zone}");
@@ -219,24 +219,24 @@
 
 #[test]
 fn what_is_reported_is_what_was_counted_on_every_link_and_lane() {
-    let near = Ways {
+    let near = EndpointBehavior {
         work: ms(4),
         cores: 1,
-        value: 300,
-        ..Ways::default()
+        value_bytes: 300,
+        ..EndpointBehavior::default()
     };
     let world = world(
         near,
-        Ways {
+        EndpointBehavior {
             work: ms(4),
-            value: 300,
-            ..Ways::default()
+            value_bytes: 300,
+            ..EndpointBehavior::default()
         },
     );
     let agent = start(&world, "");
     // More than near can bear, so that some of it crosses.
-    let answered = agent.load(900.0, Duration::from_secs(3)).play();
-    assert_eq!(answered.unanswered, 0, "{:?}", answered.lost);
+    let answered = agent.load(900.0, Duration::from_secs(3)).run();
+    assert_eq!(answered.unanswered, 0, "{:?}", answered.unanswered_ids);
     let report = compare(&agent, &world);
     assert!(Agent::sum(&report, "akl-west", "view", "deliveries") > 50);
     let far = report["links"]
@@ -250,35 +250,35 @@
 #[test]
 fn what_is_reported_is_what_was_counted_while_things_fail() {
     let bad = vec![
-        (Act::Fails, 0.04),
-        (Act::TurnsAway, 0.04),
-        (Act::Resets, 0.02),
-        (Act::Half, 0.02),
-        (Act::HalfEnds, 0.02),
-        (Act::Garbage, 0.02),
-        (Act::Twice, 0.03),
-        (Act::Silent, 0.01),
+        (ResponseBehavior::Fail, 0.04),
+        (ResponseBehavior::Reject, 0.04),
+        (ResponseBehavior::Close, 0.02),
+        (ResponseBehavior::StallMidAnswer, 0.02),
+        (ResponseBehavior::CloseMidAnswer, 0.02),
+        (ResponseBehavior::Garbage, 0.02),
+        (ResponseBehavior::AnswerTwice, 0.03),
+        (ResponseBehavior::NeverAnswer, 0.01),
     ];
-    let ways = Ways {
+    let ways = EndpointBehavior {
         work: ms(3),
-        value: 500,
-        now_and_then: bad,
-        ..Ways::default()
+        value_bytes: 500,
+        random_responses: bad,
+        ..EndpointBehavior::default()
     };
     let world = world(ways.clone(), ways);
     let agent = start(
         &world,
         "    budget \"all\" { deliveries 100; window \"1s\"; }",
     );
-    let load = agent.load(400.0, Duration::from_secs(4)).begin();
+    let load = agent.load(400.0, Duration::from_secs(4)).start();
     thread::sleep(ms(1500));
-    world.state(0, "terminating");
+    world.set_zone_state(0, "terminating");
     let answered = futures_lite::future::block_on(load);
-    assert_eq!(answered.unanswered, 0, "{:?}", answered.lost);
+    assert_eq!(answered.unanswered, 0, "{:?}", answered.unanswered_ids);
     assert!(
-        world.ran_twice("payment").is_empty(),
+        world.executed_twice("payment").is_empty(),
         "{:?}",
-        world.ran_twice("payment")
+        world.executed_twice("payment")
     );
     thread::sleep(ms(700));
     let report = compare(&agent, &world);
@@ -296,38 +296,43 @@
 
 #[test]
 fn all_near_drain_in_a_burst_with_the_budget_spent_and_every_command_is_answered() {
-    let ways = Ways {
+    let ways = EndpointBehavior {
         work: ms(5),
-        ..Ways::default()
+        ..EndpointBehavior::default()
     };
     let world = world(ways.clone(), ways);
     let agent = start(
         &world,
         "    budget \"none\" { deliveries 0; window \"10s\"; }",
     );
-    let load = agent.load(500.0, Duration::from_secs(3)).begin();
+    let load = agent.load(500.0, Duration::from_secs(3)).start();
     thread::sleep(ms(1500));
-    let before = world.counted(0, 1);
+    let before = world.transfer_counts(0, 1);
     let crossed: u64 = before.values().map(|c| c.attempts).sum();
     assert!(crossed <= 2, "{crossed} went over while near had room");
     let drained = Instant::now();
-    world.state(0, "terminating");
+    world.set_zone_state(0, "terminating");
     let answered = futures_lite::future::block_on(load);
     assert_eq!(
         (answered.unanswered, answered.answered()),
-        (0, answered.asked),
+        (0, answered.requests),
         "{:?}",
-        answered.lost
+        answered.unanswered_ids
     );
     assert!(
-        answered.succeeded as f64 > 0.98 * answered.asked as f64,
+        answered.succeeded as f64 > 0.98 * answered.requests as f64,
         "{answered:?}"
     );
-    assert!(world.ran_twice("payment").is_empty());
+    assert!(world.executed_twice("payment").is_empty());
     let late: usize = world
-        .of_zone(0)
+        .endpoints_in_zone(0)
         .iter()
-        .map(|(_, a)| a.seen().iter().filter(|s| s.at > drained + ms(250)).count())
+        .map(|(_, a)| {
+            a.received_queries()
+                .iter()
+                .filter(|s| s.at > drained + ms(250))
+                .count()
+        })
         .sum();
     assert_eq!(late, 0, "sent to a draining appliance");
     let report = agent.report();
@@ -348,45 +353,45 @@
 
 #[test]
 fn a_budget_lowered_by_a_new_configuration_holds_at_once_and_the_account_survives() {
-    let near = Ways {
+    let near = EndpointBehavior {
         work: ms(10),
         cores: 1,
-        ..Ways::default()
+        ..EndpointBehavior::default()
     };
     let world = world(
         near,
-        Ways {
+        EndpointBehavior {
             work: ms(10),
-            ..Ways::default()
+            ..EndpointBehavior::default()
         },
     );
     let agent = start(
         &world,
         "    budget \"b\" { deliveries 100000; window \"3s\"; }",
     );
-    let load = agent.load(450.0, Duration::from_secs(5)).begin();
+    let load = agent.load(450.0, Duration::from_secs(5)).start();
     let crossed = || {
         world
-            .counted(0, 1)
+            .transfer_counts(0, 1)
             .values()
             .map(|c| c.attempts)
             .sum::<u64>()
     };
-    assert!(until(|| crossed() > 100));
+    assert!(wait_until(|| crossed() > 100));
     let before = Agent::sum(&agent.report(), "akl-west", "view", "deliveries");
     assert!(before > 10);
     // A faulty file is named and changes nothing.
     agent.renew("    budget \"b\" { deliveries -1; windw \"3s\"; }");
     assert!(
-        until(|| agent.program.log().contains("did you mean 'window'?")),
+        wait_until(|| agent.program.log().contains("did you mean 'window'?")),
         "{}",
         agent.program.log()
     );
     assert_eq!(agent.report()["heads"][0]["budgets"][0]["limit"], 100000.0);
     agent.renew("    budget \"b\" { deliveries 10; window \"3s\"; }");
-    assert!(until(
-        || agent.report()["heads"][0]["budgets"][0]["limit"] == 10.0
-    ));
+    assert!(wait_until(|| agent.report()["heads"][0]["budgets"][0]
+        ["limit"]
+        == 10.0));
     let report = agent.report();
     let budget = &report["heads"][0]["budgets"][0];
     assert!(
@@ -399,13 +404,13 @@
 
 #[test]
 fn a_reader_that_stops_reading_is_dropped_and_slows_nothing() {
-    let ways = Ways {
+    let ways = EndpointBehavior {
         work: ms(2),
-        ..Ways::default()
+        ..EndpointBehavior::default()
     };
     let world = world(ways.clone(), ways);
     let agent = start(&world, "");
-    let answered = agent.load(300.0, ms(800)).play();
+    let answered = agent.load(300.0, ms(800)).run();
     assert_eq!(answered.unanswered, 0);
     let readers: Vec<TcpStream> = (0..12)
         .map(|n| {
@@ -421,7 +426,7 @@
             reader
         })
         .collect();
-    let answered = agent.load(300.0, ms(1000)).play();
+    let answered = agent.load(300.0, ms(1000)).run();
     assert_eq!((answered.unanswered, answered.rejected), (0, 0));
     assert!(
         answered.quantile_ms(0.99) < 400.0,
@@ -430,11 +435,11 @@
     );
     drop(readers);
     assert!(
-        until(|| agent.ask(&[]).status.success()),
+        wait_until(|| agent.ask(&[]).status.success()),
         "the door serves again"
     );
     let mut other = TcpStream::connect(&agent.door).unwrap();
-    other.set_read_timeout(Some(SOON)).unwrap();
+    other.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     other.write_all(b"POST / HTTP/1.1\r\n\r\n").unwrap();
     let mut heard = String::new();
     other.read_to_string(&mut heard).unwrap();
@@ -443,10 +448,10 @@
 
 #[test]
 fn the_door_is_a_unix_socket_too_and_a_plot_and_a_log_of_json_are_written() {
-    let ways = Ways {
+    let ways = EndpointBehavior {
         work: ms(6),
         cores: 1,
-        ..Ways::default()
+        ..EndpointBehavior::default()
     };
     let world = world(ways.clone(), ways);
     let folder = std::env::temp_dir().join(format!("tulipwall-unix-{}", std::process::id()));
@@ -470,14 +475,14 @@
     .unwrap();
     let arguments = ["run", "--installation", file.to_str().unwrap()];
     let mut program =
-        Program::start(BINARY, world.configuration("n1", 0).unwrap(), &arguments).unwrap();
-    Caller::connect(program.address().unwrap()).unwrap();
+        AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &arguments).unwrap();
+    TestClient::connect(program.address().unwrap()).unwrap();
     let mut agent = Agent {
         program,
         door,
         _turn: turn(),
     };
-    assert_eq!(agent.load(600.0, ms(2500)).play().unanswered, 0);
+    assert_eq!(agent.load(600.0, ms(2500)).run().unanswered, 0);
     let drawn = agent.ask(&["--svg", svg.to_str().unwrap()]);
     assert!(
         drawn.status.success(),
@@ -499,15 +504,15 @@
     }
     assert!(agent.program.log().contains("\"phase\":\"Serving\""));
     agent.program.terminate().unwrap();
-    assert!(agent.program.ended_well().unwrap());
+    assert!(agent.program.wait_for_success().unwrap());
     assert!(!socket.exists(), "the socket's file goes with the program");
     assert_eq!(
         agent.ask(&[]).status.code(),
         Some(3),
         "no report can be had"
     );
-    program = Program::start(BINARY, agent.program.configuration.clone(), &arguments).unwrap();
-    Caller::connect(program.address().unwrap()).unwrap();
+    program = AgentProcess::start(BINARY, agent.program.configuration.clone(), &arguments).unwrap();
+    TestClient::connect(program.address().unwrap()).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -516,7 +521,7 @@
     let folder = std::env::temp_dir().join(format!("tulipwall-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (file, config) = (folder.join("i.kdl"), folder.join("c.json"));
-    let world = World::new(&["akl-east", "akl-west"], classes()).unwrap();
+    let world = TestCluster::new(&["akl-east", "akl-west"], classes()).unwrap();
     std::fs::write(&config, world.configuration("n1", 0).unwrap().to_string()).unwrap();
     let check = |text: &str, more: &[&str]| {
         std::fs::write(&file, text).unwrap();
--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -6,10 +6,10 @@
 use tulipwall_client::{
     blocking, Call, DeduplicationScope, Idempotency, RequestClass, Service, Unanswered,
 };
-use tulipwall_testkit::{Act, Endpoint, Ways};
+use tulipwall_testkit::{Endpoint, EndpointBehavior, ResponseBehavior};
 
 fn main() -> std::io::Result<()> {
-    let agent = Endpoint::start(1, Ways::default(), 1)?;
+    let agent = Endpoint::start(1, EndpointBehavior::default(), 1)?;
     let latency_objective = Duration::from_millis(400);
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
@@ -44,7 +44,7 @@
         "send: {:?}",
         client.call(message).map(|a| a.tried.agents.len())
     );
-    agent.ways(|w| w.act = Act::Resets);
+    agent.update_behavior(|w| w.response = ResponseBehavior::Close);
     match client.call(Call::write("payment", "p-1", vec![1], expiry)) {
         Err(Unanswered::Scrapped { tried, .. }) => {
             println!("payment: it may have run: {}", tried.may_have_run)
--- a/crates/client/examples/measure.rs
+++ b/crates/client/examples/measure.rs
@@ -15,8 +15,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipwall_client::{Call, Client};
-use tulipwall_testkit::ground::{sleep, spawn};
-use tulipwall_testkit::{classes, pg, service, Endpoint, Program, Ways, World};
+use tulipwall_testkit::runtime::{sleep, spawn};
+use tulipwall_testkit::{
+    classes, pg, service, AgentProcess, Endpoint, EndpointBehavior, TestCluster,
+};
 
 const CLIENTS: usize = 200;
 const EXPIRY: Duration = Duration::from_millis(1500);
@@ -25,16 +27,16 @@
     Duration::from_millis(n)
 }
 
-fn world(work: Duration, cores: usize) -> World {
-    let world = World::new(&["a"], classes()).expect("loopback");
+fn world(work: Duration, cores: usize) -> TestCluster {
+    let world = TestCluster::new(&["a"], classes()).expect("loopback");
     for n in 0..2 {
-        let ways = Ways {
+        let ways = EndpointBehavior {
             work,
             cores,
-            ..Ways::default()
+            ..EndpointBehavior::default()
         };
         world
-            .endpoint(0, &format!("s-{n}"), 41, ways)
+            .add_endpoint(0, &format!("s-{n}"), 41, ways)
             .expect("loopback");
     }
     world
@@ -198,8 +200,8 @@
         .join("tulipwall-agent")
 }
 
-fn start(world: &World) -> Program {
-    let program = Program::start(
+fn start(world: &TestCluster) -> AgentProcess {
+    let program = AgentProcess::start(
         agent_binary(),
         world.configuration("n1", 0).expect("loopback"),
         &[],
@@ -207,9 +209,9 @@
     program.expect("the agent, built for release")
 }
 
-fn payments_twice(world: &World) -> usize {
+fn payments_twice(world: &TestCluster) -> usize {
     let mut objects: Vec<String> = world
-        .seen()
+        .received_queries()
         .into_values()
         .flatten()
         .filter(|s| s.ran && s.class == "payment")
@@ -236,7 +238,7 @@
     let configuration = agent.configuration.clone();
     drop(agent);
     std::thread::sleep(ms(300));
-    let again = Program::start(agent_binary(), configuration, &[]).expect("the agent");
+    let again = AgentProcess::start(agent_binary(), configuration, &[]).expect("the agent");
     let each = sample(80, ms(100), || (crowd.opened)());
     crowd.end();
     drop(again);
@@ -276,20 +278,20 @@
     let w = world.clone();
     let script = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_secs(3));
-        w.of_zone(0)
+        w.endpoints_in_zone(0)
             .iter()
-            .for_each(|(_, a)| a.ways(|w| w.work = ms(200)));
+            .for_each(|(_, a)| a.update_behavior(|w| w.work = ms(200)));
         std::thread::sleep(Duration::from_secs(5));
-        w.of_zone(0)
+        w.endpoints_in_zone(0)
             .iter()
-            .for_each(|(_, a)| a.ways(|w| w.work = ms(10)));
+            .for_each(|(_, a)| a.update_behavior(|w| w.work = ms(10)));
     });
     let (w, succeeded) = (world.clone(), crowd.succeeded.clone());
     let seen = std::thread::spawn(move || {
         sample(64, ms(250), || {
-            w.of_zone(0)
+            w.endpoints_in_zone(0)
                 .iter()
-                .map(|(_, a)| a.seen_count() as u64)
+                .map(|(_, a)| a.received_count() as u64)
                 .sum()
         })
     });
@@ -371,7 +373,7 @@
 /// What a call takes beyond the same bytes on a bare socket, against a fake that answers at once;
 /// in turns.
 fn overhead() {
-    let of = Endpoint::start(1, Ways::default(), 1).expect("loopback");
+    let of = Endpoint::start(1, EndpointBehavior::default(), 1).expect("loopback");
     let client = Client::new(service(vec![of.address(0)]));
     let mut bare = block_on(async {
         let mut stream = async_io::Async::<TcpStream>::connect(of.address(0)).await?;
--- a/crates/client/tests/command.rs
+++ b/crates/client/tests/command.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tulipwall_client::{blocking, Call, Client, Idempotency, RequestClass, Service, Unanswered};
-use tulipwall_testkit::ground::until;
-use tulipwall_testkit::{Act, Endpoint, Speaker, Ways};
+use tulipwall_testkit::runtime::wait_until;
+use tulipwall_testkit::{Endpoint, EndpointBehavior, ResponseBehavior, ScriptedServer};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-call");
 
@@ -18,7 +18,7 @@
 }
 
 /// An agent of one endpoint, as far as a client can tell.
-fn agent(ways: Ways) -> Endpoint {
+fn agent(ways: EndpointBehavior) -> Endpoint {
     Endpoint::start(1, ways, 1).unwrap()
 }
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn each_answer_has_its_exit_code_and_its_line_of_json() {
-    let of = agent(Ways::default());
+    let of = agent(EndpointBehavior::default());
     let (code, told) = call(&of, &["view", "a1"]);
     assert_eq!(
         (code, &told["value"], &told["tries"]),
@@ -44,19 +44,19 @@
     );
     let (code, _) = call(&of, &["view", "a1", "--value", "0011ff"]);
     assert_eq!(code, Some(0));
-    let written = of.seen().pop().unwrap().statement;
+    let written = of.received_queries().pop().unwrap().statement;
     assert!(written.starts_with(
         r"INSERT INTO objects (oid, body) VALUES ('a1', '\x0011ff') RETURNING body /* id="
     ));
-    of.ways(|w| w.act = Act::TurnsAway);
+    of.update_behavior(|w| w.response = ResponseBehavior::Reject);
     assert_eq!(call(&of, &["view", "a1", "--expiry", "300"]).0, Some(4));
-    of.ways(|w| w.act = Act::Fails);
+    of.update_behavior(|w| w.response = ResponseBehavior::Fail);
     let (code, told) = call(&of, &["payment", "a1"]);
     assert_eq!(
         (code, &told["code"], &told["may_have_run"]),
         (Some(5), &"XX000".into(), &true.into())
     );
-    of.ways(|w| w.act = Act::Silent);
+    of.update_behavior(|w| w.response = ResponseBehavior::NeverAnswer);
     let (code, told) = call(&of, &["payment", "a1", "--expiry", "200"]);
     assert_eq!((code, &told["may_have_run"]), (Some(6), &true.into()));
     assert_eq!(call(&of, &["pay'ment", "a1"]).0, Some(7));
@@ -94,7 +94,7 @@
         .write_all(lines.as_bytes())
         .unwrap();
     if let Some(span) = stall {
-        assert!(until(|| of.seen_count() >= 8));
+        assert!(wait_until(|| of.received_count() >= 8));
         let pid = Pid::from_raw(child.id() as i32).unwrap();
         kill_process(pid, Signal::STOP).unwrap();
         thread::sleep(span);
@@ -114,9 +114,9 @@
 
 #[test]
 fn many_from_standard_input_are_each_answered_once() {
-    let of = agent(Ways {
+    let of = agent(EndpointBehavior {
         work: ms(3),
-        ..Ways::default()
+        ..EndpointBehavior::default()
     });
     let mut lines: String = (0..50)
         .map(|n| format!("{{\"lane\":\"view\",\"object\":\"o{n}\"}}\n"))
@@ -134,9 +134,9 @@
 
 #[test]
 fn a_client_that_stalls_with_calls_in_flight_answers_each_once_and_none_wrongly() {
-    let of = agent(Ways {
+    let of = agent(EndpointBehavior {
         work: ms(300),
-        ..Ways::default()
+        ..EndpointBehavior::default()
     });
     let lines: String = (0..64)
         .map(|n| format!("{{\"lane\":\"view\",\"object\":\"o{n}\",\"expiry_ms\":900}}\n"))
@@ -171,7 +171,7 @@
         "N\0\0\0\u{5}x",
     ];
     for text in hostile {
-        let speaker = Speaker::start(&text.repeat(500)).unwrap();
+        let speaker = ScriptedServer::start(&text.repeat(500)).unwrap();
         let client = Client::new(Service::new(vec![speaker.address], vec![view.clone()]));
         let begun = Instant::now();
         let ended = futures_lite::future::block_on(client.call(Call::read("view", "a1", ms(700))));
@@ -181,15 +181,15 @@
         );
     }
     for act in [
-        Act::Garbage,
-        Act::Half,
-        Act::Twice,
-        Act::HalfEnds,
-        Act::Resets,
+        ResponseBehavior::Garbage,
+        ResponseBehavior::StallMidAnswer,
+        ResponseBehavior::AnswerTwice,
+        ResponseBehavior::CloseMidAnswer,
+        ResponseBehavior::Close,
     ] {
-        let of = agent(Ways {
-            now_and_then: vec![(act, 0.5)],
-            ..Ways::default()
+        let of = agent(EndpointBehavior {
+            random_responses: vec![(act, 0.5)],
+            ..EndpointBehavior::default()
         });
         let client = blocking::Client::new(Service::new(vec![of.address(0)], vec![view.clone()]));
         let ended: Vec<_> = (0..12)
@@ -214,13 +214,13 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let mute = agent(Ways {
-        mute: true,
-        ..Ways::default()
+    let mute = agent(EndpointBehavior {
+        unresponsive: true,
+        ..EndpointBehavior::default()
     });
-    let silent = agent(Ways {
-        act: Act::Silent,
-        ..Ways::default()
+    let silent = agent(EndpointBehavior {
+        response: ResponseBehavior::NeverAnswer,
+        ..EndpointBehavior::default()
     });
     for address in [nobody, mute.address(0), silent.address(0)] {
         let mut s = Service::new(vec![address], vec![view.clone()]);
@@ -265,7 +265,10 @@
         latency_objective: ms(400),
         priority_weight: 1.0,
     };
-    let (stays, leaves) = (agent(Ways::default()), agent(Ways::default()));
+    let (stays, leaves) = (
+        agent(EndpointBehavior::default()),
+        agent(EndpointBehavior::default()),
+    );
     let client = Client::new(Service::new(
         vec![stays.address(0), leaves.address(0)],
         vec![payment],
@@ -278,11 +281,11 @@
         )))
     };
     assert!((0..20).all(|n| pay(n).is_ok()));
-    leaves.ways(|w| w.act = Act::Leaves);
-    let before = leaves.seen_count();
+    leaves.update_behavior(|w| w.response = ResponseBehavior::RejectAndClose);
+    let before = leaves.received_count();
     assert!((20..80).all(|n| pay(n).is_ok()));
     assert_eq!(
-        leaves.seen_count(),
+        leaves.received_count(),
         before + 1,
         "one of them told that it leaves; it is passed over then"
     );
--- a/crates/discovery/tests/calls.rs
+++ b/crates/discovery/tests/calls.rs
@@ -56,7 +56,7 @@
 }
 
 fn deployment(agents: u32, rate: f64, seed: u64) -> Settings {
-    let value = program::settings(&["a"], "a", agents, &program::classes());
+    let value = agent_process::settings(&["a"], "a", agents, &agent_process::classes());
     let mut d = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), seed)
         .unwrap()
         .settings;
--- a/crates/discovery/tests/large.rs
+++ b/crates/discovery/tests/large.rs
@@ -7,7 +7,7 @@
 use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_discovery::listing::Listing;
 use tulipwall_discovery::{clock::Clock, list::List};
-use tulipwall_testkit::program;
+use tulipwall_testkit::agent_process;
 
 const ENDPOINTS: usize = 7_700;
 
@@ -30,7 +30,7 @@
 
 impl Agent {
     fn new() -> Agent {
-        let value = program::settings(&["a"], "a", 770, &program::classes());
+        let value = agent_process::settings(&["a"], "a", 770, &agent_process::classes());
         let site = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
         let clock = Clock::start();
         let choice = Balancer::new(clock.now(), site.settings.clone());
--- a/crates/discovery/tests/lists.rs
+++ b/crates/discovery/tests/lists.rs
@@ -11,7 +11,7 @@
 use tulipwall_testkit::*;
 
 fn site(agents: u32) -> ServiceConfig {
-    let value = program::settings(&["a"], "a", agents, &program::classes());
+    let value = agent_process::settings(&["a"], "a", agents, &agent_process::classes());
     ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap()
 }
 
--- a/crates/experiments/examples/beside.rs
+++ b/crates/experiments/examples/beside.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 use tulipwall_experiments::run;
 use tulipwall_experiments::scenario::Scenario;
-use tulipwall_testkit::{classes, Caller, Link, Load, Program, Ways, World};
+use tulipwall_testkit::{
+    classes, AgentProcess, EndpointBehavior, Link, Load, TestClient, TestCluster,
+};
 
 const EACH: usize = 3;
 const CORES: usize = 2;
@@ -25,34 +27,34 @@
 type Row = [f64; 4];
 
 fn sockets(rate: f64) -> std::io::Result<Row> {
-    let world = World::new(&["east", "west"], classes())?;
+    let world = TestCluster::new(&["east", "west"], classes())?;
     for n in 0..EACH {
         for (zone, name) in ["east", "west"].iter().enumerate() {
-            let ways = Ways {
+            let ways = EndpointBehavior {
                 work: Duration::from_millis(10),
                 cores: CORES,
-                ..Ways::default()
+                ..EndpointBehavior::default()
             };
-            world.endpoint(zone, &format!("{name}-{n}"), 41, ways)?;
+            world.add_endpoint(zone, &format!("{name}-{n}"), 41, ways)?;
         }
     }
     let way = Duration::from_millis(2);
-    world.link(
+    world.set_link(
         0,
         1,
         Link {
-            there: way,
-            back: way,
+            request_delay: way,
+            reply_delay: way,
             cut: false,
         },
     );
-    let agent = Program::start(agent_binary(), world.configuration("n1", 0)?, &[])?;
-    Caller::connect(agent.address()?)?;
+    let agent = AgentProcess::start(agent_binary(), world.configuration("n1", 0)?, &[])?;
+    TestClient::connect(agent.address()?)?;
     let wait = Duration::from_millis(1500);
     let load = Load {
         agent: agent.address()?,
         rate,
-        span: Duration::from_secs(SECONDS),
+        duration: Duration::from_secs(SECONDS),
         classes: [
             ("view", 0.5, false),
             ("send", 0.4, true),
@@ -63,16 +65,16 @@
         connections: 200,
         seed: 1,
     };
-    let answered = load.play();
+    let answered = load.run();
     let count = |to| {
         world
-            .counted(0, to)
+            .transfer_counts(0, to)
             .values()
             .map(|c| c.attempts)
             .sum::<u64>() as f64
     };
     let crossing = count(1) / (count(0) + count(1)).max(1.0);
-    let good = answered.succeeded as f64 / answered.asked.max(1) as f64;
+    let good = answered.succeeded as f64 / answered.requests.max(1) as f64;
     Ok([
         answered.quantile_ms(0.5),
         answered.quantile_ms(0.99),
@@ -97,13 +99,13 @@
     let scenario = Scenario::read(&text).unwrap_or_else(|all| panic!("{all:?}"));
     let mut day = run::day(&scenario, 1);
     // As the settings of the fakes say: crossing has no price.
-    day.deployment.cross_zone_price = 0.0;
-    let p = day.play();
+    day.settings.cross_zone_price = 0.0;
+    let p = day.run();
     [
         p.quantile_ms(0.5),
         p.quantile_ms(0.99),
-        p.crossed(),
-        p.succeeded as f64 / p.taken.max(1) as f64,
+        p.cross_zone_share(),
+        p.succeeded as f64 / p.requests.max(1) as f64,
     ]
 }
 
--- a/crates/experiments/src/fleet/measure.rs
+++ b/crates/experiments/src/fleet/measure.rs
@@ -9,7 +9,10 @@
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::{program, Act, Answered, Caller, Load, RequestClass, Told, Ways};
+use tulipwall_testkit::{
+    agent_process, EndpointBehavior, Load, LoadReport, Reply, RequestClass, ResponseBehavior,
+    TestClient,
+};
 
 const MB: f64 = 1e6;
 const PAIRS: &str = "appliance-lane pairs";
@@ -161,7 +164,7 @@
         _ => ("appliances", |s| s.endpoints),
     };
     let row = |(size, _): (Size, usize)| {
-        let stand = Stand::start(&size, Ways::default())?;
+        let stand = Stand::start(&size, EndpointBehavior::default())?;
         let members = stand.agents(&plan.binary)?;
         sleep(plan.settle);
         let mut figures = vec![("agents", members.len() as f64)];
@@ -178,11 +181,11 @@
 
 fn connections(plan: &Plan) -> io::Result<Vec<Row>> {
     let row = |(size, count): (Size, usize)| {
-        let stand = Stand::start(&size, Ways::default())?;
+        let stand = Stand::start(&size, EndpointBehavior::default())?;
         let member = stand.agent(&plan.binary, 0, true)?;
         let address = member.address()?;
         let clients = (0..count)
-            .map(|_| Caller::connect(address))
+            .map(|_| TestClient::connect(address))
             .collect::<io::Result<Vec<_>>>()?;
         sleep(plan.settle);
         let figures = memory_of(std::slice::from_ref(&member))?;
@@ -206,22 +209,24 @@
     let row = |(size, count): (Size, usize)| {
         let stand = Stand::start(
             &size,
-            Ways {
-                act: Act::Silent,
-                ..Ways::default()
+            EndpointBehavior {
+                response: ResponseBehavior::NeverAnswer,
+                ..EndpointBehavior::default()
             },
         )?;
         let member = stand.agent(&plan.binary, 0, true)?;
         let address = member.address()?;
         let mut clients = (0..count)
-            .map(|_| Caller::connect(address))
+            .map(|_| TestClient::connect(address))
             .collect::<io::Result<Vec<_>>>()?;
-        clients.iter_mut().for_each(|c| c.ask("route-0", 30_000));
+        clients
+            .iter_mut()
+            .for_each(|c| c.send_query("route-0", 30_000));
         sleep(plan.settle);
         let mut ids: Vec<String> = stand
             .endpoints
             .iter()
-            .flat_map(|a| a.seen())
+            .flat_map(|a| a.received_queries())
             .map(|seen| seen.id)
             .collect();
         ids.sort();
@@ -244,7 +249,7 @@
 
 /// What agents take when nobody asks them anything.
 fn idle(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
-    let stand = Stand::start(size, Ways::default())?;
+    let stand = Stand::start(size, EndpointBehavior::default())?;
     let members = stand.agents(&plan.binary)?;
     sleep(plan.settle);
     let (before, bytes) = (
@@ -296,7 +301,7 @@
 /// question.
 fn start(plan: &Plan, known: bool) -> io::Result<Vec<Row>> {
     let row = |(size, _): (Size, usize)| {
-        let stand = Stand::start(&size, Ways::default())?;
+        let stand = Stand::start(&size, EndpointBehavior::default())?;
         let one = |_| {
             let member = stand.agent(&plan.binary, 0, known)?;
             let ran = member.usage()?.ran;
@@ -344,7 +349,7 @@
     let Some((size, _)) = plan.sizes(Measure::Change).pop() else {
         return Ok(Vec::new());
     };
-    let stand = Stand::start(&size, Ways::default())?;
+    let stand = Stand::start(&size, EndpointBehavior::default())?;
     let member = stand.agent(&plan.binary, 0, true)?;
     sleep(plan.settle);
     let mut rows = Vec::new();
@@ -364,7 +369,7 @@
             entries.truncate(count);
             entries.iter_mut().for_each(|e| e.cell += 1);
             let (begun, before) = (Instant::now(), member.usage()?.ran);
-            stand.discovery.tell(entries);
+            stand.discovery.update(entries);
             let taken = until("the question behind a change", || {
                 member.discovery.taken_in(begun)
             })?;
@@ -389,7 +394,7 @@
 /// until the list has been taken in. Processor time and bytes up to half a second later, less those
 /// of an idle time as long.
 fn renew(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
-    let stand = Stand::start(size, Ways::default())?;
+    let stand = Stand::start(size, EndpointBehavior::default())?;
     let mut member = stand.agent(&plan.binary, 0, true)?;
     sleep(plan.settle);
     let rest = Duration::from_millis(500);
@@ -440,7 +445,7 @@
 /// A further class in the settings, told by SIGHUP: until a request of it is served. Some agents
 /// never take settings over so, which shows as none of the repeats.
 fn settings(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
-    let stand = Stand::start(size, Ways::default())?;
+    let stand = Stand::start(size, EndpointBehavior::default())?;
     let mut member = stand.agent(&plan.binary, 0, true)?;
     let address = member.address()?;
     sleep(plan.settle);
@@ -450,7 +455,7 @@
         let class = RequestClass::new(&name, "repeatable", 3.0);
         let zones: Vec<String> = stand.zones();
         let names: Vec<&str> = zones.iter().map(String::as_str).collect();
-        let class = program::settings(&names, names[0], 1, &[class])["classes"][0].take();
+        let class = agent_process::settings(&names, names[0], 1, &[class])["classes"][0].take();
         let further = |s: &mut serde_json::Value| {
             if let Some(classes) = s["classes"].as_array_mut() {
                 classes.push(class);
@@ -458,10 +463,10 @@
         };
         let (told, old) = member.renew(&stand, further)?;
         let served = || {
-            let mut client = Caller::connect(address).ok()?;
-            client.ask(&name, 500);
-            let answer = client.told().ok()?;
-            matches!(answer, Told::Value(_)).then(|| ms(told.elapsed()))
+            let mut client = TestClient::connect(address).ok()?;
+            client.send_query(&name, 500);
+            let answer = client.read_reply().ok()?;
+            matches!(answer, Reply::Value(_)).then(|| ms(told.elapsed()))
         };
         let found = until_or(TAKEN_OVER_WITHIN, served);
         drop::<[Meter; 2]>(old);
@@ -496,13 +501,13 @@
 
 /// Other settings by a restart: ended and started anew, with a client that has an idle connection.
 fn restart(plan: &Plan, size: &Size, by: &'static str) -> io::Result<Row> {
-    let stand = Stand::start(size, Ways::default())?;
+    let stand = Stand::start(size, EndpointBehavior::default())?;
     let mut member = stand.agent(&plan.binary, 0, true)?;
     let longer =
         |by: f64| move |s: &mut serde_json::Value| s["classes"][0]["aim-ms"] = (500.0 + by).into();
     let mut all = Vec::new();
     for n in 0..plan.repeats {
-        let client = Caller::connect(member.address()?)?;
+        let client = TestClient::connect(member.address()?)?;
         sleep(plan.settle.min(Duration::from_millis(500)));
         let before: u64 = member.control().iter().sum();
         let [ended, served] = member.restart(&plan.binary, longer(1.0 + n as f64))?;
@@ -545,7 +550,7 @@
 }
 
 /// A load over classes and tenants from all parts of the settings; it waits for its end.
-pub fn load(size: &Size, at: SocketAddr, rate: f64, span: Duration, seed: u64) -> Answered {
+pub fn load(size: &Size, at: SocketAddr, rate: f64, span: Duration, seed: u64) -> LoadReport {
     let all = classes(size.classes);
     let used = all.len().min(LOAD_CLASSES);
     let class = |n: usize| {
@@ -563,12 +568,12 @@
     Load {
         agent: at,
         rate,
-        span,
+        duration: span,
         classes,
         connections: LOAD_CLIENTS,
         seed,
     }
-    .play()
+    .run()
 }
 
 /// Processor time of a request, above that of an idle agent.
@@ -586,10 +591,10 @@
     let answered = load(size, address, rate, plan.span, 8);
     let (after, took) = (member.usage()?, begun.elapsed().as_secs_f64());
     let ran = after.ran.saturating_sub(before.ran).as_secs_f64();
-    let count = answered.asked.max(1) as f64;
+    let count = answered.requests.max(1) as f64;
     let figures = vec![
         ("rate", rate),
-        ("asked", answered.asked as f64),
+        ("asked", answered.requests as f64),
         ("satisfied", answered.succeeded as f64),
         ("idle_core_%", idle * 100.0),
         ("core_%", ran / took * 100.0),
@@ -614,9 +619,9 @@
 
 /// What satisfied requests took beyond their work, in milliseconds: these parts of them within so
 /// long.
-fn beyond_work(answered: &Answered, work: Duration, parts: [f64; 2]) -> [f64; 2] {
+fn beyond_work(answered: &LoadReport, work: Duration, parts: [f64; 2]) -> [f64; 2] {
     let beyond = |(id, took): &(String, u64)| *took as f64 / 1000.0 - ms(worker::work(id, work));
-    let mut all: Vec<f64> = answered.each.iter().map(beyond).collect();
+    let mut all: Vec<f64> = answered.request_latencies.iter().map(beyond).collect();
     all.sort_by(f64::total_cmp);
     parts.map(|part| {
         let n = (all.len() as f64 * part).ceil() as usize;
@@ -645,13 +650,11 @@
             let through = load(&size, agent, rate, plan.span, 100 + n);
             let waited = member.usage()?.waited.saturating_sub(before);
             let direct = load(&size, straight, rate, plan.span, 100 + n);
-            (asked, succeeded) = (asked + through.asked, succeeded + through.succeeded);
+            (asked, succeeded) = (asked + through.requests, succeeded + through.succeeded);
             let [p50, p99] = beyond_work(&through, plan.work, [0.5, 0.99]);
             let [direct_p50, direct_p99] = beyond_work(&direct, plan.work, [0.5, 0.99]);
-            let late = through
-                .issued_late_ms(0.99)
-                .max(direct.issued_late_ms(0.99));
-            let waited = waited.as_secs_f64() / through.asked.max(1) as f64 * 1e6;
+            let late = through.send_delay_ms(0.99).max(direct.send_delay_ms(0.99));
+            let waited = waited.as_secs_f64() / through.requests.max(1) as f64 * 1e6;
             all.push([
                 p50 - direct_p50,
                 p99 - direct_p99,
--- a/crates/experiments/src/fleet/meter.rs
+++ b/crates/experiments/src/fleet/meter.rs
@@ -8,7 +8,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
-use tulipwall_testkit::ground::{self, locked, Ends};
+use tulipwall_testkit::runtime::{self, lock_unpoisoned, TerminationSignal};
 
 /// Single passages kept at most; beyond, only sums go on.
 const KEPT: usize = 100_000;
@@ -44,16 +44,19 @@
 pub struct Meter {
     pub address: SocketAddr,
     passed: Arc<Mutex<Passed>>,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
 impl Meter {
     /// Passes on all that comes to a fake at this address, and back.
     pub fn start(to: SocketAddr) -> io::Result<Meter> {
-        let (passed, ends) = (Arc::<Mutex<Passed>>::default(), Arc::<Ends>::default());
+        let (passed, ends) = (
+            Arc::<Mutex<Passed>>::default(),
+            Arc::<TerminationSignal>::default(),
+        );
         let p = passed.clone();
-        let (address, task) = ground::listen(&ends, move |stream| {
+        let (address, task) = runtime::listen(&ends, move |stream| {
             let passed = p.clone();
             async move {
                 let _ = pass(stream, to, &passed).await;
@@ -68,17 +71,17 @@
     }
 
     pub fn passed(&self) -> Passed {
-        locked(&self.passed).clone()
+        lock_unpoisoned(&self.passed).clone()
     }
 
     pub fn bytes(&self) -> u64 {
-        locked(&self.passed).bytes()
+        lock_unpoisoned(&self.passed).bytes()
     }
 
     /// The first answer that began at or after `since` and was followed by another question on its
     /// connection: what came, when it was whole and when that question came.
     pub fn taken_in(&self, since: Instant) -> Option<Taken> {
-        let passed = locked(&self.passed);
+        let passed = lock_unpoisoned(&self.passed);
         let mut answers: BTreeMap<u64, Taken> = BTreeMap::new();
         for p in passed.passages.iter().filter(|p| p.at >= since) {
             match (p.asked, answers.get_mut(&p.connection)) {
@@ -106,7 +109,7 @@
 
     /// When anything was told first.
     pub fn first_told(&self) -> Option<Instant> {
-        locked(&self.passed)
+        lock_unpoisoned(&self.passed)
             .passages
             .iter()
             .find(|p| !p.asked)
@@ -132,7 +135,7 @@
 
 async fn pass(agent: Async<TcpStream>, to: SocketAddr, passed: &Mutex<Passed>) -> io::Result<()> {
     let connection = {
-        let mut p = locked(passed);
+        let mut p = lock_unpoisoned(passed);
         p.connections += 1;
         p.connections
     };
@@ -160,7 +163,7 @@
         }
         // Counted before it goes on: an answer that was taken in must never seem to lack a part.
         {
-            let mut p = locked(passed);
+            let mut p = lock_unpoisoned(passed);
             *(if asked { &mut p.asked } else { &mut p.told }) += got as u64;
             if p.passages.len() < KEPT {
                 p.passages.push(Passage {
--- a/crates/experiments/src/fleet/stand.rs
+++ b/crates/experiments/src/fleet/stand.rs
@@ -12,7 +12,8 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::platform::RolloutStatus;
 use tulipwall_testkit::{
-    program, Caller, Discovery, Endpoint, Entry, Platform, Program, RequestClass, Ways,
+    agent_process, AgentProcess, Discovery, Endpoint, EndpointBehavior, Entry, Platform,
+    RequestClass, TestClient,
 };
 
 /// Endpoints of the list share so many listeners, one after another.
@@ -30,7 +31,7 @@
 
 /// One agent, with the ways on which it hears discovery and the platform.
 pub struct Member {
-    pub program: Program,
+    pub program: AgentProcess,
     pub discovery: Meter,
     pub platform: Meter,
     /// From before its configuration was written until it answered a client's empty query.
@@ -40,7 +41,7 @@
 
 impl Stand {
     /// A list of so many endpoints, all served by a few listeners that behave like this.
-    pub fn start(size: &Size, ways: Ways) -> io::Result<Stand> {
+    pub fn start(size: &Size, ways: EndpointBehavior) -> io::Result<Stand> {
         let listeners = 0..size.endpoints.clamp(1, LISTENERS) as u64;
         let endpoints = listeners
             .map(|n| Endpoint::start(1, ways.clone(), n))
@@ -75,7 +76,7 @@
             started_ms: 0,
             build: 41,
         };
-        discovery.tell((0..size.endpoints).map(entry));
+        discovery.update((0..size.endpoints).map(entry));
         let platform = Platform::start(RolloutStatus::now(41, 0, "released", 1.0))?;
         Ok(Stand {
             discovery,
@@ -95,7 +96,7 @@
         let names: Vec<&str> = zones.iter().map(String::as_str).collect();
         let classes = classes(self.size.classes);
         let mut settings =
-            program::settings(&names, names[zone_of], self.size.agents as u32, &classes);
+            agent_process::settings(&names, names[zone_of], self.size.agents as u32, &classes);
         let share = 1.0 / self.size.tenants.max(1) as f64;
         let tenants = (0..self.size.tenants).map(|n| json!({"name": tenant(n), "share": share}));
         settings["tenants"] = tenants.collect();
@@ -109,12 +110,12 @@
         let zone = number % self.size.zones;
         let discovery = Meter::start(self.discovery.address(zone))?;
         let platform = Meter::start(self.platform.address)?;
-        let mut configuration = program::configuration(
+        let mut configuration = agent_process::configuration(
             &format!("n{number}"),
             discovery.address,
             platform.address,
-            self.platform.newest().value(),
-            self.discovery.known(zone),
+            self.platform.current_rollout().value(),
+            self.discovery.full_list(zone),
             self.settings(zone),
         )?;
         configuration["limits"]["sockets"] = self.size.sockets.into();
@@ -125,7 +126,7 @@
                 .for_each(|c| drop(c.remove("known")));
         }
         let begun = Instant::now();
-        let program = Program::start(binary, configuration, &[])
+        let program = AgentProcess::start(binary, configuration, &[])
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", binary.display())))?;
         let mut member = Member {
             program,
@@ -146,7 +147,7 @@
 
     /// Requests that came to any endpoint.
     pub fn attempts(&self) -> usize {
-        self.endpoints.iter().map(Endpoint::seen_count).sum()
+        self.endpoints.iter().map(Endpoint::received_count).sum()
     }
 }
 
@@ -163,7 +164,7 @@
             }
             sleep(Duration::from_micros(500));
         }
-        Caller::connect(address)?;
+        TestClient::connect(address)?;
         Ok(begun.elapsed())
     }
 
@@ -191,12 +192,12 @@
         let platform = Meter::start(stand.platform.address)?;
         let c = &mut self.program.configuration;
         c["discovery"] = discovery.address.to_string().into();
-        c["deployer"] = json!({"address": platform.address.to_string(), "news": stand.platform.newest().value()});
-        c["known"] = stand.discovery.known(self.zone);
+        c["deployer"] = json!({"address": platform.address.to_string(), "news": stand.platform.current_rollout().value()});
+        c["known"] = stand.discovery.full_list(self.zone);
         settings(&mut c["settings"]);
         let text = c.to_string();
         let told = Instant::now();
-        self.program.renew(&text)?;
+        self.program.reload(&text)?;
         let old = [
             std::mem::replace(&mut self.discovery, discovery),
             std::mem::replace(&mut self.platform, platform),
@@ -215,7 +216,7 @@
         settings(&mut configuration["settings"]);
         let told = Instant::now();
         self.program.terminate()?;
-        if !self.program.ended_well()? {
+        if !self.program.wait_for_success()? {
             return Err(io::Error::other(format!(
                 "it did not end well; its log:\n{}",
                 self.program.log()
@@ -223,7 +224,7 @@
         }
         let ended = told.elapsed();
         let begun = Instant::now();
-        self.program = Program::start(binary, configuration, &[])?;
+        self.program = AgentProcess::start(binary, configuration, &[])?;
         self.ready = self.serves(begun)?;
         Ok([ended, told.elapsed()])
     }
--- a/crates/experiments/src/fleet/worker.rs
+++ b/crates/experiments/src/fleet/worker.rs
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tulipwall_config::number;
-use tulipwall_testkit::ground::{self, sleep, Ends};
 use tulipwall_testkit::pg;
+use tulipwall_testkit::runtime::{self, sleep, TerminationSignal};
 
 /// Takes any number of requests at once.
 pub struct Worker {
     pub address: SocketAddr,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
@@ -32,8 +32,8 @@
 
 impl Worker {
     pub fn start(mean: Duration) -> io::Result<Worker> {
-        let ends = Arc::<Ends>::default();
-        let (address, task) = ground::listen(&ends, move |stream| async move {
+        let ends = Arc::<TerminationSignal>::default();
+        let (address, task) = runtime::listen(&ends, move |stream| async move {
             let _ = talk(stream, mean).await;
         })?;
         Ok(Worker {
@@ -52,15 +52,15 @@
 
 async fn talk(mut stream: Async<TcpStream>, mean: Duration) -> io::Result<()> {
     pg::read_startup(&mut stream).await?;
-    stream.write_all(&pg::welcome()).await?;
-    let answer = pg::value(&[0x9f, 3]);
+    stream.write_all(&pg::startup_reply()).await?;
+    let answer = pg::value_reply(&[0x9f, 3]);
     loop {
         let (tag, body) = pg::read(&mut stream).await?;
         if tag != b'Q' {
             return Ok(());
         }
         let text = String::from_utf8_lossy(&body);
-        let id = pg::comment(&text)
+        let id = pg::comment_fields(&text)
             .find(|(name, _)| *name == "id")
             .map_or("", |(_, id)| id);
         sleep(work(id, mean)).await;
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall_testkit::{Answered, Load};
+use tulipwall_testkit::{Load, LoadReport};
 
 /// A request that goes out later than this after it was due shows that the load itself does not
 /// keep up.
@@ -26,23 +26,23 @@
 pub struct Step {
     pub rate: f64,
     pub span: Duration,
-    pub answered: Answered,
+    pub answered: LoadReport,
 }
 
 impl Step {
     /// The load did not keep up, so its figures are its own.
     pub fn limited(&self) -> bool {
-        self.answered.issued_late_ms(0.99) > LATE_MS
+        self.answered.send_delay_ms(0.99) > LATE_MS
     }
 
     pub fn value(&self) -> Value {
         let a = &self.answered;
         let quantiles =
             [0.5, 0.9, 0.99, 0.999].map(|q| (format!("p{}", q * 100.0), json!(a.quantile_ms(q))));
-        json!({"rate": self.rate, "span_s": self.span.as_secs_f64(), "asked": a.asked, "satisfied": a.succeeded,
+        json!({"rate": self.rate, "span_s": self.span.as_secs_f64(), "asked": a.requests, "satisfied": a.succeeded,
             "denied": a.rejected, "failed": a.failed, "unanswered": a.unanswered,
             "ms": quantiles.into_iter().collect::<serde_json::Map<_, _>>(),
-            "issued_late_p99_ms": a.issued_late_ms(0.99), "load_is_the_bottleneck": self.limited()})
+            "issued_late_p99_ms": a.send_delay_ms(0.99), "load_is_the_bottleneck": self.limited()})
     }
 
     pub fn line(&self) -> String {
@@ -63,7 +63,7 @@
     /// Whether the agent kept to it: the quantile, and at most a hundredth not satisfied.
     fn keeps(&self, p99_ms: f64) -> bool {
         let a = &self.answered;
-        a.quantile_ms(0.99) <= p99_ms && a.succeeded as f64 >= 0.99 * a.asked as f64
+        a.quantile_ms(0.99) <= p99_ms && a.succeeded as f64 >= 0.99 * a.requests as f64
     }
 }
 
@@ -73,7 +73,7 @@
         let load = Load {
             agent: self.agent,
             rate,
-            span,
+            duration: span,
             classes: self.classes.clone(),
             connections: self.connections,
             seed: self.seed ^ rate.to_bits(),
@@ -81,7 +81,7 @@
         Step {
             rate,
             span,
-            answered: load.play(),
+            answered: load.run(),
         }
     }
 
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -298,12 +298,12 @@
         return Err(format!("point {point}: there are {}", points.len()));
     };
     let mut day = run::day(&scenario.at(values), seed);
-    day.watch = Some(watch);
-    let played = day.play();
-    if played.life.is_empty() {
+    day.traced_request = Some(watch);
+    let played = day.run();
+    if played.trace.is_empty() {
         return Err(format!("agent {} took no command {}", watch.0, watch.1));
     }
-    played.life.iter().for_each(|l| println!("{l}"));
+    played.trace.iter().for_each(|l| println!("{l}"));
     Ok(true)
 }
 
