--- a/crates/experiments/src/run.rs
+++ b/crates/experiments/src/run.rs
@@ -6,7 +6,10 @@
 use std::time::Duration;
 use tulipwall::{EndpointState, RequestClass, Settings};
 use tulipwall_client_policy::Retrying;
-use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
+use tulipwall_testkit::simulation::{
+    self, ClientBehavior, RolloutPlan, ScenarioEvent, SimulatedAgent, SimulatedEndpoint,
+    Simulation, SimulationReport,
+};
 use tulipwall_zones::{Budget, Limit, Routing, Zoning};
 
 const OLD: u32 = 41;
@@ -17,14 +20,14 @@
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// The day of a scenario.
-pub fn day(s: &Scenario, seed: u64) -> Day {
+pub fn day(s: &Scenario, seed: u64) -> Simulation {
     let zones = s.zones.len();
-    let mut nodes: Vec<Node> = Vec::new();
+    let mut nodes: Vec<SimulatedEndpoint> = Vec::new();
     let mut of_zone = vec![Vec::new(); zones];
     for (zone, z) in s.zones.iter().enumerate() {
         for _ in 0..z.endpoints {
             of_zone[zone].push(nodes.len());
-            nodes.push(Node::new(zone, OLD, z.cores));
+            nodes.push(SimulatedEndpoint::new(zone, OLD, z.cores));
         }
     }
     let offering = s.offer.as_ref().map(|o| {
@@ -32,23 +35,23 @@
         for n in 0..o.endpoints {
             let zone = n % zones;
             own.push(nodes.len());
-            let new = Node::new(zone, NEW, s.zones[zone].cores);
-            nodes.push(Node {
-                slowness: o.slowness,
-                fails: o.fails,
-                standing: EndpointState::Gone,
+            let new = SimulatedEndpoint::new(zone, NEW, s.zones[zone].cores);
+            nodes.push(SimulatedEndpoint {
+                work_factor: o.slowness,
+                failure_rate: o.fails,
+                state: EndpointState::Gone,
                 ..new
             });
         }
         // A twentieth of the agents must agree.
         let back_votes = (s.agents as f64 * 0.05).ceil() as usize;
-        Offering {
+        RolloutPlan {
             build: NEW,
-            at: o.at,
+            starts_at: o.at,
             caps: o.stages.clone(),
-            step: o.step,
-            nodes: own,
-            back_votes,
+            stage_duration: o.step,
+            endpoints: own,
+            votes_to_roll_back: back_votes,
         }
     });
     // Agents in turn in each zone; unequal ones from one plus the spread down to one less it.
@@ -56,31 +59,31 @@
     let caller = |n: usize| {
         let zone = n % zones;
         let zoning = (s.near_first || s.share.is_some()).then(|| zoning(s, zone));
-        Caller {
+        SimulatedAgent {
             zone,
-            part: part(n).max(0.0),
+            load_share: part(n).max(0.0),
             zoning,
         }
     };
-    let agents: Vec<Caller> = (0..s.agents).map(caller).collect();
-    let mut day = Day::small(agents, nodes, s.rate, s.span, seed);
-    day.ways = (0..=zones)
+    let agents: Vec<SimulatedAgent> = (0..s.agents).map(caller).collect();
+    let mut day = Simulation::small(agents, nodes, s.rate, s.span, seed);
+    day.link_delays = (0..=zones)
         .map(|from| (0..=zones).map(|to| way(s, from, to)).collect())
         .collect();
-    day.deployment = deployment(s);
-    day.work = s.classes.iter().map(|l| l.work).collect();
+    day.settings = deployment(s);
+    day.mean_work = s.classes.iter().map(|l| l.work).collect();
     day.classes = s.classes.iter().map(|l| (l.weight, l.expiry)).collect();
-    (day.steady, day.loss, day.told_late) = (s.steady, s.loss, s.told_late);
-    day.clients = match s.clients {
-        ClientKind::Open => Clients::Open,
-        ClientKind::Naive => Clients::Naive {
+    (day.fixed_work_share, day.link_loss, day.notification_delay) = (s.steady, s.loss, s.told_late);
+    day.client_behavior = match s.clients {
+        ClientKind::Open => ClientBehavior::NoRetries,
+        ClientKind::Naive => ClientBehavior::FixedRetries {
             pause: Duration::from_millis(50),
-            tries: 20,
+            max_attempts: 20,
         },
-        ClientKind::Careful => Clients::Careful(Retrying::default()),
+        ClientKind::Careful => ClientBehavior::PolicyRetries(Retrying::default()),
     };
-    day.offering = offering;
-    day.script = script(s, &of_zone);
+    day.rollout_plan = offering;
+    day.events = script(s, &of_zone);
     day
 }
 
@@ -104,7 +107,7 @@
         part: 1.0,
     };
     let budgets = s.share.into_iter().map(budget).collect();
-    let zoning = day::zoning(&deployment(s).classes, own, s.zones.len(), budgets);
+    let zoning = simulation::default_zoning(&deployment(s).classes, own, s.zones.len(), budgets);
     Zoning {
         routing: if s.near_first {
             Routing::NearFirst
@@ -121,13 +124,13 @@
         priority_weight: l.priority_weight,
         idempotency: l.idempotency,
     };
-    let mut d = day::deployment(s.classes.iter().map(class).collect());
+    let mut d = simulation::default_settings(s.classes.iter().map(class).collect());
     d.rollout.caps = s.offer.as_ref().map_or(vec![1.0], |o| o.stages.clone());
     d.rollout.votes_to_roll_back = (s.agents as f64 * 0.05).ceil() as u32;
     d
 }
 
-fn script(s: &Scenario, of_zone: &[Vec<usize>]) -> Vec<(Duration, Change)> {
+fn script(s: &Scenario, of_zone: &[Vec<usize>]) -> Vec<(Duration, ScenarioEvent)> {
     let mut script = Vec::new();
     for f in &s.faults {
         let zones: Vec<usize> = f.zone.map_or((0..of_zone.len()).collect(), |z| vec![z]);
@@ -136,7 +139,8 @@
             .flat_map(|z| of_zone[*z].iter().take(f.most).copied())
             .collect();
         let end = f.lasts.map(|t| f.at + t);
-        let mut each = |begin: &dyn Fn(usize) -> Change, over: &dyn Fn(usize) -> Change| {
+        let mut each = |begin: &dyn Fn(usize) -> ScenarioEvent,
+                        over: &dyn Fn(usize) -> ScenarioEvent| {
             script.extend(on.iter().map(|n| (f.at, begin(*n))));
             script.extend(
                 end.into_iter()
@@ -144,21 +148,30 @@
             );
         };
         match f.kind {
-            FaultKind::Slow(by) => each(&|n| Change::Slows(n, by), &|n| Change::Slows(n, 1.0)),
-            FaultKind::Fail(part) => each(&|n| Change::Fails(n, part), &|n| Change::Fails(n, 0.0)),
+            FaultKind::Slow(by) => each(&|n| ScenarioEvent::SetWorkFactor(n, by), &|n| {
+                ScenarioEvent::SetWorkFactor(n, 1.0)
+            }),
+            FaultKind::Fail(part) => each(&|n| ScenarioEvent::SetFailureRate(n, part), &|n| {
+                ScenarioEvent::SetFailureRate(n, 0.0)
+            }),
             FaultKind::Drain => each(
-                &|n| Change::Lists(n, EndpointState::Draining),
-                &Change::Starts,
+                &|n| ScenarioEvent::SetState(n, EndpointState::Draining),
+                &ScenarioEvent::Restart,
             ),
-            FaultKind::Gone => each(&|n| Change::Lists(n, EndpointState::Gone), &Change::Starts),
-            FaultKind::Mute => each(&|n| Change::Mutes(n, true), &|n| Change::Mutes(n, false)),
+            FaultKind::Gone => each(
+                &|n| ScenarioEvent::SetState(n, EndpointState::Gone),
+                &ScenarioEvent::Restart,
+            ),
+            FaultKind::Mute => each(&|n| ScenarioEvent::SetUnresponsive(n, true), &|n| {
+                ScenarioEvent::SetUnresponsive(n, false)
+            }),
             FaultKind::Stall => {
                 let span = f.lasts.unwrap_or(Duration::from_secs(1));
-                script.extend((0..s.agents).map(|a| (f.at, Change::Stalls(a, span))));
+                script.extend((0..s.agents).map(|a| (f.at, ScenarioEvent::StallAgent(a, span))));
             }
             FaultKind::Burst(by) => {
-                script.push((f.at, Change::Rate(s.rate * by)));
-                script.extend(end.map(|t| (t, Change::Rate(s.rate))));
+                script.push((f.at, ScenarioEvent::SetRequestRate(s.rate * by)));
+                script.extend(end.map(|t| (t, ScenarioEvent::SetRequestRate(s.rate))));
             }
         }
     }
@@ -167,7 +180,7 @@
 
 /// Plays one run and measures it.
 pub fn run(s: &Scenario, point: usize, values: &[(String, Value)], seed: u64) -> Record {
-    let played = day(&s.at(values), seed).play();
+    let played = day(&s.at(values), seed).run();
     Record {
         point,
         values: values
@@ -177,26 +190,35 @@
         seed,
         figures: figures(&s.at(values), &played),
         delays_us: played
-            .times
+            .latencies
             .iter_recorded()
             .map(|v| (v.value_iterated_to(), v.count_at_value()))
             .collect(),
         digest: played.digest,
-        broken: played.broken.iter().take(5).cloned().collect(),
+        broken: played
+            .violations
+            .iter()
+            .take(5)
+            .map(ToString::to_string)
+            .collect(),
     }
 }
 
 /// What is measured of a run. Shares are of requests as they first came.
-fn figures(s: &Scenario, p: &Played) -> BTreeMap<String, f64> {
+fn figures(s: &Scenario, p: &SimulationReport) -> BTreeMap<String, f64> {
     let seconds = s.span.as_secs() as usize;
-    let sum = |from: usize, to: usize, of: &dyn Fn(&tulipwall_testkit::day::Second) -> u64| {
-        p.seconds
+    let sum = |from: usize,
+               to: usize,
+               of: &dyn Fn(&tulipwall_testkit::simulation::SecondCounts) -> u64| {
+        p.counts_by_second
             .iter()
             .flat_map(|a| &a[from.min(a.len())..to.min(a.len())])
             .map(of)
             .sum::<u64>() as f64
     };
-    let good = |from, to| sum(from, to, &|x| x.good) / sum(from, to, &|x| x.asked).max(1.0);
+    let good = |from, to| {
+        sum(from, to, &|x| x.within_objective) / sum(from, to, &|x| x.first_tries).max(1.0)
+    };
     let mut f = BTreeMap::new();
     let mut put = |name: &str, value: f64| {
         f.insert(name.to_owned(), value);
@@ -205,35 +227,38 @@
     put("good_last_quarter", good(seconds * 3 / 4, seconds));
     put(
         "taken_over_asked",
-        sum(0, seconds, &|x| x.taken) / sum(0, seconds, &|x| x.asked).max(1.0),
+        sum(0, seconds, &|x| x.requests_received) / sum(0, seconds, &|x| x.first_tries).max(1.0),
     );
-    put("crossing", p.crossed());
+    put("crossing", p.cross_zone_share());
     put(
         "over_budget",
-        p.over() as f64 / sum(0, seconds, &|x| x.taken).max(1.0),
+        p.over_budget_sends() as f64 / sum(0, seconds, &|x| x.requests_received).max(1.0),
     );
     put("p50_ms", p.quantile_ms(0.5));
     put("p99_ms", p.quantile_ms(0.99));
-    put("denied", p.rejected as f64 / p.taken.max(1) as f64);
-    put("scrapped", p.scrapped as f64 / p.taken.max(1) as f64);
-    put("rules_broken", p.broken.len() as f64);
-    put("commands", p.taken as f64);
+    put("denied", p.rejected as f64 / p.requests.max(1) as f64);
+    put("scrapped", p.failed as f64 / p.requests.max(1) as f64);
+    put("rules_broken", p.violations.len() as f64);
+    put("commands", p.requests as f64);
     put("events", p.events as f64);
     if let Some(o) = &s.offer {
-        put("held", f64::from(u8::from(p.offered.held.is_some())));
-        put("sent_back", f64::from(u8::from(p.offered.back.is_some())));
+        put("held", f64::from(u8::from(p.rollout.first_hold.is_some())));
+        put(
+            "sent_back",
+            f64::from(u8::from(p.rollout.rolled_back.is_some())),
+        );
         put(
             "released",
-            f64::from(u8::from(p.offered.released.is_some())),
+            f64::from(u8::from(p.rollout.released.is_some())),
         );
         // A build that is never held counts as held in the stage after the last.
         put(
             "held_in_stage",
-            p.offered.held.map_or(o.stages.len(), |h| h.1) as f64,
+            p.rollout.first_hold.map_or(o.stages.len(), |h| h.1) as f64,
         );
-        let held = p.offered.held.map_or(s.span, |h| h.0);
+        let held = p.rollout.first_hold.map_or(s.span, |h| h.0);
         put("s_to_hold", held.saturating_sub(o.at).as_secs_f64());
-        put("s_stood", p.offered.stood.as_secs_f64());
+        put("s_stood", p.rollout.time_held.as_secs_f64());
     }
     f
 }
--- a/crates/experiments/src/scale/play.rs
+++ b/crates/experiments/src/scale/play.rs
@@ -219,7 +219,7 @@
             .map(|_| Platform::new(zero, rollout_status.clone()))
             .collect();
         for (s, d) in discoveries.iter_mut().enumerate() {
-            d.registry.tell(size.of_service(s).map(|a| size.entry(a)));
+            d.registry.update(size.of_service(s).map(|a| size.entry(a)));
         }
         let known: Vec<Arc<Vec<u8>>> = discoveries.iter().map(Discovery::known).collect();
         let before = resident();
--- a/crates/experiments/src/scale/servers.rs
+++ b/crates/experiments/src/scale/servers.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::platform::{note, Desk};
+use tulipwall_testkit::platform::{notification, RolloutService};
 use tulipwall_testkit::{registry, Entry, Registry, RolloutStatus};
 
 /// How long anything takes to come to an agent. As long as a step, so that agents are played by
@@ -71,14 +71,17 @@
 
     /// The whole list, as a configuration's `known`.
     pub fn known(&self) -> Arc<Vec<u8>> {
-        Arc::new(self.registry.whole(0).to_string().into_bytes())
+        Arc::new(self.registry.full_list(0).to_string().into_bytes())
     }
 
     fn body(&mut self, after: Option<u64>) -> Arc<Vec<u8>> {
         let registry = &self.registry;
         let body = self.bodies.entry(after).or_insert_with(|| {
-            let list = after.map_or_else(|| registry.whole(0), |after| registry.since(after, 0));
-            Arc::new(registry::answer(&list).into_bytes())
+            let list = after.map_or_else(
+                || registry.full_list(0),
+                |after| registry.changes_since(after, 0),
+            );
+            Arc::new(registry::http_response(&list).into_bytes())
         });
         body.clone()
     }
@@ -139,7 +142,7 @@
         if let Some(calls) = Served::at(&mut self.served.calls, now, self.from) {
             *calls += 1;
         }
-        match registry::watched(path) {
+        match registry::parse_watch(path) {
             Some((after, wait)) if after >= self.registry.version => {
                 self.parked.insert((agent, call), (after, now + wait));
             }
@@ -160,7 +163,7 @@
 
     pub fn change(&mut self, now: Duration, entries: Vec<Entry>, out: &mut Vec<Letter>) {
         let begun = cpu();
-        self.registry.tell(entries);
+        self.registry.update(entries);
         self.bodies.clear();
         self.changed.push((now, self.registry.version));
         for ((agent, call), (after, _)) in std::mem::take(&mut self.parked) {
@@ -185,7 +188,7 @@
 }
 
 pub struct Platform {
-    desk: Desk,
+    desk: RolloutService,
     watching: BTreeSet<usize>,
     zero: Instant, // of simulated time
     pub served: Served,
@@ -196,7 +199,7 @@
     pub fn new(zero: Instant, rollout_status: RolloutStatus) -> Platform {
         let (watching, served) = (BTreeSet::new(), Served::default());
         Platform {
-            desk: Desk::new(rollout_status),
+            desk: RolloutService::new(rollout_status),
             watching,
             zero,
             served,
@@ -239,11 +242,11 @@
             *calls += 1;
         }
         let call: Value = serde_json::from_str(line).unwrap_or_default();
-        let heeded = self.desk.heed(self.zero + now, &call);
-        self.say(now, agent, Kind::Answered, &written(&heeded.answer), out);
-        if heeded.watches {
+        let heeded = self.desk.handle_call(self.zero + now, &call);
+        self.say(now, agent, Kind::Answered, &written(&heeded.reply), out);
+        if heeded.subscribes {
             self.watching.insert(agent);
-            let rollout_status = written(&self.desk.rollout_status.line(self.zero + now));
+            let rollout_status = written(&self.desk.rollout_status.notification(self.zero + now));
             self.say(now, agent, Kind::RolloutStatus, &rollout_status, out);
         }
         if let Some(rollout_status) = heeded.rollout_status {
@@ -262,12 +265,12 @@
             since: self.zero + now,
             ..rollout_status
         };
-        let line = self.desk.rollout_status.line(self.zero + now);
+        let line = self.desk.rollout_status.notification(self.zero + now);
         self.all(now, Kind::RolloutStatus, &line, out);
     }
 
     pub fn ping(&mut self, now: Duration, out: &mut Vec<Letter>) {
-        self.all(now, Kind::Ping, &note("ping", json!({})), out);
+        self.all(now, Kind::Ping, &notification("ping", json!({})), out);
     }
 
     pub fn lost(&mut self, agents: &BTreeSet<usize>) {
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 use tulipwall_config::{Fields, ServiceConfig};
-use tulipwall_testkit::{program, Entry, RequestClass};
+use tulipwall_testkit::{agent_process, Entry, RequestClass};
 
 /// What the operators' letter allows an agent for control.
 pub const CORE_MOST: f64 = 0.012;
@@ -91,7 +91,8 @@
             RequestClass::new(&format!("route-{n:05}"), kinds[n % 3], 1.0 + (n % 7) as f64)
         };
         let classes: Vec<RequestClass> = (0..self.classes).map(class).collect();
-        let mut settings = program::settings(&zones, zones[0], self.together() as u32, &classes);
+        let mut settings =
+            agent_process::settings(&zones, zones[0], self.together() as u32, &classes);
         let share = 1.0 / self.tenants.max(1) as f64;
         let tenant = |n: usize| json!({"name": tenant(n), "share": share});
         settings["tenants"] = (0..self.tenants).map(tenant).collect();
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -12,7 +12,7 @@
 use tulipwall_experiments::fleet::stand::{until, Stand};
 use tulipwall_experiments::fleet::worker::work;
 use tulipwall_experiments::fleet::{limits, measure, Results, Row, Size};
-use tulipwall_testkit::{Caller, Ways};
+use tulipwall_testkit::{EndpointBehavior, TestClient};
 
 const LAB: &str = env!("CARGO_BIN_EXE_tulipwall-experiments");
 
@@ -189,14 +189,14 @@
 /// agent asked.
 #[test]
 fn a_whole_list_is_counted_to_the_byte() {
-    let stand = Stand::start(&size(), Ways::default()).unwrap();
+    let stand = Stand::start(&size(), EndpointBehavior::default()).unwrap();
     let member = stand.agent(agent(), 0, false).unwrap();
     let taken = until("the next question", || {
         member
             .discovery
             .taken_in(Instant::now() - Duration::from_secs(600))
     });
-    let body = stand.discovery.known(0).to_string();
+    let body = stand.discovery.full_list(0).to_string();
     let head =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: \r\n\r\n".len();
     assert_eq!(
@@ -443,12 +443,12 @@
 
 #[test]
 fn a_load_goes_over_lanes_and_tenants_of_the_settings() {
-    let stand = Stand::start(&size(), Ways::default()).unwrap();
+    let stand = Stand::start(&size(), EndpointBehavior::default()).unwrap();
     let at = stand.endpoints[0].address(0);
     let answered = measure::load(&size(), at, 60.0, Duration::from_secs(1), 3);
-    let seen = stand.endpoints[0].seen();
+    let seen = stand.endpoints[0].received_queries();
     assert!(
-        answered.asked > 20 && seen.len() as u64 == answered.asked,
+        answered.requests > 20 && seen.len() as u64 == answered.requests,
         "{}",
         seen.len()
     );
@@ -474,10 +474,10 @@
         5,
     );
     assert_eq!(
-        (answered.each.len() as u64, answered.succeeded),
-        (answered.asked, answered.asked)
+        (answered.request_latencies.len() as u64, answered.succeeded),
+        (answered.requests, answered.requests)
     );
-    for (id, took) in &answered.each {
+    for (id, took) in &answered.request_latencies {
         assert!(
             Duration::from_micros(took + 1) >= work(id, mean),
             "{id} after {took} us"
@@ -581,10 +581,10 @@
         tenants: 5000,
         ..size()
     };
-    let stand = Stand::start(&size, Ways::default()).unwrap();
+    let stand = Stand::start(&size, EndpointBehavior::default()).unwrap();
     let member = stand.agent(agent(), 0, true).unwrap();
     let clients: Vec<_> = (0..20)
-        .map(|_| Caller::connect(member.address().unwrap()).unwrap())
+        .map(|_| TestClient::connect(member.address().unwrap()).unwrap())
         .collect();
     let (took, told) = (
         member.usage().unwrap().peak,
--- a/crates/experiments/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 use std::time::Duration;
 use tulipwall_experiments::load::{Plan, Step};
-use tulipwall_testkit::{ground, Act, Endpoint, Ways};
+use tulipwall_testkit::{runtime, Endpoint, EndpointBehavior, ResponseBehavior};
 
 fn plan(of: &Endpoint) -> Plan {
     let view = ("view".to_owned(), 1.0, Duration::from_millis(1500), false);
@@ -18,10 +18,10 @@
 fn of(cores: usize) -> Endpoint {
     Endpoint::start(
         1,
-        Ways {
+        EndpointBehavior {
             work: Duration::from_millis(20),
             cores,
-            ..Ways::default()
+            ..EndpointBehavior::default()
         },
         1,
     )
@@ -39,7 +39,7 @@
     }
     .step(100.0, Duration::from_secs(1));
     assert!(step.answered.quantile_ms(0.9) > 400.0, "{}", step.line());
-    let late = step.answered.issued_late_ms(0.5);
+    let late = step.answered.send_delay_ms(0.5);
     assert!(
         late < 100.0,
         "each went out when it was due, whatever became of those before: {late} ms"
@@ -72,10 +72,10 @@
     let agent = of(4);
     let mut late = Vec::new();
     let stands_still = async {
-        ground::sleep(Duration::from_millis(300)).await;
+        runtime::sleep(Duration::from_millis(300)).await;
         std::thread::sleep(Duration::from_millis(150));
     };
-    ground::spawn(stands_still).detach();
+    runtime::spawn(stands_still).detach();
     let found = plan(&agent).limit(40.0, 40.0, Duration::from_millis(1200), 250.0, |s| {
         late.push(s.limited())
     });
@@ -87,9 +87,9 @@
 fn each_step_is_a_line_of_json_with_what_was_not_answered() {
     let agent = Endpoint::start(
         1,
-        Ways {
-            act: Act::TurnsAway,
-            ..Ways::default()
+        EndpointBehavior {
+            response: ResponseBehavior::Reject,
+            ..EndpointBehavior::default()
         },
         1,
     )
@@ -119,7 +119,7 @@
     assert_eq!(told["satisfied"].as_u64(), Some(0));
     assert!(told["load_is_the_bottleneck"].is_boolean() && told["ms"]["p99"].is_number());
     assert!(agent
-        .seen()
+        .received_queries()
         .iter()
         .any(|s| s.class == "send" && s.key.is_some()));
     assert_eq!(run(&["--lane", "view=x"]).status.code(), Some(2));
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -7,7 +7,7 @@
 use tulipwall_experiments::records::{self, Head, Records};
 use tulipwall_experiments::run;
 use tulipwall_experiments::scenario::Scenario;
-use tulipwall_testkit::day::{Change, Played};
+use tulipwall_testkit::simulation::{ScenarioEvent, SimulationReport};
 
 fn scenario(body: &str) -> Scenario {
     let text = format!("experiment \"t\" {{\n{body}\n}}\n");
@@ -33,18 +33,18 @@
         "span \"400s\"; rate 30; agents 1; seeds 1\nzone \"a\" { appliances 1; cores 1; }\n\
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
     );
-    let p = run::day(&s, 3).play();
+    let p = run::day(&s, 3).run();
     assert!(
-        p.broken.is_empty() && p.rejected + p.scrapped == 0,
+        p.violations.is_empty() && p.rejected + p.failed == 0,
         "{:?} {} {}",
-        p.broken,
+        p.violations,
         p.rejected,
-        p.scrapped
+        p.failed
     );
     let (work, load) = (0.020, 30.0 * 0.020);
     let wait = load * work * (1.0 + 0.36) / (2.0 * (1.0 - load));
     let wanted = (work + wait + 0.0003) * 1000.0;
-    let mean = p.times.mean() / 1000.0;
+    let mean = p.latencies.mean() / 1000.0;
     assert!(
         (mean / wanted - 1.0).abs() < 0.05,
         "{mean:.2} ms, {wanted:.2} by the formula"
@@ -65,16 +65,16 @@
             "span \"400s\"; rate {rate}; agents 1; steady 0\nzone \"a\" {{ appliances 1; cores {cores}; }}\n\
              lane \"view\" {{ work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }}"
         ));
-        let p = run::day(&s, 5).play();
+        let p = run::day(&s, 5).run();
         assert!(
-            p.broken.is_empty() && p.rejected + p.scrapped == 0,
+            p.violations.is_empty() && p.rejected + p.failed == 0,
             "{cores}: {} {}",
             p.rejected,
-            p.scrapped
+            p.failed
         );
         let (work, load) = (0.020, rate * 0.020);
         let wait = erlang(cores, load) * work / (cores as f64 - load);
-        let (wanted, mean) = ((work + wait + 0.0003) * 1000.0, p.times.mean() / 1000.0);
+        let (wanted, mean) = ((work + wait + 0.0003) * 1000.0, p.latencies.mean() / 1000.0);
         assert!(
             (mean / wanted - 1.0).abs() < 0.06,
             "{cores} cores: {mean:.2} ms, {wanted:.2} by the formula"
@@ -117,10 +117,10 @@
         "span \"60s\"; rate 350; agents 1\nzone \"a\" { appliances 10; cores 1; }\n\
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
     );
-    let p = run::day(&s, 4).play();
+    let p = run::day(&s, 4).run();
     let (work, load) = (0.020, 0.7);
     let alone = load * work * 1.36 / (2.0 * (1.0 - load)) * 1000.0;
-    let waits = p.times.mean() / 1000.0 - 20.3;
+    let waits = p.latencies.mean() / 1000.0 - 20.3;
     assert!(
         waits < alone * 0.5,
         "{waits:.2} ms of waiting, {alone:.2} ms where one is drawn"
@@ -146,53 +146,53 @@
     );
 }
 
-fn broken(p: &Played, rule: &str) -> bool {
-    p.broken.iter().any(|b| b.starts_with(rule))
+fn broken(p: &SimulationReport, rule: &str) -> bool {
+    p.violations.iter().any(|b| b.to_string().starts_with(rule))
 }
 
 #[test]
 fn a_seeded_break_of_each_rule_is_caught_from_outside() {
-    let good = |s: &Scenario| run::day(s, 1).play();
-    assert!(good(&two_zones("")).broken.is_empty());
+    let good = |s: &Scenario| run::day(s, 1).run();
+    assert!(good(&two_zones("")).violations.is_empty());
     // 1: an agent that stands still past the expiry of what it has and is killed there.
     let mut d = run::day(&two_zones(""), 1);
-    d.script.push((
+    d.events.push((
         Duration::from_secs(19),
-        Change::Stalls(0, Duration::from_secs(60)),
+        ScenarioEvent::StallAgent(0, Duration::from_secs(60)),
     ));
-    assert!(broken(&d.play(), "rule 1"), "an answer that never comes");
+    assert!(broken(&d.run(), "rule 1"), "an answer that never comes");
     // 2: the decisions think that payments repeat; the checker does not.
     let mut d = run::day(&two_zones("fault { at \"2s\"; fail 0.5; }"), 1);
-    d.lies.idempotency = BTreeMap::from([(2, Idempotency::Idempotent)]);
-    assert!(broken(&d.play(), "rule 2"), "a payment that runs twice");
+    d.injected_faults.idempotency = BTreeMap::from([(2, Idempotency::Idempotent)]);
+    assert!(broken(&d.run(), "rule 2"), "a payment that runs twice");
     // 3: agents are not told of a drain.
     let mut d = run::day(
         &two_zones("fault { at \"2s\"; kind \"drain\"; appliances 2; }"),
         1,
     );
-    d.lies.deaf = true;
+    d.injected_faults.hide_drains = true;
     assert!(
-        broken(&d.play(), "rule 3"),
+        broken(&d.run(), "rule 3"),
         "a delivery to a draining appliance"
     );
     // 4: agents are not told that an endpoint is cold, and are too many to see it each.
     let cold = "agents 80\nfault { at \"2s\"; for \"1s\"; kind \"gone\"; appliances 3; }\nfault { at \"3s\"; burst 3; }";
     let mut d = run::day(&two_zones(cold), 1);
     (
-        d.lies.warm,
-        d.deployment.slow_start_share,
-        d.deployment.slow_start_duration,
+        d.injected_faults.hide_cold_starts,
+        d.settings.slow_start_share,
+        d.settings.slow_start_duration,
     ) = (true, 0.01, Duration::from_secs(20));
     assert!(
-        broken(&d.play(), "rule 4"),
+        broken(&d.run(), "rule 4"),
         "a cold appliance that gets too much"
     );
     // 5: agents are told a higher cap than holds.
     let offer = "offer { at \"2s\"; stages 0.05 1; appliances 4; step \"8s\"; }";
     let mut d = run::day(&two_zones(offer), 1);
-    d.lies.cap = Some(1.0);
+    d.injected_faults.reported_cap = Some(1.0);
     assert!(
-        broken(&d.play(), "rule 5"),
+        broken(&d.run(), "rule 5"),
         "a build on trial that gets more than its cap"
     );
 }
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -186,8 +186,11 @@
             ..one.clone()
         };
         let mut registry = Registry::default();
-        registry.tell((0..n).map(entry));
-        (n as f64, registry::answer(&registry.whole(0)).len() as f64)
+        registry.update((0..n).map(entry));
+        (
+            n as f64,
+            registry::http_response(&registry.full_list(0)).len() as f64,
+        )
     };
     let line = Line::through(&[55, 220, 440, 880].map(whole)).unwrap();
     assert!(
--- a/crates/testkit/examples/renewal.rs
+++ b/crates/testkit/examples/renewal.rs
@@ -54,33 +54,33 @@
     };
     let (tenant_count, endpoints, times): (usize, usize, usize) =
         (tenant_count.parse()?, endpoints.parse()?, times.parse()?);
-    let world = World::new(&["a"], program::classes())?;
+    let world = TestCluster::new(&["a"], agent_process::classes())?;
     // Ten that run stand for all of them.
     let real = endpoints.min(10);
     for n in 0..real {
-        let ways = Ways {
+        let ways = EndpointBehavior {
             work: Duration::from_millis(work),
-            steady: 0.3,
-            ..Ways::default()
+            fixed_work_share: 0.3,
+            ..EndpointBehavior::default()
         };
-        world.endpoint(0, &format!("s-{n}"), 41, ways)?;
+        world.add_endpoint(0, &format!("s-{n}"), 41, ways)?;
     }
     let entries = world.discovery.entries();
     let more = (real..endpoints).map(|n| Entry {
         id: format!("more-{n}"),
         ..entries[n % real].clone()
     });
-    world.discovery.tell(more);
+    world.discovery.update(more);
     let mut configuration = world.configuration("n1", 0)?;
     configuration["settings"]["tenants"] = tenants(0, tenant_count);
-    let mut agent = Program::start(binary.as_str(), configuration.clone(), &[])?;
-    let mut client = Caller::connect(agent.address()?)?;
+    let mut agent = AgentProcess::start(binary.as_str(), configuration.clone(), &[])?;
+    let mut client = TestClient::connect(agent.address()?)?;
     let class =
         |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     let load = Load {
         agent: agent.address()?,
         rate: 143.0,
-        span: Duration::from_secs(3600),
+        duration: Duration::from_secs(3600),
         classes: vec![
             class("view", 4.0, false),
             class("send", 4.0, true),
@@ -89,15 +89,15 @@
         connections: 64,
         seed: 5,
     };
-    let load = load.begin();
+    let load = load.start();
     std::thread::sleep(Duration::from_secs(2));
     let (mut took, mut used) = (Vec::new(), Vec::new());
     let asked = || {
         let d = &world.discovery;
         (
-            d.asked_whole(),
+            d.full_list_requests(),
             d.connections(),
-            d.written(),
+            d.bytes_written(),
             world.platform.connections(),
         )
     };
@@ -116,20 +116,20 @@
         let text = configuration.to_string();
         let (begun, mut spent) = (Instant::now(), cpu(agent.id()));
         match way.as_str() {
-            "hup" | "signal" => agent.renew(&text)?,
+            "hup" | "signal" => agent.reload(&text)?,
             "idle" => {}
             _ => {
                 agent.terminate()?;
-                agent.ended_well()?;
+                agent.wait_for_success()?;
                 spent = Duration::ZERO;
-                agent = Program::start(binary.as_str(), configuration.clone(), &[])?;
-                client = Caller::connect(agent.address()?)?;
+                agent = AgentProcess::start(binary.as_str(), configuration.clone(), &[])?;
+                client = TestClient::connect(agent.address()?)?;
             }
         }
         for i in (0..).take_while(|_| way == "hup" || way == "restart") {
-            client.ask_as(&format!("n{n}-{i}"), &name, 1000);
+            client.send_query_as(&format!("n{n}-{i}"), &name, 1000);
             // A class that is not known is a fault of the statement; a rejection is no such thing.
-            if client.told()?.code().as_deref() != Some("42601")
+            if client.read_reply()?.code().as_deref() != Some("42601")
                 || begun.elapsed() > Duration::from_secs(30)
             {
                 break;
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/agent_process.rs
@@ -1,6 +1,6 @@
 //! An agent as a process, with a configuration of the form that the platform gives.
 
-use crate::ground;
+use crate::runtime;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::ffi::OsString;
@@ -89,7 +89,7 @@
 
 /// A loopback address that nobody else is given: a port that was free a moment ago may be another's
 /// by now, and a client of the one would speak to the other.
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     static GIVEN: AtomicU16 = AtomicU16::new(0);
     let (process, given) = (std::process::id(), GIVEN.fetch_add(1, Ordering::Relaxed));
     let [_, _, high, low] = process.to_be_bytes();
@@ -107,26 +107,26 @@
     settings: Value,
 ) -> io::Result<Value> {
     Ok(
-        json!({"name": name, "listen": free().to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
+        json!({"name": name, "listen": free_address().to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
         "limits": {"sockets": 1024}, "known": known, "settings": settings,
         "deployer": {"address": platform.to_string(), "news": rollout_status}}),
     )
 }
 
 /// A process that is killed when this is dropped; its files go with it.
-pub struct Program {
+pub struct AgentProcess {
     child: Child,
     pub configuration: Value,
     folder: TempDir,
 }
 
-impl Program {
+impl AgentProcess {
     /// Starts an agent with this configuration and further arguments, its log in [`Program::log`].
     pub fn start(
         binary: impl Into<OsString>,
         configuration: Value,
         arguments: &[&str],
-    ) -> io::Result<Program> {
+    ) -> io::Result<AgentProcess> {
         let folder = tempfile::tempdir()?;
         let path = folder.path().join("config.json");
         std::fs::write(&path, configuration.to_string())?;
@@ -138,7 +138,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
-        Ok(Program {
+        Ok(AgentProcess {
             child,
             configuration,
             folder,
@@ -172,7 +172,7 @@
     }
 
     /// Replaces the configuration's text and says so.
-    pub fn renew(&self, text: &str) -> io::Result<()> {
+    pub fn reload(&self, text: &str) -> io::Result<()> {
         // Whole or not at all, as a platform replaces it: the agent may just be reading the one
         // before.
         let next = self.folder().join("config.json.next");
@@ -188,7 +188,7 @@
 
     /// Stops it where it stands, or lets it go on: an agent that stalls. The signal takes a moment
     /// on a busy machine: that it stands is waited for.
-    pub fn stall(&self, stalls: bool) -> io::Result<()> {
+    pub fn set_stalled(&self, stalls: bool) -> io::Result<()> {
         self.signal(if stalls { Signal::STOP } else { Signal::CONT })?;
         let stands = || {
             let stat =
@@ -196,19 +196,19 @@
             stat.rsplit_once(") ")
                 .is_some_and(|(_, rest)| rest.starts_with('T'))
         };
-        match ground::until(|| stands() == stalls) {
+        match runtime::wait_until(|| stands() == stalls) {
             true => Ok(()),
             false => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 
     /// Waits for its end; whether it ended well.
-    pub fn ended_well(&mut self) -> io::Result<bool> {
+    pub fn wait_for_success(&mut self) -> io::Result<bool> {
         Ok(self.child.wait()?.success())
     }
 }
 
-impl Drop for Program {
+impl Drop for AgentProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/client.rs
@@ -1,14 +1,14 @@
 //! One client, for single cases. It blocks.
 
-use crate::ground::SOON;
 use crate::pg;
+use crate::runtime::TEST_TIMEOUT;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
 /// What an agent told it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Reply {
     Value(Vec<u8>),
     /// A retry is harmless; the code, and when to come back where that was said.
     Rejected(String, Option<Duration>),
@@ -16,41 +16,41 @@
     Failed(String),
 }
 
-impl Told {
+impl Reply {
     /// The code of an error, nothing for a value.
     pub fn code(self) -> Option<String> {
         match self {
-            Told::Value(_) => None,
-            Told::Rejected(code, _) | Told::Failed(code) => Some(code),
+            Reply::Value(_) => None,
+            Reply::Rejected(code, _) | Reply::Failed(code) => Some(code),
         }
     }
 }
 
-pub struct Caller {
+pub struct TestClient {
     pub stream: TcpStream,
 }
 
-impl Caller {
+impl TestClient {
     /// Connects, waiting for the program to listen, and waits until it serves.
-    pub fn connect(address: SocketAddr) -> io::Result<Caller> {
+    pub fn connect(address: SocketAddr) -> io::Result<TestClient> {
         let begun = Instant::now();
         let mut stream = loop {
             match TcpStream::connect(address) {
                 Ok(stream) => break stream,
-                Err(e) if begun.elapsed() > SOON => return Err(e),
+                Err(e) if begun.elapsed() > TEST_TIMEOUT => return Err(e),
                 Err(_) => std::thread::sleep(Duration::from_millis(5)),
             }
         };
-        stream.set_read_timeout(Some(SOON))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         stream.set_nodelay(true)?;
         // The first query right behind the startup message: the empty one, answered once the agent
         // serves.
         stream.write_all(&[pg::startup(), pg::query("")].concat())?;
-        let mut caller = Caller { stream };
-        caller.until_ready()?;
-        let heard = caller.until_ready()?;
+        let mut client = TestClient { stream };
+        client.read_until_ready()?;
+        let heard = client.read_until_ready()?;
         if heard.iter().any(|(tag, _)| *tag == b'I') {
-            Ok(caller)
+            Ok(client)
         } else {
             Err(io::Error::other(format!(
                 "no answer to the empty query: {heard:?}"
@@ -59,7 +59,7 @@
     }
 
     /// The next message.
-    pub fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
+    pub fn read_message(&mut self) -> io::Result<(u8, Vec<u8>)> {
         let mut head = [0; 5];
         self.stream.read_exact(&mut head)?;
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
@@ -69,10 +69,10 @@
     }
 
     /// All messages up to the next that says it is ready.
-    pub fn until_ready(&mut self) -> io::Result<Vec<(u8, Vec<u8>)>> {
+    pub fn read_until_ready(&mut self) -> io::Result<Vec<(u8, Vec<u8>)>> {
         let mut heard = Vec::new();
         loop {
-            match self.message()? {
+            match self.read_message()? {
                 (b'Z', _) => return Ok(heard),
                 other => heard.push(other),
             }
@@ -81,38 +81,38 @@
 
     /// Writes a read of one object; `wait` in milliseconds. The id is that of its port unless `id`
     /// is given.
-    pub fn ask(&mut self, class: &str, wait: u32) {
+    pub fn send_query(&mut self, class: &str, wait: u32) {
         let id = self.stream.local_addr().map_or(0, |a| a.port());
-        self.ask_as(&id.to_string(), class, wait);
+        self.send_query_as(&id.to_string(), class, wait);
     }
 
-    pub fn ask_as(&mut self, id: &str, class: &str, wait: u32) {
-        self.say(&format!(
+    pub fn send_query_as(&mut self, id: &str, class: &str, wait: u32) {
+        self.send_statement(&format!(
             "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={class},d={wait} */"
         ));
     }
 
     /// Writes a statement. Whether it went out shows when its answer is read.
-    pub fn say(&mut self, statement: &str) {
+    pub fn send_statement(&mut self, statement: &str) {
         let _ = self.stream.write_all(&pg::query(statement));
     }
 
     /// The answer to the next request.
-    pub fn told(&mut self) -> io::Result<Told> {
-        let heard = self.until_ready()?;
+    pub fn read_reply(&mut self) -> io::Result<Reply> {
+        let heard = self.read_until_ready()?;
         let first = |tag| heard.iter().find(|(t, _)| *t == tag).map(|(_, body)| body);
         if let Some(error) = first(b'E') {
-            let code = pg::field(error, b'C').unwrap_or_default();
-            let back = pg::field(error, b'D')
+            let code = pg::error_field(error, b'C').unwrap_or_default();
+            let back = pg::error_field(error, b'D')
                 .and_then(|d| d.parse().ok())
                 .map(Duration::from_millis);
             return Ok(match code.as_str() {
-                "53300" | "57P03" => Told::Rejected(code, back),
-                _ => Told::Failed(code),
+                "53300" | "57P03" => Reply::Rejected(code, back),
+                _ => Reply::Failed(code),
             });
         }
         let row = first(b'D').and_then(|row| row.get(6..));
-        row.map(|v| Told::Value(v.to_vec()))
+        row.map(|v| Reply::Value(v.to_vec()))
             .ok_or_else(|| io::Error::other(format!("no answer: {heard:?}")))
     }
 }
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,18 +1,18 @@
 //! Zones with endpoints, discovery and a platform, put together.
 
+use crate::agent_process::{configuration, settings, RequestClass};
 use crate::discovery::Discovery;
-use crate::endpoint::{Counted, Endpoint, Link, Seen, Ways};
-use crate::ground::locked;
+use crate::endpoint::{Endpoint, EndpointBehavior, Link, ReceivedQuery, TransferCounts};
 use crate::platform::{Platform, RolloutStatus};
-use crate::program::{configuration, settings, RequestClass};
 use crate::registry::Entry;
+use crate::runtime::lock_unpoisoned;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Mutex;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub struct World {
+pub struct TestCluster {
     pub zones: Vec<String>,
     pub classes: Vec<RequestClass>,
     pub discovery: Discovery,
@@ -21,10 +21,10 @@
     pub agents: u32,
 }
 
-impl World {
+impl TestCluster {
     /// Zones without endpoints, build 41 released.
-    pub fn new(zones: &[&str], classes: Vec<RequestClass>) -> io::Result<World> {
-        Ok(World {
+    pub fn new(zones: &[&str], classes: Vec<RequestClass>) -> io::Result<TestCluster> {
+        Ok(TestCluster {
             zones: zones.iter().map(|z| (*z).to_owned()).collect(),
             classes,
             discovery: Discovery::start(zones.len())?,
@@ -37,11 +37,17 @@
     fn endpoints(
         &self,
     ) -> std::sync::MutexGuard<'_, BTreeMap<String, (usize, std::sync::Arc<Endpoint>)>> {
-        locked(&self.endpoints)
+        lock_unpoisoned(&self.endpoints)
     }
 
     /// Starts an endpoint in a zone, not yet listed. Its entry goes to [`Discovery::tell`].
-    pub fn unlisted(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<Entry> {
+    pub fn start_unlisted(
+        &self,
+        zone: usize,
+        id: &str,
+        build: u32,
+        ways: EndpointBehavior,
+    ) -> io::Result<Entry> {
         let seed = id
             .bytes()
             .fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
@@ -63,26 +69,38 @@
     }
 
     /// Starts one and lists it as long up.
-    pub fn endpoint(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<()> {
-        let entry = self.unlisted(zone, id, build, ways)?;
-        self.discovery.tell([entry]);
+    pub fn add_endpoint(
+        &self,
+        zone: usize,
+        id: &str,
+        build: u32,
+        ways: EndpointBehavior,
+    ) -> io::Result<()> {
+        let entry = self.start_unlisted(zone, id, build, ways)?;
+        self.discovery.update([entry]);
         Ok(())
     }
 
     /// Starts one and lists it as started now.
-    pub fn cold(&self, zone: usize, id: &str, build: u32, ways: Ways) -> io::Result<()> {
-        let mut entry = self.unlisted(zone, id, build, ways)?;
+    pub fn add_cold_endpoint(
+        &self,
+        zone: usize,
+        id: &str,
+        build: u32,
+        ways: EndpointBehavior,
+    ) -> io::Result<()> {
+        let mut entry = self.start_unlisted(zone, id, build, ways)?;
         entry.started_ms = unix_ms();
-        self.discovery.tell([entry]);
+        self.discovery.update([entry]);
         Ok(())
     }
 
-    pub fn get(&self, id: &str) -> Option<std::sync::Arc<Endpoint>> {
+    pub fn endpoint(&self, id: &str) -> Option<std::sync::Arc<Endpoint>> {
         self.endpoints().get(id).map(|(_, a)| a.clone())
     }
 
     /// Those of one zone, by id.
-    pub fn of_zone(&self, zone: usize) -> Vec<(String, std::sync::Arc<Endpoint>)> {
+    pub fn endpoints_in_zone(&self, zone: usize) -> Vec<(String, std::sync::Arc<Endpoint>)> {
         let all = self.endpoints();
         all.iter()
             .filter(|(_, (z, _))| *z == zone)
@@ -91,31 +109,34 @@
     }
 
     /// Lists all of a zone as this: `in_service`, `terminating` or `terminated`.
-    pub fn state(&self, zone: usize, state: &str) {
+    pub fn set_zone_state(&self, zone: usize, state: &str) {
         let name = &self.zones[zone];
         let entries = self
             .discovery
             .entries()
             .into_iter()
             .filter(|e| e.zone == *name);
-        self.discovery.tell(entries.map(|e| Entry {
+        self.discovery.update(entries.map(|e| Entry {
             state: state.to_owned(),
             ..e
         }));
     }
 
     /// Sets the way from one zone to all endpoints of another.
-    pub fn link(&self, from: usize, to: usize, link: Link) {
-        self.of_zone(to)
+    pub fn set_link(&self, from: usize, to: usize, link: Link) {
+        self.endpoints_in_zone(to)
             .iter()
-            .for_each(|(_, a)| a.link(from, link));
+            .for_each(|(_, a)| a.set_link(from, link));
     }
 
     /// The configuration of an agent in this zone.
     pub fn configuration(&self, name: &str, zone: usize) -> io::Result<Value> {
         let zones: Vec<&str> = self.zones.iter().map(String::as_str).collect();
         let settings = settings(&zones, zones[zone], self.agents, &self.classes);
-        let (known, rollout_status) = (self.discovery.known(zone), self.platform.newest().value());
+        let (known, rollout_status) = (
+            self.discovery.full_list(zone),
+            self.platform.current_rollout().value(),
+        );
         configuration(
             name,
             self.discovery.address(zone),
@@ -127,10 +148,10 @@
     }
 
     /// What endpoints of a zone have counted for callers of another, by class.
-    pub fn counted(&self, from: usize, to: usize) -> BTreeMap<String, Counted> {
-        let mut sum: BTreeMap<String, Counted> = BTreeMap::new();
-        for (_, a) in self.of_zone(to) {
-            for ((f, class), c) in a.counted() {
+    pub fn transfer_counts(&self, from: usize, to: usize) -> BTreeMap<String, TransferCounts> {
+        let mut sum: BTreeMap<String, TransferCounts> = BTreeMap::new();
+        for (_, a) in self.endpoints_in_zone(to) {
+            for ((f, class), c) in a.transfer_counts() {
                 if f == from {
                     let kept = sum.entry(class).or_default();
                     kept.attempts += c.attempts;
@@ -143,19 +164,20 @@
     }
 
     /// All attempts that came anywhere, by id of their request.
-    pub fn seen(&self) -> BTreeMap<String, Vec<Seen>> {
+    pub fn received_queries(&self) -> BTreeMap<String, Vec<ReceivedQuery>> {
         let all: Vec<_> = self.endpoints().values().map(|(_, a)| a.clone()).collect();
-        let mut seen: BTreeMap<String, Vec<Seen>> = BTreeMap::new();
-        for s in all.iter().flat_map(|a| a.seen()) {
+        let mut seen: BTreeMap<String, Vec<ReceivedQuery>> = BTreeMap::new();
+        for s in all.iter().flat_map(|a| a.received_queries()) {
             seen.entry(s.id.clone()).or_default().push(s);
         }
         seen
     }
 
     /// Requests of a class that may have run more than once.
-    pub fn ran_twice(&self, class: &str) -> Vec<String> {
-        let twice = |s: &Vec<Seen>| s.iter().filter(|s| s.ran && s.class == class).count() > 1;
-        self.seen()
+    pub fn executed_twice(&self, class: &str) -> Vec<String> {
+        let twice =
+            |s: &Vec<ReceivedQuery>| s.iter().filter(|s| s.ran && s.class == class).count() > 1;
+        self.received_queries()
             .into_iter()
             .filter(|(_, s)| twice(s))
             .map(|(id, _)| id)
--- a/crates/testkit/src/cutter.rs
+++ b/crates/testkit/src/connection_cutter.rs
@@ -1,6 +1,6 @@
 //! A way to an agent that is cut after so many bytes, in one direction or the other.
 
-use crate::ground::{self, locked, Ends};
+use crate::runtime::{self, lock_unpoisoned, TerminationSignal};
 use async_executor::Task;
 use async_io::Async;
 use futures_lite::future::FutureExt;
@@ -11,33 +11,33 @@
 
 /// How one connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum CutPoint {
     Never,
     /// After so many bytes to the agent.
-    There(usize),
+    ToAgent(usize),
     /// After so many bytes from it.
-    Back(usize),
+    FromAgent(usize),
 }
 
 /// Passes connections on, each cut as its script says; those beyond the script are not cut.
-pub struct Cutter {
+pub struct ConnectionCutter {
     pub address: SocketAddr,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     _task: Task<()>,
 }
 
-impl Cutter {
-    pub fn start(agent: SocketAddr, script: Vec<Cut>) -> io::Result<Cutter> {
+impl ConnectionCutter {
+    pub fn start(agent: SocketAddr, script: Vec<CutPoint>) -> io::Result<ConnectionCutter> {
         let script = Arc::new(Mutex::new(script.into_iter()));
-        let ends = Arc::<Ends>::default();
-        let (address, task) = ground::listen(&ends, move |stream| {
-            let next = locked(&script).next();
-            let cut = next.unwrap_or(Cut::Never);
+        let ends = Arc::<TerminationSignal>::default();
+        let (address, task) = runtime::listen(&ends, move |stream| {
+            let next = lock_unpoisoned(&script).next();
+            let cut = next.unwrap_or(CutPoint::Never);
             async move {
                 let _ = pass(stream, agent, cut).await;
             }
         })?;
-        Ok(Cutter {
+        Ok(ConnectionCutter {
             address,
             ends,
             _task: task,
@@ -45,22 +45,22 @@
     }
 }
 
-impl Drop for Cutter {
+impl Drop for ConnectionCutter {
     fn drop(&mut self) {
         self.ends.end();
     }
 }
 
-async fn pass(client: Async<TcpStream>, agent: SocketAddr, cut: Cut) -> io::Result<()> {
+async fn pass(client: Async<TcpStream>, agent: SocketAddr, cut: CutPoint) -> io::Result<()> {
     let server = Async::<TcpStream>::connect(agent).await?;
     server.get_ref().set_nodelay(true)?;
     let limit = |cut_here: Option<usize>| cut_here.unwrap_or(usize::MAX);
-    let there = limit(if let Cut::There(n) = cut {
+    let there = limit(if let CutPoint::ToAgent(n) = cut {
         Some(n)
     } else {
         None
     });
-    let back = limit(if let Cut::Back(n) = cut {
+    let back = limit(if let CutPoint::FromAgent(n) = cut {
         Some(n)
     } else {
         None
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery: the list over HTTP, whole or as a watch, told to each zone with the addresses that
 //! are its own.
 
-use crate::ground::{self, locked, sleep, Ends};
 pub use crate::registry::Entry;
 use crate::registry::{self, Registry};
+use crate::runtime::{self, lock_unpoisoned, sleep, TerminationSignal};
 use async_executor::Task;
 use async_io::Async;
 use event_listener::Event;
@@ -18,33 +18,33 @@
 
 /// What is wrong with it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Manner {
+pub enum DiscoveryBehavior {
     #[default]
-    Tells,
+    Normal,
     /// Refuses to answer: each connection is closed.
-    Down,
+    ClosesConnections,
     /// Takes what is asked and says nothing.
-    Silent,
+    Unresponsive,
     /// Answers with this.
-    Says(String),
+    Sends(String),
 }
 
 /// How one further connection is met, whatever the manner.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Meets {
+pub enum ConnectionBehavior {
     /// It is closed.
-    Refuses,
+    Closed,
     /// It is answered as ever from now on, after so long.
-    Late(Duration),
+    AnsweredAfter(Duration),
     /// Nothing is ever said on it.
-    Mute,
+    Unanswered,
 }
 
 #[derive(Default)]
 struct State {
-    manner: Manner,
-    next: VecDeque<Meets>, // how the next connections are met
-    hushes: u64,           // how often open connections fell silent
+    manner: DiscoveryBehavior,
+    next: VecDeque<ConnectionBehavior>, // how the next connections are met
+    hushes: u64,                        // how often open connections fell silent
     registry: Registry,
     connections: usize,
     open: usize,    // of them
@@ -62,13 +62,13 @@
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        locked(&self.state)
+        lock_unpoisoned(&self.state)
     }
 }
 
 pub struct Discovery {
     shared: Arc<Shared>,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     addresses: Vec<SocketAddr>,
     _listening: Vec<Task<()>>,
 }
@@ -76,7 +76,10 @@
 impl Discovery {
     /// Listens for those who ask from each of `zones` zones.
     pub fn start(zones: usize) -> io::Result<Discovery> {
-        let (shared, ends) = (Arc::<Shared>::default(), Arc::<Ends>::default());
+        let (shared, ends) = (
+            Arc::<Shared>::default(),
+            Arc::<TerminationSignal>::default(),
+        );
         let (mut addresses, mut listening) = (Vec::new(), Vec::new());
         for from in 0..zones {
             let s = shared.clone();
@@ -86,7 +89,7 @@
                     let _ = talk(&shared, from, stream).await;
                 }
             };
-            let (address, task) = ground::listen(&ends, serve)?;
+            let (address, task) = runtime::listen(&ends, serve)?;
             addresses.push(address);
             listening.push(task);
         }
@@ -103,17 +106,17 @@
     }
 
     /// Changes or adds entries; who watches is told at once. One version for all of them.
-    pub fn tell(&self, entries: impl IntoIterator<Item = Entry>) {
-        self.shared.state().registry.tell(entries);
+    pub fn update(&self, entries: impl IntoIterator<Item = Entry>) {
+        self.shared.state().registry.update(entries);
         self.shared.changed.notify(usize::MAX);
     }
 
     /// Changes one entry, if it is listed.
-    pub fn change(&self, id: &str, change: impl FnOnce(&mut Entry)) {
+    pub fn update_entry(&self, id: &str, change: impl FnOnce(&mut Entry)) {
         let found = self.shared.state().registry.get(id).cloned();
         if let Some(mut e) = found {
             change(&mut e);
-            self.tell([e]);
+            self.update([e]);
         }
     }
 
@@ -122,7 +125,7 @@
     }
 
     /// Behaves like this from now on; connections that are open end.
-    pub fn manner(&self, manner: Manner) {
+    pub fn set_behavior(&self, manner: DiscoveryBehavior) {
         self.shared.state().manner = manner;
         self.ends.end();
         self.shared.changed.notify(usize::MAX);
@@ -130,7 +133,7 @@
 
     /// Watches that are open fall silent, though their connections stay; the next ones are met like
     /// this, then as ever.
-    pub fn hush(&self, next: impl IntoIterator<Item = Meets>) {
+    pub fn silence_watches(&self, next: impl IntoIterator<Item = ConnectionBehavior>) {
         let mut state = self.shared.state();
         state.hushes += 1;
         state.next = next.into_iter().collect();
@@ -148,7 +151,7 @@
         // Connections are taken in their order, so each earlier one has been once this one is
         // answered.
         let mut last = TcpStream::connect(self.address(from))?;
-        last.set_read_timeout(Some(ground::SOON))?;
+        last.set_read_timeout(Some(runtime::TEST_TIMEOUT))?;
         write!(
             last,
             "GET /api/targets?after={}&wait_ms=0 HTTP/1.1\r\n\r\n",
@@ -157,28 +160,28 @@
         last.read_exact(&mut [0; 1])?;
         drop(last);
         self.shared.state().own += 1;
-        Ok(ground::until(|| self.shared.state().open <= 1))
+        Ok(runtime::wait_until(|| self.shared.state().open <= 1))
     }
 
     /// Bytes of all answers so far.
-    pub fn written(&self) -> usize {
+    pub fn bytes_written(&self) -> usize {
         self.shared.state().written
     }
 
     /// How often anything was asked.
-    pub fn asked(&self) -> usize {
+    pub fn requests(&self) -> usize {
         let state = self.shared.state();
         state.asked - state.own
     }
 
     /// How often the whole list was.
-    pub fn asked_whole(&self) -> usize {
+    pub fn full_list_requests(&self) -> usize {
         self.shared.state().wholes
     }
 
     /// The list as a configuration's `known`.
-    pub fn known(&self, from: usize) -> Value {
-        self.shared.state().registry.whole(from)
+    pub fn full_list(&self, from: usize) -> Value {
+        self.shared.state().registry.full_list(from)
     }
 }
 
@@ -199,9 +202,9 @@
         (state.next.pop_front(), state.hushes)
     };
     match meets {
-        Some(Meets::Refuses) => return Ok(()),
-        Some(Meets::Late(time)) => sleep(time).await,
-        Some(Meets::Mute) => futures_lite::future::pending().await,
+        Some(ConnectionBehavior::Closed) => return Ok(()),
+        Some(ConnectionBehavior::AnsweredAfter(time)) => sleep(time).await,
+        Some(ConnectionBehavior::Unanswered) => futures_lite::future::pending().await,
         None => {}
     }
     loop {
@@ -215,18 +218,18 @@
             state.manner.clone()
         };
         let body = match manner {
-            Manner::Down => return Ok(()),
-            Manner::Silent => futures_lite::future::pending().await,
-            Manner::Says(text) => {
+            DiscoveryBehavior::ClosesConnections => return Ok(()),
+            DiscoveryBehavior::Unresponsive => futures_lite::future::pending().await,
+            DiscoveryBehavior::Sends(text) => {
                 stream.write_all(text.as_bytes()).await?;
                 continue;
             }
-            Manner::Tells => told(shared, from, &path).await,
+            DiscoveryBehavior::Normal => told(shared, from, &path).await,
         };
         if shared.state().hushes != hushes {
             futures_lite::future::pending::<()>().await;
         }
-        let answer = registry::answer(&body);
+        let answer = registry::http_response(&body);
         shared.state().written += answer.len();
         stream.write_all(answer.as_bytes()).await?;
     }
@@ -247,8 +250,8 @@
 
 /// The whole list, or what is newer than the version that is named, for which it waits.
 async fn told(shared: &Shared, from: usize, path: &str) -> Value {
-    let Some((after, wait)) = registry::watched(path) else {
-        return shared.state().registry.whole(from);
+    let Some((after, wait)) = registry::parse_watch(path) else {
+        return shared.state().registry.full_list(from);
     };
     let newer = async {
         loop {
@@ -261,5 +264,5 @@
     };
     newer.or(sleep(wait)).await;
     let state = shared.state();
-    state.registry.since(after, from)
+    state.registry.changes_since(after, from)
 }
--- a/crates/testkit/src/endpoint.rs
+++ b/crates/testkit/src/endpoint.rs
@@ -1,8 +1,8 @@
 //! An endpoint: it listens once for each zone that calls it, so that the way from there can be
 //! slow, cut and counted apart.
 
-use crate::ground::{self, locked, sleep, Ends};
 use crate::pg;
+use crate::runtime::{self, lock_unpoisoned, sleep, TerminationSignal};
 use async_executor::Task;
 use async_io::Async;
 use async_lock::Semaphore;
@@ -21,69 +21,69 @@
 
 /// What it does with a query that has come whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    Answers,
+pub enum ResponseBehavior {
+    Answer,
     /// An error, after its work.
-    Fails,
+    Fail,
     /// Turns it away at once: it never runs.
-    TurnsAway,
+    Reject,
     /// The same, as one that leaves: 57P03, and ends the connection.
-    Leaves,
+    RejectAndClose,
     /// Ends the connection in the place of an answer.
-    Resets,
+    Close,
     /// Ends the connection right behind its answer.
-    EndsAfter,
+    AnswerAndClose,
     /// Sends a copy of its answer right behind it.
-    Twice,
+    AnswerTwice,
     /// Sends another value behind its answer, so many milliseconds later.
-    TwiceAfter(u16),
+    AnswerAgainAfterMs(u16),
     /// Sends so many bytes of its answer and ends the connection.
-    Cut(u16),
+    CloseAfterBytes(u16),
     /// Sends its answer byte by byte, one in so many milliseconds.
-    Trickles(u16),
+    ByteEveryMs(u16),
     /// Sends an answer that stops short of its end; the connection stays open.
-    Half,
+    StallMidAnswer,
     /// The same, and ends the connection.
-    HalfEnds,
+    CloseMidAnswer,
     /// Bytes that are no answer.
     Garbage,
     /// Never answers.
-    Silent,
+    NeverAnswer,
 }
 
 /// How it behaves, which may change at any time.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct EndpointBehavior {
     /// What one query takes.
     pub work: Duration,
     /// Of single classes, where it is other.
-    pub classes: BTreeMap<String, Duration>,
+    pub work_by_class: BTreeMap<String, Duration>,
     /// The part of it that is always the same, 0 to 1; the rest is exponential. Real work differs
     /// from request to request, and decisions that compare quick answers with the median take equal
     /// ones for a standstill.
-    pub steady: f64,
+    pub fixed_work_share: f64,
     /// Queries that run at once; the others wait.
     pub cores: usize,
-    pub act: Act,
+    pub response: ResponseBehavior,
     /// Acts in the place of `act`, each with its probability.
-    pub now_and_then: Vec<(Act, f64)>,
+    pub random_responses: Vec<(ResponseBehavior, f64)>,
     /// Bytes of a value.
-    pub value: usize,
+    pub value_bytes: usize,
     /// Takes connections and says nothing on them.
-    pub mute: bool,
+    pub unresponsive: bool,
 }
 
-impl Default for Ways {
-    fn default() -> Ways {
-        Ways {
+impl Default for EndpointBehavior {
+    fn default() -> EndpointBehavior {
+        EndpointBehavior {
             work: Duration::ZERO,
-            classes: BTreeMap::new(),
-            steady: 1.0,
+            work_by_class: BTreeMap::new(),
+            fixed_work_share: 1.0,
             cores: 64,
-            act: Act::Answers,
-            now_and_then: Vec::new(),
-            value: 2,
-            mute: false,
+            response: ResponseBehavior::Answer,
+            random_responses: Vec::new(),
+            value_bytes: 2,
+            unresponsive: false,
         }
     }
 }
@@ -91,17 +91,17 @@
 /// The way from one zone to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    pub there: Duration,
-    pub back: Duration,
+    pub request_delay: Duration,
+    pub reply_delay: Duration,
     /// Nothing passes; connections stay open.
     pub cut: bool,
 }
 
 /// One query that came whole.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedQuery {
     pub at: Instant,
-    pub from: usize,
+    pub from_zone: usize,
     pub class: String,
     pub id: String,
     /// The key by which repeats are told, where there is one.
@@ -110,12 +110,12 @@
     /// It was run, whatever became of its answer.
     pub ran: bool,
     /// How long after its answer was begun another one behind it was written, once it was.
-    pub behind: Option<Duration>,
+    pub duplicate_delay: Option<Duration>,
 }
 
 /// What passed on one way and class, counted at this end of the wire.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counted {
+pub struct TransferCounts {
     pub attempts: u64,
     pub read: u64,
     pub written: u64,
@@ -123,10 +123,10 @@
 
 #[derive(Default)]
 struct State {
-    ways: Ways,
+    ways: EndpointBehavior,
     links: Vec<Link>,
-    seen: Vec<Seen>,
-    counted: BTreeMap<(usize, String), Counted>,
+    seen: Vec<ReceivedQuery>,
+    counted: BTreeMap<(usize, String), TransferCounts>,
 }
 
 /// The name under which bytes are counted that belong to no query.
@@ -141,13 +141,13 @@
 pub struct Endpoint {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     listening: Mutex<Vec<Task<()>>>,
 }
 
 impl Endpoint {
     /// Listens for callers of `zones` zones.
-    pub fn start(zones: usize, ways: Ways, seed: u64) -> io::Result<Endpoint> {
+    pub fn start(zones: usize, ways: EndpointBehavior, seed: u64) -> io::Result<Endpoint> {
         let shared = Arc::new(Shared {
             cores: Semaphore::new(ways.cores.max(1)),
             state: Mutex::new(State {
@@ -173,9 +173,9 @@
         for (from, at) in at.iter().enumerate() {
             let shared = self.shared.clone();
             let serve = move |stream| serve(shared.clone(), from, stream);
-            let (address, task) = ground::listen_at(*at, &self.ends, serve)?;
+            let (address, task) = runtime::listen_at(*at, &self.ends, serve)?;
             addresses.push(address);
-            locked(&self.listening).push(task);
+            lock_unpoisoned(&self.listening).push(task);
         }
         Ok(addresses)
     }
@@ -185,17 +185,17 @@
         self.addresses[from]
     }
 
-    pub fn ways(&self, change: impl FnOnce(&mut Ways)) {
-        change(&mut locked(&self.shared.state).ways);
+    pub fn update_behavior(&self, change: impl FnOnce(&mut EndpointBehavior)) {
+        change(&mut lock_unpoisoned(&self.shared.state).ways);
     }
 
-    pub fn link(&self, from: usize, link: Link) {
-        locked(&self.shared.state).links[from] = link;
+    pub fn set_link(&self, from: usize, link: Link) {
+        lock_unpoisoned(&self.shared.state).links[from] = link;
     }
 
     /// Dies: its connections are reset, new ones refused.
     pub fn crash(&self) {
-        locked(&self.listening).clear();
+        lock_unpoisoned(&self.listening).clear();
         self.ends.end();
     }
 
@@ -204,18 +204,18 @@
         self.listen(&self.addresses).map(drop)
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        locked(&self.shared.state).seen.clone()
+    pub fn received_queries(&self) -> Vec<ReceivedQuery> {
+        lock_unpoisoned(&self.shared.state).seen.clone()
     }
 
     /// How many queries came whole.
-    pub fn seen_count(&self) -> usize {
-        locked(&self.shared.state).seen.len()
+    pub fn received_count(&self) -> usize {
+        lock_unpoisoned(&self.shared.state).seen.len()
     }
 
     /// By zone of the caller and class, [`CONNECTIONS`] for what belongs to no query.
-    pub fn counted(&self) -> BTreeMap<(usize, String), Counted> {
-        locked(&self.shared.state).counted.clone()
+    pub fn transfer_counts(&self) -> BTreeMap<(usize, String), TransferCounts> {
+        lock_unpoisoned(&self.shared.state).counted.clone()
     }
 }
 
@@ -227,10 +227,10 @@
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        locked(&self.state)
+        lock_unpoisoned(&self.state)
     }
 
-    fn count(&self, from: usize, class: &str, add: impl FnOnce(&mut Counted)) {
+    fn count(&self, from: usize, class: &str, add: impl FnOnce(&mut TransferCounts)) {
         add(self
             .state()
             .counted
@@ -242,16 +242,16 @@
         self.state().links[from]
     }
 
-    fn act(&self) -> Act {
+    fn act(&self) -> ResponseBehavior {
         let ways = self.state().ways.clone();
-        let mut drawn = locked(&self.rng).gen_range(0.0..1.0);
-        for (act, probability) in &ways.now_and_then {
+        let mut drawn = lock_unpoisoned(&self.rng).gen_range(0.0..1.0);
+        for (act, probability) in &ways.random_responses {
             drawn -= probability;
             if drawn < 0.0 {
                 return *act;
             }
         }
-        ways.act
+        ways.response
     }
 }
 
@@ -264,13 +264,13 @@
 async fn talk(shared: &Shared, from: usize, stream: &mut Async<TcpStream>) -> io::Result<()> {
     let took = pg::read_startup(stream).await?;
     shared.count(from, CONNECTIONS, |c| c.read += took as u64);
-    if shared.state().ways.mute {
+    if shared.state().ways.unresponsive {
         futures_lite::future::pending::<()>().await;
     }
     let link = shared.link(from);
     cut(shared, from).await;
-    sleep(link.there + link.back).await;
-    let welcome = pg::welcome();
+    sleep(link.request_delay + link.reply_delay).await;
+    let welcome = pg::startup_reply();
     stream.write_all(&welcome).await?;
     shared.count(from, CONNECTIONS, |c| c.written += welcome.len() as u64);
     loop {
@@ -281,21 +281,24 @@
         let at = Instant::now();
         let text = String::from_utf8_lossy(body.strip_suffix(b"\0").unwrap_or(&body)).into_owned();
         let named = |name| {
-            pg::comment(&text)
+            pg::comment_fields(&text)
                 .find(|(n, _)| *n == name)
                 .map(|(_, value)| value.to_owned())
         };
         let class = named("c").unwrap_or_default();
         let act = shared.act();
-        let seen = Seen {
+        let seen = ReceivedQuery {
             at,
-            from,
+            from_zone: from,
             class: class.clone(),
             id: named("id").unwrap_or_default(),
             key: named("k"),
             statement: text,
-            ran: !matches!(act, Act::TurnsAway | Act::Leaves),
-            behind: None,
+            ran: !matches!(
+                act,
+                ResponseBehavior::Reject | ResponseBehavior::RejectAndClose
+            ),
+            duplicate_delay: None,
         };
         let nth = {
             let mut state = shared.state();
@@ -312,10 +315,10 @@
             let gone = gone(stream);
             let work = async {
                 cut(shared, from).await;
-                sleep(shared.link(from).there).await;
+                sleep(shared.link(from).request_delay).await;
                 let answer = answer(shared, &class, act).await;
                 cut(shared, from).await;
-                sleep(shared.link(from).back).await;
+                sleep(shared.link(from).reply_delay).await;
                 Some(answer)
             };
             // A caller that has gone is not answered: nothing is written that nobody reads.
@@ -329,7 +332,7 @@
             return Ok(());
         };
         let begun = Instant::now();
-        if let Act::Trickles(gap) = act {
+        if let ResponseBehavior::ByteEveryMs(gap) = act {
             for byte in &answer {
                 stream.write_all(&[*byte]).await?;
                 sleep(Duration::from_millis(gap.into())).await;
@@ -340,14 +343,17 @@
         shared.count(from, &class, |c| c.written += answer.len() as u64);
         if matches!(
             act,
-            Act::EndsAfter | Act::HalfEnds | Act::Leaves | Act::Cut(_)
+            ResponseBehavior::AnswerAndClose
+                | ResponseBehavior::CloseMidAnswer
+                | ResponseBehavior::RejectAndClose
+                | ResponseBehavior::CloseAfterBytes(_)
         ) {
             return Ok(());
         }
-        if let Act::TwiceAfter(gap) = act {
+        if let ResponseBehavior::AnswerAgainAfterMs(gap) = act {
             sleep(Duration::from_millis(gap.into())).await;
-            let written = stream.write_all(&pg::value(&[0xee])).await;
-            shared.state().seen[nth].behind = Some(begun.elapsed());
+            let written = stream.write_all(&pg::value_reply(&[0xee])).await;
+            shared.state().seen[nth].duplicate_delay = Some(begun.elapsed());
             written?;
         }
     }
@@ -373,41 +379,44 @@
 }
 
 /// The bytes of its answer; nothing where the connection ends in its place.
-async fn answer(shared: &Shared, class: &str, act: Act) -> Option<Vec<u8>> {
-    if act == Act::TurnsAway {
-        return Some(pg::error("53300", "full"));
+async fn answer(shared: &Shared, class: &str, act: ResponseBehavior) -> Option<Vec<u8>> {
+    if act == ResponseBehavior::Reject {
+        return Some(pg::error_reply("53300", "full"));
     }
-    if act == Act::Leaves {
-        return Some(pg::error("57P03", "leaving"));
+    if act == ResponseBehavior::RejectAndClose {
+        return Some(pg::error_reply("57P03", "leaving"));
     }
     let (work, steady, value) = {
         let state = shared.state();
         let work = state
             .ways
-            .classes
+            .work_by_class
             .get(class)
             .copied()
             .unwrap_or(state.ways.work);
-        let mut value = vec![0x9f; state.ways.value];
+        let mut value = vec![0x9f; state.ways.value_bytes];
         value.last_mut().into_iter().for_each(|b| *b = 3);
-        (work, state.ways.steady, value)
+        (work, state.ways.fixed_work_share, value)
     };
-    let drawn = locked(&shared.rng).gen_range(0.0..1.0f64);
+    let drawn = lock_unpoisoned(&shared.rng).gen_range(0.0..1.0f64);
     let work = work.mul_f64((steady - (1.0 - steady) * (1.0 - drawn).ln()).max(0.0));
     let core = shared.cores.acquire().await;
     sleep(work).await;
     drop(core);
-    let mut bytes = pg::value(&value);
+    let mut bytes = pg::value_reply(&value);
     match act {
-        Act::Fails => bytes = pg::error("XX000", "failed"),
-        Act::Resets => return None,
-        Act::Twice => bytes.extend(bytes.clone()),
-        Act::Half | Act::HalfEnds => bytes.truncate(20),
-        Act::Cut(most) => bytes.truncate(most.into()),
-        Act::Garbage => bytes = b"\0\xff\xff no answer at all".to_vec(),
-        Act::Silent => futures_lite::future::pending().await,
-        Act::Answers | Act::TurnsAway | Act::Leaves | Act::EndsAfter => {}
-        Act::TwiceAfter(_) | Act::Trickles(_) => {}
+        ResponseBehavior::Fail => bytes = pg::error_reply("XX000", "failed"),
+        ResponseBehavior::Close => return None,
+        ResponseBehavior::AnswerTwice => bytes.extend(bytes.clone()),
+        ResponseBehavior::StallMidAnswer | ResponseBehavior::CloseMidAnswer => bytes.truncate(20),
+        ResponseBehavior::CloseAfterBytes(most) => bytes.truncate(most.into()),
+        ResponseBehavior::Garbage => bytes = b"\0\xff\xff no answer at all".to_vec(),
+        ResponseBehavior::NeverAnswer => futures_lite::future::pending().await,
+        ResponseBehavior::Answer
+        | ResponseBehavior::Reject
+        | ResponseBehavior::RejectAndClose
+        | ResponseBehavior::AnswerAndClose => {}
+        ResponseBehavior::AnswerAgainAfterMs(_) | ResponseBehavior::ByteEveryMs(_) => {}
     }
     Some(bytes)
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,36 +1,39 @@
-//! Stand-ins of all that an agent meets, written from the public descriptions of their protocols,
-//! and checkers of its rules. They stay on loopback addresses, take scripts of what goes wrong, and
-//! count what passes at their own end of the wire, independently of the agent. Used by tests,
-//! benchmarks and the demo.
+//! Fakes of everything an agent talks to, and checkers of its rules.
 //!
-//! - [`World`]: zones with [`Endpoint`]s, [`Discovery`] and a [`Platform`], put together.
-//! - [`Caller`]: one client, for single cases. [`Load`]: many, at a rate of their own.
-//! - [`Program`]: an agent as a process, with its configuration.
-//! - [`Speaker`]: says what it is given, for what no fake would say.
-//! - [`day`]: a day in simulated time, for the decisions and the zones alone, with the rules checked after each
-//!   step.
+//! The fakes are written from the public descriptions of their protocols, apart from the agent's own
+//! code. They stay on loopback addresses, take scripts of faults, and count what passes at their end
+//! of the wire. Used by tests, benchmarks and the demo.
+//!
+//! - [`TestCluster`]: zones with [`Endpoint`]s, [`Discovery`] and a [`Platform`], put together.
+//! - [`TestClient`]: one client, for single cases. [`Load`]: many, at a rate of their own.
+//! - [`AgentProcess`]: an agent as a process, with its configuration.
+//! - [`ScriptedServer`]: sends fixed bytes, for what no fake would send.
+//! - [`simulation`]: agents, endpoints and clients in simulated time, for the decisions and the zones
+//!   alone, with the rules checked after each step.
 
-pub mod caller;
-pub mod cutter;
-pub mod day;
+pub mod agent_process;
+pub mod client;
+pub mod cluster;
+pub mod connection_cutter;
 pub mod discovery;
 pub mod endpoint;
-pub mod ground;
 pub mod load;
 pub mod pg;
 pub mod platform;
-pub mod program;
 pub mod registry;
-pub mod speaker;
-pub mod world;
+pub mod runtime;
+pub mod scripted_server;
+pub mod simulation;
 
-pub use caller::{Caller, Told};
-pub use cutter::{Cut, Cutter};
-pub use discovery::{Discovery, Manner, Meets};
-pub use endpoint::{Act, Counted, Endpoint, Link, Seen, Ways};
-pub use load::{Answered, Load};
-pub use platform::{Offer, Platform, RolloutStatus};
-pub use program::{classes, configuration, service, settings, Program, RequestClass};
+pub use agent_process::{classes, configuration, service, settings, AgentProcess, RequestClass};
+pub use client::{Reply, TestClient};
+pub use cluster::TestCluster;
+pub use connection_cutter::{ConnectionCutter, CutPoint};
+pub use discovery::{ConnectionBehavior, Discovery, DiscoveryBehavior};
+pub use endpoint::{
+    Endpoint, EndpointBehavior, Link, ReceivedQuery, ResponseBehavior, TransferCounts,
+};
+pub use load::{Load, LoadReport};
+pub use platform::{Platform, RolloutStatus, StagedRollout};
 pub use registry::{Entry, Registry};
-pub use speaker::Speaker;
-pub use world::World;
+pub use scripted_server::ScriptedServer;
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,8 +1,8 @@
 //! Many clients at a rate of their own: each request is due at its time, whatever became of those
 //! before.
 
-use crate::ground::{self, locked, sleep};
 use crate::pg;
+use crate::runtime::{self, lock_unpoisoned, sleep};
 use async_io::Async;
 use futures_lite::future::FutureExt;
 use futures_lite::AsyncWriteExt;
@@ -24,7 +24,7 @@
     pub agent: SocketAddr,
     /// Requests a second, in the mean; they come as by chance.
     pub rate: f64,
-    pub span: Duration,
+    pub duration: Duration,
     /// Classes with their weights, the time that clients wait, and whether they carry a key.
     pub classes: Vec<(String, f64, Duration, bool)>,
     /// Connections at most; a request that finds none free waits for one, and that time counts.
@@ -34,35 +34,37 @@
 
 /// What came of it. Times count from when a request was due.
 #[derive(Clone, Debug, Default)]
-pub struct Answered {
-    pub asked: u64,
+pub struct LoadReport {
+    pub requests: u64,
     pub succeeded: u64,
     pub rejected: u64,
     pub failed: u64,
     /// No whole answer before its expiry and half a second, or its connection ended.
     pub unanswered: u64,
     /// Ids of those without an answer, the first hundred.
-    pub lost: Vec<String>,
+    pub unanswered_ids: Vec<String>,
     /// Microseconds by which requests went out later than they were due.
-    pub late: Option<Histogram<u64>>,
+    pub send_delays: Option<Histogram<u64>>,
     /// Microseconds to each satisfied answer, by class.
-    pub times: BTreeMap<String, Histogram<u64>>,
+    pub latencies: BTreeMap<String, Histogram<u64>>,
     /// Ids of satisfied requests with their microseconds, the first [`EACH_MOST`].
-    pub each: Vec<(String, u64)>,
+    pub request_latencies: Vec<(String, u64)>,
 }
 
-impl Answered {
+impl LoadReport {
     /// The time, in milliseconds, within which this part (0 to 1) of the satisfied answers came.
     pub fn quantile_ms(&self, part: f64) -> f64 {
         let mut all = Histogram::<u64>::new(3).unwrap_or_else(|_| Histogram::new_from(&empty()));
-        self.times.values().for_each(|h| all.add(h).unwrap_or(()));
+        self.latencies
+            .values()
+            .for_each(|h| all.add(h).unwrap_or(()));
         all.value_at_quantile(part) as f64 / 1000.0
     }
 
     /// How late, in milliseconds, this part of the requests went out at most: high where the load
     /// itself, or its machine, does not keep up.
-    pub fn issued_late_ms(&self, part: f64) -> f64 {
-        self.late
+    pub fn send_delay_ms(&self, part: f64) -> f64 {
+        self.send_delays
             .as_ref()
             .map_or(0.0, |h| h.value_at_quantile(part) as f64 / 1000.0)
     }
@@ -91,24 +93,24 @@
 
 impl Load {
     /// Begins; the result is there once the last request has had its answer or its time.
-    pub fn begin(self) -> async_executor::Task<Answered> {
-        ground::spawn(async move { self.run().await })
+    pub fn start(self) -> async_executor::Task<LoadReport> {
+        runtime::spawn(async move { self.generate().await })
     }
 
     /// The same, and waits for it.
-    pub fn play(self) -> Answered {
-        futures_lite::future::block_on(self.begin())
+    pub fn run(self) -> LoadReport {
+        futures_lite::future::block_on(self.start())
     }
 
-    async fn run(self) -> Answered {
+    async fn generate(self) -> LoadReport {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
-        let (idle, result) = (Idle::default(), Arc::new(Mutex::new(Answered::default())));
+        let (idle, result) = (Idle::default(), Arc::new(Mutex::new(LoadReport::default())));
         let places = Arc::new(async_lock::Semaphore::new(self.connections.max(1)));
         let (begun, mut at, mut tasks, mut n) = (Instant::now(), 0.0f64, Vec::new(), 0u64);
         let weights: f64 = self.classes.iter().map(|l| l.1).sum();
         loop {
             at += -(1.0f64 - rng.gen_range(0.0..1.0)).ln() / self.rate.max(1e-6);
-            if at >= self.span.as_secs_f64() {
+            if at >= self.duration.as_secs_f64() {
                 break;
             }
             let due = begun + Duration::from_secs_f64(at);
@@ -123,9 +125,11 @@
             };
             n += 1;
             {
-                let mut r = locked(&result);
+                let mut r = lock_unpoisoned(&result);
                 let late = due.elapsed().as_micros().max(1) as u64;
-                r.late.get_or_insert_with(empty).saturating_record(late);
+                r.send_delays
+                    .get_or_insert_with(empty)
+                    .saturating_record(late);
             }
             let (id, object) = (format!("{:x}-{n}", self.seed), rng.gen_range(0..10_000));
             let key = if *keyed {
@@ -146,7 +150,7 @@
             };
             let (agent, idle, places, result) =
                 (self.agent, idle.clone(), places.clone(), result.clone());
-            tasks.push(ground::spawn(async move {
+            tasks.push(runtime::spawn(async move {
                 let place = places.acquire().await;
                 let late = async {
                     let end = due.at + due.wait + Duration::from_millis(500);
@@ -161,32 +165,32 @@
         for task in tasks {
             task.await;
         }
-        let answered = locked(&result).clone();
+        let answered = lock_unpoisoned(&result).clone();
         answered
     }
 }
 
-fn note(result: &Mutex<Answered>, due: &PollResult, told: io::Result<Option<String>>) {
-    let mut r = locked(result);
-    r.asked += 1;
+fn note(result: &Mutex<LoadReport>, due: &PollResult, told: io::Result<Option<String>>) {
+    let mut r = lock_unpoisoned(result);
+    r.requests += 1;
     match told {
         Ok(None) => {
             r.succeeded += 1;
             let took = due.at.elapsed().as_micros() as u64;
-            r.times
+            r.latencies
                 .entry(due.class.clone())
                 .or_insert_with(empty)
                 .saturating_record(took.max(1));
-            if r.each.len() < EACH_MOST {
-                r.each.push((due.id.clone(), took));
+            if r.request_latencies.len() < EACH_MOST {
+                r.request_latencies.push((due.id.clone(), took));
             }
         }
         Ok(Some(code)) if code == "53300" || code == "57P03" => r.rejected += 1,
         Ok(Some(_)) => r.failed += 1,
         Err(_) => {
             r.unanswered += 1;
-            if r.lost.len() < 100 {
-                r.lost.push(due.id.clone());
+            if r.unanswered_ids.len() < 100 {
+                r.unanswered_ids.push(due.id.clone());
             }
         }
     }
@@ -194,7 +198,7 @@
 
 /// One request; the code of an error, nothing for a value.
 async fn call(agent: SocketAddr, idle: &Idle, due: &PollResult) -> io::Result<Option<String>> {
-    let waiting = locked(idle).pop();
+    let waiting = lock_unpoisoned(idle).pop();
     let mut stream = match waiting {
         Some(stream) => stream,
         None => {
@@ -210,10 +214,10 @@
     loop {
         match pg::read(&mut stream).await? {
             (b'Z', _) => break,
-            (b'E', body) => code = Some(pg::field(&body, b'C').unwrap_or_default()),
+            (b'E', body) => code = Some(pg::error_field(&body, b'C').unwrap_or_default()),
             _ => {}
         }
     }
-    locked(idle).push(stream);
+    lock_unpoisoned(idle).push(stream);
     Ok(code)
 }
--- a/crates/testkit/src/pg.rs
+++ b/crates/testkit/src/pg.rs
@@ -33,7 +33,7 @@
 }
 
 /// What a server says to a startup message.
-pub fn welcome() -> Vec<u8> {
+pub fn startup_reply() -> Vec<u8> {
     [
         message(b'R', &[0; 4]),
         message(b'S', b"server_version\x0016.0\0"),
@@ -43,7 +43,7 @@
 }
 
 /// A row of one column, with what goes before and behind it.
-pub fn value(bytes: &[u8]) -> Vec<u8> {
+pub fn value_reply(bytes: &[u8]) -> Vec<u8> {
     let mut column = vec![0, 1];
     column.extend(b"body\0");
     column.extend([0, 0, 0, 0, 0, 0]); // no table, no column of it
@@ -62,13 +62,13 @@
     .concat()
 }
 
-pub fn error(code: &str, text: &str) -> Vec<u8> {
+pub fn error_reply(code: &str, text: &str) -> Vec<u8> {
     let body = format!("SERROR\0VERROR\0C{code}\0M{text}\0\0");
     [message(b'E', body.as_bytes()), ready()].concat()
 }
 
 /// The field of an error or notice.
-pub fn field(body: &[u8], name: u8) -> Option<String> {
+pub fn error_field(body: &[u8], name: u8) -> Option<String> {
     let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&name))?;
     Some(String::from_utf8_lossy(&field[1..]).into_owned())
 }
@@ -106,7 +106,7 @@
 }
 
 /// The names and values in the comment of a statement.
-pub fn comment(statement: &str) -> impl Iterator<Item = (&str, &str)> {
+pub fn comment_fields(statement: &str) -> impl Iterator<Item = (&str, &str)> {
     let inside = statement
         .rsplit_once("/*")
         .and_then(|(_, c)| c.split_once("*/"))
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform: tells of the newest build, takes votes, and carries a build through its stages by
 //! the clock.
 
-use crate::ground::{self, locked, sleep, Ends};
+use crate::runtime::{self, lock_unpoisoned, sleep, TerminationSignal};
 use async_executor::Task;
 use async_io::Async;
 use event_listener::Event;
@@ -48,60 +48,60 @@
     }
 
     /// The notification of it.
-    pub fn line(&self, now: Instant) -> Value {
-        note("ROLLOUT", self.value_at(now))
+    pub fn notification(&self, now: Instant) -> Value {
+        notification("ROLLOUT", self.value_at(now))
     }
 }
 
 /// How a build is offered: the cap of each stage, and how long each lasts.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct StagedRollout {
     pub build: u32,
     pub caps: Vec<f64>,
-    pub step: Duration,
+    pub stage_duration: Duration,
 }
 
 /// What the platform tells unasked.
-pub fn note(method: &str, params: Value) -> Value {
+pub fn notification(method: &str, params: Value) -> Value {
     json!({"jsonrpc": "2.0", "method": method, "params": params})
 }
 
 /// The calls that the platform takes, and what it knows of the newest build. Without sockets.
-pub struct Desk {
+pub struct RolloutService {
     pub rollout_status: RolloutStatus,
     pub votes: Vec<(Instant, Value)>,
     held: Option<Instant>, // the last vote to hold
 }
 
 /// What becomes of a call.
-pub struct Heeded {
-    pub answer: Value,
+pub struct CallResult {
+    pub reply: Value,
     /// It asks to be told what comes.
-    pub watches: bool,
+    pub subscribes: bool,
     /// It changed the news, which are to be told to all.
     pub rollout_status: Option<RolloutStatus>,
 }
 
-impl Desk {
-    pub fn new(rollout_status: RolloutStatus) -> Desk {
-        Desk {
+impl RolloutService {
+    pub fn new(rollout_status: RolloutStatus) -> RolloutService {
+        RolloutService {
             rollout_status,
             votes: Vec::new(),
             held: None,
         }
     }
 
-    pub fn heed(&mut self, now: Instant, call: &Value) -> Heeded {
+    pub fn handle_call(&mut self, now: Instant, call: &Value) -> CallResult {
         let id = call["id"].clone();
         let fault = |message: &str| json!({"jsonrpc": "2.0", "id": id, "error": {"code": -32602, "message": message}});
-        let other = |answer| Heeded {
-            answer,
-            watches: false,
+        let other = |answer| CallResult {
+            reply: answer,
+            subscribes: false,
             rollout_status: None,
         };
         match call["method"].as_str() {
-            Some("Events.Watch") => Heeded {
-                watches: true,
+            Some("Events.Watch") => CallResult {
+                subscribes: true,
                 ..other(json!({"jsonrpc": "2.0", "id": id, "result": true}))
             },
             Some("Rollout.Judge") => {
@@ -133,7 +133,7 @@
                     .clone()
                     .unwrap_or(self.rollout_status.clone());
                 let stands = self.rollout_status.value_at(now);
-                Heeded {
+                CallResult {
                     rollout_status,
                     ..other(json!({"jsonrpc": "2.0", "id": id, "result": stands}))
                 }
@@ -144,7 +144,7 @@
 }
 
 struct State {
-    desk: Desk,
+    desk: RolloutService,
     notes: Vec<Value>, // notifications, in their order
     silent: bool,
     connections: usize,
@@ -157,11 +157,11 @@
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        locked(&self.state)
+        lock_unpoisoned(&self.state)
     }
 
     fn tell(&self, method: &str, params: Value) {
-        self.state().notes.push(note(method, params));
+        self.state().notes.push(notification(method, params));
         self.changed.notify(usize::MAX);
     }
 
@@ -174,7 +174,7 @@
 
 pub struct Platform {
     shared: Arc<Shared>,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     pub address: SocketAddr,
     _tasks: Vec<Task<()>>,
 }
@@ -185,7 +185,7 @@
 impl Platform {
     pub fn start(rollout_status: RolloutStatus) -> io::Result<Platform> {
         let state = State {
-            desk: Desk::new(rollout_status),
+            desk: RolloutService::new(rollout_status),
             notes: Vec::new(),
             silent: false,
             connections: 0,
@@ -194,7 +194,7 @@
             state: Mutex::new(state),
             changed: Event::new(),
         });
-        let ends = Arc::<Ends>::default();
+        let ends = Arc::<TerminationSignal>::default();
         let s = shared.clone();
         let serve = move |stream| {
             let shared = s.clone();
@@ -203,9 +203,9 @@
                 let _ = talk(&shared, stream).await;
             }
         };
-        let (address, listening) = ground::listen(&ends, serve)?;
+        let (address, listening) = runtime::listen(&ends, serve)?;
         let s = shared.clone();
-        let pings = ground::spawn(async move {
+        let pings = runtime::spawn(async move {
             loop {
                 sleep(Duration::from_secs(1)).await;
                 if !s.state().silent {
@@ -221,16 +221,16 @@
         })
     }
 
-    pub fn rollout_status(&self, rollout_status: RolloutStatus) {
+    pub fn set_rollout_status(&self, rollout_status: RolloutStatus) {
         self.shared.rollout_status(rollout_status);
     }
 
-    pub fn newest(&self) -> RolloutStatus {
+    pub fn current_rollout(&self) -> RolloutStatus {
         self.shared.state().desk.rollout_status.clone()
     }
 
     /// A client found an answer of this endpoint wrong.
-    pub fn flag(&self, endpoint: &str, class: &str, age: Duration) {
+    pub fn report_client_error(&self, endpoint: &str, class: &str, age: Duration) {
         let lag = age.as_millis() as u64;
         self.shared.tell(
             "DISPUTE",
@@ -240,14 +240,14 @@
 
     /// What was counted of a build and class in a sample of all attempts, `bad` of them not
     /// satisfied.
-    pub fn sample(&self, build: u32, class: &str, n: u32, bad: u32, took: Duration) {
+    pub fn report_counts(&self, build: u32, class: &str, n: u32, bad: u32, took: Duration) {
         let took = took.as_secs_f64() * 1000.0;
         let params = json!({"image": build, "type": class, "n": n, "bad": bad, "latency_ms": took, "lag_ms": 500});
         self.shared.tell("SAMPLE", params);
     }
 
     /// Says nothing more unasked, or does so again.
-    pub fn silent(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.shared.state().silent = silent;
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// Ends all connections.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         self.ends.end();
     }
 
@@ -269,14 +269,18 @@
     /// Takes a build through its stages by the clock, which stands still while a vote to hold
     /// lasts. A vote to send back ends it. `staged` is called at each stage's beginning, with what
     /// part of the places it takes.
-    pub fn offer(&self, offer: Offer, staged: impl Fn(usize, f64) + Send + 'static) -> Task<()> {
+    pub fn run_rollout(
+        &self,
+        offer: StagedRollout,
+        staged: impl Fn(usize, f64) + Send + 'static,
+    ) -> Task<()> {
         let shared = self.shared.clone();
-        ground::spawn(async move {
+        runtime::spawn(async move {
             for (stage, cap) in offer.caps.iter().enumerate() {
                 staged(stage, *cap);
                 shared.rollout_status(RolloutStatus::now(offer.build, stage, "trial", *cap));
                 let mut ran = Duration::ZERO;
-                while ran < offer.step {
+                while ran < offer.stage_duration {
                     let step = Duration::from_millis(50);
                     sleep(step).await;
                     let (held, back) = {
@@ -331,7 +335,7 @@
                         (state.desk.rollout_status.value(), state.notes.len())
                     };
                     seen = Some(count);
-                    let told = note("ROLLOUT", rollout_status);
+                    let told = notification("ROLLOUT", rollout_status);
                     (&*stream).write_all(format!("{told}\n").as_bytes()).await?;
                 }
             }
@@ -349,10 +353,10 @@
 
 /// The answer to a call, and whether it asks to be told.
 fn heed(shared: &Shared, call: &Value) -> (Value, bool) {
-    let heeded = shared.state().desk.heed(Instant::now(), call);
+    let heeded = shared.state().desk.handle_call(Instant::now(), call);
     // The lock is let go before anything else takes it.
     if let Some(rollout_status) = heeded.rollout_status {
         shared.rollout_status(rollout_status);
     }
-    (heeded.answer, heeded.watches)
+    (heeded.reply, heeded.subscribes)
 }
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -38,7 +38,7 @@
 
 impl Registry {
     /// Changes or adds entries. One version for all of them.
-    pub fn tell(&mut self, entries: impl IntoIterator<Item = Entry>) {
+    pub fn update(&mut self, entries: impl IntoIterator<Item = Entry>) {
         self.version += 1;
         for e in entries {
             self.entries.insert(e.id.clone(), (self.version, e));
@@ -54,14 +54,14 @@
     }
 
     /// The whole list, as told to zone `from`. What is gone is in no whole list.
-    pub fn whole(&self, from: usize) -> Value {
+    pub fn full_list(&self, from: usize) -> Value {
         let there = self.entries().filter(|e| e.state != "terminated");
         let servers: Vec<Value> = there.map(|e| entry(e, from)).collect();
         json!({"version": self.version, "full": true, "servers": servers})
     }
 
     /// What has changed since this version.
-    pub fn since(&self, after: u64, from: usize) -> Value {
+    pub fn changes_since(&self, after: u64, from: usize) -> Value {
         let newer = self.entries.values().filter(|(v, _)| *v > after);
         let changed: Vec<Value> = newer.map(|(_, e)| entry(e, from)).collect();
         json!({"version": self.version, "full": false, "servers": changed})
@@ -75,7 +75,7 @@
 
 /// The version that a watch names and how long it may wait; nothing where the whole list is asked
 /// for.
-pub fn watched(path: &str) -> Option<(u64, Duration)> {
+pub fn parse_watch(path: &str) -> Option<(u64, Duration)> {
     let query = path.split_once('?').map_or("", |(_, q)| q);
     let named = |name: &str| -> Option<u64> {
         let pairs = query.split('&').filter_map(|p| p.split_once('='));
@@ -88,7 +88,7 @@
 }
 
 /// The HTTP answer with this body.
-pub fn answer(body: &Value) -> String {
+pub fn http_response(body: &Value) -> String {
     let body = body.to_string();
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length:";
     format!("{head} {}\r\n\r\n{body}", body.len())
--- a/crates/testkit/src/ground.rs
+++ b/crates/testkit/src/runtime.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a test waits for what must come, at most. Generous: no figure comes from it.
-pub const SOON: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 static EXECUTOR: Executor<'static> = Executor::new();
 static THREAD: OnceLock<()> = OnceLock::new();
@@ -31,15 +31,15 @@
 
 /// What a lock holds, also after a holder has panicked: a test that failed must not fail the
 /// others.
-pub fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
+pub fn lock_unpoisoned<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 /// Waits until this holds, looking every few milliseconds; whether it did within [`SOON`].
-pub fn until(mut holds: impl FnMut() -> bool) -> bool {
+pub fn wait_until(mut holds: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !holds() {
-        if begun.elapsed() > SOON {
+        if begun.elapsed() > TEST_TIMEOUT {
             return false;
         }
         std::thread::sleep(Duration::from_millis(2));
@@ -49,12 +49,12 @@
 
 /// Ends what runs under it, again and again: each end is for what began before.
 #[derive(Default)]
-pub struct Ends {
+pub struct TerminationSignal {
     count: AtomicU64,
     event: Event,
 }
 
-impl Ends {
+impl TerminationSignal {
     pub fn count(&self) -> u64 {
         self.count.load(Ordering::SeqCst)
     }
@@ -79,7 +79,7 @@
 /// A listener on a free loopback port; each connection is served by a task of its own until `ends`
 /// ends it. Returns its address and the task that listens.
 pub fn listen<F>(
-    ends: &Arc<Ends>,
+    ends: &Arc<TerminationSignal>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
 ) -> std::io::Result<(SocketAddr, Task<()>)>
 where
@@ -91,7 +91,7 @@
 /// The same at a given address.
 pub fn listen_at<F>(
     address: SocketAddr,
-    ends: &Arc<Ends>,
+    ends: &Arc<TerminationSignal>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
 ) -> std::io::Result<(SocketAddr, Task<()>)>
 where
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/simulation/mod.rs
@@ -2,6 +2,10 @@
 //! endpoints. It is played from a seed and a script, takes no real time to speak of, and checks the
 //! five rules from outside: by what was taken, sent, run and answered, not by what an agent says.
 
+mod violation;
+
+pub use violation::Violation;
+
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,96 +18,96 @@
 };
 
 /// Time at which a day begins, so that what began before has a time, too.
-pub const ZERO: Duration = Duration::from_secs(3600);
+pub const START: Duration = Duration::from_secs(3600);
 /// How late a final answer may be, and how soon a drain must be heeded.
 const SLACK: Duration = Duration::from_millis(50);
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// A cold endpoint falls over when it gets so many times what it can do.
 const FALL_MULTIPLE: f64 = 4.0;
 /// What an attempt carries each way, in bytes.
-pub const BYTES: (u64, u64) = (180, 420);
+pub const ATTEMPT_BYTES: (u64, u64) = (180, 420);
 
 /// A modelled endpoint.
 #[derive(Clone, Debug)]
-pub struct Node {
+pub struct SimulatedEndpoint {
     pub zone: usize,
     pub build: u32,
     pub cores: usize,
     /// What it takes of the usual work: 2.0 is half as quick.
-    pub slowness: f64,
+    pub work_factor: f64,
     /// Requests that may wait; what comes beyond is turned away.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Answers that fail, 0 to 1.
-    pub fails: f64,
-    pub standing: EndpointState,
+    pub failure_rate: f64,
+    pub state: EndpointState,
     pub started: Option<Duration>,
     /// Neither answers nor refuses.
-    pub mute: bool,
+    pub unresponsive: bool,
 }
 
-impl Node {
-    pub fn new(zone: usize, build: u32, cores: usize) -> Node {
-        Node {
+impl SimulatedEndpoint {
+    pub fn new(zone: usize, build: u32, cores: usize) -> SimulatedEndpoint {
+        SimulatedEndpoint {
             zone,
             build,
             cores,
-            slowness: 1.0,
-            queue: 200,
-            fails: 0.0,
-            standing: EndpointState::Running,
+            work_factor: 1.0,
+            queue_limit: 200,
+            failure_rate: 0.0,
+            state: EndpointState::Running,
             started: None,
-            mute: false,
+            unresponsive: false,
         }
     }
 }
 
 /// One agent: its zone, its part of the load, and what it is told of zones.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct SimulatedAgent {
     pub zone: usize,
-    pub part: f64,
+    pub load_share: f64,
     pub zoning: Option<Zoning>,
 }
 
 /// What clients do with a request that was rejected or failed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Clients {
+pub enum ClientBehavior {
     /// Nothing: each request is asked for once.
-    Open,
+    NoRetries,
     /// Ask again after a fixed pause, so many times in all, whatever happened and whatever it
     /// costs.
-    Naive { pause: Duration, tries: u32 },
+    FixedRetries { pause: Duration, max_attempts: u32 },
     /// As the client library does, one client to each agent.
-    Careful(Retrying),
+    PolicyRetries(Retrying),
 }
 
 /// A build that the platform takes through its stages by the clock, which stands still while a hold
 /// lasts.
 #[derive(Clone, Debug)]
-pub struct Offering {
+pub struct RolloutPlan {
     pub build: u32,
-    pub at: Duration,
+    pub starts_at: Duration,
     pub caps: Vec<f64>,
-    pub step: Duration,
+    pub stage_duration: Duration,
     /// Its endpoints, which start in equal parts with the stages. Until then they must be listed as
     /// gone.
-    pub nodes: Vec<usize>,
+    pub endpoints: Vec<usize>,
     /// Agents that must vote to send back.
-    pub back_votes: usize,
+    pub votes_to_roll_back: usize,
 }
 
 /// What the agents are told wrongly, so that they break a rule and the checkers must see it.
 /// Nothing by default.
 #[derive(Clone, Debug, Default)]
-pub struct Lies {
+pub struct InjectedFaults {
     /// How classes repeat, as the decisions think.
     pub idempotency: BTreeMap<usize, Idempotency>,
     /// Nothing that drains or goes is told.
-    pub deaf: bool,
+    pub hide_drains: bool,
     /// Cold endpoints are told as warm.
-    pub warm: bool,
+    pub hide_cold_starts: bool,
     /// The cap that is told in the place of the one that holds.
-    pub cap: Option<f64>,
+    pub reported_cap: Option<f64>,
 }
 
 /// The classes of a small service: idempotent views, messages deduplicated among all, payments that
@@ -127,7 +131,7 @@
 
 /// A deployment for days: crossing is priced, builds stand beside each other and pass by the clock,
 /// hedged requests and withdrawals are allowed, a time to come back may be named.
-pub fn deployment(classes: Vec<RequestClass>) -> Settings {
+pub fn default_settings(classes: Vec<RequestClass>) -> Settings {
     let secs = Duration::from_secs;
     Settings {
         seed: 0,
@@ -171,7 +175,12 @@
 }
 
 /// Zones for an agent in `own` of so many, routed near first, without prices.
-pub fn zoning(classes: &[RequestClass], own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
+pub fn default_zoning(
+    classes: &[RequestClass],
+    own: usize,
+    zones: usize,
+    budgets: Vec<Budget>,
+) -> Zoning {
     Zoning {
         own,
         zones,
@@ -188,16 +197,16 @@
     }
 }
 
-impl Day {
+impl Simulation {
     /// A day without a script on [`classes`], build 41 released: ways of 2 ms between zones and of
     /// 0.15 ms within, work of 20 ms (payments 30), open clients.
     pub fn small(
-        agents: Vec<Caller>,
-        nodes: Vec<Node>,
+        agents: Vec<SimulatedAgent>,
+        nodes: Vec<SimulatedEndpoint>,
         rate: f64,
         span: Duration,
         seed: u64,
-    ) -> Day {
+    ) -> Simulation {
         let ms = Duration::from_millis;
         let zones = nodes
             .iter()
@@ -213,24 +222,24 @@
                 ms(2)
             }
         };
-        Day {
-            deployment: deployment(classes()),
+        Simulation {
+            settings: default_settings(classes()),
             agents,
-            nodes,
-            ways: (0..zones)
+            endpoints: nodes,
+            link_delays: (0..zones)
                 .map(|from| (0..zones).map(|to| way(from, to)).collect())
                 .collect(),
-            work: vec![ms(20), ms(20), ms(30)],
-            steady: 0.4,
-            loss: 0.0,
-            told_late: Duration::ZERO,
+            mean_work: vec![ms(20), ms(20), ms(30)],
+            fixed_work_share: 0.4,
+            link_loss: 0.0,
+            notification_delay: Duration::ZERO,
             classes: vec![(0.45, ms(1500)), (0.45, ms(1500)), (0.1, ms(2000))],
-            rate,
-            clients: Clients::Open,
-            offering: None,
-            lies: Lies::default(),
-            watch: None,
-            span,
+            request_rate: rate,
+            client_behavior: ClientBehavior::NoRetries,
+            rollout_plan: None,
+            injected_faults: InjectedFaults::default(),
+            traced_request: None,
+            duration: span,
             rollout_status: Some(RolloutStatus {
                 build: 41,
                 stage: 0,
@@ -238,7 +247,7 @@
                 cap: 1.0,
                 since: Duration::ZERO,
             }),
-            script: Vec::new(),
+            events: Vec::new(),
             seed,
         }
     }
@@ -246,139 +255,151 @@
 
 /// What became of an offered build.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Offered {
+pub struct RolloutOutcome {
     /// When the first hold came, from the day's beginning, and in which stage.
-    pub held: Option<(Duration, usize)>,
-    pub back: Option<Duration>,
+    pub first_hold: Option<(Duration, usize)>,
+    pub rolled_back: Option<Duration>,
     pub released: Option<Duration>,
     /// How long holds stopped the clock.
-    pub stood: Duration,
+    pub time_held: Duration,
 }
 
 /// Something that happens.
 #[derive(Clone, Debug)]
-pub enum Change {
+pub enum ScenarioEvent {
     /// What the list says of an endpoint from now on; a start now makes it cold.
-    Lists(usize, EndpointState),
-    Starts(usize),
-    Moves(usize, usize),
-    Slows(usize, f64),
-    Fails(usize, f64),
-    Mutes(usize, bool),
+    SetState(usize, EndpointState),
+    Restart(usize),
+    MoveToZone(usize, usize),
+    SetWorkFactor(usize, f64),
+    SetFailureRate(usize, f64),
+    SetUnresponsive(usize, bool),
     RolloutStatus(RolloutStatus),
     /// Requests a second, over all agents.
-    Rate(f64),
-    Stalls(usize, Duration),
-    Zoning(usize, Zoning),
+    SetRequestRate(f64),
+    StallAgent(usize, Duration),
+    SetZoning(usize, Zoning),
     /// One direction of the way between two zones.
-    Link(usize, usize, Duration),
+    SetLinkDelay(usize, usize, Duration),
 }
 
 #[derive(Clone, Debug)]
-pub struct Day {
-    pub deployment: Settings,
-    pub agents: Vec<Caller>,
-    pub nodes: Vec<Node>,
+pub struct Simulation {
+    pub settings: Settings,
+    pub agents: Vec<SimulatedAgent>,
+    pub endpoints: Vec<SimulatedEndpoint>,
     /// Delay from zone to zone, one way.
-    pub ways: Vec<Vec<Duration>>,
+    pub link_delays: Vec<Vec<Duration>>,
     /// Mean work of each class.
-    pub work: Vec<Duration>,
+    pub mean_work: Vec<Duration>,
     /// The part of it that is always the same; the rest is exponential. 0 gives the queues of the
     /// textbook.
-    pub steady: f64,
+    pub fixed_work_share: f64,
     /// What part of attempts, and of their answers, a way between two zones loses.
-    pub loss: f64,
+    pub link_loss: f64,
     /// How much later agents are told of lists and news.
-    pub told_late: Duration,
+    pub notification_delay: Duration,
     /// Weights of classes, and how long a request of each may take.
     pub classes: Vec<(f64, Duration)>,
-    pub rate: f64,
-    pub clients: Clients,
-    pub offering: Option<Offering>,
-    pub lies: Lies,
+    pub request_rate: f64,
+    pub client_behavior: ClientBehavior,
+    pub rollout_plan: Option<RolloutPlan>,
+    pub injected_faults: InjectedFaults,
     /// A request of an agent whose life is written down: agent and number.
-    pub watch: Option<(usize, u64)>,
-    pub span: Duration,
+    pub traced_request: Option<(usize, u64)>,
+    pub duration: Duration,
     pub rollout_status: Option<RolloutStatus>,
     /// When, counted from the day's beginning, in any order.
-    pub script: Vec<(Duration, Change)>,
+    pub events: Vec<(Duration, ScenarioEvent)>,
     pub seed: u64,
 }
 
 /// What one agent did in one second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Second {
-    pub taken: u64,
+pub struct SecondCounts {
+    pub requests_received: u64,
     /// Requests that came for the first time, and those of them satisfied within their latency
     /// objective.
-    pub asked: u64,
-    pub good: u64,
-    pub near: u64,
-    pub far: u64,
+    pub first_tries: u64,
+    pub within_objective: u64,
+    pub local_sends: u64,
+    pub remote_sends: u64,
+}
+
+/// One attempt that was sent to an endpoint of another zone.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CrossZoneSend {
+    /// Time since the beginning of the simulation.
+    pub at: Duration,
+    /// Index of the request's class.
+    pub class: usize,
+    /// Why it went over a budget, where it did.
+    pub over_budget: Option<tulipwall_zones::Reason>,
 }
 
-/// What came of a day.
+/// What came of a simulation.
 #[derive(Debug)]
-pub struct Played {
-    pub taken: u64,
+pub struct SimulationReport {
+    pub requests: u64,
     pub succeeded: u64,
     /// Within their latency objective.
-    pub in_time: u64,
+    pub within_objective: u64,
     pub rejected: u64,
-    pub scrapped: u64,
-    pub never: u64,
+    pub failed: u64,
+    pub unanswered: u64,
     /// Microseconds to satisfied answers, also of single seconds.
-    pub times: Histogram<u64>,
-    pub second_times: Vec<Histogram<u64>>,
-    pub seconds: Vec<Vec<Second>>, // by agent
+    pub latencies: Histogram<u64>,
+    pub latencies_by_second: Vec<Histogram<u64>>,
+    pub counts_by_second: Vec<Vec<SecondCounts>>, // by agent
     /// Crossings by agent and second: when, class, whether it was over a budget.
-    pub crossings: Vec<Vec<(Duration, usize, Option<tulipwall_zones::Reason>)>>,
+    pub cross_zone_sends: Vec<Vec<CrossZoneSend>>,
     /// Broken rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<Violation>,
     pub votes: Vec<(Duration, Vote)>,
-    pub offered: Offered,
+    pub rollout: RolloutOutcome,
     /// The life of the request that was watched.
-    pub life: Vec<String>,
+    pub trace: Vec<String>,
     /// Events that were played.
     pub events: u64,
     /// Sends by endpoint.
-    pub sends: Vec<u64>,
+    pub sends_by_endpoint: Vec<u64>,
     /// The agents' zones at the end.
     pub zones: Vec<Option<Zones>>,
     /// All answers of the decisions, folded into one number: equal days give equal ones.
     pub digest: u64,
 }
 
-impl Played {
+impl SimulationReport {
     /// Of all attempts, what crossed.
-    pub fn crossed(&self) -> f64 {
-        let sum =
-            |of: fn(&Second) -> u64| self.seconds.iter().flatten().map(of).sum::<u64>() as f64;
-        sum(|s| s.far) / (sum(|s| s.far) + sum(|s| s.near)).max(1.0)
+    pub fn cross_zone_share(&self) -> f64 {
+        let sum = |of: fn(&SecondCounts) -> u64| {
+            self.counts_by_second.iter().flatten().map(of).sum::<u64>() as f64
+        };
+        sum(|s| s.remote_sends) / (sum(|s| s.remote_sends) + sum(|s| s.local_sends)).max(1.0)
     }
 
     /// The same between two times of the day.
-    pub fn crossed_between(&self, from: u64, to: u64) -> f64 {
+    pub fn cross_zone_share_between(&self, from: u64, to: u64) -> f64 {
         let part = || {
-            self.seconds
+            self.counts_by_second
                 .iter()
                 .flat_map(|a| &a[from as usize..(to as usize).min(a.len())])
         };
         let (near, far) = (
-            part().map(|s| s.near).sum::<u64>(),
-            part().map(|s| s.far).sum::<u64>(),
+            part().map(|s| s.local_sends).sum::<u64>(),
+            part().map(|s| s.remote_sends).sum::<u64>(),
         );
         far as f64 / (near + far).max(1) as f64
     }
 
     /// How often an agent changed sides in a minute: seconds with most across after seconds with
     /// hardly any, and back.
-    pub fn turns_per_minute(&self) -> f64 {
+    pub fn direction_changes_per_minute(&self) -> f64 {
         let (mut turns, mut minutes) = (0, 0.0);
-        for agent in &self.seconds {
+        for agent in &self.counts_by_second {
             let mut over = false;
-            for s in agent.iter().filter(|s| s.near + s.far > 0) {
-                let part = s.far as f64 / (s.near + s.far) as f64;
+            for s in agent.iter().filter(|s| s.local_sends + s.remote_sends > 0) {
+                let part = s.remote_sends as f64 / (s.local_sends + s.remote_sends) as f64;
                 if (over && part < 0.25) || (!over && part > 0.5) {
                     (over, turns) = (!over, turns + 1);
                 }
@@ -389,23 +410,23 @@
     }
 
     pub fn quantile_ms(&self, part: f64) -> f64 {
-        self.times.value_at_quantile(part) as f64 / 1000.0
+        self.latencies.value_at_quantile(part) as f64 / 1000.0
     }
 
     /// The same of requests answered between two seconds of the day.
     pub fn quantile_between(&self, part: f64, from: usize, to: usize) -> f64 {
         let mut all = histogram();
-        self.second_times[from..to.min(self.second_times.len())]
+        self.latencies_by_second[from..to.min(self.latencies_by_second.len())]
             .iter()
             .for_each(|h| all.add(h).unwrap_or(()));
         all.value_at_quantile(part) as f64 / 1000.0
     }
 
-    pub fn over(&self) -> usize {
-        self.crossings
+    pub fn over_budget_sends(&self) -> usize {
+        self.cross_zone_sends
             .iter()
             .flatten()
-            .filter(|c| c.2.is_some())
+            .filter(|send| send.over_budget.is_some())
             .count()
     }
 }
@@ -528,7 +549,7 @@
 }
 
 struct Stage {
-    day: Day,
+    day: Simulation,
     now: Duration,
     rng: Pcg64Mcg,
     queue: BinaryHeap<std::cmp::Reverse<(Duration, u64, What)>>,
@@ -545,12 +566,12 @@
     rollout_status: Option<RolloutStatus>,
     told: Option<RolloutStatus>,
     tells: Vec<Tell>,
-    played: Played,
+    played: SimulationReport,
 }
 
-impl Day {
+impl Simulation {
     /// Plays it.
-    pub fn play(self) -> Played {
+    pub fn run(self) -> SimulationReport {
         let mut stage = Stage::new(self);
         stage.run();
         stage.played
@@ -558,8 +579,8 @@
 }
 
 impl Stage {
-    fn new(day: Day) -> Stage {
-        let seconds = day.span.as_secs() as usize + 1;
+    fn new(day: Simulation) -> Stage {
+        let seconds = day.duration.as_secs() as usize + 1;
         let mut agents = Vec::new();
         for (n, a) in day.agents.iter().enumerate() {
             let seed = day.seed.wrapping_mul(1_000_003).wrapping_add(n as u64);
@@ -568,65 +589,65 @@
                 seed,
                 zone: a.zone,
                 agents: agents_all,
-                ..day.deployment.clone()
+                ..day.settings.clone()
             };
-            day.lies
+            day.injected_faults
                 .idempotency
                 .iter()
                 .for_each(|(class, idempotency)| d.classes[*class].idempotency = *idempotency);
-            let mut choice = Balancer::new(ZERO, d);
-            let entries: Vec<EndpointEntry> = (0..day.nodes.len())
-                .map(|i| listed(&day.nodes, i))
+            let mut choice = Balancer::new(START, d);
+            let entries: Vec<EndpointEntry> = (0..day.endpoints.len())
+                .map(|i| listed(&day.endpoints, i))
                 .collect();
-            choice.update_endpoints(ZERO, &entries, true);
+            choice.update_endpoints(START, &entries, true);
             if let Some(rollout_status) = &day.rollout_status {
                 choice.update_rollout(rollout_status.clone());
             }
-            let retrying = match &day.clients {
-                Clients::Careful(by) => by.clone(),
+            let retrying = match &day.client_behavior {
+                ClientBehavior::PolicyRetries(by) => by.clone(),
                 _ => Retrying::default(),
             };
             agents.push(Runner {
                 retries: Retries::new(retrying, 1, seed),
                 zone: a.zone,
                 choice,
-                zones: a.zoning.clone().map(|z| Zones::new(ZERO, z)),
+                zones: a.zoning.clone().map(|z| Zones::new(START, z)),
                 held: BTreeMap::new(),
                 next: 0,
-                stalled: ZERO,
-                warm: vec![false; day.nodes.len()],
+                stalled: START,
+                warm: vec![false; day.endpoints.len()],
                 told: BTreeMap::new(),
                 exposed: 0.0,
                 cap: 0.0,
                 exposing: false,
             });
         }
-        let played = Played {
-            taken: 0,
+        let played = SimulationReport {
+            requests: 0,
             succeeded: 0,
-            in_time: 0,
+            within_objective: 0,
             rejected: 0,
-            scrapped: 0,
-            never: 0,
-            times: histogram(),
-            second_times: (0..seconds).map(|_| histogram()).collect(),
-            seconds: vec![vec![Second::default(); seconds]; agents.len()],
-            crossings: vec![Vec::new(); agents.len()],
-            broken: Vec::new(),
+            failed: 0,
+            unanswered: 0,
+            latencies: histogram(),
+            latencies_by_second: (0..seconds).map(|_| histogram()).collect(),
+            counts_by_second: vec![vec![SecondCounts::default(); seconds]; agents.len()],
+            cross_zone_sends: vec![Vec::new(); agents.len()],
+            violations: Vec::new(),
             votes: Vec::new(),
-            offered: Offered::default(),
-            life: Vec::new(),
+            rollout: RolloutOutcome::default(),
+            trace: Vec::new(),
             events: 0,
-            sends: vec![0; day.nodes.len()],
+            sends_by_endpoint: vec![0; day.endpoints.len()],
             zones: Vec::new(),
             digest: 0xcbf2_9ce4_8422_2325,
         };
         Stage {
-            now: ZERO,
+            now: START,
             rng: Pcg64Mcg::seed_from_u64(day.seed),
             queue: BinaryHeap::new(),
             order: 0,
-            running: day.nodes.iter().map(|_| Running::default()).collect(),
+            running: day.endpoints.iter().map(|_| Running::default()).collect(),
             holds: vec![None; agents.len()],
             backs: vec![false; agents.len()],
             agents,
@@ -653,22 +674,22 @@
     }
 
     fn run(&mut self) {
-        for n in 0..self.day.script.len() {
-            self.at(ZERO + self.day.script[n].0, What::Script(n));
+        for n in 0..self.day.events.len() {
+            self.at(START + self.day.events[n].0, What::Script(n));
         }
         self.caps();
-        if let Some(at) = self.day.offering.as_ref().map(|o| o.at) {
-            self.at(ZERO + at, What::Stage);
+        if let Some(at) = self.day.rollout_plan.as_ref().map(|o| o.starts_at) {
+            self.at(START + at, What::Stage);
         }
         for agent in 0..self.agents.len() {
             self.at(
-                ZERO + Duration::from_micros(137 * agent as u64),
+                START + Duration::from_micros(137 * agent as u64),
                 What::Tick(agent),
             );
             self.next_arrival(agent);
         }
         // Some seconds more, so that what was taken is answered.
-        let end = ZERO + self.day.span + Duration::from_secs(5);
+        let end = START + self.day.duration + Duration::from_secs(5);
         while let Some(std::cmp::Reverse((when, _, what))) = self.queue.pop() {
             if when > end {
                 break;
@@ -694,11 +715,11 @@
         }
         for a in &mut self.agents {
             for (id, h) in a.held.iter().filter(|(_, h)| !h.answered) {
-                self.played.never += 1;
-                self.played.broken.push(format!(
-                    "rule 1: command {id} of lane {} has no answer",
-                    h.class
-                ));
+                self.played.unanswered += 1;
+                self.played.violations.push(Violation::Unanswered {
+                    request: *id,
+                    class: h.class,
+                });
             }
             self.played.zones.push(a.zones.take());
         }
@@ -707,7 +728,7 @@
     fn step(&mut self, what: What) {
         match what {
             What::Script(n) => {
-                let change = self.day.script[n].1.clone();
+                let change = self.day.events[n].1.clone();
                 self.change(change);
             }
             What::Arrive(agent) => {
@@ -775,18 +796,18 @@
     }
 
     fn next_arrival(&mut self, agent: usize) {
-        let parts: f64 = self.day.agents.iter().map(|a| a.part).sum();
-        let rate = self.day.rate * self.day.agents[agent].part / parts.max(1e-9);
+        let parts: f64 = self.day.agents.iter().map(|a| a.load_share).sum();
+        let rate = self.day.request_rate * self.day.agents[agent].load_share / parts.max(1e-9);
         let gap = -(1.0 - self.chance()).ln() / rate.max(1e-6);
         let when = self.now + Duration::from_secs_f64(gap.min(1e6));
-        if when < ZERO + self.day.span {
+        if when < START + self.day.duration {
             self.at(when, What::Arrive(agent));
         }
     }
 
-    fn second(&mut self, agent: usize) -> &mut Second {
-        let second = (self.now - ZERO).as_secs() as usize;
-        let seconds = &mut self.played.seconds[agent];
+    fn second(&mut self, agent: usize) -> &mut SecondCounts {
+        let second = (self.now - START).as_secs() as usize;
+        let seconds = &mut self.played.counts_by_second[agent];
         let last = seconds.len() - 1;
         &mut seconds[second.min(last)]
     }
@@ -802,13 +823,13 @@
         let key = Some(self.rng.gen_range(0..100_000));
         let (now, left) = (self.now, self.day.classes[class].1);
         // Clients of more than one try wait for as long again in all.
-        let all = if self.day.clients == Clients::Open {
+        let all = if self.day.client_behavior == ClientBehavior::NoRetries {
             left
         } else {
             left * 2
         };
-        let tries = Tries::new(self.day.deployment.classes[class].idempotency, now + all);
-        self.second(agent).asked += 1;
+        let tries = Tries::new(self.day.settings.classes[class].idempotency, now + all);
+        self.second(agent).first_tries += 1;
         self.take(
             agent,
             Asking {
@@ -856,8 +877,8 @@
             },
         );
         let answer = a.choice.route(now, id);
-        self.played.taken += 1;
-        self.second(agent).taken += 1;
+        self.played.requests += 1;
+        self.second(agent).requests_received += 1;
         self.at(
             now + left + SLACK + Duration::from_millis(1),
             What::Look {
@@ -889,73 +910,73 @@
 
     /// Writes down what happens to the request that is watched.
     fn tell(&mut self, agent: usize, id: u64, what: impl FnOnce() -> String) {
-        if self.day.watch == Some((agent, id)) {
-            let at = (self.now - ZERO).as_secs_f64();
-            self.played.life.push(format!("{at:12.6} s  {}", what()));
+        if self.day.traced_request == Some((agent, id)) {
+            let at = (self.now - START).as_secs_f64();
+            self.played.trace.push(format!("{at:12.6} s  {}", what()));
         }
     }
 
     /// An agent's vote, as the platform takes it.
     fn vote(&mut self, agent: usize, vote: Vote) {
-        let (now, life) = (self.now, self.day.deployment.rollout.vote_ttl);
+        let (now, life) = (self.now, self.day.settings.rollout.vote_ttl);
         let stands = self
             .rollout_status
             .as_ref()
             .is_some_and(|n| (n.build, n.stage) == (vote.build, vote.stage));
-        self.played.votes.push((now - ZERO, vote.clone()));
+        self.played.votes.push((now - START, vote.clone()));
         if !stands {
             return;
         }
         self.holds[agent] = (vote.verdict == Verdict::Hold).then_some(now + life);
         if vote.verdict == Verdict::Hold && self.stage.is_some() {
             self.played
-                .offered
-                .held
-                .get_or_insert((now - ZERO, vote.stage));
+                .rollout
+                .first_hold
+                .get_or_insert((now - START, vote.stage));
         }
         self.backs[agent] = vote.verdict == Verdict::RollBack;
         let (backs, need) = (
             self.backs.iter().filter(|b| **b).count(),
-            self.day.offering.as_ref(),
+            self.day.rollout_plan.as_ref(),
         );
-        if self.stage.is_some() && need.is_some_and(|o| backs >= o.back_votes.max(1)) {
+        if self.stage.is_some() && need.is_some_and(|o| backs >= o.votes_to_roll_back.max(1)) {
             self.send_back();
         }
     }
 
     fn send_back(&mut self) {
-        let Some(o) = self.day.offering.clone() else {
+        let Some(o) = self.day.rollout_plan.clone() else {
             return;
         };
         self.stage = None;
-        self.played.offered.back = Some(self.now - ZERO);
-        self.change(Change::RolloutStatus(RolloutStatus {
+        self.played.rollout.rolled_back = Some(self.now - START);
+        self.change(ScenarioEvent::RolloutStatus(RolloutStatus {
             build: o.build,
             stage: 0,
             phase: RolloutPhase::RollingBack,
             cap: 0.0,
-            since: ZERO,
+            since: START,
         }));
-        o.nodes
+        o.endpoints
             .iter()
-            .for_each(|n| self.change(Change::Lists(*n, EndpointState::Gone)));
+            .for_each(|n| self.change(ScenarioEvent::SetState(*n, EndpointState::Gone)));
     }
 
     /// The platform's clock: a stage begins, runs on, or is over. It stands while a hold does.
     fn stage(&mut self) {
-        let Some(o) = self.day.offering.clone() else {
+        let Some(o) = self.day.rollout_plan.clone() else {
             return;
         };
         let (now, look) = (self.now, Duration::from_millis(100));
-        if self.played.offered.back.is_some() || self.played.offered.released.is_some() {
+        if self.played.rollout.rolled_back.is_some() || self.played.rollout.released.is_some() {
             return;
         }
         let held = self.holds.iter().flatten().any(|until| now < *until);
         let next = match self.stage {
             None => Some(0),
-            Some((stage, ran)) if ran >= o.step => Some(stage + 1),
+            Some((stage, ran)) if ran >= o.stage_duration => Some(stage + 1),
             Some((stage, ran)) => {
-                self.played.offered.stood += if held { look } else { Duration::ZERO };
+                self.played.rollout.time_held += if held { look } else { Duration::ZERO };
                 self.stage = Some((stage, if held { ran } else { ran + look }));
                 None
             }
@@ -964,31 +985,31 @@
             Some(stage) if stage < o.caps.len() => {
                 self.stage = Some((stage, Duration::ZERO));
                 let (from, to) = (
-                    o.nodes.len() * stage / o.caps.len(),
-                    o.nodes.len() * (stage + 1) / o.caps.len(),
+                    o.endpoints.len() * stage / o.caps.len(),
+                    o.endpoints.len() * (stage + 1) / o.caps.len(),
                 );
-                o.nodes[from..to]
+                o.endpoints[from..to]
                     .iter()
-                    .for_each(|n| self.change(Change::Starts(*n)));
+                    .for_each(|n| self.change(ScenarioEvent::Restart(*n)));
                 let (build, cap) = (o.build, o.caps[stage]);
-                self.change(Change::RolloutStatus(RolloutStatus {
+                self.change(ScenarioEvent::RolloutStatus(RolloutStatus {
                     build,
                     stage,
                     phase: RolloutPhase::Canary,
                     cap,
-                    since: ZERO,
+                    since: START,
                 }));
             }
             Some(stage) => {
                 self.stage = None;
-                self.played.offered.released = Some(now - ZERO);
+                self.played.rollout.released = Some(now - START);
                 let (build, stage) = (o.build, stage.saturating_sub(1));
-                self.change(Change::RolloutStatus(RolloutStatus {
+                self.change(ScenarioEvent::RolloutStatus(RolloutStatus {
                     build,
                     stage,
                     phase: RolloutPhase::Released,
                     cap: 1.0,
-                    since: ZERO,
+                    since: START,
                 }));
                 return;
             }
@@ -1004,16 +1025,19 @@
         };
         let mut asking = h.asking.clone();
         let now = self.now;
-        let at = match &self.day.clients {
-            Clients::Open => return,
-            Clients::Naive { pause, tries } => {
+        let at = match &self.day.client_behavior {
+            ClientBehavior::NoRetries => return,
+            ClientBehavior::FixedRetries {
+                pause,
+                max_attempts: tries,
+            } => {
                 let on = asking.tries.count < *tries && now + *pause < asking.tries.deadline;
                 on.then_some(now + *pause)
             }
-            Clients::Careful(_) => {
+            ClientBehavior::PolicyRetries(_) => {
                 let retry_after = self
                     .day
-                    .deployment
+                    .settings
                     .retry_after
                     .map(|t| t.min(Duration::from_millis(500)));
                 let ended = if rejected {
@@ -1052,19 +1076,19 @@
             Decision::Defer { until } => self.look(agent, id, until),
             Decision::Reject { .. } => {
                 let h = &self.agents[agent].held[&id];
-                let idempotency = self.day.deployment.classes[h.class].idempotency;
+                let idempotency = self.day.settings.classes[h.class].idempotency;
                 let ran = self.ran.get(&(agent, id)).is_some_and(|r| !r.is_empty());
                 if ran && idempotency == Idempotency::NonIdempotent {
                     self.played
-                        .broken
-                        .push(format!("rule 2: command {id} was denied and had run"));
+                        .violations
+                        .push(Violation::RejectedAfterRun { request: id });
                 }
                 self.played.rejected += 1;
                 self.ask_again(agent, id, true);
                 self.answered(agent, id);
             }
             Decision::Fail => {
-                self.played.scrapped += 1;
+                self.played.failed += 1;
                 self.ask_again(agent, id, false);
                 self.answered(agent, id);
             }
@@ -1082,8 +1106,8 @@
             .is_some_and(|h| !h.answered && now > h.deadline + SLACK);
         if late && self.agents[agent].stalled + SLACK < now {
             self.played
-                .broken
-                .push(format!("rule 1: command {id} is late"));
+                .violations
+                .push(Violation::OpenPastDeadline { request: id });
         }
     }
 
@@ -1100,14 +1124,14 @@
         };
         if h.answered {
             self.played
-                .broken
-                .push(format!("rule 1: command {id} has two answers"));
+                .violations
+                .push(Violation::AnsweredTwice { request: id });
         }
         h.answered = true;
         if self.now > h.deadline + SLACK && self.agents[agent].stalled + SLACK < self.now {
             self.played
-                .broken
-                .push(format!("rule 1: command {id} was answered late"));
+                .violations
+                .push(Violation::AnsweredLate { request: id });
         }
         self.forget(agent, id);
     }
@@ -1128,8 +1152,8 @@
         look: Option<Duration>,
     ) {
         let now = self.now;
-        let n = self.day.nodes[node].clone();
-        self.played.sends[node] += 1;
+        let n = self.day.endpoints[node].clone();
+        self.played.sends_by_endpoint[node] += 1;
         self.tell(agent, id, || {
             format!(
                 "goes to appliance {node} of zone {}, build {}",
@@ -1141,7 +1165,7 @@
         let a = &mut self.agents[agent];
         let Some(h) = a.held.get_mut(&id) else { return };
         let nth = h.out.len();
-        let idempotency = self.day.deployment.classes[h.class].idempotency;
+        let idempotency = self.day.settings.classes[h.class].idempotency;
         let grouped = matches!(
             idempotency,
             Idempotency::Keyed {
@@ -1169,7 +1193,11 @@
         let far = n.zone != a.zone;
         if far {
             let over = ticket.as_ref().and_then(|t| t.over);
-            self.played.crossings[agent].push((now - ZERO, h.class, over));
+            self.played.cross_zone_sends[agent].push(CrossZoneSend {
+                at: now - START,
+                class: h.class,
+                over_budget: over,
+            });
         }
         let connected = std::mem::replace(&mut a.warm[node], true);
         h.out.push(Out {
@@ -1184,16 +1212,16 @@
         let zone = a.zone;
         let second = self.second(agent);
         if far {
-            second.far += 1;
+            second.remote_sends += 1;
         } else {
-            second.near += 1;
+            second.local_sends += 1;
         }
-        let way = self.day.ways[zone][n.zone];
+        let way = self.day.link_delays[zone][n.zone];
         // A first connection goes there and back once before.
         let first = if connected {
             Duration::ZERO
         } else {
-            way + self.day.ways[n.zone][zone]
+            way + self.day.link_delays[n.zone][zone]
         };
         let life = self.running[node].life;
         if !self.lost(zone, n.zone) {
@@ -1236,37 +1264,39 @@
     }
 
     /// Rules 3, 4 (what comes to a cold one is checked as it comes) and 5.
-    fn check_send(&mut self, agent: usize, id: u64, node: usize, n: &Node) {
+    fn check_send(&mut self, agent: usize, id: u64, node: usize, n: &SimulatedEndpoint) {
         let (now, trial) = (self.now, self.on_trial(n.build));
-        let free = self.day.deployment.rollout.exposure_burst;
+        let free = self.day.settings.rollout.exposure_burst;
         let a = &mut self.agents[agent];
         if a.told.get(&node).is_some_and(|t| now > *t + DRAIN_GRACE) {
-            let what = format!(
-                "rule 3: command {id} went to appliance {node}, {:?}",
-                n.standing
-            );
-            self.played.broken.push(what);
+            let what = Violation::SentToLeaving {
+                request: id,
+                endpoint: node,
+                state: n.state,
+            };
+            self.played.violations.push(what);
         }
         if trial {
             a.exposed += 1.0;
             if a.exposed > free + 1e-6 {
-                self.played.broken.push(format!(
-                    "rule 5: agent {agent} exposes {:.2} above {free}",
-                    a.exposed
-                ));
+                self.played.violations.push(Violation::Overexposure {
+                    agent,
+                    exposed: a.exposed,
+                    burst: free,
+                });
             }
         }
         if let Some(h) = a.held.get(&id) {
             if h.answered {
                 self.played
-                    .broken
-                    .push(format!("rule 1: command {id} went out after its answer"));
+                    .violations
+                    .push(Violation::SentAfterAnswer { request: id });
             }
         }
     }
 
     fn capacity(&self, node: usize) -> f64 {
-        let (n, d) = (&self.day.nodes[node], &self.day.deployment);
+        let (n, d) = (&self.day.endpoints[node], &self.day.settings);
         let ramp = match n.started {
             Some(started) => {
                 let age = self.now.saturating_sub(started).as_secs_f64()
@@ -1275,14 +1305,14 @@
             }
             None => 1.0,
         };
-        n.cores as f64 * ramp / n.slowness
+        n.cores as f64 * ramp / n.work_factor
     }
 
     fn reach(&mut self, agent: usize, id: u64, nth: usize, node: usize, life: u64) {
-        let (now, n) = (self.now, self.day.nodes[node].clone());
+        let (now, n) = (self.now, self.day.endpoints[node].clone());
         let class = self.agents[agent].held.get(&id).map(|h| h.class);
         let Some(class) = class else { return };
-        if n.mute {
+        if n.unresponsive {
             return;
         }
         let refuse = |how| What::Back {
@@ -1291,13 +1321,15 @@
             nth,
             how,
         };
-        let back = now + self.day.ways[n.zone][self.agents[agent].zone];
-        if n.standing == EndpointState::Gone || self.running[node].life != life {
+        let back = now + self.day.link_delays[n.zone][self.agents[agent].zone];
+        if n.state == EndpointState::Gone || self.running[node].life != life {
             return self.at(back, refuse(How::Refused));
         }
         self.check_cold(node, class);
         let capacity = n.cores;
-        if self.running[node].busy.len() >= capacity && self.running[node].waits.len() >= n.queue {
+        if self.running[node].busy.len() >= capacity
+            && self.running[node].waits.len() >= n.queue_limit
+        {
             return self.at(back, refuse(How::TurnedAway));
         }
         self.check_run(agent, id, class, node);
@@ -1314,13 +1346,13 @@
 
     /// Rule 4: what came to a cold endpoint in the window against what it can do now.
     fn check_cold(&mut self, node: usize, class: usize) {
-        let (now, fall_for) = (self.now, self.day.deployment.overload_window);
-        let cold = |s: Duration| now < s + self.day.deployment.slow_start_duration;
-        if !self.day.nodes[node].started.is_some_and(cold) {
+        let (now, fall_for) = (self.now, self.day.settings.overload_window);
+        let cold = |s: Duration| now < s + self.day.settings.slow_start_duration;
+        if !self.day.endpoints[node].started.is_some_and(cold) {
             return;
         }
         let capacity = self.capacity(node);
-        let work = self.day.work[class].as_secs_f64();
+        let work = self.day.mean_work[class].as_secs_f64();
         let came = &mut self.running[node].work;
         came.push_back((now, work));
         while came.front().is_some_and(|w| w.0 + fall_for < now) {
@@ -1329,19 +1361,21 @@
         let sum: f64 = came.iter().map(|w| w.1).sum();
         let slack = 3.0 * (work * sum).sqrt() + 3.0 * work;
         if sum > FALL_MULTIPLE * capacity * fall_for.as_secs_f64() + slack {
-            self.played.broken.push(format!(
-                "rule 4: cold appliance {node} got {sum:.2} core-seconds"
-            ));
+            self.played.violations.push(Violation::SlowStartOverload {
+                endpoint: node,
+                work: sum,
+                window: fall_for,
+            });
         }
     }
 
     /// Rule 2, where it runs.
     fn check_run(&mut self, agent: usize, id: u64, class: usize, node: usize) {
-        let idempotency = self.day.deployment.classes[class].idempotency;
+        let idempotency = self.day.settings.classes[class].idempotency;
         if idempotency == Idempotency::Idempotent {
             return;
         }
-        let (now, zone) = (self.now, self.day.nodes[node].zone);
+        let (now, zone) = (self.now, self.day.endpoints[node].zone);
         let ran = self.ran.entry((agent, id)).or_default();
         for (other, at) in ran.iter() {
             let apart = match idempotency {
@@ -1350,30 +1384,30 @@
                     window,
                 } => {
                     let far =
-                        group != DeduplicationScope::All && self.day.nodes[*other].zone != zone;
+                        group != DeduplicationScope::All && self.day.endpoints[*other].zone != zone;
                     far || now > *at + window + SLACK
                 }
                 _ => true,
             };
             if apart {
                 self.played
-                    .broken
-                    .push(format!("rule 2: command {id} of lane {class} ran twice"));
+                    .violations
+                    .push(Violation::RanTwice { request: id, class });
             }
         }
         ran.push((node, now));
     }
 
     fn take_up(&mut self, node: usize) {
-        while self.running[node].busy.len() < self.day.nodes[node].cores {
+        while self.running[node].busy.len() < self.day.endpoints[node].cores {
             let Some(job) = self.running[node].waits.pop_front() else {
                 return;
             };
             let class = self.agents[job.agent].held.get(&job.id).map(|h| h.class);
             // It was withdrawn meanwhile.
             let Some(class) = class else { continue };
-            let speed = self.capacity(node) / self.day.nodes[node].cores as f64;
-            let mean = self.day.work[class].as_secs_f64();
+            let speed = self.capacity(node) / self.day.endpoints[node].cores as f64;
+            let mean = self.day.mean_work[class].as_secs_f64();
             let took = Duration::from_secs_f64(mean * self.drawn() / speed);
             let (slot, life) = (self.running[node].slots, self.running[node].life);
             self.running[node].slots += 1;
@@ -1384,12 +1418,12 @@
 
     /// The work of one request against the mean.
     fn drawn(&mut self) -> f64 {
-        self.day.steady - (1.0 - self.day.steady) * (1.0 - self.chance()).ln()
+        self.day.fixed_work_share - (1.0 - self.day.fixed_work_share) * (1.0 - self.chance()).ln()
     }
 
     /// Whether a way between two zones loses what goes over it now.
     fn lost(&mut self, from: usize, to: usize) -> bool {
-        from != to && self.day.loss > 0.0 && self.chance() < self.day.loss
+        from != to && self.day.link_loss > 0.0 && self.chance() < self.day.link_loss
     }
 
     fn done(&mut self, node: usize, life: u64, slot: u64) {
@@ -1399,15 +1433,15 @@
         let Some(Job { agent, id, nth }) = self.running[node].busy.remove(&slot) else {
             return;
         };
-        let fails = self.day.nodes[node].fails;
+        let fails = self.day.endpoints[node].failure_rate;
         let how = if self.chance() < fails {
             How::Failed
         } else {
             How::Succeeded
         };
-        let (from, to) = (self.day.nodes[node].zone, self.agents[agent].zone);
-        let way = self.day.ways[from][to];
-        if !self.day.nodes[node].mute && !self.lost(from, to) {
+        let (from, to) = (self.day.endpoints[node].zone, self.agents[agent].zone);
+        let way = self.day.link_delays[from][to];
+        if !self.day.endpoints[node].unresponsive && !self.lost(from, to) {
             self.at(
                 self.now + way,
                 What::Back {
@@ -1444,7 +1478,7 @@
         let took = now.saturating_sub(o.sent);
         let written = outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
         let back = if matches!(outcome, Outcome::Succeeded | Outcome::Failed) {
-            BYTES.1
+            ATTEMPT_BYTES.1
         } else {
             0
         };
@@ -1455,10 +1489,10 @@
             // Its connection is closed.
             a.warm[o.node] = false;
         }
-        debug_assert!(o.zone <= self.day.ways.len() && (o.connected || nth < h.out.len()));
+        debug_assert!(o.zone <= self.day.link_delays.len() && (o.connected || nth < h.out.len()));
         let ticket = h.out[nth].ticket.take();
         if let (Some(z), Some(ticket)) = (&mut a.zones, ticket) {
-            let out = if written { BYTES.0 } else { 0 };
+            let out = if written { ATTEMPT_BYTES.0 } else { 0 };
             z.ended(
                 now,
                 &ticket,
@@ -1493,16 +1527,16 @@
             let took = now.saturating_sub(taken);
             self.played.succeeded += 1;
             self.agents[agent].retries.succeeded(0);
-            let latency_objective = self.day.deployment.classes[class].latency_objective;
-            self.played.in_time += u64::from(took <= latency_objective);
+            let latency_objective = self.day.settings.classes[class].latency_objective;
+            self.played.within_objective += u64::from(took <= latency_objective);
             if now.saturating_sub(first_asked) <= latency_objective {
-                self.second(agent).good += 1;
+                self.second(agent).within_objective += 1;
             }
             let micros = took.as_micros().max(1) as u64;
-            self.played.times.saturating_record(micros);
+            self.played.latencies.saturating_record(micros);
             let second =
-                ((taken - ZERO).as_secs() as usize).min(self.played.second_times.len() - 1);
-            self.played.second_times[second].saturating_record(micros);
+                ((taken - START).as_secs() as usize).min(self.played.latencies_by_second.len() - 1);
+            self.played.latencies_by_second[second].saturating_record(micros);
             self.answered(agent, id);
         }
         self.obey(agent, id, answer);
@@ -1526,31 +1560,37 @@
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: ScenarioEvent) {
         let now = self.now;
         match change {
-            Change::Lists(node, standing) => {
-                self.day.nodes[node].standing = standing;
+            ScenarioEvent::SetState(node, standing) => {
+                self.day.endpoints[node].state = standing;
                 if standing == EndpointState::Gone {
                     self.fall(node);
                 }
                 self.list(node);
             }
-            Change::Starts(node) => {
+            ScenarioEvent::Restart(node) => {
                 self.fall(node);
-                let n = &mut self.day.nodes[node];
-                (n.standing, n.started, n.mute) = (EndpointState::Running, Some(now), false);
+                let n = &mut self.day.endpoints[node];
+                (n.state, n.started, n.unresponsive) = (EndpointState::Running, Some(now), false);
                 self.list(node);
             }
-            Change::Moves(node, zone) => {
+            ScenarioEvent::MoveToZone(node, zone) => {
                 self.fall(node);
-                self.day.nodes[node].zone = zone;
+                self.day.endpoints[node].zone = zone;
                 self.list(node);
             }
-            Change::Slows(node, slowness) => self.day.nodes[node].slowness = slowness,
-            Change::Fails(node, fails) => self.day.nodes[node].fails = fails,
-            Change::Mutes(node, mute) => self.day.nodes[node].mute = mute,
-            Change::RolloutStatus(rollout_status) => {
+            ScenarioEvent::SetWorkFactor(node, slowness) => {
+                self.day.endpoints[node].work_factor = slowness
+            }
+            ScenarioEvent::SetFailureRate(node, fails) => {
+                self.day.endpoints[node].failure_rate = fails
+            }
+            ScenarioEvent::SetUnresponsive(node, mute) => {
+                self.day.endpoints[node].unresponsive = mute
+            }
+            ScenarioEvent::RolloutStatus(rollout_status) => {
                 let rollout_status = RolloutStatus {
                     since: now,
                     ..rollout_status
@@ -1558,9 +1598,9 @@
                 self.rollout_status = Some(rollout_status.clone());
                 self.tell_later(Tell::RolloutStatus(rollout_status));
             }
-            Change::Rate(rate) => self.day.rate = rate,
-            Change::Stalls(agent, span) => self.agents[agent].stalled = now + span,
-            Change::Zoning(agent, zoning) => {
+            ScenarioEvent::SetRequestRate(rate) => self.day.request_rate = rate,
+            ScenarioEvent::StallAgent(agent, span) => self.agents[agent].stalled = now + span,
+            ScenarioEvent::SetZoning(agent, zoning) => {
                 let a = &mut self.agents[agent];
                 if let Some(z) = &mut a.zones {
                     // Zones and classes are those of before, which is all that is refused.
@@ -1571,7 +1611,7 @@
                     }
                 }
             }
-            Change::Link(from, to, way) => self.day.ways[from][to] = way,
+            ScenarioEvent::SetLinkDelay(from, to, way) => self.day.link_delays[from][to] = way,
         }
     }
 
@@ -1591,17 +1631,17 @@
     }
 
     fn list(&mut self, node: usize) {
-        let entry = listed(&self.day.nodes, node);
+        let entry = listed(&self.day.endpoints, node);
         self.tell_later(Tell::List(node, entry));
     }
 
     fn tell_later(&mut self, tell: Tell) {
         self.tells.push(tell);
         let n = self.tells.len() - 1;
-        if self.day.told_late.is_zero() {
+        if self.day.notification_delay.is_zero() {
             self.told(n);
         } else {
-            self.at(self.now + self.day.told_late, What::Tell(n));
+            self.at(self.now + self.day.notification_delay, What::Tell(n));
         }
     }
 
@@ -1612,7 +1652,11 @@
             Tell::RolloutStatus(rollout_status) => {
                 self.told = Some(rollout_status.clone());
                 self.caps();
-                let cap = self.day.lies.cap.unwrap_or(rollout_status.cap);
+                let cap = self
+                    .day
+                    .injected_faults
+                    .reported_cap
+                    .unwrap_or(rollout_status.cap);
                 for a in &mut self.agents {
                     a.choice.update_rollout(RolloutStatus {
                         cap,
@@ -1622,9 +1666,9 @@
                 return;
             }
         };
-        let lies = &self.day.lies;
-        entry.started = entry.started.filter(|_| !lies.warm);
-        let silent = lies.deaf && entry.state != EndpointState::Running;
+        let lies = &self.day.injected_faults;
+        entry.started = entry.started.filter(|_| !lies.hide_cold_starts);
+        let silent = lies.hide_drains && entry.state != EndpointState::Running;
         for a in &mut self.agents {
             if !silent {
                 a.choice
@@ -1638,7 +1682,7 @@
     }
 }
 
-fn listed(nodes: &[Node], endpoint: usize) -> EndpointEntry {
+fn listed(nodes: &[SimulatedEndpoint], endpoint: usize) -> EndpointEntry {
     let n = &nodes[endpoint];
     EndpointEntry {
         endpoint,
@@ -1647,7 +1691,7 @@
         identity: endpoint as u64,
         endpoint_type: 0,
         build: n.build,
-        state: n.standing,
+        state: n.state,
         started: n.started,
     }
 }
--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_testkit::day;
+use tulipwall_testkit::simulation;
 use tulipwall_zones::*;
 
 fn ms(n: u64) -> Duration {
@@ -17,7 +17,7 @@
     };
     Settings {
         agents: 3,
-        ..day::deployment((0..classes).map(|_| class()).collect())
+        ..simulation::default_settings((0..classes).map(|_| class()).collect())
     }
 }
 
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -9,7 +9,9 @@
 use agent::Agent;
 use std::time::{Duration, Instant};
 use tulipwall::*;
-use tulipwall_testkit::day::{self, Caller, Change, Day, Node, Played};
+use tulipwall_testkit::simulation::{
+    self, ScenarioEvent, SimulatedAgent, SimulatedEndpoint, Simulation, SimulationReport,
+};
 use tulipwall_zones::*;
 
 const SEEDS: std::ops::Range<u64> = 1..6;
@@ -23,63 +25,67 @@
 }
 
 fn zoning(own: usize, budgets: Vec<Budget>) -> Zoning {
-    day::zoning(&day::classes(), own, 2, budgets)
+    simulation::default_zoning(&simulation::classes(), own, 2, budgets)
 }
 
 /// Three agents, two in zone 0 and one in zone 1; six endpoints of four cores in each zone; a way
 /// of 2 ms.
-fn world(seed: u64, zoned: bool, script: Vec<(Duration, Change)>, span: u64) -> Day {
-    let agent = |zone, part| Caller {
+fn world(seed: u64, zoned: bool, script: Vec<(Duration, ScenarioEvent)>, span: u64) -> Simulation {
+    let agent = |zone, part| SimulatedAgent {
         zone,
-        part,
+        load_share: part,
         zoning: zoned.then(|| zoning(zone, Vec::new())),
     };
-    let nodes = (0..12).map(|i| Node::new(i / 6, 41, 4)).collect();
+    let nodes = (0..12)
+        .map(|i| SimulatedEndpoint::new(i / 6, 41, 4))
+        .collect();
     let agents = vec![agent(0, 1.0), agent(0, 0.5), agent(1, 1.0)];
-    Day {
-        script,
-        ..Day::small(agents, nodes, 1200.0, s(span), seed)
+    Simulation {
+        events: script,
+        ..Simulation::small(agents, nodes, 1200.0, s(span), seed)
     }
 }
 
-fn calm() -> Vec<(Duration, Change)> {
+fn calm() -> Vec<(Duration, ScenarioEvent)> {
     Vec::new()
 }
 
 /// Three of the six near endpoints vanish without a word for 20 s, then are delisted, then return
 /// cold.
-fn half_lost() -> Vec<(Duration, Change)> {
-    let mut script: Vec<_> = (0..3).map(|n| (s(10), Change::Mutes(n, true))).collect();
-    script.extend((0..3).map(|n| (s(20), Change::Lists(n, EndpointState::Gone))));
-    script.extend((0..3).map(|n| (s(35), Change::Starts(n))));
+fn half_lost() -> Vec<(Duration, ScenarioEvent)> {
+    let mut script: Vec<_> = (0..3)
+        .map(|n| (s(10), ScenarioEvent::SetUnresponsive(n, true)))
+        .collect();
+    script.extend((0..3).map(|n| (s(20), ScenarioEvent::SetState(n, EndpointState::Gone))));
+    script.extend((0..3).map(|n| (s(35), ScenarioEvent::Restart(n))));
     script
 }
 
 /// Zone 0 is slower by ten times in each other second, for 30 s.
-fn flapping() -> Vec<(Duration, Change)> {
+fn flapping() -> Vec<(Duration, ScenarioEvent)> {
     let slow = |n: u64| if n.is_multiple_of(2) { 10.0 } else { 1.0 };
     (0..30)
-        .flat_map(|n| (0..6).map(move |i| (s(10 + n), Change::Slows(i, slow(n)))))
+        .flat_map(|n| (0..6).map(move |i| (s(10 + n), ScenarioEvent::SetWorkFactor(i, slow(n)))))
         .collect()
 }
 
 /// All of zone 0 drains in one second, and returns cold fifteen seconds later.
-fn drained() -> Vec<(Duration, Change)> {
+fn drained() -> Vec<(Duration, ScenarioEvent)> {
     let mut script: Vec<_> = (0..6)
         .map(|n| {
             (
                 ms(10_000 + n as u64 * 100),
-                Change::Lists(n, EndpointState::Draining),
+                ScenarioEvent::SetState(n, EndpointState::Draining),
             )
         })
         .collect();
-    script.extend((0..6).map(|n| (s(25), Change::Starts(n))));
+    script.extend((0..6).map(|n| (s(25), ScenarioEvent::Restart(n))));
     script
 }
 
 /// What crosses, and what that gives, as means over the seeds with the least and the most of p99.
 fn days() {
-    type Script = Vec<(Duration, Change)>;
+    type Script = Vec<(Duration, ScenarioEvent)>;
     type Kind = (&'static str, fn() -> Script);
     let kinds: [Kind; 4] = [
         ("calm", calm),
@@ -91,24 +97,24 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (name, script) in kinds {
         for zoned in [false, true] {
-            let played: Vec<Played> = SEEDS
-                .map(|seed| world(seed, zoned, script(), 50).play())
+            let played: Vec<SimulationReport> = SEEDS
+                .map(|seed| world(seed, zoned, script(), 50).run())
                 .collect();
-            let mean = |of: &dyn Fn(&Played) -> f64| {
+            let mean = |of: &dyn Fn(&SimulationReport) -> f64| {
                 played.iter().map(of).sum::<f64>() / played.len() as f64
             };
             let p99: Vec<f64> = played.iter().map(|p| p.quantile_ms(0.99)).collect();
             println!(
                 "| {name} | {} | {:.3} | {:.4} | {:.1} | {:.1} ({:.1} to {:.1}) | {:.1} | {} |",
                 if zoned { "with zones" } else { "before" },
-                mean(&Played::crossed),
-                mean(&|p| p.in_time as f64 / p.taken as f64),
+                mean(&SimulationReport::cross_zone_share),
+                mean(&|p| p.within_objective as f64 / p.requests as f64),
                 mean(&|p| p.quantile_ms(0.5)),
                 mean(&|p| p.quantile_ms(0.99)),
                 p99.iter().copied().fold(f64::MAX, f64::min),
                 p99.iter().copied().fold(0.0, f64::max),
-                mean(&Played::turns_per_minute),
-                played.iter().map(|p| p.broken.len()).sum::<usize>(),
+                mean(&SimulationReport::direction_changes_per_minute),
+                played.iter().map(|p| p.violations.len()).sum::<usize>(),
             );
         }
     }
@@ -124,10 +130,10 @@
         (Limit::Attempts(2000.0), "2000 deliveries"),
         (Limit::Share(0.1), "a tenth of what is taken"),
     ] {
-        let played: Vec<Played> = SEEDS
+        let played: Vec<SimulationReport> = SEEDS
             .map(|seed| {
                 let mut d = world(seed, true, Vec::new(), 30);
-                d.nodes.truncate(8); // four near ones and two far: near cannot bear it
+                d.endpoints.truncate(8); // four near ones and two far: near cannot bear it
                 let budget = Budget {
                     name: "all".into(),
                     to: None,
@@ -137,23 +143,23 @@
                     part: 0.1,
                 };
                 d.agents = parts
-                    .map(|part| Caller {
+                    .map(|part| SimulatedAgent {
                         zone: 0,
-                        part,
+                        load_share: part,
                         zoning: Some(zoning(0, vec![budget.clone()])),
                     })
                     .to_vec();
-                d.rate = 1300.0;
-                d.play()
+                d.request_rate = 1300.0;
+                d.run()
             })
             .collect();
-        let most = |p: &Played| {
+        let most = |p: &SimulationReport| {
             let mut all: Vec<Duration> = p
-                .crossings
+                .cross_zone_sends
                 .iter()
                 .flatten()
-                .filter(|c| c.2.is_none())
-                .map(|c| c.0)
+                .filter(|c| c.over_budget.is_none())
+                .map(|c| c.at)
                 .collect();
             all.sort();
             let (mut from, mut most) = (0, 0);
@@ -164,18 +170,18 @@
                 most = most.max(to - from + 1);
             }
             match limit {
-                Limit::Share(_) => all.len() as f64 / p.taken as f64,
+                Limit::Share(_) => all.len() as f64 / p.requests as f64,
                 _ => most as f64,
             }
         };
         let mosts: Vec<f64> = played.iter().map(most).collect();
-        let over: usize = played.iter().map(Played::over).sum();
-        let answered: u64 = played.iter().map(|p| p.taken - p.never).sum();
+        let over: usize = played.iter().map(SimulationReport::over_budget_sends).sum();
+        let answered: u64 = played.iter().map(|p| p.requests - p.unanswered).sum();
         println!(
             "| {label} | 5 s | {:.3} to {:.3} | {over} | {answered} of {} |",
             mosts.iter().copied().fold(f64::MAX, f64::min),
             mosts.iter().copied().fold(0.0, f64::max),
-            played.iter().map(|p| p.taken).sum::<u64>(),
+            played.iter().map(|p| p.requests).sum::<u64>(),
         );
     }
 }
--- a/crates/zones/tests/days.rs
+++ b/crates/zones/tests/days.rs
@@ -3,7 +3,9 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_testkit::day::{self, Caller, Change, Day, Node, Played};
+use tulipwall_testkit::simulation::{
+    self, ScenarioEvent, SimulatedAgent, SimulatedEndpoint, Simulation, SimulationReport,
+};
 use tulipwall_zones::*;
 
 fn ms(n: u64) -> Duration {
@@ -19,7 +21,7 @@
 const PAYMENT: usize = 2;
 
 fn zoning(own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
-    day::zoning(&day::classes(), own, zones, budgets)
+    simulation::default_zoning(&simulation::classes(), own, zones, budgets)
 }
 
 fn budget(limit: Limit, window: Duration) -> Budget {
@@ -39,111 +41,123 @@
 }
 
 /// One agent in zone 0 of two, with four endpoints in each, at half of what near can bear.
-fn world(seed: u64, budgets: Vec<Budget>) -> Day {
-    let agent = Caller {
+fn world(seed: u64, budgets: Vec<Budget>) -> Simulation {
+    let agent = SimulatedAgent {
         zone: 0,
-        part: 1.0,
+        load_share: 1.0,
         zoning: Some(zoning(0, 2, budgets)),
     };
-    Day::small(
+    Simulation::small(
         vec![agent],
-        (0..8).map(|i| Node::new(i / 4, 41, 4)).collect(),
+        (0..8)
+            .map(|i| SimulatedEndpoint::new(i / 4, 41, 4))
+            .collect(),
         380.0,
         s(20),
         seed,
     )
 }
 
-fn kept(p: &Played) {
+fn kept(p: &SimulationReport) {
     assert!(
-        p.broken.is_empty(),
+        p.violations.is_empty(),
         "{:?}",
-        &p.broken[..p.broken.len().min(5)]
+        &p.violations[..p.violations.len().min(5)]
     );
-    assert_eq!(p.never, 0);
+    assert_eq!(p.unanswered, 0);
 }
 
 /// Over-budget crossings by reason, between two times.
-fn over(p: &Played, why: Reason, from: Duration, to: Duration) -> usize {
+fn over(p: &SimulationReport, why: Reason, from: Duration, to: Duration) -> usize {
     let within =
-        |c: &&(Duration, usize, Option<Reason>)| c.0 >= from && c.0 < to && c.2 == Some(why);
-    p.crossings.iter().flatten().filter(within).count()
+        |c: &&simulation::CrossZoneSend| c.at >= from && c.at < to && c.over_budget == Some(why);
+    p.cross_zone_sends.iter().flatten().filter(within).count()
 }
 
 fn lists(
     from: u64,
     nodes: std::ops::Range<usize>,
     standing: EndpointState,
-) -> Vec<(Duration, Change)> {
+) -> Vec<(Duration, ScenarioEvent)> {
     nodes
-        .map(|n| (ms(from), Change::Lists(n, standing)))
+        .map(|n| (ms(from), ScenarioEvent::SetState(n, standing)))
         .collect()
 }
 
 #[test]
 fn near_first_while_near_has_room_and_over_by_degrees_as_it_fills() {
     let mut d = world(1, Vec::new());
-    d.span = s(40);
+    d.duration = s(40);
     // Twice what near can bear, then as before.
-    d.script = vec![(s(10), Change::Rate(1000.0)), (s(20), Change::Rate(380.0))];
-    let p = d.play();
+    d.events = vec![
+        (s(10), ScenarioEvent::SetRequestRate(1000.0)),
+        (s(20), ScenarioEvent::SetRequestRate(380.0)),
+    ];
+    let p = d.run();
     kept(&p);
     assert!(
-        p.crossed_between(3, 10) < 0.03,
+        p.cross_zone_share_between(3, 10) < 0.03,
         "{}",
-        p.crossed_between(3, 10)
+        p.cross_zone_share_between(3, 10)
     );
     assert!(
-        p.crossed_between(12, 20) > 0.2,
+        p.cross_zone_share_between(12, 20) > 0.2,
         "{}",
-        p.crossed_between(12, 20)
+        p.cross_zone_share_between(12, 20)
     );
     assert!(
-        p.crossed_between(34, 40) < 0.06,
+        p.cross_zone_share_between(34, 40) < 0.06,
         "{}",
-        p.crossed_between(34, 40)
+        p.cross_zone_share_between(34, 40)
     );
     assert!(
-        p.in_time as f64 > 0.97 * p.taken as f64,
+        p.within_objective as f64 > 0.97 * p.requests as f64,
         "{} of {}",
-        p.in_time,
-        p.taken
+        p.within_objective,
+        p.requests
     );
 }
 
 #[test]
 fn all_near_drain_in_a_burst_with_the_budget_spent() {
     let mut d = world(2, nothing());
-    d.script = vec![(s(8), Change::Rate(600.0))];
-    d.script
+    d.events = vec![(s(8), ScenarioEvent::SetRequestRate(600.0))];
+    d.events
         .extend(lists(10_000, 0..4, EndpointState::Draining));
-    let p = d.play();
+    let p = d.run();
     kept(&p);
     // Near had room before: nothing went over by choice. From the drain on all of it does, and says
     // why.
-    assert_eq!(p.crossings[0].iter().filter(|c| c.0 < s(8)).count(), 0);
+    assert_eq!(
+        p.cross_zone_sends[0].iter().filter(|c| c.at < s(8)).count(),
+        0
+    );
     let drained = over(&p, Reason::Drained, s(10), s(20));
     assert!(drained > 5000, "{drained}");
-    let payments = p.crossings[0].iter().filter(|c| c.1 == PAYMENT).count();
+    let payments = p.cross_zone_sends[0]
+        .iter()
+        .filter(|c| c.class == PAYMENT)
+        .count();
     assert!(
         payments > 300,
         "unrepeatable commands among them: {payments}"
     );
     assert!(
-        p.succeeded as f64 > 0.99 * p.taken as f64,
+        p.succeeded as f64 > 0.99 * p.requests as f64,
         "{} of {}",
         p.succeeded,
-        p.taken
+        p.requests
     );
 }
 
 #[test]
 fn near_returns_cold_with_the_budget_spent() {
     let mut d = world(3, nothing());
-    d.span = s(30);
-    d.script = lists(8000, 0..4, EndpointState::Gone);
-    d.script.extend((0..4).map(|n| (s(14), Change::Starts(n))));
-    let p = d.play();
+    d.duration = s(30);
+    d.events = lists(8000, 0..4, EndpointState::Gone);
+    d.events
+        .extend((0..4).map(|n| (s(14), ScenarioEvent::Restart(n))));
+    let p = d.run();
     // Rule 4 is among those kept: it was not given all at once.
     kept(&p);
     assert!(over(&p, Reason::NoNear, s(8), s(14)) > 1500);
@@ -153,25 +167,27 @@
         over(&p, Reason::Cold, s(14), s(19))
     );
     assert!(
-        p.crossed_between(24, 30) < 0.02,
+        p.cross_zone_share_between(24, 30) < 0.02,
         "{}",
-        p.crossed_between(24, 30)
+        p.cross_zone_share_between(24, 30)
     );
-    assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
+    assert!(p.succeeded as f64 > 0.99 * p.requests as f64);
 }
 
 #[test]
 fn when_a_zone_is_lost_the_spill_does_not_push_over_the_cold_ones_of_the_other() {
     let mut d = world(4, Vec::new());
-    d.rate = 550.0;
-    d.script = (4..6).map(|n| (ms(7500), Change::Starts(n))).collect();
-    d.script.extend(lists(8000, 0..4, EndpointState::Gone));
-    let cold = |p: &Played| p.sends[4] + p.sends[5];
-    let p = d.clone().play();
+    d.request_rate = 550.0;
+    d.events = (4..6)
+        .map(|n| (ms(7500), ScenarioEvent::Restart(n)))
+        .collect();
+    d.events.extend(lists(8000, 0..4, EndpointState::Gone));
+    let cold = |p: &SimulationReport| p.sends_by_endpoint[4] + p.sends_by_endpoint[5];
+    let p = d.clone().run();
     kept(&p);
     // Without the part that cold ones are told, they get more.
     d.agents[0].zoning = None;
-    let before = d.play();
+    let before = d.run();
     assert!(
         cold(&p) < cold(&before),
         "{} against {}",
@@ -180,17 +196,20 @@
     );
 }
 
-fn trial_in_far_only(fails: f64) -> Played {
+fn trial_in_far_only(fails: f64) -> SimulationReport {
     let mut d = world(5, nothing());
-    d.span = s(40);
-    let mut far = Node::new(1, 42, 4);
-    far.fails = fails;
-    far.standing = EndpointState::Gone;
-    d.nodes.extend([far.clone(), far]);
+    d.duration = s(40);
+    let mut far = SimulatedEndpoint::new(1, 42, 4);
+    far.failure_rate = fails;
+    far.state = EndpointState::Gone;
+    d.endpoints.extend([far.clone(), far]);
     // A slow link, stated: answers over it are far from quick.
-    d.ways[0][1] = ms(25);
-    d.ways[1][0] = ms(25);
-    d.script = vec![(s(9), Change::Starts(8)), (s(9), Change::Starts(9))];
+    d.link_delays[0][1] = ms(25);
+    d.link_delays[1][0] = ms(25);
+    d.events = vec![
+        (s(9), ScenarioEvent::Restart(8)),
+        (s(9), ScenarioEvent::Restart(9)),
+    ];
     let stage = |stage: usize, cap| RolloutStatus {
         build: 42,
         stage,
@@ -198,10 +217,11 @@
         cap,
         since: Duration::ZERO,
     };
-    d.script.push((s(9), Change::RolloutStatus(stage(0, 0.08))));
-    d.script
-        .push((s(20), Change::RolloutStatus(stage(1, 0.25))));
-    d.play()
+    d.events
+        .push((s(9), ScenarioEvent::RolloutStatus(stage(0, 0.08))));
+    d.events
+        .push((s(20), ScenarioEvent::RolloutStatus(stage(1, 0.25))));
+    d.run()
 }
 
 #[test]
@@ -229,18 +249,22 @@
 fn an_id_that_returns_in_another_zone_is_of_that_zone() {
     let mut d = world(6, nothing());
     // All near ones return in the other zone at the same build, without a gap.
-    d.script = (0..4).map(|n| (s(10), Change::Moves(n, 1))).collect();
-    let p = d.play();
+    d.events = (0..4)
+        .map(|n| (s(10), ScenarioEvent::MoveToZone(n, 1)))
+        .collect();
+    let p = d.run();
     kept(&p);
-    assert!(p.seconds[0][12].near == 0 && p.seconds[0][12].far > 300);
+    assert!(
+        p.counts_by_second[0][12].local_sends == 0 && p.counts_by_second[0][12].remote_sends > 300
+    );
     assert!(over(&p, Reason::NoNear, s(11), s(20)) > 3000);
 }
 
 #[test]
 fn a_list_without_zones_is_a_link_of_its_own() {
     let mut d = world(7, nothing());
-    d.nodes.iter_mut().for_each(|n| n.zone = 2); // as an agent numbers what it has no name for
-    let p = d.play();
+    d.endpoints.iter_mut().for_each(|n| n.zone = 2); // as an agent numbers what it has no name for
+    let p = d.run();
     kept(&p);
     let zones = p.zones[0].as_ref().unwrap();
     let rows: Vec<_> = zones.account().rows().collect();
@@ -248,7 +272,7 @@
         rows.iter().all(|(k, _)| k.to == 2),
         "neither near nor of another zone"
     );
-    assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
+    assert!(p.succeeded as f64 > 0.99 * p.requests as f64);
     let names = Names {
         zones: vec!["a".into(), "b".into()],
         ..Names::default()
@@ -259,19 +283,19 @@
 #[test]
 fn an_agent_in_a_zone_with_no_appliance_serves_from_the_others() {
     let mut d = world(8, nothing());
-    d.nodes.iter_mut().for_each(|n| n.zone = 1);
-    let p = d.play();
+    d.endpoints.iter_mut().for_each(|n| n.zone = 1);
+    let p = d.run();
     kept(&p);
-    assert!(over(&p, Reason::NoNear, s(0), s(20)) as f64 > 0.95 * p.taken as f64);
-    assert!(p.succeeded as f64 > 0.99 * p.taken as f64);
+    assert!(over(&p, Reason::NoNear, s(0), s(20)) as f64 > 0.95 * p.requests as f64);
+    assert!(p.succeeded as f64 > 0.99 * p.requests as f64);
 }
 
 /// The most that was spent by choice in any window of this length.
-fn most_in_window(p: &Played, agent: usize, window: Duration) -> usize {
-    let times: Vec<Duration> = p.crossings[agent]
+fn most_in_window(p: &SimulationReport, agent: usize, window: Duration) -> usize {
+    let times: Vec<Duration> = p.cross_zone_sends[agent]
         .iter()
-        .filter(|c| c.2.is_none())
-        .map(|c| c.0)
+        .filter(|c| c.over_budget.is_none())
+        .map(|c| c.at)
         .collect();
     let (mut from, mut most) = (0, 0);
     for to in 0..times.len() {
@@ -286,9 +310,9 @@
 #[test]
 fn an_agent_that_stalls_does_not_spend_a_window_at_once() {
     let mut d = world(9, vec![budget(Limit::Attempts(200.0), s(2))]);
-    d.rate = 900.0; // more than near bears: the budget is always wanted
-    d.script = vec![(s(10), Change::Stalls(0, s(2)))];
-    let p = d.play();
+    d.request_rate = 900.0; // more than near bears: the budget is always wanted
+    d.events = vec![(s(10), ScenarioEvent::StallAgent(0, s(2)))];
+    let p = d.run();
     kept(&p);
     let most = most_in_window(&p, 0, s(2));
     assert!((100..=200).contains(&most), "{most}");
@@ -297,48 +321,49 @@
 #[test]
 fn near_that_flaps_each_second_does_not_make_commands_swing() {
     let mut d = world(10, Vec::new());
-    d.span = s(75);
+    d.duration = s(75);
     // Slower by ten times in each other second, for 30 s.
     for n in 0..30 {
         let slowness = if n % 2 == 0 { 10.0 } else { 1.0 };
-        d.script
-            .extend((0..4).map(|i| (s(8 + n), Change::Slows(i, slowness))));
+        d.events
+            .extend((0..4).map(|i| (s(8 + n), ScenarioEvent::SetWorkFactor(i, slowness))));
     }
-    let p = d.clone().play();
+    let p = d.clone().run();
     kept(&p);
     d.agents[0].zoning = None;
-    let before = d.play();
+    let before = d.run();
     assert!(
-        p.turns_per_minute() <= 6.0,
+        p.direction_changes_per_minute() <= 6.0,
         "{} a minute",
-        p.turns_per_minute()
+        p.direction_changes_per_minute()
     );
     assert!(
-        p.in_time >= before.in_time,
+        p.within_objective >= before.within_objective,
         "{} in time, {} before",
-        p.in_time,
-        before.in_time
+        p.within_objective,
+        before.within_objective
     );
     // Back once it is calm: after the longest calm span and some seconds of falling.
     assert!(
-        p.crossed_between(65, 75) < 0.1,
+        p.cross_zone_share_between(65, 75) < 0.1,
         "{}",
-        p.crossed_between(65, 75)
+        p.cross_zone_share_between(65, 75)
     );
 }
 
 #[test]
 fn a_budget_lowered_in_a_burst_holds_at_once() {
     let mut d = world(11, vec![budget(Limit::Attempts(3000.0), s(4))]);
-    d.rate = 900.0;
+    d.request_rate = 900.0;
     let lower = zoning(0, 2, vec![budget(Limit::Attempts(40.0), s(4))]);
-    d.script = vec![(s(10), Change::Zoning(0, lower))];
-    let p = d.play();
+    d.events = vec![(s(10), ScenarioEvent::SetZoning(0, lower))];
+    let p = d.run();
     kept(&p);
     let by_choice = |from: u64, to: u64| {
-        let within =
-            |c: &&(Duration, usize, Option<Reason>)| c.0 >= s(from) && c.0 < s(to) && c.2.is_none();
-        p.crossings[0].iter().filter(within).count()
+        let within = |c: &&simulation::CrossZoneSend| {
+            c.at >= s(from) && c.at < s(to) && c.over_budget.is_none()
+        };
+        p.cross_zone_sends[0].iter().filter(within).count()
     };
     assert!(by_choice(6, 10) > 300, "{}", by_choice(6, 10));
     // What was spent before counts: nothing more until that window has passed, then the lower one
@@ -371,21 +396,21 @@
     // From a fortieth to a third of the load, one idle; more than near bears.
     let parts = [40.0, 20.0, 12.0, 10.0, 8.0, 5.0, 3.0, 1.5, 0.5, 0.0];
     d.agents = parts
-        .map(|part| Caller {
+        .map(|part| SimulatedAgent {
             zone: 0,
-            part,
+            load_share: part,
             zoning: Some(zoning(0, 2, one())),
         })
         .to_vec();
-    d.rate = 900.0;
-    let p = d.play();
+    d.request_rate = 900.0;
+    let p = d.run();
     kept(&p);
     let mut all: Vec<Duration> = p
-        .crossings
+        .cross_zone_sends
         .iter()
         .flatten()
-        .filter(|c| c.2.is_none())
-        .map(|c| c.0)
+        .filter(|c| c.over_budget.is_none())
+        .map(|c| c.at)
         .collect();
     all.sort();
     let most = all
@@ -398,40 +423,40 @@
     let mut shares = world(12, Vec::new());
     let share = || vec![budget(Limit::Share(0.1), s(5))];
     shares.agents = parts
-        .map(|part| Caller {
+        .map(|part| SimulatedAgent {
             zone: 0,
-            part,
+            load_share: part,
             zoning: Some(zoning(0, 2, share())),
         })
         .to_vec();
-    shares.rate = 900.0;
-    let p = shares.play();
+    shares.request_rate = 900.0;
+    let p = shares.run();
     kept(&p);
     let by_choice = p
-        .crossings
+        .cross_zone_sends
         .iter()
         .flatten()
-        .filter(|c| c.2.is_none())
+        .filter(|c| c.over_budget.is_none())
         .count();
     assert!(
-        by_choice as f64 <= 0.1 * p.taken as f64,
+        by_choice as f64 <= 0.1 * p.requests as f64,
         "{by_choice} of {}",
-        p.taken
+        p.requests
     );
 }
 
 #[test]
 fn when_it_runs_short_least_benefit_stays_near_first_and_copies_before_first_deliveries() {
     let mut d = world(13, vec![budget(Limit::Attempts(300.0), s(3))]);
-    d.rate = 800.0;
-    let p = d.play();
+    d.request_rate = 800.0;
+    let p = d.run();
     kept(&p);
     let part = |class: usize, weight: f64| {
-        let crossed = p.crossings[0]
+        let crossed = p.cross_zone_sends[0]
             .iter()
-            .filter(|c| c.1 == class && c.2.is_none())
+            .filter(|c| c.class == class && c.over_budget.is_none())
             .count();
-        crossed as f64 / (p.taken as f64 * weight)
+        crossed as f64 / (p.requests as f64 * weight)
     };
     let (view, send, payment) = (part(VIEW, 0.45), part(SEND, 0.45), part(PAYMENT, 0.1));
     assert!(payment > send && send > view, "{payment} {send} {view}");
@@ -446,14 +471,14 @@
 #[test]
 fn bytes_and_money_are_charged_as_the_socket_counted_them() {
     let mut d = world(14, vec![budget(Limit::Bytes(40_000.0), s(4))]);
-    d.rate = 900.0;
+    d.request_rate = 900.0;
     let z = d.agents[0].zoning.as_mut().unwrap();
     z.links[1].price = Price {
         attempt: 0.01,
         out_gib: 1.0,
         in_gib: 2.0,
     };
-    let p = d.play();
+    let p = d.run();
     kept(&p);
     let account = p.zones[0].as_ref().unwrap().account();
     let far = || {
@@ -483,14 +508,14 @@
 fn of_three_unequal_zones_the_quicker_far_one_takes_more_also_when_one_way_is_slow() {
     let mut d = world(15, Vec::new());
     d.agents[0].zoning = Some(zoning(0, 3, Vec::new()));
-    d.nodes = (0..9)
-        .map(|i| Node::new([0, 0, 1, 1, 1, 1, 1, 2, 2][i], 41, 4))
+    d.endpoints = (0..9)
+        .map(|i| SimulatedEndpoint::new([0, 0, 1, 1, 1, 1, 1, 2, 2][i], 41, 4))
         .collect();
     // Quick on the way there, slow on the way back: only the whole way counts.
-    d.ways[1][0] = ms(60);
-    d.rate = 600.0;
-    d.span = s(30);
-    let p = d.play();
+    d.link_delays[1][0] = ms(60);
+    d.request_rate = 600.0;
+    d.duration = s(30);
+    let p = d.run();
     kept(&p);
     let zones = p.zones[0].as_ref().unwrap();
     let sent = |to: u16| {
@@ -508,26 +533,28 @@
         sent(1)
     );
     assert!(
-        p.in_time as f64 > 0.95 * p.taken as f64,
+        p.within_objective as f64 > 0.95 * p.requests as f64,
         "{} of {}",
-        p.in_time,
-        p.taken
+        p.within_objective,
+        p.requests
     );
 }
 
 #[test]
 fn a_budget_costs_no_answer_when_only_the_far_side_can_answer_in_time() {
     let mut d = world(16, nothing());
-    d.span = s(30);
+    d.duration = s(30);
     // Near stays listed, warm and awake, but crawls.
-    d.script = (0..4).map(|n| (s(8), Change::Slows(n, 30.0))).collect();
-    let p = d.clone().play();
+    d.events = (0..4)
+        .map(|n| (s(8), ScenarioEvent::SetWorkFactor(n, 30.0)))
+        .collect();
+    let p = d.clone().run();
     kept(&p);
     d.agents[0].zoning = Some(zoning(0, 2, Vec::new()));
-    let free = d.play();
+    let free = d.run();
     let (with, without) = (
-        p.succeeded as f64 / p.taken as f64,
-        free.succeeded as f64 / free.taken as f64,
+        p.succeeded as f64 / p.requests as f64,
+        free.succeeded as f64 / free.requests as f64,
     );
     assert!(
         with > without - 0.01,
@@ -556,39 +583,39 @@
             own: 1,
             ..zoned.clone()
         };
-        d.agents.push(Caller {
+        d.agents.push(SimulatedAgent {
             zone: 1,
-            part: rng.gen_range(0.1..2.0),
+            load_share: rng.gen_range(0.1..2.0),
             zoning: Some(other),
         });
-        (d.rate, d.span) = (rng.gen_range(200.0..900.0), s(16));
+        (d.request_rate, d.duration) = (rng.gen_range(200.0..900.0), s(16));
         for _ in 0..rng.gen_range(3..14) {
             let (at, n) = (ms(rng.gen_range(2000..15_000)), rng.gen_range(0..8));
             let change = match rng.gen_range(0..9) {
-                0 => Change::Lists(n, EndpointState::Draining),
-                1 => Change::Lists(n, EndpointState::Gone),
-                2 => Change::Starts(n),
-                3 => Change::Moves(n, rng.gen_range(0..2)),
-                4 => Change::Slows(n, rng.gen_range(0.8..8.0)),
-                5 => Change::Fails(n, rng.gen_range(0.0..0.6)),
-                6 => Change::Rate(rng.gen_range(100.0..900.0)),
-                7 => Change::Stalls(n % 2, ms(rng.gen_range(100..2000))),
-                _ => Change::Link(n % 2, (n + 1) % 2, ms(rng.gen_range(1..40))),
+                0 => ScenarioEvent::SetState(n, EndpointState::Draining),
+                1 => ScenarioEvent::SetState(n, EndpointState::Gone),
+                2 => ScenarioEvent::Restart(n),
+                3 => ScenarioEvent::MoveToZone(n, rng.gen_range(0..2)),
+                4 => ScenarioEvent::SetWorkFactor(n, rng.gen_range(0.8..8.0)),
+                5 => ScenarioEvent::SetFailureRate(n, rng.gen_range(0.0..0.6)),
+                6 => ScenarioEvent::SetRequestRate(rng.gen_range(100.0..900.0)),
+                7 => ScenarioEvent::StallAgent(n % 2, ms(rng.gen_range(100..2000))),
+                _ => ScenarioEvent::SetLinkDelay(n % 2, (n + 1) % 2, ms(rng.gen_range(1..40))),
             };
-            d.script.push((at, change));
+            d.events.push((at, change));
         }
-        let p = d.play();
+        let p = d.run();
         assert!(
-            p.broken.is_empty(),
+            p.violations.is_empty(),
             "seed {seed}: {:?}",
-            &p.broken[..p.broken.len().min(3)]
+            &p.violations[..p.violations.len().min(3)]
         );
     }
 }
 
 #[test]
 fn equal_days_are_equal_to_the_letter() {
-    let play = |budgets| world(17, budgets).play().digest;
+    let play = |budgets| world(17, budgets).run().digest;
     assert_eq!(play(nothing()), play(nothing()));
     assert_ne!(play(nothing()), play(Vec::new()));
 }
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -7,7 +7,10 @@
 use std::time::Duration;
 use tulipwall::*;
 use tulipwall_client_policy::Retrying;
-use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering, Played};
+use tulipwall_testkit::simulation::{
+    self, ClientBehavior, RolloutPlan, ScenarioEvent, SimulatedAgent, SimulatedEndpoint,
+    Simulation, SimulationReport,
+};
 use tulipwall_zones::*;
 
 fn seconds(n: u64) -> Duration {
@@ -24,87 +27,102 @@
         window: seconds(20),
         part: 0.5,
     };
-    day::zoning(&day::classes(), own, 2, vec![budget])
+    simulation::default_zoning(&simulation::classes(), own, 2, vec![budget])
 }
 
-fn two_zones(seed: u64, limit: f64, rate: f64, span: Duration) -> Day {
-    let agent = |zone| Caller {
+fn two_zones(seed: u64, limit: f64, rate: f64, span: Duration) -> Simulation {
+    let agent = |zone| SimulatedAgent {
         zone,
-        part: 0.5,
+        load_share: 0.5,
         zoning: Some(zoning(zone, limit)),
     };
-    let nodes = (0..12).map(|i| Node::new(i / 6, 41, 4)).collect();
-    Day::small(vec![agent(0), agent(1)], nodes, rate, span, seed)
+    let nodes = (0..12)
+        .map(|i| SimulatedEndpoint::new(i / 6, 41, 4))
+        .collect();
+    Simulation::small(vec![agent(0), agent(1)], nodes, rate, span, seed)
 }
 
-fn numbers(p: &Played) -> [u64; 8] {
-    let crossed: usize = p.crossings.iter().map(Vec::len).sum();
+fn numbers(p: &SimulationReport) -> [u64; 8] {
+    let crossed: usize = p.cross_zone_sends.iter().map(Vec::len).sum();
     [
         p.digest,
-        p.taken,
+        p.requests,
         p.succeeded,
-        p.in_time,
+        p.within_objective,
         p.rejected,
-        p.scrapped,
-        p.never,
+        p.failed,
+        p.unanswered,
         crossed as u64,
     ]
 }
 
 #[test]
 fn decides_as_before_while_a_zone_is_cut_and_drains() {
-    let mut day = two_zones(11, 400.0, 600.0, seconds(30));
-    day.clients = Clients::Careful(Retrying::default());
-    day.script = vec![
-        (seconds(3), Change::Slows(1, 4.0)),
-        (seconds(5), Change::Link(0, 1, seconds(2))),
-        (seconds(8), Change::Link(0, 1, Duration::from_millis(2))),
-        (seconds(9), Change::Lists(2, EndpointState::Draining)),
-        (seconds(11), Change::Lists(2, EndpointState::Gone)),
-        (seconds(12), Change::Starts(2)),
-        (seconds(14), Change::Rate(1500.0)),
-        (seconds(18), Change::Rate(500.0)),
-        (seconds(20), Change::Zoning(0, zoning(0, 50.0))),
-        (seconds(22), Change::Moves(3, 1)),
-        (seconds(24), Change::Stalls(1, Duration::from_millis(700))),
+    let mut scenario = two_zones(11, 400.0, 600.0, seconds(30));
+    scenario.client_behavior = ClientBehavior::PolicyRetries(Retrying::default());
+    scenario.events = vec![
+        (seconds(3), ScenarioEvent::SetWorkFactor(1, 4.0)),
+        (seconds(5), ScenarioEvent::SetLinkDelay(0, 1, seconds(2))),
+        (
+            seconds(8),
+            ScenarioEvent::SetLinkDelay(0, 1, Duration::from_millis(2)),
+        ),
+        (
+            seconds(9),
+            ScenarioEvent::SetState(2, EndpointState::Draining),
+        ),
+        (seconds(11), ScenarioEvent::SetState(2, EndpointState::Gone)),
+        (seconds(12), ScenarioEvent::Restart(2)),
+        (seconds(14), ScenarioEvent::SetRequestRate(1500.0)),
+        (seconds(18), ScenarioEvent::SetRequestRate(500.0)),
+        (seconds(20), ScenarioEvent::SetZoning(0, zoning(0, 50.0))),
+        (seconds(22), ScenarioEvent::MoveToZone(3, 1)),
+        (
+            seconds(24),
+            ScenarioEvent::StallAgent(1, Duration::from_millis(700)),
+        ),
     ];
-    day.script
-        .extend((6..9).map(|n| (seconds(16), Change::Mutes(n, true))));
-    day.script
-        .extend((6..9).map(|n| (seconds(19), Change::Mutes(n, false))));
+    scenario
+        .events
+        .extend((6..9).map(|n| (seconds(16), ScenarioEvent::SetUnresponsive(n, true))));
+    scenario
+        .events
+        .extend((6..9).map(|n| (seconds(19), ScenarioEvent::SetUnresponsive(n, false))));
     assert_eq!(
-        numbers(&day.play()),
+        numbers(&scenario.run()),
         [14736919548978038216, 20357, 20321, 20315, 0, 36, 0, 1143]
     );
 }
 
 #[test]
 fn decides_as_before_while_a_build_is_offered_and_fails() {
-    let mut day = two_zones(12, 2000.0, 700.0, seconds(30));
+    let mut scenario = two_zones(12, 2000.0, 700.0, seconds(30));
     let nodes: Vec<usize> = (12..18).collect();
     for (i, number) in nodes.iter().enumerate() {
-        let mut node = Node::new(i % 2, 42, 4);
-        node.standing = EndpointState::Gone;
-        day.nodes.push(node);
-        day.script.push((seconds(16), Change::Fails(*number, 0.3)));
+        let mut node = SimulatedEndpoint::new(i % 2, 42, 4);
+        node.state = EndpointState::Gone;
+        scenario.endpoints.push(node);
+        scenario
+            .events
+            .push((seconds(16), ScenarioEvent::SetFailureRate(*number, 0.3)));
     }
-    day.offering = Some(Offering {
+    scenario.rollout_plan = Some(RolloutPlan {
         build: 42,
-        at: seconds(4),
+        starts_at: seconds(4),
         caps: vec![0.08, 0.25, 0.6, 1.0],
-        step: seconds(5),
-        nodes,
-        back_votes: 1,
+        stage_duration: seconds(5),
+        endpoints: nodes,
+        votes_to_roll_back: 1,
     });
-    day.clients = Clients::Naive {
+    scenario.client_behavior = ClientBehavior::FixedRetries {
         pause: Duration::from_millis(100),
-        tries: 3,
+        max_attempts: 3,
     };
-    let played = day.play();
+    let played = scenario.run();
     assert!(
-        played.offered.held.is_some() || played.offered.back.is_some(),
+        played.rollout.first_hold.is_some() || played.rollout.rolled_back.is_some(),
         "{:?}",
-        played.offered
+        played.rollout
     );
     assert_eq!(
         numbers(&played),
