--- /dev/null
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -0,0 +1,239 @@
+//! Attempts as the agents see them: what is sent, and how it ends.
+
+use super::super::agent::SimulatedAttempt;
+use super::super::event::{AttemptRef, Event};
+use super::super::{CrossZoneSend, SimulatedEndpoint, ATTEMPT_BYTES};
+use super::Runner;
+use std::time::Duration;
+use tulipwall::{
+    AttemptEnd, DeduplicationScope, Idempotency, Outcome, RolloutPhase, RolloutStatus,
+};
+use tulipwall_zones::{Ended, Flaw, Opening, Sending, Ticket};
+
+/// What opening a connection takes each way, in bytes.
+const HANDSHAKE_BYTES: u64 = 60;
+
+impl Runner {
+    /// Sends an attempt to an endpoint.
+    pub(super) fn send(
+        &mut self,
+        agent: usize,
+        request: u64,
+        endpoint: usize,
+        timeout: Duration,
+        recheck_at: Option<Duration>,
+    ) {
+        let now = self.queue.now();
+        let spec = self.endpoints[endpoint].spec.clone();
+        self.report.sends_by_endpoint[endpoint] += 1;
+        self.trace(agent, request, || {
+            let (zone, build) = (spec.zone, spec.build);
+            format!("goes to endpoint {endpoint} of zone {zone}, build {build}")
+        });
+        self.check_send(agent, request, endpoint, &spec);
+        let Some(sending) = self.sending(agent, request, &spec) else {
+            return;
+        };
+        let reservation = self.reserve(agent, &sending);
+        let attempt = AttemptRef {
+            agent,
+            request,
+            attempt: sending.nth,
+        };
+        self.count_send(agent, &sending, reservation.as_ref());
+        let was_connected = std::mem::replace(&mut self.agents[agent].connected[endpoint], true);
+        if let Some(open) = self.agents[agent].open.get_mut(&request) {
+            open.attempts.push(SimulatedAttempt {
+                endpoint,
+                sent: now,
+                ended: false,
+                reservation,
+            });
+            open.recheck_at = recheck_at;
+        }
+        self.transmit(attempt, endpoint, was_connected);
+        self.queue
+            .schedule(now + timeout, Event::Timeout { attempt });
+        if let Some(at) = recheck_at {
+            let event = Event::Recheck { agent, request, at };
+            self.queue.schedule(at, event);
+        }
+    }
+
+    /// Rules 3, 5 and 1. What comes to an endpoint in slow start (rule 4) is checked there.
+    fn check_send(
+        &mut self,
+        agent: usize,
+        request: u64,
+        endpoint: usize,
+        spec: &SimulatedEndpoint,
+    ) {
+        let now = self.queue.now();
+        let canary = self.is_canary(spec.build);
+        let burst = self.simulation.settings.rollout.exposure_burst;
+        let state = &mut self.agents[agent];
+        let drain = state.drains.on_send(now, request, endpoint, spec.state);
+        let exposure = if canary {
+            state.exposure.on_canary_send(agent, burst)
+        } else {
+            None
+        };
+        let open = state.open.get(&request);
+        let answered = open.and_then(|open| open.answer.on_send());
+        self.report_violations([drain, exposure, answered].into_iter().flatten());
+    }
+
+    /// Whether the agents have been told that this build is on trial.
+    fn is_canary(&self, build: u32) -> bool {
+        let on_trial = |status: &RolloutStatus| {
+            let pending = build == status.build && status.phase != RolloutPhase::Released;
+            build > status.build || pending
+        };
+        self.notified_status.as_ref().is_some_and(on_trial)
+    }
+
+    /// The next attempt of a request, as the zones know it.
+    fn sending(&self, agent: usize, request: u64, spec: &SimulatedEndpoint) -> Option<Sending> {
+        let open = self.agents[agent].open.get(&request)?;
+        let nth = open.attempts.len();
+        let scoped = matches!(
+            self.simulation.settings.classes[open.class].idempotency,
+            Idempotency::Keyed {
+                scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
+                ..
+            }
+        );
+        Some(Sending {
+            to: spec.zone,
+            class: open.class,
+            build: spec.build,
+            nth,
+            hedged: open.attempts.iter().any(|attempt| !attempt.ended),
+            trial: self.is_canary(spec.build),
+            bound: scoped && nth > 0 && self.repeats.has_run(agent, request),
+        })
+    }
+
+    /// Accounts an attempt with the agent's zones.
+    fn reserve(&mut self, agent: usize, sending: &Sending) -> Option<Ticket> {
+        let now = self.queue.now();
+        let state = &mut self.agents[agent];
+        let balancer = &state.balancer;
+        let reservation = state.zones.as_mut().map(|zones| {
+            let all = zones.zoning().all();
+            zones.sent(now, *sending, || balancer.zone_capacities(now, all))
+        });
+        state.apply_cross_zone_policy();
+        reservation
+    }
+
+    fn count_send(&mut self, agent: usize, sending: &Sending, reservation: Option<&Ticket>) {
+        let second = self.second();
+        if sending.to == self.agents[agent].zone {
+            self.report.second(agent, second).local_sends += 1;
+            return;
+        }
+        self.report.second(agent, second).remote_sends += 1;
+        let send = CrossZoneSend {
+            at: self.elapsed(),
+            class: sending.class,
+            over_budget: reservation.and_then(|reservation| reservation.over),
+        };
+        self.report.cross_zone_sends[agent].push(send);
+    }
+
+    /// Puts an attempt on its way. A first connection goes there and back once before.
+    fn transmit(&mut self, attempt: AttemptRef, endpoint: usize, was_connected: bool) {
+        let now = self.queue.now();
+        let from = self.agents[attempt.agent].zone;
+        let to = self.endpoints[endpoint].spec.zone;
+        let handshake = if was_connected {
+            Duration::ZERO
+        } else {
+            self.network.round_trip(from, to)
+        };
+        if !self.network.loses(from, to, &mut self.random) {
+            let arrival = Event::AttemptArrival {
+                attempt,
+                endpoint,
+                incarnation: self.endpoints[endpoint].incarnation,
+            };
+            let at = now + handshake + self.network.delay(from, to);
+            self.queue.schedule(at, arrival);
+        }
+        if !was_connected {
+            self.account_connection(attempt.agent, endpoint, handshake);
+        }
+    }
+
+    fn account_connection(&mut self, agent: usize, endpoint: usize, took: Duration) {
+        let spec = &self.endpoints[endpoint].spec;
+        let opening = Opening {
+            to: spec.zone,
+            build: spec.build,
+            out: HANDSHAKE_BYTES,
+            back: HANDSHAKE_BYTES,
+            took: Some(took),
+        };
+        if let Some(zones) = &mut self.agents[agent].zones {
+            zones.opened(self.queue.now(), &opening);
+        }
+    }
+
+    /// Ends an attempt unless it has ended before.
+    pub(super) fn end_if_in_flight(&mut self, attempt: AttemptRef, outcome: Outcome) {
+        if self.agents[attempt.agent].is_in_flight(attempt.request, attempt.attempt) {
+            self.end(attempt, outcome);
+        }
+    }
+
+    fn end(&mut self, attempt: AttemptRef, outcome: Outcome) {
+        let now = self.queue.now();
+        let AttemptRef {
+            agent,
+            request,
+            attempt: index,
+        } = attempt;
+        let state = &mut self.agents[agent];
+        let Some(ended) = state.end_attempt(now, request, index, outcome) else {
+            return;
+        };
+        let latency = ended.latency;
+        if let (Some(zones), Some(reservation)) = (&mut state.zones, &ended.reservation) {
+            zones.ended(now, reservation, &accounted_end(outcome, latency));
+        }
+        let answered = state.open[&request].answer.is_answered();
+        let first_success = outcome == Outcome::Succeeded && !answered;
+        let end = AttemptEnd {
+            outcome,
+            latency,
+            request_closed: answered || first_success,
+            reported_load: None,
+        };
+        let decision = state.balancer.on_attempt_end(now, request, index, end);
+        self.trace(agent, request, || {
+            format!("attempt {index} ended: {outcome:?} after {latency:?}")
+        });
+        if first_success {
+            self.record_success(agent, request);
+            self.answer(agent, request);
+        }
+        self.follow(agent, request, decision);
+        self.agents[agent].forget_if_over(request);
+    }
+}
+
+/// The end of an attempt, as the zones account it.
+fn accounted_end(outcome: Outcome, latency: Duration) -> Ended {
+    let written = outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
+    let replied = matches!(outcome, Outcome::Succeeded | Outcome::Failed);
+    let (request_bytes, reply_bytes) = ATTEMPT_BYTES;
+    Ended {
+        outcome,
+        flaw: Flaw::None,
+        written,
+        out: if written { request_bytes } else { 0 },
+        back: if replied { reply_bytes } else { 0 },
+        took: latency,
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/runner/scenario.rs
@@ -0,0 +1,143 @@
+//! The events of a scenario, and what the agents are told of them.
+
+use super::super::event::{Event, Notification};
+use super::super::ScenarioEvent;
+use super::Runner;
+use tulipwall::{EndpointEntry, EndpointState, IndexOrigin, Outcome, RolloutStatus};
+use tulipwall_zones::Zoning;
+
+impl Runner {
+    /// Lets an event happen.
+    pub(super) fn apply(&mut self, event: ScenarioEvent) {
+        match event {
+            ScenarioEvent::SetState(endpoint, state) => self.set_state(endpoint, state),
+            ScenarioEvent::Restart(endpoint) => self.restart(endpoint),
+            ScenarioEvent::MoveToZone(endpoint, zone) => self.move_to_zone(endpoint, zone),
+            ScenarioEvent::SetWorkFactor(endpoint, factor) => {
+                self.endpoints[endpoint].spec.work_factor = factor;
+            }
+            ScenarioEvent::SetFailureRate(endpoint, rate) => {
+                self.endpoints[endpoint].spec.failure_rate = rate;
+            }
+            ScenarioEvent::SetUnresponsive(endpoint, unresponsive) => {
+                self.endpoints[endpoint].spec.unresponsive = unresponsive;
+            }
+            ScenarioEvent::RolloutStatus(status) => self.publish_rollout(status),
+            ScenarioEvent::SetRequestRate(rate) => self.simulation.request_rate = rate,
+            ScenarioEvent::StallAgent(agent, duration) => {
+                self.agents[agent].stalled_until = self.queue.now() + duration;
+            }
+            ScenarioEvent::SetZoning(agent, zoning) => self.set_zoning(agent, zoning),
+            ScenarioEvent::SetLinkDelay(from, to, delay) => {
+                self.network.set_delay(from, to, delay);
+            }
+        }
+    }
+
+    fn set_state(&mut self, endpoint: usize, state: EndpointState) {
+        self.endpoints[endpoint].spec.state = state;
+        if state == EndpointState::Gone {
+            self.crash(endpoint);
+        }
+        self.publish_endpoint(endpoint);
+    }
+
+    fn restart(&mut self, endpoint: usize) {
+        self.crash(endpoint);
+        let spec = &mut self.endpoints[endpoint].spec;
+        spec.state = EndpointState::Running;
+        spec.started = Some(self.queue.now());
+        spec.unresponsive = false;
+        self.publish_endpoint(endpoint);
+    }
+
+    fn move_to_zone(&mut self, endpoint: usize, zone: usize) {
+        self.crash(endpoint);
+        self.endpoints[endpoint].spec.zone = zone;
+        self.publish_endpoint(endpoint);
+    }
+
+    /// What the endpoint had in hand is lost, its connections are broken.
+    fn crash(&mut self, endpoint: usize) {
+        for attempt in self.endpoints[endpoint].crash() {
+            self.end_if_in_flight(attempt, Outcome::ConnectionLost);
+        }
+        for agent in &mut self.agents {
+            agent.connected[endpoint] = false;
+        }
+    }
+
+    fn set_zoning(&mut self, agent: usize, zoning: Zoning) {
+        let now = self.queue.now();
+        let agent = &mut self.agents[agent];
+        let Some(zones) = &mut agent.zones else {
+            return;
+        };
+        // Zones and classes stay as they are, and nothing else is ever refused.
+        let classes = vec![IndexOrigin::Same; zoning.classes.len()];
+        zones.renew(now, zoning, &classes);
+        agent.apply_cross_zone_policy();
+    }
+
+    fn publish_rollout(&mut self, status: RolloutStatus) {
+        let status = RolloutStatus {
+            since: self.queue.now(),
+            ..status
+        };
+        self.rollout_status = Some(status.clone());
+        self.notify(Notification::Rollout(status));
+    }
+
+    fn publish_endpoint(&mut self, endpoint: usize) {
+        let entry = self.endpoints[endpoint].entry(endpoint);
+        self.notify(Notification::Endpoint(entry));
+    }
+
+    /// Tells the agents, at once or after the delay of notifications.
+    fn notify(&mut self, notification: Notification) {
+        let delay = self.simulation.notification_delay;
+        if delay.is_zero() {
+            self.deliver(notification);
+        } else {
+            let at = self.queue.now() + delay;
+            self.queue.schedule(at, Event::Notify(notification));
+        }
+    }
+
+    /// A notification reaches all agents.
+    pub(super) fn deliver(&mut self, notification: Notification) {
+        match notification {
+            Notification::Endpoint(entry) => self.deliver_endpoint(entry),
+            Notification::Rollout(status) => self.deliver_rollout(status),
+        }
+    }
+
+    fn deliver_rollout(&mut self, status: RolloutStatus) {
+        self.notified_status = Some(status.clone());
+        self.apply_cap();
+        let cap = self.simulation.injected_faults.reported_cap;
+        let told = RolloutStatus {
+            cap: cap.unwrap_or(status.cap),
+            ..status
+        };
+        for agent in &mut self.agents {
+            agent.balancer.update_rollout(told.clone());
+        }
+    }
+
+    fn deliver_endpoint(&mut self, mut entry: EndpointEntry) {
+        let now = self.queue.now();
+        let faults = &self.simulation.injected_faults;
+        if faults.hide_cold_starts {
+            entry.started = None;
+        }
+        let hidden = faults.hide_drains && entry.state != EndpointState::Running;
+        for agent in &mut self.agents {
+            if !hidden {
+                let changed = std::slice::from_ref(&entry);
+                agent.balancer.update_endpoints(now, changed, false);
+            }
+            agent.drains.on_notice(now, entry.endpoint, entry.state);
+        }
+    }
+}
