--- a/crates/experiments/src/run.rs
+++ b/crates/experiments/src/run.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::{EndpointState, RequestClass, Settings};
-use tulipwall_client_policy::Retrying;
+use tulipwall_client_policy::RetryPolicy;
 use tulipwall_testkit::simulation::{
     self, ClientBehavior, RolloutPlan, ScenarioEvent, SimulatedAgent, SimulatedEndpoint,
     Simulation, SimulationReport,
 };
-use tulipwall_zones::{Budget, Limit, Routing, Zoning};
+use tulipwall_zones::{Budget, Limit, RoutingPolicy, ZoneConfig};
 
 const OLD: u32 = 41;
 const NEW: u32 = 42;
@@ -80,7 +80,7 @@
             pause: Duration::from_millis(50),
             max_attempts: 20,
         },
-        ClientKind::Careful => ClientBehavior::PolicyRetries(Retrying::default()),
+        ClientKind::Careful => ClientBehavior::PolicyRetries(RetryPolicy::default()),
     };
     day.rollout_plan = offering;
     day.events = script(s, &of_zone);
@@ -97,22 +97,22 @@
     said.unwrap_or(if from == to { SAME_ZONE } else { OTHER_ZONE })
 }
 
-fn zoning(s: &Scenario, own: usize) -> Zoning {
+fn zoning(s: &Scenario, own: usize) -> ZoneConfig {
     let budget = |share| Budget {
         name: "share".into(),
         to: None,
         class: None,
         limit: Limit::Share(share),
         window: WINDOW,
-        part: 1.0,
+        agent_fraction: 1.0,
     };
     let budgets = s.share.into_iter().map(budget).collect();
     let zoning = simulation::default_zoning(&deployment(s).classes, own, s.zones.len(), budgets);
-    Zoning {
+    ZoneConfig {
         routing: if s.near_first {
-            Routing::NearFirst
+            RoutingPolicy::LocalFirst
         } else {
-            Routing::AsEver
+            RoutingPolicy::BalancerDefault
         },
         ..zoning
     }
--- a/crates/testkit/src/simulation/agent.rs
+++ b/crates/testkit/src/simulation/agent.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::{Balancer, EndpointEntry, Outcome, Settings};
-use tulipwall_client_policy::{Retries, Retrying};
-use tulipwall_zones::{Ticket, Zones};
+use tulipwall_client_policy::{RetryController, RetryPolicy};
+use tulipwall_zones::{Reservation, Zones};
 
 /// Spreads the seeds of agents.
 const SEED_STRIDE: u64 = 1_000_003;
@@ -17,7 +17,7 @@
     pub balancer: Balancer,
     pub zones: Option<Zones>,
     /// The retry policy of its clients.
-    pub retries: Retries,
+    pub retries: RetryController,
     pub open: BTreeMap<u64, OpenRequest>,
     pub stalled_until: Duration,
     /// By endpoint: whether a connection is open to it.
@@ -42,13 +42,13 @@
     pub endpoint: usize,
     pub sent: Duration,
     pub ended: bool,
-    pub reservation: Option<Ticket>,
+    pub reservation: Option<Reservation>,
 }
 
 /// An attempt that has just ended.
 pub(super) struct EndedAttempt {
     pub latency: Duration,
-    pub reservation: Option<Ticket>,
+    pub reservation: Option<Reservation>,
 }
 
 impl Agent {
@@ -70,13 +70,15 @@
         }
         let retry_policy = match &simulation.client_behavior {
             ClientBehavior::PolicyRetries(policy) => policy.clone(),
-            ClientBehavior::NoRetries | ClientBehavior::FixedRetries { .. } => Retrying::default(),
+            ClientBehavior::NoRetries | ClientBehavior::FixedRetries { .. } => {
+                RetryPolicy::default()
+            }
         };
         Agent {
             zone: spec.zone,
             balancer,
             zones: spec.zoning.clone().map(|zoning| Zones::new(START, zoning)),
-            retries: Retries::new(retry_policy, 1, seed),
+            retries: RetryController::new(retry_policy, 1, seed),
             open: BTreeMap::new(),
             stalled_until: START,
             connected: vec![false; endpoints.len()],
@@ -136,7 +138,7 @@
 
     /// Hands the policy of its zones to its balancer, where there is a new one.
     pub fn apply_cross_zone_policy(&mut self) {
-        if let Some(policy) = self.zones.as_mut().and_then(Zones::crossings) {
+        if let Some(policy) = self.zones.as_mut().and_then(Zones::cross_zone_policy) {
             self.balancer.set_cross_zone_policy(policy);
         }
     }
--- a/crates/testkit/src/simulation/client.rs
+++ b/crates/testkit/src/simulation/client.rs
@@ -2,7 +2,7 @@
 
 use super::ClientBehavior;
 use std::time::Duration;
-use tulipwall_client_policy::{Ended as TryEnded, Next, Retries, Tries};
+use tulipwall_client_policy::{AttemptHistory, AttemptOutcome, RetryController, RetryDecision};
 
 /// No client waits longer than this before a retry, whatever the agent asks for.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -14,7 +14,7 @@
     /// When it was first asked for.
     pub first_asked: Duration,
     pub key: Option<u64>,
-    pub tries: Tries,
+    pub tries: AttemptHistory,
 }
 
 /// How a try ended without success.
@@ -29,7 +29,7 @@
 /// When the client retries; `None` where it gives up.
 pub(super) fn retry_at(
     behavior: &ClientBehavior,
-    retries: &mut Retries,
+    retries: &mut RetryController,
     now: Duration,
     request: &mut ClientRequest,
     failure: TryFailure,
@@ -42,19 +42,19 @@
             max_attempts,
         } => {
             let at = now + *pause;
-            let allowed = request.tries.count < *max_attempts && at < request.tries.deadline;
+            let allowed = request.tries.attempts < *max_attempts && at < request.tries.deadline;
             allowed.then_some(at)
         }
         ClientBehavior::PolicyRetries(_) => {
             let ended = match failure {
-                TryFailure::Rejected => {
-                    TryEnded::Rejected(retry_after.map(|after| after.min(MAX_RETRY_AFTER)))
-                }
-                TryFailure::Failed => TryEnded::Failed,
+                TryFailure::Rejected => AttemptOutcome::Rejected {
+                    retry_after: retry_after.map(|after| after.min(MAX_RETRY_AFTER)),
+                },
+                TryFailure::Failed => AttemptOutcome::Failed,
             };
-            match retries.next(now, &mut request.tries, 0, ended) {
-                Next::Again(at) => Some(at),
-                Next::Over(_) => None,
+            match retries.decide(now, &mut request.tries, 0, ended) {
+                RetryDecision::RetryAt(at) => Some(at),
+                RetryDecision::GiveUp(_) => None,
             }
         }
     }
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -8,8 +8,8 @@
     DeduplicationScope, EndpointState, Idempotency, RequestClass, RolloutPhase, RolloutPolicy,
     RolloutStatus, Settings,
 };
-use tulipwall_client_policy::Retrying;
-use tulipwall_zones::{Budget, ClassProfile, Link, Routing, Zoning};
+use tulipwall_client_policy::RetryPolicy;
+use tulipwall_zones::{Budget, ClassProfile, Link, RoutingPolicy, ZoneConfig};
 
 /// Delay of one way within a zone.
 const LOCAL_DELAY: Duration = Duration::from_micros(150);
@@ -64,7 +64,7 @@
     /// Its weight when requests are spread over the agents.
     pub load_share: f64,
     /// Its cross-zone settings; `None` for an agent that knows no zones.
-    pub zoning: Option<Zoning>,
+    pub zoning: Option<ZoneConfig>,
 }
 
 /// What clients do with a request that was rejected or failed.
@@ -80,7 +80,7 @@
         max_attempts: u32,
     },
     /// Retry as the client library does, one client to each agent.
-    PolicyRetries(Retrying),
+    PolicyRetries(RetryPolicy),
 }
 
 /// A build that the platform takes through its stages by the clock, which stands still while a hold
@@ -186,10 +186,10 @@
     own: usize,
     zones: usize,
     budgets: Vec<Budget>,
-) -> Zoning {
-    Zoning {
-        own,
-        zones,
+) -> ZoneConfig {
+    ZoneConfig {
+        local_zone: own,
+        zone_count: zones,
         classes: classes
             .iter()
             .map(|l| ClassProfile {
@@ -199,7 +199,7 @@
             .collect(),
         links: vec![Link::default(); zones + 1],
         budgets,
-        routing: Routing::NearFirst,
+        routing: RoutingPolicy::LocalFirst,
     }
 }
 
@@ -294,7 +294,7 @@
     /// An agent stands still for so long.
     StallAgent(usize, Duration),
     /// An agent's cross-zone settings are reloaded; zones and classes stay as they are.
-    SetZoning(usize, Zoning),
+    SetZoning(usize, ZoneConfig),
     /// Sets one direction of the link between two zones.
     SetLinkDelay(usize, usize, Duration),
 }
--- a/crates/testkit/src/simulation/report.rs
+++ b/crates/testkit/src/simulation/report.rs
@@ -53,7 +53,7 @@
     /// Index of the request's class.
     pub class: usize,
     /// Why it went over a budget, where it did.
-    pub over_budget: Option<tulipwall_zones::Reason>,
+    pub over_budget: Option<tulipwall_zones::OverBudgetReason>,
 }
 
 /// What came of a simulation.
--- a/crates/testkit/src/simulation/runner/attempts.rs
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -8,7 +8,9 @@
 use tulipwall::{
     AttemptEnd, DeduplicationScope, Idempotency, Outcome, RolloutPhase, RolloutStatus,
 };
-use tulipwall_zones::{Ended, Flaw, Opening, Sending, Ticket};
+use tulipwall_zones::{
+    AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation, ResponseFault,
+};
 
 /// What opening a connection takes each way, in bytes.
 const HANDSHAKE_BYTES: u64 = 60;
@@ -38,7 +40,7 @@
         let attempt = AttemptRef {
             agent,
             request,
-            attempt: sending.nth,
+            attempt: sending.previous_attempts,
         };
         self.count_send(agent, &sending, reservation.as_ref());
         let was_connected = std::mem::replace(&mut self.agents[agent].connected[endpoint], true);
@@ -93,7 +95,12 @@
     }
 
     /// The next attempt of a request, as the zones know it.
-    fn sending(&self, agent: usize, request: u64, spec: &SimulatedEndpoint) -> Option<Sending> {
+    fn sending(
+        &self,
+        agent: usize,
+        request: u64,
+        spec: &SimulatedEndpoint,
+    ) -> Option<AttemptStart> {
         let open = self.agents[agent].open.get(&request)?;
         let nth = open.attempts.len();
         let scoped = matches!(
@@ -103,31 +110,36 @@
                 ..
             }
         );
-        Some(Sending {
+        Some(AttemptStart {
             to: spec.zone,
             class: open.class,
             build: spec.build,
-            nth,
+            previous_attempts: nth,
             hedged: open.attempts.iter().any(|attempt| !attempt.ended),
-            trial: self.is_canary(spec.build),
-            bound: scoped && nth > 0 && self.repeats.has_run(agent, request),
+            is_canary: self.is_canary(spec.build),
+            pinned_to_scope: scoped && nth > 0 && self.repeats.has_run(agent, request),
         })
     }
 
     /// Accounts an attempt with the agent's zones.
-    fn reserve(&mut self, agent: usize, sending: &Sending) -> Option<Ticket> {
+    fn reserve(&mut self, agent: usize, sending: &AttemptStart) -> Option<Reservation> {
         let now = self.queue.now();
         let state = &mut self.agents[agent];
         let balancer = &state.balancer;
         let reservation = state.zones.as_mut().map(|zones| {
-            let all = zones.zoning().all();
-            zones.sent(now, *sending, || balancer.zone_capacities(now, all))
+            let all = zones.config().zone_count_with_unnamed();
+            zones.on_attempt(now, *sending, || balancer.zone_capacities(now, all))
         });
         state.apply_cross_zone_policy();
         reservation
     }
 
-    fn count_send(&mut self, agent: usize, sending: &Sending, reservation: Option<&Ticket>) {
+    fn count_send(
+        &mut self,
+        agent: usize,
+        sending: &AttemptStart,
+        reservation: Option<&Reservation>,
+    ) {
         let second = self.second();
         if sending.to == self.agents[agent].zone {
             self.report.second(agent, second).local_sends += 1;
@@ -137,7 +149,7 @@
         let send = CrossZoneSend {
             at: self.elapsed(),
             class: sending.class,
-            over_budget: reservation.and_then(|reservation| reservation.over),
+            over_budget: reservation.and_then(|reservation| reservation.over_budget),
         };
         self.report.cross_zone_sends[agent].push(send);
     }
@@ -168,15 +180,15 @@
 
     fn account_connection(&mut self, agent: usize, endpoint: usize, took: Duration) {
         let spec = &self.endpoints[endpoint].spec;
-        let opening = Opening {
+        let opening = ConnectionTraffic {
             to: spec.zone,
             build: spec.build,
-            out: HANDSHAKE_BYTES,
-            back: HANDSHAKE_BYTES,
-            took: Some(took),
+            bytes_sent: HANDSHAKE_BYTES,
+            bytes_received: HANDSHAKE_BYTES,
+            handshake: Some(took),
         };
         if let Some(zones) = &mut self.agents[agent].zones {
-            zones.opened(self.queue.now(), &opening);
+            zones.on_connection(self.queue.now(), &opening);
         }
     }
 
@@ -200,7 +212,7 @@
         };
         let latency = ended.latency;
         if let (Some(zones), Some(reservation)) = (&mut state.zones, &ended.reservation) {
-            zones.ended(now, reservation, &accounted_end(outcome, latency));
+            zones.on_attempt_end(now, reservation, &accounted_end(outcome, latency));
         }
         let answered = state.open[&request].answer.is_answered();
         let first_success = outcome == Outcome::Succeeded && !answered;
@@ -224,16 +236,16 @@
 }
 
 /// The end of an attempt, as the zones account it.
-fn accounted_end(outcome: Outcome, latency: Duration) -> Ended {
+fn accounted_end(outcome: Outcome, latency: Duration) -> CompletedAttempt {
     let written = outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
     let replied = matches!(outcome, Outcome::Succeeded | Outcome::Failed);
     let (request_bytes, reply_bytes) = ATTEMPT_BYTES;
-    Ended {
+    CompletedAttempt {
         outcome,
-        flaw: Flaw::None,
-        written,
-        out: if written { request_bytes } else { 0 },
-        back: if replied { reply_bytes } else { 0 },
-        took: latency,
+        fault: ResponseFault::None,
+        fully_written: written,
+        bytes_sent: if written { request_bytes } else { 0 },
+        bytes_received: if replied { reply_bytes } else { 0 },
+        latency: latency,
     }
 }
--- a/crates/testkit/src/simulation/runner/mod.rs
+++ b/crates/testkit/src/simulation/runner/mod.rs
@@ -164,8 +164,10 @@
         let now = self.queue.now();
         let agent = &mut self.agents[agent];
         if let Some(zones) = &mut agent.zones {
-            let capacities = agent.balancer.zone_capacities(now, zones.zoning().all());
-            zones.step(now, &capacities);
+            let capacities = agent
+                .balancer
+                .zone_capacities(now, zones.config().zone_count_with_unnamed());
+            zones.tick(now, &capacities);
         }
         agent.apply_cross_zone_policy();
     }
--- a/crates/testkit/src/simulation/runner/requests.rs
+++ b/crates/testkit/src/simulation/runner/requests.rs
@@ -8,7 +8,7 @@
 use super::Runner;
 use std::time::Duration;
 use tulipwall::{Decision, Outcome, Request};
-use tulipwall_client_policy::Tries;
+use tulipwall_client_policy::AttemptHistory;
 
 /// Keys of requests are drawn from so many.
 const KEYS: u64 = 100_000;
@@ -47,7 +47,7 @@
             class,
             first_asked: now,
             key,
-            tries: Tries::new(idempotency, now + patience),
+            tries: AttemptHistory::new(idempotency, now + patience),
         };
         self.receive(agent, request);
     }
@@ -58,7 +58,7 @@
         let class = client.class;
         let time_left = self.simulation.classes[class].1;
         let deadline = now + time_left;
-        client.tries.begin(now);
+        client.tries.on_attempt_start(now);
         let balancer_request = Request {
             class,
             tenant: None,
@@ -80,7 +80,7 @@
         state.open.insert(request, open);
         state.exposure.on_request();
         if let Some(zones) = &mut state.zones {
-            zones.taken(now, class);
+            zones.on_request(now, class);
         }
         state.balancer.on_request(now, request, balancer_request);
         let decision = state.balancer.route(now, request);
@@ -233,6 +233,6 @@
         }
         let received_in = (open.received - START).as_secs() as usize;
         self.report.record_latency(received_in, latency);
-        state.retries.succeeded(0);
+        state.retries.on_success(0);
     }
 }
--- a/crates/testkit/src/simulation/runner/scenario.rs
+++ b/crates/testkit/src/simulation/runner/scenario.rs
@@ -4,7 +4,7 @@
 use super::super::ScenarioEvent;
 use super::Runner;
 use tulipwall::{EndpointEntry, EndpointState, IndexOrigin, Outcome, RolloutStatus};
-use tulipwall_zones::Zoning;
+use tulipwall_zones::ZoneConfig;
 
 impl Runner {
     /// Lets an event happen.
@@ -67,7 +67,7 @@
         }
     }
 
-    fn set_zoning(&mut self, agent: usize, zoning: Zoning) {
+    fn set_zoning(&mut self, agent: usize, zoning: ZoneConfig) {
         let now = self.queue.now();
         let agent = &mut self.agents[agent];
         let Some(zones) = &mut agent.zones else {
@@ -75,7 +75,7 @@
         };
         // Zones and classes stay as they are, and nothing else is ever refused.
         let classes = vec![IndexOrigin::Same; zoning.classes.len()];
-        zones.renew(now, zoning, &classes);
+        zones.reload(now, zoning, &classes);
         agent.apply_cross_zone_policy();
     }
 
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,51 +1,74 @@
-//! What crosses between zones: an account of it, budgets for it, and routing that keeps to both.
+//! Cross-zone traffic of one agent: an account of it, budgets for it, and hints for the routing
+//! between zones.
 //!
-//! Pure: no sockets, no files, no clock. Times are handed in as spans since one fixed zero; zones, classes and
-//! builds are the numbers that the decisions use. [`Zones`] is the whole of it for one agent: it is told what
-//! was taken, sent and answered, and says what crossing means just now as [`tulipwall::CrossZonePolicy`]. The
-//! decisions stay with [`tulipwall::Balancer`]; nothing here sends, delays or denies a request.
+//! Pure: no sockets, files or clock. Times are durations since one fixed zero, passed in by the
+//! caller; zones, classes and builds are the numbers that the balancer uses. [`Zones`] is the entry
+//! point: it is told of requests, attempts and connections, and returns how the balancer is to treat
+//! other zones as a [`tulipwall::CrossZonePolicy`]. The decisions stay with [`tulipwall::Balancer`];
+//! nothing here sends, delays or rejects a request.
 //!
 //! ```
 //! use std::time::Duration;
 //! use tulipwall_zones::*;
 //!
-//! let zoning = Zoning {
-//!     own: 0,
-//!     zones: 2,
-//!     classes: vec![ClassProfile { priority_weight: 3.0, latency_objective: Duration::from_millis(400) }],
+//! let view = ClassProfile { priority_weight: 3.0, latency_objective: Duration::from_millis(400) };
+//! let budget = Budget {
+//!     name: "all".into(),
+//!     to: None,
+//!     class: None,
+//!     limit: Limit::Attempts(10.0),
+//!     window: Duration::from_secs(60),
+//!     agent_fraction: 0.5,
+//! };
+//! let config = ZoneConfig {
+//!     local_zone: 0,
+//!     zone_count: 2,
+//!     classes: vec![view],
 //!     links: vec![Link::default(); 3],
-//!     budgets: vec![Budget {
-//!         name: "all".into(),
-//!         to: None,
-//!         class: None,
-//!         limit: Limit::Attempts(10.0),
-//!         window: Duration::from_secs(60),
-//!         part: 0.5,
-//!     }],
-//!     routing: Routing::NearFirst,
+//!     budgets: vec![budget],
+//!     routing: RoutingPolicy::LocalFirst,
 //! };
-//! let mut zones = Zones::new(Duration::ZERO, zoning);
+//! let mut zones = Zones::new(Duration::ZERO, config);
 //! let now = Duration::from_secs(3600);
-//! zones.taken(now, 0);
-//! let sent = Sending { to: 1, class: 0, build: 7, nth: 0, hedged: false, trial: false, bound: false };
-//! let ticket = zones.sent(now, sent, || vec![tulipwall::ZoneCapacity::default(); 3]);
-//! assert_eq!(ticket.over, None, "the first of the five that this agent may send");
+//! zones.on_request(now, 0);
+//! let attempt = AttemptStart {
+//!     to: 1,
+//!     class: 0,
+//!     build: 7,
+//!     previous_attempts: 0,
+//!     hedged: false,
+//!     is_canary: false,
+//!     pinned_to_scope: false,
+//! };
+//! let reservation = zones.on_attempt(now, attempt, || vec![tulipwall::ZoneCapacity::default(); 3]);
+//! assert_eq!(reservation.over_budget, None, "the first of the five that this agent may send");
 //! ```
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 mod account;
 mod budget;
+mod config;
+mod events;
+mod latency_histogram;
+mod link_counts;
+mod reason;
+mod remap;
 mod report;
-mod route;
-mod series;
+mod router;
+mod time_series;
 mod zones;
-mod zoning;
 
-pub use account::{place, Account, Ended, Flaw, Key, Opening, Row, Tally};
-pub use budget::{Purse, Purses, Reserved, Spending};
+pub use account::{Account, LinkClass, LinkKey, LinkRow};
+pub use budget::{BudgetHold, BudgetMeter, BudgetMeters, ResourceUsage, Transfer};
+pub use config::{Budget, ClassProfile, Limit, Link, Price, RoutingPolicy, ZoneConfig};
+pub use events::{AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation, ResponseFault};
+pub use link_counts::{outcome_index, LinkCounts};
+pub use reason::OverBudgetReason;
 pub use report::{
-    BudgetLine, Document, Head, Line, LinkLine, Names, Place, SeriesLine, Wall, VERSION,
+    BudgetLine, ClockMapping, DelayLine, DisplayNames, Document, LatencyBucket, LinkLine,
+    ReportCursor, ReportError, ReportHeader, ReportLine, SeriesBin, SeriesLine, VERSION,
 };
-pub use route::{Reason, Route};
-pub use series::{Bin, Series};
-pub use zones::{Sending, Ticket, Zones};
-pub use zoning::{Budget, ClassProfile, Limit, Link, Price, Routing, Zoning};
+pub use router::ZoneRouter;
+pub use time_series::{TimeBin, TimeSeries};
+pub use zones::Zones;
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_client_policy::Retrying;
+use tulipwall_client_policy::RetryPolicy;
 use tulipwall_testkit::simulation::{
     self, ClientBehavior, RolloutPlan, ScenarioEvent, SimulatedAgent, SimulatedEndpoint,
     Simulation, SimulationReport,
@@ -17,7 +17,7 @@
     Duration::from_secs(n)
 }
 
-fn zoning(own: usize, limit: f64) -> Zoning {
+fn zoning(own: usize, limit: f64) -> ZoneConfig {
     let limit = Limit::Attempts(limit);
     let budget = Budget {
         name: "all".into(),
@@ -25,7 +25,7 @@
         class: None,
         limit,
         window: seconds(20),
-        part: 0.5,
+        agent_fraction: 0.5,
     };
     simulation::default_zoning(&simulation::classes(), own, 2, vec![budget])
 }
@@ -59,7 +59,7 @@
 #[test]
 fn decides_as_before_while_a_zone_is_cut_and_drains() {
     let mut scenario = two_zones(11, 400.0, 600.0, seconds(30));
-    scenario.client_behavior = ClientBehavior::PolicyRetries(Retrying::default());
+    scenario.client_behavior = ClientBehavior::PolicyRetries(RetryPolicy::default());
     scenario.events = vec![
         (seconds(3), ScenarioEvent::SetWorkFactor(1, 4.0)),
         (seconds(5), ScenarioEvent::SetLinkDelay(0, 1, seconds(2))),
