--- a/crates/agent/src/admin/mod.rs
+++ b/crates/agent/src/admin/mod.rs
@@ -18,7 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 use tulipwall_zones::ReportCursor;
 
 /// Readers at once; who comes beyond waits in the queue of connections.
@@ -49,14 +49,14 @@
 
 /// Opens the door. A Unix socket is its owner's alone; one that a program left behind which no
 /// longer listens is taken over, any other file is not.
-pub fn open(door: &Door) -> io::Result<Listening> {
+pub fn open(door: &AdminAddress) -> io::Result<Listening> {
     match door {
-        Door::Tcp(address) => {
+        AdminAddress::Tcp(address) => {
             let listener = TcpListener::bind(address)?;
             listener.set_nonblocking(true)?;
             Ok(Listening::Tcp(Source::new(listener)?))
         }
-        Door::Unix(path) => {
+        AdminAddress::Unix(path) => {
             clear(path)?;
             let listener = UnixListener::bind(path)?;
             let remove = Remove(path.clone());
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -16,10 +16,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::{AlternativeSettings, CrossZonePolicy, RolloutStatus, Vote};
-use tulipwall_config::{ConfigDiagnostic, Door, Installation, ServiceConfig};
+use tulipwall_config::{AdminAddress, ConfigDiagnostic, Installation, NameCounts, ServiceConfig};
 use tulipwall_discovery::clock::Clock;
-use tulipwall_discovery::list::{List, Target};
-use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::endpoint_table::{AppliedList, AttemptTarget, EndpointTable, IndexGuard};
+use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::DisplayNames;
 
 pub struct Agent {
@@ -27,7 +27,7 @@
     installation: RefCell<Installation>,
     pub owed_until: Cell<Duration>, // requests taken under longer expiries end by then
     pub listen: SocketAddr,
-    pub door: Option<Door>,
+    pub door: Option<AdminAddress>,
     pub discovery: Cell<SocketAddr>,
     pub platform: Cell<Option<SocketAddr>>,
     pub clock: Rc<Clock>,
@@ -49,7 +49,7 @@
     first_list: Event,
     heard: Cell<bool>, // of discovery itself, or not in time
     first_heard: Event,
-    list: RefCell<List>,
+    list: RefCell<EndpointTable>,
     pools: RefCell<Pools>,
 }
 
@@ -124,7 +124,7 @@
             .watch(&agent.site().settings, start.watch.as_ref());
         let (now, site) = (agent.clock.now(), agent.site());
         let (agents, r) = (site.settings.agents, &site.settings.rollout);
-        log::debug!(target: EVIDENCE, "{} start agents {agents} back {} hold {}", agent.clock.wall(now), r.votes_to_roll_back,
+        log::debug!(target: EVIDENCE, "{} start agents {agents} back {} hold {}", agent.clock.to_unix_ms(now), r.votes_to_roll_back,
             r.votes_to_hold);
         let latency_objective: Vec<_> = site
             .settings
@@ -132,12 +132,12 @@
             .iter()
             .map(|l| (l.latency_objective.as_millis(), l.priority_weight))
             .collect();
-        log::debug!(target: EVIDENCE, "{} lanes {latency_objective:?}", agent.clock.wall(now));
+        log::debug!(target: EVIDENCE, "{} lanes {latency_objective:?}", agent.clock.to_unix_ms(now));
         if let Some(told) = start.rollout_status {
             agent.rollout_status(told);
         }
         if let Some(known) = start.known {
-            if let Some(what) = &known.spoilt {
+            if let Some(what) = &known.first_error {
                 log::warn!("field known: {what}; nothing goes there");
             }
             agent.listed(known);
@@ -213,14 +213,14 @@
     ) -> Result<String, Vec<ConfigDiagnostic>> {
         let (old, now) = (self.site(), self.clock.now());
         let (site, by) = read.renumbered_after(&old, &self.hand.indices_in_use());
-        let zoning = installation.zoning(&site)?;
-        let same = site.is(&old, &by);
+        let zoning = installation.zone_config(&site)?;
+        let same = site.is_unchanged_from(&old, &by);
         if !same {
             if site.longest_timeout < old.longest_timeout {
                 self.owed_until
                     .set(self.owed_until.get().max(now + old.longest_timeout));
             }
-            let zones = self.list.borrow_mut().rezone(&site);
+            let zones = self.list.borrow_mut().update_zones(&site);
             self.pools.borrow_mut().renew(site.max_idle);
             *self.site.borrow_mut() = Rc::new(site);
             self.hand.renew(
@@ -245,7 +245,11 @@
             self.hand.crossings(CrossZonePolicy::default());
         }
         self.crossings();
-        let [classes, tenants, zones] = site.named_counts();
+        let NameCounts {
+            classes,
+            tenants,
+            zones,
+        } = site.named_counts();
         Ok(match same {
             true => "settings as before".into(),
             false => format!("new settings: {classes} lanes, {tenants} tenants, {zones} zones"),
@@ -255,7 +259,7 @@
     /// Classes that only requests in hand kept go once these are over.
     pub fn forget_classes(&self) {
         let old = self.site();
-        if old.has_retired_indices() && old.covers(&self.hand.indices_in_use()) {
+        if old.has_retired_indices() && old.can_free_indices(&self.hand.indices_in_use()) {
             let (installation, watch) = (
                 self.installation.borrow().clone(),
                 self.watched.borrow().clone(),
@@ -269,8 +273,8 @@
     pub fn rollout_status(&self, t: Told) {
         let now = self.clock.now();
         let began = now.saturating_sub(t.age);
-        log::debug!(target: EVIDENCE, "{} news build {} stage {} {:?} since {}", self.clock.wall(now), t.build, t.stage,
-            t.phase, self.clock.wall(began));
+        log::debug!(target: EVIDENCE, "{} news build {} stage {} {:?} since {}", self.clock.to_unix_ms(now), t.build, t.stage,
+            t.phase, self.clock.to_unix_ms(began));
         self.hand.rollout_status(RolloutStatus {
             build: t.build,
             stage: t.stage,
@@ -319,27 +323,33 @@
         }
     }
 
-    pub fn listed(&self, told: Listing) {
-        let (complete, served) = (told.complete, self.list.borrow().serves());
-        let (entries, stale) = self.list.borrow_mut().take(told, &self.site(), &self.clock);
-        stale
+    pub fn listed(&self, told: ListResponse) {
+        let (complete, served) = (told.complete, self.list.borrow().has_running());
+        let AppliedList {
+            entries,
+            stale_endpoints,
+        } = self
+            .list
+            .borrow_mut()
+            .apply(told, &self.site(), &self.clock);
+        stale_endpoints
             .into_iter()
             .for_each(|i| self.pools.borrow_mut().forget(i));
         self.hand.list(&entries, complete);
         self.border.alive(|| self.builds());
-        if served && !self.list.borrow().serves() {
+        if served && !self.list.borrow().has_running() {
             log::warn!(
                 "discovery: no appliance runs, of {}; commands are denied",
                 self.list.borrow().len()
             );
         }
-        if self.list.borrow().serves() {
+        if self.list.borrow().has_running() {
             self.first_list.notify(usize::MAX);
         }
     }
 
     /// The endpoints to serve from, once some are known.
-    pub async fn targets(&self) -> Vec<Target> {
+    pub async fn targets(&self) -> Vec<AttemptTarget> {
         loop {
             let listed = self.first_list.listen();
             let targets = self.list.borrow().targets();
@@ -358,19 +368,19 @@
     /// asks for all of it.
     pub fn known(&self) -> Option<u64> {
         let list = self.list.borrow();
-        list.serves().then_some(list.version)
+        list.has_running().then_some(list.version)
     }
 
     pub fn endpoint(&self, id: &str) -> Option<usize> {
-        self.list.borrow().number(id)
+        self.list.borrow().index(id)
     }
 
     pub fn endpoint_name(&self, endpoint: usize) -> String {
-        self.list.borrow().name(endpoint).to_owned()
+        self.list.borrow().id(endpoint).to_owned()
     }
 
-    pub fn hold(&self, endpoint: usize) -> Option<Rc<()>> {
-        self.list.borrow().hold(endpoint)
+    pub fn hold(&self, endpoint: usize) -> Option<IndexGuard> {
+        self.list.borrow().hold_index(endpoint)
     }
 
     /// What is kept, for the counters: it should follow what is alive.
@@ -386,7 +396,7 @@
         format!("kept: clients {clients} listed {listed} {module}{otherwise}")
     }
 
-    pub fn target(&self, endpoint: usize) -> Option<Target> {
+    pub fn target(&self, endpoint: usize) -> Option<AttemptTarget> {
         self.list.borrow().target(endpoint)
     }
 
@@ -398,7 +408,7 @@
     }
 
     /// Keeps a connection for the next request, while its endpoint still runs the same build there.
-    pub fn keep(&self, target: Target, held: Held) {
+    pub fn keep(&self, target: AttemptTarget, held: Held) {
         if self.target(target.endpoint) == Some(target) {
             self.pools.borrow_mut().put(target.endpoint, held);
         }
@@ -414,7 +424,7 @@
     }
 
     pub async fn until(&self, at: Duration) {
-        Timer::at(self.clock.instant(at)).await;
+        Timer::at(self.clock.to_instant(at)).await;
     }
 }
 
--- a/crates/agent/src/cli/demo.rs
+++ b/crates/agent/src/cli/demo.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 use tulipwall_testkit::{classes, Caller, Link, Load, Offer, Program, Ways, World};
 use tulipwall_zones::Document;
 
@@ -109,7 +109,7 @@
         seed: 1,
     };
     let (begun, load) = (Instant::now(), load.begin());
-    let (released, door) = (Arc::new(AtomicBool::new(false)), Door::Unix(socket));
+    let (released, door) = (Arc::new(AtomicBool::new(false)), AdminAddress::Unix(socket));
     println!("  time   taken  near  cross   over  build 42   what happens");
     let (mut before, mut offer) = (Sums::default(), None);
     for second in 1..=ENDS {
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tulipwall_config::LogForm;
+use tulipwall_config::LogFormat;
 
 const EXITS: &str = "\
 Without a command it runs the agent that PROXY_CONFIG names.
@@ -67,11 +67,11 @@
     Json,
 }
 
-impl From<Form> for LogForm {
-    fn from(form: Form) -> LogForm {
+impl From<Form> for LogFormat {
+    fn from(form: Form) -> LogFormat {
         match form {
-            Form::Text => LogForm::Text,
-            Form::Json => LogForm::Json,
+            Form::Text => LogFormat::Text,
+            Form::Json => LogFormat::Json,
         }
     }
 }
@@ -84,7 +84,7 @@
                 configuration: config,
                 installation,
             },
-            log.map(LogForm::from),
+            log.map(LogFormat::from),
         );
         if ended {
             ExitCode::SUCCESS
--- a/crates/agent/src/cli/report.rs
+++ b/crates/agent/src/cli/report.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tulipwall::Divergences;
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 use tulipwall_zones::{BudgetLine, Document, LinkLine, ReportLine};
 
 const WITHIN: Duration = Duration::from_secs(5);
@@ -21,8 +21,8 @@
 #[derive(Args)]
 pub struct Ask {
     /// Doors of agents: 127.0.0.1:PORT or unix:PATH. Several are added up.
-    #[arg(required = true, value_parser = Door::parse)]
-    doors: Vec<Door>,
+    #[arg(required = true, value_parser = AdminAddress::parse)]
+    doors: Vec<AdminAddress>,
     /// All of it as one JSON document.
     #[arg(long, conflicts_with = "svg")]
     json: bool,
@@ -136,7 +136,7 @@
 }
 
 /// The counts of the watch behind a door.
-fn counts(door: &Door) -> Result<Counts, String> {
+fn counts(door: &AdminAddress) -> Result<Counts, String> {
     let mut counts = Divergences::default().named();
     let mut told = false;
     get(door, "/watch", |line| {
@@ -155,15 +155,15 @@
         .ok_or_else(|| "the report stops short of its end".into())
 }
 
-fn name(door: &Door) -> String {
+fn name(door: &AdminAddress) -> String {
     match door {
-        Door::Tcp(address) => address.to_string(),
-        Door::Unix(path) => format!("unix:{}", path.display()),
+        AdminAddress::Tcp(address) => address.to_string(),
+        AdminAddress::Unix(path) => format!("unix:{}", path.display()),
     }
 }
 
 /// The whole report behind a door.
-pub fn ask(door: &Door) -> Result<Document, String> {
+pub fn ask(door: &AdminAddress) -> Result<Document, String> {
     let mut document = Document::default();
     get(door, "/zones", |line| {
         let line: ReportLine =
@@ -179,12 +179,12 @@
 
 /// Asks a door for this, and hands on what it says line by line.
 fn get(
-    door: &Door,
+    door: &AdminAddress,
     path: &str,
     each: impl FnMut(&str) -> Result<(), String>,
 ) -> Result<(), String> {
     match door {
-        Door::Tcp(address) => {
+        AdminAddress::Tcp(address) => {
             let stream = TcpStream::connect_timeout(address, WITHIN).map_err(|e| e.to_string())?;
             let limited = stream
                 .set_read_timeout(Some(WITHIN))
@@ -192,7 +192,7 @@
             limited.map_err(|e| e.to_string())?;
             read(stream, path, each)
         }
-        Door::Unix(file) => {
+        AdminAddress::Unix(file) => {
             let stream = UnixStream::connect(file).map_err(|e| e.to_string())?;
             let limited = stream
                 .set_read_timeout(Some(WITHIN))
--- a/crates/agent/src/control/discovery.rs
+++ b/crates/agent/src/control/discovery.rs
@@ -8,27 +8,28 @@
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::time::Duration;
-use tulipwall_discovery::listing::{self, Listing};
-use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_discovery::list_lease::ListLease;
+use tulipwall_discovery::list_response::{self, ListResponse};
+use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
 /// How soon the rest of an answer that has begun must come.
 const REST_WITHIN: Duration = Duration::from_millis(500);
 
 /// How a watch ended, and what there is to say of it.
-struct End(Ended, String);
+struct End(WatchEnd, String);
 
 impl From<Malformed> for End {
     fn from(what: Malformed) -> End {
-        End(Ended::Spoilt, what.0)
+        End(WatchEnd::Malformed, what.0)
     }
 }
 
 fn broken(e: std::io::Error) -> End {
-    End(Ended::Broken, e.to_string())
+    End(WatchEnd::Disconnected, e.to_string())
 }
 
 /// What was told, and whether the connection ends with it.
-type Told = (Listing, bool);
+type Told = (ListResponse, bool);
 
 pub async fn run(agent: &Agent) {
     let (moves, mut watch) = (agent.discovery_moves.seen(), Watch::new(agent));
@@ -69,24 +70,24 @@
 /// One agent's watch over its calls.
 struct Watch<'a> {
     agent: &'a Agent,
-    watchdog: Watchdog,
-    list_valid_until: Vouched,
+    watchdog: WatchTimer,
+    list_valid_until: ListLease,
     owes: bool,             // it was not yet heard at its new address
     away: Option<Duration>, // since when it has not been heard
     // How its watches ended while it was away: each way is named once, as a break may hide a list
     // that is spoilt.
-    named: Vec<Ended>,
+    named: Vec<WatchEnd>,
     doubts: bool, // nothing is sent until it is heard
 }
 
 impl Watch<'_> {
     fn new(agent: &Agent) -> Watch<'_> {
         let d = &agent.site().settings;
-        let list_valid_until = Vouched::new(d, agent.clock.now());
-        agent.hand.vouch(list_valid_until.until());
+        let list_valid_until = ListLease::new(d, agent.clock.now());
+        agent.hand.vouch(list_valid_until.valid_until());
         Watch {
             agent,
-            watchdog: Watchdog::new(d),
+            watchdog: WatchTimer::new(d),
             list_valid_until,
             owes: false,
             away: None,
@@ -97,30 +98,30 @@
 
     /// When discovery is first called; none where the module says.
     fn starts(&mut self, now: Duration) -> Option<Duration> {
-        self.watchdog.starts().map(|gap| now + gap)
+        self.watchdog.startup_delay().map(|gap| now + gap)
     }
 
     /// Settings may have been read anew.
     fn renew(&mut self, now: Duration) {
         let d = &self.agent.site().settings;
-        self.watchdog.renew(d);
-        self.list_valid_until.renew(d, now);
-        self.agent.hand.vouch(self.list_valid_until.until());
+        self.watchdog.reload(d);
+        self.list_valid_until.reload(d, now);
+        self.agent.hand.vouch(self.list_valid_until.valid_until());
     }
 
     /// When the new address is first called; none for at once.
     fn moves(&mut self, now: Duration) -> Option<Duration> {
         self.owes = true;
-        self.list_valid_until.moved(now);
-        self.agent.hand.vouch(self.list_valid_until.until());
-        let gap = self.watchdog.moved();
+        self.list_valid_until.on_address_change(now);
+        self.agent.hand.vouch(self.list_valid_until.valid_until());
+        let gap = self.watchdog.on_address_change();
         (!gap.is_zero()).then_some(now + gap)
     }
 
     /// A call failed: when the next one goes out, or none where the module says.
     fn ended(&mut self, End(ended, what): End) -> Option<Duration> {
         let (agent, now) = (self.agent, self.agent.clock.now());
-        if ended == Ended::Silent {
+        if ended == WatchEnd::TimedOut {
             agent.counters.list_silences.add();
         }
         if self.away.is_none() {
@@ -131,16 +132,19 @@
             log::warn!("discovery: then {what}");
             self.named.push(ended);
         }
-        self.list_valid_until.ended(now, ended);
-        agent.hand.vouch(self.list_valid_until.until());
-        if self.list_valid_until.until().is_some_and(|t| now >= t)
+        self.list_valid_until.on_watch_end(now, ended);
+        agent.hand.vouch(self.list_valid_until.valid_until());
+        if self
+            .list_valid_until
+            .valid_until()
+            .is_some_and(|t| now >= t)
             && !std::mem::replace(&mut self.doubts, true)
         {
             log::warn!(
                 "discovery: {what}; who has left is not known any more, nothing is sent until it is heard"
             );
         }
-        let again = self.watchdog.again(ended).map(|gap| now + gap);
+        let again = self.watchdog.on_watch_end(ended).map(|gap| now + gap);
         match again {
             Some(_) => agent.counters.list_failures.add(),
             None => {
@@ -160,19 +164,19 @@
     /// above: what it changed before them is heard at the next start only.
     async fn run(&mut self) -> End {
         let agent = self.agent;
-        let wait = self.watchdog.wait(true);
+        let wait = self.watchdog.first_wait();
         let known = agent
             .known()
-            .filter(|_| !self.owes || !self.watchdog.free());
-        let path = known.map_or(listing::LIST.to_owned(), |version| {
-            listing::watch(version, wait)
+            .filter(|_| !self.owes || !self.watchdog.calls_are_free());
+        let path = known.map_or(list_response::LIST_PATH.to_owned(), |version| {
+            list_response::watch_path(version, wait)
         });
         let (quick, patient) = (
-            wait + self.watchdog.within(false),
-            wait + self.watchdog.within(true),
+            wait + self.watchdog.first_call_timeout(FirstCall::Quick),
+            wait + self.watchdog.first_call_timeout(FirstCall::Patient),
         );
-        self.list_valid_until.begins(agent.clock.now());
-        let begun = match self.watchdog.free() {
+        self.list_valid_until.on_watch_begin(agent.clock.now());
+        let begun = match self.watchdog.calls_are_free() {
             true => {
                 over(agent, &self.watchdog, &path, quick)
                     .or(begin(agent, &path, patient))
@@ -186,22 +190,28 @@
         };
         let below = !told.complete && known.is_some_and(|version| told.version < version);
         if self.owes && below && !last {
-            match within(agent, patient, ask(agent, &mut connection, listing::LIST)).await {
+            match within(
+                agent,
+                patient,
+                ask(agent, &mut connection, list_response::LIST_PATH),
+            )
+            .await
+            {
                 Ok(whole) => (told, last) = whole,
                 Err(end) => return end,
             }
         }
         loop {
-            let spoilt = told.spoilt.clone();
+            let spoilt = told.first_error.clone();
             agent.listed(told);
-            let wait = self.watchdog.wait(false);
-            self.list_valid_until.told(agent.clock.now(), wait);
-            agent.hand.vouch(self.list_valid_until.until());
+            let wait = self.watchdog.next_wait();
+            self.list_valid_until.on_response(agent.clock.now(), wait);
+            agent.hand.vouch(self.list_valid_until.valid_until());
             agent.heard();
             if let Some(what) = spoilt {
-                return End(Ended::Spoilt, format!("list: {what}"));
+                return End(WatchEnd::Malformed, format!("list: {what}"));
             }
-            self.watchdog.told();
+            self.watchdog.on_response();
             self.doubts = false;
             if let Some(since) = self.away.take() {
                 log::info!(
@@ -213,10 +223,10 @@
                 agent.life.heard(Party::Discovery);
             }
             if last {
-                return End(Ended::Broken, "it closes after an answer".into());
+                return End(WatchEnd::Disconnected, "it closes after an answer".into());
             }
-            let path = listing::watch(agent.version(), wait);
-            let late = wait + self.watchdog.late();
+            let path = list_response::watch_path(agent.version(), wait);
+            let late = wait + self.watchdog.response_grace();
             match within(agent, late, ask(agent, &mut connection, &path)).await {
                 Ok(next) => (told, last) = next,
                 Err(end) => return end,
@@ -240,13 +250,17 @@
 /// The same over and over, without an end of its own.
 async fn over(
     agent: &Agent,
-    watchdog: &Watchdog,
+    watchdog: &WatchTimer,
     path: &str,
     time: Duration,
 ) -> Result<(Connection, Told), End> {
     loop {
         match begin(agent, path, time).await {
-            Err(End(ended, _)) => agent.until(agent.clock.now() + watchdog.gap(ended)).await,
+            Err(End(ended, _)) => {
+                agent
+                    .until(agent.clock.now() + watchdog.retry_delay(ended))
+                    .await
+            }
             begun => return begun,
         }
     }
@@ -262,16 +276,19 @@
         if let Some(answer) = http::answer(connection.inbox.unread(), ended)? {
             connection.inbox.consume(answer.took);
             if answer.status != 200 {
-                return Err(End(Ended::Refused, format!("status {}", answer.status)));
+                return Err(End(WatchEnd::Refused, format!("status {}", answer.status)));
             }
             // Where the connection does not go on, this much is told, and the watch begins anew.
             return Ok((
-                Listing::parse(&answer.body).map_err(Malformed)?,
+                ListResponse::parse(&answer.body).map_err(|error| Malformed(error.to_string()))?,
                 answer.last,
             ));
         }
         if ended {
-            return Err(End(Ended::Broken, "it ended within an answer".into()));
+            return Err(End(
+                WatchEnd::Disconnected,
+                "it ended within an answer".into(),
+            ));
         }
         // Guards against an answer that stops short of its end, which would be waited for as long
         // as a watch.
@@ -293,7 +310,7 @@
 ) -> Result<T, End> {
     let late = async {
         agent.until(agent.clock.now() + time).await;
-        Err(End(Ended::Silent, "it is silent".into()))
+        Err(End(WatchEnd::TimedOut, "it is silent".into()))
     };
     work.or(late).await
 }
--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -174,7 +174,7 @@
                     stage,
                     verdict,
                 } = &vote;
-                let now = agent.clock.wall(agent.clock.now());
+                let now = agent.clock.to_unix_ms(agent.clock.now());
                 log::debug!(target: EVIDENCE, "{now} vote build {build} stage {stage} {verdict:?}");
                 talk.vote = Some(id);
                 calls.vote.set(Some(id));
@@ -238,10 +238,11 @@
                 class,
                 age,
             } if all => {
-                if let (Some(a), Some(l)) = (agent.endpoint(&endpoint), agent.site().class(&class))
+                if let (Some(a), Some(l)) =
+                    (agent.endpoint(&endpoint), agent.site().class_index(&class))
                 {
                     let build = agent.target(a).map_or(0, |t| t.build);
-                    log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.wall(agent.clock.now()));
+                    log::debug!(target: EVIDENCE, "{} flag lane {l} build {build}", agent.clock.to_unix_ms(agent.clock.now()));
                     agent.hand.flag(a, l, age);
                 }
             }
@@ -253,7 +254,7 @@
                 took,
                 age,
             } if all => {
-                if let Some(class) = agent.site().class(&class) {
+                if let Some(class) = agent.site().class_index(&class) {
                     let (attempts, failed) = (attempts.into(), failed.into());
                     agent.hand.tally(&PlatformCounts {
                         build,
@@ -271,7 +272,7 @@
                 }
                 if calls.vote.get() == Some(id) {
                     calls.vote.set(None);
-                    log::debug!(target: EVIDENCE, "{} vote {reply:?}", agent.clock.wall(agent.clock.now()));
+                    log::debug!(target: EVIDENCE, "{} vote {reply:?}", agent.clock.to_unix_ms(agent.clock.now()));
                     agent.hand.reply(reply);
                 }
             }
--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -19,8 +19,8 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall_config::LogForm;
-use tulipwall_discovery::watchdog::Watchdog;
+use tulipwall_config::LogFormat;
+use tulipwall_discovery::watch_timer::WatchTimer;
 
 /// Connections that may wait to be taken in, where there are fewer places: what the standard
 /// library asks for.
@@ -36,11 +36,11 @@
 
 /// Runs one agent until it is told to leave; whether it ended as it should. `form` is that of its
 /// log, where the installation's own does not count.
-pub fn run(files: Files, form: Option<LogForm>) -> bool {
+pub fn run(files: Files, form: Option<LogFormat>) -> bool {
     let read = Signals::new().map_err(|e| vec![format!("signals: {e}")]);
     let read = read.and_then(|signals| Ok((signals, Start::read(&files)?)));
     let told = read.as_ref().ok().and_then(|(_, start)| start.log);
-    logging::begin(form.or(told).unwrap_or(LogForm::Text));
+    logging::begin(form.or(told).unwrap_or(LogFormat::Text));
     let (signals, start) = match read {
         Ok(both) => both,
         Err(faults) => {
@@ -96,7 +96,7 @@
                 // Where calls are paid for, requests and connections do not wait here: nothing is
                 // vouched for yet, so that the module sends nothing and denies at half of a
                 // request's time.
-                if let Some(within) = Watchdog::new(&a.site().settings).start_within() {
+                if let Some(within) = WatchTimer::new(&a.site().settings).startup_list_timeout() {
                     a.until(a.clock.now() + within).or(a.may_serve()).await;
                 }
                 a.heard();
@@ -220,7 +220,7 @@
         agent.look_at_zones();
         due.log_lines.iter().for_each(|note| log::info!("{note}"));
         for note in &due.log_lines {
-            log::debug!(target: EVIDENCE, "{} note {note}", agent.clock.wall(now));
+            log::debug!(target: EVIDENCE, "{} note {note}", agent.clock.to_unix_ms(now));
         }
         if now >= swept + Duration::from_secs(1) {
             agent.sweep();
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -6,8 +6,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tulipwall::AlternativeSettings;
-use tulipwall_config::{ConfigDiagnostic, Door, Installation, Instance, LogForm, ServiceConfig};
-use tulipwall_discovery::listing::Listing;
+use tulipwall_config::{
+    AdminAddress, ConfigDiagnostic, Installation, InstanceConfig, LogFormat, ServiceConfig,
+};
+use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::ZoneConfig;
 
 /// Which files are read.
@@ -26,11 +28,11 @@
     pub platform: Option<SocketAddr>,
     pub sockets: usize,
     pub memory: usize, // in bytes
-    pub known: Option<Listing>,
+    pub known: Option<ListResponse>,
     pub rollout_status: Option<Told>,
     pub site: ServiceConfig,
-    pub log: Option<LogForm>,
-    pub door: Option<Door>,
+    pub log: Option<LogFormat>,
+    pub door: Option<AdminAddress>,
     pub installation: Installation,
     pub watch: Option<AlternativeSettings>,
 }
@@ -49,9 +51,11 @@
         };
         let installation = read_installation(path)?;
         let named = |mistakes| named(path, mistakes);
-        installation.zoning(&start.site).map_err(named)?;
-        let watch = installation.watch(&start.site).map_err(named)?;
-        let (log, door) = (installation.log, installation.door.clone());
+        installation.zone_config(&start.site).map_err(named)?;
+        let watch = installation
+            .alternative_settings(&start.site)
+            .map_err(named)?;
+        let (log, door) = (installation.log, installation.admin.clone());
         Ok(Start {
             log,
             door,
@@ -64,21 +68,23 @@
     /// What the installation says of zones, in the numbers of these settings; looked at for
     /// mistakes as it was read.
     pub fn zoning(&self) -> Option<ZoneConfig> {
-        self.installation.zoning(&self.site).unwrap_or_default()
+        self.installation
+            .zone_config(&self.site)
+            .unwrap_or_default()
     }
 
     pub fn parse(bytes: &[u8]) -> Result<Start, String> {
         let value: Value = serde_json::from_slice(bytes).map_err(|e| format!("not JSON: {e}"))?;
-        let i = Instance::read(&value)?;
+        let i = InstanceConfig::read(&value)?;
         let known = i
             .known_list
             .as_ref()
-            .map(Listing::read)
+            .map(ListResponse::read)
             .transpose()
             .map_err(|e| format!("known: {e}"))?;
         let rollout_status = i.rollout_status.as_ref().map(platform::told).transpose();
         let rollout_status = rollout_status.map_err(|e| format!("deployer.news: {e}"))?;
-        let Instance {
+        let InstanceConfig {
             name,
             listen,
             discovery,
--- a/crates/agent/src/observability/logging.rs
+++ b/crates/agent/src/observability/logging.rs
@@ -4,7 +4,7 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::Map;
 use std::io::Write;
-use tulipwall_config::LogForm;
+use tulipwall_config::LogFormat;
 
 /// Target of what a verdict on a build rests on, a line each at `debug`: how attempts and requests
 /// ended, flags, news and votes, with the Unix time in milliseconds. Off unless `RUST_LOG` sets it
@@ -12,10 +12,10 @@
 pub const EVIDENCE: &str = "evidence";
 
 /// Begins to log; `RUST_LOG` sets what, `info` unless set. Only the first call counts.
-pub fn begin(form: LogForm) {
+pub fn begin(form: LogFormat) {
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
-    if form == LogForm::Json {
+    if form == LogFormat::Json {
         builder.format(|out, record| {
             let at = out.timestamp_micros().to_string();
             writeln!(out, "{}", json(&at, record))
--- a/crates/agent/src/protocol/mod.rs
+++ b/crates/agent/src/protocol/mod.rs
@@ -19,6 +19,12 @@
     }
 }
 
+impl From<tulipwall_config::FieldError> for Malformed {
+    fn from(error: tulipwall_config::FieldError) -> Malformed {
+        Malformed(error.to_string())
+    }
+}
+
 impl From<String> for Malformed {
     fn from(what: String) -> Malformed {
         Malformed(what)
--- a/crates/agent/src/protocol/platform.rs
+++ b/crates/agent/src/protocol/platform.rs
@@ -62,13 +62,13 @@
 }
 
 fn number(f: &Fields, name: &str) -> Result<u32, String> {
-    u32::try_from(f.whole(name)?).map_err(|_| format!("field {name}: too large"))
+    u32::try_from(f.unsigned(name)?).map_err(|_| format!("field {name}: too large"))
 }
 
 pub fn told(f: &Fields) -> Result<Told, String> {
     Ok(Told {
         build: number(f, "image")?,
-        stage: f.whole("ring")? as usize,
+        stage: f.unsigned("ring")? as usize,
         phase: match f.text("progress")? {
             "trial" => RolloutPhase::Canary,
             "rolling_back" => RolloutPhase::RollingBack,
@@ -77,44 +77,44 @@
             other => return Err(format!("field progress: unknown value '{other}'")),
         },
         cap: f.number("ceiling")?,
-        age: f.span("lag_ms")?,
+        age: f.duration_ms("lag_ms")?,
     })
 }
 
 pub fn line(bytes: &[u8]) -> Result<Line, Malformed> {
     let value: Value =
         serde_json::from_slice(bytes).map_err(|e| Malformed(format!("line: {e}")))?;
-    let f = Fields::of(&value, "line")?;
-    if let Some(method) = f.maybe("method") {
+    let f = Fields::new(&value, "line")?;
+    if let Some(method) = f.optional("method") {
         return Ok(match method.as_str() {
-            Some("ROLLOUT") => Line::RolloutStatus(told(&f.inner("params")?)?),
+            Some("ROLLOUT") => Line::RolloutStatus(told(&f.object("params")?)?),
             Some("DISPUTE") => {
-                let p = f.inner("params")?;
+                let p = f.object("params")?;
                 let (endpoint, class) = (p.text("host")?.to_owned(), p.text("type")?.to_owned());
                 Line::Flag {
                     endpoint,
                     class,
-                    age: p.span("lag_ms")?,
+                    age: p.duration_ms("lag_ms")?,
                 }
             }
             Some("SAMPLE") => {
-                let p = f.inner("params")?;
+                let p = f.object("params")?;
                 Line::Counted {
                     build: number(&p, "image")?,
                     class: p.text("type")?.to_owned(),
                     attempts: number(&p, "n")?,
                     failed: number(&p, "bad")?,
-                    took: p.span("latency_ms")?,
-                    age: p.span("lag_ms")?,
+                    took: p.duration_ms("latency_ms")?,
+                    age: p.duration_ms("lag_ms")?,
                 }
             }
             Some("ping") => Line::SignOfLife,
             _ => return malformed("line: field method: unknown value"),
         });
     }
-    let id = f.whole("id")?;
-    if let Some(error) = f.maybe("error") {
-        let reply = match Fields::of(error, "error")?.text("message")? {
+    let id = f.unsigned("id")?;
+    if let Some(error) = f.optional("error") {
+        let reply = match Fields::new(error, "error")?.text("message")? {
             "ConditionFailed" => VoteReply::Moot,
             "Throttling" | "InternalFailure" | "ValidationError" => VoteReply::Refused,
             _ => return malformed("line: field message: unknown value"),
@@ -125,9 +125,9 @@
             told: None,
         });
     }
-    match f.maybe("result") {
+    match f.optional("result") {
         Some(Value::Object(_)) => {
-            let told = Some(told(&f.inner("result")?)?);
+            let told = Some(told(&f.object("result")?)?);
             Ok(Line::Answer {
                 id,
                 reply: VoteReply::Counted,
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -330,7 +330,7 @@
         let read = read(agent, text);
         let heard = client
             .consume(took)
-            .map_or_else(|| agent.clock.now(), |at| agent.clock.at(at));
+            .map_or_else(|| agent.clock.now(), |at| agent.clock.reading_at(at));
         let open = read
             .as_ref()
             .ok()
@@ -391,7 +391,7 @@
 
 /// The class of a statement under the settings in force.
 pub fn class(site: &ServiceConfig, statement: &Statement) -> Result<usize, Malformed> {
-    match site.class(&statement.class) {
+    match site.class_index(&statement.class) {
         Some(class) if !statement.keyed && site.is_keyed(class) => {
             malformed("statement: field k is missing")
         }
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -15,7 +15,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
-use tulipwall_config::number;
+use tulipwall_config::stable_hash;
 use tulipwall_zones::{AttemptStart, Reservation};
 
 /// What a client may write ahead of its answers before it is held back.
@@ -76,7 +76,10 @@
         let Ok(class) = class(&site, &statement) else {
             return Final::Rejected(None);
         };
-        let tenant = statement.tenant.as_deref().and_then(|c| site.tenant(c));
+        let tenant = statement
+            .tenant
+            .as_deref()
+            .and_then(|c| site.tenant_index(c));
         (class, tenant, site.settings.classes[class].idempotency)
     };
     let deadline = heard + statement.wait;
@@ -85,7 +88,7 @@
     let command = Request {
         class,
         tenant,
-        key: Some(number(&statement.object)),
+        key: Some(stable_hash(&statement.object)),
         time_left: left,
         estimated_work: work,
         is_retry: again,
@@ -153,7 +156,7 @@
     };
     let now = agent.clock.now();
     log::debug!(target: EVIDENCE, "{} command lane {class} {} {} us work {} us",
-        agent.clock.wall(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
+        agent.clock.to_unix_ms(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
     // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
     // and the module hears of it.
     for n in 0..out.len() {
@@ -254,7 +257,7 @@
         let now = agent.clock.now();
         let took = now.saturating_sub(sent);
         log::debug!(target: EVIDENCE, "{} delivery lane {class} build {build} {outcome:?} {} us",
-            agent.clock.wall(now), took.as_micros());
+            agent.clock.to_unix_ms(now), took.as_micros());
         agent
             .border
             .ended(now, ticket.as_ref(), &meter, outcome, took);
@@ -307,7 +310,7 @@
         .min()
         .unwrap_or(deadline);
     let first = give_up.min(look.unwrap_or(deadline)).min(deadline);
-    let mut timer = pin!(Timer::at(agent.clock.instant(first)));
+    let mut timer = pin!(Timer::at(agent.clock.to_instant(first)));
     let mut leaves = pin!(leaves(client));
     poll_fn(|cx| {
         if leaves.as_mut().poll(cx).is_ready() {
@@ -375,7 +378,7 @@
 /// Hears out the attempts of a request that has its final answer.
 async fn rest(agent: &Agent, id: u64, mut out: Vec<Option<Out>>) {
     while let Some(give_up) = out.iter().flatten().map(|o| o.give_up).min() {
-        let mut timer = pin!(Timer::at(agent.clock.instant(give_up)));
+        let mut timer = pin!(Timer::at(agent.clock.to_instant(give_up)));
         let ends = poll_fn(|cx| match ended(agent, &mut out, cx) {
             Some(ended) => Poll::Ready(Some(ended)),
             None => timer
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::Outcome;
-use tulipwall_discovery::list::Target;
+use tulipwall_discovery::endpoint_table::{AttemptTarget, IndexGuard};
 use tulipwall_zones::{ConnectionTraffic, ResponseFault};
 
 /// How soon the rest of an answer that has begun must come.
@@ -24,11 +24,11 @@
     /// Its request, and which of that request's attempts it is.
     pub id: u64,
     pub nth: usize,
-    pub target: Target,
+    pub target: AttemptTarget,
     pub turn: u64,
     pub give_up: Duration,
     /// Its number stands for this endpoint until the attempt is over.
-    pub held: Option<Rc<()>>,
+    pub held: Option<IndexGuard>,
 }
 
 /// Runs one attempt to its end; the messages of the value where there is one. `meter` tells once
@@ -176,7 +176,7 @@
 }
 
 /// A new connection, ready for its first query.
-async fn open(agent: &Agent, target: Target) -> Result<Held, Outcome> {
+async fn open(agent: &Agent, target: AttemptTarget) -> Result<Held, Outcome> {
     let slot = loop {
         match agent.sockets.endpoint() {
             Some(slot) => break slot,
@@ -227,7 +227,7 @@
 /// What opening a connection takes, accounted for also where it is given up halfway.
 struct HandshakeCost<'a> {
     agent: &'a Agent,
-    target: Target,
+    target: AttemptTarget,
     begun: Duration,
     traffic: RefCell<Option<Rc<Traffic>>>,
 }
@@ -239,7 +239,7 @@
         };
         let ((out, back), now) = (traffic.charge(), self.agent.clock.now());
         let took = open.then(|| now.saturating_sub(self.begun));
-        let Target { zone, build, .. } = self.target;
+        let AttemptTarget { zone, build, .. } = self.target;
         self.agent.border.opened(
             now,
             ConnectionTraffic {
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use tulipwall::{Balancer, RolloutPhase, RolloutStatus};
 use tulipwall_config::{Fields, ServiceConfig};
-use tulipwall_discovery::listing::Listing;
-use tulipwall_discovery::{clock::Clock, list::List};
+use tulipwall_discovery::list_response::ListResponse;
+use tulipwall_discovery::{clock::Clock, endpoint_table::EndpointTable};
 use tulipwall_testkit::ground::SOON;
 use tulipwall_testkit::*;
 
@@ -432,8 +432,8 @@
 #[test]
 fn what_is_kept_follows_what_is_alive_however_many_came() {
     let value = program::settings(&["a"], "a", 1, &classes());
-    let site = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
-    let (mut kept, clock) = (List::default(), Clock::start());
+    let site = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap();
+    let (mut kept, clock) = (EndpointTable::default(), Clock::start());
     let mut choice = Balancer::new(clock.now(), site.settings.clone());
     let mut held = None;
     for n in 0..2000u32 {
@@ -444,11 +444,13 @@
         };
         let told = json!({"version": n, "full": n % 50 == 49, "servers": [entry(n, "in_service"),
             entry(n + 2000, "terminated"), entry(n.saturating_sub(8), "terminated")]});
-        let (entries, _) = kept.take(
-            Listing::parse(told.to_string().as_bytes()).unwrap(),
-            &site,
-            &clock,
-        );
+        let entries = kept
+            .apply(
+                ListResponse::parse(told.to_string().as_bytes()).unwrap(),
+                &site,
+                &clock,
+            )
+            .entries;
         choice.update_endpoints(clock.now(), &entries, n % 50 == 49);
         choice.update_rollout(RolloutStatus {
             build: n / 5,
@@ -458,11 +460,11 @@
             since: clock.now(),
         });
         if n == 100 {
-            held = kept.hold(entries[0].endpoint).map(|h| {
+            held = kept.hold_index(entries[0].endpoint).map(|h| {
                 (
                     h,
                     entries[0].endpoint,
-                    kept.name(entries[0].endpoint).to_owned(),
+                    kept.id(entries[0].endpoint).to_owned(),
                 )
             });
         }
@@ -475,7 +477,7 @@
     );
     let (_, number, id) = held.unwrap();
     assert_eq!(
-        kept.name(number),
+        kept.id(number),
         id,
         "not given anew while a delivery to it is out"
     );
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -8,7 +8,7 @@
 use tulipwall_agent::protocol::platform::{self, Line, Told};
 use tulipwall_agent::protocol::postgres::{self, Hearing, Opening, Verdict};
 use tulipwall_agent::protocol::{http, statement::Statement, Malformed};
-use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::list_response::ListResponse;
 
 const READ: &str = "SELECT body FROM objects WHERE oid = 'a1' /* id=9b1f,c=view,t=acme,d=480 */";
 const WRITE: &str = "INSERT INTO objects (oid, body) VALUES ('a1', '\\x9f''03') RETURNING body \
@@ -94,7 +94,7 @@
                 bytes.get_mut(at).into_iter().for_each(|b| *b = *to);
             }
             let _ = (postgres::opening(&bytes), http::answer(&bytes, true), http::answer(&bytes, false));
-            let _ = (platform::line(&bytes), platform::split(&bytes), Listing::parse(&bytes), Start::parse(&bytes).is_ok());
+            let _ = (platform::line(&bytes), platform::split(&bytes), ListResponse::parse(&bytes), Start::parse(&bytes).is_ok());
             let _ = std::str::from_utf8(&bytes).map(Statement::parse);
             let _ = (heard(&[&bytes]), postgres::message(&bytes).map(|m| m.map(|m| postgres::text(m.1).is_ok())));
         }
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -116,7 +116,7 @@
             let text = std::fs::read_to_string(path)
                 .map_err(|e| vec![format!("{}: {e}", path.display())])?;
             let named = |m: &tulipwall_config::ConfigDiagnostic| format!("{}:{m}", path.display());
-            tulipwall_config::read_service(&text)
+            tulipwall_config::read_client_file(&text)
                 .map_err(|all| all.iter().map(named).collect::<Vec<_>>())?
         }
         None => Service::new(Vec::new(), Vec::new()),
--- a/crates/config/examples/settings.rs
+++ b/crates/config/examples/settings.rs
@@ -23,7 +23,7 @@
 
 fn read(text: &str) -> Result<ServiceConfig, String> {
     let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    ServiceConfig::read(&Fields::of(&value, "settings")?, 1).map_err(|f| f.to_string())
+    ServiceConfig::read(&Fields::new(&value, "settings")?, 1).map_err(|f| f.to_string())
 }
 
 /// The least of several times, in microseconds.
@@ -46,7 +46,7 @@
         let found = least(|| {
             names
                 .iter()
-                .filter(|n| site.tenant(black_box(n)).is_some())
+                .filter(|n| site.tenant_index(black_box(n)).is_some())
                 .count()
         });
         print!(
--- /dev/null
+++ b/crates/config/src/admin_address.rs
@@ -0,0 +1,49 @@
+//! The address of the admin endpoint.
+
+use std::net::{IpAddr, SocketAddr};
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// Marks the path of a Unix socket.
+const UNIX_PREFIX: &str = "unix:";
+
+/// The address of the admin endpoint, which only the agent's own machine can reach.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AdminAddress {
+    /// A loopback address.
+    Tcp(SocketAddr),
+    /// The path of a Unix socket.
+    Unix(PathBuf),
+}
+
+/// Why a text is no address of an admin endpoint.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum AdminAddressError {
+    /// The address can be reached from other machines.
+    #[error("a loopback address is wanted, {address} is none")]
+    NotLoopback {
+        /// The address.
+        address: IpAddr,
+    },
+    /// The text is neither a TCP address nor the path of a Unix socket.
+    #[error("\"127.0.0.1:PORT\" or \"unix:PATH\" is wanted")]
+    Malformed,
+}
+
+impl AdminAddress {
+    /// Parses `127.0.0.1:9190`, `[::1]:9190` or `unix:/run/tulipwall/admin`.
+    pub fn parse(text: &str) -> Result<AdminAddress, AdminAddressError> {
+        let path = text.strip_prefix(UNIX_PREFIX);
+        if let Some(path) = path.filter(|path| !path.is_empty()) {
+            return Ok(AdminAddress::Unix(path.into()));
+        }
+        let Ok(address) = text.parse::<SocketAddr>() else {
+            return Err(AdminAddressError::Malformed);
+        };
+        if !address.ip().is_loopback() {
+            let address = address.ip();
+            return Err(AdminAddressError::NotLoopback { address });
+        }
+        Ok(AdminAddress::Tcp(address))
+    }
+}
--- /dev/null
+++ b/crates/config/src/client_file.rs
@@ -0,0 +1,257 @@
+//! The client's KDL file: its agents, its request classes, and how it retries, connects and limits
+//! the requests in flight.
+
+use crate::diagnostic::{ConfigDiagnostic, ConfigProblem, SourceLocation};
+use crate::kdl_reader::KdlReader;
+use kdl::KdlNode;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::time::Duration;
+use tulipwall::{DeduplicationScope, Idempotency};
+use tulipwall_client_policy::{Connections, InFlight, RequestClass, Retrying, Service};
+
+/// The largest count of connections, requests or saved retries.
+const MAX_COUNT: f64 = 1e6;
+const MAX_ATTEMPTS: f64 = 100.0;
+const MAX_PRIORITY_WEIGHT: f64 = 1e9;
+/// The lowest rate of new connections a second: lower ones would mean none.
+const MIN_CONNECTION_RATE: f64 = 0.1;
+/// The shortest duration where zero makes no sense.
+const MIN_DURATION: Duration = Duration::from_millis(1);
+/// How long endpoints recognize repeats of a class that does not say so.
+const DEFAULT_WINDOW: Duration = Duration::from_secs(5);
+const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
+
+/// Reads the text of a client's file; all its problems otherwise, in the order of their locations.
+pub fn read_client_file(text: &str) -> Result<Service, Vec<ConfigDiagnostic>> {
+    let mut reader = KdlReader::new(text);
+    let mut service = Service::new(Vec::new(), Vec::new());
+    if let Some(document) = reader.document() {
+        let once = [
+            "marks-retries",
+            "value-most",
+            "retries",
+            "connections",
+            "in-flight",
+        ];
+        let many = ["agent", "lane"];
+        for node in reader.nodes(Some(&document), "the file", &once, &many) {
+            read_node(&mut reader, node, &mut service);
+        }
+        check_required(&mut reader, &service);
+    }
+    reader.finish(service)
+}
+
+fn read_node(reader: &mut KdlReader, node: &KdlNode, service: &mut Service) {
+    match node.name().value() {
+        "agent" => service.agents.extend(read_agent(reader, node)),
+        "lane" => add_class(reader, node, service),
+        "marks-retries" => service.marks_retries = reader.boolean(node).unwrap_or(false),
+        "value-most" => {
+            if let Some(bytes) = reader.byte_size(node) {
+                service.value_most = bytes as usize;
+            }
+        }
+        "retries" => service.retrying = read_retries(reader, node),
+        "connections" => service.connections = read_connections(reader, node),
+        _ => service.in_flight = read_in_flight(reader, node),
+    }
+}
+
+fn check_required(reader: &mut KdlReader, service: &Service) {
+    let lists = [
+        ("agent", service.agents.is_empty()),
+        ("lane", service.classes.is_empty()),
+    ];
+    for (key, is_empty) in lists {
+        if is_empty && !reader.has_diagnostics_for(key) {
+            let problem = ConfigProblem::Missing {
+                expected: "one or more are wanted",
+            };
+            reader.report(SourceLocation::default(), key, problem);
+        }
+    }
+}
+
+fn read_agent(reader: &mut KdlReader, node: &KdlNode) -> Option<SocketAddr> {
+    let text = reader.text(node)?;
+    let address = text.parse().ok();
+    if address.is_none() {
+        let problem = ConfigProblem::InvalidAddress { found: text };
+        reader.report(reader.location(node), "agent", problem);
+    }
+    address
+}
+
+fn add_class(reader: &mut KdlReader, node: &KdlNode, service: &mut Service) {
+    let Some(class) = read_class(reader, node) else {
+        return;
+    };
+    if service.class(&class.name).is_some() {
+        let name = class.name.clone();
+        let problem = ConfigProblem::DuplicateName { name };
+        reader.report(reader.location(node), "lane", problem);
+    }
+    service.classes.push(class);
+}
+
+/// What a class says of repeats, before its scope and window are known.
+#[derive(Clone, Copy)]
+enum Repeats {
+    Idempotent,
+    Keyed,
+    NonIdempotent,
+}
+
+fn read_class(reader: &mut KdlReader, node: &KdlNode) -> Option<RequestClass> {
+    let location = reader.location(node);
+    let name = reader
+        .arguments(node, 1, &[])
+        .into_iter()
+        .find_map(|entry| reader.entry_text(entry, "lane"));
+    let mut repeats = None;
+    let mut scope = DeduplicationScope::All;
+    let mut window = DEFAULT_WINDOW;
+    let mut latency_objective = None;
+    let mut priority_weight = DEFAULT_PRIORITY_WEIGHT;
+    let known = ["repeats", "group", "window", "quoted", "benefit"];
+    for node in reader.nodes(node.children(), "lane", &known, &[]) {
+        match node.name().value() {
+            "repeats" => repeats = read_repeats(reader, node),
+            "group" => scope = read_deduplication_scope(reader, node),
+            "window" => window = duration_or(reader, node, DEFAULT_WINDOW),
+            "quoted" => latency_objective = reader.duration(node, MIN_DURATION),
+            _ => {
+                let weight = reader.number(node, 0.0, MAX_PRIORITY_WEIGHT);
+                priority_weight = weight.unwrap_or(DEFAULT_PRIORITY_WEIGHT);
+            }
+        }
+    }
+    let is_incomplete = repeats.is_none() || latency_objective.is_none();
+    if is_incomplete && !reader.has_diagnostics() {
+        let problem = ConfigProblem::Missing {
+            expected: "repeats and quoted are wanted in it",
+        };
+        reader.report(location, "lane", problem);
+    }
+    let idempotency = match repeats? {
+        Repeats::Idempotent => Idempotency::Idempotent,
+        Repeats::Keyed => Idempotency::Keyed { scope, window },
+        Repeats::NonIdempotent => Idempotency::NonIdempotent,
+    };
+    Some(RequestClass {
+        name: name?,
+        idempotency,
+        latency_objective: latency_objective?,
+        priority_weight,
+    })
+}
+
+fn read_repeats(reader: &mut KdlReader, node: &KdlNode) -> Option<Repeats> {
+    let choices = [
+        ("idempotent", Repeats::Idempotent),
+        ("deduplicated", Repeats::Keyed),
+        ("unrepeatable", Repeats::NonIdempotent),
+    ];
+    reader.choice(node, &choices)
+}
+
+fn read_deduplication_scope(reader: &mut KdlReader, node: &KdlNode) -> DeduplicationScope {
+    let choices = [
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
+    ];
+    reader
+        .choice(node, &choices)
+        .unwrap_or(DeduplicationScope::All)
+}
+
+fn read_retries(reader: &mut KdlReader, node: &KdlNode) -> Retrying {
+    reader.arguments(node, 0, &[]);
+    let mut retries = Retrying::default();
+    let known = ["tries", "earned", "kept", "pause", "pause-most"];
+    for node in reader.nodes(node.children(), "retries", &known, &[]) {
+        match node.name().value() {
+            "tries" => {
+                if let Some(attempts) = reader.number(node, 1.0, MAX_ATTEMPTS) {
+                    retries.tries = attempts as u32;
+                }
+            }
+            "earned" => retries.earned = number_or(reader, node, 0.0..=1.0, retries.earned),
+            "kept" => retries.kept = number_or(reader, node, 0.0..=MAX_COUNT, retries.kept),
+            "pause" => retries.pause.0 = duration_or(reader, node, retries.pause.0),
+            _ => retries.pause.1 = duration_or(reader, node, retries.pause.1),
+        }
+    }
+    retries
+}
+
+fn read_connections(reader: &mut KdlReader, node: &KdlNode) -> Connections {
+    reader.arguments(node, 0, &[]);
+    let mut connections = Connections::default();
+    let known = [
+        "least", "most", "idle", "life", "within", "opening", "rate", "spread",
+    ];
+    let rates = MIN_CONNECTION_RATE..=MAX_COUNT;
+    for node in reader.nodes(node.children(), "connections", &known, &[]) {
+        let c = &mut connections;
+        match node.name().value() {
+            "least" => c.least = count_or(reader, node, 0.0, c.least),
+            "most" => c.most = count_or(reader, node, 1.0, c.most),
+            "idle" => c.idle = duration_or(reader, node, c.idle),
+            "life" => c.life = duration_or(reader, node, c.life),
+            "within" => c.within = duration_or(reader, node, c.within),
+            "opening" => c.opening = count_or(reader, node, 1.0, c.opening),
+            "rate" => c.rate = number_or(reader, node, rates.clone(), c.rate),
+            _ => c.spread = reader.duration(node, Duration::ZERO).unwrap_or(c.spread),
+        }
+    }
+    if connections.least > connections.most {
+        let location = reader.location(node);
+        reader.report(location, "connections", ConfigProblem::EmptyRange);
+    }
+    connections
+}
+
+fn read_in_flight(reader: &mut KdlReader, node: &KdlNode) -> InFlight {
+    reader.arguments(node, 0, &[]);
+    let mut in_flight = InFlight::default();
+    let known = ["least", "most", "waiting", "wait"];
+    for node in reader.nodes(node.children(), "in-flight", &known, &[]) {
+        let f = &mut in_flight;
+        match node.name().value() {
+            "least" => f.least = number_or(reader, node, 1.0..=MAX_COUNT, f.least),
+            "most" => f.most = number_or(reader, node, 1.0..=MAX_COUNT, f.most),
+            "waiting" => f.waiting = count_or(reader, node, 0.0, f.waiting),
+            _ => f.wait = reader.duration(node, Duration::ZERO).unwrap_or(f.wait),
+        }
+    }
+    if in_flight.least > in_flight.most {
+        let location = reader.location(node);
+        reader.report(location, "in-flight", ConfigProblem::EmptyRange);
+    }
+    in_flight
+}
+
+fn number_or(
+    reader: &mut KdlReader,
+    node: &KdlNode,
+    range: RangeInclusive<f64>,
+    default: f64,
+) -> f64 {
+    reader
+        .number(node, *range.start(), *range.end())
+        .unwrap_or(default)
+}
+
+fn count_or(reader: &mut KdlReader, node: &KdlNode, min: f64, default: usize) -> usize {
+    reader
+        .number(node, min, MAX_COUNT)
+        .map_or(default, |count| count as usize)
+}
+
+fn duration_or(reader: &mut KdlReader, node: &KdlNode, default: Duration) -> Duration {
+    reader.duration(node, MIN_DURATION).unwrap_or(default)
+}
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,110 +1,234 @@
-//! Reads the wire's fields, naming the field that is missing or of the wrong form.
+//! Typed access to the fields of a JSON object. An error names the field that is missing or has
+//! the wrong form.
 
 use serde_json::{Map, Value};
 use std::time::Duration;
+use thiserror::Error;
+
+const STRING: &str = "text";
+const INTEGER: &str = "a whole number";
+const UNSIGNED: &str = "a whole number from 0";
+const NUMBER: &str = "a number";
+const BOOLEAN: &str = "true or false";
+const ARRAY: &str = "an array";
+const OBJECT: &str = "an object";
+
+/// Why a field could not be read.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum FieldError {
+    /// A required field is absent or null.
+    #[error("field {key}: missing")]
+    Missing {
+        /// The field's name.
+        key: String,
+    },
+    /// The field's value is of another JSON type, or outside the range of its type.
+    #[error("field {key}: {expected} is wanted")]
+    WrongType {
+        /// The field's name.
+        key: String,
+        /// What the value must be.
+        expected: &'static str,
+    },
+    /// The field is an array with an element of the wrong type.
+    #[error("field {key}: {expected} are wanted")]
+    WrongElements {
+        /// The field's name.
+        key: String,
+        /// What the elements must be, in the plural.
+        expected: &'static str,
+    },
+    /// The field is a string, but none of the words that are known there.
+    #[error("field {key}: unknown value '{found}'")]
+    UnknownValue {
+        /// The field's name.
+        key: String,
+        /// The word that stands there.
+        found: String,
+    },
+    /// The field must hold a network address and does not.
+    #[error("field {key}: '{found}' is no {expected}")]
+    InvalidAddress {
+        /// The field's name.
+        key: String,
+        /// What the value must be.
+        expected: &'static str,
+        /// The text that stands there.
+        found: String,
+    },
+    /// The field's number exceeds what its type can hold.
+    #[error("field {key}: too large")]
+    TooLarge {
+        /// The field's name.
+        key: String,
+    },
+}
+
+impl FieldError {
+    /// A value of the wrong type under `key`.
+    pub fn wrong_type(key: &str, expected: &'static str) -> FieldError {
+        FieldError::WrongType {
+            key: key.to_owned(),
+            expected,
+        }
+    }
+
+    /// An array under `key` with an element of the wrong type.
+    pub fn wrong_elements(key: &str, expected: &'static str) -> FieldError {
+        FieldError::WrongElements {
+            key: key.to_owned(),
+            expected,
+        }
+    }
+
+    /// A word under `key` that is not known there.
+    pub fn unknown_value(key: &str, found: &str) -> FieldError {
+        FieldError::UnknownValue {
+            key: key.to_owned(),
+            found: found.to_owned(),
+        }
+    }
+}
 
+/// For callers that report errors as text.
+impl From<FieldError> for String {
+    fn from(error: FieldError) -> String {
+        error.to_string()
+    }
+}
+
+/// The fields of one JSON object. Null counts as absent everywhere.
 #[derive(Debug)]
 pub struct Fields<'a>(&'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
-    pub fn of(value: &'a Value, name: &str) -> Result<Fields<'a>, String> {
+    /// The fields of `value`, which must be an object; `name` is what an error calls it.
+    pub fn new(value: &'a Value, name: &str) -> Result<Fields<'a>, FieldError> {
         value
             .as_object()
             .map(Fields)
-            .ok_or_else(|| format!("field {name}: an object is wanted"))
+            .ok_or_else(|| FieldError::wrong_type(name, OBJECT))
     }
 
-    /// A field that may be left out; null counts as left out.
-    pub fn maybe(&self, name: &str) -> Option<&'a Value> {
-        self.0.get(name).filter(|v| !v.is_null())
+    /// The raw value of an optional field.
+    pub fn optional(&self, name: &str) -> Option<&'a Value> {
+        self.0.get(name).filter(|value| !value.is_null())
     }
 
-    fn need<T>(
+    fn required<T>(
         &self,
         name: &str,
-        form: &str,
-        read: impl Fn(&'a Value) -> Option<T>,
-    ) -> Result<T, String> {
-        let value = self
-            .maybe(name)
-            .ok_or_else(|| format!("field {name}: missing"))?;
-        read(value).ok_or_else(|| format!("field {name}: {form} is wanted"))
-    }
-
-    fn or<T>(
+        expected: &'static str,
+        convert: impl Fn(&'a Value) -> Option<T>,
+    ) -> Result<T, FieldError> {
+        let Some(value) = self.optional(name) else {
+            return Err(FieldError::Missing {
+                key: name.to_owned(),
+            });
+        };
+        convert(value).ok_or_else(|| FieldError::wrong_type(name, expected))
+    }
+
+    fn with_default<T>(
         &self,
         name: &str,
-        form: &str,
-        other: T,
-        read: impl Fn(&'a Value) -> Option<T>,
-    ) -> Result<T, String> {
-        if self.maybe(name).is_none() {
-            return Ok(other);
+        expected: &'static str,
+        default: T,
+        convert: impl Fn(&'a Value) -> Option<T>,
+    ) -> Result<T, FieldError> {
+        if self.optional(name).is_none() {
+            return Ok(default);
         }
-        self.need(name, form, read)
+        self.required(name, expected, convert)
+    }
+
+    /// A required string.
+    pub fn text(&self, name: &str) -> Result<&'a str, FieldError> {
+        self.required(name, STRING, Value::as_str)
     }
 
-    pub fn text(&self, name: &str) -> Result<&'a str, String> {
-        self.need(name, "text", Value::as_str)
+    /// An optional string; a value of another type counts as absent.
+    pub fn optional_text(&self, name: &str) -> Option<&'a str> {
+        self.optional(name).and_then(Value::as_str)
     }
 
-    pub fn integer(&self, name: &str) -> Result<i64, String> {
-        self.need(name, "a whole number", Value::as_i64)
+    /// A required whole number, which may be negative.
+    pub fn integer(&self, name: &str) -> Result<i64, FieldError> {
+        self.required(name, INTEGER, Value::as_i64)
     }
 
-    pub fn whole(&self, name: &str) -> Result<u64, String> {
-        self.need(name, "a whole number from 0", Value::as_u64)
+    /// A required whole number from 0.
+    pub fn unsigned(&self, name: &str) -> Result<u64, FieldError> {
+        self.required(name, UNSIGNED, Value::as_u64)
     }
 
-    pub fn whole_or(&self, name: &str, other: u64) -> Result<u64, String> {
-        self.or(name, "a whole number from 0", other, Value::as_u64)
+    /// A whole number from 0; `default` when absent.
+    pub fn unsigned_or(&self, name: &str, default: u64) -> Result<u64, FieldError> {
+        self.with_default(name, UNSIGNED, default, Value::as_u64)
     }
 
-    pub fn number(&self, name: &str) -> Result<f64, String> {
-        self.need(name, "a number", Value::as_f64)
+    /// A required number.
+    pub fn number(&self, name: &str) -> Result<f64, FieldError> {
+        self.required(name, NUMBER, Value::as_f64)
     }
 
-    pub fn number_or(&self, name: &str, other: f64) -> Result<f64, String> {
-        self.or(name, "a number", other, Value::as_f64)
+    /// A number; `default` when absent.
+    pub fn number_or(&self, name: &str, default: f64) -> Result<f64, FieldError> {
+        self.with_default(name, NUMBER, default, Value::as_f64)
     }
 
-    pub fn flag(&self, name: &str) -> Result<bool, String> {
-        self.or(name, "true or false", false, Value::as_bool)
+    /// A required boolean.
+    pub fn boolean(&self, name: &str) -> Result<bool, FieldError> {
+        self.required(name, BOOLEAN, Value::as_bool)
     }
 
-    /// A flag that may not be left out.
-    pub fn truth(&self, name: &str) -> Result<bool, String> {
-        self.need(name, "true or false", Value::as_bool)
+    /// A boolean; false when absent.
+    pub fn boolean_or_false(&self, name: &str) -> Result<bool, FieldError> {
+        self.with_default(name, BOOLEAN, false, Value::as_bool)
     }
 
-    pub fn array(&self, name: &str) -> Result<&'a Vec<Value>, String> {
-        self.need(name, "an array", Value::as_array)
+    /// A required array.
+    pub fn array(&self, name: &str) -> Result<&'a Vec<Value>, FieldError> {
+        self.required(name, ARRAY, Value::as_array)
     }
 
-    pub fn array_or_none(&self, name: &str) -> Result<&'a [Value], String> {
-        self.or(name, "an array", &[][..], |v| {
-            v.as_array().map(Vec::as_slice)
+    /// An array; empty when absent.
+    pub fn array_or_empty(&self, name: &str) -> Result<&'a [Value], FieldError> {
+        let empty: &[Value] = &[];
+        self.with_default(name, ARRAY, empty, |value| {
+            value.as_array().map(Vec::as_slice)
         })
     }
 
-    pub fn inner(&self, name: &str) -> Result<Fields<'a>, String> {
-        self.need(name, "an object", |v| v.as_object().map(Fields))
+    /// The fields of a required object.
+    pub fn object(&self, name: &str) -> Result<Fields<'a>, FieldError> {
+        self.required(name, OBJECT, |value| value.as_object().map(Fields))
+    }
+
+    /// The fields of an optional object.
+    pub fn optional_object(&self, name: &str) -> Result<Option<Fields<'a>>, FieldError> {
+        self.optional(name)
+            .map(|value| Fields::new(value, name))
+            .transpose()
     }
 
-    /// A span in milliseconds; what lies before zero is zero.
-    pub fn span(&self, name: &str) -> Result<Duration, String> {
-        self.number(name).map(span)
+    /// A required duration in milliseconds; a negative one counts as zero.
+    pub fn duration_ms(&self, name: &str) -> Result<Duration, FieldError> {
+        self.number(name).map(duration_from_ms)
     }
 
-    pub fn span_or(&self, name: &str, other: f64) -> Result<Duration, String> {
-        self.number_or(name, other).map(span)
+    /// A duration in milliseconds; `default_ms` when absent, and zero when negative.
+    pub fn duration_ms_or(&self, name: &str, default_ms: f64) -> Result<Duration, FieldError> {
+        self.number_or(name, default_ms).map(duration_from_ms)
     }
 }
 
-pub fn span(ms: f64) -> Duration {
+/// The duration of `ms` milliseconds, rounded to whole microseconds; zero when negative.
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_micros((ms.max(0.0) * 1000.0).round() as u64)
 }
 
-pub fn millis(span: Duration) -> f64 {
-    span.as_micros() as f64 / 1000.0
+/// A duration in milliseconds, with whole microseconds as the fraction.
+pub fn duration_to_ms(duration: Duration) -> f64 {
+    duration.as_micros() as f64 / 1000.0
 }
--- /dev/null
+++ b/crates/config/src/instance_config.rs
@@ -0,0 +1,115 @@
+//! The configuration that the platform gives one agent: its addresses, its limits, the settings of
+//! the service, and the last known endpoint list and rollout status.
+
+use crate::error::InstanceConfigError;
+use crate::fields::{FieldError, Fields};
+use crate::service_config::ServiceConfig;
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// The agent's name where the configuration gives none.
+const DEFAULT_NAME: &str = "agent";
+/// Sockets that an agent may have open where the configuration sets no limit.
+const DEFAULT_MAX_SOCKETS: u64 = 1024;
+/// Memory that an agent may use where the configuration sets no limit, in MiB.
+const DEFAULT_MEMORY_LIMIT_MIB: u64 = 192;
+const BYTES_PER_MIB: usize = 1024 * 1024;
+const HEXADECIMAL: u32 = 16;
+
+/// The configuration of one agent.
+#[derive(Debug)]
+pub struct InstanceConfig<'a> {
+    /// The agent's name in logs and votes.
+    pub name: String,
+    /// Where the agent accepts clients.
+    pub listen: SocketAddr,
+    /// Where the discovery service listens.
+    pub discovery: SocketAddr,
+    /// Where the rollout platform listens, where there is one.
+    pub platform: Option<SocketAddr>,
+    /// Sockets that may be open at once.
+    pub max_sockets: usize,
+    /// Memory that may be used, in bytes.
+    pub memory_limit: usize,
+    /// The settings of the service.
+    pub service: ServiceConfig,
+    /// The last endpoint list, in the form of discovery's responses.
+    pub known_list: Option<Fields<'a>>,
+    /// The last rollout status, in the form of the platform's messages.
+    pub rollout_status: Option<Fields<'a>>,
+}
+
+impl<'a> InstanceConfig<'a> {
+    /// Reads the configuration from its JSON object.
+    pub fn read(value: &'a Value) -> Result<InstanceConfig<'a>, InstanceConfigError> {
+        let fields = Fields::new(value, "configuration")?;
+        let service = read_service(&fields)?;
+        let limits = fields.optional_object("limits")?;
+        let platform = fields.optional_object("deployer")?;
+        let rollout_status = platform.as_ref().and_then(|p| p.optional("news"));
+        let name = fields.optional_text("name").unwrap_or(DEFAULT_NAME);
+        Ok(InstanceConfig {
+            name: name.to_owned(),
+            listen: read_address(&fields, "listen")?,
+            discovery: read_address(&fields, "discovery")?,
+            platform: read_platform_address(platform.as_ref())?,
+            max_sockets: read_limit(limits.as_ref(), "sockets", DEFAULT_MAX_SOCKETS)?,
+            memory_limit: read_memory_limit(limits.as_ref())?,
+            known_list: fields.optional_object("known")?,
+            rollout_status: rollout_status
+                .map(|status| Fields::new(status, "deployer.news"))
+                .transpose()?,
+            service,
+        })
+    }
+}
+
+fn read_service(fields: &Fields) -> Result<ServiceConfig, InstanceConfigError> {
+    let seed = u64::from_str_radix(fields.text("seed")?, HEXADECIMAL)
+        .map_err(|_| InstanceConfigError::InvalidSeed)?;
+    let service_fields = fields.object("settings")?;
+    let mut service =
+        ServiceConfig::read(&service_fields, seed).map_err(InstanceConfigError::Settings)?;
+    // An agent on sockets always polls the list, whatever the simulator does under these settings.
+    service.settings.list_polled = true;
+    // It has no way to probe an endpoint for its load either; loads come with the responses.
+    service.settings.load_probes = false;
+    Ok(service)
+}
+
+fn read_memory_limit(limits: Option<&Fields>) -> Result<usize, InstanceConfigError> {
+    let limit_mib = read_limit(limits, "memory_mb", DEFAULT_MEMORY_LIMIT_MIB)?;
+    Ok(limit_mib.saturating_mul(BYTES_PER_MIB))
+}
+
+fn read_limit(
+    limits: Option<&Fields>,
+    key: &str,
+    default: u64,
+) -> Result<usize, InstanceConfigError> {
+    let limit = match limits {
+        Some(limits) => limits
+            .unsigned_or(key, default)
+            .map_err(InstanceConfigError::Limits)?,
+        None => default,
+    };
+    Ok(limit as usize)
+}
+
+fn read_platform_address(
+    platform: Option<&Fields>,
+) -> Result<Option<SocketAddr>, InstanceConfigError> {
+    platform
+        .map(|fields| read_address(fields, "address"))
+        .transpose()
+        .map_err(InstanceConfigError::Platform)
+}
+
+fn read_address(fields: &Fields, key: &str) -> Result<SocketAddr, FieldError> {
+    let text = fields.text(key)?;
+    text.parse().map_err(|_| FieldError::InvalidAddress {
+        key: key.to_owned(),
+        expected: "address with a port",
+        found: text.to_owned(),
+    })
+}
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -3,7 +3,9 @@
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 use std::time::Duration;
-use tulipwall_config::{ConfigDiagnostic, Door, Fields, Installation, LogForm, ServiceConfig};
+use tulipwall_config::{
+    AdminAddress, ConfigDiagnostic, Fields, Installation, LogFormat, ServiceConfig,
+};
 use tulipwall_zones::{Limit, Price, RoutingPolicy};
 
 const GOOD: &str = r#"// A comment.
@@ -37,7 +39,7 @@
 }
 
 fn site() -> ServiceConfig {
-    ServiceConfig::read(&Fields::of(&settings(), "settings").unwrap(), 1).unwrap()
+    ServiceConfig::read(&Fields::new(&settings(), "settings").unwrap(), 1).unwrap()
 }
 
 #[test]
@@ -50,7 +52,7 @@
             &mut s[part]
         };
         of[key] = value;
-        ServiceConfig::read(&Fields::of(&s, "settings").unwrap(), 1)
+        ServiceConfig::read(&Fields::new(&s, "settings").unwrap(), 1)
             .map(|_| ())
             .unwrap_err()
             .to_string()
@@ -110,7 +112,7 @@
         "watch {\n    guarded-stages 1\n    caps 0.05 0.3\n    warm-keys #true\n    cold-for \"4s\"\n}\n";
     let shape = Installation::read(text)
         .unwrap()
-        .watch(&site())
+        .alternative_settings(&site())
         .unwrap()
         .unwrap();
     assert_eq!(
@@ -127,12 +129,12 @@
     );
     assert!(Installation::read("log \"text\"\n")
         .unwrap()
-        .watch(&site())
+        .alternative_settings(&site())
         .unwrap()
         .is_none());
     let far = Installation::read("watch {\n    guarded-stages 9\n}\n")
         .unwrap()
-        .watch(&site())
+        .alternative_settings(&site())
         .unwrap_err();
     assert!(
         far[0]
@@ -150,7 +152,7 @@
 }
 
 fn mistakes(text: &str) -> Vec<String> {
-    let read = Installation::read(text).and_then(|i| i.zoning(&site()));
+    let read = Installation::read(text).and_then(|i| i.zone_config(&site()));
     read.map_or_else(
         |all: Vec<ConfigDiagnostic>| all.iter().map(ConfigDiagnostic::to_string).collect(),
         |_| Vec::new(),
@@ -160,12 +162,12 @@
 #[test]
 fn what_is_given_is_read_and_what_is_not_has_its_default() {
     let installation = Installation::read(GOOD).unwrap();
-    assert_eq!(installation.log, Some(LogForm::Json));
+    assert_eq!(installation.log, Some(LogFormat::Json));
     assert_eq!(
-        installation.door,
-        Some(Door::Tcp("127.0.0.1:9190".parse().unwrap()))
+        installation.admin,
+        Some(AdminAddress::Tcp("127.0.0.1:9190".parse().unwrap()))
     );
-    let z = installation.zoning(&site()).unwrap().unwrap();
+    let z = installation.zone_config(&site()).unwrap().unwrap();
     assert_eq!(
         (z.local_zone, z.zone_count, z.routing),
         (0, 2, RoutingPolicy::LocalFirst)
@@ -210,7 +212,11 @@
     );
     let nothing = Installation::read("").unwrap();
     assert_eq!(
-        (nothing.zoning(&site()).unwrap(), &nothing.door, nothing.log),
+        (
+            nothing.zone_config(&site()).unwrap(),
+            &nothing.admin,
+            nothing.log
+        ),
         (None, &None, None)
     );
 }
@@ -359,7 +365,7 @@
             .iter()
             .map(|p| PIECES[*p as usize % PIECES.len()])
             .collect();
-        let _ = Installation::read(&text).and_then(|i| i.zoning(&site()));
+        let _ = Installation::read(&text).and_then(|i| i.zone_config(&site()));
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 9))
@@ -371,7 +377,7 @@
 
 #[test]
 fn a_clients_file_is_read_and_all_its_mistakes_are_named() {
-    let read = |text: &str| tulipwall_config::read_service(text);
+    let read = |text: &str| tulipwall_config::read_client_file(text);
     let class = "lane \"view\" { repeats \"idempotent\"; quoted \"400ms\"; benefit 3; }\n";
     let service = read(&format!(
         "agent \"127.0.0.1:1\"\nagent \"[::1]:2\"\n{class}retries {{ tries 2; }}\n"
--- a/crates/config/tests/renewal.rs
+++ b/crates/config/tests/renewal.rs
@@ -25,7 +25,8 @@
 }
 
 fn read(settings: &Value, seed: u64) -> Result<ServiceConfig, String> {
-    ServiceConfig::read(&Fields::of(settings, "settings").unwrap(), seed).map_err(|f| f.to_string())
+    ServiceConfig::read(&Fields::new(settings, "settings").unwrap(), seed)
+        .map_err(|f| f.to_string())
 }
 
 fn site(zones: &[&str], classes: &[(&str, &str)], tenants: &[(&str, f64)]) -> ServiceConfig {
@@ -48,15 +49,27 @@
     );
     let (site, by) = new.renumbered_after(&old, &IndicesInUse::default());
     assert_eq!(
-        (site.class("view"), site.class("send"), site.class("pay")),
+        (
+            site.class_index("view"),
+            site.class_index("send"),
+            site.class_index("pay")
+        ),
         (Some(0), Some(1), Some(2))
     );
     assert_eq!(
-        (site.tenant("a"), site.tenant("b"), site.tenant("c")),
+        (
+            site.tenant_index("a"),
+            site.tenant_index("b"),
+            site.tenant_index("c")
+        ),
         (Some(0), Some(1), Some(2))
     );
     assert_eq!(
-        (site.zone("east"), site.zone("west"), site.zone("north")),
+        (
+            site.zone_index("east"),
+            site.zone_index("west"),
+            site.zone_index("north")
+        ),
         (Some(0), Some(1), Some(2))
     );
     assert_eq!(
@@ -79,7 +92,9 @@
         .clone()
         .renumbered_after(&site, &IndicesInUse::default());
     assert!(
-        again == site && again.is(&site, &by) && by.classes.iter().all(|o| *o == IndexOrigin::Same),
+        again == site
+            && again.is_unchanged_from(&site, &by)
+            && by.classes.iter().all(|o| *o == IndexOrigin::Same),
         "the same again is the same"
     );
 }
@@ -90,7 +105,7 @@
     let once = || site(&["a"], &[("view", "once"), ("send", "by_key")], &[]);
     let (free, by) = once().renumbered_after(&old, &IndicesInUse::default());
     assert_eq!(
-        (free.class("view"), by.classes[0]),
+        (free.class_index("view"), by.classes[0]),
         (Some(0), IndexOrigin::Same)
     );
     assert_eq!(
@@ -102,7 +117,7 @@
         ..IndicesInUse::default()
     };
     let (kept, by) = once().renumbered_after(&old, &held);
-    assert_eq!(kept.class("view"), Some(2));
+    assert_eq!(kept.class_index("view"), Some(2));
     assert_eq!(
         by.classes,
         [
@@ -121,13 +136,15 @@
         Idempotency::NonIdempotent
     );
     assert!(
-        kept.has_retired_indices() && !kept.covers(&held) && kept.covers(&IndicesInUse::default())
+        kept.has_retired_indices()
+            && !kept.can_free_indices(&held)
+            && kept.can_free_indices(&IndicesInUse::default())
     );
     let (after, by) = kept
         .clone()
         .renumbered_after(&kept, &IndicesInUse::default());
     assert_eq!(
-        (after.class("view"), by.classes[0]),
+        (after.class_index("view"), by.classes[0]),
         (Some(2), IndexOrigin::Unused)
     );
     assert!(!after.has_retired_indices());
@@ -139,7 +156,7 @@
     );
     let (more, by) = more.renumbered_after(&after, &IndicesInUse::default());
     assert_eq!(
-        (more.class("new"), by.classes[0]),
+        (more.class_index("new"), by.classes[0]),
         (Some(0), IndexOrigin::New)
     );
     let mut other = settings(&["a"], &[("view", "once"), ("send", "by_key")], &[]);
@@ -154,9 +171,9 @@
         scope: DeduplicationScope::All,
         window,
     };
-    assert_ne!(other.class("send"), Some(1));
+    assert_ne!(other.class_index("send"), Some(1));
     assert_eq!(
-        other.settings.classes[other.class("send").unwrap()].idempotency,
+        other.settings.classes[other.class_index("send").unwrap()].idempotency,
         rule
     );
 }
@@ -175,7 +192,11 @@
     };
     let (gone, by) = site(&["b"], &ONE, &[("u", 0.1)]).renumbered_after(&old, &held);
     assert_eq!(
-        (gone.class("send"), gone.tenant("t"), gone.zone("a")),
+        (
+            gone.class_index("send"),
+            gone.tenant_index("t"),
+            gone.zone_index("a")
+        ),
         (None, None, None)
     );
     assert_eq!(
@@ -190,7 +211,11 @@
     )
     .renumbered_after(&gone, &held);
     assert_eq!(
-        (next.class("x"), next.tenant("v"), next.zone("c")),
+        (
+            next.class_index("x"),
+            next.tenant_index("v"),
+            next.zone_index("c")
+        ),
         (Some(2), Some(2), Some(2))
     );
     let (last, _) =
@@ -217,8 +242,8 @@
         let (site, by) = read(&s, 99)
             .unwrap()
             .renumbered_after(&old, &IndicesInUse::default());
-        assert_eq!(site.is(&old, &by), site == old);
-        site.is(&old, &by)
+        assert_eq!(site.is_unchanged_from(&old, &by), site == old);
+        site.is_unchanged_from(&old, &by)
     };
     assert!(is(&|_| {}));
     assert!(
@@ -254,12 +279,15 @@
     };
     let (kept, _) = site(&["a", "b"], &ONE, &[]).renumbered_after(&old, &held);
     assert_eq!(
-        (kept.zone("a"), kept.zone("b"), kept.zones.len()),
+        (kept.zone_index("a"), kept.zone_index("b"), kept.zones.len()),
         (Some(0), Some(2), 3)
     );
     let (after, _) =
         site(&["a", "b", "c"], &ONE, &[]).renumbered_after(&kept, &IndicesInUse::default());
-    assert_eq!((after.zone("b"), after.zone("c")), (Some(2), Some(1)));
+    assert_eq!(
+        (after.zone_index("b"), after.zone_index("c")),
+        (Some(2), Some(1))
+    );
 }
 
 /// Against numbers that are never given anew: 1,000 changes a day, for ten days.
@@ -281,7 +309,7 @@
         let tenants: Vec<_> = tenants.iter().map(|t| (t.as_str(), 0.1)).collect();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
         // Requests in hand count in what was in force a moment ago.
-        let class = now.class(&now.classes[n % now.classes.len()]);
+        let class = now.class_index(&now.classes[n % now.classes.len()]);
         let held = IndicesInUse {
             classes: class.into_iter().collect(),
             ..IndicesInUse::default()
@@ -295,7 +323,7 @@
             "{n}: {classes} {zones}"
         );
         assert_eq!(
-            (now.classes.len(), now.named_counts()[0]),
+            (now.classes.len(), now.named_counts().classes),
             (classes, 1 + n % 5)
         );
     }
@@ -326,7 +354,7 @@
                 .renumbered_after(&now, &indices_in_use)
                 .0;
             for (name, rule) in &classes {
-                let Some(n) = now.class(name) else {
+                let Some(n) = now.class_index(name) else {
                     return false;
                 };
                 let wanted = site(&["z"], &[("x", rule)], &[]).settings.classes[0].idempotency;
@@ -341,7 +369,7 @@
                 return false;
             }
             held.retain(|_, (_, left)| std::mem::replace(left, left.saturating_sub(1)) > 0);
-            if let Some(n) = names.first().and_then(|n| now.class(n)) {
+            if let Some(n) = names.first().and_then(|n| now.class_index(n)) {
                 held.insert(n, (now.settings.classes[n].idempotency, hold % 6));
             }
         }
--- a/crates/discovery/tests/calls.rs
+++ b/crates/discovery/tests/calls.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 use tulipwall::{Balancer, Decision, EndpointEntry, EndpointState, Request, Settings};
 use tulipwall_config::{Fields, ServiceConfig};
-use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_discovery::list_lease::ListLease;
+use tulipwall_discovery::watch_timer::{WatchEnd, WatchTimer};
 use tulipwall_testkit::*;
 
 const STEP: Duration = ms(10);
@@ -34,8 +35,8 @@
 
 struct Agent {
     choice: Balancer,
-    watchdog: Watchdog,
-    list_valid_until: Vouched,
+    watchdog: WatchTimer,
+    list_valid_until: ListLease,
     again: Option<Duration>,
     stands: Option<Duration>, // until when its call waits
     moved: Duration,
@@ -57,7 +58,7 @@
 
 fn deployment(agents: u32, rate: f64, seed: u64) -> Settings {
     let value = program::settings(&["a"], "a", agents, &program::classes());
-    let mut d = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), seed)
+    let mut d = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), seed)
         .unwrap()
         .settings;
     (d.list_polled, d.shared_discovery, d.max_poll_interval) = (true, true, ms(10_000));
@@ -87,13 +88,13 @@
         let d = deployment(agents, told, seed * 10_000 + u64::from(i));
         let mut choice = Balancer::new(BEGIN, d.clone());
         choice.update_endpoints(BEGIN, &[endpoint(0), endpoint(1), endpoint(2)], true);
-        let (mut watchdog, mut list_valid_until) = (Watchdog::new(&d), Vouched::new(&d, BEGIN));
+        let (mut watchdog, mut list_valid_until) = (WatchTimer::new(&d), ListLease::new(&d, BEGIN));
         let (mut stands, mut moved, mut bound) = (None, BEGIN, BEGIN + TOLD);
         if event != Event::Start {
             choice.poll(BEGIN + ms(20_000)); // its first call is behind it
-            watchdog.told();
-            let wait = watchdog.wait(false);
-            list_valid_until.told(BEGIN, wait);
+            watchdog.on_response();
+            let wait = watchdog.next_wait();
+            list_valid_until.on_response(BEGIN, wait);
             stands = Some(BEGIN + wait);
             bound = BEGIN + TOLD.max(wait + ms(2000));
         }
@@ -102,7 +103,7 @@
             bound = moved + MOVED_TOLD;
         }
         let again = watchdog
-            .starts()
+            .startup_delay()
             .filter(|_| event == Event::Start)
             .map(|gap| BEGIN + gap);
         let (heard, sent) = (None, None);
@@ -134,39 +135,47 @@
                 let due = a.choice.poll(now).open_watch;
                 if event == Event::Move && now >= a.moved && a.stands.take().is_some() {
                     // The old watch stood until then.
-                    a.list_valid_until.told(now, ms(0));
-                    a.list_valid_until.moved(now);
-                    a.again = Some(now + a.watchdog.moved());
+                    a.list_valid_until.on_response(now, ms(0));
+                    a.list_valid_until.on_address_change(now);
+                    a.again = Some(now + a.watchdog.on_address_change());
                 } else if event == Event::Silence
-                    && a.stands.is_some_and(|t| now >= t + a.watchdog.late())
+                    && a.stands
+                        .is_some_and(|t| now >= t + a.watchdog.response_grace())
                 {
                     a.stands = None;
-                    a.list_valid_until.ended(now, Ended::Silent);
-                    a.again = a.watchdog.again(Ended::Silent).map(|gap| now + gap);
+                    a.list_valid_until.on_watch_end(now, WatchEnd::TimedOut);
+                    a.again = a
+                        .watchdog
+                        .on_watch_end(WatchEnd::TimedOut)
+                        .map(|gap| now + gap);
                 }
                 if a.stands.is_none()
                     && (due && a.again.is_none() || a.again.is_some_and(|t| now >= t))
                 {
                     tries[step as usize / 100] += 1;
                     a.again = None;
-                    a.list_valid_until.begins(now);
+                    a.list_valid_until.on_watch_begin(now);
                     if spare >= 1.0 {
                         spare -= 1.0;
                         a.heard = Some(now);
-                        a.watchdog.told();
-                        let wait = a.watchdog.wait(false);
-                        a.list_valid_until.told(now, wait);
+                        a.watchdog.on_response();
+                        let wait = a.watchdog.next_wait();
+                        a.list_valid_until.on_response(now, wait);
                         a.choice.update_endpoints(now, &[], false);
                     } else {
-                        a.list_valid_until.ended(now, Ended::Refused);
+                        a.list_valid_until.on_watch_end(now, WatchEnd::Refused);
                         a.refused = true;
-                        a.again = a.watchdog.again(Ended::Refused).map(|gap| now + gap);
+                        a.again = a
+                            .watchdog
+                            .on_watch_end(WatchEnd::Refused)
+                            .map(|gap| now + gap);
                         if a.again.is_none() {
                             a.choice.on_list_failure(now);
                         }
                     }
                 }
-                a.choice.set_list_valid_until(a.list_valid_until.until());
+                a.choice
+                    .set_list_valid_until(a.list_valid_until.valid_until());
             }
             // Each asks five times a second, apart.
             if a.heard.is_none_or(|t| now < t + ms(500)) && (step as usize + i).is_multiple_of(20) {
@@ -449,39 +458,39 @@
 #[test]
 fn a_start_whose_discovery_cannot_be_reached_serves_by_its_list_for_as_long() {
     let d = deployment(5, 1.0, 1);
-    for ended in [Ended::Broken, Ended::Silent] {
-        let mut list_valid_until = Vouched::new(&d, BEGIN);
+    for ended in [WatchEnd::Disconnected, WatchEnd::TimedOut] {
+        let mut list_valid_until = ListLease::new(&d, BEGIN);
         assert_eq!(
-            list_valid_until.until(),
+            list_valid_until.valid_until(),
             Some(BEGIN),
             "nothing before its first call"
         );
         for n in 1..20 {
             // Further apart than what one call vouches for.
             let (begun, failed) = (BEGIN + ms(10_000 * n), BEGIN + ms(10_000 * n + 100));
-            list_valid_until.begins(begun);
-            list_valid_until.ended(failed, ended);
+            list_valid_until.on_watch_begin(begun);
+            list_valid_until.on_watch_end(failed, ended);
             assert_eq!(
-                list_valid_until.until(),
+                list_valid_until.valid_until(),
                 Some(begun + TOLD),
                 "{ended:?}, call {n}"
             );
         }
         // It was there: what it holds counts from then on.
-        list_valid_until.begins(BEGIN + ms(201_000));
-        list_valid_until.ended(BEGIN + ms(201_100), Ended::Refused);
+        list_valid_until.on_watch_begin(BEGIN + ms(201_000));
+        list_valid_until.on_watch_end(BEGIN + ms(201_100), WatchEnd::Refused);
         assert!(list_valid_until
-            .until()
+            .valid_until()
             .is_some_and(|t| t <= BEGIN + ms(201_100)));
-        list_valid_until.begins(BEGIN + ms(203_000));
-        list_valid_until.ended(BEGIN + ms(203_100), ended);
+        list_valid_until.on_watch_begin(BEGIN + ms(203_000));
+        list_valid_until.on_watch_end(BEGIN + ms(203_100), ended);
         assert!(
             list_valid_until
-                .until()
+                .valid_until()
                 .is_some_and(|t| t <= BEGIN + ms(201_100)),
             "{ended:?} after a refusal"
         );
-        list_valid_until.told(BEGIN + ms(205_000), ms(1000));
-        assert_eq!(list_valid_until.until(), Some(BEGIN + ms(211_000)));
+        list_valid_until.on_response(BEGIN + ms(205_000), ms(1000));
+        assert_eq!(list_valid_until.valid_until(), Some(BEGIN + ms(211_000)));
     }
 }
--- a/crates/discovery/tests/large.rs
+++ b/crates/discovery/tests/large.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 use tulipwall::{Balancer, Decision, EndpointState, Request};
 use tulipwall_config::{Fields, ServiceConfig};
-use tulipwall_discovery::listing::Listing;
-use tulipwall_discovery::{clock::Clock, list::List};
+use tulipwall_discovery::list_response::ListResponse;
+use tulipwall_discovery::{clock::Clock, endpoint_table::EndpointTable};
 use tulipwall_testkit::program;
 
 const ENDPOINTS: usize = 7_700;
@@ -14,7 +14,7 @@
 struct Agent {
     site: ServiceConfig,
     clock: Clock,
-    list: List,
+    list: EndpointTable,
     choice: Balancer,
     asked: u64,
 }
@@ -31,13 +31,13 @@
 impl Agent {
     fn new() -> Agent {
         let value = program::settings(&["a"], "a", 770, &program::classes());
-        let site = ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap();
+        let site = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap();
         let clock = Clock::start();
         let choice = Balancer::new(clock.now(), site.settings.clone());
         Agent {
             site,
             clock,
-            list: List::default(),
+            list: EndpointTable::default(),
             choice,
             asked: 0,
         }
@@ -46,9 +46,12 @@
     /// Takes a list in; what is wrong with it, as it is named.
     fn told(&mut self, version: u64, full: bool, servers: &[Value]) -> Option<String> {
         let text = json!({"version": version, "full": full, "servers": servers}).to_string();
-        let told = Listing::parse(text.as_bytes()).unwrap();
-        let (complete, spoilt) = (told.complete, told.spoilt.clone());
-        let (entries, _) = self.list.take(told, &self.site, &self.clock);
+        let told = ListResponse::parse(text.as_bytes()).unwrap();
+        let (complete, spoilt) = (
+            told.complete,
+            told.first_error.as_ref().map(ToString::to_string),
+        );
+        let entries = self.list.apply(told, &self.site, &self.clock).entries;
         self.choice
             .update_endpoints(self.clock.now(), &entries, complete);
         spoilt
@@ -90,7 +93,7 @@
         (ENDPOINTS, ENDPOINTS, 1)
     );
     assert_eq!(
-        agent.list.name(agent.list.number("s-00001e13").unwrap()),
+        agent.list.id(agent.list.index("s-00001e13").unwrap()),
         "s-00001e13"
     );
     assert!(matches!(agent.ask(), Decision::Forward { .. }));
@@ -129,7 +132,7 @@
         );
         assert_eq!(agent.serving(), ENDPOINTS - 1);
         assert_eq!(
-            agent.list.target(agent.list.number("s-00000011").unwrap()),
+            agent.list.target(agent.list.index("s-00000011").unwrap()),
             None
         );
         assert_eq!(agent.list.version, version - 1, "it is asked for anew");
@@ -171,9 +174,9 @@
 fn after_a_list_without_appliances_nothing_is_sent_until_they_are_told_again() {
     let mut agent = Agent::new();
     agent.told(1, true, &fleet());
-    let number = agent.list.number("s-00000100").unwrap();
+    let number = agent.list.index("s-00000100").unwrap();
     assert_eq!(agent.told(2, true, &[]), None);
-    assert_eq!((agent.serving(), agent.list.serves()), (0, false));
+    assert_eq!((agent.serving(), agent.list.has_running()), (0, false));
     for _ in 0..100 {
         assert!(!matches!(agent.ask(), Decision::Forward { .. }));
     }
@@ -185,7 +188,7 @@
         (ENDPOINTS, ENDPOINTS),
         "nothing is kept twice"
     );
-    assert_eq!(agent.list.number("s-00000100"), Some(number));
+    assert_eq!(agent.list.index("s-00000100"), Some(number));
     assert!(matches!(agent.ask(), Decision::Forward { .. }));
 }
 
--- a/crates/discovery/tests/lists.rs
+++ b/crates/discovery/tests/lists.rs
@@ -5,14 +5,15 @@
 use std::time::Duration;
 use tulipwall::{Balancer, Decision, Request};
 use tulipwall_config::{Fields, ServiceConfig};
-use tulipwall_discovery::listing::Listing;
-use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
-use tulipwall_discovery::{clock::Clock, list::List};
+use tulipwall_discovery::list_lease::ListLease;
+use tulipwall_discovery::list_response::ListResponse;
+use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
+use tulipwall_discovery::{clock::Clock, endpoint_table::EndpointTable};
 use tulipwall_testkit::*;
 
 fn site(agents: u32) -> ServiceConfig {
     let value = program::settings(&["a"], "a", agents, &program::classes());
-    ServiceConfig::read(&Fields::of(&value, "settings").unwrap(), 1).unwrap()
+    ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap()
 }
 
 fn entry(id: &str, state: &str, port: u16, build: u32) -> Value {
@@ -24,7 +25,7 @@
 struct Both {
     site: ServiceConfig,
     clock: Clock,
-    list: List,
+    list: EndpointTable,
     choice: Balancer,
 }
 
@@ -35,16 +36,17 @@
         Both {
             site,
             clock,
-            list: List::default(),
+            list: EndpointTable::default(),
             choice,
         }
     }
 
     fn told(&mut self, version: u64, full: bool, servers: &[Value]) {
         let told = json!({"version": version, "full": full, "servers": servers});
-        let told = Listing::parse(serde_json::to_string_pretty(&told).unwrap().as_bytes()).unwrap();
+        let told =
+            ListResponse::parse(serde_json::to_string_pretty(&told).unwrap().as_bytes()).unwrap();
         let complete = told.complete;
-        let (entries, _) = self.list.take(told, &self.site, &self.clock);
+        let entries = self.list.apply(told, &self.site, &self.clock).entries;
         self.choice
             .update_endpoints(self.clock.now(), &entries, complete);
     }
@@ -56,7 +58,7 @@
             .list
             .targets()
             .iter()
-            .map(|t| self.list.name(t.endpoint).to_owned())
+            .map(|t| self.list.id(t.endpoint).to_owned())
             .collect();
         ids.sort();
         for id in 0..100 {
@@ -72,7 +74,7 @@
             self.choice.on_request(now, id, command);
             if let Decision::Forward { endpoint, .. } = self.choice.route(now, id) {
                 assert!(
-                    ids.contains(&self.list.name(endpoint).to_owned()),
+                    ids.contains(&self.list.id(endpoint).to_owned()),
                     "they differ"
                 );
             }
@@ -165,7 +167,7 @@
     }
     for torn in 0..80 {
         let text = json!({"version": 9, "full": false, "servers": [run("s-0")]}).to_string();
-        assert!(Listing::parse(&text.as_bytes()[..torn]).is_err());
+        assert!(ListResponse::parse(&text.as_bytes()[..torn]).is_err());
     }
 }
 
@@ -183,28 +185,28 @@
             (d.seed, d.shared_discovery, d.max_poll_interval) =
                 (seed, true, Duration::from_millis(within));
             let (mut watchdog, mut list_valid_until) =
-                (Watchdog::new(&d), Vouched::new(&d, Duration::ZERO));
-            watchdog.told();
-            let wait = watchdog.wait(false);
-            list_valid_until.told(Duration::ZERO, wait);
-            let silent = wait + watchdog.late();
-            list_valid_until.ended(silent, Ended::Silent);
-            let at = silent + watchdog.again(Ended::Silent).unwrap();
+                (WatchTimer::new(&d), ListLease::new(&d, Duration::ZERO));
+            watchdog.on_response();
+            let wait = watchdog.next_wait();
+            list_valid_until.on_response(Duration::ZERO, wait);
+            let silent = wait + watchdog.response_grace();
+            list_valid_until.on_watch_end(silent, WatchEnd::TimedOut);
+            let at = silent + watchdog.on_watch_end(WatchEnd::TimedOut).unwrap();
             calls.push(at);
             let told = Duration::from_secs(6).max(wait + Duration::from_secs(2));
-            list_valid_until.begins(at);
+            list_valid_until.on_watch_begin(at);
             if seed % 2 == 0 {
                 // Nothing is vouched for between what counts as told and an answer.
                 assert!(list_valid_until
-                    .until()
+                    .valid_until()
                     .is_some_and(|t| t <= told + Duration::from_millis(250)));
                 // What fails then is spread by the module.
-                assert_eq!(watchdog.again(Ended::Silent), None);
+                assert_eq!(watchdog.on_watch_end(WatchEnd::TimedOut), None);
             } else {
                 // With a connection that comes up late, and some time to answer, which the call
                 // must be given.
                 let answer = Duration::from_millis(1300);
-                assert!(answer < wait + watchdog.within(true));
+                assert!(answer < wait + watchdog.first_call_timeout(FirstCall::Patient));
                 assert!(
                     at + answer < told + Duration::from_millis(250),
                     "{at:?} of {told:?} after {wait:?}"
@@ -228,19 +230,24 @@
 
 #[test]
 fn where_calls_are_free_silence_shows_within_the_time_of_one_short_wait() {
-    let mut watchdog = Watchdog::new(&site(300).settings);
-    assert_eq!(watchdog.wait(true), Duration::ZERO);
-    watchdog.told();
-    let notice = watchdog.wait(false) + watchdog.late() + watchdog.again(Ended::Silent).unwrap();
+    let mut watchdog = WatchTimer::new(&site(300).settings);
+    assert_eq!(watchdog.first_wait(), Duration::ZERO);
+    watchdog.on_response();
+    let notice = watchdog.next_wait()
+        + watchdog.response_grace()
+        + watchdog.on_watch_end(WatchEnd::TimedOut).unwrap();
     assert!(
-        notice + watchdog.within(true) * 2 < Duration::from_secs(6),
+        notice + watchdog.first_call_timeout(FirstCall::Patient) * 2 < Duration::from_secs(6),
         "{notice:?} and two late tries"
     );
     // What discovery holds at its return counts at once: the next quick try is within the grace.
-    assert!(watchdog.within(false) + watchdog.gap(Ended::Silent) < Duration::from_millis(250));
+    assert!(
+        watchdog.first_call_timeout(FirstCall::Quick) + watchdog.retry_delay(WatchEnd::TimedOut)
+            < Duration::from_millis(250)
+    );
     // No busy loop on lists that end or are spoilt at every call.
-    for ended in [Ended::Broken, Ended::Spoilt] {
-        watchdog.told();
-        assert!(watchdog.again(ended).unwrap() >= Duration::from_millis(50));
+    for ended in [WatchEnd::Disconnected, WatchEnd::Malformed] {
+        watchdog.on_response();
+        assert!(watchdog.on_watch_end(ended).unwrap() >= Duration::from_millis(50));
     }
 }
--- a/crates/experiments/src/fleet/worker.rs
+++ b/crates/experiments/src/fleet/worker.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall_config::number;
+use tulipwall_config::stable_hash;
 use tulipwall_testkit::ground::{self, sleep, Ends};
 use tulipwall_testkit::pg;
 
@@ -23,7 +23,7 @@
 pub fn work(id: &str, mean: Duration) -> Duration {
     // The last bytes of an id hardly reach the upper bits of its number: they are stirred (as
     // splitmix64 does).
-    let mut n = number(id);
+    let mut n = stable_hash(id);
     n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     let drawn = ((n ^ (n >> 31)) >> 11) as f64 / (1u64 << 53) as f64;
--- a/crates/experiments/src/scale/hollow.rs
+++ b/crates/experiments/src/scale/hollow.rs
@@ -17,9 +17,10 @@
 use tulipwall_agent::protocol::platform::{self, Line};
 use tulipwall_config::ServiceConfig;
 use tulipwall_discovery::clock::Clock;
-use tulipwall_discovery::list::List;
-use tulipwall_discovery::listing::{self, Listing};
-use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_discovery::endpoint_table::{EndpointTable, IndexGuard};
+use tulipwall_discovery::list_lease::ListLease;
+use tulipwall_discovery::list_response::{self, ListResponse};
+use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
 /// As the real agent's: without a line for so long its connection to the platform is opened anew.
 const PLATFORM_SILENT: Duration = Duration::from_millis(3500);
@@ -113,7 +114,7 @@
 
 /// A request in hand.
 struct Live {
-    out: Vec<Option<(Duration, Option<Rc<()>>)>>, // attempts: when sent, and the hold on its number
+    out: Vec<Option<(Duration, Option<IndexGuard>)>>, // attempts: when sent, and the hold on its number
     look: Option<Duration>,
     answered: bool,
 }
@@ -149,9 +150,9 @@
     site: Rc<ServiceConfig>,
     clock: Rc<Clock>,
     choice: Balancer,
-    list: List,
-    watchdog: Watchdog,
-    list_valid_until: Vouched,
+    list: EndpointTable,
+    watchdog: WatchTimer,
+    list_valid_until: ListLease,
     rng: Pcg64Mcg,
     events: BinaryHeap<Reverse<Event>>,
     order: u64,
@@ -189,7 +190,7 @@
             site,
             clock,
             choice,
-            list: List::default(),
+            list: EndpointTable::default(),
             watchdog,
             list_valid_until,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xa11c),
@@ -294,7 +295,7 @@
             What::PollResult => self.due(now),
             What::Begin(nth) if nth == self.begins && self.again => self.begin(now),
             What::Begin(_) => {}
-            What::Late(call) => self.failed(now, call, Ended::Silent),
+            What::Late(call) => self.failed(now, call, WatchEnd::TimedOut),
             What::Quiet => self.platform(now),
         }
     }
@@ -313,7 +314,7 @@
         let name = tenant(self.rng.gen_range(0..self.size.tenants.max(1)));
         let (class, key) = (self.rng.gen_range(0..self.size.classes), self.rng.gen());
         let begun = cpu();
-        let tenant = self.site.tenant(&name);
+        let tenant = self.site.tenant_index(&name);
         self.meter.spent(now, Work::Tenants, begun);
         let command = Request {
             class,
@@ -377,7 +378,7 @@
 
     fn send(&mut self, now: Duration, id: u64, endpoint: usize, timeout: Duration, truth: &Truth) {
         let begun = cpu();
-        let (target, held) = (self.list.target(endpoint), self.list.hold(endpoint));
+        let (target, held) = (self.list.target(endpoint), self.list.hold_index(endpoint));
         self.meter.spent(now, Work::Decisions, begun);
         let (took, outcome) = match target.map(|t| (t.address, t.zone)) {
             None => (Duration::ZERO, Outcome::NotSent),
@@ -502,19 +503,19 @@
 
     fn begin(&mut self, now: Duration) {
         (self.due, self.again) = (false, false);
-        let wait = self.watchdog.wait(true);
-        let known = !self.list.is_empty() && (!self.owes[0] || !self.watchdog.free());
+        let wait = self.watchdog.first_wait();
+        let known = !self.list.is_empty() && (!self.owes[0] || !self.watchdog.calls_are_free());
         let path = match known {
-            true => listing::watch(self.list.version, wait),
-            false => listing::LIST.to_owned(),
+            true => list_response::watch_path(self.list.version, wait),
+            false => list_response::LIST_PATH.to_owned(),
         };
-        let time = wait + self.watchdog.within(true);
-        self.list_valid_until.begins(now);
+        let time = wait + self.watchdog.first_call_timeout(FirstCall::Patient);
+        self.list_valid_until.on_watch_begin(now);
         self.talk = Talk::Begins(self.ask(now, &path, time, true));
     }
 
     /// A call came to nothing.
-    fn failed(&mut self, now: Duration, call: u64, ended: Ended) {
+    fn failed(&mut self, now: Duration, call: u64, ended: WatchEnd) {
         let ends = match &self.talk {
             Talk::Idle => false,
             Talk::Begins(own) | Talk::Watches(own) => *own == call,
@@ -523,10 +524,10 @@
             return;
         }
         self.hang_up(now);
-        self.list_valid_until.ended(now, ended);
+        self.list_valid_until.on_watch_end(now, ended);
         self.choice
-            .set_list_valid_until(self.list_valid_until.until());
-        match self.watchdog.again(ended) {
+            .set_list_valid_until(self.list_valid_until.valid_until());
+        match self.watchdog.on_watch_end(ended) {
             Some(gap) => {
                 (self.begins, self.again) = (self.begins + 1, true);
                 self.push(now + gap, What::Begin(self.begins));
@@ -541,8 +542,8 @@
     /// As a process begins: what is vouched for, and when discovery is first called.
     fn starts(&mut self, now: Duration) {
         self.choice
-            .set_list_valid_until(self.list_valid_until.until());
-        if let Some(gap) = self.watchdog.starts() {
+            .set_list_valid_until(self.list_valid_until.valid_until());
+        if let Some(gap) = self.watchdog.startup_delay() {
             (self.begins, self.again) = (self.begins + 1, true);
             self.push(now + gap, What::Begin(self.begins));
         }
@@ -566,22 +567,22 @@
         }
         if status != 200 {
             self.meter.passed(now, Kind::Refused, bytes.len());
-            return self.failed(now, call, Ended::Refused);
+            return self.failed(now, call, WatchEnd::Refused);
         }
         let Some(spoilt) = self.read(now, bytes) else {
-            return self.failed(now, call, Ended::Spoilt);
+            return self.failed(now, call, WatchEnd::Malformed);
         };
         if spoilt {
-            return self.failed(now, call, Ended::Spoilt);
+            return self.failed(now, call, WatchEnd::Malformed);
         }
-        self.watchdog.told();
+        self.watchdog.on_response();
         self.renewed(now, 0);
-        let wait = self.watchdog.wait(false);
-        self.list_valid_until.told(now, wait);
+        let wait = self.watchdog.next_wait();
+        self.list_valid_until.on_response(now, wait);
         self.choice
-            .set_list_valid_until(self.list_valid_until.until());
-        let path = listing::watch(self.list.version, wait);
-        let next = self.ask(now, &path, wait + self.watchdog.late(), false);
+            .set_list_valid_until(self.list_valid_until.valid_until());
+        let path = list_response::watch_path(self.list.version, wait);
+        let next = self.ask(now, &path, wait + self.watchdog.response_grace(), false);
         self.talk = Talk::Watches(next);
     }
 
@@ -590,11 +591,11 @@
     fn read(&mut self, now: Duration, bytes: &[u8]) -> Option<bool> {
         let begun = cpu();
         let answer = http::answer(bytes, false).ok().flatten();
-        let told = answer.and_then(|a| Listing::parse(&a.body).ok());
+        let told = answer.and_then(|a| ListResponse::parse(&a.body).ok());
         self.meter.spent(now, Work::Reading, begun);
         let told = told?;
-        let (spoilt, complete) = (told.spoilt.is_some(), told.complete);
-        let kind = match (complete, told.entries.len()) {
+        let (spoilt, complete) = (told.first_error.is_some(), told.complete);
+        let kind = match (complete, told.endpoints.len()) {
             (true, _) => Kind::Whole,
             (false, 0) => Kind::Quiet,
             (false, _) => Kind::Changes,
@@ -604,9 +605,9 @@
         Some(spoilt)
     }
 
-    fn take(&mut self, now: Duration, told: Listing, complete: bool) {
+    fn take(&mut self, now: Duration, told: ListResponse, complete: bool) {
         let begun = cpu();
-        let (entries, _) = self.list.take(told, &self.site, &self.clock);
+        let entries = self.list.apply(told, &self.site, &self.clock).entries;
         self.meter.spent(now, Work::Taking, begun);
         let begun = cpu();
         self.choice.update_endpoints(now, &entries, complete);
@@ -685,11 +686,11 @@
             Mail::Reload => {
                 (self.owes, self.reloaded) = ([true; 2], now);
                 self.hang_up(now);
-                self.list_valid_until.moved(now);
+                self.list_valid_until.on_address_change(now);
                 self.choice
-                    .set_list_valid_until(self.list_valid_until.until());
+                    .set_list_valid_until(self.list_valid_until.valid_until());
                 (self.begins, self.again) = (self.begins + 1, true);
-                let gap = self.watchdog.moved();
+                let gap = self.watchdog.on_address_change();
                 self.push(now + gap, What::Begin(self.begins));
                 self.open(now);
             }
@@ -706,12 +707,12 @@
         self.looked = 0;
         (self.choice, self.watchdog, self.list_valid_until) =
             begin(&self.site, &self.size, self.number, self.lives, now);
-        self.list = List::default();
+        self.list = EndpointTable::default();
         self.commands.clear();
         (self.due, self.again, self.owes) = (false, false, [false; 2]);
         self.starts(now);
         let begun = cpu();
-        let told = Listing::parse(known);
+        let told = ListResponse::parse(known);
         self.meter.spent(now, Work::Reading, begun);
         if let Ok(told) = told {
             let complete = told.complete;
@@ -727,11 +728,11 @@
     number: usize,
     seed: u64,
     now: Duration,
-) -> (Balancer, Watchdog, Vouched) {
+) -> (Balancer, WatchTimer, ListLease) {
     let mut deployment = site.settings.clone();
     (deployment.seed, deployment.zone) = (seed, size.zone(number));
-    let watchdog = Watchdog::new(&deployment);
-    let list_valid_until = Vouched::new(&deployment, now);
+    let watchdog = WatchTimer::new(&deployment);
+    let list_valid_until = ListLease::new(&deployment, now);
     (Balancer::new(now, deployment), watchdog, list_valid_until)
 }
 
--- a/crates/experiments/src/scale/play.rs
+++ b/crates/experiments/src/scale/play.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_discovery::clock::{Clock, BEFORE};
+use tulipwall_discovery::clock::{Clock, START_OFFSET};
 use tulipwall_testkit::RolloutStatus;
 
 /// Unix time, in milliseconds, at which simulated time begins.
@@ -153,7 +153,7 @@
     orders: &Receiver<Order>,
     done: &Sender<Posts>,
 ) -> Result<Vec<Played>, String> {
-    let (clock, cost) = (Rc::new(Clock::of_start(START_MS)), clock_cost());
+    let (clock, cost) = (Rc::new(Clock::starting_at_unix_ms(START_MS)), clock_cost());
     let shared = Rc::new(play.size.site()?);
     let mut agents: BTreeMap<usize, Hollow> = BTreeMap::new();
     for number in which {
@@ -162,9 +162,16 @@
         } else {
             shared.clone()
         };
-        let mut hollow = Hollow::start(number, play.size, site, clock.clone(), play.seed, BEFORE);
+        let mut hollow = Hollow::start(
+            number,
+            play.size,
+            site,
+            clock.clone(),
+            play.seed,
+            START_OFFSET,
+        );
         hollow.meter.clock = cost;
-        hollow.restart(BEFORE, &known[play.size.service_of(number)]);
+        hollow.restart(START_OFFSET, &known[play.size.service_of(number)]);
         agents.insert(number, hollow);
     }
     let mut first: Vec<_> = agents
@@ -253,7 +260,7 @@
         orders: &[Sender<Order>],
         replies: &[Receiver<Posts>],
     ) -> Result<(), String> {
-        let (size, from) = (self.size, BEFORE + self.warm);
+        let (size, from) = (self.size, START_OFFSET + self.warm);
         let mut truth = Arc::new(vec![
             Truth {
                 down: vec![false; size.endpoints],
@@ -264,7 +271,8 @@
         let mut events: Vec<_> = self.events.iter().map(|(at, e)| (from + *at, e)).collect();
         events.sort_by_key(|e| e.0);
         let mut events = events.into_iter().peekable();
-        let (mut now, end, mut pinged, mut counts) = (BEFORE, from + self.span, BEFORE, false);
+        let (mut now, end, mut pinged, mut counts) =
+            (START_OFFSET, from + self.span, START_OFFSET, false);
         let mut letters: Vec<Letter> = Vec::new();
         while now < end {
             let until = now + WAY;
@@ -362,7 +370,7 @@
                         e = ds[s].registry.get(&e.id).cloned().unwrap_or(e);
                         e.state = (*state).to_owned();
                         e.build = build.unwrap_or(e.build);
-                        let begun = START_MS + (now - BEFORE).as_millis() as u64;
+                        let begun = START_MS + (now - START_OFFSET).as_millis() as u64;
                         e.started_ms = if *started { begun } else { e.started_ms };
                         e
                     };
@@ -469,7 +477,10 @@
     /// reach; nothing where it never did. What came in the last moments had no time to come, and
     /// says nothing.
     fn heard(&self, p: &Played, d: &Discovery) -> Vec<Option<f64>> {
-        let (from, end) = (BEFORE + self.warm, BEFORE + self.warm + self.span);
+        let (from, end) = (
+            START_OFFSET + self.warm,
+            START_OFFSET + self.warm + self.span,
+        );
         let away = self.size.region(self.size.zone(p.number)) == 1;
         let back = self
             .events
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -107,7 +107,7 @@
     /// Those of [`ServiceConfig::read`], by their text.
     pub fn site(&self) -> Result<ServiceConfig, String> {
         let settings = self.settings();
-        let read = ServiceConfig::read(&Fields::of(&settings, "settings")?, 1);
+        let read = ServiceConfig::read(&Fields::new(&settings, "settings")?, 1);
         let mut site = read.map_err(|fault| fault.to_string())?;
         // As the agent sets it on sockets, whatever the settings say.
         site.settings.list_polled = true;
--- a/crates/experiments/src/scenario.rs
+++ b/crates/experiments/src/scenario.rs
@@ -3,7 +3,7 @@
 use kdl::KdlNode;
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, Idempotency};
-use tulipwall_config::{ConfigDiagnostic, Reader, SourceLocation};
+use tulipwall_config::{ConfigDiagnostic, KdlReader, SourceLocation};
 
 /// What may vary. Numbers but for `clients` and `routing`.
 pub const KEYS: [&str; 11] = [
@@ -136,26 +136,23 @@
 impl Scenario {
     /// Reads a scenario's text; all that is wrong with it otherwise, in the order of its lines.
     pub fn read(text: &str) -> Result<Scenario, Vec<ConfigDiagnostic>> {
-        let mut r = Reader::new(text);
+        let mut r = KdlReader::new(text);
         let document = r.document();
         let node = r
             .nodes(document.as_ref(), "the file", &["experiment"], &[])
             .first()
             .copied();
         let scenario = node.and_then(|node| experiment(&mut r, node));
-        if node.is_none() && r.mistakes.is_empty() {
-            r.wrong(
+        if node.is_none() && !r.has_diagnostics() {
+            r.report(
                 SourceLocation { line: 1, column: 1 },
                 "experiment",
                 "one is wanted".into(),
             );
         }
         match scenario {
-            Some(s) if r.mistakes.is_empty() => Ok(s),
-            _ => {
-                r.mistakes.sort();
-                Err(r.mistakes)
-            }
+            Some(s) if !r.has_diagnostics() => Ok(s),
+            _ => Err(r.into_diagnostics()),
         }
     }
 
@@ -227,11 +224,11 @@
     kinds.into_iter().find(|k| k.0 == word).map(|k| k.1)
 }
 
-fn experiment(r: &mut Reader, node: &KdlNode) -> Option<Scenario> {
+fn experiment(r: &mut KdlReader, node: &KdlNode) -> Option<Scenario> {
     let name = r
         .arguments(node, 1, &[])
         .into_iter()
-        .find_map(|e| r.text_of(e, "experiment"))?;
+        .find_map(|e| r.entry_text(e, "experiment"))?;
     let mut s = Scenario {
         name,
         seeds: 5,
@@ -274,31 +271,35 @@
     );
     // Zones first: others name them.
     for node in nodes.iter().filter(|n| n.name().value() == "zone") {
-        let at = r.of(node);
+        let at = r.location(node);
         let Some(zone) = zone(r, node) else { continue };
         if s.zones.iter().any(|z| z.name == zone.name) {
-            r.wrong(at, "zone", format!("the name '{}' stands twice", zone.name));
+            r.report(
+                at,
+                "zone",
+                format!("the name '{}' stands twice", zone.name).into(),
+            );
         }
         s.zones.push(zone);
     }
     for node in nodes {
         match node.name().value() {
             "seeds" => s.seeds = r.number(node, 1.0, 10_000.0).map_or(5, |n| n as u64),
-            "span" => s.span = r.span(node, Duration::from_secs(1)).unwrap_or(s.span),
+            "span" => s.span = r.duration(node, Duration::from_secs(1)).unwrap_or(s.span),
             "rate" => s.rate = r.number(node, 0.1, 1e7).unwrap_or(s.rate),
             "agents" => s.agents = r.number(node, 1.0, 1e5).map_or(3, |n| n as usize),
             "spread" => s.spread = r.number(node, 0.0, 1.0).unwrap_or(0.0),
             "clients" => {
                 let kinds = [ClientKind::Open, ClientKind::Naive, ClientKind::Careful];
                 s.clients = r
-                    .word(node, &["open", "naive", "careful"])
+                    .keyword(node, &["open", "naive", "careful"])
                     .map_or(ClientKind::Open, |n| kinds[n]);
             }
-            "routing" => s.near_first = r.word(node, &["as-ever", "near-first"]) == Some(1),
+            "routing" => s.near_first = r.keyword(node, &["as-ever", "near-first"]) == Some(1),
             "share" => s.share = r.number(node, 0.0, 1.0),
             "steady" => s.steady = r.number(node, 0.0, 1.0).unwrap_or(s.steady),
             "loss" => s.loss = r.number(node, 0.0, 1.0).unwrap_or(0.0),
-            "told-late" => s.told_late = r.span(node, Duration::ZERO).unwrap_or(Duration::ZERO),
+            "told-late" => s.told_late = r.duration(node, Duration::ZERO).unwrap_or(Duration::ZERO),
             "offer" => s.offer = Some(offer(r, node)),
             "lane" => s.classes.extend(class(r, node)),
             "way" => s.ways.extend(way(r, node, &s.zones)),
@@ -308,14 +309,14 @@
         }
     }
     for (key, missing) in [("lane", s.classes.is_empty()), ("zone", s.zones.is_empty())] {
-        if missing && !r.mistakes.iter().any(|m| m.key == key) {
-            r.wrong(r.of(node), key, "one or more are wanted".into());
+        if missing && !r.has_diagnostics_for(key) {
+            r.report(r.location(node), key, "one or more are wanted".into());
         }
     }
     let offers = ["slowness", "fails", "step"];
     if s.offer.is_none() && s.vary.iter().any(|v| offers.contains(&v.key.as_str())) {
-        r.wrong(
-            r.of(node),
+        r.report(
+            r.location(node),
             "vary",
             "an offer is wanted for what varies of it".into(),
         );
@@ -323,11 +324,11 @@
     Some(s)
 }
 
-fn zone(r: &mut Reader, node: &KdlNode) -> Option<Zone> {
+fn zone(r: &mut KdlReader, node: &KdlNode) -> Option<Zone> {
     let name = r
         .arguments(node, 1, &[])
         .into_iter()
-        .find_map(|e| r.text_of(e, "zone"))?;
+        .find_map(|e| r.entry_text(e, "zone"))?;
     let mut zone = Zone {
         name,
         endpoints: 1,
@@ -343,11 +344,11 @@
     Some(zone)
 }
 
-fn class(r: &mut Reader, node: &KdlNode) -> Option<RequestClass> {
+fn class(r: &mut KdlReader, node: &KdlNode) -> Option<RequestClass> {
     let name = r
         .arguments(node, 1, &[])
         .into_iter()
-        .find_map(|e| r.text_of(e, "lane"))?;
+        .find_map(|e| r.entry_text(e, "lane"))?;
     let ms = Duration::from_millis;
     let mut class = RequestClass {
         name,
@@ -371,14 +372,18 @@
                     },
                     Idempotency::NonIdempotent,
                 ];
-                let word = r.word(node, &["idempotent", "deduplicated", "unrepeatable"]);
+                let word = r.keyword(node, &["idempotent", "deduplicated", "unrepeatable"]);
                 class.idempotency = word.map_or(class.idempotency, |n| kinds[n]);
             }
-            "work" => class.work = r.span(node, Duration::from_micros(1)).unwrap_or(class.work),
+            "work" => {
+                class.work = r
+                    .duration(node, Duration::from_micros(1))
+                    .unwrap_or(class.work)
+            }
             "quoted" => {
-                class.latency_objective = r.span(node, ms(1)).unwrap_or(class.latency_objective)
+                class.latency_objective = r.duration(node, ms(1)).unwrap_or(class.latency_objective)
             }
-            "expiry" => class.expiry = r.span(node, ms(1)).unwrap_or(class.expiry),
+            "expiry" => class.expiry = r.duration(node, ms(1)).unwrap_or(class.expiry),
             "benefit" => class.priority_weight = r.number(node, 0.0, 1e9).unwrap_or(1.0),
             _ => class.weight = r.number(node, 0.0, 1e9).unwrap_or(1.0),
         }
@@ -387,7 +392,7 @@
 }
 
 fn named(
-    r: &mut Reader,
+    r: &mut KdlReader,
     at: SourceLocation,
     key: &str,
     name: &str,
@@ -396,39 +401,39 @@
     let found = zones.iter().position(|z| z.name == name);
     if found.is_none() {
         let known: Vec<&str> = zones.iter().map(|z| z.name.as_str()).collect();
-        r.wrong(
+        r.report(
             at,
             key,
-            format!("no zone '{name}'; known are {}", known.join(", ")),
+            format!("no zone '{name}'; known are {}", known.join(", ")).into(),
         );
     }
     found
 }
 
-fn way(r: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<(usize, usize, Duration)> {
-    let at = r.of(node);
+fn way(r: &mut KdlReader, node: &KdlNode, zones: &[Zone]) -> Option<(usize, usize, Duration)> {
+    let at = r.location(node);
     let ends: Vec<String> = r
         .arguments(node, 2, &[])
         .into_iter()
-        .filter_map(|e| r.text_of(e, "way"))
+        .filter_map(|e| r.entry_text(e, "way"))
         .collect();
     let delay = r
         .nodes(node.children(), "way", &["delay"], &[])
         .first()
         .copied();
-    let delay = delay.and_then(|n| r.span(n, Duration::ZERO));
+    let delay = delay.and_then(|n| r.duration(n, Duration::ZERO));
     let [from, to]: [String; 2] = ends.try_into().ok()?;
     let ends = (
         named(r, at, "way", &from, zones),
         named(r, at, "way", &to, zones),
     );
     if delay.is_none() {
-        r.wrong(at, "way", "a delay is wanted in it".into());
+        r.report(at, "way", "a delay is wanted in it".into());
     }
     Some((ends.0?, ends.1?, delay?))
 }
 
-fn offer(r: &mut Reader, node: &KdlNode) -> Offer {
+fn offer(r: &mut KdlReader, node: &KdlNode) -> Offer {
     r.arguments(node, 0, &[]);
     let secs = Duration::from_secs;
     let mut o = Offer {
@@ -446,10 +451,14 @@
         &[],
     ) {
         match node.name().value() {
-            "at" => o.at = r.span(node, Duration::ZERO).unwrap_or(o.at),
+            "at" => o.at = r.duration(node, Duration::ZERO).unwrap_or(o.at),
             "slowness" => o.slowness = r.number(node, 0.1, 100.0).unwrap_or(1.0),
             "fails" => o.fails = r.number(node, 0.0, 1.0).unwrap_or(0.0),
-            "step" => o.step = r.span(node, Duration::from_millis(100)).unwrap_or(o.step),
+            "step" => {
+                o.step = r
+                    .duration(node, Duration::from_millis(100))
+                    .unwrap_or(o.step)
+            }
             "appliances" => o.endpoints = r.number(node, 1.0, 1e5).map_or(3, |n| n as usize),
             _ => {
                 let caps = r.numbers(node, 0.0, 1.0);
@@ -460,8 +469,8 @@
     o
 }
 
-fn fault(r: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<ConfigError> {
-    let at = r.of(node);
+fn fault(r: &mut KdlReader, node: &KdlNode, zones: &[Zone]) -> Option<ConfigError> {
+    let at = r.location(node);
     r.arguments(node, 0, &[]);
     let mut f = ConfigError {
         at: Duration::ZERO,
@@ -482,10 +491,10 @@
         "kind",
     ];
     for node in r.nodes(node.children(), "fault", &known, &[]) {
-        let place = r.of(node);
+        let place = r.location(node);
         match node.name().value() {
-            "at" => f.at = r.span(node, Duration::ZERO)?,
-            "for" => f.lasts = r.span(node, Duration::from_millis(1)),
+            "at" => f.at = r.duration(node, Duration::ZERO)?,
+            "for" => f.lasts = r.duration(node, Duration::from_millis(1)),
             "zone" => {
                 f.zone = r
                     .text(node)
@@ -503,14 +512,14 @@
                     FaultKind::Stall,
                 ];
                 kinds.extend(
-                    r.word(node, &["drain", "gone", "mute", "stall"])
+                    r.keyword(node, &["drain", "gone", "mute", "stall"])
                         .map(|n| all[n]),
                 );
             }
         }
     }
     if kinds.len() != 1 {
-        r.wrong(
+        r.report(
             at,
             "fault",
             "one of slow, fail, burst or kind is wanted in it".into(),
@@ -520,18 +529,18 @@
     Some(f)
 }
 
-fn vary(r: &mut Reader, node: &KdlNode) -> Option<Vary> {
+fn vary(r: &mut KdlReader, node: &KdlNode) -> Option<Vary> {
     let mut entries = node.entries().iter().filter(|e| e.name().is_none());
-    let at = r.of(node);
-    let Some(key) = entries.next().and_then(|e| r.text_of(e, "vary")) else {
-        r.wrong(at, "vary", "a key and its values are wanted".into());
+    let at = r.location(node);
+    let Some(key) = entries.next().and_then(|e| r.entry_text(e, "vary")) else {
+        r.report(at, "vary", "a key and its values are wanted".into());
         return None;
     };
     if !KEYS.contains(&key.as_str()) {
-        r.wrong(
+        r.report(
             at,
             "vary",
-            format!("'{key}' is not among {}", KEYS.join(", ")),
+            format!("'{key}' is not among {}", KEYS.join(", ")).into(),
         );
         return None;
     }
@@ -547,16 +556,20 @@
         let value = match key.as_str() {
             "clients" => word(&["open", "naive", "careful"]).map(Value::Word),
             "routing" => word(&["as-ever", "near-first"]).map(Value::Word),
-            "agents" => r.number_of(entry, "vary", 1.0, 1e5).map(Value::Number),
-            _ => r.number_of(entry, "vary", 0.0, 1e7).map(Value::Number),
+            "agents" => r.entry_number(entry, "vary", 1.0, 1e5).map(Value::Number),
+            _ => r.entry_number(entry, "vary", 0.0, 1e7).map(Value::Number),
         };
         if value.is_none() && matches!(key.as_str(), "clients" | "routing") {
-            r.wrong(at, "vary", format!("a word that {key} does not have"));
+            r.report(
+                at,
+                "vary",
+                format!("a word that {key} does not have").into(),
+            );
         }
         values.extend(value);
     }
     if values.is_empty() {
-        r.wrong(at, "vary", "one value or more are wanted".into());
+        r.report(at, "vary", "one value or more are wanted".into());
         return None;
     }
     Some(Vary { key, values })
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_config::{millis, number, span, ConfigError, Fields, Names, ServiceConfig};
+use tulipwall_config::{
+    duration_from_ms, duration_to_ms, stable_hash, ConfigError, Fields, NameTable, ServiceConfig,
+};
 
 pub const KNOWN: [&str; 10] = [
     "Targets",
@@ -23,8 +25,8 @@
     choice: Balancer,
     start: Duration,
     site: ServiceConfig,
-    endpoints: Names,
-    kinds: Names,
+    endpoints: NameTable,
+    kinds: NameTable,
     commands: HashMap<String, u64>,
     indices_in_use: BTreeMap<u64, IndicesInUse>,
     taken: u64,
@@ -43,14 +45,14 @@
         let seed = item
             .integer("salt")
             .map(|n| n as u64)
-            .or_else(|_| item.whole("salt"))?;
-        let site = ServiceConfig::read(&item.inner("settings")?, seed)?;
+            .or_else(|_| item.unsigned("salt"))?;
+        let site = ServiceConfig::read(&item.object("settings")?, seed)?;
         Ok(Instance {
             choice: Balancer::new(now.saturating_sub(start), site.settings.clone()),
             start,
             site,
-            endpoints: Names::default(),
-            kinds: Names::default(),
+            endpoints: NameTable::default(),
+            kinds: NameTable::default(),
             commands: HashMap::new(),
             indices_in_use: BTreeMap::new(),
             taken: 0,
@@ -71,16 +73,19 @@
             "Targets" => self.targets(now, item, sheets, said)?,
             "Accept" => {
                 let (name, class) = (item.text("txn")?, item.text("tier-class")?);
-                let Some(class) = self.site.class(class) else {
+                let Some(class) = self.site.class_index(class) else {
                     said.push(
                         json!({"t": "Fatal", "note-text": format!("unknown lane '{class}'")}),
                     );
                     return Ok(());
                 };
-                let owner = item.maybe("owner").and_then(Value::as_str);
-                let tenant = owner.and_then(|o| self.site.tenant(o));
-                let key = item.maybe("route-key").and_then(Value::as_str).map(number);
-                let left = item.span("patience-left-ms")?;
+                let owner = item.optional("owner").and_then(Value::as_str);
+                let tenant = owner.and_then(|o| self.site.tenant_index(o));
+                let key = item
+                    .optional("route-key")
+                    .and_then(Value::as_str)
+                    .map(stable_hash);
+                let left = item.duration_ms("patience-left-ms")?;
                 let id = self.taken;
                 self.taken += 1;
                 self.commands.insert(name.to_owned(), id);
@@ -92,8 +97,11 @@
                         closed: false,
                     },
                 );
-                let work = item.maybe("estimate-ms").and_then(Value::as_f64).map(span);
-                let again = item.flag("again-by-client")?;
+                let work = item
+                    .optional("estimate-ms")
+                    .and_then(Value::as_f64)
+                    .map(duration_from_ms);
+                let again = item.boolean_or_false("again-by-client")?;
                 self.choice.on_request(
                     now,
                     id,
@@ -110,18 +118,21 @@
                 self.write(id, answer, said);
             }
             "UnderWay" => {
-                let (name, _) = (item.text("txn")?, item.whole("n")?);
+                let (name, _) = (item.text("txn")?, item.unsigned("n")?);
                 if let Some(id) = self.commands.get(name) {
                     self.choice.close_request(*id);
                 }
             }
             "ReportBack" => {
-                let (name, n) = (item.text("txn")?, item.whole("n")? as usize);
+                let (name, n) = (item.text("txn")?, item.unsigned("n")? as usize);
                 let outcome = match outcome(item.text("state-code")?) {
                     Some(outcome) => outcome,
                     None => return Err("field state-code: unknown outcome".into()),
                 };
-                let (took, finished) = (item.span("lag-ms")?, item.flag("finished")?);
+                let (took, finished) = (
+                    item.duration_ms("lag-ms")?,
+                    item.boolean_or_false("finished")?,
+                );
                 let Some(id) = self.commands.get(name).copied() else {
                     return Ok(());
                 };
@@ -158,30 +169,30 @@
             "Promotion" => self.promotion(now, item)?,
             "Flagged" => {
                 let class = item.text("tier-class")?;
-                let endpoint = self.endpoints.number(item.text("appliance")?);
-                if let Some(class) = self.site.class(class) {
+                let endpoint = self.endpoints.index_or_insert(item.text("appliance")?);
+                if let Some(class) = self.site.class_index(class) {
                     self.choice.on_client_reported_error(
                         now,
                         endpoint,
                         class,
-                        item.span_or("lateness-ms", 0.0)?,
+                        item.duration_ms_or("lateness-ms", 0.0)?,
                     );
                 }
             }
             "PeriodSums" => {
-                if let Some(class) = self.site.class(item.text("tier-class")?) {
+                if let Some(class) = self.site.class_index(item.text("tier-class")?) {
                     self.choice.on_platform_counts(&PlatformCounts {
-                        build: item.whole("rel")? as u32,
+                        build: item.unsigned("rel")? as u32,
                         class,
-                        attempts: item.whole_or("attempts", 0)? as f64,
-                        failed: item.whole_or("errors", 0)? as f64,
-                        mean_latency: item.span_or("lag-ms", 0.0)?,
-                        age: item.span_or("lateness-ms", 0.0)?,
+                        attempts: item.unsigned_or("attempts", 0)? as f64,
+                        failed: item.unsigned_or("errors", 0)? as f64,
+                        mean_latency: item.duration_ms_or("lag-ms", 0.0)?,
+                        age: item.duration_ms_or("lateness-ms", 0.0)?,
                     });
                 }
             }
             "ProbeDone" => {
-                let endpoint = self.endpoints.number(item.text("appliance")?);
+                let endpoint = self.endpoints.index_or_insert(item.text("appliance")?);
                 let outcome =
                     outcome(item.text("state-code")?).ok_or("field state-code: unknown outcome")?;
                 self.choice
@@ -221,7 +232,9 @@
     }
 
     fn timer(&self, ctx: String, at: Duration, said: &mut Vec<Value>) {
-        said.push(json!({"t": "Remind", "ctx": ctx, "instant-ms": millis(self.start + at)}));
+        said.push(
+            json!({"t": "Remind", "ctx": ctx, "instant-ms": duration_to_ms(self.start + at)}),
+        );
     }
 
     fn write(&mut self, id: u64, answer: Decision, said: &mut Vec<Value>) {
@@ -237,7 +250,7 @@
             } => {
                 c.out += 1;
                 let endpoint = self.endpoints.name(endpoint);
-                let ms = millis(timeout).max(0.001);
+                let ms = duration_to_ms(timeout).max(0.001);
                 said.push(json!({"t": "Place", "txn": name, "appliance": endpoint, "give-up-after-ms": ms}));
                 if let Some(at) = look {
                     self.timer(id.to_string(), at, said);
@@ -246,7 +259,7 @@
             Decision::Defer { until } => self.timer(id.to_string(), until, said),
             Decision::Reject { retry_after } => {
                 c.closed = true;
-                let ms = retry_after.map(millis);
+                let ms = retry_after.map(duration_to_ms);
                 said.push(json!({"t": "Deny", "txn": name, "cool-down-ms": ms}));
             }
             Decision::Fail => {
@@ -295,13 +308,13 @@
             other => return Err(format!("field how: unknown value '{other}'")),
         };
         let sheet = sheets
-            .get(&item.whole("buffer")?)
+            .get(&item.unsigned("buffer")?)
             .ok_or("field buffer: no such list")?;
         let mut entries = Vec::new();
         for entry in sheet {
-            let e = Fields::of(entry, "nodes-list")?;
+            let e = Fields::new(entry, "nodes-list")?;
             let zone = e.text("failure-domain")?;
-            let Some(zone) = self.site.zone(zone) else {
+            let Some(zone) = self.site.zone_index(zone) else {
                 said.push(json!({"t": "Fatal", "note-text": format!("unknown zone '{zone}'")}));
                 return Ok(());
             };
@@ -311,17 +324,17 @@
                 "Deleted" => EndpointState::Gone,
                 other => return Err(format!("field availability: unknown value '{other}'")),
             };
-            let born = span(e.number_or("born-ms", 0.0)?);
+            let born = duration_from_ms(e.number_or("born-ms", 0.0)?);
             entries.push(EndpointEntry {
-                endpoint: self.endpoints.number(e.text("appliance")?),
+                endpoint: self.endpoints.index_or_insert(e.text("appliance")?),
                 zone,
-                cell: e.whole_or("stripe", 0)?,
-                identity: number(e.text("appliance")?),
+                cell: e.unsigned_or("stripe", 0)?,
+                identity: stable_hash(e.text("appliance")?),
                 endpoint_type: e
-                    .maybe("hw")
+                    .optional("hw")
                     .and_then(Value::as_str)
-                    .map_or(0, |k| self.kinds.number(k)),
-                build: e.whole_or("release", 0)? as u32,
+                    .map_or(0, |k| self.kinds.index_or_insert(k)),
+                build: e.unsigned_or("release", 0)? as u32,
                 state: standing,
                 started: (born > self.start).then(|| born.saturating_sub(self.start)),
             });
@@ -333,7 +346,7 @@
     fn promotion(&mut self, now: Duration, item: &Fields) -> Result<(), String> {
         let state = item.text("state-code")?;
         if state == "success" {
-            let phase = match item.whole_or("course", 0)? {
+            let phase = match item.unsigned_or("course", 0)? {
                 0 => RolloutPhase::Canary,
                 1 => RolloutPhase::RollingBack,
                 2 => RolloutPhase::Released,
@@ -341,14 +354,14 @@
                 other => return Err(format!("field course: unknown value {other}")),
             };
             self.choice.update_rollout(RolloutStatus {
-                build: item.whole("rel")? as u32,
-                stage: item.whole_or("wave", 0)? as usize,
+                build: item.unsigned("rel")? as u32,
+                stage: item.unsigned_or("wave", 0)? as usize,
                 phase,
                 cap: item.number_or("ceiling", 0.0)?,
-                since: now.saturating_sub(item.span_or("lateness-ms", 0.0)?),
+                since: now.saturating_sub(item.duration_ms_or("lateness-ms", 0.0)?),
             });
         }
-        if item.whole_or("code", 0)? == 1 {
+        if item.unsigned_or("code", 0)? == 1 {
             let reply = match state {
                 "success" => VoteReply::Counted,
                 "void" => VoteReply::Moot,
@@ -363,7 +376,7 @@
 
 /// What a load report says of the requests that an endpoint holds.
 fn held(item: &Fields) -> Option<f64> {
-    item.maybe("pressure")
+    item.optional("pressure")
         .and_then(|p| p.get("concurrent"))
         .and_then(Value::as_f64)
 }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use std::time::Duration;
-use tulipwall_config::{ConfigError, Fields};
+use tulipwall_config::Fields;
 
 /// The numbered lists that came ahead of the events that need them, shared by all instances here.
 type Sheets = BTreeMap<u64, Vec<Value>>;
@@ -47,30 +47,30 @@
     sheets: &mut Sheets,
 ) -> Result<Value, String> {
     let batch: Value = serde_json::from_slice(line).map_err(|e| format!("not JSON: {e}"))?;
-    let batch = Fields::of(&batch, "batch")?;
-    let now = batch.span("t-ms")?;
+    let batch = Fields::new(&batch, "batch")?;
+    let now = batch.duration_ms("t-ms")?;
     // Spans count from the first clock this process saw.
     let start = *start.get_or_insert(now);
     let mut replies = Vec::new();
     for agent in batch.array("agents")? {
-        let agent = Fields::of(agent, "agents")?;
+        let agent = Fields::new(agent, "agents")?;
         let id = agent.integer("agent-id")?;
         let mut said = Vec::new();
         for item in agent.array("items")? {
-            let item = Fields::of(item, "items")?;
+            let item = Fields::new(item, "items")?;
             match item.text("t")? {
                 "Sheet" => {
-                    sheets.insert(item.whole("buffer")?, item.array("nodes-list")?.clone());
+                    sheets.insert(item.unsigned("buffer")?, item.array("nodes-list")?.clone());
                 }
                 "OpenInstance" => match Instance::open(now, start, &item) {
                     Ok(instance) => {
                         instances.insert(id, instance);
                     }
-                    Err(ConfigError::Key(key)) => return Err(key),
                     // The wire's own fault: the settings name something they do not define.
-                    Err(ConfigError::Undefined(fault)) => {
-                        said.push(json!({"t": "Fatal", "note-text": fault}))
+                    Err(error) if error.is_undefined_name() => {
+                        said.push(json!({"t": "Fatal", "note-text": error.to_string()}))
                     }
+                    Err(error) => return Err(error.to_string()),
                 },
                 "Down" => {
                     instances.remove(&id);
