--- a/crates/agent/src/control/discovery.rs
+++ b/crates/agent/src/control/discovery.rs
@@ -32,33 +32,29 @@
 type Told = (ListResponse, bool);
 
 pub async fn run(agent: &Agent) {
-    let (moves, mut watch) = (agent.discovery_moves.seen(), Watch::new(agent));
+    let (moves, mut watch) = (agent.control.discovery.changes(), Watch::new(agent));
     let (mut moves, mut again) = (moves, watch.starts(agent.clock.now()));
     loop {
         let due = async {
             match again {
-                Some(at) => agent.until(at).await,
-                None => {
-                    while !agent.watch_due.take() {
-                        agent.watch.listen().await;
-                    }
-                }
+                Some(at) => agent.sleep_until(at).await,
+                None => agent.control.watch_request.received().await,
             }
         };
-        due.or(agent.discovery_moves.beyond(moves)).await;
-        if agent.discovery_moves.seen() != moves {
+        due.or(agent.control.discovery.changed_since(moves)).await;
+        if agent.control.discovery.changes() != moves {
             // A change of the address ends the old watch and is no failure.
-            moves = agent.discovery_moves.seen();
+            moves = agent.control.discovery.changes();
             watch.renew(agent.clock.now());
             again = watch.moves(agent.clock.now());
             if again.is_some() {
                 continue;
             }
         }
-        agent.watch_due.set(false);
+        agent.control.watch_request.clear();
         watch.renew(agent.clock.now());
         let moved = async {
-            agent.discovery_moves.beyond(moves).await;
+            agent.control.discovery.changed_since(moves).await;
             None
         };
         let ended = moved.or(async { Some(watch.run().await) }).await;
@@ -82,9 +78,11 @@
 
 impl Watch<'_> {
     fn new(agent: &Agent) -> Watch<'_> {
-        let d = &agent.site().settings;
+        let d = &agent.service_config().settings;
         let list_valid_until = ListLease::new(d, agent.clock.now());
-        agent.hand.vouch(list_valid_until.valid_until());
+        agent
+            .balancer
+            .set_list_valid_until(list_valid_until.valid_until());
         Watch {
             agent,
             watchdog: WatchTimer::new(d),
@@ -103,17 +101,21 @@
 
     /// Settings may have been read anew.
     fn renew(&mut self, now: Duration) {
-        let d = &self.agent.site().settings;
+        let d = &self.agent.service_config().settings;
         self.watchdog.reload(d);
         self.list_valid_until.reload(d, now);
-        self.agent.hand.vouch(self.list_valid_until.valid_until());
+        self.agent
+            .balancer
+            .set_list_valid_until(self.list_valid_until.valid_until());
     }
 
     /// When the new address is first called; none for at once.
     fn moves(&mut self, now: Duration) -> Option<Duration> {
         self.owes = true;
         self.list_valid_until.on_address_change(now);
-        self.agent.hand.vouch(self.list_valid_until.valid_until());
+        self.agent
+            .balancer
+            .set_list_valid_until(self.list_valid_until.valid_until());
         let gap = self.watchdog.on_address_change();
         (!gap.is_zero()).then_some(now + gap)
     }
@@ -133,7 +135,9 @@
             self.named.push(ended);
         }
         self.list_valid_until.on_watch_end(now, ended);
-        agent.hand.vouch(self.list_valid_until.valid_until());
+        agent
+            .balancer
+            .set_list_valid_until(self.list_valid_until.valid_until());
         if self
             .list_valid_until
             .valid_until()
@@ -149,8 +153,8 @@
             Some(_) => agent.counters.list_failures.add(),
             None => {
                 // What the module said before is no more.
-                agent.watch_due.set(false);
-                agent.hand.list_failed();
+                agent.control.watch_request.clear();
+                agent.balancer.on_list_failure();
             }
         }
         again
@@ -166,7 +170,8 @@
         let agent = self.agent;
         let wait = self.watchdog.first_wait();
         let known = agent
-            .known()
+            .endpoints
+            .usable_version()
             .filter(|_| !self.owes || !self.watchdog.calls_are_free());
         let path = known.map_or(list_response::LIST_PATH.to_owned(), |version| {
             list_response::watch_path(version, wait)
@@ -203,11 +208,13 @@
         }
         loop {
             let spoilt = told.first_error.clone();
-            agent.listed(told);
+            agent.update_endpoints(told);
             let wait = self.watchdog.next_wait();
             self.list_valid_until.on_response(agent.clock.now(), wait);
-            agent.hand.vouch(self.list_valid_until.valid_until());
-            agent.heard();
+            agent
+                .balancer
+                .set_list_valid_until(self.list_valid_until.valid_until());
+            agent.endpoints.allow_serving();
             if let Some(what) = spoilt {
                 return End(WatchEnd::Malformed, format!("list: {what}"));
             }
@@ -220,12 +227,12 @@
                 );
             }
             if std::mem::take(&mut self.owes) {
-                agent.life.heard(Party::Discovery);
+                agent.lifecycle.heard(Party::Discovery);
             }
             if last {
                 return End(WatchEnd::Disconnected, "it closes after an answer".into());
             }
-            let path = list_response::watch_path(agent.version(), wait);
+            let path = list_response::watch_path(agent.endpoints.version(), wait);
             let late = wait + self.watchdog.response_grace();
             match within(agent, late, ask(agent, &mut connection, &path)).await {
                 Ok(next) => (told, last) = next,
@@ -238,7 +245,7 @@
 /// A connection and its first answer.
 async fn begin(agent: &Agent, path: &str, time: Duration) -> Result<(Connection, Told), End> {
     let begun = async {
-        let mut connection = Connection::open(agent.discovery.get())
+        let mut connection = Connection::open(agent.control.discovery.get())
             .await
             .map_err(broken)?;
         let told = ask(agent, &mut connection, path).await?;
@@ -258,7 +265,7 @@
         match begin(agent, path, time).await {
             Err(End(ended, _)) => {
                 agent
-                    .until(agent.clock.now() + watchdog.retry_delay(ended))
+                    .sleep_until(agent.clock.now() + watchdog.retry_delay(ended))
                     .await
             }
             begun => return begun,
@@ -268,7 +275,7 @@
 
 async fn ask(agent: &Agent, connection: &mut Connection, path: &str) -> Result<Told, End> {
     connection
-        .write(&http::get(&agent.discovery.get().to_string(), path))
+        .write(&http::get(&agent.control.discovery.get().to_string(), path))
         .await
         .map_err(broken)?;
     let mut ended = false;
@@ -309,7 +316,7 @@
     work: impl Future<Output = Result<T, End>>,
 ) -> Result<T, End> {
     let late = async {
-        agent.until(agent.clock.now() + time).await;
+        agent.sleep_until(agent.clock.now() + time).await;
         Err(End(WatchEnd::TimedOut, "it is silent".into()))
     };
     work.or(late).await
--- a/crates/config/src/client_file.rs
+++ b/crates/config/src/client_file.rs
@@ -8,7 +8,9 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, Idempotency};
-use tulipwall_client_policy::{Connections, InFlight, RequestClass, Retrying, Service};
+use tulipwall_client_policy::{
+    ClientConfig, ConcurrencyPolicy, ConnectionPolicy, RequestClass, RetryPolicy,
+};
 
 /// The largest count of connections, requests or saved retries.
 const MAX_COUNT: f64 = 1e6;
@@ -23,9 +25,9 @@
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
 /// Reads the text of a client's file; all its problems otherwise, in the order of their locations.
-pub fn read_client_file(text: &str) -> Result<Service, Vec<ConfigDiagnostic>> {
+pub fn read_client_file(text: &str) -> Result<ClientConfig, Vec<ConfigDiagnostic>> {
     let mut reader = KdlReader::new(text);
-    let mut service = Service::new(Vec::new(), Vec::new());
+    let mut service = ClientConfig::new(Vec::new(), Vec::new());
     if let Some(document) = reader.document() {
         let once = [
             "marks-retries",
@@ -43,23 +45,23 @@
     reader.finish(service)
 }
 
-fn read_node(reader: &mut KdlReader, node: &KdlNode, service: &mut Service) {
+fn read_node(reader: &mut KdlReader, node: &KdlNode, service: &mut ClientConfig) {
     match node.name().value() {
         "agent" => service.agents.extend(read_agent(reader, node)),
         "lane" => add_class(reader, node, service),
         "marks-retries" => service.marks_retries = reader.boolean(node).unwrap_or(false),
         "value-most" => {
             if let Some(bytes) = reader.byte_size(node) {
-                service.value_most = bytes as usize;
+                service.max_value_bytes = bytes as usize;
             }
         }
-        "retries" => service.retrying = read_retries(reader, node),
+        "retries" => service.retry = read_retries(reader, node),
         "connections" => service.connections = read_connections(reader, node),
-        _ => service.in_flight = read_in_flight(reader, node),
+        _ => service.concurrency = read_in_flight(reader, node),
     }
 }
 
-fn check_required(reader: &mut KdlReader, service: &Service) {
+fn check_required(reader: &mut KdlReader, service: &ClientConfig) {
     let lists = [
         ("agent", service.agents.is_empty()),
         ("lane", service.classes.is_empty()),
@@ -84,11 +86,11 @@
     address
 }
 
-fn add_class(reader: &mut KdlReader, node: &KdlNode, service: &mut Service) {
+fn add_class(reader: &mut KdlReader, node: &KdlNode, service: &mut ClientConfig) {
     let Some(class) = read_class(reader, node) else {
         return;
     };
-    if service.class(&class.name).is_some() {
+    if service.class_index(&class.name).is_some() {
         let name = class.name.clone();
         let problem = ConfigProblem::DuplicateName { name };
         reader.report(reader.location(node), "lane", problem);
@@ -168,29 +170,34 @@
         .unwrap_or(DeduplicationScope::All)
 }
 
-fn read_retries(reader: &mut KdlReader, node: &KdlNode) -> Retrying {
+fn read_retries(reader: &mut KdlReader, node: &KdlNode) -> RetryPolicy {
     reader.arguments(node, 0, &[]);
-    let mut retries = Retrying::default();
+    let mut retries = RetryPolicy::default();
     let known = ["tries", "earned", "kept", "pause", "pause-most"];
     for node in reader.nodes(node.children(), "retries", &known, &[]) {
         match node.name().value() {
             "tries" => {
                 if let Some(attempts) = reader.number(node, 1.0, MAX_ATTEMPTS) {
-                    retries.tries = attempts as u32;
+                    retries.max_attempts = attempts as u32;
                 }
             }
-            "earned" => retries.earned = number_or(reader, node, 0.0..=1.0, retries.earned),
-            "kept" => retries.kept = number_or(reader, node, 0.0..=MAX_COUNT, retries.kept),
-            "pause" => retries.pause.0 = duration_or(reader, node, retries.pause.0),
-            _ => retries.pause.1 = duration_or(reader, node, retries.pause.1),
+            "earned" => {
+                retries.tokens_per_success =
+                    number_or(reader, node, 0.0..=1.0, retries.tokens_per_success)
+            }
+            "kept" => {
+                retries.max_tokens = number_or(reader, node, 0.0..=MAX_COUNT, retries.max_tokens)
+            }
+            "pause" => retries.initial_backoff = duration_or(reader, node, retries.initial_backoff),
+            _ => retries.max_backoff = duration_or(reader, node, retries.max_backoff),
         }
     }
     retries
 }
 
-fn read_connections(reader: &mut KdlReader, node: &KdlNode) -> Connections {
+fn read_connections(reader: &mut KdlReader, node: &KdlNode) -> ConnectionPolicy {
     reader.arguments(node, 0, &[]);
-    let mut connections = Connections::default();
+    let mut connections = ConnectionPolicy::default();
     let known = [
         "least", "most", "idle", "life", "within", "opening", "rate", "spread",
     ];
@@ -198,37 +205,48 @@
     for node in reader.nodes(node.children(), "connections", &known, &[]) {
         let c = &mut connections;
         match node.name().value() {
-            "least" => c.least = count_or(reader, node, 0.0, c.least),
-            "most" => c.most = count_or(reader, node, 1.0, c.most),
-            "idle" => c.idle = duration_or(reader, node, c.idle),
-            "life" => c.life = duration_or(reader, node, c.life),
-            "within" => c.within = duration_or(reader, node, c.within),
-            "opening" => c.opening = count_or(reader, node, 1.0, c.opening),
-            "rate" => c.rate = number_or(reader, node, rates.clone(), c.rate),
-            _ => c.spread = reader.duration(node, Duration::ZERO).unwrap_or(c.spread),
+            "least" => c.min_connections = count_or(reader, node, 0.0, c.min_connections),
+            "most" => c.max_connections = count_or(reader, node, 1.0, c.max_connections),
+            "idle" => c.idle_timeout = duration_or(reader, node, c.idle_timeout),
+            "life" => c.max_lifetime = duration_or(reader, node, c.max_lifetime),
+            "within" => c.connect_timeout = duration_or(reader, node, c.connect_timeout),
+            "opening" => c.max_connecting = count_or(reader, node, 1.0, c.max_connecting),
+            "rate" => {
+                c.connects_per_second =
+                    number_or(reader, node, rates.clone(), c.connects_per_second)
+            }
+            _ => {
+                c.reconnect_spread = reader
+                    .duration(node, Duration::ZERO)
+                    .unwrap_or(c.reconnect_spread)
+            }
         }
     }
-    if connections.least > connections.most {
+    if connections.min_connections > connections.max_connections {
         let location = reader.location(node);
         reader.report(location, "connections", ConfigProblem::EmptyRange);
     }
     connections
 }
 
-fn read_in_flight(reader: &mut KdlReader, node: &KdlNode) -> InFlight {
+fn read_in_flight(reader: &mut KdlReader, node: &KdlNode) -> ConcurrencyPolicy {
     reader.arguments(node, 0, &[]);
-    let mut in_flight = InFlight::default();
+    let mut in_flight = ConcurrencyPolicy::default();
     let known = ["least", "most", "waiting", "wait"];
     for node in reader.nodes(node.children(), "in-flight", &known, &[]) {
         let f = &mut in_flight;
         match node.name().value() {
-            "least" => f.least = number_or(reader, node, 1.0..=MAX_COUNT, f.least),
-            "most" => f.most = number_or(reader, node, 1.0..=MAX_COUNT, f.most),
-            "waiting" => f.waiting = count_or(reader, node, 0.0, f.waiting),
-            _ => f.wait = reader.duration(node, Duration::ZERO).unwrap_or(f.wait),
+            "least" => f.min_limit = number_or(reader, node, 1.0..=MAX_COUNT, f.min_limit),
+            "most" => f.max_limit = number_or(reader, node, 1.0..=MAX_COUNT, f.max_limit),
+            "waiting" => f.max_queued = count_or(reader, node, 0.0, f.max_queued),
+            _ => {
+                f.queue_timeout = reader
+                    .duration(node, Duration::ZERO)
+                    .unwrap_or(f.queue_timeout)
+            }
         }
     }
-    if in_flight.least > in_flight.most {
+    if in_flight.min_limit > in_flight.max_limit {
         let location = reader.location(node);
         reader.report(location, "in-flight", ConfigProblem::EmptyRange);
     }
