--- a/crates/agent/src/control/discovery.rs
+++ b/crates/agent/src/control/discovery.rs
@@ -2,9 +2,9 @@
 //! begun anew as `watchdog` says.
 
 use crate::agent::Agent;
-use crate::lifecycle::phase::Party;
+use crate::lifecycle::phase::ControlService;
 use crate::protocol::connection::Connection;
-use crate::protocol::{http, Malformed};
+use crate::protocol::{http, ProtocolError};
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 /// How a watch ended, and what there is to say of it.
 struct End(WatchEnd, String);
 
-impl From<Malformed> for End {
-    fn from(what: Malformed) -> End {
-        End(WatchEnd::Malformed, what.0)
+impl From<ProtocolError> for End {
+    fn from(what: ProtocolError) -> End {
+        End(WatchEnd::Malformed, what.to_string())
     }
 }
 
@@ -124,7 +124,7 @@
     fn ended(&mut self, End(ended, what): End) -> Option<Duration> {
         let (agent, now) = (self.agent, self.agent.clock.now());
         if ended == WatchEnd::TimedOut {
-            agent.counters.list_silences.add();
+            agent.counters.list_timeouts.increment();
         }
         if self.away.is_none() {
             log::warn!("discovery: {what}; it is asked anew");
@@ -150,7 +150,7 @@
         }
         let again = self.watchdog.on_watch_end(ended).map(|gap| now + gap);
         match again {
-            Some(_) => agent.counters.list_failures.add(),
+            Some(_) => agent.counters.list_failures.increment(),
             None => {
                 // What the module said before is no more.
                 agent.control.watch_request.clear();
@@ -227,7 +227,7 @@
                 );
             }
             if std::mem::take(&mut self.owes) {
-                agent.lifecycle.heard(Party::Discovery);
+                agent.lifecycle.on_contact(ControlService::Discovery);
             }
             if last {
                 return End(WatchEnd::Disconnected, "it closes after an answer".into());
@@ -275,21 +275,23 @@
 
 async fn ask(agent: &Agent, connection: &mut Connection, path: &str) -> Result<Told, End> {
     connection
-        .write(&http::get(&agent.control.discovery.get().to_string(), path))
+        .write(&http::get_request(
+            &agent.control.discovery.get().to_string(),
+            path,
+        ))
         .await
         .map_err(broken)?;
     let mut ended = false;
     loop {
-        if let Some(answer) = http::answer(connection.inbox.unread(), ended)? {
-            connection.inbox.consume(answer.took);
+        if let Some(answer) = http::parse_response(connection.inbox.unread(), ended)? {
+            connection.inbox.consume(answer.length);
             if answer.status != 200 {
                 return Err(End(WatchEnd::Refused, format!("status {}", answer.status)));
             }
             // Where the connection does not go on, this much is told, and the watch begins anew.
-            return Ok((
-                ListResponse::parse(&answer.body).map_err(|error| Malformed(error.to_string()))?,
-                answer.last,
-            ));
+            let list = ListResponse::parse(&answer.body)
+                .map_err(|error| End(WatchEnd::Malformed, error.to_string()))?;
+            return Ok((list, answer.closes_connection));
         }
         if ended {
             return Err(End(
@@ -300,7 +302,7 @@
         // Guards against an answer that stops short of its end, which would be waited for as long
         // as a watch.
         let begun = !connection.inbox.is_empty();
-        let more = async { connection.more().await.map_err(broken) };
+        let more = async { connection.read_more().await.map_err(broken) };
         let got = if begun {
             within(agent, REST_WITHIN, more).await?
         } else {
