--- a/crates/zones/tests/report_format.rs
+++ b/crates/zones/tests/report_format.rs
@@ -69,18 +69,18 @@
         zones: vec!["a".into(), "b".into()],
         classes: vec!["view".into()],
     };
-    let wall = ClockMapping {
+    let clock = ClockMapping {
         now: START + Duration::from_secs(5),
         unix_now: Duration::from_secs(1_700_000_000),
         started: START,
     };
     let zones = account();
-    let mut place = ReportCursor::Head;
+    let mut cursor = ReportCursor::Head;
     let mut written = Vec::new();
-    while place != ReportCursor::Finished {
-        let (lines, next) = zones.lines(&names, wall, place);
+    while cursor != ReportCursor::Finished {
+        let (lines, next) = zones.lines(&names, clock, cursor);
         written.extend(lines.iter().map(|l| serde_json::to_string(l).unwrap()));
-        place = next;
+        cursor = next;
     }
     written
 }
--- a/crates/zones/tests/series.rs
+++ b/crates/zones/tests/time_series.rs
@@ -1,10 +1,10 @@
-//! Series of what crossed, over long times.
+//! Time series of cross-zone traffic over long times.
 
 use std::time::Duration;
 use tulipwall_zones::*;
 
 #[test]
-fn old_bins_go_and_empty_ones_are_never_kept() {
+fn drops_old_bins_and_keeps_no_empty_ones() {
     let mut series = TimeSeries::new(Duration::from_secs(10), 360);
     for n in 0..2000 {
         series.bin(Duration::from_secs(n * 25)).attempts += 1;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn merged_series_hold_the_sum_of_both() {
+fn merges_series_by_adding_their_bins() {
     let (mut one, mut two) = (
         TimeSeries::new(Duration::from_secs(1), 10),
         TimeSeries::new(Duration::from_secs(1), 10),
