--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -1,10 +1,20 @@
-//! One agent that takes requests, places them and hears their outcomes, to be timed.
+//! One simulated agent that receives, routes and completes requests, to be timed.
 
 use std::time::Duration;
 use tulipwall::*;
 use tulipwall_testkit::day;
 use tulipwall_zones::*;
 
+/// The build that all endpoints run.
+const BUILD: u32 = 41;
+const LOCAL_ZONE: usize = 0;
+/// Time between two requests: 3,000 a second.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(333);
+/// A poll follows each of so many requests: ten polls a second.
+const REQUESTS_PER_POLL: u64 = 300;
+const BYTES_SENT: u64 = 180;
+const BYTES_RECEIVED: u64 = 420;
+
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
@@ -21,194 +31,202 @@
     }
 }
 
+fn new_balancer(now: Duration, zones: usize, classes: usize, endpoints: usize) -> Balancer {
+    let mut balancer = Balancer::new(now, deployment(classes));
+    let entry = |endpoint| EndpointEntry {
+        endpoint,
+        zone: endpoint % zones,
+        cell: 0,
+        identity: endpoint as u64,
+        endpoint_type: 0,
+        build: BUILD,
+        state: EndpointState::Running,
+        started: None,
+    };
+    let entries: Vec<EndpointEntry> = (0..endpoints).map(entry).collect();
+    balancer.update_endpoints(now, &entries, true);
+    balancer.update_rollout(RolloutStatus {
+        build: BUILD,
+        stage: 0,
+        phase: RolloutPhase::Released,
+        cap: 1.0,
+        since: now,
+    });
+    balancer
+}
+
+fn zone_config(zones: usize, classes: usize) -> ZoneConfig {
+    let limits = [Limit::Attempts(1e9), Limit::Bytes(1e15), Limit::Share(0.05)];
+    let budget = |limit: Limit| Budget {
+        name: limit.unit().into(),
+        to: None,
+        class: None,
+        limit,
+        window: ms(60_000),
+        agent_fraction: 0.3,
+    };
+    let class = ClassProfile {
+        priority_weight: 3.0,
+        latency_objective: ms(400),
+    };
+    ZoneConfig {
+        local_zone: LOCAL_ZONE,
+        zone_count: zones,
+        classes: vec![class; classes],
+        links: vec![Link::default(); zones + 1],
+        budgets: limits.into_iter().map(budget).collect(),
+        routing: RoutingPolicy::LocalFirst,
+    }
+}
+
+/// An agent with its balancer, and with or without an account of cross-zone traffic.
 pub struct Agent {
     now: Duration,
-    id: u64,
-    classes: usize,
-    pub choice: Balancer,
+    last_id: u64,
+    class_count: usize,
+    zone_count: usize,
+    balancer: Balancer,
     zones: Option<Zones>,
-    watch: Option<ShadowEvaluator>,
-    build: u32,
-    of_zone: usize,
+    shadow: Option<ShadowEvaluator>,
 }
 
 impl Agent {
-    pub fn new(zones: usize, classes: usize, endpoints: usize, zoned: bool) -> Agent {
+    /// `with_account`: cross-zone traffic is accounted for and kept to budgets.
+    pub fn new(zones: usize, classes: usize, endpoints: usize, with_account: bool) -> Agent {
         let now = ms(3_600_000);
-        let mut choice = Balancer::new(now, deployment(classes));
-        let listed = |endpoint| EndpointEntry {
-            endpoint,
-            zone: endpoint % zones,
-            cell: 0,
-            identity: endpoint as u64,
-            endpoint_type: 0,
-            build: 41,
-            state: EndpointState::Running,
-            started: None,
-        };
-        choice.update_endpoints(now, &(0..endpoints).map(listed).collect::<Vec<_>>(), true);
-        choice.update_rollout(RolloutStatus {
-            build: 41,
-            stage: 0,
-            phase: RolloutPhase::Released,
-            cap: 1.0,
-            since: now,
-        });
-        let limits = [Limit::Attempts(1e9), Limit::Bytes(1e15), Limit::Share(0.05)];
-        let budget = |limit: Limit| Budget {
-            name: limit.unit().into(),
-            to: None,
-            class: None,
-            limit,
-            window: ms(60_000),
-            agent_fraction: 0.3,
-        };
-        let zoning = ZoneConfig {
-            local_zone: 0,
-            zone_count: zones,
-            classes: vec![
-                ClassProfile {
-                    priority_weight: 3.0,
-                    latency_objective: ms(400)
-                };
-                classes
-            ],
-            links: vec![Link::default(); zones + 1],
-            budgets: limits.into_iter().map(budget).collect(),
-            routing: RoutingPolicy::LocalFirst,
-        };
-        let zones_told = zoned.then(|| Zones::new(now, zoning));
+        let config = zone_config(zones, classes);
         Agent {
             now,
-            id: 0,
-            classes,
-            choice,
-            zones: zones_told,
-            watch: None,
-            build: 41,
-            of_zone: zones,
+            last_id: 0,
+            class_count: classes,
+            zone_count: zones,
+            balancer: new_balancer(now, zones, classes, endpoints),
+            zones: with_account.then(|| Zones::new(now, config)),
+            shadow: None,
         }
     }
 
-    /// Watches settings of another shape beside.
+    /// Without an account, and with alternative settings evaluated in parallel.
     #[allow(dead_code)] // `examples/measure.rs` has no use for it
-    pub fn watched(zones: usize, classes: usize, endpoints: usize) -> Agent {
-        let shape = AlternativeSettings {
+    pub fn with_shadow(zones: usize, classes: usize, endpoints: usize) -> Agent {
+        let alternative = AlternativeSettings {
             guarded_stages: Some(1),
             key_affinity: Some(true),
             ..AlternativeSettings::default()
         };
-        let watch = Some(ShadowEvaluator::new(&deployment(classes), &shape));
+        let shadow = ShadowEvaluator::new(&deployment(classes), &alternative);
         Agent {
-            watch,
+            shadow: Some(shadow),
             ..Agent::new(zones, classes, endpoints, false)
         }
     }
 
-    /// One request from its coming to its answer, at 3,000 a second.
-    pub fn command(&mut self) {
-        self.id += 1;
-        self.now += Duration::from_micros(333);
-        let (id, now) = (self.id, self.now);
-        let class = id as usize % self.classes;
-        if let Some(z) = &mut self.zones {
-            z.on_request(now, class);
+    /// Without an account, and with a fixed policy that avoids remote zones.
+    pub fn with_fixed_policy(zones: usize, classes: usize, endpoints: usize) -> Agent {
+        let mut agent = Agent::new(zones, classes, endpoints, false);
+        let remote = ZonePolicy {
+            weight: Some(0.01),
+            last_resort: vec![false; classes],
+            ..ZonePolicy::default()
+        };
+        let mut policies = vec![remote; zones + 1];
+        policies[LOCAL_ZONE] = ZonePolicy::default();
+        agent.balancer.set_cross_zone_policy(CrossZonePolicy {
+            zones: policies,
+            slow_start_factor: 1.0,
+        });
+        agent
+    }
+
+    /// One request from its arrival to its response.
+    pub fn handle_request(&mut self) {
+        self.last_id += 1;
+        self.now += REQUEST_INTERVAL;
+        let id = self.last_id;
+        let class = id as usize % self.class_count;
+        self.receive(id, class);
+        if let Decision::Forward { endpoint, .. } = self.balancer.route(self.now, id) {
+            self.forward(id, class, endpoint);
+        }
+        if id.is_multiple_of(REQUESTS_PER_POLL) {
+            self.poll();
+        }
+    }
+
+    fn receive(&mut self, id: u64, class: usize) {
+        if let Some(zones) = &mut self.zones {
+            zones.on_request(self.now, class);
         }
-        self.choice.on_request(
-            now,
-            id,
-            Request {
-                class,
-                tenant: None,
-                key: Some(id),
-                time_left: ms(1500),
-                estimated_work: None,
-                is_retry: false,
-            },
-        );
-        if let Some(w) = &mut self.watch {
-            w.on_request(&self.choice, class);
+        let request = Request {
+            class,
+            tenant: None,
+            key: Some(id),
+            time_left: ms(1500),
+            estimated_work: None,
+            is_retry: false,
+        };
+        self.balancer.on_request(self.now, id, request);
+        if let Some(shadow) = &mut self.shadow {
+            shadow.on_request(&self.balancer, class);
         }
-        if let Decision::Forward { endpoint, .. } = self.choice.route(now, id) {
-            if let Some(w) = &mut self.watch {
-                w.on_attempt(now, &self.choice, class, Some(id), endpoint);
-            }
-            let to = endpoint % self.of_zone;
-            let sending = AttemptStart {
-                to,
-                class,
-                build: self.build,
-                previous_attempts: 0,
-                hedged: false,
-                is_canary: false,
-                pinned_to_scope: false,
-            };
-            let ticket = self.zones.as_mut().map(|z| {
-                z.on_attempt(now, sending, || {
-                    self.choice.zone_capacities(now, self.of_zone + 1)
-                })
-            });
-            self.tell();
-            let took = Duration::from_micros(9000 + to as u64 * 2000);
+    }
+
+    fn forward(&mut self, id: u64, class: usize, endpoint: usize) {
+        if let Some(shadow) = &mut self.shadow {
+            shadow.on_attempt(self.now, &self.balancer, class, Some(id), endpoint);
+        }
+        let zone = endpoint % self.zone_count;
+        let reservation = self.start_attempt(class, zone);
+        self.apply_policy();
+        let latency = Duration::from_micros(9000 + zone as u64 * 2000);
+        if let (Some(zones), Some(reservation)) = (&mut self.zones, reservation) {
             let end = CompletedAttempt {
                 outcome: Outcome::Succeeded,
                 fault: ResponseFault::None,
                 fully_written: true,
-                bytes_sent: 180,
-                bytes_received: 420,
-                latency: took,
+                bytes_sent: BYTES_SENT,
+                bytes_received: BYTES_RECEIVED,
+                latency,
             };
-            if let (Some(z), Some(t)) = (&mut self.zones, ticket) {
-                z.on_attempt_end(now, &t, &end);
-            }
-            self.choice.on_attempt_end(
-                now,
-                id,
-                0,
-                AttemptEnd {
-                    outcome: Outcome::Succeeded,
-                    latency: took,
-                    request_closed: true,
-                    reported_load: None,
-                },
-            );
-        }
-        if id.is_multiple_of(300) {
-            self.choice.poll(now);
-            if let Some(z) = &mut self.zones {
-                z.tick(now, &self.choice.zone_capacities(now, self.of_zone + 1));
-            }
-            self.tell();
+            zones.on_attempt_end(self.now, &reservation, &end);
         }
+        let end = AttemptEnd {
+            outcome: Outcome::Succeeded,
+            latency,
+            request_closed: true,
+            reported_load: None,
+        };
+        self.balancer.on_attempt_end(self.now, id, 0, end);
     }
 
-    fn tell(&mut self) {
-        if let Some(told) = self.zones.as_mut().and_then(Zones::cross_zone_policy) {
-            self.choice.set_cross_zone_policy(told);
+    fn start_attempt(&mut self, class: usize, to: usize) -> Option<Reservation> {
+        let attempt = AttemptStart {
+            to,
+            class,
+            build: BUILD,
+            previous_attempts: 0,
+            hedged: false,
+            is_canary: false,
+            pinned_to_scope: false,
+        };
+        let zones = self.zones.as_mut()?;
+        let capacities = || self.balancer.zone_capacities(self.now, self.zone_count + 1);
+        Some(zones.on_attempt(self.now, attempt, capacities))
+    }
+
+    fn poll(&mut self) {
+        self.balancer.poll(self.now);
+        if let Some(zones) = &mut self.zones {
+            let capacities = self.balancer.zone_capacities(self.now, self.zone_count + 1);
+            zones.tick(self.now, &capacities);
         }
+        self.apply_policy();
     }
-}
 
-/// The same as [`Agent::new`] without an account, told once that crossing is dear.
-impl Agent {
-    pub fn told(zones: usize, classes: usize, endpoints: usize) -> Agent {
-        let mut agent = Agent::new(zones, classes, endpoints, false);
-        let far = ZonePolicy {
-            weight: Some(0.01),
-            last_resort: vec![false; classes],
-            ..ZonePolicy::default()
-        };
-        let zones = (0..=zones).map(|z| {
-            if z == 0 {
-                ZonePolicy::default()
-            } else {
-                far.clone()
-            }
-        });
-        agent.choice.set_cross_zone_policy(CrossZonePolicy {
-            zones: zones.collect(),
-            slow_start_factor: 1.0,
-        });
-        agent
+    fn apply_policy(&mut self) {
+        let policy = self.zones.as_mut().and_then(Zones::cross_zone_policy);
+        if let Some(policy) = policy {
+            self.balancer.set_cross_zone_policy(policy);
+        }
     }
 }
--- a/crates/zones/benches/decision.rs
+++ b/crates/zones/benches/decision.rs
@@ -1,39 +1,46 @@
-//! What one request costs in decisions: taken, placed, its outcome told, without zones and with
-//! them, and with other settings watched.
+//! What one request costs in decisions (received, routed, completed): without and with an account of
+//! cross-zone traffic, and with alternative settings evaluated in parallel.
 //!
 //!     cargo bench -p tulipwall-zones
 
-use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 mod agent;
 
 use agent::Agent;
-/// Requests in one sample: as many as an agent takes in a tenth of a second, so that what is done
+use criterion::measurement::WallTime;
+use criterion::{criterion_group, criterion_main, BenchmarkGroup, Criterion, Throughput};
+
+/// Requests in one sample: as many as an agent receives in a tenth of a second, so that what is done
 /// ten times a second is a part of it.
-const EACH: u64 = 300;
+const REQUESTS_PER_SAMPLE: u64 = 300;
+/// Requests before the first sample.
+const WARM_UP_REQUESTS: u64 = 6000;
+
+fn handle_requests(agent: &mut Agent, count: u64) {
+    for _ in 0..count {
+        agent.handle_request();
+    }
+}
+
+fn bench_agent(group: &mut BenchmarkGroup<'_, WallTime>, name: &str, mut agent: Agent) {
+    handle_requests(&mut agent, WARM_UP_REQUESTS);
+    group.bench_function(name, |bencher| {
+        bencher.iter(|| handle_requests(&mut agent, REQUESTS_PER_SAMPLE));
+    });
+}
 
-fn decisions(c: &mut Criterion) {
+fn decisions(criterion: &mut Criterion) {
     for (zones, classes, endpoints) in [(2, 3, 40), (8, 20, 500)] {
-        let mut group = c.benchmark_group(format!(
-            "{zones} zones, {classes} lanes, {endpoints} appliances"
-        ));
-        group.throughput(Throughput::Elements(EACH));
-        for (name, zoned, told) in [
-            ("without", false, false),
-            ("told of crossing", false, true),
-            ("with the account", true, false),
-        ] {
-            let mut agent = match told {
-                true => Agent::told(zones, classes, endpoints),
-                false => Agent::new(zones, classes, endpoints, zoned),
-            };
-            (0..6000).for_each(|_| agent.command());
-            group.bench_function(name, |b| b.iter(|| (0..EACH).for_each(|_| agent.command())));
-        }
-        let mut agent = Agent::watched(zones, classes, endpoints);
-        (0..6000).for_each(|_| agent.command());
-        group.bench_function("with a watch", |b| {
-            b.iter(|| (0..EACH).for_each(|_| agent.command()))
-        });
+        let size = format!("{zones} zones, {classes} classes, {endpoints} endpoints");
+        let mut group = criterion.benchmark_group(size);
+        group.throughput(Throughput::Elements(REQUESTS_PER_SAMPLE));
+        let without_account = Agent::new(zones, classes, endpoints, false);
+        bench_agent(&mut group, "without account", without_account);
+        let fixed_policy = Agent::with_fixed_policy(zones, classes, endpoints);
+        bench_agent(&mut group, "with a fixed policy", fixed_policy);
+        let with_account = Agent::new(zones, classes, endpoints, true);
+        bench_agent(&mut group, "with account", with_account);
+        let shadowed = Agent::with_shadow(zones, classes, endpoints);
+        bench_agent(&mut group, "with a shadow evaluator", shadowed);
         group.finish();
     }
 }
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -259,14 +259,14 @@
     for (zones, classes, endpoints) in [(2, 3, 40), (8, 20, 500)] {
         let mut agents = [
             Agent::new(zones, classes, endpoints, false),
-            Agent::told(zones, classes, endpoints),
+            Agent::with_fixed_policy(zones, classes, endpoints),
             Agent::new(zones, classes, endpoints, true),
         ];
         let mut took = [const { Vec::new() }; 3];
         for round in 0..1500 {
             for (agent, took) in agents.iter_mut().zip(&mut took) {
                 let begun = Instant::now();
-                (0..300).for_each(|_| agent.command());
+                (0..300).for_each(|_| agent.handle_request());
                 if round >= 50 {
                     took.push(begun.elapsed().as_nanos() as f64 / 300.0);
                 }
