--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! Pure: no sockets, files or clock. Times are durations since one fixed zero, passed in by the
 //! caller; zones, classes and builds are the numbers that the balancer uses. [`Zones`] is the entry
-//! point: it is told of requests, attempts and connections, and returns how the balancer is to treat
-//! other zones as a [`tulipwall::CrossZonePolicy`]. The decisions stay with [`tulipwall::Balancer`];
-//! nothing here sends, delays or rejects a request.
+//! point: it is told of requests, attempts and connections, and returns how the balancer is to
+//! treat other zones as a [`tulipwall::CrossZonePolicy`]. The decisions stay with
+//! [`tulipwall::Balancer`]; nothing here sends, delays or rejects a request.
 //!
 //! ```
 //! use std::time::Duration;
@@ -40,7 +40,8 @@
 //!     is_canary: false,
 //!     pinned_to_scope: false,
 //! };
-//! let reservation = zones.on_attempt(now, attempt, || vec![tulipwall::ZoneCapacity::default(); 3]);
+//! let zone_capacities = || vec![tulipwall::ZoneCapacity::default(); 3];
+//! let reservation = zones.on_attempt(now, attempt, zone_capacities);
 //! assert_eq!(reservation.over_budget, None, "the first of the five that this agent may send");
 //! ```
 #![warn(missing_docs)]
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -134,7 +134,8 @@
         reservation: &Reservation,
         end: &CompletedAttempt,
     ) {
-        let (to, class) = (reservation.to, reservation.class);
+        let to = reservation.to;
+        let class = reservation.class;
         let transfer = Transfer {
             attempts: u64::from(end.fully_written),
             bytes_sent: end.bytes_sent,
--- a/crates/zones/tests/router.rs
+++ b/crates/zones/tests/router.rs
@@ -131,8 +131,8 @@
     assert!(before < 0.02 && after > 0.4, "{before}, then {after}");
 }
 
-/// How often the weight of a remote endpoint goes from under a quarter to over a half, and back, and
-/// what it is at the end.
+/// How often the weight of a remote endpoint goes from under a quarter to over a half, and back,
+/// and what it is at the end.
 fn count_swings(half_period: u64) -> (u32, f64) {
     let mut router = new_router(2);
     let both = [capacity(8, 0), capacity(8, 0)];
