--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -79,18 +79,11 @@
 /// Does what the command line says.
 pub fn main() -> ExitCode {
     let run = |config, installation, log: Option<Form>| {
-        let ended = run::run(
-            ConfigPaths {
-                configuration: config,
-                installation,
-            },
-            log.map(LogForm::from),
-        );
-        if ended {
-            ExitCode::SUCCESS
-        } else {
-            ExitCode::FAILURE
-        }
+        let paths = ConfigPaths {
+            configuration: config,
+            installation,
+        };
+        run::run(paths, log.map(LogForm::from))
     };
     match Line::parse().command {
         None => {
--- /dev/null
+++ b/crates/agent/src/control/balancer_poll.rs
@@ -0,0 +1,56 @@
+//! Polls the balancer whenever it asks to be, and passes on what is due.
+
+use crate::agent::Agent;
+use crate::observability::logging::log_evidence;
+use futures_lite::future;
+use std::time::Duration;
+
+/// How often stale connections and retired request classes are looked for.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the divergences of alternative settings are logged.
+const DIVERGENCE_LOG_INTERVAL: Duration = Duration::from_secs(60);
+
+/// Polls for as long as the program runs.
+pub async fn run(agent: &Agent) {
+    let mut last_cleanup = Duration::ZERO;
+    let mut last_divergence_log = agent.clock.now();
+    loop {
+        // What came in while this agent stood still is handled first, in its order.
+        future::yield_now().await;
+        let due = agent.balancer.poll();
+        if due.open_watch {
+            agent.control.watch_request.raise();
+        }
+        let now = agent.clock.now();
+        if let Some(vote) = due.vote {
+            agent.control.pending_vote.cast(vote, now);
+        }
+        agent.update_zone_traffic();
+        log_decisions(agent, &due.log_lines);
+        if now >= last_cleanup + CLEANUP_INTERVAL {
+            agent.pool.close_stale();
+            agent.drop_retired_classes();
+            last_cleanup = now;
+        }
+        if now >= last_divergence_log + DIVERGENCE_LOG_INTERVAL {
+            log_divergences(agent);
+            last_divergence_log = now;
+        }
+        agent.sleep_until(due.next_poll).await;
+    }
+}
+
+fn log_decisions(agent: &Agent, lines: &[String]) {
+    for line in lines {
+        log::info!("{line}");
+    }
+    for line in lines {
+        log_evidence!(agent.clock, "note {line}");
+    }
+}
+
+fn log_divergences(agent: &Agent) {
+    if let Some(divergences) = agent.balancer.divergences() {
+        log::info!("watched settings would have decided otherwise: {divergences}");
+    }
+}
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -1,4 +1,7 @@
-//! What tells the agent about the installation: the discovery service and the rollout platform.
+//! What changes the agent's course: the balancer's poll, the discovery service, the rollout
+//! platform, and configuration reloads.
 
+pub mod balancer_poll;
 pub mod discovery;
 pub mod platform;
+pub mod reload;
--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -1,291 +1,389 @@
-//! The conversation with the platform: what it tells, and votes. One connection at a time, but for
-//! an old one that is heard out once the address has changed.
+//! The session with the rollout platform: its notifications, and the agent's votes. There is one
+//! connection at a time, but for an old one that is read to its end once the address has changed.
 
 use crate::agent::{Agent, CastVote};
 use crate::lifecycle::phase::ControlService;
-use crate::observability::logging::EVIDENCE;
+use crate::observability::logging::log_evidence;
 use crate::protocol::connection::Connection;
 use crate::protocol::platform::{self, PlatformMessage};
 use crate::protocol::ProtocolError;
 use futures_lite::FutureExt;
 use std::cell::Cell;
+use std::convert::Infallible;
+use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::{PlatformCounts, Vote, VoteReply};
 
-/// A sign of life is due every second: without one for as long as this the connection is opened
-/// anew.
-const SILENT: Duration = Duration::from_millis(3500);
-/// How long until it is opened again: at first, doubled while nothing is heard there, and at most.
-const PAUSE: Duration = Duration::from_millis(50);
-const PAUSE_MOST: Duration = Duration::from_secs(1);
-/// How soon the rest of a line that has begun must come.
-const REST_WITHIN: Duration = Duration::from_millis(500);
-/// What still comes on an old connection after the address has changed.
-const HEARD_OUT: Duration = Duration::from_secs(2);
+/// A heartbeat is due every second: without one for as long as this the connection is opened anew.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(3500);
+/// How long until a connection is opened again; doubled while nothing is received there.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// How soon the rest of a line must come once it has begun.
+const LINE_TIMEOUT: Duration = Duration::from_millis(500);
+/// For how long an old connection is still read after the address has changed.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The calls on all connections: their numbers never meet.
+/// The calls on all connections: their ids never meet.
 #[derive(Default)]
 struct Calls {
-    last: Cell<u64>,
-    vote: Cell<Option<u64>>, // the one that is out
-    owes: Cell<bool>,        // the platform was not yet heard at its new address
+    last_id: Cell<u64>,
+    /// The call with a vote that was not answered yet.
+    pending_vote: Cell<Option<u64>>,
+    /// Whether the platform was not yet reached at its new address.
+    awaiting_contact: Cell<bool>,
 }
 
 impl Calls {
-    fn next(&self) -> u64 {
-        self.last.set(self.last.get() + 1);
-        self.last.get()
+    fn next_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
     }
 }
 
-/// A connection to the platform.
-struct Talk {
+/// Why a session ended.
+#[derive(Debug, thiserror::Error)]
+enum SessionEnd {
+    #[error("its address has changed")]
+    AddressChanged,
+    #[error("it ended")]
+    Closed,
+    #[error("it is silent")]
+    HeartbeatTimeout,
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+}
+
+/// Which messages are handled.
+#[derive(Clone, Copy)]
+enum AcceptedMessages {
+    All,
+    /// Only whether a vote counted: another connection receives the rest.
+    VoteReplies,
+}
+
+/// What a session waits for.
+enum SessionEvent {
+    Received(usize),
+    VoteCast,
+    TimedOut,
+}
+
+/// One connection to the platform.
+struct Session {
     connection: Connection,
-    vote: Option<u64>, // the last one written here
-    heard: bool,       // a whole line
+    /// The call with the last vote written here.
+    last_vote: Option<u64>,
+    /// Whether a whole line was received.
+    received_line: bool,
 }
 
+/// Keeps a session open for as long as the program runs and there is a platform.
 pub async fn run(agent: &Rc<Agent>) {
     let calls = Rc::new(Calls::default());
-    let mut pause = PAUSE;
+    let address = &agent.control.platform;
+    let mut reconnect_delay = MIN_RECONNECT_DELAY;
     loop {
-        let moves = agent.control.platform.changes();
-        let Some(address) = agent.control.platform.get() else {
-            agent.control.platform.changed_since(moves).await;
-            calls.owes.set(true);
+        let seen_changes = address.changes();
+        let Some(platform) = address.get() else {
+            address.changed_since(seen_changes).await;
+            calls.awaiting_contact.set(true);
             continue;
         };
-        let mut talk = None;
-        let moved = async {
-            agent.control.platform.changed_since(moves).await;
-            "its address has changed".to_owned()
+        let mut session = None;
+        let address_changed = async {
+            address.changed_since(seen_changes).await;
+            SessionEnd::AddressChanged
         };
-        let what = moved.or(converse(agent, address, &calls, &mut talk)).await;
-        log::debug!("platform: {what}");
-        if agent.control.platform.changes() != moves {
-            // At once, and the old connection is heard out meanwhile: what it tells is not told
-            // again.
-            calls.owes.set(true);
-            if let Some(talk) = talk {
-                let (agent, calls) = (agent.clone(), calls.clone());
-                agent
-                    .clone()
-                    .executors
-                    .tasks
-                    .spawn(async move { hear_out(&agent, talk, &calls).await })
-                    .detach();
+        let end = address_changed
+            .or(run_session(agent, platform, &calls, &mut session))
+            .await;
+        log::debug!("platform: {end}");
+        if address.changes() != seen_changes {
+            // At once, and the old connection is read meanwhile: what it reports is not repeated.
+            calls.awaiting_contact.set(true);
+            if let Some(session) = session {
+                drain_in_background(agent, session, &calls);
             }
             continue;
         }
         agent.counters.platform_disconnects.increment();
-        // What is told while no connection is open is not told again: at once where it spoke, later
-        // and later where it did not.
-        let spoke = talk.as_ref().is_some_and(|t| t.heard);
-        pause = if spoke {
-            PAUSE
+        // What is reported while no connection is open is not repeated: the next one is opened at
+        // once where the platform spoke, later and later where it did not.
+        let spoke = session.as_ref().is_some_and(|s| s.received_line);
+        reconnect_delay = if spoke {
+            MIN_RECONNECT_DELAY
         } else {
-            (pause * 2).min(PAUSE_MOST)
+            (reconnect_delay * 2).min(MAX_RECONNECT_DELAY)
         };
-        if let Some(talk) = talk {
-            lost(agent, &talk, &calls);
+        if let Some(session) = session {
+            session.abandon_vote(agent, &calls);
         }
         if !spoke && agent.control.pending_vote.take().is_some() {
             // It was not written and never will count.
             agent.balancer.on_vote_reply(VoteReply::Refused);
         }
-        agent
-            .control
-            .platform
-            .changed_since(moves)
-            .or(agent.sleep_until(agent.clock.now() + pause))
+        address
+            .changed_since(seen_changes)
+            .or(agent.sleep_until(agent.clock.now() + reconnect_delay))
             .await;
-        calls
-            .owes
-            .set(calls.owes.get() || agent.control.platform.changes() != moves);
-    }
-}
-
-/// A vote that was written may count, though its answer will not come.
-fn lost(agent: &Agent, talk: &Talk, calls: &Calls) {
-    if talk.vote.is_some() && calls.vote.get() == talk.vote {
-        calls.vote.set(None);
-        agent.balancer.on_vote_reply(VoteReply::Unknown);
+        if address.changes() != seen_changes {
+            calls.awaiting_contact.set(true);
+        }
     }
 }
 
-enum Next {
-    Heard(usize),
-    Vote,
-    Silent,
-}
-
-/// Runs until the connection ends or falls silent; says why.
-async fn converse(
+/// Runs until the connection ends or falls silent; says why. The session is left in `session` once
+/// it is connected.
+async fn run_session(
     agent: &Agent,
     address: SocketAddr,
     calls: &Calls,
-    talk: &mut Option<Talk>,
-) -> String {
-    let late = async {
-        agent.sleep_until(agent.clock.now() + SILENT).await;
-        Err(std::io::ErrorKind::TimedOut.into())
-    };
-    let connection = match Connection::open(address).or(late).await {
+    session: &mut Option<Session>,
+) -> SessionEnd {
+    let connection = match connect(agent, address).await {
         Ok(connection) => connection,
-        Err(e) => return e.to_string(),
+        Err(error) => return error.into(),
     };
-    let talk = talk.insert(Talk {
+    let session = session.insert(Session {
         connection,
-        vote: None,
-        heard: false,
+        last_vote: None,
+        received_line: false,
     });
-    if let Err(e) = talk
-        .connection
-        .write(platform::watch_request(calls.next()).as_bytes())
-        .await
-    {
-        return e.to_string();
+    match session.run(agent, calls).await {
+        Ok(never) => match never {},
+        Err(end) => end,
     }
-    let mut quiet_until = agent.clock.now() + SILENT;
-    loop {
-        match lines(agent, talk, calls, true) {
-            Ok(0) => {}
-            Ok(_) if calls.owes.take() => agent.lifecycle.on_contact(ControlService::Platform),
-            Ok(_) => {}
-            Err(garbage) => {
-                log::warn!("platform: {garbage}; its connection is closed");
-                return garbage.to_string();
+}
+
+async fn connect(agent: &Agent, address: SocketAddr) -> io::Result<Connection> {
+    let timeout = async {
+        agent
+            .sleep_until(agent.clock.now() + HEARTBEAT_TIMEOUT)
+            .await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    Connection::open(address).or(timeout).await
+}
+
+impl Session {
+    async fn run(&mut self, agent: &Agent, calls: &Calls) -> Result<Infallible, SessionEnd> {
+        let subscription = platform::watch_request(calls.next_id());
+        self.connection.write(subscription.as_bytes()).await?;
+        let mut silent_at = agent.clock.now() + HEARTBEAT_TIMEOUT;
+        loop {
+            self.handle_received(agent, calls)?;
+            self.write_pending_vote(agent, calls).await?;
+            let vote_cast = agent.control.pending_vote.listen();
+            if agent.control.pending_vote.is_some() {
+                continue;
+            }
+            let vote_cast = async {
+                vote_cast.await;
+                Ok(SessionEvent::VoteCast)
+            };
+            match self.wait_for_event(agent, vote_cast, silent_at).await? {
+                SessionEvent::Received(0) => return Err(SessionEnd::Closed),
+                SessionEvent::Received(_) => silent_at = agent.clock.now() + HEARTBEAT_TIMEOUT,
+                SessionEvent::VoteCast => {}
+                SessionEvent::TimedOut => return Err(SessionEnd::HeartbeatTimeout),
             }
         }
-        if let Some(CastVote { vote, cast_at }) = agent.control.pending_vote.take() {
-            // One that waited for its connection for as long as an answer may take is cast anew.
-            if agent.clock.now() < cast_at + agent.service_config().settings.rollout.vote_timeout {
-                let id = calls.next();
-                if let Err(e) = talk
-                    .connection
-                    .write(platform::vote_request(id, &vote).as_bytes())
-                    .await
-                {
-                    agent.balancer.on_vote_reply(VoteReply::Refused);
-                    return e.to_string();
+    }
+
+    fn handle_received(&mut self, agent: &Agent, calls: &Calls) -> Result<(), ProtocolError> {
+        match self.handle_lines(agent, calls, AcceptedMessages::All) {
+            Ok(received) => {
+                if received && calls.awaiting_contact.take() {
+                    agent.lifecycle.on_contact(ControlService::Platform);
                 }
-                let Vote {
-                    build,
-                    stage,
-                    verdict,
-                } = &vote;
-                let now = agent.clock.wall(agent.clock.now());
-                log::debug!(target: EVIDENCE, "{now} vote build {build} stage {stage} {verdict:?}");
-                talk.vote = Some(id);
-                calls.vote.set(Some(id));
-                agent.counters.votes_sent.increment();
+                Ok(())
+            }
+            Err(error) => {
+                log::warn!("platform: {error}; its connection is closed");
+                Err(error)
             }
         }
-        let voted = agent.control.pending_vote.listen();
-        if agent.control.pending_vote.is_some() {
-            continue;
+    }
+
+    async fn write_pending_vote(&mut self, agent: &Agent, calls: &Calls) -> io::Result<()> {
+        let Some(CastVote { vote, cast_at }) = agent.control.pending_vote.take() else {
+            return Ok(());
+        };
+        // One that waited for its connection for as long as a reply may take is cast anew.
+        let vote_timeout = agent.service_config().settings.rollout.vote_timeout;
+        if agent.clock.now() >= cast_at + vote_timeout {
+            return Ok(());
         }
+        let id = calls.next_id();
+        let request = platform::vote_request(id, &vote);
+        if let Err(error) = self.connection.write(request.as_bytes()).await {
+            agent.balancer.on_vote_reply(VoteReply::Refused);
+            return Err(error);
+        }
+        let Vote {
+            build,
+            stage,
+            verdict,
+        } = &vote;
+        log_evidence!(agent.clock, "vote build {build} stage {stage} {verdict:?}");
+        self.last_vote = Some(id);
+        calls.pending_vote.set(Some(id));
+        agent.counters.votes_sent.increment();
+        Ok(())
+    }
+
+    async fn wait_for_event(
+        &mut self,
+        agent: &Agent,
+        vote_cast: impl Future<Output = io::Result<SessionEvent>>,
+        silent_at: Duration,
+    ) -> io::Result<SessionEvent> {
         // Guards against a line that stops short of its end, behind which nothing can be read.
-        let begun = !talk.connection.inbox.is_empty();
-        let rest = if begun {
-            agent.clock.now() + REST_WITHIN
+        let line_begun = !self.connection.inbox.is_empty();
+        let times_out_at = if line_begun {
+            silent_at.min(agent.clock.now() + LINE_TIMEOUT)
         } else {
-            quiet_until
+            silent_at
+        };
+        let received = async {
+            self.connection
+                .read_more()
+                .await
+                .map(SessionEvent::Received)
         };
-        let heard = async { talk.connection.read_more().await.map(Next::Heard) };
-        let vote = async {
-            voted.await;
-            Ok(Next::Vote)
+        let timed_out = async {
+            agent.sleep_until(times_out_at).await;
+            Ok(SessionEvent::TimedOut)
         };
-        let silent = async {
-            agent.sleep_until(quiet_until.min(rest)).await;
-            Ok(Next::Silent)
+        received.or(vote_cast).or(timed_out).await
+    }
+
+    /// Handles all whole lines that were received; whether there were any.
+    fn handle_lines(
+        &mut self,
+        agent: &Agent,
+        calls: &Calls,
+        accepted: AcceptedMessages,
+    ) -> Result<bool, ProtocolError> {
+        let mut received = false;
+        while let Some((line, length)) = platform::split_line(self.connection.inbox.unread())? {
+            let message = platform::parse_message(line)?;
+            self.connection.inbox.consume(length);
+            self.received_line = true;
+            received = true;
+            match (accepted, message) {
+                (AcceptedMessages::All, message) => handle_message(agent, calls, message),
+                (AcceptedMessages::VoteReplies, PlatformMessage::Response { id, reply, .. }) => {
+                    on_reply(agent, calls, id, reply);
+                }
+                (AcceptedMessages::VoteReplies, _) => {}
+            }
+        }
+        Ok(received)
+    }
+
+    /// Reads an old connection to its end: the reply to a vote, and what was reported before the
+    /// new one was open.
+    async fn drain(mut self, agent: &Agent, calls: &Calls) {
+        let read_to_end = async {
+            loop {
+                let accepted = if calls.awaiting_contact.get() {
+                    AcceptedMessages::All
+                } else {
+                    AcceptedMessages::VoteReplies
+                };
+                if self.handle_lines(agent, calls, accepted).is_err() {
+                    return;
+                }
+                match self.connection.read_more().await {
+                    Ok(length) if length > 0 => {}
+                    _ => return,
+                }
+            }
         };
-        match heard.or(vote).or(silent).await {
-            Ok(Next::Heard(0)) => return "it ended".into(),
-            Ok(Next::Heard(_)) => quiet_until = agent.clock.now() + SILENT,
-            Ok(Next::Vote) => {}
-            Ok(Next::Silent) => return "it is silent".into(),
-            Err(e) => return e.to_string(),
+        read_to_end
+            .or(agent.sleep_until(agent.clock.now() + DRAIN_TIMEOUT))
+            .await;
+        self.abandon_vote(agent, calls);
+    }
+
+    /// A vote that was written may count, though its reply will not come.
+    fn abandon_vote(&self, agent: &Agent, calls: &Calls) {
+        if self.last_vote.is_some() && calls.pending_vote.get() == self.last_vote {
+            calls.pending_vote.set(None);
+            agent.balancer.on_vote_reply(VoteReply::Unknown);
         }
     }
 }
 
-/// Hears an old connection to its end: the answer to a vote, and what was told before the new one
-/// was open.
-async fn hear_out(agent: &Agent, mut talk: Talk, calls: &Calls) {
-    let heard = async {
-        while lines(agent, &mut talk, calls, calls.owes.get()).is_ok()
-            && talk.connection.read_more().await.is_ok_and(|n| n > 0)
-        {}
-    };
-    heard
-        .or(agent.sleep_until(agent.clock.now() + HEARD_OUT))
-        .await;
-    lost(agent, &talk, calls);
+fn drain_in_background(agent: &Rc<Agent>, session: Session, calls: &Rc<Calls>) {
+    let agent_handle = agent.clone();
+    let calls = calls.clone();
+    let drain = async move { session.drain(&agent_handle, &calls).await };
+    agent.executors.tasks.spawn(drain).detach();
 }
 
-/// Tells the module all whole lines that have come in; only the answer to its vote unless `all`.
-/// How many there were.
-fn lines(agent: &Agent, talk: &mut Talk, calls: &Calls, all: bool) -> Result<usize, ProtocolError> {
-    let mut count = 0;
-    while let Some((bytes, took)) = platform::split_line(talk.connection.inbox.unread())? {
-        let line = platform::parse_message(bytes)?;
-        talk.connection.inbox.consume(took);
-        (count, talk.heard) = (count + 1, true);
-        match line {
-            PlatformMessage::RolloutStatus(told) if all => agent.update_rollout(told),
-            PlatformMessage::ClientReportedError {
-                endpoint,
-                class,
-                age,
-            } if all => {
-                if let (Some(a), Some(l)) = (
-                    agent.endpoints.index_of(&endpoint),
-                    agent.service_config().class(&class),
-                ) {
-                    let build = agent.endpoints.target(a).map_or(0, |t| t.build);
-                    log::debug!(target: EVIDENCE, "{} client_error class {l} build {build}", agent.clock.wall(agent.clock.now()));
-                    agent.balancer.on_client_reported_error(a, l, age);
-                }
-            }
-            PlatformMessage::AggregatedCounts {
-                build,
-                class,
-                attempts,
-                failed,
-                mean_latency,
-                age,
-            } if all => {
-                if let Some(class) = agent.service_config().class(&class) {
-                    let (attempts, failed) = (attempts.into(), failed.into());
-                    agent.balancer.on_platform_counts(&PlatformCounts {
-                        build,
-                        class,
-                        attempts,
-                        failed,
-                        mean_latency,
-                        age,
-                    });
-                }
+fn handle_message(agent: &Agent, calls: &Calls, message: PlatformMessage) {
+    match message {
+        PlatformMessage::RolloutStatus(report) => agent.update_rollout(report),
+        PlatformMessage::ClientReportedError {
+            endpoint,
+            class,
+            age,
+        } => on_client_reported_error(agent, &endpoint, &class, age),
+        PlatformMessage::AggregatedCounts {
+            build,
+            class,
+            attempts,
+            failed,
+            mean_latency,
+            age,
+        } => {
+            if let Some(class) = agent.service_config().class(&class) {
+                agent.balancer.on_platform_counts(&PlatformCounts {
+                    build,
+                    class,
+                    attempts: attempts.into(),
+                    failed: failed.into(),
+                    mean_latency,
+                    age,
+                });
             }
-            PlatformMessage::Response { id, reply, rollout } => {
-                if let Some(told) = rollout.filter(|_| all) {
-                    agent.update_rollout(told);
-                }
-                if calls.vote.get() == Some(id) {
-                    calls.vote.set(None);
-                    log::debug!(target: EVIDENCE, "{} vote {reply:?}", agent.clock.wall(agent.clock.now()));
-                    agent.balancer.on_vote_reply(reply);
-                }
+        }
+        PlatformMessage::Response { id, reply, rollout } => {
+            if let Some(report) = rollout {
+                agent.update_rollout(report);
             }
-            PlatformMessage::RolloutStatus(_)
-            | PlatformMessage::ClientReportedError { .. }
-            | PlatformMessage::AggregatedCounts { .. }
-            | PlatformMessage::Heartbeat => {}
+            on_reply(agent, calls, id, reply);
         }
+        PlatformMessage::Heartbeat => {}
+    }
+}
+
+fn on_client_reported_error(agent: &Agent, endpoint: &str, class: &str, age: Duration) {
+    let endpoint = agent.endpoints.index_of(endpoint);
+    let class = agent.service_config().class(class);
+    if let (Some(endpoint), Some(class)) = (endpoint, class) {
+        let target = agent.endpoints.target(endpoint);
+        let build = target.map_or(0, |target| target.build);
+        log_evidence!(agent.clock, "client_error class {class} build {build}");
+        agent
+            .balancer
+            .on_client_reported_error(endpoint, class, age);
+    }
+}
+
+/// The reply to a call; only votes have one that matters.
+fn on_reply(agent: &Agent, calls: &Calls, id: u64, reply: VoteReply) {
+    if calls.pending_vote.get() == Some(id) {
+        calls.pending_vote.set(None);
+        log_evidence!(agent.clock, "vote {reply:?}");
+        agent.balancer.on_vote_reply(reply);
     }
-    Ok(count)
 }
--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -5,20 +5,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// New clients are still accepted for this long after SIGTERM.
-pub const DRAIN_TIME: Duration = Duration::from_millis(550);
 /// A client is asked to close its connection only after it was idle for as long. The longer this
 /// is, the fewer new clients a second find a place; the shorter, the more requests cross with the
 /// end of their connection.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
 /// The same for a client that has never sent a request.
 const MIN_IDLE_TIME_BEFORE_FIRST_REQUEST: Duration = Duration::from_millis(50);
-/// SIGKILL comes no sooner than the longest request timeout, of this at least, and somewhat more.
-pub const MIN_TERMINATION_TIME: Duration = Duration::from_secs(3);
-/// For responses that are given at the deadline itself. With it the program ends before SIGKILL:
-/// 0.7 s and the longest request timeout after SIGTERM.
-pub const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(100);
-
 /// A phase of the program. Phases are only left for later ones, except for [`Phase::Reloading`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
