--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -1,51 +1,74 @@
-//! Checks an installation's file before an agent reads it.
+//! `tulipwall-agent check`: checks an installation's file before an agent reads it.
 
-use crate::lifecycle::start::{read_installation, ConfigPaths, StartupConfig};
-use std::path::Path;
+use crate::lifecycle::start::{read_installation, ConfigPaths, StartupConfig, StartupError};
+use clap::Args;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use tulipwall_zones::Price;
 
-/// Names every mistake on standard error, or says what the file sets on standard output.
-pub fn check(file: &Path, configuration: Option<&Path>) -> ExitCode {
-    let told = match configuration {
-        Some(c) => {
-            let files = ConfigPaths {
-                configuration: Some(c.to_owned()),
-                installation: Some(file.to_owned()),
-            };
-            StartupConfig::read(&files).map(|start| match start.zoning() {
-                Some(z) => {
-                    let priced = z
-                        .links
-                        .iter()
-                        .filter(|l| l.price != Default::default())
-                        .count();
-                    format!(
-                        "{} links priced, {} limits, routing {:?}",
-                        priced,
-                        z.budgets.len(),
-                        z.routing
-                    )
+/// The options of the subcommand.
+#[derive(Args)]
+pub struct CheckCommand {
+    /// The file, KDL.
+    file: PathBuf,
+    /// The platform's configuration, so that the names of zones and classes are checked, too.
+    #[arg(long, value_name = "FILE", env = "PROXY_CONFIG")]
+    config: Option<PathBuf>,
+}
+
+impl CheckCommand {
+    /// Names every fault on standard error, or says what the file sets on standard output.
+    pub fn run(self) -> ExitCode {
+        let summary = match self.config {
+            Some(configuration) => check_with_configuration(configuration, &self.file),
+            None => check_alone(&self.file),
+        };
+        match summary {
+            Ok(summary) => {
+                println!("{}: no mistakes; {summary}", self.file.display());
+                ExitCode::SUCCESS
+            }
+            Err(errors) => {
+                for error in &errors {
+                    eprintln!("{error}");
                 }
-                None => "nothing said of zones".into(),
-            })
-        }
-        None => read_installation(file).map(|i| {
-            let zones = if i.has_zones() {
-                "names of zones and lanes not checked"
-            } else {
-                "nothing said of zones"
-            };
-            format!("{zones}; --config FILE checks them against the platform's configuration")
-        }),
-    };
-    match told {
-        Ok(what) => {
-            println!("{}: no mistakes; {what}", file.display());
-            ExitCode::SUCCESS
-        }
-        Err(mistakes) => {
-            mistakes.iter().for_each(|m| eprintln!("{m}"));
-            ExitCode::FAILURE
+                ExitCode::FAILURE
+            }
         }
     }
 }
+
+fn check_with_configuration(
+    configuration: PathBuf,
+    file: &Path,
+) -> Result<String, Vec<StartupError>> {
+    let config = StartupConfig::read(&ConfigPaths {
+        configuration: Some(configuration),
+        installation: Some(file.to_owned()),
+    })?;
+    let Some(zones) = config.zoning() else {
+        return Ok("nothing said of zones".into());
+    };
+    let priced_links = zones
+        .links
+        .iter()
+        .filter(|link| link.price != Price::default())
+        .count();
+    Ok(format!(
+        "{priced_links} links priced, {} limits, routing {:?}",
+        zones.budgets.len(),
+        zones.routing
+    ))
+}
+
+fn check_alone(file: &Path) -> Result<String, Vec<StartupError>> {
+    let installation = read_installation(file)?;
+    let zones = if installation.has_zones() {
+        "names of zones and request classes not checked"
+    } else {
+        "nothing said of zones"
+    };
+    Ok(format!(
+        "{zones}; --config FILE checks them against the platform's configuration"
+    ))
+}
--- /dev/null
+++ b/crates/agent/src/cli/demo/mod.rs
@@ -0,0 +1,218 @@
+//! `tulipwall-agent demo`: two zones, discovery, a platform, an agent and some clients on loopback,
+//! for half a minute. A build is rolled out, a zone drains and returns, and cross-zone traffic is
+//! shown as it happens.
+//!
+//! This is the only part of the product that uses `tulipwall-testkit`.
+
+mod timeline;
+mod totals;
+
+use super::report::client::{fetch_zone_report, FetchError};
+use super::report::tables;
+use clap::Args;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::ExitCode;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use timeline::{Timeline, DURATION_S};
+use totals::Totals;
+use tulipwall_config::Door;
+use tulipwall_testkit::{classes, Answered, Caller, Link, Load, Program, Ways, World};
+
+const ZONES: [&str; 2] = ["akl-east", "akl-west"];
+const ENDPOINTS_PER_ZONE: usize = 3;
+const OLD_BUILD: u32 = 41;
+const NEW_BUILD: u32 = 42;
+/// The delay of the link between the zones, each way.
+const LINK_DELAY: Duration = Duration::from_millis(4);
+/// For how long a client waits.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
+const CLIENT_CONNECTIONS: usize = 200;
+/// The request class whose requests must not run twice.
+const PAYMENT_CLASS: &str = "payment";
+
+/// The options of the subcommand.
+#[derive(Args)]
+pub struct DemoCommand {
+    /// Requests a second.
+    #[arg(long, default_value_t = 150.0, value_parser = parse_rate)]
+    rate: f64,
+}
+
+fn parse_rate(text: &str) -> Result<f64, String> {
+    match text.parse::<f64>() {
+        Ok(rate) if (1.0..=2000.0).contains(&rate) => Ok(rate),
+        _ => Err("a number from 1 to 2000 is wanted".into()),
+    }
+}
+
+/// Why the demo broke off.
+#[derive(Debug, thiserror::Error)]
+enum DemoError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Report(#[from] FetchError),
+}
+
+impl DemoCommand {
+    /// Runs the demo; succeeds if every request had its response and no payment ran twice.
+    pub fn run(self) -> ExitCode {
+        match play(self.rate) {
+            Ok(true) => ExitCode::SUCCESS,
+            Ok(false) => ExitCode::FAILURE,
+            Err(error) => {
+                eprintln!("demo: {error}");
+                ExitCode::FAILURE
+            }
+        }
+    }
+}
+
+fn play(rate: f64) -> Result<bool, DemoError> {
+    let world = start_world()?;
+    let folder = tempfile::tempdir()?;
+    let admin_socket = folder.path().join("door");
+    let installation_file = folder.path().join("zones.kdl");
+    let installation = installation_text(&admin_socket);
+    std::fs::write(&installation_file, &installation)?;
+    println!(
+        "Two zones of {ENDPOINTS_PER_ZONE} endpoints each, 8 ms apart, build {OLD_BUILD}; \
+         an agent in {}; {rate} requests a second.",
+        ZONES[0]
+    );
+    println!("What is set for the zones:\n\n{installation}");
+    let agent = start_agent(&world, &installation_file)?;
+    let address = agent.address()?;
+    Caller::connect(address)?;
+
+    let admin = Door::Unix(admin_socket);
+    let started = Instant::now();
+    let load = client_load(address, rate).begin();
+    let mut timeline = Timeline::new(world.clone());
+    show_timeline(&mut timeline, started, &admin)?;
+    let answered = futures_lite::future::block_on(load);
+    drop(timeline);
+
+    let report = fetch_zone_report(&admin)?;
+    println!(
+        "\nThe report, as `tulipwall-agent report` prints it:\n\n{}",
+        tables::zone_report(&report, false)
+    );
+    let repeated_payments = world.ran_twice(PAYMENT_CLASS).len();
+    print_summary(&answered, repeated_payments);
+    Ok(answered.unanswered == 0 && repeated_payments == 0)
+}
+
+fn start_world() -> io::Result<Arc<World>> {
+    let world = Arc::new(World::new(&ZONES, classes())?);
+    for (zone, name) in ZONES.iter().enumerate() {
+        for n in 0..ENDPOINTS_PER_ZONE {
+            let id = format!("{name}-{n}");
+            world.endpoint(zone, &id, OLD_BUILD, endpoint_behavior())?;
+        }
+    }
+    link_zones(&world);
+    Ok(world)
+}
+
+fn endpoint_behavior() -> Ways {
+    Ways {
+        work: Duration::from_millis(8),
+        steady: 0.4,
+        cores: 2,
+        value: 400,
+        ..Ways::default()
+    }
+}
+
+fn link_zones(world: &World) {
+    let link = Link {
+        there: LINK_DELAY,
+        back: LINK_DELAY,
+        cut: false,
+    };
+    world.link(0, 1, link);
+}
+
+fn installation_text(admin_socket: &Path) -> String {
+    let [east, west] = ZONES;
+    format!(
+        r#"door "unix:{}"
+zones {{
+    routing "near-first"
+    link "{east}" "{west}" {{
+        delay "8ms"
+        price delivery=0.00001 out-gib=0.02 in-gib=0.02
+    }}
+    budget "crossing" {{ share 0.05; window "10s"; }}
+}}
+"#,
+        admin_socket.display()
+    )
+}
+
+fn start_agent(world: &World, installation_file: &Path) -> io::Result<Program> {
+    let installation = installation_file.display().to_string();
+    let arguments = ["run", "--installation", installation.as_str()];
+    Program::start(
+        std::env::current_exe()?,
+        world.configuration("demo", 0)?,
+        &arguments,
+    )
+}
+
+fn client_load(agent: SocketAddr, rate: f64) -> Load {
+    let class = |name: &str, weight, keyed| (name.to_owned(), weight, CLIENT_TIMEOUT, keyed);
+    Load {
+        agent,
+        rate,
+        span: Duration::from_secs(DURATION_S),
+        classes: vec![
+            class("view", 4.0, false),
+            class("send", 4.0, true),
+            class(PAYMENT_CLASS, 1.0, false),
+        ],
+        connections: CLIENT_CONNECTIONS,
+        seed: 1,
+    }
+}
+
+/// A line each second: what has happened, and what was sent since the line before.
+fn show_timeline(timeline: &mut Timeline, started: Instant, admin: &Door) -> Result<(), DemoError> {
+    println!("  time   taken  near  cross   over  build 42   what happens");
+    let mut before = Totals::default();
+    for second in 1..=DURATION_S {
+        let due = started + Duration::from_secs(second);
+        std::thread::sleep(due.saturating_duration_since(Instant::now()));
+        let event = timeline.advance(second)?;
+        let now = Totals::of(&fetch_zone_report(admin)?);
+        println!(
+            "{second:4} s {:7} {:5} {:6} {:6} {:9}   {event}",
+            now.requests - before.requests,
+            now.local_attempts - before.local_attempts,
+            now.cross_zone_attempts - before.cross_zone_attempts,
+            now.over_budget - before.over_budget,
+            now.new_build_attempts - before.new_build_attempts,
+        );
+        before = now;
+    }
+    Ok(())
+}
+
+fn print_summary(answered: &Answered, repeated_payments: usize) {
+    println!(
+        "{} requests: {} succeeded, {} rejected, {} failed, {} without an answer; half within \
+         {:.1} ms, all but a hundredth within {:.1} ms.",
+        answered.asked,
+        answered.succeeded,
+        answered.rejected,
+        answered.failed,
+        answered.unanswered,
+        answered.quantile_ms(0.5),
+        answered.quantile_ms(0.99),
+    );
+    println!("Payments that ran twice: {repeated_payments}.");
+}
--- /dev/null
+++ b/crates/agent/src/cli/report/mod.rs
@@ -0,0 +1,154 @@
+//! `tulipwall-agent report`: fetches the reports of agents, adds them up and prints them.
+
+pub mod client;
+mod plot;
+pub mod tables;
+
+use super::INCOMPLETE_REPORT;
+use clap::Args;
+use client::{fetch_divergences, fetch_zone_report, FetchError, NamedCounts};
+use plot::PlotError;
+use serde_json::{Map, Value};
+use std::path::PathBuf;
+use std::process::ExitCode;
+use tulipwall::Divergences;
+use tulipwall_config::Door;
+use tulipwall_zones::Document;
+
+/// The options of the subcommand.
+#[derive(Args)]
+pub struct ReportCommand {
+    /// Admin endpoints of agents: 127.0.0.1:PORT or unix:PATH. Several are added up.
+    #[arg(required = true, value_name = "ADDRESS", value_parser = Door::parse)]
+    addresses: Vec<Door>,
+    /// All of it as one JSON document.
+    #[arg(long, conflicts_with = "svg")]
+    json: bool,
+    /// A plot over time with a line for each budget, written to this file.
+    #[arg(long, value_name = "FILE")]
+    svg: Option<PathBuf>,
+    /// A row for each build.
+    #[arg(long)]
+    builds: bool,
+    /// Where the watched settings would have decided otherwise, instead of cross-zone traffic.
+    #[arg(long, conflicts_with_all = ["svg", "builds"])]
+    watch: bool,
+}
+
+/// Why a report that was fetched could not be shown.
+#[derive(Debug, thiserror::Error)]
+enum OutputError {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+}
+
+impl ReportCommand {
+    /// Fetches and prints; the exit code says whether every agent's report is part of it.
+    pub fn run(self) -> ExitCode {
+        if self.watch {
+            self.report_divergences()
+        } else {
+            self.report_zones()
+        }
+    }
+
+    fn report_zones(&self) -> ExitCode {
+        let reports = self.fetch_all(fetch_zone_report);
+        let complete = reports.len() == self.addresses.len();
+        let merged =
+            reports
+                .into_iter()
+                .map(|(_, document)| document)
+                .reduce(|mut all, document| {
+                    all.merge(document);
+                    all
+                });
+        let Some(document) = merged else {
+            return INCOMPLETE_REPORT.into();
+        };
+        match self.print_zones(&document) {
+            Ok(()) => exit_code(complete),
+            Err(error) => {
+                eprintln!("{error}");
+                ExitCode::FAILURE
+            }
+        }
+    }
+
+    fn print_zones(&self, document: &Document) -> Result<(), OutputError> {
+        if self.json {
+            println!("{}", serde_json::to_string_pretty(document)?);
+        } else if let Some(path) = &self.svg {
+            plot::write(document, path)?;
+            println!("{}: written", path.display());
+        } else {
+            print!("{}", tables::zone_report(document, self.builds));
+        }
+        Ok(())
+    }
+
+    /// The counts of each agent, and of all.
+    fn report_divergences(&self) -> ExitCode {
+        let mut rows = self.fetch_all(fetch_divergences);
+        let complete = rows.len() == self.addresses.len();
+        if rows.len() > 1 {
+            let sum = sum_counts(&rows);
+            rows.push(("all".to_owned(), sum));
+        }
+        if self.json {
+            let agents: Map<String, Value> = rows
+                .into_iter()
+                .map(|(agent, counts)| (agent, json_object(&counts)))
+                .collect();
+            println!("{:#}", Value::Object(agents));
+        } else if let Some(table) = tables::divergences(&rows) {
+            println!("{table}");
+        }
+        exit_code(complete)
+    }
+
+    /// The reports that could be fetched, each with its agent's address; the others are named on
+    /// standard error.
+    fn fetch_all<T>(&self, fetch: impl Fn(&Door) -> Result<T, FetchError>) -> Vec<(String, T)> {
+        let mut reports = Vec::new();
+        for address in &self.addresses {
+            match fetch(address) {
+                Ok(report) => reports.push((display_address(address), report)),
+                Err(error) => eprintln!("{}: {error}", display_address(address)),
+            }
+        }
+        reports
+    }
+}
+
+fn exit_code(complete: bool) -> ExitCode {
+    if complete {
+        ExitCode::SUCCESS
+    } else {
+        INCOMPLETE_REPORT.into()
+    }
+}
+
+fn sum_counts(rows: &[(String, NamedCounts)]) -> NamedCounts {
+    let mut sums = Divergences::default().named();
+    for (_, counts) in rows {
+        for ((_, sum), (_, count)) in sums.iter_mut().zip(counts) {
+            *sum = sum.saturating_add(*count);
+        }
+    }
+    sums
+}
+
+fn json_object(counts: &NamedCounts) -> Value {
+    let fields = counts.map(|(kind, count)| (kind.to_owned(), count.into()));
+    Value::Object(fields.into_iter().collect())
+}
+
+fn display_address(address: &Door) -> String {
+    match address {
+        Door::Tcp(address) => address.to_string(),
+        Door::Unix(path) => format!("unix:{}", path.display()),
+    }
+}
