--- a/crates/agent/src/admin/listener.rs
+++ b/crates/agent/src/admin/listener.rs
@@ -7,7 +7,7 @@
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 
 /// Only the owner may connect to a Unix socket.
 const SOCKET_FILE_MODE: u32 = 0o600;
@@ -32,14 +32,14 @@
 impl AdminListener {
     /// Begins to listen. A Unix socket is its owner's alone; the file of one that a program left
     /// behind which no longer listens is replaced, any other file is not.
-    pub fn bind(address: &Door) -> io::Result<AdminListener> {
+    pub fn bind(address: &AdminAddress) -> io::Result<AdminListener> {
         match address {
-            Door::Tcp(address) => {
+            AdminAddress::Tcp(address) => {
                 let listener = TcpListener::bind(address)?;
                 listener.set_nonblocking(true)?;
                 Ok(AdminListener::Tcp(Source::new(listener)?))
             }
-            Door::Unix(path) => {
+            AdminAddress::Unix(path) => {
                 remove_stale_socket(path)?;
                 let listener = UnixListener::bind(path)?;
                 let file_guard = SocketFileGuard(path.clone());
--- a/crates/agent/src/cli/demo/mod.rs
+++ b/crates/agent/src/cli/demo/mod.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use timeline::{Timeline, DURATION_S};
 use totals::Totals;
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 use tulipwall_testkit::{classes, Answered, Caller, Link, Load, Program, Ways, World};
 
 const ZONES: [&str; 2] = ["akl-east", "akl-west"];
@@ -88,7 +88,7 @@
     let address = agent.address()?;
     Caller::connect(address)?;
 
-    let admin = Door::Unix(admin_socket);
+    let admin = AdminAddress::Unix(admin_socket);
     let started = Instant::now();
     let load = client_load(address, rate).begin();
     let mut timeline = Timeline::new(world.clone());
@@ -181,7 +181,11 @@
 }
 
 /// A line each second: what has happened, and what was sent since the line before.
-fn show_timeline(timeline: &mut Timeline, started: Instant, admin: &Door) -> Result<(), DemoError> {
+fn show_timeline(
+    timeline: &mut Timeline,
+    started: Instant,
+    admin: &AdminAddress,
+) -> Result<(), DemoError> {
     println!("  time   taken  near  cross   over  build 42   what happens");
     let mut before = Totals::default();
     for second in 1..=DURATION_S {
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -7,7 +7,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::process::ExitCode;
-use tulipwall_config::LogForm;
+use tulipwall_config::LogFormat;
 
 const EXIT_CODES: &str = "\
 Without a command it runs the agent that PROXY_CONFIG names.
@@ -43,16 +43,16 @@
 
 /// The format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
-enum LogFormat {
+enum LogFormatArg {
     Text,
     Json,
 }
 
-impl From<LogFormat> for LogForm {
-    fn from(format: LogFormat) -> LogForm {
+impl From<LogFormatArg> for LogFormat {
+    fn from(format: LogFormatArg) -> LogFormat {
         match format {
-            LogFormat::Text => LogForm::Text,
-            LogFormat::Json => LogForm::Json,
+            LogFormatArg::Text => LogFormat::Text,
+            LogFormatArg::Json => LogFormat::Json,
         }
     }
 }
--- a/crates/agent/src/cli/report/client.rs
+++ b/crates/agent/src/cli/report/client.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 use tulipwall::Divergences;
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 use tulipwall_zones::{Document, ReportError, ReportLine};
 
 /// How long connecting, and each read and write, may take.
@@ -49,7 +49,7 @@
 }
 
 /// Fetches the whole report on cross-zone traffic.
-pub fn fetch_zone_report(address: &Door) -> Result<Document, FetchError> {
+pub fn fetch_zone_report(address: &AdminAddress) -> Result<Document, FetchError> {
     let mut document = Document::default();
     fetch(address, "/zones", |line| {
         let line: ReportLine = serde_json::from_str(line)?;
@@ -63,7 +63,7 @@
 }
 
 /// Fetches the counts of decisions that the alternative settings would have taken otherwise.
-pub fn fetch_divergences(address: &Door) -> Result<NamedCounts, FetchError> {
+pub fn fetch_divergences(address: &AdminAddress) -> Result<NamedCounts, FetchError> {
     let mut counts = None;
     fetch(address, "/watch", |line| {
         counts = Some(parse_divergences(line)?);
@@ -86,18 +86,18 @@
 
 /// Asks an admin endpoint for `path` and passes each line of the body to `on_line`.
 fn fetch(
-    address: &Door,
+    address: &AdminAddress,
     path: &str,
     on_line: impl FnMut(&str) -> Result<(), FetchError>,
 ) -> Result<(), FetchError> {
     match address {
-        Door::Tcp(address) => {
+        AdminAddress::Tcp(address) => {
             let stream = TcpStream::connect_timeout(address, TIMEOUT)?;
             stream.set_read_timeout(Some(TIMEOUT))?;
             stream.set_write_timeout(Some(TIMEOUT))?;
             exchange(stream, path, on_line)
         }
-        Door::Unix(file) => {
+        AdminAddress::Unix(file) => {
             let stream = UnixStream::connect(file)?;
             stream.set_read_timeout(Some(TIMEOUT))?;
             stream.set_write_timeout(Some(TIMEOUT))?;
--- a/crates/agent/src/cli/report/mod.rs
+++ b/crates/agent/src/cli/report/mod.rs
@@ -12,15 +12,15 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tulipwall::Divergences;
-use tulipwall_config::Door;
+use tulipwall_config::AdminAddress;
 use tulipwall_zones::Document;
 
 /// The options of the subcommand.
 #[derive(Args)]
 pub struct ReportCommand {
     /// Admin endpoints of agents: 127.0.0.1:PORT or unix:PATH. Several are added up.
-    #[arg(required = true, value_name = "ADDRESS", value_parser = Door::parse)]
-    addresses: Vec<Door>,
+    #[arg(required = true, value_name = "ADDRESS", value_parser = AdminAddress::parse)]
+    addresses: Vec<AdminAddress>,
     /// All of it as one JSON document.
     #[arg(long, conflicts_with = "svg")]
     json: bool,
@@ -111,7 +111,10 @@
 
     /// The reports that could be fetched, each with its agent's address; the others are named on
     /// standard error.
-    fn fetch_all<T>(&self, fetch: impl Fn(&Door) -> Result<T, FetchError>) -> Vec<(String, T)> {
+    fn fetch_all<T>(
+        &self,
+        fetch: impl Fn(&AdminAddress) -> Result<T, FetchError>,
+    ) -> Vec<(String, T)> {
         let mut reports = Vec::new();
         for address in &self.addresses {
             match fetch(address) {
@@ -146,9 +149,9 @@
     Value::Object(fields.into_iter().collect())
 }
 
-fn display_address(address: &Door) -> String {
+fn display_address(address: &AdminAddress) -> String {
     match address {
-        Door::Tcp(address) => address.to_string(),
-        Door::Unix(path) => format!("unix:{}", path.display()),
+        AdminAddress::Tcp(address) => address.to_string(),
+        AdminAddress::Unix(path) => format!("unix:{}", path.display()),
     }
 }
--- a/crates/agent/src/cli/run.rs
+++ b/crates/agent/src/cli/run.rs
@@ -1,12 +1,12 @@
 //! `tulipwall-agent run`, and what the program does without a subcommand: run one agent.
 
-use super::LogFormat;
+use super::LogFormatArg;
 use crate::lifecycle::run;
 use crate::lifecycle::start::ConfigPaths;
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tulipwall_config::LogForm;
+use tulipwall_config::LogFormat;
 
 /// The environment variables that stand for options.
 const INSTALLATION_VARIABLE: &str = "TULIPWALL_INSTALLATION";
@@ -24,7 +24,7 @@
     installation: Option<PathBuf>,
     /// The form of log lines; the installation's otherwise, else text.
     #[arg(long, value_name = "FORM", env = LOG_VARIABLE)]
-    log: Option<LogFormat>,
+    log: Option<LogFormatArg>,
 }
 
 impl RunCommand {
@@ -36,7 +36,7 @@
         RunCommand {
             config: None,
             installation: installation.map(PathBuf::from),
-            log: log.and_then(|name| LogFormat::from_str(&name, true).ok()),
+            log: log.and_then(|name| LogFormatArg::from_str(&name, true).ok()),
         }
     }
 
@@ -46,6 +46,6 @@
             configuration: self.config,
             installation: self.installation,
         };
-        run::run(paths, self.log.map(LogForm::from))
+        run::run(paths, self.log.map(LogFormat::from))
     }
 }
--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform.rs
@@ -345,7 +345,7 @@
             mean_latency,
             age,
         } => {
-            if let Some(class) = agent.service_config().class(&class) {
+            if let Some(class) = agent.service_config().class_index(&class) {
                 agent.balancer.on_platform_counts(&PlatformCounts {
                     build,
                     class,
@@ -368,7 +368,7 @@
 
 fn on_client_reported_error(agent: &Agent, endpoint: &str, class: &str, age: Duration) {
     let endpoint = agent.endpoints.index_of(endpoint);
-    let class = agent.service_config().class(class);
+    let class = agent.service_config().class_index(class);
     if let (Some(endpoint), Some(class)) = (endpoint, class) {
         let target = agent.endpoints.target(endpoint);
         let build = target.map_or(0, |target| target.build);
--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -18,8 +18,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use tulipwall_config::LogForm;
-use tulipwall_discovery::watchdog::Watchdog;
+use tulipwall_config::LogFormat;
+use tulipwall_discovery::watch_timer::WatchTimer;
 
 /// A start counts as done after so long, half of what nine in ten of them may take, whatever is
 /// still awaited: a list, or connections to endpoints that hang or come up late. What cannot be
@@ -59,13 +59,13 @@
 
 /// Runs one agent until SIGTERM; fails where it could not start or ended by a fault. `log_format`
 /// takes precedence over the installation's.
-pub fn run(paths: ConfigPaths, log_format: Option<LogForm>) -> ExitCode {
+pub fn run(paths: ConfigPaths, log_format: Option<LogFormat>) -> ExitCode {
     let inputs = Inputs::read(&paths);
     let configured_format = match &inputs {
         Ok(inputs) => inputs.config.log_format,
         Err(_) => None,
     };
-    logging::begin(log_format.or(configured_format).unwrap_or(LogForm::Text));
+    logging::begin(log_format.or(configured_format).unwrap_or(LogFormat::Text));
     let Inputs { signals, config } = match inputs {
         Ok(inputs) => inputs,
         Err(errors) => {
@@ -161,7 +161,7 @@
         // list is valid yet, so that the balancer sends nothing and rejects at half of a request's
         // time.
         let settings = &agent.service_config().settings;
-        if let Some(max_wait) = Watchdog::new(settings).start_within() {
+        if let Some(max_wait) = WatchTimer::new(settings).startup_list_timeout() {
             agent
                 .sleep_until(agent.clock.now() + max_wait)
                 .or(agent.endpoints.serving_allowed())
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -336,7 +336,7 @@
         let read = read(agent, text);
         let heard = client
             .consume(took)
-            .map_or_else(|| agent.clock.now(), |at| agent.clock.at(at));
+            .map_or_else(|| agent.clock.now(), |at| agent.clock.reading_at(at));
         let open = read
             .as_ref()
             .ok()
@@ -394,7 +394,7 @@
 
 /// The class of a statement under the settings in force.
 pub fn class(site: &ServiceConfig, statement: &Statement) -> Result<usize, ProtocolError> {
-    match site.class(&statement.class) {
+    match site.class_index(&statement.class) {
         Some(class) if !statement.has_deduplication_key && site.is_keyed(class) => {
             Err(StatementError::MissingField("k").into())
         }
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -8,7 +8,7 @@
 use tulipwall_agent::protocol::platform::{self, PlatformMessage, RolloutReport};
 use tulipwall_agent::protocol::postgres::{self, ClientOpening, QueryOutcome, ResponseReader};
 use tulipwall_agent::protocol::{http, statement::Statement, ProtocolError};
-use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::list_response::ListResponse;
 
 const READ: &str = "SELECT body FROM objects WHERE oid = 'a1' /* id=9b1f,c=view,t=acme,d=480 */";
 const WRITE: &str = "INSERT INTO objects (oid, body) VALUES ('a1', '\\x9f''03') RETURNING body \
@@ -96,7 +96,7 @@
                 bytes.get_mut(at).into_iter().for_each(|b| *b = *to);
             }
             let _ = (postgres::parse_opening(&bytes), http::parse_response(&bytes, true), http::parse_response(&bytes, false));
-            let _ = (platform::parse_message(&bytes), platform::split_line(&bytes), Listing::parse(&bytes), StartupConfig::parse(&bytes).is_ok());
+            let _ = (platform::parse_message(&bytes), platform::split_line(&bytes), ListResponse::parse(&bytes), StartupConfig::parse(&bytes).is_ok());
             let _ = std::str::from_utf8(&bytes).map(Statement::parse);
             let _ = (heard(&[&bytes]), postgres::parse_message(&bytes).map(|m| m.map(|m| postgres::parse_query_text(m.body).is_ok())));
         }
