--- /dev/null
+++ b/crates/agent/src/control/discovery/call.rs
@@ -0,0 +1,153 @@
+//! One call to the discovery service: a request, and its response within a time.
+
+use crate::agent::Agent;
+use crate::protocol::connection::Connection;
+use crate::protocol::{http, ProtocolError};
+use futures_lite::FutureExt;
+use std::future::Future;
+use std::io;
+use std::time::Duration;
+use tulipwall_discovery::list_response::{EntryError, ListResponse, ListResponseError};
+use tulipwall_discovery::watch_timer::{WatchEnd, WatchTimer};
+
+/// How soon the rest of a response must come once it has begun.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+const STATUS_OK: u16 = 200;
+
+/// Why a call failed, or a watch ended.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Http(#[from] ProtocolError),
+    #[error(transparent)]
+    List(#[from] ListResponseError),
+    #[error("list: {0}")]
+    UnreadableEntry(EntryError),
+    #[error("status {0}")]
+    Status(u16),
+    #[error("it ended within a response")]
+    TruncatedResponse,
+    #[error("it closes after a response")]
+    ClosedAfterResponse,
+    #[error("it is silent")]
+    TimedOut,
+}
+
+impl CallError {
+    /// What it means for the time of the next call.
+    pub fn watch_end(&self) -> WatchEnd {
+        match self {
+            CallError::Io(_) | CallError::TruncatedResponse | CallError::ClosedAfterResponse => {
+                WatchEnd::Disconnected
+            }
+            CallError::Http(_) | CallError::List(_) | CallError::UnreadableEntry(_) => {
+                WatchEnd::Malformed
+            }
+            CallError::Status(_) => WatchEnd::Refused,
+            CallError::TimedOut => WatchEnd::TimedOut,
+        }
+    }
+}
+
+/// A response of the discovery service.
+pub struct CallResponse {
+    pub list: ListResponse,
+    /// Whether the connection ends with it.
+    pub closes_connection: bool,
+}
+
+/// A connection and the response to its first call.
+pub struct BegunWatch {
+    pub connection: Connection,
+    pub response: CallResponse,
+}
+
+/// Connects and makes the first call.
+pub async fn first_call(
+    agent: &Agent,
+    path: &str,
+    timeout: Duration,
+) -> Result<BegunWatch, CallError> {
+    let begin = async {
+        let mut connection = Connection::open(agent.control.discovery.get()).await?;
+        let response = call(agent, &mut connection, path).await?;
+        Ok(BegunWatch {
+            connection,
+            response,
+        })
+    };
+    with_timeout(agent, timeout, begin).await
+}
+
+/// Makes first calls until one succeeds.
+pub async fn retry_first_call(
+    agent: &Agent,
+    timer: &WatchTimer,
+    path: &str,
+    timeout: Duration,
+) -> Result<BegunWatch, CallError> {
+    loop {
+        match first_call(agent, path, timeout).await {
+            Ok(begun) => return Ok(begun),
+            Err(error) => {
+                let delay = timer.retry_delay(error.watch_end());
+                agent.sleep_until(agent.clock.now() + delay).await;
+            }
+        }
+    }
+}
+
+/// Makes one call on a connection, without a timeout until its response has begun.
+pub async fn call(
+    agent: &Agent,
+    connection: &mut Connection,
+    path: &str,
+) -> Result<CallResponse, CallError> {
+    let host = agent.control.discovery.get().to_string();
+    let request = http::get_request(&host, path);
+    connection.write(&request).await?;
+    let mut ended = false;
+    loop {
+        if let Some(response) = http::parse_response(connection.inbox.unread(), ended)? {
+            connection.inbox.consume(response.length);
+            if response.status != STATUS_OK {
+                return Err(CallError::Status(response.status));
+            }
+            return Ok(CallResponse {
+                list: ListResponse::parse(&response.body)?,
+                closes_connection: response.closes_connection,
+            });
+        }
+        if ended {
+            return Err(CallError::TruncatedResponse);
+        }
+        ended = receive(agent, connection).await? == 0;
+    }
+}
+
+/// Receives more of a response. Guards against one that stops short of its end, which would be
+/// waited for as long as a watch.
+async fn receive(agent: &Agent, connection: &mut Connection) -> Result<usize, CallError> {
+    let response_begun = !connection.inbox.is_empty();
+    let more = async { Ok(connection.read_more().await?) };
+    if response_begun {
+        with_timeout(agent, RESPONSE_TIMEOUT, more).await
+    } else {
+        more.await
+    }
+}
+
+/// Fails with [`CallError::TimedOut`] if `work` takes longer than `timeout`.
+pub async fn with_timeout<T>(
+    agent: &Agent,
+    timeout: Duration,
+    work: impl Future<Output = Result<T, CallError>>,
+) -> Result<T, CallError> {
+    let timed_out = async {
+        agent.sleep_until(agent.clock.now() + timeout).await;
+        Err(CallError::TimedOut)
+    };
+    work.or(timed_out).await
+}
--- /dev/null
+++ b/crates/agent/src/control/discovery/mod.rs
@@ -0,0 +1,249 @@
+//! The watch on the discovery service's endpoint list. The balancer says when to call first; here
+//! the watch is kept open, and begun anew at the times that [`WatchTimer`] gives.
+
+mod call;
+
+use crate::agent::Agent;
+use crate::lifecycle::phase::ControlService;
+use call::{call, first_call, retry_first_call, with_timeout};
+use call::{BegunWatch, CallError, CallResponse};
+use futures_lite::FutureExt;
+use std::convert::Infallible;
+use std::time::Duration;
+use tulipwall_discovery::list_lease::ListLease;
+use tulipwall_discovery::list_response;
+use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
+
+/// Keeps the watch for as long as the program runs.
+pub async fn run(agent: &Agent) {
+    let address = &agent.control.discovery;
+    let mut seen_changes = address.changes();
+    let mut watch = Watch::new(agent);
+    let mut next_call = watch.startup_call_at(agent.clock.now());
+    loop {
+        let due = async {
+            match next_call {
+                Some(at) => agent.sleep_until(at).await,
+                None => agent.control.watch_request.received().await,
+            }
+        };
+        due.or(address.changed_since(seen_changes)).await;
+        if address.changes() != seen_changes {
+            // A change of the address ends the old watch and is no failure.
+            seen_changes = address.changes();
+            watch.reload_settings(agent.clock.now());
+            next_call = watch.on_address_change(agent.clock.now());
+            if next_call.is_some() {
+                continue;
+            }
+        }
+        agent.control.watch_request.clear();
+        watch.reload_settings(agent.clock.now());
+        let address_changed = async {
+            address.changed_since(seen_changes).await;
+            None
+        };
+        let ended = address_changed.or(async { Some(watch.run().await) }).await;
+        if let Some(error) = ended {
+            next_call = watch.on_end(&error);
+        }
+    }
+}
+
+/// One agent's watch over its calls.
+struct Watch<'a> {
+    agent: &'a Agent,
+    timer: WatchTimer,
+    /// Until when the list that is known may be used.
+    lease: ListLease,
+    /// Whether discovery was not yet reached at its new address.
+    awaiting_contact: bool,
+    /// Since when discovery has not responded.
+    unavailable_since: Option<Duration>,
+    /// How watches ended meanwhile: each way is logged once, as a broken connection may hide a list
+    /// that cannot be read.
+    logged_ends: Vec<WatchEnd>,
+    /// Whether it was logged that the lease has expired.
+    expiry_logged: bool,
+}
+
+impl Watch<'_> {
+    fn new(agent: &Agent) -> Watch<'_> {
+        let settings = &agent.service_config().settings;
+        let watch = Watch {
+            agent,
+            timer: WatchTimer::new(settings),
+            lease: ListLease::new(settings, agent.clock.now()),
+            awaiting_contact: false,
+            unavailable_since: None,
+            logged_ends: Vec::new(),
+            expiry_logged: false,
+        };
+        watch.publish_lease();
+        watch
+    }
+
+    /// Tells the balancer how long the list is valid.
+    fn publish_lease(&self) {
+        let valid_until = self.lease.valid_until();
+        self.agent.balancer.set_list_valid_until(valid_until);
+    }
+
+    /// When discovery is first called; `None` where the balancer says.
+    fn startup_call_at(&mut self, now: Duration) -> Option<Duration> {
+        self.timer.startup_delay().map(|delay| now + delay)
+    }
+
+    /// Settings may have been read anew.
+    fn reload_settings(&mut self, now: Duration) {
+        let settings = &self.agent.service_config().settings;
+        self.timer.reload(settings);
+        self.lease.reload(settings, now);
+        self.publish_lease();
+    }
+
+    /// When the new address is first called; `None` for at once.
+    fn on_address_change(&mut self, now: Duration) -> Option<Duration> {
+        self.awaiting_contact = true;
+        self.lease.on_address_change(now);
+        self.publish_lease();
+        let delay = self.timer.on_address_change();
+        (!delay.is_zero()).then_some(now + delay)
+    }
+
+    /// A call failed: when the next one goes out, or `None` where the balancer says.
+    fn on_end(&mut self, error: &CallError) -> Option<Duration> {
+        let now = self.agent.clock.now();
+        let end = error.watch_end();
+        if end == WatchEnd::TimedOut {
+            self.agent.counters.list_timeouts.increment();
+        }
+        self.log_end(error, now);
+        self.lease.on_watch_end(now, end);
+        self.publish_lease();
+        self.log_expiry(error, now);
+        let next_call = self.timer.on_watch_end(end).map(|delay| now + delay);
+        match next_call {
+            Some(_) => self.agent.counters.list_failures.increment(),
+            None => {
+                // What the balancer asked for before does not count any more.
+                self.agent.control.watch_request.clear();
+                self.agent.balancer.on_list_failure();
+            }
+        }
+        next_call
+    }
+
+    fn log_end(&mut self, error: &CallError, now: Duration) {
+        let end = error.watch_end();
+        if self.unavailable_since.is_none() {
+            log::warn!("discovery: {error}; calling again");
+            self.unavailable_since = Some(now);
+            self.logged_ends = vec![end];
+        } else if !self.logged_ends.contains(&end) {
+            log::warn!("discovery: then {error}");
+            self.logged_ends.push(end);
+        }
+    }
+
+    fn log_expiry(&mut self, error: &CallError, now: Duration) {
+        let expired = self.lease.valid_until().is_some_and(|until| now >= until);
+        if expired && !self.expiry_logged {
+            self.expiry_logged = true;
+            log::warn!(
+                "discovery: {error}; the endpoint list has expired, \
+                 no requests are sent until discovery responds"
+            );
+        }
+    }
+
+    /// Watches until a call fails.
+    async fn run(&mut self) -> CallError {
+        match self.watch().await {
+            Ok(never) => match never {},
+            Err(error) => error,
+        }
+    }
+
+    async fn watch(&mut self) -> Result<Infallible, CallError> {
+        let agent = self.agent;
+        let BegunWatch {
+            mut connection,
+            mut response,
+        } = self.begin().await?;
+        loop {
+            let wait = self.on_response(response)?;
+            let path = list_response::watch_path(agent.endpoints.version(), wait);
+            let timeout = wait + self.timer.response_grace();
+            let next = call(agent, &mut connection, &path);
+            response = with_timeout(agent, timeout, next).await?;
+        }
+    }
+
+    /// Asks for what has changed since the list that is known; for the whole list where none is
+    /// known, where discovery is another and calls are free, and where another turns out to count
+    /// its versions from below. Guards against agents that start, move or call again all at once: a
+    /// list has as many lines as there are endpoints, and discovery pays for each. Does harm where
+    /// another discovery counts versions of its own from above: what it changed before them is
+    /// received at the next start only.
+    async fn begin(&mut self) -> Result<BegunWatch, CallError> {
+        let agent = self.agent;
+        let calls_are_free = self.timer.calls_are_free();
+        let wait = self.timer.first_wait();
+        let known_version = agent
+            .endpoints
+            .usable_version()
+            .filter(|_| !self.awaiting_contact || !calls_are_free);
+        let path = match known_version {
+            Some(version) => list_response::watch_path(version, wait),
+            None => list_response::LIST_PATH.to_owned(),
+        };
+        let patient_timeout = wait + self.timer.first_call_timeout(FirstCall::Patient);
+        self.lease.on_watch_begin(agent.clock.now());
+        let patient_call = first_call(agent, &path, patient_timeout);
+        let mut begun = if calls_are_free {
+            let quick_timeout = wait + self.timer.first_call_timeout(FirstCall::Quick);
+            retry_first_call(agent, &self.timer, &path, quick_timeout)
+                .or(patient_call)
+                .await?
+        } else {
+            patient_call.await?
+        };
+        let list = &begun.response.list;
+        let version_went_back =
+            !list.complete && known_version.is_some_and(|version| list.version < version);
+        if self.awaiting_contact && version_went_back && !begun.response.closes_connection {
+            let whole_list = call(agent, &mut begun.connection, list_response::LIST_PATH);
+            begun.response = with_timeout(agent, patient_timeout, whole_list).await?;
+        }
+        Ok(begun)
+    }
+
+    /// Takes a response in; the wait of the next call, or the error that ends the watch with it.
+    fn on_response(&mut self, response: CallResponse) -> Result<Duration, CallError> {
+        let agent = self.agent;
+        let first_error = response.list.first_error.clone();
+        agent.update_endpoints(response.list);
+        let wait = self.timer.next_wait();
+        self.lease.on_response(agent.clock.now(), wait);
+        self.publish_lease();
+        agent.endpoints.allow_serving();
+        if let Some(error) = first_error {
+            return Err(CallError::UnreadableEntry(error));
+        }
+        self.timer.on_response();
+        self.expiry_logged = false;
+        if let Some(since) = self.unavailable_since.take() {
+            let unavailable = agent.clock.now().saturating_sub(since);
+            log::info!(unavailable_ms = unavailable.as_millis() as u64;
+                "discovery: responding again after {unavailable:.1?}");
+        }
+        if std::mem::take(&mut self.awaiting_contact) {
+            agent.lifecycle.on_contact(ControlService::Discovery);
+        }
+        if response.closes_connection {
+            return Err(CallError::ClosedAfterResponse);
+        }
+        Ok(wait)
+    }
+}
