--- a/crates/agent/src/observability/logging.rs
+++ b/crates/agent/src/observability/logging.rs
@@ -19,7 +19,7 @@
         log::debug!(
             target: $crate::observability::logging::EVIDENCE,
             "{} {}",
-            $clock.wall($clock.now()),
+            $clock.to_unix_ms($clock.now()),
             format_args!($($line)+)
         )
     };
