--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tulipwall::{AlternativeSettings, CrossZonePolicy, IndexMapping};
-use tulipwall_config::{ConfigDiagnostic, Installation, ServiceConfig};
+use tulipwall_config::{ConfigDiagnostic, Installation, NameCounts, ServiceConfig};
 use tulipwall_zones::ZoneConfig;
 
 /// What of a configuration decides requests: all that is checked before any of it is in force.
@@ -113,8 +113,8 @@
         let (service, mapping) = new
             .service
             .renumbered_after(&before, &self.balancer.indices_in_use());
-        let zoning = new.installation.zoning(&service)?;
-        let unchanged = service.is(&before, &mapping);
+        let zoning = new.installation.zone_config(&service)?;
+        let unchanged = service.is_unchanged_from(&before, &mapping);
         if !unchanged {
             self.replace_service_config(service, &mapping);
         }
@@ -123,7 +123,11 @@
         if unchanged {
             return Ok(SettingsChange::Unchanged);
         }
-        let [classes, tenants, zones] = self.service_config().named_counts();
+        let NameCounts {
+            classes,
+            tenants,
+            zones,
+        } = self.service_config().named_counts();
         Ok(SettingsChange::Replaced {
             classes,
             tenants,
@@ -174,7 +178,9 @@
     /// Classes that only active requests kept go once these are over.
     pub fn drop_retired_classes(&self) {
         let service = self.service_config();
-        if !service.has_retired_indices() || !service.covers(&self.balancer.indices_in_use()) {
+        if !service.has_retired_indices()
+            || !service.can_free_indices(&self.balancer.indices_in_use())
+        {
             return;
         }
         // The same names, so that nothing can be wrong with them.
--- a/crates/agent/src/observability/logging.rs
+++ b/crates/agent/src/observability/logging.rs
@@ -6,7 +6,7 @@
 use log::kv::{Error, Key, Value, VisitSource};
 use serde_json::Map;
 use std::io::Write;
-use tulipwall_config::LogForm;
+use tulipwall_config::LogFormat;
 
 /// Target of the lines that the evaluation of a build can be checked by, each at `debug` with the
 /// Unix time in milliseconds: how attempts and requests ended, client-reported errors, rollout
@@ -19,7 +19,7 @@
         log::debug!(
             target: $crate::observability::logging::EVIDENCE,
             "{} {}",
-            $clock.wall($clock.now()),
+            $clock.to_unix_ms($clock.now()),
             format_args!($($line)+)
         )
     };
@@ -27,10 +27,10 @@
 pub(crate) use log_evidence;
 
 /// Begins to log; `RUST_LOG` sets the filter, `info` where it is unset. Only the first call counts.
-pub fn begin(format: LogForm) {
+pub fn begin(format: LogFormat) {
     let filter = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(filter);
-    if format == LogForm::Json {
+    if format == LogFormat::Json {
         builder.format(|out, record| {
             let timestamp = out.timestamp_micros().to_string();
             writeln!(out, "{}", json(&timestamp, record))
--- a/crates/agent/src/protocol/platform.rs
+++ b/crates/agent/src/protocol/platform.rs
@@ -89,7 +89,7 @@
 pub fn parse_rollout_report(fields: &Fields) -> Result<RolloutReport, PlatformError> {
     Ok(RolloutReport {
         build: read_u32(fields, "image")?,
-        stage: fields.whole("ring")? as usize,
+        stage: fields.unsigned("ring")? as usize,
         phase: match fields.text("progress")? {
             "trial" => RolloutPhase::Canary,
             "rolling_back" => RolloutPhase::RollingBack,
@@ -101,7 +101,7 @@
             }
         },
         cap: fields.number("ceiling")?,
-        age: fields.span("lag_ms")?,
+        age: fields.duration_ms("lag_ms")?,
     })
 }
 
@@ -113,8 +113,8 @@
 fn try_parse_message(line: &[u8]) -> Result<PlatformMessage, PlatformError> {
     let value: Value =
         serde_json::from_slice(line).map_err(|e| PlatformError::NotJson(e.to_string()))?;
-    let fields = Fields::of(&value, "line")?;
-    match fields.maybe("method") {
+    let fields = Fields::new(&value, "line")?;
+    match fields.optional("method") {
         Some(method) => parse_notification(method.as_str(), &fields),
         None => parse_call_response(&fields),
     }
@@ -126,26 +126,26 @@
 ) -> Result<PlatformMessage, PlatformError> {
     match method {
         Some("ROLLOUT") => {
-            let report = parse_rollout_report(&fields.inner("params")?)?;
+            let report = parse_rollout_report(&fields.object("params")?)?;
             Ok(PlatformMessage::RolloutStatus(report))
         }
         Some("DISPUTE") => {
-            let params = fields.inner("params")?;
+            let params = fields.object("params")?;
             Ok(PlatformMessage::ClientReportedError {
                 endpoint: params.text("host")?.to_owned(),
                 class: params.text("type")?.to_owned(),
-                age: params.span("lag_ms")?,
+                age: params.duration_ms("lag_ms")?,
             })
         }
         Some("SAMPLE") => {
-            let params = fields.inner("params")?;
+            let params = fields.object("params")?;
             Ok(PlatformMessage::AggregatedCounts {
                 build: read_u32(&params, "image")?,
                 class: params.text("type")?.to_owned(),
                 attempts: read_u32(&params, "n")?,
                 failed: read_u32(&params, "bad")?,
-                mean_latency: params.span("latency_ms")?,
-                age: params.span("lag_ms")?,
+                mean_latency: params.duration_ms("latency_ms")?,
+                age: params.duration_ms("lag_ms")?,
             })
         }
         Some("ping") => Ok(PlatformMessage::Heartbeat),
@@ -154,9 +154,9 @@
 }
 
 fn parse_call_response(fields: &Fields) -> Result<PlatformMessage, PlatformError> {
-    let id = fields.whole("id")?;
-    if let Some(error) = fields.maybe("error") {
-        let reply = match Fields::of(error, "error")?.text("message")? {
+    let id = fields.unsigned("id")?;
+    if let Some(error) = fields.optional("error") {
+        let reply = match Fields::new(error, "error")?.text("message")? {
             "ConditionFailed" => VoteReply::Moot,
             "Throttling" | "InternalFailure" | "ValidationError" => VoteReply::Refused,
             _ => return Err(PlatformError::UnknownErrorMessage),
@@ -167,8 +167,8 @@
             rollout: None,
         });
     }
-    let rollout = match fields.maybe("result") {
-        Some(Value::Object(_)) => Some(parse_rollout_report(&fields.inner("result")?)?),
+    let rollout = match fields.optional("result") {
+        Some(Value::Object(_)) => Some(parse_rollout_report(&fields.object("result")?)?),
         Some(_) => None,
         None => return Err(PlatformError::UnknownLine),
     };
@@ -180,7 +180,7 @@
 }
 
 fn read_u32(fields: &Fields, name: &str) -> Result<u32, PlatformError> {
-    u32::try_from(fields.whole(name)?)
+    u32::try_from(fields.unsigned(name)?)
         .map_err(|_| PlatformError::Field(format!("field {name}: too large")))
 }
 
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large.rs
@@ -55,7 +55,7 @@
     // Beyond what is read nothing is believed: what is known goes on.
     let long = "HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n{";
     world.discovery.set_behavior(DiscoveryBehavior::Normal);
-    says(&agent, "heard again");
+    says(&agent, "responding again");
     world
         .discovery
         .set_behavior(DiscoveryBehavior::Sends(long.into()));
