--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -27,10 +27,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::RolloutStatus;
-use tulipwall_config::{Door, ServiceConfig};
+use tulipwall_config::{AdminAddress, ServiceConfig};
 use tulipwall_discovery::clock::Clock;
-use tulipwall_discovery::list::Target;
-use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::endpoint_table::AttemptTarget;
+use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::DisplayNames;
 
 /// One agent. Each field owns its state and says who writes and who reads it; this struct carries
@@ -69,7 +69,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators ask, if anywhere.
-    pub admin: Option<Door>,
+    pub admin: Option<AdminAddress>,
 }
 
 impl Agent {
@@ -112,7 +112,7 @@
             agent.update_rollout(status);
         }
         if let Some(known) = start.known_list {
-            if let Some(what) = &known.spoilt {
+            if let Some(what) = &known.first_error {
                 log::warn!("field known: {what}; nothing goes there");
             }
             agent.update_endpoints(known);
@@ -122,7 +122,7 @@
 
     /// The settings that the evidence lines behind rest on.
     fn log_start(&self) {
-        let wall = self.clock.wall(self.clock.now());
+        let wall = self.clock.to_unix_ms(self.clock.now());
         let config = self.service_config();
         let agents = config.settings.agents;
         let rollout = &config.settings.rollout;
@@ -146,8 +146,8 @@
     pub fn update_rollout(&self, told: RolloutReport) {
         let now = self.clock.now();
         let began = now.saturating_sub(told.age);
-        log::debug!(target: EVIDENCE, "{} rollout build {} stage {} {:?} since {}", self.clock.wall(now), told.build,
-            told.stage, told.phase, self.clock.wall(began));
+        log::debug!(target: EVIDENCE, "{} rollout build {} stage {} {:?} since {}", self.clock.to_unix_ms(now), told.build,
+            told.stage, told.phase, self.clock.to_unix_ms(began));
         self.balancer.update_rollout(RolloutStatus {
             build: told.build,
             stage: told.stage,
@@ -166,7 +166,7 @@
     }
 
     /// Discovery told of endpoints.
-    pub fn update_endpoints(&self, response: Listing) {
+    pub fn update_endpoints(&self, response: ListResponse) {
         let complete = response.complete;
         let update = self
             .endpoints
@@ -201,7 +201,7 @@
     }
 
     /// Keeps a connection for the next request, while its endpoint still runs the same build there.
-    pub fn return_connection(&self, target: Target, connection: PooledConnection) {
+    pub fn return_connection(&self, target: AttemptTarget, connection: PooledConnection) {
         if self.endpoints.is_current(target) {
             self.pool.put(target.endpoint, connection);
         }
@@ -221,7 +221,7 @@
 
     /// Sleeps until a time on the agent's clock.
     pub async fn sleep_until(&self, at: Duration) {
-        Timer::at(self.clock.instant(at)).await;
+        Timer::at(self.clock.to_instant(at)).await;
     }
 }
 
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -7,8 +7,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tulipwall::AlternativeSettings;
-use tulipwall_config::{ConfigDiagnostic, Door, Installation, Instance, LogForm, ServiceConfig};
-use tulipwall_discovery::listing::Listing;
+use tulipwall_config::{
+    AdminAddress, ConfigDiagnostic, Installation, InstanceConfig, LogFormat, ServiceConfig,
+};
+use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::ZoneConfig;
 
 /// The environment variable that names the configuration where the command line does not.
@@ -93,15 +95,15 @@
     /// The limit on memory, in bytes.
     pub memory_limit: usize,
     /// The endpoint list known from before.
-    pub known_list: Option<Listing>,
+    pub known_list: Option<ListResponse>,
     /// The rollout status known from before.
     pub rollout_status: Option<RolloutReport>,
     /// The settings of the service.
     pub service: ServiceConfig,
     /// The format of log lines that the installation sets.
-    pub log_format: Option<LogForm>,
+    pub log_format: Option<LogFormat>,
     /// Where the admin endpoint listens, if the installation sets one.
-    pub admin_address: Option<Door>,
+    pub admin_address: Option<AdminAddress>,
     /// The installation's own settings.
     pub installation: Installation,
     /// Settings that are only evaluated beside those in force.
@@ -135,11 +137,13 @@
     fn with_installation(self, path: &Path) -> Result<StartupConfig, Vec<StartupError>> {
         let installation = read_installation(path)?;
         let in_file = |diagnostics| in_installation_file(path, diagnostics);
-        installation.zoning(&self.service).map_err(in_file)?;
-        let alternative_settings = installation.watch(&self.service).map_err(in_file)?;
+        installation.zone_config(&self.service).map_err(in_file)?;
+        let alternative_settings = installation
+            .alternative_settings(&self.service)
+            .map_err(in_file)?;
         Ok(StartupConfig {
             log_format: installation.log,
-            admin_address: installation.door.clone(),
+            admin_address: installation.admin.clone(),
             installation,
             alternative_settings,
             ..self
@@ -149,17 +153,19 @@
     /// What the installation says of zones, in the indices of these settings. The installation was
     /// checked for faults when it was read.
     pub fn zoning(&self) -> Option<ZoneConfig> {
-        self.installation.zoning(&self.service).unwrap_or_default()
+        self.installation
+            .zone_config(&self.service)
+            .unwrap_or_default()
     }
 
     /// Reads the platform's configuration, without an installation's file.
     pub fn parse(bytes: &[u8]) -> Result<StartupConfig, ConfigurationError> {
         let value: Value = serde_json::from_slice(bytes).map_err(ConfigurationError::NotJson)?;
-        let instance = Instance::read(&value)
+        let instance = InstanceConfig::read(&value)
             .map_err(|error| ConfigurationError::Settings(error.to_string()))?;
         let known_list = match &instance.known_list {
             Some(fields) => {
-                let list = Listing::read(fields);
+                let list = ListResponse::read(fields);
                 Some(list.map_err(|error| ConfigurationError::KnownList(error.to_string()))?)
             }
             None => None,
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -16,7 +16,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
-use tulipwall_config::number;
+use tulipwall_config::stable_hash;
 use tulipwall_zones::{AttemptStart, Reservation};
 
 /// What a client may write ahead of its answers before it is held back.
@@ -77,7 +77,10 @@
         let Ok(class) = class(&site, &statement) else {
             return FinalResponse::Rejected(None);
         };
-        let tenant = statement.tenant.as_deref().and_then(|c| site.tenant(c));
+        let tenant = statement
+            .tenant
+            .as_deref()
+            .and_then(|c| site.tenant_index(c));
         (class, tenant, site.settings.classes[class].idempotency)
     };
     let deadline = heard + statement.wait;
@@ -90,7 +93,7 @@
     let command = Request {
         class,
         tenant,
-        key: Some(number(&statement.object)),
+        key: Some(stable_hash(&statement.object)),
         time_left: left,
         estimated_work: work,
         is_retry: again,
@@ -175,7 +178,7 @@
     };
     let now = agent.clock.now();
     log::debug!(target: EVIDENCE, "{} request class {class} {} {} us work {} us",
-        agent.clock.wall(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
+        agent.clock.to_unix_ms(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
     // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
     // and the module hears of it.
     for n in 0..out.len() {
@@ -282,7 +285,7 @@
         let now = agent.clock.now();
         let took = now.saturating_sub(sent);
         log::debug!(target: EVIDENCE, "{} attempt class {class} build {build} {outcome:?} {} us",
-            agent.clock.wall(now), took.as_micros());
+            agent.clock.to_unix_ms(now), took.as_micros());
         agent
             .zone_traffic
             .on_attempt_end(now, ticket.as_ref(), &meter, outcome, took);
@@ -349,7 +352,7 @@
         .min()
         .unwrap_or(deadline);
     let first = give_up.min(look.unwrap_or(deadline)).min(deadline);
-    let mut timer = pin!(Timer::at(agent.clock.instant(first)));
+    let mut timer = pin!(Timer::at(agent.clock.to_instant(first)));
     let mut leaves = pin!(leaves(client));
     poll_fn(|cx| {
         if leaves.as_mut().poll(cx).is_ready() {
@@ -421,7 +424,7 @@
 /// Hears out the attempts of a request that has its final answer.
 async fn rest(agent: &Agent, id: u64, mut out: Vec<Option<InFlightAttempt>>) {
     while let Some(give_up) = out.iter().flatten().map(|o| o.give_up).min() {
-        let mut timer = pin!(Timer::at(agent.clock.instant(give_up)));
+        let mut timer = pin!(Timer::at(agent.clock.to_instant(give_up)));
         let ends = poll_fn(|cx| match ended(agent, &mut out, cx) {
             Some(ended) => Poll::Ready(Some(ended)),
             None => timer
--- a/crates/client/src/bin/tulipwall-call/arguments.rs
+++ b/crates/client/src/bin/tulipwall-call/arguments.rs
@@ -179,7 +179,7 @@
         path: path.clone(),
         source,
     })?;
-    tulipwall_config::read_service(&text).map_err(|diagnostics| ServiceFileError::Invalid {
+    tulipwall_config::read_client_file(&text).map_err(|diagnostics| ServiceFileError::Invalid {
         path: path.clone(),
         diagnostics,
     })
