--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -10,6 +10,8 @@
 const TARGET_OVER_FLOOR: f64 = 1.2;
 /// Part of the latency objective below which answers need no limit.
 const UNLIMITED_LATENCY: f64 = 0.2;
+/// Attempts in flight that the limit allows beyond the capacity and its square root.
+const LIMIT_HEADROOM: f64 = 2.0;
 /// Part of the highest limit of late below which the limit counts as collapsed.
 const COLLAPSED_LIMIT: f64 = 0.6;
 /// Decay of the highest limit of late, each evaluation interval.
@@ -56,7 +58,7 @@
             capacity += class.answer_rate * target;
             is_fast &= latency.mean < objective * UNLIMITED_LATENCY;
         }
-        let limit = capacity + capacity.sqrt() + 2.0;
+        let limit = capacity + capacity.sqrt() + LIMIT_HEADROOM;
         self.apply_limit(limit, is_fast);
         self.count_unresponsive(now);
     }
--- a/src/balancer/build_evaluation.rs
+++ b/src/balancer/build_evaluation.rs
@@ -28,7 +28,7 @@
     reason: Option<String>,
     /// Failures that speak for it.
     strength: f64,
-    /// Whether the evidence is what all agents see.
+    /// Whether the evidence rolls back at once: other agents see it, too, or the platform does.
     is_agreed: bool,
     /// Whether client-reported errors speak against it.
     has_wrong_answers: bool,
--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -16,6 +16,8 @@
 const AFFINITY_LOAD_FACTOR: f64 = 0.7;
 /// Part of the latency objective from which on the estimated work makes a request heavy.
 const HEAVY_WORK: f64 = 0.2;
+/// Consecutive faults beyond which an endpoint gets no request that may not run twice.
+const MAX_FAULTS_FOR_EFFECTS: u32 = 1;
 /// Power of the relative latency by which slow hardware is avoided for heavy requests.
 const HEAVY_LATENCY_POWER: i32 = -4;
 
@@ -202,6 +204,10 @@
         }
     }
 
+    /// How readily an endpoint is used for this request.
+    ///
+    /// Guards requests that are not idempotent against endpoints that may lose or fail them: those
+    /// come last for them. Does harm where they are the only ones with room, as the others get all.
     fn preference(
         &self,
         selection: &Selection,
@@ -212,7 +218,7 @@
         let ejection = &endpoint.ejection;
         let has_effect = selection.has_effect;
         let is_ejected = ejection.until.is_some_and(|until| selection.now < until)
-            || endpoint.health.consecutive_faults > 1 && has_effect;
+            || has_effect && endpoint.health.consecutive_faults > MAX_FAULTS_FOR_EFFECTS;
         if is_ejected || endpoint.is_unresponsive(selection.now, selection.stall_timeout) {
             return Preference::Unavailable;
         }
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -25,8 +25,12 @@
 const RESTART_FAULTS: u32 = 2;
 /// Length of the first ejection.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
-/// Length of the longest ejection; each is twice the one before.
+/// Length of the longest ejection.
 const MAX_EJECTION: Duration = Duration::from_millis(4000);
+/// Factor by which each ejection is longer than the one before.
+const EJECTION_GROWTH: u32 = 2;
+/// Longest ejection of an unreachable endpoint, in longest ejections.
+const MAX_UNREACHABLE_EJECTIONS: u32 = 2;
 /// How long a failing endpoint of the earlier build speaks for others of the newest one.
 const FAULTY_ENDPOINTS_FOR: Duration = Duration::from_millis(8000);
 /// Samples that the mean latency of a class is taken from, at most.
@@ -297,7 +301,8 @@
         }
         let duration = ejection.duration.max(duration_if_unreachable);
         ejection.until = Some(observation.now + duration);
-        ejection.duration = (ejection.duration * 2).clamp(MIN_EJECTION * 2, MAX_EJECTION);
+        ejection.duration = (ejection.duration * EJECTION_GROWTH)
+            .clamp(MIN_EJECTION * EJECTION_GROWTH, MAX_EJECTION);
     }
 
     /// Least length of an ejection.
@@ -311,7 +316,7 @@
         }
         let rate = self.classes.iter().map(|c| c.answer_rate).sum::<f64>();
         let round = self.fleet.endpoints.len() as f64 / rate.max(1.0);
-        Duration::from_secs_f64(round).clamp(MIN_EJECTION, MAX_EJECTION * 2)
+        Duration::from_secs_f64(round).clamp(MIN_EJECTION, MAX_EJECTION * MAX_UNREACHABLE_EJECTIONS)
     }
 }
 
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -10,6 +10,8 @@
 const RETRIES_PER_INTERVAL: u32 = 4;
 /// Longest time between calls after failures, in least gaps, where the agent's interval is shorter.
 const MAX_BACKOFF_GAPS: u32 = 8;
+/// Factor by which the time between calls grows, as a fraction.
+const BACKOFF_GROWTH: (u32, u32) = (3, 2);
 /// Bounds of the random factor on the time to the next call: the least, and what chance adds.
 const BACKOFF_JITTER: (f64, f64) = (0.7, 0.6);
 
@@ -88,7 +90,9 @@
         let (least, spread) = BACKOFF_JITTER;
         let jitter = least + spread * self.random_fraction();
         self.list.next_call = Some(now + backoff.mul_f64(jitter));
-        self.list.backoff = (backoff * 3 / 2).min(interval.max(MIN_CALL_GAP * MAX_BACKOFF_GAPS));
+        let (numerator, denominator) = BACKOFF_GROWTH;
+        let longest = interval.max(MIN_CALL_GAP * MAX_BACKOFF_GAPS);
+        self.list.backoff = (backoff * numerator / denominator).min(longest);
     }
 
     /// Whether the lease of the list holds. Nothing is sent once it does not: guards endpoints that
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -34,8 +34,8 @@
 };
 use crate::model::{
     ActiveRequest, AdmissionState, AffinityState, BuildState, ClassState, ClockState,
-    CrossZoneState, EvaluationState, Fleet, ListState, PeerOutcomes, PendingOutput, RetryState,
-    RolloutState, SlowStartState, VoteState,
+    CrossZoneState, EvaluationState, Fleet, LatencyRegression, ListState, PeerOutcomes,
+    PendingOutput, RetryState, RolloutState, SlowStartState, VoteState,
 };
 use crate::stats::OutcomeCounts;
 use evidence::MIN_OUTCOMES;
@@ -50,6 +50,9 @@
 /// Least time between two calls or votes, longer as they fail.
 const MIN_CALL_GAP: Duration = Duration::from_millis(250);
 
+/// Share of the agents that vote to roll back where the others only hold at first.
+const ROLL_BACK_FIRST_SHARE: f64 = 0.5;
+
 /// The decisions of one agent.
 ///
 /// Its state is grouped by owner; each part is changed by the file of its concern.
@@ -78,7 +81,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let parameters = Parameters::from(&settings);
         let votes = VoteState {
-            rolls_back_first: rng.gen_bool(0.5),
+            rolls_back_first: rng.gen_bool(ROLL_BACK_FIRST_SHARE),
             ..VoteState::default()
         };
         let list = ListState {
@@ -156,7 +159,7 @@
         for class in &mut self.classes {
             class.freeze_baseline(released, MIN_OUTCOMES);
         }
-        self.evaluation.latency = Default::default();
+        self.evaluation.latency = LatencyRegression::default();
         self.evaluation
             .peers
             .outcomes
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -26,6 +26,7 @@
     pub fn reload(&mut self, now: Duration, settings: &Settings, mapping: &IndexMapping) {
         let classes = CarryOver::new(&mapping.classes);
         let before = std::mem::replace(&mut self.parameters, Parameters::from(settings));
+        // The measure of work is taken by configuration.
         self.fleet.reset_scanned();
         self.reload_classes(settings, mapping, &classes);
         self.carry_over_evidence(&classes);
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -5,13 +5,15 @@
 use crate::model::SentVote;
 use std::time::Duration;
 
+/// Factor by which the time between two votes grows with each refusal.
+const VOTE_BACKOFF_GROWTH: u32 = 2;
 /// Longest time between two votes after refusals.
 const MAX_VOTE_BACKOFF: Duration = Duration::from_millis(2000);
 /// Longest interval, in seconds, that is kept for the other agents' sake.
 const MAX_VOTE_INTERVAL: f64 = 2.0;
 /// Time beyond the timeout, in gaps between calls, after which the reply to a vote is given up.
 const REPLY_GRACE: u32 = 2;
-/// Part of its time to live after which a vote is renewed.
+/// A vote is renewed so many times within its time to live.
 const RENEWALS_PER_TTL: u32 = 2;
 /// Times to live after which a standing vote is forgotten.
 const FORGOTTEN_AFTER_TTLS: u32 = 2;
@@ -81,7 +83,7 @@
         self.votes.backoff = match reply {
             VoteReply::Counted | VoteReply::Moot => MIN_CALL_GAP,
             VoteReply::Refused | VoteReply::Unknown => {
-                (backoff * 2).clamp(MIN_CALL_GAP, MAX_VOTE_BACKOFF)
+                (backoff * VOTE_BACKOFF_GROWTH).clamp(MIN_CALL_GAP, MAX_VOTE_BACKOFF)
             }
         };
         let rollout = &self.parameters.rollout;
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) use class::{ClassRules, ClassState, LatencyEstimate};
 pub(crate) use endpoint::{Endpoint, LoadReport};
 pub(crate) use endpoint_type::EndpointType;
-pub(crate) use evaluation::{EvaluationState, PeerOutcomes, SpeedCounts};
+pub(crate) use evaluation::{EvaluationState, LatencyRegression, PeerOutcomes, SpeedCounts};
 pub(crate) use fleet::Fleet;
 pub(crate) use load::{
     AdmissionState, AffinityState, ClockState, CrossZoneState, ListState, PendingOutput,
