--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -58,14 +58,14 @@
         }
     }
 
-    /// The next message.
+    /// The next message: its tag and its body.
     pub fn read_message(&mut self) -> io::Result<(u8, Vec<u8>)> {
-        let mut head = [0; 5];
-        self.stream.read_exact(&mut head)?;
-        let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; length.checked_sub(4).ok_or(io::ErrorKind::InvalidData)?];
+        let mut header = [0; pg::HEADER_BYTES];
+        self.stream.read_exact(&mut header)?;
+        let [tag, length @ ..] = header;
+        let mut body = vec![0; pg::body_length(length)?];
         self.stream.read_exact(&mut body)?;
-        Ok((head[0], body))
+        Ok((tag, body))
     }
 
     /// All messages up to the next that says it is ready.
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,13 +1,12 @@
-//! Discovery: the list over HTTP, whole or as a watch, told to each zone with the addresses that
-//! are its own.
+//! Fake discovery: the list over HTTP, whole or as a watch, for each zone with the addresses that are
+//! its own.
 
 pub use crate::registry::Entry;
 use crate::registry::{self, Registry};
-use crate::runtime::{self, lock_unpoisoned, sleep, TerminationSignal};
-use async_executor::Task;
+use crate::runtime::{self, lock_unpoisoned, sleep, Listeners, TerminationSignal};
 use async_io::Async;
 use event_listener::Event;
-use futures_lite::future::FutureExt;
+use futures_lite::future::{pending, FutureExt};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -16,42 +15,50 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What is wrong with it.
+/// How discovery answers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum DiscoveryBehavior {
+    /// With the list.
     #[default]
     Normal,
-    /// Refuses to answer: each connection is closed.
+    /// Not at all: it closes the connection.
     ClosesConnections,
-    /// Takes what is asked and says nothing.
+    /// Not at all: the connection stays open.
     Unresponsive,
-    /// Answers with this.
+    /// With this text.
     Sends(String),
 }
 
-/// How one further connection is met, whatever the manner.
+/// How one further connection is treated, whatever the [`DiscoveryBehavior`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConnectionBehavior {
     /// It is closed.
     Closed,
-    /// It is answered as ever from now on, after so long.
+    /// Its requests are answered as usual after this time.
     AnsweredAfter(Duration),
-    /// Nothing is ever said on it.
+    /// Nothing is ever sent on it.
     Unanswered,
 }
 
 #[derive(Default)]
 struct State {
-    manner: DiscoveryBehavior,
-    next: VecDeque<ConnectionBehavior>, // how the next connections are met
-    hushes: u64,                        // how often open connections fell silent
+    behavior: DiscoveryBehavior,
+    next_connections: VecDeque<ConnectionBehavior>,
+    silenced: u64, // how often open connections fell silent
     registry: Registry,
     connections: usize,
-    open: usize,    // of them
-    own: usize,     // of them, one call each: those of `settled`
-    written: usize, // bytes
-    asked: usize,
-    wholes: usize,
+    open: usize,       // of them
+    own: usize,        // of them, with one request each: those of `settled`
+    written: usize,    // bytes
+    requests: usize,   // of all kinds
+    full_lists: usize, // of them
+}
+
+/// How a connection was accepted.
+struct Accepted {
+    behavior: Option<ConnectionBehavior>,
+    /// How often connections had been silenced by then.
+    silenced: u64,
 }
 
 #[derive(Default)]
@@ -64,48 +71,60 @@
     fn state(&self) -> MutexGuard<'_, State> {
         lock_unpoisoned(&self.state)
     }
+
+    fn accept(&self) -> Accepted {
+        let mut state = self.state();
+        state.connections += 1;
+        state.open += 1;
+        Accepted {
+            behavior: state.next_connections.pop_front(),
+            silenced: state.silenced,
+        }
+    }
+
+    /// Counts a request and says how it is answered.
+    fn count_request(&self, path: &str) -> DiscoveryBehavior {
+        let mut state = self.state();
+        state.requests += 1;
+        state.full_lists += usize::from(!path.contains("after="));
+        state.behavior.clone()
+    }
 }
 
+/// A fake discovery service.
 pub struct Discovery {
     shared: Arc<Shared>,
-    ends: Arc<TerminationSignal>,
-    addresses: Vec<SocketAddr>,
-    _listening: Vec<Task<()>>,
+    connections: Arc<TerminationSignal>,
+    listeners: Listeners,
 }
 
 impl Discovery {
     /// Listens for those who ask from each of `zones` zones.
     pub fn start(zones: usize) -> io::Result<Discovery> {
-        let (shared, ends) = (
-            Arc::<Shared>::default(),
-            Arc::<TerminationSignal>::default(),
-        );
-        let (mut addresses, mut listening) = (Vec::new(), Vec::new());
-        for from in 0..zones {
-            let s = shared.clone();
-            let serve = move |stream| {
-                let shared = s.clone();
-                async move {
-                    let _ = talk(&shared, from, stream).await;
-                }
-            };
-            let (address, task) = runtime::listen(&ends, serve)?;
-            addresses.push(address);
-            listening.push(task);
-        }
+        let shared = Arc::<Shared>::default();
+        let connections = Arc::<TerminationSignal>::default();
+        let served = shared.clone();
+        let serve = move |zone, stream| {
+            let shared = served.clone();
+            async move {
+                let _ = serve_connection(&shared, zone, stream).await;
+            }
+        };
+        let addresses = vec![runtime::ANY_PORT; zones];
+        let listeners = runtime::listen_by_zone(&addresses, &connections, serve)?;
         Ok(Discovery {
             shared,
-            ends,
-            addresses,
-            _listening: listening,
+            connections,
+            listeners,
         })
     }
 
+    /// Where callers of a zone reach it.
     pub fn address(&self, from: usize) -> SocketAddr {
-        self.addresses[from]
+        self.listeners.addresses[from]
     }
 
-    /// Changes or adds entries; who watches is told at once. One version for all of them.
+    /// Changes or adds entries, under one version; watches are answered at once.
     pub fn update(&self, entries: impl IntoIterator<Item = Entry>) {
         self.shared.state().registry.update(entries);
         self.shared.changed.notify(usize::MAX);
@@ -120,23 +139,24 @@
         }
     }
 
+    /// All entries.
     pub fn entries(&self) -> Vec<Entry> {
         self.shared.state().registry.entries().cloned().collect()
     }
 
     /// Behaves like this from now on; connections that are open end.
-    pub fn set_behavior(&self, manner: DiscoveryBehavior) {
-        self.shared.state().manner = manner;
-        self.ends.end();
+    pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
+        self.shared.state().behavior = behavior;
+        self.connections.end();
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Watches that are open fall silent, though their connections stay; the next ones are met like
-    /// this, then as ever.
+    /// Watches that are open fall silent, though their connections stay. The next connections are
+    /// treated as given, then as usual.
     pub fn silence_watches(&self, next: impl IntoIterator<Item = ConnectionBehavior>) {
         let mut state = self.shared.state();
-        state.hushes += 1;
-        state.next = next.into_iter().collect();
+        state.silenced += 1;
+        state.next_connections = next.into_iter().collect();
     }
 
     /// How many connections were opened to it.
@@ -146,7 +166,7 @@
     }
 
     /// Waits until all that was asked before this call is counted: at most one of the connections
-    /// that were opened by then goes on. Whether it came to that within [`ground::SOON`].
+    /// that were opened by then goes on. Whether it came to that within [`runtime::TEST_TIMEOUT`].
     pub fn settled(&self, from: usize) -> io::Result<bool> {
         // Connections are taken in their order, so each earlier one has been once this one is
         // answered.
@@ -168,15 +188,15 @@
         self.shared.state().written
     }
 
-    /// How often anything was asked.
+    /// How many requests came.
     pub fn requests(&self) -> usize {
         let state = self.shared.state();
-        state.asked - state.own
+        state.requests - state.own
     }
 
-    /// How often the whole list was.
+    /// How many of them asked for the whole list.
     pub fn full_list_requests(&self) -> usize {
-        self.shared.state().wholes
+        self.shared.state().full_lists
     }
 
     /// The list as a configuration's `known`.
@@ -185,57 +205,50 @@
     }
 }
 
-/// A connection that is open, until it is dropped.
-struct Opened<'a>(&'a Shared);
+/// Counts a connection as open until it is dropped.
+struct OpenGuard<'a>(&'a Shared);
 
-impl Drop for Opened<'_> {
+impl Drop for OpenGuard<'_> {
     fn drop(&mut self) {
         self.0.state().open -= 1;
     }
 }
 
-async fn talk(shared: &Shared, from: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
-    let _open = Opened(shared);
-    let (meets, hushes) = {
-        let mut state = shared.state();
-        (state.connections, state.open) = (state.connections + 1, state.open + 1);
-        (state.next.pop_front(), state.hushes)
-    };
-    match meets {
+async fn serve_connection(
+    shared: &Shared,
+    zone: usize,
+    mut stream: Async<TcpStream>,
+) -> io::Result<()> {
+    let _open = OpenGuard(shared);
+    let accepted = shared.accept();
+    match accepted.behavior {
         Some(ConnectionBehavior::Closed) => return Ok(()),
         Some(ConnectionBehavior::AnsweredAfter(time)) => sleep(time).await,
-        Some(ConnectionBehavior::Unanswered) => futures_lite::future::pending().await,
+        Some(ConnectionBehavior::Unanswered) => pending().await,
         None => {}
     }
-    loop {
-        let Some(path) = question(&mut stream).await? else {
-            return Ok(());
-        };
-        let manner = {
-            let mut state = shared.state();
-            state.asked += 1;
-            state.wholes += usize::from(!path.contains("after="));
-            state.manner.clone()
-        };
-        let body = match manner {
+    while let Some(path) = read_path(&mut stream).await? {
+        let body = match shared.count_request(&path) {
             DiscoveryBehavior::ClosesConnections => return Ok(()),
-            DiscoveryBehavior::Unresponsive => futures_lite::future::pending().await,
+            DiscoveryBehavior::Unresponsive => pending().await,
             DiscoveryBehavior::Sends(text) => {
                 stream.write_all(text.as_bytes()).await?;
                 continue;
             }
-            DiscoveryBehavior::Normal => told(shared, from, &path).await,
+            DiscoveryBehavior::Normal => list_document(shared, zone, &path).await,
         };
-        if shared.state().hushes != hushes {
-            futures_lite::future::pending::<()>().await;
+        if shared.state().silenced != accepted.silenced {
+            pending::<()>().await;
         }
         let answer = registry::http_response(&body);
         shared.state().written += answer.len();
         stream.write_all(answer.as_bytes()).await?;
     }
+    Ok(())
 }
 
-async fn question(stream: &mut Async<TcpStream>) -> io::Result<Option<String>> {
+/// The path of the next request; nothing where the caller has closed or sends no head.
+async fn read_path(stream: &mut Async<TcpStream>) -> io::Result<Option<String>> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0; 1];
@@ -249,9 +262,9 @@
 }
 
 /// The whole list, or what is newer than the version that is named, for which it waits.
-async fn told(shared: &Shared, from: usize, path: &str) -> Value {
+async fn list_document(shared: &Shared, zone: usize, path: &str) -> Value {
     let Some((after, wait)) = registry::parse_watch(path) else {
-        return shared.state().registry.full_list(from);
+        return shared.state().registry.full_list(zone);
     };
     let newer = async {
         loop {
@@ -264,5 +277,5 @@
     };
     newer.or(sleep(wait)).await;
     let state = shared.state();
-    state.registry.changes_since(after, from)
+    state.registry.changes_since(after, zone)
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -11,6 +11,9 @@
 //! - [`simulation`]: agents, endpoints and clients in simulated time, for the decisions and the zones
 //!   alone, with the rules checked after each step.
 
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
+
 pub mod agent_process;
 pub mod client;
 pub mod cluster;
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -3,7 +3,9 @@
 
 use crate::pg;
 use crate::runtime::{self, lock_unpoisoned, sleep};
+use async_executor::Task;
 use async_io::Async;
+use async_lock::Semaphore;
 use futures_lite::future::FutureExt;
 use futures_lite::AsyncWriteExt;
 use hdrhistogram::Histogram;
@@ -15,8 +17,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Satisfied requests that are kept one by one, at most.
+/// Latencies of successful requests that are kept one by one, at most.
 pub const EACH_MOST: usize = 50_000;
+/// Ids of unanswered requests that are kept, at most.
+const MAX_UNANSWERED_IDS: usize = 100;
+/// How long after its deadline a request is still waited for.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Requests read one of so many objects.
+const OBJECTS: u32 = 10_000;
+/// Gaps are drawn as if at least this many requests came a second.
+const MIN_RATE: f64 = 1e-6;
+/// The largest latency that is told apart, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What is asked for.
 #[derive(Clone, Debug)]
@@ -54,7 +67,8 @@
 impl LoadReport {
     /// The time, in milliseconds, within which this part (0 to 1) of the satisfied answers came.
     pub fn quantile_ms(&self, part: f64) -> f64 {
-        let mut all = Histogram::<u64>::new(3).unwrap_or_else(|_| Histogram::new_from(&empty()));
+        let mut all = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
+            .unwrap_or_else(|_| Histogram::new_from(&histogram()));
         self.latencies
             .values()
             .for_each(|h| all.add(h).unwrap_or(()));
@@ -74,27 +88,36 @@
     }
 }
 
-fn empty() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3)
-        .unwrap_or_else(|_| unreachable!("bounds that are taken"))
+fn histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("the bounds are valid"))
+}
+
+fn micros(time: Duration) -> u64 {
+    time.as_micros().max(1) as u64
 }
 
 /// A request that is due.
-struct PollResult {
+struct DueRequest {
     at: Instant,
     id: String,
     class: String,
-    wait: Duration,
-    text: String,
+    timeout: Duration,
+    statement: String,
 }
 
-/// Idle connections of one load.
-type Idle = Arc<Mutex<Vec<Async<TcpStream>>>>;
+/// What the requests of one load share.
+struct Shared {
+    agent: SocketAddr,
+    idle: Mutex<Vec<Async<TcpStream>>>,
+    permits: Semaphore,
+    report: Mutex<LoadReport>,
+}
 
 impl Load {
-    /// Begins; the result is there once the last request has had its answer or its time.
-    pub fn start(self) -> async_executor::Task<LoadReport> {
-        runtime::spawn(async move { self.generate().await })
+    /// Starts; the report is there once the last request has had its answer or its time.
+    pub fn start(self) -> Task<LoadReport> {
+        runtime::spawn(self.generate())
     }
 
     /// The same, and waits for it.
@@ -103,121 +126,151 @@
     }
 
     async fn generate(self) -> LoadReport {
-        let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
-        let (idle, result) = (Idle::default(), Arc::new(Mutex::new(LoadReport::default())));
-        let places = Arc::new(async_lock::Semaphore::new(self.connections.max(1)));
-        let (begun, mut at, mut tasks, mut n) = (Instant::now(), 0.0f64, Vec::new(), 0u64);
-        let weights: f64 = self.classes.iter().map(|l| l.1).sum();
+        let mut random = Pcg64Mcg::seed_from_u64(self.seed);
+        let shared = Arc::new(Shared {
+            agent: self.agent,
+            idle: Mutex::default(),
+            permits: Semaphore::new(self.connections.max(1)),
+            report: Mutex::default(),
+        });
+        let begun = Instant::now();
+        let mut elapsed = 0.0;
+        let mut tasks = Vec::new();
         loop {
-            at += -(1.0f64 - rng.gen_range(0.0..1.0)).ln() / self.rate.max(1e-6);
-            if at >= self.duration.as_secs_f64() {
+            elapsed += self.draw_gap(&mut random);
+            if elapsed >= self.duration.as_secs_f64() {
                 break;
             }
-            let due = begun + Duration::from_secs_f64(at);
+            let due = begun + Duration::from_secs_f64(elapsed);
             sleep(due.saturating_duration_since(Instant::now())).await;
-            let mut drawn = rng.gen_range(0.0..weights.max(1e-9));
-            let class = self.classes.iter().find(|l| {
-                drawn -= l.1;
-                drawn < 0.0
-            });
-            let Some((class, _, wait, keyed)) = class.or(self.classes.last()) else {
+            let number = tasks.len() as u64 + 1;
+            let Some(request) = self.draw_request(&mut random, due, number) else {
                 break;
             };
-            n += 1;
-            {
-                let mut r = lock_unpoisoned(&result);
-                let late = due.elapsed().as_micros().max(1) as u64;
-                r.send_delays
-                    .get_or_insert_with(empty)
-                    .saturating_record(late);
-            }
-            let (id, object) = (format!("{:x}-{n}", self.seed), rng.gen_range(0..10_000));
-            let key = if *keyed {
-                format!(",k={:x}{n:x}", self.seed)
-            } else {
-                String::new()
-            };
-            let ms = wait.as_millis();
-            let text = format!(
-                "SELECT body FROM objects WHERE oid = 'o{object}' /* id={id},c={class},d={ms}{key} */"
-            );
-            let due = PollResult {
-                at: due,
-                id,
-                class: class.clone(),
-                wait: *wait,
-                text,
-            };
-            let (agent, idle, places, result) =
-                (self.agent, idle.clone(), places.clone(), result.clone());
-            tasks.push(runtime::spawn(async move {
-                let place = places.acquire().await;
-                let late = async {
-                    let end = due.at + due.wait + Duration::from_millis(500);
-                    sleep(end.saturating_duration_since(Instant::now())).await;
-                    Err(io::ErrorKind::TimedOut.into())
-                };
-                let told = call(agent, &idle, &due).or(late).await;
-                drop(place);
-                note(&result, &due, told);
-            }));
+            shared.record_delay(due.elapsed());
+            tasks.push(runtime::spawn(send(shared.clone(), request)));
         }
         for task in tasks {
             task.await;
         }
-        let answered = lock_unpoisoned(&result).clone();
-        answered
+        let report = lock_unpoisoned(&shared.report).clone();
+        report
     }
+
+    /// Seconds to the next request.
+    fn draw_gap(&self, random: &mut Pcg64Mcg) -> f64 {
+        let drawn: f64 = random.gen_range(0.0..1.0);
+        -(1.0 - drawn).ln() / self.rate.max(MIN_RATE)
+    }
+
+    /// A request of a class drawn by weight; nothing where there are no classes.
+    fn draw_request(&self, random: &mut Pcg64Mcg, at: Instant, number: u64) -> Option<DueRequest> {
+        let weights: f64 = self.classes.iter().map(|class| class.1).sum();
+        let mut left = random.gen_range(0.0..weights.max(1e-9));
+        let drawn = self.classes.iter().find(|class| {
+            left -= class.1;
+            left < 0.0
+        });
+        let (class, _, timeout, keyed) = drawn.or(self.classes.last())?;
+        let id = format!("{:x}-{number}", self.seed);
+        let object = random.gen_range(0..OBJECTS);
+        let key = if *keyed {
+            format!(",k={:x}{number:x}", self.seed)
+        } else {
+            String::new()
+        };
+        let ms = timeout.as_millis();
+        let statement = format!(
+            "SELECT body FROM objects WHERE oid = 'o{object}' /* id={id},c={class},d={ms}{key} */"
+        );
+        Some(DueRequest {
+            at,
+            id,
+            class: class.clone(),
+            timeout: *timeout,
+            statement,
+        })
+    }
+}
+
+/// Sends a request as soon as a connection is free, and records what comes of it.
+async fn send(shared: Arc<Shared>, request: DueRequest) {
+    let permit = shared.permits.acquire().await;
+    let timeout = async {
+        let end = request.at + request.timeout + ANSWER_GRACE;
+        sleep(end.saturating_duration_since(Instant::now())).await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    let outcome = shared.call(&request).or(timeout).await;
+    drop(permit);
+    shared.record(&request, outcome);
 }
 
-fn note(result: &Mutex<LoadReport>, due: &PollResult, told: io::Result<Option<String>>) {
-    let mut r = lock_unpoisoned(result);
-    r.requests += 1;
-    match told {
-        Ok(None) => {
-            r.succeeded += 1;
-            let took = due.at.elapsed().as_micros() as u64;
-            r.latencies
-                .entry(due.class.clone())
-                .or_insert_with(empty)
-                .saturating_record(took.max(1));
-            if r.request_latencies.len() < EACH_MOST {
-                r.request_latencies.push((due.id.clone(), took));
+impl Shared {
+    /// One request; the code of an error, nothing for a value.
+    async fn call(&self, request: &DueRequest) -> io::Result<Option<String>> {
+        let idle = lock_unpoisoned(&self.idle).pop();
+        let mut stream = match idle {
+            Some(stream) => stream,
+            None => connect(self.agent).await?,
+        };
+        stream.write_all(&pg::query(&request.statement)).await?;
+        let mut code = None;
+        loop {
+            match pg::read(&mut stream).await? {
+                (pg::READY, _) => break,
+                (pg::ERROR, body) => code = Some(pg::error_field(&body, b'C').unwrap_or_default()),
+                _ => {}
             }
         }
-        Ok(Some(code)) if code == "53300" || code == "57P03" => r.rejected += 1,
-        Ok(Some(_)) => r.failed += 1,
-        Err(_) => {
-            r.unanswered += 1;
-            if r.unanswered_ids.len() < 100 {
-                r.unanswered_ids.push(due.id.clone());
-            }
+        lock_unpoisoned(&self.idle).push(stream);
+        Ok(code)
+    }
+
+    fn record_delay(&self, delay: Duration) {
+        let mut report = lock_unpoisoned(&self.report);
+        let delays = report.send_delays.get_or_insert_with(histogram);
+        delays.saturating_record(micros(delay));
+    }
+
+    fn record(&self, request: &DueRequest, outcome: io::Result<Option<String>>) {
+        let mut report = lock_unpoisoned(&self.report);
+        report.requests += 1;
+        match outcome {
+            Ok(None) => report.record_success(request),
+            Ok(Some(code)) if code == "53300" || code == "57P03" => report.rejected += 1,
+            Ok(Some(_)) => report.failed += 1,
+            Err(_) => report.record_unanswered(request),
         }
     }
 }
 
-/// One request; the code of an error, nothing for a value.
-async fn call(agent: SocketAddr, idle: &Idle, due: &PollResult) -> io::Result<Option<String>> {
-    let waiting = lock_unpoisoned(idle).pop();
-    let mut stream = match waiting {
-        Some(stream) => stream,
-        None => {
-            let mut stream = Async::<TcpStream>::connect(agent).await?;
-            stream.get_ref().set_nodelay(true)?;
-            stream.write_all(&pg::startup()).await?;
-            while pg::read(&mut stream).await?.0 != b'Z' {}
-            stream
+impl LoadReport {
+    fn record_success(&mut self, request: &DueRequest) {
+        let latency = request.at.elapsed();
+        self.succeeded += 1;
+        self.latencies
+            .entry(request.class.clone())
+            .or_insert_with(histogram)
+            .saturating_record(micros(latency));
+        if self.request_latencies.len() < EACH_MOST {
+            let micros = latency.as_micros() as u64;
+            self.request_latencies.push((request.id.clone(), micros));
         }
-    };
-    stream.write_all(&pg::query(&due.text)).await?;
-    let mut code = None;
-    loop {
-        match pg::read(&mut stream).await? {
-            (b'Z', _) => break,
-            (b'E', body) => code = Some(pg::error_field(&body, b'C').unwrap_or_default()),
-            _ => {}
+    }
+
+    fn record_unanswered(&mut self, request: &DueRequest) {
+        self.unanswered += 1;
+        if self.unanswered_ids.len() < MAX_UNANSWERED_IDS {
+            self.unanswered_ids.push(request.id.clone());
         }
     }
-    lock_unpoisoned(idle).push(stream);
-    Ok(code)
+}
+
+async fn connect(agent: SocketAddr) -> io::Result<Async<TcpStream>> {
+    let mut stream = Async::<TcpStream>::connect(agent).await?;
+    stream.get_ref().set_nodelay(true)?;
+    stream.write_all(&pg::startup()).await?;
+    while pg::read(&mut stream).await?.0 != pg::READY {}
+    Ok(stream)
 }
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -1,29 +1,37 @@
-//! The thread on which all fakes of a process run. It is not the agent's: what they take of time is
-//! theirs.
+//! The thread on which all fakes of a process run, and what they share: tasks, locks, listeners. It
+//! is not a thread of the agent, so the time that fakes take is their own.
 
 use async_executor::{Executor, Task};
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::{self, FutureExt};
 use std::future::Future;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what must come, at most. Generous: no figure comes from it.
+/// How long a test waits for what must come, at most. Generous: no figure depends on it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A free port on the loopback address.
+pub const ANY_PORT: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0));
+
+/// How soon a listener that could not accept (no descriptors are left) tries again.
+const ACCEPT_RETRY: Duration = Duration::from_millis(5);
+/// How often a test looks whether what it waits for holds.
+const WAIT_POLL: Duration = Duration::from_millis(2);
+
 static EXECUTOR: Executor<'static> = Executor::new();
 static THREAD: OnceLock<()> = OnceLock::new();
 
-/// Runs this beside everything else, until it ends or the task is dropped.
+/// Runs this in the background, until it ends or the task is dropped.
 pub fn spawn<T: Send + 'static>(work: impl Future<Output = T> + Send + 'static) -> Task<T> {
     THREAD.get_or_init(|| {
         let run = || future::block_on(EXECUTOR.run(future::pending::<()>()));
         // Without a thread nothing here would ever answer; the tests then say so.
         let _ = std::thread::Builder::new()
-            .name("standins".into())
+            .name("testkit".into())
             .spawn(run);
     });
     EXECUTOR.spawn(work)
@@ -35,19 +43,19 @@
     of.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Waits until this holds, looking every few milliseconds; whether it did within [`SOON`].
+/// Waits until this holds, looking every few milliseconds; whether it did within [`TEST_TIMEOUT`].
 pub fn wait_until(mut holds: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !holds() {
         if begun.elapsed() > TEST_TIMEOUT {
             return false;
         }
-        std::thread::sleep(Duration::from_millis(2));
+        std::thread::sleep(WAIT_POLL);
     }
     true
 }
 
-/// Ends what runs under it, again and again: each end is for what began before.
+/// Ends connections, again and again: each end is for those that were accepted before it.
 #[derive(Default)]
 pub struct TerminationSignal {
     count: AtomicU64,
@@ -55,16 +63,18 @@
 }
 
 impl TerminationSignal {
+    /// How many ends there were.
     pub fn count(&self) -> u64 {
         self.count.load(Ordering::SeqCst)
     }
 
+    /// Ends all connections that are open now.
     pub fn end(&self) {
         self.count.fetch_add(1, Ordering::SeqCst);
         self.event.notify(usize::MAX);
     }
 
-    /// Ready once there were more ends than `seen`.
+    /// Ready once there were other ends than `seen`.
     pub async fn ended(&self, seen: u64) {
         loop {
             let listener = self.event.listen();
@@ -76,22 +86,22 @@
     }
 }
 
-/// A listener on a free loopback port; each connection is served by a task of its own until `ends`
+/// A listener on a free loopback port; each connection is served by a task of its own until `signal`
 /// ends it. Returns its address and the task that listens.
 pub fn listen<F>(
-    ends: &Arc<TerminationSignal>,
+    signal: &Arc<TerminationSignal>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
 ) -> std::io::Result<(SocketAddr, Task<()>)>
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    listen_at(([127, 0, 0, 1], 0).into(), ends, serve)
+    listen_at(ANY_PORT, signal, serve)
 }
 
 /// The same at a given address.
 pub fn listen_at<F>(
     address: SocketAddr,
-    ends: &Arc<TerminationSignal>,
+    signal: &Arc<TerminationSignal>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
 ) -> std::io::Result<(SocketAddr, Task<()>)>
 where
@@ -99,22 +109,61 @@
 {
     let listener = Async::<TcpListener>::bind(address)?;
     let address = listener.get_ref().local_addr()?;
-    let ends = ends.clone();
-    let task = spawn(async move {
-        loop {
-            let Ok((stream, _)) = listener.accept().await else {
-                Timer::after(Duration::from_millis(5)).await;
-                continue;
-            };
-            let _ = stream.get_ref().set_nodelay(true);
-            let (ends, seen) = (ends.clone(), ends.count());
-            let talk = serve(stream);
-            spawn(async move { talk.or(ends.ended(seen)).await }).detach();
-        }
-    });
+    let task = spawn(accept(listener, signal.clone(), serve));
     Ok((address, task))
 }
 
+async fn accept<F>(
+    listener: Async<TcpListener>,
+    signal: Arc<TerminationSignal>,
+    serve: impl Fn(Async<TcpStream>) -> F,
+) where
+    F: Future<Output = ()> + Send + 'static,
+{
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            Timer::after(ACCEPT_RETRY).await;
+            continue;
+        };
+        let _ = stream.get_ref().set_nodelay(true);
+        let signal = signal.clone();
+        let seen = signal.count();
+        let session = serve(stream);
+        spawn(async move { session.or(signal.ended(seen)).await }).detach();
+    }
+}
+
+/// The listeners of a fake server.
+pub struct Listeners {
+    /// Where they listen, by zone.
+    pub addresses: Vec<SocketAddr>,
+    /// They listen until these are dropped.
+    pub tasks: Vec<Task<()>>,
+}
+
+/// Listens at an address for each zone; `serve` gets the caller's zone with each connection.
+pub fn listen_by_zone<F>(
+    addresses: &[SocketAddr],
+    signal: &Arc<TerminationSignal>,
+    serve: impl Fn(usize, Async<TcpStream>) -> F + Clone + Send + 'static,
+) -> std::io::Result<Listeners>
+where
+    F: Future<Output = ()> + Send + 'static,
+{
+    let mut listeners = Listeners {
+        addresses: Vec::new(),
+        tasks: Vec::new(),
+    };
+    for (zone, address) in addresses.iter().enumerate() {
+        let serve = serve.clone();
+        let (address, task) = listen_at(*address, signal, move |stream| serve(zone, stream))?;
+        listeners.addresses.push(address);
+        listeners.tasks.push(task);
+    }
+    Ok(listeners)
+}
+
+/// Sleeps for a span; not at all for none.
 pub async fn sleep(span: Duration) {
     if !span.is_zero() {
         Timer::after(span).await;
