--- a/crates/testkit/src/agent_process/mod.rs
+++ b/crates/testkit/src/agent_process/mod.rs
@@ -16,25 +16,32 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use tempfile::TempDir;
 
+/// Hosts of one loopback network of 256 that a listener may have.
+const HOSTS: u16 = 254;
+/// The lowest port that is given out.
+const FIRST_PORT: u16 = 20_000;
+
 /// A loopback address that nobody else is given: a port that was free a moment ago may be another's
 /// by now, and a client of the one would speak to the other.
 pub fn free_address() -> SocketAddr {
     static GIVEN: AtomicU16 = AtomicU16::new(0);
-    let (process, given) = (std::process::id(), GIVEN.fetch_add(1, Ordering::Relaxed));
-    let [_, _, high, low] = process.to_be_bytes();
-    let host = [127, 64 + (high & 63), low, 1 + (given % 254) as u8];
-    (host, 20_000 + given / 254).into()
+    let given = GIVEN.fetch_add(1, Ordering::Relaxed);
+    let [_, _, high, low] = std::process::id().to_be_bytes();
+    // A host by process, and there by number, so that processes do not meet.
+    let host = [127, 64 + (high & 63), low, 1 + (given % HOSTS) as u8];
+    (host, FIRST_PORT + given / HOSTS).into()
 }
 
 /// A process that is killed when this is dropped; its files go with it.
 pub struct AgentProcess {
     child: Child,
+    /// The configuration that it was started with.
     pub configuration: Value,
     folder: TempDir,
 }
 
 impl AgentProcess {
-    /// Starts an agent with this configuration and further arguments, its log in [`Program::log`].
+    /// Starts an agent with this configuration and further arguments, its log in [`AgentProcess::log`].
     pub fn start(
         binary: impl Into<OsString>,
         configuration: Value,
@@ -74,12 +81,14 @@
         std::fs::read_to_string(self.folder().join("log")).unwrap_or_default()
     }
 
+    /// Sends it a signal.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         let pid = pid.ok_or(io::ErrorKind::InvalidInput)?;
         Ok(kill_process(pid, signal)?)
     }
 
+    /// Asks it to shut down.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -6,11 +6,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// What an agent told it.
+/// An agent's reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
+    /// The value that was asked for.
     Value(Vec<u8>),
-    /// A retry is harmless; the code, and when to come back where that was said.
+    /// A retry is safe; the code, and the time to retry after where that was named.
     Rejected(String, Option<Duration>),
     /// The code: nothing is promised.
     Failed(String),
@@ -26,7 +27,9 @@
     }
 }
 
+/// A client with one connection.
 pub struct TestClient {
+    /// The connection.
     pub stream: TcpStream,
 }
 
@@ -73,19 +76,19 @@
         let mut heard = Vec::new();
         loop {
             match self.read_message()? {
-                (b'Z', _) => return Ok(heard),
+                (pg::READY, _) => return Ok(heard),
                 other => heard.push(other),
             }
         }
     }
 
-    /// Writes a read of one object; `wait` in milliseconds. The id is that of its port unless `id`
-    /// is given.
+    /// Sends a read of one object with this deadline in milliseconds. Its id is the client's port.
     pub fn send_query(&mut self, class: &str, wait: u32) {
         let id = self.stream.local_addr().map_or(0, |a| a.port());
         self.send_query_as(&id.to_string(), class, wait);
     }
 
+    /// The same with this id.
     pub fn send_query_as(&mut self, id: &str, class: &str, wait: u32) {
         self.send_statement(&format!(
             "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={class},d={wait} */"
@@ -101,7 +104,7 @@
     pub fn read_reply(&mut self) -> io::Result<Reply> {
         let heard = self.read_until_ready()?;
         let first = |tag| heard.iter().find(|(t, _)| *t == tag).map(|(_, body)| body);
-        if let Some(error) = first(b'E') {
+        if let Some(error) = first(pg::ERROR) {
             let code = pg::error_field(error, b'C').unwrap_or_default();
             let back = pg::error_field(error, b'D')
                 .and_then(|d| d.parse().ok())
@@ -111,7 +114,7 @@
                 _ => Reply::Failed(code),
             });
         }
-        let row = first(b'D').and_then(|row| row.get(6..));
+        let row = first(pg::DATA_ROW).and_then(|row| row.get(6..));
         row.map(|v| Reply::Value(v.to_vec()))
             .ok_or_else(|| io::Error::other(format!("no answer: {heard:?}")))
     }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -9,16 +9,29 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io;
-use std::sync::Mutex;
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// Zones with endpoints, and what an agent needs to reach them.
 pub struct TestCluster {
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// The request classes of its settings.
     pub classes: Vec<RequestClass>,
+    /// Lists the endpoints.
     pub discovery: Discovery,
+    /// Knows the newest build.
     pub platform: Platform,
-    endpoints: Mutex<BTreeMap<String, (usize, std::sync::Arc<Endpoint>)>>,
+    /// How many agents its settings name.
     pub agents: u32,
+    endpoints: Mutex<EndpointsById>,
+}
+
+type EndpointsById = BTreeMap<String, ClusterEndpoint>;
+
+struct ClusterEndpoint {
+    zone: usize,
+    endpoint: Arc<Endpoint>,
 }
 
 impl TestCluster {
@@ -34,29 +47,25 @@
         })
     }
 
-    fn endpoints(
-        &self,
-    ) -> std::sync::MutexGuard<'_, BTreeMap<String, (usize, std::sync::Arc<Endpoint>)>> {
+    fn endpoints(&self) -> MutexGuard<'_, EndpointsById> {
         lock_unpoisoned(&self.endpoints)
     }
 
-    /// Starts an endpoint in a zone, not yet listed. Its entry goes to [`Discovery::tell`].
+    /// Starts an endpoint in a zone, not yet listed. Its entry goes to [`Discovery::update`].
     pub fn start_unlisted(
         &self,
         zone: usize,
         id: &str,
         build: u32,
-        ways: EndpointBehavior,
+        behavior: EndpointBehavior,
     ) -> io::Result<Entry> {
-        let seed = id
-            .bytes()
-            .fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-        let endpoint = Endpoint::start(self.zones.len(), ways, seed)?;
+        let endpoint = Endpoint::start(self.zones.len(), behavior, seed_of(id))?;
         let addresses = (0..self.zones.len())
             .map(|from| endpoint.address(from))
             .collect();
+        let endpoint = Arc::new(endpoint);
         self.endpoints()
-            .insert(id.to_owned(), (zone, endpoint.into()));
+            .insert(id.to_owned(), ClusterEndpoint { zone, endpoint });
         Ok(Entry {
             id: id.to_owned(),
             addresses,
@@ -68,43 +77,46 @@
         })
     }
 
-    /// Starts one and lists it as long up.
+    /// Starts an endpoint and lists it as up for long.
     pub fn add_endpoint(
         &self,
         zone: usize,
         id: &str,
         build: u32,
-        ways: EndpointBehavior,
+        behavior: EndpointBehavior,
     ) -> io::Result<()> {
-        let entry = self.start_unlisted(zone, id, build, ways)?;
+        let entry = self.start_unlisted(zone, id, build, behavior)?;
         self.discovery.update([entry]);
         Ok(())
     }
 
-    /// Starts one and lists it as started now.
+    /// Starts an endpoint and lists it as started now.
     pub fn add_cold_endpoint(
         &self,
         zone: usize,
         id: &str,
         build: u32,
-        ways: EndpointBehavior,
+        behavior: EndpointBehavior,
     ) -> io::Result<()> {
-        let mut entry = self.start_unlisted(zone, id, build, ways)?;
+        let mut entry = self.start_unlisted(zone, id, build, behavior)?;
         entry.started_ms = unix_ms();
         self.discovery.update([entry]);
         Ok(())
     }
 
-    pub fn endpoint(&self, id: &str) -> Option<std::sync::Arc<Endpoint>> {
-        self.endpoints().get(id).map(|(_, a)| a.clone())
+    /// The endpoint of this id.
+    pub fn endpoint(&self, id: &str) -> Option<Arc<Endpoint>> {
+        let endpoints = self.endpoints();
+        endpoints.get(id).map(|found| found.endpoint.clone())
     }
 
-    /// Those of one zone, by id.
-    pub fn endpoints_in_zone(&self, zone: usize) -> Vec<(String, std::sync::Arc<Endpoint>)> {
-        let all = self.endpoints();
-        all.iter()
-            .filter(|(_, (z, _))| *z == zone)
-            .map(|(id, (_, a))| (id.clone(), a.clone()))
+    /// The endpoints of one zone, by id.
+    pub fn endpoints_in_zone(&self, zone: usize) -> Vec<(String, Arc<Endpoint>)> {
+        let endpoints = self.endpoints();
+        endpoints
+            .iter()
+            .filter(|(_, found)| found.zone == zone)
+            .map(|(id, found)| (id.clone(), found.endpoint.clone()))
             .collect()
     }
 
@@ -122,11 +134,11 @@
         }));
     }
 
-    /// Sets the way from one zone to all endpoints of another.
+    /// Sets the link from one zone to all endpoints of another.
     pub fn set_link(&self, from: usize, to: usize, link: Link) {
-        self.endpoints_in_zone(to)
-            .iter()
-            .for_each(|(_, a)| a.set_link(from, link));
+        for (_, endpoint) in self.endpoints_in_zone(to) {
+            endpoint.set_link(from, link);
+        }
     }
 
     /// The configuration of an agent in this zone.
@@ -149,42 +161,52 @@
 
     /// What endpoints of a zone have counted for callers of another, by class.
     pub fn transfer_counts(&self, from: usize, to: usize) -> BTreeMap<String, TransferCounts> {
-        let mut sum: BTreeMap<String, TransferCounts> = BTreeMap::new();
-        for (_, a) in self.endpoints_in_zone(to) {
-            for ((f, class), c) in a.transfer_counts() {
-                if f == from {
-                    let kept = sum.entry(class).or_default();
-                    kept.attempts += c.attempts;
-                    kept.read += c.read;
-                    kept.written += c.written;
+        let mut sums: BTreeMap<String, TransferCounts> = BTreeMap::new();
+        for (_, endpoint) in self.endpoints_in_zone(to) {
+            for ((zone, class), counts) in endpoint.transfer_counts() {
+                if zone == from {
+                    let sum = sums.entry(class).or_default();
+                    sum.attempts += counts.attempts;
+                    sum.read += counts.read;
+                    sum.written += counts.written;
                 }
             }
         }
-        sum
+        sums
     }
 
     /// All attempts that came anywhere, by id of their request.
     pub fn received_queries(&self) -> BTreeMap<String, Vec<ReceivedQuery>> {
-        let all: Vec<_> = self.endpoints().values().map(|(_, a)| a.clone()).collect();
-        let mut seen: BTreeMap<String, Vec<ReceivedQuery>> = BTreeMap::new();
-        for s in all.iter().flat_map(|a| a.received_queries()) {
-            seen.entry(s.id.clone()).or_default().push(s);
+        let endpoints: Vec<Arc<Endpoint>> = self
+            .endpoints()
+            .values()
+            .map(|found| found.endpoint.clone())
+            .collect();
+        let mut by_id: BTreeMap<String, Vec<ReceivedQuery>> = BTreeMap::new();
+        for query in endpoints.iter().flat_map(|e| e.received_queries()) {
+            by_id.entry(query.id.clone()).or_default().push(query);
         }
-        seen
+        by_id
     }
 
-    /// Requests of a class that may have run more than once.
+    /// Ids of requests of a class that may have run more than once.
     pub fn executed_twice(&self, class: &str) -> Vec<String> {
-        let twice =
-            |s: &Vec<ReceivedQuery>| s.iter().filter(|s| s.ran && s.class == class).count() > 1;
+        let ran = |query: &&ReceivedQuery| query.ran && query.class == class;
         self.received_queries()
             .into_iter()
-            .filter(|(_, s)| twice(s))
+            .filter(|(_, queries)| queries.iter().filter(ran).count() > 1)
             .map(|(id, _)| id)
             .collect()
     }
 }
 
+/// A seed for the draws of the endpoint with this id.
+fn seed_of(id: &str) -> u64 {
+    id.bytes().fold(7, |hash: u64, byte| {
+        hash.wrapping_mul(31).wrapping_add(u64::from(byte))
+    })
+}
+
 /// Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -31,41 +31,48 @@
 const MAX_LATENCY_MICROS: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is asked for.
+/// The load to generate.
 #[derive(Clone, Debug)]
 pub struct Load {
+    /// The agent that is asked.
     pub agent: SocketAddr,
-    /// Requests a second, in the mean; they come as by chance.
+    /// Requests a second, in the mean; they come at random.
     pub rate: f64,
+    /// How long requests come.
     pub duration: Duration,
     /// Classes with their weights, the time that clients wait, and whether they carry a key.
     pub classes: Vec<(String, f64, Duration, bool)>,
     /// Connections at most; a request that finds none free waits for one, and that time counts.
     pub connections: usize,
+    /// Seeds all draws.
     pub seed: u64,
 }
 
 /// What came of it. Times count from when a request was due.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
+    /// Requests that were sent, or could not be.
     pub requests: u64,
+    /// Requests that were answered with a value.
     pub succeeded: u64,
+    /// Requests that were rejected.
     pub rejected: u64,
+    /// Requests that failed.
     pub failed: u64,
-    /// No whole answer before its expiry and half a second, or its connection ended.
+    /// No whole answer before its deadline and half a second, or its connection ended.
     pub unanswered: u64,
     /// Ids of those without an answer, the first hundred.
     pub unanswered_ids: Vec<String>,
     /// Microseconds by which requests went out later than they were due.
     pub send_delays: Option<Histogram<u64>>,
-    /// Microseconds to each satisfied answer, by class.
+    /// Microseconds to each successful answer, by class.
     pub latencies: BTreeMap<String, Histogram<u64>>,
-    /// Ids of satisfied requests with their microseconds, the first [`EACH_MOST`].
+    /// Ids of successful requests with their microseconds, the first [`EACH_MOST`].
     pub request_latencies: Vec<(String, u64)>,
 }
 
 impl LoadReport {
-    /// The time, in milliseconds, within which this part (0 to 1) of the satisfied answers came.
+    /// The time, in milliseconds, within which this share (0 to 1) of the successful answers came.
     pub fn quantile_ms(&self, part: f64) -> f64 {
         let mut all = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
             .unwrap_or_else(|_| Histogram::new_from(&histogram()));
@@ -75,7 +82,7 @@
         all.value_at_quantile(part) as f64 / 1000.0
     }
 
-    /// How late, in milliseconds, this part of the requests went out at most: high where the load
+    /// How late, in milliseconds, this share of the requests went out at most: high where the load
     /// itself, or its machine, does not keep up.
     pub fn send_delay_ms(&self, part: f64) -> f64 {
         self.send_delays
@@ -83,6 +90,7 @@
             .map_or(0.0, |h| h.value_at_quantile(part) as f64 / 1000.0)
     }
 
+    /// Requests with an answer of any kind.
     pub fn answered(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
--- a/crates/testkit/src/platform/rollout_status.rs
+++ b/crates/testkit/src/platform/rollout_status.rs
@@ -6,15 +6,20 @@
 /// What the platform says of the newest build.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStatus {
+    /// The build.
     pub build: u32,
+    /// The stage that it is in, from 0.
     pub stage: usize,
     /// `trial`, `rolling_back`, `released` or `withdrawn`.
     pub phase: String,
+    /// Share of requests that may go to it.
     pub cap: f64,
+    /// When this came to be.
     pub since: Instant,
 }
 
 impl RolloutStatus {
+    /// A status that holds from now on.
     pub fn now(build: u32, stage: usize, phase: &str, cap: f64) -> RolloutStatus {
         RolloutStatus {
             build,
@@ -30,7 +35,7 @@
         self.value_at(Instant::now())
     }
 
-    /// The same as it is told at another time.
+    /// The same as it is sent at another time.
     pub fn value_at(&self, now: Instant) -> Value {
         json!({"image": self.build, "ring": self.stage, "progress": self.phase, "ceiling": self.cap,
             "lag_ms": now.saturating_duration_since(self.since).as_millis() as u64})
@@ -42,7 +47,7 @@
     }
 }
 
-/// What the platform tells unasked.
+/// A notification of the platform, as JSON-RPC.
 pub fn notification(method: &str, params: Value) -> Value {
     json!({"jsonrpc": "2.0", "method": method, "params": params})
 }
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -1,5 +1,5 @@
 //! What discovery knows, without sockets: the endpoints, each with the version of its last change,
-//! and what is told of them, as the wire has it.
+//! and the documents that the wire has of them.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -9,18 +9,23 @@
 /// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
+    /// Its id.
     pub id: String,
-    /// By zone of who asks.
+    /// By zone of the caller.
     pub addresses: Vec<SocketAddr>,
+    /// The name of its zone.
     pub zone: String,
+    /// Its cell.
     pub cell: u64,
     /// `in_service`, `terminating` or `terminated`.
     pub state: String,
     /// Unix time in milliseconds; 0 for long ago.
     pub started_ms: u64,
+    /// The build that it runs.
     pub build: u32,
 }
 
+/// The endpoints by id.
 pub struct Registry {
     /// Of the last change; 1 before any.
     pub version: u64,
@@ -45,15 +50,17 @@
         }
     }
 
+    /// The entry of this id.
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.entries.get(id).map(|(_, e)| e)
     }
 
+    /// All entries, by id.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().map(|(_, e)| e)
     }
 
-    /// The whole list, as told to zone `from`. What is gone is in no whole list.
+    /// The whole list for callers of zone `from`. It lacks what is terminated.
     pub fn full_list(&self, from: usize) -> Value {
         let there = self.entries().filter(|e| e.state != "terminated");
         let servers: Vec<Value> = there.map(|e| entry(e, from)).collect();
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -1,5 +1,4 @@
-//! Takes connections, hears what is asked first, and says what it is given: for what no fake would
-//! say.
+//! A server that sends fixed bytes on each connection: for what no fake would send.
 
 use crate::runtime::{self, TerminationSignal};
 use async_executor::Task;
@@ -9,33 +8,39 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 
+/// Bytes of the first request that are read, at most.
+const MAX_REQUEST: usize = 1024;
+
+/// A server that answers the first request of each connection with fixed bytes.
 pub struct ScriptedServer {
+    /// Where it listens.
     pub address: SocketAddr,
-    /// What was asked first on each connection.
+    /// The first request of each connection.
     pub requests: Receiver<String>,
     _task: Task<()>,
 }
 
 impl ScriptedServer {
-    /// Says `what` on each connection once anything was asked there, and nothing more; it stays
-    /// open.
-    pub fn start(what: &str) -> io::Result<ScriptedServer> {
-        let (tell, asked) = channel();
-        let what = what.to_owned();
-        let (address, task) =
-            runtime::listen(&Arc::<TerminationSignal>::default(), move |mut stream| {
-                let (what, tell) = (what.clone(), tell.clone());
-                async move {
-                    let mut first = [0; 1024];
-                    let got = stream.read(&mut first).await.unwrap_or_default();
-                    let _ = tell.send(String::from_utf8_lossy(&first[..got]).into());
-                    let _ = stream.write_all(what.as_bytes()).await;
-                    futures_lite::future::pending::<()>().await;
-                }
-            })?;
+    /// Sends `reply` on each connection once anything was received there, and nothing more; the
+    /// connection stays open.
+    pub fn start(reply: &str) -> io::Result<ScriptedServer> {
+        let (sender, requests) = channel();
+        let reply = reply.to_owned();
+        let signal = Arc::<TerminationSignal>::default();
+        let (address, task) = runtime::listen(&signal, move |mut stream| {
+            let reply = reply.clone();
+            let sender = sender.clone();
+            async move {
+                let mut first = [0; MAX_REQUEST];
+                let read = stream.read(&mut first).await.unwrap_or_default();
+                let _ = sender.send(String::from_utf8_lossy(&first[..read]).into());
+                let _ = stream.write_all(reply.as_bytes()).await;
+                futures_lite::future::pending::<()>().await;
+            }
+        })?;
         Ok(ScriptedServer {
             address,
-            requests: asked,
+            requests,
             _task: task,
         })
     }
--- a/crates/testkit/src/simulation/runner/attempts.rs
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -246,6 +246,6 @@
         fully_written: written,
         bytes_sent: if written { request_bytes } else { 0 },
         bytes_received: if replied { reply_bytes } else { 0 },
-        latency: latency,
+        latency,
     }
 }
