--- a/crates/config/src/client_file.rs
+++ b/crates/config/src/client_file.rs
@@ -98,9 +98,9 @@
     service.classes.push(class);
 }
 
-/// What a class says of repeats, before its scope and window are known.
+/// The idempotency of a class, before its scope and window are known.
 #[derive(Clone, Copy)]
-enum Repeats {
+enum IdempotencyKind {
     Idempotent,
     Keyed,
     NonIdempotent,
@@ -112,7 +112,7 @@
         .arguments(node, 1, &[])
         .into_iter()
         .find_map(|entry| reader.entry_text(entry, "lane"));
-    let mut repeats = None;
+    let mut idempotency_kind = None;
     let mut scope = DeduplicationScope::All;
     let mut window = DEFAULT_WINDOW;
     let mut latency_objective = None;
@@ -120,7 +120,7 @@
     let known = ["repeats", "group", "window", "quoted", "benefit"];
     for node in reader.nodes(node.children(), "lane", &known, &[]) {
         match node.name().value() {
-            "repeats" => repeats = read_repeats(reader, node),
+            "repeats" => idempotency_kind = read_idempotency_kind(reader, node),
             "group" => scope = read_deduplication_scope(reader, node),
             "window" => window = duration_or(reader, node, DEFAULT_WINDOW),
             "quoted" => latency_objective = reader.duration(node, MIN_DURATION),
@@ -130,17 +130,17 @@
             }
         }
     }
-    let is_incomplete = repeats.is_none() || latency_objective.is_none();
+    let is_incomplete = idempotency_kind.is_none() || latency_objective.is_none();
     if is_incomplete && !reader.has_diagnostics() {
         let problem = ConfigProblem::Missing {
             expected: "repeats and quoted are wanted in it",
         };
         reader.report(location, "lane", problem);
     }
-    let idempotency = match repeats? {
-        Repeats::Idempotent => Idempotency::Idempotent,
-        Repeats::Keyed => Idempotency::Keyed { scope, window },
-        Repeats::NonIdempotent => Idempotency::NonIdempotent,
+    let idempotency = match idempotency_kind? {
+        IdempotencyKind::Idempotent => Idempotency::Idempotent,
+        IdempotencyKind::Keyed => Idempotency::Keyed { scope, window },
+        IdempotencyKind::NonIdempotent => Idempotency::NonIdempotent,
     };
     Some(RequestClass {
         name: name?,
@@ -150,11 +150,11 @@
     })
 }
 
-fn read_repeats(reader: &mut KdlReader, node: &KdlNode) -> Option<Repeats> {
+fn read_idempotency_kind(reader: &mut KdlReader, node: &KdlNode) -> Option<IdempotencyKind> {
     let choices = [
-        ("idempotent", Repeats::Idempotent),
-        ("deduplicated", Repeats::Keyed),
-        ("unrepeatable", Repeats::NonIdempotent),
+        ("idempotent", IdempotencyKind::Idempotent),
+        ("deduplicated", IdempotencyKind::Keyed),
+        ("unrepeatable", IdempotencyKind::NonIdempotent),
     ];
     reader.choice(node, &choices)
 }
@@ -172,85 +172,85 @@
 
 fn read_retries(reader: &mut KdlReader, node: &KdlNode) -> RetryPolicy {
     reader.arguments(node, 0, &[]);
-    let mut retries = RetryPolicy::default();
+    let mut policy = RetryPolicy::default();
     let known = ["tries", "earned", "kept", "pause", "pause-most"];
     for node in reader.nodes(node.children(), "retries", &known, &[]) {
         match node.name().value() {
             "tries" => {
                 if let Some(attempts) = reader.number(node, 1.0, MAX_ATTEMPTS) {
-                    retries.max_attempts = attempts as u32;
+                    policy.max_attempts = attempts as u32;
                 }
             }
             "earned" => {
-                retries.tokens_per_success =
-                    number_or(reader, node, 0.0..=1.0, retries.tokens_per_success)
+                policy.tokens_per_success =
+                    number_or(reader, node, 0.0..=1.0, policy.tokens_per_success)
             }
             "kept" => {
-                retries.max_tokens = number_or(reader, node, 0.0..=MAX_COUNT, retries.max_tokens)
+                policy.max_tokens = number_or(reader, node, 0.0..=MAX_COUNT, policy.max_tokens)
             }
-            "pause" => retries.initial_backoff = duration_or(reader, node, retries.initial_backoff),
-            _ => retries.max_backoff = duration_or(reader, node, retries.max_backoff),
+            "pause" => policy.initial_backoff = duration_or(reader, node, policy.initial_backoff),
+            _ => policy.max_backoff = duration_or(reader, node, policy.max_backoff),
         }
     }
-    retries
+    policy
 }
 
 fn read_connections(reader: &mut KdlReader, node: &KdlNode) -> ConnectionPolicy {
     reader.arguments(node, 0, &[]);
-    let mut connections = ConnectionPolicy::default();
+    let mut policy = ConnectionPolicy::default();
     let known = [
         "least", "most", "idle", "life", "within", "opening", "rate", "spread",
     ];
     let rates = MIN_CONNECTION_RATE..=MAX_COUNT;
     for node in reader.nodes(node.children(), "connections", &known, &[]) {
-        let c = &mut connections;
         match node.name().value() {
-            "least" => c.min_connections = count_or(reader, node, 0.0, c.min_connections),
-            "most" => c.max_connections = count_or(reader, node, 1.0, c.max_connections),
-            "idle" => c.idle_timeout = duration_or(reader, node, c.idle_timeout),
-            "life" => c.max_lifetime = duration_or(reader, node, c.max_lifetime),
-            "within" => c.connect_timeout = duration_or(reader, node, c.connect_timeout),
-            "opening" => c.max_connecting = count_or(reader, node, 1.0, c.max_connecting),
+            "least" => policy.min_connections = count_or(reader, node, 0.0, policy.min_connections),
+            "most" => policy.max_connections = count_or(reader, node, 1.0, policy.max_connections),
+            "idle" => policy.idle_timeout = duration_or(reader, node, policy.idle_timeout),
+            "life" => policy.max_lifetime = duration_or(reader, node, policy.max_lifetime),
+            "within" => policy.connect_timeout = duration_or(reader, node, policy.connect_timeout),
+            "opening" => policy.max_connecting = count_or(reader, node, 1.0, policy.max_connecting),
             "rate" => {
-                c.connects_per_second =
-                    number_or(reader, node, rates.clone(), c.connects_per_second)
+                policy.connects_per_second =
+                    number_or(reader, node, rates.clone(), policy.connects_per_second)
             }
             _ => {
-                c.reconnect_spread = reader
+                policy.reconnect_spread = reader
                     .duration(node, Duration::ZERO)
-                    .unwrap_or(c.reconnect_spread)
+                    .unwrap_or(policy.reconnect_spread)
             }
         }
     }
-    if connections.min_connections > connections.max_connections {
+    if policy.min_connections > policy.max_connections {
         let location = reader.location(node);
         reader.report(location, "connections", ConfigProblem::EmptyRange);
     }
-    connections
+    policy
 }
 
 fn read_in_flight(reader: &mut KdlReader, node: &KdlNode) -> ConcurrencyPolicy {
     reader.arguments(node, 0, &[]);
-    let mut in_flight = ConcurrencyPolicy::default();
+    let mut policy = ConcurrencyPolicy::default();
     let known = ["least", "most", "waiting", "wait"];
     for node in reader.nodes(node.children(), "in-flight", &known, &[]) {
-        let f = &mut in_flight;
         match node.name().value() {
-            "least" => f.min_limit = number_or(reader, node, 1.0..=MAX_COUNT, f.min_limit),
-            "most" => f.max_limit = number_or(reader, node, 1.0..=MAX_COUNT, f.max_limit),
-            "waiting" => f.max_queued = count_or(reader, node, 0.0, f.max_queued),
+            "least" => {
+                policy.min_limit = number_or(reader, node, 1.0..=MAX_COUNT, policy.min_limit)
+            }
+            "most" => policy.max_limit = number_or(reader, node, 1.0..=MAX_COUNT, policy.max_limit),
+            "waiting" => policy.max_queued = count_or(reader, node, 0.0, policy.max_queued),
             _ => {
-                f.queue_timeout = reader
+                policy.queue_timeout = reader
                     .duration(node, Duration::ZERO)
-                    .unwrap_or(f.queue_timeout)
+                    .unwrap_or(policy.queue_timeout)
             }
         }
     }
-    if in_flight.min_limit > in_flight.max_limit {
+    if policy.min_limit > policy.max_limit {
         let location = reader.location(node);
         reader.report(location, "in-flight", ConfigProblem::EmptyRange);
     }
-    in_flight
+    policy
 }
 
 fn number_or(
--- a/crates/discovery/src/endpoint_table.rs
+++ b/crates/discovery/src/endpoint_table.rs
@@ -309,7 +309,7 @@
     }
 
     /// The state after a record. Another instance of discovery may hold an older list, in which an
-    /// endpoint that has been told to stop still runs: it stays stopped until a newer list, or
+    /// endpoint that has stopped since still runs: it stays stopped until a newer list, or
     /// another start of the endpoint, says otherwise. That does harm to one that is called back
     /// within the same version.
     fn state_after(&self, record: &EndpointRecord, is_same: bool, version: u64) -> EndpointState {
--- a/crates/discovery/src/list_response.rs
+++ b/crates/discovery/src/list_response.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Of two entries for one endpoint the one with the newer start counts. Where they tell of the
+    /// Of two entries for one endpoint the one with the newer start counts. Where they are of the
     /// same start and contradict each other neither is believed: one of them may say that the
     /// endpoint drains. That does harm where it in fact runs.
     fn add_endpoint(&mut self, endpoint: EndpointRecord) {
--- a/crates/discovery/src/watch_timer.rs
+++ b/crates/discovery/src/watch_timer.rs
@@ -2,7 +2,7 @@
 //!
 //! An agent watches the list by long polls on one connection. It is held to any change 6 s after
 //! its watch fell silent, or 2 s after the wait of the call where that is later, whether or not it
-//! heard of the change. So silence is noticed, and the list called for anew with some attempts to
+//! learned of the change. So silence is noticed, and the list called for anew with some attempts to
 //! spare, before either.
 //!
 //! Without I/O and clock: the timer gets the settings and what happened, and returns durations.
@@ -18,7 +18,7 @@
 /// How long after its wait a response may come where lists are pushed.
 const PUSHED_GRACE: Duration = Duration::from_millis(250);
 /// Timeout of a call that should be answered at once. Such calls are repeated while discovery is
-/// away, so that it is heard within this time and [`RETRY_DELAY`] after its return.
+/// away, so that it is reached within this time and [`RETRY_DELAY`] after its return.
 const QUICK_TIMEOUT: Duration = Duration::from_millis(100);
 /// Timeout of the call beside the quick ones, for connections that come up late.
 const PATIENT_TIMEOUT: Duration = Duration::from_millis(2000);
