--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,383 +1,387 @@
-//! One instance: the wire's names on one side, a `Balancer` with its small indices on the other.
+//! One simulated agent: the wire's names on one side, a [`Balancer`] with its small indices on the
+//! other.
 
-use serde_json::{json, Value};
-use std::collections::{BTreeMap, HashMap};
+use crate::adapter::EndpointLists;
+use crate::error::AdapterError;
+use crate::requests::RequestTable;
+use crate::wire::{self, Command, ListUpdate};
+use serde_json::Value;
 use std::time::Duration;
-use tulipwall::*;
-use tulipwall_config::{millis, number, span, ConfigError, Fields, Names, ServiceConfig};
+use tulipwall::{
+    AttemptEnd, Balancer, Decision, EndpointEntry, PlatformCounts, Request, RolloutStatus,
+};
+use tulipwall_config::{millis, span, ConfigError, Fields, Names, ServiceConfig};
 
-pub const KNOWN: [&str; 10] = [
-    "Targets",
-    "Accept",
-    "UnderWay",
-    "ReportBack",
-    "Gone",
-    "DeadlineHit",
-    "ProbeDone",
-    "PeerData",
-    "Promotion",
-    "PeriodSums",
-];
+/// The `code` of a message about the rollout that is the reply to a vote.
+const CODE_VOTE_REPLY: u64 = 1;
 
+/// One simulated agent. Its times count from the start of the process.
 pub struct Instance {
-    choice: Balancer,
+    balancer: Balancer,
+    config: ServiceConfig,
     start: Duration,
-    site: ServiceConfig,
-    endpoints: Names,
-    kinds: Names,
-    commands: HashMap<String, u64>,
-    indices_in_use: BTreeMap<u64, IndicesInUse>,
-    taken: u64,
-    wake: Option<Duration>,
-}
-
-/// A request in hand: its wire name, and how many attempts are still out.
-struct IndicesInUse {
-    name: String,
-    out: usize,
-    closed: bool,
+    endpoint_names: Names,
+    endpoint_types: Names,
+    requests: RequestTable,
+    /// The next poll for which a timer is set.
+    next_poll: Option<Duration>,
 }
 
 impl Instance {
-    pub fn open(now: Duration, start: Duration, item: &Fields) -> Result<Instance, ConfigError> {
-        let seed = item
-            .integer("salt")
-            .map(|n| n as u64)
-            .or_else(|_| item.whole("salt"))?;
-        let site = ServiceConfig::read(&item.inner("settings")?, seed)?;
+    /// An agent with the settings in this message.
+    pub fn open(
+        clock: Duration,
+        start: Duration,
+        message: &Fields,
+    ) -> Result<Instance, ConfigError> {
+        let signed_seed = message.integer("salt").map(|seed| seed as u64);
+        let seed = signed_seed.or_else(|_| message.whole("salt"))?;
+        let config = ServiceConfig::read(&message.inner("settings")?, seed)?;
+        let now = clock.saturating_sub(start);
         Ok(Instance {
-            choice: Balancer::new(now.saturating_sub(start), site.settings.clone()),
+            balancer: Balancer::new(now, config.settings.clone()),
+            config,
             start,
-            site,
-            endpoints: Names::default(),
-            kinds: Names::default(),
-            commands: HashMap::new(),
-            indices_in_use: BTreeMap::new(),
-            taken: 0,
-            wake: None,
+            endpoint_names: Names::default(),
+            endpoint_types: Names::default(),
+            requests: RequestTable::default(),
+            next_poll: None,
         })
     }
 
-    pub fn tell(
+    /// Handles one message of this kind.
+    pub fn handle_message(
         &mut self,
         clock: Duration,
         kind: &str,
-        item: &Fields,
-        sheets: &crate::Sheets,
-        said: &mut Vec<Value>,
-    ) -> Result<(), String> {
+        message: &Fields,
+        lists: &EndpointLists,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), AdapterError> {
         let now = clock.saturating_sub(self.start);
         match kind {
-            "Targets" => self.targets(now, item, sheets, said)?,
-            "Accept" => {
-                let (name, class) = (item.text("txn")?, item.text("tier-class")?);
-                let Some(class) = self.site.class(class) else {
-                    said.push(
-                        json!({"t": "Fatal", "note-text": format!("unknown lane '{class}'")}),
-                    );
-                    return Ok(());
-                };
-                let owner = item.maybe("owner").and_then(Value::as_str);
-                let tenant = owner.and_then(|o| self.site.tenant(o));
-                let key = item.maybe("route-key").and_then(Value::as_str).map(number);
-                let left = item.span("patience-left-ms")?;
-                let id = self.taken;
-                self.taken += 1;
-                self.commands.insert(name.to_owned(), id);
-                self.indices_in_use.insert(
-                    id,
-                    IndicesInUse {
-                        name: name.to_owned(),
-                        out: 0,
-                        closed: false,
-                    },
-                );
-                let work = item.maybe("estimate-ms").and_then(Value::as_f64).map(span);
-                let again = item.flag("again-by-client")?;
-                self.choice.on_request(
-                    now,
-                    id,
-                    Request {
-                        class,
-                        tenant,
-                        key,
-                        time_left: left,
-                        estimated_work: work,
-                        is_retry: again,
-                    },
-                );
-                let answer = self.choice.route(now, id);
-                self.write(id, answer, said);
-            }
-            "UnderWay" => {
-                let (name, _) = (item.text("txn")?, item.whole("n")?);
-                if let Some(id) = self.commands.get(name) {
-                    self.choice.close_request(*id);
-                }
-            }
-            "ReportBack" => {
-                let (name, n) = (item.text("txn")?, item.whole("n")? as usize);
-                let outcome = match outcome(item.text("state-code")?) {
-                    Some(outcome) => outcome,
-                    None => return Err("field state-code: unknown outcome".into()),
-                };
-                let (took, finished) = (item.span("lag-ms")?, item.flag("finished")?);
-                let Some(id) = self.commands.get(name).copied() else {
-                    return Ok(());
-                };
-                let end = AttemptEnd {
-                    outcome,
-                    latency: took,
-                    request_closed: finished,
-                    reported_load: held(item),
-                };
-                let answer = self.choice.on_attempt_end(now, id, n, end);
-                if let Some(c) = self.indices_in_use.get_mut(&id) {
-                    c.out = c.out.saturating_sub(1);
-                    c.closed |= finished;
-                }
-                self.write(id, answer, said);
-            }
-            "Gone" => {
-                if let Some(id) = self.commands.get(item.text("txn")?).copied() {
-                    self.choice.close_request(id);
-                    self.done(id);
-                }
-            }
-            "DeadlineHit" => {
-                let ctx = item.text("ctx")?;
-                if ctx == "wait" {
-                    self.wake = None;
-                } else if let Ok(id) = ctx.parse::<u64>() {
-                    if self.indices_in_use.get(&id).is_some_and(|c| !c.closed) {
-                        let answer = self.choice.route(now, id);
-                        self.write(id, answer, said);
-                    }
-                }
-            }
-            "Promotion" => self.promotion(now, item)?,
-            "Flagged" => {
-                let class = item.text("tier-class")?;
-                let endpoint = self.endpoints.number(item.text("appliance")?);
-                if let Some(class) = self.site.class(class) {
-                    self.choice.on_client_reported_error(
-                        now,
-                        endpoint,
-                        class,
-                        item.span_or("lateness-ms", 0.0)?,
-                    );
-                }
-            }
-            "PeriodSums" => {
-                if let Some(class) = self.site.class(item.text("tier-class")?) {
-                    self.choice.on_platform_counts(&PlatformCounts {
-                        build: item.whole("rel")? as u32,
-                        class,
-                        attempts: item.whole_or("attempts", 0)? as f64,
-                        failed: item.whole_or("errors", 0)? as f64,
-                        mean_latency: item.span_or("lag-ms", 0.0)?,
-                        age: item.span_or("lateness-ms", 0.0)?,
-                    });
-                }
-            }
-            "ProbeDone" => {
-                let endpoint = self.endpoints.number(item.text("appliance")?);
-                let outcome =
-                    outcome(item.text("state-code")?).ok_or("field state-code: unknown outcome")?;
-                self.choice
-                    .on_load_report(now, endpoint, outcome, held(item));
+            "Targets" => self.on_endpoint_list(now, message, lists, commands),
+            "Accept" => self.on_request(now, message, commands),
+            "UnderWay" => self.on_response_started(message),
+            "ReportBack" => self.on_attempt_end(now, message, commands),
+            "Gone" => self.on_client_gone(message),
+            "DeadlineHit" => self.on_timer(now, message, commands),
+            "Promotion" => self.on_rollout(now, message),
+            "Flagged" => self.on_client_reported_error(now, message),
+            "PeriodSums" => self.on_platform_counts(message),
+            "ProbeDone" => self.on_load_report(now, message),
+            "PeerData" => Ok(()),
+            other => Err(AdapterError::UnknownMessage {
+                found: other.to_owned(),
+            }),
+        }
+    }
+
+    /// After the messages of a line: does what the balancer has due, and sets the timer for the
+    /// next poll.
+    pub fn poll(&mut self, clock: Duration, commands: &mut Vec<Command>) {
+        let now = clock.saturating_sub(self.start);
+        let result = self.balancer.poll(now);
+        if result.open_watch {
+            commands.push(Command::WatchEndpoints { open: true });
+        }
+        if let Some(vote) = result.vote {
+            commands.push(Command::Vote {
+                build: vote.build,
+                stage: vote.stage,
+                verdict: wire::verdict_code(vote.verdict),
+            });
+        }
+        for endpoint in result.load_report_requests {
+            let endpoint = self.endpoint_names.name(endpoint).to_owned();
+            commands.push(Command::RequestLoadReport { endpoint });
+        }
+        for text in result.log_lines {
+            commands.push(Command::Log { text });
+        }
+        let sooner = |set: Duration| result.next_poll < set;
+        if self.next_poll.is_none_or(sooner) {
+            self.next_poll = Some(result.next_poll);
+            commands.push(self.timer(wire::POLL_TIMER.to_owned(), result.next_poll));
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        now: Duration,
+        message: &Fields,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), AdapterError> {
+        let name = message.text("txn")?;
+        let class_name = message.text("tier-class")?;
+        let Some(class) = self.config.class(class_name) else {
+            commands.push(Command::fatal(format!("unknown lane '{class_name}'")));
+            return Ok(());
+        };
+        let request = self.read_request(class, message)?;
+        let id = self.requests.insert(name);
+        self.balancer.on_request(now, id, request);
+        self.route(now, id, commands);
+        Ok(())
+    }
+
+    fn read_request(&self, class: usize, message: &Fields) -> Result<Request, AdapterError> {
+        let tenant = wire::optional_text(message, "owner");
+        Ok(Request {
+            class,
+            tenant: tenant.and_then(|name| self.config.tenant(name)),
+            key: wire::optional_text(message, "route-key").map(tulipwall_config::number),
+            time_left: message.span("patience-left-ms")?,
+            estimated_work: wire::optional_duration(message, "estimate-ms"),
+            is_retry: message.flag("again-by-client")?,
+        })
+    }
+
+    /// The client gets the first bytes of a response: no other attempt may answer it.
+    fn on_response_started(&mut self, message: &Fields) -> Result<(), AdapterError> {
+        let name = message.text("txn")?;
+        message.whole("n")?;
+        if let Some(id) = self.requests.id(name) {
+            self.balancer.close_request(id);
+        }
+        Ok(())
+    }
+
+    fn on_attempt_end(
+        &mut self,
+        now: Duration,
+        message: &Fields,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), AdapterError> {
+        let name = message.text("txn")?;
+        let attempt = message.whole("n")? as usize;
+        let end = AttemptEnd {
+            outcome: wire::parse_outcome(message.text("state-code")?)?,
+            latency: message.span("lag-ms")?,
+            request_closed: message.flag("finished")?,
+            reported_load: wire::reported_load(message),
+        };
+        let Some(id) = self.requests.id(name) else {
+            return Ok(());
+        };
+        let closed = end.request_closed;
+        let decision = self.balancer.on_attempt_end(now, id, attempt, end);
+        self.requests.on_attempt_end(id, closed);
+        self.execute(id, decision, commands);
+        Ok(())
+    }
+
+    fn on_client_gone(&mut self, message: &Fields) -> Result<(), AdapterError> {
+        if let Some(id) = self.requests.id(message.text("txn")?) {
+            self.balancer.close_request(id);
+            self.requests.close(id);
+            self.requests.remove_if_done(id);
+        }
+        Ok(())
+    }
+
+    fn on_timer(
+        &mut self,
+        now: Duration,
+        message: &Fields,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), AdapterError> {
+        let timer = message.text("ctx")?;
+        if timer == wire::POLL_TIMER {
+            self.next_poll = None;
+            return Ok(());
+        }
+        if let Ok(id) = timer.parse::<u64>() {
+            if self.requests.awaits_response(id) {
+                self.route(now, id, commands);
             }
-            "PeerData" => {}
-            other => return Err(format!("field t: unknown message '{other}'")),
         }
         Ok(())
     }
 
-    /// After an instance's events: whatever the choice has due, and the timer for the next look.
-    pub fn settle(&mut self, clock: Duration, said: &mut Vec<Value>) {
-        let now = clock.saturating_sub(self.start);
-        let due = self.choice.poll(now);
-        if due.open_watch {
-            said.push(json!({"t": "Listen", "want": true}));
+    fn on_rollout(&mut self, now: Duration, message: &Fields) -> Result<(), AdapterError> {
+        let code = message.text("state-code")?;
+        if code == "success" {
+            let status = read_rollout_status(now, message)?;
+            self.balancer.update_rollout(status);
         }
-        if let Some(v) = due.vote {
-            let code = match v.verdict {
-                Verdict::Hold => 2,
-                Verdict::RollBack => 3,
-                Verdict::Withdraw => 0,
-            };
-            said.push(json!({"t": "Verdict", "rel": v.build, "wave": v.stage, "code": code}));
+        if message.whole_or("code", 0)? == CODE_VOTE_REPLY {
+            let reply = wire::parse_vote_reply(code);
+            self.balancer.on_vote_reply(now, reply);
         }
-        for endpoint in due.load_report_requests {
-            said.push(json!({"t": "AskLoad", "appliance": self.endpoints.name(endpoint)}));
+        Ok(())
+    }
+
+    fn on_client_reported_error(
+        &mut self,
+        now: Duration,
+        message: &Fields,
+    ) -> Result<(), AdapterError> {
+        let class = message.text("tier-class")?;
+        let endpoint = self.endpoint_names.number(message.text("appliance")?);
+        if let Some(class) = self.config.class(class) {
+            let age = message.span_or("lateness-ms", 0.0)?;
+            self.balancer
+                .on_client_reported_error(now, endpoint, class, age);
         }
-        for note in due.log_lines {
-            said.push(json!({"t": "Debug", "note-text": note}));
+        Ok(())
+    }
+
+    fn on_platform_counts(&mut self, message: &Fields) -> Result<(), AdapterError> {
+        let Some(class) = self.config.class(message.text("tier-class")?) else {
+            return Ok(());
+        };
+        self.balancer.on_platform_counts(&PlatformCounts {
+            build: message.whole("rel")? as u32,
+            class,
+            attempts: message.whole_or("attempts", 0)? as f64,
+            failed: message.whole_or("errors", 0)? as f64,
+            mean_latency: message.span_or("lag-ms", 0.0)?,
+            age: message.span_or("lateness-ms", 0.0)?,
+        });
+        Ok(())
+    }
+
+    fn on_load_report(&mut self, now: Duration, message: &Fields) -> Result<(), AdapterError> {
+        let endpoint = self.endpoint_names.number(message.text("appliance")?);
+        let outcome = wire::parse_outcome(message.text("state-code")?)?;
+        let load = wire::reported_load(message);
+        self.balancer.on_load_report(now, endpoint, outcome, load);
+        Ok(())
+    }
+
+    fn on_endpoint_list(
+        &mut self,
+        now: Duration,
+        message: &Fields,
+        lists: &EndpointLists,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), AdapterError> {
+        let update = wire::parse_list_update(message.text("how")?)?;
+        if update == ListUpdate::Failed {
+            self.balancer.on_list_failure(now);
+            return Ok(());
         }
-        if self.wake.is_none_or(|w| due.next_poll < w) {
-            self.wake = Some(due.next_poll);
-            self.timer("wait".into(), due.next_poll, said);
+        let list = lists.get(&message.whole("buffer")?);
+        let list = list.ok_or(AdapterError::UnknownList)?;
+        match self.read_endpoints(list) {
+            Ok(entries) => {
+                let complete = update == ListUpdate::Complete;
+                self.balancer.update_endpoints(now, &entries, complete);
+                Ok(())
+            }
+            Err(ListError::UnknownZone(zone)) => {
+                commands.push(Command::fatal(format!("unknown zone '{zone}'")));
+                Ok(())
+            }
+            Err(ListError::Malformed(error)) => Err(error),
         }
     }
 
-    fn timer(&self, ctx: String, at: Duration, said: &mut Vec<Value>) {
-        said.push(json!({"t": "Remind", "ctx": ctx, "instant-ms": millis(self.start + at)}));
+    fn read_endpoints(&mut self, list: &[Value]) -> Result<Vec<EndpointEntry>, ListError> {
+        list.iter().map(|entry| self.read_endpoint(entry)).collect()
     }
 
-    fn write(&mut self, id: u64, answer: Decision, said: &mut Vec<Value>) {
-        let Some(c) = self.indices_in_use.get_mut(&id) else {
+    fn read_endpoint(&mut self, entry: &Value) -> Result<EndpointEntry, ListError> {
+        let entry = Fields::of(entry, "nodes-list")?;
+        let zone_name = entry.text("failure-domain")?;
+        let zone = self.config.zone(zone_name);
+        let zone = zone.ok_or_else(|| ListError::UnknownZone(zone_name.to_owned()))?;
+        let state = wire::parse_endpoint_state(entry.text("availability")?)?;
+        let started = span(entry.number_or("born-ms", 0.0)?);
+        let name = entry.text("appliance")?;
+        let endpoint_type = wire::optional_text(&entry, "hw");
+        Ok(EndpointEntry {
+            endpoint: self.endpoint_names.number(name),
+            zone,
+            cell: entry.whole_or("stripe", 0)?,
+            identity: tulipwall_config::number(name),
+            endpoint_type: endpoint_type.map_or(0, |kind| self.endpoint_types.number(kind)),
+            build: entry.whole_or("release", 0)? as u32,
+            state,
+            started: (started > self.start).then(|| started - self.start),
+        })
+    }
+
+    fn route(&mut self, now: Duration, id: u64, commands: &mut Vec<Command>) {
+        let decision = self.balancer.route(now, id);
+        self.execute(id, decision, commands);
+    }
+
+    /// Puts a decision on the wire.
+    fn execute(&mut self, id: u64, decision: Decision, commands: &mut Vec<Command>) {
+        let Some(request) = self.requests.name(id).map(str::to_owned) else {
             return;
         };
-        let name = c.name.clone();
-        match answer {
+        match decision {
             Decision::Forward {
                 endpoint,
                 timeout,
-                recheck_at: look,
+                recheck_at,
             } => {
-                c.out += 1;
-                let endpoint = self.endpoints.name(endpoint);
-                let ms = millis(timeout).max(0.001);
-                said.push(json!({"t": "Place", "txn": name, "appliance": endpoint, "give-up-after-ms": ms}));
-                if let Some(at) = look {
-                    self.timer(id.to_string(), at, said);
+                self.requests.on_attempt_start(id);
+                commands.push(Command::Forward {
+                    request,
+                    endpoint: self.endpoint_names.name(endpoint).to_owned(),
+                    timeout_ms: millis(timeout).max(wire::MIN_TIMEOUT_MS),
+                });
+                if let Some(at) = recheck_at {
+                    commands.push(self.timer(id.to_string(), at));
                 }
             }
-            Decision::Defer { until } => self.timer(id.to_string(), until, said),
+            Decision::Defer { until } => commands.push(self.timer(id.to_string(), until)),
             Decision::Reject { retry_after } => {
-                c.closed = true;
-                let ms = retry_after.map(millis);
-                said.push(json!({"t": "Deny", "txn": name, "cool-down-ms": ms}));
+                self.requests.close(id);
+                commands.push(Command::Reject {
+                    request,
+                    retry_after_ms: retry_after.map(millis),
+                });
             }
             Decision::Fail => {
-                c.closed = true;
-                said.push(json!({"t": "RespondError", "txn": name}));
-            }
-            Decision::Cancel { attempt } => {
-                said.push(json!({"t": "DropAttempt", "txn": name, "n": attempt}))
+                self.requests.close(id);
+                commands.push(Command::Fail { request });
             }
+            Decision::Cancel { attempt } => commands.push(Command::Cancel { request, attempt }),
             Decision::Await => {}
         }
-        if self
-            .indices_in_use
-            .get(&id)
-            .is_some_and(|c| c.closed && c.out == 0)
-        {
-            self.done(id);
-        }
+        self.requests.remove_if_done(id);
     }
 
-    fn done(&mut self, id: u64) {
-        let Some(c) = self.indices_in_use.get_mut(&id) else {
-            return;
-        };
-        c.closed = true;
-        if c.out == 0 {
-            self.commands.remove(&c.name);
-            self.indices_in_use.remove(&id);
+    /// A timer of this name at this time of the instance.
+    fn timer(&self, timer: String, at: Duration) -> Command {
+        Command::SetTimer {
+            timer,
+            at_ms: millis(self.start + at),
         }
     }
+}
 
-    fn targets(
-        &mut self,
-        now: Duration,
-        item: &Fields,
-        sheets: &crate::Sheets,
-        said: &mut Vec<Value>,
-    ) -> Result<(), String> {
-        let complete = match item.text("how")? {
-            "FAILED" => {
-                self.choice.on_list_failure(now);
-                return Ok(());
-            }
-            "INCREMENTAL" => false,
-            "FULL" | "SAVED" => true,
-            other => return Err(format!("field how: unknown value '{other}'")),
-        };
-        let sheet = sheets
-            .get(&item.whole("buffer")?)
-            .ok_or("field buffer: no such list")?;
-        let mut entries = Vec::new();
-        for entry in sheet {
-            let e = Fields::of(entry, "nodes-list")?;
-            let zone = e.text("failure-domain")?;
-            let Some(zone) = self.site.zone(zone) else {
-                said.push(json!({"t": "Fatal", "note-text": format!("unknown zone '{zone}'")}));
-                return Ok(());
-            };
-            let standing = match e.text("availability")? {
-                "Running" => EndpointState::Running,
-                "Stopping" => EndpointState::Draining,
-                "Deleted" => EndpointState::Gone,
-                other => return Err(format!("field availability: unknown value '{other}'")),
-            };
-            let born = span(e.number_or("born-ms", 0.0)?);
-            entries.push(EndpointEntry {
-                endpoint: self.endpoints.number(e.text("appliance")?),
-                zone,
-                cell: e.whole_or("stripe", 0)?,
-                identity: number(e.text("appliance")?),
-                endpoint_type: e
-                    .maybe("hw")
-                    .and_then(Value::as_str)
-                    .map_or(0, |k| self.kinds.number(k)),
-                build: e.whole_or("release", 0)? as u32,
-                state: standing,
-                started: (born > self.start).then(|| born.saturating_sub(self.start)),
-            });
-        }
-        self.choice.update_endpoints(now, &entries, complete);
-        Ok(())
-    }
+/// Why an endpoint list cannot be taken over.
+enum ListError {
+    /// It names a zone that the settings do not define.
+    UnknownZone(String),
+    Malformed(AdapterError),
+}
 
-    fn promotion(&mut self, now: Duration, item: &Fields) -> Result<(), String> {
-        let state = item.text("state-code")?;
-        if state == "success" {
-            let phase = match item.whole_or("course", 0)? {
-                0 => RolloutPhase::Canary,
-                1 => RolloutPhase::RollingBack,
-                2 => RolloutPhase::Released,
-                3 => RolloutPhase::RolledBack,
-                other => return Err(format!("field course: unknown value {other}")),
-            };
-            self.choice.update_rollout(RolloutStatus {
-                build: item.whole("rel")? as u32,
-                stage: item.whole_or("wave", 0)? as usize,
-                phase,
-                cap: item.number_or("ceiling", 0.0)?,
-                since: now.saturating_sub(item.span_or("lateness-ms", 0.0)?),
-            });
-        }
-        if item.whole_or("code", 0)? == 1 {
-            let reply = match state {
-                "success" => VoteReply::Counted,
-                "void" => VoteReply::Moot,
-                "timed_out" => VoteReply::Unknown,
-                _ => VoteReply::Refused,
-            };
-            self.choice.on_vote_reply(now, reply);
-        }
-        Ok(())
+impl From<AdapterError> for ListError {
+    fn from(error: AdapterError) -> ListError {
+        ListError::Malformed(error)
     }
 }
 
-/// What a load report says of the requests that an endpoint holds.
-fn held(item: &Fields) -> Option<f64> {
-    item.maybe("pressure")
-        .and_then(|p| p.get("concurrent"))
-        .and_then(Value::as_f64)
+impl From<String> for ListError {
+    fn from(text: String) -> ListError {
+        ListError::Malformed(text.into())
+    }
 }
 
-fn outcome(code: &str) -> Option<Outcome> {
-    Some(match code {
-        "success" => Outcome::Succeeded,
-        "failure" => Outcome::Failed,
-        "overloaded" => Outcome::Rejected,
-        "timed_out" => Outcome::TimedOut,
-        "unreachable" => Outcome::ConnectFailed,
-        "broken" => Outcome::ConnectionLost,
-        "withdrawn" => Outcome::Cancelled,
-        "void" => Outcome::NotSent,
-        _ => return None,
+fn read_rollout_status(now: Duration, message: &Fields) -> Result<RolloutStatus, AdapterError> {
+    let phase = wire::parse_rollout_phase(message.whole_or("course", 0)?)?;
+    Ok(RolloutStatus {
+        build: message.whole("rel")? as u32,
+        stage: message.whole_or("wave", 0)? as usize,
+        phase,
+        cap: message.number_or("ceiling", 0.0)?,
+        since: now.saturating_sub(message.span_or("lateness-ms", 0.0)?),
     })
 }
--- /dev/null
+++ b/crates/sim-adapter/tests/wire.rs
@@ -0,0 +1,121 @@
+//! The program on the simulator's wire: a recorded session, and lines that are at fault.
+
+use serde_json::Value;
+use std::io::Write;
+use std::process::{Command, Output, Stdio};
+
+/// A session of two agents on a made-up service, and the replies that were recorded with it.
+const SESSION: &str = include_str!("data/session.jsonl");
+const REPLIES: &str = include_str!("data/session.replies.jsonl");
+
+const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-sim-adapter");
+
+fn run(input: &str) -> Output {
+    let mut child = Command::new(BINARY)
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
+    let mut stdin = child.stdin.take().unwrap();
+    let input = input.to_owned();
+    let writer = std::thread::spawn(move || stdin.write_all(input.as_bytes()));
+    let output = child.wait_with_output().unwrap();
+    // A program that ends at a faulty line need not read the rest.
+    let _ = writer.join().unwrap();
+    output
+}
+
+/// The bytes of a line without its log lines, whose words are free to change.
+fn without_log_lines(line: &str) -> String {
+    let mut reply: Value = serde_json::from_str(line).unwrap();
+    assert_eq!(reply.to_string(), line, "sorted keys, no spaces");
+    for agent in reply["agents"].as_array_mut().unwrap() {
+        let commands = agent["cmds"].as_array_mut().unwrap();
+        commands.retain(|command| command["t"] != "Debug");
+    }
+    reply.to_string()
+}
+
+#[test]
+fn replies_to_a_recorded_session_as_recorded() {
+    let output = run(SESSION);
+    assert!(output.status.success(), "{output:?}");
+    let replies = String::from_utf8(output.stdout).unwrap();
+    assert_eq!(replies.lines().count(), REPLIES.lines().count());
+    for (number, (reply, recorded)) in replies.lines().zip(REPLIES.lines()).enumerate() {
+        assert_eq!(
+            without_log_lines(reply),
+            without_log_lines(recorded),
+            "line {}",
+            number + 1
+        );
+    }
+}
+
+#[test]
+fn ends_at_a_faulty_line_and_names_its_number_and_field() {
+    let opening = SESSION.lines().next().unwrap();
+    let to_agent = |message: &str| {
+        format!("{{\"t-ms\":1000.0,\"agents\":[{{\"agent-id\":0,\"items\":[{message}]}}]}}")
+    };
+    let faults = [
+        (
+            "no json".to_owned(),
+            "not JSON: expected ident at line 1 column 2",
+        ),
+        (
+            to_agent(r#"{"t":"Nonsense"}"#),
+            "field t: unknown message 'Nonsense'",
+        ),
+        (
+            to_agent(r#"{"t":"Targets","how":"PARTLY","buffer":0}"#),
+            "field how: unknown value 'PARTLY'",
+        ),
+        (
+            to_agent(r#"{"t":"Targets","how":"FULL","buffer":99}"#),
+            "field buffer: no such list",
+        ),
+        (
+            to_agent(r#"{"t":"ProbeDone","appliance":"ap-1","state-code":"odd"}"#),
+            "field state-code: unknown outcome",
+        ),
+        (
+            to_agent(r#"{"t":"Promotion","state-code":"success","course":7}"#),
+            "field course: unknown value 7",
+        ),
+    ];
+    for (line, fault) in faults {
+        let output = run(&format!("{opening}\n{line}\n{opening}\n"));
+        assert_eq!(output.status.code(), Some(1), "{line}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(
+            stderr,
+            format!("tulipwall-sim-adapter: line 2: {fault}\n"),
+            "{line}"
+        );
+        let replies = String::from_utf8(output.stdout).unwrap();
+        assert_eq!(replies.lines().count(), 1, "{line}");
+    }
+}
+
+#[test]
+fn ignores_messages_to_an_agent_that_is_not_there() {
+    let late = r#"{"t-ms":5.0,"agents":[{"agent-id":9,"items":[{"t":"Gone","txn":"r1"}]}]}"#;
+    let output = run(&format!("{late}\n"));
+    assert!(output.status.success(), "{output:?}");
+    assert_eq!(output.stdout, b"{\"agents\":[]}\n");
+}
+
+#[test]
+fn reports_settings_that_name_what_they_do_not_define() {
+    let opening = SESSION.lines().next().unwrap();
+    let elsewhere = opening.replace("\"zone\": \"east\"", "\"zone\": \"mars\"");
+    let output = run(&format!("{elsewhere}\n"));
+    assert!(output.status.success(), "{output:?}");
+    let reply: Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(
+        reply["agents"][0],
+        serde_json::json!({"agent-id": 0, "cmds": [{"t": "Fatal", "note-text": "unknown zone 'mars'"}]})
+    );
+}
