--- a/crates/client-policy/tests/agents.rs
+++ b/crates/client-policy/tests/agents.rs
@@ -7,106 +7,114 @@
     Duration::from_millis(n)
 }
 
-fn endpoints(agents: usize, seed: u64) -> AgentSelector {
+fn selector(agents: usize, seed: u64) -> AgentSelector {
     AgentSelector::new(ConnectionPolicy::default(), agents, seed)
 }
 
 #[test]
-fn a_slow_agent_gets_less_by_its_calls_in_flight() {
-    let mut e = endpoints(3, 1);
+fn sends_fewer_calls_to_a_slow_agent() {
+    let mut selector = selector(3, 1);
     // The third answers ten times slower: by turns of a millisecond.
-    let (mut out, mut got): (Vec<(u64, usize)>, [u32; 3]) = (Vec::new(), [0; 3]);
+    let (mut in_flight, mut calls): (Vec<(u64, usize)>, [u32; 3]) = (Vec::new(), [0; 3]);
     for now in 0..5000u64 {
-        if let Selection::Agent(a) = e.select(ms(now), None, |_| true) {
-            got[a] += 1;
-            out.push((now + if a == 2 { 50 } else { 5 }, a));
+        if let Selection::Agent(agent) = selector.select(ms(now), None, |_| true) {
+            calls[agent] += 1;
+            in_flight.push((now + if agent == 2 { 50 } else { 5 }, agent));
         }
-        out.retain(|(at, a)| {
+        in_flight.retain(|(at, agent)| {
             let over = *at <= now;
             if over {
-                e.on_attempt_end(ms(now), *a, AttemptSignal::Success);
+                selector.on_attempt_end(ms(now), *agent, AttemptSignal::Success);
             }
             !over
         });
     }
-    assert!(got[2] * 3 < got[0], "{got:?}");
+    assert!(calls[2] * 3 < calls[0], "{calls:?}");
 }
 
 #[test]
-fn one_that_fails_rests_and_comes_back_one_call_at_a_time() {
-    let mut e = endpoints(1, 2);
+fn ejects_an_agent_that_fails_and_probes_it_one_call_at_a_time() {
+    let mut selector = selector(1, 2);
     for _ in 0..3 {
-        assert_eq!(e.select(ms(0), None, |_| true), Selection::Agent(0));
-        e.on_attempt_end(ms(0), 0, AttemptSignal::Failure);
+        assert_eq!(selector.select(ms(0), None, |_| true), Selection::Agent(0));
+        selector.on_attempt_end(ms(0), 0, AttemptSignal::Failure);
     }
-    let Selection::NotBefore(until) = e.select(ms(0), None, |_| true) else {
+    let Selection::NotBefore(until) = selector.select(ms(0), None, |_| true) else {
         panic!("it rests")
     };
     assert!(until >= ms(50) && until <= ms(100));
-    assert_eq!(e.select(until, None, |_| true), Selection::Agent(0));
+    assert_eq!(selector.select(until, None, |_| true), Selection::Agent(0));
     assert!(
-        matches!(e.select(until, None, |_| true), Selection::NotBefore(_)),
+        matches!(
+            selector.select(until, None, |_| true),
+            Selection::NotBefore(_)
+        ),
         "one at a time"
     );
-    e.on_attempt_end(until, 0, AttemptSignal::Success);
-    assert_eq!(e.health(0), AgentHealth::Probing { max_in_flight: 2 });
-    assert_eq!(e.select(until, None, |_| true), Selection::Agent(0));
-    e.on_attempt_end(until, 0, AttemptSignal::Failure);
+    selector.on_attempt_end(until, 0, AttemptSignal::Success);
+    assert_eq!(
+        selector.health(0),
+        AgentHealth::Probing { max_in_flight: 2 }
+    );
+    assert_eq!(selector.select(until, None, |_| true), Selection::Agent(0));
+    selector.on_attempt_end(until, 0, AttemptSignal::Failure);
     assert!(
-        matches!(e.health(0), AgentHealth::Ejected { until: at } if at > until),
+        matches!(selector.health(0), AgentHealth::Ejected { until: at } if at > until),
         "and rests again at the first failure"
     );
 }
 
 #[test]
-fn a_retry_goes_to_another_agent_and_one_that_leaves_gets_nothing() {
-    let mut e = endpoints(2, 3);
-    assert!((0..50).all(|_| e.select(ms(0), Some(1), |_| true) == Selection::Agent(0)));
-    e.on_draining(ms(0), 0);
+fn sends_a_retry_to_another_agent_and_nothing_to_one_that_drains() {
+    let mut selector = selector(2, 3);
+    assert!((0..50).all(|_| selector.select(ms(0), Some(1), |_| true) == Selection::Agent(0)));
+    selector.on_draining(ms(0), 0);
     assert!(
-        (0..50).all(|_| e.select(ms(0), Some(1), |_| true) == Selection::Agent(1)),
+        (0..50).all(|_| selector.select(ms(0), Some(1), |_| true) == Selection::Agent(1)),
         "the only one that is left"
     );
 }
 
 #[test]
-fn one_whose_gate_is_closed_is_chosen_only_where_a_connection_waits() {
-    let mut e = endpoints(2, 5);
-    e.on_connection_loss(ms(0), 0);
-    assert!((0..50).all(|_| e.select(ms(0), None, |_| false) == Selection::Agent(1)));
-    assert!((0..50).any(|_| e.select(ms(0), None, |a| a == 0) == Selection::Agent(0)));
-    e.on_connection_loss(ms(0), 1);
+fn selects_an_agent_before_its_reconnect_time_only_with_an_idle_connection() {
+    let mut selector = selector(2, 5);
+    selector.on_connection_loss(ms(0), 0);
+    assert!((0..50).all(|_| selector.select(ms(0), None, |_| false) == Selection::Agent(1)));
+    assert!(
+        (0..50).any(|_| selector.select(ms(0), None, |agent| agent == 0) == Selection::Agent(0))
+    );
+    selector.on_connection_loss(ms(0), 1);
     assert!(
-        matches!(e.select(ms(0), None, |_| false), Selection::NotBefore(at) if at > ms(0) && at < ms(3000))
+        matches!(selector.select(ms(0), None, |_| false), Selection::NotBefore(at) if at > ms(0) && at < ms(3000))
     );
 }
 
 #[test]
-fn an_agent_that_makes_room_again_and_again_is_not_taken_for_one_that_is_lost() {
-    let gate = |e: &mut AgentSelector, now| match e.try_connect(now, 0) {
+fn tells_an_agent_that_makes_room_from_one_that_is_lost() {
+    let reconnect_wait = |selector: &mut AgentSelector, now| match selector.try_connect(now, 0) {
         ConnectDecision::NotBefore(at) => at - now,
         _ => ms(0),
     };
     let first: Vec<Duration> = (0..50)
         .map(|seed| {
-            let mut e = endpoints(1, seed);
-            e.on_idle_close(ms(1000), 0);
-            gate(&mut e, ms(1000))
+            let mut selector = selector(1, seed);
+            selector.on_idle_close(ms(1000), 0);
+            reconnect_wait(&mut selector, ms(1000))
         })
         .collect();
     assert!(first.iter().max() > Some(&ms(2500)), "as after a loss");
-    let mut e = endpoints(1, 7);
-    e.on_idle_close(ms(1000), 0);
-    e.on_idle_close(ms(9000), 0);
-    assert!(gate(&mut e, ms(9000)) <= ms(300));
+    let mut selector = selector(1, 7);
+    selector.on_idle_close(ms(1000), 0);
+    selector.on_idle_close(ms(9000), 0);
+    assert!(reconnect_wait(&mut selector, ms(9000)) <= ms(300));
 }
 
 /// When so many clients, cut at once, open their first connection again.
-fn reopened(clients: u64) -> Vec<Duration> {
+fn reconnect_times(clients: u64) -> Vec<Duration> {
     let open = |seed| {
-        let mut e = endpoints(1, seed);
-        e.on_connection_loss(ms(1000), 0);
-        match e.try_connect(ms(1000), 0) {
+        let mut selector = selector(1, seed);
+        selector.on_connection_loss(ms(1000), 0);
+        match selector.try_connect(ms(1000), 0) {
             ConnectDecision::NotBefore(at) => at,
             ConnectDecision::Connect => ms(1000),
             ConnectDecision::AtLimit => panic!("nothing is being opened"),
@@ -116,42 +124,46 @@
 }
 
 #[test]
-fn reconnects_spread_over_seconds_at_ten_clients_and_at_ten_thousand() {
-    let ten = reopened(10);
+fn spreads_reconnects_over_seconds_for_ten_and_for_ten_thousand_clients() {
+    let ten = reconnect_times(10);
     let span = *ten.iter().max().unwrap() - *ten.iter().min().unwrap();
     assert!(span > ms(1500), "{span:?}");
-    let many = reopened(10_000);
+    let ten_thousand = reconnect_times(10_000);
     let each = |n: u64| {
-        many.iter()
+        ten_thousand
+            .iter()
             .filter(|t| t.as_millis() as u64 / 100 == 10 + n)
             .count()
     };
-    let (most, mean) = ((0..30).map(each).max().unwrap(), 10_000.0 / 30.0);
+    let (fullest, mean) = ((0..30).map(each).max().unwrap(), 10_000.0 / 30.0);
     assert!(
-        most as f64 / mean < 1.3,
-        "{most} in the fullest 100 ms, {mean} in the mean"
+        fullest as f64 / mean < 1.3,
+        "{fullest} in the fullest 100 ms, {mean} in the mean"
     );
 }
 
 #[test]
-fn new_connections_keep_to_their_number_and_rate() {
-    let mut e = endpoints(1, 4);
-    assert!((0..4).all(|_| e.try_connect(ms(0), 0) == ConnectDecision::Connect));
-    assert_eq!(e.try_connect(ms(0), 0), ConnectDecision::AtLimit);
+fn limits_the_number_and_rate_of_new_connections() {
+    let mut selector = selector(1, 4);
+    assert!((0..4).all(|_| selector.try_connect(ms(0), 0) == ConnectDecision::Connect));
+    assert_eq!(selector.try_connect(ms(0), 0), ConnectDecision::AtLimit);
     let mut opened = 0;
     for now in 0..1000 {
-        while e.try_connect(ms(now), 0) == ConnectDecision::Connect {
+        while selector.try_connect(ms(now), 0) == ConnectDecision::Connect {
             opened += 1;
-            e.on_connect_end(ms(now), 0, true);
+            selector.on_connect_end(ms(now), 0, true);
         }
         if now == 0 {
-            (0..4).for_each(|_| e.on_connect_end(ms(0), 0, true));
+            (0..4).for_each(|_| selector.on_connect_end(ms(0), 0, true));
         }
     }
     assert!((45..=54).contains(&opened), "fifty a second: {opened}");
-    e.on_connect_end(ms(1000), 0, false);
+    selector.on_connect_end(ms(1000), 0, false);
     assert!(
-        matches!(e.try_connect(ms(1000), 0), ConnectDecision::NotBefore(_)),
+        matches!(
+            selector.try_connect(ms(1000), 0),
+            ConnectDecision::NotBefore(_)
+        ),
         "after a refusal it waits"
     );
 }
--- a/crates/client-policy/tests/concurrency.rs
+++ b/crates/client-policy/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! The bound on calls in flight, case by case.
+//! The limit on calls in flight, case by case.
 
 use std::time::Duration;
 use tulipwall::Idempotency;
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn least_benefit_is_shed_first_and_there_is_always_room_for_one() {
-    let mut bound = ConcurrencyLimit::new(
+fn sheds_the_least_weight_first_and_always_admits_one() {
+    let mut limit = ConcurrencyLimit::new(
         ConcurrencyPolicy {
             min_limit: 10.0,
             max_limit: 10.0,
@@ -24,9 +24,9 @@
         },
         &classes(),
     );
-    let view = (0..20).filter(|_| bound.try_acquire(0)).count();
-    let payment = (0..20).filter(|_| bound.try_acquire(1)).count();
-    assert_eq!((view, view + payment), (8, 10));
+    let light = (0..20).filter(|_| limit.try_acquire(0)).count();
+    let heavy = (0..20).filter(|_| limit.try_acquire(1)).count();
+    assert_eq!((light, light + heavy), (8, 10));
     let mut small = ConcurrencyLimit::new(
         ConcurrencyPolicy {
             min_limit: 0.0,
@@ -39,29 +39,29 @@
 }
 
 #[test]
-fn it_follows_what_the_agents_can_bear() {
-    // They bear 40 at once; beyond that they deny.
-    let mut bound = ConcurrencyLimit::new(
+fn follows_what_the_agents_can_bear() {
+    // They bear 40 at once; beyond that they reject.
+    let mut limit = ConcurrencyLimit::new(
         ConcurrencyPolicy {
             max_limit: 500.0,
             ..ConcurrencyPolicy::default()
         },
         &classes(),
     );
-    let mut seen = Vec::new();
+    let mut admitted_by_round = Vec::new();
     for round in 0..2000u64 {
-        let taken = (0..600).filter(|_| bound.try_acquire(1)).count();
-        for n in 0..taken {
+        let admitted = (0..600).filter(|_| limit.try_acquire(1)).count();
+        for n in 0..admitted {
             if n < 40 {
-                bound.on_timely_response();
+                limit.on_timely_response();
             } else {
-                bound.on_overload(Duration::from_millis(round * 50));
+                limit.on_overload(Duration::from_millis(round * 50));
             }
         }
-        (0..taken).for_each(|_| bound.release());
-        seen.push(taken);
+        (0..admitted).for_each(|_| limit.release());
+        admitted_by_round.push(admitted);
     }
-    let late = &seen[1000..];
+    let late = &admitted_by_round[1000..];
     assert!(
         late.iter().all(|n| (25..=60).contains(n)),
         "{:?}",
--- a/crates/client-policy/tests/retries.rs
+++ b/crates/client-policy/tests/retries.rs
@@ -23,14 +23,14 @@
     AttemptOutcome::TimedOut,
 ];
 
-fn once() -> AttemptHistory {
+fn non_idempotent() -> AttemptHistory {
     AttemptHistory::new(Idempotency::NonIdempotent, ms(2000))
 }
 
-fn keyed(group: DeduplicationScope) -> AttemptHistory {
+fn keyed(scope: DeduplicationScope) -> AttemptHistory {
     AttemptHistory::new(
         Idempotency::Keyed {
-            scope: group,
+            scope,
             window: ms(500),
         },
         ms(2000),
@@ -38,65 +38,72 @@
 }
 
 #[test]
-fn unrepeatable_goes_again_only_where_it_provably_never_ran() {
-    for ended in ALL {
-        let (mut retries, mut tries) = (RetryController::new(RetryPolicy::default(), 1, 1), once());
-        tries.on_attempt_start(ms(0));
-        let next = retries.decide(ms(10), &mut tries, 0, ended);
-        let again = matches!(next, RetryDecision::RetryAt(_));
-        assert_eq!(again, !ended.may_have_executed(), "{ended:?}: {next:?}");
+fn retries_a_non_idempotent_call_only_if_it_provably_never_ran() {
+    for outcome in ALL {
+        let (mut controller, mut history) = (
+            RetryController::new(RetryPolicy::default(), 1, 1),
+            non_idempotent(),
+        );
+        history.on_attempt_start(ms(0));
+        let decision = controller.decide(ms(10), &mut history, 0, outcome);
+        let is_retried = matches!(decision, RetryDecision::RetryAt(_));
+        assert_eq!(
+            is_retried,
+            !outcome.may_have_executed(),
+            "{outcome:?}: {decision:?}"
+        );
         // A later end of which it is known that it never ran does not help one that may have run
         // before.
-        if !again {
-            tries.on_attempt_start(ms(20));
-            let later = retries.decide(ms(30), &mut tries, 0, AttemptOutcome::NotSent);
+        if !is_retried {
+            history.on_attempt_start(ms(20));
+            let later = controller.decide(ms(30), &mut history, 0, AttemptOutcome::NotSent);
             assert_eq!(later, RetryDecision::GiveUp(GiveUpReason::NotRepeatable));
         }
     }
 }
 
 #[test]
-fn deduplicated_goes_again_only_in_its_window_counted_from_the_first_that_may_have_run() {
-    let mut retries = RetryController::new(RetryPolicy::default(), 1, 2);
-    let mut tries = keyed(DeduplicationScope::All);
-    tries.on_attempt_start(ms(0));
+fn retries_a_keyed_call_only_within_its_window_from_the_first_possible_execution() {
+    let mut controller = RetryController::new(RetryPolicy::default(), 1, 2);
+    let mut history = keyed(DeduplicationScope::All);
+    history.on_attempt_start(ms(0));
     assert!(
-        matches!(retries.decide(ms(100), &mut tries, 0, AttemptOutcome::ConnectionLost), RetryDecision::RetryAt(at) if at < ms(500))
+        matches!(controller.decide(ms(100), &mut history, 0, AttemptOutcome::ConnectionLost), RetryDecision::RetryAt(at) if at < ms(500))
     );
-    tries.on_attempt_start(ms(150));
-    let next = retries.decide(ms(499), &mut tries, 0, AttemptOutcome::NotSent);
+    history.on_attempt_start(ms(150));
+    let decision = controller.decide(ms(499), &mut history, 0, AttemptOutcome::NotSent);
     assert!(
         matches!(
-            next,
+            decision,
             RetryDecision::GiveUp(GiveUpReason::DeduplicationWindowExpired)
         ),
-        "its pause would end after it: {next:?}"
+        "its pause would end after it: {decision:?}"
     );
     assert_eq!(
-        tries.check_repeatable(ms(500)),
+        history.check_repeatable(ms(500)),
         Err(GiveUpReason::DeduplicationWindowExpired)
     );
-    for group in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
-        let mut tries = keyed(group);
-        tries.on_attempt_start(ms(0));
-        let next = retries.decide(ms(100), &mut tries, 0, AttemptOutcome::ConnectionLost);
-        assert_eq!(next, RetryDecision::GiveUp(GiveUpReason::NotRepeatable));
+    for scope in [DeduplicationScope::Zone, DeduplicationScope::Cell] {
+        let mut history = keyed(scope);
+        history.on_attempt_start(ms(0));
+        let decision = controller.decide(ms(100), &mut history, 0, AttemptOutcome::ConnectionLost);
+        assert_eq!(decision, RetryDecision::GiveUp(GiveUpReason::NotRepeatable));
     }
 }
 
 #[test]
-fn when_nothing_works_retries_are_a_tenth_and_vanish() {
-    let mut retries = RetryController::new(RetryPolicy::default(), 2, 3);
+fn limits_retries_to_a_tenth_of_successes_and_to_none_when_nothing_succeeds() {
+    let mut controller = RetryController::new(RetryPolicy::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
-        let mut tries = AttemptHistory::new(Idempotency::Idempotent, ms(call + 5000));
+        let mut history = AttemptHistory::new(Idempotency::Idempotent, ms(call + 5000));
         loop {
-            tries.on_attempt_start(ms(call));
+            history.on_attempt_start(ms(call));
             sent += 1;
             if !matches!(
-                retries.decide(
+                controller.decide(
                     ms(call),
-                    &mut tries,
+                    &mut history,
                     call as usize % 2,
                     AttemptOutcome::ConnectionLost
                 ),
@@ -110,50 +117,49 @@
         sent <= 10_000 + 10,
         "{sent}: only what was kept at the start"
     );
-    let mut retries = RetryController::new(RetryPolicy::default(), 2, 3);
+    let mut controller = RetryController::new(RetryPolicy::default(), 2, 3);
     let mut sent = 0;
     for call in 0..10_000u64 {
-        let mut tries = AttemptHistory::new(Idempotency::Idempotent, ms(call + 5000));
-        tries.on_attempt_start(ms(call));
+        let mut history = AttemptHistory::new(Idempotency::Idempotent, ms(call + 5000));
+        history.on_attempt_start(ms(call));
         sent += 1;
         if call % 3 == 0 {
             while let RetryDecision::RetryAt(at) =
-                retries.decide(ms(call), &mut tries, 0, AttemptOutcome::Failed)
+                controller.decide(ms(call), &mut history, 0, AttemptOutcome::Failed)
             {
-                tries.on_attempt_start(at);
+                history.on_attempt_start(at);
                 sent += 1;
             }
         } else {
-            retries.on_success(0);
+            controller.on_success(0);
         }
     }
     assert!(sent as f64 <= 11_000.0, "{sent}");
 }
 
 #[test]
-fn a_time_to_come_back_is_a_floor_beyond_which_all_spread_and_one_beyond_the_expiry_ends_the_call()
-{
+fn spreads_retries_beyond_retry_after_and_gives_up_if_it_is_past_the_deadline() {
     let mut times = Vec::new();
     for seed in 0..200 {
-        let (mut retries, mut tries) = (
+        let (mut controller, mut history) = (
             RetryController::new(RetryPolicy::default(), 1, seed),
-            once(),
+            non_idempotent(),
         );
-        tries.on_attempt_start(ms(0));
-        match retries.decide(
+        history.on_attempt_start(ms(0));
+        match controller.decide(
             ms(0),
-            &mut tries,
+            &mut history,
             0,
             AttemptOutcome::Rejected {
                 retry_after: Some(ms(400)),
             },
         ) {
             RetryDecision::RetryAt(at) => times.push(at),
-            over => panic!("{over:?}"),
+            other => panic!("{other:?}"),
         }
     }
     assert!(times.iter().all(|t| (ms(400)..ms(800)).contains(t)));
-    let most = (0..8)
+    let fullest = (0..8)
         .map(|n| {
             times
                 .iter()
@@ -162,30 +168,33 @@
         })
         .max();
     assert!(
-        most.unwrap() < 50,
-        "two hundred at once come back spread: {most:?} in 50 ms"
+        fullest.unwrap() < 50,
+        "two hundred at once come back spread: {fullest:?} in 50 ms"
+    );
+    let (mut controller, mut history) = (
+        RetryController::new(RetryPolicy::default(), 1, 1),
+        non_idempotent(),
     );
-    let (mut retries, mut tries) = (RetryController::new(RetryPolicy::default(), 1, 1), once());
-    tries.on_attempt_start(ms(0));
-    let next = retries.decide(
+    history.on_attempt_start(ms(0));
+    let decision = controller.decide(
         ms(0),
-        &mut tries,
+        &mut history,
         0,
         AttemptOutcome::Rejected {
             retry_after: Some(ms(2000)),
         },
     );
-    assert_eq!(next, RetryDecision::GiveUp(GiveUpReason::Deadline));
+    assert_eq!(decision, RetryDecision::GiveUp(GiveUpReason::Deadline));
     assert_eq!(
-        retries.available_tokens(),
+        controller.available_tokens(),
         RetryPolicy::default().max_tokens,
         "which costs no token"
     );
 }
 
 #[test]
-fn a_close_that_crossed_a_command_is_resent_once_without_a_token() {
-    let (mut retries, mut tries) = (
+fn resends_once_without_a_token_after_a_stale_connection() {
+    let (mut controller, mut history) = (
         RetryController::new(
             RetryPolicy {
                 max_tokens: 0.0,
@@ -196,22 +205,22 @@
         ),
         AttemptHistory::new(Idempotency::Idempotent, ms(2000)),
     );
-    tries.on_attempt_start(ms(0));
+    history.on_attempt_start(ms(0));
     assert_eq!(
-        retries.decide(ms(5), &mut tries, 0, AttemptOutcome::StaleConnection),
+        controller.decide(ms(5), &mut history, 0, AttemptOutcome::StaleConnection),
         RetryDecision::RetryAt(ms(5))
     );
-    tries.on_attempt_start(ms(5));
+    history.on_attempt_start(ms(5));
     assert_eq!(
-        retries.decide(ms(9), &mut tries, 0, AttemptOutcome::StaleConnection),
+        controller.decide(ms(9), &mut history, 0, AttemptOutcome::StaleConnection),
         RetryDecision::GiveUp(GiveUpReason::RetryBudget)
     );
 }
 
 #[test]
-fn whatever_happens_no_try_goes_out_after_the_expiry_or_twice_where_it_may_not() {
+fn never_attempts_past_the_deadline_or_twice_where_it_must_not() {
     fn play(seed: u64, script: Vec<(u8, u8)>) {
-        let mut retries = RetryController::new(
+        let mut controller = RetryController::new(
             RetryPolicy {
                 max_tokens: 1e9,
                 ..RetryPolicy::default()
@@ -220,28 +229,28 @@
             seed,
         );
         let kinds = [
-            once(),
+            non_idempotent(),
             keyed(DeduplicationScope::All),
             keyed(DeduplicationScope::Zone),
             AttemptHistory::new(Idempotency::Idempotent, ms(2000)),
         ];
-        let mut tries = kinds[seed as usize % 4].clone();
+        let mut history = kinds[seed as usize % 4].clone();
         let (mut now, mut ran): (Duration, Option<Duration>) = (ms(0), None);
         for (how, took) in script {
-            tries.on_attempt_start(now);
+            history.on_attempt_start(now);
             let began = now;
             now += ms(u64::from(took) * 4);
-            let ended = ALL[how as usize % ALL.len()];
-            if ended.may_have_executed() {
+            let outcome = ALL[how as usize % ALL.len()];
+            if outcome.may_have_executed() {
                 ran.get_or_insert(began);
             }
             let RetryDecision::RetryAt(at) =
-                retries.decide(now, &mut tries, how as usize % 4, ended)
+                controller.decide(now, &mut history, how as usize % 4, outcome)
             else {
                 return;
             };
-            assert!(at >= now && at < ms(2000) && tries.attempts <= 5);
-            match (tries.idempotency, ran) {
+            assert!(at >= now && at < ms(2000) && history.attempts <= 5);
+            match (history.idempotency, ran) {
                 (Idempotency::NonIdempotent, ran) => assert_eq!(ran, None),
                 (
                     Idempotency::Keyed {
@@ -253,7 +262,7 @@
                     assert!(at < from + window);
                 }
                 (Idempotency::Keyed { .. }, ran) => {
-                    assert!(ran.is_none() || tries.idempotency == kinds[1].idempotency)
+                    assert!(ran.is_none() || history.idempotency == kinds[1].idempotency)
                 }
                 _ => {}
             }
