--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -8,51 +8,49 @@
 };
 use tulipwall_testkit::{Act, Endpoint, Ways};
 
+const TIMEOUT: Duration = Duration::from_millis(800);
+
 fn main() -> std::io::Result<()> {
     let agent = Endpoint::start(1, Ways::default(), 1)?;
-    let latency_objective = Duration::from_millis(400);
+    let config = ClientConfig::new(vec![agent.address(0)], request_classes());
+    let client = blocking::Client::new(config);
+
+    let read = client.call(Call::read("view", "profile-7", TIMEOUT));
+    println!("view: {:?}", read.map(|response| response.value));
+
+    let message = Call::write("send", "thread-7", b"hello".to_vec(), TIMEOUT)
+        .tenant("northern")
+        .key("m-1");
+    let sent = client.call(message);
+    println!("send: {:?}", sent.map(|r| r.attempts.agents.len()));
+
+    // The agent closes the connection instead of answering: the payment may have run, and is not
+    // sent again.
+    agent.ways(|ways| ways.act = Act::Resets);
+    match client.call(Call::write("payment", "p-1", vec![1], TIMEOUT)) {
+        Err(CallError::Failed { attempts, .. }) => {
+            println!("payment: it may have run: {}", attempts.may_have_executed);
+        }
+        other => println!("payment: {other:?}"),
+    }
+    println!("{:?}", client.stats().counters);
+    Ok(())
+}
+
+fn request_classes() -> Vec<RequestClass> {
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
         window: Duration::from_secs(3),
     };
-    let classes = [
-        ("view", Idempotency::Idempotent, 3.0),
-        ("send", keyed, 3.0),
-        ("payment", Idempotency::NonIdempotent, 9.0),
-    ];
-    let class = |(name, idempotency, priority_weight): (&str, _, _)| RequestClass {
+    let class = |name: &str, idempotency, priority_weight| RequestClass {
         name: name.into(),
         idempotency,
-        latency_objective,
+        latency_objective: Duration::from_millis(400),
         priority_weight,
     };
-    let client = blocking::Client::new(ClientConfig::new(
-        vec![agent.address(0)],
-        classes.map(class).to_vec(),
-    ));
-    let expiry = Duration::from_millis(800);
-    println!(
-        "view: {:?}",
-        client
-            .call(Call::read("view", "profile-7", expiry))
-            .map(|a| a.value)
-    );
-    let message = Call::write("send", "thread-7", b"hello".to_vec(), expiry)
-        .tenant("northern")
-        .key("m-1");
-    println!(
-        "send: {:?}",
-        client.call(message).map(|a| a.attempts.agents.len())
-    );
-    agent.ways(|w| w.act = Act::Resets);
-    match client.call(Call::write("payment", "p-1", vec![1], expiry)) {
-        Err(CallError::Failed {
-            attempts: tried, ..
-        }) => {
-            println!("payment: it may have run: {}", tried.may_have_executed)
-        }
-        other => println!("payment: {other:?}"),
-    }
-    println!("{:?}", client.stats().counters);
-    Ok(())
+    vec![
+        class("view", Idempotency::Idempotent, 3.0),
+        class("send", keyed, 3.0),
+        class("payment", Idempotency::NonIdempotent, 9.0),
+    ]
 }
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -7,87 +7,110 @@
 //! over many, in a loop.
 
 use std::hint::black_box;
+use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tulipwall_client::Client;
 use tulipwall_client_policy::{AgentSelector, AttemptSignal, ConnectionPolicy, Selection};
 use tulipwall_testkit::service;
 
-const AGENTS: [usize; 4] = [6, 77, 385, 770];
+const AGENT_COUNTS: [usize; 4] = [6, 77, 385, 770];
 const CLIENTS: usize = 2000;
+const SELECTIONS: u64 = 200_000;
 
-/// Bytes resident now.
-fn resident() -> f64 {
-    let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text
-        .lines()
-        .find(|l| l.starts_with("VmRSS:"))
-        .unwrap_or_default();
-    line.split_whitespace()
-        .nth(1)
-        .and_then(|n| n.parse::<f64>().ok())
-        .unwrap_or_default()
-        * 1024.0
+/// A figure measured at a number of agents.
+#[derive(Clone, Copy)]
+struct Point {
+    agents: f64,
+    figure: f64,
 }
 
-/// Least squares: slope, intercept and the largest distance from the line.
-fn line(points: &[(f64, f64)]) -> (f64, f64, f64) {
-    let n = points.len() as f64;
-    let (x, y) = points
-        .iter()
-        .fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
-    let (over, under) = points.iter().fold((0.0, 0.0), |(o, u), p| {
-        (o + (p.0 - x) * (p.1 - y), u + (p.0 - x).powi(2))
-    });
-    let slope = over / f64::max(under, f64::MIN_POSITIVE);
-    let off = |p: &(f64, f64)| (p.1 - y - slope * (p.0 - x)).abs();
-    (
-        slope,
-        y - slope * x,
-        points.iter().map(off).fold(0.0, f64::max),
-    )
+/// A line through measured points.
+struct LineFit {
+    slope: f64,
+    intercept: f64,
+    /// The largest distance of a point from the line.
+    max_error: f64,
 }
 
-fn tell(what: &str, unit: &str, points: &[(f64, f64)]) {
-    points
-        .iter()
-        .for_each(|(x, y)| println!("{what:40} {x:6} {y:12.3} {unit}"));
-    let (slope, intercept, off) = line(points);
+impl LineFit {
+    /// The line of least squares.
+    fn of(points: &[Point]) -> LineFit {
+        let mean =
+            |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / points.len() as f64;
+        let mean_agents = mean(|p| p.agents);
+        let mean_figure = mean(|p| p.figure);
+        let deviations = points
+            .iter()
+            .map(|p| (p.agents - mean_agents, p.figure - mean_figure));
+        let covariance: f64 = deviations.clone().map(|(x, y)| x * y).sum();
+        let variance: f64 = deviations.clone().map(|(x, _)| x.powi(2)).sum();
+        let slope = covariance / variance.max(f64::MIN_POSITIVE);
+        let errors = deviations.map(|(x, y)| (y - slope * x).abs());
+        LineFit {
+            slope,
+            intercept: mean_figure - slope * mean_agents,
+            max_error: errors.fold(0.0, f64::max),
+        }
+    }
+}
+
+fn print_figures(what: &str, unit: &str, measure: impl Fn(usize) -> f64) {
+    let points = AGENT_COUNTS.map(|agents| Point {
+        agents: agents as f64,
+        figure: measure(agents),
+    });
+    for Point { agents, figure } in points {
+        println!("{what:40} {agents:6} {figure:12.3} {unit}");
+    }
+    let LineFit {
+        slope,
+        intercept,
+        max_error,
+    } = LineFit::of(&points);
     println!(
-        "{what:40} slope {slope:.4} {unit}, from {intercept:.3}, at most {off:.3} off the line\n"
+        "{what:40} slope {slope:.4} {unit}, from {intercept:.3}, at most {max_error:.3} off the line\n"
     );
 }
 
-fn choice(agents: usize) -> f64 {
-    let mut endpoints = AgentSelector::new(ConnectionPolicy::default(), agents, 1);
-    let (calls, begun) = (200_000u64, Instant::now());
-    for n in 0..calls {
+/// Microseconds that one choice among this many agents takes.
+fn selection_time(agents: usize) -> f64 {
+    let mut selector = AgentSelector::new(ConnectionPolicy::default(), agents, 1);
+    let started = Instant::now();
+    for n in 0..SELECTIONS {
         let now = Duration::from_micros(n);
-        if let Selection::Agent(a) = endpoints.select(now, None, |_| true) {
-            endpoints.on_attempt_end(now, black_box(a), AttemptSignal::Success);
+        if let Selection::Agent(agent) = selector.select(now, None, |_| true) {
+            selector.on_attempt_end(now, black_box(agent), AttemptSignal::Success);
         }
     }
-    begun.elapsed().as_secs_f64() * 1e6 / calls as f64
+    started.elapsed().as_secs_f64() * 1e6 / SELECTIONS as f64
 }
 
-fn main() {
-    tell(
-        "one choice, by agents",
-        "us",
-        &AGENTS.map(|n| (n as f64, choice(n))),
-    );
+/// Kilobytes that one idle client of this many agents keeps.
+fn client_memory(agents: usize) -> f64 {
+    let before = resident_bytes();
+    let new_client = |_| Client::new(service(addresses(agents)));
+    let clients: Vec<Client> = (0..CLIENTS).map(new_client).collect();
+    let grown = resident_bytes() - before;
+    // Not given back before the next measurement, which would find it free.
+    std::mem::forget(black_box(clients));
+    grown / CLIENTS as f64 / 1024.0
+}
 
-    let at = |n: usize| {
-        (0..n)
-            .map(|n| ([127, 1, (n >> 8) as u8, n as u8], 9).into())
-            .collect::<Vec<_>>()
-    };
-    let idle = AGENTS.map(|n| {
-        let before = resident();
-        let kept: Vec<Client> = (0..CLIENTS).map(|_| Client::new(service(at(n)))).collect();
-        let grown = resident() - before;
-        // Not given back before the next, which would be counted as free there.
-        std::mem::forget(black_box(kept));
-        (n as f64, grown / CLIENTS as f64 / 1024.0)
-    });
-    tell("an idle client, by agents", "KB", &idle);
+fn addresses(count: usize) -> Vec<SocketAddr> {
+    let address = |n: usize| SocketAddr::from(([127, 1, (n >> 8) as u8, n as u8], 9));
+    (0..count).map(address).collect()
+}
+
+/// The resident memory of this process.
+fn resident_bytes() -> f64 {
+    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    let line = status.lines().find(|line| line.starts_with("VmRSS:"));
+    let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
+    let kilobytes: f64 = kilobytes.and_then(|n| n.parse().ok()).unwrap_or_default();
+    kilobytes * 1024.0
+}
+
+fn main() {
+    print_figures("one choice, by agents", "us", selection_time);
+    print_figures("an idle client, by agents", "KB", client_memory);
 }
--- /dev/null
+++ b/crates/client/examples/measure/brownout.rs
@@ -0,0 +1,120 @@
+//! For five seconds each attempt takes twenty times as long: what the endpoints get meanwhile, and
+//! when the throughput is back.
+
+use crate::cluster::{payments_run_twice, sample_increase, start_agent, start_endpoints};
+use crate::fleet::{ClientFleet, ClientKind};
+use std::ops::Range;
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+use tulipwall_testkit::World;
+
+/// Counts are read in intervals of this length.
+pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+const SAMPLES_PER_SECOND: f64 = 4.0;
+const SAMPLES: usize = 64;
+const CLIENTS: usize = 80;
+const CALL_PAUSE: Duration = Duration::from_millis(180);
+const WARM_UP: Duration = Duration::from_secs(2);
+const USUAL_WORK: Duration = Duration::from_millis(10);
+const SLOW_WORK: Duration = Duration::from_millis(200);
+/// From the first sample to the beginning of the slow time, and its length.
+const SLOW_AFTER: Duration = Duration::from_secs(3);
+const SLOW_FOR: Duration = Duration::from_secs(5);
+/// The samples before the slow time, within it when it has taken effect, and right after it.
+const BEFORE: Range<usize> = 0..12;
+const DURING: Range<usize> = 14..32;
+const JUST_AFTER: Range<usize> = 32..40;
+/// The throughput is back at this part of the usual one.
+const RECOVERED: f64 = 0.95;
+
+/// What was counted in each interval.
+pub struct Measurements {
+    /// Requests that went out to the agent.
+    agent_requests: Vec<f64>,
+    /// Attempts that came to the endpoints.
+    pub endpoint_attempts: Vec<f64>,
+    /// Calls that succeeded.
+    pub successes: Vec<f64>,
+}
+
+/// Measures clients of one kind and prints a row.
+pub fn run(kind: ClientKind) -> Measurements {
+    let world = Arc::new(start_endpoints(USUAL_WORK, 4));
+    let agent = start_agent(&world);
+    let address = agent.address().expect("an address");
+    let fleet = ClientFleet::start(kind, address, CLIENTS, CALL_PAUSE);
+    thread::sleep(WARM_UP);
+    let slow_time = spawn_slow_time(world.clone());
+    let measurements = measure(&world, &fleet);
+    let _ = slow_time.join();
+    fleet.stop();
+    print_row(kind, &measurements, payments_run_twice(&world));
+    measurements
+}
+
+fn spawn_slow_time(world: Arc<World>) -> thread::JoinHandle<()> {
+    thread::spawn(move || {
+        thread::sleep(SLOW_AFTER);
+        set_work(&world, SLOW_WORK);
+        thread::sleep(SLOW_FOR);
+        set_work(&world, USUAL_WORK);
+    })
+}
+
+fn set_work(world: &World, work: Duration) {
+    for (_, endpoint) in world.of_zone(0) {
+        endpoint.ways(|ways| ways.work = work);
+    }
+}
+
+/// Reads all counts at the same times, each in a thread of its own.
+fn measure(world: &Arc<World>, fleet: &ClientFleet) -> Measurements {
+    let world = world.clone();
+    let endpoint_attempts = spawn_sampler(move || {
+        let endpoints = world.of_zone(0);
+        let counts = endpoints
+            .iter()
+            .map(|(_, endpoint)| endpoint.seen_count() as u64);
+        counts.sum()
+    });
+    let agent_requests = spawn_sampler(fleet.attempt_count());
+    let successes = sample_increase(SAMPLES, SAMPLE_INTERVAL, fleet.success_count());
+    Measurements {
+        agent_requests: agent_requests.join().unwrap_or_default(),
+        endpoint_attempts: endpoint_attempts.join().unwrap_or_default(),
+        successes,
+    }
+}
+
+fn spawn_sampler(read_count: impl Fn() -> u64 + Send + 'static) -> thread::JoinHandle<Vec<f64>> {
+    thread::spawn(move || sample_increase(SAMPLES, SAMPLE_INTERVAL, read_count))
+}
+
+fn print_row(kind: ClientKind, measured: &Measurements, payments_twice: usize) {
+    let usual = per_second(&measured.successes[BEFORE]);
+    let recovery = seconds_to_recover(&measured.successes[JUST_AFTER.start..], usual);
+    let recovery = recovery.map_or("not in 8 s".into(), |s| format!("{s:.2} s"));
+    println!(
+        "| {} | {:.0} | {:.0} | {:.0} | {:.0} | {:.0} | {usual:.0} | {:.0} | {recovery} | {payments_twice} |",
+        kind.label(),
+        per_second(&measured.agent_requests[BEFORE]),
+        per_second(&measured.agent_requests[DURING]),
+        per_second(&measured.endpoint_attempts[BEFORE]),
+        per_second(&measured.endpoint_attempts[DURING]),
+        per_second(&measured.endpoint_attempts[JUST_AFTER]),
+        per_second(&measured.successes[DURING]),
+    );
+}
+
+/// Seconds until the throughput of one second is back.
+fn seconds_to_recover(successes: &[f64], usual: f64) -> Option<f64> {
+    let mut seconds = successes.windows(SAMPLES_PER_SECOND as usize);
+    let recovered = seconds.position(|second| per_second(second) >= usual * RECOVERED);
+    recovered.map(|samples| samples as f64 / SAMPLES_PER_SECOND)
+}
+
+fn per_second(samples: &[f64]) -> f64 {
+    let sum: f64 = samples.iter().sum();
+    sum / samples.len().max(1) as f64 * SAMPLES_PER_SECOND
+}
--- /dev/null
+++ b/crates/client/examples/measure/cluster.rs
@@ -0,0 +1,69 @@
+//! The real agent in front of fake endpoints.
+
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+use tulipwall_testkit::{classes, Program, Ways, World};
+
+/// A cluster of two endpoints with this work for each request and this many cores.
+pub fn start_endpoints(work: Duration, cores: usize) -> World {
+    let world = World::new(&["a"], classes()).expect("loopback");
+    for n in 0..2 {
+        let ways = Ways {
+            work,
+            cores,
+            ..Ways::default()
+        };
+        world
+            .endpoint(0, &format!("s-{n}"), 41, ways)
+            .expect("loopback");
+    }
+    world
+}
+
+/// Starts an agent in front of the endpoints.
+pub fn start_agent(world: &World) -> Program {
+    let configuration = world.configuration("n1", 0).expect("loopback");
+    Program::start(agent_binary(), configuration, &[]).expect("the agent, built for release")
+}
+
+/// The agent's program, which lies in the folder above that of the examples.
+pub fn agent_binary() -> PathBuf {
+    let example = std::env::current_exe().unwrap_or_default();
+    let folder = example.ancestors().nth(2).unwrap_or(Path::new("."));
+    folder.join("tulipwall-agent")
+}
+
+/// Objects for which a payment ran more than once.
+pub fn payments_run_twice(world: &World) -> usize {
+    let queries = world.seen().into_values().flatten();
+    let payments = queries.filter(|query| query.ran && query.class == "payment");
+    let mut objects: Vec<String> = payments
+        .map(|query| object_of(&query.statement).to_owned())
+        .collect();
+    objects.sort();
+    objects.windows(2).filter(|pair| pair[0] == pair[1]).count()
+}
+
+/// The object in a statement: its first quoted text.
+fn object_of(statement: &str) -> &str {
+    statement.split('\'').nth(1).unwrap_or_default()
+}
+
+/// The increase of a count in each of `samples` intervals.
+pub fn sample_increase(
+    samples: usize,
+    interval: Duration,
+    read_count: impl Fn() -> u64,
+) -> Vec<f64> {
+    let started = Instant::now();
+    let mut previous = read_count();
+    let mut increases = Vec::with_capacity(samples);
+    for n in 1..=samples {
+        let sample_at = started + interval * n as u32;
+        std::thread::sleep(sample_at.saturating_duration_since(Instant::now()));
+        let current = read_count();
+        increases.push(current.abs_diff(previous) as f64);
+        previous = current;
+    }
+    increases
+}
--- /dev/null
+++ b/crates/client/examples/measure/fleet.rs
@@ -0,0 +1,185 @@
+//! Many clients of one kind that call again and again.
+
+use crate::naive::{NaiveClient, NaiveCounters};
+use crate::CALL_TIMEOUT;
+use async_executor::Task;
+use futures_lite::future::block_on;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tulipwall_client::{Call, Client, Counters};
+use tulipwall_testkit::ground::{sleep, spawn};
+use tulipwall_testkit::service;
+
+/// The classes that a client calls in turn.
+const CLASSES: [&str; 3] = ["view", "view", "payment"];
+
+/// Which client is measured.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientKind {
+    /// A client without care.
+    Naive,
+    /// This library.
+    Careful,
+}
+
+impl ClientKind {
+    /// The name in tables and plots.
+    pub fn label(self) -> &'static str {
+        match self {
+            ClientKind::Naive => "naive",
+            ClientKind::Careful => "this library",
+        }
+    }
+}
+
+/// Many clients of one kind that call until the fleet is stopped.
+pub struct ClientFleet {
+    stop: Arc<AtomicBool>,
+    succeeded: Arc<AtomicU64>,
+    clients: FleetClients,
+    tasks: Vec<Task<()>>,
+}
+
+/// Where the counts of a fleet are read.
+#[derive(Clone)]
+enum FleetClients {
+    Naive(NaiveCounters),
+    Careful(Vec<Client>),
+}
+
+/// A client whose calls are counted.
+pub trait MeasuredClient {
+    /// Reads an object; whether that succeeded in time. `id` differs between any two calls.
+    fn call(&mut self, class: &str, object: &str, id: &str) -> impl Future<Output = bool> + Send;
+}
+
+impl MeasuredClient for Client {
+    async fn call(&mut self, class: &str, object: &str, _id: &str) -> bool {
+        let call = Call::read(class, object, CALL_TIMEOUT);
+        Client::call(self, call).await.is_ok()
+    }
+}
+
+/// The calls of one client of a fleet.
+struct CallLoop {
+    /// The number of the client in its fleet.
+    client_number: usize,
+    start_delay: Duration,
+    pause: Duration,
+    stop: Arc<AtomicBool>,
+    succeeded: Arc<AtomicU64>,
+}
+
+impl CallLoop {
+    /// Calls again and again until the fleet is stopped.
+    async fn run(self, mut client: impl MeasuredClient) {
+        sleep(self.start_delay).await;
+        for number in 0.. {
+            if self.stop.load(Ordering::Relaxed) {
+                return;
+            }
+            let class = CLASSES[number % CLASSES.len()];
+            let id = format!("{}-{number}", self.client_number);
+            let succeeded = client.call(class, &format!("c{id}"), &id).await;
+            self.succeeded
+                .fetch_add(u64::from(succeeded), Ordering::Relaxed);
+            sleep(self.pause).await;
+        }
+    }
+}
+
+impl ClientFleet {
+    /// Starts this many clients, each with a pause between its calls; their starts are spread over
+    /// one pause.
+    pub fn start(
+        kind: ClientKind,
+        agent: SocketAddr,
+        count: usize,
+        pause: Duration,
+    ) -> ClientFleet {
+        let stop = Arc::<AtomicBool>::default();
+        let succeeded = Arc::<AtomicU64>::default();
+        let call_loops = (0..count).map(|client_number| CallLoop {
+            client_number,
+            start_delay: pause.mul_f64(client_number as f64 / count as f64),
+            pause,
+            stop: stop.clone(),
+            succeeded: succeeded.clone(),
+        });
+        let (clients, tasks) = match kind {
+            ClientKind::Naive => spawn_naive(agent, call_loops),
+            ClientKind::Careful => spawn_careful(agent, call_loops),
+        };
+        ClientFleet {
+            stop,
+            succeeded,
+            clients,
+            tasks,
+        }
+    }
+
+    /// Reads how many calls succeeded.
+    pub fn success_count(&self) -> impl Fn() -> u64 + Send + 'static {
+        let succeeded = self.succeeded.clone();
+        move || succeeded.load(Ordering::Relaxed)
+    }
+
+    /// Reads how many requests went out to the agent.
+    pub fn attempt_count(&self) -> impl Fn() -> u64 + Send + 'static {
+        let clients = self.clients.clone();
+        move || match &clients {
+            FleetClients::Naive(counters) => counters.attempts.load(Ordering::Relaxed),
+            FleetClients::Careful(clients) => sum_counters(clients, |c| c.attempts),
+        }
+    }
+
+    /// Reads how many connections were opened.
+    pub fn connection_count(&self) -> impl Fn() -> u64 + Send + 'static {
+        let clients = self.clients.clone();
+        move || match &clients {
+            FleetClients::Naive(counters) => counters.connections_opened.load(Ordering::Relaxed),
+            FleetClients::Careful(clients) => sum_counters(clients, |c| c.connections_opened),
+        }
+    }
+
+    /// Stops the clients and waits for their last calls.
+    pub fn stop(self) {
+        self.stop.store(true, Ordering::Relaxed);
+        self.tasks.into_iter().for_each(block_on);
+    }
+}
+
+fn sum_counters(clients: &[Client], counter: impl Fn(&Counters) -> u64) -> u64 {
+    let counters = clients.iter().map(|client| client.stats().counters);
+    counters.map(|counters| counter(&counters)).sum()
+}
+
+fn spawn_careful(
+    agent: SocketAddr,
+    call_loops: impl Iterator<Item = CallLoop>,
+) -> (FleetClients, Vec<Task<()>>) {
+    let mut clients = Vec::new();
+    let mut tasks = Vec::new();
+    for call_loop in call_loops {
+        let client = Client::new(service(vec![agent]));
+        clients.push(client.clone());
+        tasks.push(spawn(call_loop.run(client)));
+    }
+    (FleetClients::Careful(clients), tasks)
+}
+
+fn spawn_naive(
+    agent: SocketAddr,
+    call_loops: impl Iterator<Item = CallLoop>,
+) -> (FleetClients, Vec<Task<()>>) {
+    let counters = NaiveCounters::default();
+    let spawn_client = |call_loop: CallLoop| {
+        let client = NaiveClient::new(agent, counters.clone());
+        spawn(call_loop.run(client))
+    };
+    let tasks = call_loops.map(spawn_client).collect();
+    (FleetClients::Naive(counters), tasks)
+}
