--- a/crates/agent/src/protocol/error.rs
+++ b/crates/agent/src/protocol/error.rs
@@ -3,6 +3,7 @@
 //! The texts of [`PostgresError`] and [`StatementError`] are sent to clients as they stand here.
 
 use super::http::MAX_BODY_LENGTH;
+use tulipwall_config::FieldError;
 
 /// Bytes that do not follow the protocol spoken on their connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -170,8 +171,8 @@
     LineTooLong,
 }
 
-impl From<String> for PlatformError {
-    fn from(message: String) -> PlatformError {
-        PlatformError::Field(message)
+impl From<FieldError> for PlatformError {
+    fn from(error: FieldError) -> PlatformError {
+        PlatformError::Field(error.to_string())
     }
 }
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -24,12 +24,12 @@
     /// Handles the messages of one line; the reply.
     pub fn handle_line(&mut self, line: &[u8]) -> Result<Value, AdapterError> {
         let batch: Value = serde_json::from_slice(line).map_err(AdapterError::NotJson)?;
-        let batch = Fields::of(&batch, "batch")?;
-        let now = batch.span("t-ms")?;
+        let batch = Fields::new(&batch, "batch")?;
+        let now = batch.duration_ms("t-ms")?;
         let start = *self.start.get_or_insert(now);
         let mut reply = Reply { agents: Vec::new() };
         for messages in batch.array("agents")? {
-            let messages = Fields::of(messages, "agents")?;
+            let messages = Fields::new(messages, "agents")?;
             let agent = messages.integer("agent-id")?;
             let commands = self.handle_agent(agent, &messages, now, start)?;
             if !commands.is_empty() {
@@ -49,7 +49,7 @@
     ) -> Result<Vec<Command>, AdapterError> {
         let mut commands = Vec::new();
         for message in messages.array("items")? {
-            let message = Fields::of(message, "items")?;
+            let message = Fields::new(message, "items")?;
             match message.text("t")? {
                 "Sheet" => self.store_list(&message)?,
                 "OpenInstance" => {
@@ -69,7 +69,7 @@
     }
 
     fn store_list(&mut self, message: &Fields) -> Result<(), AdapterError> {
-        let number = message.whole("buffer")?;
+        let number = message.unsigned("buffer")?;
         let entries = message.array("nodes-list")?.clone();
         self.endpoint_lists.insert(number, entries);
         Ok(())
@@ -85,9 +85,11 @@
             Ok(instance) => {
                 self.instances.insert(agent, instance);
             }
-            Err(ConfigError::Key(text)) => return Err(text.into()),
             // The simulator's own fault: the settings name something that they do not define.
-            Err(ConfigError::Undefined(text)) => commands.push(Command::fatal(text)),
+            Err(error) if error.is_undefined_name() => {
+                commands.push(Command::fatal(error.to_string()));
+            }
+            Err(error) => return Err(error.into()),
         }
         Ok(())
     }
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use thiserror::Error;
+use tulipwall_config::{ConfigError, FieldError};
 
 /// Why a line from the simulator cannot be handled. Each ends the process.
 #[derive(Debug, Error)]
@@ -11,8 +12,11 @@
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
     /// A field is missing or of the wrong form; the text names it.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] FieldError),
+    /// The settings of an agent cannot be used.
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
     #[error("field t: unknown message '{found}'")]
     UnknownMessage { found: String },
     #[error("field {field}: unknown value '{found}'")]
@@ -26,9 +30,3 @@
     #[error("the reply cannot be written as JSON: {0}")]
     Reply(serde_json::Error),
 }
-
-impl From<String> for AdapterError {
-    fn from(text: String) -> AdapterError {
-        AdapterError::Field(text)
-    }
-}
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -10,7 +10,10 @@
 use tulipwall::{
     AttemptEnd, Balancer, Decision, EndpointEntry, PlatformCounts, Request, RolloutStatus,
 };
-use tulipwall_config::{millis, span, ConfigError, Fields, Names, ServiceConfig};
+use tulipwall_config::{
+    duration_from_ms, duration_to_ms, stable_hash, ConfigError, FieldError, Fields, NameTable,
+    ServiceConfig,
+};
 
 /// The `code` of a message about the rollout that is the reply to a vote.
 const CODE_VOTE_REPLY: u64 = 1;
@@ -20,8 +23,8 @@
     balancer: Balancer,
     config: ServiceConfig,
     start: Duration,
-    endpoint_names: Names,
-    endpoint_types: Names,
+    endpoint_names: NameTable,
+    endpoint_types: NameTable,
     requests: RequestTable,
     /// The next poll for which a timer is set.
     next_poll: Option<Duration>,
@@ -35,15 +38,15 @@
         message: &Fields,
     ) -> Result<Instance, ConfigError> {
         let signed_seed = message.integer("salt").map(|seed| seed as u64);
-        let seed = signed_seed.or_else(|_| message.whole("salt"))?;
-        let config = ServiceConfig::read(&message.inner("settings")?, seed)?;
+        let seed = signed_seed.or_else(|_| message.unsigned("salt"))?;
+        let config = ServiceConfig::read(&message.object("settings")?, seed)?;
         let now = clock.saturating_sub(start);
         Ok(Instance {
             balancer: Balancer::new(now, config.settings.clone()),
             config,
             start,
-            endpoint_names: Names::default(),
-            endpoint_types: Names::default(),
+            endpoint_names: NameTable::default(),
+            endpoint_types: NameTable::default(),
             requests: RequestTable::default(),
             next_poll: None,
         })
@@ -114,7 +117,7 @@
     ) -> Result<(), AdapterError> {
         let name = message.text("txn")?;
         let class_name = message.text("tier-class")?;
-        let Some(class) = self.config.class(class_name) else {
+        let Some(class) = self.config.class_index(class_name) else {
             commands.push(Command::fatal(format!("unknown lane '{class_name}'")));
             return Ok(());
         };
@@ -129,18 +132,18 @@
         let tenant = wire::optional_text(message, "owner");
         Ok(Request {
             class,
-            tenant: tenant.and_then(|name| self.config.tenant(name)),
-            key: wire::optional_text(message, "route-key").map(tulipwall_config::number),
-            time_left: message.span("patience-left-ms")?,
+            tenant: tenant.and_then(|name| self.config.tenant_index(name)),
+            key: wire::optional_text(message, "route-key").map(stable_hash),
+            time_left: message.duration_ms("patience-left-ms")?,
             estimated_work: wire::optional_duration(message, "estimate-ms"),
-            is_retry: message.flag("again-by-client")?,
+            is_retry: message.boolean_or_false("again-by-client")?,
         })
     }
 
     /// The client gets the first bytes of a response: no other attempt may answer it.
     fn on_response_started(&mut self, message: &Fields) -> Result<(), AdapterError> {
         let name = message.text("txn")?;
-        message.whole("n")?;
+        message.unsigned("n")?;
         if let Some(id) = self.requests.id(name) {
             self.balancer.close_request(id);
         }
@@ -154,11 +157,11 @@
         commands: &mut Vec<Command>,
     ) -> Result<(), AdapterError> {
         let name = message.text("txn")?;
-        let attempt = message.whole("n")? as usize;
+        let attempt = message.unsigned("n")? as usize;
         let end = AttemptEnd {
             outcome: wire::parse_outcome(message.text("state-code")?)?,
-            latency: message.span("lag-ms")?,
-            request_closed: message.flag("finished")?,
+            latency: message.duration_ms("lag-ms")?,
+            request_closed: message.boolean_or_false("finished")?,
             reported_load: wire::reported_load(message),
         };
         let Some(id) = self.requests.id(name) else {
@@ -205,7 +208,7 @@
             let status = read_rollout_status(now, message)?;
             self.balancer.update_rollout(status);
         }
-        if message.whole_or("code", 0)? == CODE_VOTE_REPLY {
+        if message.unsigned_or("code", 0)? == CODE_VOTE_REPLY {
             let reply = wire::parse_vote_reply(code);
             self.balancer.on_vote_reply(now, reply);
         }
@@ -218,9 +221,11 @@
         message: &Fields,
     ) -> Result<(), AdapterError> {
         let class = message.text("tier-class")?;
-        let endpoint = self.endpoint_names.number(message.text("appliance")?);
-        if let Some(class) = self.config.class(class) {
-            let age = message.span_or("lateness-ms", 0.0)?;
+        let endpoint = self
+            .endpoint_names
+            .index_or_insert(message.text("appliance")?);
+        if let Some(class) = self.config.class_index(class) {
+            let age = message.duration_ms_or("lateness-ms", 0.0)?;
             self.balancer
                 .on_client_reported_error(now, endpoint, class, age);
         }
@@ -228,22 +233,24 @@
     }
 
     fn on_platform_counts(&mut self, message: &Fields) -> Result<(), AdapterError> {
-        let Some(class) = self.config.class(message.text("tier-class")?) else {
+        let Some(class) = self.config.class_index(message.text("tier-class")?) else {
             return Ok(());
         };
         self.balancer.on_platform_counts(&PlatformCounts {
-            build: message.whole("rel")? as u32,
+            build: message.unsigned("rel")? as u32,
             class,
-            attempts: message.whole_or("attempts", 0)? as f64,
-            failed: message.whole_or("errors", 0)? as f64,
-            mean_latency: message.span_or("lag-ms", 0.0)?,
-            age: message.span_or("lateness-ms", 0.0)?,
+            attempts: message.unsigned_or("attempts", 0)? as f64,
+            failed: message.unsigned_or("errors", 0)? as f64,
+            mean_latency: message.duration_ms_or("lag-ms", 0.0)?,
+            age: message.duration_ms_or("lateness-ms", 0.0)?,
         });
         Ok(())
     }
 
     fn on_load_report(&mut self, now: Duration, message: &Fields) -> Result<(), AdapterError> {
-        let endpoint = self.endpoint_names.number(message.text("appliance")?);
+        let endpoint = self
+            .endpoint_names
+            .index_or_insert(message.text("appliance")?);
         let outcome = wire::parse_outcome(message.text("state-code")?)?;
         let load = wire::reported_load(message);
         self.balancer.on_load_report(now, endpoint, outcome, load);
@@ -262,7 +269,7 @@
             self.balancer.on_list_failure(now);
             return Ok(());
         }
-        let list = lists.get(&message.whole("buffer")?);
+        let list = lists.get(&message.unsigned("buffer")?);
         let list = list.ok_or(AdapterError::UnknownList)?;
         match self.read_endpoints(list) {
             Ok(entries) => {
@@ -283,21 +290,22 @@
     }
 
     fn read_endpoint(&mut self, entry: &Value) -> Result<EndpointEntry, ListError> {
-        let entry = Fields::of(entry, "nodes-list")?;
+        let entry = Fields::new(entry, "nodes-list")?;
         let zone_name = entry.text("failure-domain")?;
-        let zone = self.config.zone(zone_name);
+        let zone = self.config.zone_index(zone_name);
         let zone = zone.ok_or_else(|| ListError::UnknownZone(zone_name.to_owned()))?;
         let state = wire::parse_endpoint_state(entry.text("availability")?)?;
-        let started = span(entry.number_or("born-ms", 0.0)?);
+        let started = duration_from_ms(entry.number_or("born-ms", 0.0)?);
         let name = entry.text("appliance")?;
         let endpoint_type = wire::optional_text(&entry, "hw");
         Ok(EndpointEntry {
-            endpoint: self.endpoint_names.number(name),
+            endpoint: self.endpoint_names.index_or_insert(name),
             zone,
-            cell: entry.whole_or("stripe", 0)?,
-            identity: tulipwall_config::number(name),
-            endpoint_type: endpoint_type.map_or(0, |kind| self.endpoint_types.number(kind)),
-            build: entry.whole_or("release", 0)? as u32,
+            cell: entry.unsigned_or("stripe", 0)?,
+            identity: stable_hash(name),
+            endpoint_type: endpoint_type
+                .map_or(0, |kind| self.endpoint_types.index_or_insert(kind)),
+            build: entry.unsigned_or("release", 0)? as u32,
             state,
             started: (started > self.start).then(|| started - self.start),
         })
@@ -323,7 +331,7 @@
                 commands.push(Command::Forward {
                     request,
                     endpoint: self.endpoint_names.name(endpoint).to_owned(),
-                    timeout_ms: millis(timeout).max(wire::MIN_TIMEOUT_MS),
+                    timeout_ms: duration_to_ms(timeout).max(wire::MIN_TIMEOUT_MS),
                 });
                 if let Some(at) = recheck_at {
                     commands.push(self.timer(id.to_string(), at));
@@ -334,7 +342,7 @@
                 self.requests.close(id);
                 commands.push(Command::Reject {
                     request,
-                    retry_after_ms: retry_after.map(millis),
+                    retry_after_ms: retry_after.map(duration_to_ms),
                 });
             }
             Decision::Fail => {
@@ -351,7 +359,7 @@
     fn timer(&self, timer: String, at: Duration) -> Command {
         Command::SetTimer {
             timer,
-            at_ms: millis(self.start + at),
+            at_ms: duration_to_ms(self.start + at),
         }
     }
 }
@@ -369,19 +377,19 @@
     }
 }
 
-impl From<String> for ListError {
-    fn from(text: String) -> ListError {
-        ListError::Malformed(text.into())
+impl From<FieldError> for ListError {
+    fn from(error: FieldError) -> ListError {
+        ListError::Malformed(error.into())
     }
 }
 
 fn read_rollout_status(now: Duration, message: &Fields) -> Result<RolloutStatus, AdapterError> {
-    let phase = wire::parse_rollout_phase(message.whole_or("course", 0)?)?;
+    let phase = wire::parse_rollout_phase(message.unsigned_or("course", 0)?)?;
     Ok(RolloutStatus {
-        build: message.whole("rel")? as u32,
-        stage: message.whole_or("wave", 0)? as usize,
+        build: message.unsigned("rel")? as u32,
+        stage: message.unsigned_or("wave", 0)? as usize,
         phase,
         cap: message.number_or("ceiling", 0.0)?,
-        since: now.saturating_sub(message.span_or("lateness-ms", 0.0)?),
+        since: now.saturating_sub(message.duration_ms_or("lateness-ms", 0.0)?),
     })
 }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::time::Duration;
 use tulipwall::{EndpointState, Outcome, RolloutPhase, Verdict, VoteReply};
-use tulipwall_config::Fields;
+use tulipwall_config::{duration_from_ms, Fields};
 
 /// The timer after which an instance is polled; any other is named by the id of its request.
 pub const POLL_TIMER: &str = "wait";
@@ -211,17 +211,17 @@
 
 /// The requests that an endpoint holds, where the message has a load report.
 pub fn reported_load(message: &Fields) -> Option<f64> {
-    let report = message.maybe("pressure")?;
+    let report = message.optional("pressure")?;
     report.get("concurrent")?.as_f64()
 }
 
 /// The text of a field that may be missing; other than text counts as missing.
 pub fn optional_text<'a>(message: &Fields<'a>, field: &str) -> Option<&'a str> {
-    message.maybe(field)?.as_str()
+    message.optional(field)?.as_str()
 }
 
 /// The milliseconds of a field that may be missing; other than a number counts as missing.
 pub fn optional_duration(message: &Fields, field: &str) -> Option<Duration> {
-    let milliseconds = message.maybe(field)?.as_f64()?;
-    Some(tulipwall_config::span(milliseconds))
+    let milliseconds = message.optional(field)?.as_f64()?;
+    Some(duration_from_ms(milliseconds))
 }
