--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -6,12 +6,12 @@
 use tulipwall_client::{
     blocking, Call, CallError, ClientConfig, DeduplicationScope, Idempotency, RequestClass,
 };
-use tulipwall_testkit::{Act, Endpoint, Ways};
+use tulipwall_testkit::{Endpoint, EndpointBehavior, ResponseBehavior};
 
 const TIMEOUT: Duration = Duration::from_millis(800);
 
 fn main() -> std::io::Result<()> {
-    let agent = Endpoint::start(1, Ways::default(), 1)?;
+    let agent = Endpoint::start(1, EndpointBehavior::default(), 1)?;
     let config = ClientConfig::new(vec![agent.address(0)], request_classes());
     let client = blocking::Client::new(config);
 
@@ -26,7 +26,7 @@
 
     // The agent closes the connection instead of answering: the payment may have run, and is not
     // sent again.
-    agent.ways(|ways| ways.act = Act::Resets);
+    agent.update_behavior(|behavior| behavior.response = ResponseBehavior::Close);
     match client.call(Call::write("payment", "p-1", vec![1], TIMEOUT)) {
         Err(CallError::Failed { attempts, .. }) => {
             println!("payment: it may have run: {}", attempts.may_have_executed);
--- a/crates/client/examples/measure/brownout.rs
+++ b/crates/client/examples/measure/brownout.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use tulipwall_testkit::World;
+use tulipwall_testkit::TestCluster;
 
 /// Counts are read in intervals of this length.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
@@ -40,42 +40,42 @@
 
 /// Measures clients of one kind and prints a row.
 pub fn run(kind: ClientKind) -> Measurements {
-    let world = Arc::new(start_endpoints(USUAL_WORK, 4));
-    let agent = start_agent(&world);
+    let cluster = Arc::new(start_endpoints(USUAL_WORK, 4));
+    let agent = start_agent(&cluster);
     let address = agent.address().expect("an address");
     let fleet = ClientFleet::start(kind, address, CLIENTS, CALL_PAUSE);
     thread::sleep(WARM_UP);
-    let slow_time = spawn_slow_time(world.clone());
-    let measurements = measure(&world, &fleet);
+    let slow_time = spawn_slow_time(cluster.clone());
+    let measurements = measure(&cluster, &fleet);
     let _ = slow_time.join();
     fleet.stop();
-    print_row(kind, &measurements, payments_run_twice(&world));
+    print_row(kind, &measurements, payments_run_twice(&cluster));
     measurements
 }
 
-fn spawn_slow_time(world: Arc<World>) -> thread::JoinHandle<()> {
+fn spawn_slow_time(cluster: Arc<TestCluster>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         thread::sleep(SLOW_AFTER);
-        set_work(&world, SLOW_WORK);
+        set_work(&cluster, SLOW_WORK);
         thread::sleep(SLOW_FOR);
-        set_work(&world, USUAL_WORK);
+        set_work(&cluster, USUAL_WORK);
     })
 }
 
-fn set_work(world: &World, work: Duration) {
-    for (_, endpoint) in world.of_zone(0) {
-        endpoint.ways(|ways| ways.work = work);
+fn set_work(cluster: &TestCluster, work: Duration) {
+    for (_, endpoint) in cluster.endpoints_in_zone(0) {
+        endpoint.update_behavior(|behavior| behavior.work = work);
     }
 }
 
 /// Reads all counts at the same times, each in a thread of its own.
-fn measure(world: &Arc<World>, fleet: &ClientFleet) -> Measurements {
-    let world = world.clone();
+fn measure(cluster: &Arc<TestCluster>, fleet: &ClientFleet) -> Measurements {
+    let cluster = cluster.clone();
     let endpoint_attempts = spawn_sampler(move || {
-        let endpoints = world.of_zone(0);
+        let endpoints = cluster.endpoints_in_zone(0);
         let counts = endpoints
             .iter()
-            .map(|(_, endpoint)| endpoint.seen_count() as u64);
+            .map(|(_, endpoint)| endpoint.received_count() as u64);
         counts.sum()
     });
     let agent_requests = spawn_sampler(fleet.attempt_count());
--- a/crates/client/examples/measure/cluster.rs
+++ b/crates/client/examples/measure/cluster.rs
@@ -2,28 +2,28 @@
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tulipwall_testkit::{classes, Program, Ways, World};
+use tulipwall_testkit::{classes, AgentProcess, EndpointBehavior, TestCluster};
 
 /// A cluster of two endpoints with this work for each request and this many cores.
-pub fn start_endpoints(work: Duration, cores: usize) -> World {
-    let world = World::new(&["a"], classes()).expect("loopback");
+pub fn start_endpoints(work: Duration, cores: usize) -> TestCluster {
+    let cluster = TestCluster::new(&["a"], classes()).expect("loopback");
     for n in 0..2 {
-        let ways = Ways {
+        let behavior = EndpointBehavior {
             work,
             cores,
-            ..Ways::default()
+            ..EndpointBehavior::default()
         };
-        world
-            .endpoint(0, &format!("s-{n}"), 41, ways)
+        cluster
+            .add_endpoint(0, &format!("s-{n}"), 41, behavior)
             .expect("loopback");
     }
-    world
+    cluster
 }
 
 /// Starts an agent in front of the endpoints.
-pub fn start_agent(world: &World) -> Program {
-    let configuration = world.configuration("n1", 0).expect("loopback");
-    Program::start(agent_binary(), configuration, &[]).expect("the agent, built for release")
+pub fn start_agent(cluster: &TestCluster) -> AgentProcess {
+    let configuration = cluster.configuration("n1", 0).expect("loopback");
+    AgentProcess::start(agent_binary(), configuration, &[]).expect("the agent, built for release")
 }
 
 /// The agent's program, which lies in the folder above that of the examples.
@@ -34,8 +34,8 @@
 }
 
 /// Objects for which a payment ran more than once.
-pub fn payments_run_twice(world: &World) -> usize {
-    let queries = world.seen().into_values().flatten();
+pub fn payments_run_twice(cluster: &TestCluster) -> usize {
+    let queries = cluster.received_queries().into_values().flatten();
     let payments = queries.filter(|query| query.ran && query.class == "payment");
     let mut objects: Vec<String> = payments
         .map(|query| object_of(&query.statement).to_owned())
--- a/crates/client/examples/measure/fleet.rs
+++ b/crates/client/examples/measure/fleet.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tulipwall_client::{Call, Client, Counters};
-use tulipwall_testkit::ground::{sleep, spawn};
+use tulipwall_testkit::runtime::{sleep, spawn};
 use tulipwall_testkit::service;
 
 /// The classes that a client calls in turn.
--- a/crates/client/examples/measure/naive.rs
+++ b/crates/client/examples/measure/naive.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::ground::sleep;
 use tulipwall_testkit::pg;
+use tulipwall_testkit::runtime::sleep;
 
 /// The pause before each retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/client/examples/measure/overhead.rs
+++ b/crates/client/examples/measure/overhead.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use tulipwall_client::{Call, Client};
-use tulipwall_testkit::{pg, service, Endpoint, Ways};
+use tulipwall_testkit::{pg, service, Endpoint, EndpointBehavior};
 
 const CALLS: usize = 12_000;
 const IDLE_CLIENTS: usize = 10_000;
@@ -20,7 +20,7 @@
 /// Prints what a call takes beyond the same bytes on a bare socket, against a fake that answers at
 /// once; in turns.
 pub fn print_call_overhead() {
-    let endpoint = Endpoint::start(1, Ways::default(), 1).expect("loopback");
+    let endpoint = Endpoint::start(1, EndpointBehavior::default(), 1).expect("loopback");
     let client = Client::new(service(vec![endpoint.address(0)]));
     let mut bare = block_on(connect(endpoint.address(0))).expect("loopback");
     let query = pg::query(STATEMENT);
--- a/crates/client/examples/measure/restart.rs
+++ b/crates/client/examples/measure/restart.rs
@@ -7,7 +7,7 @@
 use crate::ms;
 use std::thread;
 use std::time::Duration;
-use tulipwall_testkit::Program;
+use tulipwall_testkit::AgentProcess;
 
 /// Connections are counted in intervals of this length.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
@@ -19,19 +19,19 @@
 
 /// Measures clients of one kind and prints a row; the new connections in each interval.
 pub fn run(kind: ClientKind) -> Vec<f64> {
-    let world = start_endpoints(ms(5), 64);
-    let agent = start_agent(&world);
+    let cluster = start_endpoints(ms(5), 64);
+    let agent = start_agent(&cluster);
     let address = agent.address().expect("an address");
     let fleet = ClientFleet::start(kind, address, CLIENTS, CALL_PAUSE);
     thread::sleep(WARM_UP);
     let configuration = agent.configuration.clone();
     drop(agent);
     thread::sleep(AGENT_DOWN);
-    let restarted = Program::start(agent_binary(), configuration, &[]).expect("the agent");
+    let restarted = AgentProcess::start(agent_binary(), configuration, &[]).expect("the agent");
     let connections = sample_increase(SAMPLES, SAMPLE_INTERVAL, fleet.connection_count());
     fleet.stop();
     drop(restarted);
-    print_row(kind, &connections, payments_run_twice(&world));
+    print_row(kind, &connections, payments_run_twice(&cluster));
     connections
 }
 
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -24,10 +24,12 @@
 }
 
 impl Pool {
+    /// Connections that wait for a request.
     pub fn idle_count(&self) -> usize {
         self.idle.len()
     }
 
+    /// Whether a connection waits for a request.
     pub fn has_idle(&self) -> bool {
         !self.idle.is_empty()
     }
@@ -176,7 +178,7 @@
             if let Some(connection) = self.take_idle(agent) {
                 return Ok(connection);
             }
-            let look_again_at = match self.reserve_connect(agent) {
+            let recheck_at = match self.reserve_connect(agent) {
                 ConnectDecision::Connect => return self.connect(agent, deadline).await,
                 ConnectDecision::NotBefore(time) => self.instant(time).min(queue_deadline),
                 ConnectDecision::AtLimit => queue_deadline,
@@ -185,7 +187,7 @@
                 let guard = QueueGuard::enter(self).ok_or(AcquireError::NoneFree)?;
                 queue_guard = Some(guard);
             }
-            with_deadline(look_again_at, released).await;
+            with_deadline(recheck_at, released).await;
             if Instant::now() >= queue_deadline {
                 return Err(AcquireError::NoneFree);
             }
--- a/crates/sim-adapter/src/requests.rs
+++ b/crates/sim-adapter/src/requests.rs
@@ -1,4 +1,5 @@
-//! The open requests of one instance: the wire's names on one side, the balancer's ids on the other.
+//! The open requests of one instance: the wire's names on one side, the balancer's ids on the
+//! other.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -32,10 +33,12 @@
         id
     }
 
+    /// The id of the request with this name.
     pub fn id(&self, name: &str) -> Option<u64> {
         self.ids.get(name).copied()
     }
 
+    /// The name of the request with this id.
     pub fn name(&self, id: u64) -> Option<&str> {
         self.open.get(&id).map(|request| request.name.as_str())
     }
@@ -45,6 +48,7 @@
         self.open.get(&id).is_some_and(|request| !request.closed)
     }
 
+    /// An attempt of this request is out.
     pub fn on_attempt_start(&mut self, id: u64) {
         if let Some(request) = self.open.get_mut(&id) {
             request.attempts_out += 1;
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -116,6 +116,7 @@
 }
 
 impl Command {
+    /// The report of a fault in what the simulator sent.
     pub fn fatal(text: impl Into<String>) -> Command {
         Command::Fatal { text: text.into() }
     }
