--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -5,8 +5,10 @@
 //! is, what varies and over how many seeds; runs are spread over cores, kept as records, compared
 //! and drawn.
 
+pub mod arguments;
 pub mod fleet;
 pub mod load;
+pub mod procfs;
 pub mod records;
 pub mod report;
 pub mod run;
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -73,7 +73,7 @@
     },
     /// Hollow agents by their number, endpoints, services, classes and tenants: what each costs,
     /// against the limits.
-    Scale(tulipwall_experiments::scale::command::Scale),
+    Scale(tulipwall_experiments::scale::command::Options),
     /// Drive a real agent over its protocol, open loop.
     Load(Drive),
     /// What real agents on loopback take and add: memory, processor time, bytes, latency.
@@ -152,7 +152,7 @@
         Command::Scale(scale) => match scale.run(free()) {
             Ok(beyond) if beyond.is_empty() => Ok(true),
             Ok(_) => return 4.into(),
-            Err(what) => Err(what),
+            Err(error) => Err(error.to_string()),
         },
     };
     match done {
--- /dev/null
+++ b/crates/experiments/src/scale/agent/mod.rs
@@ -0,0 +1,309 @@
+//! A simulated agent: the agent's real decisions, endpoint list, parsers and watch timing in
+//! simulated time, without sockets.
+//!
+//! It decides nothing of its own. Where an outcome depends on chance, such as how long an endpoint
+//! takes, the chance is drawn from the seed.
+
+mod discovery;
+mod events;
+mod messages;
+mod platform;
+mod requests;
+
+pub use messages::{ActualState, AgentInput, AgentOutput};
+
+use super::meter::{Meter, Operation, ProcessorTimer};
+use super::size::Size;
+use discovery::DiscoveryState;
+use events::{EventKind, EventQueue};
+use platform::PlatformState;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use requests::Requests;
+use std::rc::Rc;
+use std::time::Duration;
+use tulipwall::Balancer;
+use tulipwall_config::ServiceConfig;
+use tulipwall_discovery::clock::Clock;
+
+/// The balancer is polled no sooner than this after the last time.
+const MIN_POLL_GAP: Duration = Duration::from_millis(1);
+/// Spreads the seeds of agents, so that neighbours draw differently (golden ratio, 64 bits).
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Separates the draws of the load from those of the balancer.
+const LOAD_SEED: u64 = 0xa11c;
+/// Added to the seed of an agent at each restart.
+const RESTART_SEED: u64 = 0x51_7c_c1;
+
+/// What an agent counts beside its meter.
+#[derive(Clone, Debug, Default)]
+pub struct AgentCounts {
+    /// Requests taken.
+    pub requests: u64,
+    /// Requests that succeeded.
+    pub succeeded: u64,
+    /// Attempts sent.
+    pub attempts: u64,
+    /// Endpoints looked at by the balancer.
+    pub endpoints_scanned: u64,
+    /// How often the balancer was polled.
+    pub polls: u64,
+    /// When which version of the endpoint list was learnt.
+    pub versions: Vec<LearntVersion>,
+    /// From each reload until discovery and the platform were heard anew.
+    pub reloads: Vec<Duration>,
+    /// What it keeps: requests, endpoints, builds, keys, and what is listed.
+    pub retained: [usize; 5],
+}
+
+/// A version of the endpoint list that came to an agent.
+#[derive(Clone, Copy, Debug)]
+pub struct LearntVersion {
+    /// When it came.
+    pub at: Duration,
+    /// The version.
+    pub version: u64,
+}
+
+/// A reload that is under way.
+#[derive(Default)]
+struct Reload {
+    started_at: Duration,
+    awaits_discovery: bool,
+    awaits_platform: bool,
+}
+
+/// An agent in simulated time.
+pub struct SimulatedAgent {
+    /// Its number in the installation.
+    pub number: usize,
+    size: Size,
+    config: Rc<ServiceConfig>,
+    clock: Rc<Clock>,
+    balancer: Balancer,
+    discovery: DiscoveryState,
+    platform: PlatformState,
+    requests: Requests,
+    rng: Pcg64Mcg,
+    events: EventQueue,
+    last_call: u64,
+    reload: Reload,
+    process_seed: u64,
+    /// What it sent and has not been passed on: when, from which agent, what.
+    pub outputs: Vec<(Duration, usize, AgentOutput)>,
+    /// Processor time and traffic.
+    pub meter: Meter,
+    /// Further counts.
+    pub counts: AgentCounts,
+    /// Endpoints scanned by the current balancer before counting began.
+    scanned_before: u64,
+}
+
+impl SimulatedAgent {
+    /// Starts an agent that knows no endpoints yet.
+    pub fn start(
+        number: usize,
+        size: Size,
+        config: Rc<ServiceConfig>,
+        clock: Rc<Clock>,
+        seed: u64,
+        now: Duration,
+    ) -> SimulatedAgent {
+        let seed = seed.wrapping_mul(SEED_MULTIPLIER) ^ number as u64;
+        let process = Process::start(&config, &size, number, seed, now);
+        let mut agent = SimulatedAgent {
+            number,
+            size,
+            config,
+            clock,
+            balancer: process.balancer,
+            discovery: process.discovery,
+            platform: PlatformState { silent_at: now },
+            requests: Requests::default(),
+            rng: Pcg64Mcg::seed_from_u64(seed ^ LOAD_SEED),
+            events: EventQueue::default(),
+            last_call: 0,
+            reload: Reload {
+                started_at: now,
+                ..Reload::default()
+            },
+            process_seed: seed,
+            outputs: Vec::new(),
+            meter: Meter::default(),
+            counts: AgentCounts::default(),
+            scanned_before: 0,
+        };
+        agent.start_discovery(now);
+        agent.events.push(now, EventKind::Poll);
+        agent.events.push(now, EventKind::PlatformTimeout);
+        agent.schedule_arrival(now);
+        agent
+    }
+
+    /// Simulates all that happens before `until`, its own events and `inputs`, in the order of
+    /// their times.
+    pub fn step(
+        &mut self,
+        until: Duration,
+        actual: &ActualState,
+        inputs: Vec<(Duration, AgentInput)>,
+    ) {
+        let mut inputs = inputs.into_iter().peekable();
+        loop {
+            let event_at = self.events.next_at().filter(|at| *at < until);
+            let input_at = inputs.peek().map(|input| input.0);
+            let is_event_next = match (event_at, input_at) {
+                (Some(event), Some(input)) => event < input,
+                (Some(_), None) => true,
+                (None, Some(_)) => false,
+                (None, None) => return,
+            };
+            if is_event_next {
+                self.handle_event(actual);
+            } else if let Some((at, input)) = inputs.next() {
+                self.handle_input(at, input);
+            }
+        }
+    }
+
+    /// Discards what was counted before now.
+    pub fn count_from(&mut self, now: Duration) {
+        self.meter = Meter {
+            from: now,
+            clock_cost_ns: self.meter.clock_cost_ns,
+            ..Meter::default()
+        };
+        let versions = std::mem::take(&mut self.counts.versions);
+        self.counts = AgentCounts {
+            versions,
+            ..AgentCounts::default()
+        };
+        self.scanned_before = self.balancer.endpoints_scanned();
+    }
+
+    /// Completes the counts at the end of a simulation.
+    pub fn finish(&mut self) {
+        self.count_scanned();
+        let [requests, endpoints, builds, keys] = self.balancer.retained_counts();
+        let listed = self.discovery.list.len();
+        self.counts.retained = [requests, endpoints, builds, keys, listed];
+    }
+
+    fn count_scanned(&mut self) {
+        let scanned = self.balancer.endpoints_scanned() - self.scanned_before;
+        self.counts.endpoints_scanned += scanned;
+    }
+
+    fn handle_event(&mut self, actual: &ActualState) {
+        let Some((now, kind)) = self.events.pop() else {
+            return;
+        };
+        match kind {
+            EventKind::Arrival => self.on_arrival(now, actual),
+            EventKind::AttemptEnd {
+                request,
+                attempt,
+                outcome,
+            } => self.on_attempt_end(now, request, attempt, outcome, actual),
+            EventKind::Recheck { request } => self.on_recheck(now, request, actual),
+            EventKind::Deadline { request } => self.on_deadline(request),
+            EventKind::Poll => self.on_poll(now),
+            EventKind::StartWatch { number } => self.on_start_watch(now, number),
+            EventKind::CallTimeout { call } => self.on_call_timeout(now, call),
+            EventKind::PlatformTimeout => self.on_platform_timeout(now),
+        }
+    }
+
+    fn handle_input(&mut self, now: Duration, input: AgentInput) {
+        match input {
+            AgentInput::DiscoveryResponse {
+                call,
+                status,
+                bytes,
+            } => self.on_discovery_response(now, call, status, &bytes),
+            AgentInput::PlatformLine { kind, bytes } => self.on_platform_line(now, kind, &bytes),
+            AgentInput::Reload => self.reload(now),
+            AgentInput::Restart { known_list } => self.restart(now, &known_list),
+        }
+    }
+
+    /// Polls the balancer, and acts on what it asks for.
+    fn on_poll(&mut self, now: Duration) {
+        let timer = ProcessorTimer::start();
+        let result = self.balancer.poll(now);
+        self.meter.spent(now, Operation::Poll, timer);
+        self.counts.polls += 1;
+        self.discovery.is_watch_wanted |= result.open_watch;
+        if let Some(vote) = result.vote {
+            self.send_vote(now, &vote);
+        }
+        self.start_wanted_watch(now);
+        let next = result.next_poll.max(now + MIN_POLL_GAP);
+        self.events.push(next, EventKind::Poll);
+    }
+
+    /// SIGHUP: discovery and the platform are called anew.
+    fn reload(&mut self, now: Duration) {
+        self.reload = Reload {
+            started_at: now,
+            awaits_discovery: true,
+            awaits_platform: true,
+        };
+        self.restart_watch_after_reload(now);
+        self.open_platform_watch(now);
+    }
+
+    /// Counts the reload once both discovery and the platform have been heard.
+    fn count_reload(&mut self, now: Duration) {
+        if !self.reload.awaits_discovery && !self.reload.awaits_platform {
+            self.counts.reloads.push(now - self.reload.started_at);
+        }
+    }
+
+    /// Another process takes its place: open requests are lost, and the endpoint list comes with
+    /// the configuration.
+    pub fn restart(&mut self, now: Duration, known_list: &[u8]) {
+        self.close_watch(now);
+        self.process_seed = self.process_seed.wrapping_add(RESTART_SEED);
+        self.count_scanned();
+        self.scanned_before = 0;
+        let seed = self.process_seed;
+        let process = Process::start(&self.config, &self.size, self.number, seed, now);
+        self.balancer = process.balancer;
+        let watch_starts = self.discovery.watch_starts;
+        self.discovery = process.discovery;
+        // Starts that the earlier process scheduled must not be taken for those of this one.
+        self.discovery.watch_starts = watch_starts;
+        self.requests.open.clear();
+        self.reload.awaits_discovery = false;
+        self.reload.awaits_platform = false;
+        self.start_discovery(now);
+        self.take_known_list(now, known_list);
+        self.open_platform_watch(now);
+    }
+}
+
+/// What a process creates at its start.
+struct Process {
+    balancer: Balancer,
+    discovery: DiscoveryState,
+}
+
+impl Process {
+    fn start(
+        config: &ServiceConfig,
+        size: &Size,
+        number: usize,
+        seed: u64,
+        now: Duration,
+    ) -> Process {
+        let mut settings = config.settings.clone();
+        settings.seed = seed;
+        settings.zone = size.zone(number);
+        let discovery = DiscoveryState::new(&settings, now);
+        Process {
+            balancer: Balancer::new(now, settings),
+            discovery,
+        }
+    }
+}
--- /dev/null
+++ b/crates/experiments/src/scale/agent/platform.rs
@@ -0,0 +1,73 @@
+//! An agent's connection to the rollout platform.
+
+use super::events::EventKind;
+use super::{AgentOutput, SimulatedAgent};
+use crate::scale::meter::{MessageKind, Operation, ProcessorTimer};
+use std::time::Duration;
+use tulipwall::{RolloutStatus, Vote};
+use tulipwall_agent::protocol::platform::{self, Line};
+
+/// Without a line for so long the connection to the platform is opened anew, as the real agent
+/// does.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Silence is looked for no sooner than this after the last time.
+const MIN_CHECK_GAP: Duration = Duration::from_millis(50);
+
+/// What an agent knows of the platform.
+pub(super) struct PlatformState {
+    /// When its silence will have lasted too long.
+    pub(super) silent_at: Duration,
+}
+
+impl SimulatedAgent {
+    pub(super) fn on_platform_timeout(&mut self, now: Duration) {
+        if now >= self.platform.silent_at {
+            self.open_platform_watch(now);
+        }
+        let next = self.platform.silent_at.max(now + MIN_CHECK_GAP);
+        self.events.push(next, EventKind::PlatformTimeout);
+    }
+
+    pub(super) fn open_platform_watch(&mut self, now: Duration) {
+        self.last_call += 1;
+        let line = platform::watch(self.last_call);
+        self.send_to_platform(now, line.len(), AgentOutput::PlatformWatch { line });
+        self.platform.silent_at = now + SILENCE_TIMEOUT;
+    }
+
+    pub(super) fn send_vote(&mut self, now: Duration, vote: &Vote) {
+        self.last_call += 1;
+        let line = platform::vote(self.last_call, vote);
+        self.send_to_platform(now, line.len(), AgentOutput::Vote { line });
+    }
+
+    fn send_to_platform(&mut self, now: Duration, length: usize, output: AgentOutput) {
+        self.meter.passed(now, MessageKind::PlatformCall, length);
+        self.outputs.push((now, self.number, output));
+    }
+
+    pub(super) fn on_platform_line(&mut self, now: Duration, kind: MessageKind, bytes: &[u8]) {
+        self.meter.passed(now, kind, bytes.len());
+        self.platform.silent_at = now + SILENCE_TIMEOUT;
+        let timer = ProcessorTimer::start();
+        match platform::line(bytes) {
+            Ok(Line::RolloutStatus(status)) => self.update_rollout(now, status),
+            Ok(Line::Answer { reply, .. }) => self.balancer.on_vote_reply(now, reply),
+            _ => {}
+        }
+        self.meter.spent(now, Operation::PlatformLine, timer);
+        if std::mem::take(&mut self.reload.awaits_platform) {
+            self.count_reload(now);
+        }
+    }
+
+    fn update_rollout(&mut self, now: Duration, status: platform::Told) {
+        self.balancer.update_rollout(RolloutStatus {
+            build: status.build,
+            stage: status.stage,
+            phase: status.phase,
+            cap: status.cap,
+            since: now.saturating_sub(status.age),
+        });
+    }
+}
--- /dev/null
+++ b/crates/experiments/src/scale/command/rows.rs
@@ -0,0 +1,119 @@
+//! Runs the measurement scenarios of an installation.
+
+use super::{Installation, Options};
+use crate::scale::error::ScaleError;
+use crate::scale::report::{memory_beyond, Report, RowResult, ROW_TABLE_HEAD};
+use crate::scale::rows::{rows, Row, RESTARTS, RESTARTS_A_DAY};
+use crate::scale::simulation::Outcome;
+use serde_json::json;
+
+/// Beyond so many pairs of agent and endpoint only some rows are run: polls alone take minutes.
+const MAX_PAIRS_FOR_ALL_ROWS: usize = 1_000_000;
+/// The rows that say most.
+const IMPORTANT_ROWS: [&str; 3] = ["peak", "configuration", "zone"];
+const SECONDS_A_DAY: f64 = 86_400.0;
+const MEGABYTE: f64 = 1e6;
+
+impl Options {
+    /// Runs the rows that are named, or all, and prints what they measured.
+    pub(super) fn run_rows(
+        &self,
+        installation: &Installation,
+        report: &mut Report,
+    ) -> Result<(), ScaleError> {
+        let rows = self.selected_rows(installation)?;
+        let reading = &installation.reading;
+        println!(
+            "{reading}: {}\n\n{ROW_TABLE_HEAD}",
+            json!(installation.size)
+        );
+        let mut results = Vec::new();
+        let mut request_core = 0.0;
+        for row in &rows {
+            let simulation = row.simulation(self.seed, usize::from(self.cores));
+            let outcome = simulation.run()?;
+            if row.name == "peak" {
+                request_core = outcome.core - outcome.control_core;
+            }
+            let is_quiet = installation.quiet_rate == Some(row.size.rate);
+            let result = RowResult::of(reading, row, outcome, is_quiet.then_some(request_core));
+            println!("{}", result.line());
+            results.push(result);
+        }
+        print_retained(&results);
+        print_restarts(&results);
+        let memory = memory_an_agent(&results);
+        println!(
+            "memory, an agent: {:.1} MB (settings shared)\n",
+            memory / MEGABYTE
+        );
+        let beyond = memory_beyond(memory).map(|text| format!("{reading}: {text}"));
+        report.beyond.extend(beyond);
+        report.rows.extend(results);
+        Ok(())
+    }
+
+    fn selected_rows(&self, installation: &Installation) -> Result<Vec<Row>, ScaleError> {
+        let size = installation.size;
+        let all = rows(size, installation.quiet_rate);
+        for name in &self.row {
+            if !all.iter().any(|row| row.name == name) {
+                return Err(ScaleError::UnknownRow {
+                    name: name.clone(),
+                    known: all.iter().map(|row| row.name).collect(),
+                });
+            }
+        }
+        let pairs = size.agents * size.endpoints / size.services;
+        let only_important = self.full && self.row.is_empty() && pairs > MAX_PAIRS_FOR_ALL_ROWS;
+        let is_selected = |row: &Row| {
+            if only_important {
+                return IMPORTANT_ROWS.contains(&row.name);
+            }
+            self.row.is_empty() || self.row.iter().any(|name| name == row.name)
+        };
+        Ok(all.into_iter().filter(is_selected).collect())
+    }
+}
+
+fn outcome<'a>(results: &'a [RowResult], name: &str) -> Option<&'a Outcome> {
+    let result = results.iter().find(|result| result.name == name)?;
+    Some(&result.outcome)
+}
+
+/// Prints what one agent keeps at the peak.
+fn print_retained(results: &[RowResult]) {
+    if let Some(peak) = outcome(results, "peak") {
+        let [requests, endpoints, builds, keys, listed] = peak.retained;
+        println!(
+            "kept by one agent at the peak: {requests} commands, {endpoints} appliances, {builds} builds, {keys} keys, {listed} listed"
+        );
+    }
+}
+
+/// Prints what restarts cost beyond a calm installation.
+fn print_restarts(results: &[RowResult]) {
+    let Some(calm) = outcome(results, "calm") else {
+        return;
+    };
+    let kinds = [
+        ("restarts", "restart of an appliance"),
+        ("agents", "restart of an agent"),
+    ];
+    for (name, what) in kinds {
+        if let Some(restarts) = outcome(results, name) {
+            let added = restarts.discovery_bytes - calm.discovery_bytes;
+            let each = added * restarts.seconds / RESTARTS as f64;
+            let daily = each * RESTARTS_A_DAY / SECONDS_A_DAY;
+            println!("{what}: {each:.0} bytes from discovery in sum; {daily:.0} a second on a day of {RESTARTS_A_DAY}");
+        }
+    }
+}
+
+/// Most bytes of memory that an agent took in any row.
+fn memory_an_agent(results: &[RowResult]) -> f64 {
+    results
+        .iter()
+        .map(|result| result.outcome.memory / result.outcome.agents.max(1) as f64)
+        .fold(0.0, f64::max)
+}
--- /dev/null
+++ b/crates/experiments/src/scale/extrapolation.rs
@@ -0,0 +1,256 @@
+//! Extrapolates measured lines to sizes that are not simulated.
+
+use super::report::SweepResult;
+use super::size::{Size, MAX_CORE_SHARE, MAX_MEMORY};
+
+/// Polls of a balancer in a second.
+const POLLS_PER_SECOND: f64 = 10.0;
+const MEGABYTE: f64 = 1e6;
+const MICROSECONDS: f64 = 1e6;
+const PERCENT: f64 = 100.0;
+
+/// A figure as a sum of slopes times counts: by endpoints, classes, both together, and tenants.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Plane {
+    /// The figure where the slopes meet.
+    base: f64,
+    per_endpoint: f64,
+    per_class: f64,
+    per_endpoint_and_class: f64,
+    per_tenant: f64,
+    /// The counts at which the slopes meet.
+    origin: Counts,
+}
+
+/// Counts as numbers to calculate with.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Counts {
+    endpoints: f64,
+    classes: f64,
+    tenants: f64,
+}
+
+/// Four sweeps that share all counts but one.
+#[derive(Clone, Copy)]
+struct Sweeps<'a> {
+    endpoints: &'a SweepResult,
+    classes: &'a SweepResult,
+    classes_of_many_endpoints: &'a SweepResult,
+    tenants: &'a SweepResult,
+}
+
+impl Plane {
+    fn through(figure: &str, sweeps: Sweeps) -> Option<Plane> {
+        let slope = |sweep: &SweepResult| Some(sweep.curve(figure)?.line?.slope);
+        let origin = Counts {
+            endpoints: sweeps.classes.size.endpoints as f64,
+            classes: sweeps.endpoints.size.classes as f64,
+            tenants: sweeps.endpoints.size.tenants as f64,
+        };
+        let per_class = slope(sweeps.classes)?;
+        let many = sweeps.classes_of_many_endpoints;
+        let more_endpoints = many.size.endpoints as f64 - origin.endpoints;
+        Some(Plane {
+            // As measured where the slopes meet: a line through large counts says little of a
+            // small one.
+            base: sweeps.endpoints.curve(figure)?.points.first()?.1,
+            per_endpoint: slope(sweeps.endpoints)?,
+            per_class,
+            per_endpoint_and_class: (slope(many)? - per_class) / more_endpoints,
+            per_tenant: slope(sweeps.tenants)?,
+            origin,
+        })
+    }
+
+    fn at(&self, size: &Size) -> f64 {
+        let endpoints = size.endpoints as f64 - self.origin.endpoints;
+        let classes = size.classes as f64 - self.origin.classes;
+        let tenants = size.tenants as f64 - self.origin.tenants;
+        self.base
+            + self.per_endpoint * endpoints
+            + (self.per_class + self.per_endpoint_and_class * endpoints) * classes
+            + self.per_tenant * tenants
+    }
+}
+
+/// The extrapolated cost of one agent in an installation of a size.
+#[derive(Clone, Debug)]
+pub struct AgentCost {
+    /// How the operators' size is read.
+    pub reading: &'static str,
+    /// The size.
+    pub size: Size,
+    /// Bytes of memory.
+    pub memory: f64,
+    /// Microseconds of decisions for a request.
+    pub decision_us: f64,
+    /// Microseconds of a poll.
+    pub poll_us: f64,
+    /// Microseconds to look up a tenant's name.
+    pub tenant_lookup_us: f64,
+    /// Share of a core at the size's load.
+    pub core: f64,
+    /// Share of a core without what each request takes.
+    pub control_core: f64,
+}
+
+/// An installation that the operators' size may mean, as one agent meets it.
+#[derive(Clone, Copy, Debug)]
+pub struct Reading {
+    /// Name in reports.
+    pub name: &'static str,
+    /// The size.
+    pub size: Size,
+}
+
+/// One mean service of 140.
+pub fn mean_service() -> Reading {
+    Reading {
+        name: "mean service",
+        size: Size {
+            agents: 6,
+            ..Size::default()
+        },
+    }
+}
+
+/// The largest service.
+pub fn largest_service() -> Reading {
+    Reading {
+        name: "largest service",
+        size: Size {
+            agents: 77,
+            endpoints: 770,
+            classes: 160,
+            tenants: 5600,
+            ..Size::default()
+        },
+    }
+}
+
+/// One service of which every agent fronts all endpoints.
+pub fn every_agent_fronts_all() -> Reading {
+    Reading {
+        name: "every agent fronts all",
+        size: Size {
+            agents: 770,
+            endpoints: 7700,
+            classes: 1600,
+            tenants: 56_000,
+            ..Size::default()
+        },
+    }
+}
+
+/// Extrapolates the cost of an agent for each reading; nothing where a sweep is missing.
+pub fn agent_costs(results: &[SweepResult]) -> Vec<AgentCost> {
+    let Some(model) = CostModel::of(results) else {
+        return Vec::new();
+    };
+    [mean_service(), largest_service(), every_agent_fronts_all()]
+        .into_iter()
+        .map(|reading| model.cost(reading))
+        .collect()
+}
+
+/// Planes of all figures of which an agent's cost is made up.
+struct CostModel<'a> {
+    memory: Plane,
+    decision: Plane,
+    poll: Plane,
+    tenant_lookup: &'a super::report::Curve,
+}
+
+impl<'a> CostModel<'a> {
+    fn of(results: &'a [SweepResult]) -> Option<CostModel<'a>> {
+        let find = |name: &str| results.iter().find(|result| result.name == name);
+        let processor_sweeps = Sweeps {
+            endpoints: find("appliances")?,
+            classes: find("lanes")?,
+            classes_of_many_endpoints: find("lanes of many appliances")?,
+            tenants: find("tenants")?,
+        };
+        let memory_sweeps = Sweeps {
+            endpoints: find("memory by appliances")?,
+            classes: find("memory by lanes")?,
+            classes_of_many_endpoints: find("memory by lanes of many appliances")?,
+            tenants: find("memory by tenants")?,
+        };
+        Some(CostModel {
+            memory: Plane::through("memory, bytes an agent", memory_sweeps)?,
+            decision: Plane::through("decisions, us a command", processor_sweeps)?,
+            poll: Plane::through("survey, us each", processor_sweeps)?,
+            tenant_lookup: processor_sweeps
+                .tenants
+                .curve("tenant's name, us a command")?,
+        })
+    }
+
+    fn cost(&self, reading: Reading) -> AgentCost {
+        let size = reading.size;
+        let decision_us = self.decision.at(&size);
+        let poll_us = self.poll.at(&size);
+        let tenant_lookup_us = self.tenant_lookup_us(size.tenants as f64);
+        let control_core = poll_us * POLLS_PER_SECOND / MICROSECONDS;
+        let request_us = decision_us + tenant_lookup_us;
+        AgentCost {
+            reading: reading.name,
+            size,
+            memory: self.memory.at(&size),
+            decision_us,
+            poll_us,
+            tenant_lookup_us,
+            core: control_core + request_us * size.rate / MICROSECONDS,
+            control_core,
+        }
+    }
+
+    /// As measured at this count of tenants, or on the line.
+    fn tenant_lookup_us(&self, tenants: f64) -> f64 {
+        let curve = self.tenant_lookup;
+        let measured = curve.points.iter().find(|point| point.0 == tenants);
+        let on_line = || curve.line.map(|line| line.at(tenants));
+        measured
+            .map(|point| point.1)
+            .or_else(on_line)
+            .unwrap_or_default()
+    }
+}
+
+/// Head of a table of [`AgentCost::line`], in Markdown.
+pub const TABLE_HEAD: &str = "\
+| one agent, reckoned | appliances | lanes | tenants | memory, MB | us a command | us a survey | us a tenant's name | core | \
+surveys alone |
+| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
+
+impl AgentCost {
+    /// A row of a table, in Markdown.
+    pub fn line(&self) -> String {
+        format!(
+            "| {} | {} | {} | {} | {:.1} | {:.2} | {:.1} | {:.2} | {:.2}% | {:.2}% |",
+            self.reading,
+            self.size.endpoints,
+            self.size.classes,
+            self.size.tenants,
+            self.memory / MEGABYTE,
+            self.decision_us,
+            self.poll_us,
+            self.tenant_lookup_us,
+            self.core * PERCENT,
+            self.control_core * PERCENT
+        )
+    }
+
+    /// What lies beyond the operators' limits.
+    pub fn beyond(&self) -> Vec<String> {
+        let memory = self.beyond_limit("memory, MB", self.memory / MEGABYTE, MAX_MEMORY / MEGABYTE);
+        let max_core = MAX_CORE_SHARE * PERCENT;
+        let core = self.beyond_limit("core, percent", self.core * PERCENT, max_core);
+        memory.into_iter().chain(core).collect()
+    }
+
+    fn beyond_limit(&self, what: &str, value: f64, limit: f64) -> Option<String> {
+        let reading = self.reading;
+        (value > limit).then(|| format!("{reading}, reckoned: {what} {value:.2} beyond {limit:.1}"))
+    }
+}
--- /dev/null
+++ b/crates/experiments/src/scale/figures.rs
@@ -0,0 +1,92 @@
+//! Figures of a simulation: their names in reports, and how they are calculated.
+
+use super::meter::Total;
+use super::simulation::Outcome;
+
+/// A figure of a simulation.
+#[derive(Clone, Copy, Debug)]
+pub struct Figure {
+    /// Name in reports, with its unit.
+    pub name: &'static str,
+    /// How it is calculated.
+    pub read: fn(&Outcome) -> f64,
+}
+
+impl Figure {
+    const fn new(name: &'static str, read: fn(&Outcome) -> f64) -> Figure {
+        Figure { name, read }
+    }
+}
+
+/// Processor time of an operation in microseconds, for each of `count` things.
+fn microseconds_each(outcome: &Outcome, operation: &str, count: u64) -> f64 {
+    let ns = outcome.work.get(operation).map_or(0, |total| total.total);
+    ns as f64 / count.max(1) as f64 / 1000.0
+}
+
+fn milliseconds_an_agent(outcome: &Outcome, operation: &str) -> f64 {
+    microseconds_each(outcome, operation, outcome.agents as u64) / 1000.0
+}
+
+fn traffic(outcome: &Outcome, kind: &str) -> Total {
+    outcome.traffic.get(kind).copied().unwrap_or_default()
+}
+
+fn per_agent(outcome: &Outcome, value: f64) -> f64 {
+    value / outcome.agents.max(1) as f64
+}
+
+/// Processor time of the balancer for a request.
+pub const DECISIONS: Figure = Figure::new("decisions, us a command", |o| {
+    microseconds_each(o, "decisions", o.requests)
+});
+/// Endpoints that the balancer looks at for a request.
+pub const SCANS_A_REQUEST: Figure = Figure::new("looks at appliances a command", |o| {
+    o.endpoints_scanned as f64 / o.requests.max(1) as f64
+});
+/// Endpoints that the balancer looks at in a poll.
+pub const SCANS_A_POLL: Figure = Figure::new("looks at appliances a survey", |o| {
+    o.endpoints_scanned as f64 / o.polls.max(1) as f64
+});
+/// Processor time of a poll.
+pub const POLL: Figure = Figure::new("survey, us each", |o| {
+    microseconds_each(o, "surveys", o.polls)
+});
+/// Processor time to look up a tenant's name.
+pub const TENANT_LOOKUP: Figure = Figure::new("tenant's name, us a command", |o| {
+    microseconds_each(o, "tenants", o.requests)
+});
+/// Processor time to parse an endpoint list.
+pub const PARSING: Figure = Figure::new("reading, ms a list", |o| {
+    milliseconds_an_agent(o, "reading")
+});
+/// Processor time to update the agent's list.
+pub const LIST_UPDATE: Figure = Figure::new("List::take, ms a list", |o| {
+    milliseconds_an_agent(o, "taking")
+});
+/// Processor time to update the balancer.
+pub const BALANCER_UPDATE: Figure = Figure::new("Choice::list, ms a list", |o| {
+    milliseconds_an_agent(o, "listing")
+});
+/// Size of a whole list.
+pub const WHOLE_LIST: Figure = Figure::new("whole list, bytes", |o| {
+    let lists = traffic(o, "whole lists");
+    lists.total as f64 / (lists.count as f64).max(1.0)
+});
+/// Resident memory of an agent.
+pub const MEMORY: Figure = Figure::new("memory, bytes an agent", |o| per_agent(o, o.memory));
+/// Control traffic of an agent.
+pub const BYTES: Figure = Figure::new("bytes a second an agent", |o| o.bytes);
+/// Calls to all discoveries.
+pub const DISCOVERY_CALLS: Figure = Figure::new("discovery, calls a second in sum", |o| o.calls);
+/// Traffic of all discoveries.
+pub const DISCOVERY_BYTES: Figure =
+    Figure::new("discovery, bytes a second in sum", |o| o.discovery_bytes);
+/// Traffic of all platforms.
+pub const PLATFORM_BYTES: Figure =
+    Figure::new("platform, bytes a second in sum", |o| o.platform_bytes);
+/// An agent's share of a core.
+pub const CORE: Figure = Figure::new("share of a core", |o| o.core);
+/// An agent's share of a core without decisions for requests.
+pub const CONTROL_CORE: Figure =
+    Figure::new("share of a core without commands", |o| o.control_core);
--- a/crates/experiments/src/scale/meter.rs
+++ b/crates/experiments/src/scale/meter.rs
@@ -1,142 +1,198 @@
-//! What one agent spends: processor time of its thread by kind, messages and bytes by kind, and
-//! both by second.
+//! What one agent consumes: processor time of its thread by operation, messages and bytes by kind,
+//! and both by second.
 
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 use std::time::Duration;
 
-/// What processor time goes to.
+/// Readings of the clock from which its own cost is taken.
+const CLOCK_READINGS: usize = 2001;
+
+/// What processor time is spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
-    /// `Balancer::on_request`, `route` and `on_attempt_end`, and where the target is.
+pub enum Operation {
+    /// `Balancer::on_request`, `route` and `on_attempt_end`, and the lookup of the target.
     Decisions,
     /// `Balancer::poll`, ten times a second.
-    Surveys,
-    /// Bytes to a list: `http::answer`, `Listing::parse`.
-    Reading,
-    /// `List::take`.
-    Taking,
+    Poll,
+    /// Bytes to an endpoint list: the HTTP response and its document.
+    Parsing,
+    /// The update of the endpoint list.
+    ListUpdate,
     /// `Balancer::update_endpoints`.
-    Listing,
-    /// `Site::customer`, a tenant's name to its number.
-    Tenants,
-    /// The platform's lines: `platform::line`, `Balancer::update_rollout` and `on_vote_reply`.
-    RolloutStatus,
+    BalancerUpdate,
+    /// `ServiceConfig::tenant`: a tenant's name to its number.
+    TenantLookup,
+    /// The platform's lines, parsed and passed to the balancer.
+    PlatformLine,
+}
+
+impl Operation {
+    /// All operations in the order of their discriminants, with their names in reports.
+    pub const NAMES: [(Operation, &'static str); 7] = [
+        (Operation::Decisions, "decisions"),
+        (Operation::Poll, "surveys"),
+        (Operation::Parsing, "reading"),
+        (Operation::ListUpdate, "taking"),
+        (Operation::BalancerUpdate, "listing"),
+        (Operation::TenantLookup, "tenants"),
+        (Operation::PlatformLine, "news"),
+    ];
+
+    /// Whether each request takes it.
+    fn is_per_request(self) -> bool {
+        matches!(self, Operation::Decisions | Operation::TenantLookup)
+    }
 }
 
-pub const WORKS: [(Work, &str); 7] = [
-    (Work::Decisions, "decisions"),
-    (Work::Surveys, "surveys"),
-    (Work::Reading, "reading"),
-    (Work::Taking, "taking"),
-    (Work::Listing, "listing"),
-    (Work::Tenants, "tenants"),
-    (Work::RolloutStatus, "news"),
-];
-
-/// What goes over the wire, to the agent but for what it asks and votes.
+/// What is sent over an agent's control connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Whole,
+pub enum MessageKind {
+    /// A whole endpoint list.
+    WholeList,
+    /// Changes of the endpoint list.
     Changes,
-    /// A watch that ended without news.
-    Quiet,
-    Refused,
-    /// Calls to discovery.
-    Asked,
+    /// A watch that ended without changes.
+    EmptyWatch,
+    /// A call to discovery that was refused.
+    Refusal,
+    /// A call to discovery.
+    DiscoveryCall,
+    /// The platform's status of a rollout.
     RolloutStatus,
+    /// The platform's sign of life.
     Ping,
-    /// The platform's answers.
-    Answered,
-    /// Calls to the platform.
-    Voted,
+    /// The platform's reply to a call.
+    PlatformReply,
+    /// A call to the platform.
+    PlatformCall,
 }
 
-pub const KINDS: [(Kind, &str); 9] = [
-    (Kind::Whole, "whole lists"),
-    (Kind::Changes, "changes"),
-    (Kind::Quiet, "quiet watches"),
-    (Kind::Refused, "refusals"),
-    (Kind::Asked, "list calls"),
-    (Kind::RolloutStatus, "news"),
-    (Kind::Ping, "pings"),
-    (Kind::Answered, "answers"),
-    (Kind::Voted, "votes"),
-];
+impl MessageKind {
+    /// All kinds in the order of their discriminants, with their names in reports.
+    pub const NAMES: [(MessageKind, &'static str); 9] = [
+        (MessageKind::WholeList, "whole lists"),
+        (MessageKind::Changes, "changes"),
+        (MessageKind::EmptyWatch, "quiet watches"),
+        (MessageKind::Refusal, "refusals"),
+        (MessageKind::DiscoveryCall, "list calls"),
+        (MessageKind::RolloutStatus, "news"),
+        (MessageKind::Ping, "pings"),
+        (MessageKind::PlatformReply, "answers"),
+        (MessageKind::PlatformCall, "votes"),
+    ];
+}
 
+/// How often something happened, and the total of what it took.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Sum {
+pub struct Total {
+    /// How often.
     pub count: u64,
+    /// Nanoseconds or bytes in all.
     pub total: u64,
 }
 
-/// Of one second.
+impl Total {
+    fn add(&mut self, amount: u64) {
+        self.count += 1;
+        self.total += amount;
+    }
+
+    /// Adds another total to this one.
+    pub fn merge(&mut self, other: &Total) {
+        self.count += other.count;
+        self.total += other.total;
+    }
+}
+
+/// What one second took.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Second {
+    /// Bytes sent and received.
     pub bytes: u64,
+    /// Processor time, in nanoseconds.
     pub ns: u64,
-    /// Without what each request takes: its decisions and its tenant's name.
+    /// Processor time without what each request takes, in nanoseconds.
     pub control_ns: u64,
 }
 
+/// Processor time of this thread since a moment.
+#[derive(Clone, Copy, Debug)]
+pub struct ProcessorTimer {
+    started_at_ns: u64,
+}
+
+impl ProcessorTimer {
+    /// Starts a timer.
+    pub fn start() -> ProcessorTimer {
+        ProcessorTimer {
+            started_at_ns: thread_time_ns(),
+        }
+    }
+
+    /// Nanoseconds that this thread has run since the start.
+    pub fn elapsed_ns(self) -> u64 {
+        thread_time_ns() - self.started_at_ns
+    }
+}
+
 /// Nanoseconds that this thread has run.
-pub fn cpu() -> u64 {
-    let t = clock_gettime(ClockId::ThreadCPUTime);
-    t.tv_sec as u64 * 1_000_000_000 + t.tv_nsec as u64
+fn thread_time_ns() -> u64 {
+    let time = clock_gettime(ClockId::ThreadCPUTime);
+    time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-/// What reading that clock itself takes.
-pub fn clock_cost() -> u64 {
-    let mut all: Vec<u64> = (0..2001)
-        .map(|_| cpu())
-        .collect::<Vec<_>>()
-        .windows(2)
-        .map(|w| w[1] - w[0])
-        .collect();
-    all.sort_unstable();
-    all[all.len() / 2]
+/// What reading the thread's clock itself takes, in nanoseconds: the median of many readings.
+pub fn clock_cost_ns() -> u64 {
+    let readings: Vec<u64> = (0..CLOCK_READINGS).map(|_| thread_time_ns()).collect();
+    let mut costs: Vec<u64> = readings.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    costs.sort_unstable();
+    costs[costs.len() / 2]
 }
 
+/// Counts of one agent.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
-    pub work: [Sum; WORKS.len()],
-    pub traffic: [Sum; KINDS.len()],
+    /// Processor time by operation, in nanoseconds.
+    pub work: [Total; Operation::NAMES.len()],
+    /// Messages by kind, in bytes.
+    pub traffic: [Total; MessageKind::NAMES.len()],
+    /// Both by second.
     pub seconds: Vec<Second>,
-    pub from: Duration, // nothing counts before
-    pub clock: u64,     // what reading the clock costs, in ns
+    /// Nothing counts before.
+    pub from: Duration,
+    /// What reading the clock costs, in nanoseconds.
+    pub clock_cost_ns: u64,
 }
 
 impl Meter {
     fn second(&mut self, now: Duration) -> Option<&mut Second> {
-        let at = now.checked_sub(self.from)?.as_secs() as usize;
-        if self.seconds.len() <= at {
-            self.seconds.resize(at + 1, Second::default());
+        let index = now.checked_sub(self.from)?.as_secs() as usize;
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, Second::default());
         }
-        self.seconds.get_mut(at)
+        self.seconds.get_mut(index)
     }
 
-    /// Work that began when the thread's clock stood at `begun`.
-    pub fn spent(&mut self, now: Duration, work: Work, begun: u64) {
-        let ns = (cpu() - begun).saturating_sub(self.clock);
+    /// Counts the processor time of an operation.
+    pub fn spent(&mut self, now: Duration, operation: Operation, timer: ProcessorTimer) {
+        let ns = timer.elapsed_ns().saturating_sub(self.clock_cost_ns);
         let Some(second) = self.second(now) else {
             return;
         };
         second.ns += ns;
-        second.control_ns += if matches!(work, Work::Decisions | Work::Tenants) {
-            0
-        } else {
-            ns
-        };
-        let sum = &mut self.work[work as usize];
-        (sum.count, sum.total) = (sum.count + 1, sum.total + ns);
+        if !operation.is_per_request() {
+            second.control_ns += ns;
+        }
+        self.work[operation as usize].add(ns);
     }
 
-    pub fn passed(&mut self, now: Duration, kind: Kind, bytes: usize) {
+    /// Counts a message.
+    pub fn passed(&mut self, now: Duration, kind: MessageKind, bytes: usize) {
         let Some(second) = self.second(now) else {
             return;
         };
         second.bytes += bytes as u64;
-        let sum = &mut self.traffic[kind as usize];
-        (sum.count, sum.total) = (sum.count + 1, sum.total + bytes as u64);
+        self.traffic[kind as usize].add(bytes as u64);
     }
 }
--- a/crates/experiments/src/scale/rows.rs
+++ b/crates/experiments/src/scale/rows.rs
@@ -1,59 +1,105 @@
-//! What befalls an installation, shrunk in time and not in size, and the counts over which it is
-//! measured.
+//! Measurement scenarios: what happens to an installation, shortened in time and not in size.
 
-use super::play::{Happens, Outcome, Play};
+use super::simulation::{InstallationEvent, Simulation};
 use super::size::Size;
 use std::time::Duration;
 
-const fn secs(n: u64) -> Duration {
+/// An event and when it happens.
+type TimedEvent = (Duration, InstallationEvent);
+
+const fn seconds(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-const fn ms(n: u64) -> Duration {
+const fn milliseconds(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Before anything counts: watches stand and rates have settled.
-const WARM: Duration = secs(5);
-/// Discovery notices what vanished within this span, and tells of it in turns so far apart.
-const NOTICE: [Duration; 2] = [ms(1700), ms(4700)];
-const TURN: Duration = ms(250);
-/// What vanished after a second is back then.
-const BACK: Duration = secs(12);
+/// Before anything counts, so that watches stand and rates have settled.
+const WARM_UP: Duration = seconds(5);
+/// When the event of a scenario begins.
+const START: Duration = seconds(1);
+/// Discovery notices that machines vanished within this span, one group after another.
+const FIRST_NOTICE: Duration = milliseconds(1700);
+const LAST_NOTICE: Duration = milliseconds(4700);
+/// Between groups of machines that discovery notices.
+const NOTICE_INTERVAL: Duration = milliseconds(250);
+/// When machines that vanished are back.
+const RECOVERY: Duration = seconds(12);
+/// From an endpoint's first notice of its end until it is gone, and until it is back.
+const TERMINATION: Duration = seconds(2);
+const REPLACEMENT: Duration = seconds(3);
 /// Machines of a rack.
-const RACK: usize = 40;
+const RACK_MACHINES: usize = 40;
 /// Restarts and replacements on an ordinary day.
-pub const RESTARTS: f64 = 990.0;
-/// Of them in a row here.
-const RESTARTS_HERE: usize = 12;
+pub const RESTARTS_A_DAY: f64 = 990.0;
+/// Restarts in a row in the scenarios of restarts.
+pub const RESTARTS: usize = 12;
+const RESTART_INTERVAL: Duration = seconds(2);
+/// Share of the peak's load in the calm scenario.
+const CALM_SHARE: f64 = 0.2;
+/// Services of the operators' installation.
+const SERVICES: usize = 140;
+/// One service with more endpoints than this stands for the whole installation.
+const LARGE_SERVICE: usize = 1000;
+/// Endpoints that restart while the regions cannot reach each other.
+const PARTITION_RESTARTS: usize = 5;
+/// Build that is rolled out.
+const NEW_BUILD: u32 = 42;
 
-/// One row of the first table of docs/CAPACITY.md.
+/// A measurement scenario: one row of the first table of docs/CAPACITY.md.
 #[derive(Clone, Debug)]
 pub struct Row {
+    /// Name on the command line and in reports.
     pub name: &'static str,
+    /// What happens.
     pub what: &'static str,
-    pub span: Duration,
+    /// Simulated time that counts.
+    pub duration: Duration,
+    /// Size of the installation.
     pub size: Size,
-    pub events: Vec<(Duration, Happens)>,
+    /// What happens, counted from the end of the warm-up.
+    pub events: Vec<TimedEvent>,
 }
 
 impl Row {
-    pub fn play(&self, seed: u64, cores: usize) -> Play {
-        let (size, span, events) = (self.size, self.span, self.events.clone());
-        Play {
+    fn new(
+        name: &'static str,
+        what: &'static str,
+        duration_seconds: u64,
+        size: Size,
+        events: Vec<TimedEvent>,
+    ) -> Row {
+        Row {
+            name,
+            what,
+            duration: seconds(duration_seconds),
             size,
+            events,
+        }
+    }
+
+    /// The simulation of the scenario.
+    pub fn simulation(&self, seed: u64, cores: usize) -> Simulation {
+        Simulation {
+            size: self.size,
             seed,
             cores,
-            warm: WARM,
-            span,
-            events,
-            own: false,
+            warm_up: WARM_UP,
+            duration: self.duration,
+            events: self.events.clone(),
+            own_settings: false,
         }
     }
 }
 
-fn list(endpoints: Vec<usize>, state: &'static str, build: Option<u32>, started: bool) -> Happens {
-    Happens::List {
+fn list(
+    endpoints: Vec<usize>,
+    state: &'static str,
+    build: Option<u32>,
+    started: bool,
+) -> InstallationEvent {
+    InstallationEvent::List {
         endpoints,
         state,
         build,
@@ -61,466 +107,191 @@
     }
 }
 
-/// One endpoint after another goes and comes back, as another build where one is named: first told
-/// to leave, then gone, then back.
-fn roll(
-    which: &[usize],
+/// One endpoint after another goes and comes back, as another build where one is named: first it is
+/// told to leave, then it is gone, then it is back.
+pub(super) fn rolling_restart(
+    endpoints: &[usize],
     from: Duration,
     over: Duration,
     build: Option<u32>,
-) -> Vec<(Duration, Happens)> {
-    let each = over / which.len().max(1) as u32;
-    let one = |(n, a): (usize, &usize)| {
-        let at = from + each * n as u32;
-        [
-            (at, list(vec![*a], "terminating", None, false)),
-            (at + secs(2), list(vec![*a], "terminated", None, false)),
-            (at + secs(3), list(vec![*a], "in_service", build, true)),
-        ]
-    };
-    which.iter().enumerate().flat_map(one).collect()
+) -> Vec<TimedEvent> {
+    let interval = over / endpoints.len().max(1) as u32;
+    let mut events = Vec::new();
+    for (n, endpoint) in endpoints.iter().enumerate() {
+        let at = from + interval * n as u32;
+        let one = || vec![*endpoint];
+        events.push((at, list(one(), "terminating", None, false)));
+        events.push((at + TERMINATION, list(one(), "terminated", None, false)));
+        events.push((at + REPLACEMENT, list(one(), "in_service", build, true)));
+    }
+    events
 }
 
-/// Machines vanish, discovery notices one after another, and all are back later.
-fn lost(which: Vec<usize>, at: Duration, back: Duration) -> Vec<(Duration, Happens)> {
-    let turns = ((NOTICE[1] - NOTICE[0]).as_millis() / TURN.as_millis()).max(1) as usize;
-    let each = which.len().div_ceil(turns).max(1);
+/// Machines vanish, discovery notices one group after another, and all are back later.
+fn outage(endpoints: Vec<usize>) -> Vec<TimedEvent> {
+    let groups = ((LAST_NOTICE - FIRST_NOTICE).as_millis() / NOTICE_INTERVAL.as_millis()).max(1);
+    let group_size = endpoints.len().div_ceil(groups as usize).max(1);
     let mut events = vec![
-        (at, Happens::Down(which.clone(), true)),
-        (back, Happens::Down(which.clone(), false)),
+        (START, InstallationEvent::Down(endpoints.clone(), true)),
+        (RECOVERY, InstallationEvent::Down(endpoints.clone(), false)),
     ];
-    for (n, some) in which.chunks(each).enumerate() {
-        events.push((
-            at + NOTICE[0] + TURN * n as u32,
-            list(some.to_vec(), "terminated", None, false),
-        ));
-        events.push((
-            back + TURN * n as u32,
-            list(some.to_vec(), "in_service", None, true),
-        ));
+    for (n, group) in endpoints.chunks(group_size).enumerate() {
+        let delay = NOTICE_INTERVAL * n as u32;
+        let gone = list(group.to_vec(), "terminated", None, false);
+        let back = list(group.to_vec(), "in_service", None, true);
+        events.push((START + FIRST_NOTICE + delay, gone));
+        events.push((RECOVERY + delay, back));
     }
     events
 }
 
-/// The rows, by name; `quiet` plays all but the peak and the calm one with so many requests a
-/// second for each agent, where bytes and messages alone are asked for.
-pub fn rows(size: Size, quiet: Option<f64>) -> Vec<Row> {
-    let rate = quiet.unwrap_or(size.rate);
-    let agents: Vec<usize> = (0..size.agents).collect();
-    let of_zone = |zone: usize| (0..size.endpoints).filter(move |a| size.zone(*a) == zone);
-    let zone_agents: Vec<usize> = agents
-        .iter()
-        .copied()
-        .filter(|a| size.zone(*a) == 0)
-        .collect();
-    let row = |name, what, span, events| Row {
-        name,
-        what,
-        span: secs(span),
-        size: Size { rate, ..size },
-        events,
-    };
-    // A service is one of 140, or the whole of a smaller installation.
-    let service: Vec<usize> = match size.services {
-        1 if size.endpoints > 1000 => (0..size.endpoints / 140).collect(),
-        _ => size.of_service(0).collect(),
-    };
-    let mut release = roll(&service, secs(1), secs(30), Some(42));
-    let trial = |at: u64, stage, phase, cap| {
-        (
-            secs(at),
-            Happens::RolloutStatus {
-                build: 42,
-                stage,
-                phase,
-                cap,
-            },
-        )
+/// A rollout's stages, and the endpoints that change to the new build within `over`.
+fn release(
+    endpoints: &[usize],
+    over: Duration,
+    second_stage_at: Duration,
+    released_at: Duration,
+) -> Vec<TimedEvent> {
+    let status = |at, stage, phase, cap| {
+        let event = InstallationEvent::RolloutStatus {
+            build: NEW_BUILD,
+            stage,
+            phase,
+            cap,
+        };
+        (at, event)
     };
-    release.extend([
-        trial(1, 0, "trial", 0.2),
-        trial(12, 1, "trial", 0.6),
-        trial(36, 1, "released", 1.0),
-    ]);
-    let everything: Vec<usize> = (0..size.endpoints).collect();
-    let mut all = roll(&everything, secs(1), secs(60), Some(42));
-    all.extend([
-        trial(1, 0, "trial", 0.2),
-        trial(20, 1, "trial", 0.6),
-        trial(65, 1, "released", 1.0),
+    let mut events = rolling_restart(endpoints, START, over, Some(NEW_BUILD));
+    events.extend([
+        status(START, 0, "trial", 0.2),
+        status(second_stage_at, 1, "trial", 0.6),
+        status(released_at, 1, "released", 1.0),
     ]);
-    let some: Vec<usize> = everything.iter().copied().take(RESTARTS_HERE).collect();
-    let every = secs(60) / zone_agents.len().max(1) as u32;
-    let one = |(n, a): (usize, &usize)| (secs(1) + every * n as u32, Happens::Restart(vec![*a]));
-    let minute: Vec<_> = zone_agents.iter().enumerate().map(one).collect();
-    let one = |(n, a): (usize, &usize)| (ms(1000 + 2000 * n as u64), Happens::Restart(vec![*a]));
-    let few: Vec<_> = agents
-        .iter()
-        .take(RESTARTS_HERE)
-        .enumerate()
-        .map(one)
-        .collect();
-    let rack: Vec<usize> = of_zone(size.zones / 2).take(RACK).collect();
-    let machine: Vec<usize> = of_zone(0).take(1).collect();
-    let mut zone = lost(of_zone(1).collect(), secs(1), BACK);
-    let back: Vec<usize> = agents
-        .iter()
-        .copied()
-        .filter(|a| size.zone(*a) == 1)
-        .collect();
-    zone.push((BACK, Happens::Restart(back)));
-    let mut cut = vec![
-        (secs(1), Happens::Cut(true)),
-        (secs(31), Happens::Cut(false)),
-    ];
-    cut.extend(roll(
-        &of_zone(0).take(5).collect::<Vec<_>>(),
-        secs(5),
-        secs(20),
-        None,
-    ));
-    let reload = vec![(secs(1), Happens::Reload(agents.clone()))];
-    let (calm, peak) = (
-        Size {
-            rate: size.rate * 0.2,
-            ..size
-        },
-        size,
-    );
-    vec![
-        Row {
-            size: peak,
-            ..row("peak", "the peak's load, nothing changes", 2, Vec::new())
-        },
-        Row {
-            size: calm,
-            ..row(
-                "calm",
-                "a fifth of the peak's load, nothing changes",
-                20,
-                Vec::new(),
-            )
-        },
-        row(
-            "configuration",
-            "SIGHUP to all agents in one moment",
-            12,
-            reload,
-        ),
-        row(
-            "release",
-            "one service's appliances change build within 30 s",
-            45,
-            release,
-        ),
-        row(
-            "release-all",
-            "all appliances change build within 60 s",
-            75,
-            all,
-        ),
-        row(
-            "restarts",
-            "12 appliances restart, one each 2 s",
-            32,
-            roll(&some, secs(1), secs(24), None),
-        ),
-        row("agents", "12 agents restart, one each 2 s", 32, few),
-        row(
-            "zone-agents",
-            "all agents of a zone restart within a minute",
-            70,
-            minute,
-        ),
-        row(
-            "machine",
-            "one machine vanishes and is back after 11 s",
-            22,
-            lost(machine, secs(1), BACK),
-        ),
-        row(
-            "rack",
-            "40 machines of a zone vanish and are back after 11 s",
-            24,
-            lost(rack, secs(1), BACK),
-        ),
-        row("zone", "a zone vanishes and is back after 11 s", 28, zone),
-        row("cut", "the regions lose each other for 30 s", 50, cut),
-    ]
+    events
 }
 
-/// What one figure of a play is called, and how it is read.
-pub type Figure = (&'static str, fn(&Outcome) -> f64);
-
-/// Points over one count.
-#[derive(Clone, Debug)]
-pub struct Sweep {
-    pub name: &'static str,
-    pub key: &'static str,
-    pub plays: Vec<(f64, Play)>,
-    pub figures: Vec<Figure>,
-    /// Each point is played in a process of its own, whose memory is its own.
-    pub apart: bool,
+/// Agents restart one after another.
+fn agent_restarts(agents: &[usize], interval: Duration) -> Vec<TimedEvent> {
+    let restart = |(n, agent): (usize, &usize)| {
+        let at = START + interval * n as u32;
+        (at, InstallationEvent::Restart(vec![*agent]))
+    };
+    agents.iter().enumerate().map(restart).collect()
 }
 
-fn each_us(o: &Outcome, work: &str, by: u64) -> f64 {
-    o.work.get(work).map_or(0.0, |s| s.total as f64) / by.max(1) as f64 / 1000.0
+/// The endpoints of a zone.
+fn zone_endpoints(size: &Size, zone: usize) -> Vec<usize> {
+    let in_zone = |endpoint: &usize| size.zone(*endpoint) == zone;
+    (0..size.endpoints).filter(in_zone).collect()
 }
 
-fn bytes(o: &Outcome, kind: &str) -> f64 {
-    o.traffic.get(kind).map_or(0.0, |s| s.total as f64)
+/// The agents of a zone.
+fn zone_agents(size: &Size, zone: usize) -> Vec<usize> {
+    let in_zone = |agent: &usize| size.zone(*agent) == zone;
+    (0..size.agents).filter(in_zone).collect()
 }
 
-fn count(o: &Outcome, kind: &str) -> f64 {
-    o.traffic.get(kind).map_or(0.0, |s| s.count as f64)
+/// The first `count` of these numbers.
+fn first(numbers: impl IntoIterator<Item = usize>, count: usize) -> Vec<usize> {
+    numbers.into_iter().take(count).collect()
 }
 
-pub const DECISIONS: Figure = ("decisions, us a command", |o| {
-    each_us(o, "decisions", o.commands)
-});
-pub const LOOKS: Figure = ("looks at appliances a command", |o| {
-    o.looks as f64 / o.commands.max(1) as f64
-});
-pub const LOOKS_SURVEY: Figure = ("looks at appliances a survey", |o| {
-    o.looks as f64 / o.surveys.max(1) as f64
-});
-pub const EVALUATION_INTERVAL: Figure = ("survey, us each", |o| each_us(o, "surveys", o.surveys));
-pub const TENANTS: Figure = ("tenant's name, us a command", |o| {
-    each_us(o, "tenants", o.commands)
-});
-pub const READING: Figure = ("reading, ms a list", |o| {
-    each_us(o, "reading", o.agents as u64) / 1000.0
-});
-pub const TAKING: Figure = ("List::take, ms a list", |o| {
-    each_us(o, "taking", o.agents as u64) / 1000.0
-});
-pub const LISTING: Figure = ("Choice::list, ms a list", |o| {
-    each_us(o, "listing", o.agents as u64) / 1000.0
-});
-pub const WHOLE: Figure = ("whole list, bytes", |o| {
-    bytes(o, "whole lists") / count(o, "whole lists").max(1.0)
-});
-pub const CHANGES: Figure = ("changes, bytes an agent", |o| {
-    bytes(o, "changes") / o.agents.max(1) as f64
-});
-pub const MEMORY: Figure = ("memory, bytes an agent", |o| {
-    o.memory / o.agents.max(1) as f64
-});
-pub const BYTES: Figure = ("bytes a second an agent", |o| o.bytes);
-pub const CALLS: Figure = ("discovery, calls a second in sum", |o| o.calls);
-pub const TOLD: Figure = ("discovery, bytes a second in sum", |o| o.discovery_bytes);
-pub const PLATFORM: Figure = ("platform, bytes a second in sum", |o| o.platform_bytes);
-pub const CORE: Figure = ("share of a core", |o| o.core);
-pub const CONTROL: Figure = ("share of a core without commands", |o| o.control_core);
+/// The scenarios by name. `quiet` is the load of all but the peak and the calm one, in requests a
+/// second for each agent, where only bytes and messages are of interest.
+pub fn rows(size: Size, quiet: Option<f64>) -> Vec<Row> {
+    let rate = quiet.unwrap_or(size.rate);
+    let quiet_size = Size { rate, ..size };
+    let mut rows = load_rows(size);
+    rows.push(reload_row(quiet_size));
+    rows.extend(release_rows(quiet_size));
+    rows.extend(restart_rows(quiet_size));
+    rows.extend(outage_rows(quiet_size));
+    rows.push(partition_row(quiet_size));
+    rows
+}
 
-/// The counts over which slopes are measured; `full` to the operators' size.
-pub fn sweeps(full: bool, seed: u64) -> Vec<Sweep> {
-    let base = Size {
-        agents: 2,
-        ..Size::default()
+fn load_rows(size: Size) -> Vec<Row> {
+    let calm = Size {
+        rate: size.rate * CALM_SHARE,
+        ..size
     };
-    let play = |size: Size, events: Vec<(Duration, Happens)>| Play {
-        size,
-        seed,
-        cores: 1,
-        warm: secs(2),
-        span: secs(if full { 5 } else { 3 }),
-        events,
-        own: false,
-    };
-    let pick = |all: &[usize], few: &[usize]| if full { all.to_vec() } else { few.to_vec() };
-    let none = |_: &Size| Vec::new();
-    let all = |size: &Size| (0..size.agents).collect::<Vec<_>>();
-    let reload = |size: &Size| vec![(secs(1), Happens::Reload(all(size)))];
-    let restart = |size: &Size| vec![(secs(1), Happens::Restart(all(size)))];
-    let sweep = |name,
-                 key,
-                 counts: &[usize],
-                 of: &dyn Fn(usize) -> Size,
-                 events: &dyn Fn(&Size) -> Vec<(Duration, Happens)>,
-                 figures: &[Figure]| {
-        let plays = counts
-            .iter()
-            .map(|n| (*n as f64, play(of(*n), events(&of(*n)))))
-            .collect();
-        Sweep {
-            name,
-            key,
-            plays,
-            figures: figures.to_vec(),
-            apart: false,
-        }
+    let peak_text = "the peak's load, nothing changes";
+    let calm_text = "a fifth of the peak's load, nothing changes";
+    vec![
+        Row::new("peak", peak_text, 2, size, Vec::new()),
+        Row::new("calm", calm_text, 20, calm, Vec::new()),
+    ]
+}
+
+fn reload_row(size: Size) -> Row {
+    let agents = (0..size.agents).collect();
+    let events = vec![(START, InstallationEvent::Reload(agents))];
+    let what = "SIGHUP to all agents in one moment";
+    Row::new("configuration", what, 12, size, events)
+}
+
+fn release_rows(size: Size) -> Vec<Row> {
+    // A service is one of 140, or the whole of a smaller installation.
+    let is_whole_installation = size.services == 1 && size.endpoints > LARGE_SERVICE;
+    let service: Vec<usize> = if is_whole_installation {
+        (0..size.endpoints / SERVICES).collect()
+    } else {
+        size.service_endpoints(0).collect()
     };
-    let endpoints = pick(&[55, 550, 1100, 2200, 4400, 7700], &[55, 110, 220, 440]);
-    let classes = pick(&[11, 40, 160, 400, 1600], &[11, 20, 40, 80]);
-    let few_classes = pick(&[11, 40, 80, 160], &[3, 6, 12, 24]);
-    let tenants = pick(
-        &[400, 5600, 14_000, 28_000, 56_000],
-        &[400, 800, 1600, 3200],
-    );
-    let agents = pick(&[6, 24, 96, 384, 770], &[4, 8, 16, 32]);
-    let services = pick(&[1, 10, 35, 70, 140], &[1, 2, 4, 8]);
-    let rates = pick(&[18, 36, 72, 143, 286], &[20, 40, 80, 160]);
-    let far = if full { 770 } else { 110 };
-    let with = |endpoints| Size { endpoints, ..base };
-    let commands = [DECISIONS, LOOKS, EVALUATION_INTERVAL, CORE, CONTROL];
-    let lists = [READING, TAKING, LISTING];
-    let mut sweeps = vec![
-        sweep(
-            "appliances",
-            "appliances",
-            &endpoints,
-            &with,
-            &none,
-            &commands,
-        ),
-        sweep(
-            "surveys alone, by appliances",
-            "appliances",
-            &endpoints,
-            &|n| Size {
-                rate: 0.0,
-                ..with(n)
-            },
-            &none,
-            &[LOOKS_SURVEY, EVALUATION_INTERVAL],
-        ),
-        sweep(
-            "a list that is known, by appliances",
-            "appliances",
-            &endpoints,
-            &with,
-            &reload,
-            &[&lists[..], &[WHOLE]].concat(),
-        ),
-        sweep(
-            "a start's first list, by appliances",
-            "appliances",
-            &endpoints,
-            &with,
-            &restart,
-            &lists,
-        ),
-        sweep(
-            "lanes",
-            "lanes",
-            &classes,
-            &|classes| Size { classes, ..base },
-            &none,
-            &commands,
-        ),
-        sweep(
-            "lanes of many appliances",
-            "lanes",
-            &few_classes,
-            &|classes| Size {
-                classes,
-                endpoints: far,
-                ..base
-            },
-            &none,
-            &commands,
-        ),
-        sweep(
-            "tenants",
-            "tenants",
-            &tenants,
-            &|tenants| Size { tenants, ..base },
-            &none,
-            &[TENANTS, DECISIONS, EVALUATION_INTERVAL, CORE, CONTROL],
-        ),
-        sweep(
-            "load",
-            "commands a second",
-            &rates,
-            &|n| Size {
-                rate: n as f64,
-                ..base
-            },
-            &none,
-            &commands,
-        ),
+    let everything: Vec<usize> = (0..size.endpoints).collect();
+    let one = release(&service, seconds(30), seconds(12), seconds(36));
+    let all = release(&everything, seconds(60), seconds(20), seconds(65));
+    let one_text = "one service's appliances change build within 30 s";
+    let all_text = "all appliances change build within 60 s";
+    vec![
+        Row::new("release", one_text, 45, size, one),
+        Row::new("release-all", all_text, 75, size, all),
+    ]
+}
+
+fn restart_rows(size: Size) -> Vec<Row> {
+    let endpoints = first(0..size.endpoints, RESTARTS);
+    let over = RESTART_INTERVAL * RESTARTS as u32;
+    let endpoint_restarts = rolling_restart(&endpoints, START, over, None);
+    let agents = first(0..size.agents, RESTARTS);
+    let few_restarts = agent_restarts(&agents, RESTART_INTERVAL);
+    let zone = zone_agents(&size, 0);
+    let interval = seconds(60) / zone.len().max(1) as u32;
+    let zone_restarts = agent_restarts(&zone, interval);
+    let endpoint_text = "12 appliances restart, one each 2 s";
+    let agent_text = "12 agents restart, one each 2 s";
+    let zone_text = "all agents of a zone restart within a minute";
+    vec![
+        Row::new("restarts", endpoint_text, 32, size, endpoint_restarts),
+        Row::new("agents", agent_text, 32, size, few_restarts),
+        Row::new("zone-agents", zone_text, 70, size, zone_restarts),
+    ]
+}
+
+fn outage_rows(size: Size) -> Vec<Row> {
+    let machine = outage(first(zone_endpoints(&size, 0), 1));
+    let rack_zone = size.zones / 2;
+    let rack = outage(first(zone_endpoints(&size, rack_zone), RACK_MACHINES));
+    let mut zone = outage(zone_endpoints(&size, 1));
+    let lost_agents = zone_agents(&size, 1);
+    zone.push((RECOVERY, InstallationEvent::Restart(lost_agents)));
+    let machine_text = "one machine vanishes and is back after 11 s";
+    let rack_text = "40 machines of a zone vanish and are back after 11 s";
+    let zone_text = "a zone vanishes and is back after 11 s";
+    vec![
+        Row::new("machine", machine_text, 22, size, machine),
+        Row::new("rack", rack_text, 24, size, rack),
+        Row::new("zone", zone_text, 28, size, zone),
+    ]
+}
+
+fn partition_row(size: Size) -> Row {
+    let mut events = vec![
+        (START, InstallationEvent::Partition(true)),
+        (seconds(31), InstallationEvent::Partition(false)),
     ];
-    let gentle = Size { rate: 10.0, ..base };
-    let sums = [BYTES, CALLS, TOLD, PLATFORM];
-    let changes = |size: &Size| {
-        roll(
-            &size.of_service(0).take(5).collect::<Vec<_>>(),
-            secs(1),
-            secs(5),
-            None,
-        )
-    };
-    let calm = |s: &mut Sweep| {
-        s.plays
-            .iter_mut()
-            .for_each(|p| (p.1.warm, p.1.span) = (secs(5), secs(20)))
-    };
-    for (name, events) in [
-        (
-            "agents of one list, calm",
-            &none as &dyn Fn(&Size) -> Vec<_>,
-        ),
-        ("agents of one list, 5 restarts", &changes),
-    ] {
-        let mut s = sweep(
-            name,
-            "agents",
-            &agents,
-            &|agents| Size { agents, ..gentle },
-            events,
-            &sums,
-        );
-        calm(&mut s);
-        sweeps.push(s);
-    }
-    let each = |services: usize| Size {
-        services,
-        agents: services * 11 / 2,
-        endpoints: services * 55,
-        ..gentle
-    };
-    let mut s = sweep("services", "services", &services, &each, &none, &sums);
-    calm(&mut s);
-    sweeps.push(s);
-    let memory = |name, key, counts: &[usize], of: &dyn Fn(usize) -> Size| {
-        let mut s = sweep(
-            name,
-            key,
-            counts,
-            &|n| Size {
-                agents: 8,
-                rate: 20.0,
-                ..of(n)
-            },
-            &none,
-            &[MEMORY],
-        );
-        s.plays
-            .iter_mut()
-            .for_each(|p| (p.1.own, p.1.span) = (true, secs(1)));
-        Sweep { apart: true, ..s }
-    };
-    sweeps.extend([
-        memory("memory by appliances", "appliances", &endpoints, &with),
-        memory("memory by lanes", "lanes", &classes, &|classes| Size {
-            classes,
-            ..base
-        }),
-        memory(
-            "memory by lanes of many appliances",
-            "lanes",
-            &few_classes,
-            &|classes| Size {
-                classes,
-                endpoints: far,
-                ..base
-            },
-        ),
-        memory("memory by tenants", "tenants", &tenants, &|tenants| Size {
-            tenants,
-            ..base
-        }),
-    ]);
-    sweeps
+    let restarting = first(zone_endpoints(&size, 0), PARTITION_RESTARTS);
+    events.extend(rolling_restart(&restarting, seconds(5), seconds(20), None));
+    let what = "the regions lose each other for 30 s";
+    Row::new("cut", what, 50, size, events)
 }
--- /dev/null
+++ b/crates/experiments/src/scale/servers/platform.rs
@@ -0,0 +1,122 @@
+//! The rollout platform of one service.
+
+use super::{PendingInput, ServerCounts, DELAY};
+use crate::scale::agent::AgentInput;
+use crate::scale::meter::{MessageKind, ProcessorTimer};
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tulipwall_testkit::platform::{note, Desk};
+use tulipwall_testkit::RolloutStatus;
+
+/// The platform of one service in simulated time.
+pub struct SimulatedPlatform {
+    logic: Desk,
+    watching: BTreeSet<usize>,
+    /// The instant at which simulated time is zero.
+    time_zero: Instant,
+    /// What it has answered.
+    pub counts: ServerCounts,
+}
+
+impl SimulatedPlatform {
+    /// A platform with this rollout status.
+    pub fn new(time_zero: Instant, rollout_status: RolloutStatus) -> SimulatedPlatform {
+        SimulatedPlatform {
+            logic: Desk::new(rollout_status),
+            watching: BTreeSet::new(),
+            time_zero,
+            counts: ServerCounts::default(),
+        }
+    }
+
+    fn send(
+        &mut self,
+        now: Duration,
+        agent: usize,
+        kind: MessageKind,
+        line: &Arc<Vec<u8>>,
+        inputs: &mut Vec<PendingInput>,
+    ) {
+        self.counts.count_bytes(now, line.len());
+        inputs.push(PendingInput {
+            at: now + DELAY,
+            agent,
+            input: AgentInput::PlatformLine {
+                kind,
+                bytes: line.clone(),
+            },
+        });
+    }
+
+    fn broadcast(
+        &mut self,
+        now: Duration,
+        kind: MessageKind,
+        line: &Value,
+        inputs: &mut Vec<PendingInput>,
+    ) {
+        let line = encode(line);
+        let agents = std::mem::take(&mut self.watching);
+        for agent in &agents {
+            self.send(now, *agent, kind, &line, inputs);
+        }
+        self.watching = agents;
+    }
+
+    /// Handles a line of an agent.
+    pub fn on_call(
+        &mut self,
+        now: Duration,
+        agent: usize,
+        line: &str,
+        inputs: &mut Vec<PendingInput>,
+    ) {
+        let timer = ProcessorTimer::start();
+        self.counts.count_call(now);
+        let call: Value = serde_json::from_str(line).unwrap_or_default();
+        let handled = self.logic.heed(self.time_zero + now, &call);
+        let reply = encode(&handled.answer);
+        self.send(now, agent, MessageKind::PlatformReply, &reply, inputs);
+        if handled.watches {
+            self.watching.insert(agent);
+            let status = encode(&self.logic.rollout_status.line(self.time_zero + now));
+            self.send(now, agent, MessageKind::RolloutStatus, &status, inputs);
+        }
+        if let Some(status) = handled.rollout_status {
+            self.set_rollout_status(now, status, inputs);
+        }
+        self.counts.ns += timer.elapsed_ns();
+    }
+
+    /// Sets the rollout status as of now, and tells all who watch it.
+    pub fn set_rollout_status(
+        &mut self,
+        now: Duration,
+        status: RolloutStatus,
+        inputs: &mut Vec<PendingInput>,
+    ) {
+        self.logic.rollout_status = RolloutStatus {
+            since: self.time_zero + now,
+            ..status
+        };
+        let line = self.logic.rollout_status.line(self.time_zero + now);
+        self.broadcast(now, MessageKind::RolloutStatus, &line, inputs);
+    }
+
+    /// Sends a sign of life to all who watch.
+    pub fn ping(&mut self, now: Duration, inputs: &mut Vec<PendingInput>) {
+        let line = note("ping", json!({}));
+        self.broadcast(now, MessageKind::Ping, &line, inputs);
+    }
+
+    /// These agents are out of reach from now on.
+    pub fn disconnect(&mut self, agents: &BTreeSet<usize>) {
+        self.watching.retain(|agent| !agents.contains(agent));
+    }
+}
+
+fn encode(line: &Value) -> Arc<Vec<u8>> {
+    Arc::new(format!("{line}\n").into_bytes())
+}
--- /dev/null
+++ b/crates/experiments/src/scale/simulation/mod.rs
@@ -0,0 +1,95 @@
+//! Simulates an installation of agents.
+//!
+//! Each thread has agents of its own. All advance in steps no longer than the network delay to an
+//! agent, so that the outcome is the same on any number of threads.
+
+mod coordinator;
+mod event;
+mod outcome;
+mod workers;
+
+pub use event::InstallationEvent;
+pub use outcome::Outcome;
+
+use super::error::ScaleError;
+use super::servers::Servers;
+use super::size::{Size, FIRST_BUILD};
+use crate::procfs::resident_memory;
+use coordinator::Coordinator;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tulipwall_testkit::RolloutStatus;
+use workers::{Worker, WorkerLink};
+
+/// Unix time, in milliseconds, at which simulated time begins.
+const START_MS: u64 = 1_790_000_000_000;
+
+/// One simulation.
+#[derive(Clone, Debug)]
+pub struct Simulation {
+    /// Size of the installation.
+    pub size: Size,
+    /// Seed of all chance.
+    pub seed: u64,
+    /// Threads of agents.
+    pub cores: usize,
+    /// Simulated time before anything counts.
+    pub warm_up: Duration,
+    /// Simulated time that counts.
+    pub duration: Duration,
+    /// What happens, counted from the end of the warm-up.
+    pub events: Vec<(Duration, InstallationEvent)>,
+    /// Whether each agent holds its settings by itself, as a process does.
+    pub own_settings: bool,
+}
+
+impl Simulation {
+    /// Runs it.
+    ///
+    /// # Errors
+    /// The settings cannot be read, or a thread ended early.
+    pub fn run(&self) -> Result<Outcome, ScaleError> {
+        let mut servers = self.servers();
+        let known_lists: Vec<Arc<Vec<u8>>> = servers
+            .iter()
+            .map(|service| service.discovery.known_list())
+            .collect();
+        let memory_before = resident_memory();
+        let threads = self.cores.clamp(1, self.size.agents.max(1));
+        std::thread::scope(|scope| {
+            let mut links = Vec::new();
+            let mut handles = Vec::new();
+            for thread in 0..threads {
+                let agents = (0..self.size.agents).filter(|a| a % threads == thread);
+                let (link, ends) = WorkerLink::channel();
+                let worker = Worker::new(self, agents.collect(), &known_lists, ends);
+                handles.push(scope.spawn(move || worker.run()));
+                links.push(link);
+            }
+            let coordinated = Coordinator::new(self, &mut servers, &links).run();
+            let memory = resident_memory() - memory_before;
+            drop(links);
+            let mut reports = Vec::new();
+            for handle in handles {
+                reports.extend(handle.join().map_err(|_| ScaleError::ThreadFailed)??);
+            }
+            coordinated?;
+            Ok(Outcome::of(self, &reports, &servers, memory))
+        })
+    }
+
+    /// The servers of all services, with their endpoints listed.
+    fn servers(&self) -> Vec<Servers> {
+        let size = self.size;
+        let time_zero = Instant::now();
+        let status = RolloutStatus::now(FIRST_BUILD, 0, "released", 1.0);
+        let service_servers = |service| {
+            let budget = size.call_budget();
+            let mut servers = Servers::new(budget, size.every_call, time_zero, status.clone());
+            let entries = size.service_endpoints(service).map(|e| size.entry(e));
+            servers.discovery.registry.tell(entries);
+            servers
+        };
+        (0..size.services).map(service_servers).collect()
+    }
+}
--- /dev/null
+++ b/crates/experiments/src/scale/simulation/outcome.rs
@@ -0,0 +1,286 @@
+//! What a simulation measured.
+
+use super::coordinator::is_in_second_region;
+use super::workers::AgentReport;
+use super::{InstallationEvent, Simulation};
+use crate::scale::meter::{MessageKind, Operation, Total};
+use crate::scale::servers::{ServerCounts, Servers, SimulatedDiscovery};
+use crate::scale::size::MAX_RELOAD_TIME;
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tulipwall_discovery::clock::BEFORE;
+
+/// A change that an agent has not learnt after so long counts as late, whether it came or not.
+const MAX_PROPAGATION: Duration = Duration::from_secs(6);
+const NS_PER_SECOND: f64 = 1e9;
+
+/// What was measured. Bytes and messages are those on the agents' connections, both ways; those of
+/// TCP itself are not counted.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct Outcome {
+    /// Number of agents.
+    pub agents: usize,
+    /// Simulated seconds that counted.
+    pub seconds: f64,
+    /// By operation: how often, and nanoseconds of the thread's clock. All agents.
+    pub work: BTreeMap<&'static str, Total>,
+    /// By kind of message: how many, and bytes. All agents.
+    pub traffic: BTreeMap<&'static str, Total>,
+    /// Requests taken.
+    #[serde(rename = "commands")]
+    pub requests: u64,
+    /// Requests that succeeded.
+    #[serde(rename = "satisfied")]
+    pub succeeded: u64,
+    /// Attempts sent.
+    #[serde(rename = "deliveries")]
+    pub attempts: u64,
+    /// Endpoints looked at by balancers.
+    #[serde(rename = "looks")]
+    pub endpoints_scanned: u64,
+    /// Polls of balancers.
+    #[serde(rename = "surveys")]
+    pub polls: u64,
+    /// The most that any agent keeps: requests, endpoints, builds, keys, listed.
+    #[serde(rename = "kept")]
+    pub retained: [usize; 5],
+    /// An agent's share of a core, on average.
+    pub core: f64,
+    /// An agent's share of a core in the worst second of any.
+    pub core_worst: f64,
+    /// An agent's share of a core without decisions for requests, on average.
+    pub control_core: f64,
+    /// The same in the worst second of any agent.
+    pub control_core_worst: f64,
+    /// Bytes a second of an agent, on average.
+    pub bytes: f64,
+    /// Bytes in the worst second of any agent.
+    pub bytes_worst: f64,
+    /// Calls a second that all discoveries answer together.
+    pub calls: f64,
+    /// The same in the worst second.
+    pub calls_worst: f64,
+    /// Calls that discoveries refused.
+    pub refused: u64,
+    /// Bytes a second that all discoveries send together.
+    pub discovery_bytes: f64,
+    /// The same in the worst second.
+    pub discovery_bytes_worst: f64,
+    /// Processor time of the simulated discoveries, as a share of a core.
+    pub discovery_core: f64,
+    /// Bytes a second that all platforms send together.
+    pub platform_bytes: f64,
+    /// Calls a second that all platforms answer together.
+    pub platform_calls: f64,
+    /// Mean seconds from a change of the list until an agent knew it.
+    #[serde(rename = "heard_mean")]
+    pub propagation_mean: f64,
+    /// Most seconds from a change of the list until an agent knew it.
+    #[serde(rename = "heard_most")]
+    pub propagation_max: f64,
+    /// Changes that an agent learnt late or never, over all agents.
+    #[serde(rename = "heard_late")]
+    pub propagation_late: u64,
+    /// Most seconds from a reload until everything was heard anew.
+    #[serde(rename = "renewed_most")]
+    pub reload_max: f64,
+    /// Reloads that took longer than the limit, or were not complete at the end.
+    #[serde(rename = "renewed_late")]
+    pub reload_late: u64,
+    /// Bytes of memory that the agents took, by the process's resident set.
+    pub memory: f64,
+}
+
+impl Outcome {
+    /// Of two runs of the same simulation, which count the same, the lesser times: what else ran
+    /// on the machine only adds.
+    pub fn least(mut self, other: &Outcome) -> Outcome {
+        for (name, total) in &mut self.work {
+            if let Some(other) = other.work.get(name) {
+                total.total = total.total.min(other.total);
+            }
+        }
+        self.core = self.core.min(other.core);
+        self.core_worst = self.core_worst.min(other.core_worst);
+        self.control_core = self.control_core.min(other.control_core);
+        self.control_core_worst = self.control_core_worst.min(other.control_core_worst);
+        self
+    }
+
+    /// Sums up what agents and servers counted.
+    pub(super) fn of(
+        simulation: &Simulation,
+        reports: &[AgentReport],
+        servers: &[Servers],
+        memory: f64,
+    ) -> Outcome {
+        let mut outcome = Outcome {
+            agents: reports.len(),
+            seconds: simulation.duration.as_secs_f64(),
+            memory,
+            ..Outcome::default()
+        };
+        // A part of a second at the end is no second.
+        let whole_seconds = simulation.duration.as_secs() as usize;
+        outcome.add_agents(reports, whole_seconds);
+        outcome.add_reloads(simulation, reports);
+        outcome.add_propagation(simulation, reports, servers);
+        outcome.add_discovery(servers, whole_seconds);
+        outcome.add_platforms(servers);
+        outcome
+    }
+
+    fn add_agents(&mut self, reports: &[AgentReport], whole_seconds: usize) {
+        let mut ns = 0;
+        let mut control_ns = 0;
+        for report in reports {
+            self.add_counts(report);
+            for second in report.meter.seconds.iter().take(whole_seconds) {
+                ns += second.ns;
+                control_ns += second.control_ns;
+                let core = second.ns as f64 / NS_PER_SECOND;
+                let control_core = second.control_ns as f64 / NS_PER_SECOND;
+                self.core_worst = self.core_worst.max(core);
+                self.control_core_worst = self.control_core_worst.max(control_core);
+                self.bytes_worst = self.bytes_worst.max(second.bytes as f64);
+            }
+        }
+        let agents = reports.len() as f64;
+        let total_bytes: f64 = self.traffic.values().map(|t| t.total as f64).sum();
+        self.core = ns as f64 / NS_PER_SECOND / self.seconds / agents;
+        self.control_core = control_ns as f64 / NS_PER_SECOND / self.seconds / agents;
+        self.bytes = total_bytes / self.seconds / agents;
+    }
+
+    fn add_counts(&mut self, report: &AgentReport) {
+        for ((_, name), total) in Operation::NAMES.iter().zip(&report.meter.work) {
+            self.work.entry(name).or_default().merge(total);
+        }
+        for ((_, name), total) in MessageKind::NAMES.iter().zip(&report.meter.traffic) {
+            self.traffic.entry(name).or_default().merge(total);
+        }
+        let counts = &report.counts;
+        self.requests += counts.requests;
+        self.succeeded += counts.succeeded;
+        self.attempts += counts.attempts;
+        self.endpoints_scanned += counts.endpoints_scanned;
+        self.polls += counts.polls;
+        for (most, count) in self.retained.iter_mut().zip(counts.retained) {
+            *most = count.max(*most);
+        }
+    }
+
+    fn add_reloads(&mut self, simulation: &Simulation, reports: &[AgentReport]) {
+        let completed = || reports.iter().flat_map(|r| &r.counts.reloads);
+        let is_late = |duration: &&Duration| **duration > MAX_RELOAD_TIME;
+        let late = completed().filter(is_late).count();
+        let started: usize = simulation
+            .events
+            .iter()
+            .map(|(_, event)| match event {
+                InstallationEvent::Reload(agents) => agents.len(),
+                _ => 0,
+            })
+            .sum();
+        let incomplete = started.saturating_sub(completed().count());
+        self.reload_late = (late + incomplete) as u64;
+        self.reload_max = completed().map(Duration::as_secs_f64).fold(0.0, f64::max);
+    }
+
+    fn add_propagation(
+        &mut self,
+        simulation: &Simulation,
+        reports: &[AgentReport],
+        servers: &[Servers],
+    ) {
+        let mut delays: Vec<Option<f64>> = Vec::new();
+        for report in reports {
+            let service = simulation.size.service_of(report.number);
+            let discovery = &servers[service].discovery;
+            delays.extend(propagation_delays(simulation, report, discovery));
+        }
+        let known = || delays.iter().flatten();
+        let is_late =
+            |delay: &&Option<f64>| delay.is_none_or(|d| d > MAX_PROPAGATION.as_secs_f64());
+        self.propagation_mean = known().sum::<f64>() / delays.len().max(1) as f64;
+        self.propagation_max = known().copied().fold(0.0, f64::max);
+        self.propagation_late = delays.iter().filter(is_late).count() as u64;
+    }
+
+    fn add_discovery(&mut self, servers: &[Servers], whole_seconds: usize) {
+        let counts: Vec<&ServerCounts> = servers.iter().map(|s| &s.discovery.counts).collect();
+        let total = |of: &dyn Fn(&ServerCounts) -> f64| counts.iter().map(|c| of(c)).sum::<f64>();
+        let calls = total(&|c| c.calls.iter().sum::<u64>() as f64);
+        let bytes = total(&|c| c.bytes.iter().sum::<u64>() as f64);
+        let ns = total(&|c| c.ns as f64);
+        self.calls = calls / self.seconds;
+        self.calls_worst = worst_second(&counts, whole_seconds, |c| &c.calls);
+        self.refused = counts.iter().map(|c| c.refused).sum();
+        self.discovery_bytes = bytes / self.seconds;
+        self.discovery_bytes_worst = worst_second(&counts, whole_seconds, |c| &c.bytes);
+        self.discovery_core = ns / NS_PER_SECOND / self.seconds;
+    }
+
+    fn add_platforms(&mut self, servers: &[Servers]) {
+        let counts = || servers.iter().map(|s| &s.platform.counts);
+        let bytes: u64 = counts().flat_map(|c| &c.bytes).sum();
+        let calls: u64 = counts().flat_map(|c| &c.calls).sum();
+        self.platform_bytes = bytes as f64 / self.seconds;
+        self.platform_calls = calls as f64 / self.seconds;
+    }
+}
+
+/// The largest sum over all servers in any second.
+fn worst_second(
+    counts: &[&ServerCounts],
+    whole_seconds: usize,
+    series: fn(&ServerCounts) -> &Vec<u64>,
+) -> f64 {
+    let at = |counts: &ServerCounts, second: usize| {
+        let count = series(counts).get(second);
+        count.copied().unwrap_or_default()
+    };
+    let sums = (0..whole_seconds).map(|second| counts.iter().map(|c| at(c, second)).sum::<u64>());
+    sums.max().unwrap_or_default() as f64
+}
+
+/// Seconds until an agent knew each change of its list, from its return where it was out of reach;
+/// none where it never did. Changes of the last moments had no time to arrive and are left out.
+fn propagation_delays(
+    simulation: &Simulation,
+    report: &AgentReport,
+    discovery: &SimulatedDiscovery,
+) -> Vec<Option<f64>> {
+    let from = BEFORE + simulation.warm_up;
+    let end = from + simulation.duration;
+    let reconnected_at = reconnected_at(simulation, report.number);
+    let reachable_from = reconnected_at.unwrap_or_default();
+    let counts = discovery
+        .versions
+        .iter()
+        .filter(|v| v.at >= from && v.at.max(reachable_from) + MAX_PROPAGATION <= end);
+    counts
+        .map(|change| {
+            let learnt = report
+                .counts
+                .versions
+                .iter()
+                .find(|learnt| learnt.version >= change.version && learnt.at >= change.at)?;
+            let since = change.at.max(reachable_from);
+            Some(learnt.at.saturating_sub(since).as_secs_f64())
+        })
+        .collect()
+}
+
+/// When an agent that a partition cut off was connected again.
+fn reconnected_at(simulation: &Simulation, agent: usize) -> Option<Duration> {
+    if !is_in_second_region(&simulation.size, agent) {
+        return None;
+    }
+    let healed = simulation
+        .events
+        .iter()
+        .find(|(_, event)| matches!(event, InstallationEvent::Partition(false)));
+    healed.map(|(at, _)| BEFORE + simulation.warm_up + *at)
+}
--- /dev/null
+++ b/crates/experiments/src/scale/simulation/workers.rs
@@ -0,0 +1,183 @@
+//! Threads that simulate agents.
+
+use super::{Simulation, START_MS};
+use crate::scale::agent::{ActualState, AgentCounts, AgentInput, AgentOutput, SimulatedAgent};
+use crate::scale::error::ScaleError;
+use crate::scale::meter::{clock_cost_ns, Meter};
+use crate::scale::servers::PendingInput;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::Arc;
+use std::time::Duration;
+use tulipwall_discovery::clock::{Clock, BEFORE};
+
+/// What agents sent in a step: when, which of them, what.
+pub(super) type Outputs = Vec<(Duration, usize, AgentOutput)>;
+
+/// What a worker is told to do.
+pub(super) enum Command {
+    /// Simulate up to a time, and reply with what agents sent.
+    Step {
+        until: Duration,
+        /// By service.
+        actual: Arc<Vec<ActualState>>,
+        inputs: Vec<PendingInput>,
+    },
+    /// Discard what was counted before a time.
+    CountFrom(Duration),
+}
+
+/// The coordinator's end of the connection to a worker.
+pub(super) struct WorkerLink {
+    commands: Sender<Command>,
+    outputs: Receiver<Outputs>,
+}
+
+/// A worker's end of it.
+pub(super) struct WorkerEnds {
+    commands: Receiver<Command>,
+    outputs: Sender<Outputs>,
+}
+
+impl WorkerLink {
+    /// Both ends of a new connection.
+    pub(super) fn channel() -> (WorkerLink, WorkerEnds) {
+        let (command_sender, command_receiver) = channel();
+        let (output_sender, output_receiver) = channel();
+        let link = WorkerLink {
+            commands: command_sender,
+            outputs: output_receiver,
+        };
+        let ends = WorkerEnds {
+            commands: command_receiver,
+            outputs: output_sender,
+        };
+        (link, ends)
+    }
+
+    /// Sends a command.
+    pub(super) fn send(&self, command: Command) -> Result<(), ScaleError> {
+        let sent = self.commands.send(command);
+        sent.map_err(|_| ScaleError::ThreadEnded)
+    }
+
+    /// Waits for the reply to a step.
+    pub(super) fn receive(&self) -> Result<Outputs, ScaleError> {
+        self.outputs.recv().map_err(|_| ScaleError::ThreadEnded)
+    }
+}
+
+/// What an agent consumed.
+pub(super) struct AgentReport {
+    pub(super) number: usize,
+    pub(super) meter: Meter,
+    pub(super) counts: AgentCounts,
+}
+
+/// The agents of one thread.
+pub(super) struct Worker<'a> {
+    simulation: &'a Simulation,
+    agents: Vec<usize>,
+    /// By service.
+    known_lists: &'a [Arc<Vec<u8>>],
+    ends: WorkerEnds,
+}
+
+impl<'a> Worker<'a> {
+    pub(super) fn new(
+        simulation: &'a Simulation,
+        agents: Vec<usize>,
+        known_lists: &'a [Arc<Vec<u8>>],
+        ends: WorkerEnds,
+    ) -> Worker<'a> {
+        Worker {
+            simulation,
+            agents,
+            known_lists,
+            ends,
+        }
+    }
+
+    /// Simulates its agents until no more commands can come.
+    pub(super) fn run(self) -> Result<Vec<AgentReport>, ScaleError> {
+        let mut agents = self.start_agents()?;
+        let mut first_outputs: Outputs = agents
+            .values_mut()
+            .flat_map(|agent| std::mem::take(&mut agent.outputs))
+            .collect();
+        while let Ok(command) = self.ends.commands.recv() {
+            match command {
+                Command::CountFrom(now) => {
+                    for agent in agents.values_mut() {
+                        agent.count_from(now);
+                    }
+                }
+                Command::Step {
+                    until,
+                    actual,
+                    inputs,
+                } => {
+                    let mut outputs = std::mem::take(&mut first_outputs);
+                    self.step(&mut agents, until, &actual, inputs, &mut outputs);
+                    if self.ends.outputs.send(outputs).is_err() {
+                        break;
+                    }
+                }
+            }
+        }
+        Ok(agents.into_values().map(report).collect())
+    }
+
+    fn start_agents(&self) -> Result<BTreeMap<usize, SimulatedAgent>, ScaleError> {
+        let size = self.simulation.size;
+        let clock = Rc::new(Clock::of_start(START_MS));
+        let clock_cost = clock_cost_ns();
+        let shared_config = Rc::new(size.service_config()?);
+        let mut agents = BTreeMap::new();
+        for number in self.agents.iter().copied() {
+            let config = if self.simulation.own_settings {
+                Rc::new(size.service_config()?)
+            } else {
+                shared_config.clone()
+            };
+            let seed = self.simulation.seed;
+            let mut agent =
+                SimulatedAgent::start(number, size, config, clock.clone(), seed, BEFORE);
+            agent.meter.clock_cost_ns = clock_cost;
+            agent.restart(BEFORE, &self.known_lists[size.service_of(number)]);
+            agents.insert(number, agent);
+        }
+        Ok(agents)
+    }
+
+    fn step(
+        &self,
+        agents: &mut BTreeMap<usize, SimulatedAgent>,
+        until: Duration,
+        actual: &[ActualState],
+        inputs: Vec<PendingInput>,
+        outputs: &mut Outputs,
+    ) {
+        let mut inputs_by_agent: BTreeMap<usize, Vec<(Duration, AgentInput)>> = BTreeMap::new();
+        for pending in inputs {
+            let agent_inputs = inputs_by_agent.entry(pending.agent).or_default();
+            agent_inputs.push((pending.at, pending.input));
+        }
+        for (number, agent) in agents {
+            let inputs = inputs_by_agent.remove(number).unwrap_or_default();
+            let service = self.simulation.size.service_of(*number);
+            agent.step(until, &actual[service], inputs);
+            outputs.append(&mut agent.outputs);
+        }
+    }
+}
+
+fn report(mut agent: SimulatedAgent) -> AgentReport {
+    agent.finish();
+    AgentReport {
+        number: agent.number,
+        meter: agent.meter,
+        counts: agent.counts,
+    }
+}
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -1,37 +1,54 @@
-//! How large an installation is played, what an agent of it is set to, and what memory that takes.
+//! Size of a simulated installation, the settings of its agents, and the memory that it takes.
 
+use super::ScaleError;
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::time::Duration;
 use tulipwall_config::{Fields, ServiceConfig};
 use tulipwall_testkit::{program, Entry, RequestClass};
 
-/// What the operators' letter allows an agent for control.
-pub const CORE_MOST: f64 = 0.012;
-/// In bytes.
-pub const MEMORY_MOST: f64 = 256e6;
-/// In bytes a second.
-pub const BYTES_MOST: f64 = 3000.0;
-/// From a change until it is in force everywhere.
-pub const FORCE_MOST: Duration = Duration::from_secs(4);
+/// The operators' limit for the control work of an agent, as a share of a core.
+pub const MAX_CORE_SHARE: f64 = 0.012;
+/// The operators' limit for the memory of an agent, in bytes.
+pub const MAX_MEMORY: f64 = 256e6;
+/// The operators' limit for the control traffic of an agent, in bytes a second.
+pub const MAX_BYTES_PER_SECOND: f64 = 3000.0;
+/// The operators' limit from a new configuration until it is in force everywhere.
+pub const MAX_RELOAD_TIME: Duration = Duration::from_secs(4);
+
+/// Calls a second that discovery answers at least, however few its agents are.
+const MIN_CALL_BUDGET: f64 = 10.0;
+/// Endpoints that share a machine.
+const ENDPOINTS_PER_MACHINE: usize = 8;
+/// Spreads the identifiers of endpoints (golden ratio, 32 bits).
+const ID_MULTIPLIER: u32 = 0x9e37_79b1;
+const POSTGRES_PORT: u16 = 6543;
+/// Build that all endpoints run at first.
+pub(super) const FIRST_BUILD: u32 = 41;
 
 /// All agents and endpoints together, split evenly over the services; classes and tenants are those
 /// of one agent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Size {
+    /// Services, each with its own agents, endpoints and discovery.
     pub services: usize,
+    /// Agents of all services.
     pub agents: usize,
+    /// Endpoints of all services.
     #[serde(rename = "appliances")]
     pub endpoints: usize,
+    /// Request classes of one service.
     #[serde(rename = "lanes")]
     pub classes: usize,
+    /// Tenants of one service.
     pub tenants: usize,
+    /// Zones, over which agents and endpoints are distributed in turn.
     pub zones: usize,
     /// Requests a second for each agent.
     pub rate: f64,
-    /// Calls a second that discovery answers, for each of its agents: those that begin a watch.
+    /// Calls a second that discovery answers, for each of its agents: those that start a watch.
     pub calls: f64,
-    /// Calls that go on with a watch count, too.
+    /// Whether calls that continue a watch count, too.
     pub every_call: bool,
 }
 
@@ -53,31 +70,33 @@
 }
 
 impl Size {
+    /// The service of an agent.
     pub fn service_of(&self, agent: usize) -> usize {
         agent * self.services / self.agents.max(1)
     }
 
     /// The endpoints of a service.
-    pub fn of_service(&self, service: usize) -> std::ops::Range<usize> {
+    pub fn service_endpoints(&self, service: usize) -> std::ops::Range<usize> {
         let from = |s: usize| s * self.endpoints / self.services.max(1);
         from(service)..from(service + 1)
     }
 
-    /// How many agents share one list.
-    pub fn together(&self) -> usize {
+    /// How many agents share one endpoint list.
+    pub fn agents_per_service(&self) -> usize {
         self.agents.div_ceil(self.services.max(1)).max(1)
     }
 
     /// Calls a second that the discovery of one service answers.
-    pub fn budget(&self) -> f64 {
-        (self.calls * self.together() as f64).max(10.0)
+    pub fn call_budget(&self) -> f64 {
+        (self.calls * self.agents_per_service() as f64).max(MIN_CALL_BUDGET)
     }
 
+    /// The zone of an agent or endpoint.
     pub fn zone(&self, number: usize) -> usize {
         number % self.zones.max(1)
     }
 
-    /// The first half of the zones is one region, the others are the other.
+    /// The region of a zone, 0 or 1: the first half of the zones is one, the others are the other.
     pub fn region(&self, zone: usize) -> usize {
         zone * 2 / self.zones.max(1)
     }
@@ -86,79 +105,99 @@
     pub fn settings(&self) -> Value {
         let zones: Vec<String> = (0..self.zones).map(|z| format!("zone-{z}")).collect();
         let zones: Vec<&str> = zones.iter().map(String::as_str).collect();
-        let kinds = ["repeatable", "by_key", "once"];
-        let class = |n: usize| {
-            RequestClass::new(&format!("route-{n:05}"), kinds[n % 3], 1.0 + (n % 7) as f64)
-        };
-        let classes: Vec<RequestClass> = (0..self.classes).map(class).collect();
-        let mut settings = program::settings(&zones, zones[0], self.together() as u32, &classes);
+        let classes = self.request_classes();
+        let agents = self.agents_per_service() as u32;
+        let mut settings = program::settings(&zones, zones[0], agents, &classes);
         let share = 1.0 / self.tenants.max(1) as f64;
         let tenant = |n: usize| json!({"name": tenant(n), "share": share});
         settings["tenants"] = (0..self.tenants).map(tenant).collect();
         settings["discovery"] = json!("ask");
-        settings["domain"]["api-rate"] = json!(self.budget());
+        settings["domain"]["api-rate"] = json!(self.call_budget());
         settings["rules"]["must-ask-in-ms"] = json!(10_000.0);
         settings
     }
 
-    /// The same as an agent reads it.
+    /// Classes of all kinds of idempotency, with different weights.
+    fn request_classes(&self) -> Vec<RequestClass> {
+        let kinds = ["repeatable", "by_key", "once"];
+        let class = |n: usize| {
+            let name = format!("route-{n:05}");
+            RequestClass::new(&name, kinds[n % 3], 1.0 + (n % 7) as f64)
+        };
+        (0..self.classes).map(class).collect()
+    }
+
+    /// The settings as an agent reads them.
     ///
     /// # Errors
-    /// Those of [`ServiceConfig::read`], by their text.
-    pub fn site(&self) -> Result<ServiceConfig, String> {
+    /// Those of [`ServiceConfig::read`].
+    pub fn service_config(&self) -> Result<ServiceConfig, ScaleError> {
         let settings = self.settings();
-        let read = ServiceConfig::read(&Fields::of(&settings, "settings")?, 1);
-        let mut site = read.map_err(|fault| fault.to_string())?;
-        // As the agent sets it on sockets, whatever the settings say.
-        site.settings.list_polled = true;
-        site.settings.load_probes = false;
-        Ok(site)
+        let fields = Fields::of(&settings, "settings").map_err(ScaleError::settings)?;
+        let mut config = ServiceConfig::read(&fields, 1).map_err(ScaleError::settings)?;
+        // As the agent sets them on sockets, whatever the settings say.
+        config.settings.list_polled = true;
+        config.settings.load_probes = false;
+        Ok(config)
     }
 
     /// An endpoint as discovery lists it, long up.
     pub fn entry(&self, endpoint: usize) -> Entry {
         let [_, a, b, c] = (endpoint as u32).to_be_bytes();
         Entry {
-            id: format!("s-{:08x}", (endpoint as u32).wrapping_mul(0x9e37_79b1)),
-            addresses: vec![([10, a, b, c], 6543).into()],
+            id: format!("s-{:08x}", (endpoint as u32).wrapping_mul(ID_MULTIPLIER)),
+            addresses: vec![([10, a, b, c], POSTGRES_PORT).into()],
             zone: format!("zone-{}", self.zone(endpoint)),
-            cell: (endpoint / 8) as u64,
+            cell: (endpoint / ENDPOINTS_PER_MACHINE) as u64,
             state: "in_service".into(),
             started_ms: 0,
-            build: 41,
+            build: FIRST_BUILD,
         }
     }
 
-    /// Bytes that a play of this takes, about, from the slopes that `tulipwall-experiments scale`
-    /// measures; `own` where each agent holds its settings by itself.
-    pub fn memory(&self, own: bool) -> f64 {
-        let (agents, classes, tenants) =
-            (self.agents as f64, self.classes as f64, self.tenants as f64);
+    /// Estimated bytes that a simulation of this size takes, from the slopes that
+    /// `tulipwall-experiments scale` measures; `own_settings` where agents do not share them.
+    pub fn estimated_memory(&self, own_settings: bool) -> f64 {
+        let agents = self.agents as f64;
+        let classes = self.classes as f64;
+        let tenants = self.tenants as f64;
         let listed = self.endpoints as f64 / self.services.max(1) as f64;
-        let each = 60e3
-            + listed * (EACH_LISTED + EACH_COUNT * classes)
-            + classes * EACH_CLASS
-            + tenants * EACH_TENANT;
-        let site = tenants * SITE_TENANT + classes * SITE_CLASS;
-        let told = self.endpoints as f64 * EACH_TOLD;
-        let work = listed * EACH_READ * WORKERS; // a whole list while it is read
-        agents * (each + if own { site } else { 0.0 }) + site * WORKERS + told + work + 20e6
+        let agent = AGENT_BYTES
+            + listed * (LISTED_BYTES + LISTED_CLASS_BYTES * classes)
+            + classes * CLASS_BYTES
+            + tenants * TENANT_BYTES;
+        let settings = tenants * SETTINGS_TENANT_BYTES + classes * SETTINGS_CLASS_BYTES;
+        let own = if own_settings { settings } else { 0.0 };
+        let discovery = self.endpoints as f64 * DISCOVERY_ENTRY_BYTES;
+        let parsing = listed * PARSED_ENTRY_BYTES * WORKERS;
+        agents * (agent + own) + settings * WORKERS + discovery + parsing + PROCESS_BYTES
     }
 }
 
-/// Bytes by count, as measured: an endpoint in list and module, its counts by class, a class, a
-/// tenant in the module, the settings' names, an entry at discovery and its JSON, and while it is
-/// read.
-const EACH_LISTED: f64 = 560.0;
-const EACH_COUNT: f64 = 32.0;
-const EACH_CLASS: f64 = 1400.0;
-const EACH_TENANT: f64 = 24.0;
-const SITE_TENANT: f64 = 160.0;
-const SITE_CLASS: f64 = 120.0;
-const EACH_TOLD: f64 = 1500.0;
-const EACH_READ: f64 = 2500.0;
+/// Bytes of an agent alone.
+const AGENT_BYTES: f64 = 60e3;
+/// Bytes of an endpoint in an agent's list and balancer.
+const LISTED_BYTES: f64 = 560.0;
+/// Bytes of an endpoint's counts of one class.
+const LISTED_CLASS_BYTES: f64 = 32.0;
+/// Bytes of a class in the balancer.
+const CLASS_BYTES: f64 = 1400.0;
+/// Bytes of a tenant in the balancer.
+const TENANT_BYTES: f64 = 24.0;
+/// Bytes of a tenant in the settings.
+const SETTINGS_TENANT_BYTES: f64 = 160.0;
+/// Bytes of a class in the settings.
+const SETTINGS_CLASS_BYTES: f64 = 120.0;
+/// Bytes of an entry at discovery, and its JSON.
+const DISCOVERY_ENTRY_BYTES: f64 = 1500.0;
+/// Bytes of an entry while a whole list is parsed.
+const PARSED_ENTRY_BYTES: f64 = 2500.0;
+/// Threads that hold settings and parse lists at once, at most.
 const WORKERS: f64 = 4.0;
+/// Bytes of the process alone.
+const PROCESS_BYTES: f64 = 20e6;
 
+/// The name of a tenant.
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number:05}")
 }
--- /dev/null
+++ b/crates/experiments/src/scale/sweeps.rs
@@ -0,0 +1,372 @@
+//! Sweeps: series of simulations that differ in one count, from which slopes are measured.
+
+use super::figures::{
+    Figure, BALANCER_UPDATE, BYTES, CONTROL_CORE, CORE, DECISIONS, DISCOVERY_BYTES,
+    DISCOVERY_CALLS, LIST_UPDATE, MEMORY, PARSING, PLATFORM_BYTES, POLL, SCANS_A_POLL,
+    SCANS_A_REQUEST, TENANT_LOOKUP, WHOLE_LIST,
+};
+use super::rows::rolling_restart;
+use super::simulation::{InstallationEvent, Simulation};
+use super::size::Size;
+use std::time::Duration;
+
+const WARM_UP: Duration = Duration::from_secs(2);
+/// Sums over agents need longer, since their watches last many seconds.
+const TRAFFIC_WARM_UP: Duration = Duration::from_secs(5);
+const TRAFFIC_DURATION: Duration = Duration::from_secs(20);
+const MEMORY_DURATION: Duration = Duration::from_secs(1);
+/// When the event of a sweep happens.
+const EVENT_AT: Duration = Duration::from_secs(1);
+/// Requests a second of an agent where traffic is measured, and where memory is.
+const TRAFFIC_RATE: f64 = 10.0;
+const MEMORY_RATE: f64 = 20.0;
+const AGENTS: usize = 2;
+const MEMORY_AGENTS: usize = 8;
+/// Agents and endpoints of a mean service.
+const SERVICE_AGENTS_TWICE: usize = 11;
+const SERVICE_ENDPOINTS: usize = 55;
+/// Endpoints that restart in a sweep of changes.
+const RESTARTS: usize = 5;
+
+/// A simulation at one count.
+#[derive(Clone, Debug)]
+pub struct SweepPoint {
+    /// The count.
+    pub count: f64,
+    /// The simulation.
+    pub simulation: Simulation,
+}
+
+/// Simulations over one count.
+#[derive(Clone, Debug)]
+pub struct Sweep {
+    /// Name on the command line and in reports.
+    pub name: &'static str,
+    /// What is counted.
+    pub key: &'static str,
+    /// The simulations.
+    pub points: Vec<SweepPoint>,
+    /// What is measured.
+    pub figures: Vec<Figure>,
+    /// Whether each point is simulated in a process of its own, whose memory is its own.
+    pub in_own_process: bool,
+}
+
+/// The counts of all sweeps.
+struct Counts {
+    endpoints: &'static [usize],
+    classes: &'static [usize],
+    /// Classes where there are many endpoints.
+    classes_of_many: &'static [usize],
+    tenants: &'static [usize],
+    agents: &'static [usize],
+    services: &'static [usize],
+    rates: &'static [usize],
+    /// How many endpoints are many.
+    many_endpoints: usize,
+    duration: Duration,
+}
+
+/// Up to the operators' size.
+const FULL: Counts = Counts {
+    endpoints: &[55, 550, 1100, 2200, 4400, 7700],
+    classes: &[11, 40, 160, 400, 1600],
+    classes_of_many: &[11, 40, 80, 160],
+    tenants: &[400, 5600, 14_000, 28_000, 56_000],
+    agents: &[6, 24, 96, 384, 770],
+    services: &[1, 10, 35, 70, 140],
+    rates: &[18, 36, 72, 143, 286],
+    many_endpoints: 770,
+    duration: Duration::from_secs(5),
+};
+
+const SMALL: Counts = Counts {
+    endpoints: &[55, 110, 220, 440],
+    classes: &[11, 20, 40, 80],
+    classes_of_many: &[3, 6, 12, 24],
+    tenants: &[400, 800, 1600, 3200],
+    agents: &[4, 8, 16, 32],
+    services: &[1, 2, 4, 8],
+    rates: &[20, 40, 80, 160],
+    many_endpoints: 110,
+    duration: Duration::from_secs(3),
+};
+
+/// The sweeps of all counts; `full` up to the operators' size.
+pub fn sweeps(full: bool, seed: u64) -> Vec<Sweep> {
+    let counts = if full { &FULL } else { &SMALL };
+    let builder = SweepBuilder { counts, seed };
+    let mut sweeps = builder.endpoint_sweeps();
+    sweeps.extend(builder.class_sweeps());
+    sweeps.push(builder.tenant_sweep());
+    sweeps.push(builder.load_sweep());
+    sweeps.extend(builder.traffic_sweeps());
+    sweeps.extend(builder.memory_sweeps());
+    sweeps
+}
+
+/// What happens in the simulations of a sweep.
+type Events = fn(&Size) -> Vec<(Duration, InstallationEvent)>;
+
+fn no_events(_: &Size) -> Vec<(Duration, InstallationEvent)> {
+    Vec::new()
+}
+
+fn reload_all(size: &Size) -> Vec<(Duration, InstallationEvent)> {
+    let agents = (0..size.agents).collect();
+    vec![(EVENT_AT, InstallationEvent::Reload(agents))]
+}
+
+fn restart_all(size: &Size) -> Vec<(Duration, InstallationEvent)> {
+    let agents = (0..size.agents).collect();
+    vec![(EVENT_AT, InstallationEvent::Restart(agents))]
+}
+
+fn restart_some_endpoints(size: &Size) -> Vec<(Duration, InstallationEvent)> {
+    let endpoints: Vec<usize> = size.service_endpoints(0).take(RESTARTS).collect();
+    rolling_restart(&endpoints, EVENT_AT, Duration::from_secs(5), None)
+}
+
+/// Sizes that differ from the base in one count.
+fn base() -> Size {
+    Size {
+        agents: AGENTS,
+        ..Size::default()
+    }
+}
+
+fn with_endpoints(endpoints: usize) -> Size {
+    Size {
+        endpoints,
+        ..base()
+    }
+}
+
+fn with_classes(classes: usize) -> Size {
+    Size { classes, ..base() }
+}
+
+fn with_tenants(tenants: usize) -> Size {
+    Size { tenants, ..base() }
+}
+
+fn gentle() -> Size {
+    Size {
+        rate: TRAFFIC_RATE,
+        ..base()
+    }
+}
+
+/// What a sweep goes over, and what is the same at all its points.
+struct SweepBuilder<'a> {
+    counts: &'a Counts,
+    seed: u64,
+}
+
+impl SweepBuilder<'_> {
+    fn sweep(
+        &self,
+        name: &'static str,
+        key: &'static str,
+        counts: &[usize],
+        size: impl Fn(usize) -> Size,
+        events: Events,
+        figures: &[Figure],
+    ) -> Sweep {
+        let point = |count: &usize| {
+            let size = size(*count);
+            SweepPoint {
+                count: *count as f64,
+                simulation: self.simulation(size, events(&size)),
+            }
+        };
+        Sweep {
+            name,
+            key,
+            points: counts.iter().map(point).collect(),
+            figures: figures.to_vec(),
+            in_own_process: false,
+        }
+    }
+
+    fn simulation(&self, size: Size, events: Vec<(Duration, InstallationEvent)>) -> Simulation {
+        Simulation {
+            size,
+            seed: self.seed,
+            cores: 1,
+            warm_up: WARM_UP,
+            duration: self.counts.duration,
+            events,
+            own_settings: false,
+        }
+    }
+
+    fn endpoint_sweeps(&self) -> Vec<Sweep> {
+        let over = |name, size: fn(usize) -> Size, events, figures: &[Figure]| {
+            let counts = self.counts.endpoints;
+            self.sweep(name, "appliances", counts, size, events, figures)
+        };
+        let without_load = |endpoints| Size {
+            rate: 0.0,
+            ..with_endpoints(endpoints)
+        };
+        vec![
+            over("appliances", with_endpoints, no_events, &REQUEST_FIGURES),
+            over(
+                "surveys alone, by appliances",
+                without_load,
+                no_events,
+                &[SCANS_A_POLL, POLL],
+            ),
+            over(
+                "a list that is known, by appliances",
+                with_endpoints,
+                reload_all,
+                &[PARSING, LIST_UPDATE, BALANCER_UPDATE, WHOLE_LIST],
+            ),
+            over(
+                "a start's first list, by appliances",
+                with_endpoints,
+                restart_all,
+                &[PARSING, LIST_UPDATE, BALANCER_UPDATE],
+            ),
+        ]
+    }
+
+    /// A size with many endpoints and so many classes.
+    fn many_endpoints(&self, classes: usize) -> Size {
+        Size {
+            endpoints: self.counts.many_endpoints,
+            ..with_classes(classes)
+        }
+    }
+
+    fn class_sweeps(&self) -> [Sweep; 2] {
+        let few = self.sweep(
+            "lanes",
+            "lanes",
+            self.counts.classes,
+            with_classes,
+            no_events,
+            &REQUEST_FIGURES,
+        );
+        let many = self.sweep(
+            "lanes of many appliances",
+            "lanes",
+            self.counts.classes_of_many,
+            |classes| self.many_endpoints(classes),
+            no_events,
+            &REQUEST_FIGURES,
+        );
+        [few, many]
+    }
+
+    fn tenant_sweep(&self) -> Sweep {
+        self.sweep(
+            "tenants",
+            "tenants",
+            self.counts.tenants,
+            with_tenants,
+            no_events,
+            &[TENANT_LOOKUP, DECISIONS, POLL, CORE, CONTROL_CORE],
+        )
+    }
+
+    fn load_sweep(&self) -> Sweep {
+        let with_rate = |rate| Size {
+            rate: rate as f64,
+            ..base()
+        };
+        self.sweep(
+            "load",
+            "commands a second",
+            self.counts.rates,
+            with_rate,
+            no_events,
+            &REQUEST_FIGURES,
+        )
+    }
+
+    /// Sweeps of the traffic with discovery and platform, by agents and by services.
+    fn traffic_sweeps(&self) -> [Sweep; 3] {
+        let by_agents = |name, events| {
+            let with_agents = |agents| Size { agents, ..gentle() };
+            let counts = self.counts.agents;
+            self.traffic_sweep(name, "agents", counts, with_agents, events)
+        };
+        let with_services = |services| Size {
+            services,
+            agents: services * SERVICE_AGENTS_TWICE / 2,
+            endpoints: services * SERVICE_ENDPOINTS,
+            ..gentle()
+        };
+        let services = self.counts.services;
+        [
+            by_agents("agents of one list, calm", no_events),
+            by_agents("agents of one list, 5 restarts", restart_some_endpoints),
+            self.traffic_sweep("services", "services", services, with_services, no_events),
+        ]
+    }
+
+    fn traffic_sweep(
+        &self,
+        name: &'static str,
+        key: &'static str,
+        counts: &[usize],
+        size: fn(usize) -> Size,
+        events: Events,
+    ) -> Sweep {
+        let mut sweep = self.sweep(name, key, counts, size, events, &TRAFFIC_FIGURES);
+        for point in &mut sweep.points {
+            point.simulation.warm_up = TRAFFIC_WARM_UP;
+            point.simulation.duration = TRAFFIC_DURATION;
+        }
+        sweep
+    }
+
+    fn memory_sweeps(&self) -> [Sweep; 4] {
+        let counts = self.counts;
+        [
+            self.memory_sweep(
+                "memory by appliances",
+                "appliances",
+                counts.endpoints,
+                with_endpoints,
+            ),
+            self.memory_sweep("memory by lanes", "lanes", counts.classes, with_classes),
+            self.memory_sweep(
+                "memory by lanes of many appliances",
+                "lanes",
+                counts.classes_of_many,
+                |classes| self.many_endpoints(classes),
+            ),
+            self.memory_sweep("memory by tenants", "tenants", counts.tenants, with_tenants),
+        ]
+    }
+
+    fn memory_sweep(
+        &self,
+        name: &'static str,
+        key: &'static str,
+        counts: &[usize],
+        size: impl Fn(usize) -> Size,
+    ) -> Sweep {
+        let size = |count| Size {
+            agents: MEMORY_AGENTS,
+            rate: MEMORY_RATE,
+            ..size(count)
+        };
+        let mut sweep = self.sweep(name, key, counts, size, no_events, &[MEMORY]);
+        sweep.in_own_process = true;
+        for point in &mut sweep.points {
+            point.simulation.own_settings = true;
+            point.simulation.duration = MEMORY_DURATION;
+        }
+        sweep
+    }
+}
+
+/// What requests cost.
+const REQUEST_FIGURES: [Figure; 5] = [DECISIONS, SCANS_A_REQUEST, POLL, CORE, CONTROL_CORE];
+/// What control costs.
+const TRAFFIC_FIGURES: [Figure; 4] = [BYTES, DISCOVERY_CALLS, DISCOVERY_BYTES, PLATFORM_BYTES];
--- a/crates/experiments/src/stats.rs
+++ b/crates/experiments/src/stats.rs
@@ -1,61 +1,98 @@
-//! Means with their confidence, and whether two differ beyond chance.
+//! Statistics of samples: means with confidence intervals, Welch's test, and least squares.
 
 /// Two-sided 95% points of Student's t distribution for 1 to 30 degrees of freedom.
-const T: [f64; 30] = [
+const STUDENT_T_95: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
     2.052, 2.048, 2.045, 2.042,
 ];
+/// Means of samples without variance differ if they are farther apart than rounding errors.
+const ROUNDING: f64 = 1e-12;
 
+/// Mean and variance of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
+    /// Size of the sample.
     pub of: usize,
+    /// Arithmetic mean; zero for an empty sample.
     pub mean: f64,
-    /// Of a single run, unbiased.
+    /// Unbiased variance of a single value; zero for fewer than two.
     pub variance: f64,
 }
 
-fn t(freedom: f64) -> f64 {
-    match freedom.floor() as usize {
+/// The 95% point of Student's t distribution, approximated beyond 30 degrees of freedom.
+fn student_t(degrees_of_freedom: f64) -> f64 {
+    match degrees_of_freedom.floor() as usize {
         0 => f64::INFINITY,
-        n @ 1..=30 => T[n - 1],
-        _ => 1.96 + 2.5 / freedom,
+        n @ 1..=30 => STUDENT_T_95[n - 1],
+        _ => 1.96 + 2.5 / degrees_of_freedom,
     }
 }
 
 impl Mean {
+    /// Mean and variance of these values.
     pub fn of(values: &[f64]) -> Mean {
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n.max(1.0);
-        let square: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
+        let squares: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
         Mean {
             of: values.len(),
             mean,
-            variance: if n > 1.0 { square / (n - 1.0) } else { 0.0 },
+            variance: if n > 1.0 { squares / (n - 1.0) } else { 0.0 },
         }
     }
 
-    /// Half of the interval that holds the true mean with 95% confidence; infinite for a single
-    /// run.
+    /// Half the width of the 95% confidence interval of the mean; infinite for fewer than two
+    /// values.
     pub fn half(&self) -> f64 {
-        let n = self.of as f64;
         if self.of < 2 {
-            f64::INFINITY
-        } else {
-            t(n - 1.0) * (self.variance / n).sqrt()
+            return f64::INFINITY;
         }
+        let n = self.of as f64;
+        student_t(n - 1.0) * (self.variance / n).sqrt()
     }
 
-    /// Whether it differs from another beyond chance: Welch's test at 5%, for unequal variances.
-    pub fn differs(&self, o: &Mean) -> bool {
-        if self.of < 2 || o.of < 2 {
+    /// Whether it differs from another mean beyond chance: Welch's t test at 5%, for unequal
+    /// variances. Never for samples of fewer than two values.
+    pub fn differs(&self, other: &Mean) -> bool {
+        if self.of < 2 || other.of < 2 {
             return false;
         }
-        let (a, b) = (self.variance / self.of as f64, o.variance / o.of as f64);
+        let difference = (self.mean - other.mean).abs();
+        let a = self.variance / self.of as f64;
+        let b = other.variance / other.of as f64;
         if a + b <= 0.0 {
-            return (self.mean - o.mean).abs() > 1e-12;
+            return difference > ROUNDING;
         }
-        let freedom = (a + b).powi(2) / (a * a / (self.of - 1) as f64 + b * b / (o.of - 1) as f64);
-        (self.mean - o.mean).abs() / (a + b).sqrt() > t(freedom)
+        // Welch-Satterthwaite equation.
+        let degrees_of_freedom =
+            (a + b).powi(2) / (a * a / (self.of - 1) as f64 + b * b / (other.of - 1) as f64);
+        difference / (a + b).sqrt() > student_t(degrees_of_freedom)
+    }
+}
+
+/// `y = intercept + slope * x`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StraightLine {
+    /// Growth of `y` for each unit of `x`.
+    pub slope: f64,
+    /// `y` at zero.
+    pub intercept: f64,
+}
+
+/// The straight line through points by least squares; none for fewer than two different `x`.
+pub fn least_squares(points: &[(f64, f64)]) -> Option<StraightLine> {
+    let n = points.len() as f64;
+    let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
+    let mean_y = points.iter().map(|p| p.1).sum::<f64>() / n;
+    let variation: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    if points.len() < 2 || variation <= 0.0 {
+        return None;
     }
+    let covariation: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let slope = covariation / variation;
+    Some(StraightLine {
+        slope,
+        intercept: mean_y - slope * mean_x,
+    })
 }
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -4,29 +4,29 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 use tulipwall_experiments::scale::fit::Line;
-use tulipwall_experiments::scale::report::{Curve, Report, Swept};
+use tulipwall_experiments::scale::report::{Curve, Report, SweepResult};
 use tulipwall_experiments::scale::rows::{rows, Row};
-use tulipwall_experiments::scale::{Happens, Outcome, Play, Size};
+use tulipwall_experiments::scale::{InstallationEvent, Outcome, Simulation, Size};
 use tulipwall_testkit::registry::{self, Entry, Registry};
 
 const fn secs(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-fn play(size: Size, span: Duration, events: Vec<(Duration, Happens)>) -> Play {
-    Play {
+fn play(size: Size, duration: Duration, events: Vec<(Duration, InstallationEvent)>) -> Simulation {
+    Simulation {
         size,
         seed: 7,
         cores: 2,
-        warm: secs(5),
-        span,
+        warm_up: secs(5),
+        duration,
         events,
-        own: false,
+        own_settings: false,
     }
 }
 
-fn run(size: Size, span: Duration, events: Vec<(Duration, Happens)>) -> Outcome {
-    play(size, span, events).run().unwrap()
+fn run(size: Size, duration: Duration, events: Vec<(Duration, InstallationEvent)>) -> Outcome {
+    play(size, duration, events).run().unwrap()
 }
 
 fn row(size: Size, name: &str) -> Row {
@@ -47,12 +47,12 @@
 /// All that is counted and not timed.
 fn counts(o: &Outcome) -> String {
     let load = (
-        o.commands,
+        o.requests,
         o.succeeded,
         o.attempts,
-        o.looks,
-        o.surveys,
-        o.kept,
+        o.endpoints_scanned,
+        o.polls,
+        o.retained,
     );
     let wire = (
         &o.traffic,
@@ -60,8 +60,8 @@
         o.refused,
         o.discovery_bytes,
         o.platform_bytes,
-        o.heard_most,
-        o.renewed_most,
+        o.propagation_max,
+        o.reload_max,
     );
     format!("{load:?} {wire:?}")
 }
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_same_seed_counts_the_same_on_any_number_of_threads() {
+fn equal_seeds_count_the_same_on_any_number_of_threads() {
     let size = Size {
         services: 2,
         agents: 9,
@@ -85,15 +85,15 @@
         rate: 30.0,
         ..Size::default()
     };
-    let one = Play {
+    let one = Simulation {
         cores: 1,
-        ..row(size, "zone").play(7, 1)
+        ..row(size, "zone").simulation(7, 1)
     };
-    let three = Play {
+    let three = Simulation {
         cores: 3,
         ..one.clone()
     };
-    let other = Play {
+    let other = Simulation {
         seed: 8,
         ..one.clone()
     };
@@ -103,45 +103,45 @@
 }
 
 #[test]
-fn hollow_agents_serve_and_hear_what_is_told() {
+fn simulated_agents_serve_requests_and_learn_changes() {
     let size = Size {
         agents: 3,
         rate: 40.0,
         ..Size::default()
     };
     let o = run(size, secs(10), Vec::new());
-    assert!((1000..1400).contains(&o.commands), "{} of 1200", o.commands);
+    assert!((1000..1400).contains(&o.requests), "{} of 1200", o.requests);
     assert!(
-        o.succeeded as f64 > o.commands as f64 * 0.99,
+        o.succeeded as f64 > o.requests as f64 * 0.99,
         "{} of {}",
         o.succeeded,
-        o.commands
+        o.requests
     );
-    assert_eq!(o.kept[1..], [55, 1, 0, 55]);
+    assert_eq!(o.retained[1..], [55, 1, 0, 55]);
     // A machine goes silent: what was sent there is sent again, and once it is told as gone nothing
     // goes there.
-    let o = row(size, "machine").play(7, 2).run().unwrap();
-    assert_eq!(o.heard_late, 0);
+    let o = row(size, "machine").simulation(7, 2).run().unwrap();
+    assert_eq!(o.propagation_late, 0);
     assert!(
-        o.succeeded as f64 > o.commands as f64 * 0.99,
+        o.succeeded as f64 > o.requests as f64 * 0.99,
         "{} of {}",
         o.succeeded,
-        o.commands
+        o.requests
     );
-    assert!(o.attempts > o.commands, "none was sent in vain");
+    assert!(o.attempts > o.requests, "none was sent in vain");
     // While regions do not reach each other the second one serves by what it knows.
-    let o = row(size, "cut").play(7, 2).run().unwrap();
+    let o = row(size, "cut").simulation(7, 2).run().unwrap();
     assert!(
-        o.succeeded as f64 > o.commands as f64 * 0.9,
+        o.succeeded as f64 > o.requests as f64 * 0.9,
         "{} of {}",
         o.succeeded,
-        o.commands
+        o.requests
     );
 }
 
 #[test]
-fn walks_grow_with_the_appliances_and_no_faster() {
-    let looks = |endpoints, rate| {
+fn scans_grow_no_faster_than_the_endpoints() {
+    let scans = |endpoints, rate| {
         run(
             Size {
                 rate,
@@ -152,10 +152,12 @@
         )
     };
     for endpoints in [55, 220, 440] {
-        let (calm, busy) = (looks(endpoints, 0.0), looks(endpoints, 50.0));
-        assert_eq!(calm.surveys, busy.surveys, "ten a second each");
-        let survey = calm.looks as f64 / calm.surveys as f64 / endpoints as f64;
-        let command = (busy.looks - calm.looks) as f64 / busy.commands as f64 / endpoints as f64;
+        let (calm, busy) = (scans(endpoints, 0.0), scans(endpoints, 50.0));
+        assert_eq!(calm.polls, busy.polls, "ten a second each");
+        let survey = calm.endpoints_scanned as f64 / calm.polls as f64 / endpoints as f64;
+        let command = (busy.endpoints_scanned - calm.endpoints_scanned) as f64
+            / busy.requests as f64
+            / endpoints as f64;
         // A survey: 12 walks. A request: two in `pick`, one as its answer is learnt. More is a step
         // back; less is wanted.
         assert!(
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn a_whole_list_grows_with_its_entries_and_a_change_with_what_changed() {
+fn whole_lists_grow_with_all_entries_and_changes_with_those_changed() {
     let one = Entry {
         id: String::new(),
         addresses: vec![([10, 0, 0, 1], 6543).into()],
@@ -200,9 +202,9 @@
         let o = run(
             small(n),
             secs(5),
-            vec![(secs(1), Happens::Reload(vec![0, 1]))],
+            vec![(secs(1), InstallationEvent::Reload(vec![0, 1]))],
         );
-        assert_eq!((count(&o, "whole lists"), o.renewed_late), (0, 0));
+        assert_eq!((count(&o, "whole lists"), o.reload_late), (0, 0));
         bytes(&o, "changes") + bytes(&o, "quiet watches") + bytes(&o, "list calls")
     };
     let [small_list, large_list] = [55, 880].map(reload);
@@ -211,7 +213,7 @@
         "{small_list} and {large_list} bytes"
     );
     let changed = |n: usize| {
-        let list = Happens::List {
+        let list = InstallationEvent::List {
             endpoints: (0..n).collect(),
             state: "terminating",
             build: None,
@@ -219,7 +221,11 @@
         };
         let o = run(small(880), secs(9), vec![(secs(1), list)]);
         assert_eq!(
-            (count(&o, "whole lists"), count(&o, "changes"), o.heard_late),
+            (
+                count(&o, "whole lists"),
+                count(&o, "changes"),
+                o.propagation_late
+            ),
             (0, 2, 0)
         );
         (n as f64, bytes(&o, "changes") / 2.0)
@@ -232,7 +238,7 @@
 }
 
 #[test]
-fn a_calm_agent_says_and_hears_the_same_whatever_the_size() {
+fn control_traffic_of_a_calm_agent_is_independent_of_the_size() {
     let calm = |size: Size| run(Size { rate: 1.0, ..size }, secs(100), Vec::new());
     let each = |o: &Outcome, kind: &str| bytes(o, kind) / count(o, kind).max(1) as f64;
     let many = Size {
@@ -275,7 +281,7 @@
 }
 
 #[test]
-fn one_change_is_one_answer_and_one_call_for_each_agent_of_its_list() {
+fn one_change_costs_one_response_and_one_call_for_each_agent() {
     let size = Size {
         agents: 40,
         rate: 1.0,
@@ -283,7 +289,7 @@
         ..Size::default()
     };
     let one = |a: usize| {
-        let list = Happens::List {
+        let list = InstallationEvent::List {
             endpoints: vec![a],
             state: "terminating",
             build: None,
@@ -301,7 +307,7 @@
 }
 
 #[test]
-fn discovery_refuses_beyond_its_rate_and_what_goes_on_with_a_watch_is_free_unless_told_otherwise() {
+fn discovery_refuses_calls_beyond_its_budget() {
     // Each of 30 agents asks 20 times a second while lists change as often; the rate is 15.
     let size = Size {
         agents: 30,
@@ -309,7 +315,7 @@
         ..Size::default()
     };
     let change = |n: usize| {
-        let list = Happens::List {
+        let list = InstallationEvent::List {
             endpoints: vec![n % 55],
             state: "in_service",
             build: None,
@@ -319,7 +325,7 @@
     };
     let changes: Vec<_> = (0..40).map(change).collect();
     let free = run(size, secs(12), changes.clone());
-    assert_eq!((free.refused, free.heard_late), (0, 0));
+    assert_eq!((free.refused, free.propagation_late), (0, 0));
     let paid = run(
         Size {
             every_call: true,
@@ -336,7 +342,7 @@
     );
 }
 
-fn lab(arguments: &[&str]) -> Output {
+fn run_scale(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tulipwall-experiments"))
         .arg("scale")
         .args(arguments)
@@ -345,7 +351,7 @@
 }
 
 #[test]
-fn what_would_not_fit_is_refused_with_its_estimate_before_it_starts() {
+fn refuses_a_size_that_does_not_fit_in_memory() {
     let all = [
         "--agents",
         "770",
@@ -356,7 +362,7 @@
         "--tenants",
         "56000",
     ];
-    let out = lab(&all);
+    let out = run_scale(&all);
     assert_eq!(out.status.code(), Some(1));
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
@@ -366,16 +372,19 @@
     assert!(out.stdout.is_empty(), "nothing was played");
     let small = ["--agents", "20", "--row", "calm", "--memory"];
     assert_eq!(
-        lab(&[&small[..], &["0.001"]].concat()).status.code(),
+        run_scale(&[&small[..], &["0.001"]].concat()).status.code(),
         Some(1)
     );
-    assert_eq!(lab(&[&small[..], &["1"]].concat()).status.code(), Some(0));
+    assert_eq!(
+        run_scale(&[&small[..], &["1"]].concat()).status.code(),
+        Some(0)
+    );
 }
 
 #[test]
-fn beyond_the_limits_the_large_form_says_so_by_its_exit() {
+fn full_run_exits_with_4_beyond_the_limits() {
     let form = ["--full", "--quiet", "5", "--agents", "3"];
-    let list = lab(&[&form[..], &["--appliances", "200", "--row", "release"]].concat());
+    let list = run_scale(&[&form[..], &["--appliances", "200", "--row", "release"]].concat());
     assert_eq!(
         list.status.code(),
         Some(4),
@@ -387,24 +396,28 @@
         "{told}"
     );
     // Its processor share may be beyond on a busy machine; its bytes are counted.
-    let renewed = lab(&[
-        &form[..],
-        &["--appliances", "200", "--row", "configuration"],
-    ]
-    .concat());
+    let renewed = run_scale(
+        &[
+            &form[..],
+            &["--appliances", "200", "--row", "configuration"],
+        ]
+        .concat(),
+    );
     assert!(
         !String::from_utf8_lossy(&renewed.stdout).contains("configuration: bytes"),
         "{renewed:?}"
     );
     assert_eq!(
-        lab(&[&form[..], &["--row", "calm"]].concat()).status.code(),
+        run_scale(&[&form[..], &["--row", "calm"]].concat())
+            .status
+            .code(),
         Some(0)
     );
-    assert_eq!(lab(&["--row", "no-such"]).status.code(), Some(1));
+    assert_eq!(run_scale(&["--row", "no-such"]).status.code(), Some(1));
 }
 
 #[test]
-fn lines_and_their_residuals_are_right() {
+fn fits_lines_residuals_and_powers() {
     let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
     assert!(
         (line.slope - 2.0).abs() < 1e-9
@@ -422,21 +435,21 @@
 }
 
 #[test]
-fn a_plot_has_a_panel_for_each_figure() {
+fn plots_a_panel_for_each_figure() {
     let points = vec![(1.0, 5.0), (2.0, 7.0)];
     let curve = Curve {
         figure: "walks",
         line: Line::through(&points),
         points,
     };
-    let swept = Swept {
+    let result = SweepResult {
         name: "trial",
         over: "agents",
         size: Size::default(),
         curves: vec![curve],
     };
     let svg = Report {
-        sweeps: vec![swept],
+        sweeps: vec![result],
         ..Report::default()
     }
     .plot()
--- a/crates/experiments/tests/stats.rs
+++ b/crates/experiments/tests/stats.rs
@@ -3,7 +3,7 @@
 use tulipwall_experiments::stats::*;
 
 #[test]
-fn intervals_and_tests_are_those_of_the_textbook() {
+fn intervals_and_tests_agree_with_the_textbook() {
     let m = Mean::of(&[4.0, 5.0, 6.0, 7.0, 8.0]);
     assert_eq!((m.mean, m.variance), (6.0, 2.5));
     assert!((m.half() - 2.776 * 0.5f64.sqrt()).abs() < 1e-9);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn of_equal_worlds_one_in_twenty_seems_to_differ() {
+fn one_in_twenty_equal_samples_seems_to_differ() {
     // Two samples of ten from the same uniform draws, a thousand times over.
     let mut state = 12345u64;
     let mut draw = || {
