--- a/crates/experiments/src/fleet/command.rs
+++ b/crates/experiments/src/fleet/command.rs
@@ -1,56 +1,56 @@
-//! The subcommand `fleet`.
+//! Subcommand `fleet`.
 
+use super::error::FleetError;
+use super::plan::{Measure, Plan};
 use super::process::Machine;
-use super::{estimate, limits, measure, table, Limit, Measure, Plan};
+use super::results::{limits, Limit, Results};
+use super::{estimate, measures, table};
+use crate::arguments::{self, number_in, InvalidArgument};
 use clap::{Args, ValueEnum};
-use serde_json::json;
-use std::path::{Path, PathBuf};
-use std::process::ExitCode;
+use estimate::Estimate;
+use serde_json::{json, Value};
+use std::path::PathBuf;
 use std::time::Duration;
 
-/// A figure lies beyond a limit.
-const BEYOND: u8 = 4;
+/// The agent's program, where it stands beside this one.
+const AGENT_PROGRAM: &str = "tulipwall-agent";
 
-fn count(text: &str) -> Result<usize, String> {
-    let n = text
-        .parse::<usize>()
-        .ok()
-        .filter(|n| (1..=1_000_000).contains(n));
-    n.ok_or_else(|| "a count from 1 to 1000000 is wanted".into())
+fn count(text: &str) -> Result<usize, InvalidArgument> {
+    arguments::count(text, "a count from 1 to 1000000 is wanted")
 }
 
-fn rate(text: &str) -> Result<f64, String> {
-    let rate = text
-        .parse::<f64>()
-        .ok()
-        .filter(|r| (1.0..=5000.0).contains(r));
-    rate.ok_or_else(|| "commands a second from 1 to 5000 are wanted".into())
+fn rate(text: &str) -> Result<f64, InvalidArgument> {
+    let expected = "commands a second from 1 to 5000 are wanted";
+    number_in(text, 1.0..=5000.0, expected)
 }
 
-fn seconds(text: &str) -> Result<f64, String> {
-    let seconds = text
-        .parse::<f64>()
-        .ok()
-        .filter(|s| (0.2..=60.0).contains(s));
-    seconds.ok_or_else(|| "seconds from 0.2 to 60 are wanted".into())
+fn seconds(text: &str) -> Result<f64, InvalidArgument> {
+    number_in(text, 0.2..=60.0, "seconds from 0.2 to 60 are wanted")
 }
 
-fn limit(text: &str) -> Result<(String, f64), String> {
-    let read = text
-        .split_once('=')
-        .and_then(|(name, most)| Some((name, most.parse::<f64>().ok()?)));
-    let known = |name: &str| limits().iter().any(|l| l.figure == name);
-    let names = || {
-        limits()
-            .iter()
-            .map(|l| l.figure.clone())
-            .collect::<Vec<_>>()
-            .join(", ")
-    };
-    match read {
-        Some((name, most)) if known(name) && most >= 0.0 => Ok((name.to_owned(), most)),
-        _ => Err(format!("FIGURE=MOST is wanted; figures are {}", names())),
-    }
+/// Another limit for a figure, as the command line names it.
+#[derive(Clone)]
+struct LimitArgument {
+    figure: String,
+    max: f64,
+}
+
+fn limit(text: &str) -> Result<LimitArgument, InvalidArgument> {
+    parse_limit(text).ok_or_else(|| {
+        let names: Vec<String> = limits().into_iter().map(|limit| limit.figure).collect();
+        let expected = format!("FIGURE=MOST is wanted; figures are {}", names.join(", "));
+        InvalidArgument::expected(expected)
+    })
+}
+
+fn parse_limit(text: &str) -> Option<LimitArgument> {
+    let (figure, max) = text.split_once('=')?;
+    let max = max.parse::<f64>().ok().filter(|max| *max >= 0.0)?;
+    let is_known = limits().iter().any(|limit| limit.figure == figure);
+    is_known.then(|| LimitArgument {
+        figure: figure.to_owned(),
+        max,
+    })
 }
 
 /// Starts real agents before fakes on loopback and measures what they take and add: one figure
@@ -113,35 +113,50 @@
     repeats: u16,
     /// Another limit in the place of the operators' own, `FIGURE=MOST`.
     #[arg(long, num_args = 1.., value_parser = limit)]
-    limit: Vec<(String, f64)>,
+    limit: Vec<LimitArgument>,
     /// One document of JSON in the place of tables.
     #[arg(long)]
     json: bool,
 }
 
 impl Options {
+    /// Measures and prints the results; whether any figure lies beyond a limit.
+    ///
+    /// # Errors
+    /// The run would take too much, or an agent or a fake fails.
+    pub fn run(self) -> Result<bool, FleetError> {
+        let prints_json = self.json;
+        let plan = self.plan();
+        let machine = Machine::now().map_err(FleetError::Proc)?;
+        let estimate = estimate::plan(&plan);
+        if let Some(refusal) = estimate.refused(&machine) {
+            return Err(refusal.into());
+        }
+        if !plan.binary.is_file() {
+            return Err(FleetError::NoProgram { path: plan.binary });
+        }
+        let results = measures::run(&plan, |progress| eprintln!("{progress}"))?;
+        let load_after = Machine::now().map_err(FleetError::Proc)?.load;
+        if prints_json {
+            println!("{}", document(&results, &machine, load_after, &estimate));
+        } else {
+            println!(
+                "{} cores, {} of them for this run; load of the machine {} before, {load_after} after\n",
+                machine.cores, machine.own_cores, machine.load
+            );
+            print!("{}", table::all(&results));
+        }
+        Ok(!results.beyond().is_empty())
+    }
+
     fn plan(self) -> Plan {
         let measures = if self.measure.is_empty() {
             Measure::value_variants().to_vec()
         } else {
             self.measure
         };
-        let mut limits = limits();
-        for (figure, most) in &self.limit {
-            let other = |l: &mut Limit| (l.most, l.what) = (*most, "told by --limit".into());
-            limits
-                .iter_mut()
-                .filter(|l| l.figure == *figure)
-                .for_each(other);
-        }
-        let here = std::env::current_exe().unwrap_or_default();
-        let beside = || {
-            here.parent()
-                .unwrap_or(Path::new("."))
-                .join("tulipwall-agent")
-        };
         Plan {
-            binary: self.agent.unwrap_or_else(beside),
+            binary: self.agent.unwrap_or_else(default_binary),
             measures,
             agents: self.agents,
             zones: self.zones,
@@ -154,56 +169,50 @@
             changed: self.changed,
             sockets: self.sockets.into(),
             pushed: !self.ask,
-            span: Duration::from_secs_f64(self.seconds),
+            duration: Duration::from_secs_f64(self.seconds),
             settle: Duration::from_millis(self.settle),
             work: Duration::from_millis(self.work),
             repeats: self.repeats.into(),
-            limits,
+            limits: limits_with(&self.limit),
         }
     }
 }
 
-/// Runs it to its exit code: 0 done, 1 refused or failed, 4 a figure lies beyond a limit.
-pub fn main(options: Options) -> ExitCode {
-    let (as_json, plan) = (options.json, options.plan());
-    match run(&plan, as_json) {
-        Ok(false) => ExitCode::SUCCESS,
-        Ok(true) => BEYOND.into(),
-        Err(what) => {
-            eprintln!("{what}");
-            ExitCode::FAILURE
+/// The agent's program beside this one.
+fn default_binary() -> PathBuf {
+    std::env::current_exe()
+        .unwrap_or_default()
+        .with_file_name(AGENT_PROGRAM)
+}
+
+/// The operators' limits, with others in their places.
+fn limits_with(arguments: &[LimitArgument]) -> Vec<Limit> {
+    let mut limits = limits();
+    for argument in arguments {
+        for limit in &mut limits {
+            if limit.figure == argument.figure {
+                limit.max = argument.max;
+                limit.what = "told by --limit".into();
+            }
         }
     }
+    limits
 }
 
-/// Whether any figure lies beyond a limit.
-fn run(plan: &Plan, as_json: bool) -> Result<bool, String> {
-    let machine = Machine::now().map_err(|e| format!("/proc: {e}"))?;
-    let estimate = estimate::plan(plan);
-    if let Some(why) = estimate.refused(&machine) {
-        return Err(why);
-    }
-    if !plan.binary.is_file() {
-        return Err(format!(
-            "{}: no such program; --agent names the agent's",
-            plan.binary.display()
-        ));
-    }
-    let results = measure::run(plan, |what| eprintln!("{what}")).map_err(|e| e.to_string())?;
-    let after = Machine::now().map_err(|e| format!("/proc: {e}"))?;
-    if as_json {
-        let mut told = results.value();
-        told["machine"] = json!({"cores": machine.cores, "own_cores": machine.own_cores,
-            "load_before": machine.load, "load_after": after.load});
-        told["estimate"] = json!({"agents": estimate.agents, "agent_bytes": estimate.agent,
-            "bytes": estimate.memory, "descriptors": estimate.descriptors});
-        println!("{told}");
-    } else {
-        println!(
-            "{} cores, {} of them for this run; load of the machine {} before, {} after\n",
-            machine.cores, machine.own_cores, machine.load, after.load
-        );
-        print!("{}", table::all(&results));
-    }
-    Ok(!results.beyond().is_empty())
+/// The results with the machine and the estimate, as one JSON document.
+fn document(results: &Results, machine: &Machine, load_after: f64, estimate: &Estimate) -> Value {
+    let mut document = results.to_json();
+    document["machine"] = json!({
+        "cores": machine.cores,
+        "own_cores": machine.own_cores,
+        "load_before": machine.load,
+        "load_after": load_after,
+    });
+    document["estimate"] = json!({
+        "agents": estimate.agents,
+        "agent_bytes": estimate.agent,
+        "bytes": estimate.memory,
+        "descriptors": estimate.descriptors,
+    });
+    document
 }
--- a/crates/experiments/src/fleet/estimate.rs
+++ b/crates/experiments/src/fleet/estimate.rs
@@ -1,255 +1,171 @@
-//! What a run would take, told before it starts.
+//! What a run would take, estimated before it starts.
 
+use super::plan::{Measure, Plan, PlannedSize, Size};
 use super::process::Machine;
-use super::{Measure, Plan, Size};
 
-/// Processes at most, and bytes in all.
-pub const AGENTS_MOST: usize = 100;
-pub const MEMORY_MOST: u64 = 4 << 30;
+/// Most processes of agents.
+pub const MAX_AGENTS: usize = 100;
+/// Most bytes of all processes.
+pub const MAX_MEMORY: u64 = 4 << 30;
 
-/// Bytes of an agent at its start, at most: alone, and for each of what it is told of. Above what
-/// was measured, as a refusal that comes too late is of no use; `tests/fleet.rs` holds them against
-/// a run.
-const AGENT: u64 = 22 << 20;
-const ENDPOINT: u64 = 5 << 10;
-const CLASS: u64 = 8 << 10;
-const TENANT: u64 = 3 << 10;
-const CLIENT: u64 = 64 << 10;
-/// Of each endpoint for each class.
-const PAIR: u64 = 48;
-/// Bytes of this process: alone, for each entry of the list, tenant, agent and connection.
-const OWN: u64 = 64 << 20;
-const OWN_ENTRY: u64 = 4 << 10;
-const OWN_TENANT: u64 = 2 << 10;
-const OWN_AGENT: u64 = 1 << 20;
-const OWN_CONNECTION: u64 = 256 << 10;
+// Bytes of an agent at its start, at most. They lie above what was measured, as a refusal that
+// comes too late is of no use; `tests/fleet.rs` holds them against a run.
+
+/// Bytes of an agent alone.
+const AGENT_BYTES: u64 = 22 << 20;
+/// Bytes of an agent for each endpoint.
+const ENDPOINT_BYTES: u64 = 5 << 10;
+/// Bytes of an agent for each class.
+const CLASS_BYTES: u64 = 8 << 10;
+/// Bytes of an agent for each tenant.
+const TENANT_BYTES: u64 = 3 << 10;
+/// Bytes of an agent for each client.
+const CLIENT_BYTES: u64 = 64 << 10;
+/// Bytes of an agent for each pair of endpoint and class.
+const PAIR_BYTES: u64 = 48;
+/// Bytes of this process alone.
+const OWN_BYTES: u64 = 64 << 20;
+/// Bytes of this process for each entry of the endpoint list.
+const OWN_ENTRY_BYTES: u64 = 4 << 10;
+/// Bytes of this process for each tenant.
+const OWN_TENANT_BYTES: u64 = 2 << 10;
+/// Bytes of this process for each agent.
+const OWN_AGENT_BYTES: u64 = 1 << 20;
+/// Bytes of this process for each connection of a client.
+const OWN_CONNECTION_BYTES: u64 = 256 << 10;
+/// Descriptors for each agent beside its connections to endpoints: both ends of two proxies.
+const AGENT_DESCRIPTORS: u64 = 16;
+/// Descriptors for each client: both ends of its connection.
+const CLIENT_DESCRIPTORS: u64 = 2;
+/// Descriptors of listeners and files.
+const OTHER_DESCRIPTORS: u64 = 200;
 
 /// What the largest moment of a run takes.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
+    /// Processes of agents.
     pub agents: usize,
-    /// Bytes of one agent, and of all processes.
+    /// Bytes of one agent.
     pub agent: u64,
+    /// Bytes of all processes.
     pub memory: u64,
     /// Descriptors of this process.
     pub descriptors: u64,
 }
 
-/// Of one installation with so many connections of clients.
-pub fn size(s: &Size, clients: usize) -> Estimate {
-    let [agents, endpoints, classes, tenants, clients] =
-        [s.agents, s.endpoints, s.classes, s.tenants, clients].map(|n| n as u64);
-    let each = u64::saturating_mul;
-    let agent = AGENT
-        .saturating_add(each(ENDPOINT, endpoints))
-        .saturating_add(each(CLASS, classes))
-        .saturating_add(each(TENANT, tenants))
-        .saturating_add(each(CLIENT, clients))
-        .saturating_add(each(PAIR, endpoints.saturating_mul(classes)));
-    let own = OWN
-        .saturating_add(each(OWN_ENTRY, endpoints))
-        .saturating_add(each(OWN_TENANT, tenants))
-        .saturating_add(each(OWN_AGENT, agents))
-        .saturating_add(each(OWN_CONNECTION, clients));
-    // A meter's two ends twice for each agent, its connections to endpoints, clients with theirs,
-    // listeners.
-    let descriptors = agents
-        .saturating_mul(16 + s.sockets as u64)
-        .saturating_add(clients * 2 + 200);
+/// The estimate of one installation with so many connections of clients.
+pub fn size(size: &Size, clients: usize) -> Estimate {
+    let agents = size.agents as u64;
+    let endpoints = size.endpoints as u64;
+    let classes = size.classes as u64;
+    let tenants = size.tenants as u64;
+    let clients = clients as u64;
+    let agent = saturating_sum([
+        AGENT_BYTES,
+        ENDPOINT_BYTES.saturating_mul(endpoints),
+        CLASS_BYTES.saturating_mul(classes),
+        TENANT_BYTES.saturating_mul(tenants),
+        CLIENT_BYTES.saturating_mul(clients),
+        PAIR_BYTES.saturating_mul(endpoints.saturating_mul(classes)),
+    ]);
+    let own = saturating_sum([
+        OWN_BYTES,
+        OWN_ENTRY_BYTES.saturating_mul(endpoints),
+        OWN_TENANT_BYTES.saturating_mul(tenants),
+        OWN_AGENT_BYTES.saturating_mul(agents),
+        OWN_CONNECTION_BYTES.saturating_mul(clients),
+    ]);
+    let descriptors = saturating_sum([
+        agents.saturating_mul(AGENT_DESCRIPTORS + size.sockets as u64),
+        clients.saturating_mul(CLIENT_DESCRIPTORS),
+        OTHER_DESCRIPTORS,
+    ]);
     Estimate {
-        agents: s.agents,
+        agents: size.agents,
         agent,
         memory: agents.saturating_mul(agent).saturating_add(own),
         descriptors,
     }
 }
 
+fn saturating_sum<const N: usize>(parts: [u64; N]) -> u64 {
+    parts.into_iter().fold(0, u64::saturating_add)
+}
+
 /// The largest moment of all measures.
-pub fn plan(p: &Plan) -> Estimate {
-    let mut most = Estimate {
-        agents: 0,
-        agent: 0,
-        memory: 0,
-        descriptors: 0,
-    };
+pub fn plan(plan: &Plan) -> Estimate {
     // An idle agent is measured by pairs as well.
-    let pairs = p
-        .measures
-        .contains(&Measure::Idle)
-        .then_some(Measure::Pairs);
-    for m in p.measures.iter().copied().chain(pairs) {
-        for (s, clients) in p.sizes(m) {
-            let e = size(&s, clients);
-            most = Estimate {
-                agents: most.agents.max(e.agents),
-                agent: most.agent.max(e.agent),
-                memory: most.memory.max(e.memory),
-                descriptors: most.descriptors.max(e.descriptors),
-            };
-        }
-    }
-    most
+    let is_idle_measured = plan.measures.contains(&Measure::Idle);
+    let pairs = is_idle_measured.then_some(Measure::Pairs);
+    plan.measures
+        .iter()
+        .copied()
+        .chain(pairs)
+        .flat_map(|measure| plan.sizes(measure))
+        .map(|PlannedSize { size: s, clients }| size(&s, clients))
+        .fold(Estimate::default(), Estimate::larger)
 }
 
-impl Estimate {
-    /// Why it does not fit here, if it does not.
-    pub fn refused(&self, machine: &Machine) -> Option<String> {
-        let mb = |bytes: u64| bytes / (1 << 20);
-        let takes = format!(
-            "the run would take {} agents of {} MB each, {} MB in all and {} descriptors",
-            self.agents,
-            mb(self.agent),
-            mb(self.memory),
-            self.descriptors
-        );
-        let half = machine.memory / 2;
-        let why = if self.agents > AGENTS_MOST {
-            format!("at most {AGENTS_MOST} agents are started")
-        } else if self.memory > MEMORY_MOST {
-            format!("at most {} MB are taken", mb(MEMORY_MOST))
-        } else if self.memory > half {
-            format!(
-                "{} MB are free, of which half is left to others",
-                mb(machine.memory)
-            )
-        } else if self.descriptors > machine.descriptors {
-            format!("{} descriptors are allowed here", machine.descriptors)
-        } else {
-            return None;
-        };
-        Some(format!("{takes}; {why}"))
-    }
+/// Why a run does not fit.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error(
+    "the run would take {} agents of {} MB each, {} MB in all and {} descriptors; {reason}",
+    estimate.agents,
+    megabytes(estimate.agent),
+    megabytes(estimate.memory),
+    estimate.descriptors
+)]
+pub struct Refusal {
+    /// What the run would take.
+    estimate: Estimate,
+    reason: RefusalReason,
 }
 
-impl Plan {
-    /// The installations of a measure, each with the clients that connect.
-    pub fn sizes(&self, m: Measure) -> Vec<(Size, usize)> {
-        let base = self.base();
-        let endpoints = || {
-            self.endpoints.iter().map(|n| {
-                (
-                    Size {
-                        endpoints: *n,
-                        ..base.clone()
-                    },
-                    0,
-                )
-            })
-        };
-        let classes = || {
-            self.classes.iter().map(|n| {
-                (
-                    Size {
-                        classes: *n,
-                        ..base.clone()
-                    },
-                    0,
-                )
-            })
-        };
-        let tenants = || {
-            self.tenants.iter().map(|n| {
-                (
-                    Size {
-                        tenants: *n,
-                        ..base.clone()
-                    },
-                    0,
-                )
-            })
-        };
-        let one = |s: Size| Size { agents: 1, ..s };
-        // Else the connections that it opens ahead, fewer the more endpoints there are, would be in
-        // the figure.
-        let bare = |(s, c): (Size, usize)| {
-            (
-                Size {
-                    sockets: s.sockets.min(NONE_AHEAD),
-                    ..s
-                },
-                c,
-            )
-        };
-        match m {
-            Measure::Endpoints => endpoints().map(bare).collect(),
-            Measure::Classes => classes().map(bare).collect(),
-            Measure::Tenants => tenants().map(bare).collect(),
-            Measure::Pairs => {
-                let most = self.endpoints.iter().copied().max().unwrap_or(0);
-                classes()
-                    .map(bare)
-                    .map(|(s, c)| {
-                        (
-                            Size {
-                                endpoints: most,
-                                ..s
-                            },
-                            c,
-                        )
-                    })
-                    .collect()
-            }
-            Measure::Connections => self
-                .connections
-                .iter()
-                .map(|n| (one(base.clone()), *n))
-                .collect(),
-            Measure::Open => {
-                // So many endpoints that none is connected ahead.
-                let endpoints = base.endpoints.max(self.sockets / 4);
-                self.open
-                    .iter()
-                    .map(|n| {
-                        (
-                            Size {
-                                endpoints,
-                                ..one(base.clone())
-                            },
-                            *n,
-                        )
-                    })
-                    .collect()
-            }
-            Measure::Start => endpoints().map(|(s, c)| (one(s), c)).collect(),
-            Measure::Change => {
-                let most = self.endpoints.iter().copied().max().unwrap_or(0);
-                vec![(
-                    Size {
-                        endpoints: most,
-                        ..one(base.clone())
-                    },
-                    0,
-                )]
-            }
-            Measure::Idle => endpoints().chain(tenants()).collect(),
-            Measure::Renew | Measure::Settings | Measure::Restart => endpoints()
-                .chain(tenants())
-                .map(|(s, c)| (one(s), c))
-                .collect(),
-            Measure::Commands => endpoints()
-                .chain(tenants())
-                .map(|(s, _)| (one(s), LOAD_CLIENTS))
-                .collect(),
-            Measure::Added => endpoints().map(|(s, _)| (one(s), LOAD_CLIENTS)).collect(),
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+enum RefusalReason {
+    #[error("at most {MAX_AGENTS} agents are started")]
+    AgentLimit,
+    #[error("at most {} MB are taken", megabytes(MAX_MEMORY))]
+    MemoryLimit,
+    #[error("{} MB are free, of which half is left to others", megabytes(*available))]
+    AvailableMemory { available: u64 },
+    #[error("{allowed} descriptors are allowed here")]
+    DescriptorLimit { allowed: u64 },
+}
+
+fn megabytes(bytes: u64) -> u64 {
+    bytes / (1 << 20)
+}
+
+impl Estimate {
+    /// The larger of each.
+    fn larger(self, other: Estimate) -> Estimate {
+        Estimate {
+            agents: self.agents.max(other.agents),
+            agent: self.agent.max(other.agent),
+            memory: self.memory.max(other.memory),
+            descriptors: self.descriptors.max(other.descriptors),
         }
     }
 
-    /// What measures go by that vary something else.
-    pub fn base(&self) -> Size {
-        let first = |of: &[usize]| of.first().copied().unwrap_or(1);
-        Size {
-            agents: self.agents,
-            endpoints: first(&self.endpoints),
-            classes: first(&self.classes),
-            tenants: first(&self.tenants),
-            zones: self.zones,
-            sockets: self.sockets,
-            pushed: self.pushed,
-        }
+    /// Why it does not fit on this machine, if it does not.
+    pub fn refused(&self, machine: &Machine) -> Option<Refusal> {
+        let reason = if self.agents > MAX_AGENTS {
+            RefusalReason::AgentLimit
+        } else if self.memory > MAX_MEMORY {
+            RefusalReason::MemoryLimit
+        } else if self.memory > machine.memory / 2 {
+            let available = machine.memory;
+            RefusalReason::AvailableMemory { available }
+        } else if self.descriptors > machine.descriptors {
+            let allowed = machine.descriptors;
+            RefusalReason::DescriptorLimit { allowed }
+        } else {
+            return None;
+        };
+        Some(Refusal {
+            estimate: *self,
+            reason,
+        })
     }
 }
-
-/// With so few sockets an agent opens no connection to an endpoint ahead, from 10 endpoints on.
-const NONE_AHEAD: usize = 64;
-/// Connections of a load at most.
-pub const LOAD_CLIENTS: usize = 200;
--- a/crates/experiments/src/fleet/line.rs
+++ b/crates/experiments/src/fleet/line.rs
@@ -1,44 +1,44 @@
-//! A straight line through points, by least squares.
+//! A straight line through points, and how well it fits.
 
-/// `y = intercept + slope * x`.
+use crate::stats::least_squares;
+
+/// `y = intercept + slope * x`, by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
+    /// Growth of `y` for each unit of `x`.
     pub slope: f64,
+    /// `y` at zero.
     pub intercept: f64,
-    /// Of the points around it: the root of their mean square, and the largest.
+    /// Root of the mean square distance of the points.
     pub residual: f64,
-    pub residual_most: f64,
-    /// The part of the variance that it accounts for, 0 to 1.
+    /// Largest distance of a point.
+    pub residual_max: f64,
+    /// The part of the variance that the line accounts for, 0 to 1.
     pub r2: f64,
 }
 
 impl Line {
-    /// Through all of them; none where they do not have two different `x`.
+    /// The line through these points; none where they do not have two different `x`.
     pub fn through(points: &[(f64, f64)]) -> Option<Line> {
+        let line = least_squares(points)?;
         let n = points.len() as f64;
-        let (mx, my) = (
-            points.iter().map(|p| p.0).sum::<f64>() / n,
-            points.iter().map(|p| p.1).sum::<f64>() / n,
-        );
-        let square = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>();
-        let (xx, yy) = (
-            square(&|p| (p.0 - mx).powi(2)),
-            square(&|p| (p.1 - my).powi(2)),
-        );
-        if points.len() < 2 || xx <= 0.0 || !yy.is_finite() {
+        let mean = points.iter().map(|p| p.1).sum::<f64>() / n;
+        let variation: f64 = points.iter().map(|p| (p.1 - mean).powi(2)).sum();
+        if !variation.is_finite() {
             return None;
         }
-        let slope = square(&|p| (p.0 - mx) * (p.1 - my)) / xx;
-        let intercept = my - slope * mx;
-        let off = |p: &(f64, f64)| p.1 - intercept - slope * p.0;
-        let left = square(&|p| off(p).powi(2));
-        let residual_most = points.iter().map(|p| off(p).abs()).fold(0.0, f64::max);
-        let r2 = if yy > 0.0 { 1.0 - left / yy } else { 1.0 };
+        let distance = |p: &(f64, f64)| p.1 - line.intercept - line.slope * p.0;
+        let unexplained: f64 = points.iter().map(|p| distance(p).powi(2)).sum();
+        let r2 = if variation > 0.0 {
+            1.0 - unexplained / variation
+        } else {
+            1.0
+        };
         Some(Line {
-            slope,
-            intercept,
-            residual: (left / n).sqrt(),
-            residual_most,
+            slope: line.slope,
+            intercept: line.intercept,
+            residual: (unexplained / n).sqrt(),
+            residual_max: points.iter().map(|p| distance(p).abs()).fold(0.0, f64::max),
             r2,
         })
     }
--- /dev/null
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -0,0 +1,167 @@
+//! Latency that an agent adds to a request: the same load through an agent and straight at an
+//! endpoint, in turns. Latencies count from when a request was due.
+
+use super::load::{load, WARM_UP_SEED};
+use super::samples::{if_any, median, milliseconds};
+use crate::fleet::error::FleetError;
+use crate::fleet::installation::Installation;
+use crate::fleet::plan::{Measure, Plan, PlannedSize, Size};
+use crate::fleet::process::Machine;
+use crate::fleet::results::Row;
+use crate::fleet::timed_endpoint;
+use std::time::Duration;
+use tulipwall_testkit::Answered;
+
+/// A load whose requests were sent within so long of when they were due, for 99 in 100, had the
+/// cores that it needs.
+const ON_TIME_MS: f64 = 1.0;
+/// Seed of the first measured load; the others follow.
+const FIRST_SEED: u64 = 100;
+const MICROSECONDS: f64 = 1e6;
+
+/// One load through the agent and straight at an endpoint.
+struct Sample {
+    asked: u64,
+    succeeded: u64,
+    through: Quantiles,
+    straight: Quantiles,
+    issued_late_ms: f64,
+    /// How long the agent was ready and had no core, for each request.
+    waited_us: f64,
+}
+
+impl Sample {
+    fn added_p50(&self) -> f64 {
+        self.through.p50 - self.straight.p50
+    }
+
+    fn added_p99(&self) -> f64 {
+        self.through.p99 - self.straight.p99
+    }
+}
+
+/// Milliseconds that requests took beyond the work of the endpoint.
+struct Quantiles {
+    p50: f64,
+    p99: f64,
+}
+
+pub(super) fn measure(
+    plan: &Plan,
+    rate: f64,
+    report: &mut impl FnMut(&str),
+) -> Result<Vec<Row>, FleetError> {
+    let mut rows = Vec::new();
+    for PlannedSize { size, .. } in plan.sizes(Measure::Added) {
+        report(&format!(
+            "Added: {} appliances, {rate} a second",
+            size.endpoints
+        ));
+        rows.push(row(plan, &size, rate)?);
+    }
+    Ok(rows)
+}
+
+fn row(plan: &Plan, size: &Size, rate: f64) -> Result<Row, FleetError> {
+    let installation = Installation::with_timed_endpoints(size, plan.work)?;
+    let agent = installation.agent(&plan.binary, 0, true)?;
+    let through_agent = agent.address()?;
+    let endpoint = installation.timed_endpoints[0].address;
+    load(size, through_agent, rate, plan.settle, WARM_UP_SEED);
+    load(size, endpoint, rate, plan.settle, WARM_UP_SEED);
+    let mut samples = Vec::new();
+    for n in 0..plan.repeats as u64 {
+        let play = |address| load(size, address, rate, plan.duration, FIRST_SEED + n);
+        let before = agent.usage()?.waited;
+        let through = play(through_agent);
+        let waited = agent.usage()?.waited.saturating_sub(before);
+        let straight = play(endpoint);
+        samples.push(sample(plan, &through, &straight, waited));
+    }
+    let mut figures = vec![("rate", rate)];
+    figures.extend(latency_figures(&samples));
+    figures.push(("machine_load", Machine::now()?.load));
+    let measure = format!("added to a request at {rate} a second");
+    Ok(Row::new(
+        measure,
+        "appliances",
+        size.endpoints as f64,
+        figures,
+    ))
+}
+
+fn sample(plan: &Plan, through: &Answered, straight: &Answered, waited: Duration) -> Sample {
+    let requests = through.asked.max(1) as f64;
+    let through_late = through.issued_late_ms(0.99);
+    let straight_late = straight.issued_late_ms(0.99);
+    Sample {
+        asked: through.asked,
+        succeeded: through.succeeded,
+        through: quantiles_beyond_work(through, plan.work),
+        straight: quantiles_beyond_work(straight, plan.work),
+        issued_late_ms: through_late.max(straight_late),
+        waited_us: waited.as_secs_f64() / requests * MICROSECONDS,
+    }
+}
+
+fn quantiles_beyond_work(answered: &Answered, work: Duration) -> Quantiles {
+    let beyond_work = |(id, took_us): &(String, u64)| {
+        let work = timed_endpoint::work(id, work);
+        *took_us as f64 / 1000.0 - milliseconds(work)
+    };
+    let mut sorted: Vec<f64> = answered.each.iter().map(beyond_work).collect();
+    sorted.sort_by(f64::total_cmp);
+    let quantile = |share: f64| {
+        let rank = (sorted.len() as f64 * share).ceil() as usize;
+        let value = sorted.get(rank.saturating_sub(1));
+        value.copied().unwrap_or(f64::NAN)
+    };
+    Quantiles {
+        p50: quantile(0.5),
+        p99: quantile(0.99),
+    }
+}
+
+fn latency_figures(samples: &[Sample]) -> Vec<(&'static str, f64)> {
+    let asked: u64 = samples.iter().map(|s| s.asked).sum();
+    let succeeded: u64 = samples.iter().map(|s| s.succeeded).sum();
+    let added_p99 = || samples.iter().map(Sample::added_p99);
+    let on_time: Vec<f64> = samples
+        .iter()
+        .filter(|s| s.issued_late_ms <= ON_TIME_MS)
+        .map(Sample::added_p99)
+        .collect();
+    vec![
+        ("asked", asked as f64),
+        ("satisfied", succeeded as f64),
+        (
+            "straight_p99_ms",
+            median(samples.iter().map(|s| s.straight.p99)),
+        ),
+        (
+            "through_p99_ms",
+            median(samples.iter().map(|s| s.through.p99)),
+        ),
+        (
+            "added_p50_ms",
+            median(samples.iter().map(Sample::added_p50)),
+        ),
+        ("added_p99_ms", median(added_p99())),
+        ("least_ms", added_p99().fold(f64::INFINITY, f64::min)),
+        ("most_ms", added_p99().fold(f64::NEG_INFINITY, f64::max)),
+        ("repeats", samples.len() as f64),
+        ("on_time", on_time.len() as f64),
+        (
+            "added_p99_on_time_ms",
+            if_any(&on_time, |all| median(all.iter().copied())),
+        ),
+        (
+            "issued_late_p99_ms",
+            median(samples.iter().map(|s| s.issued_late_ms)),
+        ),
+        (
+            "waited_us_a_command",
+            median(samples.iter().map(|s| s.waited_us)),
+        ),
+    ]
+}
--- /dev/null
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -0,0 +1,80 @@
+//! Changes of the endpoint list, by how many entries change at once.
+
+use super::samples::{median, milliseconds};
+use crate::fleet::error::FleetError;
+use crate::fleet::installation::{until, Installation, RunningAgent};
+use crate::fleet::plan::{Measure, Plan};
+use crate::fleet::results::Row;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+use tulipwall_testkit::Ways;
+
+/// After the request behind a change some work may still be under way.
+const REST: Duration = Duration::from_millis(20);
+
+/// One change.
+struct Sample {
+    bytes: f64,
+    taken_in_ms: f64,
+    ran_ms: f64,
+}
+
+pub(super) fn measure(plan: &Plan) -> Result<Vec<Row>, FleetError> {
+    let Some(planned) = plan.sizes(Measure::Change).pop() else {
+        return Ok(Vec::new());
+    };
+    let installation = Installation::start(&planned.size, Ways::default())?;
+    let agent = installation.agent(&plan.binary, 0, true)?;
+    sleep(plan.settle);
+    let row = |count| {
+        let samples = (0..plan.repeats)
+            .map(|_| sample(&installation, &agent, count))
+            .collect::<Result<Vec<_>, FleetError>>()?;
+        let figures = [
+            ("bytes", median(samples.iter().map(|s| s.bytes))),
+            ("taken_in_ms", median(samples.iter().map(|s| s.taken_in_ms))),
+            ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+        ];
+        let measure = "a change of the list";
+        Ok(Row::new(measure, "entries", count as f64, figures))
+    };
+    counts(plan, planned.size.endpoints)
+        .into_iter()
+        .map(row)
+        .collect()
+}
+
+/// The planned counts that the list has, and the whole list.
+fn counts(plan: &Plan, endpoints: usize) -> Vec<usize> {
+    let planned = plan.changed.iter().copied().filter(|n| *n <= endpoints);
+    let mut counts: Vec<usize> = planned.chain([endpoints]).collect();
+    counts.sort_unstable();
+    counts.dedup();
+    counts
+}
+
+/// Changes the cell of so many entries at once.
+fn sample(
+    installation: &Installation,
+    agent: &RunningAgent,
+    count: usize,
+) -> Result<Sample, FleetError> {
+    let mut entries = installation.discovery.entries();
+    entries.truncate(count);
+    for entry in &mut entries {
+        entry.cell += 1;
+    }
+    let started_at = Instant::now();
+    let before = agent.usage()?.ran;
+    installation.discovery.tell(entries);
+    let change = until("the question behind a change", || {
+        agent.discovery.response_since(started_at)
+    })?;
+    sleep(REST);
+    let ran = agent.usage()?.ran.saturating_sub(before);
+    Ok(Sample {
+        bytes: change.bytes as f64,
+        taken_in_ms: milliseconds(change.next_request_at - change.complete_at),
+        ran_ms: milliseconds(ran),
+    })
+}
--- /dev/null
+++ b/crates/experiments/src/fleet/measures/mod.rs
@@ -0,0 +1,163 @@
+//! The measures, a module for each. Each starts its own installation and ends it.
+
+mod added_latency;
+mod idle;
+mod list_change;
+mod load;
+mod memory;
+mod reload;
+mod request_cost;
+mod restart;
+mod samples;
+mod settings_reload;
+mod start;
+
+pub use load::load;
+
+use super::error::FleetError;
+use super::plan::{Measure, Plan, PlannedSize, Size};
+use super::results::{Results, Row};
+
+/// Name of what a size counts where it counts pairs of endpoint and class.
+const PAIRS: &str = "appliance-lane pairs";
+
+/// Runs all that the plan names; `report` is told what is under way.
+///
+/// # Errors
+/// An agent or a fake fails.
+pub fn run(plan: &Plan, mut report: impl FnMut(&str)) -> Result<Results, FleetError> {
+    let mut results = Results {
+        limits: plan.limits.clone(),
+        ..Results::default()
+    };
+    for measure in &plan.measures {
+        report(&measure.title());
+        run_measure(plan, *measure, &mut results, &mut report)?;
+    }
+    Ok(results)
+}
+
+fn run_measure(
+    plan: &Plan,
+    measure: Measure,
+    results: &mut Results,
+    report: &mut impl FnMut(&str),
+) -> Result<(), FleetError> {
+    match measure {
+        Measure::Endpoints | Measure::Classes | Measure::Tenants | Measure::Pairs => {
+            results.add(memory::agents(plan, measure)?, &["resident_mb", "peak_mb"]);
+        }
+        Measure::Connections => results.add(memory::connections(plan)?, &["resident_mb"]),
+        Measure::Open => results.add(memory::open_requests(plan)?, &["resident_mb"]),
+        Measure::Idle => {
+            let mut series = endpoint_and_tenant_series(plan, measure);
+            series.push(pair_series(plan));
+            add_series(results, &series, &["control_core_%"], |size, by| {
+                idle::measure(plan, size, by)
+            })?;
+        }
+        Measure::Start => start::add(plan, results)?,
+        Measure::Change => {
+            let fitted = ["bytes", "taken_in_ms", "ran_ms"];
+            results.add(list_change::measure(plan)?, &fitted);
+        }
+        Measure::Reload => {
+            let series = endpoint_and_tenant_series(plan, measure);
+            add_series(results, &series, &IN_FORCE_FIGURES, |size, by| {
+                reload::measure(plan, size, by)
+            })?;
+        }
+        Measure::Settings => {
+            let series = endpoint_and_tenant_series(plan, measure);
+            add_series(results, &series, &["in_force_ms"], |size, by| {
+                settings_reload::measure(plan, size, by)
+            })?;
+        }
+        Measure::Restart => {
+            let series = endpoint_and_tenant_series(plan, measure);
+            add_series(results, &series, &IN_FORCE_FIGURES, |size, by| {
+                restart::measure(plan, size, by)
+            })?;
+        }
+        Measure::Requests => {
+            let series = endpoint_and_tenant_series(plan, measure);
+            for rate in &plan.rates {
+                add_series(results, &series, &["us_a_command"], |size, by| {
+                    request_cost::measure(plan, size, by, *rate)
+                })?;
+            }
+        }
+        Measure::Added => {
+            for rate in &plan.rates {
+                let rows = added_latency::measure(plan, *rate, report)?;
+                results.add(rows, &["added_p99_ms"]);
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Figures with a line where something comes into force.
+const IN_FORCE_FIGURES: [&str; 3] = ["in_force_ms", "ran_ms", "bytes"];
+
+/// Sizes that differ in one count.
+struct Series {
+    /// What is counted.
+    by: &'static str,
+    sizes: Vec<Size>,
+}
+
+/// The installations of a measure by endpoints, and those by tenants.
+fn endpoint_and_tenant_series(plan: &Plan, measure: Measure) -> Vec<Series> {
+    let mut endpoints = sizes(plan.sizes(measure));
+    let tenants = endpoints.split_off(plan.endpoints.len());
+    vec![
+        Series {
+            by: "appliances",
+            sizes: endpoints,
+        },
+        Series {
+            by: "tenants",
+            sizes: tenants,
+        },
+    ]
+}
+
+fn pair_series(plan: &Plan) -> Series {
+    Series {
+        by: PAIRS,
+        sizes: sizes(plan.sizes(Measure::Pairs)),
+    }
+}
+
+fn sizes(planned: Vec<PlannedSize>) -> Vec<Size> {
+    planned.into_iter().map(|planned| planned.size).collect()
+}
+
+/// Measures each size of each series, and adds the rows.
+fn add_series(
+    results: &mut Results,
+    all: &[Series],
+    fitted: &[&'static str],
+    measure: impl Fn(&Size, &'static str) -> Result<Row, FleetError>,
+) -> Result<(), FleetError> {
+    for series in all {
+        let rows = series
+            .sizes
+            .iter()
+            .map(|size| measure(size, series.by))
+            .collect::<Result<Vec<Row>, FleetError>>()?;
+        results.add(rows, fitted);
+    }
+    Ok(())
+}
+
+/// The count of a size by its name.
+fn count_by(size: &Size, by: &str) -> f64 {
+    let count = match by {
+        PAIRS => size.endpoints * size.classes,
+        "tenants" => size.tenants,
+        _ => size.endpoints,
+    };
+    count as f64
+}
--- /dev/null
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -0,0 +1,88 @@
+//! Configuration reload (SIGHUP) with other addresses of discovery and the platform, until both
+//! were heard there and the endpoint list has been taken in.
+
+use super::count_by;
+use super::samples::{largest, median, milliseconds};
+use crate::fleet::error::FleetError;
+use crate::fleet::installation::{until, Installation, RunningAgent};
+use crate::fleet::plan::{Plan, Size};
+use crate::fleet::results::Row;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+use tulipwall_testkit::Ways;
+
+/// Processor time and bytes count until so long after a reload; an idle time as long is measured
+/// before it.
+const REST: Duration = Duration::from_millis(500);
+const RELOADS_A_DAY: f64 = 1000.0;
+const SECONDS_A_DAY: f64 = 86_400.0;
+
+/// One reload.
+struct Sample {
+    heard_ms: f64,
+    in_force_ms: f64,
+    /// Processor time beyond that of an idle agent.
+    ran_ms: f64,
+    bytes: f64,
+}
+
+pub(super) fn measure(plan: &Plan, size: &Size, by: &'static str) -> Result<Row, FleetError> {
+    let installation = Installation::start(size, Ways::default())?;
+    let mut agent = installation.agent(&plan.binary, 0, true)?;
+    sleep(plan.settle);
+    let samples = (0..plan.repeats)
+        .map(|_| sample(&installation, &mut agent))
+        .collect::<Result<Vec<_>, FleetError>>()?;
+    let measure = "a new configuration (SIGHUP)";
+    Ok(Row::new(measure, by, count_by(size, by), figures(&samples)))
+}
+
+fn sample(installation: &Installation, agent: &mut RunningAgent) -> Result<Sample, FleetError> {
+    let idle_share = idle_share(agent)?;
+    let before = agent.usage()?.ran;
+    let reload = agent.reload(installation, |_| {})?;
+    let list = until("the question behind the new list", || {
+        agent.discovery.response_since(reload.at)
+    })?;
+    let platform_heard_at = until("word of the platform", || {
+        agent.platform.first_response_at()
+    })?;
+    sleep(REST);
+    let bytes = agent.control_bytes().total();
+    let ran = agent.usage()?.ran.saturating_sub(before).as_secs_f64();
+    let idle_ran = idle_share * reload.at.elapsed().as_secs_f64();
+    let heard_at = list.complete_at.max(platform_heard_at);
+    let in_force_at = list.next_request_at.max(platform_heard_at);
+    Ok(Sample {
+        heard_ms: milliseconds(heard_at - reload.at),
+        in_force_ms: milliseconds(in_force_at - reload.at),
+        ran_ms: (ran - idle_ran).max(0.0) * 1000.0,
+        bytes: bytes as f64,
+    })
+}
+
+/// Share of a core that the idle agent takes.
+fn idle_share(agent: &RunningAgent) -> Result<f64, FleetError> {
+    let started_at = Instant::now();
+    let before = agent.usage()?.ran;
+    sleep(REST);
+    let ran = agent.usage()?.ran.saturating_sub(before);
+    Ok(ran.as_secs_f64() / started_at.elapsed().as_secs_f64())
+}
+
+fn figures(samples: &[Sample]) -> [(&'static str, f64); 7] {
+    let in_force = || samples.iter().map(|s| s.in_force_ms);
+    let ran_ms = median(samples.iter().map(|s| s.ran_ms));
+    let bytes = median(samples.iter().map(|s| s.bytes));
+    let daily = |each: f64| each * RELOADS_A_DAY / SECONDS_A_DAY;
+    [
+        ("heard_ms", median(samples.iter().map(|s| s.heard_ms))),
+        ("in_force_ms", median(in_force())),
+        ("in_force_most_ms", largest(in_force())),
+        ("ran_ms", ran_ms),
+        ("bytes", bytes),
+        ("bytes_s_at_1000_a_day", daily(bytes)),
+        // Milliseconds a second are tenths of a percent.
+        ("core_%_at_1000_a_day", daily(ran_ms) / 10.0),
+    ]
+}
--- /dev/null
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -0,0 +1,90 @@
+//! Start of an agent up to the answer to a first empty query.
+
+use super::samples::{largest, median, milliseconds};
+use crate::fleet::error::FleetError;
+use crate::fleet::installation::{until, Installation};
+use crate::fleet::plan::{Measure, Plan, PlannedSize};
+use crate::fleet::results::{Results, Row};
+use std::time::{Duration, Instant};
+use tulipwall_testkit::Ways;
+
+/// Longer ago than any agent was started.
+const LONG_AGO: Duration = Duration::from_secs(3600);
+
+/// One start.
+#[derive(Default)]
+struct Sample {
+    ready_ms: f64,
+    ran_ms: f64,
+    list_bytes: f64,
+    /// From the last byte of the list to the next request.
+    taken_in_ms: f64,
+}
+
+/// Measures starts with a list in the configuration, and without.
+pub(super) fn add(plan: &Plan, results: &mut Results) -> Result<(), FleetError> {
+    let with_list = measure(plan, true)?;
+    results.add(with_list, &["ready_ms", "ran_ms"]);
+    let without_list = measure(plan, false)?;
+    let fitted = ["ready_ms", "ran_ms", "list_bytes", "taken_in_ms"];
+    results.add(without_list, &fitted);
+    Ok(())
+}
+
+fn measure(plan: &Plan, known: bool) -> Result<Vec<Row>, FleetError> {
+    let row = |PlannedSize { size, .. }| {
+        let installation = Installation::start(&size, Ways::default())?;
+        let samples = (0..plan.repeats)
+            .map(|_| sample(plan, &installation, known))
+            .collect::<Result<Vec<_>, FleetError>>()?;
+        let size = size.endpoints as f64;
+        Ok(Row::new(
+            measure_name(known),
+            "appliances",
+            size,
+            figures(&samples, known),
+        ))
+    };
+    plan.sizes(Measure::Start).into_iter().map(row).collect()
+}
+
+fn sample(plan: &Plan, installation: &Installation, known: bool) -> Result<Sample, FleetError> {
+    let agent = installation.agent(&plan.binary, 0, known)?;
+    let mut sample = Sample {
+        ready_ms: milliseconds(agent.ready_after),
+        ran_ms: milliseconds(agent.usage()?.ran),
+        ..Sample::default()
+    };
+    if !known {
+        let list = until("the question behind the list", || {
+            agent.discovery.response_since(Instant::now() - LONG_AGO)
+        })?;
+        sample.list_bytes = list.bytes as f64;
+        sample.taken_in_ms = milliseconds(list.next_request_at - list.complete_at);
+    }
+    Ok(sample)
+}
+
+fn figures(samples: &[Sample], known: bool) -> Vec<(&'static str, f64)> {
+    let ready = || samples.iter().map(|s| s.ready_ms);
+    let mut figures = vec![
+        ("ready_ms", median(ready())),
+        ("ready_most_ms", largest(ready())),
+        ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+    ];
+    if !known {
+        let list_bytes = samples.iter().map(|s| s.list_bytes);
+        let taken_in = samples.iter().map(|s| s.taken_in_ms);
+        figures.push(("list_bytes", median(list_bytes)));
+        figures.push(("taken_in_ms", median(taken_in)));
+    }
+    figures
+}
+
+fn measure_name(known: bool) -> &'static str {
+    if known {
+        "start with a list"
+    } else {
+        "start without a list"
+    }
+}
--- a/crates/experiments/src/fleet/process.rs
+++ b/crates/experiments/src/fleet/process.rs
@@ -1,17 +1,23 @@
-//! What the kernel says of a process and of the machine, from `/proc`.
+//! What the kernel reports of a process and of the machine, from `/proc`.
 
+use crate::procfs::kilobytes;
 use std::fs;
 use std::io;
 use std::time::Duration;
 
 /// A tick of `/proc/PID/stat`, on every Linux.
 const TICK: Duration = Duration::from_millis(10);
+/// Fields of `/proc/PID/stat` between the name and utime.
+const FIELDS_BEFORE_UTIME: usize = 11;
+/// Descriptors of a process where the kernel's limit cannot be read.
+const DEFAULT_DESCRIPTORS: u64 = 1024;
 
 /// What a process has taken so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Memory in bytes: now, and at most so far.
+    /// Resident memory in bytes, now.
     pub resident: u64,
+    /// Resident memory in bytes, at most so far.
     pub peak: u64,
     /// Processor time of all its threads, user and system.
     pub ran: Duration,
@@ -19,53 +25,64 @@
     pub waited: Duration,
 }
 
-/// Reads it; an error where the process is gone.
+/// Reads what a process has taken.
+///
+/// # Errors
+/// The process is gone.
 pub fn usage(id: u32) -> io::Result<Usage> {
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     let bytes = |key: &str| {
-        kilobytes(&status, key)
-            .ok_or(io::ErrorKind::InvalidData)
-            .map(|kb| kb * 1024)
+        let found = kilobytes(&status, key).ok_or(io::ErrorKind::InvalidData);
+        found.map(|kilobytes| kilobytes * 1024)
     };
-    let (resident, peak) = (bytes("VmRSS:")?, bytes("VmHWM:")?);
-    let (mut ran, mut waited) = (Duration::ZERO, Duration::ZERO);
-    // The same clock as utime and stime of `stat`, in nanoseconds in the place of ticks.
+    let resident = bytes("VmRSS:")?;
+    let peak = bytes("VmHWM:")?;
+    let mut times = schedule_times(id)?;
+    if times.ran.is_zero() {
+        let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
+        times.ran = ticks(&stat).ok_or(io::ErrorKind::InvalidData)?;
+    }
+    Ok(Usage {
+        resident,
+        peak,
+        ran: times.ran,
+        waited: times.waited,
+    })
+}
+
+#[derive(Default)]
+struct ScheduleTimes {
+    ran: Duration,
+    waited: Duration,
+}
+
+/// Times of all threads by the scheduler: the same clock as utime and stime of `stat`, in
+/// nanoseconds in place of ticks.
+fn schedule_times(id: u32) -> io::Result<ScheduleTimes> {
+    let mut times = ScheduleTimes::default();
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
         let Ok(text) = fs::read_to_string(task?.path().join("schedstat")) else {
-            continue;
+            continue; // The thread has ended.
         };
         let mut numbers = text
             .split_whitespace()
             .filter_map(|n| n.parse().ok())
             .map(Duration::from_nanos);
-        ran += numbers.next().unwrap_or_default();
-        waited += numbers.next().unwrap_or_default();
+        times.ran += numbers.next().unwrap_or_default();
+        times.waited += numbers.next().unwrap_or_default();
     }
-    if ran.is_zero() {
-        ran = ticks(&fs::read_to_string(format!("/proc/{id}/stat"))?)
-            .ok_or(io::ErrorKind::InvalidData)?;
-    }
-    Ok(Usage {
-        resident,
-        peak,
-        ran,
-        waited,
-    })
+    Ok(times)
 }
 
 /// utime and stime of `/proc/PID/stat`, behind the name, which may hold anything.
 pub fn ticks(stat: &str) -> Option<Duration> {
     let (_, rest) = stat.rsplit_once(") ")?;
-    let mut fields = rest.split(' ').skip(11).map(str::parse::<u32>);
-    let (user, system) = (fields.next()?.ok()?, fields.next()?.ok()?);
+    let mut fields = rest.split(' ').skip(FIELDS_BEFORE_UTIME);
+    let user: u32 = fields.next()?.parse().ok()?;
+    let system: u32 = fields.next()?.parse().ok()?;
     Some(TICK * (user + system))
 }
 
-fn kilobytes(text: &str, key: &str) -> Option<u64> {
-    let line = text.lines().find(|l| l.starts_with(key))?;
-    line.split_whitespace().nth(1)?.parse().ok()
-}
-
 /// What there is of the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
@@ -75,40 +92,45 @@
     pub descriptors: u64,
     /// Tasks that ran or waited for a core, in the mean of the last minute.
     pub load: f64,
-    /// Cores of the machine, and those that this process may use.
+    /// Cores of the machine.
     pub cores: usize,
+    /// Cores that this process may use.
     pub own_cores: usize,
 }
 
 impl Machine {
+    /// Reads it as it is now.
+    ///
+    /// # Errors
+    /// The kernel's reports cannot be read.
     pub fn now() -> io::Result<Machine> {
         let memory = kilobytes(&fs::read_to_string("/proc/meminfo")?, "MemAvailable:");
         let limits = fs::read_to_string("/proc/self/limits")?;
-        let files = limits
-            .lines()
-            .find_map(|l| l.strip_prefix("Max open files"));
-        let most = files
-            .and_then(|l| l.split_whitespace().next())
-            .unwrap_or_default();
         let load = fs::read_to_string("/proc/loadavg")?;
         let cores = fs::read_to_string("/proc/cpuinfo")?
             .lines()
-            .filter(|l| l.starts_with("processor"))
+            .filter(|line| line.starts_with("processor"))
             .count();
         Ok(Machine {
             memory: memory.ok_or(io::ErrorKind::InvalidData)? * 1024,
-            descriptors: if most == "unlimited" {
-                u64::MAX
-            } else {
-                most.parse().unwrap_or(1024)
-            },
-            load: load
-                .split(' ')
-                .next()
-                .and_then(|n| n.parse().ok())
-                .unwrap_or(0.0),
+            descriptors: max_descriptors(&limits),
+            load: first_number(&load).unwrap_or(0.0),
             cores: cores.max(1),
             own_cores: std::thread::available_parallelism().map_or(1, |n| n.get()),
         })
     }
 }
+
+fn max_descriptors(limits: &str) -> u64 {
+    let mut lines = limits.lines();
+    let line = lines.find_map(|line| line.strip_prefix("Max open files"));
+    let soft_limit = line.and_then(|line| line.split_whitespace().next());
+    match soft_limit.unwrap_or_default() {
+        "unlimited" => u64::MAX,
+        number => number.parse().unwrap_or(DEFAULT_DESCRIPTORS),
+    }
+}
+
+fn first_number(text: &str) -> Option<f64> {
+    text.split(' ').next()?.parse().ok()
+}
--- a/crates/experiments/src/fleet/table.rs
+++ b/crates/experiments/src/fleet/table.rs
@@ -1,15 +1,17 @@
-//! Results as tables for people.
+//! Results as tables of text.
 
-use super::{Fitted, Results, Row};
+use super::results::{Fitted, Results, Row};
 use std::fmt::Write;
 
-fn shown(n: f64) -> String {
-    match n.abs() {
-        a if a.is_nan() => "-".into(),
-        a if a == 0.0 || a >= 1000.0 || n == n.trunc() => format!("{n:.0}"),
-        a if a >= 10.0 => format!("{n:.1}"),
-        a if a >= 0.1 => format!("{n:.3}"),
-        _ => format!("{n:.3e}"),
+fn format_number(number: f64) -> String {
+    match number.abs() {
+        magnitude if magnitude.is_nan() => "-".into(),
+        magnitude if magnitude == 0.0 || magnitude >= 1000.0 || number == number.trunc() => {
+            format!("{number:.0}")
+        }
+        magnitude if magnitude >= 10.0 => format!("{number:.1}"),
+        magnitude if magnitude >= 0.1 => format!("{number:.3}"),
+        _ => format!("{number:.3e}"),
     }
 }
 
@@ -18,79 +20,93 @@
     let Some(first) = rows.first() else {
         return String::new();
     };
-    let head: Vec<String> = std::iter::once(first.by.to_owned())
-        .chain(first.figures.iter().map(|f| f.0.to_owned()))
-        .collect();
-    let line = |r: &Row| -> Vec<String> {
-        std::iter::once(shown(r.size))
-            .chain(r.figures.iter().map(|f| shown(f.1)))
-            .collect()
-    };
-    let lines: Vec<Vec<String>> = std::iter::once(head)
-        .chain(rows.iter().map(|r| line(r)))
-        .collect();
-    let wide = |n: usize| {
-        lines
-            .iter()
-            .filter_map(|l| l.get(n))
-            .map(String::len)
-            .max()
-            .unwrap_or(0)
-    };
+    let mut lines = vec![heading(first)];
+    lines.extend(rows.iter().map(|row| cells(row)));
     let mut text = format!("{}\n", first.measure);
-    for l in &lines {
-        l.iter().enumerate().for_each(|(n, cell)| {
-            let _ = write!(text, "  {cell:>w$}", w = wide(n));
-        });
+    for line in &lines {
+        for (column, cell) in line.iter().enumerate() {
+            let width = column_width(&lines, column);
+            // Writing to a string cannot fail.
+            let _ = write!(text, "  {cell:>width$}");
+        }
         text.push('\n');
     }
     text
 }
 
-pub fn fit(f: &Fitted) -> String {
-    let l = f.line;
+fn heading(row: &Row) -> Vec<String> {
+    let mut cells = vec![row.by.to_owned()];
+    cells.extend(row.figures.iter().map(|figure| figure.name.to_owned()));
+    cells
+}
+
+fn cells(row: &Row) -> Vec<String> {
+    let mut cells = vec![format_number(row.size)];
+    cells.extend(row.figures.iter().map(|figure| format_number(figure.value)));
+    cells
+}
+
+fn column_width(lines: &[Vec<String>], column: usize) -> usize {
+    let cells = lines.iter().filter_map(|line| line.get(column));
+    cells.map(String::len).max().unwrap_or(0)
+}
+
+/// The line of a figure.
+pub fn fit(fitted: &Fitted) -> String {
+    let line = fitted.line;
     format!(
         "  {} = {} + {} x {} (residual {}, at most {}; r2 {:.4}; {} points)\n",
-        f.figure,
-        shown(l.intercept),
-        shown(l.slope),
-        f.by,
-        shown(l.residual),
-        shown(l.residual_most),
-        l.r2,
-        f.points
+        fitted.figure,
+        format_number(line.intercept),
+        format_number(line.slope),
+        fitted.by,
+        format_number(line.residual),
+        format_number(line.residual_max),
+        line.r2,
+        fitted.points
     )
 }
 
-pub fn all(of: &Results) -> String {
+/// All measures with their lines, and what lies beyond the limits.
+pub fn all(results: &Results) -> String {
     let mut text = String::new();
-    let mut measures: Vec<(&str, &str)> = Vec::new();
-    for r in &of.rows {
-        if !measures.contains(&(r.measure, r.by)) {
-            measures.push((r.measure, r.by));
-        }
-    }
-    for (measure, by) in measures {
-        let rows: Vec<&Row> = of
+    for (measure, by) in measures(results) {
+        let rows: Vec<&Row> = results
             .rows
             .iter()
-            .filter(|r| (r.measure, r.by) == (measure, by))
+            .filter(|row| row.measure == measure && row.by == by)
             .collect();
         text += &points(&rows);
-        of.fits
-            .iter()
-            .filter(|f| (f.measure, f.by) == (measure, by))
-            .for_each(|f| text += &fit(f));
+        for fitted in &results.fits {
+            if fitted.measure == measure && fitted.by == by {
+                text += &fit(fitted);
+            }
+        }
         text.push('\n');
     }
-    let beyond = of.beyond();
+    text + &beyond(results)
+}
+
+/// Measures with what they count, in the order they were taken.
+fn measures(results: &Results) -> Vec<(&str, &str)> {
+    let mut measures = Vec::new();
+    for row in &results.rows {
+        let measure = (row.measure.as_str(), row.by);
+        if !measures.contains(&measure) {
+            measures.push(measure);
+        }
+    }
+    measures
+}
+
+fn beyond(results: &Results) -> String {
+    let beyond = results.beyond();
     if beyond.is_empty() {
-        text += "nothing lies beyond the operators' limits\n";
-    } else {
-        let _ = writeln!(text, "beyond the operators' limits: {}", beyond.len());
-        beyond.iter().for_each(|b| {
-            let _ = writeln!(text, "  {b}");
-        });
+        return "nothing lies beyond the operators' limits\n".into();
+    }
+    let mut text = format!("beyond the operators' limits: {}\n", beyond.len());
+    for line in &beyond {
+        let _ = writeln!(text, "  {line}");
     }
     text
 }
--- a/crates/experiments/src/fleet/worker.rs
+++ b/crates/experiments/src/fleet/timed_endpoint.rs
@@ -1,6 +1,7 @@
-//! An endpoint whose time for a request is known to who asked: it follows from the request's id
-//! alone. So what a request took beyond it is known one by one, and chance in the work is no chance
-//! in the figure.
+//! An endpoint whose time for a request follows from the request's id alone.
+//!
+//! So what a request took beyond it is known one by one, and chance in the work is no chance in the
+//! figure.
 
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -12,8 +13,14 @@
 use tulipwall_testkit::ground::{self, sleep, Ends};
 use tulipwall_testkit::pg;
 
-/// Takes any number of requests at once.
-pub struct Worker {
+/// Value that answers each request.
+const ANSWER: [u8; 2] = [0x9f, 3];
+/// Tag of a simple query in the PostgreSQL protocol.
+const QUERY: u8 = b'Q';
+
+/// An endpoint that handles any number of requests at once; it ends when dropped.
+pub struct TimedEndpoint {
+    /// Its address.
     pub address: SocketAddr,
     ends: Arc<Ends>,
     _task: async_executor::Task<()>,
@@ -21,22 +28,31 @@
 
 /// What the request of this id takes: half of `mean` always, the rest exponential.
 pub fn work(id: &str, mean: Duration) -> Duration {
-    // The last bytes of an id hardly reach the upper bits of its number: they are stirred (as
-    // splitmix64 does).
-    let mut n = number(id);
+    // The last bytes of an id hardly reach the upper bits of its number, so they are mixed.
+    let mixed = splitmix64(number(id));
+    let uniform = (mixed >> 11) as f64 / (1u64 << 53) as f64;
+    mean.mul_f64(0.5 - 0.5 * (1.0 - uniform).ln())
+}
+
+/// The finalizer of the splitmix64 generator.
+fn splitmix64(mut n: u64) -> u64 {
     n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    let drawn = ((n ^ (n >> 31)) >> 11) as f64 / (1u64 << 53) as f64;
-    mean.mul_f64(0.5 - 0.5 * (1.0 - drawn).ln())
+    n ^ (n >> 31)
 }
 
-impl Worker {
-    pub fn start(mean: Duration) -> io::Result<Worker> {
+impl TimedEndpoint {
+    /// Starts an endpoint whose requests take `mean` on average.
+    ///
+    /// # Errors
+    /// It cannot listen.
+    pub fn start(mean: Duration) -> io::Result<TimedEndpoint> {
         let ends = Arc::<Ends>::default();
         let (address, task) = ground::listen(&ends, move |stream| async move {
-            let _ = talk(stream, mean).await;
+            // A connection that fails is the client's to notice.
+            let _ = serve(stream, mean).await;
         })?;
-        Ok(Worker {
+        Ok(TimedEndpoint {
             address,
             ends,
             _task: task,
@@ -44,19 +60,19 @@
     }
 }
 
-impl Drop for Worker {
+impl Drop for TimedEndpoint {
     fn drop(&mut self) {
         self.ends.end();
     }
 }
 
-async fn talk(mut stream: Async<TcpStream>, mean: Duration) -> io::Result<()> {
+async fn serve(mut stream: Async<TcpStream>, mean: Duration) -> io::Result<()> {
     pg::read_startup(&mut stream).await?;
     stream.write_all(&pg::welcome()).await?;
-    let answer = pg::value(&[0x9f, 3]);
+    let answer = pg::value(&ANSWER);
     loop {
         let (tag, body) = pg::read(&mut stream).await?;
-        if tag != b'Q' {
+        if tag != QUERY {
             return Ok(());
         }
         let text = String::from_utf8_lossy(&body);
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -148,7 +148,11 @@
             command,
         } => explain(&scenario, point, seed, (agent, command)),
         Command::Load(drive) => drive.run(),
-        Command::Fleet(options) => return fleet::main(*options),
+        Command::Fleet(options) => match options.run() {
+            Ok(false) => Ok(true),
+            Ok(true) => return 4.into(),
+            Err(error) => Err(error.to_string()),
+        },
         Command::Scale(scale) => match scale.run(free()) {
             Ok(beyond) if beyond.is_empty() => Ok(true),
             Ok(_) => return 4.into(),
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -7,14 +7,14 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime};
 use tulipwall_experiments::fleet::estimate::{self, Estimate};
+use tulipwall_experiments::fleet::installation::{until, Installation};
 use tulipwall_experiments::fleet::line::Line;
 use tulipwall_experiments::fleet::process::{ticks, usage, Machine};
-use tulipwall_experiments::fleet::stand::{until, Stand};
-use tulipwall_experiments::fleet::worker::work;
-use tulipwall_experiments::fleet::{limits, measure, Results, Row, Size};
+use tulipwall_experiments::fleet::timed_endpoint::work;
+use tulipwall_experiments::fleet::{limits, measures, Results, Row, Size};
 use tulipwall_testkit::{Caller, Ways};
 
-const LAB: &str = env!("CARGO_BIN_EXE_tulipwall-experiments");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_tulipwall-experiments");
 
 /// The newest file below.
 fn newest(folder: &Path) -> SystemTime {
@@ -31,7 +31,7 @@
 fn agent() -> &'static Path {
     static AGENT: OnceLock<PathBuf> = OnceLock::new();
     AGENT.get_or_init(|| {
-        let path = Path::new(LAB).with_file_name("tulipwall-agent");
+        let path = Path::new(PROGRAM).with_file_name("tulipwall-agent");
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
         let parts = [
             "src",
@@ -96,8 +96,8 @@
     }
 }
 
-fn lab(arguments: &[&str]) -> Output {
-    Command::new(LAB)
+fn run_fleet(arguments: &[&str]) -> Output {
+    Command::new(PROGRAM)
         .arg("fleet")
         .args(arguments)
         .output()
@@ -115,7 +115,7 @@
         "100",
         "--json",
     ];
-    let out = lab(&[&agent, arguments].concat());
+    let out = run_fleet(&[&agent, arguments].concat());
     let told = serde_json::from_slice(&out.stdout);
     (
         out.status.code(),
@@ -152,21 +152,21 @@
 }
 
 #[test]
-fn a_line_is_that_of_least_squares() {
+fn fits_a_line_by_least_squares() {
     let exact = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
     assert!((exact.slope - 2.0).abs() < 1e-12 && (exact.intercept - 3.0).abs() < 1e-12);
-    assert!(exact.residual_most < 1e-12 && exact.r2 > 1.0 - 1e-12);
+    assert!(exact.residual_max < 1e-12 && exact.r2 > 1.0 - 1e-12);
     // By hand: means 2 and 3, slope 2.5 / 2; the points lie 0.25, -0.5 and 0.25 off.
     let off = Line::through(&[(1.0, 2.0), (2.0, 2.5), (3.0, 4.5)]).unwrap();
     assert!((off.slope - 1.25).abs() < 1e-12 && (off.intercept - 0.5).abs() < 1e-12);
-    assert!((off.residual_most - 0.5).abs() < 1e-12);
+    assert!((off.residual_max - 0.5).abs() < 1e-12);
     assert!((off.residual - (0.375f64 / 3.0).sqrt()).abs() < 1e-12);
     assert_eq!(Line::through(&[(3.0, 1.0), (3.0, 2.0)]), None);
     assert_eq!(Line::through(&[]), None);
 }
 
 #[test]
-fn a_process_is_read_as_the_kernel_tells_it() {
+fn reads_the_usage_of_a_process() {
     let stat = "77 (a) b (c)) R 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20 0 1 0 99";
     assert_eq!(ticks(stat), Some(Duration::from_secs(3)));
     assert_eq!(ticks("nothing"), None);
@@ -188,31 +188,33 @@
 /// What the meter counts is what discovery wrote: its head and the list, to the byte; then what the
 /// agent asked.
 #[test]
-fn a_whole_list_is_counted_to_the_byte() {
-    let stand = Stand::start(&size(), Ways::default()).unwrap();
-    let member = stand.agent(agent(), 0, false).unwrap();
+fn counts_a_whole_list_to_the_byte() {
+    let installation = Installation::start(&size(), Ways::default()).unwrap();
+    let running = installation.agent(agent(), 0, false).unwrap();
     let taken = until("the next question", || {
-        member
+        running
             .discovery
-            .taken_in(Instant::now() - Duration::from_secs(600))
+            .response_since(Instant::now() - Duration::from_secs(600))
     });
-    let body = stand.discovery.known(0).to_string();
+    let body = installation.discovery.known(0).to_string();
     let head =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: \r\n\r\n".len();
     assert_eq!(
         taken.unwrap().bytes as usize,
         head + body.len().to_string().len() + body.len()
     );
-    assert!(member.discovery.passed().asked > 0 && member.platform.passed().connections == 1);
-    let id = member.program.id();
-    drop(member);
+    assert!(
+        running.discovery.traffic().from_agent > 0 && running.platform.traffic().connections == 1
+    );
+    let id = running.program.id();
+    drop(running);
     assert!(usage(id).is_err(), "it outlives its owner");
 }
 
 /// A change is one answer on the watch that stands: a part that is always the same, and each entry
 /// as long as the next.
 #[test]
-fn a_change_is_as_long_as_its_entries() {
+fn change_bytes_grow_with_the_entries_changed() {
     let arguments = [
         "--measure",
         "change",
@@ -237,7 +239,7 @@
 }
 
 #[test]
-fn memory_grows_with_what_an_agent_is_told_of() {
+fn memory_grows_with_endpoints_tenants_and_pairs() {
     let sizes = [
         "--appliances",
         "10",
@@ -266,7 +268,7 @@
         assert!(fit(&told, "memory", by, "peak_mb", "slope") > 0.0);
         assert!(fit(&told, "memory", by, "peak_mb", "residual").is_finite());
     }
-    let out = String::from_utf8(lab(&["--help"]).stdout).unwrap();
+    let out = String::from_utf8(run_fleet(&["--help"]).stdout).unwrap();
     assert!(
         out.contains("Exit codes") && out.contains("4 a figure of `fleet`"),
         "{out}"
@@ -275,7 +277,7 @@
 
 /// Each request is out once at least, on a connection of its own, and as many as were asked.
 #[test]
-fn what_is_open_and_connected_is_there_while_it_is_measured() {
+fn measures_memory_while_requests_and_connections_are_open() {
     let arguments = [
         "--measure",
         "connections",
@@ -311,7 +313,7 @@
 ];
 
 #[test]
-fn an_idle_second_does_not_go_by_the_list_and_a_whole_list_does() {
+fn idle_traffic_is_independent_of_the_list_and_a_whole_list_is_not() {
     let arguments = ["--measure", "idle", "start", "--agents", "2"];
     let (_, told) = measured(&[&arguments[..], &FEW, &["--lanes", "2", "5"]].concat());
     let pairs = rows(&told, "idle, lists pushed", "appliance-lane pairs");
@@ -339,7 +341,7 @@
 /// How much is asked for is the agent's to say; here that it is counted, and no more than it may be
 /// at the very most: two calls for the whole list.
 #[test]
-fn a_new_configuration_and_a_restart_are_counted_until_they_are_in_force() {
+fn counts_reloads_and_restarts_until_they_are_in_force() {
     let (_, told) = measured(&[&["--measure", "start", "renew", "restart"][..], &FEW].concat());
     let whole = figures(&told, "start without a list", "appliances", "list_bytes");
     let renewed = figures(&told, "a new configuration (SIGHUP)", "appliances", "bytes");
@@ -366,7 +368,7 @@
 /// Whether an agent takes settings over at SIGHUP is its to say: either no time is told, or one for
 /// all repeats.
 #[test]
-fn new_settings_are_found_in_force_or_not_at_all() {
+fn reports_settings_taken_over_for_all_repeats_or_none() {
     let (_, told) = measured(&[&["--measure", "settings"][..], &FEW].concat());
     for by in ["appliances", "tenants"] {
         let settings = rows(&told, "new settings (SIGHUP)", by);
@@ -395,7 +397,7 @@
 
 /// The load is the same each time: so many requests, whatever they are sent to.
 #[test]
-fn a_load_asks_as_many_commands_of_each_agent() {
+fn load_sends_the_same_number_of_requests_at_each_size() {
     let (_, told) = measured(&[&["--measure", "added"][..], &LOADS].concat());
     let asked = figures(
         &told,
@@ -426,7 +428,7 @@
 }
 
 #[test]
-fn commands_are_counted_by_appliances_and_by_tenants() {
+fn counts_requests_by_endpoints_and_by_tenants() {
     let (_, told) = measured(&[&["--measure", "commands"][..], &LOADS].concat());
     let asked = figures(&told, "commands at 40 a second", "appliances", "asked");
     assert!(asked[0] > 10.0 && asked[0] == asked[1], "{asked:?}");
@@ -442,11 +444,11 @@
 }
 
 #[test]
-fn a_load_goes_over_lanes_and_tenants_of_the_settings() {
-    let stand = Stand::start(&size(), Ways::default()).unwrap();
-    let at = stand.endpoints[0].address(0);
-    let answered = measure::load(&size(), at, 60.0, Duration::from_secs(1), 3);
-    let seen = stand.endpoints[0].seen();
+fn load_covers_classes_and_tenants_of_the_settings() {
+    let installation = Installation::start(&size(), Ways::default()).unwrap();
+    let at = installation.endpoints[0].address(0);
+    let answered = measures::load(&size(), at, 60.0, Duration::from_secs(1), 3);
+    let seen = installation.endpoints[0].seen();
     assert!(
         answered.asked > 20 && seen.len() as u64 == answered.asked,
         "{}",
@@ -463,12 +465,12 @@
 /// What a request takes is known beforehand, by its id: no answer comes sooner, and the mean is the
 /// one that was told.
 #[test]
-fn a_worker_takes_the_time_that_the_id_says() {
+fn timed_endpoint_takes_the_time_that_the_id_gives() {
     let mean = Duration::from_millis(4);
-    let stand = Stand::working(&size(), mean).unwrap();
-    let answered = measure::load(
+    let installation = Installation::with_timed_endpoints(&size(), mean).unwrap();
+    let answered = measures::load(
         &size(),
-        stand.workers[0].address,
+        installation.timed_endpoints[0].address,
         100.0,
         Duration::from_secs(1),
         5,
@@ -497,19 +499,21 @@
 }
 
 #[test]
-fn what_would_not_fit_is_refused_with_its_estimate_before_anything_starts() {
+fn refuses_a_run_that_does_not_fit_before_it_starts() {
     // No such program: whoever came to start it would say so.
     let refused = |arguments: &[&str], why: &str| {
-        let out = lab(&[
+        let out = run_fleet(
             &[
-                "--agent",
-                "/nowhere/tulipwall-agent",
-                "--measure",
-                "appliances",
-            ],
-            arguments,
-        ]
-        .concat());
+                &[
+                    "--agent",
+                    "/nowhere/tulipwall-agent",
+                    "--measure",
+                    "appliances",
+                ],
+                arguments,
+            ]
+            .concat(),
+        );
         let said = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.status.code(), Some(1));
         assert!(
@@ -523,7 +527,7 @@
         &["--agents", "100", "--appliances", "1000000"],
         "at most 4096 MB are taken",
     );
-    let out = lab(&[
+    let out = run_fleet(&[
         "--agent",
         "/nowhere/tulipwall-agent",
         "--measure",
@@ -532,9 +536,9 @@
     assert!(String::from_utf8(out.stderr)
         .unwrap()
         .contains("no such program"));
-    assert_eq!(lab(&["--appliances", "0"]).status.code(), Some(2));
-    assert_eq!(lab(&["--seconds", "61"]).status.code(), Some(2));
-    assert_eq!(lab(&["--limit", "peak_mb"]).status.code(), Some(2));
+    assert_eq!(run_fleet(&["--appliances", "0"]).status.code(), Some(2));
+    assert_eq!(run_fleet(&["--seconds", "61"]).status.code(), Some(2));
+    assert_eq!(run_fleet(&["--limit", "peak_mb"]).status.code(), Some(2));
 
     let room = Machine {
         memory: 8 << 30,
@@ -554,7 +558,10 @@
         )
     };
     assert_eq!(of(100, 1000).refused(&room), None);
-    let why = |e: Estimate, m: Machine| e.refused(&m).unwrap_or_default();
+    let why = |e: Estimate, m: Machine| {
+        e.refused(&m)
+            .map_or_else(String::new, |refusal| refusal.to_string())
+    };
     let little = Machine {
         memory: 2 << 30,
         ..room
@@ -574,27 +581,27 @@
 
 /// Else a run that does not fit would be let in.
 #[test]
-fn an_agent_takes_no_more_than_its_estimate() {
+fn agent_takes_no_more_memory_than_its_estimate() {
     let size = Size {
         endpoints: 3000,
         classes: 300,
         tenants: 5000,
         ..size()
     };
-    let stand = Stand::start(&size, Ways::default()).unwrap();
-    let member = stand.agent(agent(), 0, true).unwrap();
+    let installation = Installation::start(&size, Ways::default()).unwrap();
+    let running = installation.agent(agent(), 0, true).unwrap();
     let clients: Vec<_> = (0..20)
-        .map(|_| Caller::connect(member.address().unwrap()).unwrap())
+        .map(|_| Caller::connect(running.address().unwrap()).unwrap())
         .collect();
     let (took, told) = (
-        member.usage().unwrap().peak,
+        running.usage().unwrap().peak,
         estimate::size(&size, clients.len()).agent,
     );
     assert!(took <= told, "{took} of {told}");
 }
 
 #[test]
-fn what_lies_beyond_a_limit_is_listed_and_has_an_exit_code_of_its_own() {
+fn lists_figures_beyond_a_limit_and_exits_with_4() {
     let sizes = ["--measure", "appliances", "--appliances", "10", "20"];
     let (code, told) = measured(&sizes);
     assert_eq!(
@@ -608,12 +615,7 @@
         (Some(4), Some(2)),
         "{told}"
     );
-    let row = |figure, value| Row {
-        measure: "m",
-        by: "n",
-        size: 7.0,
-        figures: vec![(figure, value)],
-    };
+    let row = |figure, value| Row::new("m", "n", 7.0, [(figure, value)]);
     let results = |figure, value| {
         let mut of = Results {
             limits: limits(),
