--- a/crates/experiments/src/fleet/timed_endpoint.rs
+++ b/crates/experiments/src/fleet/timed_endpoint.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall_config::number;
+use tulipwall_config::stable_hash;
 use tulipwall_testkit::ground::{self, sleep, Ends};
 use tulipwall_testkit::pg;
 
@@ -29,7 +29,7 @@
 /// What the request of this id takes: half of `mean` always, the rest exponential.
 pub fn work(id: &str, mean: Duration) -> Duration {
     // The last bytes of an id hardly reach the upper bits of its number, so they are mixed.
-    let mixed = splitmix64(number(id));
+    let mixed = splitmix64(stable_hash(id));
     let uniform = (mixed >> 11) as f64 / (1u64 << 53) as f64;
     mean.mul_f64(0.5 - 0.5 * (1.0 - uniform).ln())
 }
--- a/crates/experiments/src/run/simulation.rs
+++ b/crates/experiments/src/run/simulation.rs
@@ -3,9 +3,9 @@
 use crate::scenario::{ClientKind, Fault, FaultKind, RequestClass, Rollout, Scenario, Zone};
 use std::time::Duration;
 use tulipwall::{EndpointState, Settings};
-use tulipwall_client_policy::Retrying;
+use tulipwall_client_policy::RetryPolicy;
 use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering};
-use tulipwall_zones::{Budget, Limit, Routing, Zoning};
+use tulipwall_zones::{Budget, Limit, RoutingPolicy, ZoneConfig};
 
 /// Build that runs from the start, and the one that is rolled out.
 const OLD_BUILD: u32 = 41;
@@ -135,28 +135,28 @@
             pause: NAIVE_PAUSE,
             tries: NAIVE_TRIES,
         },
-        ClientKind::Careful => Clients::Careful(Retrying::default()),
+        ClientKind::Careful => Clients::Careful(RetryPolicy::default()),
     }
 }
 
-fn zoning(scenario: &Scenario, own_zone: usize) -> Zoning {
+fn zoning(scenario: &Scenario, own_zone: usize) -> ZoneConfig {
     let budget = |share| Budget {
         name: "share".into(),
         to: None,
         class: None,
         limit: Limit::Share(share),
         window: BUDGET_WINDOW,
-        part: 1.0,
+        agent_fraction: 1.0,
     };
     let budgets = scenario.cross_zone_share.into_iter().map(budget).collect();
     let classes = settings(scenario).classes;
     let zoning = day::zoning(&classes, own_zone, scenario.zones.len(), budgets);
     let routing = if scenario.prefer_local_zone {
-        Routing::NearFirst
+        RoutingPolicy::LocalFirst
     } else {
-        Routing::AsEver
+        RoutingPolicy::BalancerDefault
     };
-    Zoning { routing, ..zoning }
+    ZoneConfig { routing, ..zoning }
 }
 
 fn settings(scenario: &Scenario) -> Settings {
--- a/crates/experiments/src/scale/agent/discovery.rs
+++ b/crates/experiments/src/scale/agent/discovery.rs
@@ -6,9 +6,10 @@
 use std::time::Duration;
 use tulipwall::Settings;
 use tulipwall_agent::protocol::http;
-use tulipwall_discovery::list::List;
-use tulipwall_discovery::listing::{self, Listing};
-use tulipwall_discovery::watchdog::{Ended, Vouched, Watchdog};
+use tulipwall_discovery::endpoint_table::EndpointTable;
+use tulipwall_discovery::list_lease::ListLease;
+use tulipwall_discovery::list_response::{self, ListResponse};
+use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
 /// Host header of calls to discovery; its length is counted.
 const DISCOVERY_HOST: &str = "10.200.0.1:8500";
@@ -24,9 +25,9 @@
 
 /// What an agent knows of discovery.
 pub(super) struct DiscoveryState {
-    pub(super) list: List,
-    timer: Watchdog,
-    lease: Vouched,
+    pub(super) list: EndpointTable,
+    timer: WatchTimer,
+    lease: ListLease,
     watch: Watch,
     /// Starts that were scheduled; only the last one counts.
     pub(super) watch_starts: u64,
@@ -37,9 +38,9 @@
 impl DiscoveryState {
     pub(super) fn new(settings: &Settings, now: Duration) -> DiscoveryState {
         DiscoveryState {
-            list: List::default(),
-            timer: Watchdog::new(settings),
-            lease: Vouched::new(settings, now),
+            list: EndpointTable::default(),
+            timer: WatchTimer::new(settings),
+            lease: ListLease::new(settings, now),
             watch: Watch::Idle,
             watch_starts: 0,
             is_start_scheduled: false,
@@ -56,13 +57,14 @@
     /// At the start of a process: how long the list is valid, and when discovery is first called.
     pub(super) fn start_discovery(&mut self, now: Duration) {
         self.update_list_validity();
-        if let Some(gap) = self.discovery.timer.starts() {
+        if let Some(gap) = self.discovery.timer.startup_delay() {
             self.schedule_watch(now + gap);
         }
     }
 
     fn update_list_validity(&mut self) {
-        self.balancer.list_valid_until = self.discovery.lease.until();
+        let valid_until = self.discovery.lease.valid_until();
+        self.balancer.set_list_valid_until(valid_until);
     }
 
     fn schedule_watch(&mut self, at: Duration) {
@@ -91,15 +93,15 @@
         let discovery = &mut self.discovery;
         discovery.is_watch_wanted = false;
         discovery.is_start_scheduled = false;
-        let wait = discovery.timer.wait(true);
-        let needs_whole_list = self.reload.awaits_discovery && discovery.timer.free();
+        let wait = discovery.timer.first_wait();
+        let needs_whole_list = self.reload.awaits_discovery && discovery.timer.calls_are_free();
         let path = if discovery.list.is_empty() || needs_whole_list {
-            listing::LIST.to_owned()
+            list_response::LIST_PATH.to_owned()
         } else {
-            listing::watch(discovery.list.version, wait)
+            list_response::watch_path(discovery.list.version, wait)
         };
-        let timeout = wait + discovery.timer.within(true);
-        discovery.lease.begins(now);
+        let timeout = wait + discovery.timer.first_call_timeout(FirstCall::Patient);
+        discovery.lease.on_watch_begin(now);
         let call = self.call_discovery(now, path, timeout, true);
         self.discovery.watch = Watch::Calling(call);
     }
@@ -113,7 +115,7 @@
     ) -> u64 {
         self.last_call += 1;
         let call = self.last_call;
-        let length = http::get(DISCOVERY_HOST, &path).len();
+        let length = http::get_request(DISCOVERY_HOST, &path).len();
         self.meter.passed(now, MessageKind::DiscoveryCall, length);
         let output = AgentOutput::DiscoveryCall {
             call,
@@ -127,17 +129,17 @@
     }
 
     pub(super) fn on_call_timeout(&mut self, now: Duration, call: u64) {
-        self.on_call_failure(now, call, Ended::Silent);
+        self.on_call_failure(now, call, WatchEnd::TimedOut);
     }
 
-    fn on_call_failure(&mut self, now: Duration, call: u64, ended: Ended) {
+    fn on_call_failure(&mut self, now: Duration, call: u64, ended: WatchEnd) {
         if !self.discovery.is_current(call) {
             return;
         }
         self.close_watch(now);
-        self.discovery.lease.ended(now, ended);
+        self.discovery.lease.on_watch_end(now, ended);
         self.update_list_validity();
-        match self.discovery.timer.again(ended) {
+        match self.discovery.timer.on_watch_end(ended) {
             Some(gap) => self.schedule_watch(now + gap),
             None => {
                 self.discovery.is_watch_wanted = false;
@@ -149,9 +151,9 @@
     /// A new configuration: the watch ends, and another starts after a gap.
     pub(super) fn restart_watch_after_reload(&mut self, now: Duration) {
         self.close_watch(now);
-        self.discovery.lease.moved(now);
+        self.discovery.lease.on_address_change(now);
         self.update_list_validity();
-        let gap = self.discovery.timer.moved();
+        let gap = self.discovery.timer.on_address_change();
         self.schedule_watch(now + gap);
     }
 
@@ -175,13 +177,13 @@
         }
         if status != HTTP_OK {
             self.meter.passed(now, MessageKind::Refusal, bytes.len());
-            return self.on_call_failure(now, call, Ended::Refused);
+            return self.on_call_failure(now, call, WatchEnd::Refused);
         }
         let is_sound = self.take_response(now, bytes);
         if !is_sound {
-            return self.on_call_failure(now, call, Ended::Spoilt);
+            return self.on_call_failure(now, call, WatchEnd::Malformed);
         }
-        self.discovery.timer.told();
+        self.discovery.timer.on_response();
         if std::mem::take(&mut self.reload.awaits_discovery) {
             self.count_reload(now);
         }
@@ -189,11 +191,11 @@
     }
 
     fn continue_watch(&mut self, now: Duration) {
-        let wait = self.discovery.timer.wait(false);
-        self.discovery.lease.told(now, wait);
+        let wait = self.discovery.timer.next_wait();
+        self.discovery.lease.on_response(now, wait);
         self.update_list_validity();
-        let path = listing::watch(self.discovery.list.version, wait);
-        let timeout = wait + self.discovery.timer.late();
+        let path = list_response::watch_path(self.discovery.list.version, wait);
+        let timeout = wait + self.discovery.timer.response_grace();
         let call = self.call_discovery(now, path, timeout, false);
         self.discovery.watch = Watch::Calling(call);
     }
@@ -201,40 +203,40 @@
     /// Parses an HTTP response and takes in its list; whether all of it could be used.
     fn take_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
         let timer = ProcessorTimer::start();
-        let response = http::answer(bytes, false).ok().flatten();
-        let listing = response.and_then(|response| Listing::parse(&response.body).ok());
+        let response = http::parse_response(bytes, false).ok().flatten();
+        let response = response.and_then(|response| ListResponse::parse(&response.body).ok());
         self.meter.spent(now, Operation::Parsing, timer);
-        let Some(listing) = listing else {
+        let Some(response) = response else {
             return false;
         };
-        let is_sound = listing.spoilt.is_none();
-        let kind = if listing.complete {
+        let is_sound = response.first_error.is_none();
+        let kind = if response.complete {
             MessageKind::WholeList
-        } else if listing.entries.is_empty() {
+        } else if response.endpoints.is_empty() {
             MessageKind::EmptyWatch
         } else {
             MessageKind::Changes
         };
         self.meter.passed(now, kind, bytes.len());
-        self.take_list(now, listing);
+        self.take_list(now, response);
         is_sound
     }
 
     /// Takes in the list of a process's configuration.
     pub(super) fn take_known_list(&mut self, now: Duration, bytes: &[u8]) {
         let timer = ProcessorTimer::start();
-        let listing = Listing::parse(bytes);
+        let response = ListResponse::parse(bytes);
         self.meter.spent(now, Operation::Parsing, timer);
-        if let Ok(listing) = listing {
-            self.take_list(now, listing);
+        if let Ok(response) = response {
+            self.take_list(now, response);
         }
     }
 
-    fn take_list(&mut self, now: Duration, listing: Listing) {
-        let is_complete = listing.complete;
+    fn take_list(&mut self, now: Duration, response: ListResponse) {
+        let is_complete = response.complete;
         let list = &mut self.discovery.list;
         let timer = ProcessorTimer::start();
-        let (entries, _) = list.take(listing, &self.config, &self.clock);
+        let entries = list.apply(response, &self.config, &self.clock).entries;
         self.meter.spent(now, Operation::ListUpdate, timer);
         let timer = ProcessorTimer::start();
         self.balancer.update_endpoints(now, &entries, is_complete);
--- a/crates/experiments/src/scale/agent/platform.rs
+++ b/crates/experiments/src/scale/agent/platform.rs
@@ -5,7 +5,7 @@
 use crate::scale::meter::{MessageKind, Operation, ProcessorTimer};
 use std::time::Duration;
 use tulipwall::{RolloutStatus, Vote};
-use tulipwall_agent::protocol::platform::{self, Line};
+use tulipwall_agent::protocol::platform::{self, PlatformMessage};
 
 /// Without a line for so long the connection to the platform is opened anew, as the real agent
 /// does.
@@ -30,14 +30,14 @@
 
     pub(super) fn open_platform_watch(&mut self, now: Duration) {
         self.last_call += 1;
-        let line = platform::watch(self.last_call);
+        let line = platform::watch_request(self.last_call);
         self.send_to_platform(now, line.len(), AgentOutput::PlatformWatch { line });
         self.platform.silent_at = now + SILENCE_TIMEOUT;
     }
 
     pub(super) fn send_vote(&mut self, now: Duration, vote: &Vote) {
         self.last_call += 1;
-        let line = platform::vote(self.last_call, vote);
+        let line = platform::vote_request(self.last_call, vote);
         self.send_to_platform(now, line.len(), AgentOutput::Vote { line });
     }
 
@@ -50,9 +50,9 @@
         self.meter.passed(now, kind, bytes.len());
         self.platform.silent_at = now + SILENCE_TIMEOUT;
         let timer = ProcessorTimer::start();
-        match platform::line(bytes) {
-            Ok(Line::RolloutStatus(status)) => self.update_rollout(now, status),
-            Ok(Line::Answer { reply, .. }) => self.balancer.on_vote_reply(now, reply),
+        match platform::parse_message(bytes) {
+            Ok(PlatformMessage::RolloutStatus(status)) => self.update_rollout(now, status),
+            Ok(PlatformMessage::Response { reply, .. }) => self.balancer.on_vote_reply(now, reply),
             _ => {}
         }
         self.meter.spent(now, Operation::PlatformLine, timer);
@@ -61,7 +61,7 @@
         }
     }
 
-    fn update_rollout(&mut self, now: Duration, status: platform::Told) {
+    fn update_rollout(&mut self, now: Duration, status: platform::RolloutReport) {
         self.balancer.update_rollout(RolloutStatus {
             build: status.build,
             stage: status.stage,
--- a/crates/experiments/src/scale/agent/requests.rs
+++ b/crates/experiments/src/scale/agent/requests.rs
@@ -7,9 +7,9 @@
 use rand::Rng;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::{AttemptEnd, Decision, Outcome, Request};
+use tulipwall_discovery::endpoint_table::IndexGuard;
 
 /// How long a client waits.
 const DEADLINE: Duration = Duration::from_millis(1500);
@@ -39,7 +39,7 @@
 struct OpenAttempt {
     sent_at: Duration,
     /// Keeps the endpoint's index from being given to another.
-    _index_hold: Option<Rc<()>>,
+    _index_guard: Option<IndexGuard>,
 }
 
 impl SimulatedAgent {
@@ -79,7 +79,7 @@
         let class = self.rng.gen_range(0..self.size.classes);
         let key = self.rng.gen();
         let timer = ProcessorTimer::start();
-        let tenant = self.config.tenant(&name);
+        let tenant = self.config.tenant_index(&name);
         self.meter.spent(now, Operation::TenantLookup, timer);
         Request {
             class,
@@ -156,7 +156,7 @@
     ) {
         let timer = ProcessorTimer::start();
         let target = self.discovery.list.target(endpoint);
-        let index_hold = self.discovery.list.hold(endpoint);
+        let index_guard = self.discovery.list.hold_index(endpoint);
         self.meter.spent(now, Operation::Decisions, timer);
         let (duration, outcome) = match target.map(|t| (t.address, t.zone)) {
             None => (Duration::ZERO, Outcome::NotSent),
@@ -167,7 +167,7 @@
         };
         request.attempts.push(Some(OpenAttempt {
             sent_at: now,
-            _index_hold: index_hold,
+            _index_guard: index_guard,
         }));
         let end = EventKind::AttemptEnd {
             request: id,
--- a/crates/experiments/src/scale/simulation/coordinator.rs
+++ b/crates/experiments/src/scale/simulation/coordinator.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall_discovery::clock::BEFORE;
+use tulipwall_discovery::clock::START_OFFSET;
 use tulipwall_testkit::{Entry, RolloutStatus};
 
 /// The platform sends a sign of life this often.
@@ -43,7 +43,7 @@
         workers: &'a [WorkerLink],
     ) -> Coordinator<'a> {
         let size = simulation.size;
-        let count_from = BEFORE + simulation.warm_up;
+        let count_from = START_OFFSET + simulation.warm_up;
         let nothing_down = ActualState {
             down: vec![false; size.endpoints],
             is_partitioned: false,
@@ -65,13 +65,13 @@
             inputs: Vec::new(),
             events,
             is_counting: false,
-            pinged_at: BEFORE,
+            pinged_at: START_OFFSET,
         }
     }
 
     /// Runs the simulation to its end.
     pub(super) fn run(mut self) -> Result<(), ScaleError> {
-        let mut now = BEFORE;
+        let mut now = START_OFFSET;
         while now < self.end {
             let until = now + DELAY;
             self.begin_counting(now);
@@ -185,7 +185,7 @@
                 entry.state = state.to_owned();
                 entry.build = build.unwrap_or(entry.build);
                 if started {
-                    entry.started_ms = START_MS + (now - BEFORE).as_millis() as u64;
+                    entry.started_ms = START_MS + (now - START_OFFSET).as_millis() as u64;
                 }
             }),
             InstallationEvent::RolloutStatus {
--- a/crates/experiments/src/scale/simulation/outcome.rs
+++ b/crates/experiments/src/scale/simulation/outcome.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tulipwall_discovery::clock::BEFORE;
+use tulipwall_discovery::clock::START_OFFSET;
 
 /// A change that an agent has not learnt after so long counts as late, whether it came or not.
 const MAX_PROPAGATION: Duration = Duration::from_secs(6);
@@ -252,7 +252,7 @@
     report: &AgentReport,
     discovery: &SimulatedDiscovery,
 ) -> Vec<Option<f64>> {
-    let from = BEFORE + simulation.warm_up;
+    let from = START_OFFSET + simulation.warm_up;
     let end = from + simulation.duration;
     let reconnected_at = reconnected_at(simulation, report.number);
     let reachable_from = reconnected_at.unwrap_or_default();
@@ -282,5 +282,5 @@
         .events
         .iter()
         .find(|(_, event)| matches!(event, InstallationEvent::Partition(false)));
-    healed.map(|(at, _)| BEFORE + simulation.warm_up + *at)
+    healed.map(|(at, _)| START_OFFSET + simulation.warm_up + *at)
 }
--- a/crates/experiments/src/scale/simulation/workers.rs
+++ b/crates/experiments/src/scale/simulation/workers.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall_discovery::clock::{Clock, BEFORE};
+use tulipwall_discovery::clock::{Clock, START_OFFSET};
 
 /// What agents sent in a step: when, which of them, what.
 pub(super) type Outputs = Vec<(Duration, usize, AgentOutput)>;
@@ -131,7 +131,7 @@
 
     fn start_agents(&self) -> Result<BTreeMap<usize, SimulatedAgent>, ScaleError> {
         let size = self.simulation.size;
-        let clock = Rc::new(Clock::of_start(START_MS));
+        let clock = Rc::new(Clock::starting_at_unix_ms(START_MS));
         let clock_cost = clock_cost_ns();
         let shared_config = Rc::new(size.service_config()?);
         let mut agents = BTreeMap::new();
@@ -143,9 +143,9 @@
             };
             let seed = self.simulation.seed;
             let mut agent =
-                SimulatedAgent::start(number, size, config, clock.clone(), seed, BEFORE);
+                SimulatedAgent::start(number, size, config, clock.clone(), seed, START_OFFSET);
             agent.meter.clock_cost_ns = clock_cost;
-            agent.restart(BEFORE, &self.known_lists[size.service_of(number)]);
+            agent.restart(START_OFFSET, &self.known_lists[size.service_of(number)]);
             agents.insert(number, agent);
         }
         Ok(agents)
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -133,7 +133,7 @@
     /// Those of [`ServiceConfig::read`].
     pub fn service_config(&self) -> Result<ServiceConfig, ScaleError> {
         let settings = self.settings();
-        let fields = Fields::of(&settings, "settings").map_err(ScaleError::settings)?;
+        let fields = Fields::new(&settings, "settings").map_err(ScaleError::settings)?;
         let mut config = ServiceConfig::read(&fields, 1).map_err(ScaleError::settings)?;
         // As the agent sets them on sockets, whatever the settings say.
         config.settings.list_polled = true;
--- a/crates/experiments/src/scenario/parse/fault.rs
+++ b/crates/experiments/src/scenario/parse/fault.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{Fault, FaultKind, Zone};
 use kdl::KdlNode;
 use std::time::Duration;
-use tulipwall_config::Reader;
+use tulipwall_config::KdlReader;
 
 const KEYS: [&str; 8] = [
     "at",
@@ -26,8 +26,8 @@
     FaultKind::Stall,
 ];
 
-pub(super) fn fault(reader: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<Fault> {
-    let location = reader.of(node);
+pub(super) fn fault(reader: &mut KdlReader, node: &KdlNode, zones: &[Zone]) -> Option<Fault> {
+    let location = reader.location(node);
     reader.arguments(node, 0, &[]);
     let mut fault = Fault {
         start: Duration::ZERO,
@@ -39,8 +39,8 @@
     let mut kinds = Vec::new();
     for node in reader.nodes(node.children(), "fault", &KEYS, &[]) {
         match node.name().value() {
-            "at" => fault.start = reader.span(node, Duration::ZERO)?,
-            "for" => fault.duration = reader.span(node, Duration::from_millis(1)),
+            "at" => fault.start = reader.duration(node, Duration::ZERO)?,
+            "for" => fault.duration = reader.duration(node, Duration::from_millis(1)),
             "zone" => fault.zone = zone(reader, node, zones),
             "appliances" => {
                 let endpoints = reader.number(node, 1.0, MAX_ENDPOINTS);
@@ -51,23 +51,25 @@
     }
     if kinds.len() != 1 {
         let text = "one of slow, fail, burst or kind is wanted in it";
-        reader.wrong(location, "fault", text.into());
+        reader.report(location, "fault", text.into());
     }
     fault.kind = kinds.first().copied()?;
     Some(fault)
 }
 
-fn zone(reader: &mut Reader, node: &KdlNode, zones: &[Zone]) -> Option<usize> {
-    let location = reader.of(node);
+fn zone(reader: &mut KdlReader, node: &KdlNode, zones: &[Zone]) -> Option<usize> {
+    let location = reader.location(node);
     let name = reader.text(node)?;
     zone_index(reader, location, "zone", &name, zones)
 }
 
-fn kind(reader: &mut Reader, node: &KdlNode) -> Option<FaultKind> {
+fn kind(reader: &mut KdlReader, node: &KdlNode) -> Option<FaultKind> {
     match node.name().value() {
         "slow" => reader.number(node, 0.01, 1e4).map(FaultKind::Slow),
         "fail" => reader.number(node, 0.0, 1.0).map(FaultKind::Fail),
         "burst" => reader.number(node, 0.0, 1e4).map(FaultKind::Burst),
-        _ => reader.word(node, &PLAIN_KIND_NAMES).map(|n| PLAIN_KINDS[n]),
+        _ => reader
+            .keyword(node, &PLAIN_KIND_NAMES)
+            .map(|n| PLAIN_KINDS[n]),
     }
 }
--- a/crates/experiments/src/scenario/parse/mod.rs
+++ b/crates/experiments/src/scenario/parse/mod.rs
@@ -8,7 +8,7 @@
 use super::{ClientKind, Scenario, ROUTING_NAMES};
 use kdl::KdlNode;
 use std::time::Duration;
-use tulipwall_config::{ConfigDiagnostic, Reader, SourceLocation};
+use tulipwall_config::{ConfigDiagnostic, KdlReader, SourceLocation};
 
 const DEFAULT_SEEDS: u64 = 5;
 const DEFAULT_AGENTS: usize = 3;
@@ -37,25 +37,22 @@
 
 /// Parses a document; everything that is wrong with it otherwise, in the order of its lines.
 pub(super) fn scenario(text: &str) -> Result<Scenario, Vec<ConfigDiagnostic>> {
-    let mut reader = Reader::new(text);
+    let mut reader = KdlReader::new(text);
     let document = reader.document();
     let nodes = reader.nodes(document.as_ref(), "the file", &["experiment"], &[]);
     let node = nodes.first().copied();
     let scenario = node.and_then(|node| experiment(&mut reader, node));
-    if node.is_none() && reader.mistakes.is_empty() {
+    if node.is_none() && !reader.has_diagnostics() {
         let start = SourceLocation { line: 1, column: 1 };
-        reader.wrong(start, "experiment", "one is wanted".into());
+        reader.report(start, "experiment", "one is wanted".into());
     }
     match scenario {
-        Some(scenario) if reader.mistakes.is_empty() => Ok(scenario),
-        _ => {
-            reader.mistakes.sort();
-            Err(reader.mistakes)
-        }
+        Some(scenario) if !reader.has_diagnostics() => Ok(scenario),
+        _ => Err(reader.into_diagnostics()),
     }
 }
 
-fn experiment(reader: &mut Reader, node: &KdlNode) -> Option<Scenario> {
+fn experiment(reader: &mut KdlReader, node: &KdlNode) -> Option<Scenario> {
     let name = name_argument(reader, node, "experiment")?;
     let mut scenario = default_scenario(name);
     let nodes = reader.nodes(node.children(), "experiment", &SINGLE_KEYS, &REPEATED_KEYS);
@@ -94,7 +91,7 @@
 }
 
 /// Reads one node of an experiment into the scenario.
-fn section(reader: &mut Reader, node: &KdlNode, scenario: &mut Scenario) {
+fn section(reader: &mut KdlReader, node: &KdlNode, scenario: &mut Scenario) {
     match node.name().value() {
         "offer" => scenario.rollout = Some(rollout::rollout(reader, node)),
         "lane" => scenario.classes.extend(installation::class(reader, node)),
@@ -114,14 +111,14 @@
 }
 
 /// Reads a node that holds a single value.
-fn setting(reader: &mut Reader, node: &KdlNode, scenario: &mut Scenario) {
+fn setting(reader: &mut KdlReader, node: &KdlNode, scenario: &mut Scenario) {
     match node.name().value() {
         "seeds" => {
             let seeds = reader.number(node, 1.0, 10_000.0);
             scenario.seeds = seeds.map_or(DEFAULT_SEEDS, |n| n as u64);
         }
         "span" => {
-            let duration = reader.span(node, Duration::from_secs(1));
+            let duration = reader.duration(node, Duration::from_secs(1));
             scenario.duration = duration.unwrap_or(scenario.duration);
         }
         "rate" => scenario.rate = reader.number(node, 0.1, 1e7).unwrap_or(scenario.rate),
@@ -131,10 +128,10 @@
         }
         "spread" => scenario.load_spread = reader.number(node, 0.0, 1.0).unwrap_or(0.0),
         "clients" => {
-            let kind = reader.word(node, &ClientKind::NAMES);
+            let kind = reader.keyword(node, &ClientKind::NAMES);
             scenario.clients = kind.map_or(ClientKind::Open, |n| ClientKind::ALL[n]);
         }
-        "routing" => scenario.prefer_local_zone = reader.word(node, &ROUTING_NAMES) == Some(1),
+        "routing" => scenario.prefer_local_zone = reader.keyword(node, &ROUTING_NAMES) == Some(1),
         "share" => scenario.cross_zone_share = reader.number(node, 0.0, 1.0),
         "steady" => {
             let share = reader.number(node, 0.0, 1.0);
@@ -142,7 +139,7 @@
         }
         "loss" => scenario.loss = reader.number(node, 0.0, 1.0).unwrap_or(0.0),
         "told-late" => {
-            let delay = reader.span(node, Duration::ZERO);
+            let delay = reader.duration(node, Duration::ZERO);
             scenario.notification_delay = delay.unwrap_or(Duration::ZERO);
         }
         _ => {}
@@ -150,16 +147,16 @@
 }
 
 /// Checks what no single section can: required sections, and a rollout where it varies.
-fn check_complete(reader: &mut Reader, node: &KdlNode, scenario: &Scenario) {
+fn check_complete(reader: &mut KdlReader, node: &KdlNode, scenario: &Scenario) {
     let required = [
         ("lane", scenario.classes.is_empty()),
         ("zone", scenario.zones.is_empty()),
     ];
     for (key, missing) in required {
         // One that is there and wrong has been reported already.
-        let reported = reader.mistakes.iter().any(|m| m.key == key);
+        let reported = reader.has_diagnostics_for(key);
         if missing && !reported {
-            reader.wrong(reader.of(node), key, "one or more are wanted".into());
+            reader.report(reader.location(node), key, "one or more are wanted".into());
         }
     }
     let varies_rollout = scenario
@@ -168,14 +165,14 @@
         .any(|v| v.parameter.needs_rollout());
     if scenario.rollout.is_none() && varies_rollout {
         let text = "an offer is wanted for what varies of it";
-        reader.wrong(reader.of(node), "vary", text.into());
+        reader.report(reader.location(node), "vary", text.into());
     }
 }
 
 /// The name that a node has as its only argument.
-fn name_argument(reader: &mut Reader, node: &KdlNode, key: &str) -> Option<String> {
+fn name_argument(reader: &mut KdlReader, node: &KdlNode, key: &str) -> Option<String> {
     let arguments = reader.arguments(node, 1, &[]);
     arguments
         .into_iter()
-        .find_map(|entry| reader.text_of(entry, key))
+        .find_map(|entry| reader.entry_text(entry, key))
 }
--- a/crates/experiments/src/scenario/parse/rollout.rs
+++ b/crates/experiments/src/scenario/parse/rollout.rs
@@ -4,11 +4,11 @@
 use crate::scenario::Rollout;
 use kdl::KdlNode;
 use std::time::Duration;
-use tulipwall_config::Reader;
+use tulipwall_config::KdlReader;
 
 const DEFAULT_ENDPOINTS: usize = 3;
 
-pub(super) fn rollout(reader: &mut Reader, node: &KdlNode) -> Rollout {
+pub(super) fn rollout(reader: &mut KdlReader, node: &KdlNode) -> Rollout {
     reader.arguments(node, 0, &[]);
     let mut rollout = Rollout {
         start: Duration::from_secs(5),
@@ -25,13 +25,17 @@
     rollout
 }
 
-fn setting(reader: &mut Reader, node: &KdlNode, rollout: &mut Rollout) {
+fn setting(reader: &mut KdlReader, node: &KdlNode, rollout: &mut Rollout) {
     match node.name().value() {
-        "at" => rollout.start = reader.span(node, Duration::ZERO).unwrap_or(rollout.start),
+        "at" => {
+            rollout.start = reader
+                .duration(node, Duration::ZERO)
+                .unwrap_or(rollout.start)
+        }
         "slowness" => rollout.slowness = reader.number(node, 0.1, 100.0).unwrap_or(1.0),
         "fails" => rollout.failure_rate = reader.number(node, 0.0, 1.0).unwrap_or(0.0),
         "step" => {
-            let duration = reader.span(node, Duration::from_millis(100));
+            let duration = reader.duration(node, Duration::from_millis(100));
             rollout.stage_duration = duration.unwrap_or(rollout.stage_duration);
         }
         "appliances" => {
--- a/crates/experiments/src/scenario/parse/variation.rs
+++ b/crates/experiments/src/scenario/parse/variation.rs
@@ -3,18 +3,18 @@
 use super::MAX_AGENTS;
 use crate::scenario::{Parameter, Value, Variation};
 use kdl::{KdlEntry, KdlNode};
-use tulipwall_config::Reader;
+use tulipwall_config::KdlReader;
 
 /// Largest number that any parameter takes.
 const MAX_NUMBER: f64 = 1e7;
 
-pub(super) fn variation(reader: &mut Reader, node: &KdlNode) -> Option<Variation> {
+pub(super) fn variation(reader: &mut KdlReader, node: &KdlNode) -> Option<Variation> {
     let mut entries = node.entries().iter().filter(|e| e.name().is_none());
-    let location = reader.of(node);
-    let key = entries.next().and_then(|e| reader.text_of(e, "vary"));
+    let location = reader.location(node);
+    let key = entries.next().and_then(|e| reader.entry_text(e, "vary"));
     let Some(key) = key else {
         let text = "a key and its values are wanted";
-        reader.wrong(location, "vary", text.into());
+        reader.report(location, "vary", text.into());
         return None;
     };
     let Some(parameter) = Parameter::from_key(&key) else {
@@ -22,7 +22,7 @@
             "'{key}' is not among {}",
             Parameter::KEYS.map(|k| k.0).join(", ")
         );
-        reader.wrong(location, "vary", text);
+        reader.report(location, "vary", text.into());
         return None;
     };
     let mut values = Vec::new();
@@ -30,27 +30,27 @@
         let value = value(reader, entry, parameter);
         if value.is_none() && !parameter.words().is_empty() {
             let text = format!("a word that {key} does not have");
-            reader.wrong(location, "vary", text);
+            reader.report(location, "vary", text.into());
         }
         values.extend(value);
     }
     if values.is_empty() {
         let text = "one value or more are wanted";
-        reader.wrong(location, "vary", text.into());
+        reader.report(location, "vary", text.into());
         return None;
     }
     Some(Variation { parameter, values })
 }
 
-fn value(reader: &mut Reader, entry: &KdlEntry, parameter: Parameter) -> Option<Value> {
+fn value(reader: &mut KdlReader, entry: &KdlEntry, parameter: Parameter) -> Option<Value> {
     let words = parameter.words();
     if !words.is_empty() {
         let word = entry.value().as_string()?;
         return words.contains(&word).then(|| Value::Word(word.to_owned()));
     }
     let number = match parameter {
-        Parameter::Agents => reader.number_of(entry, "vary", 1.0, MAX_AGENTS),
-        _ => reader.number_of(entry, "vary", 0.0, MAX_NUMBER),
+        Parameter::Agents => reader.entry_number(entry, "vary", 1.0, MAX_AGENTS),
+        _ => reader.entry_number(entry, "vary", 0.0, MAX_NUMBER),
     };
     number.map(Value::Number)
 }
--- a/crates/testkit/src/day.rs
+++ b/crates/testkit/src/day.rs
@@ -8,9 +8,12 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 use tulipwall::*;
-use tulipwall_client_policy::{Ended as TryEnded, Next, Retries, Retrying, Tries};
+use tulipwall_client_policy::{
+    AttemptHistory, AttemptOutcome, RetryController, RetryDecision, RetryPolicy,
+};
 use tulipwall_zones::{
-    Budget, ClassProfile, Ended, Flaw, Link, Opening, Routing, Sending, Ticket, Zones, Zoning,
+    AttemptStart, Budget, ClassProfile, CompletedAttempt, ConnectionTraffic, Link, Reservation,
+    ResponseFault, RoutingPolicy, ZoneConfig, Zones,
 };
 
 /// Time at which a day begins, so that what began before has a time, too.
@@ -62,7 +65,7 @@
 pub struct Caller {
     pub zone: usize,
     pub part: f64,
-    pub zoning: Option<Zoning>,
+    pub zoning: Option<ZoneConfig>,
 }
 
 /// What clients do with a request that was rejected or failed.
@@ -74,7 +77,7 @@
     /// costs.
     Naive { pause: Duration, tries: u32 },
     /// As the client library does, one client to each agent.
-    Careful(Retrying),
+    Careful(RetryPolicy),
 }
 
 /// A build that the platform takes through its stages by the clock, which stands still while a hold
@@ -171,10 +174,15 @@
 }
 
 /// Zones for an agent in `own` of so many, routed near first, without prices.
-pub fn zoning(classes: &[RequestClass], own: usize, zones: usize, budgets: Vec<Budget>) -> Zoning {
-    Zoning {
-        own,
-        zones,
+pub fn zoning(
+    classes: &[RequestClass],
+    own: usize,
+    zones: usize,
+    budgets: Vec<Budget>,
+) -> ZoneConfig {
+    ZoneConfig {
+        local_zone: own,
+        zone_count: zones,
         classes: classes
             .iter()
             .map(|l| ClassProfile {
@@ -184,7 +192,7 @@
             .collect(),
         links: vec![Link::default(); zones + 1],
         budgets,
-        routing: Routing::NearFirst,
+        routing: RoutingPolicy::LocalFirst,
     }
 }
 
@@ -269,7 +277,7 @@
     /// Requests a second, over all agents.
     Rate(f64),
     Stalls(usize, Duration),
-    Zoning(usize, Zoning),
+    Zoning(usize, ZoneConfig),
     /// One direction of the way between two zones.
     Link(usize, usize, Duration),
 }
@@ -332,7 +340,7 @@
     pub second_times: Vec<Histogram<u64>>,
     pub seconds: Vec<Vec<Second>>, // by agent
     /// Crossings by agent and second: when, class, whether it was over a budget.
-    pub crossings: Vec<Vec<(Duration, usize, Option<tulipwall_zones::Reason>)>>,
+    pub crossings: Vec<Vec<(Duration, usize, Option<tulipwall_zones::OverBudgetReason>)>>,
     /// Broken rules.
     pub broken: Vec<String>,
     pub votes: Vec<(Duration, Vote)>,
@@ -467,7 +475,7 @@
     zone: usize,
     sent: Duration,
     ended: bool,
-    ticket: Option<Ticket>,
+    ticket: Option<Reservation>,
     connected: bool,
 }
 
@@ -494,11 +502,11 @@
     class: usize,
     first: Duration,
     key: Option<u64>,
-    tries: Tries,
+    tries: AttemptHistory,
 }
 
 struct Runner {
-    retries: Retries,
+    retries: RetryController,
     zone: usize,
     choice: Balancer,
     zones: Option<Zones>,
@@ -584,10 +592,10 @@
             }
             let retrying = match &day.clients {
                 Clients::Careful(by) => by.clone(),
-                _ => Retrying::default(),
+                _ => RetryPolicy::default(),
             };
             agents.push(Runner {
-                retries: Retries::new(retrying, 1, seed),
+                retries: RetryController::new(retrying, 1, seed),
                 zone: a.zone,
                 choice,
                 zones: a.zoning.clone().map(|z| Zones::new(ZERO, z)),
@@ -730,9 +738,11 @@
                 }
                 let a = &mut self.agents[agent];
                 if let Some(z) = &mut a.zones {
-                    let zone_capacities = a.choice.zone_capacities(now, z.zoning().all());
-                    z.step(now, &zone_capacities);
-                    if let Some(told) = z.crossings() {
+                    let zone_capacities = a
+                        .choice
+                        .zone_capacities(now, z.config().zone_count_with_unnamed());
+                    z.tick(now, &zone_capacities);
+                    if let Some(told) = z.cross_zone_policy() {
                         a.choice.set_cross_zone_policy(told);
                     }
                 }
@@ -807,7 +817,7 @@
         } else {
             left * 2
         };
-        let tries = Tries::new(self.day.deployment.classes[class].idempotency, now + all);
+        let tries = AttemptHistory::new(self.day.deployment.classes[class].idempotency, now + all);
         self.second(agent).asked += 1;
         self.take(
             agent,
@@ -825,7 +835,7 @@
         let (class, key) = (asking.class, asking.key);
         let (now, a) = (self.now, &mut self.agents[agent]);
         let left = self.day.classes[class].1;
-        asking.tries.begin(now);
+        asking.tries.on_attempt_start(now);
         let id = a.next;
         a.next += 1;
         let (deadline, out) = (now + left, Vec::new());
@@ -841,7 +851,7 @@
         a.held.insert(id, held);
         a.exposed = (a.exposed - a.cap).max(0.0);
         if let Some(z) = &mut a.zones {
-            z.taken(now, class);
+            z.on_request(now, class);
         }
         a.choice.on_request(
             now,
@@ -1007,7 +1017,7 @@
         let at = match &self.day.clients {
             Clients::Open => return,
             Clients::Naive { pause, tries } => {
-                let on = asking.tries.count < *tries && now + *pause < asking.tries.deadline;
+                let on = asking.tries.attempts < *tries && now + *pause < asking.tries.deadline;
                 on.then_some(now + *pause)
             }
             Clients::Careful(_) => {
@@ -1017,16 +1027,16 @@
                     .retry_after
                     .map(|t| t.min(Duration::from_millis(500)));
                 let ended = if rejected {
-                    TryEnded::Rejected(retry_after)
+                    AttemptOutcome::Rejected { retry_after }
                 } else {
-                    TryEnded::Failed
+                    AttemptOutcome::Failed
                 };
                 match self.agents[agent]
                     .retries
-                    .next(now, &mut asking.tries, 0, ended)
+                    .decide(now, &mut asking.tries, 0, ended)
                 {
-                    Next::Again(at) => Some(at),
-                    Next::Over(_) => None,
+                    RetryDecision::RetryAt(at) => Some(at),
+                    RetryDecision::GiveUp(_) => None,
                 }
             }
         };
@@ -1149,26 +1159,26 @@
                 ..
             }
         );
-        let sending = Sending {
+        let sending = AttemptStart {
             to: n.zone,
             class: h.class,
             build: n.build,
-            nth,
+            previous_attempts: nth,
             hedged: h.out.iter().any(|o| !o.ended),
-            trial,
-            bound: grouped && nth > 0 && self.ran.contains_key(&(agent, id)),
+            is_canary: trial,
+            pinned_to_scope: grouped && nth > 0 && self.ran.contains_key(&(agent, id)),
         };
         let choice = &a.choice;
         let ticket = a.zones.as_mut().map(|z| {
-            let all = z.zoning().all();
-            z.sent(now, sending, || choice.zone_capacities(now, all))
+            let all = z.config().zone_count_with_unnamed();
+            z.on_attempt(now, sending, || choice.zone_capacities(now, all))
         });
-        if let Some(told) = a.zones.as_mut().and_then(Zones::crossings) {
+        if let Some(told) = a.zones.as_mut().and_then(Zones::cross_zone_policy) {
             a.choice.set_cross_zone_policy(told);
         }
         let far = n.zone != a.zone;
         if far {
-            let over = ticket.as_ref().and_then(|t| t.over);
+            let over = ticket.as_ref().and_then(|t| t.over_budget);
             self.played.crossings[agent].push((now - ZERO, h.class, over));
         }
         let connected = std::mem::replace(&mut a.warm[node], true);
@@ -1210,14 +1220,14 @@
         }
         if !connected {
             if let Some(z) = &mut self.agents[agent].zones {
-                z.opened(
+                z.on_connection(
                     now,
-                    &Opening {
+                    &ConnectionTraffic {
                         to: n.zone,
                         build: n.build,
-                        out: 60,
-                        back: 60,
-                        took: Some(first),
+                        bytes_sent: 60,
+                        bytes_received: 60,
+                        handshake: Some(first),
                     },
                 );
             }
@@ -1459,16 +1469,16 @@
         let ticket = h.out[nth].ticket.take();
         if let (Some(z), Some(ticket)) = (&mut a.zones, ticket) {
             let out = if written { BYTES.0 } else { 0 };
-            z.ended(
+            z.on_attempt_end(
                 now,
                 &ticket,
-                &Ended {
+                &CompletedAttempt {
                     outcome,
-                    flaw: Flaw::None,
-                    written,
-                    out,
-                    back,
-                    took,
+                    fault: ResponseFault::None,
+                    fully_written: written,
+                    bytes_sent: out,
+                    bytes_received: back,
+                    latency: took,
                 },
             );
         }
@@ -1492,7 +1502,7 @@
         if first {
             let took = now.saturating_sub(taken);
             self.played.succeeded += 1;
-            self.agents[agent].retries.succeeded(0);
+            self.agents[agent].retries.on_success(0);
             let latency_objective = self.day.deployment.classes[class].latency_objective;
             self.played.in_time += u64::from(took <= latency_objective);
             if now.saturating_sub(first_asked) <= latency_objective {
@@ -1565,8 +1575,8 @@
                 if let Some(z) = &mut a.zones {
                     // Zones and classes are those of before, which is all that is refused.
                     let classes = vec![IndexOrigin::Same; zoning.classes.len()];
-                    z.renew(now, zoning, &classes);
-                    if let Some(told) = z.crossings() {
+                    z.reload(now, zoning, &classes);
+                    if let Some(told) = z.cross_zone_policy() {
                         a.choice.set_cross_zone_policy(told);
                     }
                 }
