--- a/crates/agent/src/cli/demo/timeline.rs
+++ b/crates/agent/src/cli/demo/timeline.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tulipwall_testkit::{Offer, World};
+use tulipwall_testkit::{StagedRollout, TestCluster};
 
 /// The length of the demo, in seconds from the first request; the times below count from there too.
 pub const DURATION_S: u64 = 25;
@@ -23,7 +23,7 @@
 
 /// The course of the demo.
 pub struct Timeline {
-    world: Arc<World>,
+    world: Arc<TestCluster>,
     /// Whether the new build has reached the last stage of its rollout.
     released: Arc<AtomicBool>,
     /// Cancelled when dropped.
@@ -32,7 +32,7 @@
 
 impl Timeline {
     /// Nothing has happened yet.
-    pub fn new(world: Arc<World>) -> Timeline {
+    pub fn new(world: Arc<TestCluster>) -> Timeline {
         Timeline {
             world,
             released: Arc::new(AtomicBool::new(false)),
@@ -52,7 +52,7 @@
                 )
             }
             DRAIN_AT_S => {
-                self.world.state(0, "terminating");
+                self.world.set_zone_state(0, "terminating");
                 Ok(format!(
                     "all of {} drains; the budget is for a twentieth",
                     ZONES[0]
@@ -79,17 +79,17 @@
             // One more endpoint of each zone comes up with the new build at each stage.
             for (zone, name) in ZONES.iter().enumerate() {
                 let id = format!("{name}-new-{stage}");
-                let _ = world.cold(zone, &id, NEW_BUILD, endpoint_behavior());
+                let _ = world.add_cold_endpoint(zone, &id, NEW_BUILD, endpoint_behavior());
             }
             link_zones(&world);
             released.store(stage + 1 == STAGE_CAPS.len(), Ordering::SeqCst);
         };
-        let stages = Offer {
+        let stages = StagedRollout {
             build: NEW_BUILD,
             caps: STAGE_CAPS.to_vec(),
-            step: STAGE_DURATION,
+            stage_duration: STAGE_DURATION,
         };
-        self.rollout = Some(self.world.platform.offer(stages, on_stage));
+        self.rollout = Some(self.world.platform.run_rollout(stages, on_stage));
     }
 
     fn return_zone(&self) -> io::Result<()> {
@@ -100,7 +100,8 @@
         };
         for n in 0..ENDPOINTS_PER_ZONE {
             let id = format!("{}-back-{n}", ZONES[0]);
-            self.world.cold(0, &id, build, endpoint_behavior())?;
+            self.world
+                .add_cold_endpoint(0, &id, build, endpoint_behavior())?;
         }
         Ok(())
     }
--- a/crates/experiments/src/cli/experiment.rs
+++ b/crates/experiments/src/cli/experiment.rs
@@ -240,13 +240,13 @@
         let points = points.len();
         return Err(ExperimentError::NoSuchPoint { point, points });
     };
-    let mut day = run::day(&scenario.at(values), seed);
-    day.watch = Some((request.agent, request.request));
-    let played = day.play();
-    if played.life.is_empty() {
+    let mut simulation = run::build_simulation(&scenario.at(values), seed);
+    simulation.traced_request = Some((request.agent, request.request));
+    let report = simulation.run();
+    if report.trace.is_empty() {
         return Err(ExperimentError::NoSuchRequest(request));
     }
-    for line in &played.life {
+    for line in &report.trace {
         println!("{line}");
     }
     Ok(Outcome::Done)
--- a/crates/experiments/src/fleet/installation.rs
+++ b/crates/experiments/src/fleet/installation.rs
@@ -13,7 +13,8 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::platform::RolloutStatus;
 use tulipwall_testkit::{
-    program, Caller, Discovery, Endpoint, Entry, Platform, Program, RequestClass, Ways,
+    agent_process, AgentProcess, Discovery, Endpoint, EndpointBehavior, Entry, Platform,
+    RequestClass, TestClient,
 };
 
 /// Entries of the endpoint list share so many listeners, one after another.
@@ -47,7 +48,7 @@
 /// A real agent, with the proxies through which it reaches discovery and the platform.
 pub struct RunningAgent {
     /// Its process.
-    pub program: Program,
+    pub program: AgentProcess,
     /// Counts its traffic with discovery.
     pub discovery: CountingProxy,
     /// Counts its traffic with the platform.
@@ -95,7 +96,7 @@
     ///
     /// # Errors
     /// A fake cannot listen.
-    pub fn start(size: &Size, behavior: Ways) -> io::Result<Installation> {
+    pub fn start(size: &Size, behavior: EndpointBehavior) -> io::Result<Installation> {
         let endpoints = (0..listeners(size))
             .map(|seed| Endpoint::start(1, behavior.clone(), seed as u64))
             .collect::<io::Result<Vec<_>>>()?;
@@ -132,7 +133,7 @@
             started_ms: 0,
             build: BUILD,
         };
-        discovery.tell((0..size.endpoints).map(entry));
+        discovery.update((0..size.endpoints).map(entry));
         let platform = Platform::start(RolloutStatus::now(BUILD, 0, "released", 1.0))?;
         Ok(Installation {
             discovery,
@@ -153,7 +154,7 @@
         let names: Vec<&str> = zones.iter().map(String::as_str).collect();
         let classes = classes(self.size.classes);
         let agents = self.size.agents as u32;
-        let mut settings = program::settings(&names, names[zone], agents, &classes);
+        let mut settings = agent_process::settings(&names, names[zone], agents, &classes);
         let share = 1.0 / self.size.tenants.max(1) as f64;
         let tenants = (0..self.size.tenants).map(|n| json!({"name": tenant(n), "share": share}));
         settings["tenants"] = tenants.collect();
@@ -175,12 +176,12 @@
         let zone = number % self.size.zones;
         let discovery = CountingProxy::start(self.discovery.address(zone))?;
         let platform = CountingProxy::start(self.platform.address)?;
-        let mut configuration = program::configuration(
+        let mut configuration = agent_process::configuration(
             &format!("n{number}"),
             discovery.address,
             platform.address,
-            self.platform.newest().value(),
-            self.discovery.known(zone),
+            self.platform.current_rollout().value(),
+            self.discovery.full_list(zone),
             self.settings(zone),
         )?;
         configuration["limits"]["sockets"] = self.size.sockets.into();
@@ -190,11 +191,12 @@
             }
         }
         let started_at = Instant::now();
-        let program =
-            Program::start(binary, configuration, &[]).map_err(|source| FleetError::Start {
+        let program = AgentProcess::start(binary, configuration, &[]).map_err(|source| {
+            FleetError::Start {
                 path: binary.to_owned(),
                 source,
-            })?;
+            }
+        })?;
         let ready_after = wait_until_serving(&program, started_at)?;
         Ok(RunningAgent {
             program,
@@ -217,12 +219,12 @@
 
     /// Attempts that came to any endpoint.
     pub fn attempts(&self) -> usize {
-        self.endpoints.iter().map(Endpoint::seen_count).sum()
+        self.endpoints.iter().map(Endpoint::received_count).sum()
     }
 }
 
 /// Waits until an agent answers an empty query; returns how long after `started_at`.
-fn wait_until_serving(program: &Program, started_at: Instant) -> Result<Duration, FleetError> {
+fn wait_until_serving(program: &AgentProcess, started_at: Instant) -> Result<Duration, FleetError> {
     let address = program.address()?;
     while TcpStream::connect(address).is_err() {
         if started_at.elapsed() > TIMEOUT {
@@ -231,7 +233,7 @@
         }
         sleep(POLL_INTERVAL);
     }
-    Caller::connect(address)?;
+    TestClient::connect(address)?;
     Ok(started_at.elapsed())
 }
 
@@ -276,13 +278,13 @@
         configuration["discovery"] = discovery.address.to_string().into();
         configuration["deployer"] = json!({
             "address": platform.address.to_string(),
-            "news": installation.platform.newest().value(),
+            "news": installation.platform.current_rollout().value(),
         });
-        configuration["known"] = installation.discovery.known(self.zone);
+        configuration["known"] = installation.discovery.full_list(self.zone);
         change_settings(&mut configuration["settings"]);
         let text = configuration.to_string();
         let at = Instant::now();
-        self.program.renew(&text)?;
+        self.program.reload(&text)?;
         let old_discovery = std::mem::replace(&mut self.discovery, discovery);
         let old_platform = std::mem::replace(&mut self.platform, platform);
         Ok(Reload {
@@ -304,13 +306,13 @@
         change_settings(&mut configuration["settings"]);
         let told_at = Instant::now();
         self.program.terminate()?;
-        if !self.program.ended_well()? {
+        if !self.program.wait_for_success()? {
             let log = self.program.log();
             return Err(FleetError::FailedExit { log });
         }
         let ended = told_at.elapsed();
         let started_at = Instant::now();
-        self.program = Program::start(binary, configuration, &[])?;
+        self.program = AgentProcess::start(binary, configuration, &[])?;
         self.ready_after = wait_until_serving(&self.program, started_at)?;
         Ok(RestartTimes {
             ended,
--- a/crates/experiments/src/fleet/measures/added_latency.rs
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -10,7 +10,7 @@
 use crate::fleet::results::Row;
 use crate::fleet::timed_endpoint;
 use std::time::Duration;
-use tulipwall_testkit::Answered;
+use tulipwall_testkit::LoadReport;
 
 /// A load whose requests were sent within so long of when they were due, for 99 in 100, had the
 /// cores that it needs.
@@ -90,12 +90,12 @@
     ))
 }
 
-fn sample(plan: &Plan, through: &Answered, straight: &Answered, waited: Duration) -> Sample {
-    let requests = through.asked.max(1) as f64;
-    let through_late = through.issued_late_ms(0.99);
-    let straight_late = straight.issued_late_ms(0.99);
+fn sample(plan: &Plan, through: &LoadReport, straight: &LoadReport, waited: Duration) -> Sample {
+    let requests = through.requests.max(1) as f64;
+    let through_late = through.send_delay_ms(0.99);
+    let straight_late = straight.send_delay_ms(0.99);
     Sample {
-        asked: through.asked,
+        asked: through.requests,
         succeeded: through.succeeded,
         through: quantiles_beyond_work(through, plan.work),
         straight: quantiles_beyond_work(straight, plan.work),
@@ -104,12 +104,12 @@
     }
 }
 
-fn quantiles_beyond_work(answered: &Answered, work: Duration) -> Quantiles {
+fn quantiles_beyond_work(answered: &LoadReport, work: Duration) -> Quantiles {
     let beyond_work = |(id, took_us): &(String, u64)| {
         let work = timed_endpoint::work(id, work);
         *took_us as f64 / 1000.0 - milliseconds(work)
     };
-    let mut sorted: Vec<f64> = answered.each.iter().map(beyond_work).collect();
+    let mut sorted: Vec<f64> = answered.request_latencies.iter().map(beyond_work).collect();
     sorted.sort_by(f64::total_cmp);
     let quantile = |share: f64| {
         let rank = (sorted.len() as f64 * share).ceil() as usize;
--- a/crates/experiments/src/fleet/measures/idle.rs
+++ b/crates/experiments/src/fleet/measures/idle.rs
@@ -10,7 +10,7 @@
 use std::io;
 use std::thread::sleep;
 use std::time::Instant;
-use tulipwall_testkit::Ways;
+use tulipwall_testkit::EndpointBehavior;
 
 /// What an agent has taken so far.
 struct Reading {
@@ -26,7 +26,7 @@
 }
 
 pub(super) fn measure(plan: &Plan, size: &Size, by: &'static str) -> Result<Row, FleetError> {
-    let installation = Installation::start(size, Ways::default())?;
+    let installation = Installation::start(size, EndpointBehavior::default())?;
     let agents = installation.agents(&plan.binary)?;
     sleep(plan.settle);
     let before = agents.iter().map(read).collect::<io::Result<Vec<_>>>()?;
--- a/crates/experiments/src/fleet/measures/list_change.rs
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -7,7 +7,7 @@
 use crate::fleet::results::Row;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::Ways;
+use tulipwall_testkit::EndpointBehavior;
 
 /// After the request behind a change some work may still be under way.
 const REST: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
     let Some(planned) = plan.sizes(Measure::Change).pop() else {
         return Ok(Vec::new());
     };
-    let installation = Installation::start(&planned.size, Ways::default())?;
+    let installation = Installation::start(&planned.size, EndpointBehavior::default())?;
     let agent = installation.agent(&plan.binary, 0, true)?;
     sleep(plan.settle);
     let row = |count| {
@@ -66,7 +66,7 @@
     }
     let started_at = Instant::now();
     let before = agent.usage()?.ran;
-    installation.discovery.tell(entries);
+    installation.discovery.update(entries);
     let change = until("the question behind a change", || {
         agent.discovery.response_since(started_at)
     })?;
--- a/crates/experiments/src/fleet/measures/load.rs
+++ b/crates/experiments/src/fleet/measures/load.rs
@@ -4,7 +4,7 @@
 use crate::fleet::plan::{Size, LOAD_CONNECTIONS};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall_testkit::{Answered, Load};
+use tulipwall_testkit::{Load, LoadReport};
 
 /// How long clients wait.
 const DEADLINE: Duration = Duration::from_millis(1500);
@@ -15,7 +15,7 @@
 pub(super) const SEED: u64 = 8;
 
 /// Plays a load over classes and tenants from all parts of the settings, to its end.
-pub fn load(size: &Size, at: SocketAddr, rate: f64, duration: Duration, seed: u64) -> Answered {
+pub fn load(size: &Size, at: SocketAddr, rate: f64, duration: Duration, seed: u64) -> LoadReport {
     let all = classes(size.classes);
     let used = all.len().min(MAX_CLASSES);
     let class = |n: usize| {
@@ -28,10 +28,10 @@
     let load = Load {
         agent: at,
         rate,
-        span: duration,
+        duration,
         classes: (0..used).map(class).collect(),
         connections: LOAD_CONNECTIONS,
         seed,
     };
-    load.play()
+    load.run()
 }
--- a/crates/experiments/src/fleet/measures/memory.rs
+++ b/crates/experiments/src/fleet/measures/memory.rs
@@ -9,7 +9,7 @@
 use crate::fleet::results::Row;
 use std::io;
 use std::thread::sleep;
-use tulipwall_testkit::{Act, Caller, Ways};
+use tulipwall_testkit::{EndpointBehavior, ResponseBehavior, TestClient};
 
 const MEGABYTE: f64 = 1e6;
 /// Deadline of requests that no endpoint answers, in milliseconds.
@@ -42,7 +42,7 @@
         _ => ("appliances", |size| size.endpoints),
     };
     let row = |PlannedSize { size, .. }| {
-        let installation = Installation::start(&size, Ways::default())?;
+        let installation = Installation::start(&size, EndpointBehavior::default())?;
         let agents = installation.agents(&plan.binary)?;
         sleep(plan.settle);
         let mut figures = vec![("agents", agents.len() as f64)];
@@ -55,7 +55,7 @@
 /// Memory by idle connections of clients.
 pub(super) fn connections(plan: &Plan) -> Result<Vec<Row>, FleetError> {
     let row = |PlannedSize { size, clients }| {
-        let installation = Installation::start(&size, Ways::default())?;
+        let installation = Installation::start(&size, EndpointBehavior::default())?;
         let agent = installation.agent(&plan.binary, 0, true)?;
         let connected = connect(&agent, clients)?;
         sleep(plan.settle);
@@ -67,24 +67,24 @@
     sizes.into_iter().map(row).collect()
 }
 
-fn connect(agent: &RunningAgent, clients: usize) -> io::Result<Vec<Caller>> {
+fn connect(agent: &RunningAgent, clients: usize) -> io::Result<Vec<TestClient>> {
     let address = agent.address()?;
-    (0..clients).map(|_| Caller::connect(address)).collect()
+    (0..clients).map(|_| TestClient::connect(address)).collect()
 }
 
 /// Memory by requests that no endpoint answers, each on a connection of its own: how many were
 /// open, and what the agent held meanwhile, with the connections of clients and to endpoints.
 pub(super) fn open_requests(plan: &Plan) -> Result<Vec<Row>, FleetError> {
-    let silent = Ways {
-        act: Act::Silent,
-        ..Ways::default()
+    let silent = EndpointBehavior {
+        response: ResponseBehavior::NeverAnswer,
+        ..EndpointBehavior::default()
     };
     let row = |PlannedSize { size, clients }| {
         let installation = Installation::start(&size, silent.clone())?;
         let agent = installation.agent(&plan.binary, 0, true)?;
         let mut connected = connect(&agent, clients)?;
         for client in &mut connected {
-            client.ask(OPEN_REQUEST_CLASS, OPEN_REQUEST_DEADLINE_MS);
+            client.send_query(OPEN_REQUEST_CLASS, OPEN_REQUEST_DEADLINE_MS);
         }
         sleep(plan.settle);
         let mut figures = vec![
@@ -103,8 +103,8 @@
     let mut ids: Vec<String> = installation
         .endpoints
         .iter()
-        .flat_map(|endpoint| endpoint.seen())
-        .map(|seen| seen.id)
+        .flat_map(|endpoint| endpoint.received_queries())
+        .map(|query| query.id)
         .collect();
     ids.sort();
     ids.dedup();
--- a/crates/experiments/src/fleet/measures/reload.rs
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -9,7 +9,7 @@
 use crate::fleet::results::Row;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::Ways;
+use tulipwall_testkit::EndpointBehavior;
 
 /// Processor time and bytes count until so long after a reload; an idle time as long is measured
 /// before it.
@@ -27,7 +27,7 @@
 }
 
 pub(super) fn measure(plan: &Plan, size: &Size, by: &'static str) -> Result<Row, FleetError> {
-    let installation = Installation::start(size, Ways::default())?;
+    let installation = Installation::start(size, EndpointBehavior::default())?;
     let mut agent = installation.agent(&plan.binary, 0, true)?;
     sleep(plan.settle);
     let samples = (0..plan.repeats)
--- a/crates/experiments/src/fleet/measures/request_cost.rs
+++ b/crates/experiments/src/fleet/measures/request_cost.rs
@@ -32,11 +32,11 @@
 
     let ran = after.ran.saturating_sub(before.ran).as_secs_f64();
     let waited = after.waited.saturating_sub(before.waited).as_secs_f64();
-    let requests = answered.asked.max(1) as f64;
+    let requests = answered.requests.max(1) as f64;
     let ran_for_requests = (ran - idle_share * seconds).max(0.0);
     let figures = [
         ("rate", rate),
-        ("asked", answered.asked as f64),
+        ("asked", answered.requests as f64),
         ("satisfied", answered.succeeded as f64),
         ("idle_core_%", idle_share * 100.0),
         ("core_%", ran / seconds * 100.0),
--- a/crates/experiments/src/fleet/measures/restart.rs
+++ b/crates/experiments/src/fleet/measures/restart.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use std::thread::sleep;
 use std::time::Duration;
-use tulipwall_testkit::{Caller, Ways};
+use tulipwall_testkit::{EndpointBehavior, TestClient};
 
 /// How long an agent is left alone before and after a restart, at most.
 const REST: Duration = Duration::from_millis(500);
@@ -27,7 +27,7 @@
 }
 
 pub(super) fn measure(plan: &Plan, size: &Size, by: &'static str) -> Result<Row, FleetError> {
-    let installation = Installation::start(size, Ways::default())?;
+    let installation = Installation::start(size, EndpointBehavior::default())?;
     let mut agent = installation.agent(&plan.binary, 0, true)?;
     let samples = (0..plan.repeats)
         .map(|n| sample(plan, &mut agent, LATENCY_OBJECTIVE_MS + 1.0 + n as f64))
@@ -50,7 +50,7 @@
     agent: &mut RunningAgent,
     latency_objective_ms: f64,
 ) -> Result<Sample, FleetError> {
-    let client = Caller::connect(agent.address()?)?;
+    let client = TestClient::connect(agent.address()?)?;
     sleep(plan.settle.min(REST));
     let before = agent.control_bytes().total();
     let change = |settings: &mut Value| {
--- a/crates/experiments/src/fleet/measures/settings_reload.rs
+++ b/crates/experiments/src/fleet/measures/settings_reload.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::{program, Caller, RequestClass, Told, Ways};
+use tulipwall_testkit::{agent_process, EndpointBehavior, Reply, RequestClass, TestClient};
 
 /// Settings that are not in force by then are not taken over. Some agents never take settings over
 /// so, which shows as none of the repeats.
@@ -21,7 +21,7 @@
 const CLASS_WEIGHT: f64 = 3.0;
 
 pub(super) fn measure(plan: &Plan, size: &Size, by: &'static str) -> Result<Row, FleetError> {
-    let installation = Installation::start(size, Ways::default())?;
+    let installation = Installation::start(size, EndpointBehavior::default())?;
     let mut agent = installation.agent(&plan.binary, 0, true)?;
     sleep(plan.settle);
     let mut in_force_ms = Vec::new();
@@ -71,13 +71,13 @@
     let class = RequestClass::new(name, "repeatable", CLASS_WEIGHT);
     let zones = installation.zones();
     let names: Vec<&str> = zones.iter().map(String::as_str).collect();
-    program::settings(&names, names[0], 1, &[class])["classes"][0].take()
+    agent_process::settings(&names, names[0], 1, &[class])["classes"][0].take()
 }
 
 /// Milliseconds since the reload, if a request of the class is served.
 fn served_after(agent: SocketAddr, class_name: &str, reloaded_at: Instant) -> Option<f64> {
-    let mut client = Caller::connect(agent).ok()?;
-    client.ask(class_name, DEADLINE_MS);
-    let answer = client.told().ok()?;
-    matches!(answer, Told::Value(_)).then(|| milliseconds(reloaded_at.elapsed()))
+    let mut client = TestClient::connect(agent).ok()?;
+    client.send_query(class_name, DEADLINE_MS);
+    let answer = client.read_reply().ok()?;
+    matches!(answer, Reply::Value(_)).then(|| milliseconds(reloaded_at.elapsed()))
 }
--- a/crates/experiments/src/fleet/measures/start.rs
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -6,7 +6,7 @@
 use crate::fleet::plan::{Measure, Plan, PlannedSize};
 use crate::fleet::results::{Results, Row};
 use std::time::{Duration, Instant};
-use tulipwall_testkit::Ways;
+use tulipwall_testkit::EndpointBehavior;
 
 /// Longer ago than any agent was started.
 const LONG_AGO: Duration = Duration::from_secs(3600);
@@ -33,7 +33,7 @@
 
 fn measure(plan: &Plan, known: bool) -> Result<Vec<Row>, FleetError> {
     let row = |PlannedSize { size, .. }| {
-        let installation = Installation::start(&size, Ways::default())?;
+        let installation = Installation::start(&size, EndpointBehavior::default())?;
         let samples = (0..plan.repeats)
             .map(|_| sample(plan, &installation, known))
             .collect::<Result<Vec<_>, FleetError>>()?;
--- a/crates/experiments/src/fleet/proxy.rs
+++ b/crates/experiments/src/fleet/proxy.rs
@@ -8,7 +8,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
-use tulipwall_testkit::ground::{self, locked, Ends};
+use tulipwall_testkit::runtime::{self, lock_unpoisoned, TerminationSignal};
 
 /// Most single transfers that are kept; beyond, only totals go on.
 const MAX_TRANSFERS: usize = 100_000;
@@ -87,7 +87,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     traffic: Arc<Mutex<Traffic>>,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
@@ -98,9 +98,9 @@
     /// It cannot listen.
     pub fn start(server: SocketAddr) -> io::Result<CountingProxy> {
         let traffic = Arc::<Mutex<Traffic>>::default();
-        let ends = Arc::<Ends>::default();
+        let ends = Arc::<TerminationSignal>::default();
         let shared_traffic = traffic.clone();
-        let (address, task) = ground::listen(&ends, move |stream| {
+        let (address, task) = runtime::listen(&ends, move |stream| {
             let traffic = shared_traffic.clone();
             async move {
                 // A connection that fails is the agent's to notice.
@@ -117,18 +117,18 @@
 
     /// What has passed so far.
     pub fn traffic(&self) -> Traffic {
-        locked(&self.traffic).clone()
+        lock_unpoisoned(&self.traffic).clone()
     }
 
     /// Bytes that have passed so far, both ways.
     pub fn bytes(&self) -> u64 {
-        locked(&self.traffic).bytes()
+        lock_unpoisoned(&self.traffic).bytes()
     }
 
     /// The first response that began at or after `since` and was followed by another request on
     /// its connection.
     pub fn response_since(&self, since: Instant) -> Option<Response> {
-        let traffic = locked(&self.traffic);
+        let traffic = lock_unpoisoned(&self.traffic);
         let mut responses: BTreeMap<u64, Response> = BTreeMap::new();
         for transfer in traffic.transfers.iter().filter(|t| t.at >= since) {
             let response = responses.get_mut(&transfer.connection);
@@ -157,7 +157,7 @@
 
     /// When the server sent anything first.
     pub fn first_response_at(&self) -> Option<Instant> {
-        let traffic = locked(&self.traffic);
+        let traffic = lock_unpoisoned(&self.traffic);
         let mut transfers = traffic.transfers.iter();
         let first = transfers.find(|t| t.direction == Direction::ToAgent);
         first.map(|transfer| transfer.at)
@@ -176,7 +176,7 @@
     traffic: &Mutex<Traffic>,
 ) -> io::Result<()> {
     let connection = {
-        let mut traffic = locked(traffic);
+        let mut traffic = lock_unpoisoned(traffic);
         traffic.connections += 1;
         traffic.connections
     };
@@ -205,7 +205,7 @@
             return Ok(());
         }
         // Counted before it goes on: a response that was read must never seem to lack a part.
-        locked(traffic).count(connection, direction, length as u64);
+        lock_unpoisoned(traffic).count(connection, direction, length as u64);
         to.write_all(&buffer[..length]).await?;
     }
 }
--- a/crates/experiments/src/fleet/timed_endpoint.rs
+++ b/crates/experiments/src/fleet/timed_endpoint.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tulipwall_config::stable_hash;
-use tulipwall_testkit::ground::{self, sleep, Ends};
 use tulipwall_testkit::pg;
+use tulipwall_testkit::runtime::{self, sleep, TerminationSignal};
 
 /// Value that answers each request.
 const ANSWER: [u8; 2] = [0x9f, 3];
@@ -22,7 +22,7 @@
 pub struct TimedEndpoint {
     /// Its address.
     pub address: SocketAddr,
-    ends: Arc<Ends>,
+    ends: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
@@ -47,8 +47,8 @@
     /// # Errors
     /// It cannot listen.
     pub fn start(mean: Duration) -> io::Result<TimedEndpoint> {
-        let ends = Arc::<Ends>::default();
-        let (address, task) = ground::listen(&ends, move |stream| async move {
+        let ends = Arc::<TerminationSignal>::default();
+        let (address, task) = runtime::listen(&ends, move |stream| async move {
             // A connection that fails is the client's to notice.
             let _ = serve(stream, mean).await;
         })?;
@@ -68,15 +68,15 @@
 
 async fn serve(mut stream: Async<TcpStream>, mean: Duration) -> io::Result<()> {
     pg::read_startup(&mut stream).await?;
-    stream.write_all(&pg::welcome()).await?;
-    let answer = pg::value(&ANSWER);
+    stream.write_all(&pg::startup_reply()).await?;
+    let answer = pg::value_reply(&ANSWER);
     loop {
         let (tag, body) = pg::read(&mut stream).await?;
         if tag != QUERY {
             return Ok(());
         }
         let text = String::from_utf8_lossy(&body);
-        let id = pg::comment(&text)
+        let id = pg::comment_fields(&text)
             .find(|(name, _)| *name == "id")
             .map_or("", |(_, id)| id);
         sleep(work(id, mean)).await;
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Map, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipwall_testkit::{Answered, Load};
+use tulipwall_testkit::{Load, LoadReport};
 
 /// A request that is sent later than this after it was due shows that the load generator itself
 /// does not keep up.
@@ -52,13 +52,13 @@
     /// How long the load lasted.
     pub duration: Duration,
     /// Outcomes and latencies of the requests.
-    pub answered: Answered,
+    pub answered: LoadReport,
 }
 
 impl Step {
     /// Whether the load generator did not keep up, so that the figures are its own.
     pub fn is_generator_late(&self) -> bool {
-        self.answered.issued_late_ms(0.99) > MAX_ISSUE_DELAY_MS
+        self.answered.send_delay_ms(0.99) > MAX_ISSUE_DELAY_MS
     }
 
     /// The step as JSON.
@@ -71,13 +71,13 @@
         json!({
             "rate": self.rate,
             "span_s": self.duration.as_secs_f64(),
-            "asked": answered.asked,
+            "asked": answered.requests,
             "satisfied": answered.succeeded,
             "denied": answered.rejected,
             "failed": answered.failed,
             "unanswered": answered.unanswered,
             "ms": quantiles,
-            "issued_late_p99_ms": answered.issued_late_ms(0.99),
+            "issued_late_p99_ms": answered.send_delay_ms(0.99),
             "load_is_the_bottleneck": self.is_generator_late(),
         })
     }
@@ -105,7 +105,7 @@
     /// Whether the agent kept this p99, and nearly all requests succeeded.
     fn keeps(&self, p99_ms: f64) -> bool {
         let answered = &self.answered;
-        let required = MIN_SUCCESS_SHARE * answered.asked as f64;
+        let required = MIN_SUCCESS_SHARE * answered.requests as f64;
         answered.quantile_ms(0.99) <= p99_ms && answered.succeeded as f64 >= required
     }
 }
@@ -121,7 +121,7 @@
         let load = Load {
             agent: self.agent,
             rate,
-            span: duration,
+            duration,
             classes,
             connections: self.connections,
             seed: self.seed ^ rate.to_bits(),
@@ -129,7 +129,7 @@
         Step {
             rate,
             duration,
-            answered: load.play(),
+            answered: load.run(),
         }
     }
 
--- a/crates/experiments/src/run/mod.rs
+++ b/crates/experiments/src/run/mod.rs
@@ -3,7 +3,7 @@
 mod figures;
 mod simulation;
 
-pub use simulation::day;
+pub use simulation::build_simulation;
 
 use crate::records::Record;
 use crate::scenario::{ParameterValue, Scenario};
@@ -14,10 +14,10 @@
 /// Simulates one run and measures it. `point` is the index of the point with these values.
 pub fn run(scenario: &Scenario, point: usize, values: &[ParameterValue], seed: u64) -> Record {
     let scenario = scenario.at(values);
-    let played = day(&scenario, seed).play();
-    let figures = figures::figures(&scenario, &played);
-    let latencies_us = played
-        .times
+    let report = build_simulation(&scenario, seed).run();
+    let figures = figures::figures(&scenario, &report);
+    let latencies_us = report
+        .latencies
         .iter_recorded()
         .map(|bucket| (bucket.value_iterated_to(), bucket.count_at_value()))
         .collect();
@@ -27,8 +27,13 @@
         seed,
         figures,
         latencies_us,
-        digest: played.digest,
-        violations: played.broken.iter().take(MAX_VIOLATIONS).cloned().collect(),
+        digest: report.digest,
+        violations: report
+            .violations
+            .iter()
+            .take(MAX_VIOLATIONS)
+            .map(ToString::to_string)
+            .collect(),
     }
 }
 
--- a/crates/experiments/src/run/simulation.rs
+++ b/crates/experiments/src/run/simulation.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 use tulipwall::{EndpointState, Settings};
 use tulipwall_client_policy::RetryPolicy;
-use tulipwall_testkit::day::{self, Caller, Change, Clients, Day, Node, Offering};
+use tulipwall_testkit::simulation::{
+    self, ClientBehavior, RolloutPlan, ScenarioEvent, SimulatedAgent, SimulatedEndpoint, Simulation,
+};
 use tulipwall_zones::{Budget, Limit, RoutingPolicy, ZoneConfig};
 
 /// Build that runs from the start, and the one that is rolled out.
@@ -24,64 +26,68 @@
 const DEFAULT_STALL: Duration = Duration::from_secs(1);
 
 /// The simulation of a scenario with this seed.
-pub fn day(scenario: &Scenario, seed: u64) -> Day {
+pub fn build_simulation(scenario: &Scenario, seed: u64) -> Simulation {
     let mut nodes = Vec::new();
     let zone_nodes = add_zone_nodes(&scenario.zones, &mut nodes);
-    let offering = scenario
+    let rollout_plan = scenario
         .rollout
         .as_ref()
-        .map(|rollout| offering(scenario, rollout, &mut nodes));
+        .map(|rollout| rollout_plan(scenario, rollout, &mut nodes));
     let agents = (0..scenario.agents).map(|n| agent(scenario, n)).collect();
-    let mut day = Day::small(agents, nodes, scenario.rate, scenario.duration, seed);
-    day.ways = delays(scenario);
-    day.deployment = settings(scenario);
-    day.work = scenario.classes.iter().map(|class| class.work).collect();
-    day.classes = scenario
+    let mut simulation = Simulation::small(agents, nodes, scenario.rate, scenario.duration, seed);
+    simulation.link_delays = delays(scenario);
+    simulation.settings = settings(scenario);
+    simulation.mean_work = scenario.classes.iter().map(|class| class.work).collect();
+    simulation.classes = scenario
         .classes
         .iter()
         .map(|class| (class.load_weight, class.deadline))
         .collect();
-    day.steady = scenario.constant_work_share;
-    day.loss = scenario.loss;
-    day.told_late = scenario.notification_delay;
-    day.clients = clients(scenario.clients);
-    day.offering = offering;
-    day.script = script(scenario, &zone_nodes);
-    day
+    simulation.fixed_work_share = scenario.constant_work_share;
+    simulation.link_loss = scenario.loss;
+    simulation.notification_delay = scenario.notification_delay;
+    simulation.client_behavior = clients(scenario.clients);
+    simulation.rollout_plan = rollout_plan;
+    simulation.events = events(scenario, &zone_nodes);
+    simulation
 }
 
 /// Adds the endpoints of all zones; returns their indices by zone.
-fn add_zone_nodes(zones: &[Zone], nodes: &mut Vec<Node>) -> Vec<Vec<usize>> {
+fn add_zone_nodes(zones: &[Zone], nodes: &mut Vec<SimulatedEndpoint>) -> Vec<Vec<usize>> {
     let mut zone_nodes = vec![Vec::new(); zones.len()];
     for (index, zone) in zones.iter().enumerate() {
         for _ in 0..zone.endpoints {
             zone_nodes[index].push(nodes.len());
-            nodes.push(Node::new(index, OLD_BUILD, zone.cores));
+            nodes.push(SimulatedEndpoint::new(index, OLD_BUILD, zone.cores));
         }
     }
     zone_nodes
 }
 
 /// Adds the endpoints of the new build, which are not yet listed.
-fn offering(scenario: &Scenario, rollout: &Rollout, nodes: &mut Vec<Node>) -> Offering {
+fn rollout_plan(
+    scenario: &Scenario,
+    rollout: &Rollout,
+    nodes: &mut Vec<SimulatedEndpoint>,
+) -> RolloutPlan {
     let mut own_nodes = Vec::new();
     for n in 0..rollout.endpoints {
         let zone = n % scenario.zones.len();
         own_nodes.push(nodes.len());
-        nodes.push(Node {
-            slowness: rollout.slowness,
-            fails: rollout.failure_rate,
-            standing: EndpointState::Gone,
-            ..Node::new(zone, NEW_BUILD, scenario.zones[zone].cores)
+        nodes.push(SimulatedEndpoint {
+            work_factor: rollout.slowness,
+            failure_rate: rollout.failure_rate,
+            state: EndpointState::Gone,
+            ..SimulatedEndpoint::new(zone, NEW_BUILD, scenario.zones[zone].cores)
         });
     }
-    Offering {
+    RolloutPlan {
         build: NEW_BUILD,
-        at: rollout.start,
+        starts_at: rollout.start,
         caps: rollout.stages.clone(),
-        step: rollout.stage_duration,
-        nodes: own_nodes,
-        back_votes: votes_to_roll_back(scenario),
+        stage_duration: rollout.stage_duration,
+        endpoints: own_nodes,
+        votes_to_roll_back: votes_to_roll_back(scenario),
     }
 }
 
@@ -90,12 +96,12 @@
 }
 
 /// An agent of the scenario; they are distributed over the zones in turn.
-fn agent(scenario: &Scenario, number: usize) -> Caller {
+fn agent(scenario: &Scenario, number: usize) -> SimulatedAgent {
     let zone = number % scenario.zones.len();
     let has_zoning = scenario.prefer_local_zone || scenario.cross_zone_share.is_some();
-    Caller {
+    SimulatedAgent {
         zone,
-        part: load_part(scenario, number).max(0.0),
+        load_share: load_part(scenario, number).max(0.0),
         zoning: has_zoning.then(|| zoning(scenario, zone)),
     }
 }
@@ -128,14 +134,14 @@
     link.map_or(default, |link| link.delay)
 }
 
-fn clients(kind: ClientKind) -> Clients {
+fn clients(kind: ClientKind) -> ClientBehavior {
     match kind {
-        ClientKind::Open => Clients::Open,
-        ClientKind::Naive => Clients::Naive {
+        ClientKind::Open => ClientBehavior::NoRetries,
+        ClientKind::Naive => ClientBehavior::FixedRetries {
             pause: NAIVE_PAUSE,
-            tries: NAIVE_TRIES,
+            max_attempts: NAIVE_TRIES,
         },
-        ClientKind::Careful => Clients::Careful(RetryPolicy::default()),
+        ClientKind::Careful => ClientBehavior::PolicyRetries(RetryPolicy::default()),
     }
 }
 
@@ -150,7 +156,7 @@
     };
     let budgets = scenario.cross_zone_share.into_iter().map(budget).collect();
     let classes = settings(scenario).classes;
-    let zoning = day::zoning(&classes, own_zone, scenario.zones.len(), budgets);
+    let zoning = simulation::default_zoning(&classes, own_zone, scenario.zones.len(), budgets);
     let routing = if scenario.prefer_local_zone {
         RoutingPolicy::LocalFirst
     } else {
@@ -165,7 +171,7 @@
         priority_weight: class.priority_weight,
         idempotency: class.idempotency,
     };
-    let mut settings = day::deployment(scenario.classes.iter().map(class).collect());
+    let mut settings = simulation::default_settings(scenario.classes.iter().map(class).collect());
     let stages = scenario.rollout.as_ref().map(|r| r.stages.clone());
     settings.rollout.caps = stages.unwrap_or_else(|| vec![1.0]);
     settings.rollout.votes_to_roll_back = votes_to_roll_back(scenario) as u32;
@@ -173,7 +179,7 @@
 }
 
 /// Scheduled changes of all faults.
-fn script(scenario: &Scenario, zone_nodes: &[Vec<usize>]) -> Vec<(Duration, Change)> {
+fn events(scenario: &Scenario, zone_nodes: &[Vec<usize>]) -> Vec<(Duration, ScenarioEvent)> {
     scenario
         .faults
         .iter()
@@ -185,24 +191,30 @@
     scenario: &Scenario,
     fault: &Fault,
     zone_nodes: &[Vec<usize>],
-) -> Vec<(Duration, Change)> {
+) -> Vec<(Duration, ScenarioEvent)> {
     let nodes = affected_nodes(fault, zone_nodes);
-    let on_nodes = |begin: &dyn Fn(usize) -> Change, end: &dyn Fn(usize) -> Change| {
+    let on_nodes = |begin: &dyn Fn(usize) -> ScenarioEvent,
+                    end: &dyn Fn(usize) -> ScenarioEvent| {
         node_changes(fault, &nodes, begin, end)
     };
     match fault.kind {
-        FaultKind::Slow(factor) => {
-            on_nodes(&|n| Change::Slows(n, factor), &|n| Change::Slows(n, 1.0))
-        }
-        FaultKind::Fail(share) => {
-            on_nodes(&|n| Change::Fails(n, share), &|n| Change::Fails(n, 0.0))
-        }
+        FaultKind::Slow(factor) => on_nodes(&|n| ScenarioEvent::SetWorkFactor(n, factor), &|n| {
+            ScenarioEvent::SetWorkFactor(n, 1.0)
+        }),
+        FaultKind::Fail(share) => on_nodes(&|n| ScenarioEvent::SetFailureRate(n, share), &|n| {
+            ScenarioEvent::SetFailureRate(n, 0.0)
+        }),
         FaultKind::Drain => on_nodes(
-            &|n| Change::Lists(n, EndpointState::Draining),
-            &Change::Starts,
+            &|n| ScenarioEvent::SetState(n, EndpointState::Draining),
+            &ScenarioEvent::Restart,
         ),
-        FaultKind::Gone => on_nodes(&|n| Change::Lists(n, EndpointState::Gone), &Change::Starts),
-        FaultKind::Mute => on_nodes(&|n| Change::Mutes(n, true), &|n| Change::Mutes(n, false)),
+        FaultKind::Gone => on_nodes(
+            &|n| ScenarioEvent::SetState(n, EndpointState::Gone),
+            &ScenarioEvent::Restart,
+        ),
+        FaultKind::Mute => on_nodes(&|n| ScenarioEvent::SetUnresponsive(n, true), &|n| {
+            ScenarioEvent::SetUnresponsive(n, false)
+        }),
         FaultKind::Stall => stall_changes(scenario, fault),
         FaultKind::Burst(factor) => burst_changes(scenario, fault, factor),
     }
@@ -224,9 +236,9 @@
 fn node_changes(
     fault: &Fault,
     nodes: &[usize],
-    begin: &dyn Fn(usize) -> Change,
-    end: &dyn Fn(usize) -> Change,
-) -> Vec<(Duration, Change)> {
+    begin: &dyn Fn(usize) -> ScenarioEvent,
+    end: &dyn Fn(usize) -> ScenarioEvent,
+) -> Vec<(Duration, ScenarioEvent)> {
     let mut changes: Vec<_> = nodes.iter().map(|n| (fault.start, begin(*n))).collect();
     if let Some(duration) = fault.duration {
         let end_at = fault.start + duration;
@@ -235,16 +247,26 @@
     changes
 }
 
-fn stall_changes(scenario: &Scenario, fault: &Fault) -> Vec<(Duration, Change)> {
+fn stall_changes(scenario: &Scenario, fault: &Fault) -> Vec<(Duration, ScenarioEvent)> {
     let duration = fault.duration.unwrap_or(DEFAULT_STALL);
-    let stall = |agent| (fault.start, Change::Stalls(agent, duration));
+    let stall = |agent| (fault.start, ScenarioEvent::StallAgent(agent, duration));
     (0..scenario.agents).map(stall).collect()
 }
 
-fn burst_changes(scenario: &Scenario, fault: &Fault, factor: f64) -> Vec<(Duration, Change)> {
-    let mut changes = vec![(fault.start, Change::Rate(scenario.rate * factor))];
+fn burst_changes(
+    scenario: &Scenario,
+    fault: &Fault,
+    factor: f64,
+) -> Vec<(Duration, ScenarioEvent)> {
+    let mut changes = vec![(
+        fault.start,
+        ScenarioEvent::SetRequestRate(scenario.rate * factor),
+    )];
     if let Some(duration) = fault.duration {
-        changes.push((fault.start + duration, Change::Rate(scenario.rate)));
+        changes.push((
+            fault.start + duration,
+            ScenarioEvent::SetRequestRate(scenario.rate),
+        ));
     }
     changes
 }
--- a/crates/experiments/src/scale/servers/discovery.rs
+++ b/crates/experiments/src/scale/servers/discovery.rs
@@ -98,17 +98,17 @@
 
     /// The whole list, as a configuration's `known`.
     pub fn known_list(&self) -> Arc<Vec<u8>> {
-        Arc::new(self.registry.whole(0).to_string().into_bytes())
+        Arc::new(self.registry.full_list(0).to_string().into_bytes())
     }
 
     fn response(&mut self, known_version: Option<u64>) -> Arc<Vec<u8>> {
         let registry = &self.registry;
         let response = self.responses.entry(known_version).or_insert_with(|| {
             let list = match known_version {
-                Some(version) => registry.since(version, 0),
-                None => registry.whole(0),
+                Some(version) => registry.changes_since(version, 0),
+                None => registry.full_list(0),
             };
-            Arc::new(registry::answer(&list).into_bytes())
+            Arc::new(registry::http_response(&list).into_bytes())
         });
         response.clone()
     }
@@ -142,7 +142,7 @@
             return;
         }
         self.counts.count_call(now);
-        match registry::watched(path) {
+        match registry::parse_watch(path) {
             Some((known_version, wait)) if known_version >= self.registry.version => {
                 let watch = ParkedWatch {
                     known_version,
@@ -170,7 +170,7 @@
     /// Changes entries of the list, and tells all who watch it.
     pub fn change(&mut self, now: Duration, entries: Vec<Entry>, inputs: &mut Vec<PendingInput>) {
         let timer = ProcessorTimer::start();
-        self.registry.tell(entries);
+        self.registry.update(entries);
         self.responses.clear();
         self.versions.push(ListVersion {
             at: now,
--- a/crates/experiments/src/scale/servers/platform.rs
+++ b/crates/experiments/src/scale/servers/platform.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipwall_testkit::platform::{note, Desk};
+use tulipwall_testkit::platform::{notification, RolloutService};
 use tulipwall_testkit::RolloutStatus;
 
 /// The platform of one service in simulated time.
 pub struct SimulatedPlatform {
-    logic: Desk,
+    service: RolloutService,
     watching: BTreeSet<usize>,
     /// The instant at which simulated time is zero.
     time_zero: Instant,
@@ -24,7 +24,7 @@
     /// A platform with this rollout status.
     pub fn new(time_zero: Instant, rollout_status: RolloutStatus) -> SimulatedPlatform {
         SimulatedPlatform {
-            logic: Desk::new(rollout_status),
+            service: RolloutService::new(rollout_status),
             watching: BTreeSet::new(),
             time_zero,
             counts: ServerCounts::default(),
@@ -76,12 +76,17 @@
         let timer = ProcessorTimer::start();
         self.counts.count_call(now);
         let call: Value = serde_json::from_str(line).unwrap_or_default();
-        let handled = self.logic.heed(self.time_zero + now, &call);
-        let reply = encode(&handled.answer);
+        let handled = self.service.handle_call(self.time_zero + now, &call);
+        let reply = encode(&handled.reply);
         self.send(now, agent, MessageKind::PlatformReply, &reply, inputs);
-        if handled.watches {
+        if handled.subscribes {
             self.watching.insert(agent);
-            let status = encode(&self.logic.rollout_status.line(self.time_zero + now));
+            let status = encode(
+                &self
+                    .service
+                    .rollout_status
+                    .notification(self.time_zero + now),
+            );
             self.send(now, agent, MessageKind::RolloutStatus, &status, inputs);
         }
         if let Some(status) = handled.rollout_status {
@@ -97,17 +102,20 @@
         status: RolloutStatus,
         inputs: &mut Vec<PendingInput>,
     ) {
-        self.logic.rollout_status = RolloutStatus {
+        self.service.rollout_status = RolloutStatus {
             since: self.time_zero + now,
             ..status
         };
-        let line = self.logic.rollout_status.line(self.time_zero + now);
+        let line = self
+            .service
+            .rollout_status
+            .notification(self.time_zero + now);
         self.broadcast(now, MessageKind::RolloutStatus, &line, inputs);
     }
 
     /// Sends a sign of life to all who watch.
     pub fn ping(&mut self, now: Duration, inputs: &mut Vec<PendingInput>) {
-        let line = note("ping", json!({}));
+        let line = notification("ping", json!({}));
         self.broadcast(now, MessageKind::Ping, &line, inputs);
     }
 
--- a/crates/experiments/src/scale/simulation/mod.rs
+++ b/crates/experiments/src/scale/simulation/mod.rs
@@ -87,7 +87,7 @@
             let budget = size.call_budget();
             let mut servers = Servers::new(budget, size.every_call, time_zero, status.clone());
             let entries = size.service_endpoints(service).map(|e| size.entry(e));
-            servers.discovery.registry.tell(entries);
+            servers.discovery.registry.update(entries);
             servers
         };
         (0..size.services).map(service_servers).collect()
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 use tulipwall_config::{Fields, ServiceConfig};
-use tulipwall_testkit::{program, Entry, RequestClass};
+use tulipwall_testkit::{agent_process, Entry, RequestClass};
 
 /// The operators' limit for the control work of an agent, as a share of a core.
 pub const MAX_CORE_SHARE: f64 = 0.012;
@@ -107,7 +107,7 @@
         let zones: Vec<&str> = zones.iter().map(String::as_str).collect();
         let classes = self.request_classes();
         let agents = self.agents_per_service() as u32;
-        let mut settings = program::settings(&zones, zones[0], agents, &classes);
+        let mut settings = agent_process::settings(&zones, zones[0], agents, &classes);
         let share = 1.0 / self.tenants.max(1) as f64;
         let tenant = |n: usize| json!({"name": tenant(n), "share": share});
         settings["tenants"] = (0..self.tenants).map(tenant).collect();
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -12,7 +12,7 @@
 use tulipwall_experiments::fleet::process::{ticks, usage, Machine};
 use tulipwall_experiments::fleet::timed_endpoint::work;
 use tulipwall_experiments::fleet::{limits, measures, Results, Row, Size};
-use tulipwall_testkit::{Caller, Ways};
+use tulipwall_testkit::{EndpointBehavior, TestClient};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tulipwall-experiments");
 
@@ -189,14 +189,14 @@
 /// agent asked.
 #[test]
 fn counts_a_whole_list_to_the_byte() {
-    let installation = Installation::start(&size(), Ways::default()).unwrap();
+    let installation = Installation::start(&size(), EndpointBehavior::default()).unwrap();
     let running = installation.agent(agent(), 0, false).unwrap();
     let taken = until("the next question", || {
         running
             .discovery
             .response_since(Instant::now() - Duration::from_secs(600))
     });
-    let body = installation.discovery.known(0).to_string();
+    let body = installation.discovery.full_list(0).to_string();
     let head =
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: \r\n\r\n".len();
     assert_eq!(
@@ -445,12 +445,12 @@
 
 #[test]
 fn load_covers_classes_and_tenants_of_the_settings() {
-    let installation = Installation::start(&size(), Ways::default()).unwrap();
+    let installation = Installation::start(&size(), EndpointBehavior::default()).unwrap();
     let at = installation.endpoints[0].address(0);
     let answered = measures::load(&size(), at, 60.0, Duration::from_secs(1), 3);
-    let seen = installation.endpoints[0].seen();
+    let seen = installation.endpoints[0].received_queries();
     assert!(
-        answered.asked > 20 && seen.len() as u64 == answered.asked,
+        answered.requests > 20 && seen.len() as u64 == answered.requests,
         "{}",
         seen.len()
     );
@@ -476,10 +476,10 @@
         5,
     );
     assert_eq!(
-        (answered.each.len() as u64, answered.succeeded),
-        (answered.asked, answered.asked)
+        (answered.request_latencies.len() as u64, answered.succeeded),
+        (answered.requests, answered.requests)
     );
-    for (id, took) in &answered.each {
+    for (id, took) in &answered.request_latencies {
         assert!(
             Duration::from_micros(took + 1) >= work(id, mean),
             "{id} after {took} us"
@@ -588,10 +588,10 @@
         tenants: 5000,
         ..size()
     };
-    let installation = Installation::start(&size, Ways::default()).unwrap();
+    let installation = Installation::start(&size, EndpointBehavior::default()).unwrap();
     let running = installation.agent(agent(), 0, true).unwrap();
     let clients: Vec<_> = (0..20)
-        .map(|_| Caller::connect(running.address().unwrap()).unwrap())
+        .map(|_| TestClient::connect(running.address().unwrap()).unwrap())
         .collect();
     let (took, told) = (
         running.usage().unwrap().peak,
--- a/crates/experiments/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 use std::time::Duration;
 use tulipwall_experiments::load::{LoadClass, Plan, Step};
-use tulipwall_testkit::{ground, Act, Endpoint, Ways};
+use tulipwall_testkit::{runtime, Endpoint, EndpointBehavior, ResponseBehavior};
 
 fn plan(of: &Endpoint) -> Plan {
     let view = LoadClass {
@@ -23,10 +23,10 @@
 fn of(cores: usize) -> Endpoint {
     Endpoint::start(
         1,
-        Ways {
+        EndpointBehavior {
             work: Duration::from_millis(20),
             cores,
-            ..Ways::default()
+            ..EndpointBehavior::default()
         },
         1,
     )
@@ -44,7 +44,7 @@
     }
     .step(100.0, Duration::from_secs(1));
     assert!(step.answered.quantile_ms(0.9) > 400.0, "{}", step.summary());
-    let late = step.answered.issued_late_ms(0.5);
+    let late = step.answered.send_delay_ms(0.5);
     assert!(
         late < 100.0,
         "each went out when it was due, whatever became of those before: {late} ms"
@@ -78,10 +78,10 @@
     let agent = of(4);
     let mut late = Vec::new();
     let stands_still = async {
-        ground::sleep(Duration::from_millis(300)).await;
+        runtime::sleep(Duration::from_millis(300)).await;
         std::thread::sleep(Duration::from_millis(150));
     };
-    ground::spawn(stands_still).detach();
+    runtime::spawn(stands_still).detach();
     let found = plan(&agent).highest_rate(40.0, 40.0, Duration::from_millis(1200), 250.0, |s| {
         late.push(s.is_generator_late())
     });
@@ -93,9 +93,9 @@
 fn prints_each_step_as_a_line_of_json() {
     let agent = Endpoint::start(
         1,
-        Ways {
-            act: Act::TurnsAway,
-            ..Ways::default()
+        EndpointBehavior {
+            response: ResponseBehavior::Reject,
+            ..EndpointBehavior::default()
         },
         1,
     )
@@ -125,7 +125,7 @@
     assert_eq!(told["satisfied"].as_u64(), Some(0));
     assert!(told["load_is_the_bottleneck"].is_boolean() && told["ms"]["p99"].is_number());
     assert!(agent
-        .seen()
+        .received_queries()
         .iter()
         .any(|s| s.class == "send" && s.key.is_some()));
     assert_eq!(run(&["--lane", "view=x"]).status.code(), Some(2));
