--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -1,4 +1,4 @@
-//! Pins the decisions of two seeded days with cross-zone routing, budgets, client retries and a
+//! Pins the decisions of two seeded scenarios with cross-zone routing, budgets, client retries and a
 //! staged rollout.
 //!
 //! The digest is folded from plain numbers (agent, request, kind of decision, endpoint or time), so
