--- a/crates/testkit/src/agent_process/mod.rs
+++ b/crates/testkit/src/agent_process/mod.rs
@@ -41,7 +41,8 @@
 }
 
 impl AgentProcess {
-    /// Starts an agent with this configuration and further arguments, its log in [`AgentProcess::log`].
+    /// Starts an agent with this configuration and further arguments, its log in
+    /// [`AgentProcess::log`].
     pub fn start(
         binary: impl Into<OsString>,
         configuration: Value,
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Fake discovery: the list over HTTP, whole or as a watch, for each zone with the addresses that are
-//! its own.
+//! Fake discovery: the list over HTTP, whole or as a watch, for each zone with the addresses that
+//! are its own.
 
 pub use crate::registry::Entry;
 use crate::registry::{self, Registry};
--- a/crates/testkit/src/endpoint/behavior.rs
+++ b/crates/testkit/src/endpoint/behavior.rs
@@ -65,8 +65,8 @@
     /// The same of single classes, where it differs.
     pub work_by_class: BTreeMap<String, Duration>,
     /// The share of the work that is always the same, 0 to 1; the rest is exponential. Real work
-    /// differs from request to request, and decisions that compare fast answers with the median take
-    /// equal ones for a standstill.
+    /// differs from request to request, and decisions that compare fast answers with the median
+    /// take equal ones for a standstill.
     pub fixed_work_share: f64,
     /// Queries that run at once; the others wait.
     pub cores: usize,
--- a/crates/testkit/src/endpoint/mod.rs
+++ b/crates/testkit/src/endpoint/mod.rs
@@ -1,5 +1,5 @@
-//! A fake endpoint that speaks PostgreSQL's protocol. It listens once for each zone that calls it, so
-//! that the link from there can be slow, cut and counted apart.
+//! A fake endpoint that speaks PostgreSQL's protocol. It listens once for each zone that calls it,
+//! so that the link from there can be slow, cut and counted apart.
 
 mod behavior;
 mod session;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
 //! Fakes of everything an agent talks to, and checkers of its rules.
 //!
-//! The fakes are written from the public descriptions of their protocols, apart from the agent's own
-//! code. They stay on loopback addresses, take scripts of faults, and count what passes at their end
-//! of the wire. Used by tests, benchmarks and the demo.
+//! The fakes are written from the public descriptions of their protocols, apart from the agent's
+//! own code. They stay on loopback addresses, take scripts of faults, and count what passes at
+//! their end of the wire. Used by tests, benchmarks and the demo.
 //!
 //! - [`TestCluster`]: zones with [`Endpoint`]s, [`Discovery`] and a [`Platform`], put together.
 //! - [`TestClient`]: one client, for single cases. [`Load`]: many, at a rate of their own.
--- a/crates/testkit/src/platform/mod.rs
+++ b/crates/testkit/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! A fake platform: tells of the newest build, takes votes, and carries a build through its stages by
-//! the clock.
+//! A fake platform: tells of the newest build, takes votes, and carries a build through its stages
+//! by the clock.
 
 mod rollout_status;
 mod service;
@@ -152,9 +152,9 @@
         self.shared.state().service.votes.clone()
     }
 
-    /// Takes a build through its stages by the clock, which stands still while a vote to hold lasts.
-    /// A vote to roll back ends it. `on_stage` is called at the beginning of each stage, with its
-    /// index and its cap.
+    /// Takes a build through its stages by the clock, which stands still while a vote to hold
+    /// lasts. A vote to roll back ends it. `on_stage` is called at the beginning of each stage,
+    /// with its index and its cap.
     pub fn run_rollout(
         &self,
         rollout: StagedRollout,
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// A listener on a free loopback port; each connection is served by a task of its own until `signal`
-/// ends it. Returns its address and the task that listens.
+/// A listener on a free loopback port; each connection is served by a task of its own until
+/// `signal` ends it. Returns its address and the task that listens.
 pub fn listen<F>(
     signal: &Arc<TerminationSignal>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
--- a/crates/testkit/src/simulation/checks.rs
+++ b/crates/testkit/src/simulation/checks.rs
@@ -276,7 +276,8 @@
         self.exposed = (self.exposed - self.cap.unwrap_or(0.0)).max(0.0);
     }
 
-    /// Checks an attempt that goes to a build on trial; `burst` attempts beyond the cap are allowed.
+    /// Checks an attempt that goes to a build on trial; `burst` attempts beyond the cap are
+    /// allowed.
     pub fn on_canary_send(&mut self, agent: usize, burst: f64) -> Option<Violation> {
         self.exposed += 1.0;
         let exposed = self.exposed;
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -102,8 +102,8 @@
     pub votes_to_roll_back: usize,
 }
 
-/// What the agents are told wrongly, so that they break a rule and a checker must see it. Nothing by
-/// default.
+/// What the agents are told wrongly, so that they break a rule and a checker must see it. Nothing
+/// by default.
 #[derive(Clone, Debug, Default)]
 pub struct InjectedFaults {
     /// By class: how it may be repeated, as the decisions think.
@@ -204,8 +204,8 @@
 }
 
 impl Simulation {
-    /// A simulation without events on [`classes`], build 41 released: links of 2 ms between zones and
-    /// of 0.15 ms within, work of 20 ms (payments 30), clients without retries.
+    /// A simulation without events on [`classes`], build 41 released: links of 2 ms between zones
+    /// and of 0.15 ms within, work of 20 ms (payments 30), clients without retries.
     pub fn small(
         agents: Vec<SimulatedAgent>,
         endpoints: Vec<SimulatedEndpoint>,
@@ -312,8 +312,8 @@
     pub link_delays: Vec<Vec<Duration>>,
     /// Mean work of each class.
     pub mean_work: Vec<Duration>,
-    /// The share of the work that is always the same; the rest is exponential. 0 gives the queues of
-    /// the textbook.
+    /// The share of the work that is always the same; the rest is exponential. 0 gives the queues
+    /// of the textbook.
     pub fixed_work_share: f64,
     /// Share of attempts, and of their replies, that is lost between two zones.
     pub link_loss: f64,
--- a/crates/testkit/src/simulation/endpoint.rs
+++ b/crates/testkit/src/simulation/endpoint.rs
@@ -79,18 +79,22 @@
         self.waiting.len()
     }
 
+    /// Whether it can run another attempt.
     pub fn has_free_core(&self) -> bool {
         self.running.len() < self.spec.cores
     }
 
+    /// Whether it has neither a free core nor a free place in its queue.
     pub fn is_full(&self) -> bool {
         !self.has_free_core() && self.waiting.len() >= self.spec.queue_limit
     }
 
+    /// Puts an attempt at the end of the queue.
     pub fn enqueue(&mut self, attempt: AttemptRef) {
         self.waiting.push_back(attempt);
     }
 
+    /// Takes the attempt that has waited longest.
     pub fn dequeue(&mut self) -> Option<AttemptRef> {
         self.waiting.pop_front()
     }
--- a/crates/testkit/src/simulation/report.rs
+++ b/crates/testkit/src/simulation/report.rs
@@ -169,8 +169,8 @@
         )
     }
 
-    /// How often an agent changed sides in a minute: seconds with most attempts remote after seconds
-    /// with hardly any, and back.
+    /// How often an agent changed sides in a minute: seconds with most attempts remote after
+    /// seconds with hardly any, and back.
     pub fn direction_changes_per_minute(&self) -> f64 {
         let mut changes = 0;
         let mut minutes = 0.0;
--- a/crates/testkit/src/simulation/runner/attempts.rs
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -102,7 +102,7 @@
         spec: &SimulatedEndpoint,
     ) -> Option<AttemptStart> {
         let open = self.agents[agent].open.get(&request)?;
-        let nth = open.attempts.len();
+        let previous_attempts = open.attempts.len();
         let scoped = matches!(
             self.simulation.settings.classes[open.class].idempotency,
             Idempotency::Keyed {
@@ -114,10 +114,12 @@
             to: spec.zone,
             class: open.class,
             build: spec.build,
-            previous_attempts: nth,
+            previous_attempts,
             hedged: open.attempts.iter().any(|attempt| !attempt.ended),
             is_canary: self.is_canary(spec.build),
-            pinned_to_scope: scoped && nth > 0 && self.repeats.has_run(agent, request),
+            pinned_to_scope: scoped
+                && previous_attempts > 0
+                && self.repeats.has_run(agent, request),
         })
     }
 
--- a/crates/testkit/src/simulation/runner/mod.rs
+++ b/crates/testkit/src/simulation/runner/mod.rs
@@ -127,7 +127,7 @@
                 self.receive(agent, request);
             }
             Event::RolloutTick => self.on_rollout_tick(),
-            Event::Notify(notification) => self.deliver(notification),
+            Event::Notify(notification) => self.on_notification(notification),
             Event::Poll { agent } => self.on_poll(agent),
             Event::AttemptArrival {
                 attempt,
--- a/crates/testkit/src/simulation/runner/requests.rs
+++ b/crates/testkit/src/simulation/runner/requests.rs
@@ -13,7 +13,7 @@
 /// Keys of requests are drawn from so many.
 const KEYS: u64 = 100_000;
 /// Clients that retry wait this many times as long, over all their tries.
-const RETRY_PATIENCE: u32 = 2;
+const RETRY_TIME_FACTOR: u32 = 2;
 /// The clock's step behind the latest time of an answer.
 const AFTER_SLACK: Duration = Duration::from_millis(1);
 
@@ -35,10 +35,10 @@
         let key = Some(self.random.below(KEYS));
         let now = self.queue.now();
         let time_left = self.simulation.classes[class].1;
-        let patience = if self.simulation.client_behavior == ClientBehavior::NoRetries {
+        let total_time = if self.simulation.client_behavior == ClientBehavior::NoRetries {
             time_left
         } else {
-            time_left * RETRY_PATIENCE
+            time_left * RETRY_TIME_FACTOR
         };
         let idempotency = self.simulation.settings.classes[class].idempotency;
         let second = self.second();
@@ -47,7 +47,7 @@
             class,
             first_asked: now,
             key,
-            tries: AttemptHistory::new(idempotency, now + patience),
+            tries: AttemptHistory::new(idempotency, now + total_time),
         };
         self.receive(agent, request);
     }
--- a/crates/testkit/src/simulation/runner/scenario.rs
+++ b/crates/testkit/src/simulation/runner/scenario.rs
@@ -97,7 +97,7 @@
     fn notify(&mut self, notification: Notification) {
         let delay = self.simulation.notification_delay;
         if delay.is_zero() {
-            self.deliver(notification);
+            self.on_notification(notification);
         } else {
             let at = self.queue.now() + delay;
             self.queue.schedule(at, Event::Notify(notification));
@@ -105,27 +105,27 @@
     }
 
     /// A notification reaches all agents.
-    pub(super) fn deliver(&mut self, notification: Notification) {
+    pub(super) fn on_notification(&mut self, notification: Notification) {
         match notification {
-            Notification::Endpoint(entry) => self.deliver_endpoint(entry),
-            Notification::Rollout(status) => self.deliver_rollout(status),
+            Notification::Endpoint(entry) => self.notify_endpoint(entry),
+            Notification::Rollout(status) => self.notify_rollout(status),
         }
     }
 
-    fn deliver_rollout(&mut self, status: RolloutStatus) {
+    fn notify_rollout(&mut self, status: RolloutStatus) {
         self.notified_status = Some(status.clone());
         self.apply_cap();
         let cap = self.simulation.injected_faults.reported_cap;
-        let told = RolloutStatus {
+        let reported = RolloutStatus {
             cap: cap.unwrap_or(status.cap),
             ..status
         };
         for agent in &mut self.agents {
-            agent.balancer.update_rollout(told.clone());
+            agent.balancer.update_rollout(reported.clone());
         }
     }
 
-    fn deliver_endpoint(&mut self, mut entry: EndpointEntry) {
+    fn notify_endpoint(&mut self, mut entry: EndpointEntry) {
         let now = self.queue.now();
         let faults = &self.simulation.injected_faults;
         if faults.hide_cold_starts {
