--- a/crates/testkit/src/agent_process/configuration.rs
+++ b/crates/testkit/src/agent_process/configuration.rs
@@ -71,18 +71,48 @@
 
 /// The settings of a deployment, as an agent in `zone` gets them.
 pub fn settings(zones: &[&str], zone: &str, agents: u32, classes: &[RequestClass]) -> Value {
-    let class = |l: &RequestClass| {
-        json!({"name": l.name, "aim-ms": l.latency_objective_ms, "give-up-ms": 1500.0, "idempotency": l.idempotency,
-            "dedup-scope": l.group, "window-ms": 5000.0, "points": l.points})
-    };
-    let classes: Vec<Value> = classes.iter().map(class).collect();
-    json!({"zones": zones, "zone": zone, "classes": classes,
-        "tenants": [], "discovery": "push", "granularity-ms": 1.0, "instances": agents,
-        "limits": {"cancel": true, "second-copies": true, "try-limit": 5, "dial-timeout-ms": 250.0,
-            "conn-idle-ms": 30000.0, "retry-after": true, "max-retry-after-ms": 2000.0},
-        "rules": {"cold-share": 0.3, "cold-ms": 3000.0, "fall-ms": 1000.0}, "prices": {},
-        "domain": {"most-shares": [0.2, 1.0], "cap-scope": "all", "decided-by": "timer", "swap": "beside",
-            "spare-tries": 2.0, "vote-ttl-ms": 10000.0, "vote-wait-ms": 800.0}})
+    let classes: Vec<Value> = classes.iter().map(class_settings).collect();
+    json!({
+        "zones": zones,
+        "zone": zone,
+        "classes": classes,
+        "tenants": [],
+        "discovery": "push",
+        "granularity-ms": 1.0,
+        "instances": agents,
+        "limits": {
+            "cancel": true,
+            "second-copies": true,
+            "try-limit": 5,
+            "dial-timeout-ms": 250.0,
+            "conn-idle-ms": 30000.0,
+            "retry-after": true,
+            "max-retry-after-ms": 2000.0,
+        },
+        "rules": {"cold-share": 0.3, "cold-ms": 3000.0, "fall-ms": 1000.0},
+        "prices": {},
+        "domain": {
+            "most-shares": [0.2, 1.0],
+            "cap-scope": "all",
+            "decided-by": "timer",
+            "swap": "beside",
+            "spare-tries": 2.0,
+            "vote-ttl-ms": 10000.0,
+            "vote-wait-ms": 800.0,
+        },
+    })
+}
+
+fn class_settings(class: &RequestClass) -> Value {
+    json!({
+        "name": class.name,
+        "aim-ms": class.latency_objective_ms,
+        "give-up-ms": 1500.0,
+        "idempotency": class.idempotency,
+        "dedup-scope": class.group,
+        "window-ms": 5000.0,
+        "points": class.points,
+    })
 }
 
 /// The configuration of one agent, that listens on an address of its own.
@@ -94,9 +124,14 @@
     known: Value,
     settings: Value,
 ) -> io::Result<Value> {
-    Ok(
-        json!({"name": name, "listen": free_address().to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
-        "limits": {"sockets": 1024}, "known": known, "settings": settings,
-        "deployer": {"address": platform.to_string(), "news": rollout_status}}),
-    )
+    Ok(json!({
+        "name": name,
+        "listen": free_address().to_string(),
+        "discovery": discovery.to_string(),
+        "seed": "8c1f",
+        "limits": {"sockets": 1024},
+        "known": known,
+        "settings": settings,
+        "deployer": {"address": platform.to_string(), "news": rollout_status},
+    }))
 }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -145,10 +145,8 @@
     pub fn configuration(&self, name: &str, zone: usize) -> io::Result<Value> {
         let zones: Vec<&str> = self.zones.iter().map(String::as_str).collect();
         let settings = settings(&zones, zones[zone], self.agents, &self.classes);
-        let (known, rollout_status) = (
-            self.discovery.full_list(zone),
-            self.platform.current_rollout().value(),
-        );
+        let known = self.discovery.full_list(zone);
+        let rollout_status = self.platform.current_rollout().value();
         configuration(
             name,
             self.discovery.address(zone),
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod connection_cutter;
 pub mod discovery;
 pub mod endpoint;
+mod latencies;
 pub mod load;
 pub mod pg;
 pub mod platform;
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,6 +1,7 @@
 //! Many clients at a rate of their own: each request is due at its time, whatever became of those
 //! before.
 
+use crate::latencies::histogram;
 use crate::pg;
 use crate::runtime::{self, lock_unpoisoned, sleep};
 use async_executor::Task;
@@ -27,9 +28,6 @@
 const OBJECTS: u32 = 10_000;
 /// Gaps are drawn as if at least this many requests came a second.
 const MIN_RATE: f64 = 1e-6;
-/// The largest latency that is told apart, in microseconds.
-const MAX_LATENCY_MICROS: u64 = 600_000_000;
-const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The load to generate.
 #[derive(Clone, Debug)]
@@ -73,21 +71,21 @@
 
 impl LoadReport {
     /// The time, in milliseconds, within which this share (0 to 1) of the successful answers came.
-    pub fn quantile_ms(&self, part: f64) -> f64 {
-        let mut all = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
-            .unwrap_or_else(|_| Histogram::new_from(&histogram()));
-        self.latencies
-            .values()
-            .for_each(|h| all.add(h).unwrap_or(()));
-        all.value_at_quantile(part) as f64 / 1000.0
+    pub fn quantile_ms(&self, share: f64) -> f64 {
+        let mut all = histogram();
+        for latencies in self.latencies.values() {
+            // Equal bounds: nothing is refused.
+            let _ = all.add(latencies);
+        }
+        all.value_at_quantile(share) as f64 / 1000.0
     }
 
     /// How late, in milliseconds, this share of the requests went out at most: high where the load
     /// itself, or its machine, does not keep up.
-    pub fn send_delay_ms(&self, part: f64) -> f64 {
-        self.send_delays
-            .as_ref()
-            .map_or(0.0, |h| h.value_at_quantile(part) as f64 / 1000.0)
+    pub fn send_delay_ms(&self, share: f64) -> f64 {
+        self.send_delays.as_ref().map_or(0.0, |delays| {
+            delays.value_at_quantile(share) as f64 / 1000.0
+        })
     }
 
     /// Requests with an answer of any kind.
@@ -96,11 +94,6 @@
     }
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
-        .unwrap_or_else(|_| unreachable!("the bounds are valid"))
-}
-
 fn micros(time: Duration) -> u64 {
     time.as_micros().max(1) as u64
 }
--- a/crates/testkit/src/platform/mod.rs
+++ b/crates/testkit/src/platform/mod.rs
@@ -127,8 +127,14 @@
     /// did not succeed, and they took so long in the mean.
     pub fn report_counts(&self, build: u32, class: &str, n: u32, bad: u32, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
-        let params = json!({"image": build, "type": class, "n": n, "bad": bad, "latency_ms": latency_ms,
-            "lag_ms": COUNTS_LAG_MS});
+        let params = json!({
+            "image": build,
+            "type": class,
+            "n": n,
+            "bad": bad,
+            "latency_ms": latency_ms,
+            "lag_ms": COUNTS_LAG_MS,
+        });
         self.shared.notify("SAMPLE", params);
     }
 
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -76,8 +76,17 @@
 }
 
 fn entry(e: &Entry, from: usize) -> Value {
-    json!({"id": e.id, "addr": e.addresses[from].to_string(), "zone": e.zone, "kind": "m", "cell": e.cell,
-        "state": e.state, "weight": 1.0, "started_ms": e.started_ms, "release": e.build})
+    json!({
+        "id": e.id,
+        "addr": e.addresses[from].to_string(),
+        "zone": e.zone,
+        "kind": "m",
+        "cell": e.cell,
+        "state": e.state,
+        "weight": 1.0,
+        "started_ms": e.started_ms,
+        "release": e.build,
+    })
 }
 
 /// The version that a watch names and how long it may wait; nothing where the whole list is asked
@@ -85,11 +94,9 @@
 pub fn parse_watch(path: &str) -> Option<(u64, Duration)> {
     let query = path.split_once('?').map_or("", |(_, q)| q);
     let named = |name: &str| -> Option<u64> {
-        let pairs = query.split('&').filter_map(|p| p.split_once('='));
-        pairs
-            .into_iter()
-            .find(|p| p.0 == name)
-            .and_then(|p| p.1.parse().ok())
+        let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+        let (_, value) = pairs.find(|(key, _)| *key == name)?;
+        value.parse().ok()
     };
     named("after").map(|after| (after, Duration::from_millis(named("wait_ms").unwrap_or(0))))
 }
--- a/crates/testkit/src/simulation/report.rs
+++ b/crates/testkit/src/simulation/report.rs
@@ -1,14 +1,12 @@
 //! What came of a simulation.
 
 use super::Violation;
+use crate::latencies::histogram;
 use hdrhistogram::Histogram;
 use std::time::Duration;
 use tulipwall::{Decision, Vote};
 use tulipwall_zones::Zones;
 
-/// The largest latency that is told apart, in microseconds.
-const MAX_LATENCY_MICROS: u64 = 600_000_000;
-const SIGNIFICANT_DIGITS: u8 = 3;
 /// Start value and prime of FNV-1a, to which each step adds a rotation.
 const DIGEST_SEED: u64 = 0xcbf2_9ce4_8422_2325;
 const DIGEST_PRIME: u64 = 0x0100_0000_01b3;
@@ -240,8 +238,3 @@
     }
     changes
 }
-
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
-        .unwrap_or_else(|_| unreachable!("the bounds are valid"))
-}
--- a/crates/testkit/src/simulation/rollout.rs
+++ b/crates/testkit/src/simulation/rollout.rs
@@ -83,7 +83,8 @@
         let Some(plan) = self.plan.as_ref().filter(|_| !over) else {
             return RolloutStep::Over;
         };
-        let (stages, endpoints) = (plan.caps.len(), plan.endpoints.len());
+        let stages = plan.caps.len();
+        let endpoints = plan.endpoints.len();
         let stage_duration = plan.stage_duration;
         let next = match self.stage {
             None => 0,
--- a/crates/testkit/src/simulation/runner/attempts.rs
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -29,7 +29,8 @@
         let spec = self.endpoints[endpoint].spec.clone();
         self.report.sends_by_endpoint[endpoint] += 1;
         self.trace(agent, request, || {
-            let (zone, build) = (spec.zone, spec.build);
+            let zone = spec.zone;
+            let build = spec.build;
             format!("goes to endpoint {endpoint} of zone {zone}, build {build}")
         });
         self.check_send(agent, request, endpoint, &spec);
--- a/crates/testkit/src/simulation/runner/endpoints.rs
+++ b/crates/testkit/src/simulation/runner/endpoints.rs
@@ -28,7 +28,8 @@
         if state.is_full() {
             return self.reply(attempt, endpoint, EndpointReply::Rejected);
         }
-        let (running, waiting) = (state.running(), state.waiting());
+        let running = state.running();
+        let waiting = state.waiting();
         self.check_repeat(attempt, class, endpoint);
         self.trace(attempt.agent, attempt.request, || {
             format!("has come to endpoint {endpoint}, where {running} run and {waiting} wait")
