--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -31,7 +31,7 @@
 use tulipwall_discovery::clock::Clock;
 use tulipwall_discovery::list::Target;
 use tulipwall_discovery::listing::Listing;
-use tulipwall_zones::Names;
+use tulipwall_zones::DisplayNames;
 
 /// One agent. Each field owns its state and says who writes and who reads it; this struct carries
 /// what takes several of them.
@@ -221,8 +221,8 @@
 }
 
 /// The names that reports give to zones and classes.
-fn report_names(agent: &str, config: &ServiceConfig) -> Names {
-    Names {
+fn report_names(agent: &str, config: &ServiceConfig) -> DisplayNames {
+    DisplayNames {
         agent: agent.to_owned(),
         zones: config.zones.clone(),
         classes: config.classes.clone(),
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tulipwall::{AlternativeSettings, CrossZonePolicy, IndexMapping};
 use tulipwall_config::{ConfigDiagnostic, Installation, ServiceConfig};
-use tulipwall_zones::Zoning;
+use tulipwall_zones::ZoneConfig;
 
 /// What of a configuration decides requests: all that is checked before any of it is in force.
 struct DecisionConfig<'a> {
@@ -111,13 +111,13 @@
         let (service, mapping) = new
             .service
             .renumbered_after(&before, &self.balancer.indices_in_use());
-        let zoning = new.installation.zoning(&service)?;
+        let zone_config = new.installation.zoning(&service)?;
         let unchanged = service.is(&before, &mapping);
         if !unchanged {
             self.replace_service_config(service, &mapping);
         }
         self.replace_alternative(new.alternative);
-        self.reload_zone_traffic(new.agent_name, zoning, &mapping);
+        self.reload_zone_traffic(new.agent_name, zone_config, &mapping);
         if unchanged {
             return Ok(SettingsChange::Unchanged);
         }
@@ -152,13 +152,13 @@
     fn reload_zone_traffic(
         &self,
         agent_name: &str,
-        zoning: Option<Zoning>,
+        zone_config: Option<ZoneConfig>,
         mapping: &IndexMapping,
     ) {
         let names = report_names(agent_name, &self.service_config());
-        let continued = self
-            .zone_traffic
-            .reload(self.clock.now(), zoning, names, &mapping.classes);
+        let continued =
+            self.zone_traffic
+                .reload(self.clock.now(), zone_config, names, &mapping.classes);
         if !continued {
             log::warn!("zones: others than before; the account of what crosses begins anew");
         }
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -174,7 +174,7 @@
 
     /// Until when the list tells all that counts as told.
     pub fn set_list_valid_until(&self, until: Option<Duration>) {
-        self.balancer.borrow_mut().list_valid_until = until;
+        self.balancer.borrow_mut().set_list_valid_until(until);
     }
 
     /// The platform told of a rollout.
@@ -294,7 +294,8 @@
     /// Where the alternative settings would have decided otherwise so far; nothing while none are
     /// evaluated.
     pub fn divergences(&self) -> Option<Divergences> {
-        self.shadow.borrow().as_ref().map(|shadow| shadow.counts)
+        let shadow = self.shadow.borrow();
+        shadow.as_ref().map(ShadowEvaluator::divergences)
     }
 
     /// Counts where the alternative settings would have decided otherwise.
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -8,7 +8,7 @@
 use crate::runtime::reactor::Timer;
 use crate::server::connection::class;
 use crate::upstream::attempt::{send_attempt, AttemptPlan};
-use crate::upstream::zone_traffic::TransferMeter;
+use crate::upstream::transfer_meter::TransferMeter;
 use futures_lite::future::poll_fn;
 use std::future::Future;
 use std::pin::{pin, Pin};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
 use tulipwall_config::number;
-use tulipwall_zones::{Sending, Ticket};
+use tulipwall_zones::{AttemptStart, Reservation};
 
 /// What a client may write ahead of its answers before it is held back.
 const AHEAD_MOST: usize = 16 * 1024;
@@ -50,7 +50,7 @@
     class: usize,
     build: u32,
     meter: Rc<TransferMeter>,
-    ticket: Option<Ticket>,
+    ticket: Option<Reservation>,
     ends: Pin<Box<dyn Future<Output = Ended>>>,
 }
 
@@ -106,14 +106,14 @@
                 timeout,
                 recheck_at: at,
             } => {
-                let sending = Sending {
+                let sending = AttemptStart {
                     to: 0,
                     class,
                     build: 0,
-                    nth: out.len(),
+                    previous_attempts: out.len(),
                     hedged: out.iter().any(Option::is_some),
-                    trial: false,
-                    bound: ran && bound(idempotency),
+                    is_canary: false,
+                    pinned_to_scope: ran && bound(idempotency),
                 };
                 out.push(Some(send(
                     agent, &statement, id, endpoint, timeout, sending,
@@ -175,7 +175,7 @@
     // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
     // and the module hears of it.
     for n in 0..out.len() {
-        if out[n].as_ref().is_some_and(|o| !o.meter.written.get()) {
+        if out[n].as_ref().is_some_and(|o| !o.meter.is_fully_written()) {
             end_unwritten(agent, id, &mut out, n);
         }
     }
@@ -196,7 +196,7 @@
     id: u64,
     endpoint: usize,
     timeout: Duration,
-    sending: Sending,
+    sending: AttemptStart,
 ) -> InFlightAttempt {
     let sent = agent.clock.now();
     let (give_up, meter) = (sent + timeout, Rc::new(TransferMeter::default()));
@@ -213,10 +213,10 @@
         };
     };
     let trial = agent.balancer.is_canary(target.build);
-    let sending = Sending {
+    let sending = AttemptStart {
         to: target.zone,
         build: target.build,
-        trial,
+        is_canary: trial,
         ..sending
     };
     let ticket = agent.zone_traffic.on_attempt(sent, sending, || {
@@ -233,7 +233,7 @@
     );
     let order = AttemptPlan {
         id,
-        nth: sending.nth,
+        nth: sending.previous_attempts,
         target,
         turn,
         give_up,
@@ -376,7 +376,7 @@
         .iter()
         .position(|o| o.as_ref().is_some_and(|o| o.give_up <= now))?;
     let o = out[n].take()?;
-    let outcome = if o.meter.written.get() {
+    let outcome = if o.meter.is_fully_written() {
         Outcome::TimedOut
     } else {
         Outcome::ConnectFailed
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use crate::protocol::statement::Statement;
 use crate::protocol::Malformed;
 use crate::upstream::pool::PooledConnection;
-use crate::upstream::zone_traffic::TransferMeter;
+use crate::upstream::transfer_meter::TransferMeter;
 use futures_lite::FutureExt;
 use std::cell::RefCell;
 use std::io;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tulipwall::Outcome;
 use tulipwall_discovery::list::Target;
-use tulipwall_zones::{Flaw, Opening};
+use tulipwall_zones::{ConnectionTraffic, ResponseFault};
 
 /// How soon the rest of an answer that has begun must come.
 const REST_WITHIN: Duration = Duration::from_millis(500);
@@ -49,7 +49,7 @@
                 Err(outcome) => return none(outcome),
             },
         };
-        meter.on(held.connection.traffic.clone());
+        meter.follow(held.connection.traffic.clone());
         // It may have waited for its connection: nothing goes out that would be decided otherwise
         // by now.
         let listed = agent.endpoints.target(order.target.endpoint) == Some(order.target);
@@ -81,7 +81,7 @@
         .add();
         break held;
     };
-    meter.written.set(true);
+    meter.set_fully_written();
     agent.counters.sent.add();
     let mut hearing = Hearing::default();
     let ended = hear(agent, &mut held.connection, &mut hearing).await;
@@ -106,20 +106,20 @@
         }
         Ok(()) => agent.counters.unasked.add(),
         Err(Heard::Garbage(m)) => {
-            meter.flaw.set(Flaw::Spoilt);
+            meter.set_fault(ResponseFault::Malformed);
             agent.counters.spoilt.add();
             let name = agent.endpoints.name(order.target.endpoint);
             log::debug!("appliance {name}: {m}; its connection is closed");
         }
         Err(Heard::Half) => {
-            meter.flaw.set(Flaw::Half);
+            meter.set_fault(ResponseFault::Truncated);
             agent.counters.spoilt.add();
         }
         Err(Heard::End)
             if outcome == Outcome::ConnectionLost
                 && (hearing.begun() || !held.connection.inbox.is_empty()) =>
         {
-            meter.flaw.set(Flaw::Half);
+            meter.set_fault(ResponseFault::Truncated);
         }
         Err(Heard::End) => {}
     }
@@ -242,14 +242,14 @@
         let ((out, back), now) = (traffic.charge(), self.agent.clock.now());
         let took = open.then(|| now.saturating_sub(self.begun));
         let Target { zone, build, .. } = self.target;
-        self.agent.zone_traffic.on_connection_opened(
+        self.agent.zone_traffic.on_connection(
             now,
-            Opening {
+            ConnectionTraffic {
                 to: zone,
                 build,
-                out,
-                back,
-                took,
+                bytes_sent: out,
+                bytes_received: back,
+                handshake: took,
             },
         );
     }
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -3,4 +3,5 @@
 pub mod attempt;
 pub mod limits;
 pub mod pool;
+pub mod transfer_meter;
 pub mod zone_traffic;
