--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -93,7 +93,7 @@
     pub fn on_request(&self, request: Request) -> AdmittedRequest {
         let id = self.next_request.get();
         self.next_request.set(id + 1);
-        self.counters.taken.add();
+        self.counters.requests_taken.increment();
         let now = self.clock.now();
         let shadowed = ShadowedRequest {
             class: request.class,
@@ -119,7 +119,7 @@
 
     /// An attempt has ended.
     pub fn on_attempt_end(&self, id: u64, result: AttemptResult) -> Decision {
-        self.counters.end(result.outcome);
+        self.counters.attempt_ended(result.outcome);
         let now = self.clock.now();
         let end = AttemptEnd {
             outcome: result.outcome,
@@ -160,7 +160,7 @@
 
     /// Discovery told of endpoints, of all of them if `complete`.
     pub fn update_endpoints(&self, entries: &[EndpointEntry], complete: bool) {
-        self.counters.lists.add();
+        self.counters.lists_received.increment();
         self.balancer
             .borrow_mut()
             .update_endpoints(self.clock.now(), entries, complete);
@@ -168,7 +168,7 @@
 
     /// Discovery could not be heard.
     pub fn on_list_failure(&self) {
-        self.counters.list_failures.add();
+        self.counters.list_failures.increment();
         self.balancer.borrow_mut().on_list_failure(self.clock.now());
     }
 
@@ -179,7 +179,7 @@
 
     /// The platform told of a rollout.
     pub fn update_rollout(&self, status: RolloutStatus) {
-        self.counters.rollout_status.add();
+        self.counters.rollout_updates.increment();
         let before = self.rollout.replace(Some(status.clone()));
         if !before.is_some_and(|before| says_the_same(&before, &status)) {
             self.rollout_revision.set(self.rollout_revision.get() + 1);
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -54,7 +54,7 @@
     }
 
     fn is_open(&self) -> bool {
-        self.connection.quiet()
+        self.connection.is_open_and_quiet()
     }
 }
 
@@ -105,7 +105,7 @@
             if connection.is_open() {
                 return Some(connection);
             }
-            self.counters.gone_idle.add();
+            self.counters.connections_found_closed.increment();
         }
         None
     }
@@ -133,7 +133,7 @@
             connections.retain(|connection| {
                 let open = connection.is_open();
                 if !open {
-                    self.counters.gone_idle.add();
+                    self.counters.connections_found_closed.increment();
                 }
                 open && !self.is_expired(connection, now)
             });
--- a/crates/agent/src/upstream/transfer_meter.rs
+++ b/crates/agent/src/upstream/transfer_meter.rs
@@ -1,6 +1,6 @@
 //! What one attempt transfers over its sockets.
 
-use crate::protocol::connection::Traffic;
+use crate::protocol::connection::SocketTraffic;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tulipwall_zones::ResponseFault;
@@ -22,12 +22,12 @@
     fully_written: Cell<bool>,
     fault: Cell<ResponseFault>,
     finished: Cell<TransferredBytes>, // over connections before the present one
-    present: RefCell<Option<Rc<Traffic>>>,
+    present: RefCell<Option<Rc<SocketTraffic>>>,
 }
 
 impl TransferMeter {
     /// The attempt goes on on this connection.
-    pub fn follow(&self, traffic: Rc<Traffic>) {
+    pub fn follow(&self, traffic: Rc<SocketTraffic>) {
         self.transferred();
         *self.present.borrow_mut() = Some(traffic);
     }
@@ -57,7 +57,7 @@
     pub fn transferred(&self) -> TransferredBytes {
         let mut total = self.finished.get();
         if let Some(traffic) = self.present.take() {
-            let (sent, received) = traffic.charge();
+            let (sent, received) = traffic.take_uncharged();
             total.sent += sent;
             total.received += received;
         }
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -300,7 +300,7 @@
     }
     sleep(ms(300));
     assert_eq!(asked(&world), before);
-    assert!(!agent.log().contains("Renewing"), "{}", agent.log());
+    assert!(!agent.log().contains("Reloading"), "{}", agent.log());
     // Who moves is, alone.
     configuration["deployer"]["address"] = next.address.to_string().into();
     renew(&agent, &configuration);
--- a/crates/experiments/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -107,7 +107,7 @@
                     took: number(6) / 1e6,
                 });
             }
-            "flag" => log.flags.push((at, build(4))),
+            "client_error" => log.flags.push((at, build(4))),
             "note" if word(1) == "regression:" => {
                 let why = w[4..].join(" ");
                 let why = why.split(", canary").next().unwrap_or_default().to_owned();
@@ -405,7 +405,7 @@
 }
 
 fn seconds(log: &Log) {
-    println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | failed % | left % |");
+    println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | scrapped % | left % |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let mut by: BTreeMap<i64, BTreeMap<&str, f64>> = BTreeMap::new();
     let mut day = 0.0;
@@ -436,7 +436,7 @@
             part("late"),
             part("Rejected"),
             part("Failed"),
-            part("Left")
+            part("Abandoned")
         );
     }
 }
