--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -12,8 +12,9 @@
 use crate::protocol::connection::Connection;
 use crate::runtime::reactor::{self, Source, Timer};
 use crate::server::connection as client;
-use crate::upstream::attempt;
+use crate::server::overflow;
 use crate::upstream::limits::ConnectionPermit;
+use crate::upstream::warm_up::warm_up;
 use futures_lite::future::{self, FutureExt};
 use std::io;
 use std::net::TcpListener;
@@ -118,7 +119,7 @@
                         .await;
                 }
                 a.endpoints.allow_serving();
-                attempt::warm(&a).await;
+                warm_up(&a).await;
             };
             warm.or(a.sleep_until(a.clock.now() + READY_WITHIN)).await;
             a.lifecycle.advance_to(Phase::Serving);
@@ -199,7 +200,7 @@
                         agent
                             .executors
                             .tasks
-                            .spawn(client::deny(agent.clone(), client, slot))
+                            .spawn(overflow::reject_client(agent.clone(), client, slot))
                             .detach();
                     }
                     (None, None) => {}
--- /dev/null
+++ b/crates/agent/src/server/message.rs
@@ -0,0 +1,128 @@
+//! A client's messages after its startup.
+
+use super::admission::{admit, parse_statement, ReceivedStatement};
+use super::limits::MAX_PIPELINED_REQUESTS;
+use super::request::handle_request;
+use super::response::{write_final_response, write_refusal, FinalResponse};
+use super::startup::Step;
+use crate::agent::Agent;
+use crate::lifecycle::phase::Phase;
+use crate::protocol::connection::Connection;
+use crate::protocol::error::PostgresError;
+use crate::protocol::postgres;
+use crate::protocol::statement::Statement;
+use crate::protocol::ProtocolError;
+use futures_lite::future;
+use std::rc::Rc;
+
+/// The tag of a simple query.
+pub const QUERY_TAG: u8 = b'Q';
+/// The tag of the message that ends a connection.
+const TERMINATE_TAG: u8 = b'X';
+/// Commands on the session itself. They are answered here: no state is kept for a client.
+const SESSION_COMMANDS: [&str; 3] = ["SET", "RESET", "DISCARD"];
+
+/// What a query asks for.
+enum Query {
+    Empty,
+    SessionCommand(&'static str),
+    Request(Result<Statement, ProtocolError>),
+}
+
+impl Query {
+    fn parse(agent: &Agent, text: &str) -> Query {
+        let word = text.split_whitespace().next().unwrap_or_default();
+        if word.is_empty() || word == ";" {
+            return Query::Empty;
+        }
+        let command = SESSION_COMMANDS
+            .into_iter()
+            .find(|command| word.eq_ignore_ascii_case(command));
+        match command {
+            Some(command) => Query::SessionCommand(command),
+            None => Query::Request(parse_statement(&agent.service_config(), text)),
+        }
+    }
+}
+
+/// Handles the next message that came in whole; a request is seen to its final response.
+pub async fn handle_message(
+    agent: &Rc<Agent>,
+    client: &mut Connection,
+    reply: &mut Vec<u8>,
+) -> Result<Step, ProtocolError> {
+    let Some(message) = postgres::parse_message(client.inbox.unread())? else {
+        return Ok(Step::NeedMore);
+    };
+    let length = message.length;
+    let query = match message.tag {
+        QUERY_TAG => Query::parse(agent, postgres::parse_query_text(message.body)?),
+        TERMINATE_TAG => return Ok(Step::Close),
+        other => return Err(PostgresError::UnsupportedMessage(other).into()),
+    };
+    let over_pipeline_limit = is_over_pipeline_limit(client);
+    let received_at = match client.consume(length) {
+        Some(at) => agent.clock.at(at),
+        None => agent.clock.now(),
+    };
+    match query {
+        Query::Empty => {
+            // This answer tells the load balancer in front that requests may come.
+            agent.lifecycle.wait_for(Phase::Serving).await;
+            postgres::write_empty_query(reply);
+        }
+        Query::SessionCommand(command) => postgres::write_command_complete(reply, command),
+        Query::Request(Ok(statement)) => {
+            let received = ReceivedStatement {
+                statement,
+                received_at,
+                over_pipeline_limit,
+            };
+            if let Step::Close = respond(agent, client, received, reply).await {
+                return Ok(Step::Close);
+            }
+        }
+        Query::Request(Err(error)) => {
+            agent.counters.requests_invalid.increment();
+            postgres::write_statement_error(reply, &error);
+        }
+    }
+    postgres::write_ready(reply);
+    if !client.inbox.is_empty() {
+        // Others have their turn, however much this client has written ahead.
+        future::yield_now().await;
+    }
+    Ok(Step::Reply)
+}
+
+/// Whether too many requests wait behind the one that came first.
+fn is_over_pipeline_limit(client: &Connection) -> bool {
+    match &client.arrivals {
+        Some(arrivals) => arrivals.whole_messages() > MAX_PIPELINED_REQUESTS,
+        None => false,
+    }
+}
+
+/// Admits a request and sees it to its final response, which is written into `reply`.
+async fn respond(
+    agent: &Rc<Agent>,
+    client: &mut Connection,
+    received: ReceivedStatement,
+    reply: &mut Vec<u8>,
+) -> Step {
+    let _open_request = match admit(agent, &received) {
+        Ok(guard) => guard,
+        Err(refusal) => {
+            write_refusal(agent, reply, &refusal);
+            return Step::Reply;
+        }
+    };
+    let response = handle_request(agent, client, received.statement, received.received_at).await;
+    let client_left = response == FinalResponse::Abandoned;
+    write_final_response(agent, reply, response);
+    if client_left {
+        Step::Close
+    } else {
+        Step::Reply
+    }
+}
--- /dev/null
+++ b/crates/agent/src/server/overflow.rs
@@ -0,0 +1,69 @@
+//! Clients for which there is no room.
+
+use super::limits::SHORT_RECEIVE_TIMEOUT;
+use super::message::QUERY_TAG;
+use super::output::close_gracefully;
+use super::startup::{handle_startup, Step};
+use crate::agent::Agent;
+use crate::protocol::connection::Connection;
+use crate::protocol::postgres;
+use crate::protocol::ProtocolError;
+use crate::upstream::limits::ConnectionPermit;
+use futures_lite::FutureExt;
+use std::rc::Rc;
+
+/// Serves a client for which there is no room up to its first request, which is rejected: a retry
+/// is harmless. The connection is not closed before: that request would be taken and lost.
+pub async fn reject_client(agent: Rc<Agent>, mut client: Connection, _permit: ConnectionPermit) {
+    let timeout = async {
+        agent
+            .sleep_until(agent.clock.now() + SHORT_RECEIVE_TIMEOUT)
+            .await;
+    };
+    reject_first_request(&mut client).or(timeout).await;
+    close_gracefully(&agent, client).await;
+}
+
+/// Handles messages up to the one that is rejected, or to the end of the connection.
+async fn reject_first_request(client: &mut Connection) {
+    let mut reply = Vec::new();
+    let mut started = false;
+    loop {
+        let step = if started {
+            reject_message(client, &mut reply)
+        } else {
+            handle_startup(client, &mut reply)
+        };
+        let goes_on = match step {
+            Ok(Step::NeedMore) => client.read_more().await.is_ok_and(|count| count > 0),
+            Ok(Step::StartupComplete) => {
+                started = true;
+                true
+            }
+            Ok(Step::Reply) => true,
+            Ok(Step::Close) | Err(_) => false,
+        };
+        if client.write(&reply).await.is_err() || !goes_on {
+            return;
+        }
+        reply.clear();
+    }
+}
+
+/// Rejects a message, unless it is an empty query.
+fn reject_message(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
+    let Some(message) = postgres::parse_message(client.inbox.unread())? else {
+        return Ok(Step::NeedMore);
+    };
+    let is_empty_query =
+        message.tag == QUERY_TAG && matches!(message.body.trim_ascii(), b"\0" | b";\0");
+    let length = message.length;
+    client.consume(length);
+    if is_empty_query {
+        postgres::write_empty_query(reply);
+        postgres::write_ready(reply);
+        return Ok(Step::Reply);
+    }
+    postgres::write_too_many_clients(reply);
+    Ok(Step::Close)
+}
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -1,447 +1,369 @@
-//! The life of one request, from top to bottom: the module is asked at each point of choice.
+//! The life of one request: read, admit, route, attempt, answer.
+//!
+//! A statement is read and admitted by [`super::message`]. Here its names are resolved, the
+//! balancer routes it, attempts go out as it decides, and their ends lead to the next decision or
+//! to the final response.
 
+use super::admission::ResolvedRequest;
+use super::in_flight::{FinishedAttempt, InFlightAttempt, InFlightAttempts, PendingResponse};
+use super::limits::MAX_BYTES_READ_AHEAD;
+use super::response::FinalResponse;
 use crate::agent::Agent;
-use crate::balancer_handle::{AdmittedRequest, AttemptResult};
+use crate::balancer_handle::AttemptResult;
 use crate::observability::logging::EVIDENCE;
 use crate::protocol::connection::Connection;
 use crate::protocol::statement::Statement;
 use crate::runtime::reactor::Timer;
-use crate::server::connection::class;
-use crate::upstream::attempt::{send_attempt, AttemptPlan};
+use crate::upstream::attempt::{send_attempt, AttemptPlan, AttemptResponse};
 use crate::upstream::transfer_meter::TransferMeter;
 use futures_lite::future::poll_fn;
 use std::future::Future;
-use std::pin::{pin, Pin};
+use std::ops::ControlFlow;
+use std::pin::pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
+use std::task::Poll;
 use std::time::Duration;
 use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
 use tulipwall_config::number;
-use tulipwall_zones::{AttemptStart, Reservation};
+use tulipwall_discovery::list::Target;
+use tulipwall_zones::AttemptStart;
 
-/// What a client may write ahead of its answers before it is held back.
-const AHEAD_MOST: usize = 16 * 1024;
-
-/// What the client is told; nothing when it has left.
-pub enum FinalResponse {
-    Succeeded(Vec<u8>),
-    Rejected(Option<Duration>),
-    Failed,
-    Left,
-}
-
-impl FinalResponse {
-    fn name(&self) -> &'static str {
-        match self {
-            FinalResponse::Succeeded(_) => "Succeeded",
-            FinalResponse::Rejected(_) => "Rejected",
-            FinalResponse::Failed => "Failed",
-            FinalResponse::Left => "Abandoned",
-        }
-    }
+/// Sees a request that came in whole at `received_at` to its final response.
+pub async fn handle_request(
+    agent: &Rc<Agent>,
+    client: &mut Connection,
+    statement: Statement,
+    received_at: Duration,
+) -> FinalResponse {
+    agent.endpoints.serving_allowed().await;
+    // Indices are those of the settings in force as the balancer takes the request, and stay its
+    // own to its end. They may have changed while it waited above: nothing ran, and a retry is told
+    // more.
+    let Ok(resolved) = ResolvedRequest::resolve(&agent.service_config(), &statement) else {
+        return FinalResponse::Rejected { retry_after: None };
+    };
+    let (mut request, decision) =
+        ActiveRequest::begin(agent.clone(), statement, resolved, received_at);
+    let response = request.run(client, decision).await;
+    request.log_end(&response);
+    request.finish();
+    response
 }
 
-type Ended = (Outcome, Vec<u8>);
-
-/// An attempt that is out.
-struct InFlightAttempt {
-    sent: Duration,
-    give_up: Duration,
+/// A request that the balancer has taken.
+struct ActiveRequest {
+    agent: Rc<Agent>,
+    statement: Rc<Statement>,
     class: usize,
-    build: u32,
-    meter: Rc<TransferMeter>,
-    ticket: Option<Reservation>,
-    ends: Pin<Box<dyn Future<Output = Ended>>>,
+    idempotency: Idempotency,
+    received_at: Duration,
+    deadline: Duration,
+    /// The balancer's number of it.
+    id: u64,
+    attempts: InFlightAttempts,
+    /// When the balancer wants to route it again, if it does.
+    recheck_at: Option<Duration>,
+    may_have_run: bool,
 }
 
-enum Next {
-    Ended(usize, Duration, Ended),
-    Look,
-    Left,
-    Expired,
+/// What happens next to a request.
+enum RequestEvent {
+    AttemptEnded(FinishedAttempt),
+    RecheckDue,
+    ClientLeft,
+    DeadlinePassed,
 }
 
-/// Takes a request that came in whole at `heard`, and sees it to its final answer.
-pub async fn handle_request(
-    agent: &Rc<Agent>,
-    client: &mut Connection,
-    statement: Statement,
-    heard: Duration,
-) -> FinalResponse {
-    agent.endpoints.serving_allowed().await;
-    // Numbers are those of the settings in force as the module takes it, and stay its own to its
-    // end.
-    let (class, tenant, idempotency) = {
-        let site = agent.service_config();
-        // They may have changed while it waited above: nothing ran, and a retry is told more.
-        let Ok(class) = class(&site, &statement) else {
-            return FinalResponse::Rejected(None);
+impl ActiveRequest {
+    /// Tells the balancer of the request, and asks where it goes first.
+    fn begin(
+        agent: Rc<Agent>,
+        statement: Statement,
+        resolved: ResolvedRequest,
+        received_at: Duration,
+    ) -> (ActiveRequest, Decision) {
+        let deadline = received_at + statement.wait;
+        let request = Request {
+            class: resolved.class,
+            tenant: resolved.tenant,
+            key: Some(number(&statement.object)),
+            time_left: deadline.saturating_sub(agent.clock.now()),
+            estimated_work: statement.estimated_work,
+            is_retry: statement.is_retry,
         };
-        let tenant = statement.tenant.as_deref().and_then(|c| site.tenant(c));
-        (class, tenant, site.settings.classes[class].idempotency)
-    };
-    let deadline = heard + statement.wait;
-    let left = deadline.saturating_sub(agent.clock.now());
-    let Statement {
-        estimated_work: work,
-        is_retry: again,
-        ..
-    } = statement;
-    let command = Request {
-        class,
-        tenant,
-        key: Some(number(&statement.object)),
-        time_left: left,
-        estimated_work: work,
-        is_retry: again,
-    };
-    let statement = Rc::new(statement);
-    let mut out: Vec<Option<InFlightAttempt>> = Vec::new();
-    let (mut look, mut ran): (Option<Duration>, bool) = (None, false);
-    agent.zone_traffic.on_request(agent.clock.now(), class);
-    let AdmittedRequest {
-        id,
-        decision: mut answer,
-    } = agent.balancer.on_request(command);
-    let end = loop {
-        match answer {
-            Decision::Forward {
-                endpoint,
-                timeout,
-                recheck_at: at,
-            } => {
-                let sending = AttemptStart {
-                    to: 0,
-                    class,
-                    build: 0,
-                    previous_attempts: out.len(),
-                    hedged: out.iter().any(Option::is_some),
-                    is_canary: false,
-                    pinned_to_scope: ran && bound(idempotency),
-                };
-                out.push(Some(send(
-                    agent, &statement, id, endpoint, timeout, sending,
-                )));
-                look = at.or(look);
-            }
-            Decision::Defer { until } => look = Some(until),
-            Decision::Reject { retry_after } => break FinalResponse::Rejected(retry_after),
-            Decision::Fail => break FinalResponse::Failed,
-            Decision::Cancel { attempt } => {
-                answer = withdraw(agent, id, &mut out, attempt, false);
-                continue;
-            }
-            Decision::Await => {}
-        }
-        answer = match next(agent, &mut out, &mut look, client, deadline).await {
-            Next::Ended(n, sent, (Outcome::Succeeded, value)) => {
-                if let Decision::Cancel { attempt } = agent.balancer.on_attempt_end(
-                    id,
-                    AttemptResult {
-                        attempt: n,
-                        sent,
-                        outcome: Outcome::Succeeded,
-                        request_closed: true,
-                    },
-                ) {
-                    withdraw(agent, id, &mut out, attempt, true);
+        agent
+            .zone_traffic
+            .on_request(agent.clock.now(), resolved.class);
+        let admitted = agent.balancer.on_request(request);
+        let request = ActiveRequest {
+            agent,
+            statement: Rc::new(statement),
+            class: resolved.class,
+            idempotency: resolved.idempotency,
+            received_at,
+            deadline,
+            id: admitted.id,
+            attempts: InFlightAttempts::default(),
+            recheck_at: None,
+            may_have_run: false,
+        };
+        (request, admitted.decision)
+    }
+
+    /// Does what the balancer decides, until there is a final response.
+    async fn run(&mut self, client: &mut Connection, first: Decision) -> FinalResponse {
+        let mut decision = first;
+        loop {
+            match decision {
+                Decision::Forward {
+                    endpoint,
+                    timeout,
+                    recheck_at,
+                } => {
+                    self.start_attempt(endpoint, timeout);
+                    self.recheck_at = recheck_at.or(self.recheck_at);
                 }
-                break FinalResponse::Succeeded(value);
-            }
-            Next::Ended(n, sent, (outcome, _)) => {
-                ran |= !outcome.never_ran();
-                agent.balancer.on_attempt_end(
-                    id,
-                    AttemptResult {
-                        attempt: n,
-                        sent,
-                        outcome,
-                        request_closed: false,
-                    },
-                )
-            }
-            Next::Look => agent.balancer.route(id),
-            Next::Left => {
-                agent.balancer.close_request(id);
-                break FinalResponse::Left;
-            }
-            // A net under the module's own time-outs: an answer is owed before the expiry, come
-            // what may.
-            Next::Expired => {
-                agent.balancer.close_request(id);
-                break FinalResponse::Failed;
+                Decision::Defer { until } => self.recheck_at = Some(until),
+                Decision::Reject { retry_after } => return FinalResponse::Rejected { retry_after },
+                Decision::Fail => return FinalResponse::Failed,
+                Decision::Cancel { attempt } => {
+                    decision = self.cancel(attempt, false);
+                    continue;
+                }
+                Decision::Await => {}
             }
-        };
-    };
-    let now = agent.clock.now();
-    log::debug!(target: EVIDENCE, "{} request class {class} {} {} us work {} us",
-        agent.clock.wall(now), end.name(), now.saturating_sub(heard).as_micros(), work.unwrap_or_default().as_micros());
-    // Nothing goes out for it from now on. What has gone and may not be withdrawn ends by itself,
-    // and the module hears of it.
-    for n in 0..out.len() {
-        if out[n].as_ref().is_some_and(|o| !o.meter.is_fully_written()) {
-            end_unwritten(agent, id, &mut out, n);
+            let event = self.next_event(client).await;
+            decision = match self.on_event(event) {
+                ControlFlow::Continue(decision) => decision,
+                ControlFlow::Break(response) => return response,
+            };
         }
     }
-    if out.iter().any(Option::is_some) {
-        let shared = agent.clone();
-        agent
-            .executors
-            .tasks
-            .spawn(async move { rest(&shared, id, out).await })
-            .detach();
+
+    fn start_attempt(&mut self, endpoint: usize, timeout: Duration) {
+        let sent = self.agent.clock.now();
+        let timeout_at = sent + timeout;
+        let attempt = match self.agent.endpoints.target(endpoint) {
+            Some(target) => self.forward(target, sent, timeout_at),
+            None => self.attempt_to_missing_endpoint(sent, timeout_at),
+        };
+        self.attempts.push(attempt);
     }
-    end
-}
 
-fn send(
-    agent: &Rc<Agent>,
-    statement: &Rc<Statement>,
-    id: u64,
-    endpoint: usize,
-    timeout: Duration,
-    sending: AttemptStart,
-) -> InFlightAttempt {
-    let sent = agent.clock.now();
-    let (give_up, meter) = (sent + timeout, Rc::new(TransferMeter::default()));
-    let Some(target) = agent.endpoints.target(endpoint) else {
-        let ends = Box::pin(async { (Outcome::NotSent, Vec::new()) });
-        return InFlightAttempt {
+    fn forward(&self, target: Target, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
+        let agent = &self.agent;
+        let start = AttemptStart {
+            to: target.zone,
+            class: self.class,
+            build: target.build,
+            previous_attempts: self.attempts.count(),
+            hedged: self.attempts.any_in_flight(),
+            is_canary: agent.balancer.is_canary(target.build),
+            pinned_to_scope: self.may_have_run && is_scoped(self.idempotency),
+        };
+        let config = agent.service_config();
+        let reservation = agent.zone_traffic.on_attempt(sent, start, || {
+            // The zones of the settings, and one for all that they do not name.
+            agent.balancer.zone_capacities(config.zones.len() + 1)
+        });
+        if target.zone != config.settings.zone {
+            agent.apply_cross_zone_policy();
+        }
+        let plan = AttemptPlan {
+            request_id: self.id,
+            attempt: self.attempts.count(),
+            target,
+            rollout_revision: agent.balancer.rollout_revision(),
+            timeout_at,
+            retained_index: agent.endpoints.retain_index(target.endpoint),
+        };
+        let meter = Rc::new(TransferMeter::default());
+        InFlightAttempt {
             sent,
-            give_up,
-            class: sending.class,
-            build: 0,
+            timeout_at,
+            class: self.class,
+            build: target.build,
+            reservation,
+            response: self.drive(plan, meter.clone()),
             meter,
-            ticket: None,
-            ends,
-        };
-    };
-    let trial = agent.balancer.is_canary(target.build);
-    let sending = AttemptStart {
-        to: target.zone,
-        build: target.build,
-        is_canary: trial,
-        ..sending
-    };
-    let ticket = agent.zone_traffic.on_attempt(sent, sending, || {
-        agent
-            .balancer
-            .zone_capacities(agent.service_config().zones.len() + 1)
-    });
-    if target.zone != agent.service_config().settings.zone {
-        agent.apply_cross_zone_policy();
+        }
     }
-    let (turn, held) = (
-        agent.balancer.rollout_revision(),
-        agent.endpoints.retain_index(endpoint),
-    );
-    let order = AttemptPlan {
-        id,
-        nth: sending.previous_attempts,
-        target,
-        turn,
-        give_up,
-        held,
-    };
-    let (agent, statement, on) = (agent.clone(), statement.clone(), meter.clone());
-    InFlightAttempt {
-        sent,
-        give_up,
-        class: sending.class,
-        build: target.build,
-        meter,
-        ticket,
-        ends: Box::pin(async move { send_attempt(&agent, &statement, order, &on).await }),
+
+    fn drive(&self, plan: AttemptPlan, meter: Rc<TransferMeter>) -> PendingResponse {
+        let agent = self.agent.clone();
+        let statement = self.statement.clone();
+        Box::pin(async move { send_attempt(&agent, &statement, plan, &meter).await })
     }
-}
 
-/// Whether what may have run must stay in its zone or cell.
-fn bound(idempotency: Idempotency) -> bool {
-    matches!(
-        idempotency,
-        Idempotency::Keyed {
-            scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
-            ..
+    /// The endpoint has gone since the balancer heard of it.
+    fn attempt_to_missing_endpoint(&self, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
+        InFlightAttempt {
+            sent,
+            timeout_at,
+            class: self.class,
+            build: 0,
+            meter: Rc::default(),
+            reservation: None,
+            response: Box::pin(async { AttemptResponse::without_value(Outcome::NotSent) }),
         }
-    )
-}
+    }
 
-impl InFlightAttempt {
-    /// It is over: what it did goes into the account of what crosses.
-    fn account(self, agent: &Agent, outcome: Outcome) {
-        let InFlightAttempt {
-            sent,
-            class,
-            build,
-            meter,
-            ticket,
-            ends,
-            ..
-        } = self;
-        drop(ends);
-        let now = agent.clock.now();
-        let took = now.saturating_sub(sent);
-        log::debug!(target: EVIDENCE, "{} attempt class {class} build {build} {outcome:?} {} us",
-            agent.clock.wall(now), took.as_micros());
-        agent
-            .zone_traffic
-            .on_attempt_end(now, ticket.as_ref(), &meter, outcome, took);
+    /// What happens next. Ends are told before time-outs: after a stall that is their order. Before
+    /// either comes a client that has left: an attempt's first look at its connection is also its
+    /// first byte.
+    async fn next_event(&mut self, client: &mut Connection) -> RequestEvent {
+        let agent = &self.agent;
+        let attempts = &mut self.attempts;
+        let recheck_at = &mut self.recheck_at;
+        let timeout_at = attempts.next_timeout().unwrap_or(self.deadline);
+        let due = timeout_at
+            .min(recheck_at.unwrap_or(self.deadline))
+            .min(self.deadline);
+        let mut timer = pin!(Timer::at(agent.clock.instant(due)));
+        let mut client_left = pin!(client_left(client));
+        poll_fn(|cx| {
+            if client_left.as_mut().poll(cx).is_ready() {
+                return Poll::Ready(RequestEvent::ClientLeft);
+            }
+            if let Some(ended) = attempts.poll_ended(agent, cx) {
+                return Poll::Ready(RequestEvent::AttemptEnded(ended));
+            }
+            if timer.as_mut().poll(cx).is_pending() {
+                return Poll::Pending;
+            }
+            if let Some(expired) = attempts.expire(agent, due) {
+                return Poll::Ready(RequestEvent::AttemptEnded(expired));
+            }
+            if recheck_at.take_if(|at| *at <= due).is_some() {
+                return Poll::Ready(RequestEvent::RecheckDue);
+            }
+            Poll::Ready(RequestEvent::DeadlinePassed)
+        })
+        .await
     }
-}
 
-/// Closes an attempt's connection, before anything else goes out for its request.
-fn withdraw(
-    agent: &Agent,
-    id: u64,
-    out: &mut [Option<InFlightAttempt>],
-    attempt: usize,
-    closed: bool,
-) -> Decision {
-    match out.get_mut(attempt).and_then(Option::take) {
-        Some(o) => {
-            let sent = o.sent;
-            o.account(agent, Outcome::Cancelled);
-            agent.balancer.on_attempt_end(
-                id,
-                AttemptResult {
-                    attempt,
-                    sent,
-                    outcome: Outcome::Cancelled,
-                    request_closed: closed,
-                },
-            )
+    /// Tells the balancer what happened: its next decision, or the final response.
+    fn on_event(&mut self, event: RequestEvent) -> ControlFlow<FinalResponse, Decision> {
+        match event {
+            RequestEvent::AttemptEnded(ended) if ended.response.outcome == Outcome::Succeeded => {
+                self.close_attempt(&ended);
+                ControlFlow::Break(FinalResponse::Succeeded(ended.response.value))
+            }
+            RequestEvent::AttemptEnded(ended) => {
+                self.may_have_run |= !ended.response.outcome.never_ran();
+                ControlFlow::Continue(self.report(&ended, false))
+            }
+            RequestEvent::RecheckDue => ControlFlow::Continue(self.agent.balancer.route(self.id)),
+            RequestEvent::ClientLeft => {
+                self.agent.balancer.close_request(self.id);
+                ControlFlow::Break(FinalResponse::Abandoned)
+            }
+            // A net under the balancer's own time-outs: a response is owed before the deadline,
+            // come what may.
+            RequestEvent::DeadlinePassed => {
+                self.agent.balancer.close_request(self.id);
+                ControlFlow::Break(FinalResponse::Failed)
+            }
         }
-        None => Decision::Await,
     }
-}
 
-/// Gives up an attempt that was not written whole.
-fn end_unwritten(agent: &Agent, id: u64, out: &mut [Option<InFlightAttempt>], attempt: usize) {
-    if let Some(o) = out[attempt].take() {
-        let sent = o.sent;
-        o.account(agent, Outcome::NotSent);
-        agent.balancer.on_attempt_end(
-            id,
-            AttemptResult {
-                attempt,
-                sent,
-                outcome: Outcome::NotSent,
-                request_closed: true,
-            },
-        );
+    /// Tells the balancer the end of an attempt; `request_closed` once there is a final response.
+    fn report(&self, ended: &FinishedAttempt, request_closed: bool) -> Decision {
+        let result = AttemptResult {
+            attempt: ended.attempt,
+            sent: ended.sent,
+            outcome: ended.response.outcome,
+            request_closed,
+        };
+        self.agent.balancer.on_attempt_end(self.id, result)
     }
-}
 
-/// What happens next to a request. Ends are told before time-outs: after a stall that is their
-/// order. Before either comes a client that has left: an attempt's first look at its connection is
-/// also its first byte.
-async fn next(
-    agent: &Agent,
-    out: &mut [Option<InFlightAttempt>],
-    look: &mut Option<Duration>,
-    client: &mut Connection,
-    deadline: Duration,
-) -> Next {
-    let give_up = out
-        .iter()
-        .flatten()
-        .map(|o| o.give_up)
-        .min()
-        .unwrap_or(deadline);
-    let first = give_up.min(look.unwrap_or(deadline)).min(deadline);
-    let mut timer = pin!(Timer::at(agent.clock.instant(first)));
-    let mut leaves = pin!(leaves(client));
-    poll_fn(|cx| {
-        if leaves.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Next::Left);
+    /// Tells the balancer the end of an attempt of a request that needs no more of them.
+    fn close_attempt(&mut self, ended: &FinishedAttempt) {
+        if let Decision::Cancel { attempt } = self.report(ended, true) {
+            self.cancel(attempt, true);
         }
-        if let Some((n, sent, ended)) = ended(agent, out, cx) {
-            return Poll::Ready(Next::Ended(n, sent, ended));
+    }
+
+    /// Closes an attempt's connection, before anything else goes out for its request.
+    fn cancel(&mut self, attempt: usize, request_closed: bool) -> Decision {
+        match self
+            .attempts
+            .finish(&self.agent, attempt, Outcome::Cancelled)
+        {
+            Some(cancelled) => self.report(&cancelled, request_closed),
+            None => Decision::Await,
         }
-        timer
-            .as_mut()
-            .poll(cx)
-            .map(|()| match late(agent, out, first) {
-                Some((n, sent, ended)) => Next::Ended(n, sent, ended),
-                None if look.take_if(|at| *at <= first).is_some() => Next::Look,
-                None => Next::Expired,
-            })
-    })
-    .await
-}
+    }
 
-/// An attempt whose time is over is closed. It never ran if it was not yet written whole.
-fn late(
-    agent: &Agent,
-    out: &mut [Option<InFlightAttempt>],
-    now: Duration,
-) -> Option<(usize, Duration, Ended)> {
-    let n = out
-        .iter()
-        .position(|o| o.as_ref().is_some_and(|o| o.give_up <= now))?;
-    let o = out[n].take()?;
-    let outcome = if o.meter.is_fully_written() {
-        Outcome::TimedOut
-    } else {
-        Outcome::ConnectFailed
-    };
-    let sent = o.sent;
-    o.account(agent, outcome);
-    Some((n, sent, (outcome, Vec::new())))
-}
+    fn log_end(&self, response: &FinalResponse) {
+        let clock = &self.agent.clock;
+        let now = clock.now();
+        let latency = now.saturating_sub(self.received_at);
+        let work = self.statement.estimated_work.unwrap_or_default();
+        log::debug!(target: EVIDENCE, "{} request class {} {} {} us work {} us",
+            clock.wall(now), self.class, response.name(), latency.as_micros(), work.as_micros());
+    }
 
-fn ended(
-    agent: &Agent,
-    out: &mut [Option<InFlightAttempt>],
-    cx: &mut Context,
-) -> Option<(usize, Duration, Ended)> {
-    for (n, slot) in out.iter_mut().enumerate() {
-        let Some(Poll::Ready(ended)) = slot.as_mut().map(|o| o.ends.as_mut().poll(cx)) else {
-            continue;
-        };
-        let over = slot.take()?;
-        let sent = over.sent;
-        over.account(agent, ended.0);
-        return Some((n, sent, ended));
+    /// Nothing goes out for the request from now on. What has gone and may not be cancelled ends by
+    /// itself, and the balancer hears of it.
+    fn finish(mut self) {
+        for attempt in self.attempts.not_fully_written() {
+            let ended = self.attempts.finish(&self.agent, attempt, Outcome::NotSent);
+            if let Some(ended) = ended {
+                self.report(&ended, true);
+            }
+        }
+        if self.attempts.any_in_flight() {
+            let agent = self.agent.clone();
+            agent.executors.tasks.spawn(self.drain()).detach();
+        }
     }
-    None
-}
 
-/// Ready once the client closes its connection, or ends its sending, which cannot be told apart.
-/// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
-async fn leaves(client: &mut Connection) {
-    while client.inbox.len() <= AHEAD_MOST {
-        if client.read_more().await.map_or(true, |n| n == 0) {
-            return;
+    /// Hears out the attempts of a request that has its final response.
+    async fn drain(mut self) {
+        while let Some(timeout_at) = self.attempts.next_timeout() {
+            if let Some(ended) = self.next_end(timeout_at).await {
+                self.close_attempt(&ended);
+            }
         }
     }
-    client.peer_closed().await;
-}
 
-/// Hears out the attempts of a request that has its final answer.
-async fn rest(agent: &Agent, id: u64, mut out: Vec<Option<InFlightAttempt>>) {
-    while let Some(give_up) = out.iter().flatten().map(|o| o.give_up).min() {
-        let mut timer = pin!(Timer::at(agent.clock.instant(give_up)));
-        let ends = poll_fn(|cx| match ended(agent, &mut out, cx) {
+    /// The next attempt that ends, or whose time is over at `timeout_at`.
+    async fn next_end(&mut self, timeout_at: Duration) -> Option<FinishedAttempt> {
+        let agent = &self.agent;
+        let attempts = &mut self.attempts;
+        let mut timer = pin!(Timer::at(agent.clock.instant(timeout_at)));
+        poll_fn(|cx| match attempts.poll_ended(agent, cx) {
             Some(ended) => Poll::Ready(Some(ended)),
             None => timer
                 .as_mut()
                 .poll(cx)
-                .map(|()| late(agent, &mut out, give_up)),
-        });
-        let Some((n, sent, (outcome, _))) = ends.await else {
-            continue;
-        };
-        if let Decision::Cancel { attempt } = agent.balancer.on_attempt_end(
-            id,
-            AttemptResult {
-                attempt: n,
-                sent,
-                outcome,
-                request_closed: true,
-            },
-        ) {
-            withdraw(agent, id, &mut out, attempt, true);
+                .map(|()| attempts.expire(agent, timeout_at)),
+        })
+        .await
+    }
+}
+
+/// Whether a request that may have run must stay in its zone or cell.
+fn is_scoped(idempotency: Idempotency) -> bool {
+    matches!(
+        idempotency,
+        Idempotency::Keyed {
+            scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
+            ..
+        }
+    )
+}
+
+/// Ready once the client closes its connection, or ends its sending, which cannot be told apart.
+/// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
+async fn client_left(client: &mut Connection) {
+    while client.inbox.len() <= MAX_BYTES_READ_AHEAD {
+        match client.read_more().await {
+            Ok(count) if count > 0 => {}
+            _ => return,
         }
     }
+    client.peer_closed().await;
 }
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -1,7 +1,11 @@
-//! What goes to endpoints: attempts, the connection pool, the limits on connections, and the accounting of cross-zone traffic.
+//! The endpoints' side: attempts, connections and their bounds, and the accounting of cross-zone
+//! traffic.
 
 pub mod attempt;
+pub mod connect;
 pub mod limits;
 pub mod pool;
+pub mod response;
 pub mod transfer_meter;
+pub mod warm_up;
 pub mod zone_traffic;
