--- a/crates/agent/src/agent/endpoint_directory.rs
+++ b/crates/agent/src/agent/endpoint_directory.rs
@@ -3,12 +3,11 @@
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
-use std::rc::Rc;
 use tulipwall::EndpointEntry;
 use tulipwall_config::ServiceConfig;
 use tulipwall_discovery::clock::Clock;
-use tulipwall_discovery::list::{List, Target};
-use tulipwall_discovery::listing::Listing;
+use tulipwall_discovery::endpoint_table::{AppliedList, AttemptTarget, EndpointTable, IndexGuard};
+use tulipwall_discovery::list_response::ListResponse;
 
 /// The endpoint list as discovery last told it.
 ///
@@ -16,7 +15,7 @@
 /// read by every attempt.
 #[derive(Default)]
 pub struct EndpointDirectory {
-    list: RefCell<List>,
+    list: RefCell<EndpointTable>,
     first_usable: Event,
     serving_allowed: Cell<bool>, // discovery was heard, or not in time
     serving_changed: Event,
@@ -34,20 +33,28 @@
 
 impl EndpointDirectory {
     /// Takes a response of discovery in.
-    pub fn update(&self, response: Listing, config: &ServiceConfig, clock: &Clock) -> ListUpdate {
+    pub fn update(
+        &self,
+        response: ListResponse,
+        config: &ServiceConfig,
+        clock: &Clock,
+    ) -> ListUpdate {
         let mut list = self.list.borrow_mut();
-        let was_usable = list.serves();
-        let (entries, stale_endpoints) = list.take(response, config, clock);
+        let was_usable = list.has_running();
+        let AppliedList {
+            entries,
+            stale_endpoints,
+        } = list.apply(response, config, clock);
         ListUpdate {
             entries,
             stale_endpoints,
-            became_unusable: was_usable && !list.serves(),
+            became_unusable: was_usable && !list.has_running(),
         }
     }
 
     /// Wakes whoever waits for endpoints, if any can be used.
     pub fn announce_usable(&self) {
-        if self.list.borrow().serves() {
+        if self.list.borrow().has_running() {
             self.first_usable.notify(usize::MAX);
         }
     }
@@ -55,7 +62,7 @@
     /// Gives zones their indices under another configuration: the endpoints with another zone index
     /// than before, with it.
     pub fn reassign_zones(&self, config: &ServiceConfig) -> Vec<(usize, usize)> {
-        self.list.borrow_mut().rezone(config)
+        self.list.borrow_mut().update_zones(config)
     }
 
     /// Discovery was heard, or a start need not wait for it any longer.
@@ -74,7 +81,7 @@
     }
 
     /// The endpoints to serve from, once some are known.
-    pub async fn usable_targets(&self) -> Vec<Target> {
+    pub async fn usable_targets(&self) -> Vec<AttemptTarget> {
         loop {
             let usable = self.first_usable.listen();
             let targets = self.list.borrow().targets();
@@ -104,7 +111,7 @@
     /// asks for all of it.
     pub fn usable_version(&self) -> Option<u64> {
         let list = self.list.borrow();
-        list.serves().then_some(list.version)
+        list.has_running().then_some(list.version)
     }
 
     /// The builds of all endpoints that are known.
@@ -114,26 +121,26 @@
 
     /// The index of the endpoint with this id.
     pub fn index_of(&self, id: &str) -> Option<usize> {
-        self.list.borrow().number(id)
+        self.list.borrow().index(id)
     }
 
     /// The id of an endpoint.
     pub fn name(&self, endpoint: usize) -> String {
-        self.list.borrow().name(endpoint).to_owned()
+        self.list.borrow().id(endpoint).to_owned()
     }
 
     /// Keeps an endpoint's index from being given to another for as long as the result lives.
-    pub fn retain_index(&self, endpoint: usize) -> Option<Rc<()>> {
-        self.list.borrow().hold(endpoint)
+    pub fn retain_index(&self, endpoint: usize) -> Option<IndexGuard> {
+        self.list.borrow().hold_index(endpoint)
     }
 
     /// Where an attempt to this endpoint goes, while it is usable.
-    pub fn target(&self, endpoint: usize) -> Option<Target> {
+    pub fn target(&self, endpoint: usize) -> Option<AttemptTarget> {
         self.list.borrow().target(endpoint)
     }
 
     /// Whether the endpoint still runs the same build at the same address.
-    pub fn is_current(&self, target: Target) -> bool {
+    pub fn is_current(&self, target: AttemptTarget) -> bool {
         self.target(target.endpoint) == Some(target)
     }
 }
--- a/crates/agent/src/server/admission.rs
+++ b/crates/agent/src/server/admission.rs
@@ -51,7 +51,7 @@
     ) -> Result<ResolvedRequest, StatementError> {
         let class = resolve_class(config, statement)?;
         let tenant = match &statement.tenant {
-            Some(name) => config.tenant(name),
+            Some(name) => config.tenant_index(name),
             None => None,
         };
         Ok(ResolvedRequest {
@@ -71,7 +71,7 @@
 
 /// The class of a statement under these settings.
 fn resolve_class(config: &ServiceConfig, statement: &Statement) -> Result<usize, StatementError> {
-    let Some(class) = config.class(&statement.class) else {
+    let Some(class) = config.class_index(&statement.class) else {
         return Err(StatementError::UnknownClass(statement.class.clone()));
     };
     if config.is_keyed(class) && !statement.has_deduplication_key {
--- a/crates/agent/src/server/in_flight.rs
+++ b/crates/agent/src/server/in_flight.rs
@@ -41,7 +41,7 @@
         let now = agent.clock.now();
         let latency = now.saturating_sub(self.sent);
         log::debug!(target: EVIDENCE, "{} attempt class {} build {} {outcome:?} {} us",
-            agent.clock.wall(now), self.class, self.build, latency.as_micros());
+            agent.clock.to_unix_ms(now), self.class, self.build, latency.as_micros());
         agent.zone_traffic.on_attempt_end(
             now,
             self.reservation.as_ref(),
--- a/crates/agent/src/server/message.rs
+++ b/crates/agent/src/server/message.rs
@@ -62,7 +62,7 @@
     };
     let over_pipeline_limit = is_over_pipeline_limit(client);
     let received_at = match client.consume(length) {
-        Some(at) => agent.clock.at(at),
+        Some(at) => agent.clock.reading_at(at),
         None => agent.clock.now(),
     };
     match query {
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -24,8 +24,8 @@
 use std::task::Poll;
 use std::time::Duration;
 use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
-use tulipwall_config::number;
-use tulipwall_discovery::list::Target;
+use tulipwall_config::stable_hash;
+use tulipwall_discovery::endpoint_table::AttemptTarget;
 use tulipwall_zones::AttemptStart;
 
 /// Sees a request that came in whole at `received_at` to its final response.
@@ -86,7 +86,7 @@
         let request = Request {
             class: resolved.class,
             tenant: resolved.tenant,
-            key: Some(number(&statement.object)),
+            key: Some(stable_hash(&statement.object)),
             time_left: deadline.saturating_sub(agent.clock.now()),
             estimated_work: statement.estimated_work,
             is_retry: statement.is_retry,
@@ -150,7 +150,12 @@
         self.attempts.push(attempt);
     }
 
-    fn forward(&self, target: Target, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
+    fn forward(
+        &self,
+        target: AttemptTarget,
+        sent: Duration,
+        timeout_at: Duration,
+    ) -> InFlightAttempt {
         let agent = &self.agent;
         let start = AttemptStart {
             to: target.zone,
@@ -219,7 +224,7 @@
         let due = timeout_at
             .min(recheck_at.unwrap_or(self.deadline))
             .min(self.deadline);
-        let mut timer = pin!(Timer::at(agent.clock.instant(due)));
+        let mut timer = pin!(Timer::at(agent.clock.to_instant(due)));
         let mut client_left = pin!(client_left(client));
         poll_fn(|cx| {
             if client_left.as_mut().poll(cx).is_ready() {
@@ -302,7 +307,7 @@
         let latency = now.saturating_sub(self.received_at);
         let work = self.statement.estimated_work.unwrap_or_default();
         log::debug!(target: EVIDENCE, "{} request class {} {} {} us work {} us",
-            clock.wall(now), self.class, response.name(), latency.as_micros(), work.as_micros());
+            clock.to_unix_ms(now), self.class, response.name(), latency.as_micros(), work.as_micros());
     }
 
     /// Nothing goes out for the request from now on. What has gone and may not be cancelled ends by
@@ -333,7 +338,7 @@
     async fn next_end(&mut self, timeout_at: Duration) -> Option<FinishedAttempt> {
         let agent = &self.agent;
         let attempts = &mut self.attempts;
-        let mut timer = pin!(Timer::at(agent.clock.instant(timeout_at)));
+        let mut timer = pin!(Timer::at(agent.clock.to_instant(timeout_at)));
         poll_fn(|cx| match attempts.poll_ended(agent, cx) {
             Some(ended) => Poll::Ready(Some(ended)),
             None => timer
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -7,10 +7,9 @@
 use crate::upstream::pool::PooledConnection;
 use crate::upstream::response::{read_response, ResponseError};
 use crate::upstream::transfer_meter::TransferMeter;
-use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::Outcome;
-use tulipwall_discovery::list::Target;
+use tulipwall_discovery::endpoint_table::{AttemptTarget, IndexGuard};
 use tulipwall_zones::ResponseFault;
 
 /// What was decided, and what it was decided on.
@@ -20,13 +19,13 @@
     /// Which of that request's attempts it is.
     pub attempt: usize,
     /// Where it goes.
-    pub target: Target,
+    pub target: AttemptTarget,
     /// The revision of the rollout status that it was decided on.
     pub rollout_revision: u64,
     /// When it is given up, on the agent's clock.
     pub timeout_at: Duration,
     /// Keeps the endpoint's index until the attempt is over.
-    pub retained_index: Option<Rc<()>>,
+    pub retained_index: Option<IndexGuard>,
 }
 
 /// How an attempt ended.
@@ -124,7 +123,7 @@
 
 async fn acquire_connection(
     agent: &Agent,
-    target: Target,
+    target: AttemptTarget,
 ) -> Result<(PooledConnection, ConnectionSource), ConnectError> {
     if let Some(connection) = agent.pool.take(target.endpoint) {
         return Ok((connection, ConnectionSource::Pool));
@@ -143,7 +142,7 @@
 }
 
 /// Passes on what the endpoint said of its load, while it is the same.
-fn report_load(agent: &Agent, target: Target, response: &ResponseReader) {
+fn report_load(agent: &Agent, target: AttemptTarget, response: &ResponseReader) {
     let Some(load) = response.reported_load else {
         return;
     };
@@ -167,7 +166,7 @@
 
 /// Keeps a connection that is ready for the next query. What comes behind a response belongs to
 /// nobody, and would be taken for the next request's: such a connection is closed.
-fn release(agent: &Agent, target: Target, mut connection: PooledConnection) {
+fn release(agent: &Agent, target: AttemptTarget, mut connection: PooledConnection) {
     if connection.connection.inbox.is_empty() {
         connection.on_answer(agent.clock.now());
         agent.return_connection(target, connection);
@@ -179,7 +178,7 @@
 /// Notes what was wrong with a response; `lost_within` if the connection ended before it was whole.
 fn record_fault(
     agent: &Agent,
-    target: Target,
+    target: AttemptTarget,
     meter: &TransferMeter,
     error: &ResponseError,
     lost_within: bool,
--- a/crates/agent/src/upstream/connect.rs
+++ b/crates/agent/src/upstream/connect.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::Outcome;
-use tulipwall_discovery::list::Target;
+use tulipwall_discovery::endpoint_table::AttemptTarget;
 use tulipwall_zones::ConnectionTraffic;
 
 /// The user and the database that a connection is opened for.
@@ -55,7 +55,7 @@
 /// A new connection, ready for its first query.
 pub async fn open_connection(
     agent: &Agent,
-    target: Target,
+    target: AttemptTarget,
 ) -> Result<PooledConnection, ConnectError> {
     let permit = acquire_permit(agent)?;
     let cost = HandshakeCostGuard::new(agent, target);
@@ -81,7 +81,7 @@
 
 async fn perform_handshake(
     agent: &Agent,
-    target: Target,
+    target: AttemptTarget,
     cost: &HandshakeCostGuard<'_>,
 ) -> Result<Connection, ConnectError> {
     let mut connection = Connection::open(target.address).await?;
@@ -106,13 +106,13 @@
 /// Charges what opening a connection takes, also where it is given up halfway.
 struct HandshakeCostGuard<'a> {
     agent: &'a Agent,
-    target: Target,
+    target: AttemptTarget,
     begun: Duration,
     traffic: RefCell<Option<Rc<SocketTraffic>>>,
 }
 
 impl HandshakeCostGuard<'_> {
-    fn new(agent: &Agent, target: Target) -> HandshakeCostGuard<'_> {
+    fn new(agent: &Agent, target: AttemptTarget) -> HandshakeCostGuard<'_> {
         HandshakeCostGuard {
             agent,
             target,
--- a/crates/agent/src/upstream/warm_up.rs
+++ b/crates/agent/src/upstream/warm_up.rs
@@ -3,7 +3,7 @@
 use crate::agent::Agent;
 use crate::upstream::connect::open_connection;
 use std::rc::Rc;
-use tulipwall_discovery::list::Target;
+use tulipwall_discovery::endpoint_table::AttemptTarget;
 
 /// One in so many of the connections to endpoints is opened ahead.
 const WARM_SHARE: usize = 2;
@@ -31,7 +31,7 @@
 }
 
 /// Opens connections one after the other, up to the first failure.
-async fn open_connections(agent: Rc<Agent>, target: Target, count: usize) {
+async fn open_connections(agent: Rc<Agent>, target: AttemptTarget, count: usize) {
     for _ in 0..count {
         match open_connection(&agent, target).await {
             Ok(connection) => agent.return_connection(target, connection),
