--- a/crates/agent/src/cli/demo/mod.rs
+++ b/crates/agent/src/cli/demo/mod.rs
@@ -19,7 +19,9 @@
 use timeline::{Timeline, DURATION_S};
 use totals::Totals;
 use tulipwall_config::AdminAddress;
-use tulipwall_testkit::{classes, Answered, Caller, Link, Load, Program, Ways, World};
+use tulipwall_testkit::{
+    classes, AgentProcess, EndpointBehavior, Link, Load, LoadReport, TestClient, TestCluster,
+};
 
 const ZONES: [&str; 2] = ["akl-east", "akl-west"];
 const ENDPOINTS_PER_ZONE: usize = 3;
@@ -86,11 +88,11 @@
     println!("What is set for the zones:\n\n{installation}");
     let agent = start_agent(&world, &installation_file)?;
     let address = agent.address()?;
-    Caller::connect(address)?;
+    TestClient::connect(address)?;
 
     let admin = AdminAddress::Unix(admin_socket);
     let started = Instant::now();
-    let load = client_load(address, rate).begin();
+    let load = client_load(address, rate).start();
     let mut timeline = Timeline::new(world.clone());
     show_timeline(&mut timeline, started, &admin)?;
     let answered = futures_lite::future::block_on(load);
@@ -101,40 +103,40 @@
         "\nThe report, as `tulipwall-agent report` prints it:\n\n{}",
         tables::zone_report(&report, false)
     );
-    let repeated_payments = world.ran_twice(PAYMENT_CLASS).len();
+    let repeated_payments = world.executed_twice(PAYMENT_CLASS).len();
     print_summary(&answered, repeated_payments);
     Ok(answered.unanswered == 0 && repeated_payments == 0)
 }
 
-fn start_world() -> io::Result<Arc<World>> {
-    let world = Arc::new(World::new(&ZONES, classes())?);
+fn start_world() -> io::Result<Arc<TestCluster>> {
+    let world = Arc::new(TestCluster::new(&ZONES, classes())?);
     for (zone, name) in ZONES.iter().enumerate() {
         for n in 0..ENDPOINTS_PER_ZONE {
             let id = format!("{name}-{n}");
-            world.endpoint(zone, &id, OLD_BUILD, endpoint_behavior())?;
+            world.add_endpoint(zone, &id, OLD_BUILD, endpoint_behavior())?;
         }
     }
     link_zones(&world);
     Ok(world)
 }
 
-fn endpoint_behavior() -> Ways {
-    Ways {
+fn endpoint_behavior() -> EndpointBehavior {
+    EndpointBehavior {
         work: Duration::from_millis(8),
-        steady: 0.4,
+        fixed_work_share: 0.4,
         cores: 2,
-        value: 400,
-        ..Ways::default()
+        value_bytes: 400,
+        ..EndpointBehavior::default()
     }
 }
 
-fn link_zones(world: &World) {
+fn link_zones(world: &TestCluster) {
     let link = Link {
-        there: LINK_DELAY,
-        back: LINK_DELAY,
+        request_delay: LINK_DELAY,
+        reply_delay: LINK_DELAY,
         cut: false,
     };
-    world.link(0, 1, link);
+    world.set_link(0, 1, link);
 }
 
 fn installation_text(admin_socket: &Path) -> String {
@@ -154,10 +156,10 @@
     )
 }
 
-fn start_agent(world: &World, installation_file: &Path) -> io::Result<Program> {
+fn start_agent(world: &TestCluster, installation_file: &Path) -> io::Result<AgentProcess> {
     let installation = installation_file.display().to_string();
     let arguments = ["run", "--installation", installation.as_str()];
-    Program::start(
+    AgentProcess::start(
         std::env::current_exe()?,
         world.configuration("demo", 0)?,
         &arguments,
@@ -169,7 +171,7 @@
     Load {
         agent,
         rate,
-        span: Duration::from_secs(DURATION_S),
+        duration: Duration::from_secs(DURATION_S),
         classes: vec![
             class("view", 4.0, false),
             class("send", 4.0, true),
@@ -206,11 +208,11 @@
     Ok(())
 }
 
-fn print_summary(answered: &Answered, repeated_payments: usize) {
+fn print_summary(answered: &LoadReport, repeated_payments: usize) {
     println!(
         "{} requests: {} succeeded, {} rejected, {} failed, {} without an answer; half within \
          {:.1} ms, all but a hundredth within {:.1} ms.",
-        answered.asked,
+        answered.requests,
         answered.succeeded,
         answered.rejected,
         answered.failed,
--- /dev/null
+++ b/crates/testkit/src/scripted_server.rs
@@ -0,0 +1,55 @@
+//! A server that sends fixed bytes on each connection: for what no fake would send.
+
+use crate::runtime::{self, TerminationSignal};
+use async_executor::Task;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::mpsc::{channel, Receiver};
+use std::sync::Arc;
+
+/// Bytes of the first request that are read, at most.
+const MAX_REQUEST: usize = 1024;
+
+/// A server that answers the first request of each connection with fixed bytes.
+pub struct ScriptedServer {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The first request of each connection.
+    pub requests: Receiver<String>,
+    _task: Task<()>,
+}
+
+impl ScriptedServer {
+    /// Sends `reply` on each connection once anything was received there, and nothing more; the
+    /// connection stays open.
+    pub fn start(reply: &str) -> io::Result<ScriptedServer> {
+        let (sender, requests) = channel();
+        let reply = reply.to_owned();
+        let signal = Arc::<TerminationSignal>::default();
+        let (address, task) = runtime::listen(&signal, move |mut stream| {
+            let reply = reply.clone();
+            let sender = sender.clone();
+            async move {
+                let mut first = [0; MAX_REQUEST];
+                let read = stream.read(&mut first).await.unwrap_or_default();
+                let _ = sender.send(String::from_utf8_lossy(&first[..read]).into());
+                let _ = stream.write_all(reply.as_bytes()).await;
+                futures_lite::future::pending::<()>().await;
+            }
+        })?;
+        Ok(ScriptedServer {
+            address,
+            requests,
+            _task: task,
+        })
+    }
+
+    /// An HTTP answer with this body.
+    pub fn http_response(body: &str) -> String {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    }
+}
