--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -10,7 +10,7 @@
 use crate::observability::logging;
 use crate::runtime::reactor;
 use crate::runtime::signals::Signals;
-use crate::upstream::attempt;
+use crate::upstream::warm_up::warm_up;
 use async_executor::Task;
 use futures_lite::future::FutureExt;
 use std::io;
@@ -168,7 +168,7 @@
                 .await;
         }
         agent.endpoints.allow_serving();
-        attempt::warm(agent).await;
+        warm_up(agent).await;
     };
     prepare
         .or(agent.sleep_until(agent.clock.now() + MAX_START_TIME))
