--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,14 @@
-//! The agent: it forwards requests from clients to endpoints over sockets, by the decisions of `tulipwall`.
+//! The agent: it forwards requests from clients to endpoints over sockets, by the decisions of
+//! `tulipwall`.
 //!
 //! One thread runs all tasks. `server` holds the clients' side, `upstream` the endpoints' side,
-//! `control` the discovery service and the rollout platform, `admin` the operators' endpoint.
-//! `protocol` parses what is spoken, `runtime` is the event loop, `lifecycle` starts and stops it
-//! all, `observability` counts and logs, `cli` is the command line.
+//! `control` the discovery service, the rollout platform and configuration reloads, `admin` the
+//! operators' endpoint. `protocol` parses what is spoken, `runtime` is the event loop, `lifecycle`
+//! starts and stops it all, `observability` counts and logs, `cli` is the command line. `agent`
+//! holds the state that the tasks share, `balancer_handle` the decisions.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod admin;
 pub mod agent;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,8 +1,11 @@
-//! The real agent: the decisions of `tulipwall` on sockets. One thread, one `Balancer`.
+//! The program `tulipwall-agent`: see the library of the same package.
+
+#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 use std::process::ExitCode;
 
-/// Many small values come and go with each request.
+/// Each request allocates and frees many small values, which this allocator does fastest.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
--- a/crates/agent/tests/refused.rs
+++ b/crates/agent/tests/refused.rs
@@ -125,7 +125,9 @@
     );
     assert!(rejected > 3, "{rejected} denied: answered in time");
     assert!(
-        agent.log().contains("no requests are sent until discovery responds"),
+        agent
+            .log()
+            .contains("no requests are sent until discovery responds"),
         "{}",
         agent.log()
     );
@@ -277,5 +279,9 @@
         served > 300 && rejected == 0,
         "{served} served, {rejected} denied"
     );
-    assert!(!agent.log().contains("no requests are sent"), "{}", agent.log());
+    assert!(
+        !agent.log().contains("no requests are sent"),
+        "{}",
+        agent.log()
+    );
 }
