--- a/crates/agent/src/control/discovery/mod.rs
+++ b/crates/agent/src/control/discovery/mod.rs
@@ -64,7 +64,7 @@
     /// that cannot be read.
     logged_ends: Vec<WatchEnd>,
     /// Whether it was logged that the lease has expired.
-    expiry_logged: bool,
+    expiration_logged: bool,
 }
 
 impl Watch<'_> {
@@ -77,7 +77,7 @@
             awaiting_contact: false,
             unavailable_since: None,
             logged_ends: Vec::new(),
-            expiry_logged: false,
+            expiration_logged: false,
         };
         watch.publish_lease();
         watch
@@ -121,7 +121,7 @@
         self.log_end(error, now);
         self.lease.on_watch_end(now, end);
         self.publish_lease();
-        self.log_expiry(error, now);
+        self.log_expiration(error, now);
         let next_call = self.timer.on_watch_end(end).map(|delay| now + delay);
         match next_call {
             Some(_) => self.agent.counters.list_failures.increment(),
@@ -146,10 +146,10 @@
         }
     }
 
-    fn log_expiry(&mut self, error: &CallError, now: Duration) {
+    fn log_expiration(&mut self, error: &CallError, now: Duration) {
         let expired = self.lease.valid_until().is_some_and(|until| now >= until);
-        if expired && !self.expiry_logged {
-            self.expiry_logged = true;
+        if expired && !self.expiration_logged {
+            self.expiration_logged = true;
             log::warn!(
                 "discovery: {error}; the endpoint list has expired, \
                  no requests are sent until discovery responds"
@@ -232,7 +232,7 @@
             return Err(CallError::UnreadableEntry(error));
         }
         self.timer.on_response();
-        self.expiry_logged = false;
+        self.expiration_logged = false;
         if let Some(since) = self.unavailable_since.take() {
             let unavailable = agent.clock.now().saturating_sub(since);
             log::info!(unavailable_ms = unavailable.as_millis() as u64;
--- a/crates/agent/src/control/platform.rs
+++ b/crates/agent/src/control/platform/session.rs
@@ -1,11 +1,11 @@
-//! The session with the rollout platform: its notifications, and the agent's votes. There is one
-//! connection at a time, but for an old one that is read to its end once the address has changed.
+//! One connection to the platform, from its first call to its end.
 
+use super::messages::{handle_message, AcceptedMessages};
 use crate::agent::{Agent, CastVote};
 use crate::lifecycle::phase::ControlService;
 use crate::observability::logging::log_evidence;
 use crate::protocol::connection::Connection;
-use crate::protocol::platform::{self, PlatformMessage};
+use crate::protocol::platform;
 use crate::protocol::ProtocolError;
 use futures_lite::FutureExt;
 use std::cell::Cell;
@@ -13,15 +13,11 @@
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
-use tulipwall::{PlatformCounts, Vote, VoteReply};
+use tulipwall::{Vote, VoteReply};
 
 /// A heartbeat is due every second: without one for as long as this the connection is opened anew.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How long until a connection is opened again; doubled while nothing is received there.
-const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
-const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 /// How soon the rest of a line must come once it has begun.
 const LINE_TIMEOUT: Duration = Duration::from_millis(500);
 /// For how long an old connection is still read after the address has changed.
@@ -29,16 +25,17 @@
 
 /// The calls on all connections: their ids never meet.
 #[derive(Default)]
-struct Calls {
+pub(super) struct Calls {
     last_id: Cell<u64>,
     /// The call with a vote that was not answered yet.
-    pending_vote: Cell<Option<u64>>,
+    pub(super) pending_vote: Cell<Option<u64>>,
     /// Whether the platform was not yet reached at its new address.
-    awaiting_contact: Cell<bool>,
+    pub(super) awaiting_contact: Cell<bool>,
 }
 
 impl Calls {
-    fn next_id(&self) -> u64 {
+    /// An id that no call had before.
+    pub(super) fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
     }
@@ -46,7 +43,7 @@
 
 /// Why a session ended.
 #[derive(Debug, thiserror::Error)]
-enum SessionEnd {
+pub(super) enum SessionEnd {
     #[error("its address has changed")]
     AddressChanged,
     #[error("it ended")]
@@ -59,14 +56,6 @@
     Protocol(#[from] ProtocolError),
 }
 
-/// Which messages are handled.
-#[derive(Clone, Copy)]
-enum AcceptedMessages {
-    All,
-    /// Only whether a vote counted: another connection receives the rest.
-    VoteReplies,
-}
-
 /// What a session waits for.
 enum SessionEvent {
     Received(usize),
@@ -75,72 +64,17 @@
 }
 
 /// One connection to the platform.
-struct Session {
+pub(super) struct Session {
     connection: Connection,
     /// The call with the last vote written here.
     last_vote: Option<u64>,
     /// Whether a whole line was received.
-    received_line: bool,
-}
-
-/// Keeps a session open for as long as the program runs and there is a platform.
-pub async fn run(agent: &Rc<Agent>) {
-    let calls = Rc::new(Calls::default());
-    let address = &agent.control.platform;
-    let mut reconnect_delay = MIN_RECONNECT_DELAY;
-    loop {
-        let seen_changes = address.changes();
-        let Some(platform) = address.get() else {
-            address.changed_since(seen_changes).await;
-            calls.awaiting_contact.set(true);
-            continue;
-        };
-        let mut session = None;
-        let address_changed = async {
-            address.changed_since(seen_changes).await;
-            SessionEnd::AddressChanged
-        };
-        let end = address_changed
-            .or(run_session(agent, platform, &calls, &mut session))
-            .await;
-        log::debug!("platform: {end}");
-        if address.changes() != seen_changes {
-            // At once, and the old connection is read meanwhile: what it reports is not repeated.
-            calls.awaiting_contact.set(true);
-            if let Some(session) = session {
-                drain_in_background(agent, session, &calls);
-            }
-            continue;
-        }
-        agent.counters.platform_disconnects.increment();
-        // What is reported while no connection is open is not repeated: the next one is opened at
-        // once where the platform spoke, later and later where it did not.
-        let spoke = session.as_ref().is_some_and(|s| s.received_line);
-        reconnect_delay = if spoke {
-            MIN_RECONNECT_DELAY
-        } else {
-            (reconnect_delay * 2).min(MAX_RECONNECT_DELAY)
-        };
-        if let Some(session) = session {
-            session.abandon_vote(agent, &calls);
-        }
-        if !spoke && agent.control.pending_vote.take().is_some() {
-            // It was not written and never will count.
-            agent.balancer.on_vote_reply(VoteReply::Refused);
-        }
-        address
-            .changed_since(seen_changes)
-            .or(agent.sleep_until(agent.clock.now() + reconnect_delay))
-            .await;
-        if address.changes() != seen_changes {
-            calls.awaiting_contact.set(true);
-        }
-    }
+    pub(super) received_line: bool,
 }
 
 /// Runs until the connection ends or falls silent; says why. The session is left in `session` once
 /// it is connected.
-async fn run_session(
+pub(super) async fn run_session(
     agent: &Agent,
     address: SocketAddr,
     calls: &Calls,
@@ -277,20 +211,14 @@
             self.connection.inbox.consume(length);
             self.received_line = true;
             received = true;
-            match (accepted, message) {
-                (AcceptedMessages::All, message) => handle_message(agent, calls, message),
-                (AcceptedMessages::VoteReplies, PlatformMessage::Response { id, reply, .. }) => {
-                    on_reply(agent, calls, id, reply);
-                }
-                (AcceptedMessages::VoteReplies, _) => {}
-            }
+            handle_message(agent, calls, message, accepted);
         }
         Ok(received)
     }
 
     /// Reads an old connection to its end: the reply to a vote, and what was reported before the
     /// new one was open.
-    async fn drain(mut self, agent: &Agent, calls: &Calls) {
+    pub(super) async fn drain(mut self, agent: &Agent, calls: &Calls) {
         let read_to_end = async {
             loop {
                 let accepted = if calls.awaiting_contact.get() {
@@ -314,76 +242,10 @@
     }
 
     /// A vote that was written may count, though its reply will not come.
-    fn abandon_vote(&self, agent: &Agent, calls: &Calls) {
+    pub(super) fn abandon_vote(&self, agent: &Agent, calls: &Calls) {
         if self.last_vote.is_some() && calls.pending_vote.get() == self.last_vote {
             calls.pending_vote.set(None);
             agent.balancer.on_vote_reply(VoteReply::Unknown);
         }
     }
 }
-
-fn drain_in_background(agent: &Rc<Agent>, session: Session, calls: &Rc<Calls>) {
-    let agent_handle = agent.clone();
-    let calls = calls.clone();
-    let drain = async move { session.drain(&agent_handle, &calls).await };
-    agent.executors.tasks.spawn(drain).detach();
-}
-
-fn handle_message(agent: &Agent, calls: &Calls, message: PlatformMessage) {
-    match message {
-        PlatformMessage::RolloutStatus(report) => agent.update_rollout(report),
-        PlatformMessage::ClientReportedError {
-            endpoint,
-            class,
-            age,
-        } => on_client_reported_error(agent, &endpoint, &class, age),
-        PlatformMessage::AggregatedCounts {
-            build,
-            class,
-            attempts,
-            failed,
-            mean_latency,
-            age,
-        } => {
-            if let Some(class) = agent.service_config().class_index(&class) {
-                agent.balancer.on_platform_counts(&PlatformCounts {
-                    build,
-                    class,
-                    attempts: attempts.into(),
-                    failed: failed.into(),
-                    mean_latency,
-                    age,
-                });
-            }
-        }
-        PlatformMessage::Response { id, reply, rollout } => {
-            if let Some(report) = rollout {
-                agent.update_rollout(report);
-            }
-            on_reply(agent, calls, id, reply);
-        }
-        PlatformMessage::Heartbeat => {}
-    }
-}
-
-fn on_client_reported_error(agent: &Agent, endpoint: &str, class: &str, age: Duration) {
-    let endpoint = agent.endpoints.index_of(endpoint);
-    let class = agent.service_config().class_index(class);
-    if let (Some(endpoint), Some(class)) = (endpoint, class) {
-        let target = agent.endpoints.target(endpoint);
-        let build = target.map_or(0, |target| target.build);
-        log_evidence!(agent.clock, "client_error class {class} build {build}");
-        agent
-            .balancer
-            .on_client_reported_error(endpoint, class, age);
-    }
-}
-
-/// The reply to a call; only votes have one that matters.
-fn on_reply(agent: &Agent, calls: &Calls, id: u64, reply: VoteReply) {
-    if calls.pending_vote.get() == Some(id) {
-        calls.pending_vote.set(None);
-        log_evidence!(agent.clock, "vote {reply:?}");
-        agent.balancer.on_vote_reply(reply);
-    }
-}
