--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn logs_each_end_of_an_attempt_and_of_a_request_where_evidence_is_asked_for_and_else_none() {
+fn logs_the_end_of_each_attempt_and_request_only_at_the_evidence_target() {
     let log = logged("RUST_LOG=info,evidence=debug");
     let lines = |begin: &str, with: &str| {
         let said = log
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -80,12 +80,12 @@
 /// Guards against a watch that is given up only when what it missed counts as told. Costs a call a
 /// second where they are free.
 #[test]
-fn a_watch_that_falls_silent_is_begun_anew_before_what_it_misses_counts_as_told() {
+fn reopens_a_silent_watch_before_a_missed_drain_must_be_obeyed() {
     silence(&[]);
 }
 
 #[test]
-fn so_it_is_where_the_next_connections_are_late_refused_and_silent() {
+fn reopens_a_silent_watch_in_time_when_the_next_connections_are_late_refused_or_silent() {
     let late = || Meets::Late(ms(1000));
     silence(&[
         late(),
@@ -103,7 +103,7 @@
 /// attempt, the hedged request too, comes up after them. Without room for connections kept ahead,
 /// each has to be opened.
 #[test]
-fn what_was_decided_before_the_announcement_goes_elsewhere_when_its_connection_comes_up() {
+fn reroutes_attempts_whose_connection_opens_after_their_endpoint_began_to_drain() {
     let world = world(2);
     for id in ["s-0", "s-1"] {
         world.get(id).unwrap().link(
@@ -132,7 +132,7 @@
 /// Guards a new process that was given an old list, while what discovery holds counts as told from
 /// its first moment. Delays the first requests while discovery is away, for the time of a start.
 #[test]
-fn a_start_from_an_old_list_sends_nothing_before_discovery_was_asked() {
+fn sends_nothing_from_a_known_list_before_discovery_was_called() {
     let world = world(2);
     let configuration = world.configuration("n1", 0).unwrap();
     leaves(&world, "s-0");
@@ -174,7 +174,7 @@
 
 /// Guards the rule where the address moves: what the new one holds counts as told 4 s later.
 #[test]
-fn at_a_new_address_that_is_late_the_list_is_heard_before_it_counts() {
+fn receives_the_list_of_a_slow_new_address_before_it_must_be_obeyed() {
     let (world, next) = (world(2), Discovery::start(1).unwrap());
     next.tell(world.discovery.entries());
     next.change("s-0", |e| e.state = "terminating".into());
@@ -197,7 +197,7 @@
 /// Guards against a list that is refused whole for one entry, and against asking for it over and
 /// over.
 #[test]
-fn a_drain_beside_an_unreadable_entry_is_obeyed_and_the_list_asked_for_anew_now_and_then() {
+fn obeys_a_drain_listed_beside_an_unreadable_entry_and_retries_at_intervals() {
     let world = world(3);
     let agent = start(&world);
     last_sent(&world, &agent, Instant::now() + ms(200));
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn whatever_befalls_the_watch_nothing_goes_to_who_left() {
+fn sends_nothing_to_drained_endpoints_under_random_watch_faults() {
     let all: Vec<_> = (1..5)
         .map(|seed| {
             std::thread::spawn(move || {
@@ -312,7 +312,7 @@
 
 /// The judge of these days finds an agent that is never told.
 #[test]
-fn an_agent_that_hears_of_no_drain_is_found_out() {
+fn detects_an_agent_that_receives_no_drains() {
     let (world, deaf) = (world(12), Discovery::start(1).unwrap());
     deaf.tell(world.discovery.entries());
     assert!(days(1, &world, &deaf) > 0);
@@ -321,7 +321,7 @@
 /// Guards the bounds on lists: nothing on the way of a list, a decision or a report may end at some
 /// hundreds, nor hold more than the least memory an agent is given.
 #[test]
-fn a_thousand_appliances_with_long_names_are_listed_served_and_drained_within_the_memory() {
+fn lists_serves_and_drains_a_thousand_endpoints_with_long_names_within_its_memory() {
     let mut world = world(4);
     world.agents = 1024;
     let there = world.discovery.entries();
@@ -379,7 +379,7 @@
 /// apart in each order. Each bound of the page is over 3.75 s after the last of them; the agent is
 /// asked for less.
 #[test]
-fn a_silence_a_new_address_and_a_drain_cross_in_each_order_and_the_drain_is_kept() {
+fn obeys_a_drain_that_crosses_a_silent_watch_and_a_new_address_in_any_order() {
     let order = |order: [u8; 3]| {
         let (world, next) = (world(2), Discovery::start(1).unwrap());
         next.tell(world.discovery.entries());
--- a/crates/agent/tests/reactor.rs
+++ b/crates/agent/tests/reactor.rs
@@ -5,7 +5,7 @@
 
 /// Guards against a list that waits, unread, behind a burst of requests.
 #[test]
-fn what_runs_first_waits_for_a_handful_of_other_tasks_only() {
+fn runs_urgent_tasks_after_a_bounded_number_of_others() {
     let ran = std::cell::Cell::new(0);
     let (tasks, first) = (
         async_executor::LocalExecutor::new(),
--- a/crates/agent/tests/refused.rs
+++ b/crates/agent/tests/refused.rs
@@ -68,7 +68,7 @@
 
 /// Guards the rule on drains and discovery, which is paid for whole lists by the line.
 #[test]
-fn after_a_new_address_refuses_for_three_seconds_its_changes_are_heard_before_they_count() {
+fn receives_changes_in_time_after_a_new_address_refused_calls_for_three_seconds() {
     let (world, next, agent) = begin();
     next.manner(Manner::Says(REFUSES.into()));
     let moved = moves(&agent, &next);
@@ -105,7 +105,7 @@
 
 /// Guards the rule where discovery bears no more. Denies what is asked meanwhile.
 #[test]
-fn an_agent_refused_for_longer_than_that_sends_nothing_until_it_is_heard_and_then_does_again() {
+fn stops_sending_when_refused_for_longer_and_resumes_with_the_first_response() {
     let (world, next, agent) = begin();
     next.manner(Manner::Says(REFUSES.into()));
     let moved = moves(&agent, &next);
@@ -146,7 +146,7 @@
 /// Guards the rule on drains where the process before was not heard and the first answer is late.
 /// Denies meanwhile.
 #[test]
-fn a_start_sends_nothing_by_the_list_it_was_given_while_its_first_call_is_under_way() {
+fn sends_nothing_from_a_known_list_while_the_first_call_is_in_progress() {
     let world = World::new(&["a"], program::classes()).unwrap();
     for n in 0..3 {
         world
@@ -180,7 +180,7 @@
 /// Guards a discovery that counts its versions anew, where changes since a version of the other
 /// would say nothing.
 #[test]
-fn a_new_address_that_counts_versions_from_below_is_asked_for_the_whole_list() {
+fn requests_the_whole_list_from_a_new_address_with_lower_versions() {
     let (world, _, agent) = begin();
     let anew = Discovery::start(1).unwrap();
     let mut entries = world.discovery.entries();
@@ -221,7 +221,7 @@
 /// Guards the rule on drains, and the time of requests that wait meanwhile. Denies what comes
 /// before the first answer.
 #[test]
-fn a_start_that_is_spread_over_four_seconds_sends_nothing_to_who_left_before_it() {
+fn sends_nothing_to_endpoints_removed_before_a_start_whose_first_call_is_delayed() {
     let play = |seed: &str| {
         let (world, agent, begun) = starts_unaware(seed, false);
         let mut client = Caller::connect(agent.address().unwrap()).unwrap();
@@ -271,7 +271,7 @@
 
 /// Guards against a start that a discovery which is down keeps silent.
 #[test]
-fn a_start_whose_discovery_is_down_serves_by_its_list() {
+fn serves_from_the_known_list_when_discovery_is_down_at_the_start() {
     let (world, agent, begun) = starts_unaware("8c1f", true);
     ask_until(&world, &agent, begun + ms(4000));
     let (served, rejected, _) = ask_until(&world, &agent, begun + ms(14_000));
--- a/crates/agent/tests/renewal.rs
+++ b/crates/agent/tests/renewal.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_lane_and_a_tenant_that_are_added_serve_the_next_command_of_an_open_connection() {
+fn applies_an_added_class_and_tenant_to_the_next_request_of_an_open_connection() {
     let world = world(1, Ways::default());
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_quoted_time_decides_from_then_on() {
+fn applies_a_changed_latency_objective_to_later_requests() {
     let world = world(
         2,
         Ways {
@@ -148,7 +148,7 @@
 
 /// Against a request in hand that is repeated, or not, by rules it was not taken under.
 #[test]
-fn a_lane_that_becomes_unrepeatable_and_one_that_becomes_repeatable_with_commands_in_hand() {
+fn applies_changed_idempotency_with_requests_in_progress() {
     let world = world(
         3,
         Ways {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn settings_at_fault_are_named_in_one_line_and_change_nothing() {
+fn names_faulty_settings_in_one_line_and_changes_nothing() {
     let world = world(1, Ways::default());
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
@@ -281,7 +281,7 @@
 /// Against hundreds of agents that ask discovery for whole lists, and open their connections anew,
 /// at each change.
 #[test]
-fn who_did_not_move_is_neither_asked_nor_connected_to_anew() {
+fn keeps_connections_to_services_whose_address_did_not_change() {
     let (world, next) = (
         world(1, Ways::default()),
         Platform::start(RolloutStatus::now(41, 0, "released", 1.0)).unwrap(),
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn what_only_a_restart_can_change_is_named_and_the_rest_is_taken_over() {
+fn names_what_needs_a_restart_and_applies_the_rest() {
     let world = world(1, Ways::default());
     let agent = start(&world, |_| {});
     let mut client = caller(&agent);
@@ -358,7 +358,7 @@
 /// Renewals one after another while requests come: each is answered once, none is lost, no client
 /// is cut off, and what may not run twice does not.
 #[test]
-fn two_hundred_renewals_under_load_lose_no_command() {
+fn loses_no_request_in_two_hundred_reloads_under_load() {
     let ways = Ways {
         work: ms(15),
         steady: 0.3,
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn fifty_six_thousand_tenants_are_in_force_within_four_seconds() {
+fn applies_fifty_six_thousand_tenants_within_four_seconds() {
     let world = world(1, Ways::default());
     let tenants = |least: usize| -> Value {
         (least..least + 56_000)
--- a/crates/agent/tests/watch.rs
+++ b/crates/agent/tests/watch.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_guarded_stage_is_counted_as_the_stand_ins_saw_it_and_sighup_takes_the_watch_back() {
+fn counts_divergences_as_the_fakes_saw_them_and_stops_after_a_reload() {
     let world = World::new(&["a"], classes()).unwrap();
     for n in 0..3 {
         world
--- a/crates/agent/tests/wire.rs
+++ b/crates/agent/tests/wire.rs
@@ -60,7 +60,7 @@
 }
 
 quickcheck! {
-    fn a_spoilt_answer_is_no_value_however_it_is_split(cut: usize, at: usize, by: u8) -> bool {
+    fn reads_no_value_from_a_damaged_response_however_it_is_split(cut: usize, at: usize, by: u8) -> bool {
         let whole = answer();
         let (cut, at, by) = (cut % whole.len(), at % whole.len(), by.max(1));
         let value = whole[..whole.len() - 6].to_vec();
@@ -74,7 +74,7 @@
         free || !matches!(heard(&[&spoilt[..cut], &spoilt[cut..]]), Ok(Some((QueryOutcome::Value, _))))
     }
 
-    fn messages_are_the_same_however_they_are_split(cuts: Vec<usize>) -> bool {
+    fn reads_the_same_messages_however_they_are_split(cuts: Vec<usize>) -> bool {
         let mut bytes = postgres::query(READ);
         bytes.extend(answer());
         bytes.extend(postgres::query(WRITE));
@@ -84,7 +84,7 @@
             == whole_messages([bytes.clone()].into_iter())
     }
 
-    fn no_bytes_make_a_parser_panic(noise: Vec<u8>, seed: Vec<(usize, u8)>) -> bool {
+    fn never_panics_on_any_bytes(noise: Vec<u8>, seed: Vec<(usize, u8)>) -> bool {
         let valid = [
             answer(), postgres::query(WRITE), postgres::startup("worker", "catalog"), READ.into(), WRITE.into(),
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_vec(),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_statement_goes_on_unchanged_but_for_the_wait() {
+fn forwards_a_statement_unchanged_but_for_its_wait() {
     for (text, class, tenant) in [(READ, "view", Some("acme")), (WRITE, "send", None)] {
         let s = Statement::parse(text).unwrap();
         assert_eq!(
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_faulty_statement_is_named() {
+fn names_the_fault_of_a_statement() {
     for (from, to, fault) in [
         ("d=480", "d=soon", "field d"),
         ("d=480", "d=inf", "field d"),
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_appliance_that_answers_out_of_turn_is_garbage() {
+fn rejects_messages_of_an_endpoint_that_are_out_of_order() {
     let mut hearing = ResponseReader::default();
     assert!(hearing.on_message(b'D', b"\0\x01\0\0\0\0", b"").is_err());
     assert!(ResponseReader::default()
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn an_http_answer_is_whole_only_at_its_end() {
+fn parses_an_http_response_only_when_it_is_whole() {
     for whole in [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"[..],
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n",
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn each_answer_of_the_platform_is_told_as_what_it_is() {
+fn parses_each_message_of_the_platform() {
     let told = RolloutReport {
         build: 42,
         stage: 1,
