--- a/crates/testkit/src/simulation/runner/requests.rs
+++ b/crates/testkit/src/simulation/runner/requests.rs
@@ -85,6 +85,8 @@
         state.balancer.on_request(now, request, balancer_request);
         let decision = state.balancer.route(now, request);
         self.count_request(agent);
+        // A request that the balancer defers without end is decided on once more when it is late, so
+        // that the checker of rule 1 sees it.
         let at = deadline + ANSWER_SLACK + AFTER_SLACK;
         let last_recheck = Event::Recheck {
             agent,
