--- a/crates/agent/src/upstream/zone_traffic.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -1,35 +1,44 @@
-//! What crosses between zones, where the installation says something of them: the one owner of
-//! `Zones`, and the meters that follow each attempt and each new connection on its socket.
+//! Cross-zone traffic, where the installation says something of zones: the one owner of `Zones`.
 
-use crate::protocol::connection::SocketTraffic;
+use crate::upstream::transfer_meter::TransferMeter;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
-use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity};
 use tulipwall_zones::{
-    AttemptStart, ClockMapping, CompletedAttempt, ConnectionTraffic, DisplayNames, ReportCursor,
-    ReportLine, Reservation, ResponseFault, ZoneConfig, Zones,
+    AttemptStart, ClockMapping, CompletedAttempt, ConnectionTraffic, DisplayNames,
+    OverBudgetReason, ReportCursor, ReportLine, Reservation, ZoneConfig, Zones,
 };
 
-/// How often a budget that is spent is written of.
+/// How often an exhausted budget is logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-#[derive(Default)]
+/// The accounting of what crosses zones.
+///
+/// Written by requests and attempts, and by a configuration reload; read by the balancer's poll and
+/// by the admin endpoint. Without zones in the installation nothing is accounted for.
 pub struct ZoneTraffic {
     zones: RefCell<Option<Zones>>,
     names: RefCell<DisplayNames>,
-    since: Cell<Duration>,
-    logged: RefCell<BTreeMap<String, (Duration, u64)>>, // by budget: when, and how many were over by then
+    started: Cell<Duration>,
+    logged_budgets: RefCell<BTreeMap<String, LoggedBudget>>, // by name
+}
+
+/// When an exhausted budget was logged last, and how many attempts were over it by then.
+#[derive(Clone, Copy, Default)]
+struct LoggedBudget {
+    at: Duration,
+    over_budget: u64,
 }
 
 impl ZoneTraffic {
-    pub fn new(now: Duration, zoning: Option<ZoneConfig>, names: DisplayNames) -> ZoneTraffic {
+    /// An account that begins now, where there are zones.
+    pub fn new(now: Duration, zone_config: Option<ZoneConfig>, names: DisplayNames) -> ZoneTraffic {
         ZoneTraffic {
-            zones: RefCell::new(zoning.map(|z| Zones::new(now, z))),
+            zones: RefCell::new(zone_config.map(|config| Zones::new(now, config))),
             names: RefCell::new(names),
-            since: Cell::new(now),
-            logged: RefCell::default(),
+            started: Cell::new(now),
+            logged_budgets: RefCell::default(),
         }
     }
 
@@ -43,137 +52,136 @@
         self.zones.borrow().is_some()
     }
 
-    /// Goes on under an installation and settings read anew, the classes numbered as `by` says. The
-    /// account and what is spent stay as long as there is one and the zones are those of before;
-    /// says whether they do.
+    /// Goes on under an installation and settings read anew, the class indices as `class_origins`
+    /// says. The account and what is spent stay as long as there is one and the zones are those of
+    /// before; says whether they do.
     pub fn reload(
         &self,
         now: Duration,
-        zoning: Option<ZoneConfig>,
+        zone_config: Option<ZoneConfig>,
         names: DisplayNames,
-        by: &[IndexOrigin],
+        class_origins: &[IndexOrigin],
     ) -> bool {
+        let same_zones = self.names.borrow().zones == names.zones;
+        *self.names.borrow_mut() = names;
         let mut zones = self.zones.borrow_mut();
-        let before = self.names.replace(names);
-        let goes_on = match (zones.as_mut(), zoning) {
-            (Some(z), Some(zoning)) if before.zones == self.names.borrow().zones => {
-                z.reload(now, zoning, by)
-            }
-            (was, Some(zoning)) => {
-                let goes_on = was.is_none();
-                *zones = Some(Zones::new(now, zoning));
-                self.since.set(now);
-                return goes_on;
-            }
-            (_, None) => {
-                *zones = None;
-                true
+        let Some(zone_config) = zone_config else {
+            *zones = None;
+            return true;
+        };
+        let continued = match zones.as_mut() {
+            Some(zones) if same_zones => zones.reload(now, zone_config, class_origins),
+            present => {
+                let nothing_lost = present.is_none();
+                *zones = Some(Zones::new(now, zone_config));
+                self.started.set(now);
+                return nothing_lost;
             }
         };
-        if !goes_on {
-            self.since.set(now);
+        if !continued {
+            self.started.set(now);
         }
-        goes_on
+        continued
     }
 
+    /// A request has come in.
     pub fn on_request(&self, now: Duration, class: usize) {
-        if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.on_request(now, class);
+        if let Some(zones) = self.zones.borrow_mut().as_mut() {
+            zones.on_request(now, class);
         }
     }
 
+    /// An attempt goes out; what it may cost is reserved.
     pub fn on_attempt(
         &self,
         now: Duration,
-        sending: AttemptStart,
+        attempt: AttemptStart,
         zone_capacities: impl FnOnce() -> Vec<ZoneCapacity>,
     ) -> Option<Reservation> {
-        self.zones
-            .borrow_mut()
-            .as_mut()
-            .map(|z| z.on_attempt(now, sending, zone_capacities))
+        let mut zones = self.zones.borrow_mut();
+        let zones = zones.as_mut()?;
+        Some(zones.on_attempt(now, attempt, zone_capacities))
     }
 
     /// An attempt has ended: what its meter read goes into the account.
     pub fn on_attempt_end(
         &self,
         now: Duration,
-        ticket: Option<&Reservation>,
+        reservation: Option<&Reservation>,
         meter: &TransferMeter,
         outcome: Outcome,
-        took: Duration,
+        latency: Duration,
     ) {
-        if let (Some(ticket), Some(z)) = (ticket, self.zones.borrow_mut().as_mut()) {
-            let (out, back) = meter.read();
-            let (written, flaw) = (meter.written.get(), meter.flaw.get());
-            z.on_attempt_end(
-                now,
-                ticket,
-                &CompletedAttempt {
-                    outcome,
-                    fault: flaw,
-                    fully_written: written,
-                    bytes_sent: out,
-                    bytes_received: back,
-                    latency: took,
-                },
-            );
-        }
+        let mut zones = self.zones.borrow_mut();
+        let (Some(reservation), Some(zones)) = (reservation, zones.as_mut()) else {
+            return;
+        };
+        let transferred = meter.transferred();
+        let completed = CompletedAttempt {
+            outcome,
+            fault: meter.fault(),
+            fully_written: meter.is_fully_written(),
+            bytes_sent: transferred.sent,
+            bytes_received: transferred.received,
+            latency,
+        };
+        zones.on_attempt_end(now, reservation, &completed);
     }
 
-    pub fn on_connection_opened(&self, now: Duration, opening: ConnectionTraffic) {
-        if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.on_connection(now, &opening);
+    /// A connection was opened, or given up as it was.
+    pub fn on_connection(&self, now: Duration, traffic: ConnectionTraffic) {
+        if let Some(zones) = self.zones.borrow_mut().as_mut() {
+            zones.on_connection(now, &traffic);
         }
     }
 
+    /// Recomputes what should cross, and logs budgets that are exhausted. `zone_capacities` is asked
+    /// for so many zones.
     pub fn update(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
-        if let Some(z) = self.zones.borrow_mut().as_mut() {
-            let all = z.config().zone_count_with_unnamed();
-            z.tick(now, &zone_capacities(all));
-            self.log_exhausted_budgets(now, z);
+        if let Some(zones) = self.zones.borrow_mut().as_mut() {
+            let count = zones.config().zone_count_with_unnamed();
+            zones.tick(now, &zone_capacities(count));
+            self.log_exhausted_budgets(now, zones);
         }
     }
 
     /// A line for each budget that attempts went over, with why; none for a single request.
     fn log_exhausted_budgets(&self, now: Duration, zones: &Zones) {
-        let mut logged = self.logged.borrow_mut();
-        for p in zones.budget_meters().meters() {
-            let (at, before) = logged.get(&p.budget.name).copied().unwrap_or_default();
-            if p.over_budget_total() <= before || now < at + LOG_INTERVAL {
+        let mut logged_budgets = self.logged_budgets.borrow_mut();
+        let meters = zones.budget_meters().meters();
+        for meter in meters {
+            let name = meter.budget.name.as_str();
+            let over_budget = meter.over_budget_total();
+            let logged = logged_budgets.get(name).copied().unwrap_or_default();
+            if over_budget <= logged.over_budget || now < logged.at + LOG_INTERVAL {
                 continue;
             }
-            let why = tulipwall_zones::OverBudgetReason::ALL
+            let reasons: Vec<String> = OverBudgetReason::ALL
                 .into_iter()
-                .filter(|r| p.over_budget(*r) > 0);
-            let why: Vec<String> = why
-                .map(|r| format!("{} {}", r.as_str(), p.over_budget(r)))
+                .filter(|reason| meter.over_budget(*reason) > 0)
+                .map(|reason| format!("{} {}", reason.as_str(), meter.over_budget(reason)))
                 .collect();
-            log::warn!(budget = p.budget.name.as_str(), over = p.over_budget_total(), used = p.used(), part = p.limit();
-                "zones: budget '{}' is spent; {} deliveries went over it since the start: {}",
-                p.budget.name, p.over_budget_total(), why.join(", "));
-            logged.insert(p.budget.name.clone(), (now, p.over_budget_total()));
+            log::warn!(budget = name, over = over_budget, used = meter.used(), part = meter.limit();
+                "zones: budget '{name}' is spent; {over_budget} attempts went over it since the start: {}",
+                reasons.join(", "));
+            let logged = LoggedBudget {
+                at: now,
+                over_budget,
+            };
+            logged_budgets.insert(name.to_owned(), logged);
         }
-        logged.retain(|name, _| {
-            zones
-                .budget_meters()
-                .meters()
-                .iter()
-                .any(|p| p.budget.name == *name)
-        });
+        logged_budgets.retain(|name, _| meters.iter().any(|meter| meter.budget.name == *name));
     }
 
-    /// What crossing means now, if that has changed.
+    /// The cross-zone policy, if it has changed since it was last asked for.
     pub fn changed_policy(&self) -> Option<CrossZonePolicy> {
-        self.zones
-            .borrow_mut()
-            .as_mut()
-            .and_then(Zones::cross_zone_policy)
+        self.zones.borrow_mut().as_mut()?.cross_zone_policy()
     }
 
+    /// Forgets all builds but these.
     pub fn retain_builds(&self, builds: impl FnOnce() -> BTreeSet<u32>) {
-        if let Some(z) = self.zones.borrow_mut().as_mut() {
-            z.retain_builds(&builds());
+        if let Some(zones) = self.zones.borrow_mut().as_mut() {
+            zones.retain_builds(&builds());
         }
     }
 
@@ -181,47 +189,15 @@
     pub fn report_lines(
         &self,
         now: Duration,
-        unix: Duration,
-        place: ReportCursor,
+        unix_now: Duration,
+        cursor: ReportCursor,
     ) -> Option<(Vec<ReportLine>, ReportCursor)> {
-        let wall = ClockMapping {
+        let clock = ClockMapping {
             now,
-            unix_now: unix,
-            started: self.since.get(),
+            unix_now,
+            started: self.started.get(),
         };
-        self.zones
-            .borrow()
-            .as_ref()
-            .map(|z| z.lines(&self.names.borrow(), wall, place))
-    }
-}
-
-/// What one attempt does on its sockets, also when it is dropped halfway.
-#[derive(Default)]
-pub struct TransferMeter {
-    /// All of the statement went out.
-    pub written: Cell<bool>,
-    pub flaw: Cell<ResponseFault>,
-    before: Cell<(u64, u64)>,
-    on: RefCell<Option<Rc<SocketTraffic>>>,
-}
-
-impl TransferMeter {
-    /// It goes on on this connection.
-    pub fn on(&self, traffic: Rc<SocketTraffic>) {
-        self.before.set(self.read());
-        *self.on.borrow_mut() = Some(traffic);
-    }
-
-    /// Bytes written and read since its beginning. Each byte of a connection is charged once.
-    pub fn read(&self) -> (u64, u64) {
-        let (out, back) = self
-            .on
-            .borrow_mut()
-            .take()
-            .map_or((0, 0), |t| t.take_uncharged());
-        let before = self.before.get();
-        self.before.set((before.0 + out, before.1 + back));
-        self.before.get()
+        let zones = self.zones.borrow();
+        Some(zones.as_ref()?.lines(&self.names.borrow(), clock, cursor))
     }
 }
--- a/crates/client-policy/src/agents/connecting.rs
+++ b/crates/client-policy/src/agents/connecting.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 /// An agent that closes an idle connection again within this time, and was reached in between,
-/// makes room for other clients rather than being lost.
-const MAKES_ROOM_WITHIN: Duration = Duration::from_secs(30);
-/// The part of the reconnect spread that is used for an agent that makes room.
-const MAKES_ROOM_SPREAD: f64 = 0.1;
+/// evicts idle connections in favour of other clients, rather than being lost.
+const EVICTION_REPEAT_WINDOW: Duration = Duration::from_secs(30);
+/// The part of the reconnect spread that is used for an agent that evicts idle connections.
+const EVICTION_SPREAD_PART: f64 = 0.1;
 /// The reconnect spread doubles this many times at most while an agent stays lost.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
 /// Tokens that opening one connection costs.
@@ -23,7 +23,7 @@
 /// Whether a new connection may be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectDecision {
-    /// Now; its end is owed to [`AgentSelector::on_connect_end`](super::AgentSelector::on_connect_end).
+    /// Now; its end is owed to [`on_connect_end`](super::AgentSelector::on_connect_end).
     Connect,
     /// Not before this time.
     NotBefore(Duration),
@@ -44,6 +44,7 @@
 }
 
 impl ConnectionGate {
+    /// A gate that is open, with all tokens.
     pub fn new(policy: &ConnectionPolicy) -> ConnectionGate {
         ConnectionGate {
             connecting: 0,
@@ -55,10 +56,12 @@
         }
     }
 
+    /// Whether no connection may be opened yet.
     pub fn is_closed(&self, now: Duration) -> bool {
         now < self.closed_until
     }
 
+    /// When the gate opens, or opened.
     pub fn closed_until(&self) -> Duration {
         self.closed_until
     }
@@ -73,29 +76,32 @@
         1 << self.consecutive_losses.min(MAX_SPREAD_DOUBLINGS)
     }
 
+    /// An attempt at the agent succeeded: it is no longer lost.
     pub fn on_success(&mut self) {
         self.consecutive_losses = 0;
     }
 
+    /// The agent was lost; the next connection is opened at this time.
     pub fn on_loss(&mut self, reconnect_at: Duration) {
         self.closed_until = reconnect_at;
         self.consecutive_losses += 1;
     }
 
     /// The only connection was closed between requests. The first time in a while the next one
-    /// waits as after a loss; when that happens again soon the agent makes room for other clients,
+    /// waits as after a loss; when that happens again soon the agent evicts idle connections,
     /// and the next connection is opened within a tenth of the spread.
     pub fn on_idle_close(&mut self, now: Duration, spread: Duration, jitter: f64) {
         let previous = self.last_idle_close.replace(now);
-        let makes_room = previous.is_some_and(|at| now < at + MAKES_ROOM_WITHIN);
-        let part = if makes_room {
-            jitter * MAKES_ROOM_SPREAD
+        let is_eviction = previous.is_some_and(|at| now < at + EVICTION_REPEAT_WINDOW);
+        let part = if is_eviction {
+            jitter * EVICTION_SPREAD_PART
         } else {
             jitter
         };
         self.close_until(now + spread.mul_f64(part));
     }
 
+    /// Whether a connection may be opened now; it is counted then.
     pub fn try_connect(&mut self, now: Duration, policy: &ConnectionPolicy) -> ConnectDecision {
         if self.is_closed(now) {
             return ConnectDecision::NotBefore(self.closed_until);
@@ -116,6 +122,7 @@
         ConnectDecision::Connect
     }
 
+    /// A connection is no longer being opened.
     pub fn on_connect_end(&mut self) {
         self.connecting = self.connecting.saturating_sub(1);
     }
