--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -134,47 +134,54 @@
 
     /// Counts an answer, or the lack of one. Whether the endpoint seems to be lost.
     fn record_sign_of_life(&mut self, observation: &Observation) -> bool {
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
-        let health = &mut endpoint.health;
-        let now = observation.now;
-        let mut is_lost = observation.outcome == Outcome::ConnectFailed;
-        match observation.outcome {
+        let is_fault = match observation.outcome {
             Outcome::Succeeded | Outcome::Failed | Outcome::Rejected => {
-                if health.consecutive_faults > RESTART_FAULTS && endpoint.warming_since.is_none() {
-                    // It may have restarted, which the list has not said yet.
-                    endpoint.warming_since = Some(now);
-                    endpoint.slow_start.attempts = self.rng.gen_range(0.0..1.0);
-                }
-                health.silent_since = Some(now);
-                health.consecutive_faults = 0;
-            }
-            Outcome::NotSent => {}
-            Outcome::TimedOut
-            | Outcome::Cancelled
-            | Outcome::ConnectFailed
-            | Outcome::ConnectionLost => {
-                // Where the endpoint has answered others since, this request was only heavy.
-                let latest = now + self.parameters.timer_granularity;
-                let is_silent = !observation.after_stall
-                    && health
-                        .silent_since
-                        .is_some_and(|since| since + observation.elapsed <= latest);
-                let has_waited =
-                    matches!(observation.outcome, Outcome::TimedOut | Outcome::Cancelled);
-                if is_silent || !has_waited {
-                    health.consecutive_faults += 1;
-                    endpoint.outcomes[observation.class].lost += 1.0;
-                    self.evaluation.peers.outcomes[observation.class].lost +=
-                        observation.peer_weight;
-                    is_lost |= health.consecutive_faults > EJECTION_FAULTS;
-                }
+                self.record_answer(observation);
+                false
             }
-        }
+            Outcome::NotSent => false,
+            Outcome::ConnectFailed | Outcome::ConnectionLost => true,
+            Outcome::TimedOut | Outcome::Cancelled => self.was_silent(observation),
+        };
+        let is_lost_for_long = is_fault && self.record_fault(observation);
         // Nothing in flight, nothing owed: after its ejection one request finds out whether it is
         // back.
-        let is_awaited = endpoint.in_flight > 0;
-        health.silent_since = health.silent_since.filter(|_| is_awaited);
-        is_lost
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        if endpoint.in_flight == 0 {
+            endpoint.health.silent_since = None;
+        }
+        is_lost_for_long || observation.outcome == Outcome::ConnectFailed
+    }
+
+    /// An endpoint that answers after several faults may have restarted, which the list has not
+    /// said yet: it is in slow start again.
+    fn record_answer(&mut self, observation: &Observation) {
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        if endpoint.health.consecutive_faults > RESTART_FAULTS && endpoint.is_warm() {
+            endpoint.warming_since = Some(observation.now);
+            endpoint.slow_start.attempts = self.rng.gen_range(0.0..1.0);
+        }
+        endpoint.health.silent_since = Some(observation.now);
+        endpoint.health.consecutive_faults = 0;
+    }
+
+    /// Whether the endpoint said nothing since the attempt was sent. Where it has answered others
+    /// since, this request was only heavy.
+    fn was_silent(&self, observation: &Observation) -> bool {
+        let health = &self.fleet.endpoints[observation.endpoint].health;
+        let latest = observation.now + self.parameters.timer_granularity;
+        let said_nothing = |since: Duration| since + observation.elapsed <= latest;
+        !observation.after_stall && health.silent_since.is_some_and(said_nothing)
+    }
+
+    /// Counts a lost attempt. Whether there were several in a row.
+    fn record_fault(&mut self, observation: &Observation) -> bool {
+        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        endpoint.health.consecutive_faults += 1;
+        endpoint.outcomes[observation.class].lost += 1.0;
+        let peers = &mut self.evaluation.peers.outcomes[observation.class];
+        peers.lost += observation.peer_weight;
+        endpoint.health.consecutive_faults > EJECTION_FAULTS
     }
 
     /// Counts answers of the class, and the time waited for those that never came.
