--- a/crates/client-policy/src/agents/health.rs
+++ b/crates/client-policy/src/agents/health.rs
@@ -44,6 +44,7 @@
 }
 
 impl HealthTracker {
+    /// The health of an agent that was not tried yet.
     pub fn new() -> HealthTracker {
         HealthTracker {
             state: AgentHealth::Healthy,
@@ -52,6 +53,7 @@
         }
     }
 
+    /// The health as of the last event.
     pub fn state(&self) -> AgentHealth {
         self.state
     }
@@ -66,6 +68,7 @@
         }
     }
 
+    /// An attempt succeeded: admits twice as many while probing.
     pub fn on_success(&mut self) {
         self.consecutive_failures = 0;
         self.next_ejection = MIN_EJECTION;
@@ -93,6 +96,7 @@
         }
     }
 
+    /// The agent shuts down.
     pub fn on_draining(&mut self, now: Duration) {
         self.state = AgentHealth::Draining {
             until: now + DRAINING_PAUSE,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -26,9 +26,9 @@
 //! }
 //! ```
 //!
-//! Inside, a call is admitted (`admission`), attempted until it has a value or no attempt may
-//! follow (`attempts`), each time on a connection of the pool (`pool`, `connection`). What all calls
-//! share is one [`Mutex`](std::sync::Mutex) of short critical sections (`shared`).
+//! Inside, a call is admitted (`admission`) and attempted until it has a value or no attempt may
+//! follow (`attempts`), each time on a connection of the pool (`pool`, `connection`). What all
+//! calls share is one [`Mutex`](std::sync::Mutex) with short critical sections (`shared`).
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
 
