--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -113,7 +113,7 @@
             fault_weight,
             peer_weight: self.peer_weight(is_newest),
         };
-        let is_lost = self.record_sign_of_life(&observation);
+        let is_lost = self.record_liveness(&observation);
         self.record_wait(&observation);
         match observation.outcome {
             Outcome::Failed => self.record_failure(&observation),
@@ -133,7 +133,7 @@
     }
 
     /// Counts an answer, or the lack of one. Whether the endpoint seems to be lost.
-    fn record_sign_of_life(&mut self, observation: &Observation) -> bool {
+    fn record_liveness(&mut self, observation: &Observation) -> bool {
         let is_fault = match observation.outcome {
             Outcome::Succeeded | Outcome::Failed | Outcome::Rejected => {
                 self.record_answer(observation);
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -41,7 +41,7 @@
     }
 
     fn update_endpoint(&mut self, now: Duration, entry: &EndpointEntry) {
-        self.make_room_for(entry);
+        self.extend_fleet_for(entry);
         let known = &self.fleet.endpoints[entry.endpoint];
         let is_running = entry.state == EndpointState::Running;
         let is_same = known.state == entry.state
@@ -56,7 +56,7 @@
         }
     }
 
-    fn make_room_for(&mut self, entry: &EndpointEntry) {
+    fn extend_fleet_for(&mut self, entry: &EndpointEntry) {
         let endpoints = self.fleet.endpoints.len().max(entry.endpoint + 1);
         self.fleet
             .endpoints
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -16,7 +16,7 @@
 /// A vote is renewed so many times within its time to live.
 const RENEWALS_PER_TTL: u32 = 2;
 /// Times to live after which a standing vote is forgotten.
-const FORGOTTEN_AFTER_TTLS: u32 = 2;
+const EXPIRY_IN_TTLS: u32 = 2;
 
 impl Balancer {
     /// The vote to send now, if any.
@@ -28,7 +28,7 @@
         if !may_vote {
             return None;
         }
-        self.forget_moot_vote(now);
+        self.expire_moot_vote(now);
         let vote = self.due_vote(now)?;
         self.votes.pending = Some(SentVote {
             vote: vote.clone(),
@@ -46,16 +46,16 @@
     }
 
     /// Forgets the standing vote where it is not meant any more and has ceased to matter.
-    fn forget_moot_vote(&mut self, now: Duration) {
+    fn expire_moot_vote(&mut self, now: Duration) {
         if self.votes.wanted.is_some() {
             return;
         }
-        let forgotten_after = self.parameters.rollout.vote_ttl * FORGOTTEN_AFTER_TTLS;
+        let expires_after = self.parameters.rollout.vote_ttl * EXPIRY_IN_TTLS;
         let status = self.rollout.status.as_ref();
         let is_moot = |standing: &mut SentVote| {
             let is_open = status
                 .is_some_and(|s| s.build == standing.vote.build && s.phase == RolloutPhase::Canary);
-            !is_open || now > standing.at + forgotten_after
+            !is_open || now > standing.at + expires_after
         };
         self.votes.standing.take_if(is_moot);
     }
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -158,11 +158,11 @@
         };
         let is_canary = balancer.rollout.is_canary(target.build);
         let is_guarded = is_canary && self.is_guarded(balancer, target.build, rules);
-        let is_cold = self.is_still_warming(now, target);
+        let would_be_warming = self.is_still_warming(now, target);
         let is_over_cap = is_canary && self.exceeds_cap(target.build, class);
         let has_idle_affinity = self.has_idle_affinity(balancer, key, endpoint) && !is_canary;
         self.divergences.guarded += u64::from(is_guarded);
-        self.divergences.slow_start += u64::from(is_cold);
+        self.divergences.slow_start += u64::from(would_be_warming);
         self.divergences.exposure += u64::from(is_over_cap);
         self.divergences.affinity += u64::from(has_idle_affinity);
     }
