--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -294,10 +294,8 @@
     /// Where the alternative settings would have decided otherwise so far; nothing while none are
     /// evaluated.
     pub fn divergences(&self) -> Option<Divergences> {
-        self.shadow
-            .borrow()
-            .as_ref()
-            .map(|shadow| shadow.divergences())
+        let shadow = self.shadow.borrow();
+        shadow.as_ref().map(ShadowEvaluator::divergences)
     }
 
     /// Counts where the alternative settings would have decided otherwise.
--- a/crates/experiments/examples/verdicts.rs
+++ b/crates/experiments/examples/verdicts.rs
@@ -405,7 +405,7 @@
 }
 
 fn seconds(log: &Log) {
-    println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | failed % | left % |");
+    println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | scrapped % | left % |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let mut by: BTreeMap<i64, BTreeMap<&str, f64>> = BTreeMap::new();
     let mut day = 0.0;
