--- a/crates/discovery/src/list_lease.rs
+++ b/crates/discovery/src/list_lease.rs
@@ -11,20 +11,20 @@
 const WAIT_GRACE: Duration = Duration::from_millis(2000);
 
 /// The lease of the list that is known, where lists are polled: until it ends the list has every
-/// change that the agent is held to. Beyond, the agent may be held to one that it never learned
-/// of, so nothing is sent until discovery answers again.
+/// change that the agent is held to. Beyond, the agent may be held to one that it never learned of,
+/// so nothing is sent until discovery answers again.
 ///
-/// With N agents, a discovery that begins B watches a second, and S = N / B, every agent is answered
-/// within S of calling at once, and a little for calls in vain, if calls are frequent enough to
-/// fill what discovery bears. First calls after a start are spread over the agent's share of the
-/// calls (N / the rate in the settings, at most half of the poll interval); where that is over 3 s,
-/// over three quarters of it and 3 s at least. Those at a new address are spread over the share or
-/// 2 s, those after a silence of all over nearly twice the poll interval. After a refusal the next
-/// call comes a quarter of the share later (0.25 s at least), times a random factor from 0.7 to
-/// 1.3, then half as much more each time, up to the share (2 s at least). So every agent is answered
-/// within the 6 s while S is up to 3 s. Beyond that the last are not, and their leases end until
-/// they are. A discovery that does not answer at all is no refusal: agents are not held to what it
-/// has.
+/// With N agents, a discovery that begins B watches a second, and S = N / B, every agent is
+/// answered within S of calling at once, and a little for calls in vain, if calls are frequent
+/// enough to fill what discovery bears. First calls after a start are spread over the agent's share
+/// of the calls (N / the rate in the settings, at most half of the poll interval); where that is
+/// over 3 s, over three quarters of it and 3 s at least. Those at a new address are spread over the
+/// share or 2 s, those after a silence of all over nearly twice the poll interval. After a refusal
+/// the next call comes a quarter of the share later (0.25 s at least), times a random factor from
+/// 0.7 to 1.3, then half as much more each time, up to the share (2 s at least). So every agent is
+/// answered within the 6 s while S is up to 3 s. Beyond that the last are not, and their leases end
+/// until they are. A discovery that does not answer at all is no refusal: agents are not held to
+/// what it has.
 pub struct ListLease {
     /// `None` where lists are pushed: there the list that is known is always acted on.
     valid_until: Option<Duration>,
