--- a/crates/discovery/src/list_response.rs
+++ b/crates/discovery/src/list_response.rs
@@ -101,7 +101,7 @@
         for value in list.array("servers")? {
             entries.add(value);
         }
-        entries.withdraw_contradictions();
+        entries.discard_contradictions();
         Ok(ListResponse {
             version: list.unsigned("version")?,
             complete: list.boolean("full")?,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Of two entries for one endpoint the one with the newer start counts. Where they tell of the
+    /// Of two entries for one endpoint the one with the newer start counts. Where they are of the
     /// same start and contradict each other neither is believed: one of them may say that the
     /// endpoint drains. That does harm where it in fact runs.
     fn add_endpoint(&mut self, endpoint: EndpointRecord) {
@@ -154,7 +154,7 @@
         }
     }
 
-    fn withdraw_contradictions(&mut self) {
+    fn discard_contradictions(&mut self) {
         let Some(id) = self.contradictory_ids.first().cloned() else {
             return;
         };
