--- a/crates/experiments/src/cli/mod.rs
+++ b/crates/experiments/src/cli/mod.rs
@@ -69,7 +69,7 @@
         /// Its number at that agent, from 0.
         command: u64,
     },
-    /// Hollow agents by their number, endpoints, services, classes and tenants: what each costs,
+    /// Simulated agents by their number, endpoints, services, classes and tenants: what each costs,
     /// against the limits.
     Scale(scale::command::Options),
     /// Drive a real agent over its protocol, open loop.
--- a/crates/experiments/src/fleet/installation.rs
+++ b/crates/experiments/src/fleet/installation.rs
@@ -304,19 +304,19 @@
     ) -> Result<RestartTimes, FleetError> {
         let mut configuration = self.program.configuration.clone();
         change_settings(&mut configuration["settings"]);
-        let told_at = Instant::now();
+        let terminated_at = Instant::now();
         self.program.terminate()?;
         if !self.program.wait_for_success()? {
             let log = self.program.log();
             return Err(FleetError::FailedExit { log });
         }
-        let ended = told_at.elapsed();
+        let ended = terminated_at.elapsed();
         let started_at = Instant::now();
         self.program = AgentProcess::start(binary, configuration, &[])?;
         self.ready_after = wait_until_serving(&self.program, started_at)?;
         Ok(RestartTimes {
             ended,
-            serving: told_at.elapsed(),
+            serving: terminated_at.elapsed(),
         })
     }
 }
--- a/crates/experiments/src/fleet/measures/mod.rs
+++ b/crates/experiments/src/fleet/measures/mod.rs
@@ -52,9 +52,7 @@
         Measure::Idle => {
             let mut series = endpoint_and_tenant_series(plan, measure);
             series.push(pair_series(plan));
-            add_series(results, &series, &["control_core_%"], |size, by| {
-                idle::measure(plan, size, by)
-            })?;
+            add_series(plan, results, &series, &["control_core_%"], idle::measure)?;
         }
         Measure::Start => start::add(plan, results)?,
         Measure::Change => {
@@ -63,30 +61,18 @@
         }
         Measure::Reload => {
             let series = endpoint_and_tenant_series(plan, measure);
-            add_series(results, &series, &IN_FORCE_FIGURES, |size, by| {
-                reload::measure(plan, size, by)
-            })?;
+            add_series(plan, results, &series, &IN_FORCE_FIGURES, reload::measure)?;
         }
         Measure::Settings => {
             let series = endpoint_and_tenant_series(plan, measure);
-            add_series(results, &series, &["in_force_ms"], |size, by| {
-                settings_reload::measure(plan, size, by)
-            })?;
+            let fitted = ["in_force_ms"];
+            add_series(plan, results, &series, &fitted, settings_reload::measure)?;
         }
         Measure::Restart => {
             let series = endpoint_and_tenant_series(plan, measure);
-            add_series(results, &series, &IN_FORCE_FIGURES, |size, by| {
-                restart::measure(plan, size, by)
-            })?;
-        }
-        Measure::Requests => {
-            let series = endpoint_and_tenant_series(plan, measure);
-            for rate in &plan.rates {
-                add_series(results, &series, &["us_a_command"], |size, by| {
-                    request_cost::measure(plan, size, by, *rate)
-                })?;
-            }
+            add_series(plan, results, &series, &IN_FORCE_FIGURES, restart::measure)?;
         }
+        Measure::Requests => add_request_costs(plan, results)?,
         Measure::Added => {
             for rate in &plan.rates {
                 let rows = added_latency::measure(plan, *rate, report)?;
@@ -134,18 +120,31 @@
     planned.into_iter().map(|planned| planned.size).collect()
 }
 
+/// Measures the cost of requests at each rate.
+fn add_request_costs(plan: &Plan, results: &mut Results) -> Result<(), FleetError> {
+    let series = endpoint_and_tenant_series(plan, Measure::Requests);
+    for rate in plan.rates.iter().copied() {
+        let measure = |plan: &Plan, size: &Size, by: &'static str| {
+            request_cost::measure(plan, size, by, rate)
+        };
+        add_series(plan, results, &series, &["us_a_command"], measure)?;
+    }
+    Ok(())
+}
+
 /// Measures each size of each series, and adds the rows.
 fn add_series(
+    plan: &Plan,
     results: &mut Results,
     all: &[Series],
     fitted: &[&'static str],
-    measure: impl Fn(&Size, &'static str) -> Result<Row, FleetError>,
+    measure: impl Fn(&Plan, &Size, &'static str) -> Result<Row, FleetError>,
 ) -> Result<(), FleetError> {
     for series in all {
         let rows = series
             .sizes
             .iter()
-            .map(|size| measure(size, series.by))
+            .map(|size| measure(plan, size, series.by))
             .collect::<Result<Vec<Row>, FleetError>>()?;
         results.add(rows, fitted);
     }
--- a/crates/experiments/src/fleet/mod.rs
+++ b/crates/experiments/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 //! - [`timed_endpoint`]: an endpoint whose time for each request is known, for latencies.
 //! - [`proxy`]: counts what passes between an agent and a server.
 //! - [`process`]: memory and processor time as the kernel reports them.
-//! - [`measures`]: the measures. [`results`], [`line`] and [`table`]: what they found.
+//! - [`measures`]: the measures. [`results`], [`mod@line`] and [`table`]: what they found.
 //! - [`command`]: the subcommand.
 
 pub mod command;
--- a/crates/experiments/src/fleet/plan.rs
+++ b/crates/experiments/src/fleet/plan.rs
@@ -7,7 +7,7 @@
 
 /// Sockets of an agent with which it opens no connection to an endpoint ahead of requests, from 10
 /// endpoints on.
-const SOCKETS_WITHOUT_SPARE: usize = 64;
+const SOCKETS_WITHOUT_IDLE_CONNECTIONS: usize = 64;
 /// Most connections of a load.
 pub const LOAD_CONNECTIONS: usize = 200;
 
@@ -148,10 +148,10 @@
     pub fn sizes(&self, measure: Measure) -> Vec<PlannedSize> {
         let by_endpoints_and_tenants = || [self.by_endpoints(), self.by_tenants()].concat();
         match measure {
-            Measure::Endpoints => without_clients(without_spare(self.by_endpoints())),
-            Measure::Classes => without_clients(without_spare(self.by_classes())),
-            Measure::Tenants => without_clients(without_spare(self.by_tenants())),
-            Measure::Pairs => without_clients(without_spare(self.by_pairs())),
+            Measure::Endpoints => without_clients(without_idle_connections(self.by_endpoints())),
+            Measure::Classes => without_clients(without_idle_connections(self.by_classes())),
+            Measure::Tenants => without_clients(without_idle_connections(self.by_tenants())),
+            Measure::Pairs => without_clients(without_idle_connections(self.by_pairs())),
             Measure::Idle => without_clients(by_endpoints_and_tenants()),
             Measure::Start => without_clients(single_agent(self.by_endpoints())),
             Measure::Change => without_clients(single_agent(vec![self.largest_list()])),
@@ -258,9 +258,9 @@
 
 /// Agents that connect to no endpoint ahead of requests: such connections, fewer the more endpoints
 /// there are, would be in the figure.
-fn without_spare(mut sizes: Vec<Size>) -> Vec<Size> {
+fn without_idle_connections(mut sizes: Vec<Size>) -> Vec<Size> {
     for size in &mut sizes {
-        size.sockets = size.sockets.min(SOCKETS_WITHOUT_SPARE);
+        size.sockets = size.sockets.min(SOCKETS_WITHOUT_IDLE_CONNECTIONS);
     }
     sizes
 }
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! - [`scenario`], [`run`], [`records`] and [`report`]: a scenario in KDL says what installation is
 //!   simulated, what varies and over how many seeds; its runs are stored, compared and drawn. The
-//!   simulation is [`tulipwall_testkit::simulation`]: the real decisions, zones and client retries in
-//!   simulated time, with the rules checked from outside.
+//!   simulation is [`tulipwall_testkit::simulation`]: the real decisions, zones and client retries
+//!   in simulated time, with the rules checked from outside.
 //! - [`load`]: an open-loop load generator for a real agent.
 //! - [`scale`]: hundreds of simulated agents in one process, and what each costs.
 //! - [`fleet`]: what real agents on loopback cost.
--- a/crates/experiments/src/scenario/mod.rs
+++ b/crates/experiments/src/scenario/mod.rs
@@ -1,7 +1,7 @@
 //! Scenario documents: the installation that is simulated, which of its parameters vary, and the
 //! number of seeds.
 //!
-//! [`parse`] reads the KDL text, [`point`] enumerates the combinations of parameters that vary.
+//! `parse` reads the KDL text, `point` enumerates the combinations of parameters that vary.
 
 mod parse;
 mod point;
--- a/crates/experiments/src/scenario/parse/fault.rs
+++ b/crates/experiments/src/scenario/parse/fault.rs
@@ -17,9 +17,9 @@
     "burst",
     "kind",
 ];
-/// Kinds that take no number, in the order of [`PLAIN_KINDS`].
-const PLAIN_KIND_NAMES: [&str; 4] = ["drain", "gone", "mute", "stall"];
-const PLAIN_KINDS: [FaultKind; 4] = [
+/// Kinds that take no number, in the order of [`SIMPLE_FAULTS`].
+const SIMPLE_FAULT_NAMES: [&str; 4] = ["drain", "gone", "mute", "stall"];
+const SIMPLE_FAULTS: [FaultKind; 4] = [
     FaultKind::Drain,
     FaultKind::Gone,
     FaultKind::Mute,
@@ -36,7 +36,7 @@
         max_endpoints: usize::MAX,
         kind: FaultKind::Drain,
     };
-    let mut kinds = Vec::new();
+    let mut found = Vec::new();
     for node in reader.nodes(node.children(), "fault", &KEYS, &[]) {
         match node.name().value() {
             "at" => fault.start = reader.duration(node, Duration::ZERO)?,
@@ -46,14 +46,14 @@
                 let endpoints = reader.number(node, 1.0, MAX_ENDPOINTS);
                 fault.max_endpoints = endpoints.map_or(usize::MAX, |n| n as usize);
             }
-            _ => kinds.extend(kind(reader, node)),
+            _ => found.extend(kind(reader, node)),
         }
     }
-    if kinds.len() != 1 {
+    if found.len() != 1 {
         let text = "one of slow, fail, burst or kind is wanted in it";
         reader.report(location, "fault", text.into());
     }
-    fault.kind = kinds.first().copied()?;
+    fault.kind = found.first().copied()?;
     Some(fault)
 }
 
@@ -69,7 +69,7 @@
         "fail" => reader.number(node, 0.0, 1.0).map(FaultKind::Fail),
         "burst" => reader.number(node, 0.0, 1e4).map(FaultKind::Burst),
         _ => reader
-            .keyword(node, &PLAIN_KIND_NAMES)
-            .map(|n| PLAIN_KINDS[n]),
+            .keyword(node, &SIMPLE_FAULT_NAMES)
+            .map(|n| SIMPLE_FAULTS[n]),
     }
 }
--- a/crates/experiments/src/scenario/point.rs
+++ b/crates/experiments/src/scenario/point.rs
@@ -28,7 +28,7 @@
     /// Share of messages lost between zones.
     Loss,
     /// Notification delay, in milliseconds.
-    ToldLateMs,
+    NotificationDelayMs,
 }
 
 impl Parameter {
@@ -44,7 +44,7 @@
         ("step", Parameter::Step),
         ("spread", Parameter::Spread),
         ("loss", Parameter::Loss),
-        ("told-late-ms", Parameter::ToldLateMs),
+        ("told-late-ms", Parameter::NotificationDelayMs),
     ];
 
     /// The parameter with this key.
@@ -152,7 +152,7 @@
             Parameter::Spread => self.load_spread = number,
             Parameter::Loss => self.loss = number.min(1.0),
             Parameter::Share => self.cross_zone_share = Some(number),
-            Parameter::ToldLateMs => {
+            Parameter::NotificationDelayMs => {
                 self.notification_delay = Duration::from_secs_f64(number / 1000.0);
             }
             Parameter::Slowness | Parameter::Fails | Parameter::Step => {
