--- a/crates/experiments/examples/verdicts/tables.rs
+++ b/crates/experiments/examples/verdicts/tables.rs
@@ -8,7 +8,7 @@
 const CANARY: &str = "Canary";
 const ROLLING_BACK: &str = "RollingBack";
 const RELEASED: &str = "Released";
-const ROLL_BACK: &str = "Back";
+const ROLL_BACK: &str = "RollBack";
 /// Seconds around a build's first answer that are printed.
 const SECONDS_SHOWN: std::ops::Range<i32> = -2..12;
 
