--- a/crates/experiments/examples/verdicts/tables.rs
+++ b/crates/experiments/examples/verdicts/tables.rs
@@ -135,7 +135,7 @@
 
 /// Prints the value of the requests of each second, and what became of it.
 pub fn print_seconds(log: &Log) {
-    println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | failed % | left % |");
+    println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | scrapped % | left % |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let seconds = values_by_second(log);
     let total: f64 = seconds.values().fold(0.0, |sum, second| sum + second.total);
