--- a/crates/agent/src/cli/report/plot.rs
+++ b/crates/agent/src/cli/report/plot.rs
@@ -1,6 +1,7 @@
 //! The report on cross-zone traffic over time as a picture: the attempts of each link, and what was
 //! spent of each budget beside its limit.
 
+use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
@@ -194,14 +195,22 @@
     }
 }
 
+/// The length of a line in the legend, in pixels.
+const LEGEND_LINE_LENGTH: i32 = 20;
+/// The dashes of a budget's line and the gaps between them, in pixels.
+const DASH_LENGTH: u32 = 6;
+const DASH_GAP: u32 = 4;
+
+type PanelChart<'a, B> = ChartContext<'a, B, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
 impl Panel {
     fn draw<B: DrawingBackend>(
         &self,
         area: &DrawingArea<B, Shift>,
     ) -> Result<(), DrawingAreaErrorKind<B::ErrorType>> {
-        let points = || self.curves.iter().flat_map(|curve| &curve.points);
-        let earliest = points().map(|point| point.0).fold(-1.0, f64::min);
-        let highest = points()
+        let earliest = self.points().map(|point| point.0).fold(-1.0, f64::min);
+        let highest = self
+            .points()
             .map(|point| point.1)
             .chain(self.budget_line)
             .fold(1e-9, f64::max);
@@ -217,27 +226,10 @@
             .light_line_style(WHITE)
             .draw()?;
         for (curve, colour) in self.curves.iter().zip(COLOURS.iter().cycle()) {
-            chart
-                .draw_series(LineSeries::new(
-                    curve.points.iter().copied(),
-                    colour.stroke_width(2),
-                ))?
-                .label(curve.name.as_str())
-                .legend(move |(x, y)| {
-                    PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(2))
-                });
+            draw_curve(&mut chart, curve, *colour)?;
         }
-        if let Some(line) = self.budget_line {
-            let style = BLACK.stroke_width(1);
-            chart
-                .draw_series(DashedLineSeries::new(
-                    [(earliest, line), (0.0, line)],
-                    6,
-                    4,
-                    style,
-                ))?
-                .label("budget")
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], style));
+        if let Some(limit) = self.budget_line {
+            draw_budget_line(&mut chart, earliest, limit)?;
         }
         chart
             .configure_series_labels()
@@ -245,4 +237,40 @@
             .border_style(BLACK)
             .draw()
     }
+
+    fn points(&self) -> impl Iterator<Item = &(f64, f64)> {
+        self.curves.iter().flat_map(|curve| &curve.points)
+    }
+}
+
+fn draw_curve<B: DrawingBackend>(
+    chart: &mut PanelChart<B>,
+    curve: &Curve,
+    colour: RGBColor,
+) -> Result<(), DrawingAreaErrorKind<B::ErrorType>> {
+    let style = colour.stroke_width(2);
+    chart
+        .draw_series(LineSeries::new(curve.points.iter().copied(), style))?
+        .label(curve.name.as_str())
+        .legend(move |start| legend_line(start, style));
+    Ok(())
+}
+
+fn draw_budget_line<B: DrawingBackend>(
+    chart: &mut PanelChart<B>,
+    earliest: f64,
+    limit: f64,
+) -> Result<(), DrawingAreaErrorKind<B::ErrorType>> {
+    let style = BLACK.stroke_width(1);
+    let ends = [(earliest, limit), (0.0, limit)];
+    chart
+        .draw_series(DashedLineSeries::new(ends, DASH_LENGTH, DASH_GAP, style))?
+        .label("budget")
+        .legend(move |start| legend_line(start, style));
+    Ok(())
+}
+
+fn legend_line(start: (i32, i32), style: ShapeStyle) -> PathElement<(i32, i32)> {
+    let end = (start.0 + LEGEND_LINE_LENGTH, start.1);
+    PathElement::new([start, end], style)
 }
