--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -79,7 +79,7 @@
         let clock = Rc::new(Clock::start());
         let counters = Rc::new(Counters::default());
         let names = report_names(&start.name, &start.service);
-        let zoning = start.zoning();
+        let zoning = start.zone_config();
         let settings = start.service.settings.clone();
         let max_idle = start.service.max_idle;
         let agent = Rc::new(Agent {
--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -46,7 +46,7 @@
         configuration: Some(configuration),
         installation: Some(file.to_owned()),
     })?;
-    let Some(zones) = config.zoning() else {
+    let Some(zones) = config.zone_config() else {
         return Ok("nothing said of zones".into());
     };
     let priced_links = zones
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -152,7 +152,7 @@
 
     /// What the installation says of zones, in the indices of these settings. The installation was
     /// checked for faults when it was read.
-    pub fn zoning(&self) -> Option<ZoneConfig> {
+    pub fn zone_config(&self) -> Option<ZoneConfig> {
         self.installation
             .zone_config(&self.service)
             .unwrap_or_default()
--- a/crates/agent/tests/protocols.rs
+++ b/crates/agent/tests/protocols.rs
@@ -15,7 +15,8 @@
                      /* id=9b1f,c=send,d=480,k=5c0f */";
 
 fn whole_messages(pieces: impl Iterator<Item = Vec<u8>>) -> Vec<(u8, Vec<u8>)> {
-    let (mut inbox, mut heard) = (Buffer::default(), Vec::new());
+    let mut inbox = Buffer::default();
+    let mut messages = Vec::new();
     for piece in pieces {
         let mut rest = &piece[..];
         while !rest.is_empty() {
@@ -24,16 +25,16 @@
                 .unwrap();
         }
         while let Some(message) = postgres::parse_message(inbox.unread()).unwrap() {
-            heard.push((message.tag, message.body.to_vec()));
+            messages.push((message.tag, message.body.to_vec()));
             let length = message.length;
             inbox.consume(length);
         }
     }
     assert!(inbox.is_empty());
-    heard
+    messages
 }
 
-fn answer() -> Vec<u8> {
+fn response() -> Vec<u8> {
     let mut bytes =
         b"T\0\0\0\x1d\0\x01body\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01".to_vec();
     bytes.extend(b"D\0\0\0\x0c\0\x01\0\0\0\x02\x9f\x03");
@@ -42,15 +43,15 @@
     bytes
 }
 
-/// What an answer in these pieces is heard as: its verdict once it is over, nothing while it is
-/// not.
-fn heard(pieces: &[&[u8]]) -> Result<Option<(QueryOutcome, Vec<u8>)>, ProtocolError> {
-    let (mut inbox, mut hearing) = (Vec::new(), ResponseReader::default());
+/// How a response in these pieces ends, with its value; `None` while it is not whole.
+fn read_response(pieces: &[&[u8]]) -> Result<Option<(QueryOutcome, Vec<u8>)>, ProtocolError> {
+    let mut inbox = Vec::new();
+    let mut reader = ResponseReader::default();
     for piece in pieces {
         inbox.extend_from_slice(piece);
         while let Some(message) = postgres::parse_endpoint_message(&inbox)? {
-            if hearing.on_message(message.tag, message.body, &inbox[..message.length])? {
-                return Ok(hearing.outcome.map(|v| (v, hearing.value)));
+            if reader.on_message(message.tag, message.body, &inbox[..message.length])? {
+                return Ok(reader.outcome.map(|v| (v, reader.value)));
             }
             let length = message.length;
             inbox.drain(..length);
@@ -61,22 +62,21 @@
 
 quickcheck! {
     fn reads_no_value_from_a_damaged_response_however_it_is_split(cut: usize, at: usize, by: u8) -> bool {
-        let whole = answer();
+        let whole = response();
         let (cut, at, by) = (cut % whole.len(), at % whole.len(), by.max(1));
         let value = whole[..whole.len() - 6].to_vec();
-        assert_eq!(heard(&[&whole[..cut], &whole[cut..]]), Ok(Some((QueryOutcome::Value, value.clone()))));
-        assert_eq!(heard(&[&whole[..cut]]), Ok(None), "only a part");
-        // Bytes of the value, of the column's description and of the request's words say nothing of
-        // themselves.
+        assert_eq!(read_response(&[&whole[..cut], &whole[cut..]]), Ok(Some((QueryOutcome::Value, value.clone()))));
+        assert_eq!(read_response(&[&whole[..cut]]), Ok(None), "only a part");
+        // No change of the value, of the column's description or of the command tag can be noticed.
         let free = [7..30, 41..43, 48..57].iter().any(|r| r.contains(&at));
-        let mut spoilt = whole.clone();
-        spoilt[at] = spoilt[at].wrapping_add(by);
-        free || !matches!(heard(&[&spoilt[..cut], &spoilt[cut..]]), Ok(Some((QueryOutcome::Value, _))))
+        let mut damaged = whole.clone();
+        damaged[at] = damaged[at].wrapping_add(by);
+        free || !matches!(read_response(&[&damaged[..cut], &damaged[cut..]]), Ok(Some((QueryOutcome::Value, _))))
     }
 
     fn reads_the_same_messages_however_they_are_split(cuts: Vec<usize>) -> bool {
         let mut bytes = postgres::query(READ);
-        bytes.extend(answer());
+        bytes.extend(response());
         bytes.extend(postgres::query(WRITE));
         let mut cuts: Vec<usize> = cuts.iter().map(|c| c % bytes.len()).chain([0, bytes.len()]).collect();
         cuts.sort_unstable();
@@ -86,7 +86,7 @@
 
     fn never_panics_on_any_bytes(noise: Vec<u8>, seed: Vec<(usize, u8)>) -> bool {
         let valid = [
-            answer(), postgres::query(WRITE), postgres::startup("worker", "catalog"), READ.into(), WRITE.into(),
+            response(), postgres::query(WRITE), postgres::startup("worker", "catalog"), READ.into(), WRITE.into(),
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_vec(),
             platform::vote_request(7, &Vote { build: 3, stage: 1, verdict: tulipwall::Verdict::Hold }).into_bytes(), noise,
         ];
@@ -98,7 +98,7 @@
             let _ = (postgres::parse_opening(&bytes), http::parse_response(&bytes, true), http::parse_response(&bytes, false));
             let _ = (platform::parse_message(&bytes), platform::split_line(&bytes), ListResponse::parse(&bytes), StartupConfig::parse(&bytes).is_ok());
             let _ = std::str::from_utf8(&bytes).map(Statement::parse);
-            let _ = (heard(&[&bytes]), postgres::parse_message(&bytes).map(|m| m.map(|m| postgres::parse_query_text(m.body).is_ok())));
+            let _ = (read_response(&[&bytes]), postgres::parse_message(&bytes).map(|m| m.map(|m| postgres::parse_query_text(m.body).is_ok())));
         }
         true
     }
@@ -132,15 +132,15 @@
         ("objects", "users", "neither"),
         ("*/", "", "does not close"),
     ] {
-        let told = Statement::parse(&READ.replace(from, to)).unwrap_err();
-        assert!(told.to_string().contains(fault), "{told}");
+        let error = Statement::parse(&READ.replace(from, to)).unwrap_err();
+        assert!(error.to_string().contains(fault), "{error}");
     }
 }
 
 #[test]
 fn rejects_messages_of_an_endpoint_that_are_out_of_order() {
-    let mut hearing = ResponseReader::default();
-    assert!(hearing.on_message(b'D', b"\0\x01\0\0\0\0", b"").is_err());
+    let mut reader = ResponseReader::default();
+    assert!(reader.on_message(b'D', b"\0\x01\0\0\0\0", b"").is_err());
     assert!(ResponseReader::default()
         .on_message(b'T', b"\0\x02", b"")
         .is_err());
@@ -173,9 +173,9 @@
         for cut in 0..whole.len() {
             assert_eq!(http::parse_response(&whole[..cut], false), Ok(None));
         }
-        let answer = http::parse_response(whole, false).unwrap().unwrap();
+        let response = http::parse_response(whole, false).unwrap().unwrap();
         assert_eq!(
-            (answer.status, &answer.body[..], answer.length),
+            (response.status, &response.body[..], response.length),
             (200, &b"{}"[..], whole.len())
         );
     }
@@ -183,7 +183,7 @@
 
 #[test]
 fn parses_each_message_of_the_platform() {
-    let told = RolloutReport {
+    let report = RolloutReport {
         build: 42,
         stage: 1,
         phase: RolloutPhase::Canary,
@@ -194,7 +194,7 @@
     let line = |text: String| platform::parse_message(text.as_bytes());
     assert_eq!(
         line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)),
-        Ok(PlatformMessage::RolloutStatus(told))
+        Ok(PlatformMessage::RolloutStatus(report))
     );
     for (message, reply) in [
         ("Throttling", VoteReply::Refused),
@@ -202,11 +202,11 @@
         ("InternalFailure", VoteReply::Refused),
         ("ValidationError", VoteReply::Refused),
     ] {
-        let answer = line(format!(
+        let response = line(format!(
             r#"{{"id":7,"error":{{"code":-32602,"message":"{message}"}}}}"#
         ));
         assert_eq!(
-            answer,
+            response,
             Ok(PlatformMessage::Response {
                 id: 7,
                 reply,
@@ -232,12 +232,12 @@
         line(format!(r#"{{"method":"SAMPLE","params":{sample}}}"#)),
         Ok(counted)
     );
-    for spoilt in [
+    for damaged in [
         r#"{"id":7}"#,
         r#"{"method":"pong"}"#,
         r#"{"id":7,"error":{"message":"Thr#ttling"}}"#,
     ] {
-        assert!(line(spoilt.into()).is_err());
+        assert!(line(damaged.into()).is_err());
     }
     assert!(line(format!(
         r#"{{"method":"ROLLOUT","params":{}}}"#,
