--- a/crates/agent/src/lifecycle/listener.rs
+++ b/crates/agent/src/lifecycle/listener.rs
@@ -7,6 +7,7 @@
 use crate::runtime::reactor::Source;
 use crate::runtime::timer::Timer;
 use crate::server::connection as client;
+use crate::server::overflow;
 use crate::upstream::limits::ConnectionPermit;
 use futures_lite::future::{self, FutureExt};
 use std::io;
@@ -130,6 +131,6 @@
 
 fn reject_client(agent: &Rc<Agent>, client: Connection, permit: ConnectionPermit) {
     agent.counters.clients_rejected.increment();
-    let rejecting = client::deny(agent.clone(), client, permit);
+    let rejecting = overflow::reject_client(agent.clone(), client, permit);
     agent.executors.tasks.spawn(rejecting).detach();
 }
--- a/crates/experiments/examples/beside.rs
+++ b/crates/experiments/examples/beside.rs
@@ -97,10 +97,10 @@
         }}"
     );
     let scenario = Scenario::read(&text).unwrap_or_else(|all| panic!("{all:?}"));
-    let mut day = run::day(&scenario, 1);
+    let mut simulation = run::build_simulation(&scenario, 1);
     // As the settings of the fakes say: crossing has no price.
-    day.settings.cross_zone_price = 0.0;
-    let p = day.run();
+    simulation.settings.cross_zone_price = 0.0;
+    let p = simulation.run();
     [
         p.quantile_ms(0.5),
         p.quantile_ms(0.99),
