--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -1,9 +1,10 @@
 //! One call: its attempts, until there is a value, none may follow, or its deadline has passed.
 
-use crate::call::{AttemptSummary, Call, CallResponse};
+use crate::acquire::{AcquireError, PooledConnection};
+use crate::attempt_summary::AttemptSummary;
+use crate::call::{Call, CallResponse};
 use crate::deadline::with_deadline;
 use crate::error::CallError;
-use crate::pool::{AcquireError, PooledConnection};
 use crate::shared::Shared;
 use crate::statement::{self, AttemptHeader};
 use async_io::Timer;
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,13 +1,10 @@
 //! What a caller asks, and what it gets for it.
 
+use crate::attempt_summary::AttemptSummary;
 use crate::error::InvalidCall;
-use std::net::SocketAddr;
+use crate::limits::{MAX_NAME_BYTES, MAX_VALUE_BYTES};
 use std::time::Duration;
 
-/// The longest name of a class, object, key or tenant, in bytes.
-pub(crate) const MAX_NAME_BYTES: usize = 256;
-/// The longest value that is written, in bytes.
-pub(crate) const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// What a name may consist of beside ASCII letters and digits.
 const NAME_PUNCTUATION: &str = "_-.:";
 
@@ -111,19 +108,6 @@
     }
 }
 
-/// The attempts that were made for a call.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct AttemptSummary {
-    /// The agents that were tried, in their order; an agent may come again.
-    pub agents: Vec<SocketAddr>,
-    /// How each attempt but the last ended, as logs and counters name it.
-    pub failures: Vec<&'static str>,
-    /// Whether the request may have run at any of the agents.
-    pub may_have_executed: bool,
-    /// From the beginning of the call to its end.
-    pub elapsed: Duration,
-}
-
 /// The value that a call returned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallResponse {
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,6 +1,7 @@
 //! Why a call has no value.
 
-use crate::call::{AttemptSummary, MAX_NAME_BYTES, MAX_VALUE_BYTES};
+use crate::attempt_summary::AttemptSummary;
+use crate::limits::{MAX_NAME_BYTES, MAX_VALUE_BYTES};
 use std::time::Duration;
 use thiserror::Error;
 
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -32,7 +32,9 @@
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
 
+mod acquire;
 mod admission;
+mod attempt_summary;
 mod attempts;
 pub mod blocking;
 mod call;
@@ -40,12 +42,14 @@
 mod connection;
 mod deadline;
 mod error;
+mod limits;
 mod pool;
 mod shared;
 mod statement;
 mod stats;
 
-pub use call::{AttemptSummary, Call, CallResponse};
+pub use attempt_summary::AttemptSummary;
+pub use call::{Call, CallResponse};
 pub use client::Client;
 pub use error::{CallError, InvalidCall};
 pub use stats::{ClassStats, ClientStats, Counters};
--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -2,15 +2,12 @@
 
 use crate::error::AdapterError;
 use crate::instance::Instance;
-use crate::wire::{AgentReply, Command, Reply, IGNORED_WITHOUT_INSTANCE};
+use crate::wire::{AgentReply, Command, EndpointLists, Reply, IGNORED_WITHOUT_INSTANCE};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall_config::{ConfigError, Fields};
 
-/// The numbered endpoint lists that came ahead of the messages that refer to them.
-pub type EndpointLists = BTreeMap<u64, Vec<Value>>;
-
 /// All instances of this process, by the number of their agent.
 #[derive(Default)]
 pub struct Adapter {
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,10 +1,9 @@
 //! One simulated agent: the wire's names on one side, a [`Balancer`] with its small indices on the
 //! other.
 
-use crate::adapter::EndpointLists;
 use crate::error::AdapterError;
 use crate::requests::RequestTable;
-use crate::wire::{self, Command, ListUpdate};
+use crate::wire::{self, Command, EndpointLists, ListUpdate};
 use serde_json::Value;
 use std::time::Duration;
 use tulipwall::{
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -3,10 +3,14 @@
 use crate::error::AdapterError;
 use serde::Serialize;
 use serde_json::Value;
+use std::collections::BTreeMap;
 use std::time::Duration;
 use tulipwall::{EndpointState, Outcome, RolloutPhase, Verdict, VoteReply};
 use tulipwall_config::{duration_from_ms, Fields};
 
+/// The numbered endpoint lists that came ahead of the messages that refer to them.
+pub type EndpointLists = BTreeMap<u64, Vec<Value>>;
+
 /// The timer after which an instance is polled; any other is named by the id of its request.
 pub const POLL_TIMER: &str = "wait";
 
