--- a/crates/agent/src/agent/control_state.rs
+++ b/crates/agent/src/agent/control_state.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The address of a peer, and how often its connection is to be begun anew since the start.
+/// The address of a peer, and how often its connection was to be restarted.
 pub struct PeerAddress<T> {
     address: Cell<T>,
     changes: Cell<u64>,
@@ -60,7 +60,7 @@
         self.address.replace(address) != address
     }
 
-    /// Has the peer's connection begun anew.
+    /// Asks the peer's task to restart its connection.
     pub fn announce_change(&self) {
         self.changes.set(self.changes.get() + 1);
         self.changed.notify(usize::MAX);
--- a/crates/agent/src/agent/endpoint_directory.rs
+++ b/crates/agent/src/agent/endpoint_directory.rs
@@ -9,7 +9,7 @@
 use tulipwall_discovery::endpoint_table::{AppliedList, AttemptTarget, EndpointTable, IndexGuard};
 use tulipwall_discovery::list_response::ListResponse;
 
-/// The endpoint list as discovery last told it.
+/// The endpoint list as discovery last reported it.
 ///
 /// Written by the discovery watch, and by a configuration reload where zones have other indices;
 /// read by every attempt.
@@ -17,7 +17,7 @@
 pub struct EndpointDirectory {
     list: RefCell<EndpointTable>,
     first_usable: Event,
-    serving_allowed: Cell<bool>, // discovery was heard, or not in time
+    serving_allowed: Cell<bool>, // discovery has responded, or has not in time
     serving_changed: Event,
 }
 
@@ -65,14 +65,14 @@
         self.list.borrow_mut().update_zones(config)
     }
 
-    /// Discovery was heard, or a start need not wait for it any longer.
+    /// Discovery has responded, or the start need not wait for it any longer.
     pub fn allow_serving(&self) {
         if !self.serving_allowed.replace(true) {
             self.serving_changed.notify(usize::MAX);
         }
     }
 
-    /// Ready once requests may go by the list that is known, as far as the balancer vouches for it.
+    /// Ready once requests may go by the list that is known, as far as the balancer holds it for valid.
     /// Guards a new process that was given an old list.
     pub async fn serving_allowed(&self) {
         while !self.serving_allowed.get() {
--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -33,8 +33,8 @@
 use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::DisplayNames;
 
-/// One agent. Each field owns its state and says who writes and who reads it; this struct carries
-/// what takes several of them.
+/// One agent. Each field owns its state, and its comment names who writes and who reads it; this struct
+/// carries what involves several of them.
 pub struct Agent {
     /// Read by every task.
     pub clock: Rc<Clock>,
@@ -142,30 +142,30 @@
         self.config.service()
     }
 
-    /// The platform told of a rollout.
-    pub fn update_rollout(&self, told: RolloutReport) {
+    /// The platform reported the status of a rollout.
+    pub fn update_rollout(&self, report: RolloutReport) {
         let now = self.clock.now();
-        let began = now.saturating_sub(told.age);
-        log::debug!(target: EVIDENCE, "{} rollout build {} stage {} {:?} since {}", self.clock.to_unix_ms(now), told.build,
-            told.stage, told.phase, self.clock.to_unix_ms(began));
+        let began = now.saturating_sub(report.age);
+        log::debug!(target: EVIDENCE, "{} rollout build {} stage {} {:?} since {}", self.clock.to_unix_ms(now), report.build,
+            report.stage, report.phase, self.clock.to_unix_ms(began));
         self.balancer.update_rollout(RolloutStatus {
-            build: told.build,
-            stage: told.stage,
-            phase: told.phase,
-            cap: told.cap,
+            build: report.build,
+            stage: report.stage,
+            phase: report.phase,
+            cap: report.cap,
             since: began,
         });
         self.zone_traffic.retain_builds(|| self.known_builds());
     }
 
-    /// The builds that are listed, and the newest that was told of.
+    /// The builds that are listed, and the newest that the platform reported.
     fn known_builds(&self) -> BTreeSet<u32> {
         let mut builds = self.endpoints.builds();
         builds.extend(self.balancer.newest_rollout_build());
         builds
     }
 
-    /// Discovery told of endpoints.
+    /// Discovery reported endpoints.
     pub fn update_endpoints(&self, response: ListResponse) {
         let complete = response.complete;
         let update = self
@@ -183,7 +183,7 @@
         self.endpoints.announce_usable();
     }
 
-    /// Recomputes what should cross zones, about every 100 ms.
+    /// Recomputes the cross-zone policy, about every 100 ms.
     pub fn update_zone_traffic(&self) {
         if self.zone_traffic.is_enabled() {
             self.zone_traffic.update(self.clock.now(), |zones| {
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reload: a configuration that was read anew is put in force, all of it or none.
+//! Configuration reload: a new configuration is put in force, all of it or none.
 
 use super::{report_names, Agent};
 use crate::lifecycle::phase::ControlService;
@@ -45,9 +45,9 @@
 }
 
 impl Agent {
-    /// Goes on under a configuration that was read anew, all of it or none, but for what only a
-    /// restart can change, which is named and stays. A peer whose address is another is asked anew
-    /// there; its list and rollout status in the file are no newer than what it tells.
+    /// Puts a new configuration in force, all of it or none, but for what only a restart can change,
+    /// which is logged. A peer whose address changed is contacted there; the list and the rollout
+    /// status in the file are no newer than what the peers report, and are ignored.
     pub fn reload(&self, start: StartupConfig) {
         let before = self.service_config();
         let applied = self.apply_decision_config(DecisionConfig {
@@ -82,7 +82,7 @@
         self.move_platform(start.platform);
     }
 
-    /// The watch begins anew where discovery is another, or is to be asked at other times.
+    /// Restarts the watch if discovery has another address, or is to be asked at other times.
     fn move_discovery(&self, address: SocketAddr, before: &ServiceConfig) {
         let poll_settings =
             |c: &ServiceConfig| (c.settings.shared_discovery, c.settings.max_poll_interval);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The session begins anew where the platform is another, and ends where there is none.
+    /// Restarts the session if the platform has another address; ends it if there is none.
     fn move_platform(&self, address: Option<SocketAddr>) {
         if self.control.platform.replace(address) {
             self.lifecycle
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Puts settings, installation and alternative settings in force, with what is known and active
-    /// kept; says what changed. Nothing does if the installation names what the settings do not.
+    /// Puts settings, installation and alternative settings in force; active requests and all that
+    /// was learned are kept. Returns what changed. Nothing changes if the installation names what
+    /// the settings do not.
     fn apply_decision_config(
         &self,
         new: DecisionConfig,
@@ -166,7 +167,7 @@
             .zone_traffic
             .reload(self.clock.now(), zoning, names, &mapping.classes);
         if !continued {
-            log::warn!("zones: others than before; the account of what crosses begins anew");
+            log::warn!("zones: changed; the cross-zone account begins anew");
         }
         if !self.zone_traffic.is_enabled() {
             self.balancer
@@ -175,7 +176,7 @@
         self.apply_cross_zone_policy();
     }
 
-    /// Classes that only active requests kept go once these are over.
+    /// Drops classes that were kept for active requests alone, once these are over.
     pub fn drop_retired_classes(&self) {
         let service = self.service_config();
         if !service.has_retired_indices()
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -1,4 +1,4 @@
-//! The one owner of the `Balancer`: all that the agent tells and asks it passes here, with the
+//! The one owner of the `Balancer`: all calls of the agent pass here, with the
 //! time.
 
 use crate::observability::counters::Counters;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Nothing while another request is open under this id: its answers could not be told apart.
+    /// Nothing while another request is open under this id: its responses could not be distinguished.
     pub fn open_request(&self, id: &str) -> Option<OpenRequestGuard<'_>> {
         let inserted = self.open_ids.borrow_mut().insert(id.to_owned());
         inserted.then(|| OpenRequestGuard {
@@ -109,7 +109,7 @@
         AdmittedRequest { id, decision }
     }
 
-    /// Where an active request goes by now.
+    /// Decides again on an active request.
     pub fn route(&self, id: u64) -> Decision {
         let now = self.clock.now();
         let decision = self.balancer.borrow_mut().route(now, id);
@@ -138,7 +138,7 @@
         decision
     }
 
-    /// The request has no further use for an answer.
+    /// The request needs no further attempts.
     pub fn close_request(&self, id: u64) {
         self.balancer.borrow_mut().close_request(id);
         self.shadowed_requests.borrow_mut().remove(&id);
@@ -150,7 +150,7 @@
         self.balancer.borrow().attempt_allowed(now, id, attempt)
     }
 
-    /// An endpoint said how many requests it holds.
+    /// An endpoint reported how many requests it holds.
     pub fn on_load_report(&self, endpoint: usize, load: f64) {
         let now = self.clock.now();
         self.balancer
@@ -158,7 +158,7 @@
             .on_load_report(now, endpoint, Outcome::Succeeded, Some(load));
     }
 
-    /// Discovery told of endpoints, of all of them if `complete`.
+    /// Discovery reported endpoints, all of them if `complete`.
     pub fn update_endpoints(&self, entries: &[EndpointEntry], complete: bool) {
         self.counters.lists_received.increment();
         self.balancer
@@ -166,18 +166,18 @@
             .update_endpoints(self.clock.now(), entries, complete);
     }
 
-    /// Discovery could not be heard.
+    /// Discovery did not respond.
     pub fn on_list_failure(&self) {
         self.counters.list_failures.increment();
         self.balancer.borrow_mut().on_list_failure(self.clock.now());
     }
 
-    /// Until when the list tells all that counts as told.
+    /// Until when the endpoint list is valid; `None` without a limit.
     pub fn set_list_valid_until(&self, until: Option<Duration>) {
         self.balancer.borrow_mut().set_list_valid_until(until);
     }
 
-    /// The platform told of a rollout.
+    /// The platform reported the status of a rollout.
     pub fn update_rollout(&self, status: RolloutStatus) {
         self.counters.rollout_updates.increment();
         let before = self.rollout.replace(Some(status.clone()));
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The newest build that the platform told of.
+    /// The newest build that the platform reported.
     pub fn newest_rollout_build(&self) -> Option<u32> {
         self.rollout.borrow().as_ref().map(|rollout| rollout.build)
     }
@@ -218,12 +218,12 @@
         }
     }
 
-    /// What crossing a zone means from now on.
+    /// Puts a cross-zone policy in force.
     pub fn set_cross_zone_policy(&self, policy: CrossZonePolicy) {
         self.balancer.borrow_mut().set_cross_zone_policy(policy);
     }
 
-    /// What each of so many zones can take.
+    /// The capacity of each of so many zones.
     pub fn zone_capacities(&self, zones: usize) -> Vec<ZoneCapacity> {
         let now = self.clock.now();
         self.balancer.borrow().zone_capacities(now, zones)
@@ -236,19 +236,19 @@
             .on_client_reported_error(self.clock.now(), endpoint, class, age);
     }
 
-    /// The platform told what it counted of a build.
+    /// The platform reported its counts of a build.
     pub fn on_platform_counts(&self, counts: &PlatformCounts) {
         self.balancer.borrow_mut().on_platform_counts(counts);
     }
 
-    /// The platform answered a vote, or never will.
+    /// The platform replied to a vote, or never will.
     pub fn on_vote_reply(&self, reply: VoteReply) {
         self.balancer
             .borrow_mut()
             .on_vote_reply(self.clock.now(), reply);
     }
 
-    /// What is due.
+    /// Advances the balancer to the present; says what is due.
     pub fn poll(&self) -> PollResult {
         self.balancer.borrow_mut().poll(self.clock.now())
     }
--- a/crates/agent/src/server/admission.rs
+++ b/crates/agent/src/server/admission.rs
@@ -33,7 +33,7 @@
     Terminating,
 }
 
-/// The indices of a statement's names under one configuration, and what its class says.
+/// The indices of a statement's names under one configuration, and the properties of its class.
 pub struct ResolvedRequest {
     /// The index of its request class.
     pub class: usize,
--- a/crates/agent/src/server/in_flight.rs
+++ b/crates/agent/src/server/in_flight.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// An attempt that is over and accounted for; the balancer is yet to be told.
+/// An attempt that is over and accounted for; the balancer does not know of it yet.
 pub struct FinishedAttempt {
     /// Which of its request's attempts it is.
     pub attempt: usize,
--- a/crates/agent/src/server/output.rs
+++ b/crates/agent/src/server/output.rs
@@ -25,7 +25,7 @@
             None if traffic.written() > written_before => {}
             None => {
                 agent.counters.clients_timed_out.increment();
-                log::info!("a client leaves its answers unread; it is let go");
+                log::info!("a client does not read its responses; it is disconnected");
                 return Err(io::ErrorKind::TimedOut.into());
             }
         }
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request.rs
@@ -37,8 +37,8 @@
 ) -> FinalResponse {
     agent.endpoints.serving_allowed().await;
     // Indices are those of the settings in force as the balancer takes the request, and stay its
-    // own to its end. They may have changed while it waited above: nothing ran, and a retry is told
-    // more.
+    // own to its end. They may have changed while it waited above: nothing ran, and a retry gets
+    // the reason.
     let Ok(resolved) = ResolvedRequest::resolve(&agent.service_config(), &statement) else {
         return FinalResponse::Rejected { retry_after: None };
     };
@@ -75,7 +75,7 @@
 }
 
 impl ActiveRequest {
-    /// Tells the balancer of the request, and asks where it goes first.
+    /// Passes the request to the balancer, which decides where it goes first.
     fn begin(
         agent: Rc<Agent>,
         statement: Statement,
@@ -200,7 +200,7 @@
         Box::pin(async move { send_attempt(&agent, &statement, plan, &meter).await })
     }
 
-    /// The endpoint has gone since the balancer heard of it.
+    /// The endpoint has gone since the balancer was informed of it.
     fn attempt_to_missing_endpoint(&self, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
         InFlightAttempt {
             sent,
@@ -213,7 +213,7 @@
         }
     }
 
-    /// What happens next. Ends are told before time-outs: after a stall that is their order. Before
+    /// What happens next. Ends come before time-outs: after a stall that is their order. Before
     /// either comes a client that has left: an attempt's first look at its connection is also its
     /// first byte.
     async fn next_event(&mut self, client: &mut Connection) -> RequestEvent {
@@ -311,7 +311,7 @@
     }
 
     /// Nothing goes out for the request from now on. What has gone and may not be cancelled ends by
-    /// itself, and the balancer hears of it.
+    /// itself, and the balancer is informed.
     fn finish(mut self) {
         for attempt in self.attempts.not_fully_written() {
             let ended = self.attempts.finish(&self.agent, attempt, Outcome::NotSent);
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Hears out the attempts of a request that has its final response.
+    /// Waits for the attempts of a request that has its final response.
     async fn drain(mut self) {
         while let Some(timeout_at) = self.attempts.next_timeout() {
             if let Some(ended) = self.next_end(timeout_at).await {
@@ -361,7 +361,7 @@
     )
 }
 
-/// Ready once the client closes its connection, or ends its sending, which cannot be told apart.
+/// Ready once the client closes its connection, or ends its sending, which look the same.
 /// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
 async fn client_left(client: &mut Connection) {
     while client.inbox.len() <= MAX_BYTES_READ_AHEAD {
--- a/crates/agent/src/server/response.rs
+++ b/crates/agent/src/server/response.rs
@@ -5,14 +5,14 @@
 use crate::protocol::postgres;
 use std::time::Duration;
 
-/// What the client is told in the end.
+/// How a request ends for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
     /// The messages of the value, as the endpoint made them.
     Succeeded(Vec<u8>),
     /// Nothing ran, and a retry is harmless.
     Rejected {
-        /// When to retry, where that is said.
+        /// After how long to retry, where the balancer names a time.
         retry_after: Option<Duration>,
     },
     /// It may have run.
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -54,20 +54,20 @@
     plan: AttemptPlan,
     meter: &TransferMeter,
 ) -> AttemptResponse {
-    let mut connection = match write_statement(agent, statement, &plan, meter).await {
-        Ok(connection) => connection,
+    let mut pooled = match write_statement(agent, statement, &plan, meter).await {
+        Ok(pooled) => pooled,
         Err(outcome) => return AttemptResponse::without_value(outcome),
     };
     meter.set_fully_written();
     agent.counters.attempts_written.increment();
     let mut response = ResponseReader::default();
-    let end = read_response(agent, &mut connection.connection, &mut response).await;
+    let end = read_response(agent, &mut pooled.connection, &mut response).await;
     report_load(agent, plan.target, &response);
     let outcome = outcome(&end, &response);
     match end {
-        Ok(()) => release(agent, plan.target, connection),
+        Ok(()) => release(agent, plan.target, pooled),
         Err(error) => {
-            let begun = response.has_begun() || !connection.connection.inbox.is_empty();
+            let begun = response.has_begun() || !pooled.connection.inbox.is_empty();
             let lost_within = begun && outcome == Outcome::ConnectionLost;
             record_fault(agent, plan.target, meter, &error, lost_within);
         }
@@ -92,26 +92,26 @@
     meter: &TransferMeter,
 ) -> Result<PooledConnection, Outcome> {
     loop {
-        let (mut connection, source) = acquire_connection(agent, plan.target)
+        let (mut pooled, source) = acquire_connection(agent, plan.target)
             .await
             .map_err(|error| error.outcome())?;
-        meter.follow(connection.connection.traffic.clone());
+        meter.follow(pooled.connection.traffic.clone());
         if !is_still_allowed(agent, plan) {
-            agent.return_connection(plan.target, connection);
+            agent.return_connection(plan.target, pooled);
             return Err(Outcome::NotSent);
         }
         let time_left = plan.timeout_at.saturating_sub(agent.clock.now());
         let query = postgres::query(&statement.with_wait(time_left));
-        connection.on_request(agent.clock.now());
-        let written = connection.connection.write(&query).await;
+        pooled.on_request(agent.clock.now());
+        let written = pooled.connection.write(&query).await;
         match (written, source) {
             (Ok(()), ConnectionSource::Pool) => {
                 agent.counters.connections_reused.increment();
-                return Ok(connection);
+                return Ok(pooled);
             }
             (Ok(()), ConnectionSource::New) => {
                 agent.counters.connections_opened.increment();
-                return Ok(connection);
+                return Ok(pooled);
             }
             // The endpoint closed it as the request went out: not all of it was written, so it
             // never ran.
@@ -125,11 +125,11 @@
     agent: &Agent,
     target: AttemptTarget,
 ) -> Result<(PooledConnection, ConnectionSource), ConnectError> {
-    if let Some(connection) = agent.pool.take(target.endpoint) {
-        return Ok((connection, ConnectionSource::Pool));
+    if let Some(pooled) = agent.pool.take(target.endpoint) {
+        return Ok((pooled, ConnectionSource::Pool));
     }
-    let connection = open_connection(agent, target).await?;
-    Ok((connection, ConnectionSource::New))
+    let pooled = open_connection(agent, target).await?;
+    Ok((pooled, ConnectionSource::New))
 }
 
 /// An attempt may have waited for its connection: nothing goes out that would be decided otherwise
@@ -141,7 +141,7 @@
         && balancer.attempt_allowed(plan.request_id, plan.attempt)
 }
 
-/// Passes on what the endpoint said of its load, while it is the same.
+/// Passes the load on that the endpoint reported, while the endpoint is the same.
 fn report_load(agent: &Agent, target: AttemptTarget, response: &ResponseReader) {
     let Some(load) = response.reported_load else {
         return;
@@ -151,7 +151,7 @@
     }
 }
 
-/// A response that is not whole says nothing, not even that the request never ran.
+/// A response that is not whole proves nothing, not even that the request never ran.
 fn outcome(end: &Result<(), ResponseError>, response: &ResponseReader) -> Outcome {
     if let Err(ResponseError::Malformed(_) | ResponseError::Truncated) = end {
         return Outcome::ConnectionLost;
@@ -166,10 +166,10 @@
 
 /// Keeps a connection that is ready for the next query. What comes behind a response belongs to
 /// nobody, and would be taken for the next request's: such a connection is closed.
-fn release(agent: &Agent, target: AttemptTarget, mut connection: PooledConnection) {
-    if connection.connection.inbox.is_empty() {
-        connection.on_answer(agent.clock.now());
-        agent.return_connection(target, connection);
+fn release(agent: &Agent, target: AttemptTarget, mut pooled: PooledConnection) {
+    if pooled.connection.inbox.is_empty() {
+        pooled.on_response(agent.clock.now());
+        agent.return_connection(target, pooled);
     } else {
         agent.counters.responses_unsolicited.increment();
     }
--- a/crates/agent/src/upstream/limits.rs
+++ b/crates/agent/src/upstream/limits.rs
@@ -11,7 +11,7 @@
 /// What part of the rest is for endpoints. Each client has at most one request out, a few have two
 /// attempts: somewhat less than half, as some clients only hold their places.
 const ENDPOINT_SHARE: f64 = 0.45;
-/// One in so many sockets is for clients that are only told that there is no room.
+/// One in so many sockets is for clients that are rejected because there is no room.
 const OVERFLOW_SHARE: usize = 32;
 /// There are at least as many of those.
 const MIN_OVERFLOW: usize = 2;
@@ -89,7 +89,7 @@
         self.clients.permit()
     }
 
-    /// A place for a client that is only told that there is no room.
+    /// A place for a client that is rejected because there is no room.
     pub fn overflow_permit(&self) -> Option<ConnectionPermit> {
         self.overflow.permit()
     }
@@ -104,7 +104,7 @@
         self.clients.held.get()
     }
 
-    /// No client is connected, nor one that is only told that there is no room.
+    /// No client is connected, nor one that is rejected because there is no room.
     pub fn is_without_clients(&self) -> bool {
         self.clients.held.get() + self.overflow.held.get() == 0
     }
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tulipwall_discovery::clock::Clock;
 
-/// What belongs to nobody may come behind an answer, some milliseconds late: a connection that was
-/// answered on rests for so long, as the next request's answer would be taken from it. Costs a
+/// A response without a request may come behind the awaited one, some milliseconds late: a connection
+/// rests for so long after its response, as it would be taken for that of the next request. Costs a
 /// connection more where requests follow each other faster.
-const REST_AFTER_ANSWER: Duration = Duration::from_millis(20);
+const REST_AFTER_RESPONSE: Duration = Duration::from_millis(20);
 /// The part of an endpoint's idle timeout after which a connection is closed from this side.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
@@ -21,8 +21,8 @@
     /// The connection.
     pub connection: Connection,
     /// Its idle time began no sooner: when it was opened, or its last request written. By the
-    /// endpoint's clock it may have begun before this agent, which may have stood still, heard the
-    /// answer.
+    /// endpoint's clock it may have begun before this agent, which may have been stalled, read the
+    /// response.
     idle_since: Duration,
     rests_until: Duration,
     _permit: ConnectionPermit,
@@ -48,9 +48,9 @@
         self.idle_since = now;
     }
 
-    /// Its answer has come whole.
-    pub fn on_answer(&mut self, now: Duration) {
-        self.rests_until = now + REST_AFTER_ANSWER;
+    /// Its response has come in whole.
+    pub fn on_response(&mut self, now: Duration) {
+        self.rests_until = now + REST_AFTER_RESPONSE;
     }
 
     fn is_open(&self) -> bool {
--- a/crates/agent/src/upstream/zone_traffic.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -1,4 +1,4 @@
-//! Cross-zone traffic, where the installation says something of zones: the one owner of `Zones`.
+//! Cross-zone traffic, where the installation configures zones: the one owner of `Zones`.
 
 use crate::upstream::transfer_meter::TransferMeter;
 use std::cell::{Cell, RefCell};
@@ -13,7 +13,7 @@
 /// How often an exhausted budget is logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The accounting of what crosses zones.
+/// The accounting of cross-zone traffic.
 ///
 /// Written by requests and attempts, and by a configuration reload; read by the balancer's poll and
 /// by the admin endpoint. Without zones in the installation nothing is accounted for.
@@ -52,9 +52,9 @@
         self.zones.borrow().is_some()
     }
 
-    /// Goes on under an installation and settings read anew, the class indices as `class_origins`
-    /// says. The account and what is spent stay as long as there is one and the zones are those of
-    /// before; says whether they do.
+    /// Continues under a reloaded installation and settings, with the class indices that
+    /// `class_origins` maps. The account and what is spent of the budgets survive as long as the
+    /// zones are the same. Returns whether nothing was lost.
     pub fn reload(
         &self,
         now: Duration,
@@ -103,7 +103,7 @@
         Some(zones.on_attempt(now, attempt, zone_capacities))
     }
 
-    /// An attempt has ended: what its meter read goes into the account.
+    /// An attempt has ended: what its meter measured goes into the account.
     pub fn on_attempt_end(
         &self,
         now: Duration,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Recomputes what should cross, and logs budgets that are exhausted. `zone_capacities` is asked
+    /// Recomputes the cross-zone policy, and logs budgets that are exhausted. `zone_capacities` is asked
     /// for so many zones.
     pub fn update(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
         if let Some(zones) = self.zones.borrow_mut().as_mut() {
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn two_hundred_clients_come_back_spread_after_a_sigterm_and_no_payment_runs_twice() {
+fn spreads_reconnects_of_two_hundred_clients_after_a_sigterm_and_runs_no_payment_twice() {
     let _turn = beside();
     restarted(|agent| {
         agent.terminate().unwrap();
@@ -216,13 +216,13 @@
 }
 
 #[test]
-fn two_hundred_clients_come_back_spread_after_a_kill_and_no_payment_runs_twice() {
+fn spreads_reconnects_of_two_hundred_clients_after_a_kill_and_runs_no_payment_twice() {
     let _turn = beside();
     restarted(|agent| agent.signal(rustix::process::Signal::KILL).unwrap());
 }
 
 #[test]
-fn an_agent_killed_between_the_last_byte_of_a_payment_and_its_answer() {
+fn does_not_repeat_a_payment_whose_agent_was_killed_before_its_response() {
     let _turn = beside();
     let world = world(ms(400));
     let agent = start(&world);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn half_an_answer_then_a_close() {
+fn does_not_repeat_a_payment_after_half_a_response_and_a_close() {
     let _turn = beside();
     let world = world(ms(1));
     let agent = start(&world);
@@ -339,7 +339,7 @@
 
 /// In how many of a row of 50 ms each how many of two hundred came back that were rejected at the
 /// same moment with the same time to come back, and what stood still meanwhile.
-fn denied_at_once() -> (Vec<usize>, Duration) {
+fn rejected_at_once() -> (Vec<usize>, Duration) {
     let world = world(ms(1));
     let turns_away = |act| {
         world
@@ -384,11 +384,11 @@
 /// What is due while the machine lets one of them stand still comes at once when it goes on: only
 /// then it is tried again.
 #[test]
-fn two_hundred_denied_at_the_same_moment_with_the_same_time_to_come_back() {
+fn spreads_retries_of_two_hundred_clients_rejected_at_once_with_the_same_retry_after() {
     let _turn = alone();
     let spread = |each: &[usize]| each.iter().max().is_some_and(|most| *most <= 70);
     for _ in 0..5 {
-        let (each, stood) = denied_at_once();
+        let (each, stood) = rejected_at_once();
         if spread(&each) {
             return;
         }
@@ -404,7 +404,7 @@
 /// Its thread is kept by other work between its connect and the agent's greeting, for longer than
 /// an opening may take.
 #[test]
-fn a_client_that_stands_still_does_not_take_the_agent_for_lost() {
+fn does_not_take_the_agent_for_lost_after_a_stall_of_the_client() {
     let _turn = beside();
     let world = world(ms(1));
     let agent = start(&world);
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn all_agents_away_for_some_seconds_then_one_back() {
+fn recovers_once_one_agent_is_back_after_all_were_away() {
     let _turn = beside();
     let world = world(ms(2));
     let (one, two) = (start(&world), start(&world));
@@ -468,7 +468,7 @@
 }
 
 #[test]
-fn an_agent_that_accepts_and_says_nothing_costs_no_answer() {
+fn answers_all_requests_beside_an_agent_that_accepts_and_never_responds() {
     let _turn = beside();
     let world = world(ms(2));
     let agent = start(&world);
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn an_agent_that_answers_ten_times_slower_gets_less() {
+fn sends_less_to_an_agent_that_is_ten_times_slower() {
     let _turn = alone();
     let (quick, slow) = (world(ms(8)), world(ms(80)));
     let (one, two) = (start(&quick), start(&slow));
@@ -524,7 +524,7 @@
 }
 
 #[test]
-fn a_window_that_ends_between_two_tries_ends_the_call() {
+fn ends_a_call_whose_deduplication_window_ends_between_two_tries() {
     let _turn = beside();
     let world = world(ms(1));
     let agent = start(&world);
@@ -562,7 +562,7 @@
 }
 
 #[test]
-fn a_key_used_by_two_calls_at_once_is_refused_for_the_second() {
+fn refuses_a_key_that_another_open_call_uses() {
     let _turn = beside();
     let world = world(ms(200));
     let agent = start(&world);
@@ -583,7 +583,7 @@
 }
 
 #[test]
-fn a_call_that_is_dropped_closes_what_it_had_out_and_gives_back_its_place() {
+fn a_dropped_call_closes_its_connection_and_returns_its_permit() {
     let _turn = beside();
     let world = world(ms(1000));
     let agent = start(&world);
@@ -612,7 +612,7 @@
 }
 
 #[test]
-fn of_a_thousand_fault_schedules_no_payment_runs_twice_and_each_call_ends_once_in_time() {
+fn runs_no_payment_twice_and_ends_each_call_once_in_a_thousand_fault_schedules() {
     let _turn = beside();
     let world = Arc::new(world(ms(0)));
     let agent = start(&world);
--- a/crates/agent/tests/customers.rs
+++ b/crates/agent/tests/configurations.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_lane_of_a_tenth_of_a_second_with_a_window_as_short_and_nothing_that_costs() {
+fn serves_one_class_of_a_tenth_of_a_second_with_a_window_as_short_and_free_handshakes() {
     let world = world(&["only"], vec![class("tick", "by_key", "cell", 20.0)]);
     starts_serves_and_restarts(&world, 100, |c| {
         let settings = &mut c["settings"];
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn thirty_lanes_of_minutes_in_six_zones_with_lists_asked_for_and_many_tenants() {
+fn serves_thirty_classes_of_minutes_in_six_zones_with_polled_lists_and_many_tenants() {
     let kinds = [("repeatable", "all"), ("by_key", "zone"), ("once", "all")];
     let of = |n: usize| {
         class(
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn the_fewest_descriptors_the_least_memory_and_no_time_to_warm() {
+fn serves_with_the_fewest_descriptors_the_least_memory_and_no_slow_start() {
     let world = world(&["only"], agent_process::classes());
     starts_serves_and_restarts(&world, 1000, |c| {
         c["limits"] = json!({"sockets": 64, "memory_mb": 32, "cores": 0.05});
--- a/crates/agent/tests/large.rs
+++ b/crates/agent/tests/large_lists.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn lists_of_thousands_are_obeyed_and_what_is_wrong_with_them_is_one_line() {
+fn follows_lists_of_thousands_and_logs_their_faults_in_one_line() {
     let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     let one = world
         .start_unlisted(0, "s-0", 41, EndpointBehavior::default())
--- a/crates/agent/tests/crossing.rs
+++ b/crates/agent/tests/races.rs
@@ -120,7 +120,7 @@
 // Clients that go.
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_the_connection_of_its_first_delivery_came_up() {
+fn sends_nothing_for_a_client_that_left_while_the_first_attempt_was_connecting() {
     let world = world(&[works(0)]);
     late(&world, "s-0", 300);
     let agent = start(&world, opens_late);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_as_its_command_came() {
+fn sends_nothing_for_a_client_that_left_right_after_its_request() {
     let world = world(&[works(0)]);
     let agent = start(&world, as_it_is);
     let clients: Vec<_> = (0..20).map(|_| caller(&agent)).collect();
@@ -152,7 +152,7 @@
 
 /// More written ahead than is read ahead: its end is behind it.
 #[test]
-fn nothing_more_is_sent_for_a_client_that_left_behind_a_queue_of_its_own_statements() {
+fn sends_nothing_more_for_a_client_that_left_with_statements_queued() {
     let world = world(&[works(500)]);
     let agent = start(&world, as_it_is);
     let mut client = caller(&agent);
@@ -172,7 +172,7 @@
 
 /// On the wire it is the same as closing, and the page says of closing that the client has gone.
 #[test]
-fn who_ends_only_its_sending_has_gone() {
+fn treats_a_client_that_shuts_down_its_write_side_as_gone() {
     let world = world(&[works(0)]);
     late(&world, "s-0", 300);
     let agent = start(&world, opens_late);
@@ -191,7 +191,7 @@
 /// Whichever endpoint comes first: the one that answers, or the one whose connection comes up
 /// behind the answer.
 #[test]
-fn nothing_is_written_for_a_second_copy_whose_connection_comes_up_after_the_final_answer() {
+fn writes_no_hedge_whose_connection_opens_after_the_final_response() {
     let world = world(&[works(400), works(400)]);
     late(&world, "s-1", 900);
     // Room for the hedged request's connection beside the first one's, and for none kept ahead.
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_clients_time_carries_nothing() {
+fn writes_nothing_on_a_connection_that_opens_past_the_deadline() {
     let world = world(&[works(0)]);
     late(&world, "s-0", 300);
     let agent = start(&world, opens_late);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_pipelined_statement_keeps_the_time_of_its_own_arrival() {
+fn measures_the_deadline_of_a_pipelined_statement_from_its_own_arrival() {
     let world = world(&[works(600)]);
     let agent = start(&world, as_it_is);
     let mut client = caller(&agent);
@@ -253,7 +253,7 @@
 /// One endpoint loses its answers, the connections to the other come up after the group has
 /// forgotten the repeat.
 #[test]
-fn a_deduplicated_repeat_whose_group_has_forgotten_is_not_sent_and_answered_at_once() {
+fn fails_a_keyed_retry_at_once_after_its_deduplication_window() {
     let world = world(&[acts(ResponseBehavior::Close), works(0)]);
     late(&world, "s-1", 600);
     let agent = start(&world, |c| {
@@ -297,7 +297,7 @@
 
 /// Its connection ends right behind each answer, as the next request is on its way.
 #[test]
-fn an_unrepeatable_command_on_a_connection_that_closes_under_it_runs_once_at_most() {
+fn runs_a_non_idempotent_request_at_most_once_when_its_connection_closes() {
     for act in [ResponseBehavior::AnswerAndClose, ResponseBehavior::Close] {
         let world = world(&[acts(act)]);
         let agent = start(&world, as_it_is);
@@ -352,7 +352,7 @@
 /// The connection breaks before all of it has arrived, though all of it may have been written: then
 /// nobody can tell that it never ran, and it goes nowhere else.
 #[test]
-fn an_unrepeatable_command_whose_connection_breaks_before_it_has_arrived_runs_once_at_most() {
+fn runs_a_non_idempotent_request_at_most_once_when_its_connection_breaks_before_it_arrived() {
     let begun = Arc::<AtomicUsize>::default();
     let world = world(&[works(0), works(0)]);
     let address = resets_during_the_second(begun.clone());
@@ -393,7 +393,7 @@
 /// Thirty requests to an endpoint that writes a second answer so many milliseconds behind each;
 /// whether all were right. A wrong one is the agent's fault unless that second answer was really
 /// written after more than a connection's rest.
-fn second_answers_are_nobodys(gap: u16) -> bool {
+fn late_duplicate_responses_are_discarded(gap: u16) -> bool {
     let world = world(&[acts(ResponseBehavior::AnswerAgainAfterMs(gap))]);
     // Room for one connection, which would be the next request's.
     let agent = start(&world, opens_late);
@@ -423,18 +423,18 @@
 }
 
 #[test]
-fn a_second_answer_some_milliseconds_late_is_nobodys() {
+fn discards_a_duplicate_response_some_milliseconds_late() {
     for gap in [1, 4, 9] {
         // On a machine that does not let the fake run in time it is played again.
         assert!(
-            (0..10).any(|_| second_answers_are_nobodys(gap)),
+            (0..10).any(|_| late_duplicate_responses_are_discarded(gap)),
             "{gap} ms: never written in time"
         );
     }
 }
 
 #[test]
-fn an_answer_cut_at_any_byte_is_no_value_until_its_command_is_complete() {
+fn takes_a_response_cut_at_any_byte_for_no_value_until_it_is_complete() {
     let world = world(&[works(0)]);
     let agent = start(&world, as_it_is);
     let whole = pg::value_reply(&[0x9f, 3]).len();
@@ -466,7 +466,7 @@
 }
 
 #[test]
-fn an_answer_that_trickles_is_the_value_or_a_failure_within_the_clients_time() {
+fn answers_a_response_that_trickles_in_with_its_value_or_a_failure_in_time() {
     let world = world(&[
         acts(ResponseBehavior::ByteEveryMs(10)),
         acts(ResponseBehavior::ByteEveryMs(40)),
@@ -489,7 +489,7 @@
 /// Five hundred, each of which holds more of the memory than its share: none of them, nor anybody
 /// else, may wait for the others for good, nor does the shutdown.
 #[test]
-fn clients_that_hold_half_a_message_each_keep_nobody_from_being_served() {
+fn serves_others_while_many_clients_hold_half_a_message_each() {
     let world = world(&[works(0)]);
     let mut agent = start(&world, |c| c["limits"]["memory_mb"] = 32.into());
     let mut good = caller(&agent);
@@ -547,7 +547,7 @@
 }
 
 #[test]
-fn a_client_that_never_reads_is_let_go_and_one_that_reads_and_writes_a_byte_at_a_time_is_served() {
+fn disconnects_a_client_that_never_reads_and_serves_one_that_reads_a_byte_at_a_time() {
     let world = world(&[EndpointBehavior {
         value_bytes: 60_000,
         ..EndpointBehavior::default()
@@ -574,7 +574,7 @@
     // Long after it was let go, it reads: what it gets ends before its last answer.
     assert!(wait_until(|| agent
         .log()
-        .contains("leaves its answers unread")));
+        .contains("does not read its responses")));
     let ends = (0..400).any(|_| deaf.read_reply().is_err());
     assert!(ends);
 }
@@ -582,7 +582,7 @@
 /// Each is answered once and in its order, whatever is rejected of a flood, faulty, or too late,
 /// and what is answered with a value, and nothing else, ran once.
 #[test]
-fn a_flood_is_answered_once_each_and_in_order() {
+fn answers_each_of_many_pipelined_requests_once_and_in_order() {
     let world = world(&[works(20)]);
     let agent = start(&world, as_it_is);
     let mut client = caller(&agent);
@@ -626,7 +626,7 @@
 
 /// More than there are places, and nobody else is connected: each gets an answer, none a reset.
 #[test]
-fn connections_that_wait_to_be_taken_in_at_the_close_are_answered() {
+fn answers_connections_that_wait_to_be_accepted_at_termination() {
     let world = world(&[works(0)]);
     let mut agent = start(&world, |c| c["limits"]["sockets"] = 40.into());
     drop(caller(&agent));
@@ -650,7 +650,7 @@
 }
 
 #[test]
-fn a_command_that_crosses_the_close_of_its_idle_connection_is_answered_or_left_unread() {
+fn answers_or_leaves_unread_a_request_that_races_with_the_close_of_its_idle_connection() {
     let world = world(&[works(0)]);
     let mut agent = start(&world, as_it_is);
     let mut clients: Vec<_> = (0..40).map(|_| caller(&agent)).collect();
@@ -677,7 +677,7 @@
 
 /// It was taken in at the very end, and its first request is still on its way.
 #[test]
-fn the_first_command_of_a_connection_taken_in_at_the_close_is_awaited() {
+fn waits_for_the_first_request_of_a_connection_accepted_at_termination() {
     let world = world(&[works(0)]);
     let mut agent = start(&world, as_it_is);
     drop(caller(&agent));
@@ -698,7 +698,7 @@
 }
 
 #[test]
-fn what_is_pipelined_at_the_close_is_answered_and_what_outlasts_the_program_is_denied_at_once() {
+fn answers_pipelined_requests_at_termination_and_rejects_those_that_outlast_the_program() {
     let world = world(&[works(700)]);
     let mut agent = start(&world, as_it_is);
     let mut client = caller(&agent);
@@ -716,7 +716,7 @@
 }
 
 #[test]
-fn sigterm_twice_and_while_it_starts_ends_it_well() {
+fn exits_cleanly_on_a_second_sigterm_and_on_one_during_the_start() {
     let world = world(&[works(0)]);
     late(&world, "s-0", 200);
     let mut agent = start(&world, as_it_is);
@@ -738,7 +738,7 @@
 
 /// One endpoint, many sockets, and handshakes that take nearly as long as they may.
 #[test]
-fn a_start_is_ready_within_its_bound_however_slowly_connections_come_up() {
+fn is_ready_within_its_bound_however_slowly_connections_open() {
     let world = world(&[works(0)]);
     late(&world, "s-0", 200);
     let begun = Instant::now();
@@ -760,7 +760,7 @@
 /// Where each handshake is paid for, a start opens none that no request asked for, and one request
 /// opens one.
 #[test]
-fn a_start_opens_connections_ahead_only_where_handshakes_cost_nothing() {
+fn warms_up_connections_only_where_handshakes_cost_nothing() {
     for (price, ahead) in [(0.0, true), (0.08, false)] {
         let world = world(&[works(0), works(0)]);
         let agent = start(&world, |c| {
@@ -794,7 +794,7 @@
 }
 
 #[test]
-fn a_start_without_any_list_while_discovery_is_away_is_ready_and_denies() {
+fn is_ready_and_rejects_without_any_list_while_discovery_is_away() {
     let world = world(&[works(0)]);
     world
         .discovery
@@ -821,8 +821,7 @@
 /// Where the platform counts for all. An agent that could not read it closed the connection at each
 /// count, and what was told while none was open was lost.
 #[test]
-fn counts_of_the_platform_are_read_beside_its_news_and_a_build_that_they_show_as_failing_goes_back()
-{
+fn rolls_back_a_build_that_the_platforms_counts_show_as_failing() {
     let world = world(&[works(0), works(0)]);
     world.add_endpoint(0, "t-0", 42, works(0)).unwrap();
     world
--- a/crates/agent/tests/world.rs
+++ b/crates/agent/tests/random_faults.rs
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn whatever_crosses_the_rules_are_kept() {
+fn keeps_the_rules_under_random_faults_and_races() {
     let all: Vec<_> = (1..7)
         .map(|seed| (seed, std::thread::spawn(move || play(seed))))
         .collect();
@@ -330,7 +330,7 @@
 /// Rule 4: what goes to one that just started stays within its part of what the others get, with
 /// chance allowed for.
 #[test]
-fn a_cold_appliance_among_warm_ones_is_not_pushed_over() {
+fn does_not_overload_a_cold_endpoint_among_warm_ones() {
     let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..4 {
         world
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_value_passes_and_queries_written_ahead_are_answered_in_their_order() {
+fn passes_a_value_on_and_answers_pipelined_queries_in_order() {
     let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -96,8 +96,7 @@
 }
 
 #[test]
-fn an_unrepeatable_command_whose_connection_ended_after_its_last_byte_is_scrapped_and_not_sent_again(
-) {
+fn fails_a_non_idempotent_request_whose_connection_ended_after_its_last_byte() {
     let world = world(&[acts(ResponseBehavior::Close), acts(ResponseBehavior::Close)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -107,7 +106,7 @@
 }
 
 #[test]
-fn a_command_without_connection_never_ran_and_is_denied() {
+fn rejects_a_request_that_finds_no_connection() {
     // Refused before the last byte.
     let world = world(&[acts(ResponseBehavior::Answer)]);
     world
@@ -120,7 +119,7 @@
 }
 
 #[test]
-fn a_connection_that_ended_behind_its_answer_is_not_used_again() {
+fn does_not_reuse_a_connection_that_ended_after_its_response() {
     let world = world(&[acts(ResponseBehavior::AnswerAndClose)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -133,7 +132,7 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_no_answer_to_the_next() {
+fn does_not_take_bytes_after_a_response_for_the_next_response() {
     let world = world(&[acts(ResponseBehavior::AnswerTwice)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -148,7 +147,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_a_failed_delivery_that_may_have_run() {
+fn treats_a_malformed_response_as_a_failed_attempt_that_may_have_run() {
     let one = world(&[acts(ResponseBehavior::StallMidAnswer)]);
     let agent = start(&one, 1024);
     let mut client = caller(&agent);
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn spoilt_lists_and_lines_are_asked_for_anew() {
+fn asks_again_after_a_malformed_list_or_line() {
     let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -220,7 +219,7 @@
 }
 
 #[test]
-fn what_is_turned_away_goes_to_another() {
+fn sends_a_rejected_attempt_to_another_endpoint() {
     let world = world(&[
         acts(ResponseBehavior::Reject),
         acts(ResponseBehavior::Answer),
@@ -235,7 +234,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_draining_appliance() {
+fn sends_nothing_to_a_draining_endpoint() {
     let world = world(&[
         acts(ResponseBehavior::Answer),
         acts(ResponseBehavior::Answer),
@@ -253,7 +252,7 @@
 }
 
 #[test]
-fn a_mute_appliance_costs_no_final_answer() {
+fn answers_every_request_beside_an_unresponsive_endpoint() {
     let world = world(&[EndpointBehavior {
         unresponsive: true,
         ..EndpointBehavior::default()
@@ -267,7 +266,7 @@
 }
 
 #[test]
-fn at_sigterm_what_is_in_hand_is_answered_and_the_program_exits() {
+fn answers_active_requests_at_sigterm_and_exits() {
     let world = world(&[late()]);
     let mut agent = start(&world, 1024);
     let mut client = caller(&agent);
@@ -284,7 +283,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_platform_while_commands_are_served() {
+fn moves_discovery_and_platform_by_a_reload_while_requests_are_served() {
     let (old, new) = (
         world(&[acts(ResponseBehavior::Answer)]),
         world(&[acts(ResponseBehavior::Answer)]),
@@ -329,7 +328,7 @@
 }
 
 #[test]
-fn who_says_nothing_or_half_is_told_so_and_let_go_and_who_asked_once_may_stay() {
+fn disconnects_a_client_without_a_whole_first_request_and_keeps_one_that_asked_once() {
     let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     let mut stays = caller(&agent);
@@ -357,7 +356,7 @@
 }
 
 #[test]
-fn a_second_command_under_an_open_id_is_faulty_and_a_flood_is_denied() {
+fn refuses_a_second_request_under_an_open_id_and_rejects_too_many_pipelined_ones() {
     let world = world(&[late()]);
     let agent = start(&world, 1024);
     let (mut one, mut two) = (caller(&agent), caller(&agent));
@@ -382,7 +381,7 @@
 }
 
 #[test]
-fn clients_that_hold_a_third_of_the_descriptors_are_all_served_at_once() {
+fn serves_clients_that_hold_a_third_of_the_descriptors_all_at_once() {
     let work = Duration::from_secs(2);
     let world = world(&[EndpointBehavior {
         work,
@@ -417,7 +416,7 @@
 /// Guards a rush: whoever finds the queue of connections full is left to a packet that is sent
 /// again a second later.
 #[test]
-fn a_rush_that_comes_while_the_agent_stands_still_is_taken_in_whole_and_served() {
+fn accepts_and_serves_a_rush_that_comes_while_the_agent_is_stalled() {
     let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 1024);
     drop(caller(&agent));
@@ -445,7 +444,7 @@
 }
 
 #[test]
-fn what_is_kept_follows_what_is_alive_however_many_came() {
+fn keeps_only_the_state_of_what_is_alive() {
     let value = agent_process::settings(&["a"], "a", 1, &classes());
     let site = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap();
     let (mut kept, clock) = (EndpointTable::default(), Clock::start());
@@ -499,7 +498,7 @@
 }
 
 #[test]
-fn at_the_descriptor_limit_it_goes_on_serving() {
+fn goes_on_serving_at_the_descriptor_limit() {
     let world = world(&[acts(ResponseBehavior::Answer)]);
     let agent = start(&world, 60);
     // Twenty-one clients are the most here. Who comes then is rejected, and those that are in are
@@ -535,7 +534,7 @@
 }
 
 #[test]
-fn the_platform_answers_each_vote_and_goes_on_telling() {
+fn receives_an_answer_to_each_vote_and_further_status_from_the_platform() {
     let platform = Platform::start(platform::RolloutStatus::now(42, 0, "trial", 0.1)).unwrap();
     let mut stream = TcpStream::connect(platform.address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -560,7 +559,7 @@
 }
 
 #[test]
-fn a_faulty_start_names_the_key() {
+fn names_the_key_at_fault_when_it_cannot_start() {
     let path = std::env::temp_dir().join(format!("tulipwall-faulty-{}.json", std::process::id()));
     std::fs::write(
         &path,
@@ -577,7 +576,7 @@
 }
 
 #[test]
-fn an_agent_that_knows_a_list_asks_only_for_what_has_changed_since() {
+fn asks_only_for_changes_since_the_list_it_knows() {
     let world = world(&[acts(ResponseBehavior::Answer)]);
     let mut configuration = world.configuration("n1", 0).unwrap();
     configuration["known"] = world.discovery.full_list(0);
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn what_is_reported_is_what_was_counted_on_every_link_and_lane() {
+fn reports_what_was_counted_on_every_link_and_class() {
     let near = EndpointBehavior {
         work: ms(4),
         cores: 1,
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn what_is_reported_is_what_was_counted_while_things_fail() {
+fn reports_what_was_counted_while_endpoints_fail() {
     let bad = vec![
         (ResponseBehavior::Fail, 0.04),
         (ResponseBehavior::Reject, 0.04),
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn all_near_drain_in_a_burst_with_the_budget_spent_and_every_command_is_answered() {
+fn answers_every_request_while_the_local_zone_drains_in_a_burst_with_the_budget_spent() {
     let ways = EndpointBehavior {
         work: ms(5),
         ..EndpointBehavior::default()
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_budget_lowered_by_a_new_configuration_holds_at_once_and_the_account_survives() {
+fn enforces_a_budget_lowered_by_a_reload_at_once_and_keeps_the_account() {
     let near = EndpointBehavior {
         work: ms(10),
         cores: 1,
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn a_reader_that_stops_reading_is_dropped_and_slows_nothing() {
+fn drops_a_report_reader_that_stops_reading() {
     let ways = EndpointBehavior {
         work: ms(2),
         ..EndpointBehavior::default()
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn the_door_is_a_unix_socket_too_and_a_plot_and_a_log_of_json_are_written() {
+fn serves_reports_on_a_unix_socket_and_writes_a_plot_and_a_json_log() {
     let ways = EndpointBehavior {
         work: ms(6),
         cores: 1,
@@ -579,7 +579,7 @@
 }
 
 #[test]
-fn the_demo_ends_by_itself_with_every_command_answered() {
+fn the_demo_ends_by_itself_with_every_request_answered() {
     // In a process of its own with a limit: a fake that stands still would keep it from ending.
     let mut demo = Command::new(BINARY);
     let mut demo = demo
