--- a/crates/client/src/shared.rs
+++ b/crates/client/src/shared.rs
@@ -44,6 +44,7 @@
 }
 
 impl Shared {
+    /// The state of a client that has made no call.
     pub fn new(config: ClientConfig) -> Shared {
         let mut rng = rand::thread_rng();
         let seed = rng.next_u64();
@@ -104,6 +105,7 @@
         }
     }
 
+    /// The counters and gauges as they stand.
     pub fn snapshot(&self) -> ClientStats {
         ClientStats {
             counters: self.counters.clone(),
--- a/crates/testkit/src/platform/mod.rs
+++ b/crates/testkit/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! A fake platform: tells of the newest build, takes votes, and carries a build through its stages by
-//! the clock.
+//! A fake platform: tells of the newest build, takes votes, and carries a build through its stages
+//! by the clock.
 
 mod rollout_status;
 mod service;
@@ -127,8 +127,14 @@
     /// did not succeed, and they took so long in the mean.
     pub fn report_counts(&self, build: u32, class: &str, n: u32, bad: u32, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
-        let params = json!({"image": build, "type": class, "n": n, "bad": bad, "latency_ms": latency_ms,
-            "lag_ms": COUNTS_LAG_MS});
+        let params = json!({
+            "image": build,
+            "type": class,
+            "n": n,
+            "bad": bad,
+            "latency_ms": latency_ms,
+            "lag_ms": COUNTS_LAG_MS,
+        });
         self.shared.notify("SAMPLE", params);
     }
 
@@ -152,9 +158,9 @@
         self.shared.state().service.votes.clone()
     }
 
-    /// Takes a build through its stages by the clock, which stands still while a vote to hold lasts.
-    /// A vote to roll back ends it. `on_stage` is called at the beginning of each stage, with its
-    /// index and its cap.
+    /// Takes a build through its stages by the clock, which stands still while a vote to hold
+    /// lasts. A vote to roll back ends it. `on_stage` is called at the beginning of each stage,
+    /// with its index and its cap.
     pub fn run_rollout(
         &self,
         rollout: StagedRollout,
