--- a/crates/experiments/examples/beside.rs
+++ b/crates/experiments/examples/beside.rs
@@ -1,9 +1,10 @@
-//! The same small installation in the model and on real sockets, side by side: the real agent,
+//! The same small installation simulated and on real sockets, side by side: the real agent, with
 //! fakes on loopback.
 //!
 //!     cargo build --release && cargo run --release -p tulipwall-experiments --example beside
 
-use std::path::{Path, PathBuf};
+use std::io;
+use std::path::PathBuf;
 use std::time::Duration;
 use tulipwall_experiments::run;
 use tulipwall_experiments::scenario::Scenario;
@@ -11,84 +12,97 @@
     classes, AgentProcess, EndpointBehavior, Link, Load, TestClient, TestCluster,
 };
 
-const EACH: usize = 3;
+const ZONES: [&str; 2] = ["east", "west"];
+const ENDPOINTS_PER_ZONE: usize = 3;
 const CORES: usize = 2;
 const SECONDS: u64 = 15;
+const BUILD: u32 = 41;
+const WORK: Duration = Duration::from_millis(10);
+/// One-way delay between the zones.
+const DELAY: Duration = Duration::from_millis(2);
+const DEADLINE: Duration = Duration::from_millis(1500);
+const CONNECTIONS: usize = 200;
+const SEED: u64 = 1;
+/// Requests a second.
+const RATES: [f64; 4] = [120.0, 480.0, 840.0, 1080.0];
 
-fn agent_binary() -> PathBuf {
-    let here = std::env::current_exe().unwrap_or_default();
-    here.ancestors()
-        .nth(2)
-        .unwrap_or(Path::new("."))
-        .join("tulipwall-agent")
+/// What is compared.
+struct Row {
+    p50_ms: f64,
+    p99_ms: f64,
+    /// Share of attempts that went to the other zone.
+    cross_zone: f64,
+    /// Share of requests that succeeded.
+    succeeded: f64,
 }
 
-/// p50, p99, the part that crossed, the part satisfied.
-type Row = [f64; 4];
+/// The agent's program, beside the folder of examples.
+fn agent_binary() -> PathBuf {
+    let example = std::env::current_exe().unwrap_or_default();
+    let profile = example.ancestors().nth(2).map(PathBuf::from);
+    profile.unwrap_or_default().join("tulipwall-agent")
+}
 
-fn sockets(rate: f64) -> std::io::Result<Row> {
-    let world = TestCluster::new(&["east", "west"], classes())?;
-    for n in 0..EACH {
-        for (zone, name) in ["east", "west"].iter().enumerate() {
-            let ways = EndpointBehavior {
-                work: Duration::from_millis(10),
+fn start_cluster() -> io::Result<TestCluster> {
+    let cluster = TestCluster::new(&ZONES, classes())?;
+    for n in 0..ENDPOINTS_PER_ZONE {
+        for (zone, name) in ZONES.iter().enumerate() {
+            let behavior = EndpointBehavior {
+                work: WORK,
                 cores: CORES,
                 ..EndpointBehavior::default()
             };
-            world.add_endpoint(zone, &format!("{name}-{n}"), 41, ways)?;
+            cluster.add_endpoint(zone, &format!("{name}-{n}"), BUILD, behavior)?;
         }
     }
-    let way = Duration::from_millis(2);
-    world.set_link(
-        0,
-        1,
-        Link {
-            request_delay: way,
-            reply_delay: way,
-            cut: false,
-        },
-    );
-    let agent = AgentProcess::start(agent_binary(), world.configuration("n1", 0)?, &[])?;
+    let link = Link {
+        request_delay: DELAY,
+        reply_delay: DELAY,
+        cut: false,
+    };
+    cluster.set_link(0, 1, link);
+    Ok(cluster)
+}
+
+fn on_sockets(rate: f64) -> io::Result<Row> {
+    let cluster = start_cluster()?;
+    let agent = AgentProcess::start(agent_binary(), cluster.configuration("n1", 0)?, &[])?;
     TestClient::connect(agent.address()?)?;
-    let wait = Duration::from_millis(1500);
+    let classes = [
+        ("view", 0.5, false),
+        ("send", 0.4, true),
+        ("payment", 0.1, false),
+    ];
     let load = Load {
         agent: agent.address()?,
         rate,
         duration: Duration::from_secs(SECONDS),
-        classes: [
-            ("view", 0.5, false),
-            ("send", 0.4, true),
-            ("payment", 0.1, false),
-        ]
-        .map(|(name, weight, keyed)| (name.to_owned(), weight, wait, keyed))
-        .to_vec(),
-        connections: 200,
-        seed: 1,
+        classes: classes
+            .map(|(name, weight, keyed)| (name.to_owned(), weight, DEADLINE, keyed))
+            .to_vec(),
+        connections: CONNECTIONS,
+        seed: SEED,
     };
-    let answered = load.run();
-    let count = |to| {
-        world
-            .transfer_counts(0, to)
-            .values()
-            .map(|c| c.attempts)
-            .sum::<u64>() as f64
+    let report = load.run();
+    let attempts = |zone| {
+        let counts = cluster.transfer_counts(0, zone);
+        counts.values().map(|c| c.attempts).sum::<u64>() as f64
     };
-    let crossing = count(1) / (count(0) + count(1)).max(1.0);
-    let good = answered.succeeded as f64 / answered.requests.max(1) as f64;
-    Ok([
-        answered.quantile_ms(0.5),
-        answered.quantile_ms(0.99),
-        crossing,
-        good,
-    ])
+    let remote = attempts(1);
+    Ok(Row {
+        p50_ms: report.quantile_ms(0.5),
+        p99_ms: report.quantile_ms(0.99),
+        cross_zone: remote / (attempts(0) + remote).max(1.0),
+        succeeded: report.succeeded as f64 / report.requests.max(1) as f64,
+    })
 }
 
-fn model(rate: f64) -> Row {
+fn simulated(rate: f64) -> Row {
     let text = format!(
         "experiment \"beside\" {{
             span \"{SECONDS}s\"; rate {rate}; agents 1; steady 1
-            zone \"east\" {{ appliances {EACH}; cores {CORES}; }}
-            zone \"west\" {{ appliances {EACH}; cores {CORES}; }}
+            zone \"east\" {{ appliances {ENDPOINTS_PER_ZONE}; cores {CORES}; }}
+            zone \"west\" {{ appliances {ENDPOINTS_PER_ZONE}; cores {CORES}; }}
             way \"east\" \"west\" {{ delay \"2ms\"; }}
             way \"west\" \"east\" {{ delay \"2ms\"; }}
             lane \"view\" {{ work \"10ms\"; weight 0.5; benefit 3; }}
@@ -97,29 +111,33 @@
         }}"
     );
     let scenario = Scenario::read(&text).unwrap_or_else(|all| panic!("{all:?}"));
-    let mut simulation = run::build_simulation(&scenario, 1);
+    let mut simulation = run::build_simulation(&scenario, SEED);
     // As the settings of the fakes say: crossing has no price.
     simulation.settings.cross_zone_price = 0.0;
-    let p = simulation.run();
-    [
-        p.quantile_ms(0.5),
-        p.quantile_ms(0.99),
-        p.cross_zone_share(),
-        p.succeeded as f64 / p.requests.max(1) as f64,
-    ]
+    let report = simulation.run();
+    Row {
+        p50_ms: report.quantile_ms(0.5),
+        p99_ms: report.quantile_ms(0.99),
+        cross_zone: report.cross_zone_share(),
+        succeeded: report.succeeded as f64 / report.requests.max(1) as f64,
+    }
+}
+
+fn print(rate: f64, place: &str, row: &Row) {
+    let cores = (ZONES.len() * ENDPOINTS_PER_ZONE * CORES) as f64;
+    let utilization = rate / cores * WORK.as_secs_f64();
+    println!(
+        "| {rate} | {utilization:.2} | {place} | {:.1} | {:.1} | {:.3} | {:.4} |",
+        row.p50_ms, row.p99_ms, row.cross_zone, row.succeeded
+    );
 }
 
-fn main() -> std::io::Result<()> {
+fn main() -> io::Result<()> {
     println!("| commands/s | of capacity | where | p50 ms | p99 ms | crossing | satisfied |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for rate in [120.0, 480.0, 840.0, 1080.0] {
-        let load = rate / (2 * EACH * CORES) as f64 * 0.01;
-        for (name, row) in [("sockets", sockets(rate)?), ("model", model(rate))] {
-            let [p50, p99, crossing, good] = row;
-            println!(
-                "| {rate} | {load:.2} | {name} | {p50:.1} | {p99:.1} | {crossing:.3} | {good:.4} |"
-            );
-        }
+    for rate in RATES {
+        print(rate, "sockets", &on_sockets(rate)?);
+        print(rate, "model", &simulated(rate));
     }
     Ok(())
 }
--- a/crates/experiments/src/fleet/measures/added_latency.rs
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -21,7 +21,7 @@
 
 /// One load through the agent and straight at an endpoint.
 struct Sample {
-    asked: u64,
+    requests: u64,
     succeeded: u64,
     through: Quantiles,
     straight: Quantiles,
@@ -95,7 +95,7 @@
     let through_late = through.send_delay_ms(0.99);
     let straight_late = straight.send_delay_ms(0.99);
     Sample {
-        asked: through.requests,
+        requests: through.requests,
         succeeded: through.succeeded,
         through: quantiles_beyond_work(through, plan.work),
         straight: quantiles_beyond_work(straight, plan.work),
@@ -123,7 +123,7 @@
 }
 
 fn latency_figures(samples: &[Sample]) -> Vec<(&'static str, f64)> {
-    let asked: u64 = samples.iter().map(|s| s.asked).sum();
+    let requests: u64 = samples.iter().map(|s| s.requests).sum();
     let succeeded: u64 = samples.iter().map(|s| s.succeeded).sum();
     let added_p99 = || samples.iter().map(Sample::added_p99);
     let on_time: Vec<f64> = samples
@@ -132,7 +132,7 @@
         .map(Sample::added_p99)
         .collect();
     vec![
-        ("asked", asked as f64),
+        ("asked", requests as f64),
         ("satisfied", succeeded as f64),
         (
             "straight_p99_ms",
--- a/crates/experiments/src/fleet/measures/list_change.rs
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -15,7 +15,7 @@
 /// One change.
 struct Sample {
     bytes: f64,
-    taken_in_ms: f64,
+    processing_ms: f64,
     ran_ms: f64,
 }
 
@@ -32,7 +32,10 @@
             .collect::<Result<Vec<_>, FleetError>>()?;
         let figures = [
             ("bytes", median(samples.iter().map(|s| s.bytes))),
-            ("taken_in_ms", median(samples.iter().map(|s| s.taken_in_ms))),
+            (
+                "taken_in_ms",
+                median(samples.iter().map(|s| s.processing_ms)),
+            ),
             ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
         ];
         let measure = "a change of the list";
@@ -74,7 +77,7 @@
     let ran = agent.usage()?.ran.saturating_sub(before);
     Ok(Sample {
         bytes: change.bytes as f64,
-        taken_in_ms: milliseconds(change.next_request_at - change.complete_at),
+        processing_ms: milliseconds(change.next_request_at - change.complete_at),
         ran_ms: milliseconds(ran),
     })
 }
--- a/crates/experiments/src/fleet/measures/start.rs
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -18,7 +18,7 @@
     ran_ms: f64,
     list_bytes: f64,
     /// From the last byte of the list to the next request.
-    taken_in_ms: f64,
+    processing_ms: f64,
 }
 
 /// Measures starts with a list in the configuration, and without.
@@ -60,7 +60,7 @@
             agent.discovery.response_since(Instant::now() - LONG_AGO)
         })?;
         sample.list_bytes = list.bytes as f64;
-        sample.taken_in_ms = milliseconds(list.next_request_at - list.complete_at);
+        sample.processing_ms = milliseconds(list.next_request_at - list.complete_at);
     }
     Ok(sample)
 }
@@ -74,9 +74,9 @@
     ];
     if !known {
         let list_bytes = samples.iter().map(|s| s.list_bytes);
-        let taken_in = samples.iter().map(|s| s.taken_in_ms);
+        let processing = samples.iter().map(|s| s.processing_ms);
         figures.push(("list_bytes", median(list_bytes)));
-        figures.push(("taken_in_ms", median(taken_in)));
+        figures.push(("taken_in_ms", median(processing)));
     }
     figures
 }
--- a/crates/experiments/src/run/figures.rs
+++ b/crates/experiments/src/run/figures.rs
@@ -19,25 +19,25 @@
 
 fn load_figures(scenario: &Scenario, report: &SimulationReport) -> Vec<(&'static str, f64)> {
     let seconds = scenario.duration.as_secs() as usize;
-    let asked = total(report, 0..seconds, |second| second.first_tries).max(1.0);
-    let taken = total(report, 0..seconds, |second| second.requests_received);
-    let all_taken = report.requests.max(1) as f64;
+    let first_tries = total(report, 0..seconds, |second| second.first_tries).max(1.0);
+    let received = total(report, 0..seconds, |second| second.requests_received);
+    let all_requests = report.requests.max(1) as f64;
     vec![
         ("good", good_share(report, 0..seconds)),
         (
             "good_last_quarter",
             good_share(report, seconds * 3 / 4..seconds),
         ),
-        ("taken_over_asked", taken / asked),
+        ("taken_over_asked", received / first_tries),
         ("crossing", report.cross_zone_share()),
         (
             "over_budget",
-            report.over_budget_sends() as f64 / taken.max(1.0),
+            report.over_budget_sends() as f64 / received.max(1.0),
         ),
         ("p50_ms", report.quantile_ms(0.5)),
         ("p99_ms", report.quantile_ms(0.99)),
-        ("denied", report.rejected as f64 / all_taken),
-        ("scrapped", report.failed as f64 / all_taken),
+        ("denied", report.rejected as f64 / all_requests),
+        ("scrapped", report.failed as f64 / all_requests),
         ("rules_broken", report.violations.len() as f64),
         ("commands", report.requests as f64),
         ("events", report.events as f64),
@@ -73,8 +73,8 @@
 /// Share of the requests of these seconds that succeeded within their latency objective.
 fn good_share(report: &SimulationReport, seconds: Range<usize>) -> f64 {
     let good = total(report, seconds.clone(), |second| second.within_objective);
-    let asked = total(report, seconds, |second| second.first_tries);
-    good / asked.max(1.0)
+    let first_tries = total(report, seconds, |second| second.first_tries);
+    good / first_tries.max(1.0)
 }
 
 /// Sum of a count over these seconds of all agents.
--- a/crates/experiments/src/scale/agent/mod.rs
+++ b/crates/experiments/src/scale/agent/mod.rs
@@ -38,7 +38,7 @@
 /// What an agent counts beside its meter.
 #[derive(Clone, Debug, Default)]
 pub struct AgentCounts {
-    /// Requests taken.
+    /// Requests that arrived.
     pub requests: u64,
     /// Requests that succeeded.
     pub succeeded: u64,
--- a/crates/experiments/src/scale/agent/requests.rs
+++ b/crates/experiments/src/scale/agent/requests.rs
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub(super) struct Requests {
     pub(super) open: HashMap<u64, OpenRequest>,
-    taken: u64,
+    next_id: u64,
 }
 
 /// A request that is not yet answered, or some attempt of which has not yet ended.
@@ -60,8 +60,8 @@
     pub(super) fn on_arrival(&mut self, now: Duration, actual: &ActualState) {
         self.schedule_arrival(now);
         let request = self.draw_request(now);
-        let id = self.requests.taken;
-        self.requests.taken += 1;
+        let id = self.requests.next_id;
+        self.requests.next_id += 1;
         self.counts.requests += 1;
         let timer = ProcessorTimer::start();
         self.balancer.on_request(now, id, request);
--- a/crates/experiments/src/scale/simulation/outcome.rs
+++ b/crates/experiments/src/scale/simulation/outcome.rs
@@ -27,7 +27,7 @@
     pub work: BTreeMap<&'static str, Total>,
     /// By kind of message: how many, and bytes. All agents.
     pub traffic: BTreeMap<&'static str, Total>,
-    /// Requests taken.
+    /// Requests that arrived.
     #[serde(rename = "commands")]
     pub requests: u64,
     /// Requests that succeeded.
