--- a/crates/agent/src/control/platform/messages.rs
+++ b/crates/agent/src/control/platform/messages.rs
@@ -1,6 +1,6 @@
 //! What the platform's messages change.
 
-use super::session::Calls;
+use super::calls::Calls;
 use crate::agent::Agent;
 use crate::observability::logging::log_evidence;
 use crate::protocol::platform::PlatformMessage;
--- a/crates/agent/src/control/platform/mod.rs
+++ b/crates/agent/src/control/platform/mod.rs
@@ -1,12 +1,14 @@
 //! The rollout platform: its notifications, and the agent's votes. There is one connection at a
 //! time, but for an old one that is read to its end once the address has changed.
 
+mod calls;
 mod messages;
 mod session;
 
 use crate::agent::Agent;
+use calls::Calls;
 use futures_lite::FutureExt;
-use session::{run_session, Calls, Session, SessionEnd};
+use session::{run_session, Session, SessionEnd};
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall::VoteReply;
--- a/crates/agent/src/control/platform/session.rs
+++ b/crates/agent/src/control/platform/session.rs
@@ -1,5 +1,6 @@
 //! One connection to the platform, from its first call to its end.
 
+use super::calls::Calls;
 use super::messages::{handle_message, AcceptedMessages};
 use crate::agent::{Agent, CastVote};
 use crate::lifecycle::phase::ControlService;
@@ -8,7 +9,6 @@
 use crate::protocol::platform;
 use crate::protocol::ProtocolError;
 use futures_lite::FutureExt;
-use std::cell::Cell;
 use std::convert::Infallible;
 use std::future::Future;
 use std::io;
@@ -23,24 +23,6 @@
 /// For how long an old connection is still read after the address has changed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The calls on all connections: their ids never meet.
-#[derive(Default)]
-pub(super) struct Calls {
-    last_id: Cell<u64>,
-    /// The call with a vote that was not answered yet.
-    pub(super) pending_vote: Cell<Option<u64>>,
-    /// Whether the platform was not yet reached at its new address.
-    pub(super) awaiting_contact: Cell<bool>,
-}
-
-impl Calls {
-    /// An id that no call had before.
-    pub(super) fn next_id(&self) -> u64 {
-        self.last_id.set(self.last_id.get() + 1);
-        self.last_id.get()
-    }
-}
-
 /// Why a session ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SessionEnd {
--- a/crates/agent/src/protocol/error.rs
+++ b/crates/agent/src/protocol/error.rs
@@ -2,7 +2,7 @@
 //!
 //! The texts of [`PostgresError`] and [`StatementError`] are sent to clients as they stand here.
 
-use super::http::MAX_BODY_LENGTH;
+use super::limits::MAX_BODY_LENGTH;
 use tulipwall_config::FieldError;
 
 /// Bytes that do not follow the protocol spoken on their connection.
--- a/crates/agent/src/protocol/http.rs
+++ b/crates/agent/src/protocol/http.rs
@@ -1,12 +1,11 @@
 //! HTTP/1.1 as spoken with the discovery service: a GET request, and a response with its body.
 
 use super::error::HttpError;
+use super::limits::MAX_BODY_LENGTH;
 use super::ProtocolError;
 
 /// The longest head of a response that is read, in bytes.
 pub const MAX_HEAD_LENGTH: usize = 16 * 1024;
-/// The longest body of a response that is read, in bytes.
-pub const MAX_BODY_LENGTH: usize = 4 * 1024 * 1024;
 /// The longest size line of a chunk that is read, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 1024;
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
--- a/crates/agent/src/protocol/mod.rs
+++ b/crates/agent/src/protocol/mod.rs
@@ -8,6 +8,7 @@
 pub mod connection;
 pub mod error;
 pub mod http;
+pub mod limits;
 pub mod platform;
 pub mod postgres;
 pub mod statement;
