--- a/crates/config/examples/settings.rs
+++ b/crates/config/examples/settings.rs
@@ -4,6 +4,7 @@
 //!     cargo run --release -p tulipwall-config --example settings
 
 use serde_json::{json, Value};
+use std::error::Error;
 use std::hint::black_box;
 use std::time::Instant;
 use tulipwall::IndicesInUse;
@@ -21,9 +22,10 @@
     .to_string()
 }
 
-fn read(text: &str) -> Result<ServiceConfig, String> {
-    let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    ServiceConfig::read(&Fields::new(&value, "settings")?, 1).map_err(|f| f.to_string())
+fn read(text: &str) -> Result<ServiceConfig, Box<dyn Error>> {
+    let value: Value = serde_json::from_str(text)?;
+    let fields = Fields::new(&value, "settings")?;
+    Ok(ServiceConfig::read(&fields, 1)?)
 }
 
 /// Runs of each measurement.
@@ -41,7 +43,7 @@
     (0..RUNS).map(once).fold(f64::INFINITY, f64::min)
 }
 
-fn main() -> Result<(), String> {
+fn main() -> Result<(), Box<dyn Error>> {
     for tenants in [400, 5_600, 28_000, 56_000] {
         let text = settings(0, tenants);
         let in_force = read(&text)?;
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -62,10 +62,3 @@
     #[error("deployer: {0}")]
     Platform(FieldError),
 }
-
-/// For callers that report errors as text.
-impl From<InstanceConfigError> for String {
-    fn from(error: InstanceConfigError) -> String {
-        error.to_string()
-    }
-}
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -90,13 +90,6 @@
     }
 }
 
-/// For callers that report errors as text.
-impl From<FieldError> for String {
-    fn from(error: FieldError) -> String {
-        error.to_string()
-    }
-}
-
 /// The fields of one JSON object. Null counts as absent everywhere.
 #[derive(Debug)]
 pub struct Fields<'a>(&'a Map<String, Value>);
--- a/crates/discovery/src/list_response.rs
+++ b/crates/discovery/src/list_response.rs
@@ -50,13 +50,6 @@
     Field(#[from] FieldError),
 }
 
-/// For callers that report errors as text.
-impl From<ListResponseError> for String {
-    fn from(error: ListResponseError) -> String {
-        error.to_string()
-    }
-}
-
 /// Why one entry of a list is not believed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EntryError {
