--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -14,35 +14,39 @@
     Duration::from_millis(n)
 }
 
-fn world(endpoints: usize, ways: EndpointBehavior) -> TestCluster {
-    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+fn cluster(endpoints: usize, ways: EndpointBehavior) -> TestCluster {
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..endpoints {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
-    world
+    cluster
 }
 
-fn start(world: &TestCluster, change: impl FnOnce(&mut Value)) -> AgentProcess {
-    let mut configuration = world.configuration("n1", 0).unwrap();
+fn start(cluster: &TestCluster, change: impl FnOnce(&mut Value)) -> AgentProcess {
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     change(&mut configuration);
     AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
-fn caller(agent: &AgentProcess) -> TestClient {
+fn connect_client(agent: &AgentProcess) -> TestClient {
     TestClient::connect(agent.address().unwrap()).unwrap()
 }
 
-fn taken_over(agent: &AgentProcess) -> usize {
+fn reload_count(agent: &AgentProcess) -> usize {
     agent.log().matches("a new configuration").count()
 }
 
 /// Replaces the configuration and waits until it is in force; for how long that took.
-fn renew(agent: &AgentProcess, configuration: &Value) -> Duration {
-    let (before, begun) = (taken_over(agent), Instant::now());
+fn reload(agent: &AgentProcess, configuration: &Value) -> Duration {
+    let (before, begun) = (reload_count(agent), Instant::now());
     agent.reload(&configuration.to_string()).unwrap();
-    assert!(wait_until(|| taken_over(agent) > before), "{}", agent.log());
+    assert!(
+        wait_until(|| reload_count(agent) > before),
+        "{}",
+        agent.log()
+    );
     begun.elapsed()
 }
 
@@ -57,35 +61,35 @@
     client.read_reply().unwrap().code()
 }
 
-fn attempts(world: &TestCluster, id: &str) -> usize {
-    world.received_queries().get(id).map_or(0, Vec::len)
+fn attempts(cluster: &TestCluster, id: &str) -> usize {
+    cluster.received_queries().get(id).map_or(0, Vec::len)
 }
 
 /// What is asked of discovery and the platform: whole lists, and connections to either. Of two
 /// tries at a start the later one may be on its way for a while after the first was answered; it is
 /// waited for.
-fn asked(world: &TestCluster) -> (usize, usize, usize) {
-    assert!(world.discovery.settled(0).unwrap(), "one watch at a time");
+fn control_calls(cluster: &TestCluster) -> (usize, usize, usize) {
+    assert!(cluster.discovery.settled(0).unwrap(), "one watch at a time");
     (
-        world.discovery.full_list_requests(),
-        world.discovery.connections(),
-        world.platform.connections(),
+        cluster.discovery.full_list_requests(),
+        cluster.discovery.connections(),
+        cluster.platform.connections(),
     )
 }
 
 #[test]
 fn applies_an_added_class_and_tenant_to_the_next_request_of_an_open_connection() {
-    let world = world(1, EndpointBehavior::default());
-    let agent = start(&world, |_| {});
-    let mut client = caller(&agent);
+    let cluster = cluster(1, EndpointBehavior::default());
+    let agent = start(&cluster, |_| {});
+    let mut client = connect_client(&agent);
     assert_eq!(ask(&mut client, "v1", "view"), None);
     assert!(
         ask(&mut client, "x1", "extra").is_some(),
         "no such lane yet"
     );
-    let before = asked(&world);
+    let before = control_calls(&cluster);
     let opened =
-        || world.endpoint("s-0").unwrap().transfer_counts()[&(0, CONNECTIONS.to_owned())].written;
+        || cluster.endpoint("s-0").unwrap().transfer_counts()[&(0, CONNECTIONS.to_owned())].written;
     let connections = opened();
     let mut configuration = agent.configuration.clone();
     let settings = &mut configuration["settings"];
@@ -94,7 +98,7 @@
         .unwrap()
         .insert(0, class("extra", "repeatable", 400.0));
     settings["tenants"] = json!([{"name": "acme", "share": 0.5}]);
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     for (n, class) in ["extra", "view", "send", "payment"].into_iter().enumerate() {
         sleep(ms(30));
         let key = if class == "send" { ",k=k1" } else { "" };
@@ -111,11 +115,11 @@
         agent.log()
     );
     // What went is found no more.
-    renew(&agent, &agent.configuration);
+    reload(&agent, &agent.configuration);
     assert!(ask(&mut client, "x2", "extra").is_some());
     assert_eq!(ask(&mut client, "v2", "view"), None);
     assert_eq!(
-        (asked(&world), opened()),
+        (control_calls(&cluster), opened()),
         (before, connections),
         "nobody was asked anew, nor cut off"
     );
@@ -123,7 +127,7 @@
 
 #[test]
 fn applies_a_changed_latency_objective_to_later_requests() {
-    let world = world(
+    let cluster = cluster(
         2,
         EndpointBehavior {
             work: ms(1200),
@@ -136,21 +140,21 @@
             class("other", "repeatable", latency_objective)
         ])
     };
-    let agent = start(&world, |c| c["settings"]["classes"] = classes(10_000.0));
-    let mut client = caller(&agent);
+    let agent = start(&cluster, |c| c["settings"]["classes"] = classes(10_000.0));
+    let mut client = connect_client(&agent);
     assert_eq!(ask(&mut client, "one", "one"), None);
-    assert_eq!(attempts(&world, "one"), 1, "late after a part of 10 s");
+    assert_eq!(attempts(&cluster, "one"), 1, "late after a part of 10 s");
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes(400.0);
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     assert_eq!(ask(&mut client, "other", "other"), None);
-    assert_eq!(attempts(&world, "other"), 2, "late after a part of 0.4 s");
+    assert_eq!(attempts(&cluster, "other"), 2, "late after a part of 0.4 s");
 }
 
 /// Against a request in hand that is repeated, or not, by rules it was not taken under.
 #[test]
 fn applies_changed_idempotency_with_requests_in_progress() {
-    let world = world(
+    let cluster = cluster(
         3,
         EndpointBehavior {
             response: ResponseBehavior::NeverAnswer,
@@ -164,27 +168,27 @@
             class("payment", payment, 4500.0)
         ])
     };
-    let agent = start(&world, |c| {
+    let agent = start(&cluster, |c| {
         c["settings"]["classes"] = classes("repeatable", "once")
     });
-    let mut clients: Vec<TestClient> = (0..4).map(|_| caller(&agent)).collect();
+    let mut clients: Vec<TestClient> = (0..4).map(|_| connect_client(&agent)).collect();
     // Each shows to be late after 2 s.
     clients[0].send_query_as("view-before", "view", 7000);
     clients[1].send_query_as("payment-before", "payment", 7000);
-    assert!(wait_until(|| attempts(&world, "view-before")
-        + attempts(&world, "payment-before")
+    assert!(wait_until(|| attempts(&cluster, "view-before")
+        + attempts(&cluster, "payment-before")
         == 2));
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes("once", "repeatable");
-    let took = renew(&agent, &configuration);
+    let took = reload(&agent, &configuration);
     assert!(took < ms(1500), "in force before either is late: {took:?}");
     clients[2].send_query_as("view-after", "view", 5000);
     clients[3].send_query_as("payment-after", "payment", 5000);
     assert!(wait_until(
-        || attempts(&world, "view-before") == 2 && attempts(&world, "payment-after") >= 2
+        || attempts(&cluster, "view-before") == 2 && attempts(&cluster, "payment-after") >= 2
     ));
     // Another that changes nothing keeps them under their rules.
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     for client in &mut clients {
         client.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         assert!(
@@ -194,8 +198,8 @@
     }
     assert_eq!(
         (
-            attempts(&world, "view-after"),
-            attempts(&world, "payment-before")
+            attempts(&cluster, "view-after"),
+            attempts(&cluster, "payment-before")
         ),
         (1, 1)
     );
@@ -203,10 +207,10 @@
 
 #[test]
 fn names_faulty_settings_in_one_line_and_changes_nothing() {
-    let world = world(1, EndpointBehavior::default());
-    let agent = start(&world, |_| {});
-    let mut client = caller(&agent);
-    let before = asked(&world);
+    let cluster = cluster(1, EndpointBehavior::default());
+    let agent = start(&cluster, |_| {});
+    let mut client = connect_client(&agent);
+    let before = control_calls(&cluster);
     let spoilt = |what: &str, change: &dyn Fn(&mut Value)| {
         let mut configuration = agent.configuration.clone();
         let settings = &mut configuration["settings"];
@@ -222,12 +226,12 @@
                 .matches("the configuration read before stays")
                 .count()
         };
-        let (seen, over) = (faults(), taken_over(&agent));
+        let (seen, over) = (faults(), reload_count(&agent));
         agent.reload(&configuration.to_string()).unwrap();
         assert!(wait_until(|| faults() > seen), "{}", agent.log());
         assert!(agent.log().contains(&line), "{line}: {}", agent.log());
         assert_eq!(
-            (faults(), taken_over(&agent)),
+            (faults(), reload_count(&agent)),
             (seen + 1, over),
             "one line, and not taken over"
         );
@@ -264,9 +268,9 @@
         "nothing of them is in force"
     );
     assert_eq!(ask(&mut client, "v", "view"), None);
-    assert_eq!(asked(&world), before);
+    assert_eq!(control_calls(&cluster), before);
     // A start is refused.
-    let mut configuration = world.configuration("n2", 0).unwrap();
+    let mut configuration = cluster.configuration("n2", 0).unwrap();
     configuration["settings"]["tenants"] = double.clone();
     let mut refused = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     assert!(!refused.wait_for_success().unwrap());
@@ -283,36 +287,36 @@
 /// at each change.
 #[test]
 fn keeps_connections_to_services_whose_address_did_not_change() {
-    let (world, next) = (
-        world(1, EndpointBehavior::default()),
+    let (cluster, next) = (
+        cluster(1, EndpointBehavior::default()),
         Platform::start(RolloutStatus::now(41, 0, "released", 1.0)).unwrap(),
     );
-    let agent = start(&world, |_| {});
-    let mut client = caller(&agent);
-    assert!(wait_until(|| world.platform.connections() == 1));
-    let before = asked(&world);
+    let agent = start(&cluster, |_| {});
+    let mut client = connect_client(&agent);
+    assert!(wait_until(|| cluster.platform.connections() == 1));
+    let before = control_calls(&cluster);
     let mut configuration = agent.configuration.clone();
     for n in 0..20 {
         // Every other one changes something.
         configuration["settings"]["classes"][0]["aim-ms"] = (400 + n / 2).into();
         configuration["limits"]["sockets"] = (1024 + n / 2).into();
-        renew(&agent, &configuration);
+        reload(&agent, &configuration);
         assert_eq!(ask(&mut client, &format!("v{n}"), "view"), None);
     }
     sleep(ms(300));
-    assert_eq!(asked(&world), before);
+    assert_eq!(control_calls(&cluster), before);
     assert!(!agent.log().contains("Reloading"), "{}", agent.log());
     // Who moves is, alone.
     configuration["deployer"]["address"] = next.address.to_string().into();
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     assert!(wait_until(
         || next.connections() == 1 && agent.log().matches("phase: Serving").count() == 2
     ));
-    assert_eq!(asked(&world), before);
+    assert_eq!(control_calls(&cluster), before);
     let discovery = Discovery::start(1).unwrap();
-    discovery.update(world.discovery.entries());
+    discovery.update(cluster.discovery.entries());
     configuration["discovery"] = discovery.address(0).to_string().into();
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     assert!(wait_until(
         || agent.log().matches("phase: Serving").count() == 3
     ));
@@ -320,12 +324,12 @@
     assert!(discovery.settled(0).unwrap());
     let wholes = discovery.full_list_requests();
     assert!(wholes >= 1);
-    assert_eq!((next.connections(), asked(&world)), (1, before));
+    assert_eq!((next.connections(), control_calls(&cluster)), (1, before));
     // Another way to ask is a move as well: asked once more there, and where calls are paid for,
     // for changes alone.
     let (opened, wholes) = (discovery.connections(), discovery.full_list_requests());
     configuration["settings"]["discovery"] = "ask".into();
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     assert!(wait_until(
         || agent.log().matches("phase: Serving").count() == 4
     ));
@@ -341,16 +345,16 @@
 
 #[test]
 fn names_what_needs_a_restart_and_applies_the_rest() {
-    let world = world(1, EndpointBehavior::default());
-    let agent = start(&world, |_| {});
-    let mut client = caller(&agent);
+    let cluster = cluster(1, EndpointBehavior::default());
+    let agent = start(&cluster, |_| {});
+    let mut client = connect_client(&agent);
     let mut configuration = agent.configuration.clone();
     configuration["listen"] = agent_process::free_address().to_string().into();
     configuration["settings"]["classes"]
         .as_array_mut()
         .unwrap()
         .push(class("extra", "once", 400.0));
-    renew(&agent, &configuration);
+    reload(&agent, &configuration);
     let line = format!(
         "field listen: {} stays until a restart",
         agent.address().unwrap()
@@ -361,10 +365,10 @@
         agent.log()
     );
     assert_eq!(ask(&mut client, "x", "extra"), None);
-    caller(&agent);
+    connect_client(&agent);
 }
 
-/// Renewals one after another while requests come: each is answered once, none is lost, no client
+/// Reloads one after another while requests come: each is answered once, none is lost, no client
 /// is cut off, and what may not run twice does not.
 #[test]
 fn loses_no_request_in_two_hundred_reloads_under_load() {
@@ -374,7 +378,7 @@
         cores: 8,
         ..EndpointBehavior::default()
     };
-    let world = world(
+    let cluster = cluster(
         6,
         EndpointBehavior {
             random_responses: vec![
@@ -384,8 +388,8 @@
             ..ways
         },
     );
-    let agent = start(&world, |_| {});
-    caller(&agent);
+    let agent = start(&cluster, |_| {});
+    connect_client(&agent);
     let load_class = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
     let load = Load {
         agent: agent.address().unwrap(),
@@ -400,7 +404,7 @@
         seed: 17,
     }
     .start();
-    let before = asked(&world);
+    let before = control_calls(&cluster);
     let mut configuration = agent.configuration.clone();
     for n in 0..200usize {
         let settings = &mut configuration["settings"];
@@ -431,7 +435,7 @@
             "class".into()
         };
         settings["limits"]["try-limit"] = (3 + n % 3).into();
-        renew(&agent, &configuration);
+        reload(&agent, &configuration);
         sleep(ms(10));
     }
     let answered = futures_lite::future::block_on(load);
@@ -447,21 +451,21 @@
         "{answered:?}"
     );
     assert_eq!(answered.answered(), answered.requests);
-    assert!(world.executed_twice("payment").is_empty());
-    assert_eq!(asked(&world), before);
+    assert!(cluster.executed_twice("payment").is_empty());
+    assert_eq!(control_calls(&cluster), before);
     assert!(!agent.log().contains("panicked"), "{}", agent.log());
 }
 
 #[test]
 fn applies_fifty_six_thousand_tenants_within_four_seconds() {
-    let world = world(1, EndpointBehavior::default());
+    let cluster = cluster(1, EndpointBehavior::default());
     let tenants = |least: usize| -> Value {
         (least..least + 56_000)
             .map(|n| json!({"name": format!("tenant-{n}"), "share": 0.00002}))
             .collect()
     };
-    let agent = start(&world, |c| c["settings"]["tenants"] = tenants(0));
-    let mut client = caller(&agent);
+    let agent = start(&cluster, |c| c["settings"]["tenants"] = tenants(0));
+    let mut client = connect_client(&agent);
     let mut configuration = agent.configuration.clone();
     for n in 1..4 {
         configuration["settings"]["tenants"] = tenants(n * 100);
--- a/crates/agent/tests/draining.rs
+++ b/crates/agent/tests/draining.rs
@@ -21,39 +21,39 @@
     Duration::from_millis(n)
 }
 
-fn world(endpoints: usize) -> TestCluster {
-    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+fn cluster(endpoints: usize) -> TestCluster {
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..endpoints {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
-    world
+    cluster
 }
 
-fn start(world: &TestCluster) -> AgentProcess {
-    AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap()
+fn start(cluster: &TestCluster) -> AgentProcess {
+    AgentProcess::start(BINARY, cluster.configuration("n1", 0).unwrap(), &[]).unwrap()
 }
 
-fn caller(agent: &AgentProcess) -> TestClient {
+fn connect_client(agent: &AgentProcess) -> TestClient {
     TestClient::connect(agent.address().unwrap()).unwrap()
 }
 
-fn leaves(world: &TestCluster, id: &str) {
-    world
+fn announce_drain(cluster: &TestCluster, id: &str) {
+    cluster
         .discovery
         .update_entry(id, |e| e.state = "terminating".into());
 }
 
 /// Asks until `until`, and says when `s-0` was last sent anything.
-fn last_sent(world: &TestCluster, agent: &AgentProcess, until: Instant) -> Option<Instant> {
-    let mut client = caller(agent);
+fn last_sent(cluster: &TestCluster, agent: &AgentProcess, until: Instant) -> Option<Instant> {
+    let mut client = connect_client(agent);
     while Instant::now() < until {
         client.send_query("view", 1000);
         assert_eq!(client.read_reply().unwrap().code(), None);
         sleep(ms(5));
     }
-    world
+    cluster
         .endpoint("s-0")
         .unwrap()
         .received_queries()
@@ -63,15 +63,15 @@
 
 /// The watch falls silent, its next connections are met like this, and one endpoint is to leave.
 fn silence(next: &[ConnectionBehavior]) {
-    let world = world(2);
-    let agent = start(&world);
+    let cluster = cluster(2);
+    let agent = start(&cluster);
     // Past its first call, which waits for less.
-    last_sent(&world, &agent, Instant::now() + ms(1300));
+    last_sent(&cluster, &agent, Instant::now() + ms(1300));
     let silent = Instant::now();
-    world.discovery.silence_watches(next.iter().cloned());
-    leaves(&world, "s-0");
+    cluster.discovery.silence_watches(next.iter().cloned());
+    announce_drain(&cluster, "s-0");
     let told = silent + TOLD_AFTER + GRACE;
-    let last = last_sent(&world, &agent, told + GRACE).unwrap();
+    let last = last_sent(&cluster, &agent, told + GRACE).unwrap();
     assert!(
         last < told,
         "sent {:?} after the silence began",
@@ -91,16 +91,16 @@
 
 #[test]
 fn reopens_a_silent_watch_in_time_when_the_next_connections_are_late_refused_or_silent() {
-    let late = || ConnectionBehavior::AnsweredAfter(ms(1000));
+    let answered_late = || ConnectionBehavior::AnsweredAfter(ms(1000));
     silence(&[
-        late(),
+        answered_late(),
         ConnectionBehavior::Closed,
         ConnectionBehavior::Unanswered,
-        late(),
-        late(),
+        answered_late(),
+        answered_late(),
         ConnectionBehavior::Closed,
         ConnectionBehavior::Unanswered,
-        late(),
+        answered_late(),
     ]);
 }
 
@@ -109,9 +109,9 @@
 /// each has to be opened.
 #[test]
 fn reroutes_attempts_whose_connection_opens_after_their_endpoint_began_to_drain() {
-    let world = world(2);
+    let cluster = cluster(2);
     for id in ["s-0", "s-1"] {
-        world.endpoint(id).unwrap().set_link(
+        cluster.endpoint(id).unwrap().set_link(
             0,
             Link {
                 reply_delay: ms(300),
@@ -119,20 +119,20 @@
             },
         );
     }
-    let mut configuration = world.configuration("n1", 0).unwrap();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 26.into();
     configuration["settings"]["limits"]["dial-timeout-ms"] = 2000.into();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    let mut client = caller(&agent);
+    let mut client = connect_client(&agent);
     client.send_query("view", 1400);
     sleep(ms(120));
-    world
+    cluster
         .add_endpoint(0, "s-2", 41, EndpointBehavior::default())
         .unwrap();
-    leaves(&world, "s-0");
-    leaves(&world, "s-1");
+    announce_drain(&cluster, "s-0");
+    announce_drain(&cluster, "s-1");
     assert_eq!(client.read_reply().unwrap().code(), None);
-    let seen = |id: &str| world.endpoint(id).unwrap().received_count();
+    let seen = |id: &str| cluster.endpoint(id).unwrap().received_count();
     assert_eq!((seen("s-0"), seen("s-1"), seen("s-2")), (0, 0, 1));
 }
 
@@ -140,11 +140,11 @@
 /// its first moment. Delays the first requests while discovery is away, for the time of a start.
 #[test]
 fn sends_nothing_from_a_known_list_before_discovery_was_called() {
-    let world = world(2);
-    let configuration = world.configuration("n1", 0).unwrap();
-    leaves(&world, "s-0");
+    let cluster = cluster(2);
+    let configuration = cluster.configuration("n1", 0).unwrap();
+    announce_drain(&cluster, "s-0");
     // Both of its first tries.
-    world.discovery.silence_watches([
+    cluster.discovery.silence_watches([
         ConnectionBehavior::AnsweredAfter(ms(120)),
         ConnectionBehavior::AnsweredAfter(ms(120)),
     ]);
@@ -168,16 +168,16 @@
         client.read_until_ready().unwrap();
         assert_eq!(client.read_reply().unwrap().code(), None);
     }
-    assert_eq!(last_sent(&world, &agent, Instant::now() + ms(300)), None);
+    assert_eq!(last_sent(&cluster, &agent, Instant::now() + ms(300)), None);
     // Discovery that is away keeps nobody from serving by that list.
-    world
+    cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Unresponsive);
     let mut configuration = configuration;
     configuration["listen"] = agent_process::free_address().to_string().into();
     let begun = Instant::now();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    let mut client = caller(&agent);
+    let mut client = connect_client(&agent);
     client.send_query("view", 900);
     assert!(client.read_reply().unwrap().code().is_none() && begun.elapsed() < TEST_TIMEOUT);
 }
@@ -185,8 +185,8 @@
 /// Guards the rule where the address moves: what the new one holds counts as told 4 s later.
 #[test]
 fn receives_the_list_of_a_slow_new_address_before_it_must_be_obeyed() {
-    let (world, next) = (world(2), Discovery::start(1).unwrap());
-    next.update(world.discovery.entries());
+    let (cluster, next) = (cluster(2), Discovery::start(1).unwrap());
+    next.update(cluster.discovery.entries());
     next.update_entry("s-0", |e| e.state = "terminating".into());
     next.silence_watches([
         ConnectionBehavior::Closed,
@@ -194,13 +194,13 @@
         ConnectionBehavior::AnsweredAfter(ms(1000)),
         ConnectionBehavior::AnsweredAfter(ms(1000)),
     ]);
-    let agent = start(&world);
-    last_sent(&world, &agent, Instant::now() + ms(300));
+    let agent = start(&cluster);
+    last_sent(&cluster, &agent, Instant::now() + ms(300));
     let mut configuration = agent.configuration.clone();
     configuration["discovery"] = next.address(0).to_string().into();
     let moved = Instant::now();
     agent.reload(&configuration.to_string()).unwrap();
-    let last = last_sent(&world, &agent, moved + ms(4000) + GRACE).unwrap();
+    let last = last_sent(&cluster, &agent, moved + ms(4000) + GRACE).unwrap();
     assert!(last < moved + ms(4000), "sent {:?} after it", last - moved);
 }
 
@@ -208,25 +208,29 @@
 /// over.
 #[test]
 fn obeys_a_drain_listed_beside_an_unreadable_entry_and_retries_at_intervals() {
-    let world = world(3);
-    let agent = start(&world);
-    last_sent(&world, &agent, Instant::now() + ms(200));
-    let mut list = world.discovery.full_list(0);
+    let cluster = cluster(3);
+    let agent = start(&cluster);
+    last_sent(&cluster, &agent, Instant::now() + ms(200));
+    let mut list = cluster.discovery.full_list(0);
     let entries = list["servers"].as_array_mut().unwrap();
     entries[0]["state"] = "terminating".into();
     entries[1]["cell"] = Value::Null;
     entries.push(json!({"id": 7}));
     list["version"] = 99.into();
     let text = serde_json::to_string_pretty(&list).unwrap();
-    let (spoilt, asked) = (Instant::now(), world.discovery.requests());
-    world
+    let (malformed_since, asked) = (Instant::now(), cluster.discovery.requests());
+    cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
             &text,
         )));
-    let last = last_sent(&world, &agent, spoilt + ms(2000)).unwrap();
-    assert!(last < spoilt + GRACE, "sent {:?} after it", last - spoilt);
-    let asked = world.discovery.requests() - asked;
+    let last = last_sent(&cluster, &agent, malformed_since + ms(2000)).unwrap();
+    assert!(
+        last < malformed_since + GRACE,
+        "sent {:?} after it",
+        last - malformed_since
+    );
+    let asked = cluster.discovery.requests() - asked;
     assert!((2..40).contains(&asked), "asked {asked} times in 2 s");
     assert_eq!(
         agent.log().matches("; calling again").count(),
@@ -239,9 +243,9 @@
 type Drains = BTreeMap<String, Instant>;
 
 /// Attempts to endpoints after their announcement bound.
-fn late(world: &TestCluster, drains: &Drains) -> usize {
-    let late = |(id, bound): (&String, &Instant)| {
-        world
+fn late_attempts(cluster: &TestCluster, drains: &Drains) -> usize {
+    let late_attempts = |(id, bound): (&String, &Instant)| {
+        cluster
             .endpoint(id)
             .unwrap()
             .received_queries()
@@ -249,19 +253,19 @@
             .filter(|s| s.at > *bound)
             .count()
     };
-    drains.iter().map(late).sum()
+    drains.iter().map(late_attempts).sum()
 }
 
 /// Silences, late and refused connections, spoilt lists, restarts from the old list, new
 /// configurations and drains by chance; `told` is what the agent hears.
-fn days(seed: u64, world: &TestCluster, told: &Discovery) -> usize {
+fn run_random_faults(seed: u64, cluster: &TestCluster, told: &Discovery) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut configuration = world.configuration("n1", 0).unwrap();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["discovery"] = told.address(0).to_string().into();
     let mut agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
     let (mut drains, mut silent) = (Drains::new(), None::<Instant>);
     for step in 0..9 {
-        let mut client = caller(&agent);
+        let mut client = connect_client(&agent);
         let until = Instant::now() + ms(rng.gen_range(400..1600));
         while Instant::now() < until {
             client.send_query("view", 800);
@@ -286,12 +290,12 @@
                 drop(agent);
                 told.silence_watches([]);
                 agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
-                caller(&agent);
+                connect_client(&agent);
             }
         }
         let id = format!("s-{step}");
         let now = Instant::now();
-        leaves(world, &id);
+        announce_drain(cluster, &id);
         // A silence may last as long as the rule allows; a new address, and a start, may be under
         // way.
         let under_way = silent
@@ -299,13 +303,13 @@
             .map_or(now + ms(300), |s| s + TOLD_AFTER);
         drains.insert(id, under_way + GRACE);
     }
-    let mut client = caller(&agent);
+    let mut client = connect_client(&agent);
     let end = *drains.values().max().unwrap() + ms(300);
     while Instant::now() < end {
         client.send_query("view", 800);
         let _ = client.read_reply().unwrap();
     }
-    late(world, &drains)
+    late_attempts(cluster, &drains)
 }
 
 #[test]
@@ -313,32 +317,32 @@
     let all: Vec<_> = (1..5)
         .map(|seed| {
             std::thread::spawn(move || {
-                let world = world(12);
-                (seed, days(seed, &world, &world.discovery))
+                let cluster = cluster(12);
+                (seed, run_random_faults(seed, &cluster, &cluster.discovery))
             })
         })
         .collect();
-    for day in all {
-        let (seed, late) = day.join().unwrap();
-        assert_eq!(late, 0, "seed {seed}");
+    for run in all {
+        let (seed, late_attempts) = run.join().unwrap();
+        assert_eq!(late_attempts, 0, "seed {seed}");
     }
 }
 
 /// The judge of these days finds an agent that is never told.
 #[test]
 fn detects_an_agent_that_receives_no_drains() {
-    let (world, deaf) = (world(12), Discovery::start(1).unwrap());
-    deaf.update(world.discovery.entries());
-    assert!(days(1, &world, &deaf) > 0);
+    let (cluster, outdated) = (cluster(12), Discovery::start(1).unwrap());
+    outdated.update(cluster.discovery.entries());
+    assert!(run_random_faults(1, &cluster, &outdated) > 0);
 }
 
 /// Guards the bounds on lists: nothing on the way of a list, a decision or a report may end at some
 /// hundreds, nor hold more than the least memory an agent is given.
 #[test]
 fn lists_serves_and_drains_a_thousand_endpoints_with_long_names_within_its_memory() {
-    let mut world = world(4);
-    world.agents = 1024;
-    let there = world.discovery.entries();
+    let mut cluster = cluster(4);
+    cluster.agents = 1024;
+    let there = cluster.discovery.entries();
     let long = "-with-a-name-as-long-as-some-platforms-give".repeat(4);
     let many = |state: &str| -> Vec<Entry> {
         let entry = |n: usize| Entry {
@@ -348,10 +352,10 @@
         };
         (0..1020).map(entry).collect()
     };
-    world.discovery.update(many("in_service"));
+    cluster.discovery.update(many("in_service"));
     let begun = Instant::now();
-    let agent = start(&world);
-    let mut client = caller(&agent);
+    let agent = start(&cluster);
+    let mut client = connect_client(&agent);
     assert!(begun.elapsed() < TEST_TIMEOUT);
     for _ in 0..300 {
         client.send_query("view", 1000);
@@ -359,23 +363,23 @@
     }
     let (told, seen) = (
         Instant::now(),
-        world
+        cluster
             .received_queries()
             .values()
             .map(Vec::len)
             .sum::<usize>(),
     );
-    world.discovery.update(many("terminating"));
+    cluster.discovery.update(many("terminating"));
     ["s-0", "s-1", "s-2"]
         .into_iter()
-        .for_each(|id| leaves(&world, id));
+        .for_each(|id| announce_drain(&cluster, id));
     sleep(GRACE);
-    let only = world.endpoint("s-3").unwrap().received_count();
+    let only = cluster.endpoint("s-3").unwrap().received_count();
     for _ in 0..100 {
         client.send_query("view", 1000);
         assert_eq!(client.read_reply().unwrap().code(), None);
     }
-    let all = world
+    let all = cluster
         .received_queries()
         .values()
         .map(Vec::len)
@@ -383,7 +387,7 @@
     assert_eq!(
         (
             all - seen,
-            world.endpoint("s-3").unwrap().received_count() - only
+            cluster.endpoint("s-3").unwrap().received_count() - only
         ),
         (100, 100),
         "after {:?}",
@@ -406,28 +410,28 @@
 #[test]
 fn obeys_a_drain_that_crosses_a_silent_watch_and_a_new_address_in_any_order() {
     let order = |order: [u8; 3]| {
-        let (world, next) = (world(2), Discovery::start(1).unwrap());
-        next.update(world.discovery.entries());
-        let agent = start(&world);
-        last_sent(&world, &agent, Instant::now() + ms(1300));
+        let (cluster, next) = (cluster(2), Discovery::start(1).unwrap());
+        next.update(cluster.discovery.entries());
+        let agent = start(&cluster);
+        last_sent(&cluster, &agent, Instant::now() + ms(1300));
         let mut configuration = agent.configuration.clone();
         configuration["discovery"] = next.address(0).to_string().into();
         for event in order {
             match event {
-                0 => world.discovery.silence_watches([
+                0 => cluster.discovery.silence_watches([
                     ConnectionBehavior::Unanswered,
                     ConnectionBehavior::AnsweredAfter(ms(300)),
                 ]),
                 1 => agent.reload(&configuration.to_string()).unwrap(),
                 _ => {
-                    leaves(&world, "s-0");
+                    announce_drain(&cluster, "s-0");
                     next.update_entry("s-0", |e| e.state = "terminating".into());
                 }
             }
             sleep(ms(60));
         }
         let crossed = Instant::now();
-        let last = last_sent(&world, &agent, crossed + ms(2500)).unwrap();
+        let last = last_sent(&cluster, &agent, crossed + ms(2500)).unwrap();
         assert!(
             last < crossed + ms(2000) + GRACE,
             "{order:?}: sent {:?} after",
