--- a/crates/agent/src/server/mod.rs
+++ b/crates/agent/src/server/mod.rs
@@ -5,7 +5,6 @@
 
 pub mod admission;
 pub mod connection;
-pub mod in_flight;
 pub mod input;
 pub mod limits;
 pub mod message;
--- /dev/null
+++ b/crates/agent/src/server/request/forwarding.rs
@@ -0,0 +1,98 @@
+//! Attempts as the balancer decides on them.
+
+use super::in_flight::{InFlightAttempt, PendingResponse};
+use super::ActiveRequest;
+use crate::upstream::attempt::{send_attempt, AttemptPlan, AttemptResponse};
+use crate::upstream::transfer_meter::TransferMeter;
+use std::rc::Rc;
+use std::time::Duration;
+use tulipwall::{DeduplicationScope, Idempotency, Outcome};
+use tulipwall_discovery::endpoint_table::AttemptTarget;
+use tulipwall_zones::AttemptStart;
+
+impl ActiveRequest {
+    /// Begins an attempt; it is driven by `next_event`.
+    pub(super) fn start_attempt(&mut self, endpoint: usize, timeout: Duration) {
+        let sent = self.agent.clock.now();
+        let timeout_at = sent + timeout;
+        let attempt = match self.agent.endpoints.target(endpoint) {
+            Some(target) => self.forward(target, sent, timeout_at),
+            None => self.attempt_to_missing_endpoint(sent, timeout_at),
+        };
+        self.attempts.push(attempt);
+    }
+
+    fn forward(
+        &self,
+        target: AttemptTarget,
+        sent: Duration,
+        timeout_at: Duration,
+    ) -> InFlightAttempt {
+        let agent = &self.agent;
+        let start = AttemptStart {
+            to: target.zone,
+            class: self.class,
+            build: target.build,
+            previous_attempts: self.attempts.count(),
+            hedged: self.attempts.any_in_flight(),
+            is_canary: agent.balancer.is_canary(target.build),
+            pinned_to_scope: self.may_have_run && is_scoped(self.idempotency),
+        };
+        let config = agent.service_config();
+        let reservation = agent.zone_traffic.on_attempt(sent, start, || {
+            // The zones of the settings, and one for all that they do not name.
+            agent.balancer.zone_capacities(config.zones.len() + 1)
+        });
+        if target.zone != config.settings.zone {
+            agent.apply_cross_zone_policy();
+        }
+        let plan = AttemptPlan {
+            request_id: self.id,
+            attempt: self.attempts.count(),
+            target,
+            rollout_revision: agent.balancer.rollout_revision(),
+            timeout_at,
+            retained_index: agent.endpoints.retain_index(target.endpoint),
+        };
+        let meter = Rc::new(TransferMeter::default());
+        InFlightAttempt {
+            sent,
+            timeout_at,
+            class: self.class,
+            build: target.build,
+            reservation,
+            response: self.drive(plan, meter.clone()),
+            meter,
+        }
+    }
+
+    fn drive(&self, plan: AttemptPlan, meter: Rc<TransferMeter>) -> PendingResponse {
+        let agent = self.agent.clone();
+        let statement = self.statement.clone();
+        Box::pin(async move { send_attempt(&agent, &statement, plan, &meter).await })
+    }
+
+    /// The endpoint has gone since the balancer was informed of it.
+    fn attempt_to_missing_endpoint(&self, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
+        InFlightAttempt {
+            sent,
+            timeout_at,
+            class: self.class,
+            build: 0,
+            meter: Rc::default(),
+            reservation: None,
+            response: Box::pin(async { AttemptResponse::without_value(Outcome::NotSent) }),
+        }
+    }
+}
+
+/// Whether a request that may have run must stay in its zone or cell.
+fn is_scoped(idempotency: Idempotency) -> bool {
+    matches!(
+        idempotency,
+        Idempotency::Keyed {
+            scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
+            ..
+        }
+    )
+}
--- a/crates/agent/src/server/request.rs
+++ b/crates/agent/src/server/request/mod.rs
@@ -1,32 +1,27 @@
 //! The life of one request: read, admit, route, attempt, answer.
 //!
 //! A statement is read and admitted by [`super::message`]. Here its names are resolved, the
-//! balancer routes it, attempts go out as it decides, and their ends lead to the next decision or
-//! to the final response.
+//! balancer routes it, attempts go out as it decides (`forwarding`), and what happens to them or
+//! to the client (`events`) leads to the next decision or to the final response.
 
+mod events;
+mod forwarding;
+mod in_flight;
+
+use self::events::RequestEvent;
+use self::in_flight::{FinishedAttempt, InFlightAttempts};
 use super::admission::ResolvedRequest;
-use super::in_flight::{FinishedAttempt, InFlightAttempt, InFlightAttempts, PendingResponse};
-use super::limits::MAX_BYTES_READ_AHEAD;
 use super::response::FinalResponse;
 use crate::agent::Agent;
 use crate::balancer_handle::AttemptResult;
 use crate::observability::logging::EVIDENCE;
 use crate::protocol::connection::Connection;
 use crate::protocol::statement::Statement;
-use crate::runtime::reactor::Timer;
-use crate::upstream::attempt::{send_attempt, AttemptPlan, AttemptResponse};
-use crate::upstream::transfer_meter::TransferMeter;
-use futures_lite::future::poll_fn;
-use std::future::Future;
 use std::ops::ControlFlow;
-use std::pin::pin;
 use std::rc::Rc;
-use std::task::Poll;
 use std::time::Duration;
-use tulipwall::{Decision, DeduplicationScope, Idempotency, Outcome, Request};
+use tulipwall::{Decision, Idempotency, Outcome, Request};
 use tulipwall_config::stable_hash;
-use tulipwall_discovery::endpoint_table::AttemptTarget;
-use tulipwall_zones::AttemptStart;
 
 /// Sees a request that came in whole at `received_at` to its final response.
 pub async fn handle_request(
@@ -66,14 +61,6 @@
     may_have_run: bool,
 }
 
-/// What happens next to a request.
-enum RequestEvent {
-    AttemptEnded(FinishedAttempt),
-    RecheckDue,
-    ClientLeft,
-    DeadlinePassed,
-}
-
 impl ActiveRequest {
     /// Passes the request to the balancer, which decides where it goes first.
     fn begin(
@@ -140,113 +127,6 @@
         }
     }
 
-    fn start_attempt(&mut self, endpoint: usize, timeout: Duration) {
-        let sent = self.agent.clock.now();
-        let timeout_at = sent + timeout;
-        let attempt = match self.agent.endpoints.target(endpoint) {
-            Some(target) => self.forward(target, sent, timeout_at),
-            None => self.attempt_to_missing_endpoint(sent, timeout_at),
-        };
-        self.attempts.push(attempt);
-    }
-
-    fn forward(
-        &self,
-        target: AttemptTarget,
-        sent: Duration,
-        timeout_at: Duration,
-    ) -> InFlightAttempt {
-        let agent = &self.agent;
-        let start = AttemptStart {
-            to: target.zone,
-            class: self.class,
-            build: target.build,
-            previous_attempts: self.attempts.count(),
-            hedged: self.attempts.any_in_flight(),
-            is_canary: agent.balancer.is_canary(target.build),
-            pinned_to_scope: self.may_have_run && is_scoped(self.idempotency),
-        };
-        let config = agent.service_config();
-        let reservation = agent.zone_traffic.on_attempt(sent, start, || {
-            // The zones of the settings, and one for all that they do not name.
-            agent.balancer.zone_capacities(config.zones.len() + 1)
-        });
-        if target.zone != config.settings.zone {
-            agent.apply_cross_zone_policy();
-        }
-        let plan = AttemptPlan {
-            request_id: self.id,
-            attempt: self.attempts.count(),
-            target,
-            rollout_revision: agent.balancer.rollout_revision(),
-            timeout_at,
-            retained_index: agent.endpoints.retain_index(target.endpoint),
-        };
-        let meter = Rc::new(TransferMeter::default());
-        InFlightAttempt {
-            sent,
-            timeout_at,
-            class: self.class,
-            build: target.build,
-            reservation,
-            response: self.drive(plan, meter.clone()),
-            meter,
-        }
-    }
-
-    fn drive(&self, plan: AttemptPlan, meter: Rc<TransferMeter>) -> PendingResponse {
-        let agent = self.agent.clone();
-        let statement = self.statement.clone();
-        Box::pin(async move { send_attempt(&agent, &statement, plan, &meter).await })
-    }
-
-    /// The endpoint has gone since the balancer was informed of it.
-    fn attempt_to_missing_endpoint(&self, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
-        InFlightAttempt {
-            sent,
-            timeout_at,
-            class: self.class,
-            build: 0,
-            meter: Rc::default(),
-            reservation: None,
-            response: Box::pin(async { AttemptResponse::without_value(Outcome::NotSent) }),
-        }
-    }
-
-    /// What happens next. Ends come before time-outs: after a stall that is their order. Before
-    /// either comes a client that has left: an attempt's first look at its connection is also its
-    /// first byte.
-    async fn next_event(&mut self, client: &mut Connection) -> RequestEvent {
-        let agent = &self.agent;
-        let attempts = &mut self.attempts;
-        let recheck_at = &mut self.recheck_at;
-        let timeout_at = attempts.next_timeout().unwrap_or(self.deadline);
-        let due = timeout_at
-            .min(recheck_at.unwrap_or(self.deadline))
-            .min(self.deadline);
-        let mut timer = pin!(Timer::at(agent.clock.to_instant(due)));
-        let mut client_left = pin!(client_left(client));
-        poll_fn(|cx| {
-            if client_left.as_mut().poll(cx).is_ready() {
-                return Poll::Ready(RequestEvent::ClientLeft);
-            }
-            if let Some(ended) = attempts.poll_ended(agent, cx) {
-                return Poll::Ready(RequestEvent::AttemptEnded(ended));
-            }
-            if timer.as_mut().poll(cx).is_pending() {
-                return Poll::Pending;
-            }
-            if let Some(expired) = attempts.expire(agent, due) {
-                return Poll::Ready(RequestEvent::AttemptEnded(expired));
-            }
-            if recheck_at.take_if(|at| *at <= due).is_some() {
-                return Poll::Ready(RequestEvent::RecheckDue);
-            }
-            Poll::Ready(RequestEvent::DeadlinePassed)
-        })
-        .await
-    }
-
     /// Tells the balancer what happened: its next decision, or the final response.
     fn on_event(&mut self, event: RequestEvent) -> ControlFlow<FinalResponse, Decision> {
         match event {
@@ -333,42 +213,4 @@
             }
         }
     }
-
-    /// The next attempt that ends, or whose time is over at `timeout_at`.
-    async fn next_end(&mut self, timeout_at: Duration) -> Option<FinishedAttempt> {
-        let agent = &self.agent;
-        let attempts = &mut self.attempts;
-        let mut timer = pin!(Timer::at(agent.clock.to_instant(timeout_at)));
-        poll_fn(|cx| match attempts.poll_ended(agent, cx) {
-            Some(ended) => Poll::Ready(Some(ended)),
-            None => timer
-                .as_mut()
-                .poll(cx)
-                .map(|()| attempts.expire(agent, timeout_at)),
-        })
-        .await
-    }
-}
-
-/// Whether a request that may have run must stay in its zone or cell.
-fn is_scoped(idempotency: Idempotency) -> bool {
-    matches!(
-        idempotency,
-        Idempotency::Keyed {
-            scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
-            ..
-        }
-    )
-}
-
-/// Ready once the client closes its connection, or ends its sending, which look the same.
-/// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
-async fn client_left(client: &mut Connection) {
-    while client.inbox.len() <= MAX_BYTES_READ_AHEAD {
-        match client.read_more().await {
-            Ok(count) if count > 0 => {}
-            _ => return,
-        }
-    }
-    client.peer_closed().await;
 }
