--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -17,49 +17,49 @@
     Duration::from_millis(n)
 }
 
-fn acts(act: ResponseBehavior) -> EndpointBehavior {
+fn responding_with(act: ResponseBehavior) -> EndpointBehavior {
     EndpointBehavior {
         response: act,
         ..EndpointBehavior::default()
     }
 }
 
-fn works(time: u64) -> EndpointBehavior {
+fn working_for_ms(time: u64) -> EndpointBehavior {
     EndpointBehavior {
         work: ms(time),
         ..EndpointBehavior::default()
     }
 }
 
-fn world(ways: &[EndpointBehavior]) -> TestCluster {
-    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+fn cluster_of(ways: &[EndpointBehavior]) -> TestCluster {
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
-    world
+    cluster
 }
 
 /// Starts an agent after a change of its configuration.
-fn start(world: &TestCluster, change: impl FnOnce(&mut serde_json::Value)) -> AgentProcess {
-    let mut configuration = world.configuration("n1", 0).unwrap();
+fn start_agent(cluster: &TestCluster, change: impl FnOnce(&mut serde_json::Value)) -> AgentProcess {
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     change(&mut configuration);
     AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
 /// Without room for connections kept ahead, and with time for those that come up late: each attempt
 /// opens its own.
-fn opens_late(c: &mut serde_json::Value) {
+fn with_late_connections(c: &mut serde_json::Value) {
     c["limits"]["sockets"] = 26.into();
     c["settings"]["limits"]["dial-timeout-ms"] = 2000.into();
 }
 
-fn as_it_is(_: &mut serde_json::Value) {}
+fn unchanged(_: &mut serde_json::Value) {}
 
 /// The connections to this endpoint come up so much later.
-fn late(world: &TestCluster, id: &str, time: u64) {
-    world.endpoint(id).unwrap().set_link(
+fn delay_replies(cluster: &TestCluster, id: &str, time: u64) {
+    cluster.endpoint(id).unwrap().set_link(
         0,
         Link {
             reply_delay: ms(time),
@@ -68,20 +68,20 @@
     );
 }
 
-fn caller(agent: &AgentProcess) -> TestClient {
+fn connect(agent: &AgentProcess) -> TestClient {
     TestClient::connect(agent.address().unwrap()).unwrap()
 }
 
-fn seen(world: &TestCluster, id: &str) -> usize {
-    world.endpoint(id).unwrap().received_count()
+fn received_count(cluster: &TestCluster, id: &str) -> usize {
+    cluster.endpoint(id).unwrap().received_count()
 }
 
-fn view(id: &str, wait: u32) -> String {
+fn view_statement(id: &str, wait: u32) -> String {
     format!("SELECT body FROM objects WHERE oid = 'a1' /* id={id},c=view,d={wait} */")
 }
 
 /// A client that connects without waiting for anything, and writes this at once.
-fn eager(agent: &AgentProcess, bytes: &[u8]) -> TestClient {
+fn connect_and_write(agent: &AgentProcess, bytes: &[u8]) -> TestClient {
     let mut stream = TcpStream::connect(agent.address().unwrap()).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.set_nodelay(true).unwrap();
@@ -103,7 +103,7 @@
 
 /// SIGTERM has come, and the agent stands still from just before it closes until just after it
 /// should have.
-fn across_the_close(agent: &AgentProcess, crosses: impl FnOnce()) {
+fn across_termination(agent: &AgentProcess, crosses: impl FnOnce()) {
     agent.terminate().unwrap();
     assert!(wait_until(|| agent.log().contains("phase: Draining")));
     sleep(ms(400));
@@ -121,43 +121,47 @@
 
 #[test]
 fn sends_nothing_for_a_client_that_left_while_the_first_attempt_was_connecting() {
-    let world = world(&[works(0)]);
-    late(&world, "s-0", 300);
-    let agent = start(&world, opens_late);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    delay_replies(&cluster, "s-0", 300);
+    let agent = start_agent(&cluster, with_late_connections);
+    let mut client = connect(&agent);
     client.send_query("view", 1400);
     sleep(ms(100));
     drop(client);
     sleep(ms(700));
-    assert_eq!(seen(&world, "s-0"), 0);
+    assert_eq!(received_count(&cluster, "s-0"), 0);
 }
 
 #[test]
 fn sends_nothing_for_a_client_that_left_right_after_its_request() {
-    let world = world(&[works(0)]);
-    let agent = start(&world, as_it_is);
-    let clients: Vec<_> = (0..20).map(|_| caller(&agent)).collect();
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    let agent = start_agent(&cluster, unchanged);
+    let clients: Vec<_> = (0..20).map(|_| connect(&agent)).collect();
     agent.set_stalled(true).unwrap();
     for mut client in clients {
         client.send_query("view", 1400);
     }
     sleep(ms(50));
     agent.set_stalled(false).unwrap();
-    let mut other = caller(&agent);
+    let mut other = connect(&agent);
     other.send_query_as("other", "view", 1400);
     assert_eq!(other.read_reply().unwrap().code(), None);
     sleep(ms(100));
-    assert_eq!(seen(&world, "s-0"), 1, "only of the one that stayed");
+    assert_eq!(
+        received_count(&cluster, "s-0"),
+        1,
+        "only of the one that stayed"
+    );
 }
 
 /// More written ahead than is read ahead: its end is behind it.
 #[test]
 fn sends_nothing_more_for_a_client_that_left_with_statements_queued() {
-    let world = world(&[works(500)]);
-    let agent = start(&world, as_it_is);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(500)]);
+    let agent = start_agent(&cluster, unchanged);
+    let mut client = connect(&agent);
     client.send_query_as("first", "payment", 1400);
-    assert!(wait_until(|| seen(&world, "s-0") == 1));
+    assert!(wait_until(|| received_count(&cluster, "s-0") == 1));
     // Few enough statements for none to be a flood.
     let object = "a".repeat(4000);
     for n in 0..20 {
@@ -167,23 +171,23 @@
     }
     drop(client);
     sleep(ms(1200));
-    assert_eq!(seen(&world, "s-0"), 1);
+    assert_eq!(received_count(&cluster, "s-0"), 1);
 }
 
 /// On the wire it is the same as closing, and the page says of closing that the client has gone.
 #[test]
 fn treats_a_client_that_shuts_down_its_write_side_as_gone() {
-    let world = world(&[works(0)]);
-    late(&world, "s-0", 300);
-    let agent = start(&world, opens_late);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    delay_replies(&cluster, "s-0", 300);
+    let agent = start_agent(&cluster, with_late_connections);
+    let mut client = connect(&agent);
     client.send_query("view", 1400);
     client.stream.shutdown(Shutdown::Write).unwrap();
     let mut rest = Vec::new();
     client.stream.read_to_end(&mut rest).unwrap();
     assert!(rest.is_empty(), "no answer, and its connection is closed");
     sleep(ms(500));
-    assert_eq!(seen(&world, "s-0"), 0);
+    assert_eq!(received_count(&cluster, "s-0"), 0);
 }
 
 // Decision and first byte.
@@ -192,26 +196,32 @@
 /// behind the answer.
 #[test]
 fn writes_no_hedge_whose_connection_opens_after_the_final_response() {
-    let world = world(&[works(400), works(400)]);
-    late(&world, "s-1", 900);
+    let cluster = cluster_of(&[working_for_ms(400), working_for_ms(400)]);
+    delay_replies(&cluster, "s-1", 900);
     // Room for the hedged request's connection beside the first one's, and for none kept ahead.
-    let agent = start(&world, |c| {
-        opens_late(c);
+    let agent = start_agent(&cluster, |c| {
+        with_late_connections(c);
         c["limits"]["sockets"] = 29.into();
     });
-    let mut client = caller(&agent);
+    let mut client = connect(&agent);
     client.send_query("view", 1400);
     assert_eq!(client.read_reply().unwrap().code(), None);
     sleep(ms(1000));
-    assert_eq!((seen(&world, "s-0"), seen(&world, "s-1")), (1, 0));
+    assert_eq!(
+        (
+            received_count(&cluster, "s-0"),
+            received_count(&cluster, "s-1")
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
 fn writes_nothing_on_a_connection_that_opens_past_the_deadline() {
-    let world = world(&[works(0)]);
-    late(&world, "s-0", 300);
-    let agent = start(&world, opens_late);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    delay_replies(&cluster, "s-0", 300);
+    let agent = start_agent(&cluster, with_late_connections);
+    let mut client = connect(&agent);
     client.send_query("payment", 500);
     sleep(ms(50));
     // The agent stands still until both the connection is up and the time is over.
@@ -220,23 +230,23 @@
     agent.set_stalled(false).unwrap();
     assert!(client.read_reply().unwrap().code().is_some());
     sleep(ms(100));
-    assert_eq!(seen(&world, "s-0"), 0);
+    assert_eq!(received_count(&cluster, "s-0"), 0);
 }
 
 #[test]
 fn measures_the_deadline_of_a_pipelined_statement_from_its_own_arrival() {
-    let world = world(&[works(600)]);
-    let agent = start(&world, as_it_is);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(600)]);
+    let agent = start_agent(&cluster, unchanged);
+    let mut client = connect(&agent);
     client.send_query_as("first", "payment", 2000);
     client.send_query_as("second", "payment", 300);
-    assert!(wait_until(|| seen(&world, "s-0") == 1));
+    assert!(wait_until(|| received_count(&cluster, "s-0") == 1));
     // By this one's arrival the second would still have time at its turn.
     sleep(ms(450));
     client.send_query_as("third", "payment", 2000);
     let codes = [(); 3].map(|()| client.read_reply().unwrap().code());
     assert_eq!(codes, [None, Some("53300".into()), None]);
-    let sent: Vec<_> = world
+    let sent: Vec<_> = cluster
         .endpoint("s-0")
         .unwrap()
         .received_queries()
@@ -254,15 +264,15 @@
 /// forgotten the repeat.
 #[test]
 fn fails_a_keyed_retry_at_once_after_its_deduplication_window() {
-    let world = world(&[acts(ResponseBehavior::Close), works(0)]);
-    late(&world, "s-1", 600);
-    let agent = start(&world, |c| {
-        opens_late(c);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Close), working_for_ms(0)]);
+    delay_replies(&cluster, "s-1", 600);
+    let agent = start_agent(&cluster, |c| {
+        with_late_connections(c);
         c["settings"]["classes"][1]["window-ms"] = 300.into();
     });
     let mut crossed = 0;
     for n in 0..12 {
-        let mut client = caller(&agent);
+        let mut client = connect(&agent);
         let begun = Instant::now();
         let comment = format!("id=d{n},c=send,d=1900,k=key{n}");
         client.send_statement(&format!(
@@ -271,7 +281,7 @@
         let code = client.read_reply().unwrap().code();
         let took = begun.elapsed();
         let at = |id: &str| {
-            world
+            cluster
                 .endpoint(id)
                 .unwrap()
                 .received_queries()
@@ -299,13 +309,13 @@
 #[test]
 fn runs_a_non_idempotent_request_at_most_once_when_its_connection_closes() {
     for act in [ResponseBehavior::AnswerAndClose, ResponseBehavior::Close] {
-        let world = world(&[acts(act)]);
-        let agent = start(&world, as_it_is);
-        let mut client = caller(&agent);
+        let cluster = cluster_of(&[responding_with(act)]);
+        let agent = start_agent(&cluster, unchanged);
+        let mut client = connect(&agent);
         for n in 0..40 {
             client.send_query_as(&format!("p{n}"), "payment", 1000);
             let code = client.read_reply().unwrap().code();
-            let ran = world
+            let ran = cluster
                 .received_queries()
                 .get(&format!("p{n}"))
                 .map_or(0, Vec::len);
@@ -354,14 +364,14 @@
 #[test]
 fn runs_a_non_idempotent_request_at_most_once_when_its_connection_breaks_before_it_arrived() {
     let begun = Arc::<AtomicUsize>::default();
-    let world = world(&[works(0), works(0)]);
+    let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
     let address = resets_during_the_second(begun.clone());
-    world
+    cluster
         .discovery
         .update_entry("s-0", |e| e.addresses = vec![address]);
     // Few connections are opened ahead, so that each is soon used again.
-    let agent = start(&world, |c| c["limits"]["sockets"] = 64.into());
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 64.into());
+    let mut client = connect(&agent);
     let value = "9f".repeat(60_000);
     for n in 0..200 {
         let comment = format!("id=w{n},c=payment,d=1500");
@@ -370,7 +380,7 @@
         );
         client.send_statement(&text);
         let code = client.read_reply().unwrap().code();
-        let ran = world
+        let ran = cluster
             .received_queries()
             .get(&format!("w{n}"))
             .map_or(0, Vec::len);
@@ -394,17 +404,17 @@
 /// whether all were right. A wrong one is the agent's fault unless that second answer was really
 /// written after more than a connection's rest.
 fn late_duplicate_responses_are_discarded(gap: u16) -> bool {
-    let world = world(&[acts(ResponseBehavior::AnswerAgainAfterMs(gap))]);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::AnswerAgainAfterMs(gap))]);
     // Room for one connection, which would be the next request's.
-    let agent = start(&world, opens_late);
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, with_late_connections);
+    let mut client = connect(&agent);
     for n in 0..30 {
         client.send_query_as(&format!("c{n}"), "payment", 1000);
         let told = client.read_reply().unwrap();
         if told != Reply::Value(vec![0x9f, 3]) {
             let before = format!("c{}", n - 1);
             let behind = || {
-                let seen = world.endpoint("s-0").unwrap().received_queries();
+                let seen = cluster.endpoint("s-0").unwrap().received_queries();
                 seen.into_iter()
                     .find(|s| s.id == before)
                     .and_then(|s| s.duplicate_delay)
@@ -435,16 +445,16 @@
 
 #[test]
 fn takes_a_response_cut_at_any_byte_for_no_value_until_it_is_complete() {
-    let world = world(&[works(0)]);
-    let agent = start(&world, as_it_is);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    let agent = start_agent(&cluster, unchanged);
     let whole = pg::value_reply(&[0x9f, 3]).len();
     let ready = pg::ready().len();
     for cut in 0..whole {
-        world
+        cluster
             .endpoint("s-0")
             .unwrap()
             .update_behavior(|w| w.response = ResponseBehavior::CloseAfterBytes(cut as u16));
-        let mut client = caller(&agent);
+        let mut client = connect(&agent);
         // So many failures may have it rejected, unrun: then it is asked again.
         let (id, told) = (0..200)
             .map(|n| {
@@ -453,7 +463,7 @@
                 (id, client.read_reply().unwrap())
             })
             .find(|(id, told)| {
-                !matches!(told, Reply::Rejected(..)) || world.received_queries().contains_key(id)
+                !matches!(told, Reply::Rejected(..)) || cluster.received_queries().contains_key(id)
             })
             .unwrap();
         if cut < whole - ready {
@@ -461,19 +471,19 @@
         } else {
             assert_eq!(told, Reply::Value(vec![0x9f, 3]), "cut at {cut}");
         }
-        assert_eq!(world.received_queries()[&id].len(), 1);
+        assert_eq!(cluster.received_queries()[&id].len(), 1);
     }
 }
 
 #[test]
 fn answers_a_response_that_trickles_in_with_its_value_or_a_failure_in_time() {
-    let world = world(&[
-        acts(ResponseBehavior::ByteEveryMs(10)),
-        acts(ResponseBehavior::ByteEveryMs(40)),
+    let cluster = cluster_of(&[
+        responding_with(ResponseBehavior::ByteEveryMs(10)),
+        responding_with(ResponseBehavior::ByteEveryMs(40)),
     ]);
-    let agent = start(&world, as_it_is);
+    let agent = start_agent(&cluster, unchanged);
     for n in 0..8 {
-        let mut client = caller(&agent);
+        let mut client = connect(&agent);
         let begun = Instant::now();
         client.send_query_as(&format!("t{n}"), "payment", 1200);
         match client.read_reply().unwrap() {
@@ -490,9 +500,9 @@
 /// else, may wait for the others for good, nor does the shutdown.
 #[test]
 fn serves_others_while_many_clients_hold_half_a_message_each() {
-    let world = world(&[works(0)]);
-    let mut agent = start(&world, |c| c["limits"]["memory_mb"] = 32.into());
-    let mut good = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    let mut agent = start_agent(&cluster, |c| c["limits"]["memory_mb"] = 32.into());
+    let mut good = connect(&agent);
     let half = [
         &pg::startup()[..],
         b"Q\x00\x02\x00\x00",
@@ -519,7 +529,7 @@
         good.send_query("view", 15_000);
         assert_eq!(good.read_reply().unwrap().code(), None);
     }
-    let mut new = caller(&agent);
+    let mut new = connect(&agent);
     new.send_query("view", 15_000);
     assert_eq!(new.read_reply().unwrap().code(), None);
     assert!(
@@ -548,18 +558,18 @@
 
 #[test]
 fn disconnects_a_client_that_never_reads_and_serves_one_that_reads_a_byte_at_a_time() {
-    let world = world(&[EndpointBehavior {
+    let cluster = cluster_of(&[EndpointBehavior {
         value_bytes: 60_000,
         ..EndpointBehavior::default()
     }]);
-    let agent = start(&world, as_it_is);
-    let mut deaf = caller(&agent);
+    let agent = start_agent(&cluster, unchanged);
+    let mut deaf = connect(&agent);
     for n in 0..400 {
         deaf.send_query_as(&format!("n{n}"), "view", 60_000);
         sleep(ms(2));
     }
-    let mut slow = caller(&agent);
-    for byte in pg::query(&view("slow", 2000)) {
+    let mut slow = connect(&agent);
+    for byte in pg::query(&view_statement("slow", 2000)) {
         slow.stream.write_all(&[byte]).unwrap();
         sleep(ms(3));
     }
@@ -568,7 +578,7 @@
         slow.stream.read_exact(&mut byte).unwrap();
         sleep(ms(3));
     }
-    let mut other = caller(&agent);
+    let mut other = connect(&agent);
     other.send_query("view", 1000);
     assert_eq!(other.read_reply().unwrap().code(), None);
     // Long after it was let go, it reads: what it gets ends before its last answer.
@@ -583,9 +593,9 @@
 /// and what is answered with a value, and nothing else, ran once.
 #[test]
 fn answers_each_of_many_pipelined_requests_once_and_in_order() {
-    let world = world(&[works(20)]);
-    let agent = start(&world, as_it_is);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(20)]);
+    let agent = start_agent(&cluster, unchanged);
+    let mut client = connect(&agent);
     let pays = |n: usize, wait: u32| {
         format!("SELECT body FROM objects WHERE oid = 'a1' /* id=f{n},c=payment,d={wait} */")
     };
@@ -616,7 +626,7 @@
         }
     }
     assert!(!ran.is_empty());
-    let seen = world.received_queries();
+    let seen = cluster.received_queries();
     assert!(seen.values().all(|s| s.len() == 1));
     ran.sort();
     assert_eq!(seen.into_keys().collect::<Vec<_>>(), ran);
@@ -627,15 +637,19 @@
 /// More than there are places, and nobody else is connected: each gets an answer, none a reset.
 #[test]
 fn answers_connections_that_wait_to_be_accepted_at_termination() {
-    let world = world(&[works(0)]);
-    let mut agent = start(&world, |c| c["limits"]["sockets"] = 40.into());
-    drop(caller(&agent));
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    let mut agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 40.into());
+    drop(connect(&agent));
     let mut waiting = Vec::new();
-    across_the_close(&agent, || {
+    across_termination(&agent, || {
         for n in 0..30 {
-            waiting.push(eager(
+            waiting.push(connect_and_write(
                 &agent,
-                &[pg::startup(), pg::query(&view(&format!("w{n}"), 1400))].concat(),
+                &[
+                    pg::startup(),
+                    pg::query(&view_statement(&format!("w{n}"), 1400)),
+                ]
+                .concat(),
             ));
         }
     });
@@ -651,17 +665,17 @@
 
 #[test]
 fn answers_or_leaves_unread_a_request_that_races_with_the_close_of_its_idle_connection() {
-    let world = world(&[works(0)]);
-    let mut agent = start(&world, as_it_is);
-    let mut clients: Vec<_> = (0..40).map(|_| caller(&agent)).collect();
-    across_the_close(&agent, || {
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    let mut agent = start_agent(&cluster, unchanged);
+    let mut clients: Vec<_> = (0..40).map(|_| connect(&agent)).collect();
+    across_termination(&agent, || {
         for (n, client) in clients.iter_mut().enumerate() {
             client.send_query_as(&format!("i{n}"), "payment", 1400);
         }
     });
     for (n, client) in clients.iter_mut().enumerate() {
         let ran = || {
-            world
+            cluster
                 .received_queries()
                 .get(&format!("i{n}"))
                 .map_or(0, Vec::len)
@@ -678,19 +692,19 @@
 /// It was taken in at the very end, and its first request is still on its way.
 #[test]
 fn waits_for_the_first_request_of_a_connection_accepted_at_termination() {
-    let world = world(&[works(0)]);
-    let mut agent = start(&world, as_it_is);
-    drop(caller(&agent));
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    let mut agent = start_agent(&cluster, unchanged);
+    drop(connect(&agent));
     let mut fresh = Vec::new();
-    across_the_close(&agent, || {
-        fresh.extend((0..5).map(|_| eager(&agent, &pg::startup())))
+    across_termination(&agent, || {
+        fresh.extend((0..5).map(|_| connect_and_write(&agent, &pg::startup())))
     });
     assert!(wait_until(|| agent.log().contains("phase: Terminating")));
     sleep(ms(60));
     for (n, client) in fresh.iter_mut().enumerate() {
         client
             .stream
-            .write_all(&pg::query(&view(&format!("r{n}"), 1400)))
+            .write_all(&pg::query(&view_statement(&format!("r{n}"), 1400)))
             .unwrap();
         assert_eq!(first_answer(client).unwrap(), None);
     }
@@ -699,9 +713,9 @@
 
 #[test]
 fn answers_pipelined_requests_at_termination_and_rejects_those_that_outlast_the_program() {
-    let world = world(&[works(700)]);
-    let mut agent = start(&world, as_it_is);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[working_for_ms(700)]);
+    let mut agent = start_agent(&cluster, unchanged);
+    let mut client = connect(&agent);
     client.send_query_as("first", "payment", 1400);
     client.send_query_as("second", "payment", 2500);
     agent.terminate().unwrap();
@@ -711,15 +725,15 @@
     let codes = [(); 3].map(|()| client.read_reply().unwrap().code());
     assert_eq!(codes, [None, None, Some("53300".into())]);
     assert!(begun.elapsed() < ms(2500));
-    assert_eq!(seen(&world, "s-0"), 2);
+    assert_eq!(received_count(&cluster, "s-0"), 2);
     assert!(agent.wait_for_success().unwrap());
 }
 
 #[test]
 fn exits_cleanly_on_a_second_sigterm_and_on_one_during_the_start() {
-    let world = world(&[works(0)]);
-    late(&world, "s-0", 200);
-    let mut agent = start(&world, as_it_is);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    delay_replies(&cluster, "s-0", 200);
+    let mut agent = start_agent(&cluster, unchanged);
     // Its connections ahead are still being opened.
     assert!(wait_until(|| agent.log().contains("listening on")));
     agent.terminate().unwrap();
@@ -727,7 +741,7 @@
     agent.terminate().unwrap();
     assert!(wait_until(|| agent.log().contains("phase: Draining")));
     agent.terminate().unwrap();
-    let mut client = caller(&agent);
+    let mut client = connect(&agent);
     client.send_query("view", 1400);
     assert_eq!(client.read_reply().unwrap().code(), None);
     let begun = Instant::now();
@@ -739,11 +753,11 @@
 /// One endpoint, many sockets, and handshakes that take nearly as long as they may.
 #[test]
 fn is_ready_within_its_bound_however_slowly_connections_open() {
-    let world = world(&[works(0)]);
-    late(&world, "s-0", 200);
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    delay_replies(&cluster, "s-0", 200);
     let begun = Instant::now();
-    let agent = start(&world, as_it_is);
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, unchanged);
+    let mut client = connect(&agent);
     assert!(
         begun.elapsed() < ms(8000),
         "ready after {:?}",
@@ -753,7 +767,7 @@
     assert_eq!(client.read_reply().unwrap().code(), None);
     // No more than half of the places for endpoints are opened ahead, here for one of them.
     let opened =
-        world.transfer_counts(0, 0)[endpoint::CONNECTIONS].read as usize / pg::startup().len();
+        cluster.transfer_counts(0, 0)[endpoint::CONNECTIONS].read as usize / pg::startup().len();
     assert!((1..=230).contains(&opened), "{opened} connections");
 }
 
@@ -762,15 +776,15 @@
 #[test]
 fn warms_up_connections_only_where_handshakes_cost_nothing() {
     for (price, ahead) in [(0.0, true), (0.08, false)] {
-        let world = world(&[works(0), works(0)]);
-        let agent = start(&world, |c| {
+        let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
+        let agent = start_agent(&cluster, |c| {
             c["settings"]["prices"]["handshake"] = price.into()
         });
-        let mut client = caller(&agent);
+        let mut client = connect(&agent);
         assert!(wait_until(|| agent.log().contains("phase: Serving")));
         sleep(ms(200));
         let opened = || {
-            let connections = world
+            let connections = cluster
                 .transfer_counts(0, 0)
                 .get(endpoint::CONNECTIONS)
                 .copied()
@@ -795,13 +809,13 @@
 
 #[test]
 fn is_ready_and_rejects_without_any_list_while_discovery_is_away() {
-    let world = world(&[works(0)]);
-    world
+    let cluster = cluster_of(&[working_for_ms(0)]);
+    cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Unresponsive);
     let begun = Instant::now();
-    let agent = start(&world, |c| c["known"]["servers"] = serde_json::json!([]));
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, |c| c["known"]["servers"] = serde_json::json!([]));
+    let mut client = connect(&agent);
     assert!(
         begun.elapsed() < ms(8000),
         "ready after {:?}",
@@ -809,7 +823,7 @@
     );
     client.send_query("view", 600);
     assert_eq!(client.read_reply().unwrap().code(), Some("53300".into()));
-    world.discovery.set_behavior(DiscoveryBehavior::Normal);
+    cluster.discovery.set_behavior(DiscoveryBehavior::Normal);
     assert!(wait_until(|| {
         client.send_query("view", 600);
         client.read_reply().unwrap().code().is_none()
@@ -822,22 +836,24 @@
 /// count, and what was told while none was open was lost.
 #[test]
 fn rolls_back_a_build_that_the_platforms_counts_show_as_failing() {
-    let world = world(&[works(0), works(0)]);
-    world.add_endpoint(0, "t-0", 42, works(0)).unwrap();
-    world
+    let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
+    cluster
+        .add_endpoint(0, "t-0", 42, working_for_ms(0))
+        .unwrap();
+    cluster
         .platform
         .set_rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.2));
-    let agent = start(&world, |c| {
+    let agent = start_agent(&cluster, |c| {
         let domain = &mut c["settings"]["domain"];
         domain["tally-every-ms"] = 500.into();
         domain["counted-share"] = 0.5.into();
     });
-    caller(&agent);
+    connect(&agent);
     let back = wait_until(|| {
-        world.platform.report_counts(41, "view", 20, 0, ms(20));
-        world.platform.report_counts(42, "view", 20, 12, ms(20));
+        cluster.platform.report_counts(41, "view", 20, 0, ms(20));
+        cluster.platform.report_counts(42, "view", 20, 12, ms(20));
         sleep(ms(50));
-        world
+        cluster
             .platform
             .votes()
             .iter()
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -22,14 +22,14 @@
     ]
 }
 
-fn acts(act: ResponseBehavior) -> EndpointBehavior {
+fn responding_with(act: ResponseBehavior) -> EndpointBehavior {
     EndpointBehavior {
         response: act,
         ..EndpointBehavior::default()
     }
 }
 
-fn late() -> EndpointBehavior {
+fn slow_endpoint() -> EndpointBehavior {
     EndpointBehavior {
         work: Duration::from_millis(400),
         ..EndpointBehavior::default()
@@ -37,41 +37,41 @@
 }
 
 /// One zone with an endpoint for each of these, `s-0` first.
-fn world(ways: &[EndpointBehavior]) -> TestCluster {
-    let world = TestCluster::new(&["a"], classes()).unwrap();
+fn cluster_of(ways: &[EndpointBehavior]) -> TestCluster {
+    let cluster = TestCluster::new(&["a"], classes()).unwrap();
     for (n, ways) in ways.iter().enumerate() {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
             .unwrap();
     }
-    world
+    cluster
 }
 
-fn start(world: &TestCluster, sockets: usize) -> AgentProcess {
-    let mut configuration = world.configuration("n1", 0).unwrap();
+fn start_agent(cluster: &TestCluster, sockets: usize) -> AgentProcess {
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = sockets.into();
     AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
-fn caller(program: &AgentProcess) -> TestClient {
+fn connect(program: &AgentProcess) -> TestClient {
     TestClient::connect(program.address().unwrap()).unwrap()
 }
 
 /// The code of the error, or nothing where the value came.
-fn told(caller: &mut TestClient) -> Option<String> {
-    let told = caller.read_reply().unwrap();
-    if let Reply::Value(bytes) = &told {
+fn reply_code(client: &mut TestClient) -> Option<String> {
+    let reply = client.read_reply().unwrap();
+    if let Reply::Value(bytes) = &reply {
         assert_eq!(bytes, &[0x9f, 3]);
     }
-    told.code()
+    reply.code()
 }
 
-fn seen(world: &TestCluster, id: &str) -> usize {
-    world.endpoint(id).unwrap().received_count()
+fn received_count(cluster: &TestCluster, id: &str) -> usize {
+    cluster.endpoint(id).unwrap().received_count()
 }
 
 /// An address where nobody listens.
-fn nobody() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -80,15 +80,19 @@
 
 #[test]
 fn passes_a_value_on_and_answers_pipelined_queries_in_order() {
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     client.send_query("view", 1000);
     client.send_query("nothing", 1000);
     client.send_query("payment", 1000);
-    let codes = (told(&mut client), told(&mut client), told(&mut client));
+    let codes = (
+        reply_code(&mut client),
+        reply_code(&mut client),
+        reply_code(&mut client),
+    );
     assert_eq!(codes, (None, Some("42601".into()), None));
-    let sent = world.endpoint("s-0").unwrap().received_queries();
+    let sent = cluster.endpoint("s-0").unwrap().received_queries();
     assert_eq!(sent.len(), 2, "a faulty statement goes nowhere");
     assert!(sent[0]
         .statement
@@ -97,49 +101,55 @@
 
 #[test]
 fn fails_a_non_idempotent_request_whose_connection_ended_after_its_last_byte() {
-    let world = world(&[acts(ResponseBehavior::Close), acts(ResponseBehavior::Close)]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[
+        responding_with(ResponseBehavior::Close),
+        responding_with(ResponseBehavior::Close),
+    ]);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     client.send_query("payment", 1000);
-    assert_eq!(told(&mut client), Some("XX000".into()));
-    assert_eq!(seen(&world, "s-0") + seen(&world, "s-1"), 1);
+    assert_eq!(reply_code(&mut client), Some("XX000".into()));
+    assert_eq!(
+        received_count(&cluster, "s-0") + received_count(&cluster, "s-1"),
+        1
+    );
 }
 
 #[test]
 fn rejects_a_request_that_finds_no_connection() {
     // Refused before the last byte.
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    world
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    cluster
         .discovery
-        .update_entry("s-0", |e| e.addresses = vec![nobody()]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+        .update_entry("s-0", |e| e.addresses = vec![unused_address()]);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     client.send_query("payment", 600);
-    assert_eq!(told(&mut client), Some("53300".into()));
+    assert_eq!(reply_code(&mut client), Some("53300".into()));
 }
 
 #[test]
 fn does_not_reuse_a_connection_that_ended_after_its_response() {
-    let world = world(&[acts(ResponseBehavior::AnswerAndClose)]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::AnswerAndClose)]);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     for _ in 0..5 {
         client.send_query("payment", 1000);
-        assert_eq!(told(&mut client), None);
+        assert_eq!(reply_code(&mut client), None);
         thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(seen(&world, "s-0"), 5);
+    assert_eq!(received_count(&cluster, "s-0"), 5);
 }
 
 #[test]
 fn does_not_take_bytes_after_a_response_for_the_next_response() {
-    let world = world(&[acts(ResponseBehavior::AnswerTwice)]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::AnswerTwice)]);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     for n in 1..6 {
         client.send_query("payment", 1000);
         assert_eq!(
-            (told(&mut client), seen(&world, "s-0")),
+            (reply_code(&mut client), received_count(&cluster, "s-0")),
             (None, n),
             "command {n}"
         );
@@ -148,37 +158,37 @@
 
 #[test]
 fn treats_a_malformed_response_as_a_failed_attempt_that_may_have_run() {
-    let one = world(&[acts(ResponseBehavior::StallMidAnswer)]);
-    let agent = start(&one, 1024);
-    let mut client = caller(&agent);
+    let one = cluster_of(&[responding_with(ResponseBehavior::StallMidAnswer)]);
+    let agent = start_agent(&one, 1024);
+    let mut client = connect(&agent);
     let begun = Instant::now();
     client.send_query("payment", 1500);
-    assert_eq!(told(&mut client), Some("XX000".into()));
+    assert_eq!(reply_code(&mut client), Some("XX000".into()));
     assert!(
         begun.elapsed() < Duration::from_millis(1000),
         "its end is not waited for"
     );
-    assert_eq!(seen(&one, "s-0"), 1);
-    let both = world(&[
-        acts(ResponseBehavior::StallMidAnswer),
-        acts(ResponseBehavior::Answer),
+    assert_eq!(received_count(&one, "s-0"), 1);
+    let both = cluster_of(&[
+        responding_with(ResponseBehavior::StallMidAnswer),
+        responding_with(ResponseBehavior::Answer),
     ]);
-    let agent = start(&both, 1024);
-    let mut client = caller(&agent);
+    let agent = start_agent(&both, 1024);
+    let mut client = connect(&agent);
     for _ in 0..5 {
         client.send_query("view", 1500);
-        assert_eq!(told(&mut client), None);
+        assert_eq!(reply_code(&mut client), None);
     }
 }
 
 #[test]
 fn asks_again_after_a_malformed_list_or_line() {
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     // Spoilt here, not by a change there: the agent could be moved on between the change and its
     // taking back.
-    let drains = world
+    let drains = cluster
         .discovery
         .full_list(0)
         .to_string()
@@ -212,7 +222,7 @@
     assert!((0..3).any(|_| again_soon()));
     client.send_query("view", 1000);
     assert_eq!(
-        (told(&mut client), seen(&world, "s-0")),
+        (reply_code(&mut client), received_count(&cluster, "s-0")),
         (None, 1),
         "half a list says nothing"
     );
@@ -220,90 +230,99 @@
 
 #[test]
 fn sends_a_rejected_attempt_to_another_endpoint() {
-    let world = world(&[
-        acts(ResponseBehavior::Reject),
-        acts(ResponseBehavior::Answer),
+    let cluster = cluster_of(&[
+        responding_with(ResponseBehavior::Reject),
+        responding_with(ResponseBehavior::Answer),
     ]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     for _ in 0..8 {
         client.send_query("payment", 1000);
-        assert_eq!(told(&mut client), None);
+        assert_eq!(reply_code(&mut client), None);
     }
-    assert!(seen(&world, "s-0") > 0 && seen(&world, "s-1") == 8);
+    assert!(received_count(&cluster, "s-0") > 0 && received_count(&cluster, "s-1") == 8);
 }
 
 #[test]
 fn sends_nothing_to_a_draining_endpoint() {
-    let world = world(&[
-        acts(ResponseBehavior::Answer),
-        acts(ResponseBehavior::Answer),
+    let cluster = cluster_of(&[
+        responding_with(ResponseBehavior::Answer),
+        responding_with(ResponseBehavior::Answer),
     ]);
-    world
+    cluster
         .discovery
         .update_entry("s-0", |e| e.state = "terminating".into());
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     for _ in 0..8 {
         client.send_query("view", 1000);
-        assert_eq!(told(&mut client), None);
+        assert_eq!(reply_code(&mut client), None);
     }
-    assert_eq!((seen(&world, "s-0"), seen(&world, "s-1")), (0, 8));
+    assert_eq!(
+        (
+            received_count(&cluster, "s-0"),
+            received_count(&cluster, "s-1")
+        ),
+        (0, 8)
+    );
 }
 
 #[test]
 fn answers_every_request_beside_an_unresponsive_endpoint() {
-    let world = world(&[EndpointBehavior {
+    let cluster = cluster_of(&[EndpointBehavior {
         unresponsive: true,
         ..EndpointBehavior::default()
     }]);
-    let agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     let begun = Instant::now();
     client.send_query("payment", 300);
-    assert!(told(&mut client).is_some());
+    assert!(reply_code(&mut client).is_some());
     assert!(begun.elapsed() < Duration::from_millis(400));
 }
 
 #[test]
 fn answers_active_requests_at_sigterm_and_exits() {
-    let world = world(&[late()]);
-    let mut agent = start(&world, 1024);
-    let mut client = caller(&agent);
+    let cluster = cluster_of(&[slow_endpoint()]);
+    let mut agent = start_agent(&cluster, 1024);
+    let mut client = connect(&agent);
     client.send_query("payment", 1500);
-    assert!(runtime::wait_until(|| seen(&world, "s-0") == 1));
+    assert!(runtime::wait_until(|| received_count(&cluster, "s-0") == 1));
     agent.terminate().unwrap();
     // A new configuration on the way out ends nothing.
     agent.reload(&agent.configuration.to_string()).unwrap();
     // New clients still come for a while.
-    let mut later = caller(&agent);
+    let mut later = connect(&agent);
     later.send_query("view", 1500);
-    assert_eq!((told(&mut client), told(&mut later)), (None, None));
+    assert_eq!(
+        (reply_code(&mut client), reply_code(&mut later)),
+        (None, None)
+    );
     assert!(agent.wait_for_success().unwrap());
 }
 
 #[test]
 fn moves_discovery_and_platform_by_a_reload_while_requests_are_served() {
     let (old, new) = (
-        world(&[acts(ResponseBehavior::Answer)]),
-        world(&[acts(ResponseBehavior::Answer)]),
+        cluster_of(&[responding_with(ResponseBehavior::Answer)]),
+        cluster_of(&[responding_with(ResponseBehavior::Answer)]),
     );
-    let agent = start(&old, 1024);
-    let mut client = caller(&agent);
+    let agent = start_agent(&old, 1024);
+    let mut client = connect(&agent);
     let mut serve = |until: &dyn Fn() -> bool| {
         let begun = Instant::now();
         while !until() {
             assert!(begun.elapsed() < TEST_TIMEOUT);
             client.send_query("view", 1000);
-            assert_eq!(told(&mut client), None);
+            assert_eq!(reply_code(&mut client), None);
         }
     };
-    serve(&|| seen(&old, "s-0") > 0);
+    serve(&|| received_count(&old, "s-0") > 0);
     // A faulty file changes nothing.
     agent.reload("{\"seed\": \"1\"").unwrap();
     thread::sleep(Duration::from_millis(100));
-    let before = seen(&old, "s-0");
-    serve(&|| seen(&old, "s-0") > before);
+    let before = received_count(&old, "s-0");
+    serve(&|| received_count(&old, "s-0") > before);
     // Several in a row: the last one counts. The list that is told there has the first endpoint no
     // more.
     new.discovery.update_entry("s-0", |e| e.id = "s-9".into());
@@ -316,22 +335,22 @@
     between["discovery"] = "127.0.0.1:1".into();
     agent.reload(&between.to_string()).unwrap();
     agent.reload(&next.to_string()).unwrap();
-    serve(&|| seen(&new, "s-0") > 0);
+    serve(&|| received_count(&new, "s-0") > 0);
     assert!(
         new.discovery.requests() > 0
             && runtime::wait_until(|| agent.log().matches("phase: Serving").count() > 1)
     );
-    let before = seen(&old, "s-0");
-    let there = seen(&new, "s-0");
-    serve(&|| seen(&new, "s-0") > there + 3);
-    assert_eq!(seen(&old, "s-0"), before);
+    let before = received_count(&old, "s-0");
+    let there = received_count(&new, "s-0");
+    serve(&|| received_count(&new, "s-0") > there + 3);
+    assert_eq!(received_count(&old, "s-0"), before);
 }
 
 #[test]
 fn disconnects_a_client_without_a_whole_first_request_and_keeps_one_that_asked_once() {
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    let agent = start(&world, 1024);
-    let mut stays = caller(&agent);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    let agent = start_agent(&cluster, 1024);
+    let mut stays = connect(&agent);
     let startup = pg::startup();
     let half = [&startup[..], b"Q\0\0\0\x40SELECT body"].concat();
     let huge = [&startup[..], b"Q\x03\x93\x87\x00SELECT"].concat();
@@ -352,27 +371,27 @@
         assert!(begun.elapsed() < Duration::from_millis(2900));
     }
     stays.send_query("view", 1000);
-    assert_eq!(told(&mut stays), None);
+    assert_eq!(reply_code(&mut stays), None);
 }
 
 #[test]
 fn refuses_a_second_request_under_an_open_id_and_rejects_too_many_pipelined_ones() {
-    let world = world(&[late()]);
-    let agent = start(&world, 1024);
-    let (mut one, mut two) = (caller(&agent), caller(&agent));
+    let cluster = cluster_of(&[slow_endpoint()]);
+    let agent = start_agent(&cluster, 1024);
+    let (mut one, mut two) = (connect(&agent), connect(&agent));
     one.send_query_as("7", "payment", 1500);
-    assert!(runtime::wait_until(|| seen(&world, "s-0") == 1));
+    assert!(runtime::wait_until(|| received_count(&cluster, "s-0") == 1));
     two.send_query_as("7", "payment", 1500);
     assert_eq!(
-        (told(&mut two), told(&mut one)),
+        (reply_code(&mut two), reply_code(&mut one)),
         (Some("42601".into()), None)
     );
     two.send_query_as("7", "payment", 1500);
-    assert_eq!(told(&mut two), None, "the id is free again");
+    assert_eq!(reply_code(&mut two), None, "the id is free again");
     let begun = Instant::now();
     (0..100).for_each(|_| one.send_query("view", 900));
     let rejected = (0..60)
-        .filter(|_| told(&mut one) == Some("53300".into()))
+        .filter(|_| reply_code(&mut one) == Some("53300".into()))
         .count();
     assert!(
         rejected > 50 && begun.elapsed() < Duration::from_millis(900),
@@ -383,22 +402,22 @@
 #[test]
 fn serves_clients_that_hold_a_third_of_the_descriptors_all_at_once() {
     let work = Duration::from_secs(2);
-    let world = world(&[EndpointBehavior {
+    let cluster = cluster_of(&[EndpointBehavior {
         work,
         cores: 85,
         ..EndpointBehavior::default()
     }]);
-    let mut configuration = world.configuration("n1", 0).unwrap();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 256.into();
     // Of the machine's pace a connection that comes up late tells, not of the sockets.
     configuration["settings"]["limits"]["dial-timeout-ms"] = 5000.into();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    let mut clients: Vec<TestClient> = (0..85).map(|_| caller(&agent)).collect();
+    let mut clients: Vec<TestClient> = (0..85).map(|_| connect(&agent)).collect();
     clients
         .iter_mut()
         .for_each(|c| c.send_query("payment", 15_000));
-    assert_eq!(clients.iter_mut().filter_map(told).count(), 0);
-    let mut sent: Vec<Instant> = world
+    assert_eq!(clients.iter_mut().filter_map(reply_code).count(), 0);
+    let mut sent: Vec<Instant> = cluster
         .endpoint("s-0")
         .unwrap()
         .received_queries()
@@ -417,9 +436,9 @@
 /// again a second later.
 #[test]
 fn accepts_and_serves_a_rush_that_comes_while_the_agent_is_stalled() {
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    let agent = start(&world, 1024);
-    drop(caller(&agent));
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    let agent = start_agent(&cluster, 1024);
+    drop(connect(&agent));
     agent.set_stalled(true).unwrap();
     // The queue is the machine's: this waits for nothing that the agent does.
     let rush: Vec<_> = (0..200)
@@ -439,7 +458,7 @@
     agent.set_stalled(false).unwrap();
     for mut client in rush {
         client.read_until_ready().unwrap();
-        assert_eq!(told(&mut client), None);
+        assert_eq!(reply_code(&mut client), None);
     }
 }
 
@@ -499,11 +518,11 @@
 
 #[test]
 fn goes_on_serving_at_the_descriptor_limit() {
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    let agent = start(&world, 60);
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    let agent = start_agent(&cluster, 60);
     // Twenty-one clients are the most here. Who comes then is rejected, and those that are in are
     // served.
-    let mut clients: Vec<TestClient> = (0..21).map(|_| caller(&agent)).collect();
+    let mut clients: Vec<TestClient> = (0..21).map(|_| connect(&agent)).collect();
     let query = pg::query("SELECT body FROM objects WHERE oid = 'a1' /* id=1,c=view,d=900 */");
     let ahead = [pg::startup(), query].concat();
     let load_report_requests = || {
@@ -522,7 +541,7 @@
     assert!(tag == b'E' && body.windows(6).any(|w| w == b"C53300"));
     for client in &mut clients {
         client.send_query("view", 1000);
-        assert_eq!(told(client), None);
+        assert_eq!(reply_code(client), None);
     }
     // The one that has been idle for longest makes room.
     thread::sleep(Duration::from_millis(300));
@@ -577,18 +596,20 @@
 
 #[test]
 fn asks_only_for_changes_since_the_list_it_knows() {
-    let world = world(&[acts(ResponseBehavior::Answer)]);
-    let mut configuration = world.configuration("n1", 0).unwrap();
-    configuration["known"] = world.discovery.full_list(0);
-    world
-        .add_endpoint(0, "s-1", 41, acts(ResponseBehavior::Answer))
+    let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
+    configuration["known"] = cluster.discovery.full_list(0);
+    cluster
+        .add_endpoint(0, "s-1", 41, responding_with(ResponseBehavior::Answer))
         .unwrap();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    let mut client = caller(&agent);
+    let mut client = connect(&agent);
     let both = runtime::wait_until(|| {
         client.send_query("view", 1000);
-        told(&mut client).is_none() && seen(&world, "s-0") > 0 && seen(&world, "s-1") > 0
+        reply_code(&mut client).is_none()
+            && received_count(&cluster, "s-0") > 0
+            && received_count(&cluster, "s-1") > 0
     });
     assert!(both, "what came after the known list is told");
-    assert_eq!(world.discovery.full_list_requests(), 0);
+    assert_eq!(cluster.discovery.full_list_requests(), 0);
 }
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -43,21 +43,23 @@
 
 /// One load at a time: two of them on a few cores would make near look full, and none of these
 /// tests is about that.
-static TURN: Mutex<()> = Mutex::new(());
+static LOAD_LOCK: Mutex<()> = Mutex::new(());
 
-fn turn() -> MutexGuard<'static, ()> {
-    TURN.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn exclusive_load() -> MutexGuard<'static, ()> {
+    LOAD_LOCK
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 /// An agent in akl-east with this said of zones, and its door.
 struct Agent {
-    _turn: MutexGuard<'static, ()>,
+    _exclusive_load: MutexGuard<'static, ()>,
     program: AgentProcess,
     door: String,
 }
 
 fn start(world: &TestCluster, zones: &str) -> Agent {
-    let turn = turn();
+    let exclusive_load = exclusive_load();
     let door = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -79,7 +81,7 @@
     let agent = Agent {
         program,
         door,
-        _turn: turn,
+        _exclusive_load: exclusive_load,
     };
     TestClient::connect(agent.program.address().unwrap()).unwrap();
     agent
@@ -480,7 +482,7 @@
     let mut agent = Agent {
         program,
         door,
-        _turn: turn(),
+        _exclusive_load: exclusive_load(),
     };
     assert_eq!(agent.load(600.0, ms(2500)).run().unanswered, 0);
     let drawn = agent.ask(&["--svg", svg.to_str().unwrap()]);
