--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -92,7 +92,6 @@
         let stall_timeout = self.stall_timeout();
         self.admission.unresponsive_in_flight = self
             .fleet
-            .endpoints
             .iter()
             .filter(|e| e.is_unresponsive(now, stall_timeout))
             .map(|e| e.in_flight)
--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -31,7 +31,7 @@
         key: u64,
         candidates: &'a [Candidate],
     ) -> Option<&'a Candidate> {
-        let distance = |c: &Candidate| self.key_distance(key, &self.fleet.endpoints[c.endpoint]);
+        let distance = |c: &Candidate| self.key_distance(key, self.fleet.endpoint(c.endpoint));
         candidates
             .iter()
             .min_by(|a, b| distance(a).total_cmp(&distance(b)))
@@ -39,7 +39,7 @@
 
     /// Remembers which build answered a key, where it may not return to an earlier one.
     pub(super) fn bind_key(&mut self, ended: &EndedAttempt, outcome: Outcome) {
-        let build = ended.build.max(self.fleet.endpoints[ended.endpoint].build);
+        let build = ended.build.max(self.fleet.endpoint(ended.endpoint).build);
         let status = self.rollout.status.as_ref();
         let binds =
             self.parameters.rollout.sticky_builds && status.is_none_or(|s| build >= s.build);
--- a/src/balancer/build_evaluation.rs
+++ b/src/balancer/build_evaluation.rs
@@ -50,7 +50,7 @@
             1.0
         };
         let mut outcomes = self.compare_outcomes(&status, earlier_build, ease);
-        let endpoints = self.running_build(status.build).count().max(1) as f64;
+        let endpoints = self.fleet.index().of_build(status.build).running.max(1) as f64;
         outcomes.strength *= self.failing_endpoints(status.build) / endpoints;
         self.update_latency_regression(now, &status, age);
         let platform = self.compare_platform_counts(status.build, earlier_build);
@@ -59,7 +59,7 @@
         let is_lasting = self.accumulate_evidence(status.build, &finding);
         // The places that it took are given back by a roll back only.
         let takes_places = self.parameters.rollout.in_place
-            && endpoints > ROLL_BACK_SHARE * self.fleet.running().count() as f64;
+            && endpoints > ROLL_BACK_SHARE * self.fleet.index().total().running as f64;
         let verdict = self.verdict(&status, age, &finding, is_lasting, takes_places);
         self.votes.wanted = verdict.map(|verdict| Vote {
             build: status.build,
--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -32,7 +32,7 @@
     pub fn zone_capacities(&self, now: Duration, zones: usize) -> Vec<ZoneCapacity> {
         let mut capacities = vec![ZoneCapacity::default(); zones];
         let stall_timeout = self.stall_timeout();
-        for endpoint in &self.fleet.endpoints {
+        for endpoint in self.fleet.iter() {
             let Some(capacity) = capacities.get_mut(endpoint.zone) else {
                 continue;
             };
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -76,10 +76,10 @@
             return;
         }
         self.clock.resumed_at = now;
-        for endpoint in &mut self.fleet.endpoints {
+        self.fleet.for_each_mut(|endpoint, _| {
             let silent_since = &mut endpoint.health.silent_since;
             *silent_since = silent_since.map(|_| now);
-        }
+        });
     }
 
     /// Takes in the end of an attempt: what it says of its endpoint, its class, its hardware type
@@ -92,11 +92,12 @@
         fault_weight: f64,
     ) {
         let is_evaluating = self.is_evaluating(now);
-        let endpoint = &mut self.fleet.endpoints[ended.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(ended.endpoint);
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         if endpoint.build != ended.build || endpoint.state != EndpointState::Running {
             return;
         }
+        drop(endpoint);
         let is_newest = self.rollout.is_newest(ended.build);
         self.evaluation.peers.count_attempt(is_newest);
         let observation = Observation {
@@ -146,7 +147,7 @@
         let is_lost_for_long = is_fault && self.record_fault(observation);
         // Nothing in flight, nothing owed: after its ejection one request finds out whether it is
         // back.
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         if endpoint.in_flight == 0 {
             endpoint.health.silent_since = None;
         }
@@ -156,7 +157,7 @@
     /// An endpoint that answers after several faults may have restarted, which the list has not
     /// said yet: it is in slow start again.
     fn record_answer(&mut self, observation: &Observation) {
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         if endpoint.health.consecutive_faults > RESTART_FAULTS && endpoint.is_warm() {
             endpoint.warming_since = Some(observation.now);
             endpoint.slow_start.attempts = self.rng.gen_range(0.0..1.0);
@@ -168,7 +169,7 @@
     /// Whether the endpoint said nothing since the attempt was sent. Where it has answered others
     /// since, this request was only heavy.
     fn was_silent(&self, observation: &Observation) -> bool {
-        let health = &self.fleet.endpoints[observation.endpoint].health;
+        let health = &self.fleet.endpoint(observation.endpoint).health;
         let latest = observation.now + self.parameters.timer_granularity;
         let said_nothing = |since: Duration| since + observation.elapsed <= latest;
         !observation.after_stall && health.silent_since.is_some_and(said_nothing)
@@ -176,7 +177,7 @@
 
     /// Counts a lost attempt. Whether there were several in a row.
     fn record_fault(&mut self, observation: &Observation) -> bool {
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         endpoint.health.consecutive_faults += 1;
         endpoint.outcomes[observation.class].lost += 1.0;
         let peers = &mut self.evaluation.peers.outcomes[observation.class];
@@ -201,7 +202,7 @@
     /// build. May let a bad build go on for that time.
     fn record_failure(&mut self, observation: &Observation) {
         let weight = observation.fault_weight;
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         let rate = &mut endpoint.health.failure_rate;
         *rate += FAILURE_RATE_GAIN * weight * (1.0 - *rate);
         let is_failing = *rate > EJECTION_FAILURE_RATE;
@@ -223,10 +224,11 @@
     }
 
     fn record_success(&mut self, observation: &Observation) {
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         endpoint.outcomes[observation.class].succeeded += 1.0;
         endpoint.health.failure_rate *= FAILURE_RATE_DECAY;
         let is_warm = endpoint.is_warm();
+        drop(endpoint);
         self.evaluation.peers.outcomes[observation.class].succeeded += observation.peer_weight;
         if is_warm {
             self.slow_start.completed += 1.0;
@@ -238,7 +240,7 @@
     }
 
     fn observe_latency(&mut self, observation: &Observation, is_warm: bool) {
-        let endpoint = &mut self.fleet.endpoints[observation.endpoint];
+        let (mut endpoint, hardware) = self.fleet.endpoint_and_type_mut(observation.endpoint);
         let class = &mut self.classes[observation.class];
         let latency = observation.elapsed.as_secs_f64();
         let ratio = (latency / class.latency.mean).min(MAX_LATENCY_RATIO);
@@ -248,7 +250,7 @@
             return;
         }
         let zone = endpoint.zone;
-        let hardware = &mut self.fleet.types[endpoint.endpoint_type];
+        drop(endpoint);
         hardware.latency_ratio.update(ratio, ENDPOINT_TYPE_GAIN);
         // Guards a build that runs only in other zones, as the way there is not its work, and
         // agents that some faults leave the slower hardware only.
@@ -272,9 +274,9 @@
 
     /// Ends the ejection of an endpoint that answers well again.
     fn readmit(&mut self, index: usize) {
-        let endpoint = &mut self.fleet.endpoints[index];
-        let ejection = &mut endpoint.ejection;
+        let mut endpoint = self.fleet.endpoint_mut(index);
         let is_healthy = endpoint.health.failure_rate < EJECTION_FAILURE_RATE;
+        let ejection = &mut endpoint.ejection;
         if !is_healthy || ejection.until.take().is_none() {
             return;
         }
@@ -290,7 +292,7 @@
     fn eject_if_faulty(&mut self, observation: &Observation, is_lost: bool) {
         let duration_if_unreachable = self.unreachable_ejection(observation.outcome);
         let index = observation.endpoint;
-        let endpoint = &mut self.fleet.endpoints[index];
+        let mut endpoint = self.fleet.endpoint_mut(index);
         let is_known = !observation.is_newest
             || OutcomeCounts::sum(&endpoint.outcomes).total() >= MIN_OUTCOMES;
         let is_failing = is_known && endpoint.health.failure_rate > EJECTION_FAILURE_RATE;
@@ -322,7 +324,7 @@
             return MIN_EJECTION;
         }
         let rate = self.classes.iter().map(|c| c.answer_rate).sum::<f64>();
-        let round = self.fleet.endpoints.len() as f64 / rate.max(1.0);
+        let round = self.fleet.len() as f64 / rate.max(1.0);
         Duration::from_secs_f64(round).clamp(MIN_EJECTION, MAX_EJECTION * MAX_UNREACHABLE_EJECTIONS)
     }
 }
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use super::{Balancer, MIN_CALL_GAP};
 use crate::interface::{EndpointEntry, EndpointState};
-use crate::model::{Endpoint, EndpointType};
+use crate::model::EndpointType;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -26,14 +26,13 @@
         for entry in entries {
             self.update_endpoint(now, entry);
         }
-        let running_builds = self.fleet.running().map(|(_, e)| e.build);
-        self.rollout.oldest_build = running_builds.min().unwrap_or(0);
+        self.rollout.oldest_build = self.fleet.index().builds().next().unwrap_or(0);
         self.set_exposure_caps();
     }
 
     fn retire_missing(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<usize> = entries.iter().map(|e| e.endpoint).collect();
-        for index in 0..self.fleet.endpoints.len() {
+        for index in 0..self.fleet.len() {
             if !listed.contains(&index) {
                 self.retire(index, EndpointState::Gone);
             }
@@ -42,7 +41,7 @@
 
     fn update_endpoint(&mut self, now: Duration, entry: &EndpointEntry) {
         self.extend_fleet_for(entry);
-        let known = &self.fleet.endpoints[entry.endpoint];
+        let known = self.fleet.endpoint(entry.endpoint);
         let is_running = entry.state == EndpointState::Running;
         let is_same = known.state == entry.state
             && known.build == entry.build
@@ -57,10 +56,7 @@
     }
 
     fn extend_fleet_for(&mut self, entry: &EndpointEntry) {
-        let endpoints = self.fleet.endpoints.len().max(entry.endpoint + 1);
-        self.fleet
-            .endpoints
-            .resize_with(endpoints, Endpoint::default);
+        self.fleet.extend_to(entry.endpoint + 1);
         let types = self.fleet.types.len().max(entry.endpoint_type + 1);
         self.fleet.types.resize(types, EndpointType::default());
     }
@@ -70,7 +66,12 @@
         let warming_since = entry.started.filter(|s| *s + warm_after > now);
         let first_attempts = self.random_fraction();
         let classes = self.classes.len();
-        self.fleet.endpoints[entry.endpoint].restart(entry, classes, warming_since, first_attempts);
+        self.fleet.endpoint_mut(entry.endpoint).restart(
+            entry,
+            classes,
+            warming_since,
+            first_attempts,
+        );
         let build = self.build_mut(entry.build);
         build.newest_start = build.newest_start.max(entry.started.unwrap_or_default());
     }
--- a/src/balancer/endpoint_weights.rs
+++ b/src/balancer/endpoint_weights.rs
@@ -42,15 +42,10 @@
         let peers = self.peer_latencies(newest_build);
         weigh_types(&mut self.fleet.types);
         let pace = self.slow_start_pace();
-        for endpoint in &mut self.fleet.endpoints {
-            let throughput = self.fleet.types[endpoint.endpoint_type].throughput;
-            update_quota(
-                now,
-                endpoint,
-                &self.parameters.slow_start,
-                throughput,
-                &pace,
-            );
+        let slow_start = &self.parameters.slow_start;
+        self.fleet.for_each_mut(|endpoint, types| {
+            let throughput = types[endpoint.endpoint_type].throughput;
+            update_quota(now, endpoint, slow_start, throughput, &pace);
             let peers = &peers[endpoint.endpoint_type];
             let median = if endpoint.build >= newest_build {
                 peers.newest
@@ -58,7 +53,7 @@
                 peers.earlier
             };
             update_weight(endpoint, median);
-        }
+        });
     }
 
     fn peer_latencies(&self, newest_build: u32) -> Vec<PeerLatencies> {
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -39,7 +39,7 @@
         class: usize,
         age: Duration,
     ) {
-        let Some(endpoint) = self.fleet.endpoints.get_mut(endpoint) else {
+        let Some(mut endpoint) = self.fleet.get_mut(endpoint) else {
             return;
         };
         let answered_since_start = endpoint.started.unwrap_or_default() + age <= now;
@@ -61,7 +61,7 @@
         let is_fresh = started
             .is_some_and(|started| !started.is_zero() && now < started + EVALUATED_AFTER_START);
         (is_fresh || self.rollout.is_canary(build))
-            && self.fleet.running().any(|(_, e)| e.build == build)
+            && self.fleet.index().of_build(build).running > 0
     }
 
     /// Lets all evidence age by one evaluation interval. The baseline of an earlier build does not
@@ -90,9 +90,10 @@
                 }
             }
         };
-        for endpoint in &mut self.fleet.endpoints {
-            decay(&mut endpoint.outcomes, endpoint.build);
-        }
+        self.fleet.for_each_mut(|endpoint, _| {
+            let build = endpoint.build;
+            decay(&mut endpoint.outcomes, build);
+        });
         for (number, build) in &mut self.rollout.builds {
             decay(&mut build.departed_outcomes, *number);
         }
@@ -130,7 +131,8 @@
         let is_newest = self.rollout.status_of(build).is_some();
         let failures = |e: &Endpoint| OutcomeCounts::sum(&e.outcomes).failed_or_lost();
         let half = self.running_build(build).map(failures).sum::<f64>() / 2.0;
-        let discards = is_newest && self.running_build(build).count() > MIN_ENDPOINTS_TO_DISCARD;
+        let discards =
+            is_newest && self.fleet.index().of_build(build).running > MIN_ENDPOINTS_TO_DISCARD;
         for endpoint in self.running_build(build) {
             if discards && failures(endpoint) > half {
                 continue;
@@ -152,7 +154,7 @@
 
     /// Leaves the outcomes of an endpoint that goes with its build, unless it was ejected.
     pub(super) fn retire(&mut self, index: usize, state: EndpointState) {
-        let endpoint = &mut self.fleet.endpoints[index];
+        let mut endpoint = self.fleet.endpoint_mut(index);
         let before = std::mem::replace(&mut endpoint.state, state);
         if before != EndpointState::Running || endpoint.ejection.until.is_some() {
             return;
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -69,7 +69,7 @@
             return Decision::Await;
         }
         let sent_at = attempt.sent_at.max(self.clock.resumed_at);
-        let endpoint = &self.fleet.endpoints[attempt.endpoint];
+        let endpoint = self.fleet.endpoint(attempt.endpoint);
         let is_stalled = now >= sent_at + outlook.stall_timeout
             && endpoint.is_unresponsive(now, outlook.stall_timeout);
         let late_at = sent_at + outlook.late_after;
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -80,15 +80,15 @@
             return;
         };
         let attempt = &mut request.attempts[number];
-        let endpoint = &self.fleet.endpoints[attempt.endpoint];
+        let endpoint = self.fleet.endpoint(attempt.endpoint);
         let median = &mut self.classes[request.class].latency.median;
         let added_latency = self.cross_zone.added_latency(endpoint.zone);
         let is_fast = elapsed.as_secs_f64() <= *median + added_latency;
         if !endpoint.runs_warm(attempt.build) || !attempt.count_speed_once(is_fast) {
             return;
         }
-        let mut running = self.fleet.running();
-        if !running.any(|(_, e)| self.rollout.is_canary(e.build)) {
+        let mut builds = self.fleet.index().builds();
+        if !builds.any(|build| self.rollout.is_canary(build)) {
             *median *= if is_fast { MEDIAN_DOWN } else { MEDIAN_UP };
             return;
         }
@@ -111,7 +111,7 @@
         age: Duration,
     ) {
         let is_running_canary = status.phase == RolloutPhase::Canary
-            && self.running_build(status.build).next().is_some();
+            && self.fleet.index().of_build(status.build).running > 0;
         self.count_waiting(now);
         let is_slow = self.is_fleet_slow();
         let is_overloaded = self.is_short_of_capacity(now);
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -25,9 +25,10 @@
         outcome: Outcome,
         reported_load: Option<f64>,
     ) {
-        let Some(endpoint) = self.fleet.endpoints.get_mut(endpoint) else {
+        if endpoint >= self.fleet.len() {
             return;
-        };
+        }
+        let (mut endpoint, hardware) = self.fleet.endpoint_and_type_mut(endpoint);
         if outcome != Outcome::TimedOut {
             endpoint.load.requested_at = None;
         }
@@ -37,7 +38,6 @@
         endpoint.load.report = Some(LoadReport { load, at: now });
         endpoint.load.sent_since = 0.0;
         if endpoint.is_warm() && endpoint.state == EndpointState::Running {
-            let hardware = &mut self.fleet.types[endpoint.endpoint_type];
             hardware.reported_load.update(load, ENDPOINT_TYPE_GAIN);
         }
     }
@@ -81,9 +81,9 @@
         }
         let probed = [choices.chosen, choices.other];
         request.probed = Some(probed);
-        let is_due = probed.map(|index| needs_report(now, &self.fleet.endpoints[index]));
+        let is_due = probed.map(|index| needs_report(now, self.fleet.endpoint(index)));
         for (index, _) in probed.into_iter().zip(is_due).filter(|(_, due)| *due) {
-            self.fleet.endpoints[index].load.requested_at = Some(now);
+            self.fleet.endpoint_mut(index).load.requested_at = Some(now);
             self.output.load_report_requests.push(index);
         }
         is_due.contains(&true)
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -199,7 +199,7 @@
         let Some(planned) = request.attempts.get(attempt) else {
             return false;
         };
-        let Some(endpoint) = self.fleet.endpoints.get(planned.endpoint) else {
+        let Some(endpoint) = self.fleet.get(planned.endpoint) else {
             return false;
         };
         let idempotency = self.classes[request.class].rules.idempotency;
@@ -279,7 +279,7 @@
     pub fn retained_counts(&self) -> [usize; 4] {
         [
             self.requests.len(),
-            self.fleet.endpoints.len(),
+            self.fleet.len(),
             self.rollout.builds.len(),
             self.affinity.sticky_builds.len(),
         ]
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -45,17 +45,18 @@
     /// Gives these endpoints, by index, other zone indices.
     pub fn reassign_zones(&mut self, zones: &[(usize, usize)]) {
         for (endpoint, zone) in zones {
-            if let Some(endpoint) = self.fleet.endpoints.get_mut(*endpoint) {
+            if let Some(mut endpoint) = self.fleet.get_mut(*endpoint) {
                 endpoint.zone = *zone;
             }
         }
     }
 
     fn carry_over_evidence(&mut self, classes: &CarryOver) {
-        let endpoints = self.fleet.endpoints.iter_mut();
-        for endpoint in endpoints.filter(|e| !e.outcomes.is_empty()) {
-            classes.apply(&mut endpoint.outcomes);
-        }
+        self.fleet.for_each_mut(|endpoint, _| {
+            if !endpoint.outcomes.is_empty() {
+                classes.apply(&mut endpoint.outcomes);
+            }
+        });
         classes.apply(&mut self.evaluation.peers.outcomes);
         for build in self.rollout.builds.values_mut() {
             classes.apply(&mut build.departed_outcomes);
@@ -78,9 +79,11 @@
         if duration <= before {
             return;
         }
-        for endpoint in self.fleet.endpoints.iter_mut().filter(|e| e.is_warm()) {
-            endpoint.warming_since = endpoint.started.filter(|s| *s + duration > now);
-        }
+        self.fleet.for_each_mut(|endpoint, _| {
+            if endpoint.is_warm() {
+                endpoint.warming_since = endpoint.started.filter(|s| *s + duration > now);
+            }
+        });
     }
 
     fn reload_classes(&mut self, settings: &Settings, mapping: &IndexMapping, classes: &CarryOver) {
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -99,7 +99,7 @@
     }
 
     fn take_back_failure(&mut self, failure: FailedAttempt, class: usize) {
-        let endpoint = &mut self.fleet.endpoints[failure.endpoint];
+        let mut endpoint = self.fleet.endpoint_mut(failure.endpoint);
         if endpoint.build != failure.build {
             return;
         }
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -115,10 +115,11 @@
         let recheck_at = (may_retry && cancellation)
             .then(|| now + recheck_after)
             .filter(|at| *at < request.deadline);
-        let endpoint = &mut self.fleet.endpoints[index];
+        let mut endpoint = self.fleet.endpoint_mut(index);
         let build = endpoint.build;
         let class = request.class;
         request.attempts.push(endpoint.send_attempt(index, now));
+        drop(endpoint);
         self.admission.in_flight += 1;
         self.spend_exposure(build, class);
         Decision::Forward {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -55,9 +55,10 @@
 
     /// Takes in what warm endpoints answered in this interval, unless few of them are warm.
     pub(super) fn update_slow_start_pace(&mut self) {
-        let warm = self.fleet.running().filter(|(_, e)| e.is_warm()).count() as f64;
+        let endpoints = self.fleet.index().total();
+        let warm = endpoints.warm as f64;
         let completed = std::mem::take(&mut self.slow_start.completed);
-        if warm * MAX_ENDPOINTS_PER_WARM > self.fleet.running().count() as f64 {
+        if warm * MAX_ENDPOINTS_PER_WARM > endpoints.running as f64 {
             self.slow_start
                 .completed_per_interval
                 .update(completed / warm, PACE_GAIN);
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,6 +1,6 @@
 //! What is remembered of one endpoint.
 
-use super::Attempt;
+use super::{Attempt, EndpointKey};
 use crate::interface::{EndpointEntry, EndpointState};
 use crate::stats::OutcomeCounts;
 use std::time::Duration;
@@ -99,6 +99,20 @@
         self.warming_since.is_none()
     }
 
+    /// What the index of the fleet knows it by.
+    pub fn key(&self) -> EndpointKey {
+        EndpointKey {
+            state: self.state,
+            zone: self.zone,
+            endpoint_type: self.endpoint_type,
+            build: self.build,
+            is_warm: self.is_warm(),
+            is_busy: self.in_flight > 0,
+            silent_since: self.health.silent_since,
+            ejected_until: self.ejection.until,
+        }
+    }
+
     /// Whether it has attempts in flight and said nothing for this long.
     pub fn is_unresponsive(&self, now: Duration, stall_timeout: Duration) -> bool {
         self.health
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -7,6 +7,7 @@
 mod endpoint_type;
 mod evaluation;
 mod fleet;
+mod fleet_index;
 mod load;
 mod request;
 mod rollout;
@@ -18,6 +19,7 @@
 pub(crate) use endpoint_type::EndpointType;
 pub(crate) use evaluation::{EvaluationState, LatencyRegression, PeerOutcomes, SpeedCounts};
 pub(crate) use fleet::Fleet;
+pub(crate) use fleet_index::{EndpointKey, FleetIndex};
 pub(crate) use load::{
     AdmissionState, AffinityState, ClockState, CrossZoneState, ListState, PendingOutput,
     RetryState, SlowStartState,
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -150,7 +150,7 @@
         endpoint: usize,
     ) {
         self.divergences.attempts += 1;
-        let Some(target) = balancer.fleet.endpoints.get(endpoint) else {
+        let Some(target) = balancer.fleet.get(endpoint) else {
             return;
         };
         let Some(rules) = self.settings.classes.get(class) else {
