--- a/src/model/build_outcomes.rs
+++ b/src/model/build_outcomes.rs
@@ -65,9 +65,7 @@
     /// Adds the sums, multiplied by `factor`, to `outcomes`.
     pub fn add_to(&self, outcomes: &mut [OutcomeCounts], factor: f64) {
         for (outcomes, sum) in outcomes.iter_mut().zip(&self.by_class) {
-            if sum.endpoints > 0 {
-                outcomes.decay_and_add(1.0, &sum.counts.scaled(factor));
-            }
+            outcomes.decay_and_add(1.0, &sum.counts.scaled(factor));
         }
     }
 
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -2,9 +2,12 @@
 //! that lets each count decay at each evaluation interval.
 
 use super::super::evidence::NEGLIGIBLE_OUTCOMES;
+use super::super::Balancer;
 use super::*;
+use crate::interface::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::time::Duration;
 
 const HOUR: u64 = 36_000; // evaluation intervals
 const DISCARDS: [bool; 2] = [false, true];
@@ -442,23 +445,73 @@
 /// What rounding leaves of a difference would pass for a class that the build was sent requests of.
 #[test]
 fn a_class_that_no_running_endpoint_was_sent_has_no_outcomes_at_all() {
+    let mut random = Pcg64Mcg::seed_from_u64(1);
+    for _ in 0..50 {
+        let mut evidence = OutcomeEvidence::new();
+        evidence.set_newest_build(2);
+        for endpoint in 0..3 {
+            evidence.start(endpoint, 1);
+            evidence.start(endpoint + 3, 2);
+        }
+        for _ in 0..50 {
+            for endpoint in [0, 1, 3, 4] {
+                evidence.add(endpoint, 0, &succeeded(random.gen_range(0.0..2.0)));
+            }
+            evidence.end_interval();
+        }
+        for endpoint in [0, 1, 3, 4] {
+            evidence.stop(endpoint);
+        }
+        for build in [1, 2] {
+            assert_eq!(evidence.sums_of(build, 1, false)[0].total(), 0.0);
+        }
+    }
+}
+
+/// The same where the one endpoint that was sent the class is left out.
+#[test]
+fn a_class_that_only_the_discarded_endpoint_was_sent_has_no_outcomes_at_all() {
+    let mut random = Pcg64Mcg::seed_from_u64(2);
     let mut evidence = OutcomeEvidence::new();
     evidence.set_newest_build(2);
     for endpoint in 0..3 {
-        evidence.start(endpoint, 1);
-        evidence.start(endpoint + 3, 2);
-    }
-    for interval in 0..50 {
-        for endpoint in [0, 1, 3, 4] {
-            evidence.add(endpoint, 0, &succeeded(0.1 + interval as f64 / 7.0));
+        evidence.start(endpoint, 2);
+    }
+    evidence.add(0, 0, &failed(1.0));
+    evidence.add(1, 1, &failed(1e-3));
+    for _ in 0..500 {
+        if random.gen_bool(0.1) {
+            evidence.add(0, 0, &failed(random.gen_range(0.0..1.0)));
+            evidence.add(0, 0, &succeeded(random.gen_range(0.0..1.0)));
         }
+        evidence.add(random.gen_range(1..3), 1, &succeeded(1.0));
         evidence.end_interval();
+        let sums = evidence.sums_of(2, 2, true);
+        assert_eq!(sums[0].total(), 0.0);
+        assert!(sums[1].total() > 0.0);
     }
-    for endpoint in [0, 1, 3, 4] {
-        evidence.stop(endpoint);
-    }
-    for build in [1, 2] {
-        assert_eq!(evidence.sums_of(build, 1, true)[0].total(), 0.0);
+}
+
+/// Where others had many failures before, what rounding leaves of them is more than its own.
+#[test]
+fn the_one_endpoint_that_fails_is_left_out_however_few_failures_it_has() {
+    let mut random = Pcg64Mcg::seed_from_u64(3);
+    for _ in 0..50 {
+        let mut evidence = OutcomeEvidence::new();
+        evidence.set_newest_build(2);
+        for endpoint in 0..4 {
+            evidence.start(endpoint, 2);
+            evidence.add(endpoint, 0, &succeeded(1.0));
+        }
+        evidence.add(0, 0, &failed(1e-18));
+        for _ in 0..50 {
+            for endpoint in 1..3 {
+                evidence.add(endpoint, 0, &failed(random.gen_range(0.0..1.0)));
+            }
+        }
+        evidence.start(1, 2);
+        evidence.start(2, 2);
+        assert_eq!(evidence.sums_of(2, 1, true)[0].succeeded, 1.0);
     }
 }
 
@@ -494,3 +547,168 @@
     assert_eq!(looked_at, 3);
     assert_eq!(evidence.sums_of(1, 1, false)[0].succeeded, 9.0);
 }
+
+/// The balancer tells the evidence of each start, end and ejection of an endpoint.
+#[test]
+fn the_evidence_knows_each_endpoint_as_the_fleet_does() {
+    for seed in 0..20 {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let mut now = Duration::from_secs(1);
+        let mut balancer = Balancer::new(now, settings(seed));
+        let mut ejections = 0;
+        for id in 0..3000 {
+            now += Duration::from_millis(random.gen_range(1..60));
+            balancer.poll(now);
+            if random.gen_bool(0.03) {
+                let entries = [random_entry(&mut random, id)];
+                balancer.update_endpoints(now, &entries, random.gen_bool(0.02));
+            }
+            if random.gen_bool(0.002) {
+                balancer.update_rollout(status(random.gen_range(1..4)));
+            }
+            serve_one(&mut balancer, &mut random, now, id);
+            ejections += assert_known_as_in_the_fleet(&balancer);
+        }
+        assert!(ejections > 0, "seed {seed}");
+    }
+}
+
+/// Compares both. Returns how many endpoints that run are ejected.
+fn assert_known_as_in_the_fleet(balancer: &Balancer) -> usize {
+    let mut ejections = 0;
+    for (index, endpoint) in balancer.fleet.iter().enumerate() {
+        let Some(record) = balancer.outcomes.endpoints.get(index) else {
+            assert_ne!(endpoint.state, EndpointState::Running);
+            continue;
+        };
+        let runs = endpoint.state == EndpointState::Running;
+        assert_eq!(record.aging.is_some(), runs, "{index}");
+        if runs {
+            let is_ejected = endpoint.ejection.until.is_some();
+            assert_eq!(
+                (record.build, record.is_ejected),
+                (endpoint.build, is_ejected)
+            );
+            ejections += usize::from(is_ejected);
+        }
+    }
+    for build in 0..6 {
+        let counted = balancer
+            .outcomes
+            .builds
+            .get(&build)
+            .map_or(0, |b| b.endpoints);
+        assert_eq!(counted, balancer.fleet.index().of_build(build).running);
+    }
+    assert_eq!(
+        balancer.outcomes.newest_build,
+        balancer.rollout.newest_build()
+    );
+    ejections
+}
+
+fn random_entry(random: &mut Pcg64Mcg, id: u64) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: random.gen_range(0..8),
+        zone: 0,
+        cell: 0,
+        identity: 0,
+        endpoint_type: 0,
+        build: random.gen_range(1..4),
+        state: if random.gen_bool(0.8) {
+            EndpointState::Running
+        } else {
+            EndpointState::Draining
+        },
+        started: Some(Duration::from_millis(id)),
+    }
+}
+
+fn serve_one(balancer: &mut Balancer, random: &mut Pcg64Mcg, now: Duration, id: u64) {
+    let request = Request {
+        class: random.gen_range(0..3),
+        tenant: None,
+        key: None,
+        time_left: Duration::from_secs(1),
+        estimated_work: None,
+        is_retry: false,
+    };
+    balancer.on_request(now, id, request);
+    let mut decision = balancer.route(now, id);
+    let mut attempt = 0;
+    while let Decision::Forward { endpoint, .. } = decision {
+        // Endpoints of even index are often lost.
+        let outcome = match random.gen_range(0..10) {
+            0 => Outcome::Failed,
+            1..=3 if endpoint % 2 == 0 => Outcome::ConnectionLost,
+            4 if endpoint % 2 == 0 => Outcome::ConnectFailed,
+            _ => Outcome::Succeeded,
+        };
+        let end = AttemptEnd {
+            outcome,
+            latency: Duration::from_millis(5),
+            request_closed: outcome == Outcome::Succeeded,
+            reported_load: None,
+        };
+        decision = balancer.on_attempt_end(now, id, attempt, end);
+        attempt += 1;
+    }
+    balancer.close_request(id);
+}
+
+fn status(build: u32) -> RolloutStatus {
+    RolloutStatus {
+        build,
+        stage: 0,
+        phase: RolloutPhase::Canary,
+        cap: 0.5,
+        since: Duration::ZERO,
+    }
+}
+
+fn settings(seed: u64) -> Settings {
+    let class = RequestClass {
+        latency_objective: Duration::from_millis(400),
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
+    };
+    Settings {
+        seed,
+        agents: 1,
+        zone: 0,
+        classes: vec![class; 3],
+        tenants: Vec::new(),
+        weight_by_work: false,
+        list_polled: false,
+        shared_discovery: false,
+        max_poll_interval: Duration::from_secs(10),
+        hedging: false,
+        cancellation: true,
+        retry_after: None,
+        max_attempts: 4,
+        cross_zone_price: 0.0,
+        slow_start_share: 0.3,
+        slow_start_duration: Duration::from_secs(1),
+        overload_window: Duration::from_secs(2),
+        overload_factor: 3.0,
+        load_probes: false,
+        key_affinity: false,
+        timer_granularity: Duration::from_millis(1),
+        rollout: RolloutPolicy {
+            caps: vec![0.5, 1.0],
+            exposure_burst: 2.0,
+            cap_per_class: false,
+            guarded_stages: 0,
+            sticky_builds: false,
+            timed_stages: true,
+            in_place: false,
+            votes_to_roll_back: 1,
+            votes_to_hold: 1,
+            platform_counts: false,
+            vote_ttl: Duration::from_secs(6),
+            vote_timeout: Duration::from_secs(1),
+            votes_per_second: 40.0,
+            reported_error_share: 0.5,
+        },
+    }
+}
