--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -1,14 +1,16 @@
 //! Which endpoint or build a key belongs to.
 
-use super::candidates::Candidate;
 use super::Balancer;
 use crate::interface::{Outcome, RolloutPhase};
-use crate::model::{ActiveRequest, EndedAttempt, Endpoint};
-use crate::stats::rendezvous_distance;
+use crate::model::{ActiveRequest, AffinityGroup, EndedAttempt};
+use crate::stats::{KindWeight, RankedMembers};
 
 /// Requests within which a key that is met again counts as popular: any endpoint serves it fast,
 /// and it would overload a single one.
 const POPULAR_WITHIN: usize = 32;
+/// Endpoints of a key that are asked for at the most, in a fleet too large to go by all of them. With
+/// half of the endpoints out of use one key of 256 has none.
+const MAX_AFFINITY_ENDPOINTS: u64 = 8;
 
 impl Balancer {
     /// The key of a request, where it is to go to the key's affinity endpoint.
@@ -18,23 +20,48 @@
         (!is_popular).then_some(key)
     }
 
-    /// Distance of an endpoint from a key, by its identity and hardware type: all agents find the
-    /// same one nearest.
-    pub(crate) fn key_distance(&self, key: u64, endpoint: &Endpoint) -> f64 {
-        let weight = self.fleet.types[endpoint.endpoint_type].rounded_throughput;
-        rendezvous_distance(key, endpoint.identity, weight)
+    /// The affinity endpoint of a request that is sent for the first time: the first one of its
+    /// key that may be used for it.
+    pub(super) fn affinity_endpoint_where(
+        &self,
+        request: &ActiveRequest,
+        may_be_used: impl Fn(usize) -> bool,
+    ) -> Option<usize> {
+        let is_retry = !request.attempts.is_empty();
+        let key = request.affinity_key.filter(|_| !is_retry)?;
+        let is_preferred = |zone| !self.is_last_resort(zone, request.class, is_retry);
+        let first_used = |mut endpoints: RankedMembers| endpoints.find(|e| may_be_used(*e));
+        first_used(self.endpoints_of_key(key, is_preferred))
+            .or_else(|| first_used(self.endpoints_of_key(key, |_| true)))
     }
 
-    /// The affinity endpoint of a key among these candidates.
-    pub(super) fn nearest<'a>(
+    /// The running endpoints of a key, the first one first, by their identities and hardware types:
+    /// all agents find the same order.
+    ///
+    /// A small fleet has all of them in it. Of a large one it has a few, and those in preferred
+    /// zones only: an endpoint beyond them has not served the key lately.
+    pub(crate) fn endpoints_of_key(
         &self,
         key: u64,
-        candidates: &'a [Candidate],
-    ) -> Option<&'a Candidate> {
-        let distance = |c: &Candidate| self.key_distance(key, self.fleet.endpoint(c.endpoint));
-        candidates
-            .iter()
-            .min_by(|a, b| distance(a).total_cmp(&distance(b)))
+        is_preferred_zone: impl Fn(usize) -> bool,
+    ) -> RankedMembers<'_> {
+        let weigh = |group: &AffinityGroup| KindWeight {
+            weight: self.rounded_throughput(group.endpoint_type),
+            is_preferred: is_preferred_zone(group.zone),
+        };
+        let affinity = self.fleet.index().affinity();
+        affinity.endpoints_for(key, weigh, MAX_AFFINITY_ENDPOINTS)
+    }
+
+    /// Nodes that were visited so far to find the endpoints of keys: a measure of work that does not
+    /// depend on a clock.
+    pub fn affinity_nodes_visited(&self) -> u64 {
+        self.fleet.index().affinity().visited()
+    }
+
+    fn rounded_throughput(&self, endpoint_type: usize) -> f64 {
+        let hardware = self.fleet.types.get(endpoint_type);
+        hardware.map_or(1.0, |hardware| hardware.rounded_throughput)
     }
 
     /// Remembers which build answered a key, where it may not return to an earlier one.
--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -297,19 +297,16 @@
     ) -> TwoChoices {
         let [mut first, mut second] = drawn;
         let is_retry = !request.attempts.is_empty();
-        let affinity = request
-            .affinity_key
-            .filter(|_| !is_retry)
-            .and_then(|key| self.nearest(key, candidates));
-        if let Some(nearest) = affinity {
-            first = *nearest;
+        let find = |index: usize| candidates.binary_search_by_key(&index, |c| c.endpoint).ok();
+        let affinity = self.affinity_endpoint_where(request, |index| find(index).is_some());
+        if let Some(place) = affinity.and_then(find) {
+            first = candidates[place];
         }
         if let Some(probed) = request.probed.filter(|_| !is_retry) {
             let [a, b] = probed.map(|index| candidates.iter().find(|c| c.endpoint == index));
             first = *a.or(b).unwrap_or(&first);
             second = *b.or(a).unwrap_or(&second);
         }
-        let affinity = affinity.map(|nearest| nearest.endpoint);
         if cost(&second, affinity) < cost(&first, affinity) {
             (first, second) = (second, first);
         }
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -103,6 +103,7 @@
     pub fn key(&self) -> EndpointKey {
         EndpointKey {
             state: self.state,
+            identity: self.identity,
             zone: self.zone,
             endpoint_type: self.endpoint_type,
             build: self.build,
--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -1,5 +1,6 @@
 //! What is kept up to date about the endpoints at each change, so that nobody walks over them.
 
+use super::AffinityIndex;
 use crate::interface::EndpointState;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,6 +10,8 @@
 pub(crate) struct EndpointKey {
     /// Whether it may be sent requests.
     pub state: EndpointState,
+    /// Number that identifies it at every agent.
+    pub identity: u64,
     /// Index of its zone.
     pub zone: usize,
     /// Index of its hardware type.
@@ -58,17 +61,19 @@
 pub(crate) struct FleetIndex {
     total: EndpointCount,
     by_build: BTreeMap<u32, EndpointCount>,
+    affinity: AffinityIndex,
 }
 
 impl FleetIndex {
     /// Takes in a change of one endpoint.
-    pub fn update(&mut self, _endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
+    pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
         if before.is_running() {
             self.remove(before);
         }
         if after.is_running() {
             self.add(after);
         }
+        self.affinity.update(endpoint, before, after);
     }
 
     fn add(&mut self, key: &EndpointKey) {
@@ -91,6 +96,11 @@
         self.total
     }
 
+    /// The running endpoints, by the keys that are theirs.
+    pub fn affinity(&self) -> &AffinityIndex {
+        &self.affinity
+    }
+
     /// Endpoints of one build.
     pub fn of_build(&self, build: u32) -> EndpointCount {
         self.by_build.get(&build).copied().unwrap_or_default()
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,7 @@
 //! What a [`Balancer`](crate::Balancer) remembers, a file an owner: plain state and questions
 //! about it. Every decision, and every tuned value, is in the `balancer` module.
 
+mod affinity_index;
 mod build;
 mod class;
 mod endpoint;
@@ -13,6 +14,7 @@
 mod rollout;
 mod votes;
 
+pub(crate) use affinity_index::{AffinityGroup, AffinityIndex};
 pub(crate) use build::{BuildState, PlatformTotals};
 pub(crate) use class::{ClassRules, ClassState, LatencyEstimate};
 pub(crate) use endpoint::{Endpoint, LoadReport};
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -225,14 +225,16 @@
         let Some(key) = key.filter(|_| self.settings.key_affinity) else {
             return false;
         };
-        let distance = |endpoint| balancer.key_distance(key, endpoint);
+        let fleet = &balancer.fleet;
+        let is_usual = |e: &Endpoint| !balancer.rollout.is_canary(e.build) && e.is_warm();
         let nearest = balancer
-            .fleet
-            .running()
-            .filter(|(_, e)| !balancer.rollout.is_canary(e.build) && e.is_warm())
-            .min_by(|(_, a), (_, b)| distance(a).total_cmp(&distance(b)));
-        nearest.is_some_and(|(index, e)| {
-            index != endpoint && e.in_flight == 0 && e.ejection.until.is_none()
-        })
+            .endpoints_of_key(key, |_| true)
+            .find(|index| fleet.get(*index).is_some_and(is_usual));
+        nearest
+            .filter(|index| *index != endpoint)
+            .is_some_and(|index| {
+                let nearest = fleet.endpoint(index);
+                nearest.in_flight == 0 && nearest.ejection.until.is_none()
+            })
     }
 }
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -5,6 +5,8 @@
 mod likelihood;
 mod outcome_counts;
 mod rendezvous;
+mod rendezvous_tree;
+mod rendezvous_trie;
 
 pub(crate) use ewma::Ewma;
 pub(crate) use latency_histogram::LatencyHistogram;
@@ -13,4 +15,5 @@
     Proportion,
 };
 pub(crate) use outcome_counts::OutcomeCounts;
-pub(crate) use rendezvous::rendezvous_distance;
+pub(crate) use rendezvous_tree::{KindWeight, RankedMembers, RendezvousTree};
+pub(crate) use rendezvous_trie::RendezvousMember;
--- a/src/stats/rendezvous.rs
+++ b/src/stats/rendezvous.rs
@@ -6,11 +6,17 @@
 ///
 /// With a hash `h` of key and node, uniform on 0 to 1, it is `-ln h / weight`.
 pub(crate) fn rendezvous_distance(key: u64, node: u64, weight: f64) -> f64 {
-    let mut hash = key ^ node.rotate_left(32);
-    // The finalizer of MurmurHash3.
+    let hash = mix_bits(key ^ node.rotate_left(32));
+    let uniform = (hash >> 11) as f64 / (1u64 << 53) as f64;
+    -uniform.max(1e-18).ln() / weight.max(1e-9)
+}
+
+/// The finalizer of MurmurHash3: each bit of the result depends on all bits of the number, and no
+/// two numbers have the same result.
+pub(super) fn mix_bits(number: u64) -> u64 {
+    let mut hash = number;
     for factor in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
         hash = (hash ^ hash >> 33).wrapping_mul(factor);
     }
-    let uniform = ((hash ^ hash >> 33) >> 11) as f64 / (1u64 << 53) as f64;
-    -uniform.max(1e-18).ln() / weight.max(1e-9)
+    hash ^ hash >> 33
 }
--- /dev/null
+++ b/src/stats/rendezvous_trie.rs
@@ -0,0 +1,187 @@
+//! The nodes of a [`RendezvousTree`](super::RendezvousTree): a trie over a hash of the identities.
+//!
+//! Its shape follows from the set of its members alone: an inner node has a child for each value of
+//! the next bits that two members or more lead to, and a leaf ends each path as soon as only one
+//! identity is left.
+
+use super::rendezvous::mix_bits;
+
+/// Bits of the hash that a level of inner nodes goes by: up to 16 children.
+const BITS_PER_LEVEL: u32 = 4;
+
+/// A member of the tree.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct RendezvousMember {
+    /// Number that identifies it everywhere.
+    pub identity: u64,
+    /// What it is called here.
+    pub value: usize,
+    /// Index of its kind: members of one kind have the same weight.
+    pub kind: usize,
+}
+
+/// How many members there are of each kind.
+///
+/// Integers, so that the sums do not depend on the order in which members came and went.
+#[derive(Default)]
+pub(super) struct KindCounts(Vec<(usize, u64)>);
+
+impl KindCounts {
+    fn add(&mut self, kind: usize) {
+        match self.0.binary_search_by_key(&kind, |(k, _)| *k) {
+            Ok(at) => self.0[at].1 += 1,
+            Err(at) => self.0.insert(at, (kind, 1)),
+        }
+    }
+
+    fn remove(&mut self, kind: usize) {
+        let Ok(at) = self.0.binary_search_by_key(&kind, |(k, _)| *k) else {
+            return;
+        };
+        self.0[at].1 -= 1;
+        if self.0[at].1 == 0 {
+            self.0.remove(at);
+        }
+    }
+
+    fn weight(&self, weight_of: &impl Fn(usize) -> u64) -> u64 {
+        let weights = self.0.iter();
+        weights
+            .map(|(kind, count)| weight_of(*kind).saturating_mul(*count))
+            .fold(0, u64::saturating_add)
+    }
+}
+
+/// An inner node: what is below it, by the next bits of the hash.
+#[derive(Default)]
+pub(super) struct InnerNode {
+    counts: KindCounts,
+    /// In order of their slots.
+    pub children: Vec<Child>,
+}
+
+/// A child of an inner node.
+pub(super) struct Child {
+    /// The bits of the hash that lead to it.
+    pub slot: u8,
+    /// What is there.
+    pub node: Node,
+}
+
+/// What stands at the end of a path.
+pub(super) enum Node {
+    /// The members of one identity, which are one but for faulty input.
+    Leaf(Vec<RendezvousMember>),
+    /// Members of several identities.
+    Inner(InnerNode),
+}
+
+impl Node {
+    /// The sum of its members' weights, by their kind.
+    pub fn weight(&self, weight_of: &impl Fn(usize) -> u64) -> u64 {
+        match self {
+            Node::Leaf(members) => members
+                .iter()
+                .map(|member| weight_of(member.kind))
+                .fold(0, u64::saturating_add),
+            Node::Inner(inner) => inner.counts.weight(weight_of),
+        }
+    }
+
+    fn insert(&mut self, depth: u32, member: RendezvousMember) -> u64 {
+        if let Node::Leaf(members) = self {
+            if members.iter().all(|m| m.identity == member.identity) {
+                let at = members.partition_point(|m| *m < member);
+                members.insert(at, member);
+                return 1;
+            }
+            let members = std::mem::take(members);
+            *self = Node::Inner(InnerNode::of_leaf(depth, members));
+        }
+        match self {
+            Node::Inner(inner) => inner.insert(depth, member),
+            Node::Leaf(_) => 0,
+        }
+    }
+
+    /// Makes an inner node that has only a leaf below it that leaf.
+    fn collapse(&mut self) {
+        let Node::Inner(inner) = self else { return };
+        let [child] = inner.children.as_mut_slice() else {
+            return;
+        };
+        if let Node::Leaf(members) = &mut child.node {
+            *self = Node::Leaf(std::mem::take(members));
+        }
+    }
+}
+
+impl InnerNode {
+    fn of_leaf(depth: u32, members: Vec<RendezvousMember>) -> InnerNode {
+        let mut counts = KindCounts::default();
+        for member in &members {
+            counts.add(member.kind);
+        }
+        let slot = members.first().map_or(0, |m| slot_at(depth, m.identity));
+        let node = Node::Leaf(members);
+        let children = vec![Child { slot, node }];
+        InnerNode { counts, children }
+    }
+
+    /// Adds a member below this node, which stands at this depth. Returns how many nodes it
+    /// visited.
+    ///
+    /// The hash gives different identities different bits, so that their paths part before the bits
+    /// end.
+    pub fn insert(&mut self, depth: u32, member: RendezvousMember) -> u64 {
+        self.counts.add(member.kind);
+        let slot = slot_at(depth, member.identity);
+        match self.children.binary_search_by_key(&slot, |c| c.slot) {
+            Ok(at) => 1 + self.children[at].node.insert(depth + 1, member),
+            Err(at) => {
+                let node = Node::Leaf(vec![member]);
+                self.children.insert(at, Child { slot, node });
+                2
+            }
+        }
+    }
+
+    /// Removes a member from below this node. Returns how many nodes it visited, or `None` where
+    /// there is no such member.
+    pub fn remove(&mut self, depth: u32, member: &RendezvousMember) -> Option<u64> {
+        let slot = slot_at(depth, member.identity);
+        let at = self.children.binary_search_by_key(&slot, |c| c.slot);
+        let at = at.ok()?;
+        let visited = match &mut self.children[at].node {
+            Node::Leaf(members) => {
+                let place = members.binary_search(member).ok()?;
+                members.remove(place);
+                1
+            }
+            Node::Inner(inner) => inner.remove(depth + 1, member)?,
+        };
+        self.counts.remove(member.kind);
+        if matches!(&self.children[at].node, Node::Leaf(members) if members.is_empty()) {
+            self.children.remove(at);
+        } else {
+            self.children[at].node.collapse();
+        }
+        Some(1 + visited)
+    }
+
+    /// Goes through all members below this node.
+    pub fn for_each(&self, visit: &mut impl FnMut(&RendezvousMember)) {
+        for child in &self.children {
+            match &child.node {
+                Node::Leaf(members) => members.iter().for_each(&mut *visit),
+                Node::Inner(inner) => inner.for_each(visit),
+            }
+        }
+    }
+}
+
+/// The bits of an identity's hash that tell the child of an inner node at this depth.
+fn slot_at(depth: u32, identity: u64) -> u8 {
+    let path = mix_bits(identity).rotate_left(BITS_PER_LEVEL * (depth + 1));
+    (path & ((1 << BITS_PER_LEVEL) - 1)) as u8
+}
--- /dev/null
+++ b/tests/rendezvous_tree.rs
@@ -0,0 +1,361 @@
+//! Hierarchical rendezvous hashing: small sets keep the plain order, shares follow the weights, few
+//! keys move, and work does not grow with the set.
+
+#[path = "../src/stats/rendezvous.rs"]
+#[allow(dead_code)]
+mod rendezvous;
+#[path = "../src/stats/rendezvous_tree.rs"]
+mod rendezvous_tree;
+#[path = "../src/stats/rendezvous_trie.rs"]
+mod rendezvous_trie;
+
+use rand::seq::SliceRandom;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use rendezvous::rendezvous_distance;
+use rendezvous_tree::{KindWeight, RendezvousTree};
+use rendezvous_trie::RendezvousMember;
+use std::collections::BTreeSet;
+
+const SIZES: [usize; 4] = [55, 770, 7700, 30_000];
+const DESCENTS: u64 = 8;
+
+/// Numbers without a pattern, as hashes of names are.
+fn scramble(number: u64) -> u64 {
+    let mut rng = Pcg64Mcg::seed_from_u64(number);
+    rng.gen()
+}
+
+fn member(value: usize, kind: usize) -> RendezvousMember {
+    RendezvousMember {
+        identity: scramble(value as u64),
+        value,
+        kind,
+    }
+}
+
+fn tree_of(members: &[RendezvousMember]) -> RendezvousTree {
+    let mut tree = RendezvousTree::default();
+    members.iter().for_each(|member| tree.insert(*member));
+    tree
+}
+
+/// So many members, by turns of so many kinds.
+fn members(count: usize, kinds: usize) -> Vec<RendezvousMember> {
+    (0..count)
+        .map(|value| member(value, value % kinds))
+        .collect()
+}
+
+fn preferred(weights: &[f64]) -> Vec<KindWeight> {
+    let kind = |weight: &f64| KindWeight {
+        weight: *weight,
+        is_preferred: true,
+    };
+    weights.iter().map(kind).collect()
+}
+
+fn ranked(tree: &RendezvousTree, key: u64, weights: &[f64]) -> Vec<usize> {
+    tree.ranked(key, preferred(weights).into_iter(), DESCENTS)
+        .collect()
+}
+
+fn first(tree: &RendezvousTree, key: u64, weights: &[f64]) -> usize {
+    let mut order = tree.ranked(key, preferred(weights).into_iter(), DESCENTS);
+    order.next().unwrap()
+}
+
+fn keys(count: u64) -> impl Iterator<Item = u64> {
+    (0..count).map(|n| scramble(n + 1_000_000))
+}
+
+/// Part of the keys that have another first member in the second tree.
+fn moved(a: &RendezvousTree, b: &RendezvousTree, weights: [&[f64]; 2], count: u64) -> f64 {
+    let has_moved = |key: &u64| first(a, *key, weights[0]) != first(b, *key, weights[1]);
+    keys(count).filter(has_moved).count() as f64 / count as f64
+}
+
+fn plain_order(members: &[RendezvousMember], key: u64, weights: &[f64]) -> Vec<usize> {
+    let distance = |m: &RendezvousMember| rendezvous_distance(key, m.identity, weights[m.kind]);
+    let mut members = members.to_vec();
+    members.sort_by(|a, b| distance(a).total_cmp(&distance(b)));
+    members.iter().map(|member| member.value).collect()
+}
+
+/// Small fleets keep the keys that they had without a tree.
+#[test]
+fn a_small_set_has_the_order_of_plain_rendezvous_hashing() {
+    let weights = [1.0, 0.5f64.sqrt(), 2.0];
+    for size in [0, 1, 2, 3, 20, 55, 63, 64] {
+        let members = members(size, 3);
+        let tree = tree_of(&members);
+        for key in keys(300) {
+            let expected = plain_order(&members, key, &weights);
+            assert_eq!(ranked(&tree, key, &weights), expected, "{size}");
+        }
+    }
+}
+
+/// Against all keys moving at once where a set grows beyond what is small.
+#[test]
+fn keys_change_from_the_plain_order_to_the_tree_a_few_at_a_time() {
+    let members = members(140, 1);
+    let mut worst: f64 = 0.0;
+    let mut total = 0.0;
+    for size in 50..140 {
+        let trees = [&members[..size], &members[..size + 1]].map(tree_of);
+        let share = moved(&trees[0], &trees[1], [&[1.0], &[1.0]], 4000);
+        worst = worst.max(share);
+        total += share;
+    }
+    println!("worst {worst:.4}, sum {total:.2}");
+    assert!(worst < 0.06, "{worst}");
+    assert!(total > 0.9, "all of them change once: {total}");
+}
+
+#[test]
+fn each_member_has_keys_in_proportion_to_its_weight() {
+    let weights = [1.0, 2.0, 0.5];
+    for (size, per_member) in [(55, 400), (100, 400), (200, 400), (770, 200)] {
+        let members = members(size, 3);
+        let tree = tree_of(&members);
+        let total: f64 = members.iter().map(|m| weights[m.kind]).sum();
+        let count = size * per_member;
+        let mut got = vec![0.0; size];
+        keys(count as u64).for_each(|key| got[first(&tree, key, &weights)] += 1.0);
+        let chi_squared: f64 = members
+            .iter()
+            .map(|m| {
+                let expected = count as f64 * weights[m.kind] / total;
+                (got[m.value] - expected).powi(2) / expected
+            })
+            .sum();
+        // Of a chi-squared variable with `f` degrees of freedom, beyond four standard deviations.
+        let freedom = size as f64 - 1.0;
+        let limit = freedom + 4.0 * (2.0 * freedom).sqrt();
+        println!("{size}: {chi_squared:.0}, limit {limit:.0}");
+        assert!(chi_squared < limit, "{size}: {chi_squared} of {limit}");
+    }
+}
+
+/// Each level moves about the member's share, as the sums above it change.
+#[test]
+fn a_member_that_comes_or_goes_moves_few_keys() {
+    for size in [770, 7700] {
+        let members = members(size + 1, 1);
+        let without = tree_of(&members[..size]);
+        let with = tree_of(&members);
+        let share = moved(&without, &with, [&[1.0], &[1.0]], 200_000);
+        let own = 1.0 / size as f64;
+        println!("{size}: {:.2} times its share", share / own);
+        assert!(share < own * 6.0, "{size}: {}", share / own);
+        assert!(share > own * 0.5, "{size}: {}", share / own);
+    }
+}
+
+#[test]
+fn a_weight_that_changes_moves_about_the_change() {
+    let members = members(7700, 4);
+    let tree = tree_of(&members);
+    let before = [1.0, 1.0, 1.0, 1.0];
+    let after = [1.0, 1.0, 1.0, 2f64.sqrt()];
+    let share = moved(&tree, &tree, [&before, &after], 50_000);
+    // The kind's part goes from 1 of 4 to 1.41 of 4.41.
+    let change = 2f64.sqrt() / (3.0 + 2f64.sqrt()) - 0.25;
+    println!("{:.2} times the change", share / change);
+    assert!(share < change * 4.0, "{share} of {change}");
+    assert!(share >= change * 0.9, "{share} of {change}");
+}
+
+/// Agents hear of endpoints in different orders, and some were there before others.
+#[test]
+fn the_order_of_changes_and_the_numbering_of_kinds_do_not_matter() {
+    let weights = [1.0, 2f64.sqrt(), 0.3];
+    let renumbered = [0.3, 1.0, 2f64.sqrt()];
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
+    for size in [64, 65, 100, 300, 2000] {
+        let members = members(size, 3);
+        let tree = tree_of(&members);
+        let mut shuffled: Vec<_> = members.clone();
+        shuffled.shuffle(&mut rng);
+        for member in &mut shuffled {
+            member.kind = (member.kind + 1) % 3;
+        }
+        let mut other = tree_of(&shuffled);
+        let passing: Vec<_> = (size..3 * size).map(|value| member(value, 0)).collect();
+        passing.iter().for_each(|member| other.insert(*member));
+        for member in &passing {
+            assert!(other.remove(member));
+            assert!(!other.remove(member), "only once");
+        }
+        for key in keys(500) {
+            let order = ranked(&tree, key, &weights);
+            assert_eq!(ranked(&other, key, &renumbered), order, "{size}");
+        }
+    }
+}
+
+/// Nodes visited per call, on average and at the most.
+fn visits(
+    tree: &RendezvousTree,
+    calls: impl Iterator<Item = u64>,
+    call: impl Fn(u64),
+) -> (u64, u64) {
+    let (mut count, mut most, start) = (0, 0, tree.visited());
+    for key in calls {
+        let before = tree.visited();
+        call(key);
+        most = most.max(tree.visited() - before);
+        count += 1;
+    }
+    ((tree.visited() - start) / count, most)
+}
+
+#[test]
+fn work_goes_by_the_logarithm_of_the_size() {
+    for size in SIZES {
+        let members = members(size, 3);
+        let mut tree = tree_of(&members);
+        let per_change = tree.visited() / size as u64;
+        let (mean, most) = visits(&tree, keys(2000), |key| {
+            first(&tree, key, &[1.0, 2.0, 3.0]);
+        });
+        let before = tree.visited();
+        assert!(members.iter().all(|member| tree.remove(member)));
+        let per_removal = (tree.visited() - before) / size as u64;
+        println!("{size}: lookup {mean} (most {most}), insert {per_change}, remove {per_removal}");
+        let levels = (size as f64).log2() / 4.0 + 2.0;
+        assert!(
+            mean as f64 <= f64::max(64.0, 16.0 * levels),
+            "{size}: {mean}"
+        );
+        assert!(
+            most as f64 <= f64::max(64.0, 16.0 * (levels + 2.0)),
+            "{size}: {most}"
+        );
+        assert!(per_change as f64 <= levels + 1.0, "{size}: {per_change}");
+        assert!(per_removal as f64 <= levels + 1.0, "{size}: {per_removal}");
+    }
+}
+
+#[test]
+fn ranked_members_do_not_repeat_and_spread_over_all() {
+    let tree = tree_of(&members(770, 1));
+    for key in keys(2000) {
+        let order = ranked(&tree, key, &[1.0]);
+        let distinct: BTreeSet<_> = order.iter().collect();
+        assert_eq!(distinct.len(), order.len());
+        assert!(order.len() > 5, "{order:?}");
+    }
+    // Where one member is out of use its keys go to many others.
+    let of_one = keys(50_000).filter(|key| first(&tree, *key, &[1.0]) == 3);
+    let seconds: BTreeSet<_> = of_one.map(|key| ranked(&tree, key, &[1.0])[1]).collect();
+    assert!(seconds.len() > 30, "{seconds:?}");
+    let many = (0..200_000).map(scramble);
+    let all: BTreeSet<_> = many.map(|key| first(&tree, key, &[1.0])).collect();
+    assert_eq!(all.len(), 770);
+}
+
+#[test]
+fn a_descent_comes_to_preferred_kinds_only() {
+    let tree = tree_of(&members(1000, 10));
+    for (kind, key) in keys(1000).enumerate() {
+        let kind = kind % 10;
+        let weights = (0..10).map(|k| KindWeight {
+            weight: 1.0,
+            is_preferred: k == kind,
+        });
+        let order: Vec<_> = tree.ranked(key, weights, DESCENTS).collect();
+        assert!(order.len() > 3);
+        assert!(order.iter().all(|value| value % 10 == kind));
+    }
+    let none = KindWeight {
+        weight: 1.0,
+        is_preferred: false,
+    };
+    assert_eq!(
+        tree.ranked(1, [none; 10].into_iter(), DESCENTS).next(),
+        None
+    );
+}
+
+/// The identity that the hash of the tree makes this number of.
+fn identity_with_hash(hash: u64) -> u64 {
+    // The inverses of the two factors, modulo 2^64.
+    let mut number = hash ^ hash >> 33;
+    for factor in [0x9cb4_b2f8_1293_37db_u64, 0x4f74_430c_22a5_4005] {
+        number = number.wrapping_mul(factor);
+        number ^= number >> 33;
+    }
+    number
+}
+
+/// Against identities that are the same, and those that differ in the last bits only.
+#[test]
+fn identities_that_collide_are_told_apart_or_share_a_place() {
+    let mut close: Vec<_> = (0..200)
+        .map(|value| RendezvousMember {
+            identity: identity_with_hash(0x1234_5678_9abc_de00 + value as u64),
+            value,
+            kind: 0,
+        })
+        .collect();
+    let tree = tree_of(&close);
+    let found: BTreeSet<_> = keys(20_000).map(|key| first(&tree, key, &[1.0])).collect();
+    assert_eq!(found.len(), 200);
+    let (mean, most) = visits(&tree, keys(100), |key| {
+        first(&tree, key, &[1.0]);
+    });
+    assert!(mean < 64 && most < 64, "{mean}, {most}");
+
+    close.iter_mut().for_each(|member| member.identity = 7);
+    let mut tree = tree_of(&close);
+    assert!(keys(100).all(|key| ranked(&tree, key, &[1.0]) == [0]));
+    for member in &close[..199] {
+        assert!(tree.remove(member));
+    }
+    assert!(keys(100).all(|key| ranked(&tree, key, &[1.0]) == [199]));
+    assert!(tree.remove(&close[199]));
+    assert!(keys(100).all(|key| ranked(&tree, key, &[1.0]).is_empty()));
+}
+
+#[test]
+fn weights_of_nothing_or_without_end_are_bounded() {
+    let odd = [
+        0.0,
+        -1.0,
+        f64::NAN,
+        f64::INFINITY,
+        f64::NEG_INFINITY,
+        f64::MAX,
+        1e-300,
+    ];
+    for size in [50, 100, 500] {
+        let tree = tree_of(&members(size, 7));
+        for key in keys(200) {
+            let order = ranked(&tree, key, &odd);
+            assert!(!order.is_empty());
+            // Kinds 3 and 5 have the greatest weight, and share the keys.
+            assert!([3, 5].contains(&(order[0] % 7)), "{order:?}");
+            assert_eq!(
+                order.len().min(2),
+                order.iter().take(2).collect::<BTreeSet<_>>().len()
+            );
+        }
+        // Where all weigh nothing they weigh the same.
+        let found: BTreeSet<_> = keys(20_000)
+            .map(|key| first(&tree, key, &[0.0; 7]))
+            .collect();
+        assert_eq!(found.len(), size);
+    }
+}
+
+/// A kind that no weight is given for is not chosen.
+#[test]
+fn kinds_without_a_weight_are_left_out() {
+    for size in [50, 500] {
+        let tree = tree_of(&members(size, 2));
+        assert!(keys(200).all(|key| first(&tree, key, &[1.0]).is_multiple_of(2)));
+        assert_eq!(ranked(&tree, 1, &[]), Vec::<usize>::new());
+    }
+}
