--- a/src/stats/rendezvous.rs
+++ b/src/stats/rendezvous.rs
@@ -4,11 +4,23 @@
 /// nearest to a share of all keys in proportion to its weight, and a node that comes or goes moves
 /// no other node's keys.
 ///
-/// With a hash `h` of key and node, uniform on 0 to 1, it is `-ln h / weight`.
-pub(crate) fn rendezvous_distance(key: u64, node: u64, weight: f64) -> f64 {
+/// With a hash `h` of key and node, uniform on 0 to 1, it is `-ln h / weight`. `None` where that is
+/// beyond the limit, which mostly takes no logarithm to say, as `-ln h >= 1 - h`.
+pub(super) fn rendezvous_distance(key: u64, node: u64, weight: f64, limit: f64) -> Option<f64> {
+    let hash = hash_to_unit(key, node);
+    let weight = weight.max(1e-9);
+    if 1.0 - hash > limit * weight {
+        return None;
+    }
+    let distance = -hash.ln() / weight;
+    (distance <= limit).then_some(distance)
+}
+
+/// A hash of key and node, more than 0 and less than 1.
+fn hash_to_unit(key: u64, node: u64) -> f64 {
     let hash = mix_bits(key ^ node.rotate_left(32));
     let uniform = (hash >> 11) as f64 / (1u64 << 53) as f64;
-    -uniform.max(1e-18).ln() / weight.max(1e-9)
+    uniform.max(1e-18)
 }
 
 /// The finalizer of MurmurHash3: each bit of the result depends on all bits of the number, and no
--- a/src/stats/rendezvous_tree.rs
+++ b/src/stats/rendezvous_tree.rs
@@ -27,16 +27,26 @@
     pub is_preferred: bool,
 }
 
+/// A weight within bounds.
+#[derive(Clone, Copy)]
+struct BoundedWeight {
+    value: f64,
+    /// The same in units; 0 where members are not chosen.
+    units: u64,
+}
+
 impl KindWeight {
     /// Guards the sums against weights that are not finite, and members against never being
     /// chosen. Does harm where weights differ by more than the bounds.
-    fn bounded(self, is_plain: bool) -> f64 {
+    fn bounded(self, is_plain: bool) -> BoundedWeight {
         let (least, greatest) = WEIGHT_BOUNDS;
-        if is_plain || self.is_preferred {
-            self.weight.max(least).min(greatest)
+        let value = self.weight.max(least).min(greatest);
+        let units = if is_plain || self.is_preferred {
+            (value * UNITS_PER_WEIGHT) as u64
         } else {
-            0.0
-        }
+            0
+        };
+        BoundedWeight { value, units }
     }
 }
 
@@ -107,44 +117,67 @@
     }
 
     /// The member of a key by going down.
-    fn descend(&self, key: u64, weights: &[f64]) -> Option<&RendezvousMember> {
-        let weight_of = |kind: usize| (weight_at(weights, kind) * UNITS_PER_WEIGHT) as u64;
+    fn descend(&self, key: u64, weights: &[BoundedWeight]) -> Option<&RendezvousMember> {
+        let units_of = |kind: usize| weights.get(kind).map_or(0, |weight| weight.units);
         let mut path = HASH_STEP;
         let mut inner = &self.root;
         loop {
-            self.count_visited(inner.children.len() as u64);
-            let mut nearest = None;
-            for child in &inner.children {
-                let weight = child.node.weight(&weight_of);
-                if weight == 0 {
-                    continue;
-                }
-                let child_path = path_below(path, child.slot);
-                let distance = rendezvous_distance(key, child_path, weight as f64);
-                if nearest.is_none_or(|(least, _, _)| distance < least) {
-                    nearest = Some((distance, child_path, &child.node));
-                }
-            }
-            let (_, child_path, node) = nearest?;
+            let (child_path, node) = self.nearest_child(inner, path, key, &units_of)?;
             path = child_path;
             match node {
                 Node::Inner(below) => inner = below,
                 Node::Leaf(members) => {
-                    return members.iter().find(|m| weight_at(weights, m.kind) > 0.0);
+                    return members.iter().find(|member| units_of(member.kind) > 0);
                 }
             }
         }
     }
 
-    /// All members that may be chosen, with their distance from the key.
-    fn for_each_distance(&self, key: u64, weights: &[f64], mut visit: impl FnMut(Distance)) {
+    fn nearest_child<'a>(
+        &self,
+        inner: &'a InnerNode,
+        path: u64,
+        key: u64,
+        units_of: &impl Fn(usize) -> u64,
+    ) -> Option<(u64, &'a Node)> {
+        self.count_visited(inner.children.len() as u64);
+        let mut nearest = None;
+        let mut least = f64::INFINITY;
+        for child in &inner.children {
+            let units = child.node.weight(units_of);
+            if units == 0 {
+                continue;
+            }
+            let child_path = path_below(path, child.slot);
+            let distance = rendezvous_distance(key, child_path, units as f64, least);
+            if let Some(distance) = distance.filter(|distance| *distance < least) {
+                least = distance;
+                nearest = Some((child_path, &child.node));
+            }
+        }
+        nearest
+    }
+
+    /// Members that may be chosen, with their distance from the key. What `visit` returns is a
+    /// distance beyond which members may be left out.
+    fn for_each_distance(
+        &self,
+        key: u64,
+        weights: &[BoundedWeight],
+        mut visit: impl FnMut(Distance) -> f64,
+    ) {
         self.count_visited(self.len);
+        let mut limit = f64::INFINITY;
         self.root.for_each(&mut |member| {
-            let weight = weight_at(weights, member.kind);
-            if weight > 0.0 {
-                visit(Distance {
-                    distance: rendezvous_distance(key, member.identity, weight),
-                    identity: member.identity,
+            let Some(weight) = weights.get(member.kind).filter(|weight| weight.units > 0) else {
+                return;
+            };
+            let identity = member.identity;
+            let distance = rendezvous_distance(key, identity, weight.value, limit);
+            if let Some(distance) = distance {
+                limit = visit(Distance {
+                    distance,
+                    identity,
                     value: member.value,
                 });
             }
@@ -171,8 +204,8 @@
 pub(crate) struct RankedMembers<'a> {
     tree: &'a RendezvousTree,
     key: u64,
-    /// By kind; 0 where it is not chosen.
-    weights: Vec<f64>,
+    /// By kind.
+    weights: Vec<BoundedWeight>,
     is_plain: bool,
     /// Members that were named, or descents that were made.
     next: u64,
@@ -191,9 +224,11 @@
         }
         if self.order.is_empty() {
             let mut members = Vec::new();
-            let collect = |member| members.push(member);
             self.tree
-                .for_each_distance(self.key, &self.weights, collect);
+                .for_each_distance(self.key, &self.weights, |member| {
+                    members.push(member);
+                    f64::INFINITY
+                });
             members.sort_unstable_by(Distance::order);
             self.order = members.iter().map(|member| member.value).collect();
         }
@@ -204,9 +239,11 @@
         let mut nearest: Option<Distance> = None;
         self.tree
             .for_each_distance(self.key, &self.weights, |member| {
-                if nearest.is_none_or(|known| member.order(&known).is_lt()) {
-                    nearest = Some(member);
+                let known = nearest.get_or_insert(member);
+                if member.order(known).is_lt() {
+                    *known = member;
                 }
+                known.distance
             });
         nearest.map(|member| member.value)
     }
@@ -240,10 +277,6 @@
     }
 }
 
-fn weight_at(weights: &[f64], kind: usize) -> f64 {
-    weights.get(kind).copied().unwrap_or(0.0)
-}
-
 /// The number of a child on its path from the root.
 fn path_below(path: u64, slot: u8) -> u64 {
     mix_bits(path.wrapping_add(HASH_STEP.wrapping_mul(u64::from(slot) + 1)))
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -2,7 +2,6 @@
 //! keys move, and work does not grow with the set.
 
 #[path = "../src/stats/rendezvous.rs"]
-#[allow(dead_code)]
 mod rendezvous;
 #[path = "../src/stats/rendezvous_tree.rs"]
 mod rendezvous_tree;
@@ -12,7 +11,6 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rendezvous::rendezvous_distance;
 use rendezvous_tree::{KindWeight, RendezvousTree};
 use rendezvous_trie::RendezvousMember;
 use std::collections::BTreeSet;
@@ -75,8 +73,18 @@
     keys(count).filter(has_moved).count() as f64 / count as f64
 }
 
+/// Plain weighted rendezvous hashing, as it was before there was a tree.
+fn plain_distance(key: u64, node: u64, weight: f64) -> f64 {
+    let mut hash = key ^ node.rotate_left(32);
+    for factor in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
+        hash = (hash ^ hash >> 33).wrapping_mul(factor);
+    }
+    let uniform = ((hash ^ hash >> 33) >> 11) as f64 / (1u64 << 53) as f64;
+    -uniform.max(1e-18).ln() / weight.max(1e-9)
+}
+
 fn plain_order(members: &[RendezvousMember], key: u64, weights: &[f64]) -> Vec<usize> {
-    let distance = |m: &RendezvousMember| rendezvous_distance(key, m.identity, weights[m.kind]);
+    let distance = |m: &RendezvousMember| plain_distance(key, m.identity, weights[m.kind]);
     let mut members = members.to_vec();
     members.sort_by(|a, b| distance(a).total_cmp(&distance(b)));
     members.iter().map(|member| member.value).collect()
@@ -96,6 +104,23 @@
     }
 }
 
+/// The logarithm is left out only where it would not be nearer.
+#[test]
+fn a_distance_is_that_of_plain_rendezvous_hashing_or_beyond_the_limit() {
+    let mut rng = Pcg64Mcg::seed_from_u64(5);
+    for key in keys(20_000) {
+        let (node, weight) = (rng.gen(), rng.gen_range(0.01..8.0));
+        let expected = plain_distance(key, node, weight);
+        let limit = expected * rng.gen_range(0.5..2.0);
+        let within = rendezvous::rendezvous_distance(key, node, weight, limit);
+        assert_eq!(within, (expected <= limit).then_some(expected));
+        let at = rendezvous::rendezvous_distance(key, node, weight, expected);
+        assert_eq!(at, Some(expected), "the limit is within");
+        let any = rendezvous::rendezvous_distance(key, node, weight, f64::INFINITY);
+        assert_eq!(any, Some(expected));
+    }
+}
+
 /// Against all keys moving at once where a set grows beyond what is small.
 #[test]
 fn keys_change_from_the_plain_order_to_the_tree_a_few_at_a_time() {
