--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -21,7 +21,10 @@
     }
 
     /// The affinity endpoint of a request that is sent for the first time: the first one of its
-    /// key that may be used for it.
+    /// key that may be used for it. Zones that are a last resort for it come last in a large fleet.
+    ///
+    /// `None` where no endpoint may be used; in a large fleet also where none of the few that the
+    /// key is looked for at may be.
     pub(super) fn affinity_endpoint_where(
         &self,
         request: &ActiveRequest,
@@ -38,8 +41,7 @@
     /// The running endpoints of a key, the first one first, by their identities and hardware types:
     /// all agents find the same order.
     ///
-    /// A small fleet has all of them in it. Of a large one it has a few, and those in preferred
-    /// zones only: an endpoint beyond them has not served the key lately.
+    /// In a small fleet these are all of them, in a large one a few, in preferred zones only.
     pub(crate) fn endpoints_of_key(
         &self,
         key: u64,
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -217,6 +217,13 @@
             let order = ranked(&tree, key, &weights);
             assert_eq!(ranked(&other, key, &renumbered), order, "{size}");
         }
+        // Nothing is left of those that went: the nodes are those of the members alone.
+        let [own, others] = [(&tree, weights), (&other, renumbered)].map(|(tree, weights)| {
+            visits(tree, keys(500), |key| {
+                first(tree, key, &weights);
+            })
+        });
+        assert_eq!(own, others, "{size}");
     }
 }
 
