--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -260,7 +260,8 @@
         } else {
             (1.0, 0.0)
         };
-        let capacity = endpoint.weight * hardware.throughput * standing.slow_start_share;
+        let capacity =
+            self.endpoint_weight(endpoint) * hardware.throughput * standing.slow_start_share;
         let weight = capacity * share * heavy_factor;
         let load = self.expected_load(selection.now, endpoint).max(min_load);
         Candidate {
