--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -32,12 +32,14 @@
 const VALUE_LIMIT: f64 = 0.2;
 /// Least latency, in seconds, that the value of a class is divided by.
 const MIN_SERVICE_TIME: f64 = 1e-4;
+/// Least value that others are divided by.
+const MIN_BEST_VALUE: f64 = 1e-9;
 
 impl Balancer {
     /// Counts a request of this tenant.
     pub(super) fn count_tenant(&mut self, tenant: Option<usize>) {
-        if let Some(load) = tenant.and_then(|t| self.admission.tenant_load.get_mut(t)) {
-            *load += 1.0;
+        if let Some(tenant) = tenant {
+            self.admission.tenant_load.increment(tenant);
         }
     }
 
@@ -45,9 +47,7 @@
     /// latency that is still good. Below it, answers grow with what is sent; above it, only the
     /// waiting does. Where answers are fast there is no limit.
     pub(super) fn update_limit(&mut self, now: Duration) {
-        for load in &mut self.admission.tenant_load {
-            *load *= TENANT_LOAD_DECAY;
-        }
+        self.admission.tenant_load.decay(TENANT_LOAD_DECAY);
         let mut capacity = 0.0;
         let mut is_fast = true;
         for class in &mut self.classes {
@@ -60,9 +60,17 @@
         }
         let limit = capacity + capacity.sqrt() + LIMIT_HEADROOM;
         self.apply_limit(limit, is_fast);
+        self.summarize_classes();
         self.count_unresponsive(now);
     }
 
+    /// Sums up what decisions ask of all classes, after a change of their rates, floors or rules.
+    pub(super) fn summarize_classes(&mut self) {
+        let values = self.classes.iter().map(|class| self.value(class));
+        self.admission.best_value = values.fold(MIN_BEST_VALUE, f64::max);
+        self.admission.answer_rate = self.classes.iter().map(|c| c.answer_rate).sum();
+    }
+
     fn apply_limit(&mut self, limit: f64, is_fast: bool) {
         let collapsed = self.has_collapsed(limit, is_fast);
         if collapsed {
@@ -104,15 +112,14 @@
         let Some(limit) = self.admission.limit else {
             return false;
         };
-        let values = self.classes.iter().map(|class| self.value(class));
-        let best = values.fold(1e-9, f64::max);
         let tenant_factor = if self.is_over_share(request.tenant) {
             OVER_SHARE_LIMIT
         } else {
             1.0
         };
         let value = self.value(&self.classes[request.class]);
-        let usable = (LEAST_VALUE_LIMIT + VALUE_LIMIT * value / best) * tenant_factor;
+        let usable =
+            (LEAST_VALUE_LIMIT + VALUE_LIMIT * value / self.admission.best_value) * tenant_factor;
         let admission = &self.admission;
         let in_flight = admission
             .in_flight
@@ -130,14 +137,14 @@
         class.rules.priority_weight / work
     }
 
-    fn is_over_share(&self, tenant: Option<usize>) -> bool {
+    pub(super) fn is_over_share(&self, tenant: Option<usize>) -> bool {
         let load = &self.admission.tenant_load;
-        let total = load.iter().sum::<f64>().max(1.0);
+        let total = load.sum().max(1.0);
         tenant.is_some_and(|tenant| {
             self.parameters
                 .tenant_shares
                 .get(tenant)
-                .is_some_and(|share| load[tenant] > total * share * TENANT_TOLERANCE)
+                .is_some_and(|share| load.get(tenant) > total * share * TENANT_TOLERANCE)
         })
     }
 }
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -240,17 +240,24 @@
     }
 
     fn observe_latency(&mut self, observation: &Observation, is_warm: bool) {
-        let (mut endpoint, hardware) = self.fleet.endpoint_and_type_mut(observation.endpoint);
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         let class = &mut self.classes[observation.class];
         let latency = observation.elapsed.as_secs_f64();
         let ratio = (latency / class.latency.mean).min(MAX_LATENCY_RATIO);
         update_high_quantile(&mut class.latency.high, latency);
         update_high_quantile(&mut endpoint.high_latency, ratio);
-        if !is_warm {
-            return;
+        drop(endpoint);
+        if is_warm {
+            self.observe_warm_latency(observation, latency, ratio);
         }
+        self.update_highest_latency(observation.class);
+    }
+
+    fn observe_warm_latency(&mut self, observation: &Observation, latency: f64, ratio: f64) {
+        let (endpoint, hardware) = self.fleet.endpoint_and_type_mut(observation.endpoint);
         let zone = endpoint.zone;
         drop(endpoint);
+        let class = &mut self.classes[observation.class];
         hardware.latency_ratio.update(ratio, ENDPOINT_TYPE_GAIN);
         // Guards a build that runs only in other zones, as the way there is not its work, and
         // agents that some faults leave the slower hardware only.
@@ -323,8 +330,7 @@
         if outcome != Outcome::ConnectFailed {
             return MIN_EJECTION;
         }
-        let rate = self.classes.iter().map(|c| c.answer_rate).sum::<f64>();
-        let round = self.fleet.len() as f64 / rate.max(1.0);
+        let round = self.fleet.len() as f64 / self.admission.answer_rate.max(1.0);
         Duration::from_secs_f64(round).clamp(MIN_EJECTION, MAX_EJECTION * MAX_UNREACHABLE_EJECTIONS)
     }
 }
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -4,6 +4,7 @@
 use super::Balancer;
 use crate::interface::{Decision, Idempotency};
 use crate::model::{ActiveRequest, ClassState};
+use crate::stats::MaxTree;
 use std::time::Duration;
 
 /// Time after which a hedged request is sent, as a part of the latency objective.
@@ -23,15 +24,27 @@
 /// Looks at an attempt within a stall timeout.
 const RECHECKS_PER_STALL: u32 = 4;
 
+/// High latencies of these classes, to find the highest one.
+pub(super) fn highest_latency(classes: &[ClassState]) -> MaxTree {
+    MaxTree::new(classes.iter().map(high_latency))
+}
+
+fn high_latency(class: &ClassState) -> f64 {
+    let latency = &class.latency;
+    latency.high.max(latency.mean * HIGH_LATENCY_MEANS)
+}
+
 impl Balancer {
     /// Silence after which an endpoint counts as unresponsive: beyond what any class needs.
     pub(super) fn stall_timeout(&self) -> Duration {
-        let latencies = self.classes.iter().map(|c| &c.latency);
-        let highest = latencies
-            .map(|latency| latency.high.max(latency.mean * HIGH_LATENCY_MEANS))
-            .fold(0.0, f64::max);
         let (min, max) = STALL_TIMEOUT_RANGE;
-        Duration::from_secs_f64((highest * STALL_FACTOR).clamp(min, max))
+        Duration::from_secs_f64((self.highest_latency.max() * STALL_FACTOR).clamp(min, max))
+    }
+
+    /// Takes in that the latencies of a class have changed.
+    pub(super) fn update_highest_latency(&mut self, class: usize) {
+        let latency = high_latency(&self.classes[class]);
+        self.highest_latency.set(class, latency);
     }
 
     /// Time after which an attempt counts as lost though its endpoint answers others: short only
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -113,10 +113,11 @@
         let is_running_canary = status.phase == RolloutPhase::Canary
             && self.fleet.index().of_build(status.build).running > 0;
         self.count_waiting(now);
-        let is_slow = self.is_fleet_slow();
+        let is_fresh = age < EVALUATED_AFTER_START;
+        let is_slow = is_fresh && self.is_fleet_slow();
         let is_overloaded = self.is_short_of_capacity(now);
         let latency = &mut self.evaluation.latency;
-        latency.is_fleet_slower = is_slow && age < EVALUATED_AFTER_START && !is_overloaded;
+        latency.is_fleet_slower = is_slow && !is_overloaded;
         self.update_alarm(is_running_canary, is_overloaded, age);
     }
 
@@ -208,9 +209,10 @@
         let objective = class.rules.latency_objective;
         let recent = &class.recent;
         let baseline = &class.baseline;
-        slow += recent
-            .histogram
-            .total_from(baseline.histogram.bucket_above_median());
+        if !recent.histogram.is_empty() {
+            let above_median = baseline.histogram.bucket_above_median();
+            slow += recent.histogram.total_from(above_median);
+        }
         let waited = (recent.unanswered_seconds + class.in_flight_seconds) * 1000.0;
         recent_answers += recent.histogram.total();
         recent_time += (recent.histogram.sum_millis() + waited) / objective;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -27,6 +27,10 @@
 mod routing;
 mod slow_start;
 
+#[cfg(test)]
+#[path = "../../tests/unit/balancer/mod.rs"]
+mod tests;
+
 pub use parameters::list_call_interval;
 
 use crate::interface::{
@@ -37,7 +41,7 @@
     CrossZoneState, EvaluationState, Fleet, LatencyRegression, ListState, PeerOutcomes,
     PendingOutput, RetryState, RolloutState, SlowStartState, VoteState,
 };
-use crate::stats::OutcomeCounts;
+use crate::stats::{DecayingCounts, MaxTree, OutcomeCounts};
 use evidence::MIN_OUTCOMES;
 use parameters::Parameters;
 use rand::{Rng, SeedableRng};
@@ -60,6 +64,8 @@
     parameters: Parameters,
     rng: Pcg64Mcg,
     classes: Vec<ClassState>,
+    /// By class: its high latency.
+    highest_latency: MaxTree,
     requests: BTreeMap<u64, ActiveRequest>,
     pub(crate) fleet: Fleet,
     pub(crate) rollout: RolloutState,
@@ -92,17 +98,19 @@
             }),
             ..ListState::default()
         };
-        Balancer {
-            classes: settings
-                .classes
-                .iter()
-                .map(request_class::initial)
-                .collect(),
+        let classes: Vec<ClassState> = settings
+            .classes
+            .iter()
+            .map(request_class::initial)
+            .collect();
+        let mut balancer = Balancer {
+            highest_latency: hedging::highest_latency(&classes),
+            classes,
             requests: BTreeMap::new(),
             fleet: Fleet::default(),
             rollout: RolloutState::default(),
             admission: AdmissionState {
-                tenant_load: vec![0.0; settings.tenants.len()],
+                tenant_load: DecayingCounts::new(settings.tenants.len()),
                 ..AdmissionState::default()
             },
             affinity: AffinityState::default(),
@@ -122,7 +130,9 @@
             votes,
             parameters,
             rng,
-        }
+        };
+        balancer.summarize_classes();
+        balancer
     }
 
     /// Takes in a request, which [`Balancer::route`] then decides on under the same `id`.
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -3,7 +3,7 @@
 //! drawn for settings that are the same.
 
 use super::parameters::Parameters;
-use super::{request_class, Balancer};
+use super::{hedging, request_class, Balancer};
 use crate::interface::{IndexMapping, IndexOrigin, IndicesInUse, RequestClass, Settings};
 use crate::model::{ClassRules, ClassState};
 use std::time::Duration;
@@ -31,7 +31,10 @@
         self.reload_classes(settings, mapping, &classes);
         self.carry_over_evidence(&classes);
         self.carry_over_exposure(&before, &classes);
-        CarryOver::new(&mapping.tenants).apply(&mut self.admission.tenant_load);
+        let tenants = CarryOver::new(&mapping.tenants);
+        self.admission
+            .tenant_load
+            .change_all(|loads| tenants.apply(loads));
         if !self.parameters.rollout.sticky_builds {
             self.affinity.sticky_builds.clear();
         }
@@ -101,6 +104,8 @@
                 IndexOrigin::Unused => unused(),
             })
             .collect();
+        self.highest_latency = hedging::highest_latency(&self.classes);
+        self.summarize_classes();
     }
 }
 
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -1,7 +1,7 @@
 //! What is remembered of the agent as a whole, a struct a concern.
 
 use crate::interface::CrossZonePolicy;
-use crate::stats::Ewma;
+use crate::stats::{DecayingCounts, Ewma};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -17,7 +17,11 @@
     /// The highest limit of late.
     pub peak_limit: f64,
     /// By tenant: requests of late; decays.
-    pub tenant_load: Vec<f64>,
+    pub tenant_load: DecayingCounts,
+    /// The highest value of any class.
+    pub best_value: f64,
+    /// Answers a second, over all classes.
+    pub answer_rate: f64,
 }
 
 /// What retries may still cost.
--- a/src/stats/latency_histogram.rs
+++ b/src/stats/latency_histogram.rs
@@ -1,16 +1,32 @@
 //! A histogram of latencies whose counts decay.
 
+use std::sync::LazyLock;
+
 const BUCKETS: usize = 64;
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
+/// A total so small alters no sum that it is added to; below, arithmetic becomes slow.
+const NEGLIGIBLE_TOTAL: f64 = 1e-100;
+
+/// Middles of the buckets, in milliseconds.
+static BUCKET_MIDDLES: LazyLock<[f64; BUCKETS]> = LazyLock::new(|| {
+    std::array::from_fn(|bucket| ((bucket as f64 + 0.5) / BUCKETS_PER_OCTAVE).exp2())
+});
 
 /// Counts of latencies in buckets of a quarter of an octave, from one millisecond on. Its size is
-/// fixed, whatever it records.
+/// fixed, whatever it records. An empty one costs nothing to decay or to sum up.
 #[derive(Clone)]
-pub(crate) struct LatencyHistogram([f64; BUCKETS]);
+pub(crate) struct LatencyHistogram {
+    counts: [f64; BUCKETS],
+    /// Sum of the counts, in the order of the buckets.
+    total: f64,
+}
 
 impl Default for LatencyHistogram {
     fn default() -> LatencyHistogram {
-        LatencyHistogram([0.0; BUCKETS])
+        LatencyHistogram {
+            counts: [0.0; BUCKETS],
+            total: 0.0,
+        }
     }
 }
 
@@ -18,26 +34,32 @@
     /// Counts one latency.
     pub fn record(&mut self, seconds: f64) {
         let bucket = (seconds * 1000.0).max(1.0).log2() * BUCKETS_PER_OCTAVE;
-        self.0[(bucket as usize).min(BUCKETS - 1)] += 1.0;
+        self.counts[(bucket as usize).min(BUCKETS - 1)] += 1.0;
+        self.update_total();
     }
 
     /// Multiplies all counts by `factor`.
     pub fn decay(&mut self, factor: f64) {
-        for count in &mut self.0 {
+        if self.is_empty() {
+            return;
+        }
+        for count in &mut self.counts {
             *count *= factor;
         }
+        self.update_total();
     }
 
     /// Multiplies all counts by `factor`, then adds those of `other`.
     pub fn decay_and_add(&mut self, factor: f64, other: &LatencyHistogram) {
-        for (count, added) in self.0.iter_mut().zip(&other.0) {
+        for (count, added) in self.counts.iter_mut().zip(&other.counts) {
             *count = *count * factor + added;
         }
+        self.update_total();
     }
 
     /// Decays towards a total of `target`, by a factor of `min_factor` at the least.
     pub fn decay_towards(&mut self, target: f64, min_factor: f64) {
-        let total = self.total();
+        let total = self.total;
         if total > target {
             self.decay((target / total).max(min_factor));
         }
@@ -45,31 +67,46 @@
 
     /// Sum of all counts.
     pub fn total(&self) -> f64 {
-        self.0.iter().sum()
+        self.total
+    }
+
+    /// Whether it counts nothing.
+    pub fn is_empty(&self) -> bool {
+        self.total == 0.0
     }
 
     /// The first bucket above the median.
     pub fn bucket_above_median(&self) -> usize {
-        let half = self.total() / 2.0;
+        let half = self.total / 2.0;
         let mut below = 0.0;
         let reaches_half = |count: &f64| {
             below += count;
             below >= half
         };
-        self.0.iter().position(reaches_half).unwrap_or(0) + 1
+        self.counts.iter().position(reaches_half).unwrap_or(0) + 1
     }
 
     /// Sum of all latencies in milliseconds, each taken as the middle of its bucket.
     pub fn sum_millis(&self) -> f64 {
-        self.0
-            .iter()
-            .enumerate()
-            .map(|(bucket, count)| count * ((bucket as f64 + 0.5) / BUCKETS_PER_OCTAVE).exp2())
-            .sum()
+        if self.is_empty() {
+            return 0.0;
+        }
+        let counts = self.counts.iter().zip(BUCKET_MIDDLES.iter());
+        counts.map(|(count, middle)| count * middle).sum()
     }
 
     /// Sum of the counts from this bucket on.
     pub fn total_from(&self, bucket: usize) -> f64 {
-        self.0.iter().skip(bucket).sum()
+        if self.is_empty() {
+            return 0.0;
+        }
+        self.counts.iter().skip(bucket).sum()
+    }
+
+    fn update_total(&mut self) {
+        self.total = self.counts.iter().sum();
+        if self.total < NEGLIGIBLE_TOTAL {
+            *self = LatencyHistogram::default();
+        }
     }
 }
--- /dev/null
+++ b/tests/unit/stats/mod.rs
@@ -0,0 +1,172 @@
+//! Structures that are kept up to date, against plain loops.
+
+use super::{DecayingCounts, LatencyHistogram, MaxTree};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+/// Evaluations in 36 hours.
+const EVALUATIONS: usize = 36 * 36_000;
+/// Relative error allowed to sums whose order of rounding differs.
+const TOLERANCE: f64 = 1e-9;
+
+fn assert_close(value: f64, expected: f64, what: &str) {
+    let error = (value - expected).abs();
+    assert!(
+        error <= TOLERANCE * expected.abs() + f64::MIN_POSITIVE,
+        "{what}: {value} for {expected}"
+    );
+}
+
+#[test]
+fn a_max_tree_holds_the_largest_value_after_each_change() {
+    for (seed, size) in [1, 2, 3, 11, 64, 100, 1_600].into_iter().enumerate() {
+        let mut random = Pcg64Mcg::seed_from_u64(seed as u64);
+        let mut values: Vec<f64> = (0..size).map(|_| random.gen_range(0.0..10.0)).collect();
+        let mut tree = MaxTree::new(values.iter().copied());
+        for _ in 0..500 {
+            let index = random.gen_range(0..size);
+            values[index] = random.gen_range(0.0..10.0);
+            tree.set(index, values[index]);
+            assert_eq!(tree.max(), values.iter().copied().fold(0.0, f64::max));
+        }
+        let largest = (0..size).max_by(|a, b| values[*a].total_cmp(&values[*b]));
+        values[largest.unwrap()] = 0.0;
+        tree.set(largest.unwrap(), 0.0);
+        assert_eq!(tree.max(), values.iter().copied().fold(0.0, f64::max));
+    }
+}
+
+#[test]
+fn a_max_tree_ignores_what_is_no_value_of_it() {
+    let mut tree = MaxTree::new([1.0, f64::NAN, -3.0].into_iter());
+    tree.set(1_000, 9.0);
+    tree.set(1, f64::NAN);
+    assert_eq!(tree.max(), 1.0);
+    let mut empty = MaxTree::new([].into_iter());
+    empty.set(5, 2.0);
+    assert_eq!(empty.max(), 0.0);
+    assert_eq!(MaxTree::default().max(), 0.0);
+}
+
+#[test]
+fn decaying_counts_agree_with_a_walk_over_all_of_them() {
+    for (seed, factor) in [0.98, 0.5, 1e-3, 0.9993, 1.0].into_iter().enumerate() {
+        let mut random = Pcg64Mcg::seed_from_u64(seed as u64);
+        let mut counts = DecayingCounts::new(50);
+        let mut walked = [0.0; 50];
+        for _ in 0..40_000 {
+            for _ in 0..random.gen_range(0..4) {
+                let index = random.gen_range(0..50);
+                counts.increment(index);
+                walked[index] += 1.0;
+            }
+            counts.decay(factor);
+            walked.iter_mut().for_each(|count| *count *= factor);
+            let index = random.gen_range(0..50);
+            assert_close(counts.get(index), walked[index], "count");
+            assert_close(counts.sum(), walked.iter().sum(), "sum");
+        }
+    }
+}
+
+#[test]
+fn decaying_counts_forget_what_is_36_hours_old() {
+    let mut counts = DecayingCounts::new(3);
+    counts.increment(0);
+    for _ in 0..EVALUATIONS {
+        counts.decay(0.98);
+    }
+    assert!(counts.get(0) < 1e-100 && counts.sum() < 1e-100);
+    counts.increment(2);
+    assert_eq!(counts.get(2), 1.0);
+    assert_eq!(counts.sum(), 1.0);
+    counts.increment(17);
+    assert_eq!(counts.sum(), 1.0);
+}
+
+#[test]
+fn decaying_counts_sum_up_anew_where_indices_move() {
+    let mut counts = DecayingCounts::new(3);
+    counts.increment(0);
+    counts.increment(1);
+    counts.decay(0.5);
+    counts.increment(1);
+    counts.change_all(|values| *values = vec![values[1], 0.0, 0.0, 0.0]);
+    assert_eq!(
+        [counts.get(0), counts.get(1), counts.get(3)],
+        [1.5, 0.0, 0.0]
+    );
+    assert_eq!(counts.sum(), 1.5);
+}
+
+/// The histogram as plain loops over all buckets.
+struct WalkedHistogram([f64; 64]);
+
+impl WalkedHistogram {
+    fn record(&mut self, seconds: f64) {
+        let bucket = (seconds * 1000.0).max(1.0).log2() * 4.0;
+        self.0[(bucket as usize).min(63)] += 1.0;
+    }
+
+    fn decay(&mut self, factor: f64) {
+        self.0.iter_mut().for_each(|count| *count *= factor);
+    }
+
+    fn sum_millis(&self) -> f64 {
+        let buckets = self.0.iter().enumerate();
+        buckets
+            .map(|(bucket, count)| count * ((bucket as f64 + 0.5) / 4.0).exp2())
+            .sum()
+    }
+}
+
+#[test]
+fn a_histogram_agrees_to_the_last_digit_with_loops_over_all_buckets() {
+    let mut random = Pcg64Mcg::seed_from_u64(5);
+    let mut histogram = LatencyHistogram::default();
+    let mut walked = WalkedHistogram([0.0; 64]);
+    for step in 0..3_000 {
+        match random.gen_range(0..8) {
+            0..=3 => {
+                let seconds = 10f64.powf(random.gen_range(-4.0..3.0));
+                histogram.record(seconds);
+                walked.record(seconds);
+            }
+            4..=6 => {
+                histogram.decay(0.96);
+                walked.decay(0.96);
+            }
+            _ => {
+                let total: f64 = walked.0.iter().sum();
+                histogram.decay_towards(5.0, 0.9993);
+                if total > 5.0 {
+                    walked.decay((5.0 / total).max(0.9993));
+                }
+            }
+        }
+        if step % 500 == 0 {
+            histogram.decay(0.0);
+            walked.decay(0.0);
+        }
+        let bucket = histogram.bucket_above_median();
+        assert_eq!(histogram.total(), walked.0.iter().sum::<f64>());
+        assert_eq!(histogram.is_empty(), histogram.total() == 0.0);
+        assert_eq!(histogram.sum_millis(), walked.sum_millis());
+        assert_eq!(
+            histogram.total_from(bucket),
+            walked.0.iter().skip(bucket).sum::<f64>()
+        );
+    }
+}
+
+#[test]
+fn a_histogram_is_empty_after_hours_without_answers() {
+    let mut histogram = LatencyHistogram::default();
+    histogram.record(0.02);
+    for _ in 0..EVALUATIONS {
+        histogram.decay(0.96);
+    }
+    assert!(histogram.is_empty());
+    histogram.record(0.02);
+    assert_eq!(histogram.total(), 1.0);
+}
