--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -98,9 +98,11 @@
 
     fn count_unresponsive(&mut self, now: Duration) {
         let stall_timeout = self.stall_timeout();
-        self.admission.unresponsive_in_flight = self
-            .fleet
+        let awaited = self.fleet.index().sets().awaited();
+        self.fleet.count_scanned(awaited.len());
+        self.admission.unresponsive_in_flight = awaited
             .iter()
+            .map(|index| self.fleet.endpoint(*index))
             .filter(|e| e.is_unresponsive(now, stall_timeout))
             .map(|e| e.in_flight)
             .sum();
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -6,7 +6,6 @@
 use crate::interface::{AttemptEnd, EndpointState, Outcome};
 use crate::model::EndedAttempt;
 use crate::stats::OutcomeCounts;
-use rand::Rng;
 use std::time::Duration;
 
 /// Evaluation intervals after which a poll that is missed counts as a stall of this agent.
@@ -76,10 +75,20 @@
             return;
         }
         self.clock.resumed_at = now;
-        self.fleet.for_each_mut(|endpoint, _| {
+        let awaited: Vec<usize> = self
+            .fleet
+            .index()
+            .sets()
+            .awaited()
+            .iter()
+            .copied()
+            .collect();
+        self.fleet.count_scanned(awaited.len());
+        for index in awaited {
+            let mut endpoint = self.fleet.endpoint_mut(index);
             let silent_since = &mut endpoint.health.silent_since;
             *silent_since = silent_since.map(|_| now);
-        });
+        }
     }
 
     /// Takes in the end of an attempt: what it says of its endpoint, its class, its hardware type
@@ -157,11 +166,12 @@
     /// An endpoint that answers after several faults may have restarted, which the list has not
     /// said yet: it is in slow start again.
     fn record_answer(&mut self, observation: &Observation) {
-        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
+        let endpoint = self.fleet.endpoint(observation.endpoint);
         if endpoint.health.consecutive_faults > RESTART_FAULTS && endpoint.is_warm() {
-            endpoint.warming_since = Some(observation.now);
-            endpoint.slow_start.attempts = self.rng.gen_range(0.0..1.0);
+            let attempts = self.random_fraction();
+            self.return_to_slow_start(observation.endpoint, observation.now, attempts);
         }
+        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         endpoint.health.silent_since = Some(observation.now);
         endpoint.health.consecutive_faults = 0;
     }
@@ -240,13 +250,14 @@
     }
 
     fn observe_latency(&mut self, observation: &Observation, is_warm: bool) {
-        let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         let class = &mut self.classes[observation.class];
         let latency = observation.elapsed.as_secs_f64();
         let ratio = (latency / class.latency.mean).min(MAX_LATENCY_RATIO);
         update_high_quantile(&mut class.latency.high, latency);
-        update_high_quantile(&mut endpoint.high_latency, ratio);
-        drop(endpoint);
+        let endpoint = self.fleet.endpoint(observation.endpoint);
+        let mut endpoint_latency = self.endpoint_latency(endpoint);
+        update_high_quantile(&mut endpoint_latency, ratio);
+        self.set_endpoint_latency(observation.endpoint, endpoint_latency);
         if is_warm {
             self.observe_warm_latency(observation, latency, ratio);
         }
@@ -336,7 +347,7 @@
 }
 
 /// Follows a high quantile by one value.
-fn update_high_quantile(high: &mut f64, value: f64) {
+pub(super) fn update_high_quantile(high: &mut f64, value: f64) {
     let step = if value > *high {
         HIGH_QUANTILE_UP
     } else {
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -66,11 +66,13 @@
         let warming_since = entry.started.filter(|s| *s + warm_after > now);
         let first_attempts = self.random_fraction();
         let classes = self.classes.len();
+        let latency = self.initial_latency(entry.endpoint_type, entry.build);
         self.fleet.endpoint_mut(entry.endpoint).restart(
             entry,
             classes,
             warming_since,
             first_attempts,
+            latency,
         );
         let build = self.build_mut(entry.build);
         build.newest_start = build.newest_start.max(entry.started.unwrap_or_default());
--- a/src/balancer/endpoint_weights.rs
+++ b/src/balancer/endpoint_weights.rs
@@ -1,9 +1,7 @@
 //! What each endpoint may draw, by its latency against its peers' and by its hardware type.
 
-use super::slow_start::update_quota;
 use super::Balancer;
-use crate::model::{Endpoint, EndpointType};
-use std::time::Duration;
+use crate::model::{Endpoint, EndpointLatency, EndpointType, PeerGroup};
 
 /// Gain of the means of a hardware type, each answer.
 pub(super) const ENDPOINT_TYPE_GAIN: f64 = 0.02;
@@ -13,8 +11,6 @@
 const MIN_LATENCY_RATIO: f64 = 0.05;
 /// Steps to an octave in which throughputs are rounded.
 const THROUGHPUT_STEPS_PER_OCTAVE: f64 = 2.0;
-/// Peers above which there is a median.
-const MIN_PEERS: usize = 2;
 /// Gain by which an endpoint's latency returns to its peers', each evaluation interval.
 const LATENCY_FORGIVENESS: f64 = 0.01;
 /// Latency against the peers' from which on it counts for the weight as it is.
@@ -31,82 +27,122 @@
 /// Power that joins the two: the difference of the powers.
 const JOINING_POWER: f64 = 1.5;
 
-/// Median latencies of the peers of one hardware type.
-struct PeerLatencies {
-    earlier: f64,
-    newest: f64,
-}
-
 impl Balancer {
-    /// Weighs each endpoint by its latency against that of its peers, endpoints of the same
-    /// hardware type and side of the rollout; and sets the quota of those that are warming up.
-    pub(super) fn weigh_endpoints(&mut self, now: Duration) {
-        let newest_build = self.rollout.newest_build();
-        let peers = self.peer_latencies(newest_build);
+    /// Weighs hardware types and endpoints by their latencies of late. The latency of each endpoint
+    /// returns a bit to that of its peers, endpoints of the same hardware type and side of the
+    /// rollout; it and the weight are computed when they are read.
+    pub(super) fn weigh_endpoints(&mut self) {
+        let medians = self.peer_medians();
         weigh_types(&mut self.fleet.types);
-        let pace = self.slow_start_pace();
-        let slow_start = &self.parameters.slow_start;
-        self.fleet.for_each_mut(|endpoint, types| {
-            let throughput = types[endpoint.endpoint_type].throughput;
-            update_quota(now, endpoint, slow_start, throughput, &pace);
-            let peers = &peers[endpoint.endpoint_type];
-            let median = if endpoint.build >= newest_build {
-                peers.newest
-            } else {
-                peers.earlier
-            };
-            update_weight(endpoint, median);
-        });
+        for (endpoint_type, median) in medians.iter().enumerate() {
+            for (is_newest, median) in [(false, median.earlier), (true, median.newest)] {
+                let group = PeerGroup {
+                    endpoint_type,
+                    is_newest,
+                };
+                self.peer_latencies
+                    .of_mut(group)
+                    .approach(median, LATENCY_FORGIVENESS);
+            }
+        }
+        self.peer_latencies.evaluations += 1;
     }
 
     /// Weight of an endpoint in the random draw, by its latency against its peers' at the last
     /// evaluation; [`MAX_ENDPOINT_WEIGHT`] at the most.
     pub(super) fn endpoint_weight(&self, endpoint: &Endpoint) -> f64 {
-        endpoint.weight
+        let known = &endpoint.latency;
+        let age = self.peer_latencies.evaluations - known.evaluations;
+        let Some(age_before) = age.checked_sub(1) else {
+            return known.weight;
+        };
+        let peers = self.peer_latencies.of(self.peer_group(endpoint));
+        let latency = peers.center_before + remaining_deviation(known.deviation, age_before);
+        weight_of(latency / peers.median)
     }
 
-    fn peer_latencies(&self, newest_build: u32) -> Vec<PeerLatencies> {
-        let all = self.median_latency(|_| true).unwrap_or(1.0);
-        let side = |endpoint_type: usize, is_newest: bool| {
-            let is_peer = |e: &Endpoint| {
-                e.endpoint_type == endpoint_type && (e.build >= newest_build) == is_newest
-            };
-            self.median_latency(is_peer).unwrap_or(all)
+    /// A high quantile of an endpoint's latencies, divided by the mean of the class.
+    pub(super) fn endpoint_latency(&self, endpoint: &Endpoint) -> f64 {
+        let known = &endpoint.latency;
+        let age = self.peer_latencies.evaluations - known.evaluations;
+        let peers = self.peer_latencies.of(self.peer_group(endpoint));
+        peers.center + remaining_deviation(known.deviation, age)
+    }
+
+    /// Sets the latency of an endpoint. Its weight stays until the next evaluation.
+    pub(super) fn set_endpoint_latency(&mut self, index: usize, latency: f64) {
+        let endpoint = self.fleet.endpoint(index);
+        let known = EndpointLatency {
+            deviation: latency - self.peer_latencies.of(self.peer_group(endpoint)).center,
+            weight: self.endpoint_weight(endpoint),
+            evaluations: self.peer_latencies.evaluations,
         };
-        (0..self.fleet.types.len())
-            .map(|endpoint_type| PeerLatencies {
-                earlier: side(endpoint_type, false),
-                newest: side(endpoint_type, true),
-            })
-            .collect()
+        self.fleet.endpoint_mut(index).latency = known;
     }
 
-    /// Median of the high latencies of warm endpoints, where there are enough of them.
-    fn median_latency(&self, is_peer: impl Fn(&Endpoint) -> bool) -> Option<f64> {
-        let peers = self
+    /// Latency of an endpoint that was just started: as that of all.
+    pub(super) fn initial_latency(&self, endpoint_type: usize, build: u32) -> EndpointLatency {
+        let group = PeerGroup {
+            endpoint_type,
+            is_newest: build >= self.rollout.newest_build(),
+        };
+        EndpointLatency {
+            deviation: 1.0 - self.peer_latencies.of(group).center,
+            weight: 1.0,
+            evaluations: self.peer_latencies.evaluations,
+        }
+    }
+
+    /// Moves endpoints that run a build older than `newest_build`, which is to become the newest
+    /// one, to the peers of earlier builds. Walks all endpoints.
+    pub(super) fn regroup_peers(&mut self, newest_build: u32) {
+        let before = self.rollout.newest_build();
+        let moved: Vec<usize> = self
             .fleet
             .running()
-            .filter(|(_, e)| e.is_warm() && is_peer(e));
-        let mut latencies: Vec<f64> = peers.map(|(_, e)| e.high_latency).collect();
-        if latencies.len() <= MIN_PEERS {
-            return None;
+            .filter(|(_, e)| (before..newest_build).contains(&e.build))
+            .map(|(index, _)| index)
+            .collect();
+        for index in moved {
+            let endpoint = self.fleet.endpoint(index);
+            let earlier = PeerGroup {
+                is_newest: false,
+                ..self.peer_group(endpoint)
+            };
+            let center = self.peer_latencies.of(earlier).center;
+            let known = EndpointLatency {
+                deviation: self.endpoint_latency(endpoint) - center,
+                weight: self.endpoint_weight(endpoint),
+                evaluations: self.peer_latencies.evaluations,
+            };
+            self.fleet.endpoint_mut(index).latency = known;
         }
-        latencies.sort_by(f64::total_cmp);
-        latencies.get(latencies.len() / 2).copied()
     }
+
+    fn peer_group(&self, endpoint: &Endpoint) -> PeerGroup {
+        PeerGroup {
+            endpoint_type: endpoint.endpoint_type,
+            is_newest: endpoint.build >= self.rollout.newest_build(),
+        }
+    }
+}
+
+/// What is left of a deviation after so many evaluations: nothing after some hours.
+fn remaining_deviation(deviation: f64, evaluations: u64) -> f64 {
+    let evaluations = i32::try_from(evaluations).unwrap_or(i32::MAX);
+    deviation * (1.0 - LATENCY_FORGIVENESS).powi(evaluations)
 }
 
-/// Lets the weight fall with the square root of the latency, and with its square where that is far
-/// beyond the peers'.
-fn update_weight(endpoint: &mut Endpoint, median: f64) {
-    let relative = (endpoint.high_latency / median).max(MIN_RELATIVE_LATENCY);
+/// The weight for a latency relative to the peers': it falls with the square root of the latency,
+/// and with its square where that is far beyond the peers'.
+fn weight_of(relative: f64) -> f64 {
+    let relative = relative.max(MIN_RELATIVE_LATENCY);
     let weight = if relative < SLOW_RELATIVE_LATENCY {
         relative.powf(WEIGHT_POWER)
     } else {
         SLOW_RELATIVE_LATENCY.powf(JOINING_POWER) * relative.powi(SLOW_WEIGHT_POWER)
     };
-    endpoint.weight = weight.min(MAX_ENDPOINT_WEIGHT);
-    endpoint.high_latency += (median - endpoint.high_latency) * LATENCY_FORGIVENESS;
+    weight.min(MAX_ENDPOINT_WEIGHT)
 }
 
 /// Sets all hardware types against their mean, once enough is known of them.
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -7,7 +7,7 @@
 use super::evidence::{EVALUATED_AFTER_START, MIN_OUTCOMES};
 use super::Balancer;
 use crate::interface::{RolloutPhase, RolloutStatus};
-use crate::model::{ClassState, Endpoint, SpeedCounts};
+use crate::model::{ClassState, SpeedCounts};
 use crate::stats::{chernoff_bound_of_fair_coin, chernoff_bound_of_mean};
 use std::time::Duration;
 
@@ -157,14 +157,23 @@
     /// load slows all, as a rush does that many agents share. May pass over a bad build in a rush.
     fn is_short_of_capacity(&self, now: Duration) -> bool {
         let rollout = &self.parameters.rollout;
-        let excess =
-            |endpoint: &Endpoint| self.slow_start_share(now, endpoint) - MIN_FLEET_CAPACITY;
-        let is_warming =
-            rollout.in_place && self.fleet.running().map(|(_, e)| excess(e)).sum::<f64>() < 0.0;
+        let is_warming = rollout.in_place && self.excess_capacity(now) < 0.0;
         let growth = self.evaluation.arrivals.growth();
         is_warming || rollout.needs_agreement && growth >= MAX_ARRIVAL_GROWTH
     }
 
+    /// Full loads of endpoints that the fleet bears beyond the least part of it.
+    pub(super) fn excess_capacity(&self, now: Duration) -> f64 {
+        let index = self.fleet.index();
+        let warm = index.total().warm as f64 * (1.0 - MIN_FLEET_CAPACITY);
+        let warming = index.sets().warming();
+        self.fleet.count_scanned(warming.len());
+        let shares = warming
+            .iter()
+            .map(|endpoint| self.slow_start_share(now, self.fleet.endpoint(*endpoint)));
+        warm + shares.map(|share| share - MIN_FLEET_CAPACITY).sum::<f64>()
+    }
+
     /// Sets the alarm. Right after more of the canary came up, the fast answers are gone, of the
     /// canary too: held at once, and rolled back where it takes others' places if that lasts. Slow
     /// endpoints or a slow network leave the fast half. Where nearly all of the canary's own are
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -19,6 +19,7 @@
 mod load_reports;
 mod outcome_regression;
 mod parameters;
+mod peer_medians;
 mod platform_evidence;
 mod reload;
 mod request_class;
@@ -38,8 +39,8 @@
 };
 use crate::model::{
     ActiveRequest, AdmissionState, AffinityState, BuildState, ClassState, ClockState,
-    CrossZoneState, EvaluationState, Fleet, LatencyRegression, ListState, PeerOutcomes,
-    PendingOutput, RetryState, RolloutState, SlowStartState, VoteState,
+    CrossZoneState, EvaluationState, Fleet, LatencyRegression, ListState, PeerLatencies,
+    PeerOutcomes, PendingOutput, RetryState, RolloutState, SlowStartState, VoteState,
 };
 use crate::stats::{DecayingCounts, MaxTree, OutcomeCounts};
 use evidence::MIN_OUTCOMES;
@@ -76,6 +77,7 @@
     evaluation: EvaluationState,
     list: ListState,
     output: PendingOutput,
+    peer_latencies: PeerLatencies,
     retries: RetryState,
     slow_start: SlowStartState,
     votes: VoteState,
@@ -125,6 +127,7 @@
             },
             list,
             output: PendingOutput::default(),
+            peer_latencies: PeerLatencies::default(),
             retries: retries::initial(),
             slow_start: slow_start::initial(),
             votes,
@@ -155,6 +158,7 @@
             return;
         }
         if known != Some(status.build) {
+            self.regroup_peers(status.build);
             self.begin_evaluation(status.build);
         }
         self.build_mut(status.build);
@@ -261,7 +265,8 @@
     /// Weighs endpoints and builds by the evidence of the last interval.
     fn evaluate(&mut self, now: Duration) {
         self.update_slow_start_pace();
-        self.weigh_endpoints(now);
+        self.weigh_endpoints();
+        self.update_slow_start_quotas(now);
         self.decay_evidence(now);
         self.update_remote_weight();
         self.update_limit(now);
--- /dev/null
+++ b/src/balancer/peer_medians.rs
@@ -0,0 +1,122 @@
+//! Medians of the latencies of peers, over a bounded number of them.
+
+use super::Balancer;
+use crate::model::PeerGroup;
+
+/// Peers above which there is a median.
+const MIN_PEERS: usize = 2;
+/// Peers that a median is taken over, at most; others take their turn at the next evaluations.
+///
+/// Up to so many the median is exact. Beyond, its rank is off by a share of the peers whose
+/// standard deviation is `0.5 / sqrt(512)`, 2.2%, at most.
+pub(super) const MAX_SAMPLED_PEERS: usize = 512;
+/// Step between two sampled positions, as a part of their number: the golden ratio, whose
+/// multiples spread evenly and fall in with no period of the list.
+const SAMPLE_STEP: f64 = 0.618_033_988_749_895;
+
+/// Median latencies of the peers of one hardware type.
+pub(super) struct PeerMedians {
+    /// Of those that run an earlier build.
+    pub earlier: f64,
+    /// Of those that run the newest one.
+    pub newest: f64,
+}
+
+impl Balancer {
+    /// Median latencies of all peer groups, by hardware type. A group of few endpoints gets the
+    /// median of all; nobody reads that of a group without endpoints.
+    pub(super) fn peer_medians(&self) -> Vec<PeerMedians> {
+        let mut overall = None;
+        let mut median = |group: PeerGroup| {
+            if self.has_no_endpoint(group) {
+                return 1.0;
+            }
+            self.group_median(group)
+                .unwrap_or_else(|| *overall.get_or_insert_with(|| self.overall_median()))
+        };
+        (0..self.fleet.types.len())
+            .map(|endpoint_type| PeerMedians {
+                earlier: median(PeerGroup {
+                    endpoint_type,
+                    is_newest: false,
+                }),
+                newest: median(PeerGroup {
+                    endpoint_type,
+                    is_newest: true,
+                }),
+            })
+            .collect()
+    }
+
+    /// Whether no endpoint of a group is warm, and none is warming that may be of it.
+    fn has_no_endpoint(&self, group: PeerGroup) -> bool {
+        self.fleet.index().sets().warming().is_empty() && self.warm_peers(group).is_empty()
+    }
+
+    fn group_median(&self, group: PeerGroup) -> Option<f64> {
+        self.median_latency(&self.warm_peers(group))
+    }
+
+    fn warm_peers(&self, group: PeerGroup) -> Vec<&[usize]> {
+        let warm = self.fleet.index().sets().warm();
+        let newest_build = self.rollout.newest_build();
+        warm.peers(group.endpoint_type, newest_build, group.is_newest)
+    }
+
+    fn overall_median(&self) -> f64 {
+        let warm = self.fleet.index().sets().warm();
+        self.median_latency(&warm.all()).unwrap_or(1.0)
+    }
+
+    /// Median of the high latencies of the endpoints of these lists, where there are enough.
+    fn median_latency(&self, lists: &[&[usize]]) -> Option<f64> {
+        let total = lists.iter().map(|list| list.len()).sum();
+        if total <= MIN_PEERS {
+            return None;
+        }
+        let positions = sampled_positions(total, self.peer_latencies.evaluations);
+        let mut latencies: Vec<f64> = positions
+            .filter_map(|position| member_at(lists, position))
+            .map(|index| self.endpoint_latency(self.fleet.endpoint(index)))
+            .collect();
+        self.fleet.count_scanned(latencies.len());
+        let middle = latencies.len() / 2;
+        let (_, median, _) = latencies.select_nth_unstable_by(middle, f64::total_cmp);
+        Some(*median)
+    }
+}
+
+/// Which of `total` positions an evaluation looks at: all, or as many as are allowed, each once,
+/// beginning where the evaluation before ended.
+pub(super) fn sampled_positions(total: usize, evaluation: u64) -> impl Iterator<Item = usize> {
+    let sampled = total.min(MAX_SAMPLED_PEERS);
+    let total = total.max(1) as u64;
+    let step = sample_step(total);
+    let start = (evaluation % total) * sampled as u64 % total;
+    (0..sampled as u64).map(move |number| ((start + number) % total * step % total) as usize)
+}
+
+/// The step nearest above the golden part of `total` that meets each position once.
+fn sample_step(total: u64) -> u64 {
+    let golden = ((total as f64 * SAMPLE_STEP) as u64).max(1);
+    (golden..)
+        .find(|step| greatest_common_divisor(*step, total) == 1)
+        .unwrap_or(1)
+}
+
+fn greatest_common_divisor(mut a: u64, mut b: u64) -> u64 {
+    while b != 0 {
+        (a, b) = (b, a % b);
+    }
+    a
+}
+
+fn member_at(lists: &[&[usize]], mut position: usize) -> Option<usize> {
+    for list in lists {
+        if let Some(member) = list.get(position) {
+            return Some(*member);
+        }
+        position -= list.len();
+    }
+    None
+}
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -76,17 +76,24 @@
     }
 
     /// Where slow start lasts longer from now on, endpoints that have not warmed up for as long are
-    /// in slow start again.
+    /// in slow start again, each
+    /// beginning at a random point of its quota, as after a start.
     fn extend_slow_start(&mut self, now: Duration, before: Duration) {
         let duration = self.parameters.slow_start.duration;
         if duration <= before {
             return;
         }
-        self.fleet.for_each_mut(|endpoint, _| {
-            if endpoint.is_warm() {
-                endpoint.warming_since = endpoint.started.filter(|s| *s + duration > now);
-            }
-        });
+        let returning: Vec<(usize, Duration)> = self
+            .fleet
+            .running()
+            .filter(|(_, endpoint)| endpoint.is_warm())
+            .filter_map(|(index, endpoint)| Some((index, endpoint.started?)))
+            .filter(|(_, started)| *started + duration > now)
+            .collect();
+        for (index, started) in returning {
+            let attempts = self.random_fraction();
+            self.return_to_slow_start(index, started, attempts);
+        }
     }
 
     fn reload_classes(&mut self, settings: &Settings, mapping: &IndexMapping, classes: &CarryOver) {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::parameters::SlowStartParameters;
 use super::{Balancer, EVALUATION_INTERVAL};
-use crate::model::{Endpoint, SlowStartState};
+use crate::model::{Endpoint, SlowStartPace, SlowStartState};
 use crate::stats::Ewma;
 use std::time::Duration;
 
@@ -23,6 +23,7 @@
             value: 0.0,
             samples: 1.0 / PACE_GAIN,
         },
+        pace: SlowStartPace::default(),
     }
 }
 
@@ -39,14 +40,6 @@
     }
 }
 
-/// What warming endpoints may get at present.
-pub(super) struct SlowStartPace {
-    /// Answers in an evaluation interval for a full share.
-    attempts_per_interval: f64,
-    /// Evaluation intervals in the overload window.
-    intervals_per_window: f64,
-}
-
 impl Balancer {
     /// Part of its full load that an endpoint may get.
     pub(super) fn slow_start_share(&self, now: Duration, endpoint: &Endpoint) -> f64 {
@@ -65,7 +58,41 @@
         }
     }
 
-    pub(super) fn slow_start_pace(&self) -> SlowStartPace {
+    /// Sets the quota of the endpoints that are warming up, and ends the slow start of those that
+    /// have warmed up. Walks no others.
+    pub(super) fn update_slow_start_quotas(&mut self, now: Duration) {
+        let pace = self.slow_start_pace();
+        self.slow_start.pace = pace;
+        let warming: Vec<usize> = self
+            .fleet
+            .index()
+            .sets()
+            .warming()
+            .iter()
+            .copied()
+            .collect();
+        self.fleet.count_scanned(warming.len());
+        for index in warming {
+            let (mut endpoint, hardware) = self.fleet.endpoint_and_type_mut(index);
+            let parameters = &self.parameters.slow_start;
+            update_quota(now, &mut endpoint, parameters, hardware.throughput, &pace);
+        }
+    }
+
+    /// Puts a warm endpoint in slow start again, as of `since`, with these attempts.
+    pub(super) fn return_to_slow_start(&mut self, index: usize, since: Duration, attempts: f64) {
+        let pace = self.slow_start.pace;
+        let evaluations = self.peer_latencies.evaluations;
+        let (mut endpoint, hardware) = self.fleet.endpoint_and_type_mut(index);
+        endpoint.warming_since = Some(since);
+        let quota = &mut endpoint.slow_start;
+        quota.attempts = attempts;
+        if quota.evaluations < evaluations {
+            quota.per_window = pace.attempts_per_window(1.0, hardware.throughput);
+        }
+    }
+
+    fn slow_start_pace(&self) -> SlowStartPace {
         let parameters = &self.parameters.slow_start;
         let window = parameters.overload_window;
         SlowStartPace {
@@ -82,7 +109,7 @@
 ///
 /// Guards against a first attempt of every agent at once. Does harm where nearly all endpoints are
 /// warming, as requests are rejected then.
-pub(super) fn update_quota(
+fn update_quota(
     now: Duration,
     endpoint: &mut Endpoint,
     parameters: &SlowStartParameters,
@@ -93,10 +120,8 @@
     endpoint.warming_since = endpoint
         .warming_since
         .filter(|since| now < *since + warm_after);
-    let per_window = parameters.load_share(now, endpoint)
-        * throughput
-        * pace.attempts_per_interval
-        * pace.intervals_per_window;
+    let share = parameters.load_share(now, endpoint);
+    let per_window = pace.attempts_per_window(share, throughput);
     let quota = &mut endpoint.slow_start;
     let first_window = if quota.per_window > 0.0 {
         0.0
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,6 +1,6 @@
 //! What is remembered of one endpoint.
 
-use super::{Attempt, EndpointKey};
+use super::{Attempt, EndpointKey, EndpointLatency};
 use crate::interface::{EndpointEntry, EndpointState};
 use crate::stats::OutcomeCounts;
 use std::time::Duration;
@@ -36,13 +36,15 @@
     pub logged: bool,
 }
 
-/// What an endpoint in slow start may get.
+/// What an endpoint in slow start may get; not kept up to date past slow start.
 #[derive(Default)]
 pub(crate) struct SlowStartQuota {
     /// Attempts that may be sent now.
     pub attempts: f64,
     /// Attempts within the overload window.
     pub per_window: f64,
+    /// Evaluations before the endpoint was started.
+    pub evaluations: u64,
 }
 
 /// Load of one endpoint by its own reports.
@@ -82,9 +84,7 @@
     /// Its ejection.
     pub ejection: Ejection,
     /// A high quantile of its latencies, divided by the mean of the class.
-    pub high_latency: f64,
-    /// Weight in the random draw, by its latency against its peers'.
-    pub weight: f64,
+    pub latency: EndpointLatency,
     /// By class: outcomes of its attempts.
     pub outcomes: Vec<OutcomeCounts>,
     /// What it may get in slow start.
@@ -141,6 +141,7 @@
         classes: usize,
         warming_since: Option<Duration>,
         slow_start_attempts: f64,
+        latency: EndpointLatency,
     ) {
         *self = Endpoint {
             state: entry.state,
@@ -154,10 +155,10 @@
             slow_start: SlowStartQuota {
                 attempts: slow_start_attempts,
                 per_window: 0.0,
+                evaluations: latency.evaluations,
             },
             in_flight: self.in_flight,
-            high_latency: 1.0,
-            weight: 1.0,
+            latency,
             outcomes: vec![OutcomeCounts::default(); classes],
             ..Endpoint::default()
         };
--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -1,5 +1,6 @@
 //! What is kept up to date about the endpoints at each change, so that nobody walks over them.
 
+use super::EndpointSets;
 use crate::interface::EndpointState;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -58,11 +59,13 @@
 pub(crate) struct FleetIndex {
     total: EndpointCount,
     by_build: BTreeMap<u32, EndpointCount>,
+    sets: EndpointSets,
 }
 
 impl FleetIndex {
     /// Takes in a change of one endpoint.
-    pub fn update(&mut self, _endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
+    pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
+        self.sets.update(endpoint, before, after);
         if before.is_running() {
             self.remove(before);
         }
@@ -86,6 +89,11 @@
         }
     }
 
+    /// Sets of endpoints that evaluations walk.
+    pub fn sets(&self) -> &EndpointSets {
+        &self.sets
+    }
+
     /// All endpoints.
     pub fn total(&self) -> EndpointCount {
         self.total
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -63,6 +63,24 @@
     pub completed: f64,
     /// Answers of one warm endpoint in an evaluation interval.
     pub completed_per_interval: Ewma,
+    /// What endpoints might get at the last evaluation.
+    pub pace: SlowStartPace,
+}
+
+/// What endpoints in slow start may get, by the pace of warm ones.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct SlowStartPace {
+    /// Answers in an evaluation interval for a full share.
+    pub attempts_per_interval: f64,
+    /// Evaluation intervals in the overload window.
+    pub intervals_per_window: f64,
+}
+
+impl SlowStartPace {
+    /// Attempts in the overload window, for a part of the full load of hardware of this throughput.
+    pub fn attempts_per_window(&self, share: f64, throughput: f64) -> f64 {
+        share * throughput * self.attempts_per_interval * self.intervals_per_window
+    }
 }
 
 /// Keys and the endpoints or builds that serve them.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -4,11 +4,13 @@
 mod build;
 mod class;
 mod endpoint;
+mod endpoint_sets;
 mod endpoint_type;
 mod evaluation;
 mod fleet;
 mod fleet_index;
 mod load;
+mod peer_latency;
 mod request;
 mod rollout;
 mod votes;
@@ -16,14 +18,16 @@
 pub(crate) use build::{BuildState, PlatformTotals};
 pub(crate) use class::{ClassRules, ClassState, LatencyEstimate};
 pub(crate) use endpoint::{Endpoint, LoadReport};
+pub(crate) use endpoint_sets::EndpointSets;
 pub(crate) use endpoint_type::EndpointType;
 pub(crate) use evaluation::{EvaluationState, LatencyRegression, PeerOutcomes, SpeedCounts};
 pub(crate) use fleet::Fleet;
 pub(crate) use fleet_index::{EndpointKey, FleetIndex};
 pub(crate) use load::{
     AdmissionState, AffinityState, ClockState, CrossZoneState, ListState, PendingOutput,
-    RetryState, SlowStartState,
+    RetryState, SlowStartPace, SlowStartState,
 };
+pub(crate) use peer_latency::{EndpointLatency, PeerGroup, PeerLatencies};
 pub(crate) use request::{ActiveRequest, Attempt, EndedAttempt, FailedAttempt};
 pub(crate) use rollout::RolloutState;
 pub(crate) use votes::{SentVote, VoteState};
--- a/tests/unit/balancer/mod.rs
+++ b/tests/unit/balancer/mod.rs
@@ -1,6 +1,9 @@
 //! What evaluations keep up to date, against walks over all endpoints and classes.
 
 mod class_summaries;
+mod endpoint_sets;
+mod peer_latencies;
+mod slow_start_quotas;
 
 use crate::interface::*;
 use std::time::Duration;
@@ -73,3 +76,13 @@
         started: None,
     }
 }
+
+fn rollout(build: u32, phase: RolloutPhase) -> RolloutStatus {
+    RolloutStatus {
+        build,
+        stage: 0,
+        phase,
+        cap: 1.0,
+        since: START,
+    }
+}
--- /dev/null
+++ b/tests/unit/balancer/slow_start_quotas.rs
@@ -0,0 +1,72 @@
+//! Quotas of endpoints in slow start, of which those past it are not walked, against a walk.
+
+use super::*;
+use crate::balancer::Balancer;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+const ENDPOINTS: usize = 30;
+
+/// The quota of a full load by the pace of the last evaluation.
+fn full_quota(balancer: &Balancer, endpoint_type: usize) -> f64 {
+    balancer
+        .slow_start
+        .pace
+        .attempts_per_window(1.0, balancer.fleet.types[endpoint_type].throughput)
+}
+
+/// What each endpoint would get in the overload window, warm or not, as the last evaluation found.
+#[test]
+fn an_endpoint_in_slow_start_again_has_the_quota_of_a_warm_one() {
+    let mut random = Pcg64Mcg::seed_from_u64(6);
+    let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
+    let mut now = START;
+    let mut quotas = [0.0; ENDPOINTS];
+    for _ in 0..400 {
+        let started: Vec<usize> = (0..ENDPOINTS).filter(|_| random.gen_bool(0.02)).collect();
+        for index in started {
+            now += ms(1);
+            let entry = EndpointEntry {
+                started: random.gen_bool(0.5).then_some(now),
+                build: (now.as_millis() % 1_000_000) as u32,
+                ..entry(index, index % 2, 1)
+            };
+            balancer.update_endpoints(now, &[entry], false);
+            quotas[index] = 0.0;
+        }
+        for (index, quota_before) in quotas.iter().enumerate().take(balancer.fleet.len()) {
+            let endpoint = balancer.fleet.endpoint(index);
+            if endpoint.runs_warm(endpoint.build) && random.gen_bool(0.02) {
+                let attempts = random.gen_range(0.0..1.0);
+                balancer.return_to_slow_start(index, now, attempts);
+                let quota = &balancer.fleet.endpoint(index).slow_start;
+                assert_eq!(quota.attempts, attempts);
+                assert_eq!(quota.per_window, *quota_before);
+            }
+        }
+        now += ms(100);
+        balancer.slow_start.completed_per_interval.value = random.gen_range(0.0..3.0);
+        balancer.weigh_endpoints();
+        balancer.update_slow_start_quotas(now);
+        for (index, quota) in quotas.iter_mut().enumerate().take(balancer.fleet.len()) {
+            let endpoint = balancer.fleet.endpoint(index);
+            let share = balancer.slow_start_share(now, endpoint);
+            *quota = share * full_quota(&balancer, endpoint.endpoint_type);
+        }
+    }
+}
+
+#[test]
+fn a_slow_start_that_is_over_ends_at_the_next_evaluation() {
+    let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
+    let started = EndpointEntry {
+        started: Some(START),
+        ..entry(0, 0, 1)
+    };
+    balancer.update_endpoints(START, &[started], true);
+    balancer.update_slow_start_quotas(START + ms(3_999));
+    assert!(!balancer.fleet.endpoint(0).is_warm());
+    balancer.update_slow_start_quotas(START + ms(4_000));
+    assert!(balancer.fleet.endpoint(0).is_warm());
+    assert!(balancer.fleet.index().sets().warming().is_empty());
+}
