--- a/src/model/endpoint_sets.rs
+++ b/src/model/endpoint_sets.rs
@@ -17,8 +17,12 @@
 impl EndpointSets {
     /// Takes in a change of one endpoint.
     pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
-        update_member(&mut self.warming, endpoint, is_warming(after));
-        update_member(&mut self.awaited, endpoint, is_awaited(after));
+        if is_warming(before) != is_warming(after) {
+            set_member(&mut self.warming, endpoint, is_warming(after));
+        }
+        if is_awaited(before) != is_awaited(after) {
+            set_member(&mut self.awaited, endpoint, is_awaited(after));
+        }
         let (group_before, group_after) = (warm_group(before), warm_group(after));
         if group_before == group_after {
             return;
@@ -62,7 +66,7 @@
     })
 }
 
-fn update_member(set: &mut BTreeSet<usize>, endpoint: usize, is_member: bool) {
+fn set_member(set: &mut BTreeSet<usize>, endpoint: usize, is_member: bool) {
     if is_member {
         set.insert(endpoint);
     } else {
--- a/tests/unit/balancer/slow_start_quotas.rs
+++ b/tests/unit/balancer/slow_start_quotas.rs
@@ -56,6 +56,43 @@
     }
 }
 
+/// Where slow start lasts longer from now on, its young endpoints begin like those just started.
+#[test]
+fn endpoints_in_slow_start_again_by_a_reload_begin_at_random_points_of_their_quota() {
+    let short = settings(vec![class(400, 1.0)]);
+    let mut balancer = Balancer::new(START, short.clone());
+    let entries: Vec<EndpointEntry> = (0..ENDPOINTS)
+        .map(|index| EndpointEntry {
+            started: Some(START - ms(5_000)),
+            ..entry(index, 0, 1)
+        })
+        .collect();
+    balancer.update_endpoints(START, &entries, true);
+    balancer.slow_start.completed_per_interval.value = 2.0;
+    balancer.weigh_endpoints();
+    balancer.update_slow_start_quotas(START);
+    let long = Settings {
+        slow_start_duration: ms(9_000),
+        ..short
+    };
+    let mapping = IndexMapping {
+        classes: vec![IndexOrigin::Same],
+        tenants: vec![IndexOrigin::Same; 2],
+    };
+    balancer.reload(START, &long, &mapping);
+    let mut attempts = 0.0;
+    for index in 0..ENDPOINTS {
+        let endpoint = balancer.fleet.endpoint(index);
+        assert_eq!(endpoint.warming_since, Some(START - ms(5_000)));
+        assert_eq!(endpoint.slow_start.per_window, full_quota(&balancer, 0));
+        assert!((0.0..1.0).contains(&endpoint.slow_start.attempts));
+        attempts += endpoint.slow_start.attempts;
+    }
+    let mean = attempts / ENDPOINTS as f64;
+    assert!((0.3..0.7).contains(&mean), "{mean}");
+    assert_eq!(balancer.fleet.index().sets().warming().len(), ENDPOINTS);
+}
+
 #[test]
 fn a_slow_start_that_is_over_ends_at_the_next_evaluation() {
     let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
