--- a/examples/tenant_load.rs
+++ b/examples/tenant_load.rs
@@ -1,5 +1,5 @@
-//! What tenants cost at one agent, by their number: an evaluation (ten a second) decays the load of
-//! each, and a request that comes while there is a limit in flight sums them.
+//! What tenants cost at one agent, by their number: an evaluation (ten a second) lets the load of
+//! all decay, and a request that comes while there is a limit in flight asks for their sum.
 //!
 //!     cargo run --release --example tenant_load
 
--- a/tests/unit/stats/mod.rs
+++ b/tests/unit/stats/mod.rs
@@ -42,6 +42,11 @@
     tree.set(1_000, 9.0);
     tree.set(1, f64::NAN);
     assert_eq!(tree.max(), 1.0);
+    let mut single = MaxTree::new([1.0].into_iter());
+    single.set(0, f64::NAN);
+    assert_eq!(single.max(), 0.0);
+    single.set(0, -3.0);
+    assert_eq!(single.max(), 0.0);
     let mut empty = MaxTree::new([].into_iter());
     empty.set(5, 2.0);
     assert_eq!(empty.max(), 0.0);
