--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -1,6 +1,6 @@
 //! What is kept up to date about the endpoints at each change, so that nobody walks over them.
 
-use super::EndpointSets;
+use super::{AffinityIndex, EndpointSets};
 use crate::interface::EndpointState;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,6 +10,8 @@
 pub(crate) struct EndpointKey {
     /// Whether it may be sent requests.
     pub state: EndpointState,
+    /// Number that identifies it at every agent.
+    pub identity: u64,
     /// Index of its zone.
     pub zone: usize,
     /// Index of its hardware type.
@@ -59,6 +61,7 @@
 pub(crate) struct FleetIndex {
     total: EndpointCount,
     by_build: BTreeMap<u32, EndpointCount>,
+    affinity: AffinityIndex,
     sets: EndpointSets,
 }
 
@@ -72,6 +75,7 @@
         if after.is_running() {
             self.add(after);
         }
+        self.affinity.update(endpoint, before, after);
     }
 
     fn add(&mut self, key: &EndpointKey) {
@@ -99,6 +103,11 @@
         self.total
     }
 
+    /// The running endpoints, by the keys that are theirs.
+    pub fn affinity(&self) -> &AffinityIndex {
+        &self.affinity
+    }
+
     /// Endpoints of one build.
     pub fn of_build(&self, build: u32) -> EndpointCount {
         self.by_build.get(&build).copied().unwrap_or_default()
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -7,6 +7,8 @@
 mod max_tree;
 mod outcome_counts;
 mod rendezvous;
+mod rendezvous_tree;
+mod rendezvous_trie;
 
 #[cfg(test)]
 #[path = "../../tests/unit/stats/mod.rs"]
@@ -21,4 +23,5 @@
 };
 pub(crate) use max_tree::MaxTree;
 pub(crate) use outcome_counts::OutcomeCounts;
-pub(crate) use rendezvous::rendezvous_distance;
+pub(crate) use rendezvous_tree::{KindWeight, RankedMembers, RendezvousTree};
+pub(crate) use rendezvous_trie::RendezvousMember;
