--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -65,9 +65,13 @@
         let warm_after = self.parameters.slow_start.duration;
         let warming_since = entry.started.filter(|s| *s + warm_after > now);
         let first_attempts = self.random_fraction();
-        self.fleet
-            .endpoint_mut(entry.endpoint)
-            .restart(entry, warming_since, first_attempts);
+        let latency = self.initial_latency(entry.endpoint_type, entry.build);
+        self.fleet.endpoint_mut(entry.endpoint).restart(
+            entry,
+            warming_since,
+            first_attempts,
+            latency,
+        );
         self.outcomes.start(entry.endpoint, entry.build);
         let build = self.build_mut(entry.build);
         build.newest_start = build.newest_start.max(entry.started.unwrap_or_default());
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -20,6 +20,7 @@
 mod outcome_evidence;
 mod outcome_regression;
 mod parameters;
+mod peer_medians;
 mod platform_evidence;
 mod reload;
 mod request_class;
@@ -28,6 +29,10 @@
 mod routing;
 mod slow_start;
 
+#[cfg(test)]
+#[path = "../../tests/unit/balancer/mod.rs"]
+mod tests;
+
 pub use parameters::list_call_interval;
 
 use crate::interface::{
@@ -35,10 +40,10 @@
 };
 use crate::model::{
     ActiveRequest, AdmissionState, AffinityState, BuildState, ClassState, ClockState,
-    CrossZoneState, EvaluationState, Fleet, LatencyRegression, ListState, PeerOutcomes,
-    PendingOutput, RetryState, RolloutState, SlowStartState, VoteState,
+    CrossZoneState, EvaluationState, Fleet, LatencyRegression, ListState, PeerLatencies,
+    PeerOutcomes, PendingOutput, RetryState, RolloutState, SlowStartState, VoteState,
 };
-use crate::stats::OutcomeCounts;
+use crate::stats::{DecayingCounts, MaxTree, OutcomeCounts};
 use evidence::MIN_OUTCOMES;
 use outcome_evidence::OutcomeEvidence;
 use parameters::Parameters;
@@ -62,6 +67,8 @@
     parameters: Parameters,
     rng: Pcg64Mcg,
     classes: Vec<ClassState>,
+    /// By class: its high latency.
+    highest_latency: MaxTree,
     requests: BTreeMap<u64, ActiveRequest>,
     pub(crate) fleet: Fleet,
     pub(crate) rollout: RolloutState,
@@ -73,6 +80,7 @@
     list: ListState,
     outcomes: OutcomeEvidence,
     output: PendingOutput,
+    peer_latencies: PeerLatencies,
     retries: RetryState,
     slow_start: SlowStartState,
     votes: VoteState,
@@ -95,17 +103,19 @@
             }),
             ..ListState::default()
         };
-        Balancer {
-            classes: settings
-                .classes
-                .iter()
-                .map(request_class::initial)
-                .collect(),
+        let classes: Vec<ClassState> = settings
+            .classes
+            .iter()
+            .map(request_class::initial)
+            .collect();
+        let mut balancer = Balancer {
+            highest_latency: hedging::highest_latency(&classes),
+            classes,
             requests: BTreeMap::new(),
             fleet: Fleet::default(),
             rollout: RolloutState::default(),
             admission: AdmissionState {
-                tenant_load: vec![0.0; settings.tenants.len()],
+                tenant_load: DecayingCounts::new(settings.tenants.len()),
                 ..AdmissionState::default()
             },
             affinity: AffinityState::default(),
@@ -121,12 +131,15 @@
             list,
             outcomes: OutcomeEvidence::new(),
             output: PendingOutput::default(),
+            peer_latencies: PeerLatencies::default(),
             retries: retries::initial(),
             slow_start: slow_start::initial(),
             votes,
             parameters,
             rng,
-        }
+        };
+        balancer.summarize_classes();
+        balancer
     }
 
     /// Takes in a request, which [`Balancer::route`] then decides on under the same `id`.
@@ -149,6 +162,7 @@
             return;
         }
         if known != Some(status.build) {
+            self.regroup_peers(status.build);
             self.begin_evaluation(status.build);
         }
         self.build_mut(status.build);
@@ -257,7 +271,8 @@
     /// Weighs endpoints and builds by the evidence of the last interval.
     fn evaluate(&mut self, now: Duration) {
         self.update_slow_start_pace();
-        self.weigh_endpoints(now);
+        self.weigh_endpoints();
+        self.update_slow_start_quotas(now);
         self.decay_evidence(now);
         self.update_remote_weight();
         self.update_limit(now);
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -74,21 +74,6 @@
         (endpoint, hardware)
     }
 
-    /// Changes all endpoints that were ever listed, which counts them as scanned.
-    pub fn for_each_mut(&mut self, mut change: impl FnMut(&mut Endpoint, &[EndpointType])) {
-        self.count_scanned(self.endpoints.len());
-        for number in 0..self.endpoints.len() {
-            let types = &self.types;
-            let mut endpoint = EndpointMut {
-                number,
-                before: self.endpoints[number].key(),
-                endpoint: &mut self.endpoints[number],
-                index: &mut self.index,
-            };
-            change(&mut endpoint, types);
-        }
-    }
-
     /// All endpoints that were ever listed. Counts them as scanned.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.count_scanned(self.endpoints.len());
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -7,11 +7,13 @@
 mod class;
 mod endpoint;
 mod endpoint_outcomes;
+mod endpoint_sets;
 mod endpoint_type;
 mod evaluation;
 mod fleet;
 mod fleet_index;
 mod load;
+mod peer_latency;
 mod request;
 mod rollout;
 mod votes;
@@ -22,14 +24,16 @@
 pub(crate) use class::{ClassRules, ClassState, LatencyEstimate};
 pub(crate) use endpoint::{Endpoint, LoadReport};
 pub(crate) use endpoint_outcomes::{EndpointOutcomes, OutcomeDecay};
+pub(crate) use endpoint_sets::EndpointSets;
 pub(crate) use endpoint_type::EndpointType;
 pub(crate) use evaluation::{EvaluationState, LatencyRegression, PeerOutcomes, SpeedCounts};
 pub(crate) use fleet::Fleet;
 pub(crate) use fleet_index::{EndpointKey, FleetIndex};
 pub(crate) use load::{
     AdmissionState, AffinityState, ClockState, CrossZoneState, ListState, PendingOutput,
-    RetryState, SlowStartState,
+    RetryState, SlowStartPace, SlowStartState,
 };
+pub(crate) use peer_latency::{EndpointLatency, PeerGroup, PeerLatencies};
 pub(crate) use request::{ActiveRequest, Attempt, EndedAttempt, FailedAttempt};
 pub(crate) use rollout::RolloutState;
 pub(crate) use votes::{SentVote, VoteState};
