--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -3,7 +3,6 @@
 use super::{Balancer, MIN_CALL_GAP};
 use crate::interface::{EndpointEntry, EndpointState};
 use crate::model::EndpointType;
-use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Part of the agent's interval between calls that a call after a failure waits for, at the least.
@@ -31,12 +30,15 @@
     }
 
     fn retire_missing(&mut self, entries: &[EndpointEntry]) {
-        let listed: BTreeSet<usize> = entries.iter().map(|e| e.endpoint).collect();
-        for index in 0..self.fleet.len() {
-            if !listed.contains(&index) {
-                self.retire(index, EndpointState::Gone);
+        let mut is_listed = vec![false; self.fleet.len()];
+        for entry in entries {
+            if let Some(is_listed) = is_listed.get_mut(entry.endpoint) {
+                *is_listed = true;
             }
         }
+        for (index, _) in is_listed.iter().enumerate().filter(|(_, listed)| !*listed) {
+            self.retire(index, EndpointState::Gone);
+        }
     }
 
     fn update_endpoint(&mut self, now: Duration, entry: &EndpointEntry) {
