--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -1,6 +1,5 @@
 //! Which endpoint or build a key belongs to.
 
-use super::candidates::Candidate;
 use super::Balancer;
 use crate::interface::{Outcome, RolloutPhase};
 use crate::model::{ActiveRequest, EndedAttempt, Endpoint};
@@ -25,16 +24,21 @@
         rendezvous_distance(key, endpoint.identity, weight)
     }
 
-    /// The affinity endpoint of a key among these candidates.
-    pub(super) fn nearest<'a>(
+    /// The affinity endpoint of a key: the nearest running one that is a candidate.
+    pub(super) fn affinity_endpoint(
         &self,
         key: u64,
-        candidates: &'a [Candidate],
-    ) -> Option<&'a Candidate> {
-        let distance = |c: &Candidate| self.key_distance(key, self.fleet.endpoint(c.endpoint));
-        candidates
-            .iter()
-            .min_by(|a, b| distance(a).total_cmp(&distance(b)))
+        is_candidate: impl Fn(usize) -> bool,
+    ) -> Option<usize> {
+        let mut nearest: Option<(usize, f64)> = None;
+        for (index, endpoint) in self.fleet.running() {
+            let distance = self.key_distance(key, endpoint);
+            let is_nearer = nearest.is_none_or(|(_, least)| distance.total_cmp(&least).is_lt());
+            if is_nearer && is_candidate(index) {
+                nearest = Some((index, distance));
+            }
+        }
+        nearest.map(|(index, _)| index)
     }
 
     /// Remembers which build answered a key, where it may not return to an earlier one.
--- /dev/null
+++ b/src/balancer/candidate_weights.rs
@@ -0,0 +1,81 @@
+//! What a candidate weighs in the random draw, by itself and at the most in its group, and the load
+//! by which two candidates are compared.
+
+use super::endpoint_weights::MAX_ENDPOINT_WEIGHT;
+use super::selection::{BuildStanding, Selection};
+use super::Balancer;
+use crate::model::{Endpoint, EndpointGroup};
+
+/// Power of the relative latency by which slow hardware is avoided for heavy requests.
+const HEAVY_LATENCY_POWER: i32 = -4;
+
+impl Balancer {
+    /// Weight of an endpoint in the random draw for this request.
+    pub(super) fn candidate_weight(
+        &self,
+        selection: &Selection,
+        standing: BuildStanding,
+        endpoint: &Endpoint,
+    ) -> f64 {
+        let share = self.build_share(&selection.shares, standing, endpoint.zone);
+        let heavy_factor = self.heavy_factor(selection, endpoint.endpoint_type);
+        let weight = self.candidate_capacity(selection, endpoint) * share * heavy_factor;
+        if endpoint.is_warm() {
+            return weight;
+        }
+        let quota = endpoint.slow_start.per_window;
+        weight * (1.0 / quota).clamp(1.0, selection.shares.running)
+    }
+
+    /// The most that a member of this group can weigh.
+    ///
+    /// A warming member weighs by its part `s` of its full load, times `1 / (q s')` between one and
+    /// all running endpoints, where `s'` was that part at the last evaluation and `q` is the quota
+    /// of a full share.
+    pub(super) fn max_group_weight(
+        &self,
+        selection: &Selection,
+        standing: BuildStanding,
+        group: &EndpointGroup,
+    ) -> f64 {
+        let share = self.build_share(&selection.shares, standing, group.zone);
+        let heavy_factor = self.heavy_factor(selection, group.endpoint_type);
+        let throughput = self.fleet.types[group.endpoint_type].throughput;
+        let capacity = MAX_ENDPOINT_WEIGHT * throughput * share * heavy_factor;
+        if group.is_warm {
+            return capacity;
+        }
+        let largest = self.max_warming_share(selection.now, group.build);
+        let by_quota = self.max_share_growth(selection.now) / self.full_quota(throughput);
+        let most = largest * selection.shares.running;
+        capacity * by_quota.min(most).max(largest)
+    }
+
+    /// Load of an endpoint against what it can take.
+    pub(super) fn candidate_load(&self, selection: &Selection, endpoint: &Endpoint) -> f64 {
+        let min_load = if selection.is_heavy {
+            let hardware = &self.fleet.types[endpoint.endpoint_type];
+            1.0 + hardware.reported_load.value
+        } else {
+            0.0
+        };
+        let load = self.expected_load(selection.now, endpoint).max(min_load);
+        load / self.candidate_capacity(selection, endpoint)
+    }
+
+    fn candidate_capacity(&self, selection: &Selection, endpoint: &Endpoint) -> f64 {
+        let hardware = &self.fleet.types[endpoint.endpoint_type];
+        let slow_start_share = self.slow_start_share(selection.now, endpoint);
+        self.endpoint_weight(endpoint) * hardware.throughput * slow_start_share
+    }
+
+    /// Guards heavy requests against slow hardware, which looks fast at no load. Does harm by
+    /// crowding the fast hardware.
+    fn heavy_factor(&self, selection: &Selection, endpoint_type: usize) -> f64 {
+        if !selection.is_heavy {
+            return 1.0;
+        }
+        let hardware = &self.fleet.types[endpoint_type];
+        hardware.relative_latency.powi(HEAVY_LATENCY_POWER)
+    }
+}
--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -1,25 +1,17 @@
-//! Which endpoints may take a request, and which of them does: the better of two random choices,
-//! drawn by weight and compared by load.
+//! Which endpoint takes a request: the better of two random choices, drawn by weight and compared
+//! by load.
 
+use super::endpoint_draw::Draw;
+use super::preference::Preference;
+use super::selection::Selection;
 use super::Balancer;
-use crate::interface::Idempotency;
-use crate::model::{ActiveRequest, Endpoint};
-use rand::seq::SliceRandom;
+use crate::model::Endpoint;
+use rand::distributions::{Distribution, WeightedIndex};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Least part of their load that endpoints of the earlier build keep, where they go at the release.
-const MIN_EARLIER_SHARE: f64 = 0.05;
-/// Part of a fair share that a regressed build gets, so that it can show otherwise.
-const REGRESSED_SHARE: f64 = 0.1;
 /// Factor on the load of a key's affinity endpoint, which works less for that key.
 const AFFINITY_LOAD_FACTOR: f64 = 0.7;
-/// Part of the latency objective from which on the estimated work makes a request heavy.
-const HEAVY_WORK: f64 = 0.2;
-/// Consecutive faults beyond which an endpoint gets no request that may not run twice.
-const MAX_FAULTS_FOR_EFFECTS: u32 = 1;
-/// Power of the relative latency by which slow hardware is avoided for heavy requests.
-const HEAVY_LATENCY_POWER: i32 = -4;
 
 /// An endpoint that may take a request.
 #[derive(Clone, Copy)]
@@ -28,36 +20,39 @@
     pub endpoint: usize,
     /// Weight in the random draw.
     pub weight: f64,
-    /// Requests in flight there, against what it can take.
-    pub load: f64,
-}
-
-/// How readily an endpoint is used; the first that has any candidates wins.
-#[derive(Clone, Copy)]
-enum Preference {
-    /// It is expected to answer.
-    Usable,
-    /// The same, in a zone that is used only where no local endpoint can take the request.
-    LastResort,
-    /// It was tried for this request, or is likely to fail it.
-    Doubtful,
-    /// It is ejected or unresponsive.
-    Unavailable,
 }
 
 /// Candidates by preference.
 #[derive(Default)]
-struct CandidatePools([Vec<Candidate>; 4]);
+pub(super) struct CandidatePools([Vec<Candidate>; 4]);
 
 impl CandidatePools {
-    fn add(&mut self, preference: Preference, candidate: Candidate) {
+    pub fn add(&mut self, preference: Preference, candidate: Candidate) {
         self.0[preference as usize].push(candidate);
     }
 
-    fn best(&self) -> Option<&[Candidate]> {
-        let pool = self.0.iter().find(|pool| !pool.is_empty())?;
-        Some(pool)
+    pub fn of(&self, preference: Preference) -> &[Candidate] {
+        &self.0[preference as usize]
+    }
+
+    /// The candidates that are used first, where there are any.
+    pub fn best(&self) -> Option<(Preference, &[Candidate])> {
+        let pools = Preference::ALL.iter().map(|p| (*p, self.of(*p)));
+        pools.into_iter().find(|(_, pool)| !pool.is_empty())
     }
+
+    /// Puts candidates that were found in any order into the order of their indices.
+    pub fn sort(&mut self, preference: Preference) {
+        self.0[preference as usize].sort_unstable_by_key(|candidate| candidate.endpoint);
+    }
+}
+
+/// Two endpoints that were drawn by weight; they may be the same one.
+pub(super) struct Drawn {
+    /// How readily both are used.
+    pub preference: Preference,
+    /// Their indices.
+    pub endpoints: [usize; 2],
 }
 
 /// The two endpoints that were drawn for a request.
@@ -68,41 +63,6 @@
     pub other: usize,
 }
 
-/// What all candidates for one attempt are measured by.
-struct Selection<'a> {
-    now: Duration,
-    /// When the attempt is written at the latest.
-    written_at: Duration,
-    request: &'a ActiveRequest,
-    idempotency: Idempotency,
-    /// Whether a second run of the request would be seen.
-    has_effect: bool,
-    is_retry: bool,
-    is_heavy: bool,
-    /// The oldest build that may serve it.
-    minimum_build: u32,
-    stall_timeout: Duration,
-    shares: FleetShares,
-}
-
-/// How the load is shared out between builds.
-struct FleetShares {
-    /// Endpoints that run.
-    running: f64,
-    /// Mean weight of an endpoint, by its zone.
-    fair: f64,
-    /// Part of its load that an endpoint of the earlier build keeps.
-    earlier: f64,
-}
-
-/// What a candidate's build and age make of it.
-struct EndpointStanding {
-    is_canary: bool,
-    is_regressed: bool,
-    /// Part of its full load that it may get.
-    slow_start_share: f64,
-}
-
 impl Balancer {
     /// Draws two endpoints that may take this request now. `None` where there are none, or where
     /// the endpoint list has expired.
@@ -110,231 +70,158 @@
         if !self.is_list_valid(now) {
             return None;
         }
-        let request = &self.requests[&id];
-        let pools = self.gather_candidates(now, request);
-        let candidates = pools.best()?;
-        let drawn = draw_two(&mut self.rng, candidates)?;
-        Some(self.compare(request, candidates, drawn))
+        self.fleet.end_ejections(now);
+        let mut rng = self.rng.clone();
+        let selection = self.selection(now, &self.requests[&id]);
+        let choices = self
+            .draw(&selection, &mut rng)
+            .map(|drawn| self.compare(&selection, &drawn));
+        self.rng = rng;
+        choices
     }
 
-    fn gather_candidates(&self, now: Duration, request: &ActiveRequest) -> CandidatePools {
-        let selection = self.selection(now, request);
-        let mut pools = CandidatePools::default();
-        for (index, endpoint) in self.fleet.running() {
-            if !self.is_eligible(&selection, endpoint) {
-                continue;
+    /// Draws two endpoints by weight among those that are used first for a request.
+    fn draw(&self, selection: &Selection, rng: &mut Pcg64Mcg) -> Option<Drawn> {
+        match self.draw_from_groups(selection, rng) {
+            Draw::Found(drawn) => Some(drawn),
+            Draw::NoCandidate => None,
+            Draw::Undecided => {
+                self.fleet.count_full_walk();
+                draw_from_pools(&self.gather_candidates(selection), rng)
             }
-            let standing = self.standing(now, endpoint);
-            let preference = self.preference(&selection, &standing, index, endpoint);
-            let candidate = self.candidate(&selection, &standing, index, endpoint);
-            pools.add(preference, candidate);
         }
-        pools
     }
 
-    fn selection<'a>(&self, now: Duration, request: &'a ActiveRequest) -> Selection<'a> {
-        let rules = &self.classes[request.class].rules;
-        let heavy_work = rules.latency_objective * HEAVY_WORK;
-        Selection {
-            now,
-            written_at: now + self.parameters.timer_granularity,
-            request,
-            idempotency: rules.idempotency,
-            has_effect: rules.idempotency != Idempotency::Idempotent,
-            is_retry: !request.attempts.is_empty(),
-            is_heavy: request
-                .estimated_work
-                .is_some_and(|work| work.as_secs_f64() > heavy_work),
-            minimum_build: self.minimum_build(request),
-            stall_timeout: self.stall_timeout(),
-            shares: self.fleet_shares(now),
-        }
-    }
-
-    /// Endpoints of the earlier build that go at the release leave their load to those of the
-    /// canary, unless a build is regressed.
-    fn fleet_shares(&self, now: Duration) -> FleetShares {
-        let mut running = 0.0;
-        let mut earlier_endpoints = 0.0;
-        let mut canary_capacity = 0.0;
-        let mut zone_weights = 0.0;
-        for (_, endpoint) in self.fleet.running() {
-            running += 1.0;
-            if self.rollout.is_canary(endpoint.build) {
-                canary_capacity += self.slow_start_share(now, endpoint);
-            } else {
-                earlier_endpoints += 1.0;
-            }
-            zone_weights += self.zone_weight(endpoint.zone);
-        }
-        let earlier_stay =
-            self.parameters.rollout.in_place || self.rollout.builds.values().any(|b| b.regressed);
-        let earlier = if earlier_stay {
-            1.0
-        } else {
-            (1.0 - canary_capacity / f64::max(earlier_endpoints, 1.0)).max(MIN_EARLIER_SHARE)
-        };
-        FleetShares {
-            running,
-            fair: zone_weights / f64::max(running, 1.0),
-            earlier,
-        }
-    }
-
-    /// Whether the rules let this endpoint take the request at all.
-    fn is_eligible(&self, selection: &Selection, endpoint: &Endpoint) -> bool {
-        let request = selection.request;
-        let number = request.attempts.len();
-        endpoint.build >= selection.minimum_build
-            && request.is_deduplicated_at(
-                number,
-                selection.idempotency,
-                endpoint,
-                selection.written_at,
-            )
-            && (endpoint.is_warm() || endpoint.slow_start.attempts >= 1.0)
-            && self.may_expose(endpoint.build, request.class)
-    }
-
-    fn standing(&self, now: Duration, endpoint: &Endpoint) -> EndpointStanding {
-        EndpointStanding {
-            is_canary: self.rollout.is_canary(endpoint.build),
-            is_regressed: self.rollout.is_regressed(endpoint.build),
-            slow_start_share: self.slow_start_share(now, endpoint),
+    /// All endpoints that may take a request, found by looking at each one: the last resort where
+    /// random draws find none, and what they are measured by.
+    fn gather_candidates(&self, selection: &Selection) -> CandidatePools {
+        let mut pools = CandidatePools::default();
+        for (index, _) in self.fleet.running() {
+            self.add_candidate(selection, index, &mut pools);
         }
+        pools
     }
 
-    /// How readily an endpoint is used for this request.
-    ///
-    /// Guards requests that are not idempotent against endpoints that may lose or fail them: those
-    /// come last for them. Does harm where they are the only ones with room, as the others get all.
-    fn preference(
+    /// Adds an endpoint to the candidates, where it runs and the rules let it take the request.
+    pub(super) fn add_candidate(
         &self,
         selection: &Selection,
-        standing: &EndpointStanding,
         index: usize,
-        endpoint: &Endpoint,
-    ) -> Preference {
-        let ejection = &endpoint.ejection;
-        let has_effect = selection.has_effect;
-        let is_ejected = ejection.until.is_some_and(|until| selection.now < until)
-            || has_effect && endpoint.health.consecutive_faults > MAX_FAULTS_FOR_EFFECTS;
-        if is_ejected || endpoint.is_unresponsive(selection.now, selection.stall_timeout) {
-            return Preference::Unavailable;
-        }
-        let is_tried = selection
-            .request
-            .attempts
-            .iter()
-            .any(|a| a.endpoint == index);
-        let may_fail_effect = standing.is_canary && standing.is_regressed && has_effect;
-        let is_on_probation = ejection.until.is_some() && (has_effect || endpoint.in_flight > 0);
-        if is_tried || may_fail_effect || is_on_probation {
-            return Preference::Doubtful;
-        }
-        // No budget for crossing zones may leave a canary without evidence.
-        let class = selection.request.class;
-        let is_last_resort =
-            !standing.is_canary && self.is_last_resort(endpoint.zone, class, selection.is_retry);
-        if is_last_resort {
-            Preference::LastResort
-        } else {
-            Preference::Usable
-        }
+        pools: &mut CandidatePools,
+    ) {
+        let Some(endpoint) = self.eligible_endpoint(selection, index) else {
+            return;
+        };
+        let standing = self.build_standing(endpoint.build);
+        let candidate = Candidate {
+            endpoint: index,
+            weight: self.candidate_weight(selection, standing, endpoint),
+        };
+        let preference = self.preference(selection, standing, index, endpoint);
+        pools.add(preference, candidate);
+    }
+
+    /// An endpoint, where it runs and the rules let it take the request.
+    fn eligible_endpoint(&self, selection: &Selection, index: usize) -> Option<&Endpoint> {
+        let endpoint = self.fleet.get(index).filter(|e| e.is_running())?;
+        self.is_eligible(selection, endpoint).then_some(endpoint)
     }
 
-    fn candidate(
+    /// Whether an endpoint is a candidate that is used as readily as this.
+    pub(super) fn is_candidate(
         &self,
         selection: &Selection,
-        standing: &EndpointStanding,
+        preference: Preference,
         index: usize,
-        endpoint: &Endpoint,
-    ) -> Candidate {
-        let hardware = &self.fleet.types[endpoint.endpoint_type];
-        let share = self.build_share(&selection.shares, standing, endpoint.zone);
-        // Guards heavy requests against slow hardware, which looks fast at no load. Does harm by
-        // crowding the fast hardware.
-        let (heavy_factor, min_load) = if selection.is_heavy {
-            let factor = hardware.relative_latency.powi(HEAVY_LATENCY_POWER);
-            (factor, 1.0 + hardware.reported_load.value)
-        } else {
-            (1.0, 0.0)
-        };
-        let capacity = endpoint.weight * hardware.throughput * standing.slow_start_share;
-        let weight = capacity * share * heavy_factor;
-        let load = self.expected_load(selection.now, endpoint).max(min_load);
-        Candidate {
-            endpoint: index,
-            weight: if endpoint.is_warm() {
-                weight
-            } else {
-                let quota = endpoint.slow_start.per_window;
-                weight * (1.0 / quota).clamp(1.0, selection.shares.running)
-            },
-            load: load / capacity,
-        }
-    }
-
-    /// Part of its full load that an endpoint gets by its build and zone. A canary gets an even
-    /// share from every zone, a regressed build a trickle of it.
-    fn build_share(&self, shares: &FleetShares, standing: &EndpointStanding, zone: usize) -> f64 {
-        match (standing.is_canary, standing.is_regressed) {
-            (true, true) => shares.fair * REGRESSED_SHARE,
-            (true, false) => shares.fair,
-            (false, _) => self.zone_weight(zone) * shares.earlier,
-        }
+    ) -> bool {
+        self.eligible_endpoint(selection, index)
+            .is_some_and(|endpoint| {
+                let standing = self.build_standing(endpoint.build);
+                self.preference(selection, standing, index, endpoint) == preference
+            })
     }
 
     /// Takes the drawn endpoint with less load.
     ///
     /// The affinity endpoint of the request's key stands in for the first one, and may have a bit
     /// more load. Endpoints that were asked for their load before stand in for both.
-    fn compare(
-        &self,
-        request: &ActiveRequest,
-        candidates: &[Candidate],
-        drawn: [Candidate; 2],
-    ) -> TwoChoices {
-        let [mut first, mut second] = drawn;
-        let is_retry = !request.attempts.is_empty();
+    fn compare(&self, selection: &Selection, drawn: &Drawn) -> TwoChoices {
+        let request = selection.request;
+        let is_candidate = |index: usize| {
+            self.fleet.count_scanned(1);
+            self.is_candidate(selection, drawn.preference, index)
+        };
+        let [mut first, mut second] = drawn.endpoints;
         let affinity = request
             .affinity_key
-            .filter(|_| !is_retry)
-            .and_then(|key| self.nearest(key, candidates));
+            .filter(|_| !selection.is_retry)
+            .and_then(|key| self.affinity_endpoint(key, is_candidate));
         if let Some(nearest) = affinity {
-            first = *nearest;
+            first = nearest;
         }
-        if let Some(probed) = request.probed.filter(|_| !is_retry) {
-            let [a, b] = probed.map(|index| candidates.iter().find(|c| c.endpoint == index));
-            first = *a.or(b).unwrap_or(&first);
-            second = *b.or(a).unwrap_or(&second);
+        if let Some(probed) = request.probed.filter(|_| !selection.is_retry) {
+            let [a, b] = probed.map(|index| Some(index).filter(|index| is_candidate(*index)));
+            first = a.or(b).unwrap_or(first);
+            second = b.or(a).unwrap_or(second);
         }
-        let affinity = affinity.map(|nearest| nearest.endpoint);
-        if cost(&second, affinity) < cost(&first, affinity) {
+        let cost = |index: usize| {
+            let load = self.candidate_load(selection, self.fleet.endpoint(index));
+            if affinity == Some(index) {
+                load * AFFINITY_LOAD_FACTOR
+            } else {
+                load
+            }
+        };
+        if cost(second) < cost(first) {
             (first, second) = (second, first);
         }
         TwoChoices {
-            chosen: first.endpoint,
-            other: second.endpoint,
+            chosen: first,
+            other: second,
+        }
+    }
+
+    /// The endpoints that a request may be forwarded to now, with their weights in the random draw:
+    /// a diagnostic that looks at each endpoint. Empty where the request is not known.
+    pub fn candidate_weights(&self, now: Duration, id: u64) -> Vec<(usize, f64)> {
+        let Some(request) = self.requests.get(&id).filter(|_| self.is_list_valid(now)) else {
+            return Vec::new();
+        };
+        let pools = self.gather_candidates(&self.selection(now, request));
+        let best = pools.best().map_or(&[][..], |(_, pool)| pool);
+        best.iter().map(|c| (c.endpoint, c.weight)).collect()
+    }
+
+    /// Draws two endpoints as [`route`](Self::route) does before it compares them by their load: a
+    /// diagnostic that takes random numbers and decides nothing. `None` where the request is not
+    /// known or no endpoint may take it.
+    pub fn draw_candidates(&mut self, now: Duration, id: u64) -> Option<[usize; 2]> {
+        if !self.is_list_valid(now) {
+            return None;
         }
+        self.fleet.end_ejections(now);
+        let mut rng = self.rng.clone();
+        let selection = self.selection(now, self.requests.get(&id)?);
+        let drawn = self.draw(&selection, &mut rng);
+        self.rng = rng;
+        drawn.map(|drawn| drawn.endpoints)
     }
 }
 
-/// Two random candidates, by weight; they may be the same one.
-fn draw_two(rng: &mut Pcg64Mcg, candidates: &[Candidate]) -> Option<[Candidate; 2]> {
+/// Two random candidates of those that are used first, by weight. Where none weighs anything, it is
+/// the last one.
+pub(super) fn draw_from_pools(pools: &CandidatePools, rng: &mut Pcg64Mcg) -> Option<Drawn> {
+    let (preference, pool) = pools.best()?;
+    let last = pool.len().saturating_sub(1);
+    let drawn = WeightedIndex::new(pool.iter().map(|candidate| candidate.weight)).ok();
     let mut draw = || {
-        let drawn = candidates.choose_weighted(rng, |c| c.weight).ok();
-        drawn.or(candidates.last()).copied()
+        drawn
+            .as_ref()
+            .map_or(last, |by_weight| by_weight.sample(rng))
     };
-    let first = draw()?;
-    let second = draw()?;
-    Some([first, second])
-}
-
-fn cost(candidate: &Candidate, affinity: Option<usize>) -> f64 {
-    if affinity == Some(candidate.endpoint) {
-        candidate.load * AFFINITY_LOAD_FACTOR
-    } else {
-        candidate.load
-    }
+    let endpoints = [draw(), draw()].map(|position| pool[position].endpoint);
+    Some(Drawn {
+        preference,
+        endpoints,
+    })
 }
--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -48,7 +48,8 @@
             if responds {
                 capacity.responsive += 1;
                 capacity.warm += usize::from(endpoint.is_warm());
-                capacity.capacity += endpoint.weight * self.slow_start_share(now, endpoint);
+                capacity.capacity +=
+                    self.endpoint_weight(endpoint) * self.slow_start_share(now, endpoint);
             }
         }
         capacities
--- /dev/null
+++ b/src/balancer/endpoint_draw.rs
@@ -0,0 +1,251 @@
+//! Random draws of endpoints by weight without a look at all of them.
+//!
+//! Endpoints are kept in groups whose members are alike but for their own latency, load and age. A
+//! draw takes a group by the most that its members can weigh together, and one of its members at
+//! random; the member is accepted with the part of that most which it weighs, if the request may use
+//! it. That is a draw by weight among all candidates. What keeps a whole group from a request leaves
+//! the group out, so that only a few members are ever rejected for other reasons than their weight.
+
+use super::candidates::{draw_from_pools, Candidate, CandidatePools, Drawn};
+use super::preference::{is_tried, Preference};
+use super::selection::{BuildStanding, Selection};
+use super::Balancer;
+use crate::model::{EndpointGroup, RetryScope};
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+
+/// Members at which all are looked at rather than drawn: no more than some draws would look at, and
+/// it tells for sure whether one of them is a candidate.
+const MAX_LISTED: usize = 32;
+/// Draws of an endpoint, at most. Even where one draw in twelve is accepted, a hundred of them fail
+/// in one of five thousand decisions; more would cost as much as a look at all endpoints of a
+/// middling fleet.
+const MAX_DRAWS: usize = 100;
+
+/// What draws from groups of endpoints came to.
+pub(super) enum Draw {
+    /// Two endpoints were drawn.
+    Found(Drawn),
+    /// No endpoint may take the request.
+    NoCandidate,
+    /// Draws found nothing, and there may be candidates.
+    Undecided,
+}
+
+/// A group of endpoints whose members may be drawn for a request.
+struct DrawableGroup<'a> {
+    /// How readily its members are used at the best.
+    preference: Preference,
+    standing: BuildStanding,
+    group: &'a EndpointGroup,
+    members: &'a [usize],
+}
+
+/// The groups and single candidates that are drawn from, with the sum of the weights up to each.
+struct WeightedSources<'a> {
+    preference: Preference,
+    groups: Vec<&'a DrawableGroup<'a>>,
+    /// By group: the most that a member weighs.
+    max_weights: Vec<f64>,
+    single: &'a [Candidate],
+    cumulative: Vec<f64>,
+    total: f64,
+}
+
+impl Balancer {
+    /// Draws two endpoints for a request by weight, among those that are used first.
+    pub(super) fn draw_from_groups(&self, selection: &Selection, rng: &mut Pcg64Mcg) -> Draw {
+        match selection.retry_scope {
+            RetryScope::Nowhere => return Draw::NoCandidate,
+            RetryScope::Cell(cell) => {
+                let members = self.fleet.index().cell(cell);
+                if members.len() <= MAX_LISTED {
+                    return self.draw_from_listed(selection, members, rng);
+                }
+            }
+            RetryScope::Anywhere | RetryScope::Zone(_) => {}
+        }
+        let groups = self.drawable_groups(selection);
+        let mut found = CandidatePools::default();
+        self.add_tried(selection, &mut found);
+        for preference in Preference::ALL {
+            let groups: Vec<&DrawableGroup> = groups
+                .iter()
+                .filter(|group| group.preference == preference)
+                .collect();
+            let members: usize = groups.iter().map(|group| group.members.len()).sum();
+            if members <= MAX_LISTED {
+                for group in groups {
+                    self.add_untried(selection, group.members, &mut found);
+                }
+                if !found.of(preference).is_empty() {
+                    found.sort(preference);
+                    return draw_from_pools(&found, rng).map_or(Draw::Undecided, Draw::Found);
+                }
+                continue;
+            }
+            let sources = self.sources(selection, preference, groups, found.of(preference));
+            let drawn = self.draw_two(selection, &sources, rng);
+            return drawn.map_or(Draw::Undecided, Draw::Found);
+        }
+        Draw::NoCandidate
+    }
+
+    /// Draws from a few endpoints, all of which are looked at.
+    fn draw_from_listed(
+        &self,
+        selection: &Selection,
+        members: &[usize],
+        rng: &mut Pcg64Mcg,
+    ) -> Draw {
+        let mut found = CandidatePools::default();
+        self.fleet.count_scanned(members.len());
+        for index in members {
+            self.add_candidate(selection, *index, &mut found);
+        }
+        for preference in Preference::ALL {
+            found.sort(preference);
+        }
+        draw_from_pools(&found, rng).map_or(Draw::NoCandidate, Draw::Found)
+    }
+
+    /// Adds the endpoints that the request was sent to before, which no draw from a group finds.
+    fn add_tried(&self, selection: &Selection, found: &mut CandidatePools) {
+        let attempts = &selection.request.attempts;
+        self.fleet.count_scanned(attempts.len());
+        for (number, attempt) in attempts.iter().enumerate() {
+            let is_first = attempts[..number]
+                .iter()
+                .all(|earlier| earlier.endpoint != attempt.endpoint);
+            if is_first {
+                self.add_candidate(selection, attempt.endpoint, found);
+            }
+        }
+    }
+
+    fn add_untried(&self, selection: &Selection, members: &[usize], found: &mut CandidatePools) {
+        self.fleet.count_scanned(members.len());
+        for index in members {
+            if !is_tried(selection, *index) {
+                self.add_candidate(selection, *index, found);
+            }
+        }
+    }
+
+    /// The groups that may take a request, with the most that a member of each can weigh.
+    fn drawable_groups(&self, selection: &Selection) -> Vec<DrawableGroup<'_>> {
+        let mut drawable = Vec::new();
+        // Groups come by build, so that this is found out once for each build.
+        let mut known_build: Option<(u32, Option<BuildStanding>)> = None;
+        for (group, members) in self.fleet.index().groups() {
+            let standing = match known_build {
+                Some((build, standing)) if build == group.build => standing,
+                _ => self
+                    .may_use_build(selection, group.build)
+                    .then(|| self.build_standing(group.build)),
+            };
+            known_build = Some((group.build, standing));
+            let Some(standing) = standing.filter(|_| is_in_scope(selection, group)) else {
+                continue;
+            };
+            drawable.push(DrawableGroup {
+                preference: self.best_preference(selection, standing, group),
+                standing,
+                group,
+                members,
+            });
+        }
+        drawable
+    }
+
+    fn sources<'a>(
+        &self,
+        selection: &Selection,
+        preference: Preference,
+        groups: Vec<&'a DrawableGroup<'a>>,
+        single: &'a [Candidate],
+    ) -> WeightedSources<'a> {
+        let max_weights: Vec<f64> = groups
+            .iter()
+            .map(|group| self.max_group_weight(selection, group.standing, group.group))
+            .collect();
+        let group_weights = groups
+            .iter()
+            .zip(&max_weights)
+            .map(|(group, max_weight)| max_weight * group.members.len() as f64);
+        let weights = group_weights.chain(single.iter().map(|candidate| candidate.weight));
+        let mut total = 0.0;
+        let mut cumulative = Vec::with_capacity(groups.len() + single.len());
+        for weight in weights {
+            total += weight;
+            cumulative.push(total);
+        }
+        WeightedSources {
+            preference,
+            groups,
+            max_weights,
+            single,
+            cumulative,
+            total,
+        }
+    }
+
+    fn draw_two(
+        &self,
+        selection: &Selection,
+        sources: &WeightedSources,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<Drawn> {
+        // Weights that are no numbers, or no weight at all, are left to the look at all endpoints.
+        if !sources.total.is_finite() || sources.total <= 0.0 {
+            return None;
+        }
+        let first = self.draw_one(selection, sources, rng)?;
+        let second = self.draw_one(selection, sources, rng)?;
+        Some(Drawn {
+            preference: sources.preference,
+            endpoints: [first, second],
+        })
+    }
+
+    fn draw_one(
+        &self,
+        selection: &Selection,
+        sources: &WeightedSources,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<usize> {
+        (0..MAX_DRAWS).find_map(|_| self.try_draw(selection, sources, rng))
+    }
+
+    /// Draws one endpoint. `None` where it is not accepted.
+    fn try_draw(
+        &self,
+        selection: &Selection,
+        sources: &WeightedSources,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<usize> {
+        self.fleet.count_scanned(1);
+        let point = rng.gen_range(0.0..sources.total);
+        let source = sources.cumulative.partition_point(|sum| *sum <= point);
+        let Some(group) = sources.groups.get(source) else {
+            let single = sources.single.get(source - sources.groups.len())?;
+            return Some(single.endpoint);
+        };
+        let index = group.members[rng.gen_range(0..group.members.len())];
+        let endpoint = self.fleet.endpoint(index);
+        let weight = self.candidate_weight(selection, group.standing, endpoint);
+        let is_accepted = rng.gen_range(0.0..1.0) * sources.max_weights[source] < weight
+            && !is_tried(selection, index)
+            && self.is_candidate(selection, sources.preference, index);
+        is_accepted.then_some(index)
+    }
+}
+
+/// Whether the members of a group are, by their zone, where a request may run again.
+fn is_in_scope(selection: &Selection, group: &EndpointGroup) -> bool {
+    match selection.retry_scope {
+        RetryScope::Zone(zone) => group.zone == zone,
+        RetryScope::Anywhere | RetryScope::Cell(_) => true,
+        RetryScope::Nowhere => false,
+    }
+}
--- a/src/balancer/endpoint_weights.rs
+++ b/src/balancer/endpoint_weights.rs
@@ -19,6 +19,9 @@
 const LATENCY_FORGIVENESS: f64 = 0.01;
 /// Latency against the peers' from which on it counts for the weight as it is.
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
+/// The largest weight that an endpoint can have: that of the least relative latency, 0.3^-0.5,
+/// rounded up.
+pub(super) const MAX_ENDPOINT_WEIGHT: f64 = 1.826;
 /// Latency against the peers' from which on the weight falls steeply.
 const SLOW_RELATIVE_LATENCY: f64 = 1.5;
 /// Power of the latency by which the weight falls at first.
@@ -56,6 +59,12 @@
         });
     }
 
+    /// Weight of an endpoint in the random draw, by its latency against its peers' at the last
+    /// evaluation; [`MAX_ENDPOINT_WEIGHT`] at the most.
+    pub(super) fn endpoint_weight(&self, endpoint: &Endpoint) -> f64 {
+        endpoint.weight
+    }
+
     fn peer_latencies(&self, newest_build: u32) -> Vec<PeerLatencies> {
         let all = self.median_latency(|_| true).unwrap_or(1.0);
         let side = |endpoint_type: usize, is_newest: bool| {
@@ -91,11 +100,12 @@
 /// beyond the peers'.
 fn update_weight(endpoint: &mut Endpoint, median: f64) {
     let relative = (endpoint.high_latency / median).max(MIN_RELATIVE_LATENCY);
-    endpoint.weight = if relative < SLOW_RELATIVE_LATENCY {
+    let weight = if relative < SLOW_RELATIVE_LATENCY {
         relative.powf(WEIGHT_POWER)
     } else {
         SLOW_RELATIVE_LATENCY.powf(JOINING_POWER) * relative.powi(SLOW_WEIGHT_POWER)
     };
+    endpoint.weight = weight.min(MAX_ENDPOINT_WEIGHT);
     endpoint.high_latency += (median - endpoint.high_latency) * LATENCY_FORGIVENESS;
 }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -7,8 +7,10 @@
 mod admission;
 mod affinity;
 mod build_evaluation;
+mod candidate_weights;
 mod candidates;
 mod cross_zone;
+mod endpoint_draw;
 mod endpoint_health;
 mod endpoint_list;
 mod endpoint_weights;
@@ -20,11 +22,13 @@
 mod outcome_regression;
 mod parameters;
 mod platform_evidence;
+mod preference;
 mod reload;
 mod request_class;
 mod retries;
 mod rollout_votes;
 mod routing;
+mod selection;
 mod slow_start;
 
 pub use parameters::list_call_interval;
@@ -275,6 +279,12 @@
         self.fleet.scanned()
     }
 
+    /// Decisions since the last reload that looked at all endpoints, as random draws found none that
+    /// may take the request.
+    pub fn full_walks(&self) -> u64 {
+        self.fleet.full_walks()
+    }
+
     /// How many requests, endpoints, builds and keys with a sticky build are kept.
     pub fn retained_counts(&self) -> [usize; 4] {
         [
--- /dev/null
+++ b/src/balancer/selection.rs
@@ -0,0 +1,146 @@
+//! What all candidates for one attempt are measured by, and which endpoints the rules let take it.
+
+use super::Balancer;
+use crate::interface::Idempotency;
+use crate::model::{ActiveRequest, Endpoint, RetryScope};
+use std::time::Duration;
+
+/// Least part of their load that endpoints of the earlier build keep, where they go at the release.
+const MIN_EARLIER_SHARE: f64 = 0.05;
+/// Part of a fair share that a regressed build gets, so that it can show otherwise.
+const REGRESSED_SHARE: f64 = 0.1;
+/// Part of the latency objective from which on the estimated work makes a request heavy.
+const HEAVY_WORK: f64 = 0.2;
+
+/// What all candidates for one attempt are measured by.
+pub(super) struct Selection<'a> {
+    pub now: Duration,
+    /// When the attempt is written at the latest.
+    pub written_at: Duration,
+    pub request: &'a ActiveRequest,
+    pub idempotency: Idempotency,
+    /// Whether a second run of the request would be seen.
+    pub has_effect: bool,
+    pub is_retry: bool,
+    pub is_heavy: bool,
+    /// Where the request may run again.
+    pub retry_scope: RetryScope,
+    /// The oldest build that may serve it.
+    pub minimum_build: u32,
+    pub stall_timeout: Duration,
+    pub shares: FleetShares,
+}
+
+/// How the load is shared out between builds.
+pub(super) struct FleetShares {
+    /// Endpoints that run.
+    pub running: f64,
+    /// Mean weight of an endpoint, by its zone.
+    fair: f64,
+    /// Part of its load that an endpoint of the earlier build keeps.
+    earlier: f64,
+}
+
+/// What the rollout makes of a build.
+#[derive(Clone, Copy)]
+pub(super) struct BuildStanding {
+    pub is_canary: bool,
+    pub is_regressed: bool,
+}
+
+impl Balancer {
+    pub(super) fn selection<'a>(&self, now: Duration, request: &'a ActiveRequest) -> Selection<'a> {
+        let rules = &self.classes[request.class].rules;
+        let heavy_work = rules.latency_objective * HEAVY_WORK;
+        let written_at = now + self.parameters.timer_granularity;
+        Selection {
+            now,
+            written_at,
+            request,
+            idempotency: rules.idempotency,
+            has_effect: rules.idempotency != Idempotency::Idempotent,
+            is_retry: !request.attempts.is_empty(),
+            is_heavy: request
+                .estimated_work
+                .is_some_and(|work| work.as_secs_f64() > heavy_work),
+            retry_scope: request.retry_scope(rules.idempotency, written_at),
+            minimum_build: self.minimum_build(request),
+            stall_timeout: self.stall_timeout(),
+            shares: self.fleet_shares(now),
+        }
+    }
+
+    /// Endpoints of the earlier build that go at the release leave their load to those of the
+    /// canary, unless a build is regressed.
+    fn fleet_shares(&self, now: Duration) -> FleetShares {
+        let index = self.fleet.index();
+        let running = index.total().running as f64;
+        let mut earlier_endpoints = 0.0;
+        let mut canary_capacity = 0.0;
+        for build in index.builds() {
+            let endpoints = index.of_build(build);
+            if self.rollout.is_canary(build) {
+                canary_capacity += endpoints.warm as f64 + self.warming_capacity(now, build);
+            } else {
+                earlier_endpoints += endpoints.running as f64;
+            }
+        }
+        let zone_weights: f64 = index
+            .zones()
+            .map(|(zone, endpoints)| endpoints.running as f64 * self.zone_weight(zone))
+            .sum();
+        let earlier_stay =
+            self.parameters.rollout.in_place || self.rollout.builds.values().any(|b| b.regressed);
+        let earlier = if earlier_stay {
+            1.0
+        } else {
+            (1.0 - canary_capacity / f64::max(earlier_endpoints, 1.0)).max(MIN_EARLIER_SHARE)
+        };
+        FleetShares {
+            running,
+            fair: zone_weights / f64::max(running, 1.0),
+            earlier,
+        }
+    }
+
+    /// Whether the rules let this endpoint take the request at all.
+    pub(super) fn is_eligible(&self, selection: &Selection, endpoint: &Endpoint) -> bool {
+        let request = selection.request;
+        let number = request.attempts.len();
+        self.may_use_build(selection, endpoint.build)
+            && request.is_deduplicated_at(
+                number,
+                selection.idempotency,
+                endpoint,
+                selection.written_at,
+            )
+            && (endpoint.is_warm() || endpoint.slow_start.allows_attempt())
+    }
+
+    /// Whether the rules let endpoints of this build take the request.
+    pub(super) fn may_use_build(&self, selection: &Selection, build: u32) -> bool {
+        build >= selection.minimum_build && self.may_expose(build, selection.request.class)
+    }
+
+    pub(super) fn build_standing(&self, build: u32) -> BuildStanding {
+        BuildStanding {
+            is_canary: self.rollout.is_canary(build),
+            is_regressed: self.rollout.is_regressed(build),
+        }
+    }
+
+    /// Part of its full load that an endpoint gets by its build and zone. A canary gets an even
+    /// share from every zone, a regressed build a trickle of it.
+    pub(super) fn build_share(
+        &self,
+        shares: &FleetShares,
+        standing: BuildStanding,
+        zone: usize,
+    ) -> f64 {
+        match (standing.is_canary, standing.is_regressed) {
+            (true, true) => shares.fair * REGRESSED_SHARE,
+            (true, false) => shares.fair,
+            (false, _) => self.zone_weight(zone) * shares.earlier,
+        }
+    }
+}
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::parameters::SlowStartParameters;
 use super::{Balancer, EVALUATION_INTERVAL};
-use crate::model::{Endpoint, SlowStartState};
+use crate::model::{Endpoint, SlowStartState, WarmingTimes};
 use crate::stats::Ewma;
 use std::time::Duration;
 
@@ -12,6 +12,8 @@
 const MAX_ENDPOINTS_PER_WARM: f64 = 4.0;
 /// Least time, in seconds, that slow start is taken to last.
 const MIN_DURATION: f64 = 0.001;
+/// Least share at an evaluation that the growth of a share since then is reckoned from.
+const MIN_EVALUATED_SHARE: f64 = 0.02;
 /// Least quota, so that a burst is not owed for long.
 const MIN_QUOTA: f64 = -1.0;
 
@@ -30,13 +32,30 @@
     /// Part of its full load that an endpoint may get: less while it warms up, by the slowest
     /// warming that the settings allow.
     fn load_share(&self, now: Duration, endpoint: &Endpoint) -> f64 {
-        let Some(since) = endpoint.warming_since else {
-            return 1.0;
-        };
-        let age = now.saturating_sub(since).as_secs_f64();
-        let progress = age / self.duration.as_secs_f64().max(MIN_DURATION);
+        endpoint
+            .warming_since
+            .map_or(1.0, |since| self.share_of_age(now.saturating_sub(since)))
+    }
+
+    /// The same of an endpoint that has been warming up for this long.
+    fn share_of_age(&self, age: Duration) -> f64 {
+        let progress = age.as_secs_f64() / self.seconds();
         self.initial_share + (1.0 - self.initial_share) * progress.min(1.0)
     }
+
+    /// Sum of the shares of all endpoints that are warming up.
+    fn sum_of_shares(&self, now: Duration, warming: &WarmingTimes) -> f64 {
+        let ages = warming.ages(now, Duration::from_secs_f64(self.seconds()));
+        let older = ages.older as f64;
+        let endpoints = older + ages.younger as f64;
+        let progress = older + ages.younger_sum.as_secs_f64() / self.seconds();
+        self.initial_share * endpoints + (1.0 - self.initial_share) * progress
+    }
+
+    /// Seconds that slow start lasts.
+    fn seconds(&self) -> f64 {
+        self.duration.as_secs_f64().max(MIN_DURATION)
+    }
 }
 
 /// What warming endpoints may get at present.
@@ -53,6 +72,40 @@
         self.parameters.slow_start.load_share(now, endpoint)
     }
 
+    /// Sum of what the warming endpoints of a build may get, in full loads.
+    pub(super) fn warming_capacity(&self, now: Duration, build: u32) -> f64 {
+        let warming = self.fleet.index().warming(build);
+        warming.map_or(0.0, |w| self.parameters.slow_start.sum_of_shares(now, w))
+    }
+
+    /// The most of its full load that a warming endpoint of this build may get.
+    pub(super) fn max_warming_share(&self, now: Duration, build: u32) -> f64 {
+        let warming = self.fleet.index().warming(build);
+        let oldest = warming.and_then(WarmingTimes::oldest);
+        oldest.map_or(1.0, |since| {
+            let age = now.saturating_sub(since);
+            self.parameters.slow_start.share_of_age(age)
+        })
+    }
+
+    /// Factor by which the share of any warming endpoint has grown since the last evaluation, at
+    /// the most.
+    pub(super) fn max_share_growth(&self, now: Duration) -> f64 {
+        let parameters = &self.parameters.slow_start;
+        let next_evaluation = self.clock.next_evaluation;
+        let since_evaluation = (now + EVALUATION_INTERVAL).saturating_sub(next_evaluation);
+        let progress = since_evaluation.as_secs_f64() / parameters.seconds();
+        let least = parameters.initial_share.max(MIN_EVALUATED_SHARE);
+        1.0 + (1.0 - parameters.initial_share) * progress.min(1.0) / least
+    }
+
+    /// Attempts within the overload window that an endpoint of this throughput would get from this
+    /// agent as a warming one that bears its full load.
+    pub(super) fn full_quota(&self, throughput: f64) -> f64 {
+        let pace = self.slow_start_pace();
+        throughput * pace.attempts_per_interval * pace.intervals_per_window
+    }
+
     /// Takes in what warm endpoints answered in this interval, unless few of them are warm.
     pub(super) fn update_slow_start_pace(&mut self) {
         let endpoints = self.fleet.index().total();
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -25,6 +25,13 @@
     pub failure_rate: f64,
 }
 
+impl EndpointHealth {
+    /// Whether it lost more than one attempt since its last answer.
+    pub fn has_repeated_faults(&self) -> bool {
+        self.consecutive_faults > 1
+    }
+}
+
 /// Ejection of one endpoint from the load balancing.
 #[derive(Default)]
 pub(crate) struct Ejection {
@@ -45,6 +52,13 @@
     pub per_window: f64,
 }
 
+impl SlowStartQuota {
+    /// Whether a whole attempt may be sent now.
+    pub fn allows_attempt(&self) -> bool {
+        self.attempts >= 1.0
+    }
+}
+
 /// Load of one endpoint by its own reports.
 #[derive(Default)]
 pub(crate) struct EndpointLoad {
@@ -94,6 +108,11 @@
 }
 
 impl Endpoint {
+    /// Whether it may be sent requests.
+    pub fn is_running(&self) -> bool {
+        self.state == EndpointState::Running
+    }
+
     /// Whether it is past slow start.
     pub fn is_warm(&self) -> bool {
         self.warming_since.is_none()
@@ -104,9 +123,13 @@
         EndpointKey {
             state: self.state,
             zone: self.zone,
+            cell: self.cell,
             endpoint_type: self.endpoint_type,
             build: self.build,
             is_warm: self.is_warm(),
+            warming_since: self.warming_since,
+            has_quota: self.slow_start.allows_attempt(),
+            has_repeated_faults: self.health.has_repeated_faults(),
             is_busy: self.in_flight > 0,
             silent_since: self.health.silent_since,
             ejected_until: self.ejection.until,
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -4,6 +4,7 @@
 use crate::interface::EndpointState;
 use std::cell::Cell;
 use std::ops::{Deref, DerefMut};
+use std::time::Duration;
 
 /// All endpoints and their hardware types, by index.
 #[derive(Default)]
@@ -14,6 +15,7 @@
     endpoints: Vec<Endpoint>,
     index: FleetIndex,
     scanned: Cell<u64>,
+    full_walks: Cell<u64>,
 }
 
 impl Fleet {
@@ -108,6 +110,12 @@
         &self.index
     }
 
+    /// Takes into the index that time has passed.
+    pub fn end_ejections(&mut self, now: Duration) {
+        let ended = self.index.end_ejections(now, &self.endpoints);
+        self.count_scanned(ended);
+    }
+
     /// Counts endpoints that were looked at.
     pub fn count_scanned(&self, endpoints: usize) {
         let scanned = self.scanned.get().wrapping_add(endpoints as u64);
@@ -119,9 +127,20 @@
         self.scanned.get()
     }
 
-    /// Starts the count of scanned endpoints anew.
+    /// Counts a decision that looked at all endpoints.
+    pub fn count_full_walk(&self) {
+        self.full_walks.set(self.full_walks.get().wrapping_add(1));
+    }
+
+    /// Decisions that looked at all endpoints so far.
+    pub fn full_walks(&self) -> u64 {
+        self.full_walks.get()
+    }
+
+    /// Starts the counts of scanned endpoints and full walks anew.
     pub fn reset_scanned(&mut self) {
         self.scanned.set(0);
+        self.full_walks.set(0);
     }
 }
 
--- /dev/null
+++ b/src/model/member_lists.rs
@@ -0,0 +1,60 @@
+//! Lists of endpoints by a key.
+
+use std::collections::BTreeMap;
+
+/// Lists of endpoints by a key, each without an order of its own: an endpoint comes or goes in
+/// constant time, and one of a list is drawn in constant time. Lists that are empty go.
+pub(crate) struct MemberLists<K> {
+    lists: BTreeMap<K, Vec<usize>>,
+    /// By endpoint: its place in its list.
+    positions: Vec<usize>,
+}
+
+impl<K> Default for MemberLists<K> {
+    fn default() -> MemberLists<K> {
+        MemberLists {
+            lists: BTreeMap::new(),
+            positions: Vec::new(),
+        }
+    }
+}
+
+impl<K: Ord> MemberLists<K> {
+    /// Adds an endpoint, which must not be in any list.
+    pub fn insert(&mut self, key: K, endpoint: usize) {
+        if endpoint >= self.positions.len() {
+            self.positions.resize(endpoint + 1, 0);
+        }
+        let list = self.lists.entry(key).or_default();
+        self.positions[endpoint] = list.len();
+        list.push(endpoint);
+    }
+
+    /// Removes an endpoint from the list of this key, where it is in it.
+    pub fn remove(&mut self, key: &K, endpoint: usize) {
+        let Some(list) = self.lists.get_mut(key) else {
+            return;
+        };
+        let position = self.positions.get(endpoint).copied().unwrap_or(list.len());
+        if list.get(position) != Some(&endpoint) {
+            return;
+        }
+        list.swap_remove(position);
+        if let Some(moved) = list.get(position) {
+            self.positions[*moved] = position;
+        }
+        if list.is_empty() {
+            self.lists.remove(key);
+        }
+    }
+
+    /// The endpoints of this key.
+    pub fn get(&self, key: &K) -> &[usize] {
+        self.lists.get(key).map_or(&[], Vec::as_slice)
+    }
+
+    /// All lists, in the order of their keys.
+    pub fn iter(&self) -> impl Iterator<Item = (&K, &[usize])> {
+        self.lists.iter().map(|(key, list)| (key, list.as_slice()))
+    }
+}
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -4,18 +4,22 @@
 mod build;
 mod class;
 mod endpoint;
+mod endpoint_group;
 mod endpoint_type;
 mod evaluation;
 mod fleet;
 mod fleet_index;
 mod load;
+mod member_lists;
 mod request;
 mod rollout;
 mod votes;
+mod warming_times;
 
 pub(crate) use build::{BuildState, PlatformTotals};
 pub(crate) use class::{ClassRules, ClassState, LatencyEstimate};
 pub(crate) use endpoint::{Endpoint, LoadReport};
+pub(crate) use endpoint_group::{EjectionPhase, EndpointGroup};
 pub(crate) use endpoint_type::EndpointType;
 pub(crate) use evaluation::{EvaluationState, LatencyRegression, PeerOutcomes, SpeedCounts};
 pub(crate) use fleet::Fleet;
@@ -24,6 +28,8 @@
     AdmissionState, AffinityState, ClockState, CrossZoneState, ListState, PendingOutput,
     RetryState, SlowStartState,
 };
-pub(crate) use request::{ActiveRequest, Attempt, EndedAttempt, FailedAttempt};
+pub(crate) use member_lists::MemberLists;
+pub(crate) use request::{ActiveRequest, Attempt, EndedAttempt, FailedAttempt, RetryScope};
 pub(crate) use rollout::RolloutState;
 pub(crate) use votes::{SentVote, VoteState};
+pub(crate) use warming_times::WarmingTimes;
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -89,6 +89,19 @@
     pub earlier_failure: Option<FailedAttempt>,
 }
 
+/// Where a further attempt of a request may go, as far as its other attempts are concerned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RetryScope {
+    /// To any endpoint.
+    Anywhere,
+    /// To endpoints of this zone.
+    Zone(usize),
+    /// To endpoints of this cell.
+    Cell(u64),
+    /// To no endpoint.
+    Nowhere,
+}
+
 /// A request that has attempts in flight or is owed an answer.
 pub(crate) struct ActiveRequest {
     /// Index of its class.
@@ -176,6 +189,28 @@
             })
     }
 
+    /// Where its next attempt may go, written at `at`: the endpoints for which
+    /// [`is_deduplicated_at`](Self::is_deduplicated_at) holds.
+    pub fn retry_scope(&self, idempotency: Idempotency, at: Duration) -> RetryScope {
+        let Idempotency::Keyed { scope, window } = idempotency else {
+            return RetryScope::Anywhere;
+        };
+        let mut allowed = RetryScope::Anywhere;
+        for other in self.attempts.iter().filter(|a| a.may_have_effect()) {
+            let by_other = match scope {
+                DeduplicationScope::All => RetryScope::Anywhere,
+                DeduplicationScope::Zone => RetryScope::Zone(other.zone),
+                DeduplicationScope::Cell => RetryScope::Cell(other.cell),
+            };
+            let is_over = at >= other.sent_at + window;
+            if is_over || allowed != RetryScope::Anywhere && allowed != by_other {
+                return RetryScope::Nowhere;
+            }
+            allowed = by_other;
+        }
+        allowed
+    }
+
     /// Whether a repeat of one of its attempts is not recognized any more: nothing further may be
     /// sent, to any endpoint.
     pub fn is_past_deduplication(&self, idempotency: Idempotency, at: Duration) -> bool {
