--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -152,10 +152,7 @@
             self.is_candidate(selection, drawn.preference, index)
         };
         let [mut first, mut second] = drawn.endpoints;
-        let affinity = request
-            .affinity_key
-            .filter(|_| !selection.is_retry)
-            .and_then(|key| self.affinity_endpoint(key, is_candidate));
+        let affinity = self.affinity_endpoint_where(request, is_candidate);
         if let Some(nearest) = affinity {
             first = nearest;
         }
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -122,6 +122,7 @@
     pub fn key(&self) -> EndpointKey {
         EndpointKey {
             state: self.state,
+            identity: self.identity,
             zone: self.zone,
             cell: self.cell,
             endpoint_type: self.endpoint_type,
--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -1,6 +1,6 @@
 //! What is kept up to date about the endpoints at each change, so that nobody walks over them.
 
-use super::{Endpoint, EndpointGroup, MemberLists, WarmingTimes};
+use super::{AffinityIndex, Endpoint, EndpointGroup, MemberLists, WarmingTimes};
 use crate::interface::EndpointState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,6 +10,8 @@
 pub(crate) struct EndpointKey {
     /// Whether it may be sent requests.
     pub state: EndpointState,
+    /// Number that identifies it at every agent.
+    pub identity: u64,
     /// Index of its zone.
     pub zone: usize,
     /// Number of its cell.
@@ -96,6 +98,7 @@
     warming: BTreeMap<u32, WarmingTimes>,
     /// Ejections that were not found to be over yet, by their end.
     ejections: BTreeSet<(Duration, usize)>,
+    affinity: AffinityIndex,
 }
 
 impl FleetIndex {
@@ -105,6 +108,7 @@
         self.update_cells(endpoint, before, after);
         self.update_warming(endpoint, before, after);
         self.update_groups(endpoint, before, after);
+        self.affinity.update(endpoint, before, after);
     }
 
     fn update_counts(&mut self, before: &EndpointKey, after: &EndpointKey) {
@@ -215,6 +219,11 @@
         self.total
     }
 
+    /// The running endpoints, by the keys that are theirs.
+    pub fn affinity(&self) -> &AffinityIndex {
+        &self.affinity
+    }
+
     /// Endpoints of one build.
     pub fn of_build(&self, build: u32) -> EndpointCount {
         self.by_build.get(&build).copied().unwrap_or_default()
