--- /dev/null
+++ b/tests/fleet_evidence.rs
@@ -0,0 +1,372 @@
+//! Evidence in hard cases: of one class among many, of endpoints that are all ejected, of long ago, and
+//! of an index that another endpoint had before.
+
+mod harness;
+
+use harness::fleet::fixtures::*;
+use harness::fleet::*;
+use harness::*;
+use std::collections::BTreeSet;
+use std::time::Duration;
+use tulipwall::*;
+
+mod one_busy_class {
+    use super::*;
+
+    const CLASSES: usize = 1600;
+    const BUSY: usize = 1234;
+    const ENDPOINTS: usize = 770;
+
+    fn settings(seed: u64) -> Settings {
+        let few = default_settings(seed);
+        Settings {
+            classes: vec![few.classes[0].clone(); CLASSES],
+            ..few
+        }
+    }
+
+    const BUSY_TRAFFIC: [Traffic; 1] = [Traffic {
+        class: BUSY,
+        rate: PEAK_RATE,
+    }];
+
+    /// The evidence of the one class is that of a service with no other one, and a class that was
+    /// never met is served at once.
+    #[test]
+    fn of_1600_is_judged_as_if_it_were_the_only_one() {
+        let canary_share = 0.3;
+        let mut driver = serving_fleet(settings(47), ENDPOINTS, &BUSY_TRAFFIC);
+        driver
+            .balancer
+            .update_rollout(canary_status(8, 0, canary_share));
+        let mut canaries = fleet_entries(ENDPOINTS, 8);
+        canaries.retain(|entry| entry.endpoint % 3 == 0);
+        driver.update_endpoints(&canaries);
+        let fails = |entry: &EndpointEntry, class: usize| {
+            assert_eq!(class, BUSY);
+            Answer::new(outcome_if(entry.build == 8, Outcome::Failed), ms(20))
+        };
+        driver.run(ms(8000), &BUSY_TRAFFIC, &fails);
+        let verdicts: Vec<Verdict> = driver.votes.iter().map(|v| v.verdict).collect();
+        assert!(verdicts.contains(&Verdict::Hold), "{:?}", driver.log_lines);
+
+        let quiet = driver.answers;
+        driver.send_request(7, &succeed);
+        driver.finish(&succeed);
+        let answers = driver.answers;
+        assert!(answers.succeeded > quiet.succeeded, "{answers:?}");
+    }
+
+    #[test]
+    fn of_1600_keeps_work_bounded() {
+        let mut driver = serving_fleet(settings(53), ENDPOINTS, &BUSY_TRAFFIC);
+        driver.run(ms(5000), &BUSY_TRAFFIC, &succeed);
+        driver.work.assert_bounded("one class of 1,600");
+    }
+}
+
+mod ejection {
+    use super::*;
+
+    const ENDPOINTS: usize = 770;
+    const RATE: f64 = 1000.0;
+
+    /// Half of the fleet runs the released build 8, the other half build 7.
+    fn two_builds(seed: u64) -> FleetDriver {
+        let mut driver = FleetDriver::new(default_settings(seed));
+        let build = |i: usize| 7 + i as u32 % 2;
+        let both: Vec<EndpointEntry> = (0..ENDPOINTS).map(|i| fleet_entry(i, build(i))).collect();
+        driver.update_endpoints(&both);
+        driver.balancer.update_rollout(released_status(8));
+        driver.run(ms(3000), &traffic(RATE), &succeed);
+        driver.take_work();
+        driver
+    }
+
+    fn unreachable(entry: &EndpointEntry, _: usize) -> Answer {
+        if entry.build == 7 {
+            Answer::new(Outcome::ConnectFailed, ms(5))
+        } else {
+            Answer::success()
+        }
+    }
+
+    fn all_unreachable(_: &EndpointEntry, _: usize) -> Answer {
+        Answer::new(Outcome::ConnectFailed, ms(5))
+    }
+
+    fn share_of_build_7(driver: &FleetDriver, span: Duration) -> f64 {
+        driver.share_since(driver.now - span, |sent| sent.build == 7)
+    }
+
+    #[test]
+    fn of_all_endpoints_of_a_build_leaves_requests_to_the_other_build_until_they_are_back() {
+        let mut driver = two_builds(59);
+        let before = share_of_build_7(&driver, ms(2000));
+        assert!(before > 0.2, "{before}");
+        let answers = driver.answers;
+        driver.run(ms(6000), &traffic(RATE), &unreachable);
+        let ejected = share_of_build_7(&driver, ms(2000));
+        assert!(ejected < 0.4 * before, "{ejected} of {before}");
+        let served = driver.answers.succeeded - answers.succeeded;
+        let total = driver.answers.total() - answers.total();
+        assert!(served as f64 > 0.97 * total as f64, "{:?}", driver.answers);
+
+        driver.run(ms(20_000), &traffic(RATE), &succeed);
+        let back = share_of_build_7(&driver, ms(2000));
+        assert!(back > 0.8 * before, "{back} of {before}");
+    }
+
+    #[test]
+    fn of_all_endpoints_of_a_build_keeps_work_bounded() {
+        let mut driver = two_builds(61);
+        driver.run(ms(6000), &traffic(RATE), &unreachable);
+        driver.take_work().assert_bounded("a build ejected");
+        driver.run(ms(10_000), &traffic(RATE), &succeed);
+        driver.work.assert_bounded("a build comes back");
+    }
+
+    /// An ejected endpoint is better than none: only those find out whether they are back.
+    #[test]
+    fn of_every_endpoint_still_forwards_and_all_come_back() {
+        let mut driver = two_builds(67);
+        driver.run(ms(4000), &traffic(RATE), &all_unreachable);
+        let from = driver.now - ms(1000);
+        assert!(driver.sent_since(from).count() > 500, "still tried");
+        driver.run(ms(15_000), &traffic(RATE), &succeed);
+        let answers = driver.answers;
+        driver.run(ms(3000), &traffic(RATE), &succeed);
+        let served = driver.answers.succeeded - answers.succeeded;
+        let total = driver.answers.total() - answers.total();
+        assert!(served as f64 > 0.99 * total as f64, "{:?}", driver.answers);
+        let from = driver.now - ms(3000);
+        let reached: BTreeSet<usize> = driver.sent_since(from).map(|s| s.endpoint).collect();
+        assert!(reached.len() > ENDPOINTS * 9 / 10, "{}", reached.len());
+    }
+
+    #[test]
+    fn of_every_endpoint_keeps_work_bounded() {
+        let mut driver = two_builds(71);
+        driver.run(ms(4000), &traffic(RATE), &all_unreachable);
+        driver.take_work().assert_bounded("all ejected");
+        driver.run(ms(10_000), &traffic(RATE), &succeed);
+        driver.work.assert_bounded("all come back");
+    }
+}
+
+mod old_evidence {
+    use super::*;
+
+    const HOURS: u64 = 36;
+
+    /// Polls of an agent are due this often; hours of them would take minutes.
+    const POLL_INTERVAL: Duration = Duration::from_millis(100);
+    const LATE_POLL_INTERVAL: Duration = Duration::from_secs(2);
+
+    /// Lets hours pass without traffic: a minute of polls as an agent makes them, then late ones.
+    fn idle_for_hours(harness: &mut Harness) {
+        harness.advance(ms(2000));
+        let punctual_until = harness.now + ms(60_000);
+        let end = harness.now + ms(HOURS * 3_600_000);
+        while harness.now < end {
+            harness.now += if harness.now < punctual_until {
+                POLL_INTERVAL
+            } else {
+                LATE_POLL_INTERVAL
+            };
+            let due = harness.balancer.poll(harness.now);
+            if let Some(vote) = due.vote {
+                harness.votes.push((harness.now, vote));
+                let reply = VoteReply::Counted;
+                harness.balancer.on_vote_reply(harness.now, reply);
+            }
+            harness.log_lines.extend(due.log_lines);
+        }
+    }
+
+    fn stands(harness: &Harness) -> bool {
+        harness
+            .last_verdict()
+            .is_some_and(|verdict| verdict != Verdict::Withdraw)
+    }
+
+    fn serve_counted(harness: &mut Harness, n: u64, outcome: impl Fn(&EndpointEntry) -> Outcome) {
+        for _ in 0..n {
+            harness.serve(1, 0, ms(20), &outcome);
+            harness
+                .balancer
+                .on_vote_reply(harness.now, VoteReply::Counted);
+        }
+    }
+
+    #[test]
+    fn of_failures_is_gone_after_36_hours_and_does_not_come_back() {
+        let mut harness = canary_rollout(|_| {});
+        serve_counted(&mut harness, 150, failing(8));
+        assert!(stands(&harness), "{:?}", harness.log_lines);
+        idle_for_hours(&mut harness);
+        assert!(!stands(&harness), "the vote is withdrawn");
+        let votes = harness.votes.len();
+        let before = attempts_to(&harness, 8);
+        serve_counted(&mut harness, 400, |_| Outcome::Succeeded);
+        assert_eq!(harness.votes.len(), votes, "{:?}", harness.log_lines);
+        let got = attempts_to(&harness, 8) - before;
+        assert!(got > 30, "the canary gets its share: {got} of 400");
+    }
+
+    /// Against answers of long ago that outweigh what the canary does now.
+    #[test]
+    fn of_successes_does_not_cover_a_canary_that_regresses_after_36_hours() {
+        let mut harness = canary_rollout(|_| {});
+        serve_counted(&mut harness, 1500, |_| Outcome::Succeeded);
+        assert!(!stands(&harness));
+        idle_for_hours(&mut harness);
+        let before = attempts_to(&harness, 8);
+        while !stands(&harness) {
+            serve_counted(&mut harness, 1, failing(8));
+            let failed = attempts_to(&harness, 8) - before;
+            assert!(failed < 40, "{failed} failures, {:?}", harness.log_lines);
+        }
+    }
+
+    /// Against a clock that jumps: a process that was stopped polls late, and ages what it knows by
+    /// one step or by all of it, but neither overflows nor forgets the earlier build.
+    #[test]
+    fn of_a_process_that_was_stopped_for_36_hours_leaves_the_canary_to_be_judged() {
+        for regressed in [true, false] {
+            let mut harness = canary_rollout(|_| {});
+            serve_counted(&mut harness, 300, |_| Outcome::Succeeded);
+            harness.advance(ms(2000));
+            harness.now += ms(HOURS * 3_600_000);
+            harness.advance(ms(1000));
+            let outcome =
+                |e: &EndpointEntry| outcome_if(regressed && e.build == 8, Outcome::Failed);
+            serve_counted(&mut harness, 300, outcome);
+            assert_eq!(stands(&harness), regressed, "{:?}", harness.log_lines);
+        }
+    }
+}
+
+mod reused_index {
+    use super::*;
+
+    const REUSED: usize = 0;
+
+    /// Index 0 belongs to a faulty endpoint of build 7 first, then to another one.
+    fn reused(former: impl Fn(&EndpointEntry) -> bool, latter: EndpointEntry) -> Harness {
+        let mut harness = canary_rollout(|_| {});
+        harness.serve(300, 0, ms(20), |e| {
+            outcome_if(e.endpoint == REUSED && former(e), Outcome::Failed)
+        });
+        let gone = EndpointEntry {
+            state: EndpointState::Gone,
+            ..endpoint_entry(REUSED, 7, None)
+        };
+        harness.update_endpoints(&[gone]);
+        harness.advance(ms(100));
+        harness.update_endpoints(&[latter]);
+        harness
+    }
+
+    fn other_endpoint(build: u32) -> EndpointEntry {
+        EndpointEntry {
+            identity: 4711,
+            cell: 2,
+            ..endpoint_entry(REUSED, build, None)
+        }
+    }
+
+    fn attempts_of(harness: &Harness, endpoint: usize) -> usize {
+        harness.forwarded.iter().filter(|f| f.1 == endpoint).count()
+    }
+
+    /// Against an ejection that outlives its endpoint.
+    #[test]
+    fn has_no_ejection_of_the_endpoint_before() {
+        let mut harness = reused(|_| true, other_endpoint(7));
+        let before: Vec<usize> = (0..8).map(|i| attempts_of(&harness, i)).collect();
+        harness.serve(30, 0, ms(20), |_| Outcome::Succeeded);
+        let got = attempts_of(&harness, REUSED) - before[REUSED];
+        assert!(got >= 1, "used at once");
+        harness.serve(270, 0, ms(20), |_| Outcome::Succeeded);
+        let got: Vec<usize> = (0..8)
+            .map(|i| attempts_of(&harness, i) - before[i])
+            .collect();
+        let mean = got[1..].iter().sum::<usize>() as f64 / 7.0;
+        assert!(got[REUSED] as f64 > 0.6 * mean, "{got:?}");
+    }
+
+    /// Against failures of an endpoint of the earlier build that count for the canary.
+    #[test]
+    fn has_no_evidence_of_the_endpoint_before() {
+        let mut harness = reused(|_| true, other_endpoint(8));
+        harness.advance(ms(4200));
+        harness.serve(300, 0, ms(20), |_| Outcome::Succeeded);
+        assert!(harness.votes.is_empty(), "{:?}", harness.log_lines);
+        assert!(attempts_of(&harness, REUSED) > 0);
+        harness.serve(200, 0, ms(20), failing(8));
+        assert_eq!(harness.last_verdict(), Some(Verdict::Hold));
+    }
+
+    /// Against successes of an endpoint of the canary that count for the build that follows there.
+    #[test]
+    fn has_no_successes_of_the_endpoint_before() {
+        let mut harness = canary_rollout(|_| {});
+        harness.serve(600, 0, ms(20), |_| Outcome::Succeeded);
+        for endpoint in [8, 9] {
+            let gone = EndpointEntry {
+                state: EndpointState::Gone,
+                ..endpoint_entry(endpoint, 8, Some(1100))
+            };
+            harness.update_endpoints(&[gone]);
+        }
+        harness.update_rollout(canary_status(9, 0, 0.5));
+        let now = harness.now.as_millis() as u64;
+        let canaries = [8, 9].map(|endpoint| endpoint_entry(endpoint, 9, Some(now)));
+        harness.update_endpoints(&canaries);
+        harness.advance(ms(4200));
+        let before = attempts_to(&harness, 9);
+        while harness.votes.is_empty() {
+            harness.serve(1, 0, ms(20), failing(9));
+            let failed = attempts_to(&harness, 9) - before;
+            assert!(failed < 40, "{failed} failures, {:?}", harness.log_lines);
+        }
+    }
+
+    /// Against a weight that stays low because another endpoint was slow there.
+    #[test]
+    fn has_no_latency_of_the_endpoint_before() {
+        let mut harness = canary_rollout(|_| {});
+        let serve = |harness: &mut Harness, slow: bool, n: u64| {
+            for _ in 0..n {
+                let id = harness.requests.len() as u64;
+                if let Decision::Forward { endpoint, .. } = harness.send_request(id, 0, ms(1500)) {
+                    let is_slow = slow && endpoint == REUSED;
+                    harness.advance(if is_slow { ms(150) } else { ms(20) });
+                    for number in 0..harness.requests[&id].attempts.len() {
+                        if harness.requests[&id].attempts[number].ended.is_none() {
+                            harness.end_attempt(id, number, Outcome::Succeeded);
+                        }
+                    }
+                }
+                harness.advance(ms(5));
+            }
+        };
+        serve(&mut harness, true, 300);
+        let before = attempts_of(&harness, REUSED);
+        serve(&mut harness, true, 100);
+        let slow = attempts_of(&harness, REUSED) - before;
+        assert!(slow < 8, "the slow one gets little: {slow} of 100");
+        let gone = EndpointEntry {
+            state: EndpointState::Gone,
+            ..endpoint_entry(REUSED, 7, None)
+        };
+        harness.update_endpoints(&[gone]);
+        harness.advance(ms(100));
+        harness.update_endpoints(&[other_endpoint(7)]);
+        let before = attempts_of(&harness, REUSED);
+        serve(&mut harness, false, 100);
+        let got = attempts_of(&harness, REUSED) - before;
+        assert!(got >= 6, "the one after it gets its share: {got} of 100");
+    }
+}
--- /dev/null
+++ b/tests/fleet_size.rs
@@ -0,0 +1,142 @@
+//! Work by the size of the fleet, in endpoints that are looked at: a count that is the same on any
+//! machine. Times are for `cargo bench -p tulipwall-zones --bench fleet_size`.
+
+mod harness;
+
+use harness::fleet::fixtures::*;
+use harness::fleet::work::*;
+use harness::fleet::*;
+use harness::*;
+use tulipwall::*;
+
+/// Sizes of the fleet: a mean service, the largest one, and all endpoints to plan for.
+const SIZES: [usize; 3] = [55, 770, ALL];
+/// Growth of a count from the smallest to the largest fleet, which has 140 times its endpoints.
+const MAX_GROWTH: f64 = 3.0;
+
+const TRAFFIC: [Traffic; 2] = [
+    Traffic {
+        class: 0,
+        rate: PEAK_RATE * 0.9,
+    },
+    Traffic {
+        class: 2,
+        rate: PEAK_RATE * 0.1,
+    },
+];
+
+#[test]
+fn work_does_not_grow_with_a_fleet_that_answers() {
+    for endpoints in SIZES {
+        let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
+        driver.run(ms(10_000), &TRAFFIC, &succeed);
+        assert!(driver.work.decisions > 1400, "{}", driver.work.decisions);
+        assert_eq!(driver.work.evaluations, 100);
+        driver
+            .work
+            .assert_bounded(&format!("{endpoints} endpoints"));
+    }
+}
+
+/// Polls are all that an agent without requests does.
+#[test]
+fn work_of_an_idle_agent_does_not_grow_with_the_fleet() {
+    for endpoints in SIZES {
+        let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
+        driver.finish(&succeed);
+        driver.take_work();
+        driver.run(ms(10_000), &[], &succeed);
+        assert_eq!(driver.work.decisions, 0);
+        driver
+            .work
+            .assert_bounded(&format!("{endpoints} endpoints"));
+    }
+}
+
+/// Retries, timeouts and ejections look at more; not at more of a larger fleet.
+#[test]
+fn work_does_not_grow_with_a_fleet_of_which_some_fail() {
+    let respond = |entry: &EndpointEntry, _: usize| match entry.endpoint % 50 {
+        0 => Answer::new(Outcome::ConnectFailed, ms(5)),
+        1 => Answer::new(Outcome::Failed, ms(20)),
+        2 => Answer::new(Outcome::Succeeded, ms(5000)),
+        3 => Answer::new(Outcome::Rejected, ms(5)),
+        _ => Answer::success(),
+    };
+    for endpoints in SIZES {
+        let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
+        driver.run(ms(10_000), &TRAFFIC, &respond);
+        let served = driver.answers.succeeded as f64 / driver.answers.total() as f64;
+        assert!(served > 0.95, "{:?}", driver.answers);
+        driver
+            .work
+            .assert_bounded(&format!("{endpoints} endpoints"));
+    }
+}
+
+/// A tenth of the fleet runs a canary: its evidence is summed up, and its share is capped.
+#[test]
+fn work_does_not_grow_with_a_fleet_that_has_a_canary() {
+    for endpoints in SIZES {
+        let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
+        driver.balancer.update_rollout(canary_status(8, 0, 0.2));
+        let canaries: Vec<EndpointEntry> = fleet_entries(endpoints, 8)
+            .into_iter()
+            .filter(|entry| entry.endpoint % 10 == 0)
+            .collect();
+        driver.update_endpoints(&canaries);
+        driver.run(ms(10_000), &TRAFFIC, &succeed);
+        assert!(driver.sent.iter().any(|sent| sent.build == 8));
+        driver
+            .work
+            .assert_bounded(&format!("{endpoints} endpoints"));
+    }
+}
+
+/// Key affinity names an endpoint for each key without a walk.
+#[test]
+fn work_does_not_grow_with_a_fleet_that_has_key_affinity() {
+    for endpoints in SIZES {
+        let settings = Settings {
+            key_affinity: true,
+            load_probes: true,
+            ..default_settings(19)
+        };
+        let mut driver = FleetDriver::new(settings);
+        driver.update_endpoints(&fleet_entries(endpoints, 7));
+        driver.run(ms(10_000), &TRAFFIC, &succeed);
+        driver
+            .work
+            .assert_bounded(&format!("{endpoints} endpoints"));
+    }
+}
+
+#[test]
+fn the_largest_fleet_costs_hardly_more_than_the_smallest() {
+    let work = |endpoints| {
+        let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
+        driver.run(ms(10_000), &TRAFFIC, &succeed);
+        driver.work
+    };
+    let [smallest, .., largest] = SIZES.map(work);
+    let factor = |count: fn(&Work) -> f64| count(&largest) / count(&smallest).max(1.0);
+    assert!(
+        factor(Work::per_decision) <= MAX_GROWTH,
+        "{largest:?} after {smallest:?}"
+    );
+    assert!(
+        factor(Work::per_evaluation) <= MAX_GROWTH,
+        "{largest:?} after {smallest:?}"
+    );
+}
+
+/// A mean hides what happens now and then: each second by itself keeps to the bounds.
+#[test]
+fn no_second_costs_more_than_the_bounds() {
+    let mut driver = serving_fleet(default_settings(17), ALL, &TRAFFIC);
+    for second in 0..10 {
+        driver.run(ms(1000), &TRAFFIC, &succeed);
+        let work = driver.take_work();
+        work.assert_bounded(&format!("second {second}"));
+    }
+}
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -3,6 +3,7 @@
 #![allow(dead_code)] // each test file uses a part of it
 
 mod fixtures;
+pub mod fleet;
 mod rules;
 
 pub use fixtures::*;
