--- a/crates/experiments/src/scale/command/installations.rs
+++ b/crates/experiments/src/scale/command/installations.rs
@@ -1,7 +1,10 @@
 //! The installations whose rows are simulated.
 
 use super::Options;
-use crate::scale::extrapolation::{every_agent_fronts_all, largest_service, mean_service, Reading};
+use crate::scale::extrapolation::{
+    every_agent_fronts_all, largest_service, mean_service, measured_agent_memory, Reading,
+};
+use crate::scale::report::SweepResult;
 use crate::scale::size::Size;
 
 /// Load of all rows but the peak and the calm one, in requests a second for each agent.
@@ -50,8 +53,13 @@
         }
     }
 
-    /// The installations whose rows are simulated in so many bytes of memory.
-    pub(super) fn installations(&self, allowed_memory: f64) -> Vec<Installation> {
+    /// The installations whose rows are simulated in so many bytes of memory, by the sweeps that
+    /// were run before.
+    pub(super) fn installations(
+        &self,
+        allowed_memory: f64,
+        measured: &[SweepResult],
+    ) -> Vec<Installation> {
         if self.names_size() {
             return vec![Installation {
                 reading: "as told".into(),
@@ -60,7 +68,7 @@
             }];
         }
         if self.full {
-            return self.full_installations(allowed_memory);
+            return self.full_installations(allowed_memory, measured);
         }
         vec![Installation {
             reading: "two mean services".into(),
@@ -75,7 +83,11 @@
     }
 
     /// The readings of the operators' size.
-    fn full_installations(&self, allowed_memory: f64) -> Vec<Installation> {
+    fn full_installations(
+        &self,
+        allowed_memory: f64,
+        measured: &[SweepResult],
+    ) -> Vec<Installation> {
         let mean = mean_service();
         let largest = largest_service();
         let quiet = self.quiet.or(Some(QUIET_RATE));
@@ -86,7 +98,7 @@
             ..mean.size
         };
         let every = every_agent_fronts_all();
-        let fitting = fitting_size(every, allowed_memory);
+        let fitting = fitting_size(every, allowed_memory, measured);
         let fitting_reading = format!(
             "{}, {} agents, {} lanes",
             every.name, fitting.agents, fitting.classes
@@ -113,8 +125,17 @@
 
 /// As many classes of a reading as fit in memory, then as many agents; extrapolation covers the
 /// rest.
-fn fitting_size(reading: Reading, allowed_memory: f64) -> Size {
-    let fits = |size: &Size| size.estimated_memory(false) <= allowed_memory;
+///
+/// Guards against an estimate of an earlier version, by which fewer classes would be simulated than
+/// fit. Does harm where requests leave more than in the sweeps, which are short.
+fn fitting_size(reading: Reading, allowed_memory: f64, measured: &[SweepResult]) -> Size {
+    let memory = |size: &Size| {
+        measured_agent_memory(measured, size).map_or_else(
+            || size.estimated_memory(false),
+            |agent| size.memory_by_measured_agent(agent),
+        )
+    };
+    let fits = |size: &Size| memory(size) <= allowed_memory;
     let with_classes = |classes| Size {
         classes,
         ..reading.size
--- a/crates/experiments/src/scale/command/mod.rs
+++ b/crates/experiments/src/scale/command/mod.rs
@@ -109,9 +109,8 @@
             return Ok(Vec::new());
         }
         let allowed = self.allowed_memory(available);
-        let installations = self.installations(allowed);
         if self.runs_rows() {
-            check_memory(&installations, allowed, available)?;
+            check_memory(&self.installations(allowed, &[]), allowed, available)?;
         }
         let mut report = Report {
             seed: self.seed,
@@ -119,10 +118,13 @@
         };
         if self.runs_sweeps() {
             self.run_sweeps(&mut report)?;
+            self.write(&report)?;
         }
         if self.runs_rows() {
-            for installation in &installations {
+            for installation in &self.installations(allowed, &report.sweeps) {
                 self.run_rows(installation, &mut report)?;
+                // What is broken off keeps what it measured.
+                self.write(&report)?;
             }
         }
         list_rows_beyond(&mut report);
--- a/crates/experiments/src/scale/command/sweeps.rs
+++ b/crates/experiments/src/scale/command/sweeps.rs
@@ -5,12 +5,12 @@
 use crate::scale::extrapolation::{agent_costs, TABLE_HEAD};
 use crate::scale::report::{Report, SweepResult};
 use crate::scale::simulation::{Outcome, Simulation};
-use crate::scale::sweeps::{sweeps, Sweep};
+use crate::scale::sweeps::{sweeps, Sweep, SweepPoint};
 use serde::Deserialize;
 use serde_json::json;
 use std::process::Command;
 
-/// Runs of each point of a full sweep, of which the least times count.
+/// Runs of each point of a full sweep of times, of which the least count.
 const FULL_RUNS: usize = 3;
 
 /// What is read of the outcome that another process prints.
@@ -52,6 +52,9 @@
                 .map(|point| self.run_in_own_process(sweep, point))
                 .collect();
         }
+        if !sweep.is_timed() {
+            return sweep.points.iter().map(|point| self.count(point)).collect();
+        }
         let runs = if self.full { FULL_RUNS } else { 1 };
         sweep
             .points
@@ -60,6 +63,16 @@
             .collect()
     }
 
+    /// Runs a point of which nothing is timed: once, on all threads, since counts are the same in
+    /// each run.
+    fn count(&self, point: &SweepPoint) -> Result<Outcome, ScaleError> {
+        let simulation = Simulation {
+            cores: usize::from(self.cores),
+            ..point.simulation.clone()
+        };
+        simulation.run()
+    }
+
     /// Runs one point of a sweep in a process of its own; only memory and agents are measured.
     fn run_in_own_process(&self, sweep: &Sweep, point: usize) -> Result<Outcome, ScaleError> {
         let program = std::env::current_exe().map_err(ScaleError::Process)?;
--- a/crates/experiments/src/scale/extrapolation.rs
+++ b/crates/experiments/src/scale/extrapolation.rs
@@ -153,6 +153,25 @@
         .collect()
 }
 
+/// Memory of one agent with settings of its own, as the sweeps measured it.
+fn memory_plane(results: &[SweepResult]) -> Option<Plane> {
+    let find = |name: &str| results.iter().find(|result| result.name == name);
+    let sweeps = Sweeps {
+        endpoints: find("memory by appliances")?,
+        classes: find("memory by lanes")?,
+        classes_of_many_endpoints: find("memory by lanes of many appliances")?,
+        tenants: find("memory by tenants")?,
+    };
+    Plane::through("memory, bytes an agent", sweeps)
+}
+
+/// Bytes of one agent with settings of its own, by the sweeps; none where one is missing. Sizes are
+/// those of one service.
+pub fn measured_agent_memory(results: &[SweepResult], size: &Size) -> Option<f64> {
+    let plane = memory_plane(results)?;
+    Some(plane.at(size).max(plane.base))
+}
+
 /// Planes of all figures of which an agent's cost is made up.
 struct CostModel<'a> {
     memory: Plane,
@@ -170,14 +189,8 @@
             classes_of_many_endpoints: find("lanes of many appliances")?,
             tenants: find("tenants")?,
         };
-        let memory_sweeps = Sweeps {
-            endpoints: find("memory by appliances")?,
-            classes: find("memory by lanes")?,
-            classes_of_many_endpoints: find("memory by lanes of many appliances")?,
-            tenants: find("memory by tenants")?,
-        };
         Some(CostModel {
-            memory: Plane::through("memory, bytes an agent", memory_sweeps)?,
+            memory: memory_plane(results)?,
             decision: Plane::through("decisions, us a command", processor_sweeps)?,
             poll: Plane::through("survey, us each", processor_sweeps)?,
             tenant_lookup: processor_sweeps
--- a/crates/experiments/src/scale/figures.rs
+++ b/crates/experiments/src/scale/figures.rs
@@ -8,13 +8,28 @@
 pub struct Figure {
     /// Name in reports, with its unit.
     pub name: &'static str,
+    /// Whether it is a time, which differs from run to run; a count is the same in each, and on any
+    /// number of threads.
+    pub is_time: bool,
     /// How it is calculated.
     pub read: fn(&Outcome) -> f64,
 }
 
 impl Figure {
-    const fn new(name: &'static str, read: fn(&Outcome) -> f64) -> Figure {
-        Figure { name, read }
+    const fn time(name: &'static str, read: fn(&Outcome) -> f64) -> Figure {
+        Figure {
+            name,
+            is_time: true,
+            read,
+        }
+    }
+
+    const fn count(name: &'static str, read: fn(&Outcome) -> f64) -> Figure {
+        Figure {
+            name,
+            is_time: false,
+            read,
+        }
     }
 }
 
@@ -37,56 +52,56 @@
 }
 
 /// Processor time of the balancer for a request.
-pub const DECISIONS: Figure = Figure::new("decisions, us a command", |o| {
+pub const DECISIONS: Figure = Figure::time("decisions, us a command", |o| {
     microseconds_each(o, "decisions", o.requests)
 });
 /// Endpoints that the balancer looks at for a request.
-pub const SCANS_A_REQUEST: Figure = Figure::new("looks at appliances a command", |o| {
+pub const SCANS_A_REQUEST: Figure = Figure::count("looks at appliances a command", |o| {
     o.endpoints_scanned as f64 / o.requests.max(1) as f64
 });
 /// Endpoints that the balancer looks at in a poll.
-pub const SCANS_A_POLL: Figure = Figure::new("looks at appliances a survey", |o| {
+pub const SCANS_A_POLL: Figure = Figure::count("looks at appliances a survey", |o| {
     o.endpoints_scanned as f64 / o.polls.max(1) as f64
 });
 /// Processor time of a poll.
-pub const POLL: Figure = Figure::new("survey, us each", |o| {
+pub const POLL: Figure = Figure::time("survey, us each", |o| {
     microseconds_each(o, "surveys", o.polls)
 });
 /// Processor time to look up a tenant's name.
-pub const TENANT_LOOKUP: Figure = Figure::new("tenant's name, us a command", |o| {
+pub const TENANT_LOOKUP: Figure = Figure::time("tenant's name, us a command", |o| {
     microseconds_each(o, "tenants", o.requests)
 });
 /// Processor time to parse an endpoint list.
-pub const PARSING: Figure = Figure::new("reading, ms a list", |o| {
+pub const PARSING: Figure = Figure::time("reading, ms a list", |o| {
     milliseconds_an_agent(o, "reading")
 });
 /// Processor time to update the agent's list.
-pub const LIST_UPDATE: Figure = Figure::new("List::take, ms a list", |o| {
+pub const LIST_UPDATE: Figure = Figure::time("List::take, ms a list", |o| {
     milliseconds_an_agent(o, "taking")
 });
 /// Processor time to update the balancer.
-pub const BALANCER_UPDATE: Figure = Figure::new("Choice::list, ms a list", |o| {
+pub const BALANCER_UPDATE: Figure = Figure::time("Choice::list, ms a list", |o| {
     milliseconds_an_agent(o, "listing")
 });
 /// Size of a whole list.
-pub const WHOLE_LIST: Figure = Figure::new("whole list, bytes", |o| {
+pub const WHOLE_LIST: Figure = Figure::count("whole list, bytes", |o| {
     let lists = traffic(o, "whole lists");
     lists.total as f64 / (lists.count as f64).max(1.0)
 });
 /// Resident memory of an agent.
-pub const MEMORY: Figure = Figure::new("memory, bytes an agent", |o| per_agent(o, o.memory));
+pub const MEMORY: Figure = Figure::count("memory, bytes an agent", |o| per_agent(o, o.memory));
 /// Control traffic of an agent.
-pub const BYTES: Figure = Figure::new("bytes a second an agent", |o| o.bytes);
+pub const BYTES: Figure = Figure::count("bytes a second an agent", |o| o.bytes);
 /// Calls to all discoveries.
-pub const DISCOVERY_CALLS: Figure = Figure::new("discovery, calls a second in sum", |o| o.calls);
+pub const DISCOVERY_CALLS: Figure = Figure::count("discovery, calls a second in sum", |o| o.calls);
 /// Traffic of all discoveries.
 pub const DISCOVERY_BYTES: Figure =
-    Figure::new("discovery, bytes a second in sum", |o| o.discovery_bytes);
+    Figure::count("discovery, bytes a second in sum", |o| o.discovery_bytes);
 /// Traffic of all platforms.
 pub const PLATFORM_BYTES: Figure =
-    Figure::new("platform, bytes a second in sum", |o| o.platform_bytes);
+    Figure::count("platform, bytes a second in sum", |o| o.platform_bytes);
 /// An agent's share of a core.
-pub const CORE: Figure = Figure::new("share of a core", |o| o.core);
+pub const CORE: Figure = Figure::time("share of a core", |o| o.core);
 /// An agent's share of a core without decisions for requests.
 pub const CONTROL_CORE: Figure =
-    Figure::new("share of a core without commands", |o| o.control_core);
+    Figure::time("share of a core without commands", |o| o.control_core);
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -156,21 +156,45 @@
     }
 
     /// Estimated bytes that a simulation of this size takes, from the slopes that
-    /// `tulipwall-experiments scale` measures; `own_settings` where agents do not share them.
+    /// `tulipwall-experiments scale` measured at some time; `own_settings` where agents do not share
+    /// them.
     pub fn estimated_memory(&self, own_settings: bool) -> f64 {
-        let agents = self.agents as f64;
         let classes = self.classes as f64;
         let tenants = self.tenants as f64;
-        let listed = self.endpoints as f64 / self.services.max(1) as f64;
         let agent = AGENT_BYTES
-            + listed * (LISTED_BYTES + LISTED_CLASS_BYTES * classes)
+            + self.listed() * (LISTED_BYTES + LISTED_CLASS_BYTES * classes)
             + classes * CLASS_BYTES
             + tenants * TENANT_BYTES;
-        let settings = tenants * SETTINGS_TENANT_BYTES + classes * SETTINGS_CLASS_BYTES;
-        let own = if own_settings { settings } else { 0.0 };
+        let own = if own_settings {
+            self.settings_memory()
+        } else {
+            0.0
+        };
+        self.memory_with_agents_of(agent + own)
+    }
+
+    /// Bytes that a simulation of this size takes where agents share their settings, by what the
+    /// sweeps of this very program measured of an agent with settings of its own.
+    pub fn memory_by_measured_agent(&self, agent: f64) -> f64 {
+        let without_settings = (agent - self.settings_memory()).max(AGENT_BYTES);
+        self.memory_with_agents_of(without_settings)
+    }
+
+    fn memory_with_agents_of(&self, agent: f64) -> f64 {
         let discovery = self.endpoints as f64 * DISCOVERY_ENTRY_BYTES;
-        let parsing = listed * PARSED_ENTRY_BYTES * WORKERS;
-        agents * (agent + own) + settings * WORKERS + discovery + parsing + PROCESS_BYTES
+        let parsing = self.listed() * PARSED_ENTRY_BYTES * WORKERS;
+        let settings = self.settings_memory() * WORKERS;
+        self.agents as f64 * agent + settings + discovery + parsing + PROCESS_BYTES
+    }
+
+    /// Endpoints in the list of one agent.
+    fn listed(&self) -> f64 {
+        self.endpoints as f64 / self.services.max(1) as f64
+    }
+
+    /// Bytes of the settings.
+    fn settings_memory(&self) -> f64 {
+        self.tenants as f64 * SETTINGS_TENANT_BYTES + self.classes as f64 * SETTINGS_CLASS_BYTES
     }
 }
 
--- a/crates/experiments/src/scale/sweeps.rs
+++ b/crates/experiments/src/scale/sweeps.rs
@@ -52,6 +52,13 @@
     pub in_own_process: bool,
 }
 
+impl Sweep {
+    /// Whether any figure is a time, which other threads of the same process would disturb.
+    pub fn is_timed(&self) -> bool {
+        self.figures.iter().any(|figure| figure.is_time)
+    }
+}
+
 /// The counts of all sweeps.
 struct Counts {
     endpoints: &'static [usize],
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -3,9 +3,11 @@
 
 use std::process::{Command, Output};
 use std::time::Duration;
+use tulipwall_experiments::scale::extrapolation::measured_agent_memory;
 use tulipwall_experiments::scale::fit::Line;
 use tulipwall_experiments::scale::report::{Curve, Report, SweepResult};
 use tulipwall_experiments::scale::rows::{rows, Row};
+use tulipwall_experiments::scale::sweeps::sweeps;
 use tulipwall_experiments::scale::{InstallationEvent, Outcome, Simulation, Size};
 use tulipwall_testkit::registry::{self, Entry, Registry};
 
@@ -345,6 +347,86 @@
     );
 }
 
+/// What is only counted is run once, on all threads; what is timed several times, on one.
+#[test]
+fn sweeps_are_timed_where_any_figure_is_a_time() {
+    let all = sweeps(true, 7);
+    let untimed: Vec<&str> = all
+        .iter()
+        .filter(|sweep| !sweep.is_timed())
+        .map(|sweep| sweep.name)
+        .collect();
+    let expected = [
+        "agents of one list, calm",
+        "agents of one list, 5 restarts",
+        "services",
+        "memory by appliances",
+        "memory by lanes",
+        "memory by lanes of many appliances",
+        "memory by tenants",
+    ];
+    assert_eq!(untimed, expected);
+    assert_eq!(all.len(), 15, "the others are timed");
+    let timed = all.iter().filter(|sweep| sweep.is_timed());
+    for figure in timed.flat_map(|sweep| &sweep.figures) {
+        let is_time = figure.name.contains(", us ")
+            || figure.name.contains(", ms ")
+            || figure.name.contains("share of a core");
+        assert_eq!(figure.is_time, is_time, "{}", figure.name);
+    }
+}
+
+/// Against an estimate of an earlier version by which less is simulated than fits.
+#[test]
+fn measured_memory_decides_what_fits() {
+    let sweep = |name, size: Size, points: [(f64, f64); 3]| SweepResult {
+        name,
+        over: "",
+        size,
+        curves: vec![Curve {
+            figure: "memory, bytes an agent",
+            line: Line::through(&points),
+            points: points.to_vec(),
+        }],
+    };
+    let base = Size::default();
+    let many = Size {
+        endpoints: 770,
+        ..base
+    };
+    // 300 kB, and 800 bytes for each endpoint, 3,000 for each class, 200 for each tenant.
+    let over = |from: f64, slope: f64, base: f64| {
+        [0.0, 100.0, 200.0].map(|more| (from + more, base + slope * more))
+    };
+    let all = [
+        sweep("memory by appliances", base, over(55.0, 800.0, 300e3)),
+        sweep("memory by lanes", base, over(11.0, 3000.0, 300e3)),
+        sweep(
+            "memory by lanes of many appliances",
+            many,
+            over(11.0, 3000.0, 872e3),
+        ),
+        sweep("memory by tenants", base, over(400.0, 200.0, 300e3)),
+    ];
+    let largest = Size {
+        agents: 770,
+        endpoints: 7700,
+        classes: 1600,
+        tenants: 56_000,
+        ..base
+    };
+    let agent = measured_agent_memory(&all, &largest).unwrap();
+    let expected = 300e3 + 800.0 * 7645.0 + 3000.0 * 1589.0 + 200.0 * 55_600.0;
+    assert!((agent - expected).abs() < 1e3, "{agent} of {expected}");
+    let [estimated, measured] = [
+        largest.estimated_memory(false),
+        largest.memory_by_measured_agent(agent),
+    ];
+    assert!(estimated > 300e9, "{estimated}");
+    assert!((9e9..12e9).contains(&measured), "{measured}");
+    assert_eq!(measured_agent_memory(&all[1..], &largest), None);
+}
+
 fn run_scale(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tulipwall-experiments"))
         .arg("scale")
