--- a/src/balancer/outcome_evidence.rs
+++ b/src/balancer/outcome_evidence.rs
@@ -9,6 +9,9 @@
 use crate::stats::OutcomeCounts;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Outcomes of an earlier build that are kept: those that meet the bound up to rounding are.
+const MAX_KEPT: f64 = KEPT_BASELINE * (1.0 + ROUNDING_ERROR);
+
 /// How an endpoint's outcomes lose weight at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Aging {
@@ -261,7 +264,7 @@
         let record = &self.endpoints[endpoint];
         if record.build >= self.newest_build {
             Aging::Decays
-        } else if intervals_until_kept(record.outcomes.total(), &self.decay) > 0 {
+        } else if record.outcomes.total().total() > MAX_KEPT {
             Aging::DecaysUntilKept
         } else {
             Aging::Kept
@@ -407,12 +410,9 @@
 }
 
 /// Evaluation intervals in which so many outcomes of an earlier build still decay: the last one is
-/// that which takes them to what is kept. Where they meet it up to rounding, they are there.
+/// that which takes them to what is kept.
 fn intervals_until_kept(total: &OutcomeCounts, decay: &OutcomeDecay) -> u64 {
-    let ratio = total.total() / (KEPT_BASELINE * (1.0 + ROUNDING_ERROR));
-    if ratio <= 1.0 {
-        return 0;
-    }
+    let ratio = (total.total() / MAX_KEPT).max(1.0);
     (ratio.ln() / -decay.factor.ln()).ceil() as u64
 }
 
