--- a/crates/zones/src/account/mod.rs
+++ b/crates/zones/src/account/mod.rs
@@ -7,7 +7,7 @@
 use crate::events::{AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation};
 use crate::remap::remap_classes;
 use crate::time_series::TimeSeries;
-use class_record::ClassRecord;
+use class_record::{ClassRecord, REMOVED_BUILDS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -58,6 +58,8 @@
     zone_count: usize,
     /// By zone and class; each zone ends with its [`EXTRA_RECORDS`].
     records: Vec<Option<Box<ClassRecord>>>,
+    /// Builds that have rows.
+    builds: BTreeSet<u32>,
     requests: Vec<u64>,
     requests_of_removed_classes: u64,
     /// Moving average of local response latencies by class, in seconds.
@@ -73,6 +75,7 @@
             class_count,
             zone_count,
             records: (0..record_count).map(|_| None).collect(),
+            builds: BTreeSet::new(),
             requests: vec![0; class_count],
             requests_of_removed_classes: 0,
             local_latency_s: vec![None; class_count],
@@ -125,6 +128,7 @@
 
     /// Counts an attempt that was decided on.
     pub fn record_attempt(&mut self, attempt: &AttemptStart) {
+        self.builds.insert(attempt.build);
         self.record_mut(attempt.to, attempt.class)
             .row(attempt.build)
             .counts
@@ -150,6 +154,7 @@
                     .map(|local_s| latency_s - local_s);
             }
         }
+        self.builds.insert(reservation.build);
         self.record_mut(reservation.to, reservation.class)
             .record_end(now, reservation, end, cost, added_latency_s);
     }
@@ -166,12 +171,19 @@
 
     /// Counts a connection that was opened, or closed while no attempt used it.
     pub fn record_connection(&mut self, now: Duration, connection: &ConnectionTraffic, cost: f64) {
+        self.builds.insert(connection.build);
         self.record_mut(connection.to, self.class_count)
             .record_connection(now, connection, cost);
     }
 
     /// Only these builds are alive: what the rows of others count is summed under build 0.
     pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
+        let is_kept = |build: &u32| *build == REMOVED_BUILDS || builds.contains(build);
+        if self.builds.iter().all(is_kept) {
+            // Most lists change no build: then nothing is walked.
+            return;
+        }
+        self.builds.retain(is_kept);
         for record in self.records.iter_mut().flatten() {
             record.retain_builds(builds);
         }
--- a/crates/zones/src/router/mod.rs
+++ b/crates/zones/src/router/mod.rs
@@ -9,11 +9,13 @@
 //! lower again, less (see [`zone_state::Overflow`]).
 
 mod class_latency;
+mod observed_classes;
 mod zone_state;
 
 use crate::config::{ClassProfile, RoutingPolicy, ZoneConfig};
 use crate::remap::remap_classes;
 use class_latency::ClassLatency;
+use observed_classes::ObservedClasses;
 use std::time::Duration;
 use tulipwall::{IndexOrigin, ZoneCapacity};
 use zone_state::{ZoneState, MAX_OVERFLOW};
@@ -50,6 +52,8 @@
     /// By zone: the configured latency of the link to it.
     link_latencies: Vec<Option<Duration>>,
     classes: Vec<ClassLatency>,
+    /// Ticks look at no other classes.
+    observed_classes: ObservedClasses,
     zones: Vec<ZoneState>,
     /// Warm endpoints of late.
     warm_endpoints: f64,
@@ -67,6 +71,7 @@
             latency_objectives: latency_objectives(&config.classes),
             link_latencies: config.link_latencies(),
             classes: vec![ClassLatency::default(); class_count],
+            observed_classes: ObservedClasses::default(),
             zones: vec![ZoneState::new(class_count); config.zone_count_with_unnamed()],
             warm_endpoints: 0.0,
             slow_start_factor: 1.0,
@@ -86,6 +91,10 @@
             .into_iter()
             .map(Option::unwrap_or_default)
             .collect();
+        let classes = self.classes.iter().enumerate();
+        let observed = classes.filter(|(_, latency)| latency.usual().is_some());
+        self.observed_classes
+            .replace(observed.map(|(class, _)| class));
         for zone in &mut self.zones {
             zone.reload(origins);
         }
@@ -106,6 +115,7 @@
         let Some(state) = self.zones.get_mut(zone) else {
             return;
         };
+        self.observed_classes.insert(class);
         let latency_s = latency.as_secs_f64().max(MIN_LATENCY_S);
         class_latency.observe(latency_s);
         let average_s = state.observe_latency(now, class, latency_s);
@@ -150,7 +160,7 @@
         }
         self.last_tick = Some(now);
         for zone in &mut self.zones {
-            zone.tick(now, span);
+            zone.tick(now, span, self.observed_classes.iter());
         }
         self.update_saturation();
         self.update_slow_start(zone_capacities);
@@ -164,8 +174,12 @@
     }
 
     fn update_saturation(&mut self) {
-        for (class, objective_s) in self.classes.iter_mut().zip(&self.latency_objectives) {
-            class.update_saturation(*objective_s);
+        for class in self.observed_classes.iter() {
+            let latency = self.classes.get_mut(class);
+            let objective_s = self.latency_objectives.get(class);
+            if let (Some(latency), Some(objective_s)) = (latency, objective_s) {
+                latency.update_saturation(*objective_s);
+            }
         }
     }
 
@@ -253,11 +267,9 @@
 
     /// Local latencies against their best of late: the mean over classes, 1 where none is known.
     fn local_latency_ratio(&self) -> f64 {
-        let ratios = self
-            .classes
-            .iter()
-            .filter_map(ClassLatency::local_over_best);
-        let ratios: Vec<f64> = ratios.collect();
+        let classes = self.observed_classes.iter();
+        let ratio = |class: usize| self.classes.get(class)?.local_over_best();
+        let ratios: Vec<f64> = classes.filter_map(ratio).collect();
         if ratios.is_empty() {
             1.0
         } else {
@@ -285,16 +297,16 @@
             let local = self.latency(self.local_zone, class)?;
             Some(local / self.latency(zone, class)?)
         };
-        geometric_mean((0..self.classes.len()).filter_map(ratio))
+        geometric_mean(self.observed_classes.iter().filter_map(ratio))
     }
 
     /// Latencies of responses from a zone against the usual ones of their classes.
     fn latency_over_usual(&self, zone: usize) -> f64 {
         let ratio = |class: usize| {
             let latency = self.latency(zone, class)?;
-            Some(latency / self.classes[class].usual()?)
+            Some(latency / self.classes.get(class)?.usual()?)
         };
-        geometric_mean((0..self.classes.len()).filter_map(ratio))
+        geometric_mean(self.observed_classes.iter().filter_map(ratio))
     }
 
     /// The weight of an endpoint of this zone against a local one, 0 to 1; `None` where the
@@ -318,6 +330,12 @@
         self.slow_start_factor
     }
 
+    /// Classes that ticks have looked at so far, each as often as it was: a measure of work that
+    /// does not depend on a clock.
+    pub fn classes_visited(&self) -> u64 {
+        self.observed_classes.visited()
+    }
+
     /// How often the traffic to this zone changed its direction to rising.
     pub fn direction_changes(&self, zone: usize) -> u64 {
         self.zones
--- a/crates/zones/src/router/zone_state.rs
+++ b/crates/zones/src/router/zone_state.rs
@@ -132,11 +132,19 @@
     }
 
     /// Updates the rate after a span between ticks, and drops averages without recent responses.
-    pub(super) fn tick(&mut self, now: Duration, span: Duration) {
+    /// Other classes than those `observed` have none.
+    pub(super) fn tick(
+        &mut self,
+        now: Duration,
+        span: Duration,
+        observed: impl Iterator<Item = usize>,
+    ) {
         self.rate += (self.attempts_since_tick / span.as_secs_f64() - self.rate) * RATE_GAIN;
         self.attempts_since_tick = 0.0;
-        for latency in &mut self.latencies {
-            *latency = latency.filter(|l| l.is_recent(now));
+        for class in observed {
+            if let Some(latency) = self.latencies.get_mut(class) {
+                *latency = latency.filter(|l| l.is_recent(now));
+            }
         }
     }
 
--- /dev/null
+++ b/crates/zones/tests/account.rs
@@ -0,0 +1,89 @@
+//! What the account keeps of builds that come and go.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+use tulipwall::Outcome;
+use tulipwall_zones::*;
+
+const OLD_BUILD: u32 = 40;
+const NEW_BUILD: u32 = 41;
+/// The number that stands for all builds that were removed.
+const REMOVED_BUILDS: u32 = 0;
+const NOW: Duration = Duration::from_secs(7200);
+
+/// The traffic of an agent in zone 0 of two, without budgets.
+fn zones() -> Zones {
+    let class = ClassProfile {
+        priority_weight: 3.0,
+        latency_objective: Duration::from_millis(400),
+    };
+    let config = ZoneConfig {
+        local_zone: 0,
+        zone_count: 2,
+        classes: vec![class],
+        links: vec![Link::default(); 3],
+        budgets: Vec::new(),
+        routing: RoutingPolicy::LocalFirst,
+    };
+    Zones::new(NOW, config)
+}
+
+fn send(zones: &mut Zones, build: u32) -> Reservation {
+    let attempt = AttemptStart {
+        to: 1,
+        class: 0,
+        build,
+        previous_attempts: 0,
+        hedged: false,
+        is_canary: false,
+        pinned_to_scope: false,
+    };
+    zones.on_attempt(NOW, attempt, Vec::new)
+}
+
+fn succeeded() -> CompletedAttempt {
+    CompletedAttempt {
+        outcome: Outcome::Succeeded,
+        fault: ResponseFault::None,
+        fully_written: true,
+        bytes_sent: 100,
+        bytes_received: 200,
+        latency: Duration::from_millis(20),
+    }
+}
+
+/// Builds that have rows.
+fn builds(zones: &Zones) -> BTreeSet<u32> {
+    let rows = zones.account().rows();
+    rows.map(|(link, _)| link.build).collect()
+}
+
+#[test]
+fn sums_what_ends_after_its_build_was_removed() {
+    let mut zones = zones();
+    let late = send(&mut zones, OLD_BUILD);
+    send(&mut zones, NEW_BUILD);
+    let alive = BTreeSet::from([NEW_BUILD]);
+    let kept = BTreeSet::from([REMOVED_BUILDS, NEW_BUILD]);
+    zones.retain_builds(&alive);
+    assert_eq!(builds(&zones), kept);
+    zones.on_attempt_end(NOW, &late, &succeeded());
+    assert!(builds(&zones).contains(&OLD_BUILD), "until the next list");
+    zones.retain_builds(&alive);
+    assert_eq!(builds(&zones), kept);
+}
+
+#[test]
+fn sums_connections_of_a_build_that_was_removed() {
+    let mut zones = zones();
+    let connection = ConnectionTraffic {
+        to: 1,
+        build: OLD_BUILD,
+        bytes_sent: 100,
+        bytes_received: 200,
+        handshake: None,
+    };
+    zones.on_connection(NOW, &connection);
+    zones.retain_builds(&BTreeSet::from([NEW_BUILD]));
+    assert_eq!(builds(&zones), BTreeSet::from([REMOVED_BUILDS]));
+}
--- a/crates/zones/tests/router.rs
+++ b/crates/zones/tests/router.rs
@@ -221,3 +221,40 @@
         "what new connections take longer"
     );
 }
+
+/// A router of so many classes, all of whose responses are of one of them.
+fn new_router_of_classes(classes: usize) -> ZoneRouter {
+    let config = ZoneConfig {
+        local_zone: 0,
+        zone_count: 2,
+        classes: vec![CLASS; classes],
+        links: vec![Link::default(); 3],
+        budgets: Vec::new(),
+        routing: RoutingPolicy::LocalFirst,
+    };
+    ZoneRouter::new(&config)
+}
+
+/// Guards against ticks whose work goes by the configured classes, 1,600 of which may carry nothing.
+#[test]
+fn classes_without_traffic_are_not_visited_and_change_no_weight() {
+    let capacities = [capacity(4, 0), capacity(4, 0), capacity(4, 0)];
+    let play = |classes: usize| {
+        let mut router = new_router_of_classes(classes);
+        let mut weights = Vec::new();
+        run_ticks(
+            &mut router,
+            (0, 300),
+            &capacities,
+            |tick, zone| Some([20 + tick % 60, 30, 45][zone]),
+            10,
+            |router| weights.extend([router.weight(1), router.weight(2)]),
+        );
+        (weights, router.classes_visited())
+    };
+    let (weights_of_one, visited_of_one) = play(1);
+    let (weights_of_many, visited_of_many) = play(1600);
+    assert_eq!(weights_of_many, weights_of_one);
+    assert_eq!(visited_of_many, visited_of_one);
+    assert!(visited_of_one > 300, "each tick looks at the one class");
+}
