--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -4,7 +4,7 @@
 use crate::protocol::connection::Connection;
 use crate::upstream::limits::ConnectionPermit;
 use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
+use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 use tulipwall_discovery::clock::Clock;
@@ -58,9 +58,10 @@
     }
 }
 
-/// The idle connections to all endpoints.
+/// The idle connections to all endpoints. What it does goes by the connections that it holds, not by
+/// the endpoints that are listed.
 pub struct ConnectionPool {
-    idle: RefCell<Vec<VecDeque<PooledConnection>>>, // by endpoint, in the order they came
+    idle: RefCell<IdleConnections>,
     max_idle: Cell<Duration>,
     clock: Rc<Clock>,
     counters: Rc<Counters>,
@@ -93,49 +94,47 @@
     /// counted and dropped.
     pub fn take(&self, endpoint: usize) -> Option<PooledConnection> {
         let now = self.clock.now();
-        let mut idle = self.idle.borrow_mut();
-        let connections = idle.get_mut(endpoint)?;
-        while let Some(rested) = connections.iter().position(|c| now >= c.rests_until) {
-            let Some(connection) = connections.remove(rested) else {
-                continue;
-            };
-            if self.is_expired(&connection, now) {
-                continue;
-            }
-            if connection.is_open() {
-                return Some(connection);
+        self.idle.borrow_mut().change(endpoint, |connections| {
+            while let Some(rested) = connections.iter().position(|c| now >= c.rests_until) {
+                let Some(connection) = connections.remove(rested) else {
+                    continue;
+                };
+                if self.is_expired(&connection, now) {
+                    continue;
+                }
+                if connection.is_open() {
+                    return Some(connection);
+                }
+                self.counters.connections_found_closed.increment();
             }
-            self.counters.connections_found_closed.increment();
-        }
-        None
+            None
+        })
     }
 
     /// Keeps a connection for the endpoint's next request.
     pub fn put(&self, endpoint: usize, connection: PooledConnection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() <= endpoint {
-            idle.resize_with(endpoint + 1, VecDeque::new);
-        }
-        idle[endpoint].push_back(connection);
+        idle.change(endpoint, |connections| connections.push_back(connection));
     }
 
     /// Closes all that wait for this endpoint.
     pub fn close_all_to(&self, endpoint: usize) {
-        if let Some(connections) = self.idle.borrow_mut().get_mut(endpoint) {
-            connections.clear();
-        }
+        self.idle.borrow_mut().change(endpoint, VecDeque::clear);
     }
 
     /// Closes what the other side has closed, which is counted, or is about to.
     pub fn close_stale(&self) {
         let now = self.clock.now();
-        for connections in self.idle.borrow_mut().iter_mut() {
-            connections.retain(|connection| {
-                let open = connection.is_open();
-                if !open {
-                    self.counters.connections_found_closed.increment();
-                }
-                open && !self.is_expired(connection, now)
+        let mut idle = self.idle.borrow_mut();
+        for endpoint in idle.endpoints() {
+            idle.change(endpoint, |connections| {
+                connections.retain(|connection| {
+                    let open = connection.is_open();
+                    if !open {
+                        self.counters.connections_found_closed.increment();
+                    }
+                    open && !self.is_expired(connection, now)
+                });
             });
         }
     }
@@ -143,17 +142,57 @@
     /// Closes the connection that has been idle for longest; false when there is none.
     pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let longest_idle = idle
-            .iter_mut()
-            .filter(|connections| !connections.is_empty())
-            .min_by_key(|connections| connections[0].idle_since);
-        match longest_idle {
-            Some(connections) => connections.pop_front().is_some(),
-            None => false,
-        }
+        let Some(endpoint) = idle.longest_idle_endpoint() else {
+            return false;
+        };
+        idle.change(endpoint, |connections| connections.pop_front().is_some())
+    }
+
+    /// How many endpoints' connections were looked at so far: a measure of work that does not depend
+    /// on a clock.
+    pub fn endpoints_visited(&self) -> u64 {
+        self.idle.borrow().visited
     }
 
     fn is_expired(&self, connection: &PooledConnection, now: Duration) -> bool {
         now >= connection.idle_since + self.max_idle.get()
     }
 }
+
+/// Idle connections of the endpoints that have any.
+#[derive(Default)]
+struct IdleConnections {
+    by_endpoint: HashMap<usize, VecDeque<PooledConnection>>, // in the order they came, never empty
+    longest_idle: BTreeSet<(Duration, usize)>, // of each endpoint's first: idle since, endpoint
+    visited: u64,
+}
+
+impl IdleConnections {
+    /// Changes what waits for one endpoint.
+    fn change<T>(
+        &mut self,
+        endpoint: usize,
+        work: impl FnOnce(&mut VecDeque<PooledConnection>) -> T,
+    ) -> T {
+        self.visited += 1;
+        let mut connections = self.by_endpoint.remove(&endpoint).unwrap_or_default();
+        if let Some(first) = connections.front() {
+            self.longest_idle.remove(&(first.idle_since, endpoint));
+        }
+        let result = work(&mut connections);
+        if let Some(first) = connections.front() {
+            self.longest_idle.insert((first.idle_since, endpoint));
+            self.by_endpoint.insert(endpoint, connections);
+        }
+        result
+    }
+
+    /// The endpoints that connections wait for.
+    fn endpoints(&self) -> Vec<usize> {
+        self.by_endpoint.keys().copied().collect()
+    }
+
+    fn longest_idle_endpoint(&self) -> Option<usize> {
+        self.longest_idle.first().map(|(_, endpoint)| *endpoint)
+    }
+}
