--- a/crates/zones/src/budget/meter.rs
+++ b/crates/zones/src/budget/meter.rs
@@ -1,9 +1,10 @@
 //! The meter of one budget: what this agent has spent of it and may still spend.
 
-use super::usage::ResourceUsage;
+use super::usage::{ResourceUsage, UsageEstimator};
 use super::window::SpendingWindow;
 use crate::config::{Budget, Limit};
 use crate::reason::OverBudgetReason;
+use std::ops::Range;
 use std::time::Duration;
 
 /// The fraction of the limit that must remain after an attempt of the class of lowest rank; nothing
@@ -151,33 +152,44 @@
         }
     }
 
-    /// Whether an attempt of this class may cross by choice, leaving the reserve for classes of
-    /// higher rank.
-    pub(super) fn admits(&self, usage: &ResourceUsage, class: usize, is_repeat: bool) -> bool {
-        self.fits(self.amount(usage), self.reserve(class, is_repeat))
+    /// What one more attempt may take of this limit. Of attempts it is always one: no estimate.
+    pub(super) fn estimated_amount(&self, usage: &UsageEstimator, to: usize, class: usize) -> f64 {
+        match self.budget.limit {
+            Limit::Attempts(_) | Limit::Share(_) => 1.0,
+            Limit::Bytes(_) | Limit::Money(_) => self.amount(&usage.estimate(to, class)),
+        }
     }
 
-    /// What must remain after an attempt of this class.
-    fn reserve(&self, class: usize, is_repeat: bool) -> f64 {
-        let rank = self.ranks.get(class).copied().unwrap_or(LOWEST_RANK);
-        let repeat_reserve = if is_repeat { REPEAT_RESERVE } else { 0.0 };
-        self.limit() * (RANK_RESERVE * rank + repeat_reserve)
+    /// Whether all attempts of a class take the same of this limit, whatever the zone.
+    pub(super) fn takes_the_same_of_each_zone(&self) -> bool {
+        matches!(self.budget.limit, Limit::Attempts(_) | Limit::Share(_))
+    }
+
+    /// The classes that it covers, of so many.
+    pub(super) fn covered_classes(&self, class_count: usize) -> Range<usize> {
+        match self.budget.class {
+            Some(class) => class.min(class_count)..class.saturating_add(1).min(class_count),
+            None => 0..class_count,
+        }
+    }
+
+    /// What is used and may be used now, to check many classes against.
+    pub(super) fn reading(&self) -> MeterReading<'_> {
+        MeterReading {
+            used: self.used(),
+            limit: self.limit(),
+            ranks: &self.ranks,
+        }
     }
 
     fn fits(&self, amount: f64, reserve: f64) -> bool {
-        // What costs nothing always fits, also where the limit is zero.
-        amount <= 0.0 || self.used() + amount + reserve <= self.limit() * (1.0 + LIMIT_TOLERANCE)
+        self.reading().fits(amount, reserve)
     }
 
     pub(super) fn set_ranks(&mut self, ranks: Vec<f64>) {
         self.ranks = ranks;
     }
 
-    /// The highest use at which an attempt that takes `amount` is still admitted.
-    pub(super) fn highest_admitting_use(&self, amount: f64, class: usize, is_repeat: bool) -> f64 {
-        self.limit() - self.reserve(class, is_repeat) - amount
-    }
-
     pub(super) fn set_restriction_threshold(&mut self, threshold: f64) {
         self.restriction_threshold = threshold;
     }
@@ -188,6 +200,38 @@
     }
 }
 
+/// A meter at one time: what stays the same while classes are checked against it.
+pub(super) struct MeterReading<'a> {
+    pub(super) used: f64,
+    limit: f64,
+    ranks: &'a [f64],
+}
+
+impl MeterReading<'_> {
+    /// Whether an attempt of this class that takes `amount` may cross by choice, leaving the reserve
+    /// for classes of higher rank.
+    pub(super) fn admits(&self, amount: f64, class: usize, is_repeat: bool) -> bool {
+        self.fits(amount, self.reserve(class, is_repeat))
+    }
+
+    /// The highest use at which an attempt that takes `amount` is still admitted.
+    pub(super) fn highest_admitting_use(&self, amount: f64, class: usize, is_repeat: bool) -> f64 {
+        self.limit - self.reserve(class, is_repeat) - amount
+    }
+
+    /// What must remain after an attempt of this class.
+    fn reserve(&self, class: usize, is_repeat: bool) -> f64 {
+        let rank = self.ranks.get(class).copied().unwrap_or(LOWEST_RANK);
+        let repeat_reserve = if is_repeat { REPEAT_RESERVE } else { 0.0 };
+        self.limit * (RANK_RESERVE * rank + repeat_reserve)
+    }
+
+    fn fits(&self, amount: f64, reserve: f64) -> bool {
+        // What costs nothing always fits, also where the limit is zero.
+        amount <= 0.0 || self.used + amount + reserve <= self.limit * (1.0 + LIMIT_TOLERANCE)
+    }
+}
+
 /// This agent's part of an absolute limit.
 fn absolute_part(budget: &Budget) -> f64 {
     budget.limit.amount() * budget.agent_fraction
--- a/crates/zones/src/budget/mod.rs
+++ b/crates/zones/src/budget/mod.rs
@@ -45,6 +45,14 @@
     }
 }
 
+/// By class, whether an attempt may cross to a zone by choice.
+#[derive(Clone, Debug)]
+pub(crate) struct AdmittedClasses {
+    pub(crate) first_attempts: Vec<bool>,
+    /// Retries and hedged requests.
+    pub(crate) repeats: Vec<bool>,
+}
+
 /// The meters of all budgets of one agent.
 #[derive(Clone, Debug)]
 pub struct BudgetMeters {
@@ -159,11 +167,32 @@
     /// Whether an attempt may cross by choice: each budget keeps the reserve for classes of higher
     /// rank. `is_repeat` for retries and hedged requests.
     pub fn admits(&self, to: usize, class: usize, is_repeat: bool) -> bool {
-        let usage = self.estimate(to, class);
         self.meters
             .iter()
             .filter(|meter| meter.covers(to, class))
-            .all(|meter| meter.admits(&usage, class, is_repeat))
+            .all(|meter| {
+                let amount = meter.estimated_amount(&self.usage, to, class);
+                meter.reading().admits(amount, class, is_repeat)
+            })
+    }
+
+    /// Which classes may cross to this zone by choice: each budget keeps the reserve for classes of
+    /// higher rank.
+    pub(crate) fn admitted_classes(&self, to: usize) -> AdmittedClasses {
+        let class_count = self.priority_weights.len();
+        let mut admitted = AdmittedClasses {
+            first_attempts: vec![true; class_count],
+            repeats: vec![true; class_count],
+        };
+        for meter in self.meters.iter().filter(|meter| meter.covers_zone(to)) {
+            let reading = meter.reading();
+            for class in meter.covered_classes(class_count) {
+                let amount = meter.estimated_amount(&self.usage, to, class);
+                admitted.first_attempts[class] &= reading.admits(amount, class, false);
+                admitted.repeats[class] &= reading.admits(amount, class, true);
+            }
+        }
+        admitted
     }
 
     /// An attempt crosses: holds what it may take of each budget that has room for it.
@@ -248,14 +277,20 @@
 /// The lowest use above which this budget stops admitting a class that it admits now; infinite
 /// where there is none.
 fn restriction_threshold(meter: &BudgetMeter, usage: &UsageEstimator, class_count: usize) -> f64 {
-    let used = meter.used();
+    let reading = meter.reading();
     let mut threshold = f64::INFINITY;
-    for zone in (0..usage.zone_count()).filter(|zone| meter.covers_zone(*zone)) {
-        for class in (0..class_count).filter(|class| meter.covers_class(*class)) {
-            let amount = meter.amount(&usage.estimate(zone, class));
+    let covered_zones = (0..usage.zone_count()).filter(|zone| meter.covers_zone(*zone));
+    let differing_zones = if meter.takes_the_same_of_each_zone() {
+        1
+    } else {
+        usage.zone_count()
+    };
+    for zone in covered_zones.take(differing_zones) {
+        for class in meter.covered_classes(class_count) {
+            let amount = meter.estimated_amount(usage, zone, class);
             for is_repeat in [false, true] {
-                let highest = meter.highest_admitting_use(amount, class, is_repeat);
-                if highest >= used {
+                let highest = reading.highest_admitting_use(amount, class, is_repeat);
+                if highest >= reading.used {
                     threshold = threshold.min(highest);
                 }
             }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -215,26 +215,29 @@
         if zone == self.config.local_zone {
             return ZonePolicy::default();
         }
+        let [last_resort, last_resort_for_retries] = self.last_resort_classes(zone);
         ZonePolicy {
             weight: self.router.weight(zone),
             added_latency: self.router.added_latency(zone),
-            last_resort: self.last_resort_classes(zone, false),
-            last_resort_for_retries: self.last_resort_classes(zone, true),
+            last_resort,
+            last_resort_for_retries,
         }
     }
 
-    /// For each class, whether its attempts may go to this zone only where no other can serve them;
-    /// empty without budgets. A saturated local zone takes precedence over the budgets.
-    fn last_resort_classes(&self, zone: usize, is_repeat: bool) -> Vec<bool> {
+    /// For each class, whether its first attempts, and whether its retries and hedged requests, may
+    /// go to this zone only where no other can serve them; empty without budgets. A saturated local
+    /// zone takes precedence over the budgets.
+    fn last_resort_classes(&self, zone: usize) -> [Vec<bool>; 2] {
         if self.budget_meters.is_empty() {
-            return Vec::new();
+            return Default::default();
         }
-        (0..self.config.classes.len())
-            .map(|class| {
-                !self.router.is_saturated(class)
-                    && !self.budget_meters.admits(zone, class, is_repeat)
-            })
-            .collect()
+        let admitted = self.budget_meters.admitted_classes(zone);
+        [admitted.first_attempts, admitted.repeats].map(|admitted| {
+            let classes = admitted.into_iter().enumerate();
+            classes
+                .map(|(class, is_admitted)| !is_admitted && !self.router.is_saturated(class))
+                .collect()
+        })
     }
 
     /// Only these builds are alive; the counts of others are summed.
