--- /dev/null
+++ b/crates/discovery/src/endpoint_table/store.rs
@@ -0,0 +1,142 @@
+//! The entries of the endpoint table by index, with what is asked about all of them kept up to
+//! date at each change.
+
+use super::entry::TableEntry;
+use super::index_hold::{IndexHold, ReusableIndices};
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use tulipwall::EndpointState;
+
+/// What the sums over all entries have of one.
+#[derive(Clone, Copy, PartialEq)]
+struct Counted {
+    state: EndpointState,
+    build: u32,
+}
+
+impl Counted {
+    fn of(entry: &TableEntry) -> Counted {
+        Counted {
+            state: entry.state(),
+            build: entry.listed.build,
+        }
+    }
+}
+
+/// The entries by index. Every access to one is counted, so that tests can hold the work of a list
+/// against its size.
+#[derive(Default)]
+pub(super) struct EntryStore {
+    entries: Vec<TableEntry>,
+    running: usize,
+    /// How many endpoints that are not gone run each build.
+    builds: BTreeMap<u32, usize>,
+    reusable: ReusableIndices,
+    visits: Cell<u64>,
+}
+
+impl EntryStore {
+    /// How many entries were visited so far.
+    pub(super) fn visits(&self) -> u64 {
+        self.visits.get()
+    }
+
+    fn count_visit(&self) {
+        self.visits.set(self.visits.get() + 1);
+    }
+
+    /// The number of indices, with those of endpoints that are gone.
+    pub(super) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    pub(super) fn has_running(&self) -> bool {
+        self.running > 0
+    }
+
+    /// The builds of all endpoints that are not gone.
+    pub(super) fn builds(&self) -> BTreeSet<u32> {
+        self.builds.keys().copied().collect()
+    }
+
+    pub(super) fn get(&self, index: usize) -> Option<&TableEntry> {
+        self.count_visit();
+        self.entries.get(index)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &TableEntry> {
+        self.entries.iter().inspect(|_| self.count_visit())
+    }
+
+    /// Changes the entry at `index`, which must exist.
+    pub(super) fn update<T>(
+        &mut self,
+        index: usize,
+        change: impl FnOnce(&mut TableEntry) -> T,
+    ) -> T {
+        self.count_visit();
+        let entry = &mut self.entries[index];
+        let before = Counted::of(entry);
+        let outcome = change(entry);
+        let after = Counted::of(entry);
+        let is_gone = after.state == EndpointState::Gone;
+        if is_gone != (before.state == EndpointState::Gone) {
+            entry.hold.set_gone(is_gone);
+        }
+        if after != before {
+            self.uncount(before);
+            self.count(after);
+        }
+        outcome
+    }
+
+    /// The index that the next endpoint gets: the least that may be given out again, else a new
+    /// one. Must be followed by [`EntryStore::insert`] there.
+    pub(super) fn take_free_index(&mut self) -> usize {
+        self.reusable.take().unwrap_or(self.entries.len())
+    }
+
+    /// The hold on `index` of an endpoint that is not gone.
+    pub(super) fn hold(&self, index: usize) -> Rc<IndexHold> {
+        IndexHold::new(index, &self.reusable)
+    }
+
+    /// Puts an endpoint that is not gone at a free index; the one that it replaces.
+    pub(super) fn insert(&mut self, index: usize, entry: TableEntry) -> Option<TableEntry> {
+        self.count_visit();
+        self.count(Counted::of(&entry));
+        let replaced = match self.entries.get_mut(index) {
+            Some(place) => Some(std::mem::replace(place, entry)),
+            None => {
+                self.entries.push(entry);
+                None
+            }
+        };
+        replaced
+    }
+
+    fn count(&mut self, counted: Counted) {
+        if counted.state == EndpointState::Running {
+            self.running += 1;
+        }
+        if counted.state != EndpointState::Gone {
+            *self.builds.entry(counted.build).or_default() += 1;
+        }
+    }
+
+    fn uncount(&mut self, counted: Counted) {
+        if counted.state == EndpointState::Running {
+            self.running -= 1;
+        }
+        if counted.state == EndpointState::Gone {
+            return;
+        }
+        if let Some(endpoints) = self.builds.get_mut(&counted.build) {
+            *endpoints -= 1;
+            if *endpoints == 0 {
+                self.builds.remove(&counted.build);
+            }
+        }
+    }
+}
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// One entry of the endpoint list.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// Index of the endpoint at this agent.
     pub endpoint: usize,
