--- a/crates/agent/src/agent/endpoint_directory.rs
+++ b/crates/agent/src/agent/endpoint_directory.rs
@@ -6,7 +6,7 @@
 use tulipwall::EndpointEntry;
 use tulipwall_config::ServiceConfig;
 use tulipwall_discovery::clock::Clock;
-use tulipwall_discovery::endpoint_table::{AppliedList, AttemptTarget, EndpointTable, IndexGuard};
+use tulipwall_discovery::endpoint_table::{AttemptTarget, EndpointTable, IndexGuard};
 use tulipwall_discovery::list_response::ListResponse;
 
 /// The endpoint list as discovery last reported it.
@@ -23,8 +23,9 @@
 
 /// What a response of discovery changed.
 pub struct ListUpdate {
-    /// The entries for the balancer.
-    pub entries: Vec<EndpointEntry>,
+    /// What differs from the list before, for the balancer; endpoints that a complete list lacks
+    /// are among it as gone.
+    pub changes: Vec<EndpointEntry>,
     /// Endpoints whose pooled connections are of no more use.
     pub stale_endpoints: Vec<usize>,
     /// The last usable endpoint has gone with it.
@@ -41,13 +42,10 @@
     ) -> ListUpdate {
         let mut list = self.list.borrow_mut();
         let was_usable = list.has_running();
-        let AppliedList {
-            entries,
-            stale_endpoints,
-        } = list.apply(response, config, clock);
+        let mut applied = list.apply(response, config, clock);
         ListUpdate {
-            entries,
-            stale_endpoints,
+            stale_endpoints: std::mem::take(&mut applied.stale_endpoints),
+            changes: applied.into_changes(),
             became_unusable: was_usable && !list.has_running(),
         }
     }
--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -167,14 +167,13 @@
 
     /// Discovery reported endpoints.
     pub fn update_endpoints(&self, response: ListResponse) {
-        let complete = response.complete;
         let update = self
             .endpoints
             .update(response, &self.service_config(), &self.clock);
         for endpoint in update.stale_endpoints {
             self.pool.close_all_to(endpoint);
         }
-        self.balancer.update_endpoints(&update.entries, complete);
+        self.balancer.update_endpoints(&update.changes);
         self.zone_traffic.retain_builds(|| self.known_builds());
         if update.became_unusable {
             let known = self.endpoints.len();
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -158,12 +158,12 @@
             .on_load_report(now, endpoint, Outcome::Succeeded, Some(load));
     }
 
-    /// Discovery reported endpoints, all of them if `complete`.
-    pub fn update_endpoints(&self, entries: &[EndpointEntry], complete: bool) {
+    /// Discovery responded; `changes` are the endpoints that are listed otherwise than before.
+    pub fn update_endpoints(&self, changes: &[EndpointEntry]) {
         self.counters.lists_received.increment();
         self.balancer
             .borrow_mut()
-            .update_endpoints(self.clock.now(), entries, complete);
+            .update_endpoints(self.clock.now(), changes, false);
     }
 
     /// Discovery did not respond.
--- a/crates/experiments/src/scale/agent/discovery.rs
+++ b/crates/experiments/src/scale/agent/discovery.rs
@@ -233,13 +233,13 @@
     }
 
     fn take_list(&mut self, now: Duration, response: ListResponse) {
-        let is_complete = response.complete;
         let list = &mut self.discovery.list;
         let timer = ProcessorTimer::start();
-        let entries = list.apply(response, &self.config, &self.clock).entries;
+        let applied = list.apply(response, &self.config, &self.clock);
+        let changes = applied.into_changes();
         self.meter.spent(now, Operation::ListUpdate, timer);
         let timer = ProcessorTimer::start();
-        self.balancer.update_endpoints(now, &entries, is_complete);
+        self.balancer.update_endpoints(now, &changes, false);
         self.meter.spent(now, Operation::BalancerUpdate, timer);
         let version = list.version;
         let last = self.counts.versions.last();
