--- a/crates/agent/src/control/discovery/call.rs
+++ b/crates/agent/src/control/discovery/call.rs
@@ -1,5 +1,6 @@
 //! One call to the discovery service: a request, and its response within a time.
 
+use super::list_reader::ReadError;
 use crate::agent::Agent;
 use crate::protocol::connection::Connection;
 use crate::protocol::{http, ProtocolError};
@@ -7,7 +8,7 @@
 use std::future::Future;
 use std::io;
 use std::time::Duration;
-use tulipwall_discovery::list_response::{EntryError, ListResponse, ListResponseError};
+use tulipwall_discovery::list_response::EntryError;
 use tulipwall_discovery::watch_timer::{WatchEnd, WatchTimer};
 
 /// How soon the rest of a response must come once it has begun.
@@ -22,7 +23,7 @@
     #[error(transparent)]
     Http(#[from] ProtocolError),
     #[error(transparent)]
-    List(#[from] ListResponseError),
+    List(#[from] ReadError),
     #[error("list: {0}")]
     UnreadableEntry(EntryError),
     #[error("status {0}")]
@@ -53,7 +54,8 @@
 
 /// A response of the discovery service.
 pub struct CallResponse {
-    pub list: ListResponse,
+    /// The list, not parsed yet.
+    pub body: Vec<u8>,
     /// Whether the connection ends with it.
     pub closes_connection: bool,
 }
@@ -105,9 +107,24 @@
     connection: &mut Connection,
     path: &str,
 ) -> Result<CallResponse, CallError> {
+    send_request(agent, connection, path).await?;
+    read_response(agent, connection).await
+}
+
+async fn send_request(
+    agent: &Agent,
+    connection: &mut Connection,
+    path: &str,
+) -> Result<(), CallError> {
     let host = agent.control.discovery.get().to_string();
     let request = http::get_request(&host, path);
-    connection.write(&request).await?;
+    Ok(connection.write(&request).await?)
+}
+
+async fn read_response(
+    agent: &Agent,
+    connection: &mut Connection,
+) -> Result<CallResponse, CallError> {
     let mut ended = false;
     loop {
         if let Some(response) = http::parse_response(connection.inbox.unread(), ended)? {
@@ -116,7 +133,7 @@
                 return Err(CallError::Status(response.status));
             }
             return Ok(CallResponse {
-                list: ListResponse::parse(&response.body)?,
+                body: response.body,
                 closes_connection: response.closes_connection,
             });
         }
--- a/crates/agent/src/control/discovery/mod.rs
+++ b/crates/agent/src/control/discovery/mod.rs
@@ -2,16 +2,17 @@
 //! the watch is kept open, and begun anew at the times that [`WatchTimer`] gives.
 
 mod call;
+pub mod list_reader;
 
 use crate::agent::Agent;
 use crate::lifecycle::phase::ControlService;
 use call::{call, first_call, retry_first_call, with_timeout};
-use call::{BegunWatch, CallError, CallResponse};
+use call::{BegunWatch, CallError};
 use futures_lite::FutureExt;
 use std::convert::Infallible;
 use std::time::Duration;
 use tulipwall_discovery::list_lease::ListLease;
-use tulipwall_discovery::list_response;
+use tulipwall_discovery::list_response::{self, ListResponse};
 use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
 /// Keeps the watch for as long as the program runs.
@@ -167,63 +168,76 @@
 
     async fn watch(&mut self) -> Result<Infallible, CallError> {
         let agent = self.agent;
-        let BegunWatch {
-            mut connection,
-            mut response,
-        } = self.begin().await?;
+        let mut watch = self.begin().await?;
         loop {
-            let wait = self.on_response(response)?;
+            let list = self.read_list(&mut watch).await?;
+            let wait = self.on_list(list, watch.response.closes_connection)?;
             let path = list_response::watch_path(agent.endpoints.version(), wait);
             let timeout = wait + self.timer.response_grace();
-            let next = call(agent, &mut connection, &path);
-            response = with_timeout(agent, timeout, next).await?;
+            let next = call(agent, &mut watch.connection, &path);
+            watch.response = with_timeout(agent, timeout, next).await?;
         }
     }
 
     /// Asks for what has changed since the list that is known; for the whole list where none is
-    /// known, where discovery is another and calls are free, and where another turns out to count
-    /// its versions from below. Guards against agents that start, move or call again all at once: a
-    /// list has as many lines as there are endpoints, and discovery pays for each. Does harm where
-    /// another discovery counts versions of its own from above: what it changed before them is
-    /// received at the next start only.
+    /// known, and where discovery is another and calls are free. Guards against agents that start,
+    /// move or call again all at once: a list has as many lines as there are endpoints, and
+    /// discovery pays for each. Does harm where another discovery counts versions of its own from
+    /// above: what it changed before them is received at the next start only.
     async fn begin(&mut self) -> Result<BegunWatch, CallError> {
         let agent = self.agent;
-        let calls_are_free = self.timer.calls_are_free();
         let wait = self.timer.first_wait();
-        let known_version = agent
-            .endpoints
-            .usable_version()
-            .filter(|_| !self.awaiting_contact || !calls_are_free);
-        let path = match known_version {
+        let path = match self.version_to_ask_from() {
             Some(version) => list_response::watch_path(version, wait),
             None => list_response::LIST_PATH.to_owned(),
         };
         let patient_timeout = wait + self.timer.first_call_timeout(FirstCall::Patient);
         self.lease.on_watch_begin(agent.clock.now());
         let patient_call = first_call(agent, &path, patient_timeout);
-        let mut begun = if calls_are_free {
-            let quick_timeout = wait + self.timer.first_call_timeout(FirstCall::Quick);
-            retry_first_call(agent, &self.timer, &path, quick_timeout)
-                .or(patient_call)
-                .await?
-        } else {
-            patient_call.await?
-        };
-        let list = &begun.response.list;
+        if !self.timer.calls_are_free() {
+            return patient_call.await;
+        }
+        let quick_timeout = wait + self.timer.first_call_timeout(FirstCall::Quick);
+        retry_first_call(agent, &self.timer, &path, quick_timeout)
+            .or(patient_call)
+            .await
+    }
+
+    /// The version that a watch begins from; `None` where the whole list is asked for.
+    fn version_to_ask_from(&self) -> Option<u64> {
+        let is_known = !self.awaiting_contact || !self.timer.calls_are_free();
+        let endpoints = &self.agent.endpoints;
+        endpoints.usable_version().filter(|_| is_known)
+    }
+
+    /// The list of the response that has come. Where a discovery at a new address turns out to
+    /// count its versions from below, asks for the whole list.
+    async fn read_list(&mut self, watch: &mut BegunWatch) -> Result<ListResponse, CallError> {
+        let agent = self.agent;
+        let list = list_reader::parse(std::mem::take(&mut watch.response.body)).await?;
+        let known_version = self.version_to_ask_from();
         let version_went_back =
             !list.complete && known_version.is_some_and(|version| list.version < version);
-        if self.awaiting_contact && version_went_back && !begun.response.closes_connection {
-            let whole_list = call(agent, &mut begun.connection, list_response::LIST_PATH);
-            begun.response = with_timeout(agent, patient_timeout, whole_list).await?;
+        let asks_anew =
+            self.awaiting_contact && version_went_back && !watch.response.closes_connection;
+        if !asks_anew {
+            return Ok(list);
         }
-        Ok(begun)
+        let timeout = self.timer.first_wait() + self.timer.first_call_timeout(FirstCall::Patient);
+        let whole_list = call(agent, &mut watch.connection, list_response::LIST_PATH);
+        watch.response = with_timeout(agent, timeout, whole_list).await?;
+        Ok(list_reader::parse(std::mem::take(&mut watch.response.body)).await?)
     }
 
-    /// Takes a response in; the wait of the next call, or the error that ends the watch with it.
-    fn on_response(&mut self, response: CallResponse) -> Result<Duration, CallError> {
+    /// Takes a list in; the wait of the next call, or the error that ends the watch with it.
+    fn on_list(
+        &mut self,
+        list: ListResponse,
+        closes_connection: bool,
+    ) -> Result<Duration, CallError> {
         let agent = self.agent;
-        let first_error = response.list.first_error.clone();
-        agent.update_endpoints(response.list);
+        let first_error = list.first_error.clone();
+        agent.update_endpoints(list);
         let wait = self.timer.next_wait();
         self.lease.on_response(agent.clock.now(), wait);
         self.publish_lease();
@@ -241,7 +255,7 @@
         if std::mem::take(&mut self.awaiting_contact) {
             agent.lifecycle.on_contact(ControlService::Discovery);
         }
-        if response.closes_connection {
+        if closes_connection {
             return Err(CallError::ClosedAfterResponse);
         }
         Ok(wait)
