--- a/crates/agent/src/control/discovery/call.rs
+++ b/crates/agent/src/control/discovery/call.rs
@@ -4,7 +4,8 @@
 use crate::agent::Agent;
 use crate::protocol::connection::Connection;
 use crate::protocol::{http, ProtocolError};
-use futures_lite::FutureExt;
+use futures_lite::{future, FutureExt};
+use std::cell::Cell;
 use std::future::Future;
 use std::io;
 use std::time::Duration;
@@ -66,15 +67,20 @@
     pub response: CallResponse,
 }
 
-/// Connects and makes the first call.
+/// Connects and makes the first call; sets `response_begun` once the first of its response has come.
 pub async fn first_call(
     agent: &Agent,
     path: &str,
     timeout: Duration,
+    response_begun: &Cell<bool>,
 ) -> Result<BegunWatch, CallError> {
     let begin = async {
         let mut connection = Connection::open(agent.control.discovery.get()).await?;
-        let response = call(agent, &mut connection, path).await?;
+        send_request(agent, &mut connection, path).await?;
+        if connection.read_more().await? > 0 {
+            response_begun.set(true);
+        }
+        let response = read_response(agent, &mut connection).await?;
         Ok(BegunWatch {
             connection,
             response,
@@ -83,19 +89,30 @@
     with_timeout(agent, timeout, begin).await
 }
 
-/// Makes first calls until one succeeds.
-pub async fn retry_first_call(
+/// Makes first calls until one succeeds, beside one that allows for more time. The first goes out
+/// when that one has been silent for `timeout` and the usual delay; none does any more once its
+/// response has begun.
+///
+/// Guards against a connection that is lost in silence. Does harm where discovery takes longer than
+/// that to begin a response: it has to write another.
+pub async fn retry_beside_silent_call(
     agent: &Agent,
     timer: &WatchTimer,
     path: &str,
     timeout: Duration,
-) -> Result<BegunWatch, CallError> {
+    response_begun: &Cell<bool>,
+) -> BegunWatch {
+    let delay_after_silence = timer.retry_delay(WatchEnd::TimedOut);
+    let mut next_call = agent.clock.now() + timeout + delay_after_silence;
     loop {
-        match first_call(agent, path, timeout).await {
-            Ok(begun) => return Ok(begun),
+        agent.sleep_until(next_call).await;
+        if response_begun.get() {
+            return future::pending().await;
+        }
+        match first_call(agent, path, timeout, &Cell::default()).await {
+            Ok(begun) => return begun,
             Err(error) => {
-                let delay = timer.retry_delay(error.watch_end());
-                agent.sleep_until(agent.clock.now() + delay).await;
+                next_call = agent.clock.now() + timer.retry_delay(error.watch_end());
             }
         }
     }
--- a/crates/agent/src/control/discovery/mod.rs
+++ b/crates/agent/src/control/discovery/mod.rs
@@ -6,9 +6,10 @@
 
 use crate::agent::Agent;
 use crate::lifecycle::phase::ControlService;
-use call::{call, first_call, retry_first_call, with_timeout};
+use call::{call, first_call, retry_beside_silent_call, with_timeout};
 use call::{BegunWatch, CallError};
 use futures_lite::FutureExt;
+use std::cell::Cell;
 use std::convert::Infallible;
 use std::time::Duration;
 use tulipwall_discovery::list_lease::ListLease;
@@ -193,14 +194,19 @@
         };
         let patient_timeout = wait + self.timer.first_call_timeout(FirstCall::Patient);
         self.lease.on_watch_begin(agent.clock.now());
-        let patient_call = first_call(agent, &path, patient_timeout);
+        let response_begun = Cell::new(false);
+        let patient_call = first_call(agent, &path, patient_timeout, &response_begun);
         if !self.timer.calls_are_free() {
             return patient_call.await;
         }
         let quick_timeout = wait + self.timer.first_call_timeout(FirstCall::Quick);
-        retry_first_call(agent, &self.timer, &path, quick_timeout)
-            .or(patient_call)
-            .await
+        let quick_calls = async {
+            let timer = &self.timer;
+            let begun =
+                retry_beside_silent_call(agent, timer, &path, quick_timeout, &response_begun);
+            Ok(begun.await)
+        };
+        patient_call.or(quick_calls).await
     }
 
     /// The version that a watch begins from; `None` where the whole list is asked for.
--- /dev/null
+++ b/crates/agent/tests/list_calls.rs
@@ -0,0 +1,160 @@
+//! How often discovery is called for the list where calls are free, counted at the discovery
+//! service.
+
+use serde_json::{json, Value};
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+use tulipwall_testkit::*;
+
+const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
+
+fn cluster() -> TestCluster {
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+    for n in 0..3 {
+        let behavior = EndpointBehavior::default();
+        cluster
+            .add_endpoint(0, &format!("s-{n}"), 41, behavior)
+            .unwrap();
+    }
+    cluster
+}
+
+/// Starts an agent and has it serve one request.
+fn start(configuration: Value) -> AgentProcess {
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
+    let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
+    client.send_query("view", 1000);
+    assert_eq!(client.read_reply().unwrap().code(), None);
+    agent
+}
+
+/// What one start asks of discovery.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct StartCalls {
+    connections: usize,
+    whole_lists: usize,
+}
+
+fn calls_of_a_start(knows_a_list: bool) -> StartCalls {
+    let cluster = cluster();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
+    if !knows_a_list {
+        configuration.as_object_mut().unwrap().remove("known");
+    }
+    let _agent = start(configuration);
+    assert!(cluster.discovery.settled(0).unwrap(), "one watch at a time");
+    StartCalls {
+        connections: cluster.discovery.connections(),
+        whole_lists: cluster.discovery.full_list_requests(),
+    }
+}
+
+/// Guards discovery and the agent against a list that is written and read twice at each start.
+#[test]
+fn asks_for_a_pushed_list_once_at_a_start() {
+    for knows_a_list in [false, true] {
+        let expected = StartCalls {
+            connections: 1,
+            whole_lists: usize::from(!knows_a_list),
+        };
+        let starts: Vec<StartCalls> = (0..5).map(|_| calls_of_a_start(knows_a_list)).collect();
+        // A machine that stands still for 150 ms looks like a connection that is lost: once in
+        // five starts at most.
+        let once = starts.iter().filter(|calls| **calls == expected).count();
+        assert!(once >= 4, "{starts:?}");
+    }
+}
+
+/// Guards against a first connection that is lost in silence, whose call would be waited for.
+#[test]
+fn calls_again_soon_where_the_first_connection_of_a_start_is_silent() {
+    let cluster = cluster();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
+    configuration.as_object_mut().unwrap().remove("known");
+    cluster
+        .discovery
+        .silence_watches([ConnectionBehavior::Unanswered]);
+    let begun = Instant::now();
+    let _agent = start(configuration);
+    // The call that allows for more time is given up after 2 s.
+    assert!(
+        begun.elapsed() < Duration::from_millis(1500),
+        "{:?}",
+        begun.elapsed()
+    );
+    assert!(cluster.discovery.connections() >= 2);
+}
+
+/// A discovery whose whole list takes a while to come, after a first part of it.
+struct SlowDiscovery {
+    address: SocketAddr,
+    whole_lists: Arc<AtomicUsize>,
+}
+
+impl SlowDiscovery {
+    fn start(list: Value) -> SlowDiscovery {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let whole_lists = Arc::<AtomicUsize>::default();
+        let counted = whole_lists.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let list = list.clone();
+                let counted = counted.clone();
+                std::thread::spawn(move || serve_slowly(stream, &list, &counted));
+            }
+        });
+        SlowDiscovery {
+            address,
+            whole_lists,
+        }
+    }
+}
+
+fn serve_slowly(mut stream: TcpStream, list: &Value, whole_lists: &AtomicUsize) -> io::Result<()> {
+    let nothing_new = json!({"version": list["version"], "full": false, "servers": []});
+    loop {
+        let mut head = Vec::new();
+        while !head.ends_with(b"\r\n\r\n") {
+            let mut byte = [0];
+            stream.read_exact(&mut byte)?;
+            head.extend(byte);
+        }
+        if String::from_utf8_lossy(&head).contains("after=") {
+            sleep(Duration::from_millis(900));
+            let response = ScriptedServer::http_response(&nothing_new.to_string());
+            stream.write_all(response.as_bytes())?;
+            continue;
+        }
+        whole_lists.fetch_add(1, Ordering::SeqCst);
+        let response = ScriptedServer::http_response(&list.to_string());
+        for part in response.as_bytes().chunks(response.len() / 5) {
+            stream.write_all(part)?;
+            sleep(Duration::from_millis(150));
+        }
+    }
+}
+
+/// Guards a discovery that takes longer to write a long list than a quick call may take: another
+/// one would make it slower still.
+#[test]
+fn does_not_ask_again_while_a_long_list_is_coming() {
+    let cluster = cluster();
+    let slow = SlowDiscovery::start(cluster.discovery.full_list(0));
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
+    configuration.as_object_mut().unwrap().remove("known");
+    configuration["discovery"] = slow.address.to_string().into();
+    let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
+    let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
+    let served = || {
+        client.send_query("view", 1000);
+        client.read_reply().unwrap().code().is_none()
+    };
+    assert!(runtime::wait_until(served), "{}", agent.log());
+    assert_eq!(slow.whole_lists.load(Ordering::SeqCst), 1);
+    assert!(!agent.log().contains("calling again"), "{}", agent.log());
+}
