--- a/crates/discovery/examples/list_update.rs
+++ b/crates/discovery/examples/list_update.rs
@@ -1,7 +1,9 @@
-//! Measures taking in endpoint lists by their size: parsing, the endpoint table, the balancer.
+//! Measures taking in endpoint lists by their size: parsing, the endpoint table, the balancer. With
+//! the agent's allocator.
 //!
 //!     cargo run --release -p tulipwall-discovery --example list_update
 
+use mimalloc::MiMalloc;
 use serde_json::{json, Value};
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -12,6 +14,9 @@
 use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_testkit::agent_process;
 
+#[global_allocator]
+static ALLOCATOR: MiMalloc = MiMalloc;
+
 const SIZES: [usize; 3] = [770, 7_700, 30_000];
 /// Runs of each measurement.
 const RUNS: usize = 7;
