--- a/crates/discovery/src/endpoint_table/mod.rs
+++ b/crates/discovery/src/endpoint_table/mod.rs
@@ -67,6 +67,10 @@
     /// What differs from all responses before, in the form of a change: endpoints that a complete
     /// list lacks are among it as gone, those that it lists as before are not.
     pub fn into_changes(self) -> Vec<EndpointEntry> {
+        let is_all_new = self.removed.is_empty() && self.changed.len() == self.entries.len();
+        if is_all_new {
+            return self.entries;
+        }
         let mut changes = self.removed;
         let changed = self.changed.iter().map(|position| &self.entries[*position]);
         changes.extend(changed.cloned());
@@ -111,10 +115,11 @@
             clock,
             applied: AppliedList::default(),
         };
-        application
-            .applied
-            .entries
-            .reserve(response.endpoints.len());
+        let records = response.endpoints.len();
+        application.applied.entries.reserve(records);
+        if response.complete {
+            self.reserve(records);
+        }
         for record in response.endpoints {
             self.apply_record(record, &mut application);
         }
@@ -129,6 +134,13 @@
         application.applied
     }
 
+    /// Makes room for so many endpoints at once, rather than by doubling what there is.
+    fn reserve(&mut self, endpoints: usize) {
+        let additional = endpoints.saturating_sub(self.entries.len());
+        self.entries.reserve(additional);
+        self.indices.reserve(additional);
+    }
+
     fn apply_record(&mut self, record: EndpointRecord, application: &mut Application) {
         match self.index(&record.id) {
             Some(endpoint) => self.update_known(endpoint, record, application),
--- a/crates/discovery/src/endpoint_table/store.rs
+++ b/crates/discovery/src/endpoint_table/store.rs
@@ -51,6 +51,10 @@
         self.entries.len()
     }
 
+    pub(super) fn reserve(&mut self, additional: usize) {
+        self.entries.reserve_exact(additional);
+    }
+
     pub(super) fn has_running(&self) -> bool {
         self.running > 0
     }
