--- a/crates/discovery/src/list_response.rs
+++ b/crates/discovery/src/list_response.rs
@@ -1,9 +1,11 @@
 //! Parses discovery's responses to calls for the endpoint list.
 
+use crate::list_document::ListDocument;
 use serde_json::Value;
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 use thiserror::Error;
 use tulipwall::EndpointState;
@@ -26,11 +28,11 @@
     /// Where it accepts connections.
     pub address: SocketAddr,
     /// The name of its zone.
-    pub zone: String,
+    pub zone: Arc<str>,
     /// Its cell: endpoints of one cell share what they know of idempotency keys.
     pub cell: u64,
     /// The type of its machine; empty where the response gives none.
-    pub endpoint_type: String,
+    pub endpoint_type: Arc<str>,
     /// The number of the build that it runs.
     pub build: u32,
     /// Whether it serves.
@@ -83,11 +85,28 @@
 impl ListResponse {
     /// Parses the body of a response.
     pub fn parse(body: &[u8]) -> Result<ListResponse, ListResponseError> {
+        if let Some(response) = ListResponse::parse_exact(body) {
+            return Ok(response);
+        }
         let value: Value = serde_json::from_slice(body)?;
         let fields = Fields::new(&value, "list")?;
         Ok(ListResponse::read(&fields)?)
     }
 
+    /// Parses a body that has exactly the form of the protocol, at a fraction of the cost.
+    fn parse_exact(body: &[u8]) -> Option<ListResponse> {
+        let document = ListDocument::parse(body)?;
+        let version = document.version;
+        let complete = document.complete;
+        Some(ListResponse {
+            version,
+            complete,
+            endpoints: document.into_records()?,
+            first_error: None,
+            unreadable_ids: Vec::new(),
+        })
+    }
+
     /// Reads a response from its JSON object. An entry that cannot be read is no error.
     pub fn read(list: &Fields) -> Result<ListResponse, FieldError> {
         let mut entries = Entries::default();
@@ -166,9 +185,9 @@
     Ok(EndpointRecord {
         id: fields.text("id")?.to_owned(),
         address: parse_address(address)?,
-        zone: fields.text("zone")?.to_owned(),
+        zone: Arc::from(fields.text("zone")?),
         cell: fields.unsigned("cell")?,
-        endpoint_type: fields.optional_text("kind").unwrap_or_default().to_owned(),
+        endpoint_type: Arc::from(fields.optional_text("kind").unwrap_or_default()),
         build: read_build(&fields)?,
         state: read_state(&fields)?,
         started_ms: read_started_ms(&fields)?,
@@ -191,11 +210,17 @@
 }
 
 fn read_state(fields: &Fields) -> Result<EndpointState, FieldError> {
-    match fields.text("state")? {
-        "in_service" => Ok(EndpointState::Running),
-        "terminating" => Ok(EndpointState::Draining),
-        "terminated" => Ok(EndpointState::Gone),
-        other => Err(FieldError::unknown_value("state", other)),
+    let name = fields.text("state")?;
+    known_state(name).ok_or_else(|| FieldError::unknown_value("state", name))
+}
+
+/// The state that the protocol calls `name`.
+pub(crate) fn known_state(name: &str) -> Option<EndpointState> {
+    match name {
+        "in_service" => Some(EndpointState::Running),
+        "terminating" => Some(EndpointState::Draining),
+        "terminated" => Some(EndpointState::Gone),
+        _ => None,
     }
 }
 
