--- a/tests/endpoint_draws.rs
+++ b/tests/endpoint_draws.rs
@@ -439,11 +439,15 @@
     fn reload(&mut self) {
         let mut settings = settings(1, self.kind);
         settings.slow_start_duration = ms(self.random.gen_range(1000..6000));
+        self.reload_with(&settings);
+    }
+
+    fn reload_with(&mut self, settings: &Settings) {
         let mapping = IndexMapping {
             classes: vec![IndexOrigin::Same; settings.classes.len()],
             tenants: vec![IndexOrigin::Same; settings.tenants.len()],
         };
-        self.balancer.reload(self.now, &settings, &mapping);
+        self.balancer.reload(self.now, settings, &mapping);
     }
 
     /// Begins the request that is drawn for; a retry has lost its first attempt.
@@ -689,3 +693,41 @@
         }
     }
 }
+
+/// Keys with affinity endpoints and endpoints that are asked for their load among the requests.
+#[test]
+fn routing_looks_at_few_endpoints_at_any_size() {
+    for size in [55, 550, 7700] {
+        let mut world = World::new(first_world(Kind::Usual, size));
+        let affinity_settings = Settings {
+            key_affinity: true,
+            load_probes: true,
+            ..settings(1, Kind::Usual)
+        };
+        world.reload_with(&affinity_settings);
+        let requests: u64 = 1000;
+        for number in 0..requests {
+            let request = Request {
+                key: Some(number * 7919),
+                ..World::request(IDEMPOTENT, false)
+            };
+            let id = world.next_id + number;
+            world.balancer.on_request(world.now, id, request);
+            let decision = world.balancer.route(world.now, id);
+            assert!(matches!(decision, Decision::Forward { .. }), "{decision:?}");
+            let end = AttemptEnd {
+                outcome: Outcome::Succeeded,
+                latency: ms(20),
+                request_closed: true,
+                reported_load: None,
+            };
+            world.balancer.on_attempt_end(world.now, id, 0, end);
+        }
+        let scanned = world.balancer.endpoints_scanned() as f64 / requests as f64;
+        assert!(
+            scanned > 0.0 && scanned < MAX_SCANNED,
+            "{size} endpoints: {scanned} a request"
+        );
+        assert_eq!(world.balancer.full_walks(), 0, "{size} endpoints");
+    }
+}
