--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -1,6 +1,6 @@
 //! What is kept up to date about the endpoints at each change, so that nobody walks over them.
 
-use super::{AffinityIndex, Endpoint, EndpointGroup, MemberLists, WarmingTimes};
+use super::{AffinityIndex, Endpoint, EndpointGroup, EndpointSets, MemberLists, WarmingTimes};
 use crate::interface::EndpointState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -99,6 +99,7 @@
     /// Ejections that were not found to be over yet, by their end.
     ejections: BTreeSet<(Duration, usize)>,
     affinity: AffinityIndex,
+    sets: EndpointSets,
 }
 
 impl FleetIndex {
@@ -108,6 +109,7 @@
         self.update_cells(endpoint, before, after);
         self.update_warming(endpoint, before, after);
         self.update_groups(endpoint, before, after);
+        self.sets.update(endpoint, before, after);
         self.affinity.update(endpoint, before, after);
     }
 
@@ -214,6 +216,11 @@
         ended
     }
 
+    /// Sets of endpoints that evaluations walk.
+    pub fn sets(&self) -> &EndpointSets {
+        &self.sets
+    }
+
     /// All endpoints.
     pub fn total(&self) -> EndpointCount {
         self.total
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -1,7 +1,7 @@
 //! What is remembered of the agent as a whole, a struct a concern.
 
 use crate::interface::CrossZonePolicy;
-use crate::stats::Ewma;
+use crate::stats::{DecayingCounts, Ewma};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -17,7 +17,11 @@
     /// The highest limit of late.
     pub peak_limit: f64,
     /// By tenant: requests of late; decays.
-    pub tenant_load: Vec<f64>,
+    pub tenant_load: DecayingCounts,
+    /// The highest value of any class.
+    pub best_value: f64,
+    /// Answers a second, over all classes.
+    pub answer_rate: f64,
 }
 
 /// What retries may still cost.
@@ -59,6 +63,24 @@
     pub completed: f64,
     /// Answers of one warm endpoint in an evaluation interval.
     pub completed_per_interval: Ewma,
+    /// What endpoints might get at the last evaluation.
+    pub pace: SlowStartPace,
+}
+
+/// What endpoints in slow start may get, by the pace of warm ones.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct SlowStartPace {
+    /// Answers in an evaluation interval for a full share.
+    pub attempts_per_interval: f64,
+    /// Evaluation intervals in the overload window.
+    pub intervals_per_window: f64,
+}
+
+impl SlowStartPace {
+    /// Attempts in the overload window, for a part of the full load of hardware of this throughput.
+    pub fn attempts_per_window(&self, share: f64, throughput: f64) -> f64 {
+        share * throughput * self.attempts_per_interval * self.intervals_per_window
+    }
 }
 
 /// Keys and the endpoints or builds that serve them.
