--- a/src/model/endpoint_sets.rs
+++ b/src/model/endpoint_sets.rs
@@ -1,7 +1,7 @@
 //! Sets of endpoints that evaluations walk in place of all endpoints.
 
-use super::EndpointKey;
-use std::collections::{BTreeMap, BTreeSet};
+use super::{EndpointKey, MemberLists};
+use std::collections::BTreeSet;
 
 /// Endpoints by what an evaluation asks of them, kept up to date at each change.
 #[derive(Default)]
@@ -28,10 +28,10 @@
             return;
         }
         if let Some(group) = group_before {
-            self.warm.remove(endpoint, group);
+            self.warm.0.remove(&group, endpoint);
         }
         if let Some(group) = group_after {
-            self.warm.insert(endpoint, group);
+            self.warm.0.insert(group, endpoint);
         }
     }
 
@@ -83,16 +83,12 @@
 
 /// Warm endpoints in dense lists, so that any of them is found by its position.
 #[derive(Default)]
-pub(crate) struct WarmEndpoints {
-    members: BTreeMap<WarmGroup, Vec<usize>>,
-    /// By endpoint: where it stands in the list of its group.
-    positions: Vec<usize>,
-}
+pub(crate) struct WarmEndpoints(MemberLists<WarmGroup>);
 
 impl WarmEndpoints {
     /// Lists of all warm endpoints.
     pub fn all(&self) -> Vec<&[usize]> {
-        self.members.values().map(Vec::as_slice).collect()
+        self.0.iter().map(|(_, members)| members).collect()
     }
 
     /// Lists of the warm endpoints of one hardware type: those that run `newest_build` or a newer
@@ -102,34 +98,11 @@
             endpoint_type,
             build,
         };
-        let lists = if is_newest {
-            self.members.range(group(newest_build)..=group(u32::MAX))
+        if is_newest {
+            let lists = self.0.range(group(newest_build)..=group(u32::MAX));
+            lists.collect()
         } else {
-            self.members.range(group(0)..group(newest_build))
-        };
-        lists.map(|(_, members)| members.as_slice()).collect()
-    }
-
-    fn insert(&mut self, endpoint: usize, group: WarmGroup) {
-        let members = self.members.entry(group).or_default();
-        if endpoint >= self.positions.len() {
-            self.positions.resize(endpoint + 1, 0);
-        }
-        self.positions[endpoint] = members.len();
-        members.push(endpoint);
-    }
-
-    fn remove(&mut self, endpoint: usize, group: WarmGroup) {
-        let Some(members) = self.members.get_mut(&group) else {
-            return;
-        };
-        let position = self.positions[endpoint];
-        members.swap_remove(position);
-        if let Some(moved) = members.get(position) {
-            self.positions[*moved] = position;
-        }
-        if members.is_empty() {
-            self.members.remove(&group);
+            self.0.range(group(0)..group(newest_build)).collect()
         }
     }
 }
