--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -95,8 +95,7 @@
     /// Attempts within the overload window that an endpoint of this throughput would get from this
     /// agent as a warming one that bears its full load.
     pub(super) fn full_quota(&self, throughput: f64) -> f64 {
-        let pace = self.slow_start_pace();
-        throughput * pace.attempts_per_interval * pace.intervals_per_window
+        self.slow_start.pace.attempts_per_window(1.0, throughput)
     }
 
     /// Takes in what warm endpoints answered in this interval, unless few of them are warm.
--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -105,11 +105,11 @@
 impl FleetIndex {
     /// Takes in a change of one endpoint.
     pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
-        self.sets.update(endpoint, before, after);
         self.update_counts(before, after);
         self.update_cells(endpoint, before, after);
         self.update_warming(endpoint, before, after);
         self.update_groups(endpoint, before, after);
+        self.sets.update(endpoint, before, after);
         self.affinity.update(endpoint, before, after);
     }
 
--- a/src/model/member_lists.rs
+++ b/src/model/member_lists.rs
@@ -1,6 +1,7 @@
 //! Lists of endpoints by a key.
 
 use std::collections::BTreeMap;
+use std::ops::RangeBounds;
 
 /// Lists of endpoints by a key, each without an order of its own: an endpoint comes or goes in
 /// constant time, and one of a list is drawn in constant time. Lists that are empty go.
@@ -53,6 +54,11 @@
         self.lists.get(key).map_or(&[], Vec::as_slice)
     }
 
+    /// The lists of these keys, in their order.
+    pub fn range(&self, keys: impl RangeBounds<K>) -> impl Iterator<Item = &[usize]> {
+        self.lists.range(keys).map(|(_, list)| list.as_slice())
+    }
+
     /// All lists, in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &[usize])> {
         self.lists.iter().map(|(key, list)| (key, list.as_slice()))
