--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -6,10 +6,18 @@
 use harness::fleet::fixtures::*;
 use harness::fleet::*;
 use harness::*;
+use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tulipwall::*;
 
+/// One in four attempts to this build fails.
+fn one_in_four_fails(entry: &EndpointEntry, build: u32, number: &Cell<usize>) -> Outcome {
+    number.set(number.get() + usize::from(entry.build == build));
+    let fails = entry.build == build && number.get() % 4 == 0;
+    outcome_if(fails, Outcome::Failed)
+}
+
 mod one_busy_class {
     use super::*;
 
@@ -214,19 +222,30 @@
         assert!(got > 30, "the canary gets its share: {got} of 400");
     }
 
-    /// Against answers of long ago that outweigh what the canary does now.
+    /// Attempts to a canary that fails one in four, until it is held.
+    fn attempts_until_held(harness: &mut Harness) -> usize {
+        let before = attempts_to(harness, 8);
+        let number = Cell::new(0);
+        let one_in_four = |e: &EndpointEntry| one_in_four_fails(e, 8, &number);
+        while !stands(harness) {
+            serve_counted(harness, 1, one_in_four);
+            let sent = attempts_to(harness, 8) - before;
+            assert!(sent < 400, "never held: {:?}", harness.log_lines);
+        }
+        attempts_to(harness, 8) - before
+    }
+
+    /// Against answers of long ago that outweigh what the canary does now: it is held after about as
+    /// few attempts as one that never answered.
     #[test]
     fn of_successes_does_not_cover_a_canary_that_regresses_after_36_hours() {
+        let at_first = attempts_until_held(&mut canary_rollout(|_| {}));
         let mut harness = canary_rollout(|_| {});
         serve_counted(&mut harness, 1500, |_| Outcome::Succeeded);
         assert!(!stands(&harness));
         idle_for_hours(&mut harness);
-        let before = attempts_to(&harness, 8);
-        while !stands(&harness) {
-            serve_counted(&mut harness, 1, failing(8));
-            let failed = attempts_to(&harness, 8) - before;
-            assert!(failed < 40, "{failed} failures, {:?}", harness.log_lines);
-        }
+        let sent = attempts_until_held(&mut harness);
+        assert!(sent <= at_first * 3 / 2, "{sent}, {at_first} of the first");
     }
 
     /// Against a clock that jumps: a process that was stopped polls late, and ages what it knows by
@@ -252,20 +271,11 @@
 
     const REUSED: usize = 0;
 
-    /// Index 0 belongs to a faulty endpoint of build 7 first, then to another one.
-    fn reused(former: impl Fn(&EndpointEntry) -> bool, latter: EndpointEntry) -> Harness {
-        let mut harness = canary_rollout(|_| {});
-        harness.serve(300, 0, ms(20), |e| {
-            outcome_if(e.endpoint == REUSED && former(e), Outcome::Failed)
-        });
-        let gone = EndpointEntry {
+    fn gone(endpoint: usize, build: u32) -> EndpointEntry {
+        EndpointEntry {
             state: EndpointState::Gone,
-            ..endpoint_entry(REUSED, 7, None)
-        };
-        harness.update_endpoints(&[gone]);
-        harness.advance(ms(100));
-        harness.update_endpoints(&[latter]);
-        harness
+            ..endpoint_entry(endpoint, build, None)
+        }
     }
 
     fn other_endpoint(build: u32) -> EndpointEntry {
@@ -283,7 +293,13 @@
     /// Against an ejection that outlives its endpoint.
     #[test]
     fn has_no_ejection_of_the_endpoint_before() {
-        let mut harness = reused(|_| true, other_endpoint(7));
+        let mut harness = canary_rollout(|_| {});
+        harness.serve(300, 0, ms(20), |e| {
+            outcome_if(e.endpoint == REUSED, Outcome::Failed)
+        });
+        harness.update_endpoints(&[gone(REUSED, 7)]);
+        harness.advance(ms(100));
+        harness.update_endpoints(&[other_endpoint(7)]);
         let before: Vec<usize> = (0..8).map(|i| attempts_of(&harness, i)).collect();
         harness.serve(30, 0, ms(20), |_| Outcome::Succeeded);
         let got = attempts_of(&harness, REUSED) - before[REUSED];
@@ -296,41 +312,56 @@
         assert!(got[REUSED] as f64 > 0.6 * mean, "{got:?}");
     }
 
-    /// Against failures of an endpoint of the earlier build that count for the canary.
+    /// Against failures of an endpoint of the earlier build that count for the canary: it leaves
+    /// while it is ejected, so that they are not its build's, and is the canary's only one after.
     #[test]
     fn has_no_evidence_of_the_endpoint_before() {
-        let mut harness = reused(|_| true, other_endpoint(8));
-        harness.advance(ms(4200));
+        let mut harness = canary_rollout(|_| {});
+        harness.update_endpoints(&[8, 9].map(|endpoint| gone(endpoint, 8)));
+        let number = Cell::new(0);
+        harness.serve(600, 0, ms(20), |e| {
+            number.set(number.get() + usize::from(e.endpoint == REUSED));
+            let fails = e.endpoint == REUSED && number.get() % 4 == 0;
+            outcome_if(fails, Outcome::Failed)
+        });
+        harness.serve(100, 0, ms(20), |e| {
+            outcome_if(e.endpoint == REUSED, Outcome::Failed)
+        });
+        harness.update_endpoints(&[gone(REUSED, 7)]);
+        harness.advance(ms(100));
+        harness.update_endpoints(&[other_endpoint(8)]);
         harness.serve(300, 0, ms(20), |_| Outcome::Succeeded);
         assert!(harness.votes.is_empty(), "{:?}", harness.log_lines);
-        assert!(attempts_of(&harness, REUSED) > 0);
+        assert!(attempts_to(&harness, 8) > 0);
         harness.serve(200, 0, ms(20), failing(8));
         assert_eq!(harness.last_verdict(), Some(Verdict::Hold));
     }
 
-    /// Against successes of an endpoint of the canary that count for the build that follows there.
+    /// Attempts to a canary that fails one in four, until it is held.
+    fn attempts_until_held(harness: &mut Harness, build: u32) -> usize {
+        let before = attempts_to(harness, build);
+        let number = Cell::new(0);
+        while harness.votes.is_empty() {
+            harness.serve(1, 0, ms(20), |e| one_in_four_fails(e, build, &number));
+            let sent = attempts_to(harness, build) - before;
+            assert!(sent < 400, "never held: {:?}", harness.log_lines);
+        }
+        attempts_to(harness, build) - before
+    }
+
+    /// Against successes of endpoints of one canary that count for the next one, which takes their
+    /// indices: it is held after about as few attempts as one that is the first.
     #[test]
     fn has_no_successes_of_the_endpoint_before() {
+        let at_first = attempts_until_held(&mut canary_rollout(|_| {}), 8);
         let mut harness = canary_rollout(|_| {});
-        harness.serve(600, 0, ms(20), |_| Outcome::Succeeded);
-        for endpoint in [8, 9] {
-            let gone = EndpointEntry {
-                state: EndpointState::Gone,
-                ..endpoint_entry(endpoint, 8, Some(1100))
-            };
-            harness.update_endpoints(&[gone]);
-        }
+        harness.serve(1500, 0, ms(5), |_| Outcome::Succeeded);
         harness.update_rollout(canary_status(9, 0, 0.5));
-        let now = harness.now.as_millis() as u64;
-        let canaries = [8, 9].map(|endpoint| endpoint_entry(endpoint, 9, Some(now)));
+        harness.update_endpoints(&[8, 9].map(|endpoint| gone(endpoint, 8)));
+        let canaries = [8, 9].map(|endpoint| endpoint_entry(endpoint, 9, Some(1100)));
         harness.update_endpoints(&canaries);
-        harness.advance(ms(4200));
-        let before = attempts_to(&harness, 9);
-        while harness.votes.is_empty() {
-            harness.serve(1, 0, ms(20), failing(9));
-            let failed = attempts_to(&harness, 9) - before;
-            assert!(failed < 40, "{failed} failures, {:?}", harness.log_lines);
-        }
+        let sent = attempts_until_held(&mut harness, 9);
+        assert!(sent <= at_first * 3 / 2, "{sent}, {at_first} of the first");
     }
 
     /// Against a weight that stays low because another endpoint was slow there.
@@ -357,11 +388,7 @@
         serve(&mut harness, true, 100);
         let slow = attempts_of(&harness, REUSED) - before;
         assert!(slow < 8, "the slow one gets little: {slow} of 100");
-        let gone = EndpointEntry {
-            state: EndpointState::Gone,
-            ..endpoint_entry(REUSED, 7, None)
-        };
-        harness.update_endpoints(&[gone]);
+        harness.update_endpoints(&[gone(REUSED, 7)]);
         harness.advance(ms(100));
         harness.update_endpoints(&[other_endpoint(7)]);
         let before = attempts_of(&harness, REUSED);
