--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -14,7 +14,7 @@
 /// One in four attempts to this build fails.
 fn one_in_four_fails(entry: &EndpointEntry, build: u32, number: &Cell<usize>) -> Outcome {
     number.set(number.get() + usize::from(entry.build == build));
-    let fails = entry.build == build && number.get() % 4 == 0;
+    let fails = entry.build == build && number.get().is_multiple_of(4);
     outcome_if(fails, Outcome::Failed)
 }
 
@@ -321,7 +321,7 @@
         let number = Cell::new(0);
         harness.serve(600, 0, ms(20), |e| {
             number.set(number.get() + usize::from(e.endpoint == REUSED));
-            let fails = e.endpoint == REUSED && number.get() % 4 == 0;
+            let fails = e.endpoint == REUSED && number.get().is_multiple_of(4);
             outcome_if(fails, Outcome::Failed)
         });
         harness.serve(100, 0, ms(20), |e| {
