--- a/crates/agent/src/protocol/buffer.rs
+++ b/crates/agent/src/protocol/buffer.rs
@@ -79,6 +79,32 @@
         }
     }
 
+    /// Releases the memory of an empty buffer.
+    pub fn release_if_empty(&mut self) {
+        if self.is_empty() {
+            *self = Buffer::default();
+        }
+    }
+
+    /// Makes space for `length` unread bytes in one step, once a read's worth of them is there.
+    ///
+    /// Guards against a process that outgrows its limit: a buffer that doubles leaves a freed block
+    /// of each size on its way, which the allocator keeps for a second and nothing counts. Does harm
+    /// where a client sends that much and never the rest: all of it counts until its time is over.
+    pub fn reserve(&mut self, length: usize) {
+        let capacity = length + MIN_READ_SPACE;
+        if self.len() < MIN_READ_SPACE || self.bytes.len() >= capacity {
+            return;
+        }
+        let mut bytes = vec![0; capacity];
+        let unread = self.unread();
+        bytes[..unread.len()].copy_from_slice(unread);
+        self.end = unread.len();
+        self.start = 0;
+        self.bytes = bytes;
+        self.reservation.resize(capacity);
+    }
+
     /// Appends what `read` writes into the free space; `read` returns how many bytes that were.
     pub fn fill<E>(
         &mut self,
--- a/crates/agent/src/protocol/postgres/mod.rs
+++ b/crates/agent/src/protocol/postgres/mod.rs
@@ -42,6 +42,23 @@
 }
 
 fn try_parse_message(bytes: &[u8]) -> Result<Option<Message<'_>>, PostgresError> {
+    let Some((tag, length)) = parse_header(bytes)? else {
+        return Ok(None);
+    };
+    Ok(bytes
+        .get(HEADER_LENGTH..length)
+        .map(|body| Message { tag, body, length }))
+}
+
+/// The length of the first message of `bytes`, with its type and length; `None` while that has not
+/// come, or is faulty.
+pub fn announced_length(bytes: &[u8]) -> Option<usize> {
+    let (_, length) = parse_header(bytes).ok()??;
+    Some(length)
+}
+
+/// The type of the first message, and the length of all of it.
+fn parse_header(bytes: &[u8]) -> Result<Option<(u8, usize)>, PostgresError> {
     let (Some(tag), Some(length)) = (bytes.first(), bytes.get(1..).and_then(read_u32)) else {
         return Ok(None);
     };
@@ -50,12 +67,7 @@
     if !(4..=MAX_MESSAGE_LENGTH).contains(&length) {
         return Err(PostgresError::MessageLength { tag, length });
     }
-    let whole_length = 1 + length;
-    Ok(bytes.get(HEADER_LENGTH..whole_length).map(|body| Message {
-        tag,
-        body,
-        length: whole_length,
-    }))
+    Ok(Some((tag, 1 + length)))
 }
 
 /// The big-endian number at the start of `bytes`.
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -104,6 +104,12 @@
     }
 
     async fn read(&mut self) -> Flow {
+        if self.started {
+            let inbox = &mut self.client.inbox;
+            if let Some(length) = postgres::announced_length(inbox.unread()) {
+                inbox.reserve(length);
+            }
+        }
         if !self.client.inbox.is_empty() {
             self.due
                 .get_or_insert(self.agent.clock.now() + RECEIVE_TIMEOUT);
