--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -11,7 +11,7 @@
 pub use control_state::{CastVote, ControlState, PeerAddress, PendingVote, WatchRequest};
 pub use endpoint_directory::{EndpointDirectory, ListUpdate};
 pub use executors::Executors;
-pub use limits::ResourceLimits;
+pub use limits::{MemoryLimitTooLow, ResourceLimits, MIN_BUFFERED_BYTES};
 
 use crate::balancer_handle::BalancerHandle;
 use crate::lifecycle::phase::Lifecycle;
@@ -219,6 +219,13 @@
         format!("kept: clients {clients} listed {listed} requests {requests} endpoints {endpoints} builds {builds} keys {keys}{divergences}")
     }
 
+    /// Logs a limit on memory that does not bear the process.
+    pub fn report_memory_limit(&self) {
+        if let Err(error) = self.limits.check_memory() {
+            log::warn!("{error}");
+        }
+    }
+
     /// Sleeps until a time on the agent's clock.
     pub async fn sleep_until(&self, at: Duration) {
         Timer::at(self.clock.to_instant(at)).await;
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -78,6 +78,7 @@
         }
         self.config.replace_installation(start.installation);
         self.limits.resize(start.max_sockets, start.memory_limit);
+        self.report_memory_limit();
         self.move_discovery(discovery, &before);
         self.move_platform(start.platform);
     }
--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -8,6 +8,7 @@
 use crate::agent::Agent;
 use crate::control::{balancer_poll, discovery, platform};
 use crate::observability::logging;
+use crate::runtime::process_memory;
 use crate::runtime::reactor;
 use crate::runtime::signals::Signals;
 use crate::upstream::warm_up::warm_up;
@@ -92,6 +93,7 @@
 
 /// Starts all tasks and waits until the last phase.
 async fn serve(agent: &Rc<Agent>, signals: Signals, paths: ConfigPaths) -> Result<(), ServeError> {
+    measure_process(agent);
     let address = agent.start_addresses.listen;
     let listener =
         listener::bind(agent, address).map_err(|source| ServeError::Listen { address, source })?;
@@ -121,6 +123,15 @@
     Ok(())
 }
 
+/// Takes the size of the process off what may be buffered, while no client's buffers are part of it.
+fn measure_process(agent: &Agent) {
+    match process_memory::resident_bytes() {
+        Some(bytes) => agent.limits.set_process_bytes(bytes),
+        None => log::warn!("the size of the process is unknown; buffers are bounded without it"),
+    }
+    agent.report_memory_limit();
+}
+
 fn start_admin(agent: &Rc<Agent>) -> Result<Option<Task<()>>, ServeError> {
     let Some(address) = &agent.start_addresses.admin else {
         return Ok(None);
--- a/crates/agent/src/protocol/connection.rs
+++ b/crates/agent/src/protocol/connection.rs
@@ -118,6 +118,11 @@
         received
     }
 
+    /// Ready once there may be something to read.
+    pub async fn readable(&self) {
+        self.source.readable().await;
+    }
+
     /// Writes all of `bytes`.
     pub async fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
--- /dev/null
+++ b/crates/agent/src/runtime/process_memory.rs
@@ -0,0 +1,16 @@
+//! How much memory this process takes.
+
+const STATUS_FILE: &str = "/proc/self/status";
+const RESIDENT_SIZE_FIELD: &str = "VmRSS:";
+const BYTES_PER_KIB: usize = 1024;
+
+/// The resident size of this process in bytes, mapped files included; `None` where the kernel does
+/// not tell it.
+pub fn resident_bytes() -> Option<usize> {
+    let status = std::fs::read_to_string(STATUS_FILE).ok()?;
+    let size = status
+        .lines()
+        .find_map(|line| line.strip_prefix(RESIDENT_SIZE_FIELD))?;
+    let kibibytes: usize = size.trim().strip_suffix(" kB")?.parse().ok()?;
+    kibibytes.checked_mul(BYTES_PER_KIB)
+}
--- a/crates/agent/src/runtime/reactor.rs
+++ b/crates/agent/src/runtime/reactor.rs
@@ -221,6 +221,11 @@
         self.readiness.read.when_ready(work).await
     }
 
+    /// Ready once the socket may have something to read.
+    pub async fn readable(&self) {
+        std::future::poll_fn(|context| self.readiness.read.poll(context)).await;
+    }
+
     /// Does what may block for writing once the socket is ready, until it does not block.
     pub async fn write<T>(&self, work: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         self.readiness.write.when_ready(work).await
--- a/crates/agent/src/server/input.rs
+++ b/crates/agent/src/server/input.rs
@@ -1,6 +1,6 @@
 //! Reading from a client, within its time and the memory that there is.
 
-use super::limits::{HOLD_BACK_INTERVAL, SHORT_RECEIVE_TIMEOUT};
+use super::limits::{HOLD_BACK_INTERVAL, IDLE_BUFFER_SHARE, SHORT_RECEIVE_TIMEOUT};
 use crate::agent::Agent;
 use crate::lifecycle::phase::IdleClientGuard;
 use crate::protocol::buffer::MemoryReservation;
@@ -36,6 +36,7 @@
     client: &mut Connection,
     due: Option<Duration>,
 ) -> ReadEvent {
+    release_idle_buffer(agent, client);
     if !client.inbox.is_empty() {
         return read_rest(agent, client, due).await;
     }
@@ -111,13 +112,27 @@
 /// Clients are held back while too much is buffered; responses of endpoints keep the rest of the
 /// memory. One that closes its connection is not.
 async fn read_when_memory_allows(agent: &Agent, client: &mut Connection) -> ReadEvent {
-    let memory_allows = async {
-        while is_memory_short(agent) {
-            Timer::after(HOLD_BACK_INTERVAL).await;
+    loop {
+        let memory_allows = async {
+            while is_memory_short(agent) {
+                Timer::after(HOLD_BACK_INTERVAL).await;
+            }
+        };
+        memory_allows.or(client.peer_closed()).await;
+        // Not waited for here: memory that was free before the bytes came may be taken by then.
+        if let Some(read) = future::poll_once(client.read_more()).await {
+            return read.into();
         }
-    };
-    memory_allows.or(client.peer_closed()).await;
-    client.read_more().await.into()
+        client.readable().await;
+    }
+}
+
+/// Guards against idle clients whose empty buffers hold all others back: those kept add up to half
+/// of what may be buffered at most. Costs an allocation a request while as much is in use.
+fn release_idle_buffer(agent: &Agent, client: &mut Connection) {
+    if MemoryReservation::total() > agent.limits.max_buffered_bytes() / IDLE_BUFFER_SHARE {
+        client.inbox.release_if_empty();
+    }
 }
 
 fn is_memory_short(agent: &Agent) -> bool {
--- a/crates/agent/src/server/limits.rs
+++ b/crates/agent/src/server/limits.rs
@@ -11,6 +11,8 @@
 pub const SHORT_RECEIVE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How soon a client that was held back is read again.
 pub const HOLD_BACK_INTERVAL: Duration = Duration::from_millis(5);
+/// Which part of the memory for buffers the empty ones of idle clients may hold.
+pub const IDLE_BUFFER_SHARE: usize = 2;
 /// How long a client may leave its responses unread, without reading any of them. Guards places
 /// and the shutdown against clients that never read; a slow reader goes on making progress.
 pub const WRITE_PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
--- /dev/null
+++ b/crates/agent/tests/memory.rs
@@ -0,0 +1,110 @@
+//! The limit on memory: what is left of it for buffers, and that all are served within it.
+
+use std::net::TcpStream;
+use tulipwall_agent::agent::{ResourceLimits, MIN_BUFFERED_BYTES};
+use tulipwall_agent::protocol::buffer::{Buffer, MemoryReservation};
+use tulipwall_testkit::*;
+
+const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
+const MIB: usize = 1024 * 1024;
+
+fn cluster() -> TestCluster {
+    let cluster = TestCluster::new(&["only"], agent_process::classes()).unwrap();
+    cluster
+        .add_endpoint(0, "s-0", 41, EndpointBehavior::default())
+        .unwrap();
+    cluster
+}
+
+fn start_agent(cluster: &TestCluster, memory_mb: usize) -> AgentProcess {
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
+    configuration["limits"]["memory_mb"] = memory_mb.into();
+    AgentProcess::start(BINARY, configuration, &[]).unwrap()
+}
+
+fn limits(memory_mb: usize, process_mb: usize) -> ResourceLimits {
+    let limits = ResourceLimits::new(1024, memory_mb * MIB);
+    limits.set_process_bytes(process_mb * MIB);
+    limits
+}
+
+#[test]
+fn leaves_a_quarter_for_buffers_where_the_process_is_small() {
+    assert_eq!(limits(256, 20).max_buffered_bytes(), 64 * MIB);
+    assert_eq!(limits(32, 8).max_buffered_bytes(), 8 * MIB);
+}
+
+#[test]
+fn takes_the_process_and_each_client_off_the_memory_for_buffers() {
+    let limits = limits(33, 18);
+    assert_eq!(limits.max_buffered_bytes(), 5 * MIB);
+    let clients: Vec<_> = (0..384)
+        .map_while(|_| limits.connections.client_permit())
+        .collect();
+    assert_eq!(clients.len(), 384);
+    assert_eq!(limits.max_buffered_bytes(), 4 * MIB);
+    drop(clients);
+    assert_eq!(limits.max_buffered_bytes(), 5 * MIB);
+}
+
+#[test]
+fn buffers_a_little_under_a_limit_below_the_size_of_the_process() {
+    let limits = limits(16, 18);
+    assert_eq!(limits.max_buffered_bytes(), MIN_BUFFERED_BYTES);
+    let error = limits.check_memory().unwrap_err().to_string();
+    assert!(
+        error.starts_with("field limits.memory_mb: 16 MB"),
+        "{error}"
+    );
+    limits.resize(1024, 32 * MIB);
+    assert_eq!(limits.check_memory(), Ok(()));
+}
+
+#[test]
+fn serves_under_a_limit_below_the_size_of_the_process_and_says_so_in_one_line() {
+    let cluster = cluster();
+    let mut agent = start_agent(&cluster, 2);
+    let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
+    client.send_query("view", 15_000);
+    assert_eq!(client.read_reply().unwrap().code(), None);
+    let log = agent.log();
+    assert_eq!(log.matches("limits.memory_mb").count(), 1, "{log}");
+    agent.terminate().unwrap();
+    assert!(agent.wait_for_success().unwrap());
+}
+
+/// Each keeps a buffer of 16 KiB after its request, all of them three times what may be buffered.
+#[test]
+fn serves_others_while_many_clients_that_sent_long_requests_are_idle() {
+    let cluster = cluster();
+    let agent = start_agent(&cluster, 2);
+    let padding = " ".repeat(12_000);
+    let idle: Vec<TcpStream> = (0..200)
+        .map(|_| {
+            let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
+            client.send_statement(&format!("{padding};"));
+            client.read_until_ready().unwrap();
+            client.stream
+        })
+        .collect();
+    let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
+    client.send_query("view", 15_000);
+    assert_eq!(client.read_reply().unwrap().code(), None);
+    drop(idle);
+}
+
+/// Blocks of other sizes on the way would be freed memory that nothing counts.
+#[test]
+fn grows_a_buffer_to_the_announced_length_in_one_step() {
+    let read = |buffer: &mut Buffer| buffer.fill(|space| Ok::<_, ()>(space.len().min(4096)));
+    let message_length = 100_000;
+    let mut buffer = Buffer::default();
+    read(&mut buffer).unwrap();
+    buffer.reserve(message_length);
+    let reserved = MemoryReservation::total();
+    while buffer.len() < message_length {
+        read(&mut buffer).unwrap();
+        assert_eq!(MemoryReservation::total(), reserved);
+    }
+    assert!(reserved < message_length + 8192, "{reserved}");
+}
