--- a/crates/agent/src/lifecycle/listener.rs
+++ b/crates/agent/src/lifecycle/listener.rs
@@ -91,7 +91,9 @@
         None => connections.overflow_permit().map(AcceptPermit::Overflow),
     };
     if connections.is_nearly_full() {
-        agent.lifecycle.evict_idle_client(agent.clock.now());
+        agent
+            .lifecycle
+            .evict_idle_client(agent.clock.now(), connections.reserved_clients());
     }
     permit
 }
--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -43,9 +43,14 @@
     const COUNT: usize = 2;
 }
 
-/// Orders idle clients by when they may first be asked to close; the number tells equal times
-/// apart.
-type IdleKey = (Duration, u64);
+/// Orders idle clients: those that never sent a request first, then by when they may first be asked
+/// to close; the number tells equal times apart.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleKey {
+    after_first_request: bool,
+    evictable_from: Duration,
+    number: u64,
+}
 
 /// The current phase, and the clients that are idle.
 pub struct Lifecycle {
@@ -55,6 +60,8 @@
     awaiting_contact: Cell<[bool; ControlService::COUNT]>,
     idle_clients: RefCell<BTreeMap<IdleKey, Event>>,
     next_idle_number: Cell<u64>,
+    /// How many clients owe their first request or the rest of a message.
+    owing_clients: Cell<usize>,
     /// When the last request ends; known once the program terminates.
     ends_at: Cell<Option<Duration>>,
     /// Whether the listener is closed and all clients that had connected were accepted.
@@ -75,6 +82,16 @@
     }
 }
 
+/// A client that owes its first request or the rest of a message.
+pub struct OwingClientGuard<'a>(&'a Lifecycle);
+
+impl Drop for OwingClientGuard<'_> {
+    fn drop(&mut self) {
+        let owing_clients = &self.0.owing_clients;
+        owing_clients.set(owing_clients.get() - 1);
+    }
+}
+
 impl Default for Lifecycle {
     fn default() -> Lifecycle {
         Lifecycle::new()
@@ -90,6 +107,7 @@
             awaiting_contact: Cell::default(),
             idle_clients: RefCell::default(),
             next_idle_number: Cell::default(),
+            owing_clients: Cell::default(),
             ends_at: Cell::default(),
             listener_closed: Cell::default(),
         }
@@ -189,7 +207,11 @@
         } else {
             MIN_IDLE_TIME
         };
-        let key = (now + min_idle_time, number);
+        let key = IdleKey {
+            after_first_request: !before_first_request,
+            evictable_from: now + min_idle_time,
+            number,
+        };
         self.idle_clients.borrow_mut().insert(key, close_request);
         Some(IdleClientGuard {
             lifecycle: self,
@@ -198,20 +220,53 @@
         })
     }
 
-    /// Asks the client that has been idle for longest to close its connection; false when none
-    /// was idle for long enough: one that was not has likely written its next request already.
-    pub fn evict_idle_client(&self, now: Duration) -> bool {
-        let mut idle_clients = self.idle_clients.borrow_mut();
-        let Some(longest_idle) = idle_clients.first_entry() else {
+    /// Counts a client that owes its first request or the rest of a message, for as long as it does.
+    pub fn register_owing_client(&self) -> OwingClientGuard<'_> {
+        self.owing_clients.set(self.owing_clients.get() + 1);
+        OwingClientGuard(self)
+    }
+
+    /// Asks the longest idle client to close its connection, one that never sent a request before
+    /// one that did; false when none was idle for long enough: one that was not has likely written
+    /// its next request already.
+    ///
+    /// While more than `max_owing_clients` owe a message no client that sent a request is asked.
+    /// Guards served clients against those that take the places and send nothing, or half a
+    /// message: these lose their own within [`RECEIVE_TIMEOUT`]. Does harm where that many send
+    /// their first request slowly: new clients are rejected meanwhile once all places are taken.
+    ///
+    /// [`RECEIVE_TIMEOUT`]: crate::server::limits::RECEIVE_TIMEOUT
+    pub fn evict_idle_client(&self, now: Duration, max_owing_clients: usize) -> bool {
+        let evictable = self.longest_idle(now, false).or_else(|| {
+            let few_owe = self.owing_clients.get() <= max_owing_clients;
+            few_owe.then(|| self.longest_idle(now, true)).flatten()
+        });
+        let Some(key) = evictable else {
             return false;
         };
-        let (evictable_from, _) = *longest_idle.key();
-        if now < evictable_from {
-            return false;
+        if let Some(close_request) = self.idle_clients.borrow_mut().remove(&key) {
+            close_request.notify(1);
         }
-        longest_idle.remove().notify(1);
         true
     }
+
+    /// Of the clients that sent a request, or of those that did not, the one that has been idle for
+    /// longest, if that is long enough to ask it to close.
+    fn longest_idle(&self, now: Duration, after_first_request: bool) -> Option<IdleKey> {
+        let first = IdleKey {
+            after_first_request,
+            evictable_from: Duration::ZERO,
+            number: 0,
+        };
+        let last = IdleKey {
+            after_first_request,
+            evictable_from: now,
+            number: u64::MAX,
+        };
+        let idle_clients = self.idle_clients.borrow();
+        let (key, _) = idle_clients.range(first..=last).next()?;
+        Some(*key)
+    }
 }
 
 fn log_phase(phase: Phase) {
--- a/crates/agent/src/upstream/limits.rs
+++ b/crates/agent/src/upstream/limits.rs
@@ -116,8 +116,12 @@
 
     /// Hardly any place is left for further clients.
     pub fn is_nearly_full(&self) -> bool {
-        let max = self.max_clients();
-        self.clients.held.get() + max / NEARLY_FULL_SHARE >= max
+        self.clients.held.get() + self.reserved_clients() >= self.max_clients()
+    }
+
+    /// So many places are kept free for new clients, by closing idle ones.
+    pub fn reserved_clients(&self) -> usize {
+        self.max_clients() / NEARLY_FULL_SHARE
     }
 
     /// Ready once a client's place may be free.
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -556,6 +556,29 @@
     drop(halves);
 }
 
+/// Guards against a rush of clients that owe a message, for each of which the agent would close a
+/// served client between two of its requests.
+#[test]
+fn keeps_a_served_client_while_those_that_owe_a_message_take_the_places() {
+    let half = [&pg::startup()[..], b"Q\x00\x00\x01\x00half"].concat();
+    for owed in [&half[..], b""] {
+        let cluster = cluster_of(&[working_for_ms(0)]);
+        let agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 128.into());
+        let mut good = connect(&agent);
+        // From here on it may be asked to go.
+        sleep(ms(250));
+        // All are in the queue before the agent accepts the first: none has been idle for long.
+        agent.set_stalled(true).unwrap();
+        let owing: Vec<_> = (0..54).map(|_| connect_and_write(&agent, owed)).collect();
+        agent.set_stalled(false).unwrap();
+        sleep(ms(250));
+        good.send_query("view", 5000);
+        let reply = good.read_reply();
+        assert_eq!(reply.unwrap().code(), None, "{} bytes each", owed.len());
+        drop(owing);
+    }
+}
+
 #[test]
 fn disconnects_a_client_that_never_reads_and_serves_one_that_reads_a_byte_at_a_time() {
     let cluster = cluster_of(&[EndpointBehavior {
