--- a/crates/testkit/src/endpoint/session.rs
+++ b/crates/testkit/src/endpoint/session.rs
@@ -75,8 +75,17 @@
             pending::<()>().await;
         }
         let link = self.shared.link(self.zone);
-        self.wait_while_cut().await;
-        sleep(link.request_delay + link.reply_delay).await;
+        let on_the_way = async {
+            self.wait_while_cut().await;
+            sleep(link.request_delay + link.reply_delay).await;
+            Ok(())
+        };
+        // Nothing is written that nobody reads.
+        let gone = async {
+            caller_gone(&self.stream).await;
+            Err(io::Error::from(io::ErrorKind::ConnectionAborted))
+        };
+        gone.or(on_the_way).await?;
         let reply = pg::startup_reply();
         self.stream.write_all(&reply).await?;
         self.shared.count(self.zone, CONNECTIONS, |counts| {
@@ -122,8 +131,8 @@
             caller_gone(&self.stream).await;
             None
         };
-        // Polled in this order.
-        work.or(gone).await
+        // Polled in this order: where this side is late, the caller may be gone as the work is done.
+        gone.or(work).await
     }
 
     async fn send_answer(&mut self, query: &PendingQuery, answer: &[u8]) -> io::Result<()> {
