--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -4,7 +4,6 @@
 mod harness;
 
 use harness::fleet::fixtures::*;
-use harness::fleet::work::*;
 use harness::fleet::*;
 use harness::*;
 use tulipwall::*;
