--- a/crates/agent/src/control/discovery/call.rs
+++ b/crates/agent/src/control/discovery/call.rs
@@ -144,8 +144,8 @@
 ) -> Result<CallResponse, CallError> {
     let mut ended = false;
     loop {
-        if let Some(response) = http::parse_response(connection.inbox.unread(), ended)? {
-            connection.inbox.consume(response.length);
+        if let Some(response) = http::parse_response(connection.receive_buffer.unread(), ended)? {
+            connection.receive_buffer.consume(response.length);
             if response.status != STATUS_OK {
                 return Err(CallError::Status(response.status));
             }
@@ -164,7 +164,7 @@
 /// Receives more of a response. Guards against one that stops short of its end, which would be
 /// waited for as long as a watch.
 async fn receive(agent: &Agent, connection: &mut Connection) -> Result<usize, CallError> {
-    let response_begun = !connection.inbox.is_empty();
+    let response_begun = !connection.receive_buffer.is_empty();
     let more = async { Ok(connection.read_more().await?) };
     if response_begun {
         with_timeout(agent, RESPONSE_TIMEOUT, more).await
--- a/crates/agent/src/control/platform/session.rs
+++ b/crates/agent/src/control/platform/session.rs
@@ -161,7 +161,7 @@
         silent_at: Duration,
     ) -> io::Result<SessionEvent> {
         // Guards against a line that stops short of its end, behind which nothing can be read.
-        let line_begun = !self.connection.inbox.is_empty();
+        let line_begun = !self.connection.receive_buffer.is_empty();
         let times_out_at = if line_begun {
             silent_at.min(agent.clock.now() + LINE_TIMEOUT)
         } else {
@@ -188,9 +188,11 @@
         accepted: AcceptedMessages,
     ) -> Result<bool, ProtocolError> {
         let mut received = false;
-        while let Some((line, length)) = platform::split_line(self.connection.inbox.unread())? {
+        while let Some((line, length)) =
+            platform::split_line(self.connection.receive_buffer.unread())?
+        {
             let message = platform::parse_message(line)?;
-            self.connection.inbox.consume(length);
+            self.connection.receive_buffer.consume(length);
             self.received_line = true;
             received = true;
             handle_message(agent, calls, message, accepted);
--- a/crates/agent/src/lifecycle/listener.rs
+++ b/crates/agent/src/lifecycle/listener.rs
@@ -93,7 +93,7 @@
     if connections.is_nearly_full() {
         agent
             .lifecycle
-            .evict_idle_client(agent.clock.now(), connections.reserved_clients());
+            .evict_idle_client(agent.clock.now(), connections.reserved_client_permits());
     }
     permit
 }
--- a/crates/agent/src/protocol/connection.rs
+++ b/crates/agent/src/protocol/connection.rs
@@ -49,7 +49,7 @@
 pub struct Connection {
     source: Source<TcpStream>,
     /// What was received and not consumed yet.
-    pub inbox: Buffer,
+    pub receive_buffer: Buffer,
     /// The bytes that went over it.
     pub traffic: Rc<SocketTraffic>,
     /// When each unread message became whole, where that is tracked.
@@ -63,7 +63,7 @@
         let _ = stream.set_nodelay(true);
         Ok(Connection {
             source: Source::new(stream)?,
-            inbox: Buffer::default(),
+            receive_buffer: Buffer::default(),
             traffic: Rc::default(),
             arrivals: None,
         })
@@ -98,13 +98,17 @@
     /// Reads what is there, at least a byte, and returns how much; 0 at the end. Nothing is lost
     /// when the future is dropped before it is ready.
     pub async fn read_more(&mut self) -> io::Result<usize> {
-        let Connection { source, inbox, .. } = self;
+        let Connection {
+            source,
+            receive_buffer,
+            ..
+        } = self;
         let offered_space = Cell::new(0);
         let read = |space: &mut [u8]| {
             offered_space.set(space.len());
             source.get().read(space)
         };
-        let received = source.read(|| inbox.fill(read)).await;
+        let received = source.read(|| receive_buffer.fill(read)).await;
         if let Ok(length) = received {
             // Less than there was space for: the socket is empty, the next read would block.
             if length < offered_space.get() {
@@ -113,7 +117,7 @@
             self.traffic.add_read(length);
         }
         if let Some(arrivals) = &mut self.arrivals {
-            arrivals.on_data(self.inbox.unread(), Instant::now());
+            arrivals.on_data(self.receive_buffer.unread(), Instant::now());
         }
         received
     }
@@ -143,14 +147,14 @@
     /// From now on [`Connection::arrivals`] is kept.
     pub fn track_arrivals(&mut self) {
         let mut arrivals = ArrivalTracker::default();
-        arrivals.on_data(self.inbox.unread(), Instant::now());
+        arrivals.on_data(self.receive_buffer.unread(), Instant::now());
         self.arrivals = Some(arrivals);
     }
 
     /// Drops the first message, of `length` bytes, and returns when it became whole, where that is
     /// tracked.
     pub fn consume(&mut self, length: usize) -> Option<Instant> {
-        self.inbox.consume(length);
+        self.receive_buffer.consume(length);
         self.arrivals.as_mut()?.on_consumed(length)
     }
 
@@ -171,7 +175,7 @@
         if would_block {
             self.source.clear_read_readiness();
         }
-        self.inbox.is_empty() && would_block
+        self.receive_buffer.is_empty() && would_block
     }
 }
 
--- a/crates/agent/src/protocol/error.rs
+++ b/crates/agent/src/protocol/error.rs
@@ -101,7 +101,7 @@
     MissingField(&'static str),
     /// The deadline is not a number of milliseconds.
     #[error("statement: field d: milliseconds are wanted")]
-    InvalidWait,
+    InvalidTimeout,
     /// Another request with the same id is in progress.
     #[error("statement: field id: its command is still open")]
     RequestStillOpen,
--- a/crates/agent/src/protocol/statement.rs
+++ b/crates/agent/src/protocol/statement.rs
@@ -20,14 +20,14 @@
     /// The object it reads or writes; requests on the same object share affinity.
     pub object: String,
     /// For how long its client waits.
-    pub wait: Duration,
+    pub client_timeout: Duration,
     /// The client's estimate of its work; an unreadable one is ignored.
     pub estimated_work: Option<Duration>,
     /// Whether its client marks it as a retry.
     pub is_retry: bool,
     text: String,
     /// Where the value of the wait stands in `text`.
-    wait_at: Range<usize>,
+    timeout_range: Range<usize>,
     _reservation: MemoryReservation,
 }
 
@@ -39,7 +39,7 @@
     ") RETURNING body",
 ];
 /// An hour, in milliseconds: longer waits are cut to it, so that no sum of times overflows.
-const MAX_WAIT_MS: f64 = 3_600_000.0;
+const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
 /// The characters of a malformed attribute that an error quotes.
 const MAX_QUOTED_CHARS: usize = 40;
 
@@ -53,7 +53,7 @@
     estimated_work: Option<Duration>,
     is_retry: bool,
     /// The value of the wait, and where it stands in the statement.
-    wait: Option<(&'a str, Range<usize>)>,
+    client_timeout: Option<(&'a str, Range<usize>)>,
 }
 
 impl<'a> Attributes<'a> {
@@ -85,7 +85,7 @@
                 self.estimated_work = microseconds.map(|us| Duration::from_micros(us.into()));
             }
             "r" => self.is_retry = value == "1",
-            "d" => self.wait = Some((value, value_range)),
+            "d" => self.client_timeout = Some((value, value_range)),
             _ => {}
         }
     }
@@ -111,39 +111,46 @@
         let attributes = Attributes::parse(comment, attributes_start)?;
         let id = attributes.id.ok_or(StatementError::MissingField("id"))?;
         let class = attributes.class.ok_or(StatementError::MissingField("c"))?;
-        let (wait, wait_at) = attributes.wait.ok_or(StatementError::MissingField("d"))?;
+        let (client_timeout, timeout_range) = attributes
+            .client_timeout
+            .ok_or(StatementError::MissingField("d"))?;
         Ok(Statement {
             id: id.to_owned(),
             has_deduplication_key: attributes.has_deduplication_key,
             class: class.to_owned(),
             tenant: attributes.tenant.map(str::to_owned),
             object: object.to_owned(),
-            wait: parse_wait(wait)?,
+            client_timeout: parse_timeout(client_timeout)?,
             estimated_work: attributes.estimated_work,
             is_retry: attributes.is_retry,
             text: text.to_owned(),
-            wait_at,
+            timeout_range,
             // Once here, and once more as it is written on.
             _reservation: MemoryReservation::new(text.len() * 2),
         })
     }
 
     /// The same statement, with the time for which the agent will wait, at least 1 ms.
-    pub fn with_wait(&self, wait: Duration) -> String {
-        let before = &self.text[..self.wait_at.start];
-        let after = &self.text[self.wait_at.end..];
+    pub fn with_client_timeout(&self, client_timeout: Duration) -> String {
+        let before = &self.text[..self.timeout_range.start];
+        let after = &self.text[self.timeout_range.end..];
         let separator = if after.starts_with("*/") { " " } else { "" };
-        format!("{before}{}{separator}{after}", wait.as_millis().max(1))
+        format!(
+            "{before}{}{separator}{after}",
+            client_timeout.as_millis().max(1)
+        )
     }
 }
 
-fn parse_wait(milliseconds: &str) -> Result<Duration, StatementError> {
-    let wait_ms = milliseconds
+fn parse_timeout(milliseconds: &str) -> Result<Duration, StatementError> {
+    let timeout_ms = milliseconds
         .parse::<f64>()
         .ok()
         .filter(|ms| *ms >= 0.0 && ms.is_finite())
-        .ok_or(StatementError::InvalidWait)?;
-    Ok(Duration::from_secs_f64(wait_ms.min(MAX_WAIT_MS) / 1000.0))
+        .ok_or(StatementError::InvalidTimeout)?;
+    Ok(Duration::from_secs_f64(
+        timeout_ms.min(MAX_TIMEOUT_MS) / 1000.0,
+    ))
 }
 
 /// The inside of the first quoted literal where `text` is the given pieces with a quoted literal
--- a/crates/agent/src/server/admission.rs
+++ b/crates/agent/src/server/admission.rs
@@ -91,7 +91,7 @@
     if received.over_pipeline_limit {
         return Err(Refusal::OverPipelineLimit);
     }
-    let deadline = received.received_at + received.statement.wait;
+    let deadline = received.received_at + received.statement.client_timeout;
     if agent.lifecycle.ends_before(deadline) {
         return Err(Refusal::Terminating);
     }
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -105,12 +105,12 @@
 
     async fn read(&mut self) -> Flow {
         if self.started {
-            let inbox = &mut self.client.inbox;
-            if let Some(length) = postgres::announced_length(inbox.unread()) {
-                inbox.reserve(length);
+            let receive_buffer = &mut self.client.receive_buffer;
+            if let Some(length) = postgres::announced_length(receive_buffer.unread()) {
+                receive_buffer.reserve(length);
             }
         }
-        if !self.client.inbox.is_empty() {
+        if !self.client.receive_buffer.is_empty() {
             self.due
                 .get_or_insert(self.agent.clock.now() + RECEIVE_TIMEOUT);
         }
@@ -129,7 +129,7 @@
 
     fn on_receive_timeout(&mut self) {
         self.agent.counters.clients_timed_out.increment();
-        let missing = if self.client.inbox.is_empty() {
+        let missing = if self.client.receive_buffer.is_empty() {
             "command"
         } else {
             "message"
--- a/crates/agent/src/server/input.rs
+++ b/crates/agent/src/server/input.rs
@@ -38,7 +38,7 @@
 ) -> ReadEvent {
     release_idle_buffer(agent, client);
     let _owing = due.map(|_| agent.lifecycle.register_owing_client());
-    if !client.inbox.is_empty() {
+    if !client.receive_buffer.is_empty() {
         return read_rest(agent, client, due).await;
     }
     let owes_first_request = due.is_some();
@@ -132,7 +132,7 @@
 /// of what may be buffered at most. Costs an allocation a request while as much is in use.
 fn release_idle_buffer(agent: &Agent, client: &mut Connection) {
     if MemoryReservation::total() > agent.limits.max_buffered_bytes() / IDLE_BUFFER_SHARE {
-        client.inbox.release_if_empty();
+        client.receive_buffer.release_if_empty();
     }
 }
 
--- a/crates/agent/src/server/message.rs
+++ b/crates/agent/src/server/message.rs
@@ -51,7 +51,7 @@
     client: &mut Connection,
     reply: &mut Vec<u8>,
 ) -> Result<Step, ProtocolError> {
-    let Some(message) = postgres::parse_message(client.inbox.unread())? else {
+    let Some(message) = postgres::parse_message(client.receive_buffer.unread())? else {
         return Ok(Step::NeedMore);
     };
     let length = message.length;
@@ -88,7 +88,7 @@
         }
     }
     postgres::write_ready(reply);
-    if !client.inbox.is_empty() {
+    if !client.receive_buffer.is_empty() {
         // Others have their turn, however much this client has written ahead.
         future::yield_now().await;
     }
--- a/crates/agent/src/server/output.rs
+++ b/crates/agent/src/server/output.rs
@@ -44,12 +44,12 @@
 /// Reads and forgets what a client still writes, up to a bound.
 async fn discard_input(client: &mut Connection) {
     let mut discarded = 0;
-    client.inbox.consume(usize::MAX);
+    client.receive_buffer.consume(usize::MAX);
     while discarded < MAX_BYTES_AT_CLOSE && !client.is_open_and_quiet() {
         match client.read_more().await {
             Ok(count) if count > 0 => discarded += count,
             _ => return,
         }
-        client.inbox.consume(usize::MAX);
+        client.receive_buffer.consume(usize::MAX);
     }
 }
--- a/crates/agent/src/server/overflow.rs
+++ b/crates/agent/src/server/overflow.rs
@@ -52,7 +52,7 @@
 
 /// Rejects a message, unless it is an empty query.
 fn reject_message(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
-    let Some(message) = postgres::parse_message(client.inbox.unread())? else {
+    let Some(message) = postgres::parse_message(client.receive_buffer.unread())? else {
         return Ok(Step::NeedMore);
     };
     let is_empty_query =
--- a/crates/agent/src/server/request/events.rs
+++ b/crates/agent/src/server/request/events.rs
@@ -73,7 +73,7 @@
 /// Ready once the client closes its connection, or ends its sending, which look the same.
 /// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
 async fn client_left(client: &mut Connection) {
-    while client.inbox.len() <= MAX_BYTES_READ_AHEAD {
+    while client.receive_buffer.len() <= MAX_BYTES_READ_AHEAD {
         match client.read_more().await {
             Ok(count) if count > 0 => {}
             _ => return,
--- a/crates/agent/src/server/request/mod.rs
+++ b/crates/agent/src/server/request/mod.rs
@@ -69,7 +69,7 @@
         resolved: ResolvedRequest,
         received_at: Duration,
     ) -> (ActiveRequest, Decision) {
-        let deadline = received_at + statement.wait;
+        let deadline = received_at + statement.client_timeout;
         let request = Request {
             class: resolved.class,
             tenant: resolved.tenant,
--- a/crates/agent/src/server/startup.rs
+++ b/crates/agent/src/server/startup.rs
@@ -21,7 +21,7 @@
 
 /// Handles what a client opens its connection with.
 pub fn handle_startup(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
-    let Some((opening, length)) = postgres::parse_opening(client.inbox.unread())? else {
+    let Some((opening, length)) = postgres::parse_opening(client.receive_buffer.unread())? else {
         return Ok(Step::NeedMore);
     };
     client.consume(length);
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -67,7 +67,7 @@
     match end {
         Ok(()) => release(agent, plan.target, pooled),
         Err(error) => {
-            let begun = response.has_begun() || !pooled.connection.inbox.is_empty();
+            let begun = response.has_begun() || !pooled.connection.receive_buffer.is_empty();
             let lost_within = begun && outcome == Outcome::ConnectionLost;
             record_fault(agent, plan.target, meter, &error, lost_within);
         }
@@ -101,7 +101,7 @@
             return Err(Outcome::NotSent);
         }
         let time_left = plan.timeout_at.saturating_sub(agent.clock.now());
-        let query = postgres::query(&statement.with_wait(time_left));
+        let query = postgres::query(&statement.with_client_timeout(time_left));
         pooled.on_request(agent.clock.now());
         let written = pooled.connection.write(&query).await;
         match (written, source) {
@@ -167,7 +167,7 @@
 /// Keeps a connection that is ready for the next query. What comes behind a response belongs to
 /// nobody, and would be taken for the next request's: such a connection is closed.
 fn release(agent: &Agent, target: AttemptTarget, mut pooled: PooledConnection) {
-    if pooled.connection.inbox.is_empty() {
+    if pooled.connection.receive_buffer.is_empty() {
         pooled.on_response(agent.clock.now());
         agent.return_connection(target, pooled);
     } else {
--- a/crates/agent/src/upstream/limits.rs
+++ b/crates/agent/src/upstream/limits.rs
@@ -116,11 +116,11 @@
 
     /// Hardly any place is left for further clients.
     pub fn is_nearly_full(&self) -> bool {
-        self.clients.held.get() + self.reserved_clients() >= self.max_clients()
+        self.clients.held.get() + self.reserved_client_permits() >= self.max_clients()
     }
 
     /// So many places are kept free for new clients, by closing idle ones.
-    pub fn reserved_clients(&self) -> usize {
+    pub fn reserved_client_permits(&self) -> usize {
         self.max_clients() / NEARLY_FULL_SHARE
     }
 
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -38,14 +38,14 @@
     response: &mut ResponseReader,
 ) -> Result<(), ResponseError> {
     loop {
-        let bytes = connection.inbox.unread();
+        let bytes = connection.receive_buffer.unread();
         let Some(message) = postgres::parse_endpoint_message(bytes)? else {
             read_more(agent, connection, response.has_begun()).await?;
             continue;
         };
         let length = message.length;
         let ready = response.on_message(message.tag, message.body, &bytes[..length])?;
-        connection.inbox.consume(length);
+        connection.receive_buffer.consume(length);
         if ready {
             return Ok(());
         }
@@ -61,7 +61,7 @@
     connection: &mut Connection,
     begun: bool,
 ) -> Result<(), ResponseError> {
-    let begun = begun || !connection.inbox.is_empty();
+    let begun = begun || !connection.receive_buffer.is_empty();
     let read = async { connection.read_more().await.map_err(ResponseError::from) };
     let count = if begun {
         read.or(rest_timeout(agent)).await?
--- a/crates/agent/tests/protocols.rs
+++ b/crates/agent/tests/protocols.rs
@@ -112,9 +112,9 @@
             (s.class.as_str(), s.tenant.as_deref(), s.object.as_str()),
             (class, tenant, "a1")
         );
-        assert_eq!(s.wait, Duration::from_millis(480));
+        assert_eq!(s.client_timeout, Duration::from_millis(480));
         assert_eq!(
-            s.with_wait(Duration::from_millis(95)),
+            s.with_client_timeout(Duration::from_millis(95)),
             text.replace("d=480", "d=95")
         );
     }
