--- a/src/balancer/endpoint_weights.rs
+++ b/src/balancer/endpoint_weights.rs
@@ -31,7 +31,7 @@
     /// Weighs hardware types and endpoints by their latencies of late. The latency of each endpoint
     /// returns a bit to that of its peers, endpoints of the same hardware type and side of the
     /// rollout; it and the weight are computed when they are read.
-    pub(super) fn weigh_endpoints(&mut self) {
+    pub(super) fn update_endpoint_weights(&mut self) {
         let medians = self.peer_medians();
         weigh_types(&mut self.fleet.types);
         for (endpoint_type, median) in medians.iter().enumerate() {
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -11,7 +11,7 @@
 /// How long after its newest start a released build is evaluated.
 pub(super) const EVALUATED_AFTER_START: Duration = Duration::from_millis(15_000);
 /// Outcomes below which the baseline of an earlier build does not decay.
-pub(super) const KEPT_BASELINE: f64 = 20.0;
+pub(super) const MIN_BASELINE_OUTCOMES: f64 = 20.0;
 /// Seconds until outcomes weigh half.
 const OUTCOME_HALF_LIFE: f64 = 10.0;
 /// Outcomes of a class below which an endpoint forgets them: a single request after 200 s, so that
@@ -104,7 +104,9 @@
         let newest_build = self.rollout.newest_build();
         for (number, build) in &mut self.rollout.builds {
             let departed = &mut build.departed_outcomes;
-            if *number >= newest_build || OutcomeCounts::sum(departed).total() > KEPT_BASELINE {
+            if *number >= newest_build
+                || OutcomeCounts::sum(departed).total() > MIN_BASELINE_OUTCOMES
+            {
                 for counts in departed {
                     counts.decay(factor);
                 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -275,7 +275,7 @@
     /// Weighs endpoints and builds by the evidence of the last interval.
     fn evaluate(&mut self, now: Duration) {
         self.update_slow_start_pace();
-        self.weigh_endpoints();
+        self.update_endpoint_weights();
         self.update_slow_start_quotas(now);
         self.decay_evidence(now);
         self.update_remote_weight();
--- a/src/balancer/outcome_evidence.rs
+++ b/src/balancer/outcome_evidence.rs
@@ -4,13 +4,13 @@
 //! when an endpoint is written or read, and the sums of endpoints that decay alike decay as one.
 
 use super::evidence::{outcome_decay, MIN_ENDPOINTS_TO_DISCARD, ROUNDING_ERROR};
-use super::evidence::{KEPT_BASELINE, REBUILD_INTERVALS};
+use super::evidence::{MIN_BASELINE_OUTCOMES, REBUILD_INTERVALS};
 use crate::model::{BuildOutcomes, EndpointOutcomes, FailureRank, OutcomeDecay, OutcomeSums};
 use crate::stats::OutcomeCounts;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Outcomes of an earlier build that are kept: those that meet the bound up to rounding are.
-const MAX_KEPT: f64 = KEPT_BASELINE * (1.0 + ROUNDING_ERROR);
+const MAX_KEPT: f64 = MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR);
 
 /// How an endpoint's outcomes lose weight at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/balancer/outcome_regression.rs
+++ b/src/balancer/outcome_regression.rs
@@ -1,6 +1,6 @@
 //! Whether a canary fails a class that the earlier build serves.
 
-use super::evidence::{KEPT_BASELINE, MIN_OUTCOMES};
+use super::evidence::{MIN_BASELINE_OUTCOMES, MIN_OUTCOMES};
 use super::Balancer;
 use crate::interface::RolloutStatus;
 use crate::stats::{log_likelihood_ratio, OutcomeCounts, Proportion};
@@ -212,8 +212,8 @@
     fn of_class(&self, evidence: &ClassEvidence) -> OutcomeCounts {
         let earlier = evidence.earlier;
         let own = earlier.scaled_plus(self.former_weight, evidence.peers);
-        let missing = earlier.total().min(1.0) * (KEPT_BASELINE - own.total()).max(0.0)
-            / self.whole.total().max(KEPT_BASELINE);
+        let missing = earlier.total().min(1.0) * (MIN_BASELINE_OUTCOMES - own.total()).max(0.0)
+            / self.whole.total().max(MIN_BASELINE_OUTCOMES);
         self.whole.scaled_plus(missing, &own)
     }
 }
--- a/tests/unit/balancer/peer_latencies.rs
+++ b/tests/unit/balancer/peer_latencies.rs
@@ -82,7 +82,7 @@
     /// An evaluation whose medians are not checked.
     fn evaluate_unchecked(&mut self) {
         self.now += ms(100);
-        self.balancer.weigh_endpoints();
+        self.balancer.update_endpoint_weights();
         self.balancer.update_slow_start_quotas(self.now);
         for index in 0..self.walked.len() {
             let median = self.balancer.peer_latencies.of(self.group(index)).median;
@@ -93,7 +93,7 @@
 
     fn evaluate(&mut self) {
         self.now += ms(100);
-        self.balancer.weigh_endpoints();
+        self.balancer.update_endpoint_weights();
         self.balancer.update_slow_start_quotas(self.now);
         let exact = [false, true].map(|is_newest| {
             [0, 1].map(|endpoint_type| {
@@ -355,7 +355,7 @@
     for size in [55, 770, 7_700] {
         let mut world = World::new(1, size);
         world.balancer.fleet.reset_scanned();
-        world.balancer.weigh_endpoints();
+        world.balancer.update_endpoint_weights();
         world.balancer.update_slow_start_quotas(world.now);
         world.balancer.update_limit(world.now);
         let status = rollout(1, RolloutPhase::Released);
--- a/tests/unit/balancer/slow_start_quotas.rs
+++ b/tests/unit/balancer/slow_start_quotas.rs
@@ -46,7 +46,7 @@
         }
         now += ms(100);
         balancer.slow_start.completed_per_interval.value = random.gen_range(0.0..3.0);
-        balancer.weigh_endpoints();
+        balancer.update_endpoint_weights();
         balancer.update_slow_start_quotas(now);
         for (index, quota) in quotas.iter_mut().enumerate().take(balancer.fleet.len()) {
             let endpoint = balancer.fleet.endpoint(index);
@@ -69,7 +69,7 @@
         .collect();
     balancer.update_endpoints(START, &entries, true);
     balancer.slow_start.completed_per_interval.value = 2.0;
-    balancer.weigh_endpoints();
+    balancer.update_endpoint_weights();
     balancer.update_slow_start_quotas(START);
     let long = Settings {
         slow_start_duration: ms(9_000),
--- a/tests/unit/balancer/zone_capacities.rs
+++ b/tests/unit/balancer/zone_capacities.rs
@@ -134,7 +134,7 @@
             change_at_random(&mut balancer.fleet.endpoint_mut(index), &mut random, now);
             change_latency(&mut balancer, index, &mut random);
             if step % 10 == 0 {
-                balancer.weigh_endpoints();
+                balancer.update_endpoint_weights();
             }
             assert_exact(&balancer, now);
             assert_exact(&balancer, now + ms(400));
@@ -150,7 +150,7 @@
         change_latency(&mut balancer, index, &mut random);
     }
     for _ in 0..50 {
-        balancer.weigh_endpoints();
+        balancer.update_endpoint_weights();
         assert_exact(&balancer, START);
     }
 }
@@ -170,7 +170,7 @@
             );
         }
         for evaluation in 0..60 {
-            balancer.weigh_endpoints();
+            balancer.update_endpoint_weights();
             let now = START + ms(100 * evaluation);
             assert_counts_match(&balancer, now);
             assert_estimates(&balancer, now);
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -57,7 +57,7 @@
         let newest_build = self.newest_build;
         for endpoint in &mut self.endpoints {
             let total = OutcomeCounts::sum(&endpoint.outcomes).total();
-            let is_kept = total <= KEPT_BASELINE * (1.0 + ROUNDING_ERROR);
+            let is_kept = total <= MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR);
             if endpoint.build >= newest_build || !is_kept {
                 for counts in &mut endpoint.outcomes {
                     counts.decay(factor);
@@ -340,8 +340,8 @@
             pair.assert_agree(&(requests, intervals));
         }
         let total = pair.evidence.total_of(0).total();
-        assert!(total <= KEPT_BASELINE * (1.0 + ROUNDING_ERROR));
-        assert!(total >= (KEPT_BASELINE * outcome_decay().factor).min(f64::from(requests)));
+        assert!(total <= MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR));
+        assert!(total >= (MIN_BASELINE_OUTCOMES * outcome_decay().factor).min(f64::from(requests)));
     }
 }
 
