--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -98,9 +98,9 @@
 
     fn count_unresponsive(&mut self, now: Duration) {
         let stall_timeout = self.stall_timeout();
-        let awaited = self.fleet.index().sets().awaited();
-        self.fleet.count_scanned(awaited.len());
-        self.admission.unresponsive_in_flight = awaited
+        let awaiting_response = self.fleet.index().sets().awaiting_response();
+        self.fleet.count_scanned(awaiting_response.len());
+        self.admission.unresponsive_in_flight = awaiting_response
             .iter()
             .map(|index| self.fleet.endpoint(*index))
             .filter(|e| e.is_unresponsive(now, stall_timeout))
--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -74,9 +74,11 @@
     }
 
     fn awaited_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        let awaited = self.fleet.index().sets().awaited();
-        self.fleet.count_scanned(awaited.len());
-        awaited.iter().map(|index| self.fleet.endpoint(*index))
+        let awaiting_response = self.fleet.index().sets().awaiting_response();
+        self.fleet.count_scanned(awaiting_response.len());
+        awaiting_response
+            .iter()
+            .map(|index| self.fleet.endpoint(*index))
     }
 
     /// Takes an endpoint with attempts in flight into the counts of its zone.
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -75,16 +75,16 @@
             return;
         }
         self.clock.resumed_at = now;
-        let awaited: Vec<usize> = self
+        let awaiting_response: Vec<usize> = self
             .fleet
             .index()
             .sets()
-            .awaited()
+            .awaiting_response()
             .iter()
             .copied()
             .collect();
-        self.fleet.count_scanned(awaited.len());
-        for index in awaited {
+        self.fleet.count_scanned(awaiting_response.len());
+        for index in awaiting_response {
             let mut endpoint = self.fleet.endpoint_mut(index);
             let silent_since = &mut endpoint.health.silent_since;
             *silent_since = silent_since.map(|_| now);
@@ -269,7 +269,7 @@
         let class = &mut self.classes[observation.class];
         let latency = observation.elapsed.as_secs_f64();
         let ratio = (latency / class.latency.mean).min(MAX_LATENCY_RATIO);
-        update_high_quantile(&mut class.latency.high, latency);
+        update_high_quantile(&mut class.latency.high_quantile, latency);
         let endpoint = self.fleet.endpoint(observation.endpoint);
         let mut endpoint_latency = self.endpoint_latency(endpoint);
         update_high_quantile(&mut endpoint_latency, ratio);
@@ -365,12 +365,12 @@
 }
 
 /// Follows a high quantile by one value.
-pub(super) fn update_high_quantile(high: &mut f64, value: f64) {
-    let step = if value > *high {
+pub(super) fn update_high_quantile(high_quantile: &mut f64, value: f64) {
+    let step = if value > *high_quantile {
         HIGH_QUANTILE_UP
     } else {
         HIGH_QUANTILE_DOWN
     };
     let (min, max) = HIGH_QUANTILE_RANGE;
-    *high = (*high * step).clamp(min, max);
+    *high_quantile = (*high_quantile * step).clamp(min, max);
 }
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -31,7 +31,7 @@
 
 fn high_latency(class: &ClassState) -> f64 {
     let latency = &class.latency;
-    latency.high.max(latency.mean * HIGH_LATENCY_MEANS)
+    latency.high_quantile.max(latency.mean * HIGH_LATENCY_MEANS)
 }
 
 impl Balancer {
--- a/src/balancer/outcome_evidence.rs
+++ b/src/balancer/outcome_evidence.rs
@@ -137,7 +137,7 @@
         if added.has_failures() {
             add_failures(build, record, endpoint, &self.decay);
         }
-        if record.outcomes.is_crowded() || self.aging_of(endpoint) != aging {
+        if record.outcomes.needs_pruning() || self.aging_of(endpoint) != aging {
             self.regroup(endpoint, |_, _| {});
         }
     }
@@ -205,7 +205,7 @@
             Some(Aging::Decays | Aging::DecaysUntilKept) => self.interval - record.interval,
             Some(Aging::Kept) | None => 0,
         };
-        record.outcomes.total().scaled(self.decay.over(age))
+        record.outcomes.total().scaled(self.decay.factor_after(age))
     }
 
     /// Endpoints of a build that have shown failures since they were started.
@@ -244,14 +244,14 @@
 
     fn discard(&self, endpoint: usize, build: &BuildOutcomes, sums: &mut [OutcomeCounts]) {
         let record = &self.endpoints[endpoint];
-        let factor = self.decay.over(self.interval - record.interval);
+        let factor = self.decay.factor_after(self.interval - record.interval);
         for (class, counts) in record.outcomes.by_class(&self.decay) {
             let Some(sum) = sums.get_mut(class) else {
                 continue;
             };
             // Where no other endpoint was sent requests of the class, nothing is left of it.
             *sum = if build.decaying.endpoints(class) > 1 {
-                sum.less(&counts.scaled(factor))
+                sum.minus(&counts.scaled(factor))
             } else {
                 OutcomeCounts::default()
             };
@@ -339,7 +339,7 @@
     fn join(&mut self, endpoint: usize) {
         self.endpoints[endpoint]
             .outcomes
-            .forget_negligible(&self.decay);
+            .prune_negligible(&self.decay);
         let aging = self.aging_of(endpoint);
         let record = &mut self.endpoints[endpoint];
         record.aging = Some(aging);
--- a/src/balancer/request_class.rs
+++ b/src/balancer/request_class.rs
@@ -23,7 +23,7 @@
             mean,
             floor: mean,
             median: mean * INITIAL_MEDIAN,
-            high: mean * INITIAL_HIGH,
+            high_quantile: mean * INITIAL_HIGH,
         },
         ..ClassState::default()
     }
--- a/src/model/build_outcomes.rs
+++ b/src/model/build_outcomes.rs
@@ -30,7 +30,7 @@
         if age == 0 {
             return;
         }
-        let factor = decay.over(age);
+        let factor = decay.factor_after(age);
         for sum in &mut self.by_class {
             sum.counts.decay(factor);
         }
@@ -58,7 +58,7 @@
         sum.counts = if sum.endpoints == 0 {
             OutcomeCounts::default()
         } else {
-            sum.counts.less(counts)
+            sum.counts.minus(counts)
         };
     }
 
@@ -71,7 +71,7 @@
 
     /// Factor by which the sums decay up to this evaluation interval.
     pub fn factor_to(&self, interval: u64, decay: &OutcomeDecay) -> f64 {
-        decay.over(interval - self.interval)
+        decay.factor_after(interval - self.interval)
     }
 
     /// Endpoints that were sent requests of a class.
@@ -174,6 +174,6 @@
 
     /// Sum of the failures of the ranked endpoints at this evaluation interval.
     pub fn ranked_failures(&self, interval: u64, decay: &OutcomeDecay) -> f64 {
-        self.failures * decay.over(interval - self.failures_at)
+        self.failures * decay.factor_after(interval - self.failures_at)
     }
 }
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -36,7 +36,7 @@
     /// Median before the canary.
     pub median: f64,
     /// A high quantile.
-    pub high: f64,
+    pub high_quantile: f64,
 }
 
 /// A sample of latencies that is cut short by requests which were never answered.
--- a/src/model/endpoint_outcomes.rs
+++ b/src/model/endpoint_outcomes.rs
@@ -13,7 +13,7 @@
 
 impl OutcomeDecay {
     /// Factor on all counts after so many intervals: 0 after very many.
-    pub fn over(&self, intervals: u64) -> f64 {
+    pub fn factor_after(&self, intervals: u64) -> f64 {
         match intervals {
             0 => 1.0,
             1 => self.factor,
@@ -69,14 +69,14 @@
 
     /// Whether there are twice as many classes as were left when negligible ones were last looked
     /// for. Looking for them then costs each new class the same, however many there are.
-    pub fn is_crowded(&self) -> bool {
+    pub fn needs_pruning(&self) -> bool {
         self.entries.len() > self.crowded_from.max(1)
     }
 
     /// Lets all counts decay so many times.
     pub fn decay(&mut self, times: u64, decay: &OutcomeDecay) {
         self.decays += times;
-        self.total.decay(decay.over(times));
+        self.total.decay(decay.factor_after(times));
     }
 
     /// Adds outcomes of a class. Whether the class was not remembered before.
@@ -86,7 +86,7 @@
         match self.entries.binary_search_by_key(&class, |e| e.class) {
             Ok(position) => {
                 let entry = &mut self.entries[position];
-                let factor = decay.over(self.decays - entry.decays);
+                let factor = decay.factor_after(self.decays - entry.decays);
                 entry.counts.decay_and_add(factor, added);
                 entry.decays = self.decays;
                 false
@@ -115,7 +115,7 @@
             let entry_age = self.decays - entry.decays;
             if entry_age != age {
                 age = entry_age;
-                factor = decay.over(age);
+                factor = decay.factor_after(age);
             }
             (entry.class, entry.counts.scaled(factor))
         })
@@ -142,7 +142,7 @@
     }
 
     /// Forgets classes of which hardly anything is left.
-    pub fn forget_negligible(&mut self, decay: &OutcomeDecay) {
+    pub fn prune_negligible(&mut self, decay: &OutcomeDecay) {
         self.settle(decay);
         let mut forgot_failed = self.forgot_failed;
         let mut forgot_others = self.forgot_others;
@@ -181,7 +181,9 @@
     /// Applies all decays to all classes.
     fn settle(&mut self, decay: &OutcomeDecay) {
         for entry in &mut self.entries {
-            entry.counts.decay(decay.over(self.decays - entry.decays));
+            entry
+                .counts
+                .decay(decay.factor_after(self.decays - entry.decays));
             entry.decays = self.decays;
         }
     }
--- a/src/model/endpoint_sets.rs
+++ b/src/model/endpoint_sets.rs
@@ -9,7 +9,7 @@
     /// Those that run and are in slow start.
     warming: BTreeSet<usize>,
     /// Those that have attempts in flight, and those that run and owe a sign of life.
-    awaited: BTreeSet<usize>,
+    awaiting_response: BTreeSet<usize>,
     /// Those that run and are past slow start, by hardware type and build.
     warm: WarmEndpoints,
 }
@@ -21,7 +21,7 @@
             set_member(&mut self.warming, endpoint, is_warming(after));
         }
         if is_awaited(before) != is_awaited(after) {
-            set_member(&mut self.awaited, endpoint, is_awaited(after));
+            set_member(&mut self.awaiting_response, endpoint, is_awaited(after));
         }
         let (group_before, group_after) = (warm_group(before), warm_group(after));
         if group_before == group_after {
@@ -41,8 +41,8 @@
     }
 
     /// Endpoints that may be unresponsive, by index: all others have nothing in flight.
-    pub fn awaited(&self) -> &BTreeSet<usize> {
-        &self.awaited
+    pub fn awaiting_response(&self) -> &BTreeSet<usize> {
+        &self.awaiting_response
     }
 
     /// Endpoints that run and are past slow start.
--- a/src/stats/outcome_counts.rs
+++ b/src/stats/outcome_counts.rs
@@ -33,7 +33,7 @@
     }
 
     /// These counts less those of `other`, none below zero.
-    pub fn less(&self, other: &OutcomeCounts) -> OutcomeCounts {
+    pub fn minus(&self, other: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             succeeded: (self.succeeded - other.succeeded).max(0.0),
             failed: (self.failed - other.failed).max(0.0),
--- a/tests/unit/balancer/class_summaries.rs
+++ b/tests/unit/balancer/class_summaries.rs
@@ -15,7 +15,7 @@
 fn stall_timeout(balancer: &Balancer) -> Duration {
     let latencies = balancer.classes.iter().map(|class| &class.latency);
     let highest = latencies
-        .map(|latency| latency.high.max(latency.mean * 2.3))
+        .map(|latency| latency.high_quantile.max(latency.mean * 2.3))
         .fold(0.0, f64::max);
     Duration::from_secs_f64((highest * 2.0).clamp(0.1, 3.0))
 }
