--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -61,7 +61,7 @@
     idle_clients: RefCell<BTreeMap<IdleKey, Event>>,
     next_idle_number: Cell<u64>,
     /// How many clients owe their first request or the rest of a message.
-    owing_clients: Cell<usize>,
+    incomplete_requests: Cell<usize>,
     /// When the last request ends; known once the program terminates.
     ends_at: Cell<Option<Duration>>,
     /// Whether the listener is closed and all clients that had connected were accepted.
@@ -83,12 +83,12 @@
 }
 
 /// A client that owes its first request or the rest of a message.
-pub struct OwingClientGuard<'a>(&'a Lifecycle);
+pub struct IncompleteRequestGuard<'a>(&'a Lifecycle);
 
-impl Drop for OwingClientGuard<'_> {
+impl Drop for IncompleteRequestGuard<'_> {
     fn drop(&mut self) {
-        let owing_clients = &self.0.owing_clients;
-        owing_clients.set(owing_clients.get() - 1);
+        let incomplete_requests = &self.0.incomplete_requests;
+        incomplete_requests.set(incomplete_requests.get() - 1);
     }
 }
 
@@ -107,7 +107,7 @@
             awaiting_contact: Cell::default(),
             idle_clients: RefCell::default(),
             next_idle_number: Cell::default(),
-            owing_clients: Cell::default(),
+            incomplete_requests: Cell::default(),
             ends_at: Cell::default(),
             listener_closed: Cell::default(),
         }
@@ -221,24 +221,25 @@
     }
 
     /// Counts a client that owes its first request or the rest of a message, for as long as it does.
-    pub fn register_owing_client(&self) -> OwingClientGuard<'_> {
-        self.owing_clients.set(self.owing_clients.get() + 1);
-        OwingClientGuard(self)
+    pub fn register_incomplete_request(&self) -> IncompleteRequestGuard<'_> {
+        self.incomplete_requests
+            .set(self.incomplete_requests.get() + 1);
+        IncompleteRequestGuard(self)
     }
 
     /// Asks the longest idle client to close its connection, one that never sent a request before
     /// one that did; false when none was idle for long enough: one that was not has likely written
     /// its next request already.
     ///
-    /// While more than `max_owing_clients` owe a message no client that sent a request is asked.
+    /// While more than `max_incomplete_requests` owe a message no client that sent a request is asked.
     /// Guards served clients against those that take the places and send nothing, or half a
     /// message: these lose their own within [`RECEIVE_TIMEOUT`]. Does harm where that many send
     /// their first request slowly: new clients are rejected meanwhile once all places are taken.
     ///
     /// [`RECEIVE_TIMEOUT`]: crate::server::limits::RECEIVE_TIMEOUT
-    pub fn evict_idle_client(&self, now: Duration, max_owing_clients: usize) -> bool {
+    pub fn evict_idle_client(&self, now: Duration, max_incomplete_requests: usize) -> bool {
         let evictable = self.longest_idle(now, false).or_else(|| {
-            let few_owe = self.owing_clients.get() <= max_owing_clients;
+            let few_owe = self.incomplete_requests.get() <= max_incomplete_requests;
             few_owe.then(|| self.longest_idle(now, true)).flatten()
         });
         let Some(key) = evictable else {
--- a/crates/agent/src/server/input.rs
+++ b/crates/agent/src/server/input.rs
@@ -37,7 +37,7 @@
     due: Option<Duration>,
 ) -> ReadEvent {
     release_idle_buffer(agent, client);
-    let _owing = due.map(|_| agent.lifecycle.register_owing_client());
+    let _owing = due.map(|_| agent.lifecycle.register_incomplete_request());
     if !client.inbox.is_empty() {
         return read_rest(agent, client, due).await;
     }
