--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -81,11 +81,11 @@
         let names = report_names(&start.name, &start.service);
         let zoning = start.zone_config();
         let settings = start.service.settings.clone();
-        let max_idle = start.service.max_idle;
+        let endpoint_idle_timeout = start.service.endpoint_idle_timeout;
         let agent = Rc::new(Agent {
             balancer: BalancerHandle::new(settings, clock.clone(), counters.clone()),
             zone_traffic: ZoneTraffic::new(clock.now(), zoning, names),
-            pool: ConnectionPool::new(max_idle, clock.clone(), counters.clone()),
+            pool: ConnectionPool::new(endpoint_idle_timeout, clock.clone(), counters.clone()),
             clock,
             counters,
             lifecycle: Lifecycle::new(),
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -141,7 +141,8 @@
 
     fn replace_service_config(&self, service: ServiceConfig, mapping: &IndexMapping) {
         let moved_zones = self.endpoints.reassign_zones(&service);
-        self.pool.set_endpoint_idle_timeout(service.max_idle);
+        self.pool
+            .set_endpoint_idle_timeout(service.endpoint_idle_timeout);
         self.config.replace_service(self.clock.now(), service);
         self.balancer.reload(
             &self.service_config().settings,
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -172,7 +172,7 @@
     InvalidAdminAddress(#[from] AdminAddressError),
     /// A number has a fraction where none may be.
     #[error("a whole number is wanted")]
-    NotWhole,
+    NotInteger,
     /// Something required is absent.
     #[error("{expected}")]
     Missing {
--- a/crates/config/src/installation/alternative_settings.rs
+++ b/crates/config/src/installation/alternative_settings.rs
@@ -42,7 +42,7 @@
         .is_some_and(|number| number.fract() > 0.0);
     if has_fraction {
         let location = reader.location(node);
-        reader.report(location, "guarded-stages", ConfigProblem::NotWhole);
+        reader.report(location, "guarded-stages", ConfigProblem::NotInteger);
     }
     stages.map(|number| number as usize)
 }
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -110,7 +110,7 @@
 
     fn has_same_connection_settings(&self, other: &ServiceConfig) -> bool {
         self.connect_timeout == other.connect_timeout
-            && self.max_idle == other.max_idle
+            && self.endpoint_idle_timeout == other.endpoint_idle_timeout
             && self.handshake_price == other.handshake_price
             && self.longest_timeout == other.longest_timeout
     }
--- a/crates/config/src/service_config/mod.rs
+++ b/crates/config/src/service_config/mod.rs
@@ -26,7 +26,7 @@
     /// How long opening a connection to an endpoint may take.
     pub connect_timeout: Duration,
     /// How long an idle connection to an endpoint is kept.
-    pub max_idle: Duration,
+    pub endpoint_idle_timeout: Duration,
     /// What opening a connection for each request would cost, in points of the service's score; 0
     /// where connections cost nothing.
     pub handshake_price: f64,
@@ -64,7 +64,7 @@
             classes: classes.names,
             zones: zones.names,
             connect_timeout: sections.connect_timeout()?,
-            max_idle: sections.max_idle()?,
+            endpoint_idle_timeout: sections.endpoint_idle_timeout()?,
             handshake_price: sections.handshake_price()?,
             longest_timeout: classes.longest_timeout,
             class_indices: classes.indices,
--- a/crates/config/src/service_config/sections.rs
+++ b/crates/config/src/service_config/sections.rs
@@ -273,7 +273,7 @@
     }
 
     /// How long an idle connection is kept.
-    pub fn max_idle(&self) -> Result<Duration, FieldError> {
+    pub fn endpoint_idle_timeout(&self) -> Result<Duration, FieldError> {
         self.limits.duration_ms_or("conn-idle-ms", 30_000.0)
     }
 
