--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -243,24 +243,24 @@
             .collect()
     };
     let double = tenants(&[("acme", 0.1), ("other", 0.1), ("acme", 0.2)]);
-    spoilt("field tenants: the tenant 'acme' stands twice", &|s| {
+    spoilt("field tenants: duplicate tenant 'acme'", &|s| {
         s["tenants"] = double.clone()
     });
     let beyond = tenants(&[("acme", 1.5)]);
     spoilt(
-        "field share: tenant 'acme': a share from 0 to 1 is wanted",
+        "field share: tenant 'acme': expected a share from 0 to 1",
         &|s| s["tenants"] = beyond.clone(),
     );
-    spoilt("field classes: the class 'view' stands twice", &|s| {
+    spoilt("field classes: duplicate class 'view'", &|s| {
         s["classes"]
             .as_array_mut()
             .unwrap()
             .push(class("view", "once", 400.0));
     });
-    spoilt("field zones: the zone 'a' stands twice", &|s| {
+    spoilt("field zones: duplicate zone 'a'", &|s| {
         s["zones"] = json!(["a", "b", "a"])
     });
-    spoilt("field aim-ms: a number is wanted", &|s| {
+    spoilt("field aim-ms: expected a number", &|s| {
         s["classes"][1]["aim-ms"] = "soon".into()
     });
     assert!(
@@ -277,7 +277,7 @@
     assert!(
         refused
             .log()
-            .contains("settings: field tenants: the tenant 'acme' stands twice"),
+            .contains("settings: field tenants: duplicate tenant 'acme'"),
         "{}",
         refused.log()
     );
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -551,8 +551,8 @@
     let (code, said, _) = check(&names, &["--config", config.to_str().unwrap()]);
     assert_eq!(code, Some(1));
     assert!(
-        said.contains("i.kdl:2:18: to: no zone 'akl-wets'")
-            && said.contains("lane: no lane 'vieuw'"),
+        said.contains("i.kdl:2:18: to: undefined zone 'akl-wets'")
+            && said.contains("lane: undefined request class 'vieuw'"),
         "{said}"
     );
     let (code, _, said) = check(&names, &[]);
@@ -562,10 +562,11 @@
     assert_eq!(code, Some(1));
     let wanted = [
         "i.kdl:1:1: zonse: unknown in the file; did you mean 'zones'?",
-        "i.kdl:2:1: log: one of text, json",
+        "i.kdl:2:1: log: expected one of text, json",
     ];
     assert!(
-        wanted.iter().all(|w| said.contains(w)) && said.contains("i.kdl:3:1: door: a loopback"),
+        wanted.iter().all(|w| said.contains(w))
+            && said.contains("i.kdl:3:1: door: expected a loopback"),
         "{said}"
     );
     assert_eq!(
--- a/crates/config/src/admin_address.rs
+++ b/crates/config/src/admin_address.rs
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AdminAddressError {
     /// The address can be reached from other machines.
-    #[error("a loopback address is wanted, {address} is none")]
+    #[error("expected a loopback address, found {address}")]
     NotLoopback {
         /// The address.
         address: IpAddr,
     },
     /// The text is neither a TCP address nor the path of a Unix socket.
-    #[error("\"127.0.0.1:PORT\" or \"unix:PATH\" is wanted")]
+    #[error("expected \"127.0.0.1:PORT\" or \"unix:PATH\"")]
     Malformed,
 }
 
--- a/crates/config/src/client_file.rs
+++ b/crates/config/src/client_file.rs
@@ -69,7 +69,7 @@
     for (key, is_empty) in lists {
         if is_empty && !reader.has_diagnostics_for(key) {
             let problem = ConfigProblem::Missing {
-                expected: "one or more are wanted",
+                expected: "at least one is required",
             };
             reader.report(SourceLocation::default(), key, problem);
         }
@@ -133,7 +133,7 @@
     let is_incomplete = idempotency_kind.is_none() || latency_objective.is_none();
     if is_incomplete && !reader.has_diagnostics() {
         let problem = ConfigProblem::Missing {
-            expected: "repeats and quoted are wanted in it",
+            expected: "repeats and quoted are required",
         };
         reader.report(location, "lane", problem);
     }
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -77,13 +77,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigProblem {
     /// The document is longer than is read.
-    #[error("at most {max_bytes} bytes are read")]
+    #[error("the document is longer than the maximum of {max_bytes} bytes")]
     DocumentTooLong {
         /// The longest document that is read.
         max_bytes: usize,
     },
     /// Nodes stand within nodes deeper than is read.
-    #[error("braces stand at most {max_depth} deep")]
+    #[error("braces are nested deeper than the maximum of {max_depth} levels")]
     NestedTooDeep {
         /// The deepest nesting that is read.
         max_depth: usize,
@@ -103,7 +103,7 @@
         suggestion: String,
     },
     /// A node or property that is not known here.
-    #[error("unknown in {context}; known are {known}")]
+    #[error("unknown in {context}; expected one of {known}")]
     UnknownName {
         /// The enclosing node.
         context: String,
@@ -111,19 +111,19 @@
         known: String,
     },
     /// A node that may stand once stands twice.
-    #[error("stands twice in {context}")]
+    #[error("specified more than once in {context}")]
     DuplicateNode {
         /// The enclosing node.
         context: String,
     },
     /// Two nodes of a kind have the same name.
-    #[error("the name '{name}' stands twice")]
+    #[error("duplicate name '{name}'")]
     DuplicateName {
         /// The name.
         name: String,
     },
     /// Two links join the same zones in the same direction.
-    #[error("the way from {from} to {to} stands twice")]
+    #[error("duplicate link from {from} to {to}")]
     DuplicateLink {
         /// The zone where the link begins.
         from: String,
@@ -131,22 +131,22 @@
         to: String,
     },
     /// A link leads from a zone to itself.
-    #[error("two zones are wanted, not '{zone}' twice")]
+    #[error("expected two different zones, found '{zone}' twice")]
     LinkToSameZone {
         /// The zone.
         zone: String,
     },
     /// A property stands on a node that has none.
-    #[error("no properties are known in {node}")]
+    #[error("{node} accepts no properties")]
     UnexpectedProperty {
         /// The node.
         node: String,
     },
     /// Nodes stand within a node that holds a value only.
-    #[error("nothing stands within it")]
+    #[error("unexpected child nodes")]
     UnexpectedChildren,
     /// A node has more or fewer values than it must have.
-    #[error("{}, {found} given", expected_count(*.expected))]
+    #[error("expected {}, found {found}", expected_count(*.expected))]
     WrongValueCount {
         /// How many values the node must have.
         expected: usize,
@@ -154,7 +154,7 @@
         found: usize,
     },
     /// A value is of the wrong type or out of range.
-    #[error("{expected} is wanted, not {found}")]
+    #[error("expected {expected}, found {found}")]
     WrongValue {
         /// What the value must be.
         expected: String,
@@ -162,7 +162,7 @@
         found: String,
     },
     /// A text is no network address.
-    #[error("'{found}' is no address with a port")]
+    #[error("expected an address with a port, found '{found}'")]
     InvalidAddress {
         /// The text.
         found: String,
@@ -171,7 +171,7 @@
     #[error(transparent)]
     InvalidAdminAddress(#[from] AdminAddressError),
     /// A number has a fraction where none may be.
-    #[error("a whole number is wanted")]
+    #[error("expected an integer")]
     NotInteger,
     /// Something required is absent.
     #[error("{expected}")]
@@ -180,10 +180,10 @@
         expected: &'static str,
     },
     /// A lower bound exceeds its upper bound.
-    #[error("least is more than most")]
+    #[error("least is greater than most")]
     EmptyRange,
     /// A zone is named that the settings do not have.
-    #[error("no zone '{name}' in the settings; they have {known}")]
+    #[error("undefined zone '{name}'; the settings define {known}")]
     UndefinedZone {
         /// The name.
         name: String,
@@ -191,7 +191,7 @@
         known: String,
     },
     /// A request class is named that the settings do not have.
-    #[error("no lane '{name}' in the settings; they have {known}")]
+    #[error("undefined request class '{name}'; the settings define {known}")]
     UndefinedClass {
         /// The name.
         name: String,
@@ -199,7 +199,7 @@
         known: String,
     },
     /// More guarded stages are wanted than the rollout has stages.
-    #[error("there are {stages} stages")]
+    #[error("expected at most {stages}, the number of rollout stages")]
     TooManyGuardedStages {
         /// How many stages the rollout has.
         stages: usize,
@@ -223,8 +223,8 @@
 
 fn expected_count(count: usize) -> String {
     match count {
-        0 => "no value is wanted".to_owned(),
-        1 => "one value is wanted".to_owned(),
-        n => format!("{n} values are wanted"),
+        0 => "no values".to_owned(),
+        1 => "one value".to_owned(),
+        n => format!("{n} values"),
     }
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -18,7 +18,7 @@
         expected: String,
     },
     /// A list names the same thing twice.
-    #[error("field {key}: the {kind} '{name}' stands twice")]
+    #[error("field {key}: duplicate {kind} '{name}'")]
     DuplicateName {
         /// The key of the list.
         key: &'static str,
@@ -50,7 +50,7 @@
     #[error(transparent)]
     Field(#[from] FieldError),
     /// The seed is no hexadecimal number.
-    #[error("field seed: up to 16 hex digits are wanted")]
+    #[error("field seed: expected up to 16 hexadecimal digits")]
     InvalidSeed,
     /// A key of the object `settings`.
     #[error("settings: {0}")]
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -6,8 +6,8 @@
 use thiserror::Error;
 
 const STRING: &str = "text";
-const INTEGER: &str = "a whole number";
-const UNSIGNED: &str = "a whole number from 0";
+const INTEGER: &str = "an integer";
+const UNSIGNED: &str = "a non-negative integer";
 const NUMBER: &str = "a number";
 const BOOLEAN: &str = "true or false";
 const ARRAY: &str = "an array";
@@ -23,7 +23,7 @@
         key: String,
     },
     /// The field's value is of another JSON type, or outside the range of its type.
-    #[error("field {key}: {expected} is wanted")]
+    #[error("field {key}: expected {expected}")]
     WrongType {
         /// The field's name.
         key: String,
@@ -31,7 +31,7 @@
         expected: &'static str,
     },
     /// The field is an array with an element of the wrong type.
-    #[error("field {key}: {expected} are wanted")]
+    #[error("field {key}: expected an array of {expected}")]
     WrongElements {
         /// The field's name.
         key: String,
@@ -47,7 +47,7 @@
         found: String,
     },
     /// The field must hold a network address and does not.
-    #[error("field {key}: '{found}' is no {expected}")]
+    #[error("field {key}: '{found}' is not a valid {expected}")]
     InvalidAddress {
         /// The field's name.
         key: String,
--- a/crates/config/src/installation/zones.rs
+++ b/crates/config/src/installation/zones.rs
@@ -172,7 +172,7 @@
         budget.read_children(reader, node);
         if budget.limits.is_empty() && !reader.has_diagnostics() {
             let problem = ConfigProblem::Missing {
-                expected: "one of deliveries, bytes, money or share is wanted in it",
+                expected: "one of deliveries, bytes, money or share is required",
             };
             reader.report(location, "budget", problem);
         }
--- a/crates/config/src/kdl_reader/mod.rs
+++ b/crates/config/src/kdl_reader/mod.rs
@@ -18,7 +18,7 @@
 /// The key that problems of the document as a whole are reported under.
 const DOCUMENT_KEY: &str = "file";
 const SYNTAX_KEY: &str = "syntax";
-const NOT_KDL: &str = "no KDL";
+const NOT_KDL: &str = "not a KDL document";
 
 /// Reads one document. Methods that read a value report what is wrong with it and return `None`.
 pub struct KdlReader<'a> {
--- a/crates/config/src/kdl_reader/values.rs
+++ b/crates/config/src/kdl_reader/values.rs
@@ -102,7 +102,7 @@
             .collect();
         if entries.is_empty() {
             let problem = ConfigProblem::Missing {
-                expected: "one number or more are wanted",
+                expected: "expected at least one number",
             };
             self.report(self.location(node), key, problem);
         }
@@ -134,7 +134,7 @@
                 Duration::ZERO => String::new(),
                 min => format!(" of {min:?} or more"),
             };
-            let expected = format!("a span{bound} like \"250ms\" or \"1h\"");
+            let expected = format!("a duration{bound} with a unit, as in \"250ms\" or \"1h\"");
             self.report_wrong_value(entry, node.name().value(), expected);
         }
         seconds.map(Duration::from_secs_f64)
@@ -150,7 +150,7 @@
         };
         let bytes = bytes.filter(|n| n.is_finite() && (0.0..=MAX_SIZE_BYTES).contains(n));
         if bytes.is_none() {
-            let expected = "a size like \"64MiB\"".to_owned();
+            let expected = "a size in bytes or with a unit, as in \"64MiB\"".to_owned();
             self.report_wrong_value(entry, node.name().value(), expected);
         }
         bytes
--- a/crates/config/src/service_config/sections.rs
+++ b/crates/config/src/service_config/sections.rs
@@ -130,7 +130,7 @@
     if !(0.0..=1.0).contains(&share) {
         return Err(ConfigError::OutOfRange {
             key: "share",
-            expected: format!("tenant '{name}': a share from 0 to 1 is wanted"),
+            expected: format!("tenant '{name}': expected a share from 0 to 1"),
         });
     }
     Ok(Tenant { share })
--- a/crates/config/src/service_config/validation.rs
+++ b/crates/config/src/service_config/validation.rs
@@ -31,7 +31,7 @@
     ];
     for (fields, key) in counts {
         if fields.unsigned_or(key, 1)? == 0 {
-            return out_of_range(key, "one at least is wanted");
+            return out_of_range(key, "expected 1 or more");
         }
     }
     Ok(())
@@ -40,7 +40,10 @@
 fn check_guarded_stages(sections: &Sections, stages: usize) -> Result<(), ConfigError> {
     let guarded_stages = sections.domain.unsigned_or("closed-stages", 0)?;
     if guarded_stages as usize > stages {
-        return out_of_range("closed-stages", format!("there are {stages} stages"));
+        return out_of_range(
+            "closed-stages",
+            format!("expected at most {stages}, the number of rollout stages"),
+        );
     }
     Ok(())
 }
@@ -53,7 +56,7 @@
     ];
     for (fields, key) in shares {
         if !(0.0..=1.0).contains(&fields.number_or(key, 0.0)?) {
-            return out_of_range(key, "a share from 0 to 1 is wanted");
+            return out_of_range(key, "expected a share from 0 to 1");
         }
     }
     Ok(())
@@ -66,7 +69,7 @@
             .is_some_and(|share| (0.0..=1.0).contains(&share))
     };
     if !sections.domain.array("most-shares")?.iter().all(is_share) {
-        return out_of_range("most-shares", "shares from 0 to 1 are wanted");
+        return out_of_range("most-shares", "expected shares from 0 to 1");
     }
     Ok(())
 }
@@ -81,7 +84,7 @@
     ];
     for (fields, key) in numbers {
         if fields.number_or(key, 1.0)? <= 0.0 {
-            return out_of_range(key, "more than 0 is wanted");
+            return out_of_range(key, "expected more than 0");
         }
     }
     Ok(())
@@ -89,7 +92,7 @@
 
 fn check_overload_factor(sections: &Sections) -> Result<(), ConfigError> {
     if sections.rules.number_or("fall-multiple", 2.0)? < 1.0 {
-        return out_of_range("fall-multiple", "1 or more is wanted");
+        return out_of_range("fall-multiple", "expected 1 or more");
     }
     Ok(())
 }
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -59,28 +59,28 @@
     };
     assert_eq!(
         with("domain", "closed-stages", json!(2)),
-        "field closed-stages: there are 1 stages"
+        "field closed-stages: expected at most 1, the number of rollout stages"
     );
     assert!(with("domain", "closed-stages", json!(-1)).starts_with("field closed-stages:"));
     assert_eq!(
         with("domain", "noes-needed", json!(0)),
-        "field noes-needed: one at least is wanted"
+        "field noes-needed: expected 1 or more"
     );
     assert_eq!(
         with("", "instances", json!(0)),
-        "field instances: one at least is wanted"
+        "field instances: expected 1 or more"
     );
     assert_eq!(
         with("limits", "try-limit", json!(0)),
-        "field try-limit: one at least is wanted"
+        "field try-limit: expected 1 or more"
     );
-    assert!(
-        with("domain", "reported-share", json!(1.5)).starts_with("field reported-share: a share")
-    );
-    assert!(with("domain", "most-shares", json!([0.2, 7])).starts_with("field most-shares: shares"));
+    assert!(with("domain", "reported-share", json!(1.5))
+        .starts_with("field reported-share: expected a share"));
+    assert!(with("domain", "most-shares", json!([0.2, 7]))
+        .starts_with("field most-shares: expected shares"));
     assert_eq!(
         with("rules", "fall-multiple", json!(0.5)),
-        "field fall-multiple: 1 or more is wanted"
+        "field fall-multiple: expected 1 or more"
     );
     // At no granularity at all what is not yet sent would be asked after again and again without a
     // pause.
@@ -92,7 +92,7 @@
     ] {
         assert_eq!(
             with(of, key, json!(0)),
-            format!("field {key}: more than 0 is wanted")
+            format!("field {key}: expected more than 0")
         );
         assert!(with(of, key, json!(-5)).starts_with(&format!("field {key}:")));
     }
@@ -139,14 +139,14 @@
     assert!(
         far[0]
             .to_string()
-            .contains("guarded-stages: there are 1 stages"),
+            .contains("guarded-stages: expected at most 1, the number of rollout stages"),
         "{}",
         far[0]
     );
     let part = Installation::read("watch {\n    guarded-stages 1.5\n}\n").unwrap_err();
     assert_eq!(
         part[0].to_string(),
-        "2:5: guarded-stages: a whole number is wanted"
+        "2:5: guarded-stages: expected an integer"
     );
     assert!(Installation::read("watch {\n    caps 7\n}\n").is_err());
 }
@@ -240,34 +240,34 @@
 "#;
     let all = errors(text);
     let wanted = [
-        "1:1: log: one of text, json is wanted, not \"xml\"",
-        "3:5: routing: one of as-ever, near-first is wanted, not \"nearest\"",
-        "4:5: link: 2 values are wanted, 1 given",
-        "4:25: delay: a span like \"250ms\" or \"1h\" is wanted, not \"4 parsecs\"",
-        "5:5: link: two zones are wanted, not 'east' twice",
+        "1:1: log: expected one of text, json, found \"xml\"",
+        "3:5: routing: expected one of as-ever, near-first, found \"nearest\"",
+        "4:5: link: expected 2 values, found 1",
+        "4:25: delay: expected a duration with a unit, as in \"250ms\" or \"1h\", found \"4 parsecs\"",
+        "5:5: link: expected two different zones, found 'east' twice",
         "6:5: budgt: unknown in zones; did you mean 'budget'?",
         "8:9: shrae: unknown in budget; did you mean 'share'?",
-        "9:16: window: a span of 1s or more like \"250ms\" or \"1h\" is wanted, not 5",
-        "10:14: lane: text is wanted, not 7",
-        "12:29: deliveries: a number from 0 to 1000000000000000 is wanted, not many",
-        "12:37: deliveries: stands twice in budget",
+        "9:16: window: expected a duration of 1s or more with a unit, as in \"250ms\" or \"1h\", found 5",
+        "10:14: lane: expected text, found 7",
+        "12:29: deliveries: expected a number from 0 to 1000000000000000, found many",
+        "12:37: deliveries: specified more than once in budget",
     ];
     for w in wanted {
         assert!(all.iter().any(|m| m == w), "{w}\nin {all:#?}");
     }
     assert!(
         all.iter()
-            .any(|m| m.starts_with("12:56: part: a number from 0 to 1 is wanted")),
+            .any(|m| m.starts_with("12:56: part: expected a number from 0 to 1")),
         "{all:#?}"
     );
     assert!(
         all.iter()
-            .any(|m| m.contains("13:5: budget: the name 'c' stands twice")),
+            .any(|m| m.contains("13:5: budget: duplicate name 'c'")),
         "{all:#?}"
     );
     assert!(
         all.iter()
-            .any(|m| m == "13:28: extra: no properties are known in share"),
+            .any(|m| m == "13:28: extra: share accepts no properties"),
         "{all:#?}"
     );
     let mut sorted = Installation::read(text).unwrap_err();
@@ -290,7 +290,7 @@
         "zones {\n    link \"east\" \"south\"\n    budget \"b\" { to \"north\"; lane \"viwe\"; share 1; }\n}",
     );
     assert_eq!(all.len(), 3, "{all:?}");
-    assert!(all[0].starts_with("2:5: link: no zone 'south' in the settings; they have east, west"));
+    assert!(all[0].starts_with("2:5: link: undefined zone 'south'; the settings define east, west"));
 }
 
 #[test]
@@ -401,11 +401,11 @@
         .map(ConfigDiagnostic::to_string)
         .collect();
     for wanted in [
-        "1:1: agent: 'nowhere' is no address with a port",
-        "2:12: repeats: one of idempotent, deduplicated, unrepeatable is wanted, not \"never\"",
-        "2:36: quoted: a span of 1ms or more like",
-        "3:15: marks-retries: #true or #false is wanted, not yes",
-        "4:1: connections: least is more than most",
+        "1:1: agent: expected an address with a port, found 'nowhere'",
+        "2:12: repeats: expected one of idempotent, deduplicated, unrepeatable, found \"never\"",
+        "2:36: quoted: expected a duration of 1ms or more with a unit, as in",
+        "3:15: marks-retries: expected #true or #false, found yes",
+        "4:1: connections: least is greater than most",
         "5:1: retrys: unknown in the file; did you mean 'retries'?",
     ] {
         assert!(
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -392,11 +392,11 @@
     let of = |z: &[&str], c: &[(&str, &str)], t: &[(&str, f64)]| wrong(settings(z, c, t));
     assert_eq!(
         of(&["a", "a"], &ONE_CLASS, &[]),
-        "field zones: the zone 'a' stands twice"
+        "field zones: duplicate zone 'a'"
     );
     assert_eq!(
         of(&["a"], &[ONE_CLASS[0], ONE_CLASS[0]], &[]),
-        "field classes: the class 'view' stands twice"
+        "field classes: duplicate class 'view'"
     );
     let many: Vec<String> = (0..56_000)
         .map(|n| format!("t{n}"))
@@ -405,10 +405,10 @@
     let many: Vec<_> = many.iter().map(|n| (n.as_str(), 0.001)).collect();
     assert_eq!(
         of(&["a"], &ONE_CLASS, &many),
-        "field tenants: the tenant 't41999' stands twice"
+        "field tenants: duplicate tenant 't41999'"
     );
     for share in [-0.01, 1.01, -1e300, 1e300] {
-        let what = "field share: tenant 'acme': a share from 0 to 1 is wanted";
+        let what = "field share: tenant 'acme': expected a share from 0 to 1";
         assert_eq!(
             of(&["a"], &ONE_CLASS, &[("fine", 1.0), ("acme", share)]),
             what
@@ -416,7 +416,7 @@
     }
     let mut s = settings(&["a"], &ONE_CLASS, &[("acme", 0.5)]);
     s["tenants"][0]["share"] = "half".into();
-    assert_eq!(wrong(s), "field share: a number is wanted");
+    assert_eq!(wrong(s), "field share: expected a number");
     assert!(read(
         &settings(&["a"], &ONE_CLASS, &[("none", 0.0), ("all", 1.0)]),
         1
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -277,11 +277,11 @@
         .collect();
     for wanted in [
         "2:3: rte: unknown in experiment; did you mean 'rate'?",
-        "3:25: appliances: a number from 0 to 100000 is wanted",
+        "3:25: appliances: expected a number from 0 to 100000",
         "4:3: way: no zone 'c'; known are a",
         "6:3: fault: one of slow, fail, burst or kind is wanted in it",
         "7:3: vary: 'agnts' is not among agents, rate",
-        "9:3: clients: one of open, naive, careful is wanted",
+        "9:3: clients: expected one of open, naive, careful",
         "1:1: lane: one or more are wanted",
         "1:1: vary: an offer is wanted for what varies of it",
     ] {
