--- a/crates/config/src/admin_address.rs
+++ b/crates/config/src/admin_address.rs
@@ -4,28 +4,28 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Marks the path of a Unix socket.
+/// Prefix of an address that is the path of a Unix socket.
 const UNIX_PREFIX: &str = "unix:";
 
-/// The address of the admin endpoint, which only the agent's own machine can reach.
+/// The address of the admin endpoint. Either kind can be reached from the agent's own machine only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminAddress {
-    /// A loopback address.
+    /// A loopback address with a port.
     Tcp(SocketAddr),
     /// The path of a Unix socket.
     Unix(PathBuf),
 }
 
-/// Why a text is no address of an admin endpoint.
+/// Why a string is not a valid address of the admin endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AdminAddressError {
-    /// The address can be reached from other machines.
+    /// The address is not a loopback address, so other machines could reach it.
     #[error("expected a loopback address, found {address}")]
     NotLoopback {
-        /// The address.
+        /// The IP address that was given.
         address: IpAddr,
     },
-    /// The text is neither a TCP address nor the path of a Unix socket.
+    /// The string is neither an IP address with a port nor `unix:` with a path.
     #[error("expected \"127.0.0.1:PORT\" or \"unix:PATH\"")]
     Malformed,
 }
--- a/crates/config/src/client_file.rs
+++ b/crates/config/src/client_file.rs
@@ -1,5 +1,5 @@
-//! The client's KDL file: its agents, its request classes, and how it retries, connects and limits
-//! the requests in flight.
+//! Reads the client's KDL file: its agents, its request classes, and its policies for retries,
+//! connections and requests in flight.
 
 use crate::diagnostic::{ConfigDiagnostic, ConfigProblem, SourceLocation};
 use crate::kdl_reader::KdlReader;
@@ -12,59 +12,61 @@
     ClientConfig, ConcurrencyPolicy, ConnectionPolicy, RequestClass, RetryPolicy,
 };
 
-/// The largest count of connections, requests or saved retries.
+/// The largest number of connections or requests, and of tokens in the retry budget.
 const MAX_COUNT: f64 = 1e6;
 const MAX_ATTEMPTS: f64 = 100.0;
 const MAX_PRIORITY_WEIGHT: f64 = 1e9;
-/// The lowest rate of new connections a second: lower ones would mean none.
+/// The lowest rate of new connections per second. A lower one would amount to none.
 const MIN_CONNECTION_RATE: f64 = 0.1;
-/// The shortest duration where zero makes no sense.
+/// The shortest duration for settings where zero makes no sense.
 const MIN_DURATION: Duration = Duration::from_millis(1);
-/// How long endpoints recognize repeats of a class that does not say so.
-const DEFAULT_WINDOW: Duration = Duration::from_secs(5);
+/// The deduplication window of a keyed class that does not set one: how long endpoints recognize
+/// repeats of a request.
+const DEFAULT_DEDUPLICATION_WINDOW: Duration = Duration::from_secs(5);
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
-/// Reads the text of a client's file; all its problems otherwise, in the order of their locations.
+/// Reads the text of a client's KDL file. If it is invalid, returns all problems, sorted by
+/// location.
 pub fn read_client_file(text: &str) -> Result<ClientConfig, Vec<ConfigDiagnostic>> {
     let mut reader = KdlReader::new(text);
-    let mut service = ClientConfig::new(Vec::new(), Vec::new());
+    let mut config = ClientConfig::new(Vec::new(), Vec::new());
     if let Some(document) = reader.document() {
-        let once = [
+        let single = [
             "marks-retries",
             "value-most",
             "retries",
             "connections",
             "in-flight",
         ];
-        let many = ["agent", "lane"];
-        for node in reader.nodes(Some(&document), "the file", &once, &many) {
-            read_node(&mut reader, node, &mut service);
+        let repeated = ["agent", "lane"];
+        for node in reader.nodes(Some(&document), "the file", &single, &repeated) {
+            read_node(&mut reader, node, &mut config);
         }
-        check_required(&mut reader, &service);
+        check_required(&mut reader, &config);
     }
-    reader.finish(service)
+    reader.finish(config)
 }
 
-fn read_node(reader: &mut KdlReader, node: &KdlNode, service: &mut ClientConfig) {
+fn read_node(reader: &mut KdlReader, node: &KdlNode, config: &mut ClientConfig) {
     match node.name().value() {
-        "agent" => service.agents.extend(read_agent(reader, node)),
-        "lane" => add_class(reader, node, service),
-        "marks-retries" => service.marks_retries = reader.boolean(node).unwrap_or(false),
+        "agent" => config.agents.extend(read_agent(reader, node)),
+        "lane" => add_class(reader, node, config),
+        "marks-retries" => config.marks_retries = reader.boolean(node).unwrap_or(false),
         "value-most" => {
             if let Some(bytes) = reader.byte_size(node) {
-                service.max_value_bytes = bytes as usize;
+                config.max_value_bytes = bytes as usize;
             }
         }
-        "retries" => service.retry = read_retries(reader, node),
-        "connections" => service.connections = read_connections(reader, node),
-        _ => service.concurrency = read_in_flight(reader, node),
+        "retries" => config.retry = read_retries(reader, node),
+        "connections" => config.connections = read_connections(reader, node),
+        _ => config.concurrency = read_in_flight(reader, node),
     }
 }
 
-fn check_required(reader: &mut KdlReader, service: &ClientConfig) {
+fn check_required(reader: &mut KdlReader, config: &ClientConfig) {
     let lists = [
-        ("agent", service.agents.is_empty()),
-        ("lane", service.classes.is_empty()),
+        ("agent", config.agents.is_empty()),
+        ("lane", config.classes.is_empty()),
     ];
     for (key, is_empty) in lists {
         if is_empty && !reader.has_diagnostics_for(key) {
@@ -86,19 +88,20 @@
     address
 }
 
-fn add_class(reader: &mut KdlReader, node: &KdlNode, service: &mut ClientConfig) {
+fn add_class(reader: &mut KdlReader, node: &KdlNode, config: &mut ClientConfig) {
     let Some(class) = read_class(reader, node) else {
         return;
     };
-    if service.class_index(&class.name).is_some() {
+    if config.class_index(&class.name).is_some() {
         let name = class.name.clone();
         let problem = ConfigProblem::DuplicateName { name };
         reader.report(reader.location(node), "lane", problem);
     }
-    service.classes.push(class);
+    config.classes.push(class);
 }
 
-/// The idempotency of a class, before its scope and window are known.
+/// The idempotency of a class without the deduplication scope and window, which are read from other
+/// nodes.
 #[derive(Clone, Copy)]
 enum IdempotencyKind {
     Idempotent,
@@ -114,7 +117,7 @@
         .find_map(|entry| reader.entry_text(entry, "lane"));
     let mut idempotency_kind = None;
     let mut scope = DeduplicationScope::All;
-    let mut window = DEFAULT_WINDOW;
+    let mut window = DEFAULT_DEDUPLICATION_WINDOW;
     let mut latency_objective = None;
     let mut priority_weight = DEFAULT_PRIORITY_WEIGHT;
     let known = ["repeats", "group", "window", "quoted", "benefit"];
@@ -122,7 +125,7 @@
         match node.name().value() {
             "repeats" => idempotency_kind = read_idempotency_kind(reader, node),
             "group" => scope = read_deduplication_scope(reader, node),
-            "window" => window = duration_or(reader, node, DEFAULT_WINDOW),
+            "window" => window = duration_or(reader, node, DEFAULT_DEDUPLICATION_WINDOW),
             "quoted" => latency_objective = reader.duration(node, MIN_DURATION),
             _ => {
                 let weight = reader.number(node, 0.0, MAX_PRIORITY_WEIGHT);
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a KDL document, and where.
+//! Problems of a KDL document and their locations.
 
 use crate::admin_address::AdminAddressError;
 use std::cmp::Ordering;
 use std::fmt;
 use thiserror::Error;
 
-/// A position in a document. Lines and columns count from 1, columns in characters; 0 stands for
-/// the document as a whole.
+/// A position in a document. Lines and columns count from 1; 0 in both refers to the document as a
+/// whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLocation {
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column number in characters, from 1.
     pub column: usize,
 }
 
 impl SourceLocation {
-    /// The first character of a document.
+    /// The position of the first character of a document.
     pub const START: SourceLocation = SourceLocation { line: 1, column: 1 };
 }
 
@@ -26,19 +26,19 @@
     }
 }
 
-/// One problem of a document. Diagnostics are ordered by location, then key, then message.
+/// One problem in a document. Diagnostics are ordered by location, then key, then message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigDiagnostic {
-    /// Where the problem is.
+    /// Where in the document the problem is.
     pub location: SourceLocation,
-    /// The node or property with the problem.
+    /// The name of the node or property that has the problem.
     pub key: String,
-    /// What the problem is.
+    /// What is wrong there.
     pub problem: ConfigProblem,
 }
 
 impl ConfigDiagnostic {
-    /// A problem of `key` at `location`.
+    /// Creates a diagnostic for `key` at `location`.
     pub fn new(location: SourceLocation, key: &str, problem: ConfigProblem) -> ConfigDiagnostic {
         ConfigDiagnostic {
             location,
@@ -76,135 +76,135 @@
 /// What can be wrong with a node, a property or a whole document.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigProblem {
-    /// The document is longer than is read.
+    /// The document exceeds the maximum length.
     #[error("the document is longer than the maximum of {max_bytes} bytes")]
     DocumentTooLong {
-        /// The longest document that is read.
+        /// The maximum length in bytes.
         max_bytes: usize,
     },
-    /// Nodes stand within nodes deeper than is read.
+    /// Nodes are nested deeper than the maximum.
     #[error("braces are nested deeper than the maximum of {max_depth} levels")]
     NestedTooDeep {
-        /// The deepest nesting that is read.
+        /// The maximum number of braces that may be open at once.
         max_depth: usize,
     },
-    /// The document is no KDL.
+    /// The text is not valid KDL.
     #[error("{message}")]
     Syntax {
-        /// The parser's message.
+        /// The message of the KDL parser.
         message: String,
     },
-    /// A node or property that is not known here, but is close to one that is.
+    /// An unknown node or property whose name is close to a known one.
     #[error("unknown in {context}; did you mean '{suggestion}'?")]
     MisspelledName {
-        /// The enclosing node.
+        /// The enclosing node, or "the file".
         context: String,
-        /// The closest known name.
+        /// The known name with the smallest edit distance.
         suggestion: String,
     },
-    /// A node or property that is not known here.
+    /// An unknown node or property whose name is not close to any known one.
     #[error("unknown in {context}; expected one of {known}")]
     UnknownName {
-        /// The enclosing node.
+        /// The enclosing node, or "the file".
         context: String,
-        /// The known names, separated by commas.
+        /// The names that are allowed there, separated by commas.
         known: String,
     },
-    /// A node that may stand once stands twice.
+    /// A node that may occur once occurs again.
     #[error("specified more than once in {context}")]
     DuplicateNode {
-        /// The enclosing node.
+        /// The enclosing node, or "the file".
         context: String,
     },
-    /// Two nodes of a kind have the same name.
+    /// Two nodes of the same kind have the same name.
     #[error("duplicate name '{name}'")]
     DuplicateName {
-        /// The name.
+        /// The name that both have.
         name: String,
     },
-    /// Two links join the same zones in the same direction.
+    /// Two links have the same source zone and the same destination zone.
     #[error("duplicate link from {from} to {to}")]
     DuplicateLink {
-        /// The zone where the link begins.
+        /// The source zone of the link.
         from: String,
-        /// The zone where it ends.
+        /// The destination zone of the link.
         to: String,
     },
-    /// A link leads from a zone to itself.
+    /// A link has the same zone as source and destination.
     #[error("expected two different zones, found '{zone}' twice")]
     LinkToSameZone {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
     },
-    /// A property stands on a node that has none.
+    /// A property is set on a node that accepts none.
     #[error("{node} accepts no properties")]
     UnexpectedProperty {
-        /// The node.
+        /// The name of the node.
         node: String,
     },
-    /// Nodes stand within a node that holds a value only.
+    /// A node that takes only a value has child nodes.
     #[error("unexpected child nodes")]
     UnexpectedChildren,
-    /// A node has more or fewer values than it must have.
+    /// A node has the wrong number of values.
     #[error("expected {}, found {found}", expected_count(*.expected))]
     WrongValueCount {
-        /// How many values the node must have.
+        /// The number of values that the node must have.
         expected: usize,
-        /// How many it has.
+        /// The number of values that it has.
         found: usize,
     },
-    /// A value is of the wrong type or out of range.
+    /// A value has the wrong type or is out of range.
     #[error("expected {expected}, found {found}")]
     WrongValue {
-        /// What the value must be.
+        /// A description of the values that are allowed.
         expected: String,
-        /// The value as it stands there.
+        /// The value in the document, shortened if it is long.
         found: String,
     },
-    /// A text is no network address.
+    /// A string is not an IP address with a port.
     #[error("expected an address with a port, found '{found}'")]
     InvalidAddress {
-        /// The text.
+        /// The string in the document.
         found: String,
     },
     /// The address of the admin endpoint cannot be used.
     #[error(transparent)]
     InvalidAdminAddress(#[from] AdminAddressError),
-    /// A number has a fraction where none may be.
+    /// A number has a fractional part where an integer is required.
     #[error("expected an integer")]
     NotInteger,
-    /// Something required is absent.
+    /// A required node or value is missing.
     #[error("{expected}")]
     Missing {
-        /// What is required, as a sentence.
+        /// The whole message, which says what is required.
         expected: &'static str,
     },
-    /// A lower bound exceeds its upper bound.
+    /// The lower bound of a range (`least`) exceeds its upper bound (`most`).
     #[error("least is greater than most")]
     EmptyRange,
-    /// A zone is named that the settings do not have.
+    /// A zone is referenced that the settings do not define.
     #[error("undefined zone '{name}'; the settings define {known}")]
     UndefinedZone {
-        /// The name.
+        /// The name of the zone.
         name: String,
-        /// The zones of the settings, separated by commas.
+        /// The zones that the settings define, separated by commas.
         known: String,
     },
-    /// A request class is named that the settings do not have.
+    /// A request class is referenced that the settings do not define.
     #[error("undefined request class '{name}'; the settings define {known}")]
     UndefinedClass {
-        /// The name.
+        /// The name of the class.
         name: String,
-        /// The classes of the settings, separated by commas.
+        /// The classes that the settings define, separated by commas.
         known: String,
     },
-    /// More guarded stages are wanted than the rollout has stages.
+    /// The number of guarded stages exceeds the number of rollout stages.
     #[error("expected at most {stages}, the number of rollout stages")]
     TooManyGuardedStages {
-        /// How many stages the rollout has.
+        /// The number of rollout stages.
         stages: usize,
     },
-    /// A problem that only the reader of one kind of document knows.
+    /// Any other problem, with its message, such as one specific to a single kind of document.
     #[error("{0}")]
     Other(String),
 }
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,5 +1,5 @@
-//! Typed access to the fields of a JSON object. An error names the field that is missing or has
-//! the wrong form.
+//! Typed access to the fields of a JSON object. An error names the field that is missing or has an
+//! invalid value.
 
 use serde_json::{Map, Value};
 use std::time::Duration;
@@ -22,41 +22,41 @@
         /// The field's name.
         key: String,
     },
-    /// The field's value is of another JSON type, or outside the range of its type.
+    /// The field's value has another JSON type, or is outside the range of the expected type.
     #[error("field {key}: expected {expected}")]
     WrongType {
         /// The field's name.
         key: String,
-        /// What the value must be.
+        /// A description of the expected value.
         expected: &'static str,
     },
-    /// The field is an array with an element of the wrong type.
+    /// The field is an array that has an element of the wrong type.
     #[error("field {key}: expected an array of {expected}")]
     WrongElements {
         /// The field's name.
         key: String,
-        /// What the elements must be, in the plural.
+        /// A description of the expected elements, in the plural.
         expected: &'static str,
     },
-    /// The field is a string, but none of the words that are known there.
+    /// The field is a string, but not one of the values that are allowed there.
     #[error("field {key}: unknown value '{found}'")]
     UnknownValue {
         /// The field's name.
         key: String,
-        /// The word that stands there.
+        /// The field's value.
         found: String,
     },
-    /// The field must hold a network address and does not.
+    /// The field must contain a network address, but its value cannot be parsed as one.
     #[error("field {key}: '{found}' is not a valid {expected}")]
     InvalidAddress {
         /// The field's name.
         key: String,
-        /// What the value must be.
+        /// A description of the expected value.
         expected: &'static str,
-        /// The text that stands there.
+        /// The field's value.
         found: String,
     },
-    /// The field's number exceeds what its type can hold.
+    /// The field's number is too large for the type that it is converted to.
     #[error("field {key}: too large")]
     TooLarge {
         /// The field's name.
@@ -65,7 +65,7 @@
 }
 
 impl FieldError {
-    /// A value of the wrong type under `key`.
+    /// The error for a value of the wrong type under `key`.
     pub fn wrong_type(key: &str, expected: &'static str) -> FieldError {
         FieldError::WrongType {
             key: key.to_owned(),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// An array under `key` with an element of the wrong type.
+    /// The error for an array under `key` that has an element of the wrong type.
     pub fn wrong_elements(key: &str, expected: &'static str) -> FieldError {
         FieldError::WrongElements {
             key: key.to_owned(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A word under `key` that is not known there.
+    /// The error for a string under `key` that is not one of the allowed values.
     pub fn unknown_value(key: &str, found: &str) -> FieldError {
         FieldError::UnknownValue {
             key: key.to_owned(),
@@ -90,12 +90,12 @@
     }
 }
 
-/// The fields of one JSON object. Null counts as absent everywhere.
+/// The fields of one JSON object. A field whose value is null counts as absent.
 #[derive(Debug)]
 pub struct Fields<'a>(&'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
-    /// The fields of `value`, which must be an object; `name` is what an error calls it.
+    /// The fields of `value`, which must be an object. An error refers to it as `name`.
     pub fn new(value: &'a Value, name: &str) -> Result<Fields<'a>, FieldError> {
         value
             .as_object()
@@ -103,7 +103,7 @@
             .ok_or_else(|| FieldError::wrong_type(name, OBJECT))
     }
 
-    /// The raw value of an optional field.
+    /// The raw value of an optional field; `None` when absent or null.
     pub fn optional(&self, name: &str) -> Option<&'a Value> {
         self.0.get(name).filter(|value| !value.is_null())
     }
@@ -140,27 +140,27 @@
         self.required(name, STRING, Value::as_str)
     }
 
-    /// An optional string; a value of another type counts as absent.
+    /// An optional string; `None` when absent or of another type.
     pub fn optional_text(&self, name: &str) -> Option<&'a str> {
         self.optional(name).and_then(Value::as_str)
     }
 
-    /// A required whole number, which may be negative.
+    /// A required integer, which may be negative.
     pub fn integer(&self, name: &str) -> Result<i64, FieldError> {
         self.required(name, INTEGER, Value::as_i64)
     }
 
-    /// A required whole number from 0.
+    /// A required non-negative integer.
     pub fn unsigned(&self, name: &str) -> Result<u64, FieldError> {
         self.required(name, UNSIGNED, Value::as_u64)
     }
 
-    /// A whole number from 0; `default` when absent.
+    /// A non-negative integer; `default` when absent.
     pub fn unsigned_or(&self, name: &str, default: u64) -> Result<u64, FieldError> {
         self.with_default(name, UNSIGNED, default, Value::as_u64)
     }
 
-    /// A required number.
+    /// A required number, which may have a fractional part.
     pub fn number(&self, name: &str) -> Result<f64, FieldError> {
         self.required(name, NUMBER, Value::as_f64)
     }
@@ -180,12 +180,12 @@
         self.with_default(name, BOOLEAN, false, Value::as_bool)
     }
 
-    /// A required array.
+    /// The elements of a required array.
     pub fn array(&self, name: &str) -> Result<&'a Vec<Value>, FieldError> {
         self.required(name, ARRAY, Value::as_array)
     }
 
-    /// An array; empty when absent.
+    /// The elements of an array; empty when absent.
     pub fn array_or_empty(&self, name: &str) -> Result<&'a [Value], FieldError> {
         let empty: &[Value] = &[];
         self.with_default(name, ARRAY, empty, |value| {
@@ -198,14 +198,14 @@
         self.required(name, OBJECT, |value| value.as_object().map(Fields))
     }
 
-    /// The fields of an optional object.
+    /// The fields of an optional object; `None` when absent.
     pub fn optional_object(&self, name: &str) -> Result<Option<Fields<'a>>, FieldError> {
         self.optional(name)
             .map(|value| Fields::new(value, name))
             .transpose()
     }
 
-    /// A required duration in milliseconds; a negative one counts as zero.
+    /// A required duration in milliseconds; zero when negative.
     pub fn duration_ms(&self, name: &str) -> Result<Duration, FieldError> {
         self.number(name).map(duration_from_ms)
     }
@@ -221,7 +221,7 @@
     Duration::from_micros((ms.max(0.0) * 1000.0).round() as u64)
 }
 
-/// A duration in milliseconds, with whole microseconds as the fraction.
+/// The duration in milliseconds, truncated to whole microseconds.
 pub fn duration_to_ms(duration: Duration) -> f64 {
     duration.as_micros() as f64 / 1000.0
 }
--- a/crates/config/src/instance_config.rs
+++ b/crates/config/src/instance_config.rs
@@ -1,5 +1,5 @@
-//! The configuration that the platform gives one agent: its addresses, its limits, the settings of
-//! the service, and the last known endpoint list and rollout status.
+//! The configuration that the platform provides for one agent: its addresses, its limits, the
+//! settings of the service, and the last known endpoint list and rollout status.
 
 use crate::error::InstanceConfigError;
 use crate::fields::{FieldError, Fields};
@@ -7,40 +7,42 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The agent's name where the configuration gives none.
+/// The agent's name if the configuration sets none.
 const DEFAULT_NAME: &str = "agent";
-/// Sockets that an agent may have open where the configuration sets no limit.
+/// The number of sockets that an agent may have open if the configuration sets no limit.
 const DEFAULT_MAX_SOCKETS: u64 = 1024;
-/// Memory that an agent may use where the configuration sets no limit, in MiB.
+/// The memory that an agent may use if the configuration sets no limit, in MiB.
 const DEFAULT_MEMORY_LIMIT_MIB: u64 = 192;
 const BYTES_PER_MIB: usize = 1024 * 1024;
-const HEXADECIMAL: u32 = 16;
+const HEX_RADIX: u32 = 16;
 
 /// The configuration of one agent.
 #[derive(Debug)]
 pub struct InstanceConfig<'a> {
     /// The agent's name in logs and votes.
     pub name: String,
-    /// Where the agent accepts clients.
+    /// The address on which the agent accepts client connections.
     pub listen: SocketAddr,
-    /// Where the discovery service listens.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where the rollout platform listens, where there is one.
+    /// The address of the rollout platform; `None` if there is none.
     pub platform: Option<SocketAddr>,
-    /// Sockets that may be open at once.
+    /// The maximum number of sockets that the agent may have open at once.
     pub max_sockets: usize,
-    /// Memory that may be used, in bytes.
+    /// The maximum memory that the agent may use, in bytes.
     pub memory_limit: usize,
-    /// The settings of the service.
+    /// The settings of the service that the agent balances.
     pub service: ServiceConfig,
-    /// The last endpoint list, in the form of discovery's responses.
+    /// The last known endpoint list, in the format of discovery's responses; `None` if there is
+    /// none.
     pub known_list: Option<Fields<'a>>,
-    /// The last rollout status, in the form of the platform's messages.
+    /// The last known rollout status, in the format of the platform's messages; `None` if there is
+    /// none.
     pub rollout_status: Option<Fields<'a>>,
 }
 
 impl<'a> InstanceConfig<'a> {
-    /// Reads the configuration from its JSON object.
+    /// Reads and validates the configuration from its JSON object.
     pub fn read(value: &'a Value) -> Result<InstanceConfig<'a>, InstanceConfigError> {
         let fields = Fields::new(value, "configuration")?;
         let service = read_service(&fields)?;
@@ -65,14 +67,15 @@
 }
 
 fn read_service(fields: &Fields) -> Result<ServiceConfig, InstanceConfigError> {
-    let seed = u64::from_str_radix(fields.text("seed")?, HEXADECIMAL)
+    let seed = u64::from_str_radix(fields.text("seed")?, HEX_RADIX)
         .map_err(|_| InstanceConfigError::InvalidSeed)?;
     let service_fields = fields.object("settings")?;
     let mut service =
         ServiceConfig::read(&service_fields, seed).map_err(InstanceConfigError::Settings)?;
-    // An agent on sockets always polls the list, whatever the simulator does under these settings.
+    // An agent on real sockets always polls the endpoint list, whatever the simulator does with the
+    // same settings.
     service.settings.list_polled = true;
-    // It has no way to probe an endpoint for its load either; loads come with the responses.
+    // Nor can it probe an endpoint for its load; endpoints report their load in responses.
     service.settings.load_probes = false;
     Ok(service)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,11 @@
-//! The only reader of settings: the platform's JSON ([`ServiceConfig`], [`InstanceConfig`]), the
-//! installation's KDL file ([`Installation`]) and the client's KDL file ([`read_client_file`]).
-//! Values are checked and given defaults here; every error names its key.
+//! Reads all settings of the agent and the client: the platform's JSON ([`ServiceConfig`],
+//! [`InstanceConfig`]), the installation's KDL file ([`Installation`]) and the client's KDL file
+//! ([`read_client_file`]). No other crate reads them. Values are validated and defaults are applied
+//! here; every error names its key.
 //!
-//! - [`Fields`] gives typed access to a JSON object, [`KdlReader`] to a KDL document.
-//! - A configuration reload keeps the indices of names that stay:
-//!   [`ServiceConfig::renumbered_after`].
+//! - [`Fields`] provides typed access to a JSON object, [`KdlReader`] to a KDL document.
+//! - [`ServiceConfig::renumbered_after`] keeps the indices of existing names on a configuration
+//!   reload.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,8 +1,8 @@
-//! Configuration reload: new settings take over the indices of those in force.
+//! Configuration reload: new settings take over the indices of the settings in force.
 //!
-//! A name that stays keeps its index, so that requests in flight, evidence and endpoint lists stay
-//! valid. The index of a name that went is reused once no request in flight uses it, so that no
-//! sequence of reloads lets tables grow without bound.
+//! A name that remains keeps its index, so that requests in flight, evidence and endpoint lists
+//! stay valid. The index of a removed name is reused once no request in flight uses it, so that no
+//! sequence of reloads makes the tables grow without bound.
 
 use crate::service_config::ServiceConfig;
 use std::collections::{BTreeSet, HashMap};
@@ -11,19 +11,19 @@
     Idempotency, IndexMapping, IndexOrigin, IndicesInUse, RequestClass, Settings, Tenant,
 };
 
-/// Stands at the index of a class that nobody uses any more.
+/// Placeholder at the index of a class that is no longer in use.
 const UNUSED_CLASS: RequestClass = RequestClass {
     latency_objective: Duration::from_secs(1),
     priority_weight: 0.0,
     idempotency: Idempotency::NonIdempotent,
 };
-/// Stands at the index of a tenant that nobody uses any more.
+/// Placeholder at the index of a tenant that is no longer in use.
 const UNUSED_TENANT: Tenant = Tenant { share: 1.0 };
 
 impl ServiceConfig {
-    /// These settings in the indices of `old`, and where each index comes from. A class whose
-    /// idempotency changes gets another index while requests in flight still follow the earlier
-    /// rules. The seed remains that of `old`.
+    /// Renumbers these settings so that names keep their indices in `old`, and returns them with
+    /// the origin of each index. A class whose idempotency changes gets another index while
+    /// requests in flight still follow the earlier idempotency. The seed remains that of `old`.
     pub fn renumbered_after(
         self,
         old: &ServiceConfig,
@@ -35,12 +35,12 @@
         let class_names = classes.merge_names(&self.classes, &old.classes);
         let zone_names = zones.merge_names(&self.zones, &old.zones);
         let new = self.settings;
-        let before = &old.settings;
+        let old_settings = &old.settings;
         let settings = Settings {
-            seed: before.seed,
+            seed: old_settings.seed,
             zone: zones.index_of_source(new.zone).unwrap_or_default(),
-            classes: classes.merge(&new.classes, &before.classes, &UNUSED_CLASS),
-            tenants: tenants.merge(&new.tenants, &before.tenants, &UNUSED_TENANT),
+            classes: classes.merge(&new.classes, &old_settings.classes, &UNUSED_CLASS),
+            tenants: tenants.merge(&new.tenants, &old_settings.tenants, &UNUSED_TENANT),
             ..new
         };
         let service = ServiceConfig {
@@ -94,9 +94,9 @@
         IndexAssignment::new(&change, |_, _| false)
     }
 
-    /// Whether these settings, renumbered after `old` with this mapping, equal `old`. Names are
-    /// compared by their counts and origins: comparing each of tens of thousands of tenants' names
-    /// would hold up requests.
+    /// Whether these settings, which were renumbered after `old` with this mapping, equal `old`.
+    /// Names of classes and tenants are compared by their counts and origins only: comparing the
+    /// names of tens of thousands of tenants one by one would delay requests.
     pub fn is_unchanged_from(&self, old: &ServiceConfig, mapping: &IndexMapping) -> bool {
         let classes = [old.class_indices.len(), self.class_indices.len()];
         let tenants = [old.tenant_indices.len(), self.tenant_indices.len()];
@@ -115,21 +115,22 @@
             && self.longest_timeout == other.longest_timeout
     }
 
-    /// Whether no request in flight uses some retired class any more, so that renumbering the
-    /// settings after themselves frees its index.
+    /// Whether some retired class is no longer used by any request in flight, so that renumbering
+    /// the settings after themselves frees its index.
     pub fn can_free_indices(&self, in_use: &IndicesInUse) -> bool {
         self.retired_classes
             .iter()
             .any(|class| !in_use.classes.contains(class))
     }
 
-    /// Whether the settings keep a class only for requests in flight.
+    /// Whether the settings keep any class only for requests in flight.
     pub fn has_retired_indices(&self) -> bool {
         !self.retired_classes.is_empty()
     }
 }
 
-/// Whether as many indices keep their names as there are names before and after.
+/// Whether every name before the reload is also there after it, and none is new: the number of
+/// indices that keep their names equals the number of names before and after.
 fn all_names_stay(origins: &[IndexOrigin], name_counts: [usize; 2]) -> bool {
     let kept = origins
         .iter()
@@ -140,44 +141,44 @@
 
 /// The names of one kind before and after a reload.
 struct NameChange<'a> {
-    /// Indices in force, by name.
+    /// The indices in force, by name.
     old: &'a HashMap<String, usize>,
-    /// How many indices are in force, with those whose names have gone.
+    /// The number of indices in force, including those of removed names.
     old_len: usize,
-    /// Positions in the new settings, by name.
+    /// The positions in the new settings, by name.
     new: &'a HashMap<String, usize>,
-    /// Indices that requests in flight use.
+    /// The indices that requests in flight use.
     in_use: &'a BTreeSet<usize>,
 }
 
-/// A name that needs another index than it had, or its first.
-struct Unplaced {
-    /// Position in the new settings.
+/// A name that still needs an index: a new name, or one that cannot keep its index.
+struct UnassignedName {
+    /// The position of the name in the new settings.
     source: usize,
     origin: IndexOrigin,
 }
 
-/// The indices of one kind of names after a reload.
+/// The indices of the names of one kind after a reload.
 struct IndexAssignment {
-    /// By index: where it comes from.
+    /// The origin of each index.
     origins: Vec<IndexOrigin>,
-    /// By index: the position of its name in the new settings, if it has one.
+    /// For each index, the position of its name in the new settings; `None` if they do not have it.
     sources: Vec<Option<usize>>,
 }
 
 impl IndexAssignment {
-    /// Assigns an index to each new name. `differs` says whether a name at a new position and an
-    /// old index follows other rules than before, so that it must not share the index with
-    /// requests in flight.
+    /// Assigns an index to each name of the new settings. `differs` takes the new position and the
+    /// old index of a name, and returns whether the name has other rules than before, so that it
+    /// must not share the index with requests in flight.
     fn new(change: &NameChange, differs: impl Fn(usize, usize) -> bool) -> IndexAssignment {
         let mut assignment = IndexAssignment::without_names(change);
-        let unplaced = assignment.keep_known_names(change, differs);
-        assignment.place(unplaced, change.in_use);
+        let unassigned = assignment.keep_known_names(change, differs);
+        assignment.assign_free_indices(unassigned, change.in_use);
         assignment.truncate();
         assignment
     }
 
-    /// All indices in force with none of the new names.
+    /// All indices in force, before the names of the new settings are assigned.
     fn without_names(change: &NameChange) -> IndexAssignment {
         let origin = |index: usize| {
             if change.in_use.contains(&index) {
@@ -192,51 +193,51 @@
         }
     }
 
-    /// Leaves each known name its index, and returns the other names in the order of the new
-    /// settings.
+    /// Assigns its old index to each known name that can keep it, and returns the other names in
+    /// the order of the new settings.
     fn keep_known_names(
         &mut self,
         change: &NameChange,
         differs: impl Fn(usize, usize) -> bool,
-    ) -> Vec<Unplaced> {
-        let mut unplaced = Vec::new();
+    ) -> Vec<UnassignedName> {
+        let mut unassigned = Vec::new();
         for (name, source) in change.new {
             let source = *source;
             let Some(old) = change.old.get(name).copied() else {
                 let origin = IndexOrigin::New;
-                unplaced.push(Unplaced { source, origin });
+                unassigned.push(UnassignedName { source, origin });
                 continue;
             };
             if change.in_use.contains(&old) && differs(source, old) {
                 let origin = IndexOrigin::MovedFrom(old);
-                unplaced.push(Unplaced { source, origin });
+                unassigned.push(UnassignedName { source, origin });
             } else {
                 self.origins[old] = IndexOrigin::Same;
                 self.sources[old] = Some(source);
             }
         }
-        unplaced.sort_by_key(|unplaced| unplaced.source);
-        unplaced
+        unassigned.sort_by_key(|unassigned| unassigned.source);
+        unassigned
     }
 
-    /// Gives the lowest free indices to these names, in their order.
-    fn place(&mut self, unplaced: Vec<Unplaced>, in_use: &BTreeSet<usize>) {
+    /// Assigns the lowest free indices to these names, in their order.
+    fn assign_free_indices(&mut self, unassigned: Vec<UnassignedName>, in_use: &BTreeSet<usize>) {
         let mut free = 0;
-        for Unplaced { source, origin } in unplaced {
-            free = self.next_free(free, in_use);
+        for UnassignedName { source, origin } in unassigned {
+            free = self.next_free_index(free, in_use);
             self.origins[free] = origin;
             self.sources[free] = Some(source);
         }
     }
 
-    /// The first free index from `start` on; a further one if there is none.
-    fn next_free(&mut self, start: usize, in_use: &BTreeSet<usize>) -> usize {
+    /// The first free index from `start` on. If there is none, appends one.
+    fn next_free_index(&mut self, start: usize, in_use: &BTreeSet<usize>) -> usize {
         let is_unused = |origin: &IndexOrigin| *origin == IndexOrigin::Unused;
         if let Some(offset) = self.origins[start..].iter().position(is_unused) {
             return start + offset;
         }
-        // Indices behind all names may be in use too, such as that of endpoints whose zone has no
-        // name.
+        // Requests in flight may also use an index after the last name: endpoints whose zone is not
+        // in the settings have that index as their zone.
         while in_use.contains(&self.origins.len()) {
             self.origins.push(IndexOrigin::Retired);
         }
@@ -245,7 +246,7 @@
         self.origins.len() - 1
     }
 
-    /// Drops the unused indices at the end.
+    /// Removes the unused indices at the end.
     fn truncate(&mut self) {
         let last_used = self
             .origins
@@ -256,7 +257,7 @@
         self.sources.truncate(len);
     }
 
-    /// The index of the name at this position in the new settings.
+    /// The index of the name at this position in the new settings; `None` if there is no such name.
     fn index_of_source(&self, source: usize) -> Option<usize> {
         self.sources
             .iter()
@@ -270,7 +271,7 @@
             .collect()
     }
 
-    /// Names by index: the new one, or the old one where there is none.
+    /// The names by index: the new name, or the old one where the new settings have none.
     fn merge_names(&self, new: &[String], old: &[String]) -> Vec<String> {
         let name = |(index, source): (usize, &Option<usize>)| match source {
             Some(source) => new[*source].clone(),
@@ -279,8 +280,8 @@
         self.sources.iter().enumerate().map(name).collect()
     }
 
-    /// Items by index: the new one, the old one where only requests in flight use the index, and
-    /// `unused` where nobody does.
+    /// The items by index: the new item, the old one where only requests in flight use the index,
+    /// and `unused` where the index is not in use.
     fn merge<T: Clone>(&self, new: &[T], old: &[T], unused: &T) -> Vec<T> {
         let item = |(index, source): (usize, &Option<usize>)| match source {
             Some(source) => new[*source].clone(),
@@ -290,7 +291,7 @@
         self.sources.iter().enumerate().map(item).collect()
     }
 
-    /// The names with their new indices in the place of their positions in the new settings.
+    /// Replaces the position of each name in the new settings by its index.
     fn reindex(&self, mut positions: HashMap<String, usize>) -> HashMap<String, usize> {
         let len = positions.values().max().map_or(0, |last| last + 1);
         let mut indices = vec![0; len];
--- a/crates/config/src/service_config/mod.rs
+++ b/crates/config/src/service_config/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's settings of a service, with the names behind the indices that the balancer uses.
+//! The settings that the platform provides for a service, with the names behind the indices that
+//! the balancer uses.
 
 mod sections;
 mod validation;
@@ -10,48 +11,50 @@
 use std::time::Duration;
 use tulipwall::{Idempotency, Settings};
 
-/// The settings of a service: what the balancer decides by, the names of its classes, tenants and
-/// zones, and the limits on connections.
+/// The settings of a service: the balancer's settings, the names of request classes, tenants and
+/// zones, and the timeouts and price of connections.
 ///
 /// Classes, tenants and zones are numbered. A configuration reload keeps these indices (see
-/// [`ServiceConfig::renumbered_after`]), so some may belong to names that are gone.
+/// [`ServiceConfig::renumbered_after`]), so some may belong to names that have been removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
-    /// What the balancer decides by; names are replaced by indices.
+    /// The balancer's settings, in which names are replaced by indices.
     pub settings: Settings,
-    /// Names of the request classes by index, with those whose names have gone.
+    /// The names of the request classes by index, including removed ones.
     pub classes: Vec<String>,
-    /// Names of the zones by index, with those whose names have gone.
+    /// The names of the zones by index, including removed ones.
     pub zones: Vec<String>,
-    /// How long opening a connection to an endpoint may take.
+    /// The timeout for opening a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// How long an idle connection to an endpoint is kept.
+    /// The time after which an endpoint closes an idle connection.
     pub endpoint_idle_timeout: Duration,
-    /// What opening a connection for each request would cost, in points of the service's score; 0
-    /// where connections cost nothing.
+    /// What it would cost to open a connection for each request, in points of the service's score;
+    /// 0 if opening connections is free.
     pub handshake_price: f64,
-    /// The longest timeout of any class.
+    /// The longest request timeout of any class.
     pub longest_timeout: Duration,
     pub(crate) class_indices: HashMap<String, usize>,
     pub(crate) tenant_indices: HashMap<String, usize>,
     pub(crate) zone_indices: HashMap<String, usize>,
-    /// Classes that the settings no longer have, and that requests in flight still count in.
+    /// The indices of classes that the settings no longer have, but to which requests in flight
+    /// still belong.
     pub(crate) retired_classes: Vec<usize>,
 }
 
-/// How many classes, tenants and zones have names in the settings.
+/// The numbers of classes, tenants and zones that the settings name, without removed ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameCounts {
-    /// Request classes.
+    /// The number of request classes.
     pub classes: usize,
-    /// Tenants.
+    /// The number of tenants.
     pub tenants: usize,
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
 }
 
 impl ServiceConfig {
-    /// Reads the settings from their JSON object. `seed` is that of the balancer's random draws.
+    /// Reads and validates the settings from their JSON object. `seed` is the seed of the
+    /// balancer's random number generator.
     pub fn read(service: &Fields, seed: u64) -> Result<ServiceConfig, ConfigError> {
         let zones = Zones::read(service)?;
         let classes = Classes::read(service)?;
@@ -60,7 +63,13 @@
         let caps = sections.exposure_caps()?;
         validation::check_ranges(&sections, caps.len())?;
         Ok(ServiceConfig {
-            settings: sections.settings(seed, zones.own, classes.classes, tenants.tenants, caps)?,
+            settings: sections.settings(
+                seed,
+                zones.local_zone,
+                classes.classes,
+                tenants.tenants,
+                caps,
+            )?,
             classes: classes.names,
             zones: zones.names,
             connect_timeout: sections.connect_timeout()?,
@@ -74,17 +83,17 @@
         })
     }
 
-    /// The index of the request class with this name.
+    /// The index of the request class with this name; `None` if the settings do not have it.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.class_indices.get(name).copied()
     }
 
-    /// The index of the tenant with this name.
+    /// The index of the tenant with this name; `None` if the settings do not have it.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.tenant_indices.get(name).copied()
     }
 
-    /// The index of the zone with this name.
+    /// The index of the zone with this name; `None` if the settings do not have it.
     pub fn zone_index(&self, name: &str) -> Option<usize> {
         self.zone_indices.get(name).copied()
     }
@@ -97,7 +106,7 @@
         )
     }
 
-    /// How many classes, tenants and zones have names.
+    /// Counts the classes, tenants and zones that the settings name.
     pub fn named_counts(&self) -> NameCounts {
         NameCounts {
             classes: self.class_indices.len(),
--- a/crates/config/src/service_config/sections.rs
+++ b/crates/config/src/service_config/sections.rs
@@ -1,4 +1,5 @@
-//! Reads the settings object section by section. Keys and defaults stand here and nowhere else.
+//! Reads the settings object section by section. This module alone maps keys and defaults to the
+//! fields of the settings.
 
 use crate::error::ConfigError;
 use crate::fields::{FieldError, Fields};
@@ -7,16 +8,16 @@
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, Idempotency, RequestClass, RolloutPolicy, Settings, Tenant};
 
-/// The zones of the service and the agent's own.
+/// The zones of the service, and which of them the agent is in.
 pub(super) struct Zones {
     pub names: Vec<String>,
     pub indices: HashMap<String, usize>,
-    /// Index of the agent's own zone.
-    pub own: usize,
+    /// The index of the agent's own zone.
+    pub local_zone: usize,
 }
 
 impl Zones {
-    /// Reads `zones` and `zone`.
+    /// Reads the keys `zones` and `zone`.
     pub fn read(service: &Fields) -> Result<Zones, ConfigError> {
         let mut names = Vec::new();
         for name in service.array("zones")? {
@@ -26,31 +27,31 @@
             names.push(name.to_owned());
         }
         let indices = index_names("zones", "zone", &names)?;
-        let own_name = service.text("zone")?;
-        let Some(own) = indices.get(own_name).copied() else {
+        let local_zone_name = service.text("zone")?;
+        let Some(local_zone) = indices.get(local_zone_name).copied() else {
             return Err(ConfigError::UndefinedZone {
-                name: own_name.to_owned(),
+                name: local_zone_name.to_owned(),
             });
         };
         Ok(Zones {
             names,
             indices,
-            own,
+            local_zone,
         })
     }
 }
 
-/// The request classes with their names.
+/// The request classes with their names and indices.
 pub(super) struct Classes {
     pub classes: Vec<RequestClass>,
     pub names: Vec<String>,
     pub indices: HashMap<String, usize>,
-    /// The longest timeout of any class.
+    /// The longest request timeout of any class.
     pub longest_timeout: Duration,
 }
 
 impl Classes {
-    /// Reads `classes`.
+    /// Reads the key `classes`.
     pub fn read(service: &Fields) -> Result<Classes, ConfigError> {
         let mut classes = Vec::new();
         let mut names = Vec::new();
@@ -102,14 +103,14 @@
     }
 }
 
-/// The tenants with the indices of their names.
+/// The tenants, and their indices by name.
 pub(super) struct Tenants {
     pub tenants: Vec<Tenant>,
     pub indices: HashMap<String, usize>,
 }
 
 impl Tenants {
-    /// Reads `tenants`.
+    /// Reads the key `tenants`.
     pub fn read(service: &Fields) -> Result<Tenants, ConfigError> {
         let values = service.array_or_empty("tenants")?;
         let mut tenants = Vec::with_capacity(values.len());
@@ -136,7 +137,7 @@
     Ok(Tenant { share })
 }
 
-/// The indices of the names in the list under `key`, each of which may stand there once.
+/// The indices of the names in the list under `key`. Names must be unique.
 fn index_names(
     key: &'static str,
     kind: &'static str,
@@ -156,22 +157,22 @@
     Ok(indices)
 }
 
-/// The settings object and those of its sections that are objects themselves.
+/// The settings object and its nested objects.
 pub(super) struct Sections<'a> {
     /// The settings object.
     pub service: &'a Fields<'a>,
-    /// What an agent may do, and how much.
+    /// The agent's limits and the features that it may use.
     pub limits: Fields<'a>,
-    /// How endpoints start and how often the list must be polled.
+    /// Slow start and overload of endpoints, and how often the endpoint list must be polled.
     pub rules: Fields<'a>,
-    /// What operations cost.
+    /// The prices of operations: attempts that cross zones, and connection handshakes.
     pub prices: Fields<'a>,
-    /// How builds are rolled out.
+    /// How builds are rolled out, and how votes on them are taken.
     pub domain: Fields<'a>,
 }
 
 impl<'a> Sections<'a> {
-    /// Finds the sections, each of which must be there.
+    /// Looks up the nested objects, all of which are required.
     pub fn read(service: &'a Fields<'a>) -> Result<Sections<'a>, FieldError> {
         Ok(Sections {
             service,
@@ -182,7 +183,7 @@
         })
     }
 
-    /// By rollout stage: the largest share of requests that a canary may get.
+    /// The exposure cap of each rollout stage: the largest share of requests that a canary may get.
     pub fn exposure_caps(&self) -> Result<Vec<f64>, FieldError> {
         let values = self.domain.array("most-shares")?;
         let cap = |value: &Value| {
@@ -193,7 +194,7 @@
         values.iter().map(cap).collect()
     }
 
-    /// All that the balancer decides by; `zone` is the index of the agent's own zone.
+    /// Reads the balancer's settings; `zone` is the index of the agent's own zone.
     pub fn settings(
         &self,
         seed: u64,
@@ -231,7 +232,7 @@
         })
     }
 
-    /// The longest time to name in a rejection; `None` where none may be named.
+    /// The longest retry-after time that a rejection may state; `None` if it may not state any.
     fn retry_after(&self) -> Result<Option<Duration>, FieldError> {
         let allowed = self.limits.boolean_or_false("retry-after")?;
         let longest = self.limits.duration_ms_or("max-retry-after-ms", 0.0)?;
@@ -267,17 +268,17 @@
         Ok(counted_share > 0.0)
     }
 
-    /// How long opening a connection to an endpoint may take.
+    /// The timeout for opening a connection to an endpoint.
     pub fn connect_timeout(&self) -> Result<Duration, FieldError> {
         self.limits.duration_ms_or("dial-timeout-ms", 1000.0)
     }
 
-    /// How long an idle connection is kept.
+    /// The time after which an endpoint closes an idle connection.
     pub fn endpoint_idle_timeout(&self) -> Result<Duration, FieldError> {
         self.limits.duration_ms_or("conn-idle-ms", 30_000.0)
     }
 
-    /// What opening a connection costs, in points of the service's score.
+    /// The cost of opening a connection, in points of the service's score.
     pub fn handshake_price(&self) -> Result<f64, FieldError> {
         self.prices.number_or("handshake", 0.0)
     }
--- a/crates/config/src/service_config/validation.rs
+++ b/crates/config/src/service_config/validation.rs
@@ -1,12 +1,12 @@
-//! Checks that the numbers of the settings lie in their ranges. The first that does not is
-//! reported with its key.
+//! Checks that the numbers in the settings are within their ranges. Only the first one that is not
+//! is reported, with its key.
 
 use super::sections::Sections;
 use crate::error::ConfigError;
 use crate::fields::Fields;
 use serde_json::Value;
 
-/// Checks every range; `stages` is the number of rollout stages.
+/// Checks all ranges; `stages` is the number of rollout stages.
 pub(super) fn check_ranges(sections: &Sections, stages: usize) -> Result<(), ConfigError> {
     check_counts(sections)?;
     check_guarded_stages(sections, stages)?;
@@ -74,7 +74,8 @@
     Ok(())
 }
 
-/// Zero would make an agent poll or retry without a pause, or give up before it has begun.
+/// Rejects zero and negative values: with zero an agent would poll or retry without a pause, or
+/// time out before it has started.
 fn check_positive_numbers(sections: &Sections) -> Result<(), ConfigError> {
     let numbers: [(&Fields, &'static str); 4] = [
         (sections.service, "granularity-ms"),
