--- a/crates/config/src/installation/alternative_settings.rs
+++ b/crates/config/src/installation/alternative_settings.rs
@@ -1,4 +1,5 @@
-//! The section `watch`: settings whose decisions are compared with those in force.
+//! Reads the section `watch`: alternative settings for the shadow evaluation, which compares their
+//! decisions with those of the settings in force.
 
 use super::zones::MAX_COUNT;
 use crate::diagnostic::ConfigProblem;
@@ -7,7 +8,7 @@
 use std::time::Duration;
 use tulipwall::AlternativeSettings;
 
-/// The most rollout stages that can be named.
+/// The largest number of guarded rollout stages that the file may set.
 const MAX_STAGES: f64 = 100.0;
 
 pub(super) fn read(reader: &mut KdlReader, node: &KdlNode) -> AlternativeSettings {
@@ -36,7 +37,7 @@
 
 fn read_guarded_stages(reader: &mut KdlReader, node: &KdlNode) -> Option<usize> {
     let stages = reader.number(node, 0.0, MAX_STAGES);
-    // Reading the number a second time reports one that is out of range twice.
+    // This reads the number a second time, so a number that is out of range is reported twice.
     let has_fraction = reader
         .number(node, 0.0, MAX_STAGES)
         .is_some_and(|number| number.fract() > 0.0);
--- a/crates/config/src/installation/mod.rs
+++ b/crates/config/src/installation/mod.rs
@@ -1,4 +1,5 @@
-//! What an installation sets beside the platform's configuration: one KDL file for all its agents.
+//! Reads the installation file: one KDL file for all agents of an installation, which adds to the
+//! platform's configuration.
 
 mod alternative_settings;
 mod zone_config;
@@ -15,29 +16,31 @@
 
 pub use zone_config::UNNAMED_ZONE;
 
-/// The installation file. Names of zones and classes in it are resolved against the settings of a
-/// service by [`Installation::zone_config`], since these come from the platform.
+/// The contents of the installation file. The zones and request classes are defined by the
+/// platform's settings of a service, so [`Installation::zone_config`] resolves their names against
+/// these.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Installation {
-    /// The form of log lines, where the file sets one.
+    /// The format of log lines; `None` if the file sets none.
     pub log: Option<LogFormat>,
-    /// Where operators may ask for reports; nowhere if not given.
+    /// The address of the admin endpoint, where operators request reports; `None` if the agent is
+    /// to have no such endpoint.
     pub admin: Option<AdminAddress>,
     zones: Option<ZonesSection>,
     alternative: Option<(SourceLocation, AlternativeSettings)>,
 }
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text a record.
+    /// Each record is one line of text.
     Text,
-    /// One JSON object a record.
+    /// Each record is one JSON object.
     Json,
 }
 
 impl Installation {
-    /// Reads the file's text; all its problems otherwise, in the order of their locations.
+    /// Reads the text of the file. If it is invalid, returns all problems, sorted by location.
     pub fn read(text: &str) -> Result<Installation, Vec<ConfigDiagnostic>> {
         let mut reader = KdlReader::new(text);
         let mut installation = Installation::default();
@@ -58,8 +61,9 @@
         reader.finish(installation)
     }
 
-    /// The settings whose decisions are compared with those in force; `None` unless the file has
-    /// some. They must fit the rollout stages of `service`.
+    /// The alternative settings for the shadow evaluation; `None` if the file has none. Their
+    /// number of guarded stages must not exceed the number of rollout stages of `service`, or of
+    /// the alternative caps if the file sets these.
     pub fn alternative_settings(
         &self,
         service: &ServiceConfig,
@@ -79,13 +83,13 @@
         Ok(Some(alternative.clone()))
     }
 
-    /// Whether the file has a section on zones.
+    /// Whether the file has a section `zones`.
     pub fn has_zones(&self) -> bool {
         self.zones.is_some()
     }
 
-    /// The section on zones with names replaced by the indices of `service`; `None` where the file
-    /// has no such section. Names that the service does not have are problems.
+    /// The section `zones`, with names replaced by the indices of `service`; `None` if the file has
+    /// no such section. Returns a problem for each name that the service does not define.
     pub fn zone_config(
         &self,
         service: &ServiceConfig,
--- a/crates/config/src/installation/zone_config.rs
+++ b/crates/config/src/installation/zone_config.rs
@@ -5,10 +5,12 @@
 use crate::service_config::ServiceConfig;
 use tulipwall_zones::{Budget, ClassProfile, Link, ZoneConfig};
 
-/// How the file names the zones of endpoints whose zone the settings do not have.
+/// The name by which the file refers to the zone of any endpoint whose zone the settings do not
+/// define.
 pub const UNNAMED_ZONE: &str = "(unnamed)";
 
-/// The section in the indices of `service`, or every name in it that the service does not have.
+/// Replaces the names of the section by the indices of `service`. Returns a problem for each name
+/// that the service does not define.
 pub(super) fn resolve(
     section: &ZonesSection,
     service: &ServiceConfig,
@@ -50,8 +52,8 @@
 }
 
 impl Resolver<'_> {
-    /// The links from the agent's own zone, by the index of the zone that they lead to. Zones
-    /// without a name share the index behind those with one.
+    /// The links from the agent's own zone, by the index of their destination zone. All zones
+    /// without a name share the index after the last named zone.
     fn links(&mut self, entries: &[LinkEntry]) -> Vec<Link> {
         let mut links = vec![Link::default(); self.service.zones.len() + 1];
         for entry in entries {
@@ -67,10 +69,11 @@
         links
     }
 
-    /// The budgets that bind this agent: one for traffic to its own zone binds others only.
+    /// The budgets that apply to this agent. A budget for traffic to its own zone applies only to
+    /// agents in other zones.
     fn budgets(&mut self, entries: &[BudgetEntry]) -> Vec<Budget> {
         let agents = self.service.settings.agents.max(1);
-        let equal_part = 1.0 / f64::from(agents);
+        let equal_fraction = 1.0 / f64::from(agents);
         let mut budgets = Vec::new();
         for entry in entries {
             let to = self.budget_zone(entry.to.as_ref());
@@ -84,7 +87,7 @@
                 class,
                 limit: *limit,
                 window: entry.window,
-                agent_fraction: entry.part.unwrap_or(equal_part),
+                agent_fraction: entry.fraction.unwrap_or(equal_fraction),
             }));
         }
         budgets
@@ -108,7 +111,8 @@
         class
     }
 
-    /// The index of a zone; a name that the service does not have is reported under `key`.
+    /// The index of the zone with this name. A name that the service does not define is reported
+    /// under `key`.
     fn zone(&mut self, location: SourceLocation, key: &str, name: &str) -> Option<usize> {
         if name == UNNAMED_ZONE {
             return Some(self.service.zones.len());
--- a/crates/config/src/installation/zones.rs
+++ b/crates/config/src/installation/zones.rs
@@ -1,5 +1,5 @@
-//! The section `zones`: links between zones with their prices and delays, and budgets for traffic
-//! that crosses them. Zones and classes stand here by name.
+//! Reads the section `zones`: links between zones with their prices and delays, and budgets for
+//! cross-zone traffic. Zones and request classes are given by name and not yet resolved.
 
 use crate::diagnostic::{ConfigProblem, SourceLocation};
 use crate::kdl_reader::KdlReader;
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use tulipwall_zones::{Limit, Link, Price, RoutingPolicy};
 
-/// The shortest window of a budget: its bins must be longer than the interval in which the routing
+/// The shortest window of a budget. Its bins must be longer than the interval at which the routing
 /// hints are updated.
 const MIN_WINDOW: Duration = Duration::from_secs(1);
-/// The window of a budget that sets none.
+/// The window of a budget that does not set one.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(3600);
-/// The largest sum of money; anything above is a mistake.
+/// The largest amount of money. A larger one is assumed to be a mistake.
 const MAX_MONEY: f64 = 1e12;
-/// The largest count, which a floating-point number still holds exactly.
+/// The largest count. A floating-point number still represents it exactly.
 pub(super) const MAX_COUNT: f64 = 1e15;
 
-/// The section as it stands in the file.
+/// The contents of the section, with names not yet resolved.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ZonesSection {
     pub routing: RoutingPolicy,
@@ -26,7 +26,7 @@
     pub budgets: Vec<BudgetEntry>,
 }
 
-/// A link from one zone to another.
+/// A link from one zone to another, given by their names.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LinkEntry {
     pub location: SourceLocation,
@@ -35,30 +35,30 @@
     pub link: Link,
 }
 
-/// A name in the file, which must be one of the settings'.
+/// A zone or class name in the file, which the settings must define.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct NameEntry {
     pub location: SourceLocation,
     pub name: String,
 }
 
-/// A budget for traffic that crosses zones.
+/// A budget for cross-zone traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct BudgetEntry {
     pub location: SourceLocation,
     pub name: String,
-    /// The zone that the traffic goes to; any if not given.
+    /// The destination zone of the traffic; `None` for any.
     pub to: Option<NameEntry>,
-    /// The request class of the traffic; any if not given.
+    /// The request class of the traffic; `None` for any.
     pub class: Option<NameEntry>,
     pub limits: Vec<Limit>,
     pub window: Duration,
-    /// The agent's share of the budget; an equal one if not given.
-    pub part: Option<f64>,
+    /// The agent's fraction of the budget; `None` for an equal part of it.
+    pub fraction: Option<f64>,
 }
 
 impl ZonesSection {
-    /// Reads the node `zones`, reporting what is wrong with it.
+    /// Reads the node `zones` and reports its problems to `reader`.
     pub fn read(reader: &mut KdlReader, node: &KdlNode) -> ZonesSection {
         reader.arguments(node, 0, &[]);
         let mut section = ZonesSection::default();
@@ -167,7 +167,7 @@
             class: None,
             limits: Vec::new(),
             window: DEFAULT_WINDOW,
-            part: None,
+            fraction: None,
         };
         budget.read_children(reader, node);
         if budget.limits.is_empty() && !reader.has_diagnostics() {
@@ -198,7 +198,7 @@
                 "window" => {
                     self.window = reader.duration(node, MIN_WINDOW).unwrap_or(DEFAULT_WINDOW);
                 }
-                "part" => self.part = reader.number(node, 0.0, 1.0),
+                "part" => self.fraction = reader.number(node, 0.0, 1.0),
                 _ => self.limits.extend(read_limit(reader, node)),
             }
         }
--- a/crates/config/src/kdl_reader/mod.rs
+++ b/crates/config/src/kdl_reader/mod.rs
@@ -1,5 +1,5 @@
 //! Reads KDL documents and collects every problem of a document with its location and key, so that
-//! an operator sees all of them at once.
+//! an operator sees all problems at once.
 
 mod values;
 
@@ -7,27 +7,28 @@
 use kdl::{KdlDiagnostic, KdlDocument, KdlEntry, KdlNode};
 use std::collections::BTreeSet;
 
-/// The longest document that is read, in bytes.
+/// The maximum length of a document, in bytes.
 const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
-/// The most braces that may be open at once. The parser recurses, so a document that nests without
-/// end would exhaust the stack.
+/// The maximum number of braces that may be open at once. The parser is recursive, so unlimited
+/// nesting would overflow the stack.
 const MAX_DEPTH: usize = 32;
-/// A known name within this edit distance of an unknown one is suggested, and so is one within
-/// half of the unknown name's length.
-const SUGGESTION_DISTANCE: usize = 2;
-/// The key that problems of the document as a whole are reported under.
+/// A known name is suggested for an unknown one if their edit distance is at most this, or at most
+/// half the length of the unknown name.
+const MAX_SUGGESTION_DISTANCE: usize = 2;
+/// The key under which problems of the document as a whole are reported.
 const DOCUMENT_KEY: &str = "file";
 const SYNTAX_KEY: &str = "syntax";
 const NOT_KDL: &str = "not a KDL document";
 
-/// Reads one document. Methods that read a value report what is wrong with it and return `None`.
+/// Reads one document and collects its problems. Methods that read a value return `None` if it is
+/// invalid, and report the problem.
 pub struct KdlReader<'a> {
     text: &'a str,
     diagnostics: Vec<ConfigDiagnostic>,
 }
 
 impl<'a> KdlReader<'a> {
-    /// A reader of the document with this text.
+    /// Creates a reader of the document with this text.
     pub fn new(text: &'a str) -> KdlReader<'a> {
         KdlReader {
             text,
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Parses the document; `None` if it is no KDL, which is reported.
+    /// Parses the document. If it is too long, nested too deeply or not valid KDL, reports that and
+    /// returns `None`.
     pub fn document(&mut self) -> Option<KdlDocument> {
         if let Err(problem) = check_size(self.text) {
             self.report(SourceLocation::START, DOCUMENT_KEY, problem);
@@ -69,18 +71,18 @@
             .push(ConfigDiagnostic::new(location, key, problem));
     }
 
-    /// Whether any problem was reported.
+    /// Whether any problem has been reported.
     pub fn has_diagnostics(&self) -> bool {
         !self.diagnostics.is_empty()
     }
 
-    /// Whether a problem of `key` was reported.
+    /// Whether a problem has been reported under `key`.
     pub fn has_diagnostics_for(&self, key: &str) -> bool {
         self.diagnostics.iter().any(|d| d.key == key)
     }
 
-    /// `value` if no problem was reported, and all problems in the order of their locations
-    /// otherwise.
+    /// Returns `value` if no problem has been reported, and otherwise all problems, sorted by
+    /// location.
     pub fn finish<T>(self, value: T) -> Result<T, Vec<ConfigDiagnostic>> {
         if self.has_diagnostics() {
             return Err(self.into_diagnostics());
@@ -88,19 +90,19 @@
         Ok(value)
     }
 
-    /// All problems in the order of their locations.
+    /// All problems, sorted by location.
     pub fn into_diagnostics(mut self) -> Vec<ConfigDiagnostic> {
         self.diagnostics.sort();
         self.diagnostics
     }
 
-    /// Where a node stands.
+    /// The location of a node's name.
     pub fn location(&self, node: &KdlNode) -> SourceLocation {
         self.location_at(node.name().span().offset())
     }
 
     fn entry_location(&self, entry: &KdlEntry) -> SourceLocation {
-        // An entry's span includes the white space before it.
+        // The span of an entry includes the white space before it.
         let offset = entry.span().offset();
         let text = self.text.get(offset..).unwrap_or_default();
         let white_space = text.len() - text.trim_start().len();
@@ -115,23 +117,24 @@
         SourceLocation { line, column }
     }
 
-    /// The nodes of a document whose names are in `once` or `many`. Others are reported as unknown
-    /// in `context`, and so is the second of a name that is in `once`.
+    /// The nodes of a document whose names are in `single` or `repeated`. Any other node is
+    /// reported as unknown in `context`. A name in `single` may occur once; each further
+    /// occurrence is reported and left out.
     pub fn nodes<'d>(
         &mut self,
         document: Option<&'d KdlDocument>,
         context: &str,
-        once: &[&str],
-        many: &[&str],
+        single: &[&str],
+        repeated: &[&str],
     ) -> Vec<&'d KdlNode> {
         let mut seen = BTreeSet::new();
         let mut nodes = Vec::new();
         for node in document.map_or(&[][..], KdlDocument::nodes) {
             let name = node.name().value();
             let location = self.location(node);
-            let is_single = once.contains(&name);
-            if !is_single && !many.contains(&name) {
-                let known: Vec<&str> = once.iter().chain(many).copied().collect();
+            let is_single = single.contains(&name);
+            if !is_single && !repeated.contains(&name) {
+                let known: Vec<&str> = single.iter().chain(repeated).copied().collect();
                 self.report(location, name, unknown_name(name, context, &known));
             } else if is_single && !seen.insert(name) {
                 let context = context.to_owned();
@@ -143,8 +146,8 @@
         nodes
     }
 
-    /// The values of a node, which must have `count` of them and no properties but the known ones.
-    /// Empty if the count is another.
+    /// The values of a node, which must have exactly `count` of them and may have the known
+    /// properties only. Returns no values if their number differs from `count`.
     pub fn arguments<'d>(
         &mut self,
         node: &'d KdlNode,
@@ -220,7 +223,7 @@
 
 fn unknown_name(name: &str, context: &str, known: &[&str]) -> ConfigProblem {
     let distance = |known: &&&str| strsim::damerau_levenshtein(name, known);
-    let max_distance = SUGGESTION_DISTANCE.max(name.len() / 2);
+    let max_distance = MAX_SUGGESTION_DISTANCE.max(name.len() / 2);
     let closest = known.iter().min_by_key(distance);
     match closest.filter(|closest| distance(closest) <= max_distance) {
         Some(suggestion) => ConfigProblem::MisspelledName {
--- a/crates/config/src/kdl_reader/values.rs
+++ b/crates/config/src/kdl_reader/values.rs
@@ -1,20 +1,21 @@
-//! Typed values of KDL nodes, with units.
+//! Reads typed values of KDL nodes: text, numbers, durations, sizes, booleans and keywords.
 
 use super::KdlReader;
 use crate::diagnostic::ConfigProblem;
 use kdl::{KdlEntry, KdlNode, KdlValue};
 use std::time::Duration;
 
-/// The longest text that is read as a value, in bytes.
+/// The maximum length of a text value, in bytes.
 const MAX_TEXT_BYTES: usize = 256;
-/// The longest duration, in seconds: a year. Anything longer is a mistake in this kind of file.
+/// The longest duration, in seconds: a leap year. A longer one is assumed to be a mistake in this
+/// kind of file.
 const MAX_DURATION_SECONDS: f64 = 366.0 * 86_400.0;
-/// The largest size, in bytes. Up to here sizes are exact enough as floating-point numbers.
+/// The largest size, in bytes. Up to this size a floating-point number is precise enough.
 const MAX_SIZE_BYTES: f64 = 1e18;
-/// The most characters of a wrong value that a message shows.
+/// The maximum number of characters of an invalid value that a message shows.
 const MAX_SHOWN_CHARACTERS: usize = 40;
 
-/// Units of durations, in seconds.
+/// The units of durations, with their lengths in seconds.
 const DURATION_UNITS: [(&str, f64); 6] = [
     ("us", 1e-6),
     ("ms", 1e-3),
@@ -25,7 +26,7 @@
 ];
 
 const KIB: f64 = 1024.0;
-/// Units of sizes, in bytes.
+/// The units of sizes, with their numbers of bytes.
 const SIZE_UNITS: [(&str, f64); 5] = [
     ("KiB", KIB),
     ("MiB", KIB * KIB),
@@ -35,7 +36,7 @@
 ];
 
 impl KdlReader<'_> {
-    /// The one value of a node without properties and children.
+    /// The only value of a node, which may have neither properties nor children.
     fn value<'d>(&mut self, node: &'d KdlNode) -> Option<&'d KdlEntry> {
         let has_children = node
             .children()
@@ -48,12 +49,12 @@
     }
 
     fn report_wrong_value(&mut self, entry: &KdlEntry, key: &str, expected: String) {
-        let found = shown(entry.value());
+        let found = display_value(entry.value());
         let problem = ConfigProblem::WrongValue { expected, found };
         self.report(self.entry_location(entry), key, problem);
     }
 
-    /// An entry's text, which may not be empty; problems are reported under `key`.
+    /// The text of an entry, which must not be empty. Problems are reported under `key`.
     pub fn entry_text(&mut self, entry: &KdlEntry, key: &str) -> Option<String> {
         match entry.value() {
             KdlValue::String(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => {
@@ -66,13 +67,13 @@
         }
     }
 
-    /// The text of a node.
+    /// The text that a node has as its value.
     pub fn text(&mut self, node: &KdlNode) -> Option<String> {
         let entry = self.value(node)?;
         self.entry_text(entry, node.name().value())
     }
 
-    /// An entry's number from `min` to `max`; problems are reported under `key`.
+    /// The number of an entry, from `min` to `max`. Problems are reported under `key`.
     pub fn entry_number(&mut self, entry: &KdlEntry, key: &str, min: f64, max: f64) -> Option<f64> {
         let number = match entry.value() {
             KdlValue::Integer(number) => Some(*number as f64),
@@ -86,13 +87,14 @@
         number
     }
 
-    /// The number of a node, from `min` to `max`.
+    /// The number that a node has as its value, from `min` to `max`.
     pub fn number(&mut self, node: &KdlNode, min: f64, max: f64) -> Option<f64> {
         let entry = self.value(node)?;
         self.entry_number(entry, node.name().value(), min, max)
     }
 
-    /// The numbers of a node, one or more, each from `min` to `max`.
+    /// The numbers that a node has as its values, at least one, each from `min` to `max`. Invalid
+    /// ones are reported and left out.
     pub fn numbers(&mut self, node: &KdlNode, min: f64, max: f64) -> Vec<f64> {
         let key = node.name().value();
         let entries: Vec<&KdlEntry> = node
@@ -112,7 +114,8 @@
             .collect()
     }
 
-    /// The number from 0 to `max` that a node has as a property; `default` where it has none.
+    /// The number that a node has as the property `key`, from 0 to `max`; `default` if it is absent
+    /// or invalid.
     pub fn property(&mut self, node: &KdlNode, key: &str, default: f64, max: f64) -> f64 {
         match node.entry(key) {
             Some(entry) => self.entry_number(entry, key, 0.0, max).unwrap_or(default),
@@ -120,7 +123,8 @@
         }
     }
 
-    /// The duration of a node, `min` or longer, with its unit: us, ms, s, m, h or d.
+    /// The duration that a node has as its value, `min` or longer, written with a unit: us, ms, s,
+    /// m, h or d.
     pub fn duration(&mut self, node: &KdlNode, min: Duration) -> Option<Duration> {
         let entry = self.value(node)?;
         let range = min.as_secs_f64()..=MAX_DURATION_SECONDS;
@@ -140,7 +144,8 @@
         seconds.map(Duration::from_secs_f64)
     }
 
-    /// The size of a node in bytes, given as a number or with B, KiB, MiB, GiB or TiB.
+    /// The size in bytes that a node has as its value, written as a number of bytes or with a unit:
+    /// B, KiB, MiB, GiB or TiB.
     pub fn byte_size(&mut self, node: &KdlNode) -> Option<f64> {
         let entry = self.value(node)?;
         let bytes = match entry.value() {
@@ -156,7 +161,7 @@
         bytes
     }
 
-    /// The boolean of a node: `#true` or `#false`.
+    /// The boolean that a node has as its value: `#true` or `#false`.
     pub fn boolean(&mut self, node: &KdlNode) -> Option<bool> {
         let entry = self.value(node)?;
         let value = entry.value().as_bool();
@@ -167,7 +172,7 @@
         value
     }
 
-    /// The index among `words` of the one that the node has as its value.
+    /// The index in `words` of the word that the node has as its value.
     pub fn keyword(&mut self, node: &KdlNode, words: &[&str]) -> Option<usize> {
         let text = self.text(node)?;
         let index = words.iter().position(|word| *word == text);
@@ -181,14 +186,14 @@
         index
     }
 
-    /// What the word stands for that the node has as its value.
+    /// The item of `choices` whose word the node has as its value.
     pub fn choice<T: Copy>(&mut self, node: &KdlNode, choices: &[(&str, T)]) -> Option<T> {
         let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
         self.keyword(node, &words).map(|index| choices[index].1)
     }
 }
 
-/// A number with one of these units, in the unit whose scale is 1.
+/// Parses a number with one of these units and converts it to the unit whose scale is 1.
 fn parse_quantity(text: &str, units: &[(&str, f64)]) -> Option<f64> {
     let unit_start = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (number, unit) = text.split_at(unit_start);
@@ -197,7 +202,7 @@
     number.is_finite().then_some(number * scale)
 }
 
-fn shown(value: &KdlValue) -> String {
+fn display_value(value: &KdlValue) -> String {
     let text = value.to_string();
     match text.char_indices().nth(MAX_SHOWN_CHARACTERS) {
         Some((end, _)) => format!("{}...", &text[..end]),
