--- a/crates/config/examples/settings.rs
+++ b/crates/config/examples/settings.rs
@@ -1,5 +1,5 @@
-//! Measures reading settings, looking a tenant up, and renumbering settings after those in force,
-//! by the number of tenants.
+//! Measures how long it takes to read settings, to look up a tenant, and to renumber settings after
+//! those in force, for several numbers of tenants.
 //!
 //!     cargo run --release -p tulipwall-config --example settings
 
@@ -28,19 +28,19 @@
     Ok(ServiceConfig::read(&fields, 1)?)
 }
 
-/// Runs of each measurement.
+/// The number of runs of each measurement, of which the shortest is reported.
 const RUNS: usize = 7;
-/// Tenants that are looked up in each run.
+/// The number of tenants that are looked up in each run.
 const LOOKUPS: usize = 200;
 
-/// The shortest of several runs, in microseconds.
-fn shortest_us<T>(mut work: impl FnMut() -> T) -> f64 {
-    let once = |_| {
-        let begun = Instant::now();
-        black_box(work());
-        begun.elapsed().as_secs_f64() * 1e6
+/// Runs `operation` several times and returns the shortest duration, in microseconds.
+fn shortest_us<T>(mut operation: impl FnMut() -> T) -> f64 {
+    let measure_run = |_| {
+        let started = Instant::now();
+        black_box(operation());
+        started.elapsed().as_secs_f64() * 1e6
     };
-    (0..RUNS).map(once).fold(f64::INFINITY, f64::min)
+    (0..RUNS).map(measure_run).fold(f64::INFINITY, f64::min)
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -60,9 +60,9 @@
     Ok(())
 }
 
-/// The time of one look-up, in microseconds.
+/// The duration of one look-up, in microseconds.
 fn measure_lookup(service: &ServiceConfig, tenants: usize) -> f64 {
-    // A prime stride visits the tenants in no order that a cache would favor.
+    // With a prime stride the order of the tenants does not favor a cache.
     let names: Vec<String> = (0..LOOKUPS)
         .map(|n| format!("tenant-{}", n * 7919 % tenants))
         .collect();
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -1,4 +1,5 @@
-//! The installation's and the client's files: their values, defaults and errors.
+//! Tests of reading the service's settings, the installation file and the client's file: values,
+//! defaults and errors.
 
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
@@ -8,7 +9,7 @@
 };
 use tulipwall_zones::{Limit, Price, RoutingPolicy};
 
-const GOOD: &str = r#"// A comment.
+const VALID_FILE: &str = r#"// A comment.
 log "json"
 door "127.0.0.1:9190"
 zones {
@@ -45,14 +46,14 @@
 #[test]
 fn reports_settings_out_of_range_by_key_and_applies_defaults() {
     let with = |part: &str, key: &str, value: serde_json::Value| {
-        let mut s = settings();
-        let of = if part.is_empty() {
-            &mut s
+        let mut changed = settings();
+        let section = if part.is_empty() {
+            &mut changed
         } else {
-            &mut s[part]
+            &mut changed[part]
         };
-        of[key] = value;
-        ServiceConfig::read(&Fields::new(&s, "settings").unwrap(), 1)
+        section[key] = value;
+        ServiceConfig::read(&Fields::new(&changed, "settings").unwrap(), 1)
             .map(|_| ())
             .unwrap_err()
             .to_string()
@@ -82,28 +83,34 @@
         with("rules", "fall-multiple", json!(0.5)),
         "field fall-multiple: expected 1 or more"
     );
-    // At no granularity at all what is not yet sent would be asked after again and again without a
-    // pause.
-    for (of, key) in [
+    // With a timer granularity of zero, requests that are not sent yet would be polled again and
+    // again without a pause.
+    for (section, key) in [
         ("", "granularity-ms"),
         ("rules", "must-ask-in-ms"),
         ("limits", "dial-timeout-ms"),
         ("limits", "conn-idle-ms"),
     ] {
         assert_eq!(
-            with(of, key, json!(0)),
+            with(section, key, json!(0)),
             format!("field {key}: expected more than 0")
         );
-        assert!(with(of, key, json!(-5)).starts_with(&format!("field {key}:")));
+        assert!(with(section, key, json!(-5)).starts_with(&format!("field {key}:")));
     }
-    let d = service().settings;
+    let defaults = service().settings;
     assert!(
-        !d.key_affinity
-            && !d.load_probes
-            && !d.rollout.platform_counts
-            && d.rollout.guarded_stages == 0
+        !defaults.key_affinity
+            && !defaults.load_probes
+            && !defaults.rollout.platform_counts
+            && defaults.rollout.guarded_stages == 0
+    );
+    assert_eq!(
+        (
+            defaults.overload_factor,
+            defaults.rollout.votes_to_roll_back
+        ),
+        (2.0, 1)
     );
-    assert_eq!((d.overload_factor, d.rollout.votes_to_roll_back), (2.0, 1));
 }
 
 #[test]
@@ -132,16 +139,16 @@
         .alternative_settings(&service())
         .unwrap()
         .is_none());
-    let far = Installation::read("watch {\n    guarded-stages 9\n}\n")
+    let too_many = Installation::read("watch {\n    guarded-stages 9\n}\n")
         .unwrap()
         .alternative_settings(&service())
         .unwrap_err();
     assert!(
-        far[0]
+        too_many[0]
             .to_string()
             .contains("guarded-stages: expected at most 1, the number of rollout stages"),
         "{}",
-        far[0]
+        too_many[0]
     );
     let part = Installation::read("watch {\n    guarded-stages 1.5\n}\n").unwrap_err();
     assert_eq!(
@@ -161,24 +168,24 @@
 
 #[test]
 fn reads_an_installation_file_and_applies_defaults() {
-    let installation = Installation::read(GOOD).unwrap();
+    let installation = Installation::read(VALID_FILE).unwrap();
     assert_eq!(installation.log, Some(LogFormat::Json));
     assert_eq!(
         installation.admin,
         Some(AdminAddress::Tcp("127.0.0.1:9190".parse().unwrap()))
     );
-    let z = installation.zone_config(&service()).unwrap().unwrap();
+    let resolved = installation.zone_config(&service()).unwrap().unwrap();
     assert_eq!(
-        (z.local_zone, z.zone_count, z.routing),
+        (resolved.local_zone, resolved.zone_count, resolved.routing),
         (0, 2, RoutingPolicy::LocalFirst)
     );
     assert_eq!(
-        z.links[1].added_latency,
+        resolved.links[1].added_latency,
         Some(Duration::from_millis(4)),
-        "not that of the way back"
+        "not the delay of the opposite direction"
     );
     assert_eq!(
-        z.links[1].price,
+        resolved.links[1].price,
         Price {
             per_attempt: 0.00001,
             per_gib_sent: 0.02,
@@ -186,10 +193,10 @@
         }
     );
     assert_eq!(
-        z.links[2].price.per_gib_sent, 9.0,
-        "the way to what has no name"
+        resolved.links[2].price.per_gib_sent, 9.0,
+        "the link to zones without a name"
     );
-    let budgets: Vec<_> = z
+    let budgets: Vec<_> = resolved
         .budgets
         .iter()
         .map(|b| {
@@ -208,14 +215,14 @@
             ("all", Limit::Bytes(64.0 * 1024.0 * 1024.0), 600, 0.25),
             ("views", Limit::Share(0.05), 3600, 0.5),
         ],
-        "one for the way to its own zone is some other agent's"
+        "a budget for traffic to the agent's own zone applies to other agents"
     );
-    let nothing = Installation::read("").unwrap();
+    let empty = Installation::read("").unwrap();
     assert_eq!(
         (
-            nothing.zone_config(&service()).unwrap(),
-            &nothing.admin,
-            nothing.log
+            empty.zone_config(&service()).unwrap(),
+            &empty.admin,
+            empty.log
         ),
         (None, &None, None)
     );
@@ -275,7 +282,7 @@
     assert_eq!(
         Installation::read(text).unwrap_err(),
         sorted,
-        "in the order of their lines"
+        "diagnostics are sorted by location"
     );
     let broken = errors("zones {\n  routing \"near-first\n}\n");
     assert!(
@@ -285,7 +292,7 @@
 }
 
 #[test]
-fn rejects_names_that_the_settings_lack() {
+fn rejects_names_that_the_settings_do_not_define() {
     let all = errors(
         "zones {\n    link \"east\" \"south\"\n    budget \"b\" { to \"north\"; lane \"viwe\"; share 1; }\n}",
     );
@@ -294,7 +301,7 @@
 }
 
 #[test]
-fn accepts_prices_of_zero_and_rejects_absurd_figures() {
+fn accepts_zero_and_rejects_values_out_of_range() {
     let price = |p: &str| {
         errors(&format!(
             "zones {{ link \"east\" \"west\" {{ price out-gib={p}; }}; }}"
@@ -333,7 +340,7 @@
 
 #[test]
 fn never_panics_on_malformed_text() {
-    const PIECES: [&str; 25] = [
+    const FRAGMENTS: [&str; 25] = [
         "zones",
         " ",
         "{",
@@ -363,7 +370,7 @@
     fn read(picks: Vec<u8>) {
         let text: String = picks
             .iter()
-            .map(|p| PIECES[*p as usize % PIECES.len()])
+            .map(|p| FRAGMENTS[*p as usize % FRAGMENTS.len()])
             .collect();
         let _ = Installation::read(&text).and_then(|i| i.zone_config(&service()));
     }
@@ -416,7 +423,7 @@
     assert_eq!(
         read("").unwrap_err().len(),
         2,
-        "an agent and a lane are wanted"
+        "an agent and a lane are required"
     );
     let example = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reload: new settings in the indices of those in force.
+//! Tests of configuration reload: new settings take over the indices of the settings in force.
 
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{json, Value};
@@ -75,7 +75,7 @@
     assert_eq!(
         (service.settings.zone, service.settings.seed),
         (0, 7),
-        "its own, by name"
+        "the agent's own zone is found by its name, and the seed stays"
     );
     assert_eq!(
         mapping.classes,
@@ -95,7 +95,7 @@
         again == service
             && again.is_unchanged_from(&service, &mapping)
             && mapping.classes.iter().all(|o| *o == IndexOrigin::Same),
-        "the same again is the same"
+        "renumbering the same settings changes nothing"
     );
 }
 
@@ -129,7 +129,7 @@
     assert_eq!(
         kept.settings.classes[0].idempotency,
         Idempotency::Idempotent,
-        "for those in hand"
+        "for requests in flight"
     );
     assert_eq!(
         kept.settings.classes[2].idempotency,
@@ -148,7 +148,8 @@
         (Some(2), IndexOrigin::Unused)
     );
     assert!(!after.has_retired_indices());
-    // The number is given anew, and an earlier window or group counts as another rule.
+    // The free index is reused. A changed deduplication window or scope counts as a changed
+    // idempotency.
     let more = service(
         &["a"],
         &[("view", "once"), ("send", "by_key"), ("new", "repeatable")],
@@ -190,13 +191,13 @@
         tenants: [0].into(),
         zones: [0].into(),
     };
-    let (gone, mapping) =
+    let (reduced, mapping) =
         service(&["b"], &ONE_CLASS, &[("u", 0.1)]).renumbered_after(&old, &in_use);
     assert_eq!(
         (
-            gone.class_index("send"),
-            gone.tenant_index("t"),
-            gone.zone_index("a")
+            reduced.class_index("send"),
+            reduced.tenant_index("t"),
+            reduced.zone_index("a")
         ),
         (None, None, None)
     );
@@ -204,13 +205,16 @@
         (mapping.classes[1], mapping.tenants[0]),
         (IndexOrigin::Retired, IndexOrigin::Retired)
     );
-    assert_eq!((gone.settings.classes.len(), gone.settings.zone), (2, 1));
+    assert_eq!(
+        (reduced.settings.classes.len(), reduced.settings.zone),
+        (2, 1)
+    );
     let (next, _) = service(
         &["b", "c"],
         &[("view", "repeatable"), ("x", "once")],
         &[("u", 0.1), ("v", 0.1)],
     )
-    .renumbered_after(&gone, &in_use);
+    .renumbered_after(&reduced, &in_use);
     assert_eq!(
         (
             next.class_index("x"),
@@ -249,7 +253,7 @@
     assert!(is_unchanged(&|_| {}));
     assert!(
         is_unchanged(&|s| s["tenants"].as_array_mut().unwrap().reverse()),
-        "in another order it is the same"
+        "the order of tenants is not a change"
     );
     assert!(!is_unchanged(&|s| s["tenants"][1]["name"] = "v".into()));
     assert!(!is_unchanged(&|s| s["tenants"][1]["share"] = 0.2.into()));
@@ -273,10 +277,10 @@
     assert!(!is_unchanged(&|s| s["domain"]["most-shares"] = json!([0.5])));
 }
 
-/// An attempt that is out to a zone without a name must not be taken for one to a zone that gets
-/// its number.
+/// Guards against an attempt in flight to a zone without a name being counted as one to a named
+/// zone that gets the same index.
 #[test]
-fn the_index_behind_all_names_is_not_assigned_while_in_use() {
+fn the_index_after_the_last_name_is_not_assigned_while_in_use() {
     let old = service(&["a"], &ONE_CLASS, &[]);
     let in_use = IndicesInUse {
         zones: [1].into(),
@@ -295,7 +299,8 @@
     );
 }
 
-/// Against numbers that are never given anew: 1,000 changes a day, for ten days.
+/// Guards against indices that are never reused, with which the tables would grow without bound.
+/// The reloads correspond to 1,000 changes a day for ten days.
 #[test]
 fn tables_stay_bounded_over_ten_thousand_reloads() {
     let mut now = service(&["z0"], &[("l0", "once")], &[]);
@@ -313,7 +318,7 @@
             .collect();
         let tenants: Vec<_> = tenants.iter().map(|t| (t.as_str(), 0.1)).collect();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
-        // Requests in hand count in what was in force a moment ago.
+        // Requests in flight belong to a class of the settings that were in force until now.
         let class = now.class_index(&now.classes[n % now.classes.len()]);
         let in_use = IndicesInUse {
             classes: class.into_iter().collect(),
@@ -334,15 +339,16 @@
     }
 }
 
-/// Whatever changes, and whatever is in hand: each name has one number and its own figures, none of
-/// them is a number in hand that was another's, and what is in hand keeps its rules.
+/// For any sequence of changes and any requests in flight: each name has one index and its own
+/// settings, no name gets an index that requests in flight use for another name, and requests in
+/// flight keep the idempotency of their class.
 #[test]
 fn requests_in_flight_keep_the_rules_and_name_of_their_class() {
-    fn holds(seeds: Vec<(u8, u8, u8)>) -> bool {
+    fn names_and_rules_are_kept(reloads: Vec<(u8, u8, u8)>) -> bool {
         let kinds = ["repeatable", "by_key", "once"];
         let mut now = service(&["z"], &[("l0", "once")], &[]);
-        let mut in_use: BTreeMap<usize, (Idempotency, u8)> = BTreeMap::new(); // rules, and how long still
-        for (bits, kind, hold) in seeds {
+        let mut in_use: BTreeMap<usize, (Idempotency, u8)> = BTreeMap::new(); // idempotency, reloads left
+        for (bits, kind, duration) in reloads {
             let names: Vec<String> = (0..8)
                 .filter(|b| bits >> b & 1 == 1)
                 .map(|b| format!("l{b}"))
@@ -362,8 +368,8 @@
                 let Some(n) = now.class_index(name) else {
                     return false;
                 };
-                let wanted = service(&["z"], &[("x", rule)], &[]).settings.classes[0].idempotency;
-                if now.settings.classes[n].idempotency != wanted || now.classes[n] != *name {
+                let expected = service(&["z"], &[("x", rule)], &[]).settings.classes[0].idempotency;
+                if now.settings.classes[n].idempotency != expected || now.classes[n] != *name {
                     return false;
                 }
             }
@@ -375,7 +381,7 @@
             }
             in_use.retain(|_, (_, left)| std::mem::replace(left, left.saturating_sub(1)) > 0);
             if let Some(n) = names.first().and_then(|n| now.class_index(n)) {
-                in_use.insert(n, (now.settings.classes[n].idempotency, hold % 6));
+                in_use.insert(n, (now.settings.classes[n].idempotency, duration % 6));
             }
         }
         true
@@ -383,7 +389,7 @@
     QuickCheck::new()
         .tests(300)
         .rng(Gen::new(40))
-        .quickcheck(holds as fn(Vec<(u8, u8, u8)>) -> bool);
+        .quickcheck(names_and_rules_are_kept as fn(Vec<(u8, u8, u8)>) -> bool);
 }
 
 #[test]
@@ -408,10 +414,10 @@
         "field tenants: duplicate tenant 't41999'"
     );
     for share in [-0.01, 1.01, -1e300, 1e300] {
-        let what = "field share: tenant 'acme': expected a share from 0 to 1";
+        let message = "field share: tenant 'acme': expected a share from 0 to 1";
         assert_eq!(
             of(&["a"], &ONE_CLASS, &[("fine", 1.0), ("acme", share)]),
-            what
+            message
         );
     }
     let mut s = settings(&["a"], &ONE_CLASS, &[("acme", 0.5)]);
