--- a/crates/config/src/kdl_reader/values.rs
+++ b/crates/config/src/kdl_reader/values.rs
@@ -54,7 +54,8 @@
         self.report(self.entry_location(entry), key, problem);
     }
 
-    /// The text of an entry, which must not be empty. Problems are reported under `key`.
+    /// The text of an entry, which must be neither empty nor longer than the maximum length. Problems
+    /// are reported under `key`.
     pub fn entry_text(&mut self, entry: &KdlEntry, key: &str) -> Option<String> {
         match entry.value() {
             KdlValue::String(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => {
