--- a/src/interface/decision.rs
+++ b/src/interface/decision.rs
@@ -1,52 +1,54 @@
-//! What the balancer answers.
+//! What the balancer returns: decisions on requests, and the actions that are due at a poll.
 
 use super::Vote;
 use std::time::Duration;
 
-/// What to do with a request now.
+/// What the caller must do with a request now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Forward it to this endpoint.
+    /// Send an attempt to this endpoint.
     Forward {
         /// Index of the endpoint.
         endpoint: usize,
-        /// How long to wait for the endpoint's answer.
+        /// How long to wait for the endpoint's response, from now on.
         timeout: Duration,
-        /// When to ask the balancer again if the attempt is still in flight then.
+        /// When to ask the balancer again if the attempt is still in flight by then. `None` if
+        /// there is no need to.
         recheck_at: Option<Duration>,
     },
-    /// Keep it queued and ask again.
+    /// Keep the request queued and ask the balancer again later.
     Defer {
-        /// When to ask again.
+        /// When to ask the balancer again.
         until: Duration,
     },
-    /// Answer finally with a rejection, which promises that the request had no effect.
+    /// Send the client a final rejection, which guarantees that the request had no effect.
     Reject {
-        /// How long the client should wait before a retry, where that may be named.
+        /// How long the client should wait before a retry. `None` if the response must not say.
         retry_after: Option<Duration>,
     },
-    /// Answer finally with a failure, which promises nothing about effects.
+    /// Send the client a final failure, which does not rule out that the request had an effect.
     Fail,
-    /// Stop waiting for an attempt: another one will answer, or the request has been answered.
+    /// Stop waiting for an attempt, because another one is expected to respond or the request has
+    /// already been answered.
     Cancel {
-        /// Number of the attempt within its request.
+        /// Index of the attempt within its request, from 0.
         attempt: usize,
     },
-    /// Do nothing: an attempt is still in flight, or no answer is owed.
+    /// Do nothing: an attempt is still in flight, or the client is owed no response.
     Await,
 }
 
-/// What is due at a poll, and when to poll again.
+/// The actions that are due at a poll, and when to poll again.
 #[derive(Clone, Debug, Default)]
 pub struct PollResult {
-    /// When to poll next, at the latest.
+    /// Latest time for the next poll.
     pub next_poll: Duration,
-    /// A vote to send to the rollout platform.
+    /// Vote to send to the rollout platform. `None` if no vote is due.
     pub vote: Option<Vote>,
-    /// Whether a call for the endpoint list should be made or a watch opened.
+    /// Whether to request the endpoint list, or to open a watch on it where it is pushed.
     pub open_watch: bool,
-    /// Endpoints to ask for their load.
+    /// Indices of the endpoints to ask for a load report.
     pub load_report_requests: Vec<usize>,
-    /// Lines for the operators' log.
+    /// Lines to write to the operators' log.
     pub log_lines: Vec<String>,
 }
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -2,35 +2,35 @@
 
 use std::time::Duration;
 
-/// One entry of the endpoint list.
+/// An endpoint as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Index of the endpoint at this agent.
+    /// Index of the endpoint, assigned by this agent.
     pub endpoint: usize,
     /// Index of its zone.
     pub zone: usize,
-    /// Number of its cell, the same at every agent.
+    /// Identifier of its cell, the same at every agent.
     pub cell: u64,
-    /// Number that identifies it at every agent, for rendezvous hashing.
+    /// Identifier of the endpoint for rendezvous hashing, the same at every agent.
     pub identity: u64,
-    /// Index of its hardware type. Endpoints of one type are alike but for faults.
+    /// Index of its hardware type. Healthy endpoints of one type perform alike.
     pub endpoint_type: usize,
-    /// The build that it runs.
+    /// Number of the build that it runs.
     pub build: u32,
-    /// Whether it may be sent requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// When it was started, where that is known.
+    /// When it was started. `None` if that is not known.
     pub started: Option<Duration>,
 }
 
-/// Whether an endpoint may be sent requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Running,
-    /// It finishes what it has in flight and takes nothing new.
+    /// It completes the requests in flight and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// It is no longer on the endpoint list.
     #[default]
     Gone,
 }
--- a/src/interface/index.rs
+++ b/src/interface/index.rs
@@ -1,38 +1,39 @@
-//! What becomes of the indices of classes and tenants at a configuration reload.
+//! How a configuration reload renumbers classes and tenants.
 
 use std::collections::BTreeSet;
 
-/// Where the name behind an index stood before a configuration reload.
+/// Where an index came from at a configuration reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IndexOrigin {
-    /// At the same index.
+    /// Its name had the same index before the reload.
     Same,
-    /// At this earlier index, which requests in flight go on to use under the earlier rules.
+    /// Its name had this earlier index, which requests in flight continue to use, with the rules
+    /// from before the reload.
     MovedFrom(usize),
-    /// Nowhere: the name is new.
+    /// Its name did not exist before the reload.
     New,
-    /// At this index, which only requests in flight still use.
+    /// Its name was removed, and only requests in flight still use the index.
     Retired,
-    /// The index belongs to no name.
+    /// No name uses the index.
     Unused,
 }
 
-/// The origin of each class and tenant index.
+/// The origin of every class and tenant index at a configuration reload.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IndexMapping {
-    /// By class index.
+    /// Origins of the classes, by their index after the reload.
     pub classes: Vec<IndexOrigin>,
-    /// By tenant index.
+    /// Origins of the tenants, by their index after the reload.
     pub tenants: Vec<IndexOrigin>,
 }
 
-/// The indices that requests in flight are counted under.
+/// The indices that requests in flight still refer to. A reload must not reassign them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IndicesInUse {
-    /// Classes of requests in flight.
+    /// Class indices of the requests in flight.
     pub classes: BTreeSet<usize>,
-    /// Tenants of requests in flight.
+    /// Tenant indices of the requests in flight.
     pub tenants: BTreeSet<usize>,
-    /// Zones of their attempts.
+    /// Zone indices of the attempts of these requests.
     pub zones: BTreeSet<usize>,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,9 @@
-//! What goes into a [`Balancer`](crate::Balancer) and what comes back: plain data without
-//! decisions.
+//! The input and output types of a [`Balancer`](crate::Balancer): plain data without decision
+//! logic.
 //!
-//! Times are spans since the start of the process. Endpoints, request classes, tenants and zones
-//! are small indices; [`IndexMapping`] says what becomes of them at a configuration reload.
+//! Times are durations since the start of the process. Endpoints, request classes, tenants and
+//! zones are identified by small indices. [`IndexMapping`] describes how a configuration reload
+//! renumbers them.
 
 mod decision;
 mod endpoint;
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -2,46 +2,47 @@
 
 use std::time::Duration;
 
-/// A request as it arrives.
+/// A request on its arrival at the agent.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Index of its class.
+    /// Index of its request class.
     pub class: usize,
-    /// Index of its tenant, where it names one.
+    /// Index of its tenant. `None` if the request names no tenant.
     pub tenant: Option<usize>,
-    /// Hash of its idempotency or affinity key: equal keys give equal numbers at every agent.
+    /// Hash of its idempotency or affinity key: equal keys have equal hashes at every agent. `None`
+    /// if the request has no key.
     pub key: Option<u64>,
     /// Time left until its deadline.
     pub time_left: Duration,
-    /// A rough hint of the work it costs, where the client gave one.
+    /// The client's rough estimate of the work that the request causes. `None` if it gave none.
     pub estimated_work: Option<Duration>,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint answered with success.
+    /// The endpoint responded with success.
     Succeeded,
-    /// The endpoint answered with an error.
+    /// The endpoint responded with an error.
     Failed,
-    /// The endpoint rejected it before any work was done.
+    /// The endpoint rejected the attempt before it did any work.
     Rejected,
-    /// No answer came in time.
+    /// The endpoint did not respond in time.
     TimedOut,
-    /// No connection to the endpoint came up.
+    /// No connection to the endpoint could be established.
     ConnectFailed,
-    /// The connection broke while the answer was awaited.
+    /// The connection was lost while the response was pending.
     ConnectionLost,
-    /// This agent stopped waiting.
+    /// This agent cancelled the attempt.
     Cancelled,
-    /// This agent never wrote it.
+    /// This agent did not write the attempt to a connection.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt provably had no effect.
+    /// Whether the outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -53,12 +54,13 @@
 /// The end of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time between the sending of the attempt and its end.
     pub latency: Duration,
-    /// Whether its request has had the final answer.
+    /// Whether the final response to its request has already been sent.
     pub request_closed: bool,
-    /// Requests in flight that the endpoint reported with its answer, late and rounded.
+    /// Number of requests in flight that the endpoint reported with its response. The figure is
+    /// delayed and rounded. `None` if it reported none.
     pub reported_load: Option<f64>,
 }
--- a/src/interface/rollout.rs
+++ b/src/interface/rollout.rs
@@ -1,82 +1,83 @@
-//! What the rollout platform says of builds, and the votes that agents send to it.
+//! The state of rollouts as the rollout platform reports it, and the votes that agents send.
 
 use std::time::Duration;
 
 /// State of the rollout of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutPhase {
-    /// The build is a canary: its share of requests is capped by stage.
+    /// The build is a canary: a cap for each stage limits its share of requests.
     Canary,
-    /// Its endpoints are being returned to the earlier build.
+    /// Its endpoints are being switched back to the earlier build.
     RollingBack,
-    /// It passed all stages.
+    /// It passed all stages and serves without a cap.
     Released,
-    /// It has been taken back.
+    /// The rollback to the earlier build is complete.
     RolledBack,
 }
 
-/// What the platform says of the newest build.
+/// The rollout of the newest build as the platform reports it.
 #[derive(Clone, Debug)]
 pub struct RolloutStatus {
-    /// Number of the build.
+    /// Number of the newest build.
     pub build: u32,
-    /// Stage of its rollout, from 0.
+    /// Current stage of its rollout, from 0.
     pub stage: usize,
-    /// Phase of its rollout.
+    /// Current phase of its rollout.
     pub phase: RolloutPhase,
-    /// Largest share of requests that the build may get, 0 to 1.
+    /// Largest share of requests that the build may receive, 0 to 1.
     pub cap: f64,
-    /// When this state began.
+    /// When the rollout entered this state.
     pub since: Duration,
 }
 
-/// What an agent asks the platform to do with a build.
+/// The action on a build that an agent votes for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Stop the rollout's clock.
+    /// Stop the timer that advances the stages.
     Hold,
-    /// Return to the earlier build.
+    /// Roll back to the earlier build.
     RollBack,
-    /// Withdraw the vote that stands.
+    /// Withdraw this agent's earlier vote.
     Withdraw,
 }
 
 /// One agent's vote on the newest build.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Vote {
-    /// The build it is about.
+    /// Number of the build.
     pub build: u32,
-    /// The stage it was formed in.
+    /// Stage of the rollout when the vote was formed.
     pub stage: usize,
-    /// What it asks for.
+    /// Action that the agent votes for.
     pub verdict: Verdict,
 }
 
-/// What became of the vote in flight, as far as the platform says.
+/// The platform's reply to a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteReply {
-    /// It counts.
+    /// The platform counts the vote.
     Counted,
-    /// It came too late to matter.
+    /// The vote arrived too late to have an effect.
     Moot,
-    /// The platform did not take it.
+    /// The platform refused the vote.
     Refused,
-    /// No reply came.
+    /// No reply was received, so it is not known whether the vote counts.
     Unknown,
 }
 
-/// What the platform counted for one build and class in a sample of all agents' attempts.
+/// Outcomes of one build and class that the platform counted in a sample of the attempts of all
+/// agents.
 #[derive(Clone, Debug)]
 pub struct PlatformCounts {
-    /// The build.
+    /// Number of the build.
     pub build: u32,
-    /// Index of the class.
+    /// Index of the request class.
     pub class: usize,
-    /// Attempts in the sample.
+    /// Number of attempts in the sample.
     pub attempts: f64,
-    /// Those of them that did not succeed.
+    /// Number of attempts in the sample that did not succeed.
     pub failed: f64,
-    /// Mean latency of the others.
+    /// Mean latency of the attempts that succeeded.
     pub mean_latency: Duration,
     /// Time since the sample was taken.
     pub age: Duration,
--- a/src/interface/zone.rs
+++ b/src/interface/zone.rs
@@ -1,15 +1,15 @@
-//! Cross-zone traffic as the balancer sees it.
+//! Cross-zone traffic: the routing policy between zones, and counts of the endpoints of a zone.
 
 use std::time::Duration;
 
-/// What forwarding to other zones means at present. The default leaves it to the balancer.
+/// The current policy for forwarding to other zones. The default leaves the choice to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CrossZonePolicy {
-    /// By zone index, as in [`EndpointEntry::zone`](crate::EndpointEntry::zone); the own zone's
-    /// entry is not read.
+    /// Policies by zone index, as in [`EndpointEntry::zone`](crate::EndpointEntry::zone). The entry
+    /// of the agent's own zone is ignored.
     pub zones: Vec<ZonePolicy>,
-    /// Part of its share that an endpoint in slow start gets, 0 to 1: less while warm ones just
-    /// took over much.
+    /// Factor on the quota of endpoints in slow start, 0 to 1. Below 1 while warm endpoints carry
+    /// extra load that they took over recently.
     pub slow_start_factor: f64,
 }
 
@@ -25,19 +25,20 @@
 /// Policy for one zone other than the agent's own.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZonePolicy {
-    /// Weight of an endpoint there against a local one, 0 to 1; `None` for the balancer's own
-    /// weight.
+    /// Weight of an endpoint of the zone relative to a local one, 0 to 1. `None` if the balancer
+    /// chooses the weight.
     pub weight: Option<f64>,
-    /// Latency that the way there and back adds to each answer.
+    /// Latency that the round trip to the zone adds to each response.
     pub added_latency: Duration,
-    /// By class, for first attempts: used only where no local endpoint can take the request.
+    /// Whether first attempts go to the zone only if no local endpoint can take the request, by
+    /// class index. Missing entries mean no.
     pub last_resort: Vec<bool>,
-    /// The same for retries and hedged requests.
+    /// Same as `last_resort`, for retries and hedged requests.
     pub last_resort_for_retries: Vec<bool>,
 }
 
 impl ZonePolicy {
-    /// Whether an attempt of this class goes there only where no local endpoint can take it.
+    /// Whether an attempt of this class goes to the zone only if no local endpoint can take it.
     pub fn is_last_resort(&self, class: usize, is_retry: bool) -> bool {
         let by_class = if is_retry {
             &self.last_resort_for_retries
@@ -48,35 +49,35 @@
     }
 }
 
-/// Counts of the endpoints of one zone, for the reason why an attempt left it.
+/// Counts of the endpoints of one zone, which explain why an attempt left the zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneCounts {
-    /// Endpoints that run.
+    /// Endpoints that accept requests.
     pub running: usize,
-    /// Endpoints that drain.
+    /// Endpoints that are draining.
     pub draining: usize,
     /// Running endpoints that are neither ejected nor unresponsive.
     pub responsive: usize,
     /// Responsive endpoints that are past slow start.
     pub warm: usize,
-    /// Attempts in flight from this agent.
+    /// Attempts of this agent in flight to the zone.
     pub in_flight: usize,
 }
 
-/// Counts of the endpoints of one zone with what they can take, for the routing between zones.
+/// Counts and capacity of the endpoints of one zone, for routing between zones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
-    /// Endpoints that run.
+    /// Endpoints that accept requests.
     pub running: usize,
-    /// Endpoints that drain.
+    /// Endpoints that are draining.
     pub draining: usize,
     /// Running endpoints that are neither ejected nor unresponsive.
     pub responsive: usize,
     /// Responsive endpoints that are past slow start.
     pub warm: usize,
-    /// What the responsive ones can take, in warm endpoints of usual speed; an estimate in zones of
-    /// many endpoints.
+    /// Capacity of the responsive endpoints, in warm endpoints of average speed. An estimate if the
+    /// zone has many endpoints.
     pub capacity: f64,
-    /// Attempts in flight from this agent.
+    /// Attempts of this agent in flight to the zone.
     pub in_flight: usize,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
-//! Decisions of one agent that forwards requests to the endpoints behind a service, while an
-//! earlier and a newer build of them run side by side.
+//! The decision logic of an agent that load-balances requests over the endpoints of a service while
+//! an earlier and a newer build of the service run side by side.
 //!
-//! Ask a [`Balancer`] where to forward a request, what to do after an attempt, and when to ask
-//! again; tell it the facts that reach this agent. Nothing here opens sockets, reads files, starts
-//! threads or looks at a clock: times are spans since the start of the process, and equal calls
-//! give equal decisions.
+//! A [`Balancer`] decides where to forward a request, what to do after an attempt, and when to be
+//! asked again, from the events that the caller passes to it. Nothing in this crate opens sockets,
+//! reads files, starts threads or reads a clock: times are durations since the start of the process,
+//! and the same sequence of calls gives the same decisions.
 //!
-//! - `interface`: plain data that goes in and comes out
-//! - `balancer`: all decisions, a file a concern
-//! - `model`: what a balancer remembers
-//! - `stats`: averages, histograms, tests and hashing
-//! - `shadow`: counts where other settings would decide otherwise
+//! - `interface`: the input and output types, plain data
+//! - `balancer`: all decisions, one file per concern
+//! - `model`: the state that a balancer keeps
+//! - `stats`: averages, histograms, significance tests and hashing
+//! - `shadow`: counts of the attempts that alternative settings would have routed differently
 //!
 //! ```
 //! use std::time::Duration;
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -1,5 +1,6 @@
-//! Counts, by kind, where other settings would have decided otherwise, while the present ones
-//! decide. It decides nothing, and what only chance would have set apart is not counted.
+//! Counts the attempts that alternative settings would have routed differently, by reason, while
+//! the current settings stay in force. Nothing here affects a decision. Differences that the
+//! balancer's random choices alone could explain are not counted.
 
 use crate::balancer::Balancer;
 use crate::interface::{Idempotency, RequestClass, RolloutPolicy, RolloutStatus, Settings};
@@ -7,32 +8,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Settings that differ from the present ones; what is `None` is as at present.
+/// Settings to compare with the current ones. A field that is `None` keeps its current value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AlternativeSettings {
-    /// First stages in which the canary takes idempotent classes only.
+    /// Number of stages, from the first, in which the canary receives idempotent classes only.
     pub guarded_stages: Option<usize>,
-    /// By stage: largest share of requests that the canary may get, 0 to 1.
+    /// For each stage, the largest share of requests that the canary may receive, 0 to 1.
     pub caps: Option<Vec<f64>>,
-    /// Attempts beyond the cap that are free.
+    /// Number of attempts that a canary may receive beyond its cap.
     pub exposure_burst: Option<f64>,
-    /// Whether the cap counts each class by itself.
+    /// Whether the cap applies to each class separately.
     pub cap_per_class: Option<bool>,
-    /// How long slow start lasts.
+    /// How long an endpoint stays in slow start after it was started.
     pub slow_start_duration: Option<Duration>,
-    /// Whether an endpoint works faster for keys that it served lately.
+    /// Whether an endpoint is faster for keys that it served recently.
     pub key_affinity: Option<bool>,
 }
 
 impl AlternativeSettings {
-    /// The present settings with these in their place.
-    fn applied_to(&self, present: &Settings) -> Settings {
-        let rollout = &present.rollout;
+    /// Returns the current settings with these values substituted.
+    fn applied_to(&self, current: &Settings) -> Settings {
+        let rollout = &current.rollout;
         Settings {
             slow_start_duration: self
                 .slow_start_duration
-                .unwrap_or(present.slow_start_duration),
-            key_affinity: self.key_affinity.unwrap_or(present.key_affinity),
+                .unwrap_or(current.slow_start_duration),
+            key_affinity: self.key_affinity.unwrap_or(current.key_affinity),
             rollout: RolloutPolicy {
                 guarded_stages: self.guarded_stages.unwrap_or(rollout.guarded_stages),
                 caps: self.caps.clone().unwrap_or_else(|| rollout.caps.clone()),
@@ -40,28 +41,29 @@
                 cap_per_class: self.cap_per_class.unwrap_or(rollout.cap_per_class),
                 ..rollout.clone()
             },
-            ..present.clone()
+            ..current.clone()
         }
     }
 }
 
-/// Attempts that were looked at, and those that would have been decided otherwise.
+/// Number of attempts examined, and how many of them the alternative settings would have routed
+/// differently, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Divergences {
-    /// Attempts that were looked at.
+    /// Attempts examined.
     pub attempts: u64,
-    /// A class that is not idempotent went to a canary in a guarded stage.
+    /// Attempts of a class that is not idempotent that went to a canary in a guarded stage.
     pub guarded: u64,
-    /// A canary got more than its cap allows.
+    /// Attempts that went to a canary beyond its cap.
     pub exposure: u64,
-    /// An endpoint would still have been in slow start.
+    /// Attempts to an endpoint that would still have been in slow start.
     pub slow_start: u64,
-    /// The affinity endpoint of the key was idle.
+    /// Attempts that went elsewhere although the affinity endpoint of their key was idle.
     pub affinity: u64,
 }
 
 impl Divergences {
-    /// The counts with the names that reports give them, the attempts first.
+    /// Returns each count with its name in reports, the number of attempts first.
     pub fn named(&self) -> [(&'static str, u64); 5] {
         [
             ("deliveries", self.attempts),
@@ -80,34 +82,35 @@
     }
 }
 
-/// Looks at each attempt of a [`Balancer`] by other settings.
+/// Evaluates each attempt of a [`Balancer`] against alternative settings.
 pub struct ShadowEvaluator {
     settings: Settings,
-    /// Whether the caps are those of the present settings: then the platform's stand.
-    has_present_caps: bool,
+    /// Whether the caps are those of the current settings. If so, the cap that the platform reports
+    /// applies.
+    uses_current_caps: bool,
     exposure_tokens: BTreeMap<u32, Vec<f64>>,
     divergences: Divergences,
 }
 
 impl ShadowEvaluator {
-    /// An evaluator by the present settings, with what `alternative` gives in their place.
-    pub fn new(present: &Settings, alternative: &AlternativeSettings) -> ShadowEvaluator {
+    /// Creates an evaluator for the current settings with the values of `alternative` substituted.
+    pub fn new(current: &Settings, alternative: &AlternativeSettings) -> ShadowEvaluator {
         ShadowEvaluator {
-            settings: alternative.applied_to(present),
-            has_present_caps: alternative.caps.is_none(),
+            settings: alternative.applied_to(current),
+            uses_current_caps: alternative.caps.is_none(),
             exposure_tokens: BTreeMap::new(),
             divergences: Divergences::default(),
         }
     }
 
-    /// What was counted so far.
+    /// Returns the counts so far.
     pub fn divergences(&self) -> Divergences {
         self.divergences
     }
 
-    /// Goes on with settings that were read again; what was counted stays.
-    pub fn reload(&mut self, present: &Settings, alternative: &AlternativeSettings) {
-        let before = std::mem::replace(self, ShadowEvaluator::new(present, alternative));
+    /// Switches to reloaded settings and keeps the counts.
+    pub fn reload(&mut self, current: &Settings, alternative: &AlternativeSettings) {
+        let before = std::mem::replace(self, ShadowEvaluator::new(current, alternative));
         self.divergences = before.divergences;
         let cap_per_class = self.settings.rollout.cap_per_class;
         if before.settings.rollout.cap_per_class != cap_per_class {
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Takes in a request; to be called right after [`Balancer::on_request`].
+    /// Records a request. Must be called right after [`Balancer::on_request`].
     pub fn on_request(&mut self, balancer: &Balancer, class: usize) {
         let slot = self.slot(class);
         let slots = self.slots();
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Takes in an attempt to this endpoint; to be called right before or after it is sent.
+    /// Records an attempt to `endpoint`. Must be called right before or right after it is sent.
     pub fn on_attempt(
         &mut self,
         now: Duration,
@@ -183,14 +186,14 @@
         }
     }
 
-    /// The cap that these settings give a build at the stage that the platform names.
+    /// Returns the cap of a build under these settings, at the stage that the platform reports.
     fn cap(&self, status: Option<&RolloutStatus>, build: u32) -> f64 {
         let caps = &self.settings.rollout.caps;
         let Some(status) = status.filter(|s| s.build == build) else {
             return caps.first().copied().unwrap_or(0.0);
         };
         match caps.get(status.stage) {
-            Some(cap) if !self.has_present_caps && status.cap > 0.0 => *cap,
+            Some(cap) if !self.uses_current_caps && status.cap > 0.0 => *cap,
             _ => status.cap,
         }
     }
@@ -205,7 +208,7 @@
         endpoint.is_warm() && endpoint.started.is_some_and(|s| s + duration > now)
     }
 
-    /// Spends a token on an attempt. Whether none is left.
+    /// Consumes a token for an attempt and returns whether none was left.
     fn exceeds_cap(&mut self, build: u32, class: usize) -> bool {
         let slot = self.slot(class);
         let tokens = self.exposure_tokens.get_mut(&build);
@@ -219,17 +222,18 @@
         false
     }
 
-    /// Whether the key's affinity endpoint is another one that is idle. What may go nowhere else,
-    /// and where two are alike, is no difference.
+    /// Returns whether the affinity endpoint of the key is a different endpoint and idle. A request
+    /// that could go to no other endpoint, or that had two equivalent endpoints to choose from,
+    /// does not count as a difference.
     fn has_idle_affinity(&self, balancer: &Balancer, key: Option<u64>, endpoint: usize) -> bool {
         let Some(key) = key.filter(|_| self.settings.key_affinity) else {
             return false;
         };
         let fleet = &balancer.fleet;
-        let is_usual = |e: &Endpoint| !balancer.rollout.is_canary(e.build) && e.is_warm();
+        let is_warm_stable = |e: &Endpoint| !balancer.rollout.is_canary(e.build) && e.is_warm();
         let nearest = balancer
             .endpoints_of_key(key, |_| true)
-            .find(|index| fleet.get(*index).is_some_and(is_usual));
+            .find(|index| fleet.get(*index).is_some_and(is_warm_stable));
         nearest
             .filter(|index| *index != endpoint)
             .is_some_and(|index| {
