--- a/src/model/affinity_index.rs
+++ b/src/model/affinity_index.rs
@@ -1,15 +1,15 @@
-//! Which endpoints a key belongs to, kept up to date at each change of the fleet.
+//! Maps keys to their affinity endpoints, updated at each change of an endpoint.
 
 use super::EndpointKey;
 use crate::stats::{KindWeight, RankedMembers, RendezvousMember, RendezvousTree};
 use std::collections::BTreeMap;
 
-/// Endpoints that weigh the same for a key.
+/// Endpoints that have the same weight in rendezvous hashing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AffinityGroup {
-    /// Index of their zone.
+    /// Index of the zone of the endpoints.
     pub zone: usize,
-    /// Index of their hardware type.
+    /// Index of the hardware type of the endpoints.
     pub endpoint_type: usize,
 }
 
@@ -22,19 +22,20 @@
     }
 }
 
-/// The running endpoints, by rendezvous hashing of their identities.
+/// The running endpoints, in a tree for rendezvous hashing of their identities.
 ///
-/// The weight of a group is given with each question, so that a change of it costs nothing here.
-/// There are as many groups as zones times hardware types at most, both of which are bounded.
+/// The weights of the groups are given with each lookup, so that a changed weight needs no update
+/// here. The number of groups is bounded by the number of zones times the number of hardware types,
+/// both of which are bounded.
 #[derive(Default)]
 pub(crate) struct AffinityIndex {
     tree: RendezvousTree,
     groups: Vec<AffinityGroup>,
-    numbers: BTreeMap<AffinityGroup, usize>,
+    group_indices: BTreeMap<AffinityGroup, usize>,
 }
 
 impl AffinityIndex {
-    /// Takes in a change of one endpoint.
+    /// Updates the index after a change of one endpoint.
     pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
         let is_same = before.is_running() == after.is_running()
             && before.identity == after.identity
@@ -52,8 +53,8 @@
         }
     }
 
-    /// The endpoints for a key, the first one first. A large fleet names only so many, and only of
-    /// preferred groups.
+    /// Returns the endpoints for a key, best match first. In a large fleet `limit` bounds how many
+    /// are considered, and all of them are in preferred groups.
     pub fn endpoints_for(
         &self,
         key: u64,
@@ -63,12 +64,12 @@
         self.tree.ranked(key, self.groups.iter().map(weigh), limit)
     }
 
-    /// Nodes that were visited so far, by changes and by questions.
+    /// Returns how many tree nodes updates and lookups have visited so far.
     pub fn visited(&self) -> u64 {
         self.tree.visited()
     }
 
-    /// Nodes whose weights were summed up over the kinds so far, by questions.
+    /// Returns for how many tree nodes lookups have summed the weights of all kinds so far.
     pub fn summed(&self) -> u64 {
         self.tree.summed()
     }
@@ -76,7 +77,7 @@
     fn member(&mut self, endpoint: usize, key: &EndpointKey) -> RendezvousMember {
         let group = AffinityGroup::of(key);
         let next = self.groups.len();
-        let kind = *self.numbers.entry(group).or_insert(next);
+        let kind = *self.group_indices.entry(group).or_insert(next);
         if kind == next {
             self.groups.push(group);
         }
--- a/src/model/build.rs
+++ b/src/model/build.rs
@@ -1,30 +1,33 @@
-//! What is remembered of one build.
+//! The state of one build.
 
 use crate::interface::PlatformCounts;
 use crate::stats::OutcomeCounts;
 use std::time::Duration;
 
-/// Exposure of one build and the evidence against it.
+/// Exposure of one build as a canary, and the evidence for or against it.
 #[derive(Default)]
 pub(crate) struct BuildState {
-    /// Attempts that may still go to it as a canary, by slot of the exposure cap.
+    /// Attempts that it may still receive as a canary, by slot of the exposure cap: one slot per
+    /// class if the cap applies per class, else a single one.
     pub exposure_tokens: Vec<f64>,
-    /// Tokens earned by each request.
+    /// Tokens that each request adds, 0 to 1.
     pub cap: f64,
-    /// By class: outcomes at endpoints that have gone since.
+    /// Outcomes at endpoints that have left the list or run another build by now, by class.
     pub departed_outcomes: Vec<OutcomeCounts>,
-    /// When its newest endpoint was started.
+    /// Start time of its most recently started endpoint.
     pub newest_start: Duration,
     /// Whether the evidence shows a regression.
     pub regressed: bool,
-    /// Failures times the seconds for which they have shown; decays while none show.
+    /// Strength of the regression, in failures, integrated over the seconds for which it has
+    /// persisted. Decays while there is no regression.
     pub regression_evidence: f64,
-    /// By class: what the platform counted over all agents.
+    /// Outcomes that the platform counted over all agents, by class.
     pub platform_totals: Vec<PlatformTotals>,
 }
 
 impl BuildState {
-    /// A build of which nothing is known, with this burst in each slot of the exposure cap.
+    /// Creates the state of a build without any outcomes, with a full `exposure_burst` in each slot
+    /// of the exposure cap.
     pub fn new(classes: usize, slots: usize, exposure_burst: f64) -> BuildState {
         BuildState {
             exposure_tokens: vec![exposure_burst; slots],
@@ -35,28 +38,29 @@
     }
 }
 
-/// What the platform counted of one class over all agents; decays.
+/// Outcomes of one class that the platform counted over all agents. The totals decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PlatformTotals {
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: f64,
-    /// Attempts that did not succeed.
+    /// Number of attempts that did not succeed.
     pub failed: f64,
-    /// Sum of the latencies of the others, in seconds.
+    /// Sum of the latencies of the successful attempts, in seconds.
     pub latency_sum: f64,
 }
 
-/// Latency of one build against another's.
+/// Latency of one build relative to another.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyComparison {
-    /// Answers that it is known from.
+    /// Number of successful attempts that the ratio is based on.
     pub answers: f64,
-    /// Mean latency divided by the other's.
+    /// Mean latency divided by that of the other build.
     pub ratio: f64,
 }
 
 impl PlatformTotals {
-    /// Adds a report. One that holds no numbers is left out: it would hide all others.
+    /// Adds the counts of a report. Ignores a report with values that are not finite, because they
+    /// would make the totals useless.
     pub fn add(&mut self, counts: &PlatformCounts) {
         if !counts.attempts.is_finite() || !counts.failed.is_finite() {
             return;
@@ -75,7 +79,7 @@
         self.latency_sum *= factor;
     }
 
-    /// Sum over classes.
+    /// Returns the sum over all classes.
     pub fn sum(totals: &[PlatformTotals]) -> PlatformTotals {
         let add = |sum: PlatformTotals, one: &PlatformTotals| PlatformTotals {
             attempts: sum.attempts + one.attempts,
@@ -85,7 +89,7 @@
         totals.iter().fold(PlatformTotals::default(), add)
     }
 
-    /// Mean latency of a canary against the earlier build's of the same classes.
+    /// Compares the mean latency of a canary with that of the earlier build, class by class.
     pub fn compare_latency(
         canary: &[PlatformTotals],
         earlier: &[PlatformTotals],
--- a/src/model/build_outcomes.rs
+++ b/src/model/build_outcomes.rs
@@ -1,29 +1,29 @@
-//! Sums of the outcomes of a build's endpoints, kept up to date at each change of one of them.
+//! Sums of the outcomes of a build's endpoints, updated at each change of an endpoint.
 
 use super::OutcomeDecay;
 use crate::stats::OutcomeCounts;
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// Sum over endpoints of the outcomes of one class.
+/// Sum of the outcomes of one class over several endpoints.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassSum {
     counts: OutcomeCounts,
-    /// Endpoints that the counts are of.
+    /// Number of endpoints in the sum.
     endpoints: usize,
 }
 
-/// Sums over endpoints that decay alike, by class.
+/// Sums by class over endpoints whose outcomes decay in the same way.
 #[derive(Debug, Default)]
 pub(crate) struct OutcomeSums {
-    /// By class, up to the last one that any endpoint was sent requests of.
+    /// Sums by class, up to the highest class index for which an endpoint has outcomes.
     by_class: Vec<ClassSum>,
-    /// The evaluation interval that the sums have decayed to.
+    /// Evaluation interval up to which the decay has been applied.
     interval: u64,
 }
 
 impl OutcomeSums {
-    /// Lets the sums decay up to this evaluation interval.
+    /// Applies the decay up to this evaluation interval.
     pub fn decay_to(&mut self, interval: u64, decay: &OutcomeDecay) {
         let age = interval - self.interval;
         self.interval = interval;
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Adds what an endpoint has of a class; `is_new` where it had nothing of it before.
+    /// Adds outcomes of one endpoint and class. `is_new` says that the endpoint had none of this
+    /// class before.
     pub fn add(&mut self, class: usize, counts: &OutcomeCounts, is_new: bool) {
         if class >= self.by_class.len() {
             self.by_class.resize(class + 1, ClassSum::default());
@@ -46,10 +47,10 @@
         sum.endpoints += usize::from(is_new);
     }
 
-    /// Takes off all that an endpoint has of a class.
+    /// Subtracts all outcomes of one endpoint and class.
     ///
-    /// Where no endpoint is left there is exactly nothing: what rounding leaves would let a class
-    /// pass for one that the build was sent requests of.
+    /// When no endpoint is left, the sum is set to exactly zero: a rounding error would make the
+    /// build look as if it had been sent requests of the class.
     pub fn remove(&mut self, class: usize, counts: &OutcomeCounts) {
         let Some(sum) = self.by_class.get_mut(class) else {
             return;
@@ -69,24 +70,25 @@
         }
     }
 
-    /// Factor by which the sums decay up to this evaluation interval.
+    /// Returns the decay factor from the last update of the sums to this evaluation interval.
     pub fn factor_to(&self, interval: u64, decay: &OutcomeDecay) -> f64 {
         decay.factor_after(interval - self.interval)
     }
 
-    /// Endpoints that were sent requests of a class.
+    /// Returns the number of endpoints that have outcomes of a class.
     pub fn endpoints(&self, class: usize) -> usize {
         self.by_class.get(class).map_or(0, |sum| sum.endpoints)
     }
 }
 
-/// Failures of an endpoint on a scale on which common decay leaves their order as it is: the
-/// logarithm of what they would be without any decay since the first evaluation interval.
+/// Failures of an endpoint on a scale whose order is not affected by the decay that all endpoints
+/// share: the logarithm of the number of failures without any decay since the first evaluation
+/// interval.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailureRank(f64);
 
 impl FailureRank {
-    /// The rank of so many failures now; `None` where there are none.
+    /// Returns the rank of this number of failures now, or `None` if there are none.
     pub fn new(failures: f64, interval: u64, decay: &OutcomeDecay) -> Option<FailureRank> {
         (failures > 0.0).then(|| FailureRank(failures.ln() - interval as f64 * decay.factor.ln()))
     }
@@ -115,24 +117,24 @@
 /// Sums over the running endpoints of one build.
 #[derive(Debug, Default)]
 pub(crate) struct BuildOutcomes {
-    /// Those whose outcomes decay.
+    /// Sums over the endpoints whose outcomes decay.
     pub decaying: OutcomeSums,
-    /// Those whose outcomes are kept as they are.
+    /// Sums over the endpoints whose outcomes no longer decay.
     pub kept: OutcomeSums,
-    /// How many there are.
+    /// Number of running endpoints.
     pub endpoints: usize,
-    /// How many have shown failures.
+    /// Number of endpoints that have had failures.
     pub failing: usize,
-    /// Those of the newest build that failed or lost attempts, by how many.
+    /// Endpoints of the newest build with failed or lost attempts, ordered by their number.
     by_failures: BTreeSet<(FailureRank, usize)>,
-    /// Sum of their failures.
+    /// Sum of the failures of the ranked endpoints.
     failures: f64,
-    /// The evaluation interval that this sum has decayed to.
+    /// Evaluation interval up to which the decay has been applied to `failures`.
     failures_at: u64,
 }
 
 impl BuildOutcomes {
-    /// Ranks an endpoint with so many failures; `None` where it has none.
+    /// Ranks an endpoint by its failures and returns the rank, or `None` if it has no failures.
     pub fn rank(
         &mut self,
         endpoint: usize,
@@ -147,7 +149,7 @@
         Some(rank)
     }
 
-    /// Takes an endpoint with so many failures off the ranked ones.
+    /// Removes an endpoint with this rank and number of failures from the ranking.
     pub fn remove_ranked(
         &mut self,
         endpoint: usize,
@@ -162,17 +164,17 @@
         self.failures_at = interval;
     }
 
-    /// The ranked endpoint with the most failures.
+    /// Returns the ranked endpoint with the most failures, or `None` if no endpoint is ranked.
     pub fn most_failing(&self) -> Option<usize> {
         self.by_failures.last().map(|(_, endpoint)| *endpoint)
     }
 
-    /// How many endpoints are ranked.
+    /// Returns the number of ranked endpoints.
     pub fn ranked(&self) -> usize {
         self.by_failures.len()
     }
 
-    /// Sum of the failures of the ranked endpoints at this evaluation interval.
+    /// Returns the sum of the failures of the ranked endpoints at this evaluation interval.
     pub fn ranked_failures(&self, interval: u64, decay: &OutcomeDecay) -> f64 {
         self.failures * decay.factor_after(interval - self.failures_at)
     }
--- a/src/model/class.rs
+++ b/src/model/class.rs
@@ -1,16 +1,16 @@
-//! What is remembered of one request class.
+//! The state of one request class.
 
 use crate::interface::{Idempotency, RequestClass};
 use crate::stats::LatencyHistogram;
 
-/// Rules of a class, from the settings.
+/// Rules of a class, taken from the settings.
 #[derive(Clone, Default)]
 pub(crate) struct ClassRules {
-    /// Seconds within which an answer earns its full weight.
+    /// Latency in seconds up to which a response earns the full priority weight.
     pub latency_objective: f64,
-    /// What an answer in time is worth against other classes'.
+    /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
 }
 
@@ -24,52 +24,53 @@
     }
 }
 
-/// Latencies of a class in seconds, as they are now.
+/// Current estimates of the latencies of a class, in seconds.
 #[derive(Clone, Default)]
 pub(crate) struct LatencyEstimate {
-    /// Answers that the mean is known from, up to a limit.
+    /// Number of responses that the mean is based on, up to a limit.
     pub samples: f64,
     /// Mean latency.
     pub mean: f64,
-    /// The lowest mean of late.
+    /// Lowest recent value of the mean. Grows slowly until the mean is lower.
     pub floor: f64,
-    /// Median before the canary.
+    /// Median from the time before the canary. Not updated while a canary runs.
     pub median: f64,
-    /// A high quantile.
+    /// Estimate of a high quantile.
     pub high_quantile: f64,
 }
 
-/// A sample of latencies that is cut short by requests which were never answered.
+/// A sample of latencies that is censored: requests that never got a response count by their
+/// waiting time only.
 #[derive(Clone, Default)]
 pub(crate) struct LatencySample {
-    /// Latencies of the answers.
+    /// Latencies of the responses.
     pub histogram: LatencyHistogram,
-    /// Seconds waited for answers that never came.
+    /// Total time spent waiting for responses that never came, in seconds.
     pub unanswered_seconds: f64,
 }
 
-/// What is known of one class.
+/// State of one request class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassState {
     /// Its rules.
     pub rules: ClassRules,
-    /// Its latencies now.
+    /// Current latency estimates.
     pub latency: LatencyEstimate,
-    /// Answers in this evaluation interval.
+    /// Number of responses in the current evaluation interval.
     pub answered: f64,
-    /// Answers a second.
+    /// Responses per second.
     pub answer_rate: f64,
-    /// Latencies while no build was being evaluated.
+    /// Latencies from the time when no build was being evaluated.
     pub baseline: LatencySample,
-    /// Latencies of late, while one is.
+    /// Recent latencies while a build is being evaluated.
     pub recent: LatencySample,
-    /// Seconds for which the requests in flight have been waiting.
+    /// Total time for which the requests in flight have been waiting, in seconds.
     pub in_flight_seconds: f64,
 }
 
 impl ClassState {
-    /// Decays the recent sample, or the baseline towards `baseline_target` answers where no build
-    /// is being evaluated.
+    /// While a build is being evaluated, decays the recent sample. Otherwise decays the baseline
+    /// towards `baseline_target` responses and clears the recent sample.
     pub fn decay_latencies(
         &mut self,
         is_evaluating: bool,
@@ -89,23 +90,24 @@
         self.recent.unanswered_seconds *= factor;
     }
 
-    /// Begins the evaluation of another build. Where the build before it was `released`, the recent
-    /// sample joins the baseline, and replaces it once it holds `enough` answers: what the fleet
-    /// bore under that build, slow or not, is nothing that the next one does.
-    pub fn freeze_baseline(&mut self, released: bool, enough: f64) {
+    /// Starts the evaluation of another build. If the previous build was `released`, its recent
+    /// sample is added to the baseline, or replaces the baseline if it holds at least `min_samples`
+    /// responses. Whether the fleet was slow or fast under the previous build is not an effect of
+    /// the next one.
+    pub fn freeze_baseline(&mut self, released: bool, min_samples: f64) {
         let recent = std::mem::take(&mut self.recent);
         if !released {
             return;
         }
-        let kept = if recent.histogram.total() < enough {
+        let baseline_factor = if recent.histogram.total() < min_samples {
             1.0
         } else {
             0.0
         };
         self.baseline
             .histogram
-            .decay_and_add(kept, &recent.histogram);
+            .decay_and_add(baseline_factor, &recent.histogram);
         self.baseline.unanswered_seconds =
-            self.baseline.unanswered_seconds * kept + recent.unanswered_seconds;
+            self.baseline.unanswered_seconds * baseline_factor + recent.unanswered_seconds;
     }
 }
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,121 +1,123 @@
-//! What is remembered of one endpoint.
+//! The state of one endpoint.
 
 use super::{Attempt, EndpointKey, EndpointLatency};
 use crate::interface::{EndpointEntry, EndpointState};
 use std::time::Duration;
 
-/// What an endpoint said of its load.
+/// Load that an endpoint reported.
 #[derive(Clone, Copy)]
 pub(crate) struct LoadReport {
-    /// Requests in flight there.
+    /// Number of requests in flight at the endpoint.
     pub load: f64,
-    /// When it was received.
+    /// When the report was received.
     pub at: Duration,
 }
 
-/// Signs of life and faults of one endpoint.
+/// Responsiveness and recent faults of one endpoint.
 #[derive(Default)]
 pub(crate) struct EndpointHealth {
-    /// Since when it has attempts in flight and said nothing.
+    /// Start of the current period with attempts in flight and no response. `None` if there is no
+    /// such period.
     pub silent_since: Option<Duration>,
-    /// Lost attempts since its last answer.
+    /// Number of attempts lost since the last response.
     pub consecutive_faults: u32,
-    /// Share of its answers that failed of late, 0 to 1.
+    /// Share of recent responses that were failures, 0 to 1.
     pub failure_rate: f64,
 }
 
 impl EndpointHealth {
-    /// Whether it lost more than one attempt since its last answer.
+    /// Returns whether more than one attempt was lost since the last response.
     pub fn has_repeated_faults(&self) -> bool {
         self.consecutive_faults > 1
     }
 }
 
-/// Ejection of one endpoint from the load balancing.
+/// Ejection of one endpoint from load balancing.
 #[derive(Default)]
 pub(crate) struct Ejection {
-    /// When it may be tried again; kept until it has answered well.
+    /// When the endpoint may be tried again. Kept after that time until the endpoint has responded
+    /// successfully, then `None`.
     pub until: Option<Duration>,
     /// How long the next ejection lasts.
     pub duration: Duration,
-    /// Whether the operators' log names it.
+    /// Whether the ejection was written to the operators' log.
     pub logged: bool,
 }
 
-/// What an endpoint in slow start may get; not kept up to date past slow start.
+/// Number of attempts that an endpoint in slow start may receive. Not updated after slow start.
 #[derive(Default)]
 pub(crate) struct SlowStartQuota {
-    /// Attempts that may be sent now.
+    /// Number of attempts that may be sent now, possibly fractional or negative.
     pub attempts: f64,
-    /// Attempts within the overload window.
+    /// Number of attempts allowed within the overload window.
     pub per_window: f64,
-    /// Evaluations before the endpoint was started.
+    /// Number of evaluations that had taken place when the endpoint was started.
     pub evaluations: u64,
 }
 
 impl SlowStartQuota {
-    /// Whether a whole attempt may be sent now.
+    /// Returns whether at least one whole attempt may be sent now.
     pub fn allows_attempt(&self) -> bool {
         self.attempts >= 1.0
     }
 }
 
-/// Load of one endpoint by its own reports.
+/// Load of one endpoint according to its own reports.
 #[derive(Default)]
 pub(crate) struct EndpointLoad {
-    /// Its last report.
+    /// The last report. `None` if there is none.
     pub report: Option<LoadReport>,
-    /// Attempts that this agent sent since then.
+    /// Number of attempts that this agent has sent since the last report.
     pub sent_since: f64,
-    /// When it was asked for a report that has not come yet.
+    /// When the outstanding report was requested. `None` if no report is outstanding.
     pub requested_at: Option<Duration>,
 }
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    /// Whether it may be sent requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
     /// Index of its zone.
     pub zone: usize,
-    /// Number of its cell.
+    /// Identifier of its cell.
     pub cell: u64,
-    /// Number that identifies it at every agent.
+    /// Identifier for rendezvous hashing, the same at every agent.
     pub identity: u64,
     /// Index of its hardware type.
     pub endpoint_type: usize,
-    /// The build that it runs.
+    /// Number of the build that it runs.
     pub build: u32,
-    /// When it was started, where that is known.
+    /// When it was started. `None` if that is not known.
     pub started: Option<Duration>,
-    /// Since when it is warming up; `None` past slow start.
+    /// When it began to warm up. `None` after slow start.
     pub warming_since: Option<Duration>,
-    /// Attempts in flight from this agent.
+    /// Number of attempts of this agent in flight.
     pub in_flight: usize,
-    /// Its signs of life and faults.
+    /// Responsiveness and recent faults.
     pub health: EndpointHealth,
-    /// Its ejection.
+    /// Current or last ejection.
     pub ejection: Ejection,
-    /// A high quantile of its latencies, divided by the mean of the class.
+    /// A high quantile of its latencies, each divided by the mean of its class.
     pub latency: EndpointLatency,
-    /// What it may get in slow start.
+    /// Quota in slow start.
     pub slow_start: SlowStartQuota,
-    /// Its load by its own reports.
+    /// Load according to its own reports.
     pub load: EndpointLoad,
 }
 
 impl Endpoint {
-    /// Whether it may be sent requests.
+    /// Returns whether it accepts requests.
     pub fn is_running(&self) -> bool {
         self.state == EndpointState::Running
     }
 
-    /// Whether it is past slow start.
+    /// Returns whether it is past slow start.
     pub fn is_warm(&self) -> bool {
         self.warming_since.is_none()
     }
 
-    /// What the index of the fleet knows it by.
+    /// Returns the attributes that the fleet index depends on.
     pub fn key(&self) -> EndpointKey {
         EndpointKey {
             state: self.state,
@@ -134,19 +136,20 @@
         }
     }
 
-    /// Whether it has attempts in flight and said nothing for this long.
+    /// Returns whether it has had attempts in flight without a response for at least
+    /// `stall_timeout`.
     pub fn is_unresponsive(&self, now: Duration, stall_timeout: Duration) -> bool {
         self.health
             .silent_since
             .is_some_and(|since| now >= since + stall_timeout)
     }
 
-    /// Whether it runs this build now, past slow start.
+    /// Returns whether it currently runs this build and is past slow start.
     pub fn runs_warm(&self, build: u32) -> bool {
         self.build == build && self.state == EndpointState::Running && self.is_warm()
     }
 
-    /// Counts one more attempt to it; `index` is its own.
+    /// Records that an attempt is being sent to this endpoint, whose own index is `index`.
     pub fn send_attempt(&mut self, index: usize, now: Duration) -> Attempt {
         self.in_flight += 1;
         self.load.sent_since += 1.0;
@@ -155,7 +158,8 @@
         Attempt::new(index, self, now)
     }
 
-    /// Begins anew as the entry says. Attempts in flight stay; all else is forgotten.
+    /// Resets the state to that of a newly started endpoint, as described by `entry`. Only the
+    /// number of attempts in flight is kept.
     pub fn restart(
         &mut self,
         entry: &EndpointEntry,
--- a/src/model/endpoint_group.rs
+++ b/src/model/endpoint_group.rs
@@ -1,40 +1,41 @@
-//! What running endpoints have in common as far as the choice of an endpoint is concerned.
+//! Groups of running endpoints that are equivalent for the selection of an endpoint.
 
 use super::EndpointKey;
 
-/// How far the ejection of an endpoint has come.
+/// Ejection state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EjectionPhase {
     /// It is not ejected.
     InService,
-    /// Its ejection is over, it has not answered well since, and has nothing in flight.
+    /// The ejection has ended, but the endpoint has not responded successfully since, and it has no
+    /// attempts in flight.
     IdleProbation,
-    /// The same, with attempts in flight.
+    /// As `IdleProbation`, but with attempts in flight.
     BusyProbation,
     /// It is ejected.
     Ejected,
 }
 
-/// A group of running endpoints that may get a request at all and are alike but for their latency,
-/// what they have in flight, and their age.
+/// A group of running endpoints that may receive requests and differ only in latency, attempts in
+/// flight and age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EndpointGroup {
-    /// The build that they run.
+    /// Number of the build that they run.
     pub build: u32,
     /// Index of their zone.
     pub zone: usize,
     /// Index of their hardware type.
     pub endpoint_type: usize,
-    /// Whether they are past slow start; those that are not may get an attempt by their quota.
+    /// Whether they are past slow start. If not, their quota limits the attempts.
     pub is_warm: bool,
-    /// How far their ejection has come.
+    /// Their ejection state.
     pub ejection: EjectionPhase,
-    /// Whether they lost more than one attempt since their last answer.
+    /// Whether they have lost more than one attempt since their last response.
     pub has_repeated_faults: bool,
 }
 
 impl EndpointGroup {
-    /// The group of an endpoint, `None` where it may get no request whatever that is.
+    /// Returns the group of an endpoint, or `None` if the endpoint must not receive any request.
     pub fn of(key: &EndpointKey, is_ejected: bool) -> Option<EndpointGroup> {
         if !key.is_running() || !key.is_warm && !key.has_quota {
             return None;
--- a/src/model/endpoint_outcomes.rs
+++ b/src/model/endpoint_outcomes.rs
@@ -1,18 +1,18 @@
-//! Outcomes of one endpoint, by the classes that it was sent requests of.
+//! Outcomes of one endpoint, by request class.
 
 use crate::stats::OutcomeCounts;
 
-/// How outcomes lose weight.
+/// How outcomes decay.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutcomeDecay {
-    /// Factor on all counts, each evaluation interval.
+    /// Factor that each evaluation interval applies to all counts.
     pub factor: f64,
-    /// Outcomes of a class below which an endpoint need not remember them.
+    /// Number of outcomes of a class below which an endpoint may drop them.
     pub negligible: f64,
 }
 
 impl OutcomeDecay {
-    /// Factor on all counts after so many intervals: 0 after very many.
+    /// Returns the decay factor after this many intervals. It underflows to 0 after very many.
     pub fn factor_after(&self, intervals: u64) -> f64 {
         match intervals {
             0 => 1.0,
@@ -26,60 +26,62 @@
 #[derive(Clone, Copy, Debug)]
 struct ClassOutcomes {
     class: usize,
-    /// Decays of the endpoint that the counts have been through.
+    /// Value of the endpoint's `decays` up to which the decay has been applied to `counts`.
     decays: u64,
     counts: OutcomeCounts,
 }
 
-/// Outcomes of one endpoint. Classes that it was sent no request of take no space, and a decay costs
-/// the same however many there are: it is applied to a class when that is read or changed.
+/// Outcomes of one endpoint. Classes of which it was sent no request take no space. The cost of a
+/// decay does not depend on the number of classes, because it is applied to a class only when that
+/// class is read or changed.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointOutcomes {
-    /// Sorted by class.
+    /// Outcomes of the classes, sorted by class index.
     entries: Vec<ClassOutcomes>,
-    /// Sum over all classes, also those that were forgotten.
+    /// Sum over all classes, including those that were pruned.
     total: OutcomeCounts,
-    /// Decays since the start.
+    /// Number of decays since the endpoint was started.
     decays: u64,
     has_failures: bool,
-    /// Whether a class was forgotten that had answers that failed.
-    forgot_failed: bool,
-    /// Whether a class was forgotten that had lost or reported ones.
-    forgot_others: bool,
-    /// Entries from which on it is worth while to look for negligible ones.
-    crowded_from: usize,
+    /// Whether a pruned class had failed responses.
+    pruned_failed: bool,
+    /// Whether a pruned class had lost attempts or client-reported errors.
+    pruned_others: bool,
+    /// Pruning is worthwhile once there are more entries than this.
+    prune_above: usize,
 }
 
 impl EndpointOutcomes {
-    /// Sum over all classes.
+    /// Returns the sum over all classes.
     pub fn total(&self) -> &OutcomeCounts {
         &self.total
     }
 
-    /// Whether anything went wrong in any class, however long ago.
+    /// Returns whether there were failures, losses or client-reported errors in any class, however
+    /// long ago.
     pub fn has_failures(&self) -> bool {
         self.has_failures
     }
 
-    /// Classes that are remembered.
+    /// Returns the number of classes that have an entry.
     #[cfg(test)]
     pub fn remembered(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are twice as many classes as were left when negligible ones were last looked
-    /// for. Looking for them then costs each new class the same, however many there are.
+    /// Returns whether the number of classes has doubled since the last pruning. The cost of
+    /// pruning per new class is then constant, however many classes there are.
     pub fn needs_pruning(&self) -> bool {
-        self.entries.len() > self.crowded_from.max(1)
+        self.entries.len() > self.prune_above.max(1)
     }
 
-    /// Lets all counts decay so many times.
+    /// Applies this number of decays to all counts.
     pub fn decay(&mut self, times: u64, decay: &OutcomeDecay) {
         self.decays += times;
         self.total.decay(decay.factor_after(times));
     }
 
-    /// Adds outcomes of a class. Whether the class was not remembered before.
+    /// Adds outcomes of a class and returns whether the class had no entry before.
     pub fn add(&mut self, class: usize, added: &OutcomeCounts, decay: &OutcomeDecay) -> bool {
         self.total.decay_and_add(1.0, added);
         self.has_failures |= added.has_failures();
@@ -103,12 +105,13 @@
         }
     }
 
-    /// Outcomes by class, as they are now.
+    /// Returns the outcomes by class, with the decay applied.
     pub fn by_class<'a>(
         &'a self,
         decay: &'a OutcomeDecay,
     ) -> impl Iterator<Item = (usize, OutcomeCounts)> + 'a {
-        // Most entries are of the same age: its factor is not taken anew for each.
+        // Most entries have the same age, so the factor is computed once for consecutive equal
+        // ages.
         let mut age = 0;
         let mut factor = 1.0;
         self.entries.iter().map(move |entry| {
@@ -121,49 +124,50 @@
         })
     }
 
-    /// Takes one failed answer of a class back, as far as it still counts.
+    /// Removes one failed response of a class, as far as it has not decayed.
     pub fn take_back_failure(&mut self, class: usize, decay: &OutcomeDecay) {
-        self.settle(decay);
+        self.apply_pending_decay(decay);
         if let Ok(position) = self.entries.binary_search_by_key(&class, |e| e.class) {
             let failed = &mut self.entries[position].counts.failed;
             *failed = (*failed - 1.0).max(0.0);
         }
-        self.recount_failed();
+        self.recompute_failed();
     }
 
-    /// Takes all failed answers back.
+    /// Removes all failed responses.
     pub fn clear_failed(&mut self, decay: &OutcomeDecay) {
-        self.settle(decay);
+        self.apply_pending_decay(decay);
         for entry in &mut self.entries {
             entry.counts.failed = 0.0;
         }
-        self.forgot_failed = false;
-        self.recount_failed();
+        self.pruned_failed = false;
+        self.recompute_failed();
     }
 
-    /// Forgets classes of which hardly anything is left.
+    /// Drops the classes whose outcomes have decayed to a negligible number.
     pub fn prune_negligible(&mut self, decay: &OutcomeDecay) {
-        self.settle(decay);
-        let mut forgot_failed = self.forgot_failed;
-        let mut forgot_others = self.forgot_others;
+        self.apply_pending_decay(decay);
+        let mut pruned_failed = self.pruned_failed;
+        let mut pruned_others = self.pruned_others;
         self.entries.retain(|entry| {
             let counts = &entry.counts;
             let is_kept = counts.total() + counts.reported >= decay.negligible;
             if !is_kept {
-                forgot_failed |= counts.failed > 0.0;
-                forgot_others |= counts.lost + counts.reported > 0.0;
+                pruned_failed |= counts.failed > 0.0;
+                pruned_others |= counts.lost + counts.reported > 0.0;
             }
             is_kept
         });
-        self.forgot_failed = forgot_failed;
-        self.forgot_others = forgot_others;
-        self.crowded_from = 2 * self.entries.len();
-        self.entries.shrink_to(self.crowded_from);
+        self.pruned_failed = pruned_failed;
+        self.pruned_others = pruned_others;
+        self.prune_above = 2 * self.entries.len();
+        self.entries.shrink_to(self.prune_above);
     }
 
-    /// Gives each class the indices that `targets` has for it; one without any is dropped.
+    /// Moves the outcomes of each class to all indices that `targets` lists for it. Classes without
+    /// a target are dropped.
     pub fn renumber(&mut self, targets: &[Vec<usize>], decay: &OutcomeDecay) {
-        self.settle(decay);
+        self.apply_pending_decay(decay);
         let before = std::mem::take(&mut self.entries);
         for entry in before {
             for class in targets.get(entry.class).into_iter().flatten() {
@@ -175,11 +179,11 @@
         }
         self.entries.sort_by_key(|entry| entry.class);
         self.total = self.sum();
-        self.recount_failed();
+        self.recompute_failed();
     }
 
-    /// Applies all decays to all classes.
-    fn settle(&mut self, decay: &OutcomeDecay) {
+    /// Applies the outstanding decay to every class.
+    fn apply_pending_decay(&mut self, decay: &OutcomeDecay) {
         for entry in &mut self.entries {
             entry
                 .counts
@@ -196,11 +200,11 @@
         sum
     }
 
-    /// Takes the sum of failed answers from the classes: what rounding leaves of a difference would
-    /// pass for failures.
-    fn recount_failed(&mut self) {
+    /// Recomputes the total of failed responses from the classes. If it were computed by
+    /// subtraction, the rounding error would look like failures.
+    fn recompute_failed(&mut self) {
         self.total.failed = self.sum().failed;
         let is_any_failing = self.entries.iter().any(|e| e.counts.has_failures());
-        self.has_failures = is_any_failing || self.forgot_failed || self.forgot_others;
+        self.has_failures = is_any_failing || self.pruned_failed || self.pruned_others;
     }
 }
--- a/src/model/endpoint_sets.rs
+++ b/src/model/endpoint_sets.rs
@@ -1,27 +1,33 @@
-//! Sets of endpoints that evaluations walk in place of all endpoints.
+//! Sets of endpoints that let an evaluation visit only the endpoints it needs.
 
 use super::{EndpointKey, MemberLists};
 use std::collections::BTreeSet;
 
-/// Endpoints by what an evaluation asks of them, kept up to date at each change.
+/// Sets of endpoints by the property that an evaluation looks for, updated at each change of an
+/// endpoint.
 #[derive(Default)]
 pub(crate) struct EndpointSets {
-    /// Those that run and are in slow start.
+    /// Running endpoints in slow start.
     warming: BTreeSet<usize>,
-    /// Those that have attempts in flight, and those that run and owe a sign of life.
+    /// Endpoints with attempts in flight, and running endpoints without a response since an attempt
+    /// was sent.
     awaiting_response: BTreeSet<usize>,
-    /// Those that run and are past slow start, by hardware type and build.
+    /// Running endpoints past slow start, by hardware type and build.
     warm: WarmEndpoints,
 }
 
 impl EndpointSets {
-    /// Takes in a change of one endpoint.
+    /// Updates the sets after a change of one endpoint.
     pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
         if is_warming(before) != is_warming(after) {
             set_member(&mut self.warming, endpoint, is_warming(after));
         }
-        if is_awaited(before) != is_awaited(after) {
-            set_member(&mut self.awaiting_response, endpoint, is_awaited(after));
+        if is_awaiting_response(before) != is_awaiting_response(after) {
+            set_member(
+                &mut self.awaiting_response,
+                endpoint,
+                is_awaiting_response(after),
+            );
         }
         let (group_before, group_after) = (warm_group(before), warm_group(after));
         if group_before == group_after {
@@ -35,17 +41,18 @@
         }
     }
 
-    /// Endpoints that run and are in slow start, by index.
+    /// Returns the running endpoints in slow start, by index.
     pub fn warming(&self) -> &BTreeSet<usize> {
         &self.warming
     }
 
-    /// Endpoints that may be unresponsive, by index: all others have nothing in flight.
+    /// Returns the endpoints that may be unresponsive, by index. All others have no attempts in
+    /// flight.
     pub fn awaiting_response(&self) -> &BTreeSet<usize> {
         &self.awaiting_response
     }
 
-    /// Endpoints that run and are past slow start.
+    /// Returns the running endpoints past slow start.
     pub fn warm(&self) -> &WarmEndpoints {
         &self.warm
     }
@@ -55,7 +62,7 @@
     key.is_running() && !key.is_warm
 }
 
-fn is_awaited(key: &EndpointKey) -> bool {
+fn is_awaiting_response(key: &EndpointKey) -> bool {
     key.is_busy || key.is_running() && key.silent_since.is_some()
 }
 
@@ -74,25 +81,25 @@
     }
 }
 
-/// Warm endpoints of one hardware type that run one build.
+/// Warm endpoints of one hardware type that run the same build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WarmGroup {
     endpoint_type: usize,
     build: u32,
 }
 
-/// Warm endpoints in dense lists, so that any of them is found by its position.
+/// Warm endpoints in dense lists, which allow access to any of them by position.
 #[derive(Default)]
 pub(crate) struct WarmEndpoints(MemberLists<WarmGroup>);
 
 impl WarmEndpoints {
-    /// Lists of all warm endpoints.
+    /// Returns the lists of all warm endpoints.
     pub fn all(&self) -> Vec<&[usize]> {
         self.0.iter().map(|(_, members)| members).collect()
     }
 
-    /// Lists of the warm endpoints of one hardware type: those that run `newest_build` or a newer
-    /// one, or those that run an earlier one.
+    /// Returns the lists of the warm endpoints of one hardware type: those that run `newest_build`
+    /// or a newer one if `is_newest`, else those that run an earlier one.
     pub fn peers(&self, endpoint_type: usize, newest_build: u32, is_newest: bool) -> Vec<&[usize]> {
         let group = |build| WarmGroup {
             endpoint_type,
--- a/src/model/endpoint_type.rs
+++ b/src/model/endpoint_type.rs
@@ -1,19 +1,19 @@
-//! What is remembered of endpoints of one hardware type.
+//! The state of one hardware type.
 
 use crate::stats::Ewma;
 
-/// Endpoints of one hardware type, against the others.
+/// Performance of the endpoints of one hardware type, relative to the other types.
 #[derive(Clone, Copy)]
 pub(crate) struct EndpointType {
-    /// Latencies of their answers, divided by the mean of the class.
+    /// Latency of their responses, divided by the mean of the class.
     pub latency_ratio: Ewma,
-    /// Requests in flight that they reported.
+    /// Number of requests in flight that they reported.
     pub reported_load: Ewma,
-    /// What one of them gets done against the mean of all types, by Little's law.
+    /// Throughput of one endpoint relative to the mean of all types, by Little's law.
     pub throughput: f64,
-    /// The same, rounded to half an octave, so that all agents find the same.
+    /// `throughput`, rounded to half an octave so that all agents arrive at the same value.
     pub rounded_throughput: f64,
-    /// Their latency against the mean of all types.
+    /// Latency relative to the mean of all types.
     pub relative_latency: f64,
 }
 
--- a/src/model/evaluation.rs
+++ b/src/model/evaluation.rs
@@ -1,35 +1,35 @@
-//! What is remembered for the evaluation of the newest build.
+//! State for the evaluation of the newest build.
 
 use crate::stats::OutcomeCounts;
 use std::time::Duration;
 
-/// Evidence on the newest build that belongs to no single endpoint.
+/// Evidence on the newest build that is not kept by endpoint.
 #[derive(Default)]
 pub(crate) struct EvaluationState {
-    /// Outcomes of the earlier build at the same time.
+    /// Outcomes of the earlier build in the same period.
     pub peers: PeerOutcomes,
-    /// Requests that arrive.
+    /// Rate of arriving requests.
     pub arrivals: ArrivalRate,
-    /// Whether the newest build slows the whole fleet.
+    /// Evidence that the newest build slows the whole fleet.
     pub latency: LatencyRegression,
-    /// Until when endpoints of the earlier build are known to fail, too.
+    /// Until this time, endpoints of the earlier build are considered to be failing as well.
     pub faulty_endpoints_until: Duration,
 }
 
-/// Outcomes of the earlier build while the newest one got its traffic, so that a fault which meets
-/// both is seen in both.
+/// Outcomes of the earlier build from the period in which the newest one received traffic. A fault
+/// that affects both builds is then visible in both.
 #[derive(Default)]
 pub(crate) struct PeerOutcomes {
-    /// By class: outcomes of the earlier build.
+    /// Outcomes of the earlier build, by class.
     pub outcomes: Vec<OutcomeCounts>,
-    /// Attempts of late to the earlier build.
+    /// Number of recent attempts to the earlier build.
     pub recent_earlier: f64,
-    /// Attempts of late to the newest one.
+    /// Number of recent attempts to the newest build.
     pub recent_newest: f64,
 }
 
 impl PeerOutcomes {
-    /// Multiplies the outcomes by `factor` and the attempts of late by `recent_factor`.
+    /// Multiplies the outcomes by `factor` and the numbers of recent attempts by `recent_factor`.
     pub fn decay(&mut self, factor: f64, recent_factor: f64) {
         for outcomes in &mut self.outcomes {
             outcomes.decay(factor);
@@ -38,7 +38,7 @@
         self.recent_newest *= recent_factor;
     }
 
-    /// Counts one attempt that ended.
+    /// Counts an attempt that has ended.
     pub fn count_attempt(&mut self, is_newest: bool) {
         let recent = if is_newest {
             &mut self.recent_newest
@@ -49,10 +49,10 @@
     }
 }
 
-/// Requests that arrive in an evaluation interval, retries left out.
+/// Number of requests that arrive per evaluation interval, without retries.
 #[derive(Default)]
 pub(crate) struct ArrivalRate {
-    /// Those of the present interval.
+    /// Requests in the current interval so far.
     pub arrived: f64,
     recent: f64,
     baseline: f64,
@@ -60,8 +60,8 @@
 }
 
 impl ArrivalRate {
-    /// Ends an evaluation interval. The baseline follows only while no build is being evaluated, by
-    /// `baseline_gain` once it is known from that many intervals.
+    /// Ends an evaluation interval. The baseline is updated only while no build is being evaluated:
+    /// as a plain mean over the intervals at first, later by `baseline_gain`.
     pub fn end_interval(&mut self, is_evaluating: bool, recent_gain: f64, baseline_gain: f64) {
         let arrived = std::mem::take(&mut self.arrived);
         self.recent += (arrived - self.recent) * recent_gain;
@@ -72,16 +72,16 @@
         }
     }
 
-    /// Requests of late, divided by the baseline.
+    /// Returns the recent rate divided by the baseline.
     pub fn growth(&self) -> f64 {
         self.recent / self.baseline.max(1e-6)
     }
 }
 
-/// How many answers were fast.
+/// Number of fast responses among all responses.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SpeedCounts {
-    /// Answers faster than the median before the canary.
+    /// Responses faster than the median from before the canary.
     pub fast: f64,
     /// All answers.
     pub answers: f64,
@@ -94,7 +94,7 @@
         self.answers *= factor;
     }
 
-    /// Counts one answer.
+    /// Counts one response.
     pub fn record(&mut self, is_fast: bool) {
         if is_fast {
             self.fast += 1.0;
@@ -103,17 +103,19 @@
     }
 }
 
-/// Whether the newest build slows the whole fleet.
+/// Evidence that the newest build slows the whole fleet.
 #[derive(Default)]
 pub(crate) struct LatencyRegression {
-    /// Answers of the earlier build of late.
+    /// Recent responses of the earlier build.
     pub earlier: SpeedCounts,
-    /// Answers of the newest build of late.
+    /// Recent responses of the newest build.
     pub newest: SpeedCounts,
-    /// Whether fast answers are gone, beyond chance.
+    /// Whether the share of fast responses has dropped by a statistically significant amount.
     pub alarm: bool,
-    /// Whether the newest build had fewer fast answers than the earlier one, beyond chance.
+    /// Whether the newest build had a lower share of fast responses than the earlier one, by a
+    /// statistically significant amount.
     pub is_newest_slower: bool,
-    /// Whether all answers are slow, surely enough for one of several agents that must agree.
+    /// Whether all responses are slow, with enough certainty for one of the several agents that
+    /// must agree.
     pub is_fleet_slower: bool,
 }
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints, as the endpoint list names them.
+//! The endpoints that the endpoint list has named.
 
 use super::{Endpoint, EndpointKey, EndpointType, FleetIndex};
 use crate::interface::EndpointState;
@@ -11,7 +11,7 @@
 pub(crate) struct Fleet {
     /// Hardware types, by index.
     pub types: Vec<EndpointType>,
-    /// Endpoints, by index. Those that left the list keep their place.
+    /// Endpoints, by index. Endpoints that left the list keep their index.
     endpoints: Vec<Endpoint>,
     index: FleetIndex,
     scanned: Cell<u64>,
@@ -19,56 +19,57 @@
 }
 
 impl Fleet {
-    /// Endpoints that were ever listed.
+    /// Returns the number of endpoints that were ever listed.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Adds endpoints that are gone until there are so many.
+    /// Adds endpoints in the state `Gone` until there are `endpoints` of them.
     pub fn extend_to(&mut self, endpoints: usize) {
         if endpoints > self.endpoints.len() {
             self.endpoints.resize_with(endpoints, Endpoint::default);
         }
     }
 
-    /// An endpoint, where its index is known.
+    /// Returns an endpoint, or `None` if the index is not known.
     pub fn get(&self, index: usize) -> Option<&Endpoint> {
         self.endpoints.get(index)
     }
 
-    /// An endpoint by an index that is known to be valid.
+    /// Returns an endpoint. Panics if the index is not known.
     pub fn endpoint(&self, index: usize) -> &Endpoint {
         &self.endpoints[index]
     }
 
-    /// An endpoint to change, where its index is known.
+    /// Returns an endpoint for modification, or `None` if the index is not known.
     pub fn get_mut(&mut self, index: usize) -> Option<EndpointMut<'_>> {
         let endpoint = self.endpoints.get_mut(index)?;
         Some(EndpointMut {
-            number: index,
+            endpoint_index: index,
             before: endpoint.key(),
             endpoint,
             index: &mut self.index,
         })
     }
 
-    /// An endpoint to change, by an index that is known to be valid.
+    /// Returns an endpoint for modification. Panics if the index is not known.
     pub fn endpoint_mut(&mut self, index: usize) -> EndpointMut<'_> {
         let endpoint = &mut self.endpoints[index];
         EndpointMut {
-            number: index,
+            endpoint_index: index,
             before: endpoint.key(),
             endpoint,
             index: &mut self.index,
         }
     }
 
-    /// An endpoint to change together with its hardware type.
+    /// Returns an endpoint and its hardware type for modification. Panics if the index is not
+    /// known.
     pub fn endpoint_and_type_mut(&mut self, index: usize) -> (EndpointMut<'_>, &mut EndpointType) {
         let endpoint = &mut self.endpoints[index];
         let hardware = &mut self.types[endpoint.endpoint_type];
         let endpoint = EndpointMut {
-            number: index,
+            endpoint_index: index,
             before: endpoint.key(),
             endpoint,
             index: &mut self.index,
@@ -76,62 +77,62 @@
         (endpoint, hardware)
     }
 
-    /// All endpoints that were ever listed. Counts them as scanned.
+    /// Returns all endpoints that were ever listed, and counts them as scanned.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.count_scanned(self.endpoints.len());
         self.endpoints.iter()
     }
 
-    /// The endpoints that run. Counts all endpoints as scanned, also where the caller stops early:
-    /// a measure of work that does not depend on a clock.
+    /// Returns the running endpoints. Counts all endpoints as scanned even if the caller stops
+    /// early, as a measure of work that does not depend on a clock.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Endpoint)> {
         self.iter()
             .enumerate()
             .filter(|(_, endpoint)| endpoint.state == EndpointState::Running)
     }
 
-    /// What is kept up to date about the endpoints at each change.
+    /// Returns the index that is updated at each change of an endpoint.
     pub fn index(&self) -> &FleetIndex {
         &self.index
     }
 
-    /// Takes into the index that time has passed.
+    /// Updates the index for the ejections that have ended by `now`.
     pub fn end_ejections(&mut self, now: Duration) {
         let ended = self.index.end_ejections(now, &self.endpoints);
         self.count_scanned(ended);
     }
 
-    /// Counts endpoints that were looked at.
+    /// Adds to the number of endpoints that were examined.
     pub fn count_scanned(&self, endpoints: usize) {
         let scanned = self.scanned.get().wrapping_add(endpoints as u64);
         self.scanned.set(scanned);
     }
 
-    /// Endpoints that were scanned so far.
+    /// Returns how many endpoints have been examined so far.
     pub fn scanned(&self) -> u64 {
         self.scanned.get()
     }
 
-    /// Counts a decision that looked at all endpoints.
+    /// Counts a decision that examined all endpoints.
     pub fn count_full_walk(&self) {
         self.full_walks.set(self.full_walks.get().wrapping_add(1));
     }
 
-    /// Decisions that looked at all endpoints so far.
+    /// Returns how many decisions have examined all endpoints so far.
     pub fn full_walks(&self) -> u64 {
         self.full_walks.get()
     }
 
-    /// Starts the counts of scanned endpoints and full walks anew.
+    /// Resets the numbers of scanned endpoints and full walks to zero.
     pub fn reset_scanned(&mut self) {
         self.scanned.set(0);
         self.full_walks.set(0);
     }
 }
 
-/// An endpoint that is being changed. The index of the fleet follows when this is dropped.
+/// An endpoint that is being modified. The fleet index is updated when this guard is dropped.
 pub(crate) struct EndpointMut<'a> {
-    number: usize,
+    endpoint_index: usize,
     before: EndpointKey,
     endpoint: &'a mut Endpoint,
     index: &'a mut FleetIndex,
@@ -155,7 +156,7 @@
     fn drop(&mut self) {
         let after = self.endpoint.key();
         if after != self.before {
-            self.index.update(self.number, &self.before, &after);
+            self.index.update(self.endpoint_index, &self.before, &after);
         }
     }
 }
--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -1,4 +1,5 @@
-//! What is kept up to date about the endpoints at each change, so that nobody walks over them.
+//! Data about the endpoints that is updated at each change of one, so that no lookup has to visit
+//! all endpoints.
 
 use super::{
     AffinityIndex, Endpoint, EndpointGroup, EndpointSets, MemberLists, WarmingTimes, ZoneMembers,
@@ -7,72 +8,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the index of the fleet knows an endpoint by.
+/// The attributes of an endpoint that the fleet index depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EndpointKey {
-    /// Whether it may be sent requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// Number that identifies it at every agent.
+    /// Identifier for rendezvous hashing, the same at every agent.
     pub identity: u64,
     /// Index of its zone.
     pub zone: usize,
-    /// Number of its cell.
+    /// Identifier of its cell.
     pub cell: u64,
     /// Index of its hardware type.
     pub endpoint_type: usize,
-    /// The build that it runs.
+    /// Number of the build that it runs.
     pub build: u32,
     /// Whether it is past slow start.
     pub is_warm: bool,
-    /// Since when it is warming up; `None` past slow start.
+    /// When it began to warm up. `None` after slow start.
     pub warming_since: Option<Duration>,
-    /// Whether slow start leaves it an attempt.
+    /// Whether its slow-start quota allows an attempt.
     pub has_quota: bool,
-    /// Whether it lost more than one attempt since its last answer.
+    /// Whether it has lost more than one attempt since its last response.
     pub has_repeated_faults: bool,
     /// Whether it has attempts in flight.
     pub is_busy: bool,
-    /// Since when it has attempts in flight and said nothing.
+    /// Start of the current period with attempts in flight and no response. `None` if there is no
+    /// such period.
     pub silent_since: Option<Duration>,
-    /// When it may be tried again after an ejection.
+    /// When it may be tried again after an ejection. `None` if it is not ejected or has recovered
+    /// since.
     pub ejected_until: Option<Duration>,
 }
 
 impl EndpointKey {
-    /// Whether it may be sent requests.
+    /// Returns whether it accepts requests.
     pub fn is_running(&self) -> bool {
         self.state == EndpointState::Running
     }
 
-    /// The build that it runs and since when it warms up, where it runs and does.
+    /// Returns its build and when it began to warm up, if it is running and in slow start.
     fn warming(&self) -> Option<(u32, Duration)> {
         let since = self.warming_since.filter(|_| self.is_running())?;
         Some((self.build, since))
     }
 
-    /// Its cell, where it runs.
+    /// Returns its cell if it is running.
     fn running_cell(&self) -> Option<u64> {
         self.is_running().then_some(self.cell)
     }
 
-    /// When its ejection ends, where it runs and was ejected.
+    /// Returns when its ejection ends, if it is running and was ejected.
     fn running_ejection(&self) -> Option<Duration> {
         self.ejected_until.filter(|_| self.is_running())
     }
 
-    /// What it counts under, where it runs.
-    fn counted(&self) -> Option<(u32, usize, bool)> {
+    /// Returns the attributes that determine the counts it belongs to, if it is running.
+    fn count_key(&self) -> Option<(u32, usize, bool)> {
         self.is_running()
             .then_some((self.build, self.zone, self.is_warm))
     }
 }
 
-/// How many endpoints there are of a kind.
+/// Number of endpoints in some category.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EndpointCount {
-    /// Those that run.
+    /// Number of running endpoints.
     pub running: usize,
-    /// Those that run and are past slow start.
+    /// Number of running endpoints past slow start.
     pub warm: usize,
 }
 
@@ -88,7 +91,7 @@
     }
 }
 
-/// Counts and lists of the endpoints, by what matters to decisions.
+/// Counts and lists of endpoints by the attributes that decisions depend on.
 #[derive(Default)]
 pub(crate) struct FleetIndex {
     total: EndpointCount,
@@ -96,9 +99,9 @@
     by_zone: BTreeMap<usize, EndpointCount>,
     groups: MemberLists<EndpointGroup>,
     cells: MemberLists<u64>,
-    /// By build: endpoints that are warming up.
+    /// Endpoints in slow start, by build.
     warming: BTreeMap<u32, WarmingTimes>,
-    /// Ejections that were not found to be over yet, by their end.
+    /// Ejections not yet known to have ended, ordered by their end, with the index of the endpoint.
     ejections: BTreeSet<(Duration, usize)>,
     affinity: AffinityIndex,
     sets: EndpointSets,
@@ -106,7 +109,7 @@
 }
 
 impl FleetIndex {
-    /// Takes in a change of one endpoint.
+    /// Updates all counts and lists after a change of one endpoint.
     pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
         self.update_counts(before, after);
         self.update_cells(endpoint, before, after);
@@ -118,7 +121,7 @@
     }
 
     fn update_counts(&mut self, before: &EndpointKey, after: &EndpointKey) {
-        if before.counted() == after.counted() {
+        if before.count_key() == after.count_key() {
             return;
         }
         if before.is_running() {
@@ -203,8 +206,8 @@
         }
     }
 
-    /// Takes in that time has passed: ejections that are over. How many they were; each one costs
-    /// once.
+    /// Moves the endpoints whose ejection has ended by `now` to their new group, and returns how
+    /// many there were. Each ejection is processed only once.
     pub fn end_ejections(&mut self, now: Duration, endpoints: &[Endpoint]) -> usize {
         let mut ended = 0;
         while let Some((_, endpoint)) = self.ejections.first().filter(|(until, _)| *until <= now) {
@@ -220,57 +223,57 @@
         ended
     }
 
-    /// Sets of endpoints that evaluations walk.
+    /// Returns the sets of endpoints that evaluations visit.
     pub fn sets(&self) -> &EndpointSets {
         &self.sets
     }
 
-    /// All endpoints.
+    /// Returns the counts over all endpoints.
     pub fn total(&self) -> EndpointCount {
         self.total
     }
 
-    /// The running endpoints, by the keys that are theirs.
+    /// Returns the affinity index of the running endpoints.
     pub fn affinity(&self) -> &AffinityIndex {
         &self.affinity
     }
 
-    /// Endpoints of one build.
+    /// Returns the counts of one build.
     pub fn of_build(&self, build: u32) -> EndpointCount {
         self.by_build.get(&build).copied().unwrap_or_default()
     }
 
-    /// Builds that any endpoint runs, the oldest first.
+    /// Returns the builds of the running endpoints, oldest first.
     pub fn builds(&self) -> impl Iterator<Item = u32> + '_ {
         self.by_build.keys().copied()
     }
 
-    /// Zones that any endpoint runs in, with its endpoints.
+    /// Returns the zones that have running endpoints, with their counts.
     pub fn zones(&self) -> impl Iterator<Item = (usize, EndpointCount)> + '_ {
         self.by_zone.iter().map(|(zone, count)| (*zone, *count))
     }
 
-    /// Running endpoints of a zone.
+    /// Returns the counts of one zone.
     pub fn of_zone(&self, zone: usize) -> EndpointCount {
         self.by_zone.get(&zone).copied().unwrap_or_default()
     }
 
-    /// Endpoints by zone.
+    /// Returns the endpoints by zone.
     pub fn zone_members(&self) -> &ZoneMembers {
         &self.zone_members
     }
 
-    /// Endpoints of a build that are warming up, where there are any.
+    /// Returns the start times of a build's endpoints in slow start, or `None` if there are none.
     pub fn warming(&self, build: u32) -> Option<&WarmingTimes> {
         self.warming.get(&build)
     }
 
-    /// The groups of endpoints that may get a request, with their members.
+    /// Returns the groups of endpoints that may receive requests, with their members.
     pub fn groups(&self) -> impl Iterator<Item = (&EndpointGroup, &[usize])> {
         self.groups.iter()
     }
 
-    /// The running endpoints of a cell.
+    /// Returns the running endpoints of a cell.
     pub fn cell(&self, cell: u64) -> &[usize] {
         self.cells.get(&cell)
     }
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -1,53 +1,54 @@
-//! What is remembered of the agent as a whole, a struct a concern.
+//! State of the agent as a whole, one struct per concern.
 
 use crate::interface::CrossZonePolicy;
 use crate::stats::{DecayingCounts, Ewma};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What is in flight, and what may be.
+/// Attempts in flight and their limit.
 #[derive(Default)]
 pub(crate) struct AdmissionState {
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
-    /// Those of them at unresponsive endpoints.
+    /// Number of attempts in flight to unresponsive endpoints.
     pub unresponsive_in_flight: usize,
-    /// Limit of attempts in flight; `None` where answers are fast enough without one.
+    /// Limit of the attempts in flight. `None` if responses are fast enough without a limit.
     pub limit: Option<f64>,
-    /// The highest limit of late.
+    /// Highest recent value of the limit.
     pub peak_limit: f64,
-    /// By tenant: requests of late; decays.
+    /// Number of recent requests by tenant, decaying.
     pub tenant_load: DecayingCounts,
-    /// The highest value of any class.
+    /// Highest value of any class, to which the values of all classes are compared.
     pub best_value: f64,
-    /// Answers a second, over all classes.
+    /// Responses per second over all classes.
     pub answer_rate: f64,
 }
 
-/// What retries may still cost.
+/// State of the retry budget.
 #[derive(Default)]
 pub(crate) struct RetryState {
-    /// Further attempts earned.
+    /// Number of retries that the budget currently allows.
     pub budget: f64,
-    /// Part of the failures that is the endpoint's and not the request's own, 0 to 1.
+    /// Estimated share of failures that are caused by the endpoint and not by the request itself, 0
+    /// to 1.
     pub fault_attribution: f64,
 }
 
-/// Local and remote zones.
+/// State of the routing between zones.
 #[derive(Default)]
 pub(crate) struct CrossZoneState {
-    /// What forwarding to other zones means at present.
+    /// Current policy for forwarding to other zones.
     pub policy: CrossZonePolicy,
-    /// Latencies of the own zone, divided by the mean of the class.
+    /// Latency of responses from the agent's own zone, divided by the mean of the class.
     pub local_latency_ratio: f64,
-    /// The same of the other zones.
+    /// Latency of responses from other zones, divided by the mean of the class.
     pub remote_latency_ratio: f64,
-    /// Weight of a remote endpoint where the policy gives none.
+    /// Weight of a remote endpoint where the policy gives none, 0 to 1.
     pub remote_weight: f64,
 }
 
 impl CrossZoneState {
-    /// Latency in seconds that the way to this zone and back adds.
+    /// Returns the latency in seconds that the round trip to this zone adds.
     pub fn added_latency(&self, zone: usize) -> f64 {
         self.policy
             .zones
@@ -56,48 +57,49 @@
     }
 }
 
-/// Pace of warm endpoints, which bounds that of those in slow start.
+/// Rate at which warm endpoints respond, which limits the endpoints in slow start.
 #[derive(Default)]
 pub(crate) struct SlowStartState {
-    /// Answers of warm endpoints in this evaluation interval.
+    /// Successful responses of warm endpoints in the current evaluation interval.
     pub completed: f64,
-    /// Answers of one warm endpoint in an evaluation interval.
+    /// Successful responses per warm endpoint and evaluation interval.
     pub completed_per_interval: Ewma,
-    /// What endpoints might get at the last evaluation.
+    /// Limits for endpoints in slow start as of the last evaluation.
     pub pace: SlowStartPace,
 }
 
-/// What endpoints in slow start may get, by the pace of warm ones.
+/// Limits for endpoints in slow start, derived from the rate of warm endpoints.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartPace {
-    /// Answers in an evaluation interval for a full share.
+    /// Number of attempts per evaluation interval at full load.
     pub attempts_per_interval: f64,
-    /// Evaluation intervals in the overload window.
+    /// Number of evaluation intervals in the overload window.
     pub intervals_per_window: f64,
 }
 
 impl SlowStartPace {
-    /// Attempts in the overload window, for a part of the full load of hardware of this throughput.
+    /// Returns the number of attempts in the overload window for hardware of this throughput that
+    /// takes this share of its full load.
     pub fn attempts_per_window(&self, share: f64, throughput: f64) -> f64 {
         share * throughput * self.attempts_per_interval * self.intervals_per_window
     }
 }
 
-/// Keys and the endpoints or builds that serve them.
+/// Which endpoints or builds serve which keys.
 #[derive(Default)]
 pub(crate) struct AffinityState {
     /// Keys of the last requests.
     pub recent_keys: RecentKeys,
-    /// The newest build that answered a key, where keys must not return to an earlier one.
+    /// Newest build that has served each key, if keys must not return to an earlier build.
     pub sticky_builds: BTreeMap<u64, u32>,
 }
 
-/// The keys of the last requests.
+/// Keys of the most recent requests, oldest first.
 #[derive(Default)]
 pub(crate) struct RecentKeys(VecDeque<u64>);
 
 impl RecentKeys {
-    /// Whether this key is among the last `capacity` ones; from now on it is.
+    /// Records a key and returns whether it was among the last `capacity` ones.
     pub fn insert(&mut self, key: u64, capacity: usize) -> bool {
         let is_known = self.0.contains(&key);
         self.0.push_back(key);
@@ -106,18 +108,18 @@
     }
 }
 
-/// The lease of the endpoint list and the calls for it.
+/// The lease of the endpoint list, and the schedule of requests for the list.
 #[derive(Default)]
 pub(crate) struct ListState {
-    /// Until when the list holds; `None` where it holds without a limit.
+    /// When the lease expires. `None` if it never does.
     pub valid_until: Option<Duration>,
-    /// When to call for it next.
+    /// When to request the list next. `None` if no request is scheduled.
     pub next_call: Option<Duration>,
-    /// Least time between two calls, longer after failures.
+    /// Shortest time between two requests for the list. Grows after failures.
     pub backoff: Duration,
 }
 
-/// Times that rule the evaluations.
+/// Times that control the evaluations.
 #[derive(Default)]
 pub(crate) struct ClockState {
     /// When the next evaluation is due.
@@ -126,11 +128,11 @@
     pub resumed_at: Duration,
 }
 
-/// What the next poll hands out.
+/// Output for the next poll.
 #[derive(Default)]
 pub(crate) struct PendingOutput {
-    /// Endpoints to ask for their load.
+    /// Indices of the endpoints to ask for a load report.
     pub load_report_requests: Vec<usize>,
-    /// Lines for the operators' log.
+    /// Lines to write to the operators' log.
     pub log_lines: Vec<String>,
 }
--- a/src/model/member_lists.rs
+++ b/src/model/member_lists.rs
@@ -1,13 +1,13 @@
-//! Lists of endpoints by a key.
+//! Lists of endpoints, grouped by a key.
 
 use std::collections::BTreeMap;
 use std::ops::RangeBounds;
 
-/// Lists of endpoints by a key, each without an order of its own: an endpoint comes or goes in
-/// constant time, and one of a list is drawn in constant time. Lists that are empty go.
+/// Lists of endpoints, grouped by a key and unordered within each list. Adding, removing and
+/// randomly choosing an endpoint take constant time within a list. Empty lists are removed.
 pub(crate) struct MemberLists<K> {
     lists: BTreeMap<K, Vec<usize>>,
-    /// By endpoint: its place in its list.
+    /// Position of each endpoint in its list, by endpoint index.
     positions: Vec<usize>,
 }
 
@@ -31,7 +31,7 @@
         list.push(endpoint);
     }
 
-    /// Removes an endpoint from the list of this key, where it is in it.
+    /// Removes an endpoint from the list of a key. Does nothing if the list does not contain it.
     pub fn remove(&mut self, key: &K, endpoint: usize) {
         let Some(list) = self.lists.get_mut(key) else {
             return;
@@ -49,17 +49,17 @@
         }
     }
 
-    /// The endpoints of this key.
+    /// Returns the endpoints of a key.
     pub fn get(&self, key: &K) -> &[usize] {
         self.lists.get(key).map_or(&[], Vec::as_slice)
     }
 
-    /// The lists of these keys, in their order.
+    /// Returns the lists of a range of keys, in key order.
     pub fn range(&self, keys: impl RangeBounds<K>) -> impl Iterator<Item = &[usize]> {
         self.lists.range(keys).map(|(_, list)| list.as_slice())
     }
 
-    /// All lists, in the order of their keys.
+    /// Returns all lists with their keys, in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &[usize])> {
         self.lists.iter().map(|(key, list)| (key, list.as_slice()))
     }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! What a [`Balancer`](crate::Balancer) remembers, a file an owner: plain state and questions
-//! about it. Every decision, and every tuned value, is in the `balancer` module.
+//! The state that a [`Balancer`](crate::Balancer) keeps, one file per kind of object: plain data
+//! and queries. All decisions and all tuning constants are in the `balancer` module.
 
 mod affinity_index;
 mod build;
--- a/src/model/peer_latency.rs
+++ b/src/model/peer_latency.rs
@@ -1,22 +1,23 @@
-//! Latencies of endpoints against their peers', which move together at each evaluation.
+//! Latencies of endpoints relative to those of their peers, which all change at each evaluation.
 //!
-//! At an evaluation each latency `h` of a peer group with the median `M` moves by `(M - h) * g`.
-//! The center `c` of the group moves alike, so that the deviation `h - c` only shrinks, by `1 - g`:
-//! an endpoint keeps its deviation at its last change, and nobody walks over all endpoints.
+//! At an evaluation each latency `h` of a peer group with the median `M` changes by `(M - h) * g`.
+//! The center `c` of the group changes by the same rule, so that the deviation `h - c` only shrinks
+//! by the factor `1 - g`. It is enough for an endpoint to store its deviation at its last change,
+//! and no evaluation has to visit all endpoints.
 
-/// Endpoints of one hardware type, on one side of the rollout.
+/// Endpoints of one hardware type that run either the newest build or earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PeerGroup {
     /// Index of the hardware type.
     pub endpoint_type: usize,
-    /// Whether they run the newest build or a newer one.
+    /// Whether the endpoints run the newest build or a newer one.
     pub is_newest: bool,
 }
 
-/// Latencies of one peer group.
+/// Center and median of the latencies of one peer group.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerLatency {
-    /// Center since the last evaluation.
+    /// Center after the last evaluation.
     pub center: f64,
     /// Center before the last evaluation.
     pub center_before: f64,
@@ -35,7 +36,7 @@
 }
 
 impl PeerLatency {
-    /// Moves the center towards the median of an evaluation.
+    /// Records the median of an evaluation and moves the center towards it by `gain`.
     pub fn approach(&mut self, median: f64, gain: f64) {
         self.median = median;
         self.center_before = self.center;
@@ -46,14 +47,14 @@
 /// Latencies of all peer groups.
 #[derive(Default)]
 pub(crate) struct PeerLatencies {
-    /// Evaluations so far.
+    /// Number of evaluations so far.
     pub evaluations: u64,
-    /// By hardware type: the group of earlier builds, and that of the newest.
+    /// By hardware type: the group of the earlier builds, then that of the newest build.
     by_type: Vec<[PeerLatency; 2]>,
 }
 
 impl PeerLatencies {
-    /// Latencies of one group.
+    /// Returns the latencies of a group, with the default of 1 if none are recorded.
     pub fn of(&self, group: PeerGroup) -> PeerLatency {
         self.by_type
             .get(group.endpoint_type)
@@ -62,7 +63,7 @@
             })
     }
 
-    /// Latencies of one group to change.
+    /// Returns the latencies of a group for modification.
     pub fn of_mut(&mut self, group: PeerGroup) -> &mut PeerLatency {
         if group.endpoint_type >= self.by_type.len() {
             self.by_type
@@ -72,13 +73,13 @@
     }
 }
 
-/// Latency of one endpoint, as it was at its last change.
+/// Latency of one endpoint as of its last change.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EndpointLatency {
-    /// What it was above the center of its peer group.
+    /// Difference from the center of its peer group.
     pub deviation: f64,
-    /// Its weight in the random draw until the next evaluation.
+    /// Weight in random selection until the next evaluation.
     pub weight: f64,
-    /// Evaluations before that change.
+    /// Number of evaluations that had taken place at the time of the last change.
     pub evaluations: u64,
 }
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -1,32 +1,33 @@
-//! What is remembered of requests and their attempts until both are over.
+//! The state of requests and attempts, from the arrival of a request until the request and all of
+//! its attempts have ended.
 
 use super::Endpoint;
 use crate::interface::{DeduplicationScope, Idempotency, Outcome, Request};
 use std::time::Duration;
 
-/// One attempt to have a request answered.
+/// One attempt to serve a request.
 pub(crate) struct Attempt {
     /// Index of the endpoint.
     pub endpoint: usize,
-    /// The build that the endpoint ran.
+    /// Number of the build that the endpoint ran when the attempt was sent.
     pub build: u32,
-    /// Zone of the endpoint.
+    /// Index of the zone of the endpoint.
     pub zone: usize,
-    /// Cell of the endpoint.
+    /// Identifier of the cell of the endpoint.
     pub cell: u64,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Duration,
-    /// Whether its end is not known yet.
+    /// Whether the attempt has not ended yet.
     pub in_flight: bool,
-    /// Whether it may have had an effect, known once it has ended.
+    /// Whether the attempt may have had an effect. Only set once it has ended.
     pub may_have_run: bool,
-    /// Whether the endpoint answered with an error.
+    /// Whether the endpoint responded with an error.
     pub failed: bool,
     is_speed_counted: bool,
 }
 
 impl Attempt {
-    /// An attempt that is being sent.
+    /// Creates an attempt that is being sent to the endpoint with this index.
     pub fn new(index: usize, endpoint: &Endpoint, sent_at: Duration) -> Attempt {
         Attempt {
             endpoint: index,
@@ -41,20 +42,20 @@
         }
     }
 
-    /// Records how it ended.
+    /// Records the outcome.
     pub fn end(&mut self, outcome: Outcome) {
         self.in_flight = false;
         self.may_have_run = !outcome.never_ran();
         self.failed = outcome == Outcome::Failed;
     }
 
-    /// Whether it may have an effect, in flight or not.
+    /// Returns whether the attempt may have had an effect or still may have one.
     pub fn may_have_effect(&self) -> bool {
         self.in_flight || self.may_have_run
     }
 
-    /// Whether its speed is to be counted now: once, when it has ended, or as soon as it is known
-    /// not to be fast.
+    /// Returns whether the attempt must be counted as fast or slow now. This is the case once: when
+    /// it has ended, or as soon as it is known to be slow.
     pub fn count_speed_once(&mut self, is_fast: bool) -> bool {
         let is_unknown = self.in_flight && is_fast;
         if self.is_speed_counted || is_unknown {
@@ -65,69 +66,70 @@
     }
 }
 
-/// Where an attempt of a request failed first.
+/// The first failed attempt of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct FailedAttempt {
     /// Index of the endpoint.
     pub endpoint: usize,
-    /// The build that it ran.
+    /// Number of the build that the endpoint ran.
     pub build: u32,
 }
 
-/// An attempt that has just ended, with what matters of its request.
+/// An attempt that has just ended, with the relevant data of its request.
 #[derive(Clone, Copy)]
 pub(crate) struct EndedAttempt {
     /// Index of the endpoint.
     pub endpoint: usize,
-    /// The build that the endpoint ran when it was sent.
+    /// Number of the build that the endpoint ran when the attempt was sent.
     pub build: u32,
-    /// Class of the request.
+    /// Index of the class of the request.
     pub class: usize,
-    /// Key of the request.
+    /// Hash of the key of the request. `None` if it has no key.
     pub key: Option<u64>,
-    /// The first earlier attempt of the request that failed.
+    /// The first attempt of the same request that failed. `None` if none failed before this one.
     pub earlier_failure: Option<FailedAttempt>,
 }
 
-/// Where a further attempt of a request may go, as far as its other attempts are concerned.
+/// Endpoints to which the other attempts of a request allow a further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryScope {
-    /// To any endpoint.
+    /// All endpoints.
     Anywhere,
-    /// To endpoints of this zone.
+    /// Endpoints of this zone.
     Zone(usize),
-    /// To endpoints of this cell.
+    /// Endpoints of this cell.
     Cell(u64),
-    /// To no endpoint.
+    /// No endpoints.
     Nowhere,
 }
 
-/// A request that has attempts in flight or is owed an answer.
+/// A request that has attempts in flight or has not been answered yet.
 pub(crate) struct ActiveRequest {
-    /// Index of its class.
+    /// Index of its request class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of its tenant. `None` if the request names no tenant.
     pub tenant: Option<usize>,
-    /// Hash of its key.
+    /// Hash of its key. `None` if the request has no key.
     pub key: Option<u64>,
-    /// When its answer is of no use any more.
+    /// When the client no longer needs a response.
     pub deadline: Duration,
-    /// When half of its time is over.
+    /// When half of the time until the deadline has passed.
     pub half_time: Duration,
-    /// Its attempts, by number.
+    /// Attempts in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// Whether it has had its final answer.
+    /// Whether the final response has been sent.
     pub closed: bool,
-    /// The two endpoints that were asked for their load before its first attempt.
+    /// The two endpoints that were asked for their load before the first attempt. `None` if no
+    /// endpoints were asked.
     pub probed: Option<[usize; 2]>,
-    /// Its key, where it is to go to the key's affinity endpoint.
+    /// Hash of its key if the request should go to the key's affinity endpoint, else `None`.
     pub affinity_key: Option<u64>,
-    /// Work it costs, by its client's hint.
+    /// The client's estimate of the work that the request causes. `None` if it gave none.
     pub estimated_work: Option<Duration>,
 }
 
 impl ActiveRequest {
-    /// A request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub fn new(now: Duration, request: &Request, affinity_key: Option<u64>) -> ActiveRequest {
         ActiveRequest {
             class: request.class,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Its attempts in flight, with their numbers.
+    /// Returns the attempts in flight with their indices.
     pub fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts
             .iter()
@@ -151,20 +153,22 @@
             .filter(|(_, a)| a.in_flight)
     }
 
-    /// Whether one of its attempts has ended and may have had an effect.
+    /// Returns whether an attempt that has ended may have had an effect.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|a| a.may_have_run)
     }
 
-    /// Seconds for which its attempts have been in flight, none of them from before `resumed_at`.
+    /// Returns the total time in seconds for which its attempts have been in flight, not counting
+    /// time before `resumed_at`.
     pub fn in_flight_seconds(&self, now: Duration, resumed_at: Duration) -> f64 {
         self.in_flight()
             .map(|(_, a)| now.saturating_sub(a.sent_at.max(resumed_at)).as_secs_f64())
             .sum()
     }
 
-    /// Whether attempt `number` may go to `endpoint` as far as its other attempts are concerned:
-    /// within the scope and the window in which a repeat of them is recognized.
+    /// Returns whether the other attempts of the request allow attempt `number` to go to `endpoint`
+    /// at the time `at`: if the class is keyed, the endpoint must recognize it as a duplicate of
+    /// each attempt that may have an effect, within the deduplication scope and window.
     pub fn is_deduplicated_at(
         &self,
         number: usize,
@@ -189,8 +193,8 @@
             })
     }
 
-    /// Where its next attempt may go, written at `at`: the endpoints for which
-    /// [`is_deduplicated_at`](Self::is_deduplicated_at) holds.
+    /// Returns the endpoints for which [`is_deduplicated_at`](Self::is_deduplicated_at) holds for a
+    /// next attempt that is written at `at`.
     pub fn retry_scope(&self, idempotency: Idempotency, at: Duration) -> RetryScope {
         let Idempotency::Keyed { scope, window } = idempotency else {
             return RetryScope::Anywhere;
@@ -202,8 +206,8 @@
                 DeduplicationScope::Zone => RetryScope::Zone(other.zone),
                 DeduplicationScope::Cell => RetryScope::Cell(other.cell),
             };
-            let is_over = at >= other.sent_at + window;
-            if is_over || allowed != RetryScope::Anywhere && allowed != by_other {
+            let is_expired = at >= other.sent_at + window;
+            if is_expired || allowed != RetryScope::Anywhere && allowed != by_other {
                 return RetryScope::Nowhere;
             }
             allowed = by_other;
@@ -211,8 +215,8 @@
         allowed
     }
 
-    /// Whether a repeat of one of its attempts is not recognized any more: nothing further may be
-    /// sent, to any endpoint.
+    /// Returns whether a duplicate of one of its attempts is no longer recognized, so that no
+    /// further attempt may be sent to any endpoint.
     pub fn is_past_deduplication(&self, idempotency: Idempotency, at: Duration) -> bool {
         let Idempotency::Keyed { window, .. } = idempotency else {
             return false;
@@ -222,7 +226,7 @@
             .any(|a| a.may_have_effect() && at >= a.sent_at + window)
     }
 
-    /// Whether the client may safely send it again until `retry_until`.
+    /// Returns whether the client can safely repeat the request until `retry_until`.
     pub fn is_safe_to_retry(&self, idempotency: Idempotency, retry_until: Duration) -> bool {
         let mut effects = self.attempts.iter().filter(|a| a.may_have_effect());
         match idempotency {
--- a/src/model/warming_times.rs
+++ b/src/model/warming_times.rs
@@ -1,70 +1,70 @@
-//! Since when the endpoints of a build have been warming up.
+//! When the endpoints of a build began to warm up.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Since when the endpoints of a build have been warming up, with what sums over them need.
+/// Times at which the endpoints of a build began to warm up, with their sum.
 #[derive(Default)]
 pub(crate) struct WarmingTimes {
     by_time: BTreeSet<(Duration, usize)>,
     sum: Duration,
 }
 
-/// Ages of the endpoints that are warming up.
+/// Age distribution of the endpoints in slow start.
 pub(crate) struct WarmingAges {
-    /// How many have reached a certain age.
+    /// Number of endpoints that have reached the given age.
     pub older: usize,
-    /// How many have not.
+    /// Number of endpoints that have not reached it.
     pub younger: usize,
-    /// Sum of the ages of those that have not.
+    /// Sum of the ages of the endpoints that have not reached it.
     pub younger_sum: Duration,
 }
 
 impl WarmingTimes {
-    /// Adds an endpoint that has been warming up since then.
+    /// Adds an endpoint that began to warm up at `since`.
     pub fn insert(&mut self, since: Duration, endpoint: usize) {
         if self.by_time.insert((since, endpoint)) {
             self.sum = self.sum.saturating_add(since);
         }
     }
 
-    /// Removes an endpoint that was warming up since then.
+    /// Removes an endpoint that began to warm up at `since`.
     pub fn remove(&mut self, since: Duration, endpoint: usize) {
         if self.by_time.remove(&(since, endpoint)) {
             self.sum = self.sum.saturating_sub(since);
         }
     }
 
-    /// Whether no endpoint is warming up.
+    /// Returns whether no endpoint is in slow start.
     pub fn is_empty(&self) -> bool {
         self.by_time.is_empty()
     }
 
-    /// Since when the oldest one has been warming up.
+    /// Returns the earliest time at which an endpoint began to warm up, or `None` if there is none.
     pub fn oldest(&self) -> Option<Duration> {
         self.by_time.first().map(|(since, _)| *since)
     }
 
-    /// Ages of the endpoints, on both sides of `age`. Visits those that have reached it or begin in
-    /// the future only, which are few where slow start ends at that age.
+    /// Returns how many endpoints are on either side of `age`. Only visits those that have reached
+    /// it or start in the future, which are few if slow start ends at that age.
     pub fn ages(&self, now: Duration, age: Duration) -> WarmingAges {
-        let reached = now.checked_sub(age);
+        let cutoff = now.checked_sub(age);
         let mut older = 0;
         let mut sum = self.sum;
         for (since, _) in &self.by_time {
-            if reached.is_none_or(|reached| *since > reached) {
+            if cutoff.is_none_or(|cutoff| *since > cutoff) {
                 break;
             }
             older += 1;
             sum = sum.saturating_sub(*since);
         }
-        let mut begun = self.by_time.len() - older;
-        let begin_later = self.by_time.iter().rev().take_while(|(s, _)| *s > now);
-        for (since, _) in begin_later.take(begun) {
-            begun -= 1;
+        let mut started = self.by_time.len() - older;
+        let starting_later = self.by_time.iter().rev().take_while(|(s, _)| *s > now);
+        for (since, _) in starting_later.take(started) {
+            started -= 1;
             sum = sum.saturating_sub(*since);
         }
-        let count = u32::try_from(begun).unwrap_or(u32::MAX);
+        let count = u32::try_from(started).unwrap_or(u32::MAX);
         WarmingAges {
             older,
             younger: self.by_time.len() - older,
--- a/src/model/zone_members.rs
+++ b/src/model/zone_members.rs
@@ -4,15 +4,16 @@
 use crate::interface::EndpointState;
 use std::collections::BTreeMap;
 
-/// The endpoints of each zone, kept up to date at each change.
+/// Endpoints of each zone, updated at each change of an endpoint.
 #[derive(Default)]
 pub(crate) struct ZoneMembers {
     in_service: MemberLists<ZoneGroup>,
-    /// Endpoints that drain, by zone; zones without any are left out.
+    /// Number of draining endpoints by zone. Zones without any have no entry.
     draining: BTreeMap<usize, usize>,
 }
 
-/// Endpoints of one zone that run and are not ejected, on one side of slow start.
+/// Endpoints of one zone that are running, not ejected, and either all in slow start or all past
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneGroup {
     zone: usize,
@@ -20,7 +21,7 @@
 }
 
 impl ZoneMembers {
-    /// Takes in a change of one endpoint.
+    /// Updates the lists after a change of one endpoint.
     pub fn update(&mut self, endpoint: usize, before: &EndpointKey, after: &EndpointKey) {
         self.update_draining(before, after);
         let (group_before, group_after) = (in_service_group(before), in_service_group(after));
@@ -53,18 +54,18 @@
         }
     }
 
-    /// How many endpoints of a zone drain.
+    /// Returns the number of draining endpoints of a zone.
     pub fn draining(&self, zone: usize) -> usize {
         self.draining.get(&zone).copied().unwrap_or_default()
     }
 
-    /// Endpoints of a zone that run, are not ejected, and are past slow start.
+    /// Returns the endpoints of a zone that are running, not ejected and past slow start.
     pub fn warm(&self, zone: usize) -> &[usize] {
         let is_warm = true;
         self.in_service.get(&ZoneGroup { zone, is_warm })
     }
 
-    /// Endpoints of a zone that run, are not ejected, and are in slow start.
+    /// Returns the endpoints of a zone that are running, not ejected and in slow start.
     pub fn warming(&self, zone: usize) -> &[usize] {
         let is_warm = false;
         self.in_service.get(&ZoneGroup { zone, is_warm })
