--- a/src/model/endpoint_outcomes.rs
+++ b/src/model/endpoint_outcomes.rs
@@ -65,7 +65,7 @@
 
     /// Returns the number of classes that have an entry.
     #[cfg(test)]
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_classes(&self) -> usize {
         self.entries.len()
     }
 
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -381,17 +381,17 @@
         evidence.start(endpoint, 1);
         evidence.add(endpoint, 0, &succeeded(1.0));
     }
-    assert_eq!(remembered(&evidence), endpoints);
+    assert_eq!(tracked_classes(&evidence), endpoints);
     for class in 1..classes {
         evidence.add(0, class, &succeeded(1.0));
     }
-    assert_eq!(remembered(&evidence), endpoints + classes - 1);
+    assert_eq!(tracked_classes(&evidence), endpoints + classes - 1);
     // One class carries all traffic from now on; what the others left is forgotten within the hour.
     for interval in 0..HOUR {
         evidence.end_interval();
         evidence.add(interval as usize % endpoints, 0, &succeeded(1.0));
     }
-    assert_eq!(remembered(&evidence), endpoints);
+    assert_eq!(tracked_classes(&evidence), endpoints);
 }
 
 /// Without a look through at its growth an endpoint that is sent ever other classes would remember
@@ -406,15 +406,17 @@
         for _ in 0..100 {
             evidence.end_interval();
         }
-        most = most.max(remembered(&evidence));
+        most = most.max(tracked_classes(&evidence));
     }
     // A single request counts for 20 half-lives of 100 intervals.
     assert!((20..=2 * 22).contains(&most), "{most}");
 }
 
-fn remembered(evidence: &OutcomeEvidence) -> usize {
+fn tracked_classes(evidence: &OutcomeEvidence) -> usize {
     let endpoints = evidence.endpoints.iter();
-    endpoints.map(|record| record.outcomes.remembered()).sum()
+    endpoints
+        .map(|record| record.outcomes.tracked_classes())
+        .sum()
 }
 
 #[test]
