--- a/src/model/endpoint_outcomes.rs
+++ b/src/model/endpoint_outcomes.rs
@@ -63,14 +63,14 @@
         self.has_failures
     }
 
-    /// Returns the number of classes that have an entry.
+    /// Returns the number of classes that have an entry, not counting pruned ones.
     #[cfg(test)]
     pub fn tracked_classes(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether the number of classes has doubled since the last pruning. The cost of
-    /// pruning per new class is then constant, however many classes there are.
+    /// Returns whether the number of classes has more than doubled since the last pruning. The cost
+    /// of pruning per new class is then constant, however many classes there are.
     pub fn needs_pruning(&self) -> bool {
         self.entries.len() > self.prune_above.max(1)
     }
--- a/src/stats/decaying_counts.rs
+++ b/src/stats/decaying_counts.rs
@@ -1,18 +1,18 @@
-//! Many counts that decay together.
+//! Counts that decay together at a constant cost.
 
-/// Units of a count beyond which all counts are scaled anew, far from the largest number.
+/// Value of `unit` above which all counts are rescaled. Far below the largest `f64`.
 const MAX_UNIT: f64 = 1e100;
 
-/// Counts that decay together, and their sum. A decay raises what later additions count for, in
-/// place of a walk over all counts.
+/// Counts that decay together, and their sum. A decay does not change the stored counts. Instead it
+/// raises the value that later additions have.
 #[derive(Clone)]
 pub(crate) struct DecayingCounts {
-    /// By index: the count in units.
+    /// Counts in multiples of `unit`, by index.
     scaled: Vec<f64>,
-    /// What an addition of one counts for now.
+    /// Stored value that currently represents a count of one.
     unit: f64,
-    /// Sum of the counts in units. Each addition errs by the rounding of the sum, until it is
-    /// summed up anew.
+    /// Sum of the counts in multiples of `unit`. Each addition adds a rounding error, until
+    /// `rescale` computes the sum anew.
     scaled_sum: f64,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl DecayingCounts {
-    /// So many counts of zero.
+    /// Creates this number of counts, all zero.
     pub fn new(counts: usize) -> DecayingCounts {
         DecayingCounts {
             scaled: vec![0.0; counts],
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds one to a count. One beyond the end changes nothing.
+    /// Adds one to a count. An index out of range has no effect.
     pub fn increment(&mut self, index: usize) {
         if let Some(count) = self.scaled.get_mut(index) {
             *count += self.unit;
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Multiplies all counts by `factor`, above 0 and at most 1.
+    /// Multiplies all counts by `factor`, which must be above 0 and at most 1.
     pub fn decay(&mut self, factor: f64) {
         self.unit /= factor;
         if self.unit > MAX_UNIT {
@@ -48,27 +48,27 @@
         }
     }
 
-    /// A count, 0 beyond the end.
+    /// Returns a count, or 0 if the index is out of range.
     pub fn get(&self, index: usize) -> f64 {
         self.scaled
             .get(index)
             .map_or(0.0, |count| count / self.unit)
     }
 
-    /// Sum of all counts.
+    /// Returns the sum of all counts.
     pub fn sum(&self) -> f64 {
         self.scaled_sum / self.unit
     }
 
-    /// Changes the counts as a whole, as where their indices move.
+    /// Applies `change` to all counts at once, for example to renumber them.
     pub fn change_all(&mut self, change: impl FnOnce(&mut Vec<f64>)) {
         self.rescale();
         change(&mut self.scaled);
         self.scaled_sum = self.scaled.iter().sum();
     }
 
-    /// Counts in whole requests again, and sums them up. What is too small for a normal number is
-    /// dropped, as arithmetic on such is slow.
+    /// Resets the unit to 1 and recomputes the sum. Sets counts that are too small for a normal
+    /// floating-point number to zero, because arithmetic with subnormal numbers is slow.
     fn rescale(&mut self) {
         for count in &mut self.scaled {
             *count /= self.unit;
--- a/src/stats/ewma.rs
+++ b/src/stats/ewma.rs
@@ -1,4 +1,4 @@
-//! Moving averages.
+//! Exponentially weighted moving averages.
 
 /// An exponentially weighted moving average that starts as a plain mean.
 ///
@@ -7,12 +7,13 @@
 pub(crate) struct Ewma {
     /// The average.
     pub value: f64,
-    /// Samples seen; a larger start value makes the initial value count as so many samples.
+    /// Number of samples so far. A larger initial number gives the initial value the weight of that
+    /// many samples.
     pub samples: f64,
 }
 
 impl Ewma {
-    /// Takes in one sample.
+    /// Updates the average with one sample.
     pub fn update(&mut self, sample: f64, gain: f64) {
         self.samples += 1.0;
         self.value += (sample - self.value) * gain.max(1.0 / self.samples);
--- a/src/stats/latency_histogram.rs
+++ b/src/stats/latency_histogram.rs
@@ -4,20 +4,21 @@
 
 const BUCKETS: usize = 64;
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
-/// A total so small alters no sum that it is added to; below, arithmetic becomes slow.
+/// A total below this is set to zero. It is too small to change any sum that it is added to, and
+/// arithmetic with even smaller numbers is slow.
 const NEGLIGIBLE_TOTAL: f64 = 1e-100;
 
-/// Middles of the buckets, in milliseconds.
+/// Centers of the buckets, in milliseconds.
 static BUCKET_MIDDLES: LazyLock<[f64; BUCKETS]> = LazyLock::new(|| {
     std::array::from_fn(|bucket| ((bucket as f64 + 0.5) / BUCKETS_PER_OCTAVE).exp2())
 });
 
-/// Counts of latencies in buckets of a quarter of an octave, from one millisecond on. Its size is
-/// fixed, whatever it records. An empty one costs nothing to decay or to sum up.
+/// Counts of latencies in buckets of a quarter of an octave, starting at one millisecond. Its size
+/// is constant. An empty histogram costs almost nothing to decay or to sum up.
 #[derive(Clone)]
 pub(crate) struct LatencyHistogram {
     counts: [f64; BUCKETS],
-    /// Sum of the counts, in the order of the buckets.
+    /// Sum of the counts, added up in the order of the buckets.
     total: f64,
 }
 
@@ -57,7 +58,7 @@
         self.update_total();
     }
 
-    /// Decays towards a total of `target`, by a factor of `min_factor` at the least.
+    /// Decays the counts towards a total of `target`, but by no factor smaller than `min_factor`.
     pub fn decay_towards(&mut self, target: f64, min_factor: f64) {
         let total = self.total;
         if total > target {
@@ -65,17 +66,17 @@
         }
     }
 
-    /// Sum of all counts.
+    /// Returns the sum of all counts.
     pub fn total(&self) -> f64 {
         self.total
     }
 
-    /// Whether it counts nothing.
+    /// Returns whether all counts are zero.
     pub fn is_empty(&self) -> bool {
         self.total == 0.0
     }
 
-    /// The first bucket above the median.
+    /// Returns the index of the first bucket above the median.
     pub fn bucket_above_median(&self) -> usize {
         let half = self.total / 2.0;
         let mut below = 0.0;
@@ -86,7 +87,8 @@
         self.counts.iter().position(reaches_half).unwrap_or(0) + 1
     }
 
-    /// Sum of all latencies in milliseconds, each taken as the middle of its bucket.
+    /// Returns the sum of all latencies in milliseconds, where each latency counts as the center of
+    /// its bucket.
     pub fn sum_millis(&self) -> f64 {
         if self.is_empty() {
             return 0.0;
@@ -95,7 +97,7 @@
         counts.map(|(count, middle)| count * middle).sum()
     }
 
-    /// Sum of the counts from this bucket on.
+    /// Returns the sum of the counts in this bucket and all higher ones.
     pub fn total_from(&self, bucket: usize) -> f64 {
         if self.is_empty() {
             return 0.0;
--- a/src/stats/max_tree.rs
+++ b/src/stats/max_tree.rs
@@ -1,15 +1,16 @@
-//! The largest of many values, of which single ones change.
+//! The maximum of many values that change one at a time.
 
-/// A tournament tree: the root holds the largest value, a change costs the logarithm of their
-/// number. Values below zero, and those that are no numbers, count as zero.
+/// A tournament tree: the root holds the largest value, and changing a value costs logarithmic
+/// time. Negative values and NaN count as zero.
 #[derive(Clone, Default)]
 pub(crate) struct MaxTree {
-    /// Node `i` has the children `2 i` and `2 i + 1`; the leaves are the second half.
+    /// Node `i` has the children `2 i` and `2 i + 1`. The second half of the vector holds the
+    /// leaves.
     nodes: Vec<f64>,
 }
 
 impl MaxTree {
-    /// A tree over these values.
+    /// Creates a tree of these values.
     pub fn new(values: impl ExactSizeIterator<Item = f64>) -> MaxTree {
         let leaves = values.len().next_power_of_two();
         let mut nodes = vec![0.0; 2 * leaves];
@@ -22,7 +23,7 @@
         MaxTree { nodes }
     }
 
-    /// Changes one value. One beyond the end changes nothing.
+    /// Changes one value. An index out of range has no effect.
     pub fn set(&mut self, index: usize, value: f64) {
         let mut node = self.nodes.len() / 2 + index;
         let Some(leaf) = self.nodes.get_mut(node) else {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The largest value, 0 where there is none.
+    /// Returns the largest value, or 0 if there are no values.
     pub fn max(&self) -> f64 {
         self.nodes.get(1).copied().unwrap_or(0.0)
     }
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -1,4 +1,5 @@
-//! Statistics without a word of balancing: averages, histograms, tests and hashing.
+//! Statistics that do not depend on load balancing: averages, histograms, significance tests and
+//! hashing.
 
 mod decaying_counts;
 mod ewma;
--- a/src/stats/outcome_counts.rs
+++ b/src/stats/outcome_counts.rs
@@ -1,15 +1,16 @@
 //! Decaying counts of outcomes.
 
-/// How many attempts ended how. Counts decay, so they are not whole numbers.
+/// Numbers of attempts by outcome. The counts decay, so they are not integers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutcomeCounts {
     /// Attempts that succeeded.
     pub succeeded: f64,
-    /// Attempts answered with an error.
+    /// Attempts to which the endpoint responded with an error.
     pub failed: f64,
-    /// Successes that a client reported as wrong; each stands for those that nobody reported.
+    /// Successful attempts that a client reported as wrong, scaled up for errors that nobody
+    /// reported.
     pub reported: f64,
-    /// Attempts that were never answered.
+    /// Attempts that never got a response.
     pub lost: f64,
 }
 
@@ -27,12 +28,12 @@
         self.lost = self.lost * factor + other.lost;
     }
 
-    /// These counts multiplied by `factor`.
+    /// Returns these counts multiplied by `factor`.
     pub fn scaled(self, factor: f64) -> OutcomeCounts {
         self.scaled_plus(factor, &OutcomeCounts::default())
     }
 
-    /// These counts less those of `other`, none below zero.
+    /// Returns these counts minus those of `other`, but at least zero each.
     pub fn minus(&self, other: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             succeeded: (self.succeeded - other.succeeded).max(0.0),
@@ -42,13 +43,13 @@
         }
     }
 
-    /// These counts multiplied by `factor`, with those of `other` added.
+    /// Returns these counts multiplied by `factor`, plus those of `other`.
     pub fn scaled_plus(mut self, factor: f64, other: &OutcomeCounts) -> OutcomeCounts {
         self.decay_and_add(factor, other);
         self
     }
 
-    /// Sum over several counts.
+    /// Returns the sum of several counts.
     pub fn sum(counts: &[OutcomeCounts]) -> OutcomeCounts {
         let mut sum = OutcomeCounts::default();
         for count in counts {
@@ -57,17 +58,17 @@
         sum
     }
 
-    /// Attempts that failed or were lost.
+    /// Returns the number of attempts that failed or were lost.
     pub fn failed_or_lost(&self) -> f64 {
         self.failed + self.lost
     }
 
-    /// Whether anything went wrong, by the answers or by the clients' reports.
+    /// Returns whether there are failed or lost attempts or client-reported errors.
     pub fn has_failures(&self) -> bool {
         self.failed_or_lost() + self.reported > 0.0
     }
 
-    /// All attempts.
+    /// Returns the number of all attempts.
     pub fn total(&self) -> f64 {
         self.succeeded + self.failed + self.lost
     }
--- a/src/stats/rendezvous_tree.rs
+++ b/src/stats/rendezvous_tree.rs
@@ -1,43 +1,47 @@
-//! Hierarchical weighted rendezvous hashing: the node of a key, and those that follow, without a
-//! walk over all nodes.
+//! Hierarchical weighted rendezvous hashing, which ranks the members for a key without visiting all
+//! of them.
 
 use super::rendezvous::{is_beyond, mix_bits, rendezvous_distance};
 use super::rendezvous_trie::{InnerNode, Node, RendezvousMember};
 use std::cell::Cell;
 
-/// Up to so many members, each key goes by plain rendezvous hashing over all of them; beyond twice
-/// as many, each goes down the tree.
+/// With up to this many members, plain rendezvous hashing over all members is used for every key.
+/// With more than twice as many, the tree is used for every key.
 ///
-/// Between them each key has a number of its own, so that a member that comes or goes there moves
-/// few of the keys that change from the one to the other.
+/// In between, the threshold differs by key, so that adding or removing a member switches only a
+/// few keys from one method to the other.
 const MAX_PLAIN_MEMBERS: u64 = 64;
-/// Units of weight: sums are integers, which come out the same in any order.
+/// Number of units in a weight of 1. The sums are integers and thus do not depend on the order of
+/// addition.
 const UNITS_PER_WEIGHT: f64 = 1_048_576.0;
-/// Bounds of a weight. The units of 2^24 members of the greatest weight stay below 2^64.
+/// Lower and upper bound of a weight. The units of 2^24 members of the greatest weight add up to
+/// less than 2^64.
 const WEIGHT_BOUNDS: (f64, f64) = (1.0 / UNITS_PER_WEIGHT, 1_048_576.0);
-/// An odd number without a pattern, 2^64 over the golden ratio: sets apart the hashes of one key.
+/// 2^64 divided by the golden ratio, an odd number without a bit pattern. Used to derive several
+/// independent hashes of a key.
 const HASH_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What members of one kind are worth to a key.
+/// Weight of all members of one kind for a key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KindWeight {
-    /// Weight of each of them.
+    /// Weight of each member.
     pub weight: f64,
-    /// Whether a descent may come to them.
+    /// Whether a descent in the tree may end at these members.
     pub is_preferred: bool,
 }
 
-/// A weight within bounds.
+/// A weight within `WEIGHT_BOUNDS`.
 #[derive(Clone, Copy)]
 struct BoundedWeight {
     value: f64,
-    /// The same in units; 0 where members are not chosen.
+    /// The weight in units. 0 if members of this kind must not be chosen.
     units: u64,
 }
 
 impl KindWeight {
-    /// Guards the sums against weights that are not finite, and members against never being
-    /// chosen. Does harm where weights differ by more than the bounds.
+    /// Limits the weight to `WEIGHT_BOUNDS`. This protects the sums against values that are not
+    /// finite, and members against never being chosen. It does harm if the weights differ by more
+    /// than the bounds allow.
     fn bounded(self, is_plain: bool) -> BoundedWeight {
         let (least, greatest) = WEIGHT_BOUNDS;
         let value = self.weight.max(least).min(greatest);
@@ -50,12 +54,12 @@
     }
 }
 
-/// A set of members among which keys are shared out in proportion to the members' weights.
+/// A set of members that keys are distributed to in proportion to the members' weights.
 ///
-/// A key goes down from the root: at each inner node by weighted rendezvous among the children, by
-/// the sums of the weights below them. Everybody with the same members finds the same member for a
-/// key, in whatever order the members came. A member that comes or goes moves at each level about
-/// as many keys as are its share.
+/// A lookup descends from the root. At each inner node it uses weighted rendezvous hashing among
+/// the children, with the sum of the weights below each of them. All agents with the same members
+/// find the same member for a key, in whatever order the members were added. Adding or removing a
+/// member moves at each level about as many keys as correspond to its share.
 #[derive(Default)]
 pub(crate) struct RendezvousTree {
     root: InnerNode,
@@ -64,7 +68,7 @@
     summed: Cell<u64>,
 }
 
-/// Units of a member's weight, by its kind.
+/// Weights by kind, in units.
 struct KindUnits<'a> {
     weights: &'a [BoundedWeight],
     max: u64,
@@ -85,14 +89,14 @@
 }
 
 impl RendezvousTree {
-    /// Adds a member. It may not be there yet.
+    /// Adds a member, which must not be in the tree yet.
     pub fn insert(&mut self, member: RendezvousMember) {
         self.len += 1;
         let visited = self.root.insert(0, member);
         self.count_visited(visited);
     }
 
-    /// Removes a member. Whether it was there.
+    /// Removes a member and returns whether it was in the tree.
     pub fn remove(&mut self, member: &RendezvousMember) -> bool {
         let Some(visited) = self.root.remove(0, member) else {
             return false;
@@ -102,12 +106,12 @@
         true
     }
 
-    /// The values of the members for a key, in an order that is the same for all who have the same
-    /// members.
+    /// Returns the values of the members for a key, in an order that is the same everywhere for the
+    /// same set of members.
     ///
-    /// A small tree names all members, in the order of plain rendezvous hashing. Others name
-    /// members of preferred kinds only: what so many descents come to, which are the key's member
-    /// and then those of other hashes of the key.
+    /// A small tree yields all members in the order of plain rendezvous hashing. A larger tree
+    /// yields only members of preferred kinds: those found by at most `descents` descents, the
+    /// first one with the key itself and the others with further hashes of the key.
     pub fn ranked(
         &self,
         key: u64,
@@ -127,13 +131,13 @@
         }
     }
 
-    /// Nodes that were visited so far, children that were compared among them: a measure of work
-    /// that does not depend on a clock.
+    /// Returns how many nodes have been visited so far, including children that were compared, as a
+    /// measure of work that does not depend on a clock.
     pub fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// Nodes of which the weights of all kinds were summed up so far.
+    /// Returns for how many nodes the weights of all kinds have been summed so far.
     pub fn summed(&self) -> u64 {
         self.summed.get()
     }
@@ -142,7 +146,7 @@
         self.visited.set(self.visited.get().wrapping_add(nodes));
     }
 
-    /// The member of a key by going down.
+    /// Descends to the member of a key.
     fn descend(&self, key: u64, weights: &[BoundedWeight]) -> Option<&RendezvousMember> {
         let units = KindUnits::new(weights);
         let mut path = HASH_STEP;
@@ -159,8 +163,8 @@
         }
     }
 
-    /// The child nearest to a key. Most others are beyond it even if all of their members had the
-    /// greatest weight, so that their weights need no sum over the kinds.
+    /// Returns the child nearest to a key. Most other children would be farther away even if all of
+    /// their members had the greatest weight, so their weights need not be summed over the kinds.
     fn nearest_child<'a>(
         &self,
         inner: &'a InnerNode,
@@ -191,8 +195,8 @@
         nearest
     }
 
-    /// Members that may be chosen, with their distance from the key. What `visit` returns is a
-    /// distance beyond which members may be left out.
+    /// Calls `visit` for the members that may be chosen, with their distance from the key. `visit`
+    /// returns a distance beyond which further members may be skipped.
     fn for_each_distance(
         &self,
         key: u64,
@@ -218,7 +222,7 @@
     }
 }
 
-/// How far a member is from a key.
+/// Distance of a member from a key.
 #[derive(Clone, Copy)]
 struct Distance {
     distance: f64,
@@ -233,26 +237,27 @@
     }
 }
 
-/// The members for a key, from [`RendezvousTree::ranked`].
+/// The members for a key, in order. Returned by [`RendezvousTree::ranked`].
 pub(crate) struct RankedMembers<'a> {
     tree: &'a RendezvousTree,
     key: u64,
-    /// By kind.
+    /// Weights by kind.
     weights: Vec<BoundedWeight>,
     is_plain: bool,
-    /// Members that were named, or descents that were made.
+    /// Number of members returned so far in a small tree, else number of descents made.
     next: u64,
     descents: u64,
-    /// All members in order, where the tree is small; else those that were named.
+    /// All members in order if the tree is small, else the members returned so far.
     order: Vec<usize>,
 }
 
 impl RankedMembers<'_> {
-    /// The first member takes no list of them all, as few callers need another one.
+    /// The first member is found without sorting all of them, because few callers need a second
+    /// one.
     fn next_plain(&mut self) -> Option<usize> {
-        let place = self.next as usize;
+        let position = self.next as usize;
         self.next += 1;
-        if place == 0 {
+        if position == 0 {
             return self.nearest();
         }
         if self.order.is_empty() {
@@ -265,18 +270,18 @@
             members.sort_unstable_by(Distance::order);
             self.order = members.iter().map(|member| member.value).collect();
         }
-        self.order.get(place).copied()
+        self.order.get(position).copied()
     }
 
     fn nearest(&self) -> Option<usize> {
         let mut nearest: Option<Distance> = None;
         self.tree
             .for_each_distance(self.key, &self.weights, |member| {
-                let known = nearest.get_or_insert(member);
-                if member.order(known).is_lt() {
-                    *known = member;
+                let best = nearest.get_or_insert(member);
+                if member.order(best).is_lt() {
+                    *best = member;
                 }
-                known.distance
+                best.distance
             });
         nearest.map(|member| member.value)
     }
@@ -310,7 +315,7 @@
     }
 }
 
-/// The number of a child on its path from the root.
+/// Returns the hash that identifies a child by its path from the root.
 fn path_below(path: u64, slot: u8) -> u64 {
     mix_bits(path.wrapping_add(HASH_STEP.wrapping_mul(u64::from(slot) + 1)))
 }
--- a/src/stats/rendezvous_trie.rs
+++ b/src/stats/rendezvous_trie.rs
@@ -1,31 +1,33 @@
 //! The nodes of a [`RendezvousTree`](super::RendezvousTree): a trie over a hash of the identities.
 //!
-//! Its shape follows from the set of its members alone: an inner node has a child for each value of
-//! the next bits that two members or more lead to, and a leaf ends each path as soon as only one
+//! Its shape depends only on the set of members. An inner node has a child for each value of the
+//! next bits that occurs among at least two members. A path ends in a leaf as soon as only one
 //! identity is left.
 
 use super::rendezvous::mix_bits;
 
-/// Bits of the hash that a level of inner nodes goes by: up to 16 children.
+/// Number of bits of the hash that select a child of an inner node, which thus has up to 16
+/// children.
 const BITS_PER_LEVEL: u32 = 4;
 
 /// A member of the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RendezvousMember {
-    /// Number that identifies it everywhere.
+    /// Identifier of the member, the same at every agent.
     pub identity: u64,
-    /// What it is called here.
+    /// Value that lookups return for the member.
     pub value: usize,
-    /// Index of its kind: members of one kind have the same weight.
+    /// Index of the kind of the member. All members of one kind have the same weight.
     pub kind: usize,
 }
 
-/// How many members there are of each kind.
+/// Number of members of each kind.
 ///
-/// Integers, so that the sums do not depend on the order in which members came and went.
+/// The counts are integers so that sums do not depend on the order in which members were added and
+/// removed.
 #[derive(Default)]
 pub(super) struct KindCounts {
-    /// By kind, in its order.
+    /// Pairs of kind and number of members, sorted by kind.
     by_kind: Vec<(usize, u64)>,
     total: u64,
 }
@@ -58,32 +60,32 @@
     }
 }
 
-/// An inner node: what is below it, by the next bits of the hash.
+/// An inner node, with children by the next bits of the hash.
 #[derive(Default)]
 pub(super) struct InnerNode {
     counts: KindCounts,
-    /// In order of their slots.
+    /// Children, sorted by slot.
     pub children: Vec<Child>,
 }
 
 /// A child of an inner node.
 pub(super) struct Child {
-    /// The bits of the hash that lead to it.
+    /// The bits of the hash that select this child.
     pub slot: u8,
-    /// What is there.
+    /// The node below.
     pub node: Node,
 }
 
-/// What stands at the end of a path.
+/// The node at the end of a path.
 pub(super) enum Node {
-    /// The members of one identity, which are one but for faulty input.
+    /// All members with one identity. There is only one unless the input contains duplicates.
     Leaf(Vec<RendezvousMember>),
-    /// Members of several identities.
+    /// Members with different identities.
     Inner(InnerNode),
 }
 
 impl Node {
-    /// The sum of its members' weights, by their kind.
+    /// Returns the sum of the weights of its members, given the weight of each kind.
     pub fn weight(&self, weight_of: &impl Fn(usize) -> u64) -> u64 {
         match self {
             Node::Leaf(members) => members
@@ -94,7 +96,7 @@
         }
     }
 
-    /// How many members it has.
+    /// Returns the number of its members.
     pub fn len(&self) -> u64 {
         match self {
             Node::Leaf(members) => members.len() as u64,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Makes an inner node that has only a leaf below it that leaf.
+    /// Replaces an inner node whose only child is a leaf by that leaf.
     fn collapse(&mut self) {
         let Node::Inner(inner) = self else { return };
         let [child] = inner.children.as_mut_slice() else {
@@ -142,11 +144,10 @@
         InnerNode { counts, children }
     }
 
-    /// Adds a member below this node, which stands at this depth. Returns how many nodes it
-    /// visited.
+    /// Adds a member below this node at depth `depth`, and returns the number of nodes visited.
     ///
-    /// The hash gives different identities different bits, so that their paths part before the bits
-    /// end.
+    /// Different identities have different hashes, so their paths diverge before the bits are used
+    /// up.
     pub fn insert(&mut self, depth: u32, member: RendezvousMember) -> u64 {
         self.counts.add(member.kind);
         let slot = slot_at(depth, member.identity);
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Removes a member from below this node. Returns how many nodes it visited, or `None` where
+    /// Removes a member from below this node. Returns the number of nodes visited, or `None` if
     /// there is no such member.
     pub fn remove(&mut self, depth: u32, member: &RendezvousMember) -> Option<u64> {
         let slot = slot_at(depth, member.identity);
@@ -168,8 +169,8 @@
         let at = at.ok()?;
         let visited = match &mut self.children[at].node {
             Node::Leaf(members) => {
-                let place = members.binary_search(member).ok()?;
-                members.remove(place);
+                let position = members.binary_search(member).ok()?;
+                members.remove(position);
                 1
             }
             Node::Inner(inner) => inner.remove(depth + 1, member)?,
@@ -183,7 +184,7 @@
         Some(1 + visited)
     }
 
-    /// Goes through all members below this node.
+    /// Calls `visit` for every member below this node.
     pub fn for_each(&self, visit: &mut impl FnMut(&RendezvousMember)) {
         for child in &self.children {
             match &child.node {
@@ -194,7 +195,7 @@
     }
 }
 
-/// The bits of an identity's hash that tell the child of an inner node at this depth.
+/// Returns the bits of an identity's hash that select a child of an inner node at this depth.
 fn slot_at(depth: u32, identity: u64) -> u8 {
     let path = mix_bits(identity).rotate_left(BITS_PER_LEVEL * (depth + 1));
     (path & ((1 << BITS_PER_LEVEL) - 1)) as u8
