--- a/examples/evaluation_cost.rs
+++ b/examples/evaluation_cost.rs
@@ -1,6 +1,6 @@
-//! What one evaluation (ten a second) costs an agent, by the numbers of endpoints, classes and
-//! tenants: the median of many, in microseconds, and the endpoints that it scans. Between two
-//! evaluations some requests are answered, whose time is left out.
+//! Measures the cost of an evaluation, which an agent runs ten times a second, for several numbers
+//! of endpoints, classes and tenants: the median time in microseconds, and the number of endpoints
+//! scanned. Requests are served between the evaluations, but their time is not measured.
 //!
 //!     cargo run --release --example evaluation_cost
 
@@ -8,11 +8,12 @@
 use tulipwall::*;
 
 const START: Duration = Duration::from_secs(3600);
-const ROUND: Duration = Duration::from_millis(100);
+const ROUND_DURATION: Duration = Duration::from_millis(100);
 const WARM_UP_ROUNDS: u64 = 40;
 const ROUNDS: u64 = 100;
 const REQUESTS_PER_ROUND: u64 = 100;
 const LATENCY: Duration = Duration::from_millis(20);
+/// Numbers of endpoints, classes and tenants.
 const SIZES: [(usize, usize, usize); 6] = [
     (55, 11, 100),
     (770, 11, 100),
@@ -121,11 +122,11 @@
             let class = id as usize % classes;
             handle_request(&mut balancer, now, id, class, id as usize % tenants);
         }
-        now += ROUND;
+        now += ROUND_DURATION;
         let scanned_before = balancer.endpoints_scanned();
-        let begin = Instant::now();
+        let start = Instant::now();
         balancer.poll(now);
-        costs.push(begin.elapsed());
+        costs.push(start.elapsed());
         scanned = balancer.endpoints_scanned() - scanned_before;
     }
     let mut costs = costs.split_off(WARM_UP_ROUNDS as usize);
--- a/examples/outcome_evidence.rs
+++ b/examples/outcome_evidence.rs
@@ -1,5 +1,6 @@
-//! What outcomes by endpoint and class cost at one agent: resident memory, an evaluation (ten a
-//! second), a decision and the end of an attempt, while a canary runs on half of the endpoints.
+//! Measures the cost of keeping outcomes by endpoint and class at one agent while a canary runs on
+//! half of the endpoints: resident memory, and the time of an evaluation (of which there are ten
+//! per second), of a routing decision and of recording the end of an attempt.
 //!
 //!     cargo run --release --example outcome_evidence -- ENDPOINTS CLASSES CLASSES_IN_USE
 
@@ -9,11 +10,11 @@
 
 const ROUNDS: u32 = 300;
 const REQUESTS_PER_ROUND: u32 = 50;
-const ROUND: Duration = Duration::from_millis(100);
+const ROUND_DURATION: Duration = Duration::from_millis(100);
 const LATENCY: Duration = Duration::from_millis(30);
-/// One answer in so many fails.
-const FAILING: u64 = 100;
-const PAGE: u64 = 4096; // bytes
+/// One response out of this many is a failure.
+const REQUESTS_PER_FAILURE: u64 = 100;
+const PAGE_BYTES: u64 = 4096;
 
 fn settings(classes: usize) -> Settings {
     let class = RequestClass {
@@ -85,16 +86,22 @@
     }
 }
 
-/// Time that each step of the requests took.
+/// Total time spent in each step.
 #[derive(Default)]
 struct Elapsed {
-    evaluating: Duration,
-    routing: Duration,
-    ending: Duration,
+    evaluation: Duration,
+    routing_decision: Duration,
+    attempt_end: Duration,
 }
 
-/// Routes one request, and ends its attempt.
-fn serve_one(balancer: &mut Balancer, now: Duration, id: u64, class: usize, elapsed: &mut Elapsed) {
+/// Routes one request and records the end of its attempt.
+fn serve_request(
+    balancer: &mut Balancer,
+    now: Duration,
+    id: u64,
+    class: usize,
+    elapsed: &mut Elapsed,
+) {
     let request = Request {
         class,
         tenant: None,
@@ -104,13 +111,13 @@
         is_retry: false,
     };
     balancer.on_request(now, id, request);
-    let begun = Instant::now();
+    let start = Instant::now();
     let decision = black_box(balancer.route(now, id));
-    elapsed.routing += begun.elapsed();
+    elapsed.routing_decision += start.elapsed();
     if !matches!(decision, Decision::Forward { .. }) {
         return;
     }
-    let outcome = if id.is_multiple_of(FAILING) {
+    let outcome = if id.is_multiple_of(REQUESTS_PER_FAILURE) {
         Outcome::Failed
     } else {
         Outcome::Succeeded
@@ -121,16 +128,16 @@
         request_closed: true,
         reported_load: None,
     };
-    let begun = Instant::now();
+    let start = Instant::now();
     black_box(balancer.on_attempt_end(now, id, 0, end));
-    elapsed.ending += begun.elapsed();
+    elapsed.attempt_end += start.elapsed();
 }
 
-/// Resident memory of this process in bytes, 0 where the system does not tell it.
+/// Returns the resident memory of this process in bytes, or 0 if it cannot be read.
 fn resident_memory() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
 fn measure(endpoints: usize, classes: usize, classes_in_use: usize) {
@@ -145,22 +152,22 @@
     for _ in 0..ROUNDS {
         for _ in 0..REQUESTS_PER_ROUND {
             let class = id as usize * 7919 % classes_in_use;
-            serve_one(&mut balancer, now, id, class, &mut elapsed);
+            serve_request(&mut balancer, now, id, class, &mut elapsed);
             id += 1;
         }
-        now += ROUND;
-        let begun = Instant::now();
+        now += ROUND_DURATION;
+        let start = Instant::now();
         black_box(balancer.poll(now));
-        elapsed.evaluating += begun.elapsed();
+        elapsed.evaluation += start.elapsed();
     }
     let micros = |total: Duration, count: u32| total.as_secs_f64() * 1e6 / f64::from(count);
     println!(
         "{endpoints} endpoints, {classes} classes, {classes_in_use} in use: {:.1} MB, \
-         an evaluation {:.1} us, a decision {:.2} us, the end of an attempt {:.2} us",
+         evaluation {:.1} us, routing decision {:.2} us, end of an attempt {:.2} us",
         (resident_memory() - memory_before) as f64 / 1e6,
-        micros(elapsed.evaluating, ROUNDS),
-        micros(elapsed.routing, ROUNDS * REQUESTS_PER_ROUND),
-        micros(elapsed.ending, ROUNDS * REQUESTS_PER_ROUND),
+        micros(elapsed.evaluation, ROUNDS),
+        micros(elapsed.routing_decision, ROUNDS * REQUESTS_PER_ROUND),
+        micros(elapsed.attempt_end, ROUNDS * REQUESTS_PER_ROUND),
     );
 }
 
@@ -175,7 +182,7 @@
         }
         _ => {
             eprintln!(
-                "expected ENDPOINTS CLASSES CLASSES_IN_USE, at most as many in use as there are"
+                "expected ENDPOINTS CLASSES CLASSES_IN_USE, with CLASSES_IN_USE from 1 to CLASSES"
             );
             std::process::exit(2);
         }
--- a/examples/tenant_load.rs
+++ b/examples/tenant_load.rs
@@ -1,5 +1,6 @@
-//! What tenants cost at one agent, by their number: an evaluation (ten a second) lets the load of
-//! all decay, and a request that comes while there is a limit in flight asks for their sum.
+//! Measures how the number of tenants affects the cost at one agent. Each evaluation, of which there
+//! are ten per second, decays the load of all tenants, and each request that arrives while there is
+//! a limit of attempts in flight needs the sum of the loads.
 //!
 //!     cargo run --release --example tenant_load
 
@@ -10,8 +11,8 @@
 const ENDPOINTS: usize = 55;
 const ROUNDS: u32 = 300;
 const REQUESTS_PER_ROUND: u32 = 20;
-const ROUND: Duration = Duration::from_millis(100);
-/// Slow against the latency objective, so that there is a limit.
+const ROUND_DURATION: Duration = Duration::from_millis(100);
+/// Slow enough, relative to the latency objective, that the balancer limits the attempts in flight.
 const LATENCY: Duration = Duration::from_millis(300);
 
 fn settings(tenants: usize) -> Settings {
@@ -79,8 +80,8 @@
     }
 }
 
-/// Routes one request, and ends its attempt. Returns the time that the decision took.
-fn route_one(balancer: &mut Balancer, now: Duration, id: u64, tenant: usize) -> Duration {
+/// Routes one request, records the end of its attempt, and returns the time that routing took.
+fn route_request(balancer: &mut Balancer, now: Duration, id: u64, tenant: usize) -> Duration {
     let request = Request {
         class: 0,
         tenant: Some(tenant),
@@ -90,9 +91,9 @@
         is_retry: false,
     };
     balancer.on_request(now, id, request);
-    let begun = Instant::now();
+    let start = Instant::now();
     let decision = black_box(balancer.route(now, id));
-    let elapsed = begun.elapsed();
+    let elapsed = start.elapsed();
     if matches!(decision, Decision::Forward { .. }) {
         let end = AttemptEnd {
             outcome: Outcome::Succeeded,
@@ -110,24 +111,24 @@
     let mut balancer = Balancer::new(now, settings(tenants));
     let endpoints: Vec<EndpointEntry> = (0..ENDPOINTS).map(endpoint).collect();
     balancer.update_endpoints(now, &endpoints, true);
-    let mut evaluating = Duration::ZERO;
-    let mut routing = Duration::ZERO;
+    let mut evaluation = Duration::ZERO;
+    let mut routing_decision = Duration::ZERO;
     let mut id = 0;
     for _ in 0..ROUNDS {
         for _ in 0..REQUESTS_PER_ROUND {
-            routing += route_one(&mut balancer, now, id, id as usize * 7919 % tenants);
+            routing_decision += route_request(&mut balancer, now, id, id as usize * 7919 % tenants);
             id += 1;
         }
-        now += ROUND;
-        let begun = Instant::now();
+        now += ROUND_DURATION;
+        let start = Instant::now();
         black_box(balancer.poll(now));
-        evaluating += begun.elapsed();
+        evaluation += start.elapsed();
     }
     let micros = |total: Duration, count: u32| total.as_secs_f64() * 1e6 / f64::from(count);
     println!(
-        "tenants {tenants}: an evaluation {:.1} us, a decision {:.1} us",
-        micros(evaluating, ROUNDS),
-        micros(routing, ROUNDS * REQUESTS_PER_ROUND)
+        "{tenants} tenants: evaluation {:.1} us, routing decision {:.1} us",
+        micros(evaluation, ROUNDS),
+        micros(routing_decision, ROUNDS * REQUESTS_PER_ROUND)
     );
 }
 
