--- a/examples/tenant_load.rs
+++ b/examples/tenant_load.rs
@@ -1,6 +1,6 @@
-//! Measures how the number of tenants affects the cost at one agent. Each evaluation, of which there
-//! are ten per second, decays the load of all tenants, and each request that arrives while there is
-//! a limit of attempts in flight needs the sum of the loads.
+//! Measures how the number of tenants affects the cost at one agent. Each evaluation, of which
+//! there are ten per second, decays the load of all tenants, and each request that arrives while
+//! there is a limit of attempts in flight needs the sum of the loads.
 //!
 //!     cargo run --release --example tenant_load
 
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -17,7 +17,7 @@
     pub endpoint_type: usize,
     /// Number of the build that it runs.
     pub build: u32,
-    /// Whether it accepts requests.
+    /// Whether it is running, draining or gone.
     pub state: EndpointState,
     /// When it was started. `None` if that is not known.
     pub started: Option<Duration>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! A [`Balancer`] decides where to forward a request, what to do after an attempt, and when to be
 //! asked again, from the events that the caller passes to it. Nothing in this crate opens sockets,
-//! reads files, starts threads or reads a clock: times are durations since the start of the process,
-//! and the same sequence of calls gives the same decisions.
+//! reads files, starts threads or reads a clock: times are durations since the start of the
+//! process, and the same sequence of calls gives the same decisions.
 //!
 //! - `interface`: the input and output types, plain data
 //! - `balancer`: all decisions, one file per concern
--- a/src/model/build.rs
+++ b/src/model/build.rs
@@ -59,8 +59,8 @@
 }
 
 impl PlatformTotals {
-    /// Adds the counts of a report. Ignores a report with values that are not finite, because they
-    /// would make the totals useless.
+    /// Adds the counts of a report. Ignores a report with values that are not finite: they would
+    /// hide the counts of all other reports.
     pub fn add(&mut self, counts: &PlatformCounts) {
         if !counts.attempts.is_finite() || !counts.failed.is_finite() {
             return;
--- a/src/model/build_outcomes.rs
+++ b/src/model/build_outcomes.rs
@@ -125,7 +125,7 @@
     pub endpoints: usize,
     /// Number of endpoints that have had failures.
     pub failing: usize,
-    /// Endpoints of the newest build with failed or lost attempts, ordered by their number.
+    /// Endpoints of the newest build with failed or lost attempts, ordered by how many of them.
     by_failures: BTreeSet<(FailureRank, usize)>,
     /// Sum of the failures of the ranked endpoints.
     failures: f64,
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -76,7 +76,7 @@
 /// State of one endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    /// Whether it accepts requests.
+    /// Whether it is running, draining or gone.
     pub state: EndpointState,
     /// Index of its zone.
     pub zone: usize,
--- a/src/model/evaluation.rs
+++ b/src/model/evaluation.rs
@@ -83,7 +83,7 @@
 pub(crate) struct SpeedCounts {
     /// Responses faster than the median from before the canary.
     pub fast: f64,
-    /// All answers.
+    /// All responses.
     pub answers: f64,
 }
 
@@ -110,10 +110,10 @@
     pub earlier: SpeedCounts,
     /// Recent responses of the newest build.
     pub newest: SpeedCounts,
-    /// Whether the share of fast responses has dropped by a statistically significant amount.
+    /// Whether fast responses have become rare, to a statistically significant degree.
     pub alarm: bool,
-    /// Whether the newest build had a lower share of fast responses than the earlier one, by a
-    /// statistically significant amount.
+    /// Whether the newest build had a lower share of fast responses than the earlier one, to a
+    /// statistically significant degree.
     pub is_newest_slower: bool,
     /// Whether all responses are slow, with enough certainty for one of the several agents that
     /// must agree.
--- a/src/model/fleet_index.rs
+++ b/src/model/fleet_index.rs
@@ -11,7 +11,7 @@
 /// The attributes of an endpoint that the fleet index depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EndpointKey {
-    /// Whether it accepts requests.
+    /// Whether it is running, draining or gone.
     pub state: EndpointState,
     /// Identifier for rendezvous hashing, the same at every agent.
     pub identity: u64,
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -29,8 +29,7 @@
 pub(crate) struct RetryState {
     /// Number of retries that the budget currently allows.
     pub budget: f64,
-    /// Estimated share of failures that are caused by the endpoint and not by the request itself, 0
-    /// to 1.
+    /// Estimated share of failures that the endpoint caused, not the request itself, 0 to 1.
     pub fault_attribution: f64,
 }
 
