--- a/crates/agent/src/admin/listener.rs
+++ b/crates/agent/src/admin/listener.rs
@@ -1,4 +1,4 @@
-//! Where the admin endpoint listens, and the sockets of its readers.
+//! The admin endpoint's listener and the sockets of its readers.
 
 use crate::runtime::reactor::Source;
 use std::io::{self, Read, Write};
@@ -9,14 +9,14 @@
 use std::path::{Path, PathBuf};
 use tulipwall_config::AdminAddress;
 
-/// Only the owner may connect to a Unix socket.
+/// File mode of the Unix socket: only its owner may connect.
 const SOCKET_FILE_MODE: u32 = 0o600;
 
-/// A socket that listens, and its file where it has one.
+/// The admin endpoint's listening socket.
 pub enum AdminListener {
-    /// On a loopback address.
+    /// Listens on a loopback TCP address.
     Tcp(Source<TcpListener>),
-    /// On a Unix socket.
+    /// Listens on a Unix socket, whose file the guard removes.
     Unix(Source<UnixListener>, SocketFileGuard),
 }
 
@@ -30,8 +30,8 @@
 }
 
 impl AdminListener {
-    /// Begins to listen. A Unix socket is its owner's alone; the file of one that a program left
-    /// behind which no longer listens is replaced, any other file is not.
+    /// Binds the listener. Only the owner may connect to a Unix socket. A socket file that a
+    /// stopped program left behind is replaced; any other existing file is an error.
     pub fn bind(address: &AdminAddress) -> io::Result<AdminListener> {
         match address {
             AdminAddress::Tcp(address) => {
@@ -52,9 +52,10 @@
     }
 }
 
+/// Removes a socket file on which no program listens; any other file is `AddrInUse`.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
     match std::fs::symlink_metadata(path) {
-        Ok(meta) if meta.file_type().is_socket() && UnixStream::connect(path).is_err() => {
+        Ok(metadata) if metadata.file_type().is_socket() && UnixStream::connect(path).is_err() => {
             std::fs::remove_file(path)
         }
         Ok(_) => Err(io::ErrorKind::AddrInUse.into()),
@@ -63,17 +64,17 @@
     }
 }
 
-/// A reader's socket, which is read and written through a shared reference.
+/// A reader's socket, readable and writable through a shared reference.
 pub trait AdminStream: AsFd + 'static {
-    /// Reads what is there into `space`.
-    fn read_some(&self, space: &mut [u8]) -> io::Result<usize>;
-    /// Writes as much of `bytes` as there is space for.
+    /// Reads available bytes into `buffer` and returns their number, 0 at the end of the stream.
+    fn read_some(&self, buffer: &mut [u8]) -> io::Result<usize>;
+    /// Writes as many of `bytes` as the socket accepts and returns their number.
     fn write_some(&self, bytes: &[u8]) -> io::Result<usize>;
 }
 
 impl AdminStream for TcpStream {
-    fn read_some(&self, space: &mut [u8]) -> io::Result<usize> {
-        (&mut &*self).read(space)
+    fn read_some(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        (&mut &*self).read(buffer)
     }
 
     fn write_some(&self, bytes: &[u8]) -> io::Result<usize> {
@@ -82,8 +83,8 @@
 }
 
 impl AdminStream for UnixStream {
-    fn read_some(&self, space: &mut [u8]) -> io::Result<usize> {
-        (&mut &*self).read(space)
+    fn read_some(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        (&mut &*self).read(buffer)
     }
 
     fn write_some(&self, bytes: &[u8]) -> io::Result<usize> {
--- a/crates/agent/src/admin/mod.rs
+++ b/crates/agent/src/admin/mod.rs
@@ -1,10 +1,13 @@
-//! The admin endpoint: the accounting of cross-zone traffic and the divergences of alternative
-//! settings, on an address that only this machine reaches.
+//! The admin endpoint serves the accounting of cross-zone traffic and the divergences of
+//! alternative settings, on an address that can only be reached from this machine.
 //!
-//! It speaks as much of HTTP/1.1 as a browser or `tulipwall-agent report` needs: `GET /zones` is
-//! answered by lines of JSON, the last of which says that it is the last, `GET /watch` by one.
-//! Nothing it does may slow a request: one line is made and written at a time, other tasks have
-//! their turn between two, and a reader that does not read is dropped.
+//! It implements the subset of HTTP/1.1 that a browser or `tulipwall-agent report` needs. The
+//! response to `GET /zones` is a sequence of JSON lines, the last of which marks the end of the
+//! report; the response to `GET /watch` is one JSON line.
+//!
+//! A reader is a client of this endpoint. Readers must not slow down requests: lines are built and
+//! written one at a time, other tasks run between the parts of a report, and a reader that does
+//! not read its response is dropped.
 
 mod listener;
 mod response;
@@ -22,14 +25,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Readers at once; who comes beyond waits in the queue of connections.
+/// Maximum number of concurrent readers; further connections wait in the listener's backlog.
 const MAX_READERS: usize = 4;
-/// A reader that has not taken all of a response within this time is dropped.
+/// A reader that has not received its whole response within this time is dropped.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How soon a listener that failed, or that has no free reader, is tried again.
+/// Delay before accepting again after an error, or while [`MAX_READERS`] are being served.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Serves readers for as long as the program runs.
+/// Accepts and serves readers until the program ends.
 pub async fn run(agent: &Rc<Agent>, listener: AdminListener) {
     let reader_count = Rc::new(Cell::new(0));
     loop {
@@ -64,7 +67,7 @@
     }
 }
 
-/// Counts as a reader until this is dropped.
+/// One of the [`MAX_READERS`] places, released on drop.
 struct ReaderPermit(Rc<Cell<usize>>);
 
 impl ReaderPermit {
@@ -91,7 +94,7 @@
     let reader = async move {
         let response = response::respond(&agent_handle, &source);
         if let Err(error) = with_timeout(RESPONSE_TIMEOUT, response).await {
-            log::debug!("admin: {error}; its reader is dropped");
+            log::debug!("admin: {error}; the reader is dropped");
             agent_handle.counters.admin_dropped.increment();
         }
         drop(permit);
@@ -100,6 +103,7 @@
     Ok(())
 }
 
+/// Fails with `TimedOut` if `work` takes longer than `timeout`.
 async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = io::Result<T>>,
--- a/crates/agent/src/admin/response.rs
+++ b/crates/agent/src/admin/response.rs
@@ -1,4 +1,4 @@
-//! What readers of the admin endpoint ask for, and the responses.
+//! Parses requests to the admin endpoint and writes the responses.
 
 use super::listener::AdminStream;
 use super::with_timeout;
@@ -10,22 +10,22 @@
 use tulipwall::Divergences;
 use tulipwall_zones::ReportCursor;
 
-/// The longest head of a request that is read, in bytes.
+/// Maximum length of a request's head, in bytes.
 const MAX_REQUEST_LENGTH: usize = 4096;
-/// Within this time the head of a request must be whole.
+/// A reader must send the whole head of its request within this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Within this time a reader must take some of what is written.
+/// Each write must make progress within this time; a slower reader is dropped.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The bytes of a request that are read at once.
+/// Size of the buffer for one read from a request, in bytes.
 const READ_SIZE: usize = 1024;
 
-/// What is served.
+/// A resource of the admin endpoint.
 enum Resource {
     ZoneReport,
     Divergences(Divergences),
 }
 
-/// A request that cannot be served.
+/// An error response: the status line's code and phrase, and the body.
 struct Refusal {
     status: &'static str,
     reason: &'static str,
@@ -77,16 +77,16 @@
     }
 }
 
-/// The first line of a request, once its head is whole.
+/// Reads a request's head up to its empty line and returns the first line.
 async fn read_request_line<S: AdminStream>(reader: &Source<S>) -> io::Result<String> {
     let mut head = Vec::new();
-    let mut space = [0; READ_SIZE];
+    let mut buffer = [0; READ_SIZE];
     while !head.windows(4).any(|window| window == b"\r\n\r\n") {
-        let received = reader.read(|| reader.get().read_some(&mut space)).await?;
+        let received = reader.read(|| reader.get().read_some(&mut buffer)).await?;
         if received == 0 || head.len() + received > MAX_REQUEST_LENGTH {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        head.extend_from_slice(&space[..received]);
+        head.extend_from_slice(&buffer[..received]);
     }
     let line = head.split(|byte| *byte == b'\r').next().unwrap_or_default();
     Ok(String::from_utf8_lossy(line).into_owned())
@@ -128,7 +128,7 @@
     while cursor != ReportCursor::Finished {
         let part = agent.zone_traffic.report_lines(now, unix_time, cursor);
         let Some((lines, next)) = part else {
-            // A reload has ended the accounting meanwhile.
+            // A reload has disabled the accounting in the meantime: the report stays incomplete.
             return Ok(());
         };
         cursor = next;
--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-agent check`: checks an installation's file before an agent reads it.
+//! `tulipwall-agent check`: validates an installation's file without starting an agent.
 
 use crate::lifecycle::start::{read_installation, ConfigPaths, StartupConfig, StartupError};
 use clap::Args;
@@ -6,18 +6,18 @@
 use std::process::ExitCode;
 use tulipwall_zones::Price;
 
-/// The options of the subcommand.
+/// Options of `tulipwall-agent check`.
 #[derive(Args)]
 pub struct CheckCommand {
-    /// The file, KDL.
+    /// Installation file to check (KDL).
     file: PathBuf,
-    /// The platform's configuration, so that the names of zones and classes are checked, too.
+    /// Platform configuration (JSON) to check the names of zones and request classes against.
     #[arg(long, value_name = "FILE", env = "PROXY_CONFIG")]
     config: Option<PathBuf>,
 }
 
 impl CheckCommand {
-    /// Names every fault on standard error, or says what the file sets on standard output.
+    /// Prints every error to standard error, or a summary of the file to standard output.
     pub fn run(self) -> ExitCode {
         let summary = match self.config {
             Some(configuration) => check_with_configuration(configuration, &self.file),
@@ -25,7 +25,7 @@
         };
         match summary {
             Ok(summary) => {
-                println!("{}: no mistakes; {summary}", self.file.display());
+                println!("{}: no errors; {summary}", self.file.display());
                 ExitCode::SUCCESS
             }
             Err(errors) => {
@@ -47,7 +47,7 @@
         installation: Some(file.to_owned()),
     })?;
     let Some(zones) = config.zone_config() else {
-        return Ok("nothing said of zones".into());
+        return Ok("no zones configured".into());
     };
     let priced_links = zones
         .links
@@ -55,7 +55,7 @@
         .filter(|link| link.price != Price::default())
         .count();
     Ok(format!(
-        "{priced_links} links priced, {} limits, routing {:?}",
+        "{priced_links} links with a price, {} limits, routing {:?}",
         zones.budgets.len(),
         zones.routing
     ))
@@ -64,9 +64,9 @@
 fn check_alone(file: &Path) -> Result<String, Vec<StartupError>> {
     let installation = read_installation(file)?;
     let zones = if installation.has_zones() {
-        "names of zones and request classes not checked"
+        "zone and request class names not checked"
     } else {
-        "nothing said of zones"
+        "no zones configured"
     };
     Ok(format!(
         "{zones}; --config FILE checks them against the platform's configuration"
--- a/crates/agent/src/cli/demo/mod.rs
+++ b/crates/agent/src/cli/demo/mod.rs
@@ -1,8 +1,8 @@
-//! `tulipwall-agent demo`: two zones, discovery, a platform, an agent and some clients on loopback,
-//! for half a minute. A build is rolled out, a zone drains and returns, and cross-zone traffic is
-//! shown as it happens.
+//! `tulipwall-agent demo`: runs two zones, a discovery service, a rollout platform, an agent and
+//! some clients on loopback for about half a minute. A build is rolled out, a zone drains and
+//! returns, and the cross-zone traffic is printed every second.
 //!
-//! This is the only part of the product that uses `tulipwall-testkit`.
+//! This is the only part of the shipped program that uses `tulipwall-testkit`.
 
 mod timeline;
 mod totals;
@@ -27,18 +27,18 @@
 const ENDPOINTS_PER_ZONE: usize = 3;
 const OLD_BUILD: u32 = 41;
 const NEW_BUILD: u32 = 42;
-/// The delay of the link between the zones, each way.
+/// One-way delay of the link between the zones.
 const LINK_DELAY: Duration = Duration::from_millis(4);
-/// For how long a client waits.
+/// The deadline of each request, after which its client gives up.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
 const CLIENT_CONNECTIONS: usize = 200;
-/// The request class whose requests must not run twice.
+/// A request class that is not idempotent: its requests must not run twice.
 const PAYMENT_CLASS: &str = "payment";
 
-/// The options of the subcommand.
+/// Options of `tulipwall-agent demo`.
 #[derive(Args)]
 pub struct DemoCommand {
-    /// Requests a second.
+    /// Requests per second, from 1 to 2000.
     #[arg(long, default_value_t = 150.0, value_parser = parse_rate)]
     rate: f64,
 }
@@ -46,11 +46,11 @@
 fn parse_rate(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(rate) if (1.0..=2000.0).contains(&rate) => Ok(rate),
-        _ => Err("a number from 1 to 2000 is wanted".into()),
+        _ => Err("expected a number from 1 to 2000".into()),
     }
 }
 
-/// Why the demo broke off.
+/// Why the demo ended early.
 #[derive(Debug, thiserror::Error)]
 enum DemoError {
     #[error(transparent)]
@@ -60,9 +60,9 @@
 }
 
 impl DemoCommand {
-    /// Runs the demo; succeeds if every request had its response and no payment ran twice.
+    /// Runs the demo. Succeeds if every request received a response and no payment ran twice.
     pub fn run(self) -> ExitCode {
-        match play(self.rate) {
+        match run_demo(self.rate) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::FAILURE,
             Err(error) => {
@@ -73,51 +73,52 @@
     }
 }
 
-fn play(rate: f64) -> Result<bool, DemoError> {
-    let world = start_world()?;
+/// Runs the demo at `rate` requests per second; true if it succeeded.
+fn run_demo(rate: f64) -> Result<bool, DemoError> {
+    let cluster = start_cluster()?;
     let folder = tempfile::tempdir()?;
     let admin_socket = folder.path().join("door");
     let installation_file = folder.path().join("zones.kdl");
     let installation = installation_text(&admin_socket);
     std::fs::write(&installation_file, &installation)?;
     println!(
-        "Two zones of {ENDPOINTS_PER_ZONE} endpoints each, 8 ms apart, build {OLD_BUILD}; \
-         an agent in {}; {rate} requests a second.",
+        "Two zones of {ENDPOINTS_PER_ZONE} endpoints each, 8 ms round trip between them, build \
+         {OLD_BUILD}; an agent in {}; {rate} requests per second.",
         ZONES[0]
     );
-    println!("What is set for the zones:\n\n{installation}");
-    let agent = start_agent(&world, &installation_file)?;
+    println!("The installation file:\n\n{installation}");
+    let agent = start_agent(&cluster, &installation_file)?;
     let address = agent.address()?;
     TestClient::connect(address)?;
 
     let admin = AdminAddress::Unix(admin_socket);
     let started = Instant::now();
     let load = client_load(address, rate).start();
-    let mut timeline = Timeline::new(world.clone());
+    let mut timeline = Timeline::new(cluster.clone());
     show_timeline(&mut timeline, started, &admin)?;
-    let answered = futures_lite::future::block_on(load);
+    let load_report = futures_lite::future::block_on(load);
     drop(timeline);
 
     let report = fetch_zone_report(&admin)?;
     println!(
-        "\nThe report, as `tulipwall-agent report` prints it:\n\n{}",
+        "\nThe final report, as printed by `tulipwall-agent report`:\n\n{}",
         tables::zone_report(&report, false)
     );
-    let repeated_payments = world.executed_twice(PAYMENT_CLASS).len();
-    print_summary(&answered, repeated_payments);
-    Ok(answered.unanswered == 0 && repeated_payments == 0)
+    let repeated_payments = cluster.executed_twice(PAYMENT_CLASS).len();
+    print_summary(&load_report, repeated_payments);
+    Ok(load_report.unanswered == 0 && repeated_payments == 0)
 }
 
-fn start_world() -> io::Result<Arc<TestCluster>> {
-    let world = Arc::new(TestCluster::new(&ZONES, classes())?);
+fn start_cluster() -> io::Result<Arc<TestCluster>> {
+    let cluster = Arc::new(TestCluster::new(&ZONES, classes())?);
     for (zone, name) in ZONES.iter().enumerate() {
         for n in 0..ENDPOINTS_PER_ZONE {
             let id = format!("{name}-{n}");
-            world.add_endpoint(zone, &id, OLD_BUILD, endpoint_behavior())?;
+            cluster.add_endpoint(zone, &id, OLD_BUILD, endpoint_behavior())?;
         }
     }
-    link_zones(&world);
-    Ok(world)
+    link_zones(&cluster);
+    Ok(cluster)
 }
 
 fn endpoint_behavior() -> EndpointBehavior {
@@ -130,13 +131,13 @@
     }
 }
 
-fn link_zones(world: &TestCluster) {
+fn link_zones(cluster: &TestCluster) {
     let link = Link {
         request_delay: LINK_DELAY,
         reply_delay: LINK_DELAY,
         cut: false,
     };
-    world.set_link(0, 1, link);
+    cluster.set_link(0, 1, link);
 }
 
 fn installation_text(admin_socket: &Path) -> String {
@@ -156,12 +157,12 @@
     )
 }
 
-fn start_agent(world: &TestCluster, installation_file: &Path) -> io::Result<AgentProcess> {
+fn start_agent(cluster: &TestCluster, installation_file: &Path) -> io::Result<AgentProcess> {
     let installation = installation_file.display().to_string();
     let arguments = ["run", "--installation", installation.as_str()];
     AgentProcess::start(
         std::env::current_exe()?,
-        world.configuration("demo", 0)?,
+        cluster.configuration("demo", 0)?,
         &arguments,
     )
 }
@@ -182,7 +183,7 @@
     }
 }
 
-/// A line each second: what has happened, and what was sent since the line before.
+/// Prints a line each second: the event of that second, and the counts since the previous line.
 fn show_timeline(
     timeline: &mut Timeline,
     started: Instant,
@@ -208,17 +209,17 @@
     Ok(())
 }
 
-fn print_summary(answered: &LoadReport, repeated_payments: usize) {
+fn print_summary(load_report: &LoadReport, repeated_payments: usize) {
     println!(
-        "{} requests: {} succeeded, {} rejected, {} failed, {} without an answer; half within \
-         {:.1} ms, all but a hundredth within {:.1} ms.",
-        answered.requests,
-        answered.succeeded,
-        answered.rejected,
-        answered.failed,
-        answered.unanswered,
-        answered.quantile_ms(0.5),
-        answered.quantile_ms(0.99),
+        "{} requests: {} succeeded, {} rejected, {} failed, {} without an answer; median latency \
+         {:.1} ms, 99th percentile {:.1} ms.",
+        load_report.requests,
+        load_report.succeeded,
+        load_report.rejected,
+        load_report.failed,
+        load_report.unanswered,
+        load_report.quantile_ms(0.5),
+        load_report.quantile_ms(0.99),
     );
     println!("Payments that ran twice: {repeated_payments}.");
 }
--- a/crates/agent/src/cli/demo/timeline.rs
+++ b/crates/agent/src/cli/demo/timeline.rs
@@ -1,4 +1,4 @@
-//! What happens in the demo, second by second.
+//! The demo's events, by the second at which they happen.
 
 use super::{endpoint_behavior, link_zones, ENDPOINTS_PER_ZONE, NEW_BUILD, OLD_BUILD, ZONES};
 use async_executor::Task;
@@ -8,53 +8,53 @@
 use std::time::Duration;
 use tulipwall_testkit::{StagedRollout, TestCluster};
 
-/// The length of the demo, in seconds from the first request; the times below count from there too.
+/// Length of the demo in seconds. This and the times below count from the first request.
 pub const DURATION_S: u64 = 25;
 const ROLLOUT_AT_S: u64 = 4;
 const DRAIN_AT_S: u64 = 13;
 const RETURN_AT_S: u64 = 18;
-/// By then the returned zone serves its own requests again.
+/// By this second the returned zone serves its own requests again.
 const RECOVERED_AT_S: u64 = RETURN_AT_S + 4;
-/// The end is commented on in so many last seconds.
+/// Number of seconds before the end in which the closing comment is printed.
 const CLOSING_COMMENT_S: u64 = 2;
-/// The share of requests that the new build may receive at each stage of its rollout.
+/// Cap on the new build's share of requests at each stage of its rollout.
 const STAGE_CAPS: [f64; 3] = [0.1, 0.4, 1.0];
 const STAGE_DURATION: Duration = Duration::from_secs(2);
 
-/// The course of the demo.
+/// Performs the demo's events on the test cluster.
 pub struct Timeline {
-    world: Arc<TestCluster>,
+    cluster: Arc<TestCluster>,
     /// Whether the new build has reached the last stage of its rollout.
     released: Arc<AtomicBool>,
-    /// Cancelled when dropped.
+    /// The rollout in progress; dropping the task cancels it.
     rollout: Option<Task<()>>,
 }
 
 impl Timeline {
-    /// Nothing has happened yet.
-    pub fn new(world: Arc<TestCluster>) -> Timeline {
+    /// Creates a timeline whose events are all still to come.
+    pub fn new(cluster: Arc<TestCluster>) -> Timeline {
         Timeline {
-            world,
+            cluster,
             released: Arc::new(AtomicBool::new(false)),
             rollout: None,
         }
     }
 
-    /// Does what is due in this second; what is to be said of it.
+    /// Performs the event of this second and returns its description; empty if there is none.
     pub fn advance(&mut self, second: u64) -> io::Result<String> {
         match second {
             ROLLOUT_AT_S => {
                 self.begin_rollout();
                 Ok(
-                    "build 42 is offered: a tenth of it, then two fifths, then all, as its \
-                     stages pass"
+                    "build 42 is offered: up to a tenth of the requests, then two fifths, then \
+                     all, stage by stage"
                         .into(),
                 )
             }
             DRAIN_AT_S => {
-                self.world.set_zone_state(0, "terminating");
+                self.cluster.set_zone_state(0, "terminating");
                 Ok(format!(
-                    "all of {} drains; the budget is for a twentieth",
+                    "all of {} drains; the budget allows a twentieth of requests",
                     ZONES[0]
                 ))
             }
@@ -66,22 +66,22 @@
                 Ok("only the remote zone can serve: every request is still answered".into())
             }
             _ if second > RECOVERED_AT_S && second + CLOSING_COMMENT_S > DURATION_S => {
-                Ok("the local zone first again".into())
+                Ok("the local zone is preferred again".into())
             }
             _ => Ok(String::new()),
         }
     }
 
     fn begin_rollout(&mut self) {
-        let world = self.world.clone();
+        let cluster = self.cluster.clone();
         let released = self.released.clone();
         let on_stage = move |stage: usize, _cap: f64| {
-            // One more endpoint of each zone comes up with the new build at each stage.
+            // At each stage, one more endpoint per zone starts with the new build.
             for (zone, name) in ZONES.iter().enumerate() {
                 let id = format!("{name}-new-{stage}");
-                let _ = world.add_cold_endpoint(zone, &id, NEW_BUILD, endpoint_behavior());
+                let _ = cluster.add_cold_endpoint(zone, &id, NEW_BUILD, endpoint_behavior());
             }
-            link_zones(&world);
+            link_zones(&cluster);
             released.store(stage + 1 == STAGE_CAPS.len(), Ordering::SeqCst);
         };
         let stages = StagedRollout {
@@ -89,7 +89,7 @@
             caps: STAGE_CAPS.to_vec(),
             stage_duration: STAGE_DURATION,
         };
-        self.rollout = Some(self.world.platform.run_rollout(stages, on_stage));
+        self.rollout = Some(self.cluster.platform.run_rollout(stages, on_stage));
     }
 
     fn return_zone(&self) -> io::Result<()> {
@@ -100,7 +100,7 @@
         };
         for n in 0..ENDPOINTS_PER_ZONE {
             let id = format!("{}-back-{n}", ZONES[0]);
-            self.world
+            self.cluster
                 .add_cold_endpoint(0, &id, build, endpoint_behavior())?;
         }
         Ok(())
--- a/crates/agent/src/cli/demo/totals.rs
+++ b/crates/agent/src/cli/demo/totals.rs
@@ -1,9 +1,9 @@
-//! What a line of the demo counts.
+//! The counts that the demo prints each second.
 
 use super::NEW_BUILD;
 use tulipwall_zones::Document;
 
-/// Counts since the start of the agent.
+/// Totals of requests and attempts since the agent's start.
 #[derive(Clone, Copy, Default)]
 pub struct Totals {
     pub requests: u64,
@@ -14,7 +14,7 @@
 }
 
 impl Totals {
-    /// The sums of a report.
+    /// Sums up a report on cross-zone traffic.
     pub fn of(report: &Document) -> Totals {
         let requests = report.heads.iter().flat_map(|head| head.requests.values());
         let mut totals = Totals {
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: a file for each subcommand.
+//! The command line, with one module for each subcommand.
 
 mod check;
 mod demo;
@@ -10,12 +10,12 @@
 use tulipwall_config::LogFormat;
 
 const EXIT_CODES: &str = "\
-Without a command it runs the agent that PROXY_CONFIG names.
+Without a command it runs one agent with the configuration file that PROXY_CONFIG names.
 
-Exit codes: 0 done; 1 the agent could not start or ended by a fault, or a file that was checked has mistakes;
-2 the command line is wrong; 3 a report could not be had, or not all of it.";
+Exit codes: 0 success; 1 the agent failed to start or ended with an error, or a checked file has
+errors; 2 the command line is invalid; 3 a report is missing or incomplete.";
 
-/// The exit code where a report is missing or not complete.
+/// The exit code when a report is missing or incomplete.
 const INCOMPLETE_REPORT: u8 = 3;
 
 /// Forwards requests to the endpoints behind a service, and shifts them between an old and a new
@@ -31,13 +31,13 @@
 enum Command {
     /// Run one agent.
     Run(run::RunCommand),
-    /// Check an installation's file; every mistake in it is named at once.
+    /// Check an installation file and print all errors in it.
     Check(check::CheckCommand),
-    /// Print what crosses between zones, or what a watch counts, as one or more agents account for
-    /// it.
+    /// Print the cross-zone traffic, or the divergences of watched settings, of one or more
+    /// agents.
     Report(report::ReportCommand),
-    /// Start two zones, a platform, an agent and some clients on this machine, and show what
-    /// crosses.
+    /// Start two zones, a platform, an agent and some clients on this machine, and show the
+    /// cross-zone traffic.
     Demo(demo::DemoCommand),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Does what the command line says.
+/// Parses the command line and runs the subcommand that it names.
 pub fn main() -> ExitCode {
     match CommandLine::parse().command {
         None => run::RunCommand::from_environment().run(),
--- a/crates/agent/src/cli/report/client.rs
+++ b/crates/agent/src/cli/report/client.rs
@@ -9,12 +9,12 @@
 use tulipwall_config::AdminAddress;
 use tulipwall_zones::{Document, ReportError, ReportLine};
 
-/// How long connecting, and each read and write, may take.
+/// Timeout for connecting, and for each read and each write.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest report that is read, in bytes.
+/// Maximum length of a response, in bytes.
 const MAX_REPORT_LENGTH: u64 = 1 << 30;
 
-/// The counts of diverging decisions, each under its name.
+/// The number of diverging decisions of each kind, with the kind's name.
 pub type NamedCounts = [(&'static str, u64); 5];
 
 /// Why a report could not be fetched.
@@ -23,32 +23,32 @@
     /// The agent could not be reached, or the connection broke.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection was closed before a status line.
-    #[error("it closed without a response")]
+    /// The connection was closed before a status line was received.
+    #[error("connection closed without a response")]
     NoResponse,
-    /// The agent has no such report.
+    /// The agent responded with an error status, such as for a report that it does not have.
     #[error("{status}: {reason}")]
     Refused {
         /// The status line.
         status: String,
-        /// The first line of the body.
+        /// The first line of the body; empty if there is none.
         reason: String,
     },
-    /// A line of the report is not JSON of the expected form.
-    #[error("a line that is no report: {0}")]
+    /// A line of the report is not JSON, or not of the expected structure.
+    #[error("invalid report line: {0}")]
     InvalidLine(#[from] serde_json::Error),
-    /// A line of the report does not fit the lines before it.
+    /// A line of the report contradicts the lines before it.
     #[error(transparent)]
     Report(#[from] ReportError),
-    /// A count is missing.
-    #[error("it does not count '{0}'")]
+    /// The report lacks the count of this name.
+    #[error("missing count '{0}'")]
     MissingCount(&'static str),
-    /// The report has no last line.
-    #[error("the report stops short of its end")]
+    /// The report ended before the line that marks its end.
+    #[error("the report is truncated")]
     Truncated,
 }
 
-/// Fetches the whole report on cross-zone traffic.
+/// Fetches an agent's report on cross-zone traffic; an incomplete one is an error.
 pub fn fetch_zone_report(address: &AdminAddress) -> Result<Document, FetchError> {
     let mut document = Document::default();
     fetch(address, "/zones", |line| {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Fetches the counts of decisions that the alternative settings would have taken otherwise.
+/// Fetches the number of decisions that the alternative settings would have made differently.
 pub fn fetch_divergences(address: &AdminAddress) -> Result<NamedCounts, FetchError> {
     let mut counts = None;
     fetch(address, "/watch", |line| {
@@ -84,7 +84,7 @@
     Ok(counts)
 }
 
-/// Asks an admin endpoint for `path` and passes each line of the body to `on_line`.
+/// Requests `path` from an admin endpoint and passes each line of the body to `on_line`.
 fn fetch(
     address: &AdminAddress,
     path: &str,
--- a/crates/agent/src/cli/report/mod.rs
+++ b/crates/agent/src/cli/report/mod.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-agent report`: fetches the reports of agents, adds them up and prints them.
+//! `tulipwall-agent report`: fetches the reports of one or more agents, merges and prints them.
 
 pub mod client;
 mod plot;
@@ -15,27 +15,28 @@
 use tulipwall_config::AdminAddress;
 use tulipwall_zones::Document;
 
-/// The options of the subcommand.
+/// Options of `tulipwall-agent report`.
 #[derive(Args)]
 pub struct ReportCommand {
-    /// Admin endpoints of agents: 127.0.0.1:PORT or unix:PATH. Several are added up.
+    /// Admin endpoints of agents: 127.0.0.1:PORT or unix:PATH. Their reports are merged.
     #[arg(required = true, value_name = "ADDRESS", value_parser = AdminAddress::parse)]
     addresses: Vec<AdminAddress>,
-    /// All of it as one JSON document.
+    /// Print the whole report as one JSON document.
     #[arg(long, conflicts_with = "svg")]
     json: bool,
-    /// A plot over time with a line for each budget, written to this file.
+    /// Write a plot over time to this SVG file, with a panel for each budget.
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
-    /// A row for each build.
+    /// Print a row for each build.
     #[arg(long)]
     builds: bool,
-    /// Where the watched settings would have decided otherwise, instead of cross-zone traffic.
+    /// Print how often the watched settings would have decided differently, instead of cross-zone
+    /// traffic.
     #[arg(long, conflicts_with_all = ["svg", "builds"])]
     watch: bool,
 }
 
-/// Why a report that was fetched could not be shown.
+/// Why a fetched report could not be printed or plotted.
 #[derive(Debug, thiserror::Error)]
 enum OutputError {
     #[error(transparent)]
@@ -45,7 +46,7 @@
 }
 
 impl ReportCommand {
-    /// Fetches and prints; the exit code says whether every agent's report is part of it.
+    /// Fetches and prints the reports; the exit code says whether every agent's report is included.
     pub fn run(self) -> ExitCode {
         if self.watch {
             self.report_divergences()
@@ -89,7 +90,7 @@
         Ok(())
     }
 
-    /// The counts of each agent, and of all.
+    /// Prints the divergences of each agent and, for several agents, their sum.
     fn report_divergences(&self) -> ExitCode {
         let mut rows = self.fetch_all(fetch_divergences);
         let complete = rows.len() == self.addresses.len();
@@ -109,8 +110,8 @@
         exit_code(complete)
     }
 
-    /// The reports that could be fetched, each with its agent's address; the others are named on
-    /// standard error.
+    /// Returns the reports that could be fetched, each with its agent's address, and prints the
+    /// errors of the others to standard error.
     fn fetch_all<T>(
         &self,
         fetch: impl Fn(&AdminAddress) -> Result<T, FetchError>,
--- a/crates/agent/src/cli/report/plot.rs
+++ b/crates/agent/src/cli/report/plot.rs
@@ -1,5 +1,5 @@
-//! The report on cross-zone traffic over time as a picture: the attempts of each link, and what was
-//! spent of each budget beside its limit.
+//! Plots the report on cross-zone traffic over time: a panel with the attempts of each link, and
+//! one for each budget with the amount spent and the limit.
 
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
@@ -9,14 +9,15 @@
 use std::path::{Path, PathBuf};
 use tulipwall_zones::{BudgetLine, Document, SeriesBin, SeriesLine};
 
-/// The size of one panel in pixels.
+/// Width and height of one panel, in pixels.
 const PANEL_SIZE: (u32, u32) = (1000, 260);
-/// Fine bins are plotted while all agents are younger than this many seconds, for which fine bins
-/// are kept; else coarse ones.
+/// Agents keep fine bins for this many seconds. Fine bins are plotted while all agents have been
+/// up for less than that, and coarse bins otherwise.
 const FINE_BINS_KEPT_S: f64 = 3600.0;
-/// The width of a bin where there is none, in seconds.
+/// The bin width in seconds that the title names if the report has no cross-zone series.
 const DEFAULT_BIN_WIDTH_S: f64 = 10.0;
-/// Told apart without colours, too, by their order and the legend.
+/// Colours of the curves, in order. The order and the legend also identify the curves without
+/// colours.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 90, 160),
     RGBColor(200, 80, 0),
@@ -29,36 +30,36 @@
 /// Why a plot could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// There is no cross-zone traffic in the report.
-    #[error("no attempt has crossed zones in the time that the report covers")]
+    /// The report has no cross-zone traffic.
+    #[error("no attempt crossed zones in the time that the report covers")]
     NothingToPlot,
     /// The file could not be written.
     #[error("{}: {source}", path.display())]
     Write {
         /// The file.
         path: PathBuf,
-        /// What the plotting library says.
+        /// The plotting library's error.
         source: DrawingAreaErrorKind<io::Error>,
     },
 }
 
 struct Curve {
     name: String,
-    /// Minutes before the report, and the value.
+    /// The time relative to the report in minutes, negative before it, and the value.
     points: Vec<(f64, f64)>,
 }
 
 struct Panel {
     title: String,
     curves: Vec<Curve>,
-    /// The limit of the panel's budget.
+    /// The limit of the panel's budget; `None` for the panel of attempts.
     budget_line: Option<f64>,
 }
 
-/// Values by the start of their bin, in seconds.
+/// Values by the start of their bin, in the report's seconds.
 type Bins = BTreeMap<u64, f64>;
 
-/// Writes the picture as SVG.
+/// Writes the plot to `path` as SVG.
 pub fn write(document: &Document, path: &Path) -> Result<(), PlotError> {
     let panels = panels(document);
     let mut curves = panels.iter().flat_map(|panel| &panel.curves);
@@ -91,7 +92,7 @@
     panels
 }
 
-/// The series of all links between zones, in fine bins or coarse ones.
+/// The series of all cross-zone links, either in fine bins or in coarse bins.
 fn cross_zone_series(document: &Document) -> impl Iterator<Item = &SeriesLine> {
     let fine = document.heads.iter().all(|h| h.uptime_s < FINE_BINS_KEPT_S);
     document
@@ -100,11 +101,12 @@
         .filter(move |s| s.from != s.to && s.build.is_some() == fine)
 }
 
+/// The time relative to the report in minutes; negative before it.
 fn minutes_before_report(start_s: u64, report_time_s: f64) -> f64 {
     (start_s as f64 - report_time_s) / 60.0
 }
 
-/// The attempts over time, a curve for each link.
+/// The panel of attempts over time, with a curve for each link.
 fn attempts_panel(document: &Document, report_time_s: f64) -> Panel {
     let mut links: BTreeMap<String, Bins> = BTreeMap::new();
     let mut bin_width_s = DEFAULT_BIN_WIDTH_S;
@@ -130,7 +132,7 @@
     }
 }
 
-/// The budgets with an absolute limit, each with the lines of all agents.
+/// The budgets with an absolute limit, by name and unit, each with the lines of all agents.
 fn budgets_by_name(document: &Document) -> BTreeMap<(&str, &str), Vec<&BudgetLine>> {
     let mut budgets: BTreeMap<_, Vec<&BudgetLine>> = BTreeMap::new();
     let lines = document.heads.iter().flat_map(|head| &head.budgets);
@@ -141,13 +143,13 @@
     budgets
 }
 
-/// What was spent of a budget over time, beside the sum of the agents' limits.
+/// The panel of the amount spent of a budget over time and the sum of the agents' limits.
 fn budget_panel(document: &Document, lines: &[&BudgetLine], report_time_s: f64) -> Panel {
     let budget = lines[0];
     let limit: f64 = lines.iter().map(|line| line.agent_limit).sum();
     let spent = spent_by_bin(document, budget);
     let window_s = budget.window_s as u64;
-    // At each bin: what was spent in the window that ends with it.
+    // Each point is the amount spent in the window that ends with its bin.
     let points = spent.keys().map(|end_s| {
         let window = end_s.saturating_sub(window_s) + 1..=*end_s;
         let spent_in_window: f64 = spent.range(window).map(|(_, amount)| amount).sum();
@@ -180,13 +182,14 @@
     spent
 }
 
+/// Whether the attempts of a series are charged to a budget.
 fn applies_to(budget: &BudgetLine, series: &SeriesLine) -> bool {
     let zone_applies = budget.to.as_ref().is_none_or(|to| *to == series.to);
     let class_applies = budget.class.as_ref().is_none_or(|c| *c == series.class);
     zone_applies && class_applies
 }
 
-/// What a bin spends of a budget in this unit of the report.
+/// The amount that a bin spends of a budget whose report line has this unit.
 fn amount(bin: &SeriesBin, unit: &str) -> f64 {
     match unit {
         "deliveries" => bin.attempts as f64,
@@ -195,10 +198,11 @@
     }
 }
 
-/// The length of a line in the legend, in pixels.
+/// Length of a line in the legend, in pixels.
 const LEGEND_LINE_LENGTH: i32 = 20;
-/// The dashes of a budget's line and the gaps between them, in pixels.
+/// Length of a dash in a budget's line, in pixels.
 const DASH_LENGTH: u32 = 6;
+/// Length of the gaps between the dashes, in pixels.
 const DASH_GAP: u32 = 4;
 
 type PanelChart<'a, B> = ChartContext<'a, B, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
--- a/crates/agent/src/cli/report/tables.rs
+++ b/crates/agent/src/cli/report/tables.rs
@@ -1,10 +1,10 @@
-//! Reports as tables for people. Pure: a document in, text out.
+//! Formats reports as text tables, without any input or output.
 
 use super::client::NamedCounts;
 use comfy_table::{presets, CellAlignment, Table};
 use tulipwall_zones::{BudgetLine, Document, LinkLine};
 
-/// What stands in a cell without a value.
+/// The content of a cell without a value.
 const NO_VALUE: &str = "-";
 const BUDGET_HEADINGS: [&str; 8] = [
     "budget",
@@ -36,10 +36,10 @@
     "p50 ms",
     "p99 ms",
 ];
-/// The columns of a link before its figures.
+/// Number of columns that identify a link; the columns after them are numeric.
 const LINK_NAME_COLUMNS: usize = 4;
 
-/// The report on cross-zone traffic, with a row for each build if `by_build`.
+/// Formats the report on cross-zone traffic, with a row for each build if `by_build`.
 pub fn zone_report(document: &Document, by_build: bool) -> String {
     let mut text = String::new();
     for head in &document.heads {
@@ -56,7 +56,7 @@
     text + &format!("\n{links}\n")
 }
 
-/// The counts of diverging decisions, a row for each agent.
+/// Formats the counts of diverging decisions with a row for each agent; `None` without rows.
 pub fn divergences(rows: &[(String, NamedCounts)]) -> Option<String> {
     let (_, first) = rows.first()?;
     let kinds = first.map(|(kind, _)| kind);
@@ -69,7 +69,7 @@
     Some(table.to_string())
 }
 
-/// The budgets of all agents; `None` where there are none.
+/// The table of all agents' budgets; `None` if there are none.
 fn budget_table(document: &Document) -> Option<Table> {
     let mut table = new_table(&BUDGET_HEADINGS);
     for head in &document.heads {
@@ -78,10 +78,10 @@
                 budget.name.clone(),
                 head.agent.clone(),
                 budget_scope(budget),
-                time_span(budget.window_s),
+                format_time_span(budget.window_s),
                 budget_limit(budget),
-                number(budget.agent_limit),
-                number(budget.used),
+                format_number(budget.agent_limit),
+                format_number(budget.used),
                 over_budget(budget),
             ]);
         }
@@ -99,7 +99,7 @@
 }
 
 fn budget_limit(budget: &BudgetLine) -> String {
-    let limit = number(budget.limit);
+    let limit = format_number(budget.limit);
     if budget.unit == "share" {
         format!("{limit} of taken")
     } else {
@@ -107,7 +107,7 @@
     }
 }
 
-/// How many attempts went over the budget, and for which reasons.
+/// The number of attempts over the budget, in total and by reason.
 fn over_budget(budget: &BudgetLine) -> String {
     let total: u64 = budget.over_budget.values().sum();
     if total == 0 {
@@ -165,14 +165,14 @@
         link.over_budget_total().to_string(),
         link.bytes_sent.to_string(),
         link.bytes_received.to_string(),
-        number(link.cost),
+        format_number(link.cost),
         added_latency,
         latency(0.5),
         latency(0.99),
     ]
 }
 
-/// Build 0 stands for all builds that no endpoint runs any longer.
+/// The name of a build in the table. Build 0 stands for all builds that no endpoint runs any more.
 fn build_name(build: u32, by_build: bool) -> String {
     match build {
         _ if !by_build => "all".to_owned(),
@@ -187,7 +187,7 @@
     table
 }
 
-fn number(n: f64) -> String {
+fn format_number(n: f64) -> String {
     if n == n.trunc() && n.abs() < 1e15 {
         format!("{n:.0}")
     } else if n.abs() < 0.001 {
@@ -197,8 +197,8 @@
     }
 }
 
-/// In the largest unit of which it is a whole number.
-fn time_span(seconds: f64) -> String {
+/// Formats a time span in the largest unit that divides it evenly.
+fn format_time_span(seconds: f64) -> String {
     let units = [(86_400.0, "d"), (3600.0, "h"), (60.0, "m"), (1.0, "s")];
     for (unit_seconds, name) in units {
         if seconds >= unit_seconds && seconds % unit_seconds == 0.0 {
--- a/crates/agent/src/cli/run.rs
+++ b/crates/agent/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-agent run`, and what the program does without a subcommand: run one agent.
+//! `tulipwall-agent run`, which is also the default without a subcommand: runs one agent.
 
 use super::LogFormatArg;
 use crate::lifecycle::run;
@@ -8,28 +8,30 @@
 use std::process::ExitCode;
 use tulipwall_config::LogFormat;
 
-/// The environment variables that stand for options.
+/// Environment variable for `--installation`.
 const INSTALLATION_VARIABLE: &str = "TULIPWALL_INSTALLATION";
+/// Environment variable for `--log`.
 const LOG_VARIABLE: &str = "TULIPWALL_LOG";
 
-/// The options of the subcommand.
+/// Options of `tulipwall-agent run`.
 #[derive(Args)]
 pub struct RunCommand {
-    /// The platform's configuration, JSON; PROXY_CONFIG otherwise.
+    /// The platform's configuration file (JSON); by default the file that PROXY_CONFIG names.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// What this installation sets beside it, KDL: zones, budgets, door, log, settings to
-    /// watch.
+    /// This installation's own settings (KDL): zones, budgets, the admin endpoint (door), log
+    /// format, settings to watch.
     #[arg(long, value_name = "FILE", env = INSTALLATION_VARIABLE)]
     installation: Option<PathBuf>,
-    /// The form of log lines; the installation's otherwise, else text.
+    /// Format of log lines; by default the installation's, or text if it sets none.
     #[arg(long, value_name = "FORM", env = LOG_VARIABLE)]
     log: Option<LogFormatArg>,
 }
 
 impl RunCommand {
-    /// As the platform starts the program: without a subcommand. What an installation sets may
-    /// still be named by the environment.
+    /// The command for a start without a subcommand, which is how the platform starts the program.
+    /// The environment may still name an installation file and a log format; a log format that
+    /// does not parse is ignored.
     pub fn from_environment() -> RunCommand {
         let installation = std::env::var_os(INSTALLATION_VARIABLE).filter(|path| !path.is_empty());
         let log = std::env::var(LOG_VARIABLE).ok();
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Runs until SIGTERM.
+    /// Runs the agent until SIGTERM.
     pub fn run(self) -> ExitCode {
         let paths = ConfigPaths {
             configuration: self.config,
--- a/crates/agent/src/control/balancer_poll.rs
+++ b/crates/agent/src/control/balancer_poll.rs
@@ -1,32 +1,32 @@
-//! Polls the balancer whenever it asks to be, and passes on what is due.
+//! Polls the balancer at the times that it sets and performs the actions that it returns.
 
 use crate::agent::Agent;
 use crate::observability::logging::log_evidence;
 use futures_lite::future;
 use std::time::Duration;
 
-/// How often stale connections and retired request classes are looked for.
+/// Interval between removals of stale connections and retired request classes.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the divergences of alternative settings are logged.
+/// Interval between log lines with the divergences of alternative settings.
 const DIVERGENCE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Polls for as long as the program runs.
+/// Polls the balancer until the program ends.
 pub async fn run(agent: &Agent) {
     let mut last_cleanup = Duration::ZERO;
     let mut last_divergence_log = agent.clock.now();
     loop {
-        // What came in while this agent stood still is handled first, in its order.
+        // Input that arrived while this agent was stalled is handled first, in its order.
         future::yield_now().await;
-        let due = agent.balancer.poll();
-        if due.open_watch {
+        let outcome = agent.balancer.poll();
+        if outcome.open_watch {
             agent.control.watch_request.raise();
         }
         let now = agent.clock.now();
-        if let Some(vote) = due.vote {
+        if let Some(vote) = outcome.vote {
             agent.control.pending_vote.cast(vote, now);
         }
         agent.update_zone_traffic();
-        log_decisions(agent, &due.log_lines);
+        log_decisions(agent, &outcome.log_lines);
         if now >= last_cleanup + CLEANUP_INTERVAL {
             agent.pool.close_stale();
             agent.drop_retired_classes();
@@ -36,7 +36,7 @@
             log_divergences(agent);
             last_divergence_log = now;
         }
-        agent.sleep_until(due.next_poll).await;
+        agent.sleep_until(outcome.next_poll).await;
     }
 }
 
--- a/crates/agent/src/control/discovery/call.rs
+++ b/crates/agent/src/control/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to the discovery service: a request, and its response within a time.
+//! One call to the discovery service: a request and its response, with a timeout.
 
 use super::list_reader::ReadError;
 use crate::agent::Agent;
@@ -12,11 +12,11 @@
 use tulipwall_discovery::list_response::EntryError;
 use tulipwall_discovery::watch_timer::{WatchEnd, WatchTimer};
 
-/// How soon the rest of a response must come once it has begun.
+/// Once a response has begun, each further part must arrive within this time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 const STATUS_OK: u16 = 200;
 
-/// Why a call failed, or a watch ended.
+/// Why a call failed or a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     #[error(transparent)]
@@ -29,16 +29,16 @@
     UnreadableEntry(EntryError),
     #[error("status {0}")]
     Status(u16),
-    #[error("it ended within a response")]
+    #[error("the connection ended within a response")]
     TruncatedResponse,
-    #[error("it closes after a response")]
+    #[error("the connection closes after a response")]
     ClosedAfterResponse,
     #[error("it is silent")]
     TimedOut,
 }
 
 impl CallError {
-    /// What it means for the time of the next call.
+    /// The kind of failure, which determines when the next call is made.
     pub fn watch_end(&self) -> WatchEnd {
         match self {
             CallError::Io(_) | CallError::TruncatedResponse | CallError::ClosedAfterResponse => {
@@ -55,25 +55,26 @@
 
 /// A response of the discovery service.
 pub struct CallResponse {
-    /// The list, not parsed yet.
+    /// The endpoint list, not parsed yet.
     pub body: Vec<u8>,
-    /// Whether the connection ends with it.
+    /// Whether the service closes the connection after this response.
     pub closes_connection: bool,
 }
 
-/// A connection and the response to its first call.
-pub struct BegunWatch {
+/// A connection and the last response on it, at first the response to the first call.
+pub struct EstablishedWatch {
     pub connection: Connection,
     pub response: CallResponse,
 }
 
-/// Connects and makes the first call; sets `response_begun` once the first of its response has come.
+/// Connects and makes the first call. Sets `response_begun` when the first bytes of the response
+/// arrive.
 pub async fn first_call(
     agent: &Agent,
     path: &str,
     timeout: Duration,
     response_begun: &Cell<bool>,
-) -> Result<BegunWatch, CallError> {
+) -> Result<EstablishedWatch, CallError> {
     let begin = async {
         let mut connection = Connection::open(agent.control.discovery.get()).await?;
         send_request(agent, &mut connection, path).await?;
@@ -81,7 +82,7 @@
             response_begun.set(true);
         }
         let response = read_response(agent, &mut connection).await?;
-        Ok(BegunWatch {
+        Ok(EstablishedWatch {
             connection,
             response,
         })
@@ -89,19 +90,19 @@
     with_timeout(agent, timeout, begin).await
 }
 
-/// Makes first calls until one succeeds, beside one that allows for more time. The first goes out
-/// when that one has been silent for `timeout` and the usual delay; none does any more once its
-/// response has begun.
+/// Makes first calls with a short `timeout` until one succeeds, alongside a patient call that has a
+/// longer timeout. The first of them is made when the patient call has been silent for `timeout`
+/// plus the usual retry delay; none is made once the response of the patient call has begun.
 ///
-/// Guards against a connection that is lost in silence. Does harm where discovery takes longer than
-/// that to begin a response: it has to write another.
-pub async fn retry_beside_silent_call(
+/// Guards against a connection that is lost without notice. Does harm where discovery takes longer
+/// than that to begin a response, as it then has to write another one.
+pub async fn retry_alongside_silent_call(
     agent: &Agent,
     timer: &WatchTimer,
     path: &str,
     timeout: Duration,
     response_begun: &Cell<bool>,
-) -> BegunWatch {
+) -> EstablishedWatch {
     let delay_after_silence = timer.retry_delay(WatchEnd::TimedOut);
     let mut next_call = agent.clock.now() + timeout + delay_after_silence;
     loop {
@@ -110,7 +111,7 @@
             return future::pending().await;
         }
         match first_call(agent, path, timeout, &Cell::default()).await {
-            Ok(begun) => return begun,
+            Ok(established) => return established,
             Err(error) => {
                 next_call = agent.clock.now() + timer.retry_delay(error.watch_end());
             }
@@ -118,7 +119,7 @@
     }
 }
 
-/// Makes one call on a connection, without a timeout until its response has begun.
+/// Makes one call on an open connection. No timeout applies until the response has begun.
 pub async fn call(
     agent: &Agent,
     connection: &mut Connection,
@@ -161,8 +162,8 @@
     }
 }
 
-/// Receives more of a response. Guards against one that stops short of its end, which would be
-/// waited for as long as a watch.
+/// Receives more of a response, with [`RESPONSE_TIMEOUT`] once it has begun. Guards against a
+/// truncated response, for whose rest the agent would otherwise wait as long as for a watch.
 async fn receive(agent: &Agent, connection: &mut Connection) -> Result<usize, CallError> {
     let response_begun = !connection.receive_buffer.is_empty();
     let more = async { Ok(connection.read_more().await?) };
--- a/crates/agent/src/control/discovery/list_reader.rs
+++ b/crates/agent/src/control/discovery/list_reader.rs
@@ -1,5 +1,6 @@
-//! Parses lists. A long one is parsed in a thread of its own, so that no request waits for tens of
-//! thousands of entries; what is known stays in force until all of it was parsed.
+//! Parses endpoint lists. A long list is parsed on a thread of its own, so that no request waits
+//! for the parsing of tens of thousands of entries. The known list stays in use until the new one
+//! is parsed completely.
 
 use crate::runtime::reactor::Source;
 use std::io;
@@ -8,22 +9,23 @@
 use std::sync::Arc;
 use tulipwall_discovery::list_response::{ListResponse, ListResponseError};
 
-/// The longest body that is parsed in the agent's own thread, in bytes: some 450 entries, which
+/// The longest body that is parsed on the event loop's thread, in bytes: some 450 entries, which
 /// take less than half a millisecond.
 pub const MAX_INLINE_LENGTH: usize = 64 * 1024;
 
 /// Why a list could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It is no list.
+    /// The body is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] ListResponseError),
-    /// The thread that parsed it panicked.
-    #[error("list: not read")]
+    /// The thread that parsed the list panicked.
+    #[error("list: the parser thread panicked")]
     ReaderPanicked,
 }
 
-/// Parses the body of a response.
+/// Parses the body of a response, on a separate thread if it is longer than
+/// [`MAX_INLINE_LENGTH`].
 pub async fn parse(body: Vec<u8>) -> Result<ListResponse, ReadError> {
     if body.len() <= MAX_INLINE_LENGTH {
         return Ok(ListResponse::parse(&body)?);
@@ -31,15 +33,16 @@
     let body = Arc::new(body);
     match PendingList::begin(&body) {
         Ok(pending) => pending.finished().await,
-        // There is no thread or no descriptor to be had: all else waits for it.
+        // No thread or descriptor is available: the event loop blocks while it parses the list.
         Err(_) => Ok(ListResponse::parse(&body)?),
     }
 }
 
-/// A list that a thread parses. Its thread ends by itself where nobody waits for it any more.
+/// A list that is being parsed on a thread. If this is dropped first, the thread still ends by
+/// itself.
 struct PendingList {
     parsed: Receiver<Result<ListResponse, ListResponseError>>,
-    /// The thread closes its end when it is done, which wakes the agent's.
+    /// The thread closes its end of this socket pair when it is done, which wakes the waiting task.
     done: Source<UnixStream>,
 }
 
@@ -53,7 +56,7 @@
         std::thread::Builder::new()
             .name("list".into())
             .spawn(move || {
-                // It fails where nobody waits for it any more.
+                // Sending fails if the receiver was dropped, as nobody waits for the list then.
                 let _ = sender.send(ListResponse::parse(&body));
                 drop(thread_end);
             })?;
--- a/crates/agent/src/control/discovery/mod.rs
+++ b/crates/agent/src/control/discovery/mod.rs
@@ -1,13 +1,13 @@
-//! The watch on the discovery service's endpoint list. The balancer says when to call first; here
-//! the watch is kept open, and begun anew at the times that [`WatchTimer`] gives.
+//! The watch on the discovery service's endpoint list. The balancer requests the first call; this
+//! module keeps the watch open and reopens it at the times that [`WatchTimer`] gives.
 
 mod call;
 pub mod list_reader;
 
 use crate::agent::Agent;
 use crate::lifecycle::phase::ControlService;
-use call::{call, first_call, retry_beside_silent_call, with_timeout};
-use call::{BegunWatch, CallError};
+use call::{call, first_call, retry_alongside_silent_call, with_timeout};
+use call::{CallError, EstablishedWatch};
 use futures_lite::FutureExt;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -16,7 +16,7 @@
 use tulipwall_discovery::list_response::{self, ListResponse};
 use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
-/// Keeps the watch for as long as the program runs.
+/// Keeps the watch open until the program ends.
 pub async fn run(agent: &Agent) {
     let address = &agent.control.discovery;
     let mut seen_changes = address.changes();
@@ -31,7 +31,7 @@
         };
         due.or(address.changed_since(seen_changes)).await;
         if address.changes() != seen_changes {
-            // A change of the address ends the old watch and is no failure.
+            // A change of the address ends the old watch, but does not count as a failure.
             seen_changes = address.changes();
             watch.reload_settings(agent.clock.now());
             next_call = watch.on_address_change(agent.clock.now());
@@ -52,20 +52,20 @@
     }
 }
 
-/// One agent's watch over its calls.
+/// One agent's watch, which continues over several calls and connections.
 struct Watch<'a> {
     agent: &'a Agent,
     timer: WatchTimer,
-    /// Until when the list that is known may be used.
+    /// How long the known list may be used.
     lease: ListLease,
-    /// Whether discovery was not yet reached at its new address.
+    /// Whether discovery has a new address and was not reached there yet.
     awaiting_contact: bool,
-    /// Since when discovery has not responded.
+    /// Since when discovery has been unavailable; `None` while it responds.
     unavailable_since: Option<Duration>,
-    /// How watches ended meanwhile: each way is logged once, as a broken connection may hide a list
-    /// that cannot be read.
+    /// The kinds of failure since `unavailable_since`. Each kind is logged once, as a broken
+    /// connection could otherwise hide a list that cannot be parsed.
     logged_ends: Vec<WatchEnd>,
-    /// Whether it was logged that the lease has expired.
+    /// Whether the expiration of the list's lease was logged.
     expiration_logged: bool,
 }
 
@@ -85,18 +85,18 @@
         watch
     }
 
-    /// Tells the balancer how long the list is valid.
+    /// Tells the balancer until when the list is valid.
     fn publish_lease(&self) {
         let valid_until = self.lease.valid_until();
         self.agent.balancer.set_list_valid_until(valid_until);
     }
 
-    /// When discovery is first called; `None` where the balancer says.
+    /// When discovery is first called; `None` if the balancer requests the first call.
     fn startup_call_at(&mut self, now: Duration) -> Option<Duration> {
         self.timer.startup_delay().map(|delay| now + delay)
     }
 
-    /// Settings may have been read anew.
+    /// Applies the current settings, which a reload may have changed.
     fn reload_settings(&mut self, now: Duration) {
         let settings = &self.agent.service_config().settings;
         self.timer.reload(settings);
@@ -104,7 +104,7 @@
         self.publish_lease();
     }
 
-    /// When the new address is first called; `None` for at once.
+    /// Returns when the new address is first called; `None` for immediately.
     fn on_address_change(&mut self, now: Duration) -> Option<Duration> {
         self.awaiting_contact = true;
         self.lease.on_address_change(now);
@@ -113,7 +113,8 @@
         (!delay.is_zero()).then_some(now + delay)
     }
 
-    /// A call failed: when the next one goes out, or `None` where the balancer says.
+    /// Handles a failed call. Returns when the next call is made; `None` if the balancer requests
+    /// it.
     fn on_end(&mut self, error: &CallError) -> Option<Duration> {
         let now = self.agent.clock.now();
         let end = error.watch_end();
@@ -128,7 +129,7 @@
         match next_call {
             Some(_) => self.agent.counters.list_failures.increment(),
             None => {
-                // What the balancer asked for before does not count any more.
+                // A request that the balancer made before the failure is void.
                 self.agent.control.watch_request.clear();
                 self.agent.balancer.on_list_failure();
             }
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Watches until a call fails.
+    /// Watches until a call fails and returns its error.
     async fn run(&mut self) -> CallError {
         match self.watch().await {
             Ok(never) => match never {},
@@ -180,15 +181,17 @@
         }
     }
 
-    /// Asks for what has changed since the list that is known; for the whole list where none is
-    /// known, and where discovery is another and calls are free. Guards against agents that start,
-    /// move or call again all at once: a list has as many lines as there are endpoints, and
-    /// discovery pays for each. Does harm where another discovery counts versions of its own from
-    /// above: what it changed before them is received at the next start only.
-    async fn begin(&mut self) -> Result<BegunWatch, CallError> {
+    /// Opens a watch. Requests the changes since the known list, or the whole list if none is known
+    /// or if the address of discovery has changed and calls are free.
+    ///
+    /// Requesting changes guards discovery against agents that start, move or retry all at once: a
+    /// whole list has one line per endpoint, and discovery pays for each. Does harm where a new
+    /// discovery service numbers its versions independently and is ahead of the known version: its
+    /// earlier changes are received at the agent's next start only.
+    async fn begin(&mut self) -> Result<EstablishedWatch, CallError> {
         let agent = self.agent;
         let wait = self.timer.first_wait();
-        let path = match self.version_to_ask_from() {
+        let path = match self.watch_start_version() {
             Some(version) => list_response::watch_path(version, wait),
             None => list_response::LIST_PATH.to_owned(),
         };
@@ -202,31 +205,31 @@
         let quick_timeout = wait + self.timer.first_call_timeout(FirstCall::Quick);
         let quick_calls = async {
             let timer = &self.timer;
-            let begun =
-                retry_beside_silent_call(agent, timer, &path, quick_timeout, &response_begun);
-            Ok(begun.await)
+            let established =
+                retry_alongside_silent_call(agent, timer, &path, quick_timeout, &response_begun);
+            Ok(established.await)
         };
         patient_call.or(quick_calls).await
     }
 
-    /// The version that a watch begins from; `None` where the whole list is asked for.
-    fn version_to_ask_from(&self) -> Option<u64> {
-        let is_known = !self.awaiting_contact || !self.timer.calls_are_free();
+    /// The version from which a watch requests changes; `None` to request the whole list.
+    fn watch_start_version(&self) -> Option<u64> {
+        let may_request_changes = !self.awaiting_contact || !self.timer.calls_are_free();
         let endpoints = &self.agent.endpoints;
-        endpoints.usable_version().filter(|_| is_known)
+        endpoints.usable_version().filter(|_| may_request_changes)
     }
 
-    /// The list of the response that has come. Where a discovery at a new address turns out to
-    /// count its versions from below, asks for the whole list.
-    async fn read_list(&mut self, watch: &mut BegunWatch) -> Result<ListResponse, CallError> {
+    /// Parses the list of the response that was received. Requests the whole list instead if
+    /// discovery at a new address turns out to be behind the known version.
+    async fn read_list(&mut self, watch: &mut EstablishedWatch) -> Result<ListResponse, CallError> {
         let agent = self.agent;
         let list = list_reader::parse(std::mem::take(&mut watch.response.body)).await?;
-        let known_version = self.version_to_ask_from();
+        let known_version = self.watch_start_version();
         let version_went_back =
             !list.complete && known_version.is_some_and(|version| list.version < version);
-        let asks_anew =
+        let requests_whole_list =
             self.awaiting_contact && version_went_back && !watch.response.closes_connection;
-        if !asks_anew {
+        if !requests_whole_list {
             return Ok(list);
         }
         let timeout = self.timer.first_wait() + self.timer.first_call_timeout(FirstCall::Patient);
@@ -235,7 +238,7 @@
         Ok(list_reader::parse(std::mem::take(&mut watch.response.body)).await?)
     }
 
-    /// Takes a list in; the wait of the next call, or the error that ends the watch with it.
+    /// Applies a list. Returns the wait time of the next call, or the error that ends the watch.
     fn on_list(
         &mut self,
         list: ListResponse,
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! What changes the agent's course: the balancer's poll, the discovery service, the rollout
-//! platform, and configuration reloads.
+//! The tasks that control the agent: polling the balancer, watching the discovery service, talking
+//! to the rollout platform, and reloading the configuration.
 
 pub mod balancer_poll;
 pub mod discovery;
--- a/crates/agent/src/control/platform/calls.rs
+++ b/crates/agent/src/control/platform/calls.rs
@@ -1,19 +1,19 @@
-//! The calls that are made on the connections to the platform.
+//! The state of calls to the platform that its connections share.
 
 use std::cell::Cell;
 
-/// The calls on all connections: their ids never meet.
+/// The calls on all connections to the platform. Call ids are unique across connections.
 #[derive(Default)]
 pub(super) struct Calls {
     last_id: Cell<u64>,
-    /// The call with a vote that was not answered yet.
+    /// The id of the call whose vote has no reply yet; `None` if no vote is pending.
     pub(super) pending_vote: Cell<Option<u64>>,
-    /// Whether the platform was not yet reached at its new address.
+    /// Whether the platform has a new address and was not reached there yet.
     pub(super) awaiting_contact: Cell<bool>,
 }
 
 impl Calls {
-    /// An id that no call had before.
+    /// Returns an id that no earlier call had.
     pub(super) fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
--- a/crates/agent/src/control/platform/messages.rs
+++ b/crates/agent/src/control/platform/messages.rs
@@ -1,4 +1,4 @@
-//! What the platform's messages change.
+//! Handles messages from the platform.
 
 use super::calls::Calls;
 use crate::agent::Agent;
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use tulipwall::{PlatformCounts, VoteReply};
 
-/// Which messages are handled.
+/// Which of the messages on a connection are handled.
 #[derive(Clone, Copy)]
 pub(super) enum AcceptedMessages {
-    /// All of them.
+    /// All messages.
     All,
-    /// Only whether a vote counted: another connection receives the rest.
+    /// Only replies to votes, as another connection receives all other messages.
     VoteReplies,
 }
 
-/// Handles one message of those that are accepted.
+/// Handles a message if it is among the accepted ones.
 pub(super) fn handle_message(
     agent: &Agent,
     calls: &Calls,
@@ -82,7 +82,7 @@
     }
 }
 
-/// The reply to a call; only votes have one that matters.
+/// Handles the reply to a call. Only replies to votes have an effect.
 fn on_reply(agent: &Agent, calls: &Calls, id: u64, reply: VoteReply) {
     if calls.pending_vote.get() == Some(id) {
         calls.pending_vote.set(None);
--- a/crates/agent/src/control/platform/mod.rs
+++ b/crates/agent/src/control/platform/mod.rs
@@ -1,5 +1,6 @@
-//! The rollout platform: its notifications, and the agent's votes. There is one connection at a
-//! time, but for an old one that is read to its end once the address has changed.
+//! The connection to the rollout platform, which carries its notifications and the agent's votes.
+//! One connection is open at a time; after a change of the address, the old connection is also read
+//! until it ends.
 
 mod calls;
 mod messages;
@@ -13,11 +14,12 @@
 use std::time::Duration;
 use tulipwall::VoteReply;
 
-/// How long until a connection is opened again; doubled while nothing is received there.
+/// Delay before reconnecting, doubled after each connection on which nothing was received.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Upper limit of the doubled delay.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
-/// Keeps a session open for as long as the program runs and there is a platform.
+/// Keeps a session open until the program ends, whenever a platform is configured.
 pub async fn run(agent: &Rc<Agent>) {
     let calls = Rc::new(Calls::default());
     let address = &agent.control.platform;
@@ -39,18 +41,19 @@
             .await;
         log::debug!("platform: {end}");
         if address.changes() != seen_changes {
-            // At once, and the old connection is read meanwhile: what it reports is not repeated.
+            // Reconnects at once. The old connection is still read, as the platform does not repeat
+            // what it has reported there.
             calls.awaiting_contact.set(true);
             if let Some(session) = session {
                 drain_in_background(agent, session, &calls);
             }
             continue;
         }
-        let spoke = session.as_ref().is_some_and(|s| s.received_line);
+        let platform_responded = session.as_ref().is_some_and(|s| s.received_line);
         on_disconnect(agent, &calls, session);
-        // What is reported while no connection is open is not repeated: the next one is opened at
-        // once where the platform spoke, later and later where it did not.
-        reconnect_delay = if spoke {
+        // The platform does not repeat what it reports while no connection is open. So the delay
+        // is short after a session in which it sent a line, and grows otherwise.
+        reconnect_delay = if platform_responded {
             MIN_RECONNECT_DELAY
         } else {
             (reconnect_delay * 2).min(MAX_RECONNECT_DELAY)
@@ -65,19 +68,20 @@
     }
 }
 
-/// The votes that the end of a session leaves without a reply.
+/// Resolves the vote that the end of a session leaves without a reply.
 fn on_disconnect(agent: &Agent, calls: &Calls, session: Option<Session>) {
     agent.counters.platform_disconnects.increment();
-    let spoke = session.as_ref().is_some_and(|s| s.received_line);
+    let platform_responded = session.as_ref().is_some_and(|s| s.received_line);
     if let Some(session) = session {
         session.abandon_vote(agent, calls);
     }
-    if !spoke && agent.control.pending_vote.take().is_some() {
-        // It was not written and never will count.
+    if !platform_responded && agent.control.pending_vote.take().is_some() {
+        // The vote was not written and will never count.
         agent.balancer.on_vote_reply(VoteReply::Refused);
     }
 }
 
+/// Reads an old connection until it ends, in a task of its own.
 fn drain_in_background(agent: &Rc<Agent>, session: Session, calls: &Rc<Calls>) {
     let agent_handle = agent.clone();
     let calls = calls.clone();
--- a/crates/agent/src/control/platform/session.rs
+++ b/crates/agent/src/control/platform/session.rs
@@ -1,4 +1,4 @@
-//! One connection to the platform, from its first call to its end.
+//! A session with the platform: one connection, from its first call until it ends.
 
 use super::calls::Calls;
 use super::messages::{handle_message, AcceptedMessages};
@@ -16,21 +16,22 @@
 use std::time::Duration;
 use tulipwall::{Vote, VoteReply};
 
-/// A heartbeat is due every second: without one for as long as this the connection is opened anew.
+/// The platform sends a heartbeat every second. After this long without data the connection is
+/// reopened.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How soon the rest of a line must come once it has begun.
+/// Once a line has begun, more of it must arrive within this time.
 const LINE_TIMEOUT: Duration = Duration::from_millis(500);
-/// For how long an old connection is still read after the address has changed.
+/// How long an old connection is still read after the address has changed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a session ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SessionEnd {
-    #[error("its address has changed")]
+    #[error("the address has changed")]
     AddressChanged,
-    #[error("it ended")]
+    #[error("the connection ended")]
     Closed,
-    #[error("it is silent")]
+    #[error("no data within the heartbeat timeout")]
     HeartbeatTimeout,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -38,7 +39,7 @@
     Protocol(#[from] ProtocolError),
 }
 
-/// What a session waits for.
+/// An event that a session waits for.
 enum SessionEvent {
     Received(usize),
     VoteCast,
@@ -48,14 +49,14 @@
 /// One connection to the platform.
 pub(super) struct Session {
     connection: Connection,
-    /// The call with the last vote written here.
+    /// The id of the call with the last vote written on this connection; `None` before the first.
     last_vote: Option<u64>,
-    /// Whether a whole line was received.
+    /// Whether a complete line was received.
     pub(super) received_line: bool,
 }
 
-/// Runs until the connection ends or falls silent; says why. The session is left in `session` once
-/// it is connected.
+/// Runs a session until its connection ends or times out, and returns the reason. Once connected,
+/// the session is stored in `session`, where it stays after the end.
 pub(super) async fn run_session(
     agent: &Agent,
     address: SocketAddr,
@@ -91,7 +92,7 @@
     async fn run(&mut self, agent: &Agent, calls: &Calls) -> Result<Infallible, SessionEnd> {
         let subscription = platform::watch_request(calls.next_id());
         self.connection.write(subscription.as_bytes()).await?;
-        let mut silent_at = agent.clock.now() + HEARTBEAT_TIMEOUT;
+        let mut heartbeat_due = agent.clock.now() + HEARTBEAT_TIMEOUT;
         loop {
             self.handle_received(agent, calls)?;
             self.write_pending_vote(agent, calls).await?;
@@ -103,9 +104,9 @@
                 vote_cast.await;
                 Ok(SessionEvent::VoteCast)
             };
-            match self.wait_for_event(agent, vote_cast, silent_at).await? {
+            match self.wait_for_event(agent, vote_cast, heartbeat_due).await? {
                 SessionEvent::Received(0) => return Err(SessionEnd::Closed),
-                SessionEvent::Received(_) => silent_at = agent.clock.now() + HEARTBEAT_TIMEOUT,
+                SessionEvent::Received(_) => heartbeat_due = agent.clock.now() + HEARTBEAT_TIMEOUT,
                 SessionEvent::VoteCast => {}
                 SessionEvent::TimedOut => return Err(SessionEnd::HeartbeatTimeout),
             }
@@ -131,7 +132,8 @@
         let Some(CastVote { vote, cast_at }) = agent.control.pending_vote.take() else {
             return Ok(());
         };
-        // One that waited for its connection for as long as a reply may take is cast anew.
+        // The balancer casts a vote again if its reply takes longer than the vote timeout. A vote
+        // that has waited for a connection for that long is dropped.
         let vote_timeout = agent.service_config().settings.rollout.vote_timeout;
         if agent.clock.now() >= cast_at + vote_timeout {
             return Ok(());
@@ -158,14 +160,14 @@
         &mut self,
         agent: &Agent,
         vote_cast: impl Future<Output = io::Result<SessionEvent>>,
-        silent_at: Duration,
+        heartbeat_due: Duration,
     ) -> io::Result<SessionEvent> {
-        // Guards against a line that stops short of its end, behind which nothing can be read.
+        // Guards against a truncated line, after which no other line could be read.
         let line_begun = !self.connection.receive_buffer.is_empty();
-        let times_out_at = if line_begun {
-            silent_at.min(agent.clock.now() + LINE_TIMEOUT)
+        let read_deadline = if line_begun {
+            heartbeat_due.min(agent.clock.now() + LINE_TIMEOUT)
         } else {
-            silent_at
+            heartbeat_due
         };
         let received = async {
             self.connection
@@ -174,13 +176,13 @@
                 .map(SessionEvent::Received)
         };
         let timed_out = async {
-            agent.sleep_until(times_out_at).await;
+            agent.sleep_until(read_deadline).await;
             Ok(SessionEvent::TimedOut)
         };
         received.or(vote_cast).or(timed_out).await
     }
 
-    /// Handles all whole lines that were received; whether there were any.
+    /// Handles all complete lines that were received. Returns whether there were any.
     fn handle_lines(
         &mut self,
         agent: &Agent,
@@ -200,8 +202,8 @@
         Ok(received)
     }
 
-    /// Reads an old connection to its end: the reply to a vote, and what was reported before the
-    /// new one was open.
+    /// Reads an old connection until it ends, for the reply to a vote and for what the platform
+    /// reports there before the new connection is open.
     pub(super) async fn drain(mut self, agent: &Agent, calls: &Calls) {
         let read_to_end = async {
             loop {
@@ -225,7 +227,8 @@
         self.abandon_vote(agent, calls);
     }
 
-    /// A vote that was written may count, though its reply will not come.
+    /// Reports the vote that was written on this connection as [`VoteReply::Unknown`] if it has no
+    /// reply yet: it may count, but its reply will not arrive.
     pub(super) fn abandon_vote(&self, agent: &Agent, calls: &Calls) {
         if self.last_vote.is_some() && calls.pending_vote.get() == self.last_vote {
             calls.pending_vote.set(None);
--- a/crates/agent/src/control/reload.rs
+++ b/crates/agent/src/control/reload.rs
@@ -1,5 +1,5 @@
-//! Configuration reload: the files are read beside all requests, as large settings take a while,
-//! and then put in force by [`Agent::reload`].
+//! Configuration reload. The files are read on a thread of their own, as large settings take a
+//! while and requests must not wait for them; [`Agent::reload`] then applies the configuration.
 
 use crate::agent::Agent;
 use crate::lifecycle::start::{ConfigPaths, StartupConfig, StartupError};
@@ -7,17 +7,18 @@
 
 type ReadOutcome = Result<StartupConfig, Vec<StartupError>>;
 
-/// A configuration that is being read.
+/// A reload whose files are being read.
 pub struct PendingReload(Reader);
 
 enum Reader {
     Thread(JoinHandle<ReadOutcome>),
-    /// There was no thread to be had.
+    /// No thread was available, so the files were read in place.
     Finished(Box<ReadOutcome>),
 }
 
 impl PendingReload {
-    /// Begins to read the files; without a thread of its own all else waits for it.
+    /// Begins to read the files on a new thread. If no thread is available, the event loop blocks
+    /// while they are read.
     pub fn begin(paths: &ConfigPaths) -> PendingReload {
         let thread_paths = paths.clone();
         let thread = std::thread::Builder::new()
@@ -29,7 +30,7 @@
         })
     }
 
-    /// Whether the files were read.
+    /// Whether all files were read.
     pub fn is_finished(&self) -> bool {
         match &self.0 {
             Reader::Thread(thread) => thread.is_finished(),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Puts the configuration in force, or names every fault in it and keeps the one before.
+    /// Applies the configuration. If it has errors, logs each of them and keeps the previous one.
     pub fn apply(self, agent: &Agent) {
         let outcome = match self.0 {
             Reader::Thread(thread) => thread
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,15 @@
-//! The agent: it forwards requests from clients to endpoints over sockets, by the decisions of
-//! `tulipwall`.
+//! The agent forwards requests from clients to endpoints over sockets. The `tulipwall` library
+//! decides which endpoint receives each attempt.
 //!
-//! One thread runs all tasks. `server` holds the clients' side, `upstream` the endpoints' side,
-//! `control` the discovery service, the rollout platform and configuration reloads, `admin` the
-//! operators' endpoint. `protocol` parses what is spoken, `runtime` is the event loop, `lifecycle`
-//! starts and stops it all, `observability` counts and logs, `cli` is the command line. `agent`
-//! holds the state that the tasks share, `balancer_handle` the decisions.
+//! All tasks run on one thread:
+//!
+//! - `server` handles connections from clients, `upstream` connections to endpoints.
+//! - `control` handles the discovery service, the rollout platform and configuration reloads.
+//! - `admin` serves the operators' endpoint.
+//! - `protocol` parses and writes the protocols, `runtime` is the event loop.
+//! - `lifecycle` starts and stops the program, `observability` holds counters and logging.
+//! - `cli` is the command line.
+//! - `agent` holds the state that the tasks share, `balancer_handle` the balancer.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
--- a/crates/agent/src/lifecycle/listener.rs
+++ b/crates/agent/src/lifecycle/listener.rs
@@ -1,4 +1,5 @@
-//! The listener for clients: its queue, and who is accepted while sockets are scarce.
+//! The listener for clients: its accept queue, and which clients are accepted or rejected when
+//! sockets are scarce.
 
 use super::phase::Phase;
 use crate::agent::Agent;
@@ -15,14 +16,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The shortest queue of connections that wait to be accepted: what the standard library asks for.
+/// Minimum length of the accept queue, equal to the backlog that the standard library requests.
 const MIN_QUEUE_LENGTH: usize = 128;
-/// The share of the memory for buffers that the queue's connections may take at once.
+/// The buffers of clients from the accept queue may take the buffer memory divided by this.
 const QUEUE_MEMORY_DIVISOR: usize = 4;
-/// How soon to look again for a free socket.
+/// Delay before accepting again when no socket is free or accepting has failed.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Binds the listener for clients.
+/// Binds the listener for clients and sets the length of its accept queue.
 pub fn bind(agent: &Agent, address: SocketAddr) -> io::Result<Source<TcpListener>> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -31,10 +32,13 @@
     Source::new(listener)
 }
 
-/// Guards against a rush while this agent does not get to run: whoever finds the queue full has its
-/// first packet dropped, which it sends again a second later. Does harm where the agent stalls for
-/// long: more requests are late then. All that wait are accepted at once, and each may hold a small
-/// buffer before it is held back: a quarter of that memory at most.
+/// The length of the accept queue. A long queue guards against a burst of connections while this
+/// agent is not scheduled: if the queue is full, the first packet of a new connection is dropped
+/// and sent again only a second later. Does harm where the agent stalls for long, as more requests
+/// are late then.
+///
+/// All queued clients are accepted at once, and each may hold a small buffer before it is held
+/// back, so together they may take at most a quarter of the buffer memory.
 fn queue_length(agent: &Agent) -> usize {
     let queue_memory = agent.limits.max_buffered_bytes() / QUEUE_MEMORY_DIVISOR;
     let max_buffers = queue_memory / MAX_RETAINED_CAPACITY;
@@ -42,19 +46,20 @@
     max_clients.min(max_buffers).max(MIN_QUEUE_LENGTH)
 }
 
-/// For whom the next client is accepted.
+/// The permit with which the next client is accepted.
 enum AcceptPermit {
-    /// It is served.
+    /// The client is served.
     Client(ConnectionPermit),
-    /// It is rejected, unless a client's permit is free by then.
+    /// The client is rejected, unless a client permit is free by the time that it connects.
     Overflow(ConnectionPermit),
 }
 
-/// Accepts clients. Without a free socket the client that was idle for longest is asked to close
-/// its connection, and who comes before there is one is rejected at once. Guards against requests
-/// that are lost in the queue of connections, which count as taken; a short rush beyond the limit
-/// is rejected, too. Ends when the program terminates and all that had connected before are
-/// accepted.
+/// Accepts clients. If no socket is free, asks the client that has been idle for longest to close
+/// its connection, and rejects new clients at once until a socket is free. Ends when the program
+/// terminates and all clients that had connected before are accepted.
+///
+/// Rejecting at once guards against requests that are lost in the accept queue, which count as
+/// taken. Does harm in a short burst beyond the limit, which is rejected, too.
 pub async fn accept_clients(agent: &Rc<Agent>, listener: &Source<TcpListener>) -> io::Result<()> {
     loop {
         let Some(permit) = acquire_permit(agent) else {
@@ -79,11 +84,13 @@
                 Timer::after(RETRY_DELAY).await;
             }
         }
-        // One at a time: those that were accepted have their turn first.
+        // Accepts one client per turn, so that tasks of accepted clients run first.
         future::yield_now().await;
     }
 }
 
+/// Acquires a permit for the next client; `None` if no socket is free even for a rejection. Asks an
+/// idle client to close its connection when sockets are nearly used up.
 fn acquire_permit(agent: &Agent) -> Option<AcceptPermit> {
     let connections = &agent.limits.connections;
     let permit = match connections.client_permit() {
@@ -98,13 +105,14 @@
     permit
 }
 
-/// The next client; `None` when the program has begun to terminate meanwhile.
+/// Waits for the next client; `None` if the program begins to terminate in the meantime.
 async fn next_client(
     agent: &Agent,
     listener: &Source<TcpListener>,
 ) -> Option<io::Result<Connection>> {
     if agent.lifecycle.is_terminating() {
-        // Asked of the listener itself: the event of who connected just now may be still to come.
+        // Accepts without waiting for an event: that of the latest connection may not have been
+        // received yet.
         return Some(Connection::accept(listener.get()));
     }
     let client = async { Some(listener.read(|| Connection::accept(listener.get())).await) };
--- a/crates/agent/src/lifecycle/mod.rs
+++ b/crates/agent/src/lifecycle/mod.rs
@@ -1,4 +1,5 @@
-//! Start, phases and shutdown: what is read, which tasks run, and what signals change.
+//! Start, phases and shutdown of the program: reading the configuration, starting the tasks,
+//! accepting clients and handling signals.
 
 pub mod listener;
 pub mod phase;
--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -1,41 +1,45 @@
-//! The phases of the program from start to exit, and who waits for them.
+//! The phases of the program from start to exit, and the clients that are idle or whose requests
+//! are incomplete.
 
 use event_listener::{Event, EventListener};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A client is asked to close its connection only after it was idle for as long. The longer this
-/// is, the fewer new clients a second find a place; the shorter, the more requests cross with the
-/// end of their connection.
+/// A client is asked to close its connection only after it has been idle for this long. A longer
+/// time admits fewer new clients per second when sockets are scarce. With a shorter time, more
+/// requests arrive just as their connection is closed.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
-/// The same for a client that has never sent a request.
+/// As [`MIN_IDLE_TIME`], for a client that has never sent a request.
 const MIN_IDLE_TIME_BEFORE_FIRST_REQUEST: Duration = Duration::from_millis(50);
-/// A phase of the program. Phases are only left for later ones, except for [`Phase::Reloading`].
+
+/// A phase of the program. A phase is only followed by a later one, except that
+/// [`Phase::Reloading`] returns to [`Phase::Serving`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nothing to serve from is known yet: clients wait.
+    /// No endpoints are ready yet, and clients wait.
     Starting,
-    /// All is served.
+    /// All requests are served.
     Serving,
-    /// All is served under a configuration read anew, until each control service was reached at
-    /// its new address.
+    /// All requests are served under a reloaded configuration, until each control service has been
+    /// reached at its new address.
     Reloading,
-    /// SIGTERM has come: all is served as before, for clients that do not know yet.
+    /// SIGTERM was received. All requests are served as before, as clients may not know yet that
+    /// the program is shutting down.
     Draining,
-    /// No new clients; requests in progress are finished, and each connection ends once it is
-    /// idle.
+    /// No new clients are accepted. Requests in progress are finished, and each connection is
+    /// closed once it is idle.
     Terminating,
-    /// The program ends.
+    /// The program exits.
     Stopped,
 }
 
-/// A service that the agent learns the endpoints or the builds from.
+/// A service that tells the agent about endpoints or builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlService {
-    /// The discovery service.
+    /// The discovery service, which sends the endpoint list.
     Discovery,
-    /// The rollout platform.
+    /// The rollout platform, which sends the rollout status.
     Platform,
 }
 
@@ -43,8 +47,9 @@
     const COUNT: usize = 2;
 }
 
-/// Orders idle clients: those that never sent a request first, then by when they may first be asked
-/// to close; the number tells equal times apart.
+/// The order in which idle clients are asked to close: first those that never sent a request, then
+/// by the earliest time at which they may be asked. A sequence number makes keys with equal times
+/// distinct.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleKey {
     after_first_request: bool,
@@ -52,23 +57,24 @@
     number: u64,
 }
 
-/// The current phase, and the clients that are idle.
+/// The current phase, and the clients that are idle or whose requests are incomplete.
 pub struct Lifecycle {
     phase: Cell<Phase>,
     phase_changed: Event,
-    /// By control service: whether it was not yet reached at its new address.
+    /// By control service: whether it has a new address and was not reached there yet.
     awaiting_contact: Cell<[bool; ControlService::COUNT]>,
     idle_clients: RefCell<BTreeMap<IdleKey, Event>>,
     next_idle_number: Cell<u64>,
-    /// How many clients owe their first request or the rest of a message.
+    /// The number of clients that have yet to send their first request or the rest of a message.
     incomplete_requests: Cell<usize>,
-    /// When the last request ends; known once the program terminates.
+    /// When the last request ends at the latest; `None` before termination begins.
     ends_at: Cell<Option<Duration>>,
-    /// Whether the listener is closed and all clients that had connected were accepted.
+    /// Whether the listener is closed, with all clients accepted that had connected before.
     listener_closed: Cell<bool>,
 }
 
-/// A client between two requests; it may be asked to close its connection.
+/// The registration of an idle client, which may be asked to close its connection. Dropping this
+/// ends the registration.
 pub struct IdleClientGuard<'a> {
     lifecycle: &'a Lifecycle,
     key: IdleKey,
@@ -82,7 +88,7 @@
     }
 }
 
-/// A client that owes its first request or the rest of a message.
+/// Counts a client that has yet to send its first request or the rest of a message, until dropped.
 pub struct IncompleteRequestGuard<'a>(&'a Lifecycle);
 
 impl Drop for IncompleteRequestGuard<'_> {
@@ -99,7 +105,7 @@
 }
 
 impl Lifecycle {
-    /// In [`Phase::Starting`].
+    /// Creates the state of a program in [`Phase::Starting`].
     pub fn new() -> Lifecycle {
         Lifecycle {
             phase: Cell::new(Phase::Starting),
@@ -113,8 +119,9 @@
         }
     }
 
-    /// A configuration with another address for `service` was read, also while another reload is
-    /// under way: it is to be reached there, or is not used any more where it was `removed`.
+    /// Records that a reload has changed the address of `service`, which is now to be reached at
+    /// the new one, or has `removed` it, so that it is no longer used. An earlier reload may still
+    /// be in progress.
     pub fn on_address_change(&self, service: ControlService, removed: bool) {
         self.set_awaiting_contact(service, !removed);
         if !removed && self.phase.get() == Phase::Serving {
@@ -122,11 +129,12 @@
         }
     }
 
-    /// A control service was reached at its new address.
+    /// Records that a control service was reached at its new address.
     pub fn on_contact(&self, service: ControlService) {
         self.set_awaiting_contact(service, false);
     }
 
+    /// Also returns from [`Phase::Reloading`] to [`Phase::Serving`] if all services were reached.
     fn set_awaiting_contact(&self, service: ControlService, awaiting: bool) {
         let mut all = self.awaiting_contact.get();
         all[service as usize] = awaiting;
@@ -137,7 +145,8 @@
         }
     }
 
-    /// Goes on to `phase` if that is a later one.
+    /// Advances to `phase` if it is later than the current one. From [`Phase::Terminating`] on,
+    /// asks all idle clients to close their connections.
     pub fn advance_to(&self, phase: Phase) {
         if phase <= self.phase.get() {
             return;
@@ -152,8 +161,8 @@
         }
     }
 
-    /// From now on there are no new clients, and no request with a deadline after `ends_at` is
-    /// taken. Only the first call counts.
+    /// Begins termination: from now on no new clients are accepted, and no request with a deadline
+    /// after `ends_at`. Only the first call has an effect.
     pub fn begin_termination(&self, ends_at: Duration) {
         if self.ends_at.get().is_none() {
             self.ends_at.set(Some(ends_at));
@@ -161,17 +170,17 @@
         }
     }
 
-    /// Whether the program ends before `time`.
+    /// Whether the program terminates and its last request ends before `time`.
     pub fn ends_before(&self, time: Duration) -> bool {
         self.ends_at.get().is_some_and(|ends_at| ends_at < time)
     }
 
-    /// Whether no new clients are accepted any more.
+    /// Whether the program is terminating and accepts no new clients.
     pub fn is_terminating(&self) -> bool {
         self.phase.get() >= Phase::Terminating
     }
 
-    /// All clients that had connected were accepted, and nobody else can connect.
+    /// Records that the listener is closed and all clients that had connected before were accepted.
     pub fn mark_listener_closed(&self) {
         self.listener_closed.set(true);
     }
@@ -181,15 +190,15 @@
         self.listener_closed.get()
     }
 
-    /// Ready once `phase` or a later one is reached.
+    /// Waits until `phase` or a later one is reached.
     pub async fn wait_for(&self, phase: Phase) {
         while self.phase.get() < phase {
             self.phase_changed.listen().await;
         }
     }
 
-    /// Registers a client without a request in progress; `None` when it is to close its connection
-    /// at once.
+    /// Registers a client without a request in progress; `None` if the program is terminating, so
+    /// that the connection is to be closed at once.
     pub fn register_idle_client(
         &self,
         now: Duration,
@@ -220,27 +229,32 @@
         })
     }
 
-    /// Counts a client that owes its first request or the rest of a message, for as long as it does.
+    /// Counts a client that has yet to send its first request or the rest of a message, until the
+    /// guard is dropped.
     pub fn register_incomplete_request(&self) -> IncompleteRequestGuard<'_> {
         self.incomplete_requests
             .set(self.incomplete_requests.get() + 1);
         IncompleteRequestGuard(self)
     }
 
-    /// Asks the longest idle client to close its connection, one that never sent a request before
-    /// one that did; false when none was idle for long enough: one that was not has likely written
-    /// its next request already.
+    /// Asks the client that has been idle for longest to close its connection; clients that never
+    /// sent a request come before those that did. Returns false if none has been idle for long
+    /// enough, as a client that became idle just now has likely written its next request already.
     ///
-    /// While more than `max_incomplete_requests` owe a message no client that sent a request is asked.
-    /// Guards served clients against those that take the places and send nothing, or half a
-    /// message: these lose their own within [`RECEIVE_TIMEOUT`]. Does harm where that many send
-    /// their first request slowly: new clients are rejected meanwhile once all places are taken.
+    /// While more than `max_incomplete_requests` clients have yet to send their first request or
+    /// the rest of a message, no client that has sent a request is asked. This guards served
+    /// clients against those that take up connections and send nothing or half a message, which
+    /// lose their own connection within [`RECEIVE_TIMEOUT`]. Does harm where that many clients send
+    /// their first request slowly, as new clients are rejected in the meantime once all connections
+    /// are taken.
     ///
     /// [`RECEIVE_TIMEOUT`]: crate::server::limits::RECEIVE_TIMEOUT
     pub fn evict_idle_client(&self, now: Duration, max_incomplete_requests: usize) -> bool {
         let evictable = self.longest_idle(now, false).or_else(|| {
-            let few_owe = self.incomplete_requests.get() <= max_incomplete_requests;
-            few_owe.then(|| self.longest_idle(now, true)).flatten()
+            let few_incomplete = self.incomplete_requests.get() <= max_incomplete_requests;
+            few_incomplete
+                .then(|| self.longest_idle(now, true))
+                .flatten()
         });
         let Some(key) = evictable else {
             return false;
@@ -251,8 +265,8 @@
         true
     }
 
-    /// Of the clients that sent a request, or of those that did not, the one that has been idle for
-    /// longest, if that is long enough to ask it to close.
+    /// The client that has been idle for longest and for long enough to be asked to close, either
+    /// among those that have sent a request or among those that have not.
     fn longest_idle(&self, now: Duration, after_first_request: bool) -> Option<IdleKey> {
         let first = IdleKey {
             after_first_request,
--- a/crates/agent/src/lifecycle/run.rs
+++ b/crates/agent/src/lifecycle/run.rs
@@ -1,4 +1,4 @@
-//! The agent as a program: reading its configuration, starting its tasks, waiting for its end.
+//! Runs the agent as a program: reads its configuration, starts its tasks and waits for its end.
 
 use super::listener;
 use super::phase::Phase;
@@ -22,21 +22,21 @@
 use tulipwall_config::LogFormat;
 use tulipwall_discovery::watch_timer::WatchTimer;
 
-/// A start counts as done after so long, half of what nine in ten of them may take, whatever is
-/// still awaited: a list, or connections to endpoints that hang or come up late. What cannot be
-/// served yet is rejected then.
+/// The start counts as finished after this time even if the endpoint list or connections to
+/// endpoints that hang or start late are still awaited. Requests that cannot be served yet are
+/// rejected from then on. It is half of the time that nine in ten starts may take.
 const MAX_START_TIME: Duration = Duration::from_secs(5);
 
-/// Why the agent ended by a fault.
+/// Why the agent ended with an error.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    /// The listener for clients could not be bound.
+    /// The listener for clients could not bind its address.
     #[error("field listen: {address}: {source}")]
     Listen {
         address: SocketAddr,
         source: io::Error,
     },
-    /// The admin endpoint could not be opened.
+    /// The admin endpoint (setting `door`) could not bind its address.
     #[error("door: {0}")]
     Admin(#[source] io::Error),
     /// The event loop or the listener failed.
@@ -44,7 +44,7 @@
     Io(#[from] io::Error),
 }
 
-/// What the program has before its first task.
+/// The signal handlers and the configuration, both needed before the first task starts.
 struct Inputs {
     signals: Signals,
     config: StartupConfig,
@@ -58,10 +58,10 @@
     }
 }
 
-/// Runs one agent until SIGTERM; fails where it could not start or ended by a fault. `log_format`
-/// takes precedence over the installation's.
+/// Runs one agent until SIGTERM. Fails if the agent could not start or ended with an error.
+/// `log_format` takes precedence over the installation's.
 pub fn run(paths: ConfigPaths, log_format: Option<LogFormat>) -> ExitCode {
-    // What is allocated until the limit on memory is known is to fit a low one.
+    // Until the memory limit is known, allocations must also fit a low one.
     process_memory::allow_huge_pages(false);
     let inputs = Inputs::read(&paths);
     let configured_format = match &inputs {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Starts all tasks and waits until the last phase.
+/// Starts all tasks and waits for [`Phase::Stopped`].
 async fn serve(agent: &Rc<Agent>, signals: Signals, paths: ConfigPaths) -> Result<(), ServeError> {
     measure_process(agent);
     let address = agent.start_addresses.listen;
@@ -110,7 +110,7 @@
         let accept = async move { listener::accept_clients(&agent_handle, &listener).await };
         agent.executors.tasks.spawn(accept)
     };
-    // It ends once the program terminates and nobody waits to be accepted any more.
+    // Accepting ends once the program terminates and the accept queue is empty.
     let stopped = async {
         agent.lifecycle.wait_for(Phase::Stopped).await;
         Ok(())
@@ -120,21 +120,23 @@
     agent.lifecycle.mark_listener_closed();
     agent.lifecycle.wait_for(Phase::Stopped).await;
     if let Some(task) = admin_task {
-        // The file of its socket is removed with it.
+        // Cancelling drops the listener, which removes the file of a Unix socket.
         task.cancel().await;
     }
     Ok(())
 }
 
-/// Takes the size of the process off what may be buffered, while no client's buffers are part of it.
+/// Subtracts the size of the process from the memory limit for buffers. Measured before any client
+/// connects, so that the size contains no client's buffers.
 fn measure_process(agent: &Agent) {
     match process_memory::resident_bytes() {
         Some(bytes) => agent.limits.set_process_bytes(bytes),
-        None => log::warn!("the size of the process is unknown; buffers are bounded without it"),
+        None => log::warn!("process size unknown; the buffer limit does not account for it"),
     }
     agent.report_memory_limit();
 }
 
+/// Starts the admin endpoint; `None` if the installation sets no address for it.
 fn start_admin(agent: &Rc<Agent>) -> Result<Option<Task<()>>, ServeError> {
     let Some(address) = &agent.start_addresses.admin else {
         return Ok(None);
@@ -168,12 +170,12 @@
     executors.tasks.spawn(start).detach();
 }
 
-/// Goes on to [`Phase::Serving`] once requests can be served, or a start has taken long enough.
+/// Advances to [`Phase::Serving`] once requests can be served, or after [`MAX_START_TIME`].
 async fn finish_start(agent: &Rc<Agent>) {
     let prepare = async {
-        // Where calls to discovery are paid for, requests and connections do not wait here: no
-        // list is valid yet, so that the balancer sends nothing and rejects at half of a request's
-        // time.
+        // Where calls to discovery are paid for, requests and connections do not wait here for a
+        // list. As no list is valid yet, the balancer sends no attempts and rejects each request
+        // after half of its time.
         let settings = &agent.service_config().settings;
         if let Some(max_wait) = WatchTimer::new(settings).startup_list_timeout() {
             agent
--- a/crates/agent/src/lifecycle/shutdown.rs
+++ b/crates/agent/src/lifecycle/shutdown.rs
@@ -1,15 +1,17 @@
-//! The shutdown after SIGTERM: first all is served as before, then what is in progress is finished.
+//! The shutdown after SIGTERM: the agent first serves all requests as before, then finishes those
+//! in progress.
 
 use super::phase::Phase;
 use crate::agent::Agent;
 use std::time::Duration;
 
-/// New clients are still accepted for this long after SIGTERM.
+/// New clients are accepted for this long after SIGTERM.
 const DRAIN_TIME: Duration = Duration::from_millis(550);
-/// SIGKILL comes no sooner than the longest request timeout, of this at least, and somewhat more.
+/// Lower bound of the time for requests in progress. SIGKILL comes no sooner than the longest
+/// request timeout, taken as at least this, plus some margin.
 const MIN_TERMINATION_TIME: Duration = Duration::from_secs(3);
-/// For responses that are given at the deadline itself. With it the program ends before SIGKILL:
-/// 0.7 s and the longest request timeout after SIGTERM.
+/// Additional time for responses that are sent at the deadline itself. Including it, the program
+/// ends before SIGKILL: within 0.7 s plus the longest request timeout after SIGTERM.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(100);
 
 /// A shutdown in progress.
@@ -18,13 +20,13 @@
 }
 
 impl Shutdown {
-    /// SIGTERM has come.
+    /// Begins the shutdown and enters [`Phase::Draining`].
     pub fn begin(agent: &Agent, now: Duration) -> Shutdown {
         agent.lifecycle.advance_to(Phase::Draining);
         Shutdown { requested_at: now }
     }
 
-    /// Goes on to the phase that is due; whether the program has stopped.
+    /// Advances to the phase that is due. Returns whether [`Phase::Stopped`] was reached.
     pub fn advance(&self, agent: &Agent, now: Duration) -> bool {
         let terminates_at = self.requested_at + DRAIN_TIME;
         if now < terminates_at {
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -1,4 +1,5 @@
-//! What operators ask for by signals: the counters, a configuration reload, the shutdown.
+//! Handles the signals with which operators request counters, a configuration reload or the
+//! shutdown.
 
 use super::shutdown::Shutdown;
 use super::start::ConfigPaths;
@@ -8,13 +9,13 @@
 use crate::runtime::timer::Timer;
 use std::time::Duration;
 
-/// How often signals are polled.
+/// Interval between checks for signals.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The same during the shutdown.
+/// As [`POLL_INTERVAL`], during the shutdown.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Handles signals until the program has stopped. SIGUSR1 prints the counters; SIGHUP reads the
-/// configuration again, also during the shutdown; SIGTERM begins the shutdown.
+/// Handles signals until the program has stopped. SIGUSR1 logs the counters, SIGHUP reloads the
+/// configuration, also during the shutdown, and SIGTERM or SIGINT begins the shutdown.
 pub async fn run(agent: &Agent, signals: Signals, paths: &ConfigPaths) {
     let mut pending_reload = None;
     let mut shutdown = None;
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! What is read at the start and again at each reload. An error names the key that is at fault.
+//! Reads the configuration at the start and at each reload. Errors name the faulty key.
 
 use crate::protocol::error::PlatformError;
 use crate::protocol::platform::{self, RolloutReport};
@@ -13,25 +13,25 @@
 use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::ZoneConfig;
 
-/// The environment variable that names the configuration where the command line does not.
+/// The environment variable that names the configuration file if the command line does not.
 const CONFIGURATION_VARIABLE: &str = "PROXY_CONFIG";
 
-/// Which files are read.
+/// The files from which the configuration is read.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigPaths {
-    /// The platform's configuration; PROXY_CONFIG names it where this is `None`.
+    /// The platform's configuration; `None` to use the file that PROXY_CONFIG names.
     pub configuration: Option<PathBuf>,
-    /// The installation's own file, if there is one.
+    /// The installation's own file; `None` if it has none.
     pub installation: Option<PathBuf>,
 }
 
-/// Why the files could not be read: one fault in one of them.
+/// Why the agent could not start or reload; each value describes one error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// The signal handlers could not be registered.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// Neither the command line nor the environment names a configuration.
+    /// Neither the command line nor the environment names a configuration file.
     #[error("variable {CONFIGURATION_VARIABLE}: missing")]
     MissingVariable,
     /// A file could not be read.
@@ -39,79 +39,81 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The platform's configuration has a fault.
+    /// The platform's configuration is invalid.
     #[error("{}: {source}", path.display())]
     Configuration {
         /// The file.
         path: PathBuf,
-        /// The fault.
+        /// The error in the file.
         source: ConfigurationError,
     },
-    /// The installation's file has a fault; its place in the file is part of the diagnostic.
+    /// The installation's file is invalid.
     #[error("{}:{diagnostic}", path.display())]
     Installation {
         /// The file.
         path: PathBuf,
-        /// Line, column and fault.
+        /// The error, with its line and column.
         diagnostic: ConfigDiagnostic,
     },
-    /// The thread that read a configuration anew panicked.
-    #[error("configuration: not read")]
+    /// The thread that read the files for a reload panicked.
+    #[error("configuration: the reader thread panicked")]
     ReaderPanicked,
 }
 
-/// A fault in the platform's configuration.
+/// An error in the platform's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// It is not JSON.
+    /// The file is not valid JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A setting is missing or wrong; the message names its key.
+    /// A setting is missing or invalid; the message names its key.
     #[error("{0}")]
     Settings(String),
-    /// The endpoint list known from before is wrong.
+    /// The last known endpoint list (setting `known`) is invalid.
     #[error("known: {0}")]
     KnownList(String),
-    /// The rollout status known from before is wrong.
+    /// The last known rollout status (setting `deployer.news`) is invalid.
     #[error("deployer.news: {0}")]
     RolloutStatus(#[source] PlatformError),
 }
 
-/// All that one agent starts with, or goes on with after a reload.
+/// The configuration of one agent, read at its start or at a reload.
 pub struct StartupConfig {
-    /// The agent's name.
+    /// The agent's name, as used in log lines.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the discovery service is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where the rollout platform is, if there is one.
+    /// The address of the rollout platform; `None` if there is none.
     pub platform: Option<SocketAddr>,
-    /// The limit on sockets.
+    /// The maximum number of open sockets.
     pub max_sockets: usize,
-    /// The limit on memory, in bytes.
+    /// The memory limit of the process, in bytes.
     pub memory_limit: usize,
-    /// The endpoint list known from before.
+    /// The last known endpoint list, used until discovery responds; `None` if there is none.
     pub known_list: Option<ListResponse>,
-    /// The rollout status known from before.
+    /// The last known rollout status, used until the platform reports one; `None` if there is
+    /// none.
     pub rollout_status: Option<RolloutReport>,
-    /// The settings of the service.
+    /// The settings of the service, shared by all of its agents.
     pub service: ServiceConfig,
-    /// The format of log lines that the installation sets.
+    /// The format of log lines that the installation sets; `None` if it sets none.
     pub log_format: Option<LogFormat>,
-    /// Where the admin endpoint listens, if the installation sets one.
+    /// The address of the admin endpoint; `None` if the installation sets none.
     pub admin_address: Option<AdminAddress>,
-    /// The installation's own settings.
+    /// The installation's own settings; the defaults if it has no file.
     pub installation: Installation,
-    /// Settings that are only evaluated beside those in force.
+    /// Settings that are only evaluated in shadow, beside those in force; `None` if the installation
+    /// names none.
     pub alternative_settings: Option<AlternativeSettings>,
 }
 
 impl StartupConfig {
-    /// Reads the files, or names every fault in them.
+    /// Reads the files. If the installation's file has errors, returns all of them.
     pub fn read(paths: &ConfigPaths) -> Result<StartupConfig, Vec<StartupError>> {
         let from_environment = || std::env::var_os(CONFIGURATION_VARIABLE).map(PathBuf::from);
         let path = paths
@@ -150,15 +152,15 @@
         })
     }
 
-    /// What the installation says of zones, in the indices of these settings. The installation was
-    /// checked for faults when it was read.
+    /// The installation's zone settings, with zones and classes as indices into the service
+    /// settings; `None` if it has none. The installation was validated when it was read.
     pub fn zone_config(&self) -> Option<ZoneConfig> {
         self.installation
             .zone_config(&self.service)
             .unwrap_or_default()
     }
 
-    /// Reads the platform's configuration, without an installation's file.
+    /// Parses the platform's configuration, without an installation's file.
     pub fn parse(bytes: &[u8]) -> Result<StartupConfig, ConfigurationError> {
         let value: Value = serde_json::from_slice(bytes).map_err(ConfigurationError::NotJson)?;
         let instance = InstanceConfig::read(&value)
@@ -195,7 +197,7 @@
     }
 }
 
-/// Reads an installation's file, or names every fault in it with file, line and column.
+/// Reads an installation's file, or returns every error in it with file, line and column.
 pub fn read_installation(path: &Path) -> Result<Installation, Vec<StartupError>> {
     let text = std::fs::read_to_string(path).map_err(|source| {
         vec![StartupError::Unreadable {
--- a/crates/agent/src/observability/counters.rs
+++ b/crates/agent/src/observability/counters.rs
@@ -1,10 +1,10 @@
-//! Counters of clients, requests, attempts and control services, printed at SIGUSR1 and at the exit.
+//! Counters of clients, requests, attempts and control services, logged on SIGUSR1 and at exit.
 
 use std::cell::Cell;
 use std::fmt;
 use tulipwall::Outcome;
 
-/// A count that only grows.
+/// A counter that only increases.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
@@ -14,7 +14,7 @@
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// The number of increments so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -26,10 +26,10 @@
     }
 }
 
-/// The number of outcomes that an attempt can have.
+/// The number of possible outcomes of an attempt.
 const OUTCOME_COUNT: usize = 8;
 
-/// Their names in the line of counters, in the order of [`tulipwall_zones::outcome_index`].
+/// Names of the outcomes in the line of counters, indexed by [`tulipwall_zones::outcome_index`].
 const OUTCOME_NAMES: [&str; OUTCOME_COUNT] = [
     "succeeded",
     "failed",
@@ -41,14 +41,14 @@
     "not_sent",
 ];
 
-/// What one agent has done since its start.
+/// An agent's counters since its start.
 #[derive(Default)]
 pub struct Counters {
     /// Clients that were accepted.
     pub clients_accepted: Counter,
     /// Connections that either side closed between two requests.
     pub clients_closed: Counter,
-    /// Clients that were rejected at the limit of sockets.
+    /// Clients that were rejected because the limit on sockets was reached.
     pub clients_rejected: Counter,
     /// Clients that were disconnected because a request, a message or the reading of a response
     /// took too long.
@@ -57,7 +57,7 @@
     pub requests_over_pipeline_limit: Counter,
     /// Requests that were passed to the balancer.
     pub requests_taken: Counter,
-    /// Statements and messages that were answered with their fault.
+    /// Statements and messages that were invalid and answered with an error.
     pub requests_invalid: Counter,
     /// Requests that were answered with a value.
     pub requests_succeeded: Counter,
@@ -65,7 +65,7 @@
     pub requests_rejected: Counter,
     /// Requests that failed and may have run.
     pub requests_failed: Counter,
-    /// Requests whose client went away.
+    /// Requests whose client disconnected before the response.
     pub requests_abandoned: Counter,
     /// Attempts that were sent on a new connection.
     pub connections_opened: Counter,
@@ -73,19 +73,19 @@
     pub connections_reused: Counter,
     /// Pooled connections that the endpoint had closed.
     pub connections_found_closed: Counter,
-    /// Attempts that were written whole.
+    /// Attempts that were written completely.
     pub attempts_written: Counter,
-    /// Responses of endpoints that could not be read.
+    /// Responses of endpoints that could not be parsed.
     pub responses_malformed: Counter,
-    /// Connections that were closed because of data behind a response.
+    /// Connections that were closed because the endpoint sent data after a response.
     pub responses_unsolicited: Counter,
-    /// Attempts that ended, by outcome.
+    /// Attempts that ended, by [`tulipwall_zones::outcome_index`].
     attempts_ended: [Counter; OUTCOME_COUNT],
     /// Endpoint lists that were received.
     pub lists_received: Counter,
     /// Calls to the discovery service that failed.
     pub list_failures: Counter,
-    /// Calls to the discovery service that were not answered in time.
+    /// Calls to the discovery service that timed out.
     pub list_timeouts: Counter,
     /// Reports of the rollout status that were received.
     pub rollout_updates: Counter,
@@ -93,12 +93,12 @@
     pub votes_sent: Counter,
     /// Connections to the rollout platform that ended.
     pub platform_disconnects: Counter,
-    /// Readers of the admin endpoint that were dropped.
+    /// Readers of the admin endpoint that were dropped because of an error or a timeout.
     pub admin_dropped: Counter,
 }
 
 impl Counters {
-    /// Counts an attempt that ended.
+    /// Counts an attempt that ended with `outcome`.
     pub fn attempt_ended(&self, outcome: Outcome) {
         self.attempts_ended[tulipwall_zones::outcome_index(outcome)].increment();
     }
--- a/crates/agent/src/observability/logging.rs
+++ b/crates/agent/src/observability/logging.rs
@@ -1,6 +1,7 @@
-//! The log on standard error: a line for each record, as text or as JSON, with its key-values.
+//! Logging to standard error, with one line for each record as text or as JSON, including its
+//! key-value pairs.
 //!
-//! The target of a line is the module that it comes from, so that a filter such as
+//! The target of a line is the module that logs it, so that a filter such as
 //! `RUST_LOG=info,tulipwall_agent::control=debug` selects a subsystem.
 
 use log::kv::{Error, Key, Value, VisitSource};
@@ -8,12 +9,13 @@
 use std::io::Write;
 use tulipwall_config::LogFormat;
 
-/// Target of the lines that the evaluation of a build can be checked by, each at `debug` with the
-/// Unix time in milliseconds: how attempts and requests ended, client-reported errors, rollout
-/// reports and votes. Off unless `RUST_LOG` sets it (`info,evidence=debug`, or `debug` for all).
+/// Log target of the lines with which the evaluation of a build can be verified: outcomes of
+/// attempts and requests, client-reported errors, rollout reports and votes. Each line has level
+/// `debug` and begins with the Unix time in milliseconds. Off unless enabled by `RUST_LOG`
+/// (`info,evidence=debug`, or `debug` for all targets).
 pub const EVIDENCE: &str = "evidence";
 
-/// Logs a line of the target [`EVIDENCE`] with the present time of a clock in front.
+/// Logs a line to the target [`EVIDENCE`], preceded by the clock's current time.
 macro_rules! log_evidence {
     ($clock:expr, $($line:tt)+) => {
         log::debug!(
@@ -26,7 +28,8 @@
 }
 pub(crate) use log_evidence;
 
-/// Begins to log; `RUST_LOG` sets the filter, `info` where it is unset. Only the first call counts.
+/// Initializes logging. `RUST_LOG` sets the filter, by default `info`. Only the first call has an
+/// effect.
 pub fn begin(format: LogFormat) {
     let filter = env_logger::Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(filter);
@@ -36,12 +39,12 @@
             writeln!(out, "{}", json(&timestamp, record))
         });
     }
-    // A second call finds a logger in its place, which is what is wanted.
+    // This fails if a logger is already installed, which then stays in use.
     let _ = builder.try_init();
 }
 
-/// One record as an object: `at`, `level`, `target`, `text`, and its key-values under their own
-/// names. A key that has one of these names gets an underscore behind it.
+/// Formats a record as a JSON object with `at`, `level`, `target`, `text` and the record's
+/// key-value pairs under their own keys. A key that is already in use gets an underscore appended.
 pub fn json(timestamp: &str, record: &log::Record) -> serde_json::Value {
     let mut object = Map::new();
     object.insert("at".into(), timestamp.into());
@@ -73,8 +76,8 @@
         number.into()
     } else if let Some(number) = value.to_f64() {
         number.into()
-    } else if let Some(truth) = value.to_bool() {
-        truth.into()
+    } else if let Some(boolean) = value.to_bool() {
+        boolean.into()
     } else {
         value.to_string().into()
     }
--- a/crates/agent/src/observability/mod.rs
+++ b/crates/agent/src/observability/mod.rs
@@ -1,4 +1,4 @@
-//! Counters and the log's format.
+//! Counters and logging.
 
 pub mod counters;
 pub mod logging;
--- a/crates/agent/src/runtime/mod.rs
+++ b/crates/agent/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop that runs all tasks of the one thread, its timers, and the process's signals and
-//! size.
+//! The event loop that runs all tasks on one thread, its timers, and the signals and memory size of
+//! the process.
 
 pub mod process_memory;
 pub mod reactor;
--- a/crates/agent/src/runtime/reactor.rs
+++ b/crates/agent/src/runtime/reactor.rs
@@ -1,9 +1,9 @@
-//! The event loop: readiness of sockets for the one thread of this program, on epoll,
-//! edge-triggered.
+//! The event loop of this program's one thread, which tracks the readiness of sockets with
+//! edge-triggered epoll.
 //!
-//! It replaces async-io, whose cost was measured: that arms a socket anew for each wait (three
-//! system calls a request), sets a timer descriptor at each turn, and its helper thread makes every
-//! lock and every system call of the C library a contended one.
+//! It is used in place of async-io, which costs more: async-io rearms a socket for each wait (three
+//! system calls per request) and sets a timer descriptor at each turn, and its helper thread makes
+//! every lock and every system call of the C library contended.
 
 use super::timer;
 use async_executor::LocalExecutor;
@@ -21,17 +21,17 @@
 
 pub use super::timer::Timer;
 
-/// Events taken in one turn at most.
+/// Maximum number of events received in one turn of the event loop.
 const MAX_EVENTS: usize = 256;
-/// Tasks run between two turns at most: what waits behind them waits for no more than so many.
+/// Maximum number of tasks run between two turns, so that new events wait for at most this many.
 const MAX_TASKS: usize = 32;
 
-/// What epoll is asked to report of each socket.
+/// The events that epoll reports for each socket.
 const INTEREST: EventFlags = EventFlags::IN
     .union(EventFlags::OUT)
     .union(EventFlags::RDHUP)
     .union(EventFlags::ET);
-/// The connection is over in both directions.
+/// Flags of a connection that is closed in both directions.
 const CLOSED: EventFlags = EventFlags::HUP.union(EventFlags::ERR);
 
 thread_local! {
@@ -43,12 +43,12 @@
     sources: RefCell<Slab<Rc<Readiness>>>,
 }
 
-/// What is known of a socket until a call says that it would block.
+/// The readiness of a socket, which is kept until a call on it returns `WouldBlock`.
 #[derive(Default)]
 struct Readiness {
     read: ReadyFlag,
     write: ReadyFlag,
-    /// The peer will send no more.
+    /// Whether the peer has stopped sending.
     peer_closed: ReadyFlag,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// A flag that one task can wait for.
+/// A flag for which one task at a time can wait.
 #[derive(Default)]
 struct ReadyFlag {
     ready: Cell<bool>,
@@ -95,7 +95,7 @@
         Poll::Pending
     }
 
-    /// Does what may block once the flag is set, until it does not block.
+    /// Waits for the flag, then calls `work`; repeats this for as long as `work` would block.
     async fn when_ready<T>(&self, mut work: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         loop {
             std::future::poll_fn(|context| self.poll(context)).await;
@@ -122,8 +122,8 @@
             .map_err(|error| io::Error::from(error.kind()))
     }
 
-    /// Waits for events, at most until the next timer is due, or not at all. Sockets are reported
-    /// before timers.
+    /// Runs one turn: receives events and fires due timers, in this order. With `wait`, blocks
+    /// until an event or the next timer; otherwise returns at once.
     fn turn(&self, wait: bool) -> io::Result<()> {
         let next_due = timer::next_due();
         let timeout = if wait {
@@ -152,16 +152,16 @@
         timeout: Option<Duration>,
     ) -> io::Result<()> {
         let timeout = timeout.and_then(|span| Timespec::try_from(span).ok());
-        let space = rustix::buffer::spare_capacity(events);
-        match epoll::wait(self.epoll()?, space, timeout.as_ref()) {
+        let event_buffer = rustix::buffer::spare_capacity(events);
+        match epoll::wait(self.epoll()?, event_buffer, timeout.as_ref()) {
             Ok(_) | Err(rustix::io::Errno::INTR) => Ok(()),
             Err(error) => Err(error.into()),
         }
     }
 }
 
-/// Runs the tasks of `executor` until `main` is done, which is polled after each turn. Tasks of
-/// `priority` run before any other: what they receive applies to the others from then on.
+/// Runs the tasks of `executor` until `main`, which is polled in each turn, is done. Tasks of
+/// `priority` run before any others, so that the others see what these receive.
 pub fn run<T>(
     executor: &LocalExecutor<'_>,
     priority: &LocalExecutor<'_>,
@@ -186,7 +186,7 @@
     }
 }
 
-/// A socket that this thread waits for.
+/// A socket that is registered with this thread's event loop.
 pub struct Source<S> {
     socket: S,
     key: usize,
@@ -211,34 +211,36 @@
         })
     }
 
-    /// The socket itself.
+    /// The registered socket. Reads and writes on it belong in [`Source::read`] and
+    /// [`Source::write`], which keep its readiness up to date.
     pub fn get(&self) -> &S {
         &self.socket
     }
 
-    /// Does what may block for reading once the socket is ready, until it does not block.
+    /// Calls `work` once the socket is readable, and again for as long as it would block.
     pub async fn read<T>(&self, work: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         self.readiness.read.when_ready(work).await
     }
 
-    /// Ready once the socket may have something to read.
+    /// Waits until the socket may be readable.
     pub async fn readable(&self) {
         std::future::poll_fn(|context| self.readiness.read.poll(context)).await;
     }
 
-    /// Does what may block for writing once the socket is ready, until it does not block.
+    /// Calls `work` once the socket is writable, and again for as long as it would block.
     pub async fn write<T>(&self, work: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         self.readiness.write.when_ready(work).await
     }
 
-    /// All that had come was read. What comes from now on is a new event; an end that was reported
-    /// before is not.
+    /// Marks the socket as not readable, after all received data was read. New data causes a new
+    /// event. The end of the peer's sending is not reported again, so if it was already reported,
+    /// the socket stays readable.
     pub fn clear_read_readiness(&self) {
         let peer_closed = self.readiness.peer_closed.ready.get();
         self.readiness.read.ready.set(peer_closed);
     }
 
-    /// Ready once the peer has ended its sending, whatever it sent before and was not read.
+    /// Waits until the peer has stopped sending, even if data that it sent before is unread.
     pub async fn peer_closed(&self) {
         std::future::poll_fn(|context| self.readiness.peer_closed.poll(context)).await;
     }
@@ -246,7 +248,7 @@
 
 impl<S> Drop for Source<S> {
     fn drop(&mut self) {
-        // Closing the socket takes it out of epoll.
+        // Closing the socket also removes it from epoll.
         REACTOR.with(|reactor| reactor.sources.borrow_mut().try_remove(self.key));
     }
 }
--- a/crates/agent/src/runtime/signals.rs
+++ b/crates/agent/src/runtime/signals.rs
@@ -1,11 +1,12 @@
-//! The signals that the process handles, as flags that are polled.
+//! The signals that the process handles, recorded in flags for polling.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Signals that have come. Registered before anything else is done: each would end the program.
+/// Flags for received signals. They are registered before anything else is done, as each signal
+/// would end the program otherwise.
 pub struct Signals {
     terminate: Arc<AtomicBool>,
     print_counters: Arc<AtomicBool>,
@@ -13,7 +14,7 @@
 }
 
 impl Signals {
-    /// Registers the handlers.
+    /// Registers the signal handlers.
     pub fn new() -> io::Result<Signals> {
         Ok(Signals {
             terminate: register(&[SIGTERM, SIGINT])?,
@@ -22,17 +23,17 @@
         })
     }
 
-    /// Whether SIGTERM or SIGINT has come.
+    /// Whether SIGTERM or SIGINT was received.
     pub fn is_termination_requested(&self) -> bool {
         self.terminate.load(Ordering::Relaxed)
     }
 
-    /// Whether SIGUSR1 has come since the last call.
+    /// Whether SIGUSR1 was received since the last call.
     pub fn take_counters_request(&self) -> bool {
         self.print_counters.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether SIGHUP has come since the last call.
+    /// Whether SIGHUP was received since the last call.
     pub fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
--- a/crates/agent/src/runtime/timer.rs
+++ b/crates/agent/src/runtime/timer.rs
@@ -1,4 +1,4 @@
-//! Timers of the one thread, in the order in which they are due.
+//! The timers of the event loop's thread, ordered by the time at which they are due.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
     static TIMERS: TimerQueue = TimerQueue::default();
 }
 
-/// When a timer is due, and a number that tells equal times apart.
+/// When a timer is due, and a sequence number that makes keys with equal times distinct.
 type TimerKey = (Instant, u64);
 
 #[derive(Default)]
@@ -37,7 +37,7 @@
     }
 }
 
-/// When the first timer is due; `None` where there is none.
+/// When the first timer is due; `None` if there are no timers.
 pub(super) fn next_due() -> Option<Instant> {
     TIMERS.with(|timers| {
         let wakers = timers.wakers.borrow();
@@ -54,22 +54,22 @@
     });
 }
 
-/// Ready at an instant.
+/// A future that is ready at a given instant.
 pub struct Timer {
     due: Instant,
-    /// The number under which it is queued, once it was polled.
+    /// The sequence number under which the timer is queued; `None` until it is first polled.
     number: Option<u64>,
 }
 
 impl Timer {
-    /// Ready at `due`.
+    /// Creates a timer that is ready at `due`.
     pub fn at(due: Instant) -> Timer {
         Timer { due, number: None }
     }
 
-    /// Ready when `span` has passed.
-    pub fn after(span: Duration) -> Timer {
-        Timer::at(Instant::now() + span)
+    /// Creates a timer that is ready when `duration` has passed, counted from now.
+    pub fn after(duration: Duration) -> Timer {
+        Timer::at(Instant::now() + duration)
     }
 }
 
@@ -87,7 +87,7 @@
                     waker.clone_from(context.waker());
                     Poll::Pending
                 }
-                // It was fired.
+                // The timer has fired.
                 None => Poll::Ready(()),
             }
         })
