--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -17,7 +17,7 @@
 /// [`Phase::Reloading`] returns to [`Phase::Serving`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// No endpoints are ready yet, and clients wait.
+    /// No endpoints are known yet, so clients wait.
     Starting,
     /// All requests are served.
     Serving,
--- a/crates/agent/src/lifecycle/start.rs
+++ b/crates/agent/src/lifecycle/start.rs
@@ -82,7 +82,7 @@
 
 /// The configuration of one agent, read at its start or at a reload.
 pub struct StartupConfig {
-    /// The agent's name, as used in log lines.
+    /// The agent's name, as it appears in logs and reports.
     pub name: String,
     /// The address that clients connect to.
     pub listen: SocketAddr,
@@ -94,12 +94,11 @@
     pub max_sockets: usize,
     /// The memory limit of the process, in bytes.
     pub memory_limit: usize,
-    /// The last known endpoint list, used until discovery responds; `None` if there is none.
+    /// The endpoint list known from before the start; `None` if the configuration contains none.
     pub known_list: Option<ListResponse>,
-    /// The last known rollout status, used until the platform reports one; `None` if there is
-    /// none.
+    /// The rollout status known from before the start; `None` if the configuration contains none.
     pub rollout_status: Option<RolloutReport>,
-    /// The settings of the service, shared by all of its agents.
+    /// The settings of the service: its classes, tenants, zones and parameters.
     pub service: ServiceConfig,
     /// The format of log lines that the installation sets; `None` if it sets none.
     pub log_format: Option<LogFormat>,
