--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 /// Mean latency that keeps nearly all answers within the latency objective, as a part of it.
-const TARGET_LATENCY: f64 = 0.4;
+const TARGET_LATENCY_SHARE: f64 = 0.4;
 /// The same where even the lowest latency is above it, as a multiple of that one.
 const TARGET_OVER_FLOOR: f64 = 1.2;
 /// Part of the latency objective below which answers need no limit.
-const UNLIMITED_LATENCY: f64 = 0.2;
+const UNLIMITED_LATENCY_SHARE: f64 = 0.2;
 /// Attempts in flight that the limit allows beyond the capacity and its square root.
 const LIMIT_HEADROOM: f64 = 2.0;
 /// Part of the highest limit of late below which the limit counts as collapsed.
-const COLLAPSED_LIMIT: f64 = 0.6;
+const COLLAPSED_LIMIT_SHARE: f64 = 0.6;
 /// Decay of the highest limit of late, each evaluation interval.
 const PEAK_DECAY: f64 = 0.998;
 /// Growth of the latency floor, each evaluation interval, so that it forgets.
@@ -25,11 +25,11 @@
 /// Multiple of its fair share beyond which a tenant counts as over it.
 const TENANT_TOLERANCE: f64 = 1.15;
 /// Part of the limit that a tenant over its fair share may use.
-const OVER_SHARE_LIMIT: f64 = 0.8;
+const OVER_SHARE_LIMIT_FACTOR: f64 = 0.8;
 /// Part of the limit that the class of least value may use; the rest is given by value.
-const LEAST_VALUE_LIMIT: f64 = 0.8;
+const MIN_VALUE_LIMIT_SHARE: f64 = 0.8;
 /// The rest of the limit.
-const VALUE_LIMIT: f64 = 0.2;
+const VALUE_LIMIT_SHARE: f64 = 0.2;
 /// Least latency, in seconds, that the value of a class is divided by.
 const MIN_SERVICE_TIME: f64 = 1e-4;
 /// Least value that others are divided by.
@@ -54,9 +54,9 @@
             update_answer_rate(class);
             let objective = class.rules.latency_objective;
             let latency = &class.latency;
-            let target = (objective * TARGET_LATENCY).max(latency.floor * TARGET_OVER_FLOOR);
+            let target = (objective * TARGET_LATENCY_SHARE).max(latency.floor * TARGET_OVER_FLOOR);
             capacity += class.answer_rate * target;
-            is_fast &= latency.mean < objective * UNLIMITED_LATENCY;
+            is_fast &= latency.mean < objective * UNLIMITED_LATENCY_SHARE;
         }
         let limit = capacity + capacity.sqrt() + LIMIT_HEADROOM;
         self.apply_limit(limit, is_fast);
@@ -91,7 +91,7 @@
     /// is slow: the present latency is the floor from then on. Does harm where the newest build is
     /// slow and load falls on its own, as waiting then counts as work.
     fn has_collapsed(&self, limit: f64, is_fast: bool) -> bool {
-        limit < self.admission.peak_limit * COLLAPSED_LIMIT
+        limit < self.admission.peak_limit * COLLAPSED_LIMIT_SHARE
             && self.evaluation.latency.is_newest_slower
             && !is_fast
     }
@@ -115,18 +115,19 @@
             return false;
         };
         let tenant_factor = if self.is_over_share(request.tenant) {
-            OVER_SHARE_LIMIT
+            OVER_SHARE_LIMIT_FACTOR
         } else {
             1.0
         };
         let value = self.value(&self.classes[request.class]);
-        let usable =
-            (LEAST_VALUE_LIMIT + VALUE_LIMIT * value / self.admission.best_value) * tenant_factor;
+        let usable_share = (MIN_VALUE_LIMIT_SHARE
+            + VALUE_LIMIT_SHARE * value / self.admission.best_value)
+            * tenant_factor;
         let admission = &self.admission;
         let in_flight = admission
             .in_flight
             .saturating_sub(admission.unresponsive_in_flight);
-        in_flight as f64 >= limit * usable
+        in_flight as f64 >= limit * usable_share
     }
 
     /// What a class is worth for the work that it costs.
--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -47,12 +47,12 @@
         key: u64,
         is_preferred_zone: impl Fn(usize) -> bool,
     ) -> RankedMembers<'_> {
-        let weigh = |group: &AffinityGroup| KindWeight {
+        let kind_weight = |group: &AffinityGroup| KindWeight {
             weight: self.rounded_throughput(group.endpoint_type),
             is_preferred: is_preferred_zone(group.zone),
         };
         let affinity = self.fleet.index().affinity();
-        affinity.endpoints_for(key, weigh, MAX_AFFINITY_ENDPOINTS)
+        affinity.endpoints_for(key, kind_weight, MAX_AFFINITY_ENDPOINTS)
     }
 
     /// Nodes that were visited so far to find the endpoints of keys: a measure of work that does not
@@ -72,12 +72,12 @@
     }
 
     /// Remembers which build answered a key, where it may not return to an earlier one.
-    pub(super) fn bind_key(&mut self, ended: &EndedAttempt, outcome: Outcome) {
+    pub(super) fn record_sticky_build(&mut self, ended: &EndedAttempt, outcome: Outcome) {
         let build = ended.build.max(self.fleet.endpoint(ended.endpoint).build);
         let status = self.rollout.status.as_ref();
-        let binds =
+        let is_sticky =
             self.parameters.rollout.sticky_builds && status.is_none_or(|s| build >= s.build);
-        if !binds || outcome != Outcome::Succeeded {
+        if !is_sticky || outcome != Outcome::Succeeded {
             return;
         }
         if let Some(key) = ended.key {
@@ -88,14 +88,14 @@
     /// The oldest build that may serve a request: the newest one where that has answered its key,
     /// unless it is being taken back.
     pub(super) fn minimum_build(&self, request: &ActiveRequest) -> u32 {
-        let bound_build = request
+        let sticky_build = request
             .key
             .and_then(|key| self.affinity.sticky_builds.get(&key))
             .copied()
             .unwrap_or(0);
         match &self.rollout.status {
             Some(status)
-                if bound_build >= status.build
+                if sticky_build >= status.build
                     && matches!(status.phase, RolloutPhase::Canary | RolloutPhase::Released) =>
             {
                 status.build
--- a/src/balancer/build_evaluation.rs
+++ b/src/balancer/build_evaluation.rs
@@ -10,7 +10,7 @@
 /// How long after its newest start a build's evidence is unsteady.
 pub(super) const SETTLED_AFTER_START: Duration = Duration::from_millis(6000);
 /// Factor on what places a hold that keeps it until then.
-const HOLD_EASE: f64 = 0.5;
+const HOLD_THRESHOLD_FACTOR: f64 = 0.5;
 /// Evidence of a regression, in failures times the seconds for which they have shown, that rolls
 /// back.
 const ROLL_BACK_EVIDENCE: f64 = 12.0;
@@ -19,7 +19,7 @@
 /// Strength of an alarm by latency, as a part of the least failures.
 const ALARM_STRENGTH: f64 = 0.5;
 /// Share of the endpoints from which on a canary is rolled back that took others' places.
-const ROLL_BACK_SHARE: f64 = 0.2;
+const IN_PLACE_ROLL_BACK_SHARE: f64 = 0.2;
 
 /// What this evaluation found.
 struct Finding {
@@ -43,23 +43,23 @@
         let earlier_build = self.rollout.build_before(status.build);
         let was_regressed = self.rollout.is_regressed(status.build);
         // Until the build has settled, a hold once placed is kept on half of what placed it.
-        let ease = if was_regressed && age < SETTLED_AFTER_START {
-            HOLD_EASE
+        let threshold_factor = if was_regressed && age < SETTLED_AFTER_START {
+            HOLD_THRESHOLD_FACTOR
         } else {
             1.0
         };
-        let mut outcomes = self.compare_outcomes(&status, earlier_build, ease);
+        let mut outcomes = self.compare_outcomes(&status, earlier_build, threshold_factor);
         let endpoints = self.fleet.index().of_build(status.build).running.max(1) as f64;
         outcomes.strength *= self.failing_endpoints(status.build) / endpoints;
         self.update_latency_regression(now, &status, age);
         let platform = self.compare_platform_counts(status.build, earlier_build);
-        let finding = self.conclude(&status, age, outcomes, &platform);
+        let finding = self.combine_evidence(&status, age, outcomes, &platform);
         self.log_change(status.build, was_regressed, finding.reason.as_deref());
         let is_lasting = self.accumulate_evidence(status.build, &finding);
         // The places that it took are given back by a roll back only.
-        let takes_places = self.parameters.rollout.in_place
-            && endpoints > ROLL_BACK_SHARE * self.fleet.index().total().running as f64;
-        let verdict = self.verdict(&status, age, &finding, is_lasting, takes_places);
+        let replaces_endpoints = self.parameters.rollout.in_place
+            && endpoints > IN_PLACE_ROLL_BACK_SHARE * self.fleet.index().total().running as f64;
+        let verdict = self.verdict(&status, age, &finding, is_lasting, replaces_endpoints);
         self.votes.wanted = verdict.map(|verdict| Vote {
             build: status.build,
             stage: status.stage,
@@ -81,7 +81,7 @@
     }
 
     /// Draws all evidence together.
-    fn conclude(
+    fn combine_evidence(
         &self,
         status: &RolloutStatus,
         age: Duration,
@@ -90,12 +90,13 @@
     ) -> Finding {
         let latency = &self.evaluation.latency;
         let has_wrong_answers = outcomes.has_wrong_answers;
-        let is_open = status.phase == RolloutPhase::Canary
+        let is_evaluated = status.phase == RolloutPhase::Canary
             || status.phase == RolloutPhase::Released && age < EVALUATED_AFTER_START;
-        let is_slow = latency.is_fleet_slower && !platform.is_even;
+        let is_slow = latency.is_fleet_slower && !platform.is_latency_similar;
         let votes_agree = self.parameters.rollout.needs_agreement && (is_slow || has_wrong_answers);
-        let is_agreed = is_open && (votes_agree || platform.regression.is_some());
-        let is_alarmed = status.phase == RolloutPhase::Canary && latency.alarm && !platform.is_even;
+        let is_agreed = is_evaluated && (votes_agree || platform.regression.is_some());
+        let is_alarmed =
+            status.phase == RolloutPhase::Canary && latency.alarm && !platform.is_latency_similar;
         let mut finding = Finding {
             reason: outcomes.reason,
             strength: outcomes.strength,
@@ -106,12 +107,12 @@
             if latency.alarm {
                 finding.strength = MIN_FAILURES * ALARM_STRENGTH;
             }
-            let by_votes = if has_wrong_answers {
+            let default_reason = if has_wrong_answers {
                 "wrong answers"
             } else {
                 "the fleet slows with it"
             };
-            finding.reason = Some(platform.regression.unwrap_or(by_votes).to_owned());
+            finding.reason = Some(platform.regression.unwrap_or(default_reason).to_owned());
         }
         finding
     }
@@ -150,7 +151,7 @@
         age: Duration,
         finding: &Finding,
         is_lasting: bool,
-        takes_places: bool,
+        replaces_endpoints: bool,
     ) -> Option<Verdict> {
         if finding.is_agreed {
             return Some(Verdict::RollBack);
@@ -163,7 +164,7 @@
             RolloutPhase::Released if is_lasting && age < EVALUATED_AFTER_START => {
                 Some(Verdict::RollBack)
             }
-            RolloutPhase::Canary if is_lasting && takes_places => Some(Verdict::RollBack),
+            RolloutPhase::Canary if is_lasting && replaces_endpoints => Some(Verdict::RollBack),
             RolloutPhase::Canary if is_regressed => {
                 let agrees = needs_agreement && (self.votes.rolls_back_first || has_vote);
                 if agrees || finding.has_wrong_answers && has_vote {
--- a/src/balancer/candidate_weights.rs
+++ b/src/balancer/candidate_weights.rs
@@ -2,7 +2,7 @@
 //! by which two candidates are compared.
 
 use super::endpoint_weights::MAX_ENDPOINT_WEIGHT;
-use super::selection::{BuildStanding, Selection};
+use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{Endpoint, EndpointGroup};
 
@@ -14,10 +14,10 @@
     pub(super) fn candidate_weight(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         endpoint: &Endpoint,
     ) -> f64 {
-        let share = self.build_share(&selection.shares, standing, endpoint.zone);
+        let share = self.build_share(&selection.shares, status, endpoint.zone);
         let heavy_factor = self.heavy_factor(selection, endpoint.endpoint_type);
         let weight = self.candidate_capacity(selection, endpoint) * share * heavy_factor;
         if endpoint.is_warm() {
@@ -35,20 +35,20 @@
     pub(super) fn max_group_weight(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         group: &EndpointGroup,
     ) -> f64 {
-        let share = self.build_share(&selection.shares, standing, group.zone);
+        let share = self.build_share(&selection.shares, status, group.zone);
         let heavy_factor = self.heavy_factor(selection, group.endpoint_type);
         let throughput = self.fleet.types[group.endpoint_type].throughput;
         let capacity = MAX_ENDPOINT_WEIGHT * throughput * share * heavy_factor;
         if group.is_warm {
             return capacity;
         }
-        let largest = self.max_warming_share(selection.now, group.build);
-        let by_quota = self.max_share_growth(selection.now) / self.full_quota(throughput);
-        let most = largest * selection.shares.running;
-        capacity * by_quota.min(most).max(largest)
+        let max_share = self.max_warming_share(selection.now, group.build);
+        let quota_share = self.max_share_growth(selection.now) / self.full_quota(throughput);
+        let max_scaled_share = max_share * selection.shares.running;
+        capacity * quota_share.min(max_scaled_share).max(max_share)
     }
 
     /// Load of an endpoint against what it can take.
--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -112,12 +112,12 @@
         let Some(endpoint) = self.eligible_endpoint(selection, index) else {
             return;
         };
-        let standing = self.build_standing(endpoint.build);
+        let status = self.build_status(endpoint.build);
         let candidate = Candidate {
             endpoint: index,
-            weight: self.candidate_weight(selection, standing, endpoint),
+            weight: self.candidate_weight(selection, status, endpoint),
         };
-        let preference = self.preference(selection, standing, index, endpoint);
+        let preference = self.preference(selection, status, index, endpoint);
         pools.add(preference, candidate);
     }
 
@@ -136,8 +136,8 @@
     ) -> bool {
         self.eligible_endpoint(selection, index)
             .is_some_and(|endpoint| {
-                let standing = self.build_standing(endpoint.build);
-                self.preference(selection, standing, index, endpoint) == preference
+                let status = self.build_status(endpoint.build);
+                self.preference(selection, status, index, endpoint) == preference
             })
     }
 
@@ -153,8 +153,8 @@
         };
         let [mut first, mut second] = drawn.endpoints;
         let affinity = self.affinity_endpoint_where(request, is_candidate);
-        if let Some(nearest) = affinity {
-            first = nearest;
+        if let Some(affinity_endpoint) = affinity {
+            first = affinity_endpoint;
         }
         if let Some(probed) = request.probed.filter(|_| !selection.is_retry) {
             let [a, b] = probed.map(|index| Some(index).filter(|index| is_candidate(*index)));
--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -107,19 +107,19 @@
         let lists = [members.warm(zone), members.warming(zone)];
         let stall_timeout = self.stall_timeout();
         let mut sum = 0.0;
-        let mut weighed = 0;
-        let mut looked_at = 0;
+        let mut sampled = 0;
+        let mut scanned = 0;
         for index in sampled_members(&lists, self.peer_latencies.evaluations) {
-            looked_at += 1;
+            scanned += 1;
             let endpoint = self.fleet.endpoint(index);
             if endpoint.is_unresponsive(now, stall_timeout) {
                 continue;
             }
-            weighed += 1;
+            sampled += 1;
             sum += self.endpoint_weight(endpoint) * self.slow_start_share(now, endpoint);
         }
-        self.fleet.count_scanned(looked_at);
-        sum * (responsive as f64 / f64::from(weighed.max(1)))
+        self.fleet.count_scanned(scanned);
+        sum * (responsive as f64 / f64::from(sampled.max(1)))
     }
 
     /// Weight of endpoints of a zone against local ones.
--- a/src/balancer/endpoint_draw.rs
+++ b/src/balancer/endpoint_draw.rs
@@ -8,7 +8,7 @@
 
 use super::candidates::{draw_from_pools, Candidate, CandidatePools, Drawn};
 use super::preference::{is_tried, Preference};
-use super::selection::{BuildStanding, Selection};
+use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{EndpointGroup, RetryScope};
 use rand::Rng;
@@ -36,7 +36,7 @@
 struct DrawableGroup<'a> {
     /// How readily its members are used at the best.
     preference: Preference,
-    standing: BuildStanding,
+    status: BuildStatus,
     group: &'a EndpointGroup,
     members: &'a [usize],
 }
@@ -136,21 +136,21 @@
     fn drawable_groups(&self, selection: &Selection) -> Vec<DrawableGroup<'_>> {
         let mut drawable = Vec::new();
         // Groups come by build, so that this is found out once for each build.
-        let mut known_build: Option<(u32, Option<BuildStanding>)> = None;
+        let mut known_build: Option<(u32, Option<BuildStatus>)> = None;
         for (group, members) in self.fleet.index().groups() {
-            let standing = match known_build {
-                Some((build, standing)) if build == group.build => standing,
+            let status = match known_build {
+                Some((build, status)) if build == group.build => status,
                 _ => self
                     .may_use_build(selection, group.build)
-                    .then(|| self.build_standing(group.build)),
+                    .then(|| self.build_status(group.build)),
             };
-            known_build = Some((group.build, standing));
-            let Some(standing) = standing.filter(|_| is_in_scope(selection, group)) else {
+            known_build = Some((group.build, status));
+            let Some(status) = status.filter(|_| is_in_scope(selection, group)) else {
                 continue;
             };
             drawable.push(DrawableGroup {
-                preference: self.best_preference(selection, standing, group),
-                standing,
+                preference: self.best_preference(selection, status, group),
+                status,
                 group,
                 members,
             });
@@ -167,7 +167,7 @@
     ) -> WeightedSources<'a> {
         let max_weights: Vec<f64> = groups
             .iter()
-            .map(|group| self.max_group_weight(selection, group.standing, group.group))
+            .map(|group| self.max_group_weight(selection, group.status, group.group))
             .collect();
         let group_weights = groups
             .iter()
@@ -233,7 +233,7 @@
         };
         let index = group.members[rng.gen_range(0..group.members.len())];
         let endpoint = self.fleet.endpoint(index);
-        let weight = self.candidate_weight(selection, group.standing, endpoint);
+        let weight = self.candidate_weight(selection, group.status, endpoint);
         let is_accepted = rng.gen_range(0.0..1.0) * sources.max_weights[source] < weight
             && !is_tried(selection, index)
             && self.is_candidate(selection, sources.preference, index);
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -37,9 +37,9 @@
 /// Multiple of the mean latency at which single latencies are cut off.
 const MAX_LATENCY_RATIO: f64 = 10.0;
 /// Step up of a high quantile, each value above it.
-const HIGH_QUANTILE_UP: f64 = 1.135;
+const HIGH_QUANTILE_STEP_UP: f64 = 1.135;
 /// Step down of a high quantile, each value below it. Both balance at about one value in ten.
-const HIGH_QUANTILE_DOWN: f64 = 0.985;
+const HIGH_QUANTILE_STEP_DOWN: f64 = 0.985;
 /// Bounds of a high quantile, in seconds or as a ratio.
 const HIGH_QUANTILE_RANGE: (f64, f64) = (0.001, 1000.0);
 
@@ -153,14 +153,14 @@
             Outcome::ConnectFailed | Outcome::ConnectionLost => true,
             Outcome::TimedOut | Outcome::Cancelled => self.was_silent(observation),
         };
-        let is_lost_for_long = is_fault && self.record_fault(observation);
+        let is_repeatedly_lost = is_fault && self.record_fault(observation);
         // Nothing in flight, nothing owed: after its ejection one request finds out whether it is
         // back.
         let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         if endpoint.in_flight == 0 {
             endpoint.health.silent_since = None;
         }
-        is_lost_for_long || observation.outcome == Outcome::ConnectFailed
+        is_repeatedly_lost || observation.outcome == Outcome::ConnectFailed
     }
 
     /// An endpoint that answers after several faults may have restarted, which the list has not
@@ -189,7 +189,7 @@
     fn record_fault(&mut self, observation: &Observation) -> bool {
         let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         endpoint.health.consecutive_faults += 1;
-        let is_lost_for_long = endpoint.health.consecutive_faults > EJECTION_FAULTS;
+        let is_repeatedly_lost = endpoint.health.consecutive_faults > EJECTION_FAULTS;
         drop(endpoint);
         let lost = OutcomeCounts {
             lost: 1.0,
@@ -199,7 +199,7 @@
             .add(observation.endpoint, observation.class, &lost);
         let peers = &mut self.evaluation.peers.outcomes[observation.class];
         peers.lost += observation.peer_weight;
-        is_lost_for_long
+        is_repeatedly_lost
     }
 
     /// Counts answers of the class, and the time waited for those that never came.
@@ -367,9 +367,9 @@
 /// Follows a high quantile by one value.
 pub(super) fn update_high_quantile(high_quantile: &mut f64, value: f64) {
     let step = if value > *high_quantile {
-        HIGH_QUANTILE_UP
+        HIGH_QUANTILE_STEP_UP
     } else {
-        HIGH_QUANTILE_DOWN
+        HIGH_QUANTILE_STEP_DOWN
     };
     let (min, max) = HIGH_QUANTILE_RANGE;
     *high_quantile = (*high_quantile * step).clamp(min, max);
--- a/src/balancer/endpoint_weights.rs
+++ b/src/balancer/endpoint_weights.rs
@@ -12,7 +12,7 @@
 /// Steps to an octave in which throughputs are rounded.
 const THROUGHPUT_STEPS_PER_OCTAVE: f64 = 2.0;
 /// Gain by which an endpoint's latency returns to its peers', each evaluation interval.
-const LATENCY_FORGIVENESS: f64 = 0.01;
+const LATENCY_REVERSION_GAIN: f64 = 0.01;
 /// Latency against the peers' from which on it counts for the weight as it is.
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
 /// The largest weight that an endpoint can have: that of the least relative latency, 0.3^-0.5,
@@ -25,7 +25,7 @@
 /// Power of the latency by which the weight of slow endpoints falls.
 const SLOW_WEIGHT_POWER: i32 = -2;
 /// Power that joins the two: the difference of the powers.
-const JOINING_POWER: f64 = 1.5;
+const CONTINUITY_POWER: f64 = 1.5;
 
 impl Balancer {
     /// Weighs hardware types and endpoints by their latencies of late. The latency of each endpoint
@@ -33,7 +33,7 @@
     /// rollout; it and the weight are computed when they are read.
     pub(super) fn update_endpoint_weights(&mut self) {
         let medians = self.peer_medians();
-        weigh_types(&mut self.fleet.types);
+        update_type_weights(&mut self.fleet.types);
         for (endpoint_type, median) in medians.iter().enumerate() {
             for (is_newest, median) in [(false, median.earlier), (true, median.newest)] {
                 let group = PeerGroup {
@@ -42,7 +42,7 @@
                 };
                 self.peer_latencies
                     .of_mut(group)
-                    .approach(median, LATENCY_FORGIVENESS);
+                    .approach(median, LATENCY_REVERSION_GAIN);
             }
         }
         self.peer_latencies.evaluations += 1;
@@ -130,7 +130,7 @@
 /// What is left of a deviation after so many evaluations: nothing after some hours.
 fn remaining_deviation(deviation: f64, evaluations: u64) -> f64 {
     let evaluations = i32::try_from(evaluations).unwrap_or(i32::MAX);
-    deviation * (1.0 - LATENCY_FORGIVENESS).powi(evaluations)
+    deviation * (1.0 - LATENCY_REVERSION_GAIN).powi(evaluations)
 }
 
 /// The weight for a latency relative to the peers': it falls with the square root of the latency,
@@ -140,13 +140,13 @@
     let weight = if relative < SLOW_RELATIVE_LATENCY {
         relative.powf(WEIGHT_POWER)
     } else {
-        SLOW_RELATIVE_LATENCY.powf(JOINING_POWER) * relative.powi(SLOW_WEIGHT_POWER)
+        SLOW_RELATIVE_LATENCY.powf(CONTINUITY_POWER) * relative.powi(SLOW_WEIGHT_POWER)
     };
     weight.min(MAX_ENDPOINT_WEIGHT)
 }
 
 /// Sets all hardware types against their mean, once enough is known of them.
-fn weigh_types(types: &mut [EndpointType]) {
+fn update_type_weights(types: &mut [EndpointType]) {
     let mean_throughput = mean(types.iter().filter_map(known_throughput).collect());
     let mean_latency = mean(types.iter().filter_map(known_latency).collect());
     for hardware in types {
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -30,7 +30,7 @@
 /// Decay of latencies of late, each evaluation interval: answers of the last seconds.
 const RECENT_LATENCY_DECAY: f64 = 0.96;
 /// Latencies that are kept, however few answers come in a second.
-const KEPT_LATENCIES: f64 = 40.0;
+const MIN_KEPT_LATENCIES: f64 = 40.0;
 /// Endpoints of a canary above which a single one does not speak for its build.
 pub(super) const MIN_ENDPOINTS_TO_DISCARD: usize = 2;
 
@@ -112,15 +112,15 @@
                 }
             }
         }
-        let looked_at = self.outcomes.end_interval();
-        self.fleet.count_scanned(looked_at);
+        let scanned = self.outcomes.end_interval();
+        self.fleet.count_scanned(scanned);
     }
 
     fn decay_latencies(&mut self, now: Duration, baseline_decay: f64) {
         let rate = self.classes.iter().map(|c| c.answer_rate).sum::<f64>();
         let answers = rate * EVALUATION_INTERVAL.as_secs_f64();
         let is_evaluating = self.is_evaluating(now);
-        let recent_decay = (1.0 - answers / KEPT_LATENCIES).max(RECENT_LATENCY_DECAY);
+        let recent_decay = (1.0 - answers / MIN_KEPT_LATENCIES).max(RECENT_LATENCY_DECAY);
         self.evaluation.latency.earlier.decay(recent_decay);
         self.evaluation.latency.newest.decay(recent_decay);
         self.evaluation.arrivals.end_interval(
@@ -129,7 +129,12 @@
             1.0 - baseline_decay,
         );
         for class in &mut self.classes {
-            class.decay_latencies(is_evaluating, KEPT_LATENCIES, baseline_decay, recent_decay);
+            class.decay_latencies(
+                is_evaluating,
+                MIN_KEPT_LATENCIES,
+                baseline_decay,
+                recent_decay,
+            );
         }
     }
 
--- a/src/balancer/exposure.rs
+++ b/src/balancer/exposure.rs
@@ -8,7 +8,7 @@
 
 impl Balancer {
     /// Earns tokens for a request of this class, for each build.
-    pub(super) fn earn_exposure(&mut self, class: usize) {
+    pub(super) fn refill_exposure_tokens(&mut self, class: usize) {
         let slot = self.parameters.exposure_slot(class);
         let burst = self.parameters.rollout.exposure_burst;
         for build in self.rollout.builds.values_mut() {
@@ -18,7 +18,7 @@
     }
 
     /// Spends a token on an attempt, where the build is a canary.
-    pub(super) fn spend_exposure(&mut self, build: u32, class: usize) {
+    pub(super) fn spend_exposure_token(&mut self, build: u32, class: usize) {
         if self.rollout.is_canary(build) {
             let slot = self.parameters.exposure_slot(class);
             self.build_mut(build).exposure_tokens[slot] -= 1.0;
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,6 +1,6 @@
 //! When an attempt in flight is hedged or cancelled.
 
-use super::routing::Outlook;
+use super::routing::RequestLimits;
 use super::Balancer;
 use crate::interface::{Decision, Idempotency};
 use crate::model::{ActiveRequest, ClassState};
@@ -72,22 +72,22 @@
         &mut self,
         now: Duration,
         id: u64,
-        outlook: &Outlook,
+        limits: &RequestLimits,
     ) -> Decision {
         let request = &self.requests[&id];
         let Some((number, attempt)) = request.in_flight().last() else {
             return Decision::Await;
         };
-        if !self.may_hedge(request, outlook) {
+        if !self.may_hedge(request, limits) {
             return Decision::Await;
         }
         let sent_at = attempt.sent_at.max(self.clock.resumed_at);
         let endpoint = self.fleet.endpoint(attempt.endpoint);
-        let is_stalled = now >= sent_at + outlook.stall_timeout
-            && endpoint.is_unresponsive(now, outlook.stall_timeout);
-        let late_at = sent_at + outlook.late_after;
+        let is_stalled = now >= sent_at + limits.stall_timeout
+            && endpoint.is_unresponsive(now, limits.stall_timeout);
+        let late_at = sent_at + limits.late_after;
         if !is_stalled && now < late_at {
-            let recheck_at = now + outlook.stall_timeout / RECHECKS_PER_STALL;
+            let recheck_at = now + limits.stall_timeout / RECHECKS_PER_STALL;
             return Decision::Defer {
                 until: late_at
                     .min(recheck_at)
@@ -97,23 +97,23 @@
         if !self.parameters.hedging {
             return Decision::Cancel { attempt: number };
         }
-        self.hedge(now, id, outlook)
+        self.hedge(now, id, limits)
     }
 
-    fn may_hedge(&self, request: &ActiveRequest, outlook: &Outlook) -> bool {
+    fn may_hedge(&self, request: &ActiveRequest, limits: &RequestLimits) -> bool {
         let is_hedged = request.in_flight().count() > 1;
         let class = &self.classes[request.class];
         class.rules.idempotency != Idempotency::NonIdempotent
             && !is_hedged
-            && !outlook.attempts_spent
-            && !outlook.past_deadline
+            && !limits.attempts_spent
+            && !limits.past_deadline
             && self.has_retry_budget()
     }
 
-    fn hedge(&mut self, now: Duration, id: u64, outlook: &Outlook) -> Decision {
-        self.spend_hedge();
+    fn hedge(&mut self, now: Duration, id: u64, limits: &RequestLimits) -> Decision {
+        self.charge_hedge();
         match self.choose_endpoints(now, id) {
-            Some(choices) => self.forward(now, id, choices.chosen, outlook.recheck_after()),
+            Some(choices) => self.forward(now, id, choices.chosen, limits.recheck_after()),
             None => Decision::Await,
         }
     }
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -13,11 +13,11 @@
 
 /// Multiple of the usual latency that is excused: keys without affinity, young hardware, long
 /// tails.
-pub(super) const EXCUSED_LATENCY: f64 = 1.4;
+pub(super) const TOLERATED_LATENCY_RATIO: f64 = 1.4;
 /// Step down of the median of a class, each answer below it while no canary runs.
-const MEDIAN_DOWN: f64 = 0.97;
+const MEDIAN_STEP_DOWN: f64 = 0.97;
 /// Step up of the median of a class, each answer above it while no canary runs.
-const MEDIAN_UP: f64 = 1.03;
+const MEDIAN_STEP_UP: f64 = 1.03;
 /// Share of fast answers, where half is usual, below which they count as gone.
 const MIN_FAST_SHARE: f64 = 0.3;
 /// The same for a canary that alone is slow, as a part of that share.
@@ -29,7 +29,7 @@
 /// Factor on the canary's own share where an alarm ends.
 const ALARM_CANARY_FACTOR: f64 = 1.4;
 /// Part of the earlier build's share of fast answers below which a canary is slower.
-const SLOWER_SHARE: f64 = 0.8;
+const SLOWER_SHARE_RATIO: f64 = 0.8;
 /// Bounds of a share of fast answers.
 const FAST_SHARE_RANGE: (f64, f64) = (0.01, 0.49);
 /// How far beyond chance the fast answers must be gone, as a logarithm; more the more agents look.
@@ -56,7 +56,7 @@
 struct FastShare {
     share: f64,
     /// How far beyond chance it is below one half, as a logarithm.
-    beyond_chance: f64,
+    significance: f64,
 }
 
 impl FastShare {
@@ -65,7 +65,7 @@
         let share = (counts.fast / counts.answers.max(1.0)).clamp(min, max);
         FastShare {
             share,
-            beyond_chance: chernoff_bound_of_fair_coin(counts.answers, share),
+            significance: chernoff_bound_of_fair_coin(counts.answers, share),
         }
     }
 }
@@ -89,7 +89,11 @@
         }
         let mut builds = self.fleet.index().builds();
         if !builds.any(|build| self.rollout.is_canary(build)) {
-            *median *= if is_fast { MEDIAN_DOWN } else { MEDIAN_UP };
+            *median *= if is_fast {
+                MEDIAN_STEP_DOWN
+            } else {
+                MEDIAN_STEP_UP
+            };
             return;
         }
         let latency = &mut self.evaluation.latency;
@@ -112,7 +116,7 @@
     ) {
         let is_running_canary = status.phase == RolloutPhase::Canary
             && self.fleet.index().of_build(status.build).running > 0;
-        self.count_waiting(now);
+        self.count_in_flight(now);
         let is_fresh = age < EVALUATED_AFTER_START;
         let is_slow = is_fresh && self.is_fleet_slow();
         let is_overloaded = self.is_short_of_capacity(now);
@@ -122,7 +126,7 @@
     }
 
     /// Counts what is in flight: the time it has been waiting, and that it is not fast.
-    fn count_waiting(&mut self, now: Duration) {
+    fn count_in_flight(&mut self, now: Duration) {
         for class in &mut self.classes {
             class.in_flight_seconds = 0.0;
         }
@@ -144,13 +148,13 @@
     /// share of fast ones. Guards where no single agent sees enough to hold.
     fn is_fleet_slow(&self) -> bool {
         let latency = compare_with_baseline(&self.classes);
-        let beyond_chance = if latency.samples < MIN_OUTCOMES {
+        let significance = if latency.samples < MIN_OUTCOMES {
             0.0
         } else {
-            chernoff_bound_of_mean(latency.samples, latency.ratio / EXCUSED_LATENCY)
+            chernoff_bound_of_mean(latency.samples, latency.ratio / TOLERATED_LATENCY_RATIO)
         };
         let threshold = AGREED_THRESHOLD + self.parameters.rollout.agreement_threshold;
-        latency.fast_share < MIN_FAST_SHARE && beyond_chance > threshold
+        latency.fast_share < MIN_FAST_SHARE && significance > threshold
     }
 
     /// Whether answers may be slow for the load. In place, what is still warming up is missed: its
@@ -183,22 +187,22 @@
         let latency = &mut self.evaluation.latency;
         let earlier = FastShare::of(&latency.earlier);
         let newest = FastShare::of(&latency.newest);
-        let is_newest_beyond_chance = newest.beyond_chance > threshold;
+        let is_newest_significant = newest.significance > threshold;
         latency.is_newest_slower |= is_running_canary
-            && newest.share < earlier.share * SLOWER_SHARE
-            && is_newest_beyond_chance;
+            && newest.share < earlier.share * SLOWER_SHARE_RATIO
+            && is_newest_significant;
         let is_newest_slow = newest.share < MIN_FAST_SHARE * SLOW_CANARY_FACTOR
             && earlier.share > MIN_FAST_SHARE * FAST_EARLIER_FACTOR
-            && is_newest_beyond_chance;
+            && is_newest_significant;
         let newest_evidence = if newest.share < MIN_FAST_SHARE {
-            newest.beyond_chance
+            newest.significance
         } else {
             0.0
         };
         let is_sudden = age < SETTLED_AFTER_START
             && !is_overloaded
             && earlier.share < MIN_FAST_SHARE
-            && earlier.beyond_chance + newest_evidence > threshold;
+            && earlier.significance + newest_evidence > threshold;
         let lowest_share = earlier.share.min(newest.share * ALARM_CANARY_FACTOR);
         let is_lasting = latency.alarm && lowest_share < MIN_FAST_SHARE * ALARM_END_FACTOR;
         latency.alarm = is_running_canary && (is_sudden || is_newest_slow || is_lasting);
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -11,7 +11,7 @@
 /// Loads that are believed, in requests in flight.
 const PLAUSIBLE_LOAD: Range<f64> = 0.0..1e6;
 /// Seconds in which a load report comes near the mean of its hardware type.
-const REPORT_RELAXATION: f64 = 1.0;
+const REPORT_TIME_CONSTANT: f64 = 1.0;
 /// Age below which a load report is not asked for again.
 const FRESH_REPORT: Duration = Duration::from_millis(150);
 
@@ -58,7 +58,7 @@
             at: now,
         });
         let age = now.saturating_sub(report.at).as_secs_f64();
-        let load = mean + (report.load - mean) * (-age / REPORT_RELAXATION).exp();
+        let load = mean + (report.load - mean) * (-age / REPORT_TIME_CONSTANT).exp();
         1.0 + (load + endpoint.load.sent_since).max(own)
     }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -148,11 +148,11 @@
 
     /// Takes in a request, which [`Balancer::route`] then decides on under the same `id`.
     pub fn on_request(&mut self, now: Duration, id: u64, request: Request) {
-        self.earn_retry();
+        self.refill_retry_budget();
         if !request.is_retry {
             self.evaluation.arrivals.arrived += 1.0;
         }
-        self.earn_exposure(request.class);
+        self.refill_exposure_tokens(request.class);
         self.count_tenant(request.tenant);
         let affinity_key = self.affinity_key(request.key);
         let request = ActiveRequest::new(now, &request, affinity_key);
@@ -205,14 +205,14 @@
         let Some(request) = self.requests.get(&id).filter(|r| !r.closed) else {
             return Decision::Await;
         };
-        let outlook = self.outlook(now, request);
+        let limits = self.limits(now, request);
         if request.in_flight().next().is_some() {
-            return self.recheck_attempt(now, id, &outlook);
+            return self.recheck_attempt(now, id, &limits);
         }
-        if self.is_rejected_at_once(now, request, &outlook) {
+        if self.is_rejected_at_once(now, request, &limits) {
             return self.give_up(now, id);
         }
-        self.start_attempt(now, id, &outlook)
+        self.start_attempt(now, id, &limits)
     }
 
     /// Whether an attempt may still be written: its connection may have come up late.
@@ -250,7 +250,7 @@
             self.count_speed(id, attempt, end.latency);
         }
         self.record_attempt(now, &ended, &end, fault_weight);
-        self.bind_key(&ended, end.outcome);
+        self.record_sticky_build(&ended, end.outcome);
         self.after_attempt(now, id, &end)
     }
 
--- a/src/balancer/outcome_evidence.rs
+++ b/src/balancer/outcome_evidence.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Outcomes of an earlier build that are kept: those that meet the bound up to rounding are.
-const MAX_KEPT: f64 = MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR);
+const MAX_KEPT_OUTCOMES: f64 = MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR);
 
 /// How an endpoint's outcomes lose weight at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 
     /// What the sums have of these outcomes. Lost attempts of an earlier build's ejected endpoints
     /// are left out: they are the endpoints' own.
-    fn counted(&self, mut counts: OutcomeCounts) -> OutcomeCounts {
+    fn counted_outcomes(&self, mut counts: OutcomeCounts) -> OutcomeCounts {
         if self.is_ejected && self.aging != Some(Aging::Decays) {
             counts.lost = 0.0;
         }
@@ -99,18 +99,18 @@
             self.endpoints
                 .resize_with(endpoint + 1, EndpointRecord::default);
         }
-        self.leave(endpoint);
+        self.remove_from_sums(endpoint);
         self.endpoints[endpoint] = EndpointRecord {
             build,
             interval: self.interval,
             ..EndpointRecord::default()
         };
-        self.join(endpoint);
+        self.add_to_sums(endpoint);
     }
 
     /// Ends the outcomes of an endpoint that does not run any more, and returns them by class.
     pub fn stop(&mut self, endpoint: usize) -> Vec<(usize, OutcomeCounts)> {
-        self.leave(endpoint);
+        self.remove_from_sums(endpoint);
         let Some(record) = self.endpoints.get_mut(endpoint) else {
             return Vec::new();
         };
@@ -133,32 +133,32 @@
         }
         let is_new = record.outcomes.add(class, added, &self.decay);
         let sums = sums_at(build, aging, self.interval, &self.decay);
-        sums.add(class, &record.counted(*added), is_new);
+        sums.add(class, &record.counted_outcomes(*added), is_new);
         if added.has_failures() {
             add_failures(build, record, endpoint, &self.decay);
         }
         if record.outcomes.needs_pruning() || self.aging_of(endpoint) != aging {
-            self.regroup(endpoint, |_, _| {});
+            self.update_record(endpoint, |_, _| {});
         }
     }
 
     /// Takes back one failed answer of a class at an endpoint, as far as it still counts.
     pub fn take_back_failure(&mut self, endpoint: usize, class: usize) {
-        self.regroup(endpoint, |record, decay| {
+        self.update_record(endpoint, |record, decay| {
             record.outcomes.take_back_failure(class, decay);
         });
     }
 
     /// Takes back all failed answers of an endpoint.
     pub fn clear_failed(&mut self, endpoint: usize) {
-        self.regroup(endpoint, |record, decay| {
+        self.update_record(endpoint, |record, decay| {
             record.outcomes.clear_failed(decay);
         });
     }
 
     /// Takes in that the ejection of an endpoint began or ended.
     pub fn set_ejected(&mut self, endpoint: usize, is_ejected: bool) {
-        self.regroup(endpoint, |record, _| record.is_ejected = is_ejected);
+        self.update_record(endpoint, |record, _| record.is_ejected = is_ejected);
     }
 
     /// Takes in which build is the newest. Walks the endpoints.
@@ -215,7 +215,12 @@
 
     /// Sums by class over the running endpoints of a build, for this many classes. `discards` says
     /// whether a single endpoint with most of the failures is left out.
-    pub fn sums_of(&self, build: u32, classes: usize, discards: bool) -> Vec<OutcomeCounts> {
+    pub fn sums_of(
+        &self,
+        build: u32,
+        classes: usize,
+        discard_most_failing: bool,
+    ) -> Vec<OutcomeCounts> {
         let mut outcomes = vec![OutcomeCounts::default(); classes];
         let Some(build) = self.builds.get(&build) else {
             return outcomes;
@@ -223,7 +228,7 @@
         let factor = build.decaying.factor_to(self.interval, &self.decay);
         build.decaying.add_to(&mut outcomes, factor);
         build.kept.add_to(&mut outcomes, 1.0);
-        if discards && build.endpoints > MIN_ENDPOINTS_TO_DISCARD {
+        if discard_most_failing && build.endpoints > MIN_ENDPOINTS_TO_DISCARD {
             if let Some(endpoint) = self.endpoint_with_most_failures(build) {
                 self.discard(endpoint, build, &mut outcomes);
             }
@@ -264,7 +269,7 @@
         let record = &self.endpoints[endpoint];
         if record.build >= self.newest_build {
             Aging::Decays
-        } else if record.outcomes.total().total() > MAX_KEPT {
+        } else if record.outcomes.total().total() > MAX_KEPT_OUTCOMES {
             Aging::DecaysUntilKept
         } else {
             Aging::Kept
@@ -277,7 +282,7 @@
         if self.aging_of(endpoint) == Aging::DecaysUntilKept {
             self.schedule_check(endpoint);
         } else {
-            self.regroup(endpoint, |_, _| {});
+            self.update_record(endpoint, |_, _| {});
         }
     }
 
@@ -298,20 +303,20 @@
 
     /// Changes an endpoint that runs, and gives its build's sums what it then has. Costs the
     /// classes that it remembers.
-    fn regroup(
+    fn update_record(
         &mut self,
         endpoint: usize,
         change: impl FnOnce(&mut EndpointRecord, &OutcomeDecay),
     ) {
-        if !self.leave(endpoint) {
+        if !self.remove_from_sums(endpoint) {
             return;
         }
         change(&mut self.endpoints[endpoint], &self.decay);
-        self.join(endpoint);
+        self.add_to_sums(endpoint);
     }
 
     /// Takes all that an endpoint has off the sums. Whether it was in them.
-    fn leave(&mut self, endpoint: usize) -> bool {
+    fn remove_from_sums(&mut self, endpoint: usize) -> bool {
         let Some(record) = self.endpoints.get_mut(endpoint) else {
             return false;
         };
@@ -322,7 +327,7 @@
         if let Some(build) = self.builds.get_mut(&record.build) {
             let sums = sums_at(build, aging, self.interval, &self.decay);
             for (class, counts) in record.outcomes.by_class(&self.decay) {
-                sums.remove(class, &record.counted(counts));
+                sums.remove(class, &record.counted_outcomes(counts));
             }
             remove_failures(build, record, endpoint, &self.decay);
             build.endpoints = build.endpoints.saturating_sub(1);
@@ -336,7 +341,7 @@
     }
 
     /// Adds all that an endpoint has to the sums of its build.
-    fn join(&mut self, endpoint: usize) {
+    fn add_to_sums(&mut self, endpoint: usize) {
         self.endpoints[endpoint]
             .outcomes
             .prune_negligible(&self.decay);
@@ -346,7 +351,7 @@
         let build = self.builds.entry(record.build).or_default();
         let sums = sums_at(build, aging, self.interval, &self.decay);
         for (class, counts) in record.outcomes.by_class(&self.decay) {
-            sums.add(class, &record.counted(counts), true);
+            sums.add(class, &record.counted_outcomes(counts), true);
         }
         build.endpoints += 1;
         add_failures(build, record, endpoint, &self.decay);
@@ -356,11 +361,11 @@
     /// Sums all up anew after a change of what the sums are made of.
     fn rebuild(&mut self, change: impl FnOnce(&mut OutcomeEvidence)) {
         let running: Vec<usize> = (0..self.endpoints.len())
-            .filter(|endpoint| self.leave(*endpoint))
+            .filter(|endpoint| self.remove_from_sums(*endpoint))
             .collect();
         change(self);
         for endpoint in running {
-            self.join(endpoint);
+            self.add_to_sums(endpoint);
         }
     }
 }
@@ -412,7 +417,7 @@
 /// Evaluation intervals in which so many outcomes of an earlier build still decay: the last one is
 /// that which takes them to what is kept.
 fn intervals_until_kept(total: &OutcomeCounts, decay: &OutcomeDecay) -> u64 {
-    let ratio = (total.total() / MAX_KEPT).max(1.0);
+    let ratio = (total.total() / MAX_KEPT_OUTCOMES).max(1.0);
     (ratio.ln() / -decay.factor.ln()).ceil() as u64
 }
 
--- a/src/balancer/outcome_regression.rs
+++ b/src/balancer/outcome_regression.rs
@@ -24,16 +24,16 @@
 /// The same where it does.
 const FORMER_WEIGHT_WHILE_FAILING: f64 = 0.2;
 /// Failures of the earlier build at present from which on it counts as failing.
-const PEER_FAILURES: f64 = 0.5;
+const MIN_PEER_FAILURES: f64 = 0.5;
 /// How far beyond chance a difference must be, as a logarithm; more the more agents look.
-const CHANCE_THRESHOLD: f64 = 3.0;
+const SIGNIFICANCE_THRESHOLD: f64 = 3.0;
 /// The same for each of several agents that must agree: few failures come by chance.
-const AGREED_CHANCE_THRESHOLD: f64 = 3.0;
+const AGREED_SIGNIFICANCE_THRESHOLD: f64 = 3.0;
 /// Client-reported errors below which nothing is concluded: two, of which one may have decayed.
 const MIN_REPORTED: f64 = 1.8;
 /// How far beyond chance client-reported errors must be, as a logarithm: they hardly come by
 /// chance.
-const REPORTED_CHANCE_THRESHOLD: f64 = 1.0;
+const REPORTED_SIGNIFICANCE_THRESHOLD: f64 = 1.0;
 
 /// How a canary is regressed.
 #[derive(Clone, Copy)]
@@ -58,7 +58,7 @@
     /// Least log-likelihood ratio.
     log_ratio: f64,
     /// Factor on shares and counts.
-    ease: f64,
+    threshold_factor: f64,
 }
 
 /// Outcomes of one class, or of all together.
@@ -85,7 +85,7 @@
         &self,
         status: &RolloutStatus,
         earlier_build: u32,
-        ease: f64,
+        threshold_factor: f64,
     ) -> OutcomeFinding {
         let canary = self.outcomes_of(status.build);
         let earlier = self.outcomes_of(earlier_build);
@@ -93,7 +93,7 @@
         let canary_sum = OutcomeCounts::sum(&canary);
         let earlier_sum = OutcomeCounts::sum(&earlier);
         let peer_sum = OutcomeCounts::sum(peers);
-        let whole = ClassEvidence {
+        let overall = ClassEvidence {
             canary: &canary_sum,
             earlier: &earlier_sum,
             peers: &peer_sum,
@@ -101,13 +101,13 @@
         let mut finding = OutcomeFinding {
             reason: None,
             strength: 0.0,
-            has_wrong_answers: self.has_wrong_answers(&whole),
+            has_wrong_answers: self.has_wrong_answers(&overall),
         };
         if canary_sum.total() < MIN_OUTCOMES {
             return finding;
         }
-        let baseline = Baseline::new(&whole);
-        let thresholds = self.outcome_thresholds(ease);
+        let baseline = Baseline::new(&overall);
+        let thresholds = self.outcome_thresholds(threshold_factor);
         let classes = canary.iter().zip(&earlier).zip(peers).enumerate();
         for (class, ((canary, earlier), peers)) in classes {
             // Where the canary shows no failures, nothing speaks against it.
@@ -126,34 +126,35 @@
                 &format_args!("class {class}"),
             );
         }
-        finding.add(&whole, &baseline, &thresholds, &"all classes");
+        finding.add(&overall, &baseline, &thresholds, &"all classes");
         finding
     }
 
-    fn outcome_thresholds(&self, ease: f64) -> Thresholds {
+    fn outcome_thresholds(&self, threshold_factor: f64) -> Thresholds {
         let rollout = &self.parameters.rollout;
         let log_ratio = if rollout.needs_agreement {
-            AGREED_CHANCE_THRESHOLD + rollout.agents_per_vote.ln()
+            AGREED_SIGNIFICANCE_THRESHOLD + rollout.agents_per_vote.ln()
         } else {
-            CHANCE_THRESHOLD + self.parameters.agents.ln()
+            SIGNIFICANCE_THRESHOLD + self.parameters.agents.ln()
         };
         Thresholds {
             reported_error_weight: rollout.reported_error_weight,
-            log_ratio: log_ratio * ease,
-            ease,
+            log_ratio: log_ratio * threshold_factor,
+            threshold_factor,
         }
     }
 
     /// Whether clients report more wrong answers of the canary than of the earlier build. They come
     /// from no faulty hardware, and a right answer is reported as wrong but rarely.
-    fn has_wrong_answers(&self, whole: &ClassEvidence) -> bool {
+    fn has_wrong_answers(&self, overall: &ClassEvidence) -> bool {
         let reported = |counts: &OutcomeCounts| Proportion {
             count: counts.reported,
             total: counts.succeeded,
         };
-        let log_ratio = log_likelihood_ratio(reported(whole.canary), reported(whole.earlier));
+        let log_ratio = log_likelihood_ratio(reported(overall.canary), reported(overall.earlier));
         let agents = self.parameters.rollout.agents_per_vote;
-        whole.canary.reported >= MIN_REPORTED && log_ratio > REPORTED_CHANCE_THRESHOLD + agents.ln()
+        overall.canary.reported >= MIN_REPORTED
+            && log_ratio > REPORTED_SIGNIFICANCE_THRESHOLD + agents.ln()
     }
 }
 
@@ -190,12 +191,13 @@
 /// May let a bad build go on for longer where the earlier one gets little traffic at present.
 struct Baseline {
     former_weight: f64,
-    whole: OutcomeCounts,
+    overall: OutcomeCounts,
 }
 
 impl Baseline {
-    fn new(whole: &ClassEvidence) -> Baseline {
-        let is_failing = whole.peers.failed_or_lost() + whole.peers.reported >= PEER_FAILURES;
+    fn new(overall: &ClassEvidence) -> Baseline {
+        let is_failing =
+            overall.peers.failed_or_lost() + overall.peers.reported >= MIN_PEER_FAILURES;
         let former_weight = if is_failing {
             FORMER_WEIGHT_WHILE_FAILING
         } else {
@@ -203,7 +205,7 @@
         };
         Baseline {
             former_weight,
-            whole: whole.earlier.scaled_plus(former_weight, whole.peers),
+            overall: overall.earlier.scaled_plus(former_weight, overall.peers),
         }
     }
 
@@ -213,8 +215,8 @@
         let earlier = evidence.earlier;
         let own = earlier.scaled_plus(self.former_weight, evidence.peers);
         let missing = earlier.total().min(1.0) * (MIN_BASELINE_OUTCOMES - own.total()).max(0.0)
-            / self.whole.total().max(MIN_BASELINE_OUTCOMES);
-        self.whole.scaled_plus(missing, &own)
+            / self.overall.total().max(MIN_BASELINE_OUTCOMES);
+        self.overall.scaled_plus(missing, &own)
     }
 }
 
@@ -233,7 +235,7 @@
 
 /// Whether its answers fail. Lost ones are left out: they would blur this baseline.
 fn is_failing(evidence: &ClassEvidence, baseline: &OutcomeCounts, thresholds: &Thresholds) -> bool {
-    let ease = thresholds.ease;
+    let threshold_factor = thresholds.threshold_factor;
     let weighted = |counts: &OutcomeCounts| Proportion {
         count: counts.failed + counts.reported * thresholds.reported_error_weight,
         total: counts.succeeded + counts.failed,
@@ -244,8 +246,8 @@
     };
     let canary = weighted(evidence.canary);
     let earlier = weighted(evidence.earlier);
-    seen(evidence.canary).count >= MIN_FAILURES * ease
-        && canary.count > MAX_FAILED_SHARE * ease * canary.total
+    seen(evidence.canary).count >= MIN_FAILURES * threshold_factor
+        && canary.count > MAX_FAILED_SHARE * threshold_factor * canary.total
         && earlier.count < MAX_BASELINE_SHARE * earlier.total
         && log_likelihood_ratio(seen(evidence.canary), seen(baseline)) > thresholds.log_ratio
 }
@@ -253,15 +255,15 @@
 /// Whether its answers are lost. Guards against dead endpoints and lossy networks: what the earlier
 /// build loses, too, is not the canary's.
 fn is_losing(evidence: &ClassEvidence, baseline: &OutcomeCounts, thresholds: &Thresholds) -> bool {
-    let ease = thresholds.ease;
+    let threshold_factor = thresholds.threshold_factor;
     let failed_or_lost = |counts: &OutcomeCounts| Proportion {
         count: counts.failed_or_lost(),
         total: counts.total(),
     };
     let canary = failed_or_lost(evidence.canary);
     let earlier = failed_or_lost(evidence.earlier);
-    canary.count > MIN_FAILURES * LOST_PER_FAILURE * ease
-        && canary.count > MAX_LOST_SHARE * ease * canary.total
+    canary.count > MIN_FAILURES * LOST_PER_FAILURE * threshold_factor
+        && canary.count > MAX_LOST_SHARE * threshold_factor * canary.total
         && log_likelihood_ratio(canary, failed_or_lost(baseline)) > thresholds.log_ratio
         && earlier.count < MAX_BASELINE_SHARE * earlier.total
 }
--- a/src/balancer/platform_evidence.rs
+++ b/src/balancer/platform_evidence.rs
@@ -1,7 +1,7 @@
 //! What the platform's counts over all agents say of a canary. All agents know the same.
 
 use super::evidence::MIN_OUTCOMES;
-use super::latency_regression::EXCUSED_LATENCY;
+use super::latency_regression::TOLERATED_LATENCY_RATIO;
 use super::Balancer;
 use crate::interface::PlatformCounts;
 use crate::model::PlatformTotals;
@@ -12,7 +12,7 @@
 /// Multiple of the earlier build's share of failures that is no regression.
 const MAX_FAILED_RATIO: f64 = 2.0;
 /// How far beyond chance a difference must be, as a logarithm.
-const CHANCE_THRESHOLD: f64 = 6.0;
+const SIGNIFICANCE_THRESHOLD: f64 = 6.0;
 /// Multiple of the earlier build's latency from which on a canary is slow.
 const MAX_LATENCY_RATIO: f64 = 1.6;
 
@@ -21,7 +21,7 @@
     /// What they show beyond chance, in words.
     pub regression: Option<&'static str>,
     /// Whether the canary is about as fast as the earlier build.
-    pub is_even: bool,
+    pub is_latency_similar: bool,
 }
 
 impl Balancer {
@@ -42,18 +42,18 @@
             || is_failing(&PlatformTotals::sum(canary), &PlatformTotals::sum(earlier));
         let latency = PlatformTotals::compare_latency(canary, earlier);
         let is_slow = latency.ratio > MAX_LATENCY_RATIO
-            && chernoff_bound_of_mean(latency.answers, latency.ratio / EXCUSED_LATENCY)
-                > CHANCE_THRESHOLD;
+            && chernoff_bound_of_mean(latency.answers, latency.ratio / TOLERATED_LATENCY_RATIO)
+                > SIGNIFICANCE_THRESHOLD;
         let regression = match (is_failing, is_slow) {
             (true, _) => Some("counted as failing"),
             (false, true) => Some("counted as slow"),
             (false, false) => None,
         };
-        let is_even = self.parameters.rollout.platform_counts
-            && (latency.answers < MIN_OUTCOMES || latency.ratio < EXCUSED_LATENCY);
+        let is_latency_similar = self.parameters.rollout.platform_counts
+            && (latency.answers < MIN_OUTCOMES || latency.ratio < TOLERATED_LATENCY_RATIO);
         PlatformFinding {
             regression,
-            is_even,
+            is_latency_similar,
         }
     }
 
@@ -69,8 +69,8 @@
         total: totals.attempts,
     };
     let earlier_share = MAX_FAILED_RATIO * earlier.failed / earlier.attempts.max(1.0);
-    let excused = (earlier_share + MAX_FAILED_SHARE) * canary.attempts;
-    log_likelihood_ratio(failed(canary), failed(earlier)) > CHANCE_THRESHOLD
+    let tolerated = (earlier_share + MAX_FAILED_SHARE) * canary.attempts;
+    log_likelihood_ratio(failed(canary), failed(earlier)) > SIGNIFICANCE_THRESHOLD
         && earlier.attempts >= MIN_OUTCOMES
-        && canary.failed > excused
+        && canary.failed > tolerated
 }
--- a/src/balancer/preference.rs
+++ b/src/balancer/preference.rs
@@ -1,6 +1,6 @@
 //! How readily an endpoint is used for a request.
 
-use super::selection::{BuildStanding, Selection};
+use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{EjectionPhase, Endpoint, EndpointGroup};
 
@@ -35,7 +35,7 @@
     pub(super) fn preference(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         index: usize,
         endpoint: &Endpoint,
     ) -> Preference {
@@ -50,7 +50,7 @@
         if is_on_probation || is_tried(selection, index) {
             return Preference::Doubtful;
         }
-        self.preference_in_service(selection, standing, endpoint.zone)
+        self.preference_in_service(selection, status, endpoint.zone)
     }
 
     /// How readily the endpoints of a group are used for this request at the best: each one's
@@ -58,7 +58,7 @@
     pub(super) fn best_preference(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         group: &EndpointGroup,
     ) -> Preference {
         let has_effect = selection.has_effect;
@@ -68,7 +68,7 @@
             EjectionPhase::BusyProbation => Preference::Doubtful,
             EjectionPhase::IdleProbation if has_effect => Preference::Doubtful,
             EjectionPhase::IdleProbation | EjectionPhase::InService => {
-                self.preference_in_service(selection, standing, group.zone)
+                self.preference_in_service(selection, status, group.zone)
             }
         }
     }
@@ -76,13 +76,13 @@
     fn preference_in_service(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         zone: usize,
     ) -> Preference {
-        if standing.is_canary {
+        if status.is_canary {
             // No budget for crossing zones may leave a canary without evidence.
-            let may_fail_effect = standing.is_regressed && selection.has_effect;
-            return if may_fail_effect {
+            let is_risky = status.is_regressed && selection.has_effect;
+            return if is_risky {
                 Preference::Doubtful
             } else {
                 Preference::Usable
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -36,7 +36,7 @@
 
 impl Balancer {
     /// Adds to the budget for one request.
-    pub(super) fn earn_retry(&mut self) {
+    pub(super) fn refill_retry_budget(&mut self) {
         let budget = self.retries.budget + RETRY_BUDGET_PER_REQUEST;
         self.retries.budget = budget.min(MAX_RETRY_BUDGET);
     }
@@ -47,7 +47,7 @@
     }
 
     /// Takes a hedged request from the budget.
-    pub(super) fn spend_hedge(&mut self) {
+    pub(super) fn charge_hedge(&mut self) {
         self.retries.budget -= HEDGE_COST;
     }
 
@@ -126,7 +126,7 @@
     }
 
     fn retry_or_give_up(&mut self, now: Duration, id: u64, outcome: Outcome) -> Decision {
-        let is_futile = outcome == Outcome::Failed && self.draws_futile_retry();
+        let is_skipped = outcome == Outcome::Failed && self.skips_retry_at_random();
         let request = &self.requests[&id];
         let class = &self.classes[request.class];
         let has_run = request.may_have_run();
@@ -137,8 +137,8 @@
         };
         let time_left = request.deadline.saturating_sub(now).as_secs_f64();
         let is_late = time_left < class.latency.mean * MIN_RETRY_TIME;
-        let is_barred = has_run && class.rules.idempotency == Idempotency::NonIdempotent;
-        if is_late || is_barred || is_futile || self.retries.budget < cost {
+        let is_unsafe = has_run && class.rules.idempotency == Idempotency::NonIdempotent;
+        if is_late || is_unsafe || is_skipped || self.retries.budget < cost {
             return self.give_up(now, id);
         }
         self.retries.budget -= cost;
@@ -147,7 +147,7 @@
 
     /// Whether a failure is left as it is, by chance: the rarer failures are the endpoints', the
     /// more often.
-    fn draws_futile_retry(&mut self) -> bool {
+    fn skips_retry_at_random(&mut self) -> bool {
         self.random_fraction() > self.retries.fault_attribution.max(MIN_RETRY_PROBABILITY)
     }
 
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -18,7 +18,7 @@
 const RETRY_ROUTE_TICKS: u32 = 4;
 
 /// What can still become of a request.
-pub(super) struct Outlook {
+pub(super) struct RequestLimits {
     /// Whether it has had all its attempts.
     pub attempts_spent: bool,
     /// Whether an answer in time is not to be expected any more.
@@ -31,7 +31,7 @@
     pub late_after: Duration,
 }
 
-impl Outlook {
+impl RequestLimits {
     /// When to look again at an attempt.
     pub fn recheck_after(&self) -> Duration {
         self.stall_timeout.min(self.late_after)
@@ -40,12 +40,12 @@
 
 impl Balancer {
     /// What can still become of this request.
-    pub(super) fn outlook(&self, now: Duration, request: &ActiveRequest) -> Outlook {
+    pub(super) fn limits(&self, now: Duration, request: &ActiveRequest) -> RequestLimits {
         let class = &self.classes[request.class];
         let tick = self.parameters.timer_granularity;
         let time_left = request.deadline.saturating_sub(now);
         let stall_timeout = self.stall_timeout();
-        Outlook {
+        RequestLimits {
             attempts_spent: request.attempts.len() >= self.parameters.max_attempts,
             past_deadline: time_left.as_secs_f64() < class.latency.mean
                 || request.is_past_deduplication(class.rules.idempotency, now + tick),
@@ -61,11 +61,11 @@
         &self,
         now: Duration,
         request: &ActiveRequest,
-        outlook: &Outlook,
+        limits: &RequestLimits,
     ) -> bool {
         let time_left = request.deadline.saturating_sub(now);
         time_left <= self.parameters.timer_granularity * MIN_TICKS_LEFT
-            || outlook.attempts_spent
+            || limits.attempts_spent
             || request.attempts.is_empty() && self.is_over_limit(request)
     }
 
@@ -73,16 +73,21 @@
     ///
     /// What never ran is given up at half of its time: its client may find another agent. Does harm
     /// where an endpoint would still have taken it.
-    pub(super) fn start_attempt(&mut self, now: Duration, id: u64, outlook: &Outlook) -> Decision {
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Duration,
+        id: u64,
+        limits: &RequestLimits,
+    ) -> Decision {
         let tick = self.parameters.timer_granularity;
         match self.choose_endpoints(now, id) {
             Some(choices) if self.request_load_reports(now, id, &choices) => Decision::Defer {
                 until: now + tick * LOAD_PROBE_TICKS,
             },
             Some(TwoChoices { chosen, .. }) => {
-                self.forward(now, id, chosen, outlook.recheck_after())
+                self.forward(now, id, chosen, limits.recheck_after())
             }
-            None if outlook.past_deadline || outlook.is_stale => self.give_up(now, id),
+            None if limits.past_deadline || limits.is_stale => self.give_up(now, id),
             None => Decision::Defer {
                 until: now + tick * RETRY_ROUTE_TICKS,
             },
@@ -121,7 +126,7 @@
         request.attempts.push(endpoint.send_attempt(index, now));
         drop(endpoint);
         self.admission.in_flight += 1;
-        self.spend_exposure(build, class);
+        self.spend_exposure_token(build, class);
         Decision::Forward {
             endpoint: index,
             timeout,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -36,14 +36,14 @@
     /// Endpoints that run.
     pub running: f64,
     /// Mean weight of an endpoint, by its zone.
-    fair: f64,
+    mean_zone_weight: f64,
     /// Part of its load that an endpoint of the earlier build keeps.
-    earlier: f64,
+    earlier_share: f64,
 }
 
 /// What the rollout makes of a build.
 #[derive(Clone, Copy)]
-pub(super) struct BuildStanding {
+pub(super) struct BuildStatus {
     pub is_canary: bool,
     pub is_regressed: bool,
 }
@@ -91,15 +91,15 @@
             .sum();
         let earlier_stay =
             self.parameters.rollout.in_place || self.rollout.builds.values().any(|b| b.regressed);
-        let earlier = if earlier_stay {
+        let earlier_share = if earlier_stay {
             1.0
         } else {
             (1.0 - canary_capacity / f64::max(earlier_endpoints, 1.0)).max(MIN_EARLIER_SHARE)
         };
         FleetShares {
             running,
-            fair: zone_weights / f64::max(running, 1.0),
-            earlier,
+            mean_zone_weight: zone_weights / f64::max(running, 1.0),
+            earlier_share,
         }
     }
 
@@ -122,8 +122,8 @@
         build >= selection.minimum_build && self.may_expose(build, selection.request.class)
     }
 
-    pub(super) fn build_standing(&self, build: u32) -> BuildStanding {
-        BuildStanding {
+    pub(super) fn build_status(&self, build: u32) -> BuildStatus {
+        BuildStatus {
             is_canary: self.rollout.is_canary(build),
             is_regressed: self.rollout.is_regressed(build),
         }
@@ -134,13 +134,13 @@
     pub(super) fn build_share(
         &self,
         shares: &FleetShares,
-        standing: BuildStanding,
+        status: BuildStatus,
         zone: usize,
     ) -> f64 {
-        match (standing.is_canary, standing.is_regressed) {
-            (true, true) => shares.fair * REGRESSED_SHARE,
-            (true, false) => shares.fair,
-            (false, _) => self.zone_weight(zone) * shares.earlier,
+        match (status.is_canary, status.is_regressed) {
+            (true, true) => shares.mean_zone_weight * REGRESSED_SHARE,
+            (true, false) => shares.mean_zone_weight,
+            (false, _) => self.zone_weight(zone) * shares.earlier_share,
         }
     }
 }
