--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,51 +1,54 @@
-//! How many requests are let in: the limit of attempts in flight, and what it rejects first.
+//! Admission control: the limit of attempts in flight, and which requests it rejects first.
 
 use super::{Balancer, EVALUATION_INTERVAL};
 use crate::model::{ActiveRequest, ClassState};
 use std::time::Duration;
 
-/// Mean latency that keeps nearly all answers within the latency objective, as a part of it.
+/// Mean latency that keeps nearly all responses within the latency objective, as a share of the
+/// objective.
 const TARGET_LATENCY_SHARE: f64 = 0.4;
-/// The same where even the lowest latency is above it, as a multiple of that one.
+/// Target latency as a multiple of the latency floor, used when even the floor is above the share
+/// of the objective.
 const TARGET_OVER_FLOOR: f64 = 1.2;
-/// Part of the latency objective below which answers need no limit.
+/// Mean latency below which a class needs no limit, as a share of its latency objective.
 const UNLIMITED_LATENCY_SHARE: f64 = 0.2;
-/// Attempts in flight that the limit allows beyond the capacity and its square root.
+/// Number of attempts in flight that the limit allows beyond the capacity and its square root.
 const LIMIT_HEADROOM: f64 = 2.0;
-/// Part of the highest limit of late below which the limit counts as collapsed.
+/// Share of the recent peak limit below which the limit counts as collapsed.
 const COLLAPSED_LIMIT_SHARE: f64 = 0.6;
-/// Decay of the highest limit of late, each evaluation interval.
+/// Decay factor of the recent peak limit per evaluation interval.
 const PEAK_DECAY: f64 = 0.998;
-/// Growth of the latency floor, each evaluation interval, so that it forgets.
+/// Growth factor of the latency floor per evaluation interval, so that old minima are forgotten.
 const FLOOR_GROWTH: f64 = 1.002;
-/// Gain of the mean rate of answers, each evaluation interval.
+/// Smoothing gain of the response rate per evaluation interval.
 const ANSWER_RATE_GAIN: f64 = 0.2;
-/// Decay of the tenants' load, each evaluation interval.
+/// Decay factor of the load counted per tenant, per evaluation interval.
 const TENANT_LOAD_DECAY: f64 = 0.98;
-/// Multiple of its fair share beyond which a tenant counts as over it.
+/// Multiple of its fair share of the load beyond which a tenant counts as over its share.
 const TENANT_TOLERANCE: f64 = 1.15;
-/// Part of the limit that a tenant over its fair share may use.
+/// Share of the usable limit that is left to a tenant over its fair share.
 const OVER_SHARE_LIMIT_FACTOR: f64 = 0.8;
-/// Part of the limit that the class of least value may use; the rest is given by value.
+/// Share of the limit that a class of the lowest value may use; the rest is granted in proportion
+/// to value.
 const MIN_VALUE_LIMIT_SHARE: f64 = 0.8;
-/// The rest of the limit.
+/// Share of the limit that is granted in proportion to the value of a class.
 const VALUE_LIMIT_SHARE: f64 = 0.2;
-/// Least latency, in seconds, that the value of a class is divided by.
+/// Lower bound of the latency, in seconds, by which the value of a class is divided.
 const MIN_SERVICE_TIME: f64 = 1e-4;
-/// Least value that others are divided by.
+/// Lower bound of the best value, by which the values of other classes are divided.
 const MIN_BEST_VALUE: f64 = 1e-9;
 
 impl Balancer {
-    /// Counts a request of this tenant.
+    /// Counts a request towards the load of its tenant; does nothing for `None`.
     pub(super) fn count_tenant(&mut self, tenant: Option<usize>) {
         if let Some(tenant) = tenant {
             self.admission.tenant_load.increment(tenant);
         }
     }
 
-    /// Sets the limit of attempts in flight, by Little's law: the rate of answers times the mean
-    /// latency that is still good. Below it, answers grow with what is sent; above it, only the
-    /// waiting does. Where answers are fast there is no limit.
+    /// Updates the limit of attempts in flight by Little's law: the rate of responses times the
+    /// highest acceptable mean latency. Below this limit, more load yields more responses; above
+    /// it, only more waiting. There is no limit while responses are fast.
     pub(super) fn update_limit(&mut self, now: Duration) {
         self.admission.tenant_load.decay(TENANT_LOAD_DECAY);
         let mut capacity = 0.0;
@@ -64,7 +67,8 @@
         self.count_unresponsive(now);
     }
 
-    /// Sums up what decisions ask of all classes, after a change of their rates, floors or rules.
+    /// Caches the best value and the total response rate over all classes, which decisions read.
+    /// Must be called after a change of the classes' rates, latency floors or rules.
     pub(super) fn summarize_classes(&mut self) {
         let values = self.classes.iter().map(|class| self.value(class));
         self.admission.best_value = values.fold(MIN_BEST_VALUE, f64::max);
@@ -87,9 +91,11 @@
         self.admission.limit = (!is_fast).then_some(limit);
     }
 
-    /// Guards against a limit that falls with the rate that it lets through, once the newest build
-    /// is slow: the present latency is the floor from then on. Does harm where the newest build is
-    /// slow and load falls on its own, as waiting then counts as work.
+    /// Whether the limit has collapsed, so that the present latency becomes the latency floor.
+    ///
+    /// Prevents a downward spiral of the limit with the rate that it admits, once the newest build
+    /// is slow. Does harm if the newest build is slow and the load drops on its own, because
+    /// queueing then counts as service time.
     fn has_collapsed(&self, limit: f64, is_fast: bool) -> bool {
         limit < self.admission.peak_limit * COLLAPSED_LIMIT_SHARE
             && self.evaluation.latency.is_newest_slower
@@ -108,8 +114,8 @@
             .sum();
     }
 
-    /// Whether the limit leaves no room for this request: least for classes of little value and
-    /// tenants over their fair share.
+    /// Whether the limit leaves no room for this request. Classes of low value and tenants over
+    /// their fair share may use the smallest part of the limit.
     pub(super) fn is_over_limit(&self, request: &ActiveRequest) -> bool {
         let Some(limit) = self.admission.limit else {
             return false;
@@ -130,7 +136,8 @@
         in_flight as f64 >= limit * usable_share
     }
 
-    /// What a class is worth for the work that it costs.
+    /// Value of a class per unit of work: its priority weight divided by its lowest latency, or the
+    /// weight alone if the settings weight requests by work.
     fn value(&self, class: &ClassState) -> f64 {
         let work = if self.parameters.weight_by_work {
             1.0
--- a/src/balancer/affinity.rs
+++ b/src/balancer/affinity.rs
@@ -1,30 +1,32 @@
-//! Which endpoint or build a key belongs to.
+//! Maps keys to their affinity endpoints and their sticky builds.
 
 use super::Balancer;
 use crate::interface::{Outcome, RolloutPhase};
 use crate::model::{ActiveRequest, AffinityGroup, EndedAttempt};
 use crate::stats::{KindWeight, RankedMembers};
 
-/// Requests within which a key that is met again counts as popular: any endpoint serves it fast,
-/// and it would overload a single one.
+/// Number of recent requests within which a repeated key counts as popular: every endpoint then
+/// serves it fast, and it would overload a single one.
 const POPULAR_WITHIN: usize = 32;
-/// Endpoints of a key that are asked for at the most, in a fleet too large to go by all of them. With
-/// half of the endpoints out of use one key of 256 has none.
+/// Maximum number of affinity endpoints tried for a key in a fleet too large to rank in full. With
+/// half of the endpoints unavailable, one key in 256 finds none.
 const MAX_AFFINITY_ENDPOINTS: u64 = 8;
 
 impl Balancer {
-    /// The key of a request, where it is to go to the key's affinity endpoint.
+    /// The key by which a request is routed to an affinity endpoint. `None` if it has no key, key
+    /// affinity is off, or the key is too popular for a single endpoint.
     pub(super) fn affinity_key(&mut self, key: Option<u64>) -> Option<u64> {
         let key = key.filter(|_| self.parameters.key_affinity)?;
         let is_popular = self.affinity.recent_keys.insert(key, POPULAR_WITHIN);
         (!is_popular).then_some(key)
     }
 
-    /// The affinity endpoint of a request that is sent for the first time: the first one of its
-    /// key that may be used for it. Zones that are a last resort for it come last in a large fleet.
+    /// The affinity endpoint for the first attempt of a request: the first endpoint in the order of
+    /// its key for which `may_be_used` holds. In a large fleet, zones that are a last resort for
+    /// the request come last.
     ///
-    /// `None` where no endpoint may be used; in a large fleet also where none of the few that the
-    /// key is looked for at may be.
+    /// Returns `None` for a retry or a request without an affinity key, or if no endpoint may be
+    /// used; in a large fleet also if none of the few endpoints tried for the key may be used.
     pub(super) fn affinity_endpoint_where(
         &self,
         request: &ActiveRequest,
@@ -38,10 +40,11 @@
             .or_else(|| first_used(self.endpoints_of_key(key, |_| true)))
     }
 
-    /// The running endpoints of a key, the first one first, by their identities and hardware types:
-    /// all agents find the same order.
+    /// The running endpoints of a key, in the order of rendezvous hashing by their identities and
+    /// hardware types, so that all agents compute the same order.
     ///
-    /// In a small fleet these are all of them, in a large one a few, in preferred zones only.
+    /// Yields all running endpoints in a small fleet; in a large one only a few, all of them in
+    /// preferred zones.
     pub(crate) fn endpoints_of_key(
         &self,
         key: u64,
@@ -55,13 +58,14 @@
         affinity.endpoints_for(key, kind_weight, MAX_AFFINITY_ENDPOINTS)
     }
 
-    /// Nodes that were visited so far to find the endpoints of keys: a measure of work that does not
-    /// depend on a clock.
+    /// Number of nodes of the affinity index visited so far, to look up or update the endpoints of
+    /// keys: a measure of work that does not depend on a clock.
     pub fn affinity_nodes_visited(&self) -> u64 {
         self.fleet.index().affinity().visited()
     }
 
-    /// Those of them whose weights were summed up over all zones and hardware types.
+    /// Number of nodes of the affinity index whose weights were summed over all zones and hardware
+    /// types, for lookups.
     pub fn affinity_nodes_summed(&self) -> u64 {
         self.fleet.index().affinity().summed()
     }
@@ -71,7 +75,7 @@
         hardware.map_or(1.0, |hardware| hardware.rounded_throughput)
     }
 
-    /// Remembers which build answered a key, where it may not return to an earlier one.
+    /// Records which build answered a key, if the key must not return to an earlier build.
     pub(super) fn record_sticky_build(&mut self, ended: &EndedAttempt, outcome: Outcome) {
         let build = ended.build.max(self.fleet.endpoint(ended.endpoint).build);
         let status = self.rollout.status.as_ref();
@@ -85,8 +89,8 @@
         }
     }
 
-    /// The oldest build that may serve a request: the newest one where that has answered its key,
-    /// unless it is being taken back.
+    /// The oldest build that may serve a request: the newest build if it has answered the request's
+    /// key and is not being rolled back, otherwise any build (0).
     pub(super) fn minimum_build(&self, request: &ActiveRequest) -> u32 {
         let sticky_build = request
             .key
--- a/src/balancer/build_evaluation.rs
+++ b/src/balancer/build_evaluation.rs
@@ -1,4 +1,5 @@
-//! Whether the newest build is worse than the one before it, and what this agent votes for.
+//! Evaluates whether the newest build is worse than the one before it, and decides this agent's
+//! vote.
 
 use super::evidence::EVALUATED_AFTER_START;
 use super::outcome_regression::{OutcomeFinding, MIN_FAILURES};
@@ -7,34 +8,37 @@
 use crate::interface::{RolloutPhase, RolloutStatus, Verdict, Vote};
 use std::time::Duration;
 
-/// How long after its newest start a build's evidence is unsteady.
+/// Time after a build's newest start within which its evidence has not settled.
 pub(super) const SETTLED_AFTER_START: Duration = Duration::from_millis(6000);
-/// Factor on what places a hold that keeps it until then.
+/// Factor on the thresholds for a regression that keeps an existing hold until the build has
+/// settled.
 const HOLD_THRESHOLD_FACTOR: f64 = 0.5;
-/// Evidence of a regression, in failures times the seconds for which they have shown, that rolls
-/// back.
+/// Accumulated evidence of a regression that justifies a rollback, in failures times the seconds
+/// for which they have shown.
 const ROLL_BACK_EVIDENCE: f64 = 12.0;
-/// Decay of that evidence, each evaluation interval that shows none.
+/// Decay factor of that evidence for each evaluation interval without a regression.
 const EVIDENCE_DECAY: f64 = 0.98;
-/// Strength of an alarm by latency, as a part of the least failures.
+/// Strength of a latency alarm, as a share of the minimum number of failures.
 const ALARM_STRENGTH: f64 = 0.5;
-/// Share of the endpoints from which on a canary is rolled back that took others' places.
+/// Share of the endpoints above which a lasting regression of an in-place canary is rolled back
+/// rather than held.
 const IN_PLACE_ROLL_BACK_SHARE: f64 = 0.2;
 
-/// What this evaluation found.
+/// Result of one evaluation of the newest build.
 struct Finding {
-    /// Why the build is regressed, where it is.
+    /// Why the build is regressed; `None` if it is not.
     reason: Option<String>,
-    /// Failures that speak for it.
+    /// Strength of the evidence, in failures.
     strength: f64,
-    /// Whether the evidence rolls back at once: other agents see it, too, or the platform does.
+    /// Whether the evidence justifies a rollback at once, because other agents or the platform see
+    /// the regression as well.
     is_agreed: bool,
-    /// Whether client-reported errors speak against it.
+    /// Whether client-reported errors show a regression.
     has_wrong_answers: bool,
 }
 
 impl Balancer {
-    /// Evaluates the newest build, and sets the vote that is meant.
+    /// Evaluates the newest build and updates the vote that this agent wants to have counted.
     pub(super) fn evaluate_canary(&mut self, now: Duration) {
         let Some(status) = self.rollout.status.clone() else {
             return;
@@ -42,7 +46,8 @@
         let age = self.age_since_newest_start(now, status.build);
         let earlier_build = self.rollout.build_before(status.build);
         let was_regressed = self.rollout.is_regressed(status.build);
-        // Until the build has settled, a hold once placed is kept on half of what placed it.
+        // Until the build has settled, half of the evidence that placed a hold is enough to keep
+        // it.
         let threshold_factor = if was_regressed && age < SETTLED_AFTER_START {
             HOLD_THRESHOLD_FACTOR
         } else {
@@ -56,7 +61,7 @@
         let finding = self.combine_evidence(&status, age, outcomes, &platform);
         self.log_change(status.build, was_regressed, finding.reason.as_deref());
         let is_lasting = self.accumulate_evidence(status.build, &finding);
-        // The places that it took are given back by a roll back only.
+        // Only a rollback returns the endpoints that the canary has replaced to the earlier build.
         let replaces_endpoints = self.parameters.rollout.in_place
             && endpoints > IN_PLACE_ROLL_BACK_SHARE * self.fleet.index().total().running as f64;
         let verdict = self.verdict(&status, age, &finding, is_lasting, replaces_endpoints);
@@ -67,20 +72,22 @@
         });
     }
 
-    /// Time since the newest start of a build; a settled age where it is unknown.
+    /// Time since the newest start of a build, or the time to settle if the build is unknown.
     fn age_since_newest_start(&self, now: Duration, build: u32) -> Duration {
         let build = self.rollout.builds.get(&build);
         build.map_or(SETTLED_AFTER_START, |b| now.saturating_sub(b.newest_start))
     }
 
-    /// Endpoints of a build that show failures. Guards against a few faulty ones: they add little
-    /// towards a roll back, only as much as their part. Does harm by a later roll back where only
-    /// some endpoints get the requests that fail.
+    /// Number of endpoints of a build that show failures.
+    ///
+    /// Limits the effect of a few faulty endpoints, which add to the evidence only in proportion to
+    /// their share of the build's endpoints. Does harm by a later rollback if only some endpoints
+    /// get the requests that fail.
     fn failing_endpoints(&self, build: u32) -> f64 {
         self.outcomes.failing_endpoints(build) as f64
     }
 
-    /// Draws all evidence together.
+    /// Combines the evidence of outcomes, latencies and platform counts into one finding.
     fn combine_evidence(
         &self,
         status: &RolloutStatus,
@@ -127,7 +134,8 @@
         });
     }
 
-    /// Adds to the evidence against a build. Whether it is enough to roll back.
+    /// Adds a finding to the accumulated evidence against a build. Returns whether the evidence
+    /// justifies a rollback.
     fn accumulate_evidence(&mut self, build: u32, finding: &Finding) -> bool {
         let build = self.build_mut(build);
         build.regressed = finding.reason.is_some();
@@ -139,12 +147,12 @@
         build.regressed && build.regression_evidence >= ROLL_BACK_EVIDENCE
     }
 
-    /// What the evidence asks for.
+    /// The verdict that the evidence calls for; `None` if it calls for no vote.
     ///
-    /// A hold of this agent keeps only its own requests from the build. It spares no agent with
-    /// little traffic, gives back no places, and guards neither from wrong answers nor from a
-    /// released build. Where several agents must agree, half of them vote to roll back at once, the
-    /// others once their hold stands.
+    /// A hold of this agent only keeps its own requests away from the build. It does not protect
+    /// agents with little traffic, does not give back replaced endpoints, and prevents neither
+    /// wrong responses nor damage by a released build. If several agents must agree, half of them
+    /// vote to roll back at once, and the others once their hold counts.
     fn verdict(
         &self,
         status: &RolloutStatus,
--- a/src/balancer/candidate_weights.rs
+++ b/src/balancer/candidate_weights.rs
@@ -1,12 +1,12 @@
-//! What a candidate weighs in the random draw, by itself and at the most in its group, and the load
-//! by which two candidates are compared.
+//! Weights of candidates in the random draw, individually and as the maximum of their group, and
+//! the load by which two candidates are compared.
 
 use super::endpoint_weights::MAX_ENDPOINT_WEIGHT;
 use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{Endpoint, EndpointGroup};
 
-/// Power of the relative latency by which slow hardware is avoided for heavy requests.
+/// Exponent of the relative latency by which heavy requests avoid slow hardware.
 const HEAVY_LATENCY_POWER: i32 = -4;
 
 impl Balancer {
@@ -27,11 +27,11 @@
         weight * (1.0 / quota).clamp(1.0, selection.shares.running)
     }
 
-    /// The most that a member of this group can weigh.
+    /// Upper bound of the weights of the members of a group.
     ///
-    /// A warming member weighs by its part `s` of its full load, times `1 / (q s')` between one and
-    /// all running endpoints, where `s'` was that part at the last evaluation and `q` is the quota
-    /// of a full share.
+    /// A warming member has a weight in proportion to its share `s` of its full load, times `1 / (q
+    /// s')` clamped between one and the number of running endpoints, where `s'` is that share at
+    /// the last evaluation and `q` is the quota of a full share.
     pub(super) fn max_group_weight(
         &self,
         selection: &Selection,
@@ -51,7 +51,7 @@
         capacity * quota_share.min(max_scaled_share).max(max_share)
     }
 
-    /// Load of an endpoint against what it can take.
+    /// Load of an endpoint relative to its capacity.
     pub(super) fn candidate_load(&self, selection: &Selection, endpoint: &Endpoint) -> f64 {
         let min_load = if selection.is_heavy {
             let hardware = &self.fleet.types[endpoint.endpoint_type];
@@ -69,8 +69,11 @@
         self.endpoint_weight(endpoint) * hardware.throughput * slow_start_share
     }
 
-    /// Guards heavy requests against slow hardware, which looks fast at no load. Does harm by
-    /// crowding the fast hardware.
+    /// Factor on the weight of endpoints of this type for a heavy request, by their relative
+    /// latency; 1 for other requests.
+    ///
+    /// Prevents heavy requests from going to slow hardware, which looks fast when it is idle. Does
+    /// harm by crowding the fast hardware.
     fn heavy_factor(&self, selection: &Selection, endpoint_type: usize) -> f64 {
         if !selection.is_heavy {
             return 1.0;
--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -1,5 +1,5 @@
-//! Which endpoint takes a request: the better of two random choices, drawn by weight and compared
-//! by load.
+//! Selects the endpoint for a request by the power of two choices: two endpoints are drawn by
+//! weight, and the less loaded one is taken.
 
 use super::endpoint_draw::Draw;
 use super::preference::Preference;
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Factor on the load of a key's affinity endpoint, which works less for that key.
+/// Factor on the load of a key's affinity endpoint, which needs less work for that key.
 const AFFINITY_LOAD_FACTOR: f64 = 0.7;
 
 /// An endpoint that may take a request.
@@ -22,7 +22,7 @@
     pub weight: f64,
 }
 
-/// Candidates by preference.
+/// Candidates of one attempt, grouped by preference.
 #[derive(Default)]
 pub(super) struct CandidatePools([Vec<Candidate>; 4]);
 
@@ -35,36 +35,37 @@
         &self.0[preference as usize]
     }
 
-    /// The candidates that are used first, where there are any.
+    /// The candidates of the best preference that has any; `None` if there are no candidates.
     pub fn best(&self) -> Option<(Preference, &[Candidate])> {
         let pools = Preference::ALL.iter().map(|p| (*p, self.of(*p)));
         pools.into_iter().find(|(_, pool)| !pool.is_empty())
     }
 
-    /// Puts candidates that were found in any order into the order of their indices.
+    /// Sorts the candidates of a preference by endpoint index, as they may have been found in any
+    /// order.
     pub fn sort(&mut self, preference: Preference) {
         self.0[preference as usize].sort_unstable_by_key(|candidate| candidate.endpoint);
     }
 }
 
-/// Two endpoints that were drawn by weight; they may be the same one.
+/// Two endpoints that were drawn by weight; both draws may give the same one.
 pub(super) struct Drawn {
-    /// How readily both are used.
+    /// Preference that both endpoints share.
     pub preference: Preference,
-    /// Their indices.
+    /// Indices of the two endpoints.
     pub endpoints: [usize; 2],
 }
 
-/// The two endpoints that were drawn for a request.
+/// The two endpoints that were drawn for a request, ordered by load.
 pub(super) struct TwoChoices {
-    /// Index of the one with less load.
+    /// Index of the less loaded endpoint.
     pub chosen: usize,
-    /// Index of the other.
+    /// Index of the other endpoint.
     pub other: usize,
 }
 
 impl Balancer {
-    /// Draws two endpoints that may take this request now. `None` where there are none, or where
+    /// Draws two endpoints that may take this request now. Returns `None` if there are none or if
     /// the endpoint list has expired.
     pub(super) fn choose_endpoints(&mut self, now: Duration, id: u64) -> Option<TwoChoices> {
         if !self.is_list_valid(now) {
@@ -80,7 +81,7 @@
         choices
     }
 
-    /// Draws two endpoints by weight among those that are used first for a request.
+    /// Draws two endpoints by weight among the candidates of the best preference.
     fn draw(&self, selection: &Selection, rng: &mut Pcg64Mcg) -> Option<Drawn> {
         match self.draw_from_groups(selection, rng) {
             Draw::Found(drawn) => Some(drawn),
@@ -92,8 +93,8 @@
         }
     }
 
-    /// All endpoints that may take a request, found by looking at each one: the last resort where
-    /// random draws find none, and what they are measured by.
+    /// Collects all endpoints that may take a request by scanning the fleet. Used as the fallback
+    /// if random draws find none, and as the reference for the draws.
     fn gather_candidates(&self, selection: &Selection) -> CandidatePools {
         let mut pools = CandidatePools::default();
         for (index, _) in self.fleet.running() {
@@ -102,7 +103,8 @@
         pools
     }
 
-    /// Adds an endpoint to the candidates, where it runs and the rules let it take the request.
+    /// Adds an endpoint to the candidates if it is running and the rules allow it to take the
+    /// request.
     pub(super) fn add_candidate(
         &self,
         selection: &Selection,
@@ -121,13 +123,13 @@
         pools.add(preference, candidate);
     }
 
-    /// An endpoint, where it runs and the rules let it take the request.
+    /// The endpoint at `index`, if it is running and the rules allow it to take the request.
     fn eligible_endpoint(&self, selection: &Selection, index: usize) -> Option<&Endpoint> {
         let endpoint = self.fleet.get(index).filter(|e| e.is_running())?;
         self.is_eligible(selection, endpoint).then_some(endpoint)
     }
 
-    /// Whether an endpoint is a candidate that is used as readily as this.
+    /// Whether an endpoint is a candidate of exactly this preference.
     pub(super) fn is_candidate(
         &self,
         selection: &Selection,
@@ -141,10 +143,11 @@
             })
     }
 
-    /// Takes the drawn endpoint with less load.
+    /// Compares the drawn endpoints by load.
     ///
-    /// The affinity endpoint of the request's key stands in for the first one, and may have a bit
-    /// more load. Endpoints that were asked for their load before stand in for both.
+    /// The affinity endpoint of the request's key replaces the first drawn endpoint and may have
+    /// slightly more load. Endpoints that have been asked for their load for this request replace
+    /// both.
     fn compare(&self, selection: &Selection, drawn: &Drawn) -> TwoChoices {
         let request = selection.request;
         let is_candidate = |index: usize| {
@@ -178,8 +181,9 @@
         }
     }
 
-    /// The endpoints that a request may be forwarded to now, with their weights in the random draw:
-    /// a diagnostic that looks at each endpoint. Empty where the request is not known.
+    /// Diagnostic: the endpoints that a request may be forwarded to now, with their weights in the
+    /// random draw. Scans all endpoints. Empty if the request is unknown or the endpoint list has
+    /// expired.
     pub fn candidate_weights(&self, now: Duration, id: u64) -> Vec<(usize, f64)> {
         let Some(request) = self.requests.get(&id).filter(|_| self.is_list_valid(now)) else {
             return Vec::new();
@@ -189,9 +193,9 @@
         best.iter().map(|c| (c.endpoint, c.weight)).collect()
     }
 
-    /// Draws two endpoints as [`route`](Self::route) does before it compares them by their load: a
-    /// diagnostic that takes random numbers and decides nothing. `None` where the request is not
-    /// known or no endpoint may take it.
+    /// Diagnostic: draws two endpoints as [`route`](Self::route) does before it compares their
+    /// loads. Consumes random numbers but decides nothing. Returns `None` if the request is
+    /// unknown, no endpoint may take it, or the endpoint list has expired.
     pub fn draw_candidates(&mut self, now: Duration, id: u64) -> Option<[usize; 2]> {
         if !self.is_list_valid(now) {
             return None;
@@ -205,8 +209,8 @@
     }
 }
 
-/// Two random candidates of those that are used first, by weight. Where none weighs anything, it is
-/// the last one.
+/// Draws two candidates of the best preference by weight. If no candidate has a positive weight,
+/// both are the last one. Returns `None` if there are no candidates.
 pub(super) fn draw_from_pools(pools: &CandidatePools, rng: &mut Pcg64Mcg) -> Option<Drawn> {
     let (preference, pool) = pools.best()?;
     let last = pool.len().saturating_sub(1);
--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -1,4 +1,4 @@
-//! What an endpoint of another zone is worth.
+//! Weights and counts of endpoints by zone, for cross-zone traffic.
 
 use super::peer_medians::sampled_members;
 use super::Balancer;
@@ -8,18 +8,19 @@
 
 /// Ratio of local to remote latency beyond which remote endpoints gain weight.
 const SLOW_LOCAL_ZONE: f64 = 1.2;
-/// Factor by which remote endpoints gain weight, each evaluation interval.
+/// Growth factor of the weight of remote endpoints per evaluation interval.
 const REMOTE_WEIGHT_GROWTH: f64 = 1.1;
-/// Factor by which they lose it otherwise.
+/// Decay factor of that weight per evaluation interval while the own zone is not slow.
 const REMOTE_WEIGHT_DECAY: f64 = 0.95;
-/// Least weight of a remote endpoint, so that its latency stays known.
+/// Minimum weight of a remote endpoint, so that its latency stays known.
 const MIN_REMOTE_WEIGHT: f64 = 0.03;
-/// Gain of the mean latencies by zone, each answer.
+/// Smoothing gain of the mean latencies of local and remote endpoints, per response.
 const ZONE_LATENCY_GAIN: f64 = 0.03;
 
 impl Balancer {
-    /// Sets what forwarding to other zones means from now on. It weighs where requests go, after
-    /// the rules and the evidence on a canary.
+    /// Sets the policy for forwarding to other zones. It only affects the weights of endpoints,
+    /// after the rules and the evidence on a canary have been applied. The entry for the own zone
+    /// is ignored.
     pub fn set_cross_zone_policy(&mut self, policy: CrossZonePolicy) {
         self.cross_zone.policy = policy;
         if let Some(own) = self.cross_zone.policy.zones.get_mut(self.parameters.zone) {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Counts of the endpoints of a zone now. Looks at those with attempts in flight only.
+    /// Counts of the endpoints of a zone now. Scans only endpoints with attempts in flight.
     pub fn zone_counts(&self, now: Duration, zone: usize) -> ZoneCounts {
         let mut counts = self.in_service_counts(zone);
         for endpoint in self.awaited_endpoints().filter(|e| e.zone == zone) {
@@ -39,8 +40,8 @@
         counts
     }
 
-    /// What each of so many zones holds now. Looks at endpoints with attempts in flight and, of
-    /// each zone, at 512 others at most.
+    /// Counts and capacity of each of the first `zones` zones now. Scans endpoints with attempts in
+    /// flight and at most 512 others of each zone.
     pub fn zone_capacities(&self, now: Duration, zones: usize) -> Vec<ZoneCapacity> {
         let mut counts: Vec<ZoneCounts> = (0..zones).map(|z| self.in_service_counts(z)).collect();
         for endpoint in self.awaited_endpoints() {
@@ -81,7 +82,7 @@
             .map(|index| self.fleet.endpoint(*index))
     }
 
-    /// Takes an endpoint with attempts in flight into the counts of its zone.
+    /// Adds an endpoint with attempts in flight to the counts of its zone.
     fn count_awaited(&self, now: Duration, endpoint: &Endpoint, counts: &mut ZoneCounts) {
         if endpoint.state == EndpointState::Gone {
             return;
@@ -94,14 +95,13 @@
         }
     }
 
-    /// What the `responsive` endpoints of a zone can take: the sum over them, or where there are
-    /// many the mean of a sample times their number. Each call between two evaluations looks at the
-    /// same sample.
+    /// Capacity of the `responsive` endpoints of a zone: their sum or, in large zones, the mean of
+    /// a sample times their number. All calls between two evaluations use the same sample.
     ///
-    /// Guards against a walk over the fleet ten times a second. Does harm where endpoints differ
-    /// much: the estimate's standard deviation is that of what single ones can take, by
-    /// `sqrt(512)` and for each endpoint, so at most 4.1% of as many warm endpoints, half the
-    /// range of weights by the root.
+    /// Avoids a scan of the fleet ten times per second. Does harm if the endpoints differ widely:
+    /// the standard deviation of the estimate per endpoint is that of single endpoints divided by
+    /// `sqrt(512)`. It is at most 4.1% of the capacity of as many warm endpoints, as the standard
+    /// deviation of single ones is at most half the range of weights.
     fn zone_capacity(&self, now: Duration, zone: usize, responsive: usize) -> f64 {
         let members = self.fleet.index().zone_members();
         let lists = [members.warm(zone), members.warming(zone)];
@@ -122,7 +122,7 @@
         sum * (responsive as f64 / f64::from(sampled.max(1)))
     }
 
-    /// Weight of endpoints of a zone against local ones.
+    /// Weight of the endpoints of a zone relative to local ones.
     pub(super) fn zone_weight(&self, zone: usize) -> f64 {
         let policy = self.cross_zone.policy.zones.get(zone);
         if let Some(weight) = policy.and_then(|p| p.weight) {
@@ -135,13 +135,13 @@
         }
     }
 
-    /// Whether a zone is used only where no local endpoint can take an attempt of this class.
+    /// Whether a zone is used only if no local endpoint can take an attempt of this class.
     pub(super) fn is_last_resort(&self, zone: usize, class: usize, is_retry: bool) -> bool {
         let policy = self.cross_zone.policy.zones.get(zone);
         policy.is_some_and(|p| p.is_last_resort(class, is_retry))
     }
 
-    /// Takes in the latency of an answer, divided by the mean of its class.
+    /// Records the latency of a response as a ratio to the mean latency of its class.
     pub(super) fn observe_zone_latency(&mut self, zone: usize, ratio: f64) {
         let mean = if zone == self.parameters.zone {
             &mut self.cross_zone.local_latency_ratio
@@ -151,8 +151,8 @@
         *mean += (ratio - *mean) * ZONE_LATENCY_GAIN;
     }
 
-    /// Moves the weight of remote endpoints. Where crossing zones is free they weigh as much as
-    /// local ones; otherwise they gain only while the own zone is slow.
+    /// Updates the weight of remote endpoints. If cross-zone traffic is free, they have the same
+    /// weight as local ones; otherwise they gain weight only while the own zone is slow.
     pub(super) fn update_remote_weight(&mut self) {
         let zones = &mut self.cross_zone;
         let is_local_slow =
--- a/src/balancer/endpoint_draw.rs
+++ b/src/balancer/endpoint_draw.rs
@@ -1,10 +1,12 @@
-//! Random draws of endpoints by weight without a look at all of them.
+//! Random draws of endpoints by weight, without a scan of all endpoints.
 //!
-//! Endpoints are kept in groups whose members are alike but for their own latency, load and age. A
-//! draw takes a group by the most that its members can weigh together, and one of its members at
-//! random; the member is accepted with the part of that most which it weighs, if the request may use
-//! it. That is a draw by weight among all candidates. What keeps a whole group from a request leaves
-//! the group out, so that only a few members are ever rejected for other reasons than their weight.
+//! Endpoints are kept in groups whose members differ only in latency, load and age. The draw is
+//! rejection sampling: a group is drawn in proportion to the upper bound of its members' weights
+//! times their number, then one of its members uniformly. The member is accepted with the
+//! probability of its weight divided by that bound, if the request may use it. The result is
+//! distributed as a draw by weight among all candidates. A group is left out if the request may use
+//! none of its members, so only a few members are ever rejected for reasons other than their
+//! weight.
 
 use super::candidates::{draw_from_pools, Candidate, CandidatePools, Drawn};
 use super::preference::{is_tried, Preference};
@@ -14,38 +16,38 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// Members at which all are looked at rather than drawn: no more than some draws would look at, and
-/// it tells for sure whether one of them is a candidate.
+/// Number of endpoints up to which all of them are scanned rather than drawn: no more than a few
+/// draws would scan, and a scan tells for certain whether one of them is a candidate.
 const MAX_LISTED: usize = 32;
-/// Draws of an endpoint, at most. Even where one draw in twelve is accepted, a hundred of them fail
-/// in one of five thousand decisions; more would cost as much as a look at all endpoints of a
-/// middling fleet.
+/// Maximum number of draws for one endpoint. Even if only one draw in twelve is accepted, a hundred
+/// draws fail in one of five thousand decisions; more draws would cost as much as a scan of a
+/// medium-sized fleet.
 const MAX_DRAWS: usize = 100;
 
-/// What draws from groups of endpoints came to.
+/// Result of drawing from groups of endpoints.
 pub(super) enum Draw {
     /// Two endpoints were drawn.
     Found(Drawn),
     /// No endpoint may take the request.
     NoCandidate,
-    /// Draws found nothing, and there may be candidates.
+    /// No draw succeeded, but there may be candidates.
     Undecided,
 }
 
 /// A group of endpoints whose members may be drawn for a request.
 struct DrawableGroup<'a> {
-    /// How readily its members are used at the best.
+    /// Best preference that a member of the group can have.
     preference: Preference,
     status: BuildStatus,
     group: &'a EndpointGroup,
     members: &'a [usize],
 }
 
-/// The groups and single candidates that are drawn from, with the sum of the weights up to each.
+/// The groups and individual candidates to draw from, with cumulative weights.
 struct WeightedSources<'a> {
     preference: Preference,
     groups: Vec<&'a DrawableGroup<'a>>,
-    /// By group: the most that a member weighs.
+    /// Upper bound of a member's weight, by group.
     max_weights: Vec<f64>,
     single: &'a [Candidate],
     cumulative: Vec<f64>,
@@ -53,7 +55,7 @@
 }
 
 impl Balancer {
-    /// Draws two endpoints for a request by weight, among those that are used first.
+    /// Draws two endpoints for a request by weight, among the candidates of the best preference.
     pub(super) fn draw_from_groups(&self, selection: &Selection, rng: &mut Pcg64Mcg) -> Draw {
         match selection.retry_scope {
             RetryScope::Nowhere => return Draw::NoCandidate,
@@ -91,7 +93,7 @@
         Draw::NoCandidate
     }
 
-    /// Draws from a few endpoints, all of which are looked at.
+    /// Draws from a few endpoints, all of which are scanned.
     fn draw_from_listed(
         &self,
         selection: &Selection,
@@ -109,7 +111,8 @@
         draw_from_pools(&found, rng).map_or(Draw::NoCandidate, Draw::Found)
     }
 
-    /// Adds the endpoints that the request was sent to before, which no draw from a group finds.
+    /// Adds the endpoints that the request has already been sent to, which draws from groups
+    /// reject.
     fn add_tried(&self, selection: &Selection, found: &mut CandidatePools) {
         let attempts = &selection.request.attempts;
         self.fleet.count_scanned(attempts.len());
@@ -132,10 +135,10 @@
         }
     }
 
-    /// The groups that may take a request, with the most that a member of each can weigh.
+    /// The groups whose members a request may use, each with the best preference of its members.
     fn drawable_groups(&self, selection: &Selection) -> Vec<DrawableGroup<'_>> {
         let mut drawable = Vec::new();
-        // Groups come by build, so that this is found out once for each build.
+        // Groups are ordered by build, so the status of each build is looked up only once.
         let mut known_build: Option<(u32, Option<BuildStatus>)> = None;
         for (group, members) in self.fleet.index().groups() {
             let status = match known_build {
@@ -196,7 +199,8 @@
         sources: &WeightedSources,
         rng: &mut Pcg64Mcg,
     ) -> Option<Drawn> {
-        // Weights that are no numbers, or no weight at all, are left to the look at all endpoints.
+        // If the total weight is not finite or not positive, the caller falls back to a scan of all
+        // endpoints.
         if !sources.total.is_finite() || sources.total <= 0.0 {
             return None;
         }
@@ -217,7 +221,7 @@
         (0..MAX_DRAWS).find_map(|_| self.try_draw(selection, sources, rng))
     }
 
-    /// Draws one endpoint. `None` where it is not accepted.
+    /// Draws one endpoint. Returns `None` if it is rejected.
     fn try_draw(
         &self,
         selection: &Selection,
@@ -241,7 +245,7 @@
     }
 }
 
-/// Whether the members of a group are, by their zone, where a request may run again.
+/// Whether the zone of a group lies in the scope within which a request may be retried.
 fn is_in_scope(selection: &Selection, group: &EndpointGroup) -> bool {
     match selection.retry_scope {
         RetryScope::Zone(zone) => group.zone == zone,
--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -1,4 +1,4 @@
-//! What each answer, and each one that does not come, says of its endpoint.
+//! Endpoint health: what the responses of an endpoint, and missing responses, say about it.
 
 use super::endpoint_weights::ENDPOINT_TYPE_GAIN;
 use super::evidence::MIN_OUTCOMES;
@@ -8,42 +8,48 @@
 use crate::stats::OutcomeCounts;
 use std::time::Duration;
 
-/// Evaluation intervals after which a poll that is missed counts as a stall of this agent.
+/// Number of evaluation intervals by which a poll must be overdue to count as a stall of this
+/// agent.
 const STALL_INTERVALS: u32 = 2;
-/// Outcomes of the earlier build that count for one of the newest build of the same time.
+/// Number of outcomes of the earlier build that count per outcome of the newest build in the same
+/// period.
 const PEERS_PER_ATTEMPT: f64 = 3.0;
-/// Gain of an endpoint's failure rate, each failure.
+/// Gain of an endpoint's failure rate per failure.
 const FAILURE_RATE_GAIN: f64 = 0.15;
-/// Decay of an endpoint's failure rate, each success.
+/// Decay factor of an endpoint's failure rate per success.
 pub(super) const FAILURE_RATE_DECAY: f64 = 0.85;
-/// Failure rate beyond which an endpoint is ejected.
+/// Failure rate above which an endpoint is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.3;
-/// Consecutive faults beyond which an endpoint is ejected.
+/// Number of consecutive faults above which an endpoint is ejected.
 const EJECTION_FAULTS: u32 = 1;
-/// Consecutive faults beyond which an endpoint that answers again is taken to have restarted.
+/// Number of consecutive faults above which an endpoint that responds again is assumed to have
+/// restarted.
 const RESTART_FAULTS: u32 = 2;
-/// Length of the first ejection.
+/// Duration of the first ejection.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
-/// Length of the longest ejection.
+/// Maximum duration of an ejection, except for unreachable endpoints.
 const MAX_EJECTION: Duration = Duration::from_millis(4000);
-/// Factor by which each ejection is longer than the one before.
+/// Factor by which each ejection is longer than the previous one.
 const EJECTION_GROWTH: u32 = 2;
-/// Longest ejection of an unreachable endpoint, in longest ejections.
+/// Maximum duration of the ejection of an unreachable endpoint, as a multiple of the maximum
+/// ejection.
 const MAX_UNREACHABLE_EJECTIONS: u32 = 2;
-/// How long a failing endpoint of the earlier build speaks for others of the newest one.
+/// Time for which a failing endpoint of the earlier build excuses failing endpoints of the newest
+/// one.
 const FAULTY_ENDPOINTS_FOR: Duration = Duration::from_millis(8000);
-/// Samples that the mean latency of a class is taken from, at most.
+/// Maximum number of samples over which the mean latency of a class is averaged.
 const MAX_LATENCY_SAMPLES: f64 = 50.0;
-/// Multiple of the mean latency at which single latencies are cut off.
+/// Multiple of the mean latency at which single latencies are capped.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Step up of a high quantile, each value above it.
+/// Factor on a high quantile for each value above it.
 const HIGH_QUANTILE_STEP_UP: f64 = 1.135;
-/// Step down of a high quantile, each value below it. Both balance at about one value in ten.
+/// Factor on a high quantile for each value below it. Both factors balance if about one value in
+/// ten is above the quantile.
 const HIGH_QUANTILE_STEP_DOWN: f64 = 0.985;
 /// Bounds of a high quantile, in seconds or as a ratio.
 const HIGH_QUANTILE_RANGE: (f64, f64) = (0.001, 1000.0);
 
-/// The end of an attempt as evidence.
+/// The end of an attempt, with the context in which it counts as evidence.
 struct Observation {
     now: Duration,
     /// Index of the endpoint.
@@ -51,7 +57,7 @@
     build: u32,
     class: usize,
     outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     elapsed: Duration,
     /// Whether the build is the newest one.
     is_newest: bool,
@@ -60,15 +66,19 @@
     is_evaluating: bool,
     /// Whether this agent has just resumed after a stall.
     after_stall: bool,
-    /// What a failure says of the endpoint, 0 to 1.
+    /// Weight of a failure as evidence against the endpoint, 0 to 1.
     fault_weight: f64,
-    /// What the outcome counts among the newest build's peers, 0 to 1.
+    /// Weight of the outcome among the newest build's peers, 0 to 1.
     peer_weight: f64,
 }
 
 impl Balancer {
-    /// Guards against this agent's own stalls: what is found right after one says nothing of anyone
-    /// else. Does harm where an endpoint fell silent during the stall, which is noticed later.
+    /// Detects that this agent has stalled, and restarts the silence of all endpoints with attempts
+    /// in flight.
+    ///
+    /// Prevents a stall of the agent from counting against endpoints: what it observes right after
+    /// one says nothing about them. Does harm if an endpoint has gone silent during the stall,
+    /// which is detected later.
     pub(super) fn detect_stall(&mut self, now: Duration) {
         let overdue = self.clock.next_evaluation + EVALUATION_INTERVAL * STALL_INTERVALS;
         if now <= overdue || self.clock.resumed_at >= now {
@@ -91,8 +101,7 @@
         }
     }
 
-    /// Takes in the end of an attempt: what it says of its endpoint, its class, its hardware type
-    /// and its build.
+    /// Records the end of an attempt as evidence on its endpoint, class, hardware type and build.
     pub(super) fn record_attempt(
         &mut self,
         now: Duration,
@@ -133,7 +142,8 @@
         self.eject_if_faulty(&observation, is_lost);
     }
 
-    /// Outcomes of the earlier build count by what the newest one gets at the same time.
+    /// Weight of an outcome among the newest build's peers. Outcomes of the earlier build count in
+    /// proportion to the traffic of the newest one in the same period.
     fn peer_weight(&self, is_newest: bool) -> f64 {
         if is_newest {
             return 0.0;
@@ -142,7 +152,7 @@
         (PEERS_PER_ATTEMPT * peers.recent_newest / peers.recent_earlier.max(1.0)).min(1.0)
     }
 
-    /// Counts an answer, or the lack of one. Whether the endpoint seems to be lost.
+    /// Records whether the endpoint has responded. Returns whether it seems to be lost.
     fn record_liveness(&mut self, observation: &Observation) -> bool {
         let is_fault = match observation.outcome {
             Outcome::Succeeded | Outcome::Failed | Outcome::Rejected => {
@@ -154,8 +164,8 @@
             Outcome::TimedOut | Outcome::Cancelled => self.was_silent(observation),
         };
         let is_repeatedly_lost = is_fault && self.record_fault(observation);
-        // Nothing in flight, nothing owed: after its ejection one request finds out whether it is
-        // back.
+        // Without attempts in flight, no response is due: after its ejection, a single request
+        // finds out whether the endpoint is back.
         let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         if endpoint.in_flight == 0 {
             endpoint.health.silent_since = None;
@@ -163,8 +173,8 @@
         is_repeatedly_lost || observation.outcome == Outcome::ConnectFailed
     }
 
-    /// An endpoint that answers after several faults may have restarted, which the list has not
-    /// said yet: it is in slow start again.
+    /// Records a response. An endpoint that responds after several faults may have restarted before
+    /// the list reports it, so it returns to slow start.
     fn record_answer(&mut self, observation: &Observation) {
         let endpoint = self.fleet.endpoint(observation.endpoint);
         if endpoint.health.consecutive_faults > RESTART_FAULTS && endpoint.is_warm() {
@@ -176,8 +186,8 @@
         endpoint.health.consecutive_faults = 0;
     }
 
-    /// Whether the endpoint said nothing since the attempt was sent. Where it has answered others
-    /// since, this request was only heavy.
+    /// Whether the endpoint has been silent since the attempt was sent. If it has responded to
+    /// other requests since, only this request was slow.
     fn was_silent(&self, observation: &Observation) -> bool {
         let health = &self.fleet.endpoint(observation.endpoint).health;
         let latest = observation.now + self.parameters.timer_granularity;
@@ -185,7 +195,7 @@
         !observation.after_stall && health.silent_since.is_some_and(said_nothing)
     }
 
-    /// Counts a lost attempt. Whether there were several in a row.
+    /// Counts a lost attempt. Returns whether several were lost in a row.
     fn record_fault(&mut self, observation: &Observation) -> bool {
         let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
         endpoint.health.consecutive_faults += 1;
@@ -202,7 +212,7 @@
         is_repeatedly_lost
     }
 
-    /// Counts answers of the class, and the time waited for those that never came.
+    /// Counts responses of the class, and the time waited for responses that never came.
     fn record_wait(&mut self, observation: &Observation) {
         let class = &mut self.classes[observation.class];
         match observation.outcome {
@@ -214,9 +224,11 @@
         }
     }
 
-    /// Guards, by endpoints of the earlier build that fail, too, against hardware that fails
-    /// whatever it runs: then one of the newest build that fails as badly says nothing of its
-    /// build. May let a bad build go on for that time.
+    /// Records a failed response as evidence against the endpoint and its build.
+    ///
+    /// While endpoints of the earlier build fail as well, an endpoint of the newest build that
+    /// fails as badly does not count against its build: this prevents a rollback because of
+    /// hardware that fails whatever it runs. May keep a bad build running for that time.
     fn record_failure(&mut self, observation: &Observation) {
         let weight = observation.fault_weight;
         let mut endpoint = self.fleet.endpoint_mut(observation.endpoint);
@@ -286,8 +298,9 @@
         drop(endpoint);
         let class = &mut self.classes[observation.class];
         hardware.latency_ratio.update(ratio, ENDPOINT_TYPE_GAIN);
-        // Guards a build that runs only in other zones, as the way there is not its work, and
-        // agents that some faults leave the slower hardware only.
+        // Subtracts the latency of the way to other zones, which is not the work of a build that
+        // runs only there, and divides by the relative latency of the hardware type, as faults may
+        // leave an agent only the slower hardware.
         let own_latency = (latency - self.cross_zone.added_latency(zone)).max(0.0);
         let sample = if observation.is_evaluating {
             &mut class.recent
@@ -306,7 +319,7 @@
         self.observe_zone_latency(zone, ratio);
     }
 
-    /// Ends the ejection of an endpoint that answers well again.
+    /// Ends the ejection of an endpoint that responds successfully again.
     fn readmit(&mut self, index: usize) {
         let mut endpoint = self.fleet.endpoint_mut(index);
         let is_healthy = endpoint.health.failure_rate < EJECTION_FAILURE_RATE;
@@ -322,8 +335,9 @@
         }
     }
 
-    /// Ejects an endpoint that is lost or fails much, for longer each time. One of the newest build
-    /// must have answered before, or that build would never be evaluated.
+    /// Ejects an endpoint that is lost or fails often, for longer each time. An endpoint of the
+    /// newest build must have had enough outcomes to be ejected for failures; otherwise that build
+    /// would never be evaluated.
     fn eject_if_faulty(&mut self, observation: &Observation, is_lost: bool) {
         let duration_if_unreachable = self.unreachable_ejection(observation.outcome);
         let index = observation.endpoint;
@@ -350,11 +364,11 @@
             .clamp(MIN_EJECTION * EJECTION_GROWTH, MAX_EJECTION);
     }
 
-    /// Least length of an ejection.
+    /// Minimum duration of an ejection after this outcome.
     ///
-    /// Guards an agent with little traffic against unreachable endpoints: their ejection would be
-    /// over whenever it is their turn. Does harm where an endpoint is back at once, by one round of
-    /// all endpoints.
+    /// For an unreachable endpoint it is the time of one round over all endpoints. Otherwise, on an
+    /// agent with little traffic, the ejection would always have ended by the endpoint's next turn.
+    /// Does harm if the endpoint is back at once: it waits for a whole round.
     fn unreachable_ejection(&self, outcome: Outcome) -> Duration {
         if outcome != Outcome::ConnectFailed {
             return MIN_EJECTION;
@@ -364,7 +378,7 @@
     }
 }
 
-/// Follows a high quantile by one value.
+/// Updates the estimate of a high_quantile quantile with one value.
 pub(super) fn update_high_quantile(high_quantile: &mut f64, value: f64) {
     let step = if value > *high_quantile {
         HIGH_QUANTILE_STEP_UP
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,22 +1,23 @@
-//! What the endpoint list says, and when it is called for again.
+//! Updates from the endpoint list, and the schedule of calls for it.
 
 use super::{Balancer, MIN_CALL_GAP};
 use crate::interface::{EndpointEntry, EndpointState};
 use crate::model::EndpointType;
 use std::time::Duration;
 
-/// Part of the agent's interval between calls that a call after a failure waits for, at the least.
+/// Divisor of the agent's call interval that gives the minimum delay of a call after a failure.
 const RETRIES_PER_INTERVAL: u32 = 4;
-/// Longest time between calls after failures, in least gaps, where the agent's interval is shorter.
+/// Maximum delay between calls after failures, in multiples of the minimum gap, if the agent's call
+/// interval is shorter.
 const MAX_BACKOFF_GAPS: u32 = 8;
-/// Factor by which the time between calls grows, as a fraction.
+/// Growth factor of the delay between calls, as numerator and denominator.
 const BACKOFF_GROWTH: (u32, u32) = (3, 2);
-/// Bounds of the random factor on the time to the next call: the least, and what chance adds.
+/// Minimum and spread of the random factor on the delay until the next call.
 const BACKOFF_JITTER: (f64, f64) = (0.7, 0.6);
 
 impl Balancer {
-    /// Takes in entries of the endpoint list. Where they are `complete`, endpoints that they lack
-    /// are gone.
+    /// Applies entries of the endpoint list. If the entries are `complete`, endpoints missing from
+    /// them are gone.
     pub fn update_endpoints(&mut self, now: Duration, entries: &[EndpointEntry], complete: bool) {
         self.list.backoff = MIN_CALL_GAP;
         if complete {
@@ -79,11 +80,11 @@
         build.newest_start = build.newest_start.max(entry.started.unwrap_or_default());
     }
 
-    /// Takes in that a call for the list failed or a watch broke: the next call comes later and
-    /// later, up to the agent's share of the calls.
+    /// Records that a call for the list failed or that a watch broke, and backs off exponentially,
+    /// up to the agent's share of the call rate.
     ///
-    /// Guards against a discovery service that all agents keep overloaded. May delay a list beyond
-    /// the end of its lease.
+    /// Prevents all agents together from keeping a discovery service overloaded. May delay a list
+    /// beyond the end of its lease.
     pub fn on_list_failure(&mut self, now: Duration) {
         let interval = self.parameters.list_call_interval();
         let backoff = self
@@ -99,8 +100,9 @@
         self.list.backoff = (backoff * numerator / denominator).min(longest);
     }
 
-    /// Whether the lease of the list holds. Nothing is sent once it does not: guards endpoints that
-    /// have begun to drain since. Rejects requests while the list is refused.
+    /// Whether the lease of the list is still valid. Nothing is sent once it has expired, which
+    /// protects endpoints that have begun to drain since. Does harm by rejecting requests while
+    /// discovery refuses the list.
     pub(super) fn is_list_valid(&self, now: Duration) -> bool {
         self.list.valid_until.is_none_or(|until| now < until)
     }
--- a/src/balancer/endpoint_weights.rs
+++ b/src/balancer/endpoint_weights.rs
@@ -1,36 +1,39 @@
-//! What each endpoint may draw, by its latency against its peers' and by its hardware type.
+//! Weights of endpoints in the random draw, by their latency relative to their peers and by their
+//! hardware type.
 
 use super::Balancer;
 use crate::model::{Endpoint, EndpointLatency, EndpointType, PeerGroup};
 
-/// Gain of the means of a hardware type, each answer.
+/// Smoothing gain of the means of a hardware type, per response.
 pub(super) const ENDPOINT_TYPE_GAIN: f64 = 0.02;
-/// Samples beyond which the means of a hardware type are used.
+/// Number of samples above which the means of a hardware type are used.
 const MIN_TYPE_SAMPLES: f64 = 9.0;
-/// Least latency ratio that a throughput is divided by.
+/// Lower bound of the latency ratio by which a throughput is divided.
 const MIN_LATENCY_RATIO: f64 = 0.05;
-/// Steps to an octave in which throughputs are rounded.
+/// Number of steps per octave to which throughputs are rounded, so that all agents compute the same
+/// affinity endpoints.
 const THROUGHPUT_STEPS_PER_OCTAVE: f64 = 2.0;
-/// Gain by which an endpoint's latency returns to its peers', each evaluation interval.
+/// Gain by which an endpoint's latency reverts to the median of its peers, per evaluation interval.
 const LATENCY_REVERSION_GAIN: f64 = 0.01;
-/// Latency against the peers' from which on it counts for the weight as it is.
+/// Lower bound of the latency relative to the peers, for the weight.
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
-/// The largest weight that an endpoint can have: that of the least relative latency, 0.3^-0.5,
+/// Maximum weight of an endpoint: the weight at the lower bound of the relative latency, 0.3^-0.5,
 /// rounded up.
 pub(super) const MAX_ENDPOINT_WEIGHT: f64 = 1.826;
-/// Latency against the peers' from which on the weight falls steeply.
+/// Latency relative to the peers above which the weight falls steeply.
 const SLOW_RELATIVE_LATENCY: f64 = 1.5;
-/// Power of the latency by which the weight falls at first.
+/// Exponent of the relative latency in the weight of endpoints that are not slow.
 const WEIGHT_POWER: f64 = -0.5;
-/// Power of the latency by which the weight of slow endpoints falls.
+/// Exponent of the relative latency in the weight of slow endpoints.
 const SLOW_WEIGHT_POWER: i32 = -2;
-/// Power that joins the two: the difference of the powers.
+/// Exponent of the factor that makes the weight continuous: the difference of the two exponents.
 const CONTINUITY_POWER: f64 = 1.5;
 
 impl Balancer {
-    /// Weighs hardware types and endpoints by their latencies of late. The latency of each endpoint
-    /// returns a bit to that of its peers, endpoints of the same hardware type and side of the
-    /// rollout; it and the weight are computed when they are read.
+    /// Updates hardware types and peer groups from recent latencies. The latency of each endpoint
+    /// reverts slightly to the median of its peers, which are the endpoints of the same hardware
+    /// type that run builds on the same side of the rollout. Latencies and weights of endpoints are
+    /// computed when they are read.
     pub(super) fn update_endpoint_weights(&mut self) {
         let medians = self.peer_medians();
         update_type_weights(&mut self.fleet.types);
@@ -48,8 +51,8 @@
         self.peer_latencies.evaluations += 1;
     }
 
-    /// Weight of an endpoint in the random draw, by its latency against its peers' at the last
-    /// evaluation; [`MAX_ENDPOINT_WEIGHT`] at the most.
+    /// Weight of an endpoint in the random draw, by its latency relative to its peers at the last
+    /// evaluation; at most [`MAX_ENDPOINT_WEIGHT`].
     pub(super) fn endpoint_weight(&self, endpoint: &Endpoint) -> f64 {
         let known = &endpoint.latency;
         let age = self.peer_latencies.evaluations - known.evaluations;
@@ -61,7 +64,7 @@
         weight_of(latency / peers.median)
     }
 
-    /// A high quantile of an endpoint's latencies, divided by the mean of the class.
+    /// High quantile of an endpoint's latencies, as a ratio to the mean latency of the class.
     pub(super) fn endpoint_latency(&self, endpoint: &Endpoint) -> f64 {
         let known = &endpoint.latency;
         let age = self.peer_latencies.evaluations - known.evaluations;
@@ -69,7 +72,8 @@
         peers.center + remaining_deviation(known.deviation, age)
     }
 
-    /// Sets the latency of an endpoint. Its weight stays until the next evaluation.
+    /// Sets the latency of an endpoint, as a ratio. Its weight stays the same until the next
+    /// evaluation.
     pub(super) fn set_endpoint_latency(&mut self, index: usize, latency: f64) {
         let endpoint = self.fleet.endpoint(index);
         let known = EndpointLatency {
@@ -80,7 +84,7 @@
         self.fleet.endpoint_mut(index).latency = known;
     }
 
-    /// Latency of an endpoint that was just started: as that of all.
+    /// Latency of an endpoint that has just been started: the mean of its class, a ratio of 1.
     pub(super) fn initial_latency(&self, endpoint_type: usize, build: u32) -> EndpointLatency {
         let group = PeerGroup {
             endpoint_type,
@@ -93,8 +97,8 @@
         }
     }
 
-    /// Moves endpoints that run a build older than `newest_build`, which is to become the newest
-    /// one, to the peers of earlier builds. Walks all endpoints.
+    /// Moves the endpoints that run a build older than `newest_build`, which is about to become the
+    /// newest one, to the peer group of earlier builds. Scans all endpoints.
     pub(super) fn regroup_peers(&mut self, newest_build: u32) {
         let before = self.rollout.newest_build();
         let moved: Vec<usize> = self
@@ -127,14 +131,14 @@
     }
 }
 
-/// What is left of a deviation after so many evaluations: nothing after some hours.
+/// The part of a deviation that remains after this many evaluations; it vanishes within hours.
 fn remaining_deviation(deviation: f64, evaluations: u64) -> f64 {
     let evaluations = i32::try_from(evaluations).unwrap_or(i32::MAX);
     deviation * (1.0 - LATENCY_REVERSION_GAIN).powi(evaluations)
 }
 
-/// The weight for a latency relative to the peers': it falls with the square root of the latency,
-/// and with its square where that is far beyond the peers'.
+/// Weight for a latency relative to the peers: inversely proportional to the square root of the
+/// latency, and to its square if the latency is far above that of the peers.
 fn weight_of(relative: f64) -> f64 {
     let relative = relative.max(MIN_RELATIVE_LATENCY);
     let weight = if relative < SLOW_RELATIVE_LATENCY {
@@ -145,7 +149,8 @@
     weight.min(MAX_ENDPOINT_WEIGHT)
 }
 
-/// Sets all hardware types against their mean, once enough is known of them.
+/// Updates the throughput and latency of all hardware types relative to their mean, for types with
+/// enough samples.
 fn update_type_weights(types: &mut [EndpointType]) {
     let mean_throughput = mean(types.iter().filter_map(known_throughput).collect());
     let mean_latency = mean(types.iter().filter_map(known_latency).collect());
@@ -158,7 +163,7 @@
     }
 }
 
-/// Throughput by Little's law: requests in flight over latency.
+/// Throughput by Little's law: requests in flight divided by latency. `None` with too few samples.
 fn known_throughput(hardware: &EndpointType) -> Option<f64> {
     let load = hardware.reported_load;
     let is_known = load.samples > MIN_TYPE_SAMPLES;
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence on builds: how it ages, and what it amounts to.
+//! Evidence on builds: how it decays and which outcomes it consists of.
 
 use super::{Balancer, EVALUATION_INTERVAL};
 use crate::interface::EndpointState;
@@ -6,40 +6,45 @@
 use crate::stats::OutcomeCounts;
 use std::time::Duration;
 
-/// Outcomes below which nothing is concluded.
+/// Number of outcomes below which no conclusion is drawn.
 pub(super) const MIN_OUTCOMES: f64 = 10.0;
-/// How long after its newest start a released build is evaluated.
+/// Time after a released build's newest start during which the build is still evaluated.
 pub(super) const EVALUATED_AFTER_START: Duration = Duration::from_millis(15_000);
-/// Outcomes below which the baseline of an earlier build does not decay.
+/// Number of outcomes below which the baseline of an earlier build does not decay.
 pub(super) const MIN_BASELINE_OUTCOMES: f64 = 20.0;
-/// Seconds until outcomes weigh half.
+/// Half-life of outcomes, in seconds.
 const OUTCOME_HALF_LIFE: f64 = 10.0;
-/// Outcomes of a class below which an endpoint forgets them: a single request after 200 s, so that
-/// an endpoint remembers the classes of its last 200 s of requests (10 s more where there were twice
-/// as many, and twice as many classes until they are looked through). Of 30,000 endpoints that all
-/// forget one at once a sum loses 0.03 of a request at most, which decays.
+/// Number of outcomes of a class below which an endpoint forgets the class.
+///
+/// A single request decays to this value in 200 s, so an endpoint remembers the classes of its
+/// requests of the last 200 s (10 s more for twice as many requests, and up to twice as many
+/// classes until the next cleanup). If 30,000 endpoints forget a class at once, a sum loses at most
+/// 0.03 of a request, and this error decays.
 pub(super) const NEGLIGIBLE_OUTCOMES: f64 = 1e-6;
-/// Relative difference of two counts that is taken for rounding.
+/// Relative difference of two counts that is attributed to rounding.
 pub(super) const ROUNDING_ERROR: f64 = 1e-9;
-/// Evaluation intervals, an hour, after which the sums over endpoints are taken anew.
+/// Number of evaluation intervals, one hour, after which the sums over endpoints are recomputed.
 pub(super) const REBUILD_INTERVALS: u64 = 36_000;
-/// Seconds until what counts as of late weighs half.
+/// Half-life of recent attempt counts, in seconds.
 const RECENT_HALF_LIFE: f64 = 2.0;
-/// Seconds until the platform's counts weigh half, for both builds, so that they are of one time.
+/// Half-life of the platform's counts, in seconds. It is the same for both builds, so that their
+/// counts cover the same period.
 const PLATFORM_HALF_LIFE: f64 = 4.0;
-/// Decay of latencies of late, each evaluation interval: answers of the last seconds.
+/// Minimum decay factor of recent latencies per evaluation interval, which keeps the responses of
+/// the last few seconds.
 const RECENT_LATENCY_DECAY: f64 = 0.96;
-/// Latencies that are kept, however few answers come in a second.
+/// Number of latencies that the recent and baseline samples keep even at a low response rate.
 const MIN_KEPT_LATENCIES: f64 = 40.0;
-/// Endpoints of a canary above which a single one does not speak for its build.
+/// Number of endpoints of a canary above which a single endpoint is not representative of its
+/// build.
 pub(super) const MIN_ENDPOINTS_TO_DISCARD: usize = 2;
 
-/// Factor of an evaluation interval for this half-life in seconds.
+/// Decay factor per evaluation interval for a half-life in seconds.
 fn decay_factor(half_life: f64) -> f64 {
     0.5f64.powf(EVALUATION_INTERVAL.as_secs_f64() / half_life)
 }
 
-/// How the outcomes of endpoints lose weight.
+/// Decay of the outcomes of endpoints.
 pub(super) fn outcome_decay() -> OutcomeDecay {
     OutcomeDecay {
         factor: decay_factor(OUTCOME_HALF_LIFE),
@@ -48,7 +53,9 @@
 }
 
 impl Balancer {
-    /// Takes in that a client reported an answer of this endpoint as wrong, `age` after it came.
+    /// Records that a client reported a response of this endpoint as wrong, `age` after the
+    /// response. Ignored if the endpoint has restarted since, or if the endpoint or class is
+    /// unknown.
     pub fn on_client_reported_error(
         &mut self,
         now: Duration,
@@ -70,7 +77,7 @@
         self.outcomes.add(endpoint, class, &reported);
     }
 
-    /// Whether the newest build runs, and is a canary or was started a short while ago.
+    /// Whether the newest build is running and is either a canary or was started recently.
     pub(super) fn is_evaluating(&self, now: Duration) -> bool {
         let Some(status) = &self.rollout.status else {
             return false;
@@ -83,8 +90,8 @@
             && self.fleet.index().of_build(build).running > 0
     }
 
-    /// Lets all evidence age by one evaluation interval. The baseline of an earlier build does not
-    /// once it is small; the newest build's evidence always does.
+    /// Decays all evidence by one evaluation interval. The baseline of an earlier build stops
+    /// decaying once it is small; the evidence on the newest build always decays.
     pub(super) fn decay_evidence(&mut self, now: Duration) {
         let outcome_decay = decay_factor(OUTCOME_HALF_LIFE);
         self.decay_outcomes(outcome_decay);
@@ -138,12 +145,12 @@
         }
     }
 
-    /// Outcomes of a build by class. Lost attempts of an earlier build's ejected endpoints are left
-    /// out: they are the endpoints' own.
+    /// Outcomes of a build by class. Attempts lost at ejected endpoints of an earlier build are
+    /// left out, as the endpoints are to blame rather than the build.
     ///
-    /// Guards against a faulty endpoint that speaks ill of its build: one of three or more of the
-    /// newest build is left out that has most of the failures. Does harm where that one is the
-    /// first to meet what its build does wrong.
+    /// If the newest build has three or more endpoints, one with most of the failures is left out,
+    /// so that a single faulty endpoint does not count against its build. Does harm if that
+    /// endpoint is the first one to hit a fault of the build.
     pub(super) fn outcomes_of(&self, build: u32) -> Vec<OutcomeCounts> {
         let is_newest = self.rollout.status_of(build).is_some();
         let mut sums = self.outcomes.sums_of(build, self.classes.len(), is_newest);
@@ -155,7 +162,8 @@
         sums
     }
 
-    /// Leaves the outcomes of an endpoint that goes with its build, unless it was ejected.
+    /// Applies the end of an endpoint's service: sets its state, and adds its outcomes to its build
+    /// unless it was ejected.
     pub(super) fn retire(&mut self, index: usize, state: EndpointState) {
         let mut endpoint = self.fleet.endpoint_mut(index);
         let before = std::mem::replace(&mut endpoint.state, state);
--- a/src/balancer/exposure.rs
+++ b/src/balancer/exposure.rs
@@ -1,13 +1,13 @@
-//! How many attempts may go to a canary: a token bucket by build.
+//! Exposure cap: how many attempts may go to a canary, by a token bucket per build.
 //!
-//! Each request that arrives earns the cap, each attempt to the canary costs one token, and the
-//! burst of the settings is the most that is kept.
+//! Each request that arrives adds as many tokens as the cap, as a share of requests. Each attempt
+//! at the canary spends one token. The bucket holds at most the configured burst.
 
 use super::Balancer;
 use crate::interface::Idempotency;
 
 impl Balancer {
-    /// Earns tokens for a request of this class, for each build.
+    /// Adds tokens to the bucket of each build for a request of this class.
     pub(super) fn refill_exposure_tokens(&mut self, class: usize) {
         let slot = self.parameters.exposure_slot(class);
         let burst = self.parameters.rollout.exposure_burst;
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Spends a token on an attempt, where the build is a canary.
+    /// Spends a token on an attempt if the build is a canary.
     pub(super) fn spend_exposure_token(&mut self, build: u32, class: usize) {
         if self.rollout.is_canary(build) {
             let slot = self.parameters.exposure_slot(class);
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Sets the cap of each build: the platform's for the newest one, that of the first stage for
-    /// builds that it has not named.
+    /// Sets the cap of each build: the cap that the platform reports for the newest build, and the
+    /// cap of the first stage for builds that it has not reported.
     pub(super) fn set_exposure_caps(&mut self) {
         let first_cap = self.parameters.rollout.first_cap;
         let status = self.rollout.status.as_ref();
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Whether an attempt of this class may go to this build now.
+    /// Whether an attempt of this class may go to this build now. In guarded stages, a canary takes
+    /// idempotent classes only.
     pub(super) fn may_expose(&self, build: u32, class: usize) -> bool {
         if !self.rollout.is_canary(build) {
             return true;
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,4 +1,4 @@
-//! When an attempt in flight is hedged or cancelled.
+//! Decides when an attempt in flight is hedged or cancelled.
 
 use super::routing::RequestLimits;
 use super::Balancer;
@@ -7,24 +7,25 @@
 use crate::stats::MaxTree;
 use std::time::Duration;
 
-/// Time after which a hedged request is sent, as a part of the latency objective.
+/// Time after which a hedged request is sent, as a share of the latency objective.
 const HEDGE_AFTER_OBJECTIVE: f64 = 0.45;
-/// The same in mean latencies.
+/// Lower bound of that time, as a multiple of the mean latency.
 const HEDGE_AFTER_MEANS: f64 = 1.5;
-/// Multiple of the stall timeout after which one is sent under overload.
+/// Time after which a hedged request is sent under overload, as a multiple of the stall timeout.
 const HEDGE_AFTER_STALLS: u32 = 2;
-/// Where hedging is off no attempt is late; far from the largest time, as times are added to it.
+/// Time after which an attempt is late if hedging is off. It is far below the maximum duration,
+/// because times are added to it.
 const NEVER: Duration = Duration::new(u64::MAX / 4, 999_999_999);
-/// High quantile of the latency, at the least, in mean latencies.
+/// Lower bound of the high latency quantile, as a multiple of the mean latency.
 const HIGH_LATENCY_MEANS: f64 = 2.3;
-/// Multiple of the highest latency of any class after which silence is a stall.
+/// Multiple of the highest latency of any class after which a silent endpoint counts as stalled.
 const STALL_FACTOR: f64 = 2.0;
-/// Bounds of the stall timeout in seconds.
+/// Bounds of the stall timeout, in seconds.
 const STALL_TIMEOUT_RANGE: (f64, f64) = (0.1, 3.0);
-/// Looks at an attempt within a stall timeout.
+/// Number of times per stall timeout that an attempt in flight is rechecked.
 const RECHECKS_PER_STALL: u32 = 4;
 
-/// High latencies of these classes, to find the highest one.
+/// Builds the index of the high latencies of all classes, which yields the highest one.
 pub(super) fn highest_latency(classes: &[ClassState]) -> MaxTree {
     MaxTree::new(classes.iter().map(high_latency))
 }
@@ -35,22 +36,23 @@
 }
 
 impl Balancer {
-    /// Silence after which an endpoint counts as unresponsive: beyond what any class needs.
+    /// Time without any response after which an endpoint counts as unresponsive, longer than any
+    /// class is expected to need.
     pub(super) fn stall_timeout(&self) -> Duration {
         let (min, max) = STALL_TIMEOUT_RANGE;
         Duration::from_secs_f64((self.highest_latency.max() * STALL_FACTOR).clamp(min, max))
     }
 
-    /// Takes in that the latencies of a class have changed.
+    /// Updates the index after a change of the latencies of a class.
     pub(super) fn update_highest_latency(&mut self, class: usize) {
         let latency = high_latency(&self.classes[class]);
         self.highest_latency.set(class, latency);
     }
 
-    /// Time after which an attempt counts as lost though its endpoint answers others: short only
-    /// where answers are fast, as hedged requests slow all.
+    /// Time after which an attempt is late even though its endpoint responds to other requests. It
+    /// is short only while responses are fast, because hedged requests slow down all others.
     ///
-    /// Guards against networks that lose answers, and slow endpoints. Does harm to heavy requests,
+    /// Guards against slow endpoints and networks that lose responses. Does harm to heavy requests,
     /// which run twice.
     pub(super) fn late_after(&self, class: &ClassState, stall_timeout: Duration) -> Duration {
         if !self.parameters.hedging {
@@ -64,10 +66,11 @@
         Duration::from_secs_f64(seconds)
     }
 
-    /// Decides what to do with a request whose attempt is in flight.
+    /// Decides what to do with a request that has an attempt in flight.
     ///
-    /// Guards against endpoints that hang, vanish, pause or crawl: where one has said nothing at
-    /// all since, or the answer is very late, a request that may be repeated goes to another.
+    /// Guards against endpoints that hang, vanish, pause or are very slow: if the endpoint has been
+    /// silent since the attempt was sent, or the response is very late, a request that may be
+    /// repeated is sent to another endpoint.
     pub(super) fn recheck_attempt(
         &mut self,
         now: Duration,
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -1,7 +1,8 @@
-//! Whether the newest build slows the whole fleet, old endpoints and new ones alike.
+//! Detects whether the newest build slows down the whole fleet, endpoints of the earlier build
+//! included.
 //!
-//! Two measures: the share of fast answers, by build, against what was usual before the canary; and
-//! all latencies of late against the baseline, by their mean.
+//! Two measures are used: the share of fast responses per build, compared with the share before the
+//! canary, and the mean of all recent latencies, compared with the baseline.
 
 use super::build_evaluation::SETTLED_AFTER_START;
 use super::evidence::{EVALUATED_AFTER_START, MIN_OUTCOMES};
@@ -11,51 +12,53 @@
 use crate::stats::{chernoff_bound_of_fair_coin, chernoff_bound_of_mean};
 use std::time::Duration;
 
-/// Multiple of the usual latency that is excused: keys without affinity, young hardware, long
-/// tails.
+/// Ratio to the baseline latency that is tolerated, as keys without affinity, new hardware and long
+/// tails increase latency.
 pub(super) const TOLERATED_LATENCY_RATIO: f64 = 1.4;
-/// Step down of the median of a class, each answer below it while no canary runs.
+/// Factor on the median latency of a class for each response below it while no canary runs.
 const MEDIAN_STEP_DOWN: f64 = 0.97;
-/// Step up of the median of a class, each answer above it while no canary runs.
+/// Factor on the median latency of a class for each response above it while no canary runs.
 const MEDIAN_STEP_UP: f64 = 1.03;
-/// Share of fast answers, where half is usual, below which they count as gone.
+/// Share of fast responses below which they count as gone; one half is normal.
 const MIN_FAST_SHARE: f64 = 0.3;
-/// The same for a canary that alone is slow, as a part of that share.
+/// Factor on that share below which a canary counts as slow on its own.
 const SLOW_CANARY_FACTOR: f64 = 0.7;
-/// The share above which the earlier build is as fast as usual, as a multiple of that share.
+/// Factor on that share above which the earlier build counts as fast as usual.
 const FAST_EARLIER_FACTOR: f64 = 1.4;
-/// The share above which an alarm ends, as a multiple of that share.
+/// Factor on that share above which an alarm ends.
 const ALARM_END_FACTOR: f64 = 1.2;
-/// Factor on the canary's own share where an alarm ends.
+/// Factor on the canary's share of fast responses in the check whether an alarm ends.
 const ALARM_CANARY_FACTOR: f64 = 1.4;
-/// Part of the earlier build's share of fast answers below which a canary is slower.
+/// Ratio to the earlier build's share of fast responses below which a canary is slower.
 const SLOWER_SHARE_RATIO: f64 = 0.8;
-/// Bounds of a share of fast answers.
+/// Bounds of the share of fast responses.
 const FAST_SHARE_RANGE: (f64, f64) = (0.01, 0.49);
-/// How far beyond chance the fast answers must be gone, as a logarithm; more the more agents look.
+/// Significance of the lack of fast responses that raises an alarm, as a negative log-probability;
+/// it increases with the number of agents, as each of them may err.
 const ALARM_THRESHOLD: f64 = 6.0;
-/// How far beyond the errors of as many agents as must agree all answers must be slow, as a
-/// logarithm.
+/// Margin above the agreement threshold, which covers errors of all agents that must agree, that
+/// the slowness of all responses must reach, as a negative log-probability.
 const AGREED_THRESHOLD: f64 = 1.0;
-/// Growth of the requests that arrive from which on the load may be what slows answers.
+/// Ratio of arriving requests to the baseline from which on the load may be what slows responses
+/// down.
 const MAX_ARRIVAL_GROWTH: f64 = 1.2;
-/// Part of the fleet's full load below which all answers are slow for the lack of capacity.
+/// Share of the fleet's full load below which a lack of capacity slows all responses down.
 const MIN_FLEET_CAPACITY: f64 = 0.85;
 
-/// Latencies of late against the baseline, over all classes.
+/// Recent latencies relative to the baseline, over all classes.
 struct FleetLatency {
-    /// Share of answers of late that are faster than the median of the baseline.
+    /// Share of recent responses that are faster than the median of the baseline.
     fast_share: f64,
-    /// Mean latency of late against the baseline's.
+    /// Ratio of the recent mean latency to the baseline's.
     ratio: f64,
-    /// Answers that this is known from, as both samples are small.
+    /// Effective number of responses behind this comparison, as both samples are small.
     samples: f64,
 }
 
-/// The share of fast answers of one build.
+/// Share of fast responses of one build.
 struct FastShare {
     share: f64,
-    /// How far beyond chance it is below one half, as a logarithm.
+    /// Significance of the deviation from one half, as a negative log-probability.
     significance: f64,
 }
 
@@ -71,10 +74,10 @@
 }
 
 impl Balancer {
-    /// Counts once for each attempt whether it is faster than the median of its class.
+    /// Counts each attempt once as faster or slower than the median of its class.
     ///
-    /// What is in flight for longer is not: where all is slow, the slowest answers come last, and
-    /// many of their clients have left by then.
+    /// An attempt in flight for longer than the median counts as slow at once: if everything is
+    /// slow, the slowest responses arrive last, when many of their clients have already left.
     pub(super) fn count_speed(&mut self, id: u64, number: usize, elapsed: Duration) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -104,10 +107,10 @@
         }
     }
 
-    /// Sets whether the newest build slows the fleet, `age` after its newest start.
+    /// Updates whether the newest build slows down the fleet, `age` after its newest start.
     ///
-    /// Guards against a build that slows old and new endpoints alike. Holds a good one where all is
-    /// slow by chance.
+    /// Guards against a build that slows down endpoints of both builds. Does harm by holding a good
+    /// build if everything is slow by chance.
     pub(super) fn update_latency_regression(
         &mut self,
         now: Duration,
@@ -125,7 +128,8 @@
         self.update_alarm(is_running_canary, is_overloaded, age);
     }
 
-    /// Counts what is in flight: the time it has been waiting, and that it is not fast.
+    /// Records the attempts in flight: the time they have been waiting, and that those beyond the
+    /// median are not fast.
     fn count_in_flight(&mut self, now: Duration) {
         for class in &mut self.classes {
             class.in_flight_seconds = 0.0;
@@ -143,9 +147,11 @@
         }
     }
 
-    /// Whether all answers of late are slow against the baseline, surely enough for one of several
-    /// agents that must agree: by their mean and, as some slow endpoints leave it alone, by the
-    /// share of fast ones. Guards where no single agent sees enough to hold.
+    /// Whether all recent responses are slow compared with the baseline, with enough significance
+    /// for one of several agents that must agree.
+    ///
+    /// Checks the mean and, because a few slow endpoints do not change it, the share of fast
+    /// responses. Guards against regressions for which no single agent has enough evidence to hold.
     fn is_fleet_slow(&self) -> bool {
         let latency = compare_with_baseline(&self.classes);
         let significance = if latency.samples < MIN_OUTCOMES {
@@ -157,8 +163,9 @@
         latency.fast_share < MIN_FAST_SHARE && significance > threshold
     }
 
-    /// Whether answers may be slow for the load. In place, what is still warming up is missed: its
-    /// load slows all, as a rush does that many agents share. May pass over a bad build in a rush.
+    /// Whether responses may be slow because of the load. During an in-place rollout, endpoints
+    /// that are still warming up are missing capacity, which slows down all responses. So does a
+    /// load peak that many agents share. May overlook a bad build during a load peak.
     fn is_short_of_capacity(&self, now: Duration) -> bool {
         let rollout = &self.parameters.rollout;
         let is_warming = rollout.in_place && self.excess_capacity(now) < 0.0;
@@ -166,7 +173,8 @@
         is_warming || rollout.needs_agreement && growth >= MAX_ARRIVAL_GROWTH
     }
 
-    /// Full loads of endpoints that the fleet bears beyond the least part of it.
+    /// Capacity of the fleet beyond the minimum share of its full load, in full loads of one
+    /// endpoint; negative if it lacks capacity.
     pub(super) fn excess_capacity(&self, now: Duration) -> f64 {
         let index = self.fleet.index();
         let warm = index.total().warm as f64 * (1.0 - MIN_FLEET_CAPACITY);
@@ -178,10 +186,14 @@
         warm + shares.map(|share| share - MIN_FLEET_CAPACITY).sum::<f64>()
     }
 
-    /// Sets the alarm. Right after more of the canary came up, the fast answers are gone, of the
-    /// canary too: held at once, and rolled back where it takes others' places if that lasts. Slow
-    /// endpoints or a slow network leave the fast half. Where nearly all of the canary's own are
-    /// gone, it needs more work than the earlier build.
+    /// Updates the latency alarm, which holds a canary at once and rolls back an in-place canary if
+    /// the alarm lasts.
+    ///
+    /// The alarm is raised if fast responses of the earlier build are gone soon after more of the
+    /// canary has started; a lack of the canary's own fast responses adds to the significance. Slow
+    /// endpoints or a slow network would not affect the faster half of the responses. The alarm is
+    /// also raised if only the canary's fast responses are nearly all gone, as it then needs more
+    /// work than the earlier build.
     fn update_alarm(&mut self, is_running_canary: bool, is_overloaded: bool, age: Duration) {
         let threshold = ALARM_THRESHOLD + self.parameters.agents.ln();
         let latency = &mut self.evaluation.latency;
@@ -209,9 +221,9 @@
     }
 }
 
-/// Compares the latencies of late with the baseline over all classes, in latency objectives, as a
-/// class's own small baseline says little. The means are those of samples cut short: all time
-/// waited, by the answers that came.
+/// Compares recent latencies with the baseline over all classes, in units of the latency
+/// objectives, because the small baseline of a single class says little. The samples are censored,
+/// so the means are the total time waited divided by the number of responses.
 fn compare_with_baseline(classes: &[ClassState]) -> FleetLatency {
     let mut slow = 0.0;
     let mut recent_answers = 1e-9;
--- a/src/balancer/load_reports.rs
+++ b/src/balancer/load_reports.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of their load, and when they are asked for it.
+//! Load reports of endpoints, and when endpoints are asked for them.
 
 use super::candidates::TwoChoices;
 use super::endpoint_weights::ENDPOINT_TYPE_GAIN;
@@ -8,16 +8,18 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Loads that are believed, in requests in flight.
+/// Range of reported loads that are accepted, in requests in flight.
 const PLAUSIBLE_LOAD: Range<f64> = 0.0..1e6;
-/// Seconds in which a load report comes near the mean of its hardware type.
+/// Time constant, in seconds, with which an ageing load report reverts to the mean of its hardware
+/// type.
 const REPORT_TIME_CONSTANT: f64 = 1.0;
-/// Age below which a load report is not asked for again.
+/// Age up to which no new load report is requested.
 const FRESH_REPORT: Duration = Duration::from_millis(150);
 
 impl Balancer {
-    /// Takes in that an endpoint answered with `outcome` and reported its load, or did not. Also
-    /// called for answers to the requests of [`PollResult`](crate::PollResult).
+    /// Records that an endpoint responded with `outcome` and reported its load, in requests in
+    /// flight; `None` if it reported none. Also called for the responses to the requests in
+    /// [`PollResult::load_report_requests`](crate::PollResult::load_report_requests).
     pub fn on_load_report(
         &mut self,
         now: Duration,
@@ -42,10 +44,10 @@
         }
     }
 
-    /// Requests in flight at an endpoint: this agent's own, or what it reported, nearer to the mean
-    /// of its hardware type as that ages.
+    /// Expected number of requests in flight at an endpoint: this agent's own, or the reported
+    /// number, which reverts to the mean of the endpoint's hardware type as the report ages.
     ///
-    /// Guards against many agents that choose the same idle endpoint by one stale report.
+    /// Prevents many agents from choosing the same idle endpoint because of a stale report.
     pub(super) fn expected_load(&self, now: Duration, endpoint: &Endpoint) -> f64 {
         let own = endpoint.in_flight as f64;
         let type_load = self.fleet.types[endpoint.endpoint_type].reported_load;
@@ -62,8 +64,8 @@
         1.0 + (load + endpoint.load.sent_since).max(own)
     }
 
-    /// Asks the two choices for their load before a first attempt under overload. Whether there is
-    /// any report to wait for.
+    /// Requests load reports from both choices before a first attempt under overload. Returns
+    /// whether there is a report to wait for.
     pub(super) fn request_load_reports(
         &mut self,
         now: Duration,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions of one agent.
+//! The routing, retry and rollout decisions of one agent.
 //!
 //! A caller asks [`Balancer::route`] where to forward a request, [`Balancer::on_attempt_end`] what
-//! to do after an attempt, and [`Balancer::poll`] what is due and when to ask again. This file
-//! holds the public calls; each concern behind them has a file of its own.
+//! to do after an attempt, and [`Balancer::poll`] which periodic work is due and when to poll
+//! again. This file holds most of the public API; each submodule implements one concern.
 
 mod admission;
 mod affinity;
@@ -56,22 +56,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often evidence is weighed and limits are set.
+/// Interval at which evidence is evaluated and the limit of attempts in flight is updated.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
-/// Least time between two calls or votes, longer as they fail.
+/// Minimum time between two calls for the endpoint list or between two votes; failures extend it.
 const MIN_CALL_GAP: Duration = Duration::from_millis(250);
 
-/// Share of the agents that vote to roll back where the others only hold at first.
+/// Expected share of agents that vote to roll back at once where the others only vote to hold at
+/// first.
 const ROLL_BACK_FIRST_SHARE: f64 = 0.5;
 
-/// The decisions of one agent.
+/// Makes the routing, retry and rollout decisions of one agent.
 ///
-/// Its state is grouped by owner; each part is changed by the file of its concern.
+/// Its state is grouped by concern, and each group is changed mainly by the submodule of that
+/// concern.
 pub struct Balancer {
     parameters: Parameters,
     rng: Pcg64Mcg,
     classes: Vec<ClassState>,
-    /// By class: its high latency.
+    /// High latency of each class in seconds, to look up the highest one.
     highest_latency: MaxTree,
     requests: BTreeMap<u64, ActiveRequest>,
     pub(crate) fleet: Fleet,
@@ -91,7 +93,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoint and no build yet.
+    /// Creates a balancer that knows no endpoint and no build yet.
     pub fn new(now: Duration, settings: Settings) -> Balancer {
         let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
         let parameters = Parameters::from(&settings);
@@ -146,7 +148,7 @@
         balancer
     }
 
-    /// Takes in a request, which [`Balancer::route`] then decides on under the same `id`.
+    /// Registers a request that has arrived; [`Balancer::route`] decides on it under the same `id`.
     pub fn on_request(&mut self, now: Duration, id: u64, request: Request) {
         self.refill_retry_budget();
         if !request.is_retry {
@@ -159,7 +161,8 @@
         self.requests.insert(id, request);
     }
 
-    /// Takes in what the rollout platform says of the newest build. Older news are left out.
+    /// Applies a status report of the rollout platform on the newest build. A report on a build
+    /// older than the newest known one is ignored.
     pub fn update_rollout(&mut self, status: RolloutStatus) {
         let known = self.rollout.status.as_ref().map(|s| s.build);
         if known > Some(status.build) {
@@ -174,7 +177,8 @@
         self.set_exposure_caps();
     }
 
-    /// Forgets what was known of the earlier newest build, and sets its latencies as the baseline.
+    /// Starts the evaluation of a new newest build: discards the evidence on the previous one and
+    /// freezes the latency baseline of each class.
     fn begin_evaluation(&mut self, build: u32) {
         let status = self.rollout.status.as_ref();
         let released = status.is_some_and(|s| s.phase == RolloutPhase::Released);
@@ -193,13 +197,14 @@
         self.rollout.builds.retain(|b, _| *b >= earlier);
     }
 
-    /// Sets until when the endpoint list holds; nothing is sent from then on. `None` where it holds
-    /// without a limit.
+    /// Sets when the lease of the endpoint list expires; from then on no request is forwarded.
+    /// `None` means that the list does not expire.
     pub fn set_list_valid_until(&mut self, until: Option<Duration>) {
         self.list.valid_until = until;
     }
 
-    /// Decides where to forward a request now, or what else to do with it.
+    /// Decides what to do with a request now: forward, defer, reject or fail it, cancel its
+    /// attempt, or keep waiting. A request that is unknown or closed gets [`Decision::Await`].
     pub fn route(&mut self, now: Duration, id: u64) -> Decision {
         self.detect_stall(now);
         let Some(request) = self.requests.get(&id).filter(|r| !r.closed) else {
@@ -215,7 +220,9 @@
         self.start_attempt(now, id, &limits)
     }
 
-    /// Whether an attempt may still be written: its connection may have come up late.
+    /// Whether a planned attempt may still be written, as its connection may have been established
+    /// late. Checks the deadline, the lease of the endpoint list and the deduplication of the
+    /// request's other attempts.
     pub fn attempt_allowed(&self, now: Duration, id: u64, attempt: usize) -> bool {
         let Some(request) = self.requests.get(&id).filter(|r| now < r.deadline) else {
             return false;
@@ -232,7 +239,8 @@
             && request.is_deduplicated_at(attempt, idempotency, endpoint, written_at)
     }
 
-    /// Takes in the end of an attempt, and decides what to do with its request.
+    /// Records the end of an attempt and decides what to do with its request. An attempt that is
+    /// unknown or has already ended gets [`Decision::Await`].
     pub fn on_attempt_end(
         &mut self,
         now: Duration,
@@ -254,7 +262,7 @@
         self.after_attempt(now, id, &end)
     }
 
-    /// Does what is due now, and says when to poll again.
+    /// Runs the work that is due at `now` and returns its output, with the time of the next poll.
     pub fn poll(&mut self, now: Duration) -> PollResult {
         if now >= self.clock.next_evaluation {
             self.evaluate(now);
@@ -272,7 +280,8 @@
         }
     }
 
-    /// Weighs endpoints and builds by the evidence of the last interval.
+    /// Updates weights, slow-start quotas, the limit of attempts in flight and the rollout verdict
+    /// from the evidence of the last interval.
     fn evaluate(&mut self, now: Duration) {
         self.update_slow_start_pace();
         self.update_endpoint_weights();
@@ -283,7 +292,7 @@
         self.evaluate_canary(now);
     }
 
-    /// Notes that a request has had its final answer.
+    /// Marks a request as answered. It is forgotten once it has no attempt in flight.
     pub fn close_request(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -294,19 +303,20 @@
         }
     }
 
-    /// Endpoints that all walks over them have scanned since the last reload: a measure of work
+    /// Number of endpoints scanned since the last reload, over all traversals: a measure of work
     /// that does not depend on a clock.
     pub fn endpoints_scanned(&self) -> u64 {
         self.fleet.scanned()
     }
 
-    /// Decisions since the last reload that looked at all endpoints, as random draws found none that
-    /// may take the request.
+    /// Number of decisions since the last reload that scanned all endpoints, because random draws
+    /// found none that may take the request.
     pub fn full_walks(&self) -> u64 {
         self.fleet.full_walks()
     }
 
-    /// How many requests, endpoints, builds and keys with a sticky build are kept.
+    /// Numbers of requests, endpoints, builds and keys with a sticky build that are kept in memory,
+    /// in this order.
     pub fn retained_counts(&self) -> [usize; 4] {
         [
             self.requests.len(),
@@ -316,12 +326,12 @@
         ]
     }
 
-    /// A random number from 0 to 1.
+    /// Draws a random number in `[0, 1)`.
     fn random_fraction(&mut self) -> f64 {
         self.rng.gen_range(0.0..1.0)
     }
 
-    /// State of a build, which is begun where nothing is known of it.
+    /// State of a build; it is created if nothing is known of the build yet.
     fn build_mut(&mut self, number: u32) -> &mut BuildState {
         let classes = self.classes.len();
         let slots = self.parameters.exposure_slots(classes);
--- a/src/balancer/outcome_evidence.rs
+++ b/src/balancer/outcome_evidence.rs
@@ -1,7 +1,8 @@
-//! Outcomes of the endpoints and their sums by build, kept up to date at each change.
+//! Outcomes of the endpoints and their sums by build, updated incrementally.
 //!
-//! An evaluation interval costs what changed in it, never endpoints times classes: decay is applied
-//! when an endpoint is written or read, and the sums of endpoints that decay alike decay as one.
+//! The cost of an evaluation interval depends on what changed in it, not on the number of endpoints
+//! times classes: decay is applied when an endpoint is written or read, and the sums of endpoints
+//! with the same decay are decayed as one.
 
 use super::evidence::{outcome_decay, MIN_ENDPOINTS_TO_DISCARD, ROUNDING_ERROR};
 use super::evidence::{MIN_BASELINE_OUTCOMES, REBUILD_INTERVALS};
@@ -9,32 +10,34 @@
 use crate::stats::OutcomeCounts;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Outcomes of an earlier build that are kept: those that meet the bound up to rounding are.
+/// Maximum outcomes of an endpoint of an earlier build that are kept without decay; the factor
+/// tolerates rounding errors.
 const MAX_KEPT_OUTCOMES: f64 = MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR);
 
-/// How an endpoint's outcomes lose weight at present.
+/// How the outcomes of an endpoint decay at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Aging {
-    /// They decay always: the build is the newest one, or a newer one than the platform names.
+    /// They always decay: the build is the newest one, or newer than the one that the platform
+    /// reports.
     Decays,
-    /// They decay until few enough are left.
+    /// They decay until few enough are left to be kept.
     DecaysUntilKept,
-    /// They are kept as they are.
+    /// They are kept without decay.
     Kept,
 }
 
-/// Outcomes of one endpoint, and how the sums of its build have them.
+/// Outcomes of one endpoint, and how they are included in the sums of its build.
 #[derive(Debug, Default)]
 struct EndpointRecord {
     build: u32,
-    /// `None` where it does not run: then no sum has it.
+    /// `None` if the endpoint is not running; then no sum includes its outcomes.
     aging: Option<Aging>,
     is_ejected: bool,
-    /// The evaluation interval that the outcomes have decayed to.
+    /// The evaluation interval up to which the outcomes have been decayed.
     interval: u64,
-    /// When to see whether the outcomes are kept from then on.
+    /// The evaluation interval in which to check whether the outcomes are kept from then on.
     check_at: Option<u64>,
-    /// Where it stands among the failing endpoints of its build.
+    /// Rank among the failing endpoints of its build; `None` if it is not ranked.
     rank: Option<FailureRank>,
     outcomes: EndpointOutcomes,
 }
@@ -48,8 +51,8 @@
         }
     }
 
-    /// What the sums have of these outcomes. Lost attempts of an earlier build's ejected endpoints
-    /// are left out: they are the endpoints' own.
+    /// The part of these outcomes that the sums include. Attempts lost at ejected endpoints of an
+    /// earlier build are left out, as the endpoints are to blame rather than the build.
     fn counted_outcomes(&self, mut counts: OutcomeCounts) -> OutcomeCounts {
         if self.is_ejected && self.aging != Some(Aging::Decays) {
             counts.lost = 0.0;
@@ -62,26 +65,28 @@
     }
 }
 
-/// Outcomes of all endpoints that run, with their sums by build and class.
+/// Outcomes of all running endpoints, with their sums by build and class.
 ///
-/// Bounded: an endpoint has an entry for each class that it was sent requests of while these count
-/// (see [`super::evidence::NEGLIGIBLE_OUTCOMES`]), a build two sums for each class.
+/// Memory is bounded: an endpoint has one entry per class for which it was sent requests, until the
+/// entry is negligible (see [`super::evidence::NEGLIGIBLE_OUTCOMES`]), and a build has two sums per
+/// class.
 pub(crate) struct OutcomeEvidence {
     decay: OutcomeDecay,
-    /// Evaluation intervals since the start.
+    /// Number of evaluation intervals since the start.
     interval: u64,
-    /// Builds from this one on decay always.
+    /// Outcomes of this build and of newer ones always decay.
     newest_build: u32,
-    /// By index of the endpoint.
+    /// Records by endpoint index.
     endpoints: Vec<EndpointRecord>,
-    /// Builds that any endpoint runs.
+    /// Sums by number of the build, for builds that any endpoint runs.
     builds: BTreeMap<u32, BuildOutcomes>,
-    /// Endpoints of earlier builds that decay, by when to see whether they still do.
+    /// Endpoints whose outcomes decay until they are kept, by the evaluation interval of the next
+    /// check.
     checks: BTreeSet<(u64, usize)>,
 }
 
 impl OutcomeEvidence {
-    /// No outcomes of any endpoint.
+    /// Creates the evidence without any endpoint.
     pub fn new() -> OutcomeEvidence {
         OutcomeEvidence {
             decay: outcome_decay(),
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Begins the outcomes of an endpoint that runs this build from now on.
+    /// Starts empty outcomes of an endpoint that runs this build from now on.
     pub fn start(&mut self, endpoint: usize, build: u32) {
         if endpoint >= self.endpoints.len() {
             self.endpoints
@@ -108,7 +113,7 @@
         self.add_to_sums(endpoint);
     }
 
-    /// Ends the outcomes of an endpoint that does not run any more, and returns them by class.
+    /// Ends the outcomes of an endpoint that is no longer running, and returns them by class.
     pub fn stop(&mut self, endpoint: usize) -> Vec<(usize, OutcomeCounts)> {
         self.remove_from_sums(endpoint);
         let Some(record) = self.endpoints.get_mut(endpoint) else {
@@ -118,7 +123,7 @@
         outcomes.by_class(&self.decay).collect()
     }
 
-    /// Adds outcomes of a class at an endpoint, if it runs.
+    /// Adds outcomes of a class at an endpoint; ignored if the endpoint is not running.
     pub fn add(&mut self, endpoint: usize, class: usize, added: &OutcomeCounts) {
         let Some(record) = self.endpoints.get_mut(endpoint) else {
             return;
@@ -142,33 +147,34 @@
         }
     }
 
-    /// Takes back one failed answer of a class at an endpoint, as far as it still counts.
+    /// Retracts one failed response of a class at an endpoint, as far as it has not decayed.
     pub fn take_back_failure(&mut self, endpoint: usize, class: usize) {
         self.update_record(endpoint, |record, decay| {
             record.outcomes.take_back_failure(class, decay);
         });
     }
 
-    /// Takes back all failed answers of an endpoint.
+    /// Retracts all failed responses of an endpoint.
     pub fn clear_failed(&mut self, endpoint: usize) {
         self.update_record(endpoint, |record, decay| {
             record.outcomes.clear_failed(decay);
         });
     }
 
-    /// Takes in that the ejection of an endpoint began or ended.
+    /// Records that the ejection of an endpoint has begun or ended.
     pub fn set_ejected(&mut self, endpoint: usize, is_ejected: bool) {
         self.update_record(endpoint, |record, _| record.is_ejected = is_ejected);
     }
 
-    /// Takes in which build is the newest. Walks the endpoints.
+    /// Sets the number of the newest build. Scans all endpoints if it changes.
     pub fn set_newest_build(&mut self, build: u32) {
         if self.newest_build != build {
             self.rebuild(|evidence| evidence.newest_build = build);
         }
     }
 
-    /// Gives each class the indices that `targets` has for it. Walks the endpoints.
+    /// Moves the outcomes of each class to the class indices in `targets`, by former class index.
+    /// Scans all endpoints.
     pub fn renumber_classes(&mut self, targets: &[Vec<usize>]) {
         self.rebuild(|evidence| {
             for record in &mut evidence.endpoints {
@@ -177,10 +183,10 @@
         });
     }
 
-    /// Ends an evaluation interval. Returns how many endpoints were looked at.
+    /// Ends an evaluation interval. Returns the number of endpoints scanned.
     pub fn end_interval(&mut self) -> usize {
         self.interval += 1;
-        // Takes off what rounding adds up to in the sums that do not decay.
+        // Removes the rounding errors that accumulate in the sums that do not decay.
         if self.interval.is_multiple_of(REBUILD_INTERVALS) {
             self.rebuild(|_| {});
             return self.endpoints.len();
@@ -196,7 +202,7 @@
         checked
     }
 
-    /// Sum over all classes of an endpoint's outcomes.
+    /// Outcomes of an endpoint, summed over all classes.
     pub fn total_of(&self, endpoint: usize) -> OutcomeCounts {
         let Some(record) = self.endpoints.get(endpoint) else {
             return OutcomeCounts::default();
@@ -208,13 +214,13 @@
         record.outcomes.total().scaled(self.decay.factor_after(age))
     }
 
-    /// Endpoints of a build that have shown failures since they were started.
+    /// Number of endpoints of a build that have shown failures since they were started.
     pub fn failing_endpoints(&self, build: u32) -> usize {
         self.builds.get(&build).map_or(0, |build| build.failing)
     }
 
-    /// Sums by class over the running endpoints of a build, for this many classes. `discards` says
-    /// whether a single endpoint with most of the failures is left out.
+    /// Sums over the running endpoints of a build, for the first `classes` classes. With
+    /// `discard_most_failing`, a single endpoint with most of the failures is left out.
     pub fn sums_of(
         &self,
         build: u32,
@@ -254,7 +260,7 @@
             let Some(sum) = sums.get_mut(class) else {
                 continue;
             };
-            // Where no other endpoint was sent requests of the class, nothing is left of it.
+            // If no other endpoint was sent requests of the class, nothing remains of the sum.
             *sum = if build.decaying.endpoints(class) > 1 {
                 sum.minus(&counts.scaled(factor))
             } else {
@@ -263,8 +269,8 @@
         }
     }
 
-    /// How an endpoint's outcomes lose weight from now on: the baseline of an earlier build does
-    /// not decay once it is small, the newest build's evidence always does.
+    /// How an endpoint's outcomes decay from now on: the baseline of an earlier build stops
+    /// decaying once it is small; the evidence on the newest build always decays.
     fn aging_of(&self, endpoint: usize) -> Aging {
         let record = &self.endpoints[endpoint];
         if record.build >= self.newest_build {
@@ -286,8 +292,8 @@
         }
     }
 
-    /// Plans when to see whether an endpoint's outcomes are kept. What is added meanwhile puts that
-    /// off, which is found out then.
+    /// Schedules the check whether an endpoint's outcomes are kept. Outcomes added in the meantime
+    /// delay that point, in which case the check is scheduled again.
     fn schedule_check(&mut self, endpoint: usize) {
         let record = &mut self.endpoints[endpoint];
         if let Some(at) = record.check_at.take() {
@@ -301,8 +307,8 @@
         }
     }
 
-    /// Changes an endpoint that runs, and gives its build's sums what it then has. Costs the
-    /// classes that it remembers.
+    /// Changes the record of a running endpoint and updates the sums of its build. The cost is
+    /// proportional to the number of classes that the endpoint remembers.
     fn update_record(
         &mut self,
         endpoint: usize,
@@ -315,7 +321,7 @@
         self.add_to_sums(endpoint);
     }
 
-    /// Takes all that an endpoint has off the sums. Whether it was in them.
+    /// Removes all outcomes of an endpoint from the sums. Returns whether they were included.
     fn remove_from_sums(&mut self, endpoint: usize) -> bool {
         let Some(record) = self.endpoints.get_mut(endpoint) else {
             return false;
@@ -340,7 +346,7 @@
         true
     }
 
-    /// Adds all that an endpoint has to the sums of its build.
+    /// Adds all outcomes of an endpoint to the sums of its build.
     fn add_to_sums(&mut self, endpoint: usize) {
         self.endpoints[endpoint]
             .outcomes
@@ -358,7 +364,7 @@
         self.schedule_check(endpoint);
     }
 
-    /// Sums all up anew after a change of what the sums are made of.
+    /// Recomputes all sums, with a change of the state that they depend on.
     fn rebuild(&mut self, change: impl FnOnce(&mut OutcomeEvidence)) {
         let running: Vec<usize> = (0..self.endpoints.len())
             .filter(|endpoint| self.remove_from_sums(*endpoint))
@@ -370,7 +376,8 @@
     }
 }
 
-/// The sums of a build that have an endpoint, as they are at this evaluation interval.
+/// The sums of a build that include endpoints with this kind of decay, decayed to this evaluation
+/// interval.
 fn sums_at<'a>(
     build: &'a mut BuildOutcomes,
     aging: Aging,
@@ -386,7 +393,7 @@
     }
 }
 
-/// Counts an endpoint among the failing ones of its build, if it is one.
+/// Counts an endpoint among the failing ones of its build if it has failures.
 fn add_failures(
     build: &mut BuildOutcomes,
     record: &mut EndpointRecord,
@@ -400,7 +407,7 @@
     }
 }
 
-/// Takes an endpoint off the failing ones of its build, before its outcomes change.
+/// Removes an endpoint from the failing ones of its build, before its outcomes change.
 fn remove_failures(
     build: &mut BuildOutcomes,
     record: &mut EndpointRecord,
@@ -414,8 +421,8 @@
     }
 }
 
-/// Evaluation intervals in which so many outcomes of an earlier build still decay: the last one is
-/// that which takes them to what is kept.
+/// Number of evaluation intervals for which this many outcomes of an earlier build still decay,
+/// including the one that brings them down to the kept amount.
 fn intervals_until_kept(total: &OutcomeCounts, decay: &OutcomeDecay) -> u64 {
     let ratio = (total.total() / MAX_KEPT_OUTCOMES).max(1.0);
     (ratio.ln() / -decay.factor.ln()).ceil() as u64
--- a/src/balancer/outcome_regression.rs
+++ b/src/balancer/outcome_regression.rs
@@ -1,4 +1,4 @@
-//! Whether a canary fails a class that the earlier build serves.
+//! Detects whether a canary fails or loses requests that the earlier build serves.
 
 use super::evidence::{MIN_BASELINE_OUTCOMES, MIN_OUTCOMES};
 use super::Balancer;
@@ -6,36 +6,39 @@
 use crate::stats::{log_likelihood_ratio, OutcomeCounts, Proportion};
 use std::fmt;
 
-/// Failures below which nothing is concluded.
+/// Number of failures below which no conclusion is drawn.
 pub(super) const MIN_FAILURES: f64 = 3.0;
-/// Share of failed answers of a canary from which on it may be regressed: most bad builds fail
-/// under a fifth.
+/// Share of failed responses above which a canary may be regressed: most bad builds fail less than
+/// a fifth of the requests.
 const MAX_FAILED_SHARE: f64 = 0.04;
-/// Share of failed or lost answers of the earlier build from which on it is no measure.
+/// Share of failed or lost responses of the earlier build from which on it is no valid baseline.
 const MAX_BASELINE_SHARE: f64 = 0.2;
-/// Share of lost answers of a canary from which on it may be regressed: a lost answer says less of
-/// a build than a failed one.
+/// Share of lost responses above which a canary may be regressed. It is higher than the share of
+/// failed ones, as a lost response says less about a build.
 const MAX_LOST_SHARE: f64 = 0.2;
-/// Lost or failed attempts, in multiples of the least failures, below which nothing is concluded of
-/// lost ones.
+/// Number of lost or failed attempts, as a multiple of the minimum number of failures, below which
+/// no conclusion is drawn from lost responses.
 const LOST_PER_FAILURE: f64 = 2.0;
-/// Weight of the earlier build's former outcomes, where it does not fail at present.
+/// Weight of the earlier build's former outcomes if it does not fail at present.
 const FORMER_WEIGHT: f64 = 0.5;
-/// The same where it does.
+/// Weight of the earlier build's former outcomes while it fails at present.
 const FORMER_WEIGHT_WHILE_FAILING: f64 = 0.2;
-/// Failures of the earlier build at present from which on it counts as failing.
+/// Number of present failures of the earlier build from which on it counts as failing.
 const MIN_PEER_FAILURES: f64 = 0.5;
-/// How far beyond chance a difference must be, as a logarithm; more the more agents look.
+/// Minimum significance of a difference, as a log-likelihood ratio; it increases with the number of
+/// agents, as each of them may err.
 const SIGNIFICANCE_THRESHOLD: f64 = 3.0;
-/// The same for each of several agents that must agree: few failures come by chance.
+/// Minimum significance for each of several agents that must agree; it prevents a verdict on a few
+/// failures by chance.
 const AGREED_SIGNIFICANCE_THRESHOLD: f64 = 3.0;
-/// Client-reported errors below which nothing is concluded: two, of which one may have decayed.
+/// Number of client-reported errors below which no conclusion is drawn: two, of which one may have
+/// decayed.
 const MIN_REPORTED: f64 = 1.8;
-/// How far beyond chance client-reported errors must be, as a logarithm: they hardly come by
-/// chance.
+/// Minimum significance of client-reported errors, as a log-likelihood ratio; it is low because
+/// they rarely occur by chance.
 const REPORTED_SIGNIFICANCE_THRESHOLD: f64 = 1.0;
 
-/// How a canary is regressed.
+/// Kind of a canary's regression.
 #[derive(Clone, Copy)]
 enum Regression {
     Failed,
@@ -51,36 +54,36 @@
     }
 }
 
-/// What counts as a regression.
+/// Thresholds from which on a difference counts as a regression.
 struct Thresholds {
-    /// Failures that one client-reported error stands for.
+    /// Number of failures that one client-reported error stands for.
     reported_error_weight: f64,
-    /// Least log-likelihood ratio.
+    /// Minimum log-likelihood ratio.
     log_ratio: f64,
-    /// Factor on shares and counts.
+    /// Factor on the minimum shares and counts.
     threshold_factor: f64,
 }
 
-/// Outcomes of one class, or of all together.
+/// Outcomes of one class, or of all classes together.
 struct ClassEvidence<'a> {
     canary: &'a OutcomeCounts,
     earlier: &'a OutcomeCounts,
     peers: &'a OutcomeCounts,
 }
 
-/// What the outcomes say of a canary.
+/// Result of comparing a canary's outcomes with the earlier build's.
 pub(super) struct OutcomeFinding {
-    /// Failed classes, in words, where there are any.
+    /// Description of the regressed class; `None` if there is no regression.
     pub reason: Option<String>,
-    /// Failures that speak for it.
+    /// Strength of the evidence, in failures; 0 if there is no regression.
     pub strength: f64,
-    /// Whether client-reported errors speak against it.
+    /// Whether client-reported errors show a regression.
     pub has_wrong_answers: bool,
 }
 
 impl Balancer {
-    /// Compares the outcomes of the newest build with those of the earlier one, by class and all
-    /// together. `ease` is less than one where a hold stands.
+    /// Compares the outcomes of the newest build with those of the earlier one, by class and for
+    /// all classes together. `threshold_factor` is less than one while a hold is in place.
     pub(super) fn compare_outcomes(
         &self,
         status: &RolloutStatus,
@@ -110,7 +113,7 @@
         let thresholds = self.outcome_thresholds(threshold_factor);
         let classes = canary.iter().zip(&earlier).zip(peers).enumerate();
         for (class, ((canary, earlier), peers)) in classes {
-            // Where the canary shows no failures, nothing speaks against it.
+            // Without failures there is no evidence against the canary.
             if !canary.has_failures() {
                 continue;
             }
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Whether clients report more wrong answers of the canary than of the earlier build. They come
-    /// from no faulty hardware, and a right answer is reported as wrong but rarely.
+    /// Whether clients report more wrong responses of the canary than of the earlier build. Faulty
+    /// hardware does not cause wrong responses, and clients rarely report a correct one as wrong.
     fn has_wrong_answers(&self, overall: &ClassEvidence) -> bool {
         let reported = |counts: &OutcomeCounts| Proportion {
             count: counts.reported,
@@ -184,11 +187,10 @@
     }
 }
 
-/// What the earlier build does, as far as it is known: its outcomes at present, and its former ones
-/// by weight.
+/// Known outcomes of the earlier build: its present outcomes plus its former ones by weight.
 ///
-/// Guards, by the outcomes at present, against faults that meet both builds while the canary runs.
-/// May let a bad build go on for longer where the earlier one gets little traffic at present.
+/// The present outcomes guard against faults that affect both builds while the canary runs. May
+/// keep a bad build running for longer if the earlier one gets little traffic at present.
 struct Baseline {
     former_weight: f64,
     overall: OutcomeCounts,
@@ -209,8 +211,8 @@
         }
     }
 
-    /// The baseline of one class. Guards rare classes, of which little is known: all classes
-    /// together fill up what is missing. A class that was never answered has none.
+    /// The baseline of one class. For rare classes with few outcomes, the outcomes of all classes
+    /// together make up the missing ones. A class without any outcomes has no baseline.
     fn of_class(&self, evidence: &ClassEvidence) -> OutcomeCounts {
         let earlier = evidence.earlier;
         let own = earlier.scaled_plus(self.former_weight, evidence.peers);
@@ -220,8 +222,8 @@
     }
 }
 
-/// Whether the canary regressed what the earlier build serves: by its share, and beyond what chance
-/// would show at any of the agents.
+/// Whether the canary fails or loses requests that the earlier build serves, both by its share and
+/// with more significance than chance would show at any of the agents.
 fn find_regression(
     evidence: &ClassEvidence,
     baseline: &OutcomeCounts,
@@ -233,7 +235,8 @@
     is_losing(evidence, baseline, thresholds).then_some(Regression::Lost)
 }
 
-/// Whether its answers fail. Lost ones are left out: they would blur this baseline.
+/// Whether the canary's responses fail. Lost responses are left out, as they would blur this
+/// baseline.
 fn is_failing(evidence: &ClassEvidence, baseline: &OutcomeCounts, thresholds: &Thresholds) -> bool {
     let threshold_factor = thresholds.threshold_factor;
     let weighted = |counts: &OutcomeCounts| Proportion {
@@ -252,8 +255,8 @@
         && log_likelihood_ratio(seen(evidence.canary), seen(baseline)) > thresholds.log_ratio
 }
 
-/// Whether its answers are lost. Guards against dead endpoints and lossy networks: what the earlier
-/// build loses, too, is not the canary's.
+/// Whether the canary's responses are lost. The comparison guards against dead endpoints and lossy
+/// networks: losses that the earlier build has as well do not count against the canary.
 fn is_losing(evidence: &ClassEvidence, baseline: &OutcomeCounts, thresholds: &Thresholds) -> bool {
     let threshold_factor = thresholds.threshold_factor;
     let failed_or_lost = |counts: &OutcomeCounts| Proportion {
--- a/src/balancer/parameters.rs
+++ b/src/balancer/parameters.rs
@@ -1,105 +1,106 @@
-//! The settings in the form that decisions use.
+//! The settings, converted to the form that decisions use.
 
 use crate::interface::Settings;
 use crate::stats::ln_factorial;
 use std::time::Duration;
 
-/// Part of the load that topples a warming endpoint which it may get at most.
+/// Share of the load that overloads a warming endpoint up to which it may be loaded.
 const OVERLOAD_SAFETY: f64 = 0.7;
-/// Bounds of what a warming endpoint may get against a warm one, whatever the settings say.
+/// Bounds of the load of a warming endpoint relative to a warm one, whatever the settings say.
 const OVERLOAD_SHARE_RANGE: (f64, f64) = (0.1, 3.0);
-/// Probability that as many agents as must agree err at once.
+/// Accepted probability that the required number of agents err at the same time.
 const JOINT_ERROR_PROBABILITY: f64 = 0.001;
-/// Agents that must agree, at most: more would make the sum of logarithms long.
+/// Maximum number of required votes: more would make the sum of logarithms in the threshold long.
 const MAX_NEEDED_VOTES: u32 = 10_000;
-/// Least share of wrong answers that clients are taken to report, so that one report is not worth
-/// more than ten failures.
+/// Lowest assumed share of wrong responses that clients report, so that one report counts as at
+/// most ten failures.
 const MIN_REPORTED_ERROR_SHARE: f64 = 0.1;
-/// Least calls a second that the platform is taken to bear.
+/// Lowest assumed rate of calls that the platform accepts, in calls per second.
 const MIN_VOTES_PER_SECOND: f64 = 0.001;
-/// Longest interval, in seconds, between an agent's calls for the list.
+/// Longest interval between an agent's calls for the endpoint list, in seconds.
 const MAX_LIST_CALL_INTERVAL: f64 = 3600.0;
 
-/// What was read, in the form that decisions use.
+/// Settings of one agent, converted to the form that decisions use.
 pub(super) struct Parameters {
     /// Index of the agent's own zone.
     pub zone: usize,
-    /// Granularity of the caller's timers.
+    /// Granularity of the caller's timers: a decision may take effect this much later.
     pub timer_granularity: Duration,
-    /// Attempts of one request, at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Whether a second attempt may run beside the first.
+    /// Whether a second attempt may run in parallel with the first.
     pub hedging: bool,
     /// Whether an attempt in flight may be cancelled.
     pub cancellation: bool,
-    /// Longest time to name in a rejection.
+    /// Longest retry delay that a rejection may name; `None` if it may name none.
     pub retry_after: Option<Duration>,
-    /// Whether a request is worth the more, the more work it costs.
+    /// Whether the value of a request grows with the work it costs.
     pub weight_by_work: bool,
-    /// Whether crossing zones costs something.
+    /// Whether cross-zone traffic has a price.
     pub cross_zone_priced: bool,
-    /// Longest time between two calls for the list, where it is polled.
+    /// Longest time between two calls for the endpoint list; `None` if the list is not polled.
     pub list_poll_interval: Option<Duration>,
-    /// Whether calls for the list cost a service that all agents share.
+    /// Whether calls for the list load a discovery service that all agents share.
     pub shared_discovery: bool,
     /// Whether an endpoint may be asked for its load.
     pub load_probes: bool,
-    /// Whether an endpoint works faster for keys that it served lately.
+    /// Whether an endpoint serves a key faster if it has served that key recently.
     pub key_affinity: bool,
-    /// Fair shares of the tenants, by index.
+    /// Fair share of requests of each tenant, 0 to 1, by tenant index.
     pub tenant_shares: Vec<f64>,
-    /// Agents of the installation.
+    /// Number of agents in the installation, at least 1.
     pub agents: f64,
-    /// What an endpoint that was just started may get.
+    /// Slow start of endpoints that have just been started.
     pub slow_start: SlowStartParameters,
     /// How builds are rolled out and voted on.
     pub rollout: RolloutParameters,
 }
 
-/// What an endpoint that was just started may get.
+/// Slow start of endpoints that have just been started.
 pub(super) struct SlowStartParameters {
-    /// Share of its full load that it bears at first.
+    /// Share of its full load that an endpoint gets when it starts, 0 to 1.
     pub initial_share: f64,
-    /// How long slow start lasts.
+    /// Duration of slow start.
     pub duration: Duration,
-    /// Span over which its load is counted.
+    /// Window over which the load of an endpoint in slow start is counted.
     pub overload_window: Duration,
-    /// What it may get, against what a warm one does: less than what topples it.
+    /// Maximum load of a warming endpoint relative to a warm one, below the load that overloads it.
     pub overload_share: f64,
 }
 
 /// How builds are rolled out and voted on.
 pub(super) struct RolloutParameters {
-    /// Cap of the first stage.
+    /// Exposure cap of the first stage, as a share of requests.
     pub first_cap: f64,
-    /// Attempts beyond the cap that are free.
+    /// Number of attempts that a canary may get beyond the cap.
     pub exposure_burst: f64,
-    /// Whether the cap counts each class by itself.
+    /// Whether the exposure cap applies to each class separately.
     pub cap_per_class: bool,
-    /// First stages in which the canary takes idempotent classes only.
+    /// Number of first stages in which the canary takes only idempotent classes.
     pub guarded_stages: usize,
-    /// Whether a key that a canary answered never returns to an earlier build.
+    /// Whether a key that a canary has answered never returns to an earlier build.
     pub sticky_builds: bool,
-    /// Whether votes are sent, as stages pass by the platform's clock.
+    /// Whether this agent votes, because stages advance with the platform's clock.
     pub timed_stages: bool,
-    /// Whether the new build replaces the earlier one on its own endpoints.
+    /// Whether the new build replaces the earlier one on the same endpoints.
     pub in_place: bool,
-    /// Whether the platform publishes counts over all agents.
+    /// Whether the platform publishes outcome counts over all agents.
     pub platform_counts: bool,
-    /// Whether several agents must agree to roll back.
+    /// Whether a rollback requires the votes of several agents.
     pub needs_agreement: bool,
-    /// Agents of the installation for each one that must agree.
+    /// Number of agents in the installation per vote required to roll back.
     pub agents_per_vote: f64,
-    /// How sure each agent must be, as a logarithm, so that those who must agree hardly ever err at
-    /// once.
+    /// Evidence that each agent needs, as a negative log-probability of error, so that the required
+    /// number of agents is unlikely to err at the same time.
     pub agreement_threshold: f64,
-    /// How long a vote counts.
+    /// How long a vote counts at the platform.
     pub vote_ttl: Duration,
     /// How long to wait for the reply to a vote.
     pub vote_timeout: Duration,
-    /// Seconds between two votes of one agent that leave the others their share of calls.
+    /// Interval between two votes of one agent, in seconds, that leaves the other agents their
+    /// share of the platform's call rate.
     pub vote_interval: f64,
-    /// Failures that one client-reported error stands for.
+    /// Number of failures that one client-reported error stands for.
     pub reported_error_weight: f64,
 }
 
@@ -168,9 +169,11 @@
 }
 
 impl Parameters {
-    /// Shortest time between two calls of this agent for the list: all agents together keep to the
-    /// platform's rate, the only one that the settings give for calls. At most half of the time
-    /// within which the list must be asked for; zero where calls cost discovery nothing.
+    /// Shortest time between two calls of this agent for the endpoint list.
+    ///
+    /// All agents together keep within the platform's call rate, the only rate limit for calls in
+    /// the settings. The interval is at most half of the time within which the list must be
+    /// requested, and zero if calls cost discovery nothing.
     pub fn list_call_interval(&self) -> Duration {
         let half_poll_interval = self
             .list_poll_interval
@@ -181,7 +184,7 @@
         Duration::from_secs_f64(seconds.clamp(0.0, MAX_LIST_CALL_INTERVAL)).min(half_poll_interval)
     }
 
-    /// Slots in which the exposure cap counts.
+    /// Number of slots in which exposure is counted: one per class or a single one.
     pub fn exposure_slots(&self, classes: usize) -> usize {
         if self.rollout.cap_per_class {
             classes
@@ -190,7 +193,7 @@
         }
     }
 
-    /// The slot in which the exposure cap counts an attempt of this class.
+    /// Slot in which an attempt of this class counts against the exposure cap.
     pub fn exposure_slot(&self, class: usize) -> usize {
         if self.rollout.cap_per_class {
             class
@@ -201,14 +204,14 @@
 }
 
 /// Shortest time between two calls of one agent for the endpoint list, so that all agents together
-/// keep to the rate that the discovery service bears. Zero where calls cost it nothing.
+/// keep within the call rate that the discovery service can handle. Zero if calls cost it nothing.
 pub fn list_call_interval(settings: &Settings) -> Duration {
     Parameters::from(settings).list_call_interval()
 }
 
-/// How sure each of `needed` agents must be, as a logarithm, by Poisson's approximation: with `n`
-/// agents that err with a probability of `exp(-t)` each, `k` of them err at once with about
-/// `(n exp(-t))^k / k!`.
+/// Evidence that each of `needed` agents must have, as a negative log-probability of error, by the
+/// Poisson approximation: of `n` agents that each err with probability `exp(-t)`, `k` err at the
+/// same time with probability of about `(n exp(-t))^k / k!`.
 fn agreement_threshold(agents: u32, needed: u32) -> f64 {
     let needed = needed.clamp(1, MAX_NEEDED_VOTES);
     let ln_joint_error = JOINT_ERROR_PROBABILITY.ln() + ln_factorial(needed);
--- a/src/balancer/peer_medians.rs
+++ b/src/balancer/peer_medians.rs
@@ -1,30 +1,31 @@
-//! Medians of the latencies of peers, over a bounded number of them.
+//! Median latencies of peer groups, computed over a bounded number of peers.
 
 use super::Balancer;
 use crate::model::PeerGroup;
 
-/// Peers above which there is a median.
+/// Number of peers above which a group has a median of its own.
 const MIN_PEERS: usize = 2;
-/// Peers that a median is taken over, at most; others take their turn at the next evaluations.
+/// Maximum number of peers over which a median is computed; the others follow in the next
+/// evaluations.
 ///
-/// Up to so many the median is exact. Beyond, its rank is off by a share of the peers whose
-/// standard deviation is `0.5 / sqrt(512)`, 2.2%, at most.
+/// The median is exact for up to this many peers. For more, the error of its rank, as a share of
+/// the peers, has a standard deviation of at most `0.5 / sqrt(512)`, 2.2%.
 pub(super) const MAX_SAMPLED_PEERS: usize = 512;
-/// Step between two sampled positions, as a part of their number: the golden ratio, whose
-/// multiples spread evenly and fall in with no period of the list.
+/// Step between two sampled positions, as a share of the number of positions: the golden ratio,
+/// whose multiples are spread evenly and match no period of the list.
 const SAMPLE_STEP: f64 = 0.618_033_988_749_895;
 
 /// Median latencies of the peers of one hardware type.
 pub(super) struct PeerMedians {
-    /// Of those that run an earlier build.
+    /// Median latency of the endpoints that run an earlier build.
     pub earlier: f64,
-    /// Of those that run the newest one.
+    /// Median latency of the endpoints that run the newest build.
     pub newest: f64,
 }
 
 impl Balancer {
     /// Median latencies of all peer groups, by hardware type. A group of few endpoints gets the
-    /// median of all; nobody reads that of a group without endpoints.
+    /// median of all endpoints. A group without endpoints gets 1.0, which nothing reads.
     pub(super) fn peer_medians(&self) -> Vec<PeerMedians> {
         let mut overall = None;
         let mut median = |group: PeerGroup| {
@@ -48,7 +49,7 @@
             .collect()
     }
 
-    /// Whether no endpoint of a group is warm, and none is warming that may be of it.
+    /// Whether a group has no warm endpoint, and no endpoint is warming that may belong to it.
     fn has_no_endpoint(&self, group: PeerGroup) -> bool {
         self.fleet.index().sets().warming().is_empty() && self.warm_peers(group).is_empty()
     }
@@ -68,7 +69,7 @@
         self.median_latency(&warm.all()).unwrap_or(1.0)
     }
 
-    /// Median of the high latencies of the endpoints of these lists, where there are enough.
+    /// Median of the high latencies of the endpoints in these lists; `None` if there are too few.
     fn median_latency(&self, lists: &[&[usize]]) -> Option<f64> {
         let total: usize = lists.iter().map(|list| list.len()).sum();
         if total <= MIN_PEERS {
@@ -84,8 +85,8 @@
     }
 }
 
-/// Which of `total` positions an evaluation looks at: all, or as many as are allowed, each once,
-/// beginning where the evaluation before ended.
+/// The positions out of `total` that an evaluation samples, each at most once: all of them or as
+/// many as are allowed. An evaluation continues where the previous one ended.
 pub(super) fn sampled_positions(total: usize, evaluation: u64) -> impl Iterator<Item = usize> {
     let sampled = total.min(MAX_SAMPLED_PEERS);
     let total = total.max(1) as u64;
@@ -94,7 +95,7 @@
     (0..sampled as u64).map(move |number| ((start + number) % total * step % total) as usize)
 }
 
-/// The step nearest above the golden part of `total` that meets each position once.
+/// The smallest step at or above the golden ratio of `total` that visits each position once.
 fn sample_step(total: u64) -> u64 {
     let golden = ((total as f64 * SAMPLE_STEP) as u64).max(1);
     (golden..)
@@ -109,7 +110,7 @@
     a
 }
 
-/// Which members of these lists an evaluation looks at: all, or as many as are allowed.
+/// The members of these lists that an evaluation samples: all of them or as many as are allowed.
 pub(super) fn sampled_members<'a>(
     lists: &'a [&[usize]],
     evaluation: u64,
--- a/src/balancer/platform_evidence.rs
+++ b/src/balancer/platform_evidence.rs
@@ -1,4 +1,5 @@
-//! What the platform's counts over all agents say of a canary. All agents know the same.
+//! Evaluates a canary by the platform's outcome counts over all agents, which are the same for
+//! every agent.
 
 use super::evidence::MIN_OUTCOMES;
 use super::latency_regression::TOLERATED_LATENCY_RATIO;
@@ -7,25 +8,27 @@
 use crate::model::PlatformTotals;
 use crate::stats::{chernoff_bound_of_mean, log_likelihood_ratio, Proportion};
 
-/// Share of a class's attempts, beyond twice the earlier build's, from which on a canary fails.
+/// Share of failed attempts, beyond twice that of the earlier build, above which a canary fails.
 const MAX_FAILED_SHARE: f64 = 0.06;
-/// Multiple of the earlier build's share of failures that is no regression.
+/// Multiple of the earlier build's share of failed attempts that is tolerated.
 const MAX_FAILED_RATIO: f64 = 2.0;
-/// How far beyond chance a difference must be, as a logarithm.
+/// Minimum significance of a difference, as a log-likelihood ratio or a negative log-probability.
 const SIGNIFICANCE_THRESHOLD: f64 = 6.0;
-/// Multiple of the earlier build's latency from which on a canary is slow.
+/// Ratio to the earlier build's latency above which a canary is slow.
 const MAX_LATENCY_RATIO: f64 = 1.6;
 
-/// What the platform's counts say of a canary.
+/// Result of evaluating a canary by the platform's counts.
 pub(super) struct PlatformFinding {
-    /// What they show beyond chance, in words.
+    /// Description of a significant regression; `None` if there is none.
     pub regression: Option<&'static str>,
-    /// Whether the canary is about as fast as the earlier build.
+    /// Whether the canary is about as fast as the earlier build, by the platform's counts; false if
+    /// the platform publishes none.
     pub is_latency_similar: bool,
 }
 
 impl Balancer {
-    /// Takes in what the platform counted over all agents.
+    /// Adds the platform's counts over all agents to the totals of their build and class. Counts of
+    /// an unknown build or class are ignored.
     pub fn on_platform_counts(&mut self, counts: &PlatformCounts) {
         let build = self.rollout.builds.get_mut(&counts.build);
         if let Some(totals) = build.and_then(|b| b.platform_totals.get_mut(counts.class)) {
@@ -33,7 +36,7 @@
         }
     }
 
-    /// Compares a canary with the earlier build.
+    /// Compares the platform's counts for a canary with those for the earlier build.
     pub(super) fn compare_platform_counts(&self, canary: u32, earlier: u32) -> PlatformFinding {
         let canary = self.platform_totals(canary);
         let earlier = self.platform_totals(earlier);
--- a/src/balancer/preference.rs
+++ b/src/balancer/preference.rs
@@ -1,24 +1,26 @@
-//! How readily an endpoint is used for a request.
+//! Ranks endpoints by their suitability for a request.
 
 use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{EjectionPhase, Endpoint, EndpointGroup};
 
-/// How readily an endpoint is used; the first that has any candidates wins.
+/// Suitability of an endpoint for a request. Only the best preference that has any candidates is
+/// used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Preference {
-    /// It is expected to answer.
+    /// The endpoint is expected to respond.
     Usable,
-    /// The same, in a zone that is used only where no local endpoint can take the request.
+    /// The endpoint is expected to respond, but its zone is used only if no local endpoint can take
+    /// the request.
     LastResort,
-    /// It was tried for this request, or is likely to fail it.
+    /// The endpoint has already been tried for this request, or is likely to fail it.
     Doubtful,
-    /// It is ejected or unresponsive.
+    /// The endpoint is ejected or unresponsive.
     Unavailable,
 }
 
 impl Preference {
-    /// All of them, the best first.
+    /// All preferences, best first.
     pub const ALL: [Preference; 4] = [
         Preference::Usable,
         Preference::LastResort,
@@ -28,10 +30,11 @@
 }
 
 impl Balancer {
-    /// How readily an endpoint is used for this request.
+    /// Preference of an endpoint for this request.
     ///
-    /// Guards requests that are not idempotent against endpoints that may lose or fail them: those
-    /// come last for them. Does harm where they are the only ones with room, as the others get all.
+    /// Protects requests that are not idempotent from endpoints that may lose or fail them: such
+    /// endpoints come last for these requests. Does harm if these are the only endpoints with
+    /// capacity left, as the others then get all of the load.
     pub(super) fn preference(
         &self,
         selection: &Selection,
@@ -53,8 +56,8 @@
         self.preference_in_service(selection, status, endpoint.zone)
     }
 
-    /// How readily the endpoints of a group are used for this request at the best: each one's
-    /// [`preference`](Self::preference) is this one or a later one.
+    /// Upper bound of the preferences of a group's members for this request: the
+    /// [`preference`](Self::preference) of each member is this one or a later one.
     pub(super) fn best_preference(
         &self,
         selection: &Selection,
@@ -80,7 +83,8 @@
         zone: usize,
     ) -> Preference {
         if status.is_canary {
-            // No budget for crossing zones may leave a canary without evidence.
+            // A cross-zone budget must not deprive a canary of evidence, so no zone is a last
+            // resort here.
             let is_risky = status.is_regressed && selection.has_effect;
             return if is_risky {
                 Preference::Doubtful
@@ -97,7 +101,7 @@
     }
 }
 
-/// Whether the request had an attempt at this endpoint before.
+/// Whether the request has already had an attempt at this endpoint.
 pub(super) fn is_tried(selection: &Selection, index: usize) -> bool {
     let mut attempts = selection.request.attempts.iter();
     attempts.any(|attempt| attempt.endpoint == index)
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -1,6 +1,7 @@
-//! Takes over other settings while requests are in flight. What is known of classes, tenants,
-//! builds and endpoints is carried over by index; nothing is decided here, and no random number is
-//! drawn for settings that are the same.
+//! Configuration reload while requests are in flight.
+//!
+//! The state of classes, tenants, builds and endpoints is carried over by index. A reload makes no
+//! decisions, and draws no random numbers if the settings are unchanged.
 
 use super::parameters::Parameters;
 use super::{hedging, request_class, Balancer};
@@ -9,7 +10,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// The indices that requests in flight are counted under: they may not be given to others.
+    /// The indices that are in use by requests in flight and must not be reassigned.
     pub fn indices_in_use(&self) -> IndicesInUse {
         let mut in_use = IndicesInUse::default();
         for request in self.requests.values() {
@@ -20,13 +21,13 @@
         in_use
     }
 
-    /// Decides by these settings from now on, whose indices come from where `mapping` says.
-    /// Requests in flight keep their indices, and with them their idempotency; evidence and what
-    /// was exposed stay.
+    /// Replaces the settings; `mapping` gives the origin of each class and tenant index. Requests
+    /// in flight keep their indices, and with them their idempotency. Evidence and spent exposure
+    /// are kept.
     pub fn reload(&mut self, now: Duration, settings: &Settings, mapping: &IndexMapping) {
         let classes = CarryOver::new(&mapping.classes);
         let before = std::mem::replace(&mut self.parameters, Parameters::from(settings));
-        // The measure of work is taken by configuration.
+        // Work is counted per configuration.
         self.fleet.reset_scanned();
         self.reload_classes(settings, mapping, &classes);
         self.carry_over_evidence(&classes);
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Gives these endpoints, by index, other zone indices.
+    /// Changes the zone indices of endpoints, given as pairs of endpoint and zone index. Pairs of
+    /// unknown endpoints are ignored.
     pub fn reassign_zones(&mut self, zones: &[(usize, usize)]) {
         for (endpoint, zone) in zones {
             if let Some(mut endpoint) = self.fleet.get_mut(*endpoint) {
@@ -76,9 +78,9 @@
         self.set_exposure_caps();
     }
 
-    /// Where slow start lasts longer from now on, endpoints that have not warmed up for as long are
-    /// in slow start again, each
-    /// beginning at a random point of its quota, as after a start.
+    /// If slow start has become longer, puts the endpoints back into slow start that have been
+    /// running for less than the new duration. Each begins at a random point of its quota, as after
+    /// a start.
     fn extend_slow_start(&mut self, now: Duration, before: Duration) {
         let duration = self.parameters.slow_start.duration;
         if duration <= before {
@@ -117,13 +119,14 @@
     }
 }
 
-/// What was known of the class at index `from`, under the rules of `class`.
+/// The state of the class at index `from`, with the rules of `class`.
 fn carried_over(before: &[ClassState], from: usize, class: &RequestClass) -> ClassState {
     let Some(known) = before.get(from) else {
         return request_class::initial(class);
     };
     let rules = ClassRules::from(class);
-    // A guess from the former latency objective is none from this one.
+    // An initial estimate is derived from the latency objective, so it does not hold for another
+    // one.
     let has_other_objective = known.rules.latency_objective != rules.latency_objective;
     if request_class::is_initial(known) && has_other_objective {
         return request_class::initial(class);
@@ -134,7 +137,7 @@
     }
 }
 
-/// A class whose samples go on under another index: here they would count twice.
+/// A class whose samples continue under another index; kept here as well, they would count twice.
 fn without_samples(class: ClassState) -> ClassState {
     ClassState {
         rules: class.rules,
@@ -143,7 +146,7 @@
     }
 }
 
-/// A class that takes part in no sum, and is never slow.
+/// A class that adds to no sum and is never slow.
 fn unused() -> ClassState {
     ClassState {
         rules: ClassRules {
@@ -154,7 +157,7 @@
     }
 }
 
-/// Under which index the evidence of each index was kept.
+/// Maps the evidence of the previous indices to the new ones.
 struct CarryOver {
     from: Vec<Option<usize>>,
     is_unchanged: bool,
@@ -187,12 +190,12 @@
         }
     }
 
-    /// Whether so many indices stay as they are.
+    /// Whether the mapping leaves `count` indices unchanged.
     fn is_identity(&self, count: usize) -> bool {
         self.is_unchanged && count == self.from.len()
     }
 
-    /// The indices under which the evidence of each of so many earlier indices goes on.
+    /// For each of `count` previous indices, the indices under which its evidence continues.
     fn targets(&self, count: usize) -> Vec<Vec<usize>> {
         let mut targets = vec![Vec::new(); count];
         for (index, from) in self.from.iter().enumerate() {
@@ -216,12 +219,14 @@
     }
 }
 
-/// The tokens that a build has under other settings.
+/// The exposure tokens of a build under new settings.
 ///
-/// A reload never adds to what may still be exposed. What a lower burst allows less is owed. A
-/// class that is new earns its own tokens. Where the cap counts otherwise from now on, what all
-/// classes had is shared out, or owed together. So the cap holds in each window across the reload,
-/// but for single classes that were not counted before. May leave a canary unexposed for a while.
+/// A reload never increases the remaining exposure. A reduction of the burst is deducted from the
+/// tokens, which may become negative. A new class starts with tokens of its own. If the cap changes
+/// between counting by class and counting all classes together, the tokens or the debt of all
+/// classes are divided among them or added up. The cap therefore holds in every window across the
+/// reload, except for single classes that were not counted before. May leave a canary without
+/// exposure for a while.
 fn exposure_tokens(
     mut tokens: Vec<f64>,
     before: &Parameters,
--- a/src/balancer/request_class.rs
+++ b/src/balancer/request_class.rs
@@ -1,18 +1,18 @@
-//! What is assumed of a request class before its first answers.
+//! Initial state of a request class, before its first responses.
 
 use crate::interface::RequestClass;
 use crate::model::{ClassRules, ClassState, LatencyEstimate};
 
-/// Part of the latency objective that an answer is taken to need before any has come.
+/// Initial mean latency, as a share of the latency objective.
 const INITIAL_MEAN_SHARE: f64 = 0.15;
-/// Median latency against the mean, before any answer.
+/// Initial ratio of the median latency to the mean.
 const INITIAL_MEDIAN_RATIO: f64 = 0.7;
-/// High quantile of the latency against the mean, before any answer.
+/// Initial ratio of the high latency quantile to the mean.
 const INITIAL_HIGH_RATIO: f64 = 2.0;
-/// Answers that the first guess is worth.
+/// Number of responses that the initial estimate counts as.
 const INITIAL_SAMPLES: f64 = 5.0;
 
-/// A class of which nothing was answered yet.
+/// State of a class that has had no responses yet.
 pub(super) fn initial(class: &RequestClass) -> ClassState {
     let rules = ClassRules::from(class);
     let mean = rules.latency_objective * INITIAL_MEAN_SHARE;
@@ -29,7 +29,7 @@
     }
 }
 
-/// Whether nothing was answered yet.
+/// Whether a class has had no responses yet.
 pub(super) fn is_initial(class: &ClassState) -> bool {
     class.latency.samples <= INITIAL_SAMPLES
 }
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request after an attempt: a retry within the budget, or a final answer.
+//! Decides what follows an attempt: a retry within the retry budget, or a final response.
 
 use super::Balancer;
 use crate::interface::{AttemptEnd, Decision, Idempotency, Outcome};
@@ -7,26 +7,27 @@
 
 use super::endpoint_health::FAILURE_RATE_DECAY;
 
-/// Attempts that each request adds to the budget.
+/// Number of retries that each request adds to the retry budget.
 const RETRY_BUDGET_PER_REQUEST: f64 = 0.1;
-/// Attempts that the budget holds, at most.
+/// Maximum retry budget, in retries.
 const MAX_RETRY_BUDGET: f64 = 20.0;
-/// Cost of a retry where an attempt may have run.
+/// Cost of a retry if an attempt may have run.
 const RETRY_COST: f64 = 1.0;
-/// Cost of a retry where none ran.
+/// Cost of a retry if no attempt has run.
 const UNSENT_RETRY_COST: f64 = 0.3;
 /// Cost of a hedged request.
 const HEDGE_COST: f64 = 1.0;
-/// Time after which a client is told to retry.
+/// Delay after which a client is told to retry.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Gain of the fault attribution weight, each request that failed once and ended otherwise, too.
+/// Gain of the fault attribution for each request that failed once and then succeeded or failed
+/// elsewhere.
 const FAULT_ATTRIBUTION_GAIN: f64 = 0.15;
-/// Least probability of a retry after a failure.
+/// Minimum probability of a retry after a failure.
 const MIN_RETRY_PROBABILITY: f64 = 0.2;
-/// Part of the mean latency that must be left of the time for a retry.
+/// Time that must be left until the deadline for a retry, as a multiple of the mean latency.
 const MIN_RETRY_TIME: f64 = 0.5;
 
-/// The state at a start: a full budget, and all failures are the endpoints'.
+/// Initial state: a full retry budget, and all failures attributed to endpoints.
 pub(super) fn initial() -> RetryState {
     RetryState {
         budget: MAX_RETRY_BUDGET,
@@ -35,23 +36,23 @@
 }
 
 impl Balancer {
-    /// Adds to the budget for one request.
+    /// Adds the share of one request to the retry budget.
     pub(super) fn refill_retry_budget(&mut self) {
         let budget = self.retries.budget + RETRY_BUDGET_PER_REQUEST;
         self.retries.budget = budget.min(MAX_RETRY_BUDGET);
     }
 
-    /// Whether the budget allows a hedged request.
+    /// Whether the retry budget allows a hedged request.
     pub(super) fn has_retry_budget(&self) -> bool {
         self.retries.budget >= HEDGE_COST
     }
 
-    /// Takes a hedged request from the budget.
+    /// Charges a hedged request to the retry budget.
     pub(super) fn charge_hedge(&mut self) {
         self.retries.budget -= HEDGE_COST;
     }
 
-    /// Ends an attempt. `None` where it is unknown or has ended before.
+    /// Marks an attempt as ended. Returns `None` if the attempt is unknown or has already ended.
     pub(super) fn end_attempt(
         &mut self,
         id: u64,
@@ -77,11 +78,11 @@
         })
     }
 
-    /// How much a failure of this attempt says of its endpoint, 0 to 1.
+    /// Weight of a failure of this attempt as evidence against its endpoint, 0 to 1.
     ///
-    /// Guards against requests that fail anywhere: what fails at a second endpoint, too, is held
-    /// against neither. Should also spare a broken dependency; may spare a build that fails nearly
-    /// all of a class.
+    /// Guards against requests that fail at any endpoint: if a request fails at a second endpoint,
+    /// the failure counts against neither. This should also spare endpoints a broken dependency. It
+    /// may spare a build that fails nearly all requests of a class.
     pub(super) fn attribute_fault(&mut self, ended: &EndedAttempt, outcome: Outcome) -> f64 {
         let Some(earlier) = ended.earlier_failure else {
             return self.retries.fault_attribution;
@@ -108,7 +109,7 @@
         self.outcomes.take_back_failure(failure.endpoint, class);
     }
 
-    /// Decides what to do with a request one of whose attempts has just ended.
+    /// Decides what to do with a request after one of its attempts has ended.
     pub(super) fn after_attempt(&mut self, now: Duration, id: u64, end: &AttemptEnd) -> Decision {
         let request = &self.requests[&id];
         let other = request.in_flight().next().map(|(number, _)| number);
@@ -145,14 +146,14 @@
         self.route(now, id)
     }
 
-    /// Whether a failure is left as it is, by chance: the rarer failures are the endpoints', the
-    /// more often.
+    /// Randomly decides whether a failure is not retried. The fewer failures are attributed to
+    /// endpoints, the fewer are retried.
     fn skips_retry_at_random(&mut self) -> bool {
         self.random_fraction() > self.retries.fault_attribution.max(MIN_RETRY_PROBABILITY)
     }
 
-    /// Answers a request finally: with a rejection where its client may safely retry it, else with
-    /// a failure.
+    /// Ends a request with a final response: a rejection if its client may safely retry it,
+    /// otherwise a failure.
     pub(super) fn give_up(&mut self, now: Duration, id: u64) -> Decision {
         let Some(request) = self.requests.get(&id) else {
             return Decision::Await;
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -1,21 +1,22 @@
-//! Which vote is sent, renewed or withdrawn.
+//! Decides which vote is sent, renewed or withdrawn.
 
 use super::{Balancer, MIN_CALL_GAP};
 use crate::interface::{RolloutPhase, Verdict, Vote, VoteReply};
 use crate::model::SentVote;
 use std::time::Duration;
 
-/// Factor by which the time between two votes grows with each refusal.
+/// Growth factor of the time between two votes for each refusal or missing reply.
 const VOTE_BACKOFF_GROWTH: u32 = 2;
-/// Longest time between two votes after refusals.
+/// Maximum backoff between two votes after refusals or missing replies.
 const MAX_VOTE_BACKOFF: Duration = Duration::from_millis(2000);
-/// Longest interval, in seconds, that is kept for the other agents' sake.
+/// Maximum interval between votes that leaves the other agents their share of calls, in seconds.
 const MAX_VOTE_INTERVAL: f64 = 2.0;
-/// Time beyond the timeout, in gaps between calls, after which the reply to a vote is given up.
+/// Time beyond the timeout after which the reply to a vote is given up, in multiples of the minimum
+/// gap between calls.
 const REPLY_GRACE: u32 = 2;
-/// A vote is renewed so many times within its time to live.
+/// Number of times that a vote is renewed within its time to live.
 const RENEWALS_PER_TTL: u32 = 2;
-/// Times to live after which a standing vote is forgotten.
+/// Number of times to live after which a standing vote is forgotten.
 const EXPIRY_IN_TTLS: u32 = 2;
 
 impl Balancer {
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Forgets the standing vote where it is not meant any more and has ceased to matter.
+    /// Forgets the standing vote if it is no longer wanted and has no effect any more, because its
+    /// canary has ended or the vote has expired.
     fn expire_moot_vote(&mut self, now: Duration) {
         if self.votes.wanted.is_some() {
             return;
@@ -60,7 +62,8 @@
         self.votes.standing.take_if(is_moot);
     }
 
-    /// The vote that is meant, unless it stands; a withdrawal where none is meant and one stands.
+    /// The wanted vote, unless it already stands and needs no renewal; a withdrawal if a vote
+    /// stands and none is wanted.
     fn due_vote(&self, now: Duration) -> Option<Vote> {
         let standing = self.votes.standing.as_ref();
         let Some(wanted) = &self.votes.wanted else {
@@ -74,7 +77,7 @@
         (!stands).then(|| wanted.clone())
     }
 
-    /// Takes in the platform's reply to the vote in flight.
+    /// Applies the platform's reply to the vote in flight; ignored if no vote is in flight.
     pub fn on_vote_reply(&mut self, now: Duration, reply: VoteReply) {
         let Some(SentVote { vote, .. }) = self.votes.pending.take() else {
             return;
@@ -91,7 +94,8 @@
         self.votes.standing = match (reply, vote.verdict) {
             (VoteReply::Moot, _) | (VoteReply::Counted, Verdict::Withdraw) => None,
             (VoteReply::Counted, _) => Some(SentVote { vote, at: now }),
-            // It may count: it is sent again, and withdrawn if it is no longer meant.
+            // The vote may have been counted, so it is sent again, or withdrawn if it is no longer
+            // wanted.
             (VoteReply::Unknown, Verdict::Hold | Verdict::RollBack) => Some(SentVote {
                 vote,
                 at: lapsed_at,
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -1,4 +1,4 @@
-//! The way of a request to an endpoint.
+//! Forwards requests to endpoints, within their deadlines and attempt limits.
 
 use super::candidates::TwoChoices;
 use super::Balancer;
@@ -6,40 +6,41 @@
 use crate::model::ActiveRequest;
 use std::time::Duration;
 
-/// Timeout of an attempt that can only be left by timing out, in mean latencies of its class.
+/// Timeout of an attempt that cannot be cancelled, as a multiple of the mean latency of its class.
 const RETRY_TIMEOUT_MEANS: f64 = 6.0;
-/// The same as a part of the latency objective.
+/// Lower bound of that timeout, as a share of the latency objective.
 const RETRY_TIMEOUT_OBJECTIVE: f64 = 0.8;
-/// Time left below which a request is rejected at once, in timer ticks.
+/// Time left until the deadline up to which a request is rejected at once, in timer ticks.
 const MIN_TICKS_LEFT: u32 = 2;
-/// Wait for load reports that were asked for, in timer ticks.
+/// Time to wait for requested load reports, in timer ticks.
 const LOAD_PROBE_TICKS: u32 = 2;
-/// Wait until endpoints are looked for again where none may be used, in timer ticks.
+/// Time until endpoints are selected again if none may be used, in timer ticks.
 const RETRY_ROUTE_TICKS: u32 = 4;
 
-/// What can still become of a request.
+/// Limits on the further attempts of a request.
 pub(super) struct RequestLimits {
-    /// Whether it has had all its attempts.
+    /// Whether the request has used all its attempts.
     pub attempts_spent: bool,
-    /// Whether an answer in time is not to be expected any more.
+    /// Whether a response is no longer expected before the deadline.
     pub past_deadline: bool,
-    /// Whether half of its time is over and it never ran.
+    /// Whether half of the request's time has passed and it has never run.
     pub is_stale: bool,
-    /// Silence after which its endpoint counts as unresponsive.
+    /// Time without any response after which its endpoint counts as unresponsive.
     pub stall_timeout: Duration,
-    /// Time after which its attempt counts as late, whatever its endpoint says.
+    /// Time after which its attempt counts as late, even if its endpoint responds to other
+    /// requests.
     pub late_after: Duration,
 }
 
 impl RequestLimits {
-    /// When to look again at an attempt.
+    /// Delay until an attempt in flight is checked again.
     pub fn recheck_after(&self) -> Duration {
         self.stall_timeout.min(self.late_after)
     }
 }
 
 impl Balancer {
-    /// What can still become of this request.
+    /// The limits on the further attempts of this request.
     pub(super) fn limits(&self, now: Duration, request: &ActiveRequest) -> RequestLimits {
         let class = &self.classes[request.class];
         let tick = self.parameters.timer_granularity;
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Whether a request without an attempt in flight is given up before endpoints are looked for.
-    /// Under overload, what is worth least is rejected before it costs anything.
+    /// Whether a request without an attempt in flight is given up before endpoints are selected.
+    /// Under overload, the requests of the lowest value are rejected before they cost anything.
     pub(super) fn is_rejected_at_once(
         &self,
         now: Duration,
@@ -69,10 +70,10 @@
             || request.attempts.is_empty() && self.is_over_limit(request)
     }
 
-    /// Forwards a request that has no attempt in flight, or says when to try again.
+    /// Forwards a request that has no attempt in flight, or returns when to try again.
     ///
-    /// What never ran is given up at half of its time: its client may find another agent. Does harm
-    /// where an endpoint would still have taken it.
+    /// A request that has never run is given up after half of its time, so that its client may find
+    /// another agent. Does harm if an endpoint would still have taken it.
     pub(super) fn start_attempt(
         &mut self,
         now: Duration,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Forwards a request to this endpoint.
+    /// Forwards a request to the endpoint at `index`.
     pub(super) fn forward(
         &mut self,
         now: Duration,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,47 +1,49 @@
-//! What all candidates for one attempt are measured by, and which endpoints the rules let take it.
+//! The criteria for all candidates of one attempt, and the rules on which endpoints may take it.
 
 use super::Balancer;
 use crate::interface::Idempotency;
 use crate::model::{ActiveRequest, Endpoint, RetryScope};
 use std::time::Duration;
 
-/// Least part of their load that endpoints of the earlier build keep, where they go at the release.
+/// Minimum share of their load that endpoints of the earlier build keep, if they are removed at the
+/// release.
 const MIN_EARLIER_SHARE: f64 = 0.05;
-/// Part of a fair share that a regressed build gets, so that it can show otherwise.
+/// Share of the load of an ordinary endpoint that one of a regressed build gets, so that the build
+/// can recover.
 const REGRESSED_SHARE: f64 = 0.1;
-/// Part of the latency objective from which on the estimated work makes a request heavy.
+/// Estimated work above which a request is heavy, as a share of the latency objective.
 const HEAVY_WORK: f64 = 0.2;
 
-/// What all candidates for one attempt are measured by.
+/// Criteria that apply to all candidates for one attempt.
 pub(super) struct Selection<'a> {
     pub now: Duration,
-    /// When the attempt is written at the latest.
+    /// Latest time at which the attempt is written.
     pub written_at: Duration,
     pub request: &'a ActiveRequest,
     pub idempotency: Idempotency,
-    /// Whether a second run of the request would be seen.
+    /// Whether running the request twice could have a visible effect.
     pub has_effect: bool,
     pub is_retry: bool,
     pub is_heavy: bool,
-    /// Where the request may run again.
+    /// Where the request may be retried.
     pub retry_scope: RetryScope,
-    /// The oldest build that may serve it.
+    /// The oldest build that may serve the request.
     pub minimum_build: u32,
     pub stall_timeout: Duration,
     pub shares: FleetShares,
 }
 
-/// How the load is shared out between builds.
+/// How the load is divided between builds.
 pub(super) struct FleetShares {
-    /// Endpoints that run.
+    /// Number of running endpoints.
     pub running: f64,
-    /// Mean weight of an endpoint, by its zone.
+    /// Mean weight of a running endpoint by its zone.
     mean_zone_weight: f64,
-    /// Part of its load that an endpoint of the earlier build keeps.
+    /// Share of its load that an endpoint of the earlier build keeps, 0 to 1.
     earlier_share: f64,
 }
 
-/// What the rollout makes of a build.
+/// Status of a build in the rollout.
 #[derive(Clone, Copy)]
 pub(super) struct BuildStatus {
     pub is_canary: bool,
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Endpoints of the earlier build that go at the release leave their load to those of the
-    /// canary, unless a build is regressed.
+    /// Computes how the load is divided between builds. Endpoints of the earlier build that are
+    /// removed at the release cede their load to those of the canary, unless a build is regressed.
     fn fleet_shares(&self, now: Duration) -> FleetShares {
         let index = self.fleet.index();
         let running = index.total().running as f64;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Whether the rules let this endpoint take the request at all.
+    /// Whether the rules allow this endpoint to take the request at all.
     pub(super) fn is_eligible(&self, selection: &Selection, endpoint: &Endpoint) -> bool {
         let request = selection.request;
         let number = request.attempts.len();
@@ -117,7 +119,7 @@
             && (endpoint.is_warm() || endpoint.slow_start.allows_attempt())
     }
 
-    /// Whether the rules let endpoints of this build take the request.
+    /// Whether the rules allow endpoints of this build to take the request.
     pub(super) fn may_use_build(&self, selection: &Selection, build: u32) -> bool {
         build >= selection.minimum_build && self.may_expose(build, selection.request.class)
     }
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Part of its full load that an endpoint gets by its build and zone. A canary gets an even
-    /// share from every zone, a regressed build a trickle of it.
+    /// Share of its full load that an endpoint gets by its build and zone. A canary gets the mean
+    /// share in every zone, and a regressed canary a small part of it.
     pub(super) fn build_share(
         &self,
         shares: &FleetShares,
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,4 +1,4 @@
-//! What endpoints get that were started a short while ago.
+//! Slow start: limits on the load of endpoints that were started recently.
 
 use super::parameters::SlowStartParameters;
 use super::{Balancer, EVALUATION_INTERVAL};
@@ -6,18 +6,18 @@
 use crate::stats::Ewma;
 use std::time::Duration;
 
-/// Gain of the pace of warm endpoints, each evaluation interval.
+/// Smoothing gain of the pace of warm endpoints, per evaluation interval.
 const PACE_GAIN: f64 = 0.02;
-/// Endpoints for each warm one, at most, where the pace of the warm ones is taken.
+/// Maximum number of endpoints per warm one at which the pace of the warm ones is updated.
 const MAX_ENDPOINTS_PER_WARM: f64 = 4.0;
-/// Least time, in seconds, that slow start is taken to last.
+/// Lower bound of the duration of slow start, in seconds.
 const MIN_DURATION: f64 = 0.001;
-/// Least share at an evaluation that the growth of a share since then is reckoned from.
+/// Lower bound of the share at the last evaluation from which the growth of a share is computed.
 const MIN_EVALUATED_SHARE: f64 = 0.02;
-/// Least quota, so that a burst is not owed for long.
+/// Lower bound of the quota, so that a burst does not delay further attempts for long.
 const MIN_QUOTA: f64 = -1.0;
 
-/// The pace at a start: none, which counts as if it were long known.
+/// Initial pace: zero, weighted as if it were based on many samples.
 pub(super) fn initial() -> SlowStartState {
     SlowStartState {
         completed: 0.0,
@@ -30,15 +30,15 @@
 }
 
 impl SlowStartParameters {
-    /// Part of its full load that an endpoint may get: less while it warms up, by the slowest
-    /// warming that the settings allow.
+    /// Share of its full load that an endpoint may get. It is reduced while the endpoint warms up,
+    /// according to the slowest warming that the settings allow.
     fn load_share(&self, now: Duration, endpoint: &Endpoint) -> f64 {
         endpoint
             .warming_since
             .map_or(1.0, |since| self.share_of_age(now.saturating_sub(since)))
     }
 
-    /// The same of an endpoint that has been warming up for this long.
+    /// Share of its full load that an endpoint may get after warming up for `age`.
     fn share_of_age(&self, age: Duration) -> f64 {
         let progress = age.as_secs_f64() / self.seconds();
         self.initial_share + (1.0 - self.initial_share) * progress.min(1.0)
@@ -53,25 +53,25 @@
         self.initial_share * endpoints + (1.0 - self.initial_share) * progress
     }
 
-    /// Seconds that slow start lasts.
+    /// Duration of slow start in seconds, at least the lower bound.
     fn seconds(&self) -> f64 {
         self.duration.as_secs_f64().max(MIN_DURATION)
     }
 }
 
 impl Balancer {
-    /// Part of its full load that an endpoint may get.
+    /// Share of its full load that an endpoint may get.
     pub(super) fn slow_start_share(&self, now: Duration, endpoint: &Endpoint) -> f64 {
         self.parameters.slow_start.load_share(now, endpoint)
     }
 
-    /// Sum of what the warming endpoints of a build may get, in full loads.
+    /// Capacity of the warming endpoints of a build, in full loads.
     pub(super) fn warming_capacity(&self, now: Duration, build: u32) -> f64 {
         let warming = self.fleet.index().warming(build);
         warming.map_or(0.0, |w| self.parameters.slow_start.sum_of_shares(now, w))
     }
 
-    /// The most of its full load that a warming endpoint of this build may get.
+    /// Upper bound of the share of its full load that a warming endpoint of this build may get.
     pub(super) fn max_warming_share(&self, now: Duration, build: u32) -> f64 {
         let warming = self.fleet.index().warming(build);
         let oldest = warming.and_then(WarmingTimes::oldest);
@@ -81,8 +81,8 @@
         })
     }
 
-    /// Factor by which the share of any warming endpoint has grown since the last evaluation, at
-    /// the most.
+    /// Upper bound of the factor by which the share of a warming endpoint has grown since the last
+    /// evaluation.
     pub(super) fn max_share_growth(&self, now: Duration) -> f64 {
         let parameters = &self.parameters.slow_start;
         let next_evaluation = self.clock.next_evaluation;
@@ -92,13 +92,14 @@
         1.0 + (1.0 - parameters.initial_share) * progress.min(1.0) / least
     }
 
-    /// Attempts within the overload window that an endpoint of this throughput would get from this
-    /// agent as a warming one that bears its full load.
+    /// Number of attempts within the overload window that this agent would send to a warming
+    /// endpoint of this throughput at its full load.
     pub(super) fn full_quota(&self, throughput: f64) -> f64 {
         self.slow_start.pace.attempts_per_window(1.0, throughput)
     }
 
-    /// Takes in what warm endpoints answered in this interval, unless few of them are warm.
+    /// Updates the pace from the responses of warm endpoints in this interval, unless too few
+    /// endpoints are warm.
     pub(super) fn update_slow_start_pace(&mut self) {
         let endpoints = self.fleet.index().total();
         let warm = endpoints.warm as f64;
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Sets the quota of the endpoints that are warming up, and ends the slow start of those that
-    /// have warmed up. Walks no others.
+    /// Updates the quotas of warming endpoints, and ends the slow start of those that have warmed
+    /// up. Scans only warming endpoints.
     pub(super) fn update_slow_start_quotas(&mut self, now: Duration) {
         let pace = self.slow_start_pace();
         self.slow_start.pace = pace;
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Puts a warm endpoint in slow start again, as of `since`, with these attempts.
+    /// Puts a warm endpoint back into slow start as of `since`, with a quota of `attempts` to begin
+    /// with.
     pub(super) fn return_to_slow_start(&mut self, index: usize, since: Duration, attempts: f64) {
         let pace = self.slow_start.pace;
         let evaluations = self.peer_latencies.evaluations;
@@ -156,11 +158,12 @@
     }
 }
 
-/// Sets what a warming endpoint may get from this agent: its part of what a warm one answers here,
-/// beginning at a random point, so that the sum over all agents keeps to it.
+/// Updates the number of attempts that this agent may send to a warming endpoint: a share of the
+/// rate of a warm endpoint at this agent. The quota begins at a random point, so that the sum over
+/// all agents stays within the limit.
 ///
-/// Guards against a first attempt of every agent at once. Does harm where nearly all endpoints are
-/// warming, as requests are rejected then.
+/// Prevents all agents from sending a first attempt at the same time. Does harm if nearly all
+/// endpoints are warming, as requests are rejected then.
 fn update_quota(
     now: Duration,
     endpoint: &mut Endpoint,
