--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -7,8 +7,8 @@
 /// Mean latency that keeps nearly all responses within the latency objective, as a share of the
 /// objective.
 const TARGET_LATENCY_SHARE: f64 = 0.4;
-/// Target latency as a multiple of the latency floor, used when even the floor is above the share
-/// of the objective.
+/// Lower bound of the target latency as a multiple of the latency floor, for classes whose lowest
+/// latency is above that share.
 const TARGET_OVER_FLOOR: f64 = 1.2;
 /// Mean latency below which a class needs no limit, as a share of its latency objective.
 const UNLIMITED_LATENCY_SHARE: f64 = 0.2;
--- a/src/balancer/candidate_weights.rs
+++ b/src/balancer/candidate_weights.rs
@@ -29,9 +29,9 @@
 
     /// Upper bound of the weights of the members of a group.
     ///
-    /// A warming member has a weight in proportion to its share `s` of its full load, times `1 / (q
-    /// s')` clamped between one and the number of running endpoints, where `s'` is that share at
-    /// the last evaluation and `q` is the quota of a full share.
+    /// The weight of a warming member is proportional to its share `s` of its full load, times
+    /// `1 / (q s')` clamped between one and the number of running endpoints, where `s'` is that
+    /// share at the last evaluation and `q` is the quota of a full share.
     pub(super) fn max_group_weight(
         &self,
         selection: &Selection,
--- a/src/balancer/candidates.rs
+++ b/src/balancer/candidates.rs
@@ -143,7 +143,7 @@
             })
     }
 
-    /// Compares the drawn endpoints by load.
+    /// Chooses the less loaded of the drawn endpoints.
     ///
     /// The affinity endpoint of the request's key replaces the first drawn endpoint and may have
     /// slightly more load. Endpoints that have been asked for their load for this request replace
--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -7,10 +7,11 @@
 use std::time::Duration;
 
 /// Ratio of local to remote latency beyond which remote endpoints gain weight.
-const SLOW_LOCAL_ZONE: f64 = 1.2;
-/// Growth factor of the weight of remote endpoints per evaluation interval.
+const SLOW_LOCAL_ZONE_RATIO: f64 = 1.2;
+/// Growth factor of the weight of remote endpoints per evaluation interval while the own zone is
+/// slow.
 const REMOTE_WEIGHT_GROWTH: f64 = 1.1;
-/// Decay factor of that weight per evaluation interval while the own zone is not slow.
+/// Decay factor of that weight per evaluation interval otherwise.
 const REMOTE_WEIGHT_DECAY: f64 = 0.95;
 /// Minimum weight of a remote endpoint, so that its latency stays known.
 const MIN_REMOTE_WEIGHT: f64 = 0.03;
@@ -18,9 +19,8 @@
 const ZONE_LATENCY_GAIN: f64 = 0.03;
 
 impl Balancer {
-    /// Sets the policy for forwarding to other zones. It only affects the weights of endpoints,
-    /// after the rules and the evidence on a canary have been applied. The entry for the own zone
-    /// is ignored.
+    /// Sets the policy for forwarding to other zones. It guides where requests go within what the
+    /// rules and the evidence on a canary allow. The entry for the own zone is ignored.
     pub fn set_cross_zone_policy(&mut self, policy: CrossZonePolicy) {
         self.cross_zone.policy = policy;
         if let Some(own) = self.cross_zone.policy.zones.get_mut(self.parameters.zone) {
@@ -156,7 +156,7 @@
     pub(super) fn update_remote_weight(&mut self) {
         let zones = &mut self.cross_zone;
         let is_local_slow =
-            zones.local_latency_ratio > zones.remote_latency_ratio * SLOW_LOCAL_ZONE;
+            zones.local_latency_ratio > zones.remote_latency_ratio * SLOW_LOCAL_ZONE_RATIO;
         let factor = if is_local_slow {
             REMOTE_WEIGHT_GROWTH
         } else {
--- a/src/balancer/endpoint_draw.rs
+++ b/src/balancer/endpoint_draw.rs
@@ -18,7 +18,7 @@
 
 /// Number of endpoints up to which all of them are scanned rather than drawn: no more than a few
 /// draws would scan, and a scan tells for certain whether one of them is a candidate.
-const MAX_LISTED: usize = 32;
+const MAX_SCANNED_MEMBERS: usize = 32;
 /// Maximum number of draws for one endpoint. Even if only one draw in twelve is accepted, a hundred
 /// draws fail in one of five thousand decisions; more draws would cost as much as a scan of a
 /// medium-sized fleet.
@@ -61,8 +61,8 @@
             RetryScope::Nowhere => return Draw::NoCandidate,
             RetryScope::Cell(cell) => {
                 let members = self.fleet.index().cell(cell);
-                if members.len() <= MAX_LISTED {
-                    return self.draw_from_listed(selection, members, rng);
+                if members.len() <= MAX_SCANNED_MEMBERS {
+                    return self.draw_from_scan(selection, members, rng);
                 }
             }
             RetryScope::Anywhere | RetryScope::Zone(_) => {}
@@ -76,7 +76,7 @@
                 .filter(|group| group.preference == preference)
                 .collect();
             let members: usize = groups.iter().map(|group| group.members.len()).sum();
-            if members <= MAX_LISTED {
+            if members <= MAX_SCANNED_MEMBERS {
                 for group in groups {
                     self.add_untried(selection, group.members, &mut found);
                 }
@@ -94,12 +94,7 @@
     }
 
     /// Draws from a few endpoints, all of which are scanned.
-    fn draw_from_listed(
-        &self,
-        selection: &Selection,
-        members: &[usize],
-        rng: &mut Pcg64Mcg,
-    ) -> Draw {
+    fn draw_from_scan(&self, selection: &Selection, members: &[usize], rng: &mut Pcg64Mcg) -> Draw {
         let mut found = CandidatePools::default();
         self.fleet.count_scanned(members.len());
         for index in members {
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -162,8 +162,8 @@
         sums
     }
 
-    /// Applies the end of an endpoint's service: sets its state, and adds its outcomes to its build
-    /// unless it was ejected.
+    /// Sets the state of an endpoint whose run has ended, and adds its outcomes to those of its
+    /// build unless the endpoint was ejected.
     pub(super) fn retire(&mut self, index: usize, state: EndpointState) {
         let mut endpoint = self.fleet.endpoint_mut(index);
         let before = std::mem::replace(&mut endpoint.state, state);
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -12,8 +12,8 @@
 use crate::stats::{chernoff_bound_of_fair_coin, chernoff_bound_of_mean};
 use std::time::Duration;
 
-/// Ratio to the baseline latency that is tolerated, as keys without affinity, new hardware and long
-/// tails increase latency.
+/// Multiple of the usual latency that is tolerated, because keys without affinity, new hardware and
+/// long tails add latency.
 pub(super) const TOLERATED_LATENCY_RATIO: f64 = 1.4;
 /// Factor on the median latency of a class for each response below it while no canary runs.
 const MEDIAN_STEP_DOWN: f64 = 0.97;
@@ -36,8 +36,8 @@
 /// Significance of the lack of fast responses that raises an alarm, as a negative log-probability;
 /// it increases with the number of agents, as each of them may err.
 const ALARM_THRESHOLD: f64 = 6.0;
-/// Margin above the agreement threshold, which covers errors of all agents that must agree, that
-/// the slowness of all responses must reach, as a negative log-probability.
+/// Margin by which the significance of slow responses must exceed the agreement threshold, which
+/// covers joint errors of the agents that must agree, as a negative log-probability.
 const AGREED_THRESHOLD: f64 = 1.0;
 /// Ratio of arriving requests to the baseline from which on the load may be what slows responses
 /// down.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -177,8 +177,8 @@
         self.set_exposure_caps();
     }
 
-    /// Starts the evaluation of a new newest build: discards the evidence on the previous one and
-    /// freezes the latency baseline of each class.
+    /// Starts the evaluation of a new newest build: discards the evidence on the previous one and,
+    /// if that was released, takes its latencies into the baseline.
     fn begin_evaluation(&mut self, build: u32) {
         let status = self.rollout.status.as_ref();
         let released = status.is_some_and(|s| s.phase == RolloutPhase::Released);
--- a/src/balancer/parameters.rs
+++ b/src/balancer/parameters.rs
@@ -4,9 +4,9 @@
 use crate::stats::ln_factorial;
 use std::time::Duration;
 
-/// Share of the load that overloads a warming endpoint up to which it may be loaded.
+/// Maximum load of a warming endpoint, as a share of the load that overloads it.
 const OVERLOAD_SAFETY: f64 = 0.7;
-/// Bounds of the load of a warming endpoint relative to a warm one, whatever the settings say.
+/// Bounds of the load of a warming endpoint relative to a warm one, which override the settings.
 const OVERLOAD_SHARE_RANGE: (f64, f64) = (0.1, 3.0);
 /// Accepted probability that the required number of agents err at the same time.
 const JOINT_ERROR_PROBABILITY: f64 = 0.001;
--- a/src/balancer/peer_medians.rs
+++ b/src/balancer/peer_medians.rs
@@ -85,8 +85,8 @@
     }
 }
 
-/// The positions out of `total` that an evaluation samples, each at most once: all of them or as
-/// many as are allowed. An evaluation continues where the previous one ended.
+/// The positions out of `total` that an evaluation samples, each once: all of them or as many as
+/// are allowed. An evaluation continues where the previous one ended.
 pub(super) fn sampled_positions(total: usize, evaluation: u64) -> impl Iterator<Item = usize> {
     let sampled = total.min(MAX_SAMPLED_PEERS);
     let total = total.max(1) as u64;
@@ -95,7 +95,7 @@
     (0..sampled as u64).map(move |number| ((start + number) % total * step % total) as usize)
 }
 
-/// The smallest step at or above the golden ratio of `total` that visits each position once.
+/// The smallest step at or above `total` times the golden ratio that visits each position once.
 fn sample_step(total: u64) -> u64 {
     let golden = ((total as f64 * SAMPLE_STEP) as u64).max(1);
     (golden..)
--- a/src/balancer/platform_evidence.rs
+++ b/src/balancer/platform_evidence.rs
@@ -21,8 +21,8 @@
 pub(super) struct PlatformFinding {
     /// Description of a significant regression; `None` if there is none.
     pub regression: Option<&'static str>,
-    /// Whether the canary is about as fast as the earlier build, by the platform's counts; false if
-    /// the platform publishes none.
+    /// Whether the platform's counts show no slowdown: the canary is about as fast as the earlier
+    /// build or has too few responses to compare. False if the platform publishes no counts.
     pub is_latency_similar: bool,
 }
 
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -19,13 +19,13 @@
 const HEDGE_COST: f64 = 1.0;
 /// Delay after which a client is told to retry.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Gain of the fault attribution for each request that failed once and then succeeded or failed
-/// elsewhere.
+/// Gain of the fault attribution for each request that failed once and then failed again or
+/// succeeded.
 const FAULT_ATTRIBUTION_GAIN: f64 = 0.15;
 /// Minimum probability of a retry after a failure.
 const MIN_RETRY_PROBABILITY: f64 = 0.2;
 /// Time that must be left until the deadline for a retry, as a multiple of the mean latency.
-const MIN_RETRY_TIME: f64 = 0.5;
+const MIN_RETRY_TIME_MEANS: f64 = 0.5;
 
 /// Initial state: a full retry budget, and all failures attributed to endpoints.
 pub(super) fn initial() -> RetryState {
@@ -80,9 +80,9 @@
 
     /// Weight of a failure of this attempt as evidence against its endpoint, 0 to 1.
     ///
-    /// Guards against requests that fail at any endpoint: if a request fails at a second endpoint,
-    /// the failure counts against neither. This should also spare endpoints a broken dependency. It
-    /// may spare a build that fails nearly all requests of a class.
+    /// Guards against requests that fail at any endpoint: if a request fails at a second endpoint
+    /// as well, the failure counts against neither. This should also protect endpoints whose common
+    /// dependency is broken. May spare a build that fails nearly all requests of a class.
     pub(super) fn attribute_fault(&mut self, ended: &EndedAttempt, outcome: Outcome) -> f64 {
         let Some(earlier) = ended.earlier_failure else {
             return self.retries.fault_attribution;
@@ -137,7 +137,7 @@
             UNSENT_RETRY_COST
         };
         let time_left = request.deadline.saturating_sub(now).as_secs_f64();
-        let is_late = time_left < class.latency.mean * MIN_RETRY_TIME;
+        let is_late = time_left < class.latency.mean * MIN_RETRY_TIME_MEANS;
         let is_unsafe = has_run && class.rules.idempotency == Idempotency::NonIdempotent;
         if is_late || is_unsafe || is_skipped || self.retries.budget < cost {
             return self.give_up(now, id);
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -9,11 +9,12 @@
 const VOTE_BACKOFF_GROWTH: u32 = 2;
 /// Maximum backoff between two votes after refusals or missing replies.
 const MAX_VOTE_BACKOFF: Duration = Duration::from_millis(2000);
-/// Maximum interval between votes that leaves the other agents their share of calls, in seconds.
+/// Upper bound, in seconds, of the interval between votes that leaves the other agents their share
+/// of calls.
 const MAX_VOTE_INTERVAL: f64 = 2.0;
 /// Time beyond the timeout after which the reply to a vote is given up, in multiples of the minimum
 /// gap between calls.
-const REPLY_GRACE: u32 = 2;
+const REPLY_GRACE_GAPS: u32 = 2;
 /// Number of times that a vote is renewed within its time to live.
 const RENEWALS_PER_TTL: u32 = 2;
 /// Number of times to live after which a standing vote is forgotten.
@@ -39,7 +40,7 @@
     }
 
     fn expire_pending_vote(&mut self, now: Duration) {
-        let timeout = self.parameters.rollout.vote_timeout + MIN_CALL_GAP * REPLY_GRACE;
+        let timeout = self.parameters.rollout.vote_timeout + MIN_CALL_GAP * REPLY_GRACE_GAPS;
         let pending = self.votes.pending.as_ref();
         if pending.is_some_and(|p| now >= p.at + timeout) {
             self.on_vote_reply(now, VoteReply::Unknown);
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -8,11 +8,11 @@
 /// Minimum share of their load that endpoints of the earlier build keep, if they are removed at the
 /// release.
 const MIN_EARLIER_SHARE: f64 = 0.05;
-/// Share of the load of an ordinary endpoint that one of a regressed build gets, so that the build
-/// can recover.
+/// Share of the mean load of an endpoint that endpoints of a regressed canary still get, so that a
+/// recovery of the build can be observed.
 const REGRESSED_SHARE: f64 = 0.1;
 /// Estimated work above which a request is heavy, as a share of the latency objective.
-const HEAVY_WORK: f64 = 0.2;
+const HEAVY_WORK_SHARE: f64 = 0.2;
 
 /// Criteria that apply to all candidates for one attempt.
 pub(super) struct Selection<'a> {
@@ -53,7 +53,7 @@
 impl Balancer {
     pub(super) fn selection<'a>(&self, now: Duration, request: &'a ActiveRequest) -> Selection<'a> {
         let rules = &self.classes[request.class].rules;
-        let heavy_work = rules.latency_objective * HEAVY_WORK;
+        let heavy_work = rules.latency_objective * HEAVY_WORK_SHARE;
         let written_at = now + self.parameters.timer_granularity;
         Selection {
             now,
