--- a/src/balancer/cross_zone.rs
+++ b/src/balancer/cross_zone.rs
@@ -34,8 +34,11 @@
     /// Counts of the endpoints of a zone now. Scans only endpoints with attempts in flight.
     pub fn zone_counts(&self, now: Duration, zone: usize) -> ZoneCounts {
         let mut counts = self.in_service_counts(zone);
-        for endpoint in self.awaited_endpoints().filter(|e| e.zone == zone) {
-            self.count_awaited(now, endpoint, &mut counts);
+        for endpoint in self
+            .endpoints_awaiting_response()
+            .filter(|e| e.zone == zone)
+        {
+            self.count_awaiting_response(now, endpoint, &mut counts);
         }
         counts
     }
@@ -44,9 +47,9 @@
     /// flight and at most 512 others of each zone.
     pub fn zone_capacities(&self, now: Duration, zones: usize) -> Vec<ZoneCapacity> {
         let mut counts: Vec<ZoneCounts> = (0..zones).map(|z| self.in_service_counts(z)).collect();
-        for endpoint in self.awaited_endpoints() {
+        for endpoint in self.endpoints_awaiting_response() {
             if let Some(counts) = counts.get_mut(endpoint.zone) {
-                self.count_awaited(now, endpoint, counts);
+                self.count_awaiting_response(now, endpoint, counts);
             }
         }
         let with_capacity = |(zone, counts): (usize, ZoneCounts)| ZoneCapacity {
@@ -74,7 +77,7 @@
         }
     }
 
-    fn awaited_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+    fn endpoints_awaiting_response(&self) -> impl Iterator<Item = &Endpoint> {
         let awaiting_response = self.fleet.index().sets().awaiting_response();
         self.fleet.count_scanned(awaiting_response.len());
         awaiting_response
@@ -83,7 +86,7 @@
     }
 
     /// Adds an endpoint with attempts in flight to the counts of its zone.
-    fn count_awaited(&self, now: Duration, endpoint: &Endpoint, counts: &mut ZoneCounts) {
+    fn count_awaiting_response(&self, now: Duration, endpoint: &Endpoint, counts: &mut ZoneCounts) {
         if endpoint.state == EndpointState::Gone {
             return;
         }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -35,11 +35,11 @@
     fn load_share(&self, now: Duration, endpoint: &Endpoint) -> f64 {
         endpoint
             .warming_since
-            .map_or(1.0, |since| self.share_of_age(now.saturating_sub(since)))
+            .map_or(1.0, |since| self.share_at_age(now.saturating_sub(since)))
     }
 
     /// Share of its full load that an endpoint may get after warming up for `age`.
-    fn share_of_age(&self, age: Duration) -> f64 {
+    fn share_at_age(&self, age: Duration) -> f64 {
         let progress = age.as_secs_f64() / self.seconds();
         self.initial_share + (1.0 - self.initial_share) * progress.min(1.0)
     }
@@ -77,7 +77,7 @@
         let oldest = warming.and_then(WarmingTimes::oldest);
         oldest.map_or(1.0, |since| {
             let age = now.saturating_sub(since);
-            self.parameters.slow_start.share_of_age(age)
+            self.parameters.slow_start.share_at_age(age)
         })
     }
 
