--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -18,7 +18,7 @@
 ///
 /// A single request decays to this value in 200 s, so an endpoint remembers the classes of its
 /// requests of the last 200 s (10 s more for twice as many requests, and up to twice as many
-/// classes until the next cleanup). If 30,000 endpoints forget a class at once, a sum loses at most
+/// classes until they are pruned). If 30,000 endpoints forget a class at once, a sum loses at most
 /// 0.03 of a request, and this error decays.
 pub(super) const NEGLIGIBLE_OUTCOMES: f64 = 1e-6;
 /// Relative difference of two counts that is attributed to rounding.
@@ -35,8 +35,8 @@
 const RECENT_LATENCY_DECAY: f64 = 0.96;
 /// Number of latencies that the recent and baseline samples keep even at a low response rate.
 const MIN_KEPT_LATENCIES: f64 = 40.0;
-/// Number of endpoints of a canary above which a single endpoint is not representative of its
-/// build.
+/// Number of endpoints of a canary above which the outcomes of a single endpoint may be discarded,
+/// as it does not represent its build.
 pub(super) const MIN_ENDPOINTS_TO_DISCARD: usize = 2;
 
 /// Decay factor per evaluation interval for a half-life in seconds.
