--- a/src/balancer/endpoint_draw.rs
+++ b/src/balancer/endpoint_draw.rs
@@ -1,51 +1,53 @@
-//! Random draws of endpoints by weight without a look at all of them.
+//! Random draws of endpoints by weight, without a scan of all endpoints.
 //!
-//! Endpoints are kept in groups whose members are alike but for their own latency, load and age. A
-//! draw takes a group by the most that its members can weigh together, and one of its members at
-//! random; the member is accepted with the part of that most which it weighs, if the request may use
-//! it. That is a draw by weight among all candidates. What keeps a whole group from a request leaves
-//! the group out, so that only a few members are ever rejected for other reasons than their weight.
+//! Endpoints are kept in groups whose members differ only in latency, load and age. The draw is
+//! rejection sampling: a group is drawn in proportion to the upper bound of its members' weights
+//! times their number, then one of its members uniformly. The member is accepted with the
+//! probability of its weight divided by that bound, if the request may use it. The result is
+//! distributed as a draw by weight among all candidates. A group is left out if the request may use
+//! none of its members, so only a few members are ever rejected for reasons other than their
+//! weight.
 
 use super::candidates::{draw_from_pools, Candidate, CandidatePools, Drawn};
 use super::preference::{is_tried, Preference};
-use super::selection::{BuildStanding, Selection};
+use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{EndpointGroup, RetryScope};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// Members at which all are looked at rather than drawn: no more than some draws would look at, and
-/// it tells for sure whether one of them is a candidate.
-const MAX_LISTED: usize = 32;
-/// Draws of an endpoint, at most. Even where one draw in twelve is accepted, a hundred of them fail
-/// in one of five thousand decisions; more would cost as much as a look at all endpoints of a
-/// middling fleet.
+/// Number of endpoints up to which all of them are scanned rather than drawn: no more than a few
+/// draws would scan, and a scan tells for certain whether one of them is a candidate.
+const MAX_SCANNED_MEMBERS: usize = 32;
+/// Maximum number of draws for one endpoint. Even if only one draw in twelve is accepted, a hundred
+/// draws fail in one of five thousand decisions; more draws would cost as much as a scan of a
+/// medium-sized fleet.
 const MAX_DRAWS: usize = 100;
 
-/// What draws from groups of endpoints came to.
+/// Result of drawing from groups of endpoints.
 pub(super) enum Draw {
     /// Two endpoints were drawn.
     Found(Drawn),
     /// No endpoint may take the request.
     NoCandidate,
-    /// Draws found nothing, and there may be candidates.
+    /// No draw succeeded, but there may be candidates.
     Undecided,
 }
 
 /// A group of endpoints whose members may be drawn for a request.
 struct DrawableGroup<'a> {
-    /// How readily its members are used at the best.
+    /// Best preference that a member of the group can have.
     preference: Preference,
-    standing: BuildStanding,
+    status: BuildStatus,
     group: &'a EndpointGroup,
     members: &'a [usize],
 }
 
-/// The groups and single candidates that are drawn from, with the sum of the weights up to each.
+/// The groups and individual candidates to draw from, with cumulative weights.
 struct WeightedSources<'a> {
     preference: Preference,
     groups: Vec<&'a DrawableGroup<'a>>,
-    /// By group: the most that a member weighs.
+    /// Upper bound of a member's weight, by group.
     max_weights: Vec<f64>,
     single: &'a [Candidate],
     cumulative: Vec<f64>,
@@ -53,14 +55,14 @@
 }
 
 impl Balancer {
-    /// Draws two endpoints for a request by weight, among those that are used first.
+    /// Draws two endpoints for a request by weight, among the candidates of the best preference.
     pub(super) fn draw_from_groups(&self, selection: &Selection, rng: &mut Pcg64Mcg) -> Draw {
         match selection.retry_scope {
             RetryScope::Nowhere => return Draw::NoCandidate,
             RetryScope::Cell(cell) => {
                 let members = self.fleet.index().cell(cell);
-                if members.len() <= MAX_LISTED {
-                    return self.draw_from_listed(selection, members, rng);
+                if members.len() <= MAX_SCANNED_MEMBERS {
+                    return self.draw_from_scan(selection, members, rng);
                 }
             }
             RetryScope::Anywhere | RetryScope::Zone(_) => {}
@@ -74,7 +76,7 @@
                 .filter(|group| group.preference == preference)
                 .collect();
             let members: usize = groups.iter().map(|group| group.members.len()).sum();
-            if members <= MAX_LISTED {
+            if members <= MAX_SCANNED_MEMBERS {
                 for group in groups {
                     self.add_untried(selection, group.members, &mut found);
                 }
@@ -91,13 +93,8 @@
         Draw::NoCandidate
     }
 
-    /// Draws from a few endpoints, all of which are looked at.
-    fn draw_from_listed(
-        &self,
-        selection: &Selection,
-        members: &[usize],
-        rng: &mut Pcg64Mcg,
-    ) -> Draw {
+    /// Draws from a few endpoints, all of which are scanned.
+    fn draw_from_scan(&self, selection: &Selection, members: &[usize], rng: &mut Pcg64Mcg) -> Draw {
         let mut found = CandidatePools::default();
         self.fleet.count_scanned(members.len());
         for index in members {
@@ -109,7 +106,8 @@
         draw_from_pools(&found, rng).map_or(Draw::NoCandidate, Draw::Found)
     }
 
-    /// Adds the endpoints that the request was sent to before, which no draw from a group finds.
+    /// Adds the endpoints that the request has already been sent to, which draws from groups
+    /// reject.
     fn add_tried(&self, selection: &Selection, found: &mut CandidatePools) {
         let attempts = &selection.request.attempts;
         self.fleet.count_scanned(attempts.len());
@@ -132,25 +130,25 @@
         }
     }
 
-    /// The groups that may take a request, with the most that a member of each can weigh.
+    /// The groups whose members a request may use, each with the best preference of its members.
     fn drawable_groups(&self, selection: &Selection) -> Vec<DrawableGroup<'_>> {
         let mut drawable = Vec::new();
-        // Groups come by build, so that this is found out once for each build.
-        let mut known_build: Option<(u32, Option<BuildStanding>)> = None;
+        // Groups are ordered by build, so the status of each build is looked up only once.
+        let mut known_build: Option<(u32, Option<BuildStatus>)> = None;
         for (group, members) in self.fleet.index().groups() {
-            let standing = match known_build {
-                Some((build, standing)) if build == group.build => standing,
+            let status = match known_build {
+                Some((build, status)) if build == group.build => status,
                 _ => self
                     .may_use_build(selection, group.build)
-                    .then(|| self.build_standing(group.build)),
+                    .then(|| self.build_status(group.build)),
             };
-            known_build = Some((group.build, standing));
-            let Some(standing) = standing.filter(|_| is_in_scope(selection, group)) else {
+            known_build = Some((group.build, status));
+            let Some(status) = status.filter(|_| is_in_scope(selection, group)) else {
                 continue;
             };
             drawable.push(DrawableGroup {
-                preference: self.best_preference(selection, standing, group),
-                standing,
+                preference: self.best_preference(selection, status, group),
+                status,
                 group,
                 members,
             });
@@ -167,7 +165,7 @@
     ) -> WeightedSources<'a> {
         let max_weights: Vec<f64> = groups
             .iter()
-            .map(|group| self.max_group_weight(selection, group.standing, group.group))
+            .map(|group| self.max_group_weight(selection, group.status, group.group))
             .collect();
         let group_weights = groups
             .iter()
@@ -196,7 +194,8 @@
         sources: &WeightedSources,
         rng: &mut Pcg64Mcg,
     ) -> Option<Drawn> {
-        // Weights that are no numbers, or no weight at all, are left to the look at all endpoints.
+        // If the total weight is not finite or not positive, the caller falls back to a scan of all
+        // endpoints.
         if !sources.total.is_finite() || sources.total <= 0.0 {
             return None;
         }
@@ -217,7 +216,7 @@
         (0..MAX_DRAWS).find_map(|_| self.try_draw(selection, sources, rng))
     }
 
-    /// Draws one endpoint. `None` where it is not accepted.
+    /// Draws one endpoint. Returns `None` if it is rejected.
     fn try_draw(
         &self,
         selection: &Selection,
@@ -233,7 +232,7 @@
         };
         let index = group.members[rng.gen_range(0..group.members.len())];
         let endpoint = self.fleet.endpoint(index);
-        let weight = self.candidate_weight(selection, group.standing, endpoint);
+        let weight = self.candidate_weight(selection, group.status, endpoint);
         let is_accepted = rng.gen_range(0.0..1.0) * sources.max_weights[source] < weight
             && !is_tried(selection, index)
             && self.is_candidate(selection, sources.preference, index);
@@ -241,7 +240,7 @@
     }
 }
 
-/// Whether the members of a group are, by their zone, where a request may run again.
+/// Whether the zone of a group lies in the scope within which a request may be retried.
 fn is_in_scope(selection: &Selection, group: &EndpointGroup) -> bool {
     match selection.retry_scope {
         RetryScope::Zone(zone) => group.zone == zone,
--- a/src/balancer/preference.rs
+++ b/src/balancer/preference.rs
@@ -1,24 +1,26 @@
-//! How readily an endpoint is used for a request.
+//! Ranks endpoints by their suitability for a request.
 
-use super::selection::{BuildStanding, Selection};
+use super::selection::{BuildStatus, Selection};
 use super::Balancer;
 use crate::model::{EjectionPhase, Endpoint, EndpointGroup};
 
-/// How readily an endpoint is used; the first that has any candidates wins.
+/// Suitability of an endpoint for a request. Only the best preference that has any candidates is
+/// used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Preference {
-    /// It is expected to answer.
+    /// The endpoint is expected to respond.
     Usable,
-    /// The same, in a zone that is used only where no local endpoint can take the request.
+    /// The endpoint is expected to respond, but its zone is used only if no local endpoint can take
+    /// the request.
     LastResort,
-    /// It was tried for this request, or is likely to fail it.
+    /// The endpoint has already been tried for this request, or is likely to fail it.
     Doubtful,
-    /// It is ejected or unresponsive.
+    /// The endpoint is ejected or unresponsive.
     Unavailable,
 }
 
 impl Preference {
-    /// All of them, the best first.
+    /// All preferences, best first.
     pub const ALL: [Preference; 4] = [
         Preference::Usable,
         Preference::LastResort,
@@ -28,14 +30,15 @@
 }
 
 impl Balancer {
-    /// How readily an endpoint is used for this request.
+    /// Preference of an endpoint for this request.
     ///
-    /// Guards requests that are not idempotent against endpoints that may lose or fail them: those
-    /// come last for them. Does harm where they are the only ones with room, as the others get all.
+    /// Protects requests that are not idempotent from endpoints that may lose or fail them: such
+    /// endpoints come last for these requests. Does harm if these are the only endpoints with
+    /// capacity left, as the others then get all of the load.
     pub(super) fn preference(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         index: usize,
         endpoint: &Endpoint,
     ) -> Preference {
@@ -50,15 +53,15 @@
         if is_on_probation || is_tried(selection, index) {
             return Preference::Doubtful;
         }
-        self.preference_in_service(selection, standing, endpoint.zone)
+        self.preference_in_service(selection, status, endpoint.zone)
     }
 
-    /// How readily the endpoints of a group are used for this request at the best: each one's
-    /// [`preference`](Self::preference) is this one or a later one.
+    /// Upper bound of the preferences of a group's members for this request: the
+    /// [`preference`](Self::preference) of each member is this one or a later one.
     pub(super) fn best_preference(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         group: &EndpointGroup,
     ) -> Preference {
         let has_effect = selection.has_effect;
@@ -68,7 +71,7 @@
             EjectionPhase::BusyProbation => Preference::Doubtful,
             EjectionPhase::IdleProbation if has_effect => Preference::Doubtful,
             EjectionPhase::IdleProbation | EjectionPhase::InService => {
-                self.preference_in_service(selection, standing, group.zone)
+                self.preference_in_service(selection, status, group.zone)
             }
         }
     }
@@ -76,13 +79,14 @@
     fn preference_in_service(
         &self,
         selection: &Selection,
-        standing: BuildStanding,
+        status: BuildStatus,
         zone: usize,
     ) -> Preference {
-        if standing.is_canary {
-            // No budget for crossing zones may leave a canary without evidence.
-            let may_fail_effect = standing.is_regressed && selection.has_effect;
-            return if may_fail_effect {
+        if status.is_canary {
+            // A cross-zone budget must not deprive a canary of evidence, so no zone is a last
+            // resort here.
+            let is_risky = status.is_regressed && selection.has_effect;
+            return if is_risky {
                 Preference::Doubtful
             } else {
                 Preference::Usable
@@ -97,7 +101,7 @@
     }
 }
 
-/// Whether the request had an attempt at this endpoint before.
+/// Whether the request has already had an attempt at this endpoint.
 pub(super) fn is_tried(selection: &Selection, index: usize) -> bool {
     let mut attempts = selection.request.attempts.iter();
     attempts.any(|attempt| attempt.endpoint == index)
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,49 +1,51 @@
-//! What all candidates for one attempt are measured by, and which endpoints the rules let take it.
+//! The criteria for all candidates of one attempt, and the rules on which endpoints may take it.
 
 use super::Balancer;
 use crate::interface::Idempotency;
 use crate::model::{ActiveRequest, Endpoint, RetryScope};
 use std::time::Duration;
 
-/// Least part of their load that endpoints of the earlier build keep, where they go at the release.
+/// Minimum share of their load that endpoints of the earlier build keep, if they are removed at the
+/// release.
 const MIN_EARLIER_SHARE: f64 = 0.05;
-/// Part of a fair share that a regressed build gets, so that it can show otherwise.
+/// Share of the mean load of an endpoint that endpoints of a regressed canary still get, so that a
+/// recovery of the build can be observed.
 const REGRESSED_SHARE: f64 = 0.1;
-/// Part of the latency objective from which on the estimated work makes a request heavy.
-const HEAVY_WORK: f64 = 0.2;
+/// Estimated work above which a request is heavy, as a share of the latency objective.
+const HEAVY_WORK_SHARE: f64 = 0.2;
 
-/// What all candidates for one attempt are measured by.
+/// Criteria that apply to all candidates for one attempt.
 pub(super) struct Selection<'a> {
     pub now: Duration,
-    /// When the attempt is written at the latest.
+    /// Latest time at which the attempt is written.
     pub written_at: Duration,
     pub request: &'a ActiveRequest,
     pub idempotency: Idempotency,
-    /// Whether a second run of the request would be seen.
+    /// Whether running the request twice could have a visible effect.
     pub has_effect: bool,
     pub is_retry: bool,
     pub is_heavy: bool,
-    /// Where the request may run again.
+    /// Where the request may be retried.
     pub retry_scope: RetryScope,
-    /// The oldest build that may serve it.
+    /// The oldest build that may serve the request.
     pub minimum_build: u32,
     pub stall_timeout: Duration,
     pub shares: FleetShares,
 }
 
-/// How the load is shared out between builds.
+/// How the load is divided between builds.
 pub(super) struct FleetShares {
-    /// Endpoints that run.
+    /// Number of running endpoints.
     pub running: f64,
-    /// Mean weight of an endpoint, by its zone.
-    fair: f64,
-    /// Part of its load that an endpoint of the earlier build keeps.
-    earlier: f64,
+    /// Mean weight of a running endpoint by its zone.
+    mean_zone_weight: f64,
+    /// Share of its load that an endpoint of the earlier build keeps, 0 to 1.
+    earlier_share: f64,
 }
 
-/// What the rollout makes of a build.
+/// Status of a build in the rollout.
 #[derive(Clone, Copy)]
-pub(super) struct BuildStanding {
+pub(super) struct BuildStatus {
     pub is_canary: bool,
     pub is_regressed: bool,
 }
@@ -51,7 +53,7 @@
 impl Balancer {
     pub(super) fn selection<'a>(&self, now: Duration, request: &'a ActiveRequest) -> Selection<'a> {
         let rules = &self.classes[request.class].rules;
-        let heavy_work = rules.latency_objective * HEAVY_WORK;
+        let heavy_work = rules.latency_objective * HEAVY_WORK_SHARE;
         let written_at = now + self.parameters.timer_granularity;
         Selection {
             now,
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Endpoints of the earlier build that go at the release leave their load to those of the
-    /// canary, unless a build is regressed.
+    /// Computes how the load is divided between builds. Endpoints of the earlier build that are
+    /// removed at the release cede their load to those of the canary, unless a build is regressed.
     fn fleet_shares(&self, now: Duration) -> FleetShares {
         let index = self.fleet.index();
         let running = index.total().running as f64;
@@ -91,19 +93,19 @@
             .sum();
         let earlier_stay =
             self.parameters.rollout.in_place || self.rollout.builds.values().any(|b| b.regressed);
-        let earlier = if earlier_stay {
+        let earlier_share = if earlier_stay {
             1.0
         } else {
             (1.0 - canary_capacity / f64::max(earlier_endpoints, 1.0)).max(MIN_EARLIER_SHARE)
         };
         FleetShares {
             running,
-            fair: zone_weights / f64::max(running, 1.0),
-            earlier,
+            mean_zone_weight: zone_weights / f64::max(running, 1.0),
+            earlier_share,
         }
     }
 
-    /// Whether the rules let this endpoint take the request at all.
+    /// Whether the rules allow this endpoint to take the request at all.
     pub(super) fn is_eligible(&self, selection: &Selection, endpoint: &Endpoint) -> bool {
         let request = selection.request;
         let number = request.attempts.len();
@@ -117,30 +119,30 @@
             && (endpoint.is_warm() || endpoint.slow_start.allows_attempt())
     }
 
-    /// Whether the rules let endpoints of this build take the request.
+    /// Whether the rules allow endpoints of this build to take the request.
     pub(super) fn may_use_build(&self, selection: &Selection, build: u32) -> bool {
         build >= selection.minimum_build && self.may_expose(build, selection.request.class)
     }
 
-    pub(super) fn build_standing(&self, build: u32) -> BuildStanding {
-        BuildStanding {
+    pub(super) fn build_status(&self, build: u32) -> BuildStatus {
+        BuildStatus {
             is_canary: self.rollout.is_canary(build),
             is_regressed: self.rollout.is_regressed(build),
         }
     }
 
-    /// Part of its full load that an endpoint gets by its build and zone. A canary gets an even
-    /// share from every zone, a regressed build a trickle of it.
+    /// Share of its full load that an endpoint gets by its build and zone. A canary gets the mean
+    /// share in every zone, and a regressed canary a small part of it.
     pub(super) fn build_share(
         &self,
         shares: &FleetShares,
-        standing: BuildStanding,
+        status: BuildStatus,
         zone: usize,
     ) -> f64 {
-        match (standing.is_canary, standing.is_regressed) {
-            (true, true) => shares.fair * REGRESSED_SHARE,
-            (true, false) => shares.fair,
-            (false, _) => self.zone_weight(zone) * shares.earlier,
+        match (status.is_canary, status.is_regressed) {
+            (true, true) => shares.mean_zone_weight * REGRESSED_SHARE,
+            (true, false) => shares.mean_zone_weight,
+            (false, _) => self.zone_weight(zone) * shares.earlier_share,
         }
     }
 }
