--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -69,7 +69,7 @@
     fn of_1600_keeps_work_bounded() {
         let mut driver = serving_fleet(settings(53), ENDPOINTS, &BUSY_TRAFFIC);
         driver.run(ms(5000), &BUSY_TRAFFIC, &succeed);
-        driver.work.assert_bounded(ALL, "one class of 1,600");
+        driver.work.assert_bounded(FLEET_SIZE, "one class of 1,600");
     }
 }
 
@@ -129,9 +129,11 @@
     fn of_all_endpoints_of_a_build_keeps_work_bounded() {
         let mut driver = two_builds(61);
         driver.run(ms(6000), &traffic(RATE), &unreachable);
-        driver.take_work().assert_bounded(ALL, "a build ejected");
+        driver
+            .take_work()
+            .assert_bounded(FLEET_SIZE, "a build ejected");
         driver.run(ms(10_000), &traffic(RATE), &succeed);
-        driver.work.assert_bounded(ALL, "a build comes back");
+        driver.work.assert_bounded(FLEET_SIZE, "a build comes back");
     }
 
     /// An ejected endpoint is better than none: only those find out whether they are back.
@@ -156,9 +158,9 @@
     fn of_every_endpoint_keeps_work_bounded() {
         let mut driver = two_builds(71);
         driver.run(ms(4000), &traffic(RATE), &all_unreachable);
-        driver.take_work().assert_bounded(ALL, "all ejected");
+        driver.take_work().assert_bounded(FLEET_SIZE, "all ejected");
         driver.run(ms(10_000), &traffic(RATE), &succeed);
-        driver.work.assert_bounded(ALL, "all come back");
+        driver.work.assert_bounded(FLEET_SIZE, "all come back");
     }
 }
 
--- a/tests/fleet_list_changes.rs
+++ b/tests/fleet_list_changes.rs
@@ -28,7 +28,7 @@
         for second in 0..BATCHES + 6 {
             let batch = |number: Option<usize>, build| {
                 let of_batch = |e: &usize| Some(e % BATCHES) == number;
-                let endpoints = (0..ALL).filter(of_batch);
+                let endpoints = (0..FLEET_SIZE).filter(of_batch);
                 endpoints.map(|i| fleet_entry(i, build)).collect::<Vec<_>>()
             };
             let leaving = Some(second).filter(|number| *number < BATCHES);
@@ -64,14 +64,14 @@
     /// of them drawing at the weight that makes up for their small quotas.
     #[test]
     fn of_everything_within_a_minute_pushes_over_no_warming_endpoint() {
-        let mut driver = serving_fleet(default_settings(23), ALL, &traffic(RATE));
+        let mut driver = serving_fleet(default_settings(23), FLEET_SIZE, &traffic(RATE));
         driver.balancer.update_rollout(released_status(8));
         let warming_seconds = restart_all(&mut driver);
         assert!(driver.entries.iter().all(|entry| entry.build == 8));
 
         let sent = sent_while_warming(&driver);
         let window = driver.settings.overload_window;
-        let per_window = QUOTA_SHARE * RATE / ALL as f64 * window.as_secs_f64();
+        let per_window = QUOTA_SHARE * RATE / FLEET_SIZE as f64 * window.as_secs_f64();
         for (endpoint, times) in &sent {
             let most = times
                 .iter()
@@ -90,8 +90,9 @@
         }
         let in_sum = sent.values().map(Vec::len).sum::<usize>() as f64;
         // Beside what it earns in time, each has the window that it begins with.
-        let earned = QUOTA_SHARE * RATE / ALL as f64 * warming_seconds;
-        let first = QUOTA_SHARE * 0.3 * RATE / ALL as f64 * window.as_secs_f64() * ALL as f64;
+        let earned = QUOTA_SHARE * RATE / FLEET_SIZE as f64 * warming_seconds;
+        let first =
+            QUOTA_SHARE * 0.3 * RATE / FLEET_SIZE as f64 * window.as_secs_f64() * FLEET_SIZE as f64;
         assert!(in_sum > 0.0, "warming endpoints get some");
         assert!(
             in_sum <= TOLERANCE * (earned + first),
@@ -107,10 +108,12 @@
 
     #[test]
     fn of_everything_within_a_minute_keeps_work_bounded() {
-        let mut driver = serving_fleet(default_settings(29), ALL, &traffic(RATE));
+        let mut driver = serving_fleet(default_settings(29), FLEET_SIZE, &traffic(RATE));
         driver.balancer.update_rollout(released_status(8));
         restart_all(&mut driver);
-        driver.work.assert_bounded(ALL, "a release of everything");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "a release of everything");
     }
 }
 
@@ -121,7 +124,9 @@
     const RATE: f64 = 300.0;
 
     fn zone(state: EndpointState, started: Option<Duration>) -> Vec<EndpointEntry> {
-        let of_zone = fleet_entries(ALL, 7).into_iter().filter(|e| e.zone == LOST);
+        let of_zone = fleet_entries(FLEET_SIZE, 7)
+            .into_iter()
+            .filter(|e| e.zone == LOST);
         of_zone
             .map(|entry| EndpointEntry {
                 state,
@@ -156,7 +161,7 @@
 
     #[test]
     fn of_1100_endpoints_loses_hardly_a_request_and_is_used_again_after() {
-        let mut driver = serving_fleet(default_settings(31), ALL, &traffic(RATE));
+        let mut driver = serving_fleet(default_settings(31), FLEET_SIZE, &traffic(RATE));
         lose_and_return(&mut driver);
         driver.run(ms(5000), &traffic(RATE), &succeed);
         let from = driver.now - ms(5000);
@@ -175,9 +180,11 @@
 
     #[test]
     fn of_1100_endpoints_keeps_work_bounded() {
-        let mut driver = serving_fleet(default_settings(37), ALL, &traffic(RATE));
+        let mut driver = serving_fleet(default_settings(37), FLEET_SIZE, &traffic(RATE));
         lose_and_return(&mut driver);
-        driver.work.assert_bounded(ALL, "a zone lost and back");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "a zone lost and back");
     }
 }
 
@@ -192,7 +199,7 @@
 
     #[test]
     fn after_7700_rejects_and_after_their_return_serves_as_before() {
-        let mut driver = serving_fleet(default_settings(41), ALL, &PEAK);
+        let mut driver = serving_fleet(default_settings(41), FLEET_SIZE, &PEAK);
         driver.finish(&succeed);
         let before = driver.answers;
         assert_eq!(before.succeeded, before.total());
@@ -203,7 +210,7 @@
         assert_eq!(driver.answers.succeeded, before.succeeded);
         assert!(driver.answers.rejected >= 400, "{:?}", driver.answers);
 
-        driver.replace_endpoints(&fleet_entries(ALL, 7));
+        driver.replace_endpoints(&fleet_entries(FLEET_SIZE, 7));
         let back = driver.now;
         let rejected = driver.answers.rejected;
         driver.run(ms(5000), &PEAK, &succeed);
@@ -216,12 +223,14 @@
 
     #[test]
     fn after_7700_keeps_work_bounded() {
-        let mut driver = serving_fleet(default_settings(43), ALL, &PEAK);
+        let mut driver = serving_fleet(default_settings(43), FLEET_SIZE, &PEAK);
         empty_for_a_while(&mut driver);
-        driver.take_work().assert_bounded(ALL, "nobody listed");
-        driver.replace_endpoints(&fleet_entries(ALL, 7));
+        driver
+            .take_work()
+            .assert_bounded(FLEET_SIZE, "nobody listed");
+        driver.replace_endpoints(&fleet_entries(FLEET_SIZE, 7));
         driver.run(ms(3000), &PEAK, &succeed);
-        driver.work.assert_bounded(ALL, "all listed again");
+        driver.work.assert_bounded(FLEET_SIZE, "all listed again");
     }
 }
 
@@ -230,8 +239,11 @@
 
     #[test]
     fn of_every_endpoint_forwards_nothing_until_they_run_again() {
-        let mut driver = serving_fleet(default_settings(73), ALL, &PEAK);
-        driver.update_endpoints(&in_state(fleet_entries(ALL, 7), EndpointState::Draining));
+        let mut driver = serving_fleet(default_settings(73), FLEET_SIZE, &PEAK);
+        driver.update_endpoints(&in_state(
+            fleet_entries(FLEET_SIZE, 7),
+            EndpointState::Draining,
+        ));
         let from = driver.now + ms(5);
         driver.run(ms(3000), &PEAK, &succeed);
         assert_eq!(driver.sent_since(from).count(), 0);
@@ -240,7 +252,7 @@
         assert!(before.rejected >= 400, "{before:?}");
         assert_eq!(before.failed, 0);
 
-        driver.update_endpoints(&fleet_entries(ALL, 7));
+        driver.update_endpoints(&fleet_entries(FLEET_SIZE, 7));
         driver.run(ms(3000), &PEAK, &succeed);
         driver.finish(&succeed);
         assert_eq!(driver.answers.rejected, before.rejected);
@@ -249,13 +261,18 @@
 
     #[test]
     fn of_every_endpoint_keeps_work_bounded() {
-        let mut driver = serving_fleet(default_settings(79), ALL, &PEAK);
-        driver.update_endpoints(&in_state(fleet_entries(ALL, 7), EndpointState::Draining));
+        let mut driver = serving_fleet(default_settings(79), FLEET_SIZE, &PEAK);
+        driver.update_endpoints(&in_state(
+            fleet_entries(FLEET_SIZE, 7),
+            EndpointState::Draining,
+        ));
         driver.take_work();
         driver.run(ms(3000), &PEAK, &succeed);
-        driver.take_work().assert_bounded(ALL, "all draining");
-        driver.update_endpoints(&fleet_entries(ALL, 7));
+        driver
+            .take_work()
+            .assert_bounded(FLEET_SIZE, "all draining");
+        driver.update_endpoints(&fleet_entries(FLEET_SIZE, 7));
         driver.run(ms(3000), &PEAK, &succeed);
-        driver.work.assert_bounded(ALL, "all running again");
+        driver.work.assert_bounded(FLEET_SIZE, "all running again");
     }
 }
--- a/tests/fleet_memory.rs
+++ b/tests/fleet_memory.rs
@@ -11,7 +11,7 @@
 const CLASSES: usize = 1600;
 const BYTES_A_KILOBYTE: f64 = 1024.0;
 /// An eighth of what one count by pair of endpoint and class takes (32 bytes each).
-const MAX_BYTES: f64 = (ALL * CLASSES * 4) as f64;
+const MAX_BYTES: f64 = (FLEET_SIZE * CLASSES * 4) as f64;
 
 /// Bytes of resident memory of this process.
 fn resident_memory() -> f64 {
@@ -28,7 +28,7 @@
         classes: vec![few.classes[0].clone(); CLASSES],
         ..few
     };
-    let entries = fleet_entries(ALL, 7);
+    let entries = fleet_entries(FLEET_SIZE, 7);
     let before = resident_memory();
     let mut driver = FleetDriver::new(settings);
     driver.update_endpoints(&entries);
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -9,7 +9,7 @@
 use tulipwall::*;
 
 /// Sizes of the fleet: a mean service, the largest one, and all endpoints to plan for.
-const SIZES: [usize; 3] = [55, 770, ALL];
+const SIZES: [usize; 3] = [55, 770, FLEET_SIZE];
 /// Growth of a count from the smallest to the largest fleet, which has 140 times its endpoints.
 const MAX_GROWTH: f64 = 3.0;
 
@@ -134,10 +134,10 @@
 /// A mean hides what happens now and then: each second by itself keeps to the bounds.
 #[test]
 fn no_second_costs_more_than_the_bounds() {
-    let mut driver = serving_fleet(default_settings(17), ALL, &TRAFFIC);
+    let mut driver = serving_fleet(default_settings(17), FLEET_SIZE, &TRAFFIC);
     for second in 0..10 {
         driver.run(ms(1000), &TRAFFIC, &succeed);
         let work = driver.take_work();
-        work.assert_bounded(ALL, &format!("second {second}"));
+        work.assert_bounded(FLEET_SIZE, &format!("second {second}"));
     }
 }
--- a/tests/harness/fleet/fixtures.rs
+++ b/tests/harness/fleet/fixtures.rs
@@ -5,7 +5,7 @@
 use tulipwall::*;
 
 /// All endpoints to plan for.
-pub const ALL: usize = 7700;
+pub const FLEET_SIZE: usize = 7700;
 /// Zones of the whole fleet: 1,100 endpoints each.
 pub const ZONES: usize = 7;
 /// Requests a second of one agent at the peak.
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -149,7 +149,7 @@
     }
 
     /// Ends the oldest attempt in flight to `endpoint`, if any.
-    pub fn end_at(&mut self, endpoint: usize, outcome: Outcome) -> bool {
+    pub fn end_oldest_attempt(&mut self, endpoint: usize, outcome: Outcome) -> bool {
         let in_flight = |h: &TrackedRequest| {
             h.attempts
                 .iter()
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -45,7 +45,7 @@
                 next += 1;
             }
             6..=8 => {
-                w.end_at(i, OUTCOMES[*how as usize % 8]);
+                w.end_oldest_attempt(i, OUTCOMES[*how as usize % 8]);
             }
             9 => {
                 w.update_endpoints(&[EndpointEntry {
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -368,7 +368,7 @@
             );
         }
         w.advance(ms(20));
-        (0..12).for_each(|i| while w.end_at(i, Outcome::Succeeded) {});
+        (0..12).for_each(|i| while w.end_oldest_attempt(i, Outcome::Succeeded) {});
     }
     assert_eq!(w.last_verdict(), None);
 }
