--- a/crates/agent/src/agent/config_state.rs
+++ b/crates/agent/src/agent/config_state.rs
@@ -1,4 +1,4 @@
-//! The settings in force, and what a reload compares a new configuration with.
+//! The configuration in force, with which a reload compares a new one.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,9 +6,9 @@
 use tulipwall::AlternativeSettings;
 use tulipwall_config::{Installation, ServiceConfig};
 
-/// The configuration that decides at present.
+/// The configuration in force.
 ///
-/// Written by `Agent::start` and by a configuration reload alone; read by every task.
+/// Only `Agent::start` and a configuration reload write it; every task reads it.
 pub struct ConfigState {
     service: RefCell<Rc<ServiceConfig>>,
     installation: RefCell<Installation>,
@@ -17,7 +17,7 @@
 }
 
 impl ConfigState {
-    /// The configuration that was read at the start.
+    /// Creates the state from the configuration that was read at startup.
     pub fn new(
         service: ServiceConfig,
         installation: Installation,
@@ -31,29 +31,30 @@
         }
     }
 
-    /// The platform's settings in force. The indices of active requests stay valid in each later
-    /// one.
+    /// Returns the service configuration in force. The indices of active requests stay valid in
+    /// every later configuration.
     pub fn service(&self) -> Rc<ServiceConfig> {
         self.service.borrow().clone()
     }
 
-    /// The installation's own settings in force.
+    /// Returns the installation's settings in force.
     pub fn installation(&self) -> Installation {
         self.installation.borrow().clone()
     }
 
-    /// The alternative settings that are evaluated beside those in force.
+    /// Returns the settings under shadow evaluation; `None` if there are none.
     pub fn alternative(&self) -> Option<AlternativeSettings> {
         self.alternative.borrow().clone()
     }
 
-    /// When the last request ends that was taken under a longer timeout than today's.
+    /// Returns the time on the agent's clock by which all requests end that were accepted under a
+    /// longer timeout than the current one; zero if there were none.
     pub fn earlier_requests_end(&self) -> Duration {
         self.earlier_requests_end.get()
     }
 
-    /// Puts new settings in force; requests that were taken before end at `earlier_requests_end`
-    /// at the latest, where their timeouts were longer.
+    /// Replaces the service configuration. If the longest timeout shrinks, `earlier_requests_end`
+    /// is moved so that it covers the requests that were accepted before.
     pub fn replace_service(&self, now: Duration, service: ServiceConfig) {
         let longest_before = self.service.borrow().longest_timeout;
         if service.longest_timeout < longest_before {
@@ -63,12 +64,12 @@
         *self.service.borrow_mut() = Rc::new(service);
     }
 
-    /// Puts another installation in force.
+    /// Replaces the installation's settings.
     pub fn replace_installation(&self, installation: Installation) {
         *self.installation.borrow_mut() = installation;
     }
 
-    /// From now on these alternative settings are evaluated, or none.
+    /// Replaces the settings under shadow evaluation; `None` means that there are none.
     pub fn replace_alternative(&self, alternative: Option<AlternativeSettings>) {
         *self.alternative.borrow_mut() = alternative;
     }
--- a/crates/agent/src/agent/control_state.rs
+++ b/crates/agent/src/agent/control_state.rs
@@ -1,5 +1,5 @@
-//! What passes between the balancer's poll, the configuration reload and the two control tasks
-//! (discovery watch, platform session).
+//! State through which the balancer's poll, the configuration reload and the two control tasks
+//! (discovery watch, platform session) communicate.
 
 use event_listener::{Event, EventListener};
 use std::cell::{Cell, RefCell};
@@ -9,21 +9,22 @@
 
 /// State shared with the control tasks.
 ///
-/// Addresses are written by a configuration reload; the watch request and the pending vote by the
-/// balancer's poll. The discovery watch and the platform session read them.
+/// A configuration reload writes the addresses; the balancer's poll writes the watch request and the
+/// pending vote. The discovery watch and the platform session read them.
 pub struct ControlState {
-    /// Where discovery is.
+    /// The address of the discovery service.
     pub discovery: PeerAddress<SocketAddr>,
-    /// Where the rollout platform is, if there is one.
+    /// The address of the rollout platform; `None` if none is configured.
     pub platform: PeerAddress<Option<SocketAddr>>,
-    /// Asks the discovery watch to begin.
+    /// The signal on which the discovery watch starts.
     pub watch_request: WatchRequest,
-    /// The vote that the platform session has yet to write.
+    /// The vote that the platform session has not yet written.
     pub pending_vote: PendingVote,
 }
 
 impl ControlState {
-    /// The addresses that were read at the start; nothing is asked for yet.
+    /// Creates the state with the addresses that were read at startup, without a watch request or a
+    /// vote.
     pub fn new(discovery: SocketAddr, platform: Option<SocketAddr>) -> ControlState {
         ControlState {
             discovery: PeerAddress::new(discovery),
@@ -34,7 +35,7 @@
     }
 }
 
-/// The address of a peer, and how often its connection was to be restarted.
+/// The address of a control service, and a counter of the requests to restart its connection.
 pub struct PeerAddress<T> {
     address: Cell<T>,
     changes: Cell<u64>,
@@ -50,28 +51,29 @@
         }
     }
 
-    /// The address in force.
+    /// Returns the address in force.
     pub fn get(&self) -> T {
         self.address.get()
     }
 
-    /// Puts an address in force; whether it differs from the one before. Does not announce it.
+    /// Replaces the address and returns whether it differs from the previous one. Does not announce
+    /// the change.
     pub fn replace(&self, address: T) -> bool {
         self.address.replace(address) != address
     }
 
-    /// Asks the peer's task to restart its connection.
+    /// Asks the task of this service to restart its connection.
     pub fn announce_change(&self) {
         self.changes.set(self.changes.get() + 1);
         self.changed.notify(usize::MAX);
     }
 
-    /// How many changes were announced so far.
+    /// Returns how many changes were announced so far.
     pub fn changes(&self) -> u64 {
         self.changes.get()
     }
 
-    /// Ready once more changes than `seen` were announced.
+    /// Waits until more than `seen` changes were announced.
     pub async fn changed_since(&self, seen: u64) {
         while self.changes.get() == seen {
             self.changed.listen().await;
@@ -79,7 +81,8 @@
     }
 }
 
-/// The balancer's request that the discovery watch begins; repeated requests count as one.
+/// The balancer's request to start the discovery watch. Requests that are repeated before the watch
+/// receives them count as one.
 #[derive(Default)]
 pub struct WatchRequest {
     pending: Cell<bool>,
@@ -87,18 +90,18 @@
 }
 
 impl WatchRequest {
-    /// Asks for the watch.
+    /// Requests the watch and wakes the discovery task.
     pub fn raise(&self) {
         self.pending.set(true);
         self.raised.notify(1);
     }
 
-    /// Withdraws the request.
+    /// Withdraws a request that was not received yet.
     pub fn clear(&self) {
         self.pending.set(false);
     }
 
-    /// Ready once the watch is asked for; takes the request.
+    /// Waits until the watch is requested, and clears the request.
     pub async fn received(&self) {
         while !self.pending.take() {
             self.raised.listen().await;
@@ -108,13 +111,13 @@
 
 /// A vote with the time at which the balancer cast it.
 pub struct CastVote {
-    /// The vote.
+    /// The build, the stage and the verdict that the vote is about.
     pub vote: Vote,
-    /// When it was cast, on the agent's clock.
+    /// When the vote was cast, on the agent's clock.
     pub cast_at: Duration,
 }
 
-/// The vote that is cast and not yet written to the platform; a later one takes its place.
+/// The vote that was cast and not yet written to the platform. A later vote replaces it.
 #[derive(Default)]
 pub struct PendingVote {
     vote: RefCell<Option<CastVote>>,
@@ -122,23 +125,23 @@
 }
 
 impl PendingVote {
-    /// Leaves a vote for the platform session.
+    /// Stores a vote for the platform session and wakes that task.
     pub fn cast(&self, vote: Vote, now: Duration) {
         *self.vote.borrow_mut() = Some(CastVote { vote, cast_at: now });
         self.cast.notify(1);
     }
 
-    /// Takes the vote, so that it is written once.
+    /// Removes and returns the vote, so that it is written only once; `None` if there is none.
     pub fn take(&self) -> Option<CastVote> {
         self.vote.take()
     }
 
-    /// Whether a vote waits to be written.
+    /// Returns whether a vote is waiting to be written.
     pub fn is_some(&self) -> bool {
         self.vote.borrow().is_some()
     }
 
-    /// Ready once the next vote is cast.
+    /// Returns a listener that is ready once the next vote is cast.
     pub fn listen(&self) -> EventListener {
         self.cast.listen()
     }
--- a/crates/agent/src/agent/endpoint_directory.rs
+++ b/crates/agent/src/agent/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are known, and when requests may go by them.
+//! The known endpoints, and whether requests may be served with them yet.
 
 use event_listener::Event;
 use std::cell::{Cell, RefCell};
@@ -11,29 +11,29 @@
 
 /// The endpoint list as discovery last reported it.
 ///
-/// Written by the discovery watch, and by a configuration reload where zones have other indices;
-/// read by every attempt.
+/// The discovery watch writes it, and so does a configuration reload that changes zone indices; every
+/// attempt reads it.
 #[derive(Default)]
 pub struct EndpointDirectory {
     list: RefCell<EndpointTable>,
     first_usable: Event,
-    serving_allowed: Cell<bool>, // discovery has responded, or has not in time
+    serving_allowed: Cell<bool>, // discovery has responded, or the wait for it at startup is over
     serving_changed: Event,
 }
 
-/// What a response of discovery changed.
+/// The changes that a response of discovery made to the endpoint list.
 pub struct ListUpdate {
-    /// What differs from the list before, for the balancer; endpoints that a complete list lacks
-    /// are among it as gone.
+    /// The entries that differ from the previous list, for the balancer. Endpoints that are missing
+    /// from a complete list are included as gone.
     pub changes: Vec<EndpointEntry>,
-    /// Endpoints whose pooled connections are of no more use.
+    /// The indices of the endpoints whose pooled connections can no longer be used.
     pub stale_endpoints: Vec<usize>,
-    /// The last usable endpoint has gone with it.
+    /// Whether the update removed the last usable endpoint.
     pub became_unusable: bool,
 }
 
 impl EndpointDirectory {
-    /// Takes a response of discovery in.
+    /// Applies a response of discovery to the list and returns the changes.
     pub fn update(
         &self,
         response: ListResponse,
@@ -50,35 +50,36 @@
         }
     }
 
-    /// Wakes whoever waits for endpoints, if any can be used.
+    /// Wakes all tasks that wait for endpoints, if at least one endpoint is usable.
     pub fn announce_usable(&self) {
         if self.list.borrow().has_running() {
             self.first_usable.notify(usize::MAX);
         }
     }
 
-    /// Gives zones their indices under another configuration: the endpoints with another zone index
-    /// than before, with it.
+    /// Assigns zone indices according to `config`. Returns each endpoint whose zone index changed,
+    /// with the new index.
     pub fn reassign_zones(&self, config: &ServiceConfig) -> Vec<(usize, usize)> {
         self.list.borrow_mut().update_zones(config)
     }
 
-    /// Discovery has responded, or the start need not wait for it any longer.
+    /// Allows requests to be served: discovery has responded, or the wait for it at startup is over.
     pub fn allow_serving(&self) {
         if !self.serving_allowed.replace(true) {
             self.serving_changed.notify(usize::MAX);
         }
     }
 
-    /// Ready once requests may go by the list that is known, as far as the balancer holds it for valid.
-    /// Guards a new process that was given an old list.
+    /// Waits until requests may be served with the known list. Whether that list is still valid is
+    /// checked by the balancer. Prevents a new process that was given an old list from serving with it
+    /// before discovery has had time to respond.
     pub async fn serving_allowed(&self) {
         while !self.serving_allowed.get() {
             self.serving_changed.listen().await;
         }
     }
 
-    /// The endpoints to serve from, once some are known.
+    /// Waits until at least one endpoint is usable, and returns all usable ones.
     pub async fn usable_targets(&self) -> Vec<AttemptTarget> {
         loop {
             let usable = self.first_usable.listen();
@@ -90,54 +91,55 @@
         }
     }
 
-    /// How many endpoints are known.
+    /// Returns the number of known endpoints, usable or not.
     pub fn len(&self) -> usize {
         self.list.borrow().len()
     }
 
-    /// Whether no endpoint is known.
+    /// Returns whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The version of the list that is known.
+    /// Returns the version of the known list.
     pub fn version(&self) -> u64 {
         self.list.borrow().version
     }
 
-    /// The version of the list that is known, where one is to serve from: who has nothing to lose
-    /// asks for all of it.
+    /// Returns the version of the known list if it has a usable endpoint. On `None` the complete
+    /// list is requested, as no usable endpoint can be lost by starting over.
     pub fn usable_version(&self) -> Option<u64> {
         let list = self.list.borrow();
         list.has_running().then_some(list.version)
     }
 
-    /// The builds of all endpoints that are known.
+    /// Returns the builds of all known endpoints.
     pub fn builds(&self) -> BTreeSet<u32> {
         self.list.borrow().builds()
     }
 
-    /// The index of the endpoint with this id.
+    /// Returns the index of the endpoint with this id; `None` if it is unknown.
     pub fn index_of(&self, id: &str) -> Option<usize> {
         self.list.borrow().index(id)
     }
 
-    /// The id of an endpoint.
+    /// Returns the id of an endpoint.
     pub fn name(&self, endpoint: usize) -> String {
         self.list.borrow().id(endpoint).to_owned()
     }
 
-    /// Keeps an endpoint's index from being given to another for as long as the result lives.
+    /// Prevents an endpoint's index from being assigned to another endpoint until the returned guard
+    /// is dropped.
     pub fn retain_index(&self, endpoint: usize) -> Option<IndexGuard> {
         self.list.borrow().hold_index(endpoint)
     }
 
-    /// Where an attempt to this endpoint goes, while it is usable.
+    /// Returns where an attempt to this endpoint is sent; `None` if the endpoint is not usable.
     pub fn target(&self, endpoint: usize) -> Option<AttemptTarget> {
         self.list.borrow().target(endpoint)
     }
 
-    /// Whether the endpoint still runs the same build at the same address.
+    /// Returns whether the endpoint still runs the same build at the same address.
     pub fn is_current(&self, target: AttemptTarget) -> bool {
         self.target(target.endpoint) == Some(target)
     }
--- a/crates/agent/src/agent/executors.rs
+++ b/crates/agent/src/agent/executors.rs
@@ -1,12 +1,12 @@
-//! The executors of the one thread.
+//! The task executors of the agent's single thread.
 
 use async_executor::LocalExecutor;
 
-/// Where tasks are spawned; the reactor runs both.
+/// The executors on which tasks are spawned; the reactor runs both.
 #[derive(Default)]
 pub struct Executors {
-    /// All tasks but the urgent ones.
+    /// Runs all tasks that are not urgent.
     pub tasks: LocalExecutor<'static>,
-    /// Tasks that are run before any others.
+    /// Runs the tasks that take precedence over all others.
     pub urgent: LocalExecutor<'static>,
 }
--- a/crates/agent/src/agent/limits.rs
+++ b/crates/agent/src/agent/limits.rs
@@ -1,40 +1,41 @@
-//! The bounds on what clients and endpoints may take of the machine.
+//! Limits on the sockets and the memory that clients and endpoints may use.
 
 use crate::upstream::limits::ConnectionLimits;
 use std::cell::Cell;
 
-/// Which part of the memory may be held by what came in from clients, at most; answers of endpoints
-/// keep the rest.
-const BUFFER_SHARE: usize = 4;
-/// Which part of the memory that the process and its connections leave may be buffered. A counted
-/// byte takes more than one of the process: a buffer that grows is copied, the allocator keeps what
-/// was freed for a second, and it takes memory from the kernel in pages of 2 MiB.
-const UNUSED_MEMORY_SHARE: usize = 3;
-/// What a client's connection takes beside its buffers: 3.1 KB for its task and socket, 6 KB more
-/// while a request of it is open at an endpoint, which not all have at once.
+/// Data received from clients may fill at most the memory limit divided by this; the rest is left
+/// to the responses of endpoints.
+const BUFFER_DIVISOR: usize = 4;
+/// Of the memory that the process and its connections leave unused, one part in this many may be
+/// buffered. A counted byte costs the process more than one byte: a growing buffer is copied, the
+/// allocator keeps freed memory for a second, and it takes memory from the kernel in pages of 2 MiB.
+const UNUSED_MEMORY_DIVISOR: usize = 3;
+/// The memory of a client connection without its buffers: 3.1 KB for its task and socket, and 6 KB
+/// more while one of its requests is open at an endpoint, which is not the case for all at once.
 const CLIENT_STATE_BYTES: usize = 8 * 1024;
-/// So much may be buffered under any limit: a few of the longest messages, each of them with its
-/// copies. Guards against a limit under which no client would be read. Does harm where the limit is
-/// enforced from outside: the process is larger than it.
+/// The number of bytes that may be buffered under any memory limit: enough for a few messages of the
+/// maximum length with their copies. Prevents a low limit from stopping all reads from clients. Does
+/// harm where the limit is enforced from outside, as the process then exceeds it.
 pub const MIN_BUFFERED_BYTES: usize = 1024 * 1024;
 
 const BYTES_PER_MIB: usize = 1024 * 1024;
-/// A limit on memory from which on the kernel may use huge pages.
+/// The lowest memory limit in bytes under which the kernel may use huge pages.
 ///
-/// Guards lower limits: a page of 2 MiB stays whole for a few bytes of it, which took 4 to 6 MB more
-/// than was allocated. Does harm there by more, smaller pages to look up.
+/// Keeps the process within lower limits: a page of 2 MiB stays allocated for a few bytes in use,
+/// which took 4 to 6 MB more than was allocated. Under lower limits it does harm, as more and smaller
+/// pages have to be looked up.
 const MIN_LIMIT_FOR_HUGE_PAGES: usize = 64 * BYTES_PER_MIB;
 
-/// Whether a limit on memory, in bytes, leaves room for huge pages.
+/// Returns whether a memory limit, in bytes, leaves room for huge pages.
 pub fn has_room_for_huge_pages(memory_bytes: usize) -> bool {
     memory_bytes >= MIN_LIMIT_FOR_HUGE_PAGES
 }
 
-/// The limit on memory leaves less for buffers than is needed.
+/// The error that the memory limit leaves less than [`MIN_BUFFERED_BYTES`] for buffers.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error(
-    "field limits.memory_mb: {} MB are too few for a process of {} MB at its start; \
-     it goes on beyond the limit, with {} MB for buffers",
+    "field limits.memory_mb: {} MB is too low for a process of {} MB at startup; \
+     continuing above the limit with {} MB for buffers",
     limit_bytes / BYTES_PER_MIB,
     process_bytes.div_ceil(BYTES_PER_MIB),
     MIN_BUFFERED_BYTES / BYTES_PER_MIB
@@ -44,19 +45,19 @@
     process_bytes: usize,
 }
 
-/// Bounds on sockets and memory.
+/// Limits on sockets and memory.
 ///
-/// Written at the start and by a configuration reload; read by the listener, by client connections
-/// and by attempts.
+/// Startup and a configuration reload write them; the listener, client connections and attempts read
+/// them.
 pub struct ResourceLimits {
-    /// The bound on sockets, with the permits that are held.
+    /// The limits on sockets, and the permits that are held.
     pub connections: ConnectionLimits,
     memory_bytes: Cell<usize>,
     process_bytes: Cell<usize>,
 }
 
 impl ResourceLimits {
-    /// Bounds for so many sockets and bytes of memory.
+    /// Creates limits for a number of sockets and bytes of memory.
     pub fn new(max_sockets: usize, memory_bytes: usize) -> ResourceLimits {
         ResourceLimits {
             connections: ConnectionLimits::new(max_sockets),
@@ -65,29 +66,30 @@
         }
     }
 
-    /// Other bounds from now on. Who holds a socket beyond a lower one keeps it.
+    /// Replaces both limits. Sockets that are held beyond a lower limit stay open.
     pub fn resize(&self, max_sockets: usize, memory_bytes: usize) {
         self.connections.resize(max_sockets);
         self.memory_bytes.set(memory_bytes);
     }
 
-    /// What the process takes before its first client: its code and data, settings and endpoints.
+    /// Sets the memory that the process uses before its first client, in bytes: code and data,
+    /// settings and endpoints.
     pub fn set_process_bytes(&self, process_bytes: usize) {
         self.process_bytes.set(process_bytes);
     }
 
-    /// Bytes in buffers beyond which clients are held back.
+    /// Returns the number of buffered bytes above which the agent stops reading from clients.
     ///
-    /// Guards against a process that grows beyond its limit by what is not buffered. Does harm under
-    /// a low limit: long messages wait for each other sooner.
+    /// Accounts for memory outside the buffers, which would otherwise take the process beyond its
+    /// limit. Does harm under a low limit, as long messages wait for each other sooner.
     pub fn max_buffered_bytes(&self) -> usize {
         let client_bytes = self.connections.client_count() * CLIENT_STATE_BYTES;
         self.unused_share(client_bytes)
-            .min(self.memory_bytes.get() / BUFFER_SHARE)
+            .min(self.memory_bytes.get() / BUFFER_DIVISOR)
             .max(MIN_BUFFERED_BYTES)
     }
 
-    /// Fails where the limit does not bear the process and the least buffers.
+    /// Returns an error if the memory limit is too low for the process and the minimum of buffers.
     pub fn check_memory(&self) -> Result<(), MemoryLimitTooLow> {
         if self.unused_share(0) >= MIN_BUFFERED_BYTES {
             return Ok(());
@@ -100,6 +102,6 @@
 
     fn unused_share(&self, client_bytes: usize) -> usize {
         let used_bytes = self.process_bytes.get().saturating_add(client_bytes);
-        self.memory_bytes.get().saturating_sub(used_bytes) / UNUSED_MEMORY_SHARE
+        self.memory_bytes.get().saturating_sub(used_bytes) / UNUSED_MEMORY_DIVISOR
     }
 }
--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of one agent share, each part in a struct of its own.
+//! The state that the tasks of one agent share, with a separate struct for each part.
 
 mod config_state;
 mod control_state;
@@ -33,48 +33,48 @@
 use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::DisplayNames;
 
-/// One agent. Each field owns its state, and its comment names who writes and who reads it; this struct
-/// carries what involves several of them.
+/// The shared state of one agent. Each field owns its state and documents, here or on its type, which
+/// tasks write and read it. The methods of this struct are the operations that involve several fields.
 pub struct Agent {
-    /// Read by every task.
+    /// The clock to which all times of the agent refer. Every task reads it.
     pub clock: Rc<Clock>,
-    /// Written by every task, printed on request and at the exit.
+    /// The event counters. Every task writes them; they are printed on request and at exit.
     pub counters: Rc<Counters>,
-    /// The phase of the program: written by signals, the listener and the control tasks, read by
-    /// client connections.
+    /// The phase of the program. Signals, the listener and the control tasks write it; client
+    /// connections read it.
     pub lifecycle: Lifecycle,
-    /// Where the agent itself is reached.
+    /// The addresses at which the agent itself listens.
     pub start_addresses: StartAddresses,
     /// The configuration in force.
     pub config: ConfigState,
-    /// What the control tasks are asked for.
+    /// The addresses and pending requests of the control tasks.
     pub control: ControlState,
-    /// The decisions.
+    /// The balancer, which makes the routing decisions.
     pub balancer: BalancerHandle,
-    /// The accounting of cross-zone traffic: written by attempts, read by the admin endpoint.
+    /// The accounting of cross-zone traffic. Attempts write it; the admin endpoint reads it.
     pub zone_traffic: ZoneTraffic,
-    /// The endpoints that are known.
+    /// The known endpoints.
     pub endpoints: EndpointDirectory,
-    /// Idle connections to endpoints: written and read by attempts.
+    /// The idle connections to endpoints. Attempts write and read it.
     pub pool: ConnectionPool,
-    /// Bounds on sockets and memory.
+    /// The limits on sockets and memory.
     pub limits: ResourceLimits,
-    /// Where tasks are spawned.
+    /// The executors on which tasks are spawned.
     pub executors: Executors,
 }
 
-/// The addresses that only a restart can change. Written at the start alone, read by the listener
-/// and by a reload.
+/// The addresses that only a restart can change. They are written at startup only; the listener and a
+/// reload read them.
 pub struct StartAddresses {
-    /// Where clients connect.
+    /// The address on which the agent accepts clients.
     pub listen: SocketAddr,
-    /// Where operators ask, if anywhere.
+    /// The address of the admin endpoint; `None` if there is none.
     pub admin: Option<AdminAddress>,
 }
 
 impl Agent {
-    /// An agent with the configuration that was read, and the list and rollout status that came
-    /// with it.
+    /// Creates an agent from its configuration, with the endpoint list and the rollout status that
+    /// the configuration file holds, if any.
     pub fn start(start: StartupConfig) -> Rc<Agent> {
         let clock = Rc::new(Clock::start());
         let counters = Rc::new(Counters::default());
@@ -120,7 +120,7 @@
         agent
     }
 
-    /// The settings that the evidence lines behind rest on.
+    /// Writes the settings on which the following evidence lines depend to the evidence log.
     fn log_start(&self) {
         let wall = self.clock.to_unix_ms(self.clock.now());
         let config = self.service_config();
@@ -137,12 +137,13 @@
         log::debug!(target: EVIDENCE, "{wall} classes {objectives:?}");
     }
 
-    /// The settings in force. The indices of active requests stay valid in each later one as well.
+    /// Returns the service configuration in force. The indices of active requests stay valid in every
+    /// later configuration.
     pub fn service_config(&self) -> Rc<ServiceConfig> {
         self.config.service()
     }
 
-    /// The platform reported the status of a rollout.
+    /// Applies a rollout status that the platform reported, and writes it to the evidence log.
     pub fn update_rollout(&self, report: RolloutReport) {
         let now = self.clock.now();
         let began = now.saturating_sub(report.age);
@@ -158,14 +159,15 @@
         self.zone_traffic.retain_builds(|| self.known_builds());
     }
 
-    /// The builds that are listed, and the newest that the platform reported.
+    /// Returns the builds of all known endpoints and the newest build that the platform reported.
     fn known_builds(&self) -> BTreeSet<u32> {
         let mut builds = self.endpoints.builds();
         builds.extend(self.balancer.newest_rollout_build());
         builds
     }
 
-    /// Discovery reported endpoints.
+    /// Applies a response of discovery: closes connections that can no longer be used, and updates
+    /// the balancer and the cross-zone accounting.
     pub fn update_endpoints(&self, response: ListResponse) {
         let update = self
             .endpoints
@@ -182,7 +184,7 @@
         self.endpoints.announce_usable();
     }
 
-    /// Recomputes the cross-zone policy, about every 100 ms.
+    /// Recomputes the cross-zone policy. Called about every 100 ms.
     pub fn update_zone_traffic(&self) {
         if self.zone_traffic.is_enabled() {
             self.zone_traffic.update(self.clock.now(), |zones| {
@@ -192,21 +194,23 @@
         }
     }
 
-    /// Tells the balancer the cross-zone policy, where that has changed.
+    /// Passes the cross-zone policy to the balancer if it has changed.
     pub fn apply_cross_zone_policy(&self) {
         if let Some(policy) = self.zone_traffic.changed_policy() {
             self.balancer.set_cross_zone_policy(policy);
         }
     }
 
-    /// Keeps a connection for the next request, while its endpoint still runs the same build there.
+    /// Returns a connection to the pool for the next request if its endpoint still runs the same
+    /// build at the same address, and closes it otherwise.
     pub fn return_connection(&self, target: AttemptTarget, connection: PooledConnection) {
         if self.endpoints.is_current(target) {
             self.pool.put(target.endpoint, connection);
         }
     }
 
-    /// What is kept, for the counters: it should follow what is alive.
+    /// Returns the sizes of the retained state, for the lines of counters. They should follow the
+    /// numbers of active clients, requests and endpoints; growth beyond these indicates a leak.
     pub fn retained_summary(&self) -> String {
         let [requests, endpoints, builds, keys] = self.balancer.retained_counts();
         let listed = self.endpoints.len();
@@ -218,20 +222,20 @@
         format!("kept: clients {clients} listed {listed} requests {requests} endpoints {endpoints} builds {builds} keys {keys}{divergences}")
     }
 
-    /// Logs a limit on memory that does not bear the process.
+    /// Logs a warning if the memory limit is too low for the process.
     pub fn report_memory_limit(&self) {
         if let Err(error) = self.limits.check_memory() {
             log::warn!("{error}");
         }
     }
 
-    /// Sleeps until a time on the agent's clock.
+    /// Sleeps until the time `at` on the agent's clock.
     pub async fn sleep_until(&self, at: Duration) {
         Timer::at(self.clock.to_instant(at)).await;
     }
 }
 
-/// The names that reports give to zones and classes.
+/// Returns the names of the agent, the zones and the classes that reports display.
 fn report_names(agent: &str, config: &ServiceConfig) -> DisplayNames {
     DisplayNames {
         agent: agent.to_owned(),
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -1,4 +1,4 @@
-//! Configuration reload: a new configuration is put in force, all of it or none.
+//! Configuration reload, which applies either all of a new configuration or nothing of it.
 
 use super::{has_room_for_huge_pages, report_names, Agent};
 use crate::lifecycle::phase::ControlService;
@@ -11,7 +11,8 @@
 use tulipwall_config::{ConfigDiagnostic, Installation, NameCounts, ServiceConfig};
 use tulipwall_zones::ZoneConfig;
 
-/// What of a configuration decides requests: all that is checked before any of it is in force.
+/// The parts of a configuration on which decisions about requests depend. All of them are checked
+/// before any is applied.
 struct DecisionConfig<'a> {
     agent_name: &'a str,
     service: ServiceConfig,
@@ -19,7 +20,7 @@
     alternative: Option<&'a AlternativeSettings>,
 }
 
-/// What a reload changed in the settings.
+/// The effect of a reload on the settings.
 enum SettingsChange {
     Unchanged,
     Replaced {
@@ -46,9 +47,10 @@
 }
 
 impl Agent {
-    /// Puts a new configuration in force, all of it or none, but for what only a restart can change,
-    /// which is logged. A peer whose address changed is contacted there; the list and the rollout
-    /// status in the file are no newer than what the peers report, and are ignored.
+    /// Applies a new configuration, all of it or nothing. Changes that need a restart are logged and
+    /// not applied. If the address of discovery or of the platform changed, its task reconnects. The
+    /// endpoint list and the rollout status in the file are ignored, as they are no newer than what
+    /// these services report.
     pub fn reload(&self, start: StartupConfig) {
         let before = self.service_config();
         let applied = self.apply_decision_config(DecisionConfig {
@@ -81,24 +83,24 @@
         self.limits.resize(start.max_sockets, start.memory_limit);
         process_memory::allow_huge_pages(has_room_for_huge_pages(start.memory_limit));
         self.report_memory_limit();
-        self.move_discovery(discovery, &before);
-        self.move_platform(start.platform);
+        self.update_discovery_address(discovery, &before);
+        self.update_platform_address(start.platform);
     }
 
-    /// Restarts the watch if discovery has another address, or is to be asked at other times.
-    fn move_discovery(&self, address: SocketAddr, before: &ServiceConfig) {
+    /// Restarts the discovery watch if the address or the polling settings changed.
+    fn update_discovery_address(&self, address: SocketAddr, before: &ServiceConfig) {
         let poll_settings =
             |c: &ServiceConfig| (c.settings.shared_discovery, c.settings.max_poll_interval);
-        let moved = self.control.discovery.replace(address);
-        if moved || poll_settings(before) != poll_settings(&self.service_config()) {
+        let address_changed = self.control.discovery.replace(address);
+        if address_changed || poll_settings(before) != poll_settings(&self.service_config()) {
             self.lifecycle
                 .on_address_change(ControlService::Discovery, false);
             self.control.discovery.announce_change();
         }
     }
 
-    /// Restarts the session if the platform has another address; ends it if there is none.
-    fn move_platform(&self, address: Option<SocketAddr>) {
+    /// Restarts the platform session if the address changed, and ends it if there is none.
+    fn update_platform_address(&self, address: Option<SocketAddr>) {
         if self.control.platform.replace(address) {
             self.lifecycle
                 .on_address_change(ControlService::Platform, address.is_none());
@@ -106,9 +108,9 @@
         }
     }
 
-    /// Puts settings, installation and alternative settings in force; active requests and all that
-    /// was learned are kept. Returns what changed. Nothing changes if the installation names what
-    /// the settings do not.
+    /// Applies settings, installation and alternative settings, and returns what changed. Active
+    /// requests and everything learned so far are kept. Nothing is changed if the installation refers
+    /// to a name that the settings do not define.
     fn apply_decision_config(
         &self,
         new: DecisionConfig,
@@ -180,7 +182,7 @@
         self.apply_cross_zone_policy();
     }
 
-    /// Drops classes that were kept for active requests alone, once these are over.
+    /// Drops the classes that were kept only for active requests, once these have ended.
     pub fn drop_retired_classes(&self) {
         let service = self.service_config();
         if !service.has_retired_indices()
@@ -188,7 +190,7 @@
         {
             return;
         }
-        // The same names, so that nothing can be wrong with them.
+        // The names are those already in force, so the checks can't fail.
         let _ = self.apply_decision_config(DecisionConfig {
             agent_name: &self.zone_traffic.agent_name(),
             service: Rc::unwrap_or_clone(service),
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -1,5 +1,5 @@
-//! The one owner of the `Balancer`: all calls of the agent pass here, with the
-//! time.
+//! The sole owner of the agent's `Balancer`. Every call to the balancer goes through
+//! [`BalancerHandle`], which supplies the current time.
 
 use crate::observability::counters::Counters;
 use std::cell::{Cell, RefCell};
@@ -9,38 +9,38 @@
 use tulipwall::*;
 use tulipwall_discovery::clock::Clock;
 
-/// The balancer behind a shared reference.
+/// Shared access to the balancer, its clock and the shadow evaluation.
 ///
-/// Written by client connections (requests and ends of attempts) and by the control tasks (endpoint
-/// list, rollout, votes); read by the same and by the admin endpoint.
+/// Client connections (requests and ends of attempts) and the control tasks (endpoint list, rollout,
+/// votes) write to it; the same tasks and the admin endpoint read it.
 pub struct BalancerHandle {
     balancer: RefCell<Balancer>,
     clock: Rc<Clock>,
     counters: Rc<Counters>,
-    next_request: Cell<u64>,
-    open_ids: RefCell<HashSet<String>>, // the clients' ids of active requests
+    next_request_id: Cell<u64>,
+    open_ids: RefCell<HashSet<String>>, // ids that clients gave to their active requests
     rollout: RefCell<Option<RolloutStatus>>,
-    rollout_revision: Cell<u64>, // how often the rollout status changed
+    rollout_revision: Cell<u64>, // number of changes of the rollout status so far
     shadow: RefCell<Option<ShadowEvaluator>>,
-    shadowed_requests: RefCell<HashMap<u64, ShadowedRequest>>, // active ones, while there is a shadow
+    shadowed_requests: RefCell<HashMap<u64, ShadowedRequest>>, // active requests, by id; only while `shadow` is set
 }
 
-/// What the shadow evaluation needs of an active request.
+/// The properties of an active request that the shadow evaluation needs.
 #[derive(Clone, Copy)]
 struct ShadowedRequest {
     class: usize,
     key: Option<u64>,
 }
 
-/// The balancer's number of a request that has come in, and where it goes first.
+/// A request that the balancer has accepted, with the first decision about it.
 pub struct AdmittedRequest {
-    /// The number that all later calls name.
+    /// The balancer's number for the request, which all later calls about it must pass.
     pub id: u64,
-    /// What is to be done with it.
+    /// What to do with the request first.
     pub decision: Decision,
 }
 
-/// A request is open under its client's id for as long as this lives.
+/// Keeps a request registered under its client's id until the guard is dropped.
 pub struct OpenRequestGuard<'a> {
     handle: &'a BalancerHandle,
     id: String,
@@ -52,26 +52,26 @@
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt, as it is reported to the balancer.
 pub struct AttemptResult {
-    /// Which of its request's attempts it is.
+    /// The index of the attempt within its request, from 0.
     pub attempt: usize,
-    /// When it was decided.
-    pub sent: Duration,
-    /// How it ended.
+    /// When the balancer decided on the attempt, on the agent's clock.
+    pub decided_at: Duration,
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether its request has its final response.
+    /// Whether the request already has its final response.
     pub request_closed: bool,
 }
 
 impl BalancerHandle {
-    /// A balancer under these settings.
+    /// Creates a balancer with the given settings and without endpoints.
     pub fn new(settings: Settings, clock: Rc<Clock>, counters: Rc<Counters>) -> BalancerHandle {
         BalancerHandle {
             balancer: RefCell::new(Balancer::new(clock.now(), settings)),
             clock,
             counters,
-            next_request: Cell::default(),
+            next_request_id: Cell::default(),
             open_ids: RefCell::default(),
             rollout: RefCell::default(),
             rollout_revision: Cell::default(),
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Nothing while another request is open under this id: its responses could not be distinguished.
+    /// Registers a request under its client's id. Returns `None` while another request is open
+    /// under this id, as their responses could not be distinguished.
     pub fn open_request(&self, id: &str) -> Option<OpenRequestGuard<'_>> {
         let inserted = self.open_ids.borrow_mut().insert(id.to_owned());
         inserted.then(|| OpenRequestGuard {
@@ -89,10 +90,10 @@
         })
     }
 
-    /// A request has come in.
+    /// Passes a new request to the balancer and returns its number and the first decision.
     pub fn on_request(&self, request: Request) -> AdmittedRequest {
-        let id = self.next_request.get();
-        self.next_request.set(id + 1);
+        let id = self.next_request_id.get();
+        self.next_request_id.set(id + 1);
         self.counters.requests_taken.increment();
         let now = self.clock.now();
         let shadowed = ShadowedRequest {
@@ -109,7 +110,7 @@
         AdmittedRequest { id, decision }
     }
 
-    /// Decides again on an active request.
+    /// Asks the balancer for another decision on an active request.
     pub fn route(&self, id: u64) -> Decision {
         let now = self.clock.now();
         let decision = self.balancer.borrow_mut().route(now, id);
@@ -117,13 +118,13 @@
         decision
     }
 
-    /// An attempt has ended.
+    /// Reports the end of an attempt to the balancer and returns the next decision on its request.
     pub fn on_attempt_end(&self, id: u64, result: AttemptResult) -> Decision {
         self.counters.attempt_ended(result.outcome);
         let now = self.clock.now();
         let end = AttemptEnd {
             outcome: result.outcome,
-            latency: now.saturating_sub(result.sent),
+            latency: now.saturating_sub(result.decided_at),
             request_closed: result.request_closed,
             reported_load: None,
         };
@@ -138,19 +139,20 @@
         decision
     }
 
-    /// The request needs no further attempts.
+    /// Tells the balancer that the request needs no further attempts.
     pub fn close_request(&self, id: u64) {
         self.balancer.borrow_mut().close_request(id);
         self.shadowed_requests.borrow_mut().remove(&id);
     }
 
-    /// Whether an attempt that was decided may still be written.
+    /// Returns whether an attempt that the balancer has decided on may still be written to its
+    /// endpoint.
     pub fn attempt_allowed(&self, id: u64, attempt: usize) -> bool {
         let now = self.clock.now();
         self.balancer.borrow().attempt_allowed(now, id, attempt)
     }
 
-    /// An endpoint reported how many requests it holds.
+    /// Passes on the number of requests in flight that an endpoint reported.
     pub fn on_load_report(&self, endpoint: usize, load: f64) {
         let now = self.clock.now();
         self.balancer
@@ -158,7 +160,8 @@
             .on_load_report(now, endpoint, Outcome::Succeeded, Some(load));
     }
 
-    /// Discovery responded; `changes` are the endpoints that are listed otherwise than before.
+    /// Applies a response of discovery. `changes` holds the endpoints whose entries differ from the
+    /// previous list.
     pub fn update_endpoints(&self, changes: &[EndpointEntry]) {
         self.counters.lists_received.increment();
         self.balancer
@@ -166,28 +169,30 @@
             .update_endpoints(self.clock.now(), changes, false);
     }
 
-    /// Discovery did not respond.
+    /// Records that discovery did not respond.
     pub fn on_list_failure(&self) {
         self.counters.list_failures.increment();
         self.balancer.borrow_mut().on_list_failure(self.clock.now());
     }
 
-    /// Until when the endpoint list is valid; `None` without a limit.
+    /// Sets the time until which the endpoint list is valid, on the agent's clock; `None` means
+    /// without limit.
     pub fn set_list_valid_until(&self, until: Option<Duration>) {
         self.balancer.borrow_mut().set_list_valid_until(until);
     }
 
-    /// The platform reported the status of a rollout.
+    /// Applies a rollout status that the platform reported.
     pub fn update_rollout(&self, status: RolloutStatus) {
         self.counters.rollout_updates.increment();
         let before = self.rollout.replace(Some(status.clone()));
-        if !before.is_some_and(|before| says_the_same(&before, &status)) {
+        if !before.is_some_and(|before| is_same_rollout_state(&before, &status)) {
             self.rollout_revision.set(self.rollout_revision.get() + 1);
         }
         self.balancer.borrow_mut().update_rollout(status);
     }
 
-    /// Whether this build is under evaluation, as far as the rollout status goes.
+    /// Returns whether `build` is under evaluation according to the last rollout status; `false`
+    /// before the first one.
     pub fn is_canary(&self, build: u32) -> bool {
         match self.rollout.borrow().as_ref() {
             Some(rollout) if build == rollout.build => rollout.phase != RolloutPhase::Released,
@@ -196,18 +201,20 @@
         }
     }
 
-    /// The newest build that the platform reported.
+    /// Returns the build of the last rollout status; `None` before the first one.
     pub fn newest_rollout_build(&self) -> Option<u32> {
         self.rollout.borrow().as_ref().map(|rollout| rollout.build)
     }
 
-    /// How often the rollout status has changed: an attempt notes it as it is decided.
+    /// Returns how often the rollout status has changed so far. An attempt records this revision
+    /// when it is decided on.
     pub fn rollout_revision(&self) -> u64 {
         self.rollout_revision.get()
     }
 
-    /// Whether an attempt to `build` that was decided at `revision` still goes by the rollout
-    /// status it was decided on.
+    /// Returns whether the current rollout status still allows an attempt to `build` that was
+    /// decided on at `revision`: either the status is unchanged since, or the build is older than
+    /// the one being rolled out.
     pub fn rollout_allows(&self, build: u32, revision: u64) -> bool {
         if revision == self.rollout_revision.get() {
             return true;
@@ -218,54 +225,55 @@
         }
     }
 
-    /// Puts a cross-zone policy in force.
+    /// Replaces the cross-zone policy.
     pub fn set_cross_zone_policy(&self, policy: CrossZonePolicy) {
         self.balancer.borrow_mut().set_cross_zone_policy(policy);
     }
 
-    /// The capacity of each of so many zones.
+    /// Returns the current capacity of the first `zones` zones, by zone index.
     pub fn zone_capacities(&self, zones: usize) -> Vec<ZoneCapacity> {
         let now = self.clock.now();
         self.balancer.borrow().zone_capacities(now, zones)
     }
 
-    /// Counts of the endpoints of one zone.
+    /// Returns the current counts of the endpoints in one zone.
     pub fn zone_counts(&self, zone: usize) -> ZoneCounts {
         let now = self.clock.now();
         self.balancer.borrow().zone_counts(now, zone)
     }
 
-    /// A client reported an error of an endpoint, `age` ago.
+    /// Records an error of an endpoint that a client reported `age` ago.
     pub fn on_client_reported_error(&self, endpoint: usize, class: usize, age: Duration) {
         self.balancer
             .borrow_mut()
             .on_client_reported_error(self.clock.now(), endpoint, class, age);
     }
 
-    /// The platform reported its counts of a build.
+    /// Applies the counts of a build that the platform reported.
     pub fn on_platform_counts(&self, counts: &PlatformCounts) {
         self.balancer.borrow_mut().on_platform_counts(counts);
     }
 
-    /// The platform replied to a vote, or never will.
+    /// Applies the platform's reply to a vote. Also called when no reply will come.
     pub fn on_vote_reply(&self, reply: VoteReply) {
         self.balancer
             .borrow_mut()
             .on_vote_reply(self.clock.now(), reply);
     }
 
-    /// Advances the balancer to the present; says what is due.
+    /// Advances the balancer to the current time and returns what is due.
     pub fn poll(&self) -> PollResult {
         self.balancer.borrow_mut().poll(self.clock.now())
     }
 
-    /// The indices that active requests count in.
+    /// Returns the indices that active requests still refer to.
     pub fn indices_in_use(&self) -> IndicesInUse {
         self.balancer.borrow().indices_in_use()
     }
 
-    /// From now on these settings decide, with indices as `mapping` says; `moved_zones` are
-    /// endpoints whose zone has another index.
+    /// Replaces the settings. `mapping` maps old indices to new ones; `moved_zones` lists the
+    /// endpoints whose zone index changed, each with its new index. A shadow evaluation continues
+    /// with `alternative` and keeps its counts.
     pub fn reload(
         &self,
         settings: &Settings,
@@ -282,29 +290,31 @@
         }
     }
 
-    /// Requests, endpoints, builds and keys that the balancer keeps.
+    /// Returns the numbers of requests, endpoints, builds and keys that the balancer retains.
     pub fn retained_counts(&self) -> [usize; 4] {
         self.balancer.borrow().retained_counts()
     }
 
-    /// From now on these alternative settings are evaluated beside those in force, or none.
+    /// Starts the shadow evaluation of `alternative` against the settings in force, or stops it
+    /// for `None`.
     pub fn evaluate_alternative(
         &self,
-        present: &Settings,
+        current: &Settings,
         alternative: Option<&AlternativeSettings>,
     ) {
-        *self.shadow.borrow_mut() = alternative.map(|a| ShadowEvaluator::new(present, a));
+        *self.shadow.borrow_mut() = alternative.map(|a| ShadowEvaluator::new(current, a));
         self.shadowed_requests.borrow_mut().clear();
     }
 
-    /// Where the alternative settings would have decided otherwise so far; nothing while none are
-    /// evaluated.
+    /// Returns how often the alternative settings would have decided differently so far; `None`
+    /// while none are evaluated.
     pub fn divergences(&self) -> Option<Divergences> {
         let shadow = self.shadow.borrow();
         shadow.as_ref().map(ShadowEvaluator::divergences)
     }
 
-    /// Counts where the alternative settings would have decided otherwise.
+    /// Passes a decision to the shadow evaluation, which counts where the alternative settings
+    /// would have decided differently.
     fn observe_decision(&self, now: Duration, id: u64, decision: &Decision) {
         let mut shadow = self.shadow.borrow_mut();
         let Some(shadow) = shadow.as_mut() else {
@@ -325,8 +335,8 @@
     }
 }
 
-/// Whether two statuses say the same of a rollout, leaving aside since when.
-fn says_the_same(a: &RolloutStatus, b: &RolloutStatus) -> bool {
+/// Returns whether two statuses describe the same state of a rollout; `since` is not compared.
+fn is_same_rollout_state(a: &RolloutStatus, b: &RolloutStatus) -> bool {
     a.build == b.build
         && a.stage == b.stage
         && a.phase == b.phase
--- a/crates/agent/src/server/admission.rs
+++ b/crates/agent/src/server/admission.rs
@@ -1,4 +1,5 @@
-//! Which statements become requests, and under which indices.
+//! Admission of statements: the checks that turn a statement into a request, and the lookup of the
+//! names it uses.
 
 use crate::agent::Agent;
 use crate::balancer_handle::OpenRequestGuard;
@@ -9,42 +10,42 @@
 use tulipwall::Idempotency;
 use tulipwall_config::ServiceConfig;
 
-/// A statement that came in whole.
+/// A statement that was received completely.
 pub struct ReceivedStatement {
-    /// The statement.
+    /// The parsed statement with the attributes of its request.
     pub statement: Statement,
-    /// When it was whole, on the agent's clock.
+    /// When its last byte arrived, on the agent's clock.
     pub received_at: Duration,
-    /// Whether its client has too many requests behind it.
+    /// Whether too many further requests wait behind it on the client's connection.
     pub over_pipeline_limit: bool,
 }
 
-/// Why a statement does not become a request. Nothing of it was taken.
+/// The reason for which a statement does not become a request. Nothing of it has been executed.
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
-    /// Another request is open under its id.
+    /// Another request with the same id is still open.
     #[error(transparent)]
     RequestStillOpen(StatementError),
     /// Too many requests wait behind it on its connection.
-    #[error("more requests are pipelined than may wait on a connection")]
+    #[error("too many pipelined requests on this connection")]
     OverPipelineLimit,
-    /// Its time outlasts the program's: another agent may serve it.
-    #[error("the agent ends before the request's deadline")]
+    /// The agent terminates before the request's deadline. Another agent may serve the request.
+    #[error("the agent terminates before the request's deadline")]
     Terminating,
 }
 
-/// The indices of a statement's names under one configuration, and the properties of its class.
+/// The indices of the names in a statement under one configuration, and the properties of its class.
 pub struct ResolvedRequest {
-    /// The index of its request class.
+    /// The index of the request class.
     pub class: usize,
-    /// The index of its tenant, where the settings know it.
+    /// The index of the tenant; `None` if the statement names none or the settings do not know it.
     pub tenant: Option<usize>,
-    /// Whether it may be sent again.
+    /// Whether the request may be sent again.
     pub idempotency: Idempotency,
 }
 
 impl ResolvedRequest {
-    /// Looks a statement's names up.
+    /// Looks up the class and the tenant of a statement.
     pub fn resolve(
         config: &ServiceConfig,
         statement: &Statement,
@@ -62,14 +63,16 @@
     }
 }
 
-/// The statement of a query, if it can be a request under these settings.
+/// Parses the text of a query, and checks that its statement can be a request under this
+/// configuration.
 pub fn parse_statement(config: &ServiceConfig, text: &str) -> Result<Statement, ProtocolError> {
     let statement = Statement::parse(text)?;
     resolve_class(config, &statement)?;
     Ok(statement)
 }
 
-/// The class of a statement under these settings.
+/// Returns the index of a statement's class. Fails if the class is unknown, or if it is keyed and the
+/// statement carries no deduplication key.
 fn resolve_class(config: &ServiceConfig, statement: &Statement) -> Result<usize, StatementError> {
     let Some(class) = config.class_index(&statement.class) else {
         return Err(StatementError::UnknownClass(statement.class.clone()));
@@ -80,7 +83,7 @@
     Ok(class)
 }
 
-/// Opens a request, which stays open for as long as the guard lives.
+/// Opens a request, which stays open until the returned guard is dropped.
 pub fn admit<'a>(
     agent: &'a Agent,
     received: &ReceivedStatement,
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection, from its startup message to its end.
+//! A client's connection, from the startup message until it is closed.
 
 use super::input::{read_input, ReadEvent};
 use super::limits::RECEIVE_TIMEOUT;
@@ -14,7 +14,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Serves a client until it leaves, breaks the protocol, or is idle when the agent needs it to go.
+/// Serves a client until it disconnects, violates the protocol, exceeds a timeout, or is closed while
+/// idle because the agent needs its slot or terminates.
 pub async fn serve(agent: Rc<Agent>, client: Connection, _permit: ConnectionPermit) {
     Session::new(&agent, client).run().await;
 }
@@ -23,21 +24,22 @@
 struct Session<'a> {
     agent: &'a Rc<Agent>,
     client: Connection,
-    /// What is to be written next.
+    /// The bytes to write next.
     reply: Vec<u8>,
-    /// Whether the startup is over.
+    /// Whether the startup is complete.
     started: bool,
-    /// When what was begun must be whole: the first request, later each message.
-    due: Option<Duration>,
+    /// When the first request, and later each message that has begun, must be complete; `None` while
+    /// nothing is due.
+    receive_deadline: Option<Duration>,
 }
 
-/// How a connection goes on after a step.
+/// What happens to a connection after a step.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
-    /// It ends once the reply is written.
+    /// The connection is closed once the reply is written.
     Close,
-    /// The client has left.
+    /// The connection is already closed, and no reply is written.
     Closed,
 }
 
@@ -48,7 +50,7 @@
             client,
             reply: Vec::new(),
             started: false,
-            due: Some(agent.clock.now() + RECEIVE_TIMEOUT),
+            receive_deadline: Some(agent.clock.now() + RECEIVE_TIMEOUT),
         }
     }
 
@@ -84,7 +86,7 @@
         match step {
             Step::Reply => {
                 if self.started {
-                    self.due = None;
+                    self.receive_deadline = None;
                 }
                 Flow::Continue
             }
@@ -111,10 +113,10 @@
             }
         }
         if !self.client.receive_buffer.is_empty() {
-            self.due
+            self.receive_deadline
                 .get_or_insert(self.agent.clock.now() + RECEIVE_TIMEOUT);
         }
-        match read_input(self.agent, &mut self.client, self.due).await {
+        match read_input(self.agent, &mut self.client, self.receive_deadline).await {
             ReadEvent::Data => Flow::Continue,
             ReadEvent::Closed => {
                 self.agent.counters.clients_closed.increment();
--- a/crates/agent/src/server/input.rs
+++ b/crates/agent/src/server/input.rs
@@ -1,6 +1,6 @@
-//! Reading from a client, within its time and the memory that there is.
+//! Reading from a client, within its receive timeout and the available memory.
 
-use super::limits::{HOLD_BACK_INTERVAL, IDLE_BUFFER_SHARE, SHORT_RECEIVE_TIMEOUT};
+use super::limits::{IDLE_BUFFER_DIVISOR, MEMORY_CHECK_INTERVAL, SHORT_RECEIVE_TIMEOUT};
 use crate::agent::Agent;
 use crate::lifecycle::phase::IdleClientGuard;
 use crate::protocol::buffer::MemoryReservation;
@@ -10,13 +10,13 @@
 use std::io;
 use std::time::Duration;
 
-/// What came of reading from a client.
+/// The result of reading from a client.
 pub enum ReadEvent {
-    /// Bytes came in.
+    /// Bytes were received.
     Data,
-    /// The client has left, or was asked to while idle.
+    /// The client has disconnected, or the agent closes the connection while it is idle.
     Closed,
-    /// What was due has not come in time.
+    /// The first request or the rest of a message was not received in time.
     TimedOut,
 }
 
@@ -29,47 +29,52 @@
     }
 }
 
-/// Reads on, until `due` where the client owes a first request or the rest of a message. Between
-/// requests the agent may end the connection.
+/// Reads from the client. `receive_deadline` is set while its first request or the rest of a message
+/// is outstanding. Between requests the agent may close the connection.
 pub async fn read_input(
     agent: &Agent,
     client: &mut Connection,
-    due: Option<Duration>,
+    receive_deadline: Option<Duration>,
 ) -> ReadEvent {
     release_idle_buffer(agent, client);
-    let _owing = due.map(|_| agent.lifecycle.register_incomplete_request());
+    let _owing = receive_deadline.map(|_| agent.lifecycle.register_incomplete_request());
     if !client.receive_buffer.is_empty() {
-        return read_rest(agent, client, due).await;
+        return read_remainder(agent, client, receive_deadline).await;
     }
-    let owes_first_request = due.is_some();
+    let owes_first_request = receive_deadline.is_some();
     let idle = agent
         .lifecycle
         .register_idle_client(agent.clock.now(), owes_first_request);
     match idle {
-        Some(idle) => read_while_idle(agent, client, due, idle).await,
+        Some(idle) => read_while_idle(agent, client, receive_deadline, idle).await,
         None => read_before_close(agent, client, owes_first_request).await,
     }
 }
 
-/// Reads the rest of a message. Who holds half a message while memory is short has little time left
-/// for it: all would wait for each other.
-async fn read_rest(agent: &Agent, client: &mut Connection, due: Option<Duration>) -> ReadEvent {
+/// Reads the rest of a message. While memory is short the client gets only a short timeout for it:
+/// otherwise clients that each hold half a message would wait for each other's memory.
+async fn read_remainder(
+    agent: &Agent,
+    client: &mut Connection,
+    receive_deadline: Option<Duration>,
+) -> ReadEvent {
     let memory_is_short = is_memory_short(agent);
     let timeout = async {
-        let due = match due {
+        let receive_deadline = match receive_deadline {
             Some(at) if memory_is_short => Some(at.min(agent.clock.now() + SHORT_RECEIVE_TIMEOUT)),
-            due => due,
+            receive_deadline => receive_deadline,
         };
-        time_out(agent, due).await
+        receive_timeout(agent, receive_deadline).await
     };
     read_when_memory_allows(agent, client).or(timeout).await
 }
 
-/// Reads the next request, unless the agent asks the client to go first.
+/// Reads the next request, unless the agent asks for the idle connection to be closed before it
+/// arrives.
 async fn read_while_idle(
     agent: &Agent,
     client: &mut Connection,
-    due: Option<Duration>,
+    receive_deadline: Option<Duration>,
     mut idle: IdleClientGuard<'_>,
 ) -> ReadEvent {
     let close_requested = async {
@@ -78,10 +83,10 @@
     };
     let event = read_when_memory_allows(agent, client)
         .or(close_requested)
-        .or(time_out(agent, due))
+        .or(receive_timeout(agent, receive_deadline))
         .await;
     match event {
-        // A request that has come meanwhile is still served: closing would lose it.
+        // A request that has arrived meanwhile is still served: closing now would lose it.
         ReadEvent::Closed | ReadEvent::TimedOut if !client.is_open_and_quiet() => {
             client.read_more().await.into()
         }
@@ -89,8 +94,8 @@
     }
 }
 
-/// Reads as the agent ends: it is time to go, but not past a request that has already come, nor
-/// past the first one that is on its way.
+/// Reads while the agent terminates. The connection is closed, but not before a request that has
+/// already arrived is served, nor before a new client's first request has had a short time to arrive.
 async fn read_before_close(
     agent: &Agent,
     client: &mut Connection,
@@ -101,7 +106,7 @@
     } else {
         Duration::ZERO
     };
-    let timeout = async { time_out(agent, Some(agent.clock.now() + grace)).await };
+    let timeout = async { receive_timeout(agent, Some(agent.clock.now() + grace)).await };
     let event = read_when_memory_allows(agent, client).or(timeout).await;
     match event {
         ReadEvent::TimedOut if client.is_open_and_quiet() => ReadEvent::Closed,
@@ -110,17 +115,17 @@
     }
 }
 
-/// Clients are held back while too much is buffered; responses of endpoints keep the rest of the
-/// memory. One that closes its connection is not.
+/// Reads once memory allows: clients are not read while too much is buffered, which leaves the rest
+/// of the memory to the responses of endpoints. A client that closes its connection is read at once.
 async fn read_when_memory_allows(agent: &Agent, client: &mut Connection) -> ReadEvent {
     loop {
         let memory_allows = async {
             while is_memory_short(agent) {
-                Timer::after(HOLD_BACK_INTERVAL).await;
+                Timer::after(MEMORY_CHECK_INTERVAL).await;
             }
         };
         memory_allows.or(client.peer_closed()).await;
-        // Not waited for here: memory that was free before the bytes came may be taken by then.
+        // Polls once instead of waiting: memory that is free now may be in use when the bytes arrive.
         if let Some(read) = future::poll_once(client.read_more()).await {
             return read.into();
         }
@@ -128,10 +133,10 @@
     }
 }
 
-/// Guards against idle clients whose empty buffers hold all others back: those kept add up to half
-/// of what may be buffered at most. Costs an allocation a request while as much is in use.
+/// Prevents the empty buffers of idle clients from using up the memory for all others: they may hold
+/// at most half of what may be buffered. Costs one allocation per request while that much is in use.
 fn release_idle_buffer(agent: &Agent, client: &mut Connection) {
-    if MemoryReservation::total() > agent.limits.max_buffered_bytes() / IDLE_BUFFER_SHARE {
+    if MemoryReservation::total() > agent.limits.max_buffered_bytes() / IDLE_BUFFER_DIVISOR {
         client.receive_buffer.release_if_empty();
     }
 }
@@ -140,9 +145,9 @@
     MemoryReservation::total() > agent.limits.max_buffered_bytes()
 }
 
-/// Ready at `due`; never where nothing is.
-async fn time_out(agent: &Agent, due: Option<Duration>) -> ReadEvent {
-    match due {
+/// Waits until `receive_deadline`, or forever if it is `None`.
+async fn receive_timeout(agent: &Agent, receive_deadline: Option<Duration>) -> ReadEvent {
+    match receive_deadline {
         Some(at) => agent.sleep_until(at).await,
         None => future::pending().await,
     }
--- a/crates/agent/src/server/limits.rs
+++ b/crates/agent/src/server/limits.rs
@@ -1,27 +1,28 @@
-//! What a client may take of time and memory.
+//! Limits on the time and the memory that one client may use.
 
 use std::time::Duration;
 
-/// How long a client may take from its connection to its first whole request, and from the first
-/// byte of a message to its last. Guards against clients that hold a place and send nothing, or half
-/// a message.
+/// The time from a client's connection to its first complete request, and from the first byte of a
+/// message to its last. Prevents clients that send nothing, or half a message, from occupying a slot.
 pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client beyond the limit, or one that connects at the very end, has for its first
-/// request, and one that holds half a message for its rest while memory is short.
+/// The shorter timeout for the first request of a client beyond the client limit or of one that
+/// connects while the agent terminates, and for the rest of a message while memory is short.
 pub const SHORT_RECEIVE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How soon a client that was held back is read again.
-pub const HOLD_BACK_INTERVAL: Duration = Duration::from_millis(5);
-/// Which part of the memory for buffers the empty ones of idle clients may hold.
-pub const IDLE_BUFFER_SHARE: usize = 2;
-/// How long a client may leave its responses unread, without reading any of them. Guards places
-/// and the shutdown against clients that never read; a slow reader goes on making progress.
+/// The interval at which the agent checks again whether memory allows reading from a client.
+pub const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Empty buffers of idle clients may hold the limit on buffered bytes divided by this.
+pub const IDLE_BUFFER_DIVISOR: usize = 2;
+/// The time for which a client may leave its responses unread without reading any byte. Prevents
+/// clients that never read from occupying a slot and from delaying the shutdown. A slow reader makes
+/// progress and is not affected.
 pub const WRITE_PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a client may still write after the last response.
+/// The time for which a client may still write after its last response.
 pub const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many bytes a client may still write after the last response.
+/// The number of bytes that a client may still write after its last response.
 pub const MAX_BYTES_AT_CLOSE: usize = 1024 * 1024;
-/// Requests that may wait behind the one that is served. With more of them it is rejected at once:
-/// responses keep their order, so that one behind it could not be.
+/// The number of requests that may wait behind the one being served. If there are more, the one being
+/// served is rejected at once: responses keep their order, so a later one can't be rejected first.
 pub const MAX_PIPELINED_REQUESTS: usize = 32;
-/// Bytes that a client may write ahead of its responses before it is held back.
+/// The number of bytes that a client may write ahead of its responses before the agent stops reading
+/// from it.
 pub const MAX_BYTES_READ_AHEAD: usize = 16 * 1024;
--- a/crates/agent/src/server/message.rs
+++ b/crates/agent/src/server/message.rs
@@ -1,4 +1,4 @@
-//! A client's messages after its startup.
+//! Handling of a client's messages after the startup.
 
 use super::admission::{admit, parse_statement, ReceivedStatement};
 use super::limits::MAX_PIPELINED_REQUESTS;
@@ -15,14 +15,15 @@
 use futures_lite::future;
 use std::rc::Rc;
 
-/// The tag of a simple query.
+/// The type byte of a simple query.
 pub const QUERY_TAG: u8 = b'Q';
-/// The tag of the message that ends a connection.
+/// The type byte of the message that ends a connection.
 const TERMINATE_TAG: u8 = b'X';
-/// Commands on the session itself. They are answered here: no state is kept for a client.
+/// Commands that change the session's state. The agent confirms them without effect, as it keeps no
+/// session state for a client.
 const SESSION_COMMANDS: [&str; 3] = ["SET", "RESET", "DISCARD"];
 
-/// What a query asks for.
+/// The kinds of queries that the agent distinguishes.
 enum Query {
     Empty,
     SessionCommand(&'static str),
@@ -45,7 +46,8 @@
     }
 }
 
-/// Handles the next message that came in whole; a request is seen to its final response.
+/// Handles the next complete message in the receive buffer. For a request this lasts until its final
+/// response.
 pub async fn handle_message(
     agent: &Rc<Agent>,
     client: &mut Connection,
@@ -67,7 +69,7 @@
     };
     match query {
         Query::Empty => {
-            // This answer tells the load balancer in front that requests may come.
+            // The load balancer in front of the agent takes this response as a sign of readiness.
             agent.lifecycle.wait_for(Phase::Serving).await;
             postgres::write_empty_query(reply);
         }
@@ -89,13 +91,13 @@
     }
     postgres::write_ready(reply);
     if !client.receive_buffer.is_empty() {
-        // Others have their turn, however much this client has written ahead.
+        // Lets other tasks run, however much this client has pipelined.
         future::yield_now().await;
     }
     Ok(Step::Reply)
 }
 
-/// Whether too many requests wait behind the one that came first.
+/// Returns whether too many requests wait behind the first one on this connection.
 fn is_over_pipeline_limit(client: &Connection) -> bool {
     match &client.arrivals {
         Some(arrivals) => arrivals.whole_messages() > MAX_PIPELINED_REQUESTS,
@@ -103,7 +105,7 @@
     }
 }
 
-/// Admits a request and sees it to its final response, which is written into `reply`.
+/// Admits a request, processes it, and writes its final response or its refusal into `reply`.
 async fn respond(
     agent: &Rc<Agent>,
     client: &mut Connection,
--- a/crates/agent/src/server/mod.rs
+++ b/crates/agent/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The clients' side: their connections, and the life of each request.
+//! The server side of the agent: client connections and the processing of their requests.
 //!
-//! A connection ([`connection`]) takes messages one after the other ([`message`]); a statement
-//! becomes a request ([`request`]), which ends with one final response ([`response`]).
+//! A connection ([`connection`]) handles messages one after the other ([`message`]). A statement that
+//! is admitted becomes a request ([`request`]), which ends with one final response ([`response`]).
 
 pub mod admission;
 pub mod connection;
--- a/crates/agent/src/server/output.rs
+++ b/crates/agent/src/server/output.rs
@@ -1,4 +1,4 @@
-//! Writing to a client, and the end of its connection.
+//! Writing to a client, and closing its connection.
 
 use super::limits::{CLOSE_TIMEOUT, MAX_BYTES_AT_CLOSE, WRITE_PROGRESS_TIMEOUT};
 use crate::agent::Agent;
@@ -7,7 +7,7 @@
 use std::io;
 use std::pin::pin;
 
-/// Writes a reply, for as long as some of it is taken in now and then.
+/// Writes a reply, and fails if the client reads none of it for [`WRITE_PROGRESS_TIMEOUT`].
 pub async fn write_reply(agent: &Agent, client: &mut Connection, reply: &[u8]) -> io::Result<()> {
     let traffic = client.traffic.clone();
     let mut writing = pin!(client.write(reply));
@@ -32,8 +32,8 @@
     }
 }
 
-/// Ends a connection so that its last reply arrives: closed with something unread it would be
-/// reset. Whoever writes on and on is reset.
+/// Closes a connection so that its last reply arrives: closing a socket with unread input would reset
+/// the connection and lose the reply. A client that keeps writing beyond the limits is reset.
 pub async fn close_gracefully(agent: &Agent, mut client: Connection) {
     client.shutdown_write();
     client.arrivals = None;
@@ -41,7 +41,7 @@
     discard_input(&mut client).or(timeout).await;
 }
 
-/// Reads and forgets what a client still writes, up to a bound.
+/// Reads and discards what a client still writes, up to [`MAX_BYTES_AT_CLOSE`] bytes.
 async fn discard_input(client: &mut Connection) {
     let mut discarded = 0;
     client.receive_buffer.consume(usize::MAX);
--- a/crates/agent/src/server/overflow.rs
+++ b/crates/agent/src/server/overflow.rs
@@ -1,4 +1,4 @@
-//! Clients for which there is no room.
+//! Handling of clients beyond the client limit.
 
 use super::limits::SHORT_RECEIVE_TIMEOUT;
 use super::message::QUERY_TAG;
@@ -12,8 +12,9 @@
 use futures_lite::FutureExt;
 use std::rc::Rc;
 
-/// Serves a client for which there is no room up to its first request, which is rejected: a retry
-/// is harmless. The connection is not closed before: that request would be taken and lost.
+/// Serves a client beyond the limit up to its first request, which is rejected with an error that
+/// marks a retry as safe. Closing the connection earlier could lose a request that the client has
+/// already sent.
 pub async fn reject_client(agent: Rc<Agent>, mut client: Connection, _permit: ConnectionPermit) {
     let timeout = async {
         agent
@@ -24,7 +25,7 @@
     close_gracefully(&agent, client).await;
 }
 
-/// Handles messages up to the one that is rejected, or to the end of the connection.
+/// Handles messages until one is rejected or the connection ends.
 async fn reject_first_request(client: &mut Connection) {
     let mut reply = Vec::new();
     let mut started = false;
@@ -34,7 +35,7 @@
         } else {
             handle_startup(client, &mut reply)
         };
-        let goes_on = match step {
+        let keep_open = match step {
             Ok(Step::NeedMore) => client.read_more().await.is_ok_and(|count| count > 0),
             Ok(Step::StartupComplete) => {
                 started = true;
@@ -43,14 +44,14 @@
             Ok(Step::Reply) => true,
             Ok(Step::Close) | Err(_) => false,
         };
-        if client.write(&reply).await.is_err() || !goes_on {
+        if client.write(&reply).await.is_err() || !keep_open {
             return;
         }
         reply.clear();
     }
 }
 
-/// Rejects a message, unless it is an empty query.
+/// Rejects a message, unless it is an empty query, which is answered.
 fn reject_message(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
     let Some(message) = postgres::parse_message(client.receive_buffer.unread())? else {
         return Ok(Step::NeedMore);
--- a/crates/agent/src/server/request/events.rs
+++ b/crates/agent/src/server/request/events.rs
@@ -1,4 +1,4 @@
-//! What can happen to a request while it waits.
+//! The events that a request waits for.
 
 use super::in_flight::FinishedAttempt;
 use super::ActiveRequest;
@@ -11,7 +11,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// What happens next to a request.
+/// The next event of a request.
 pub(super) enum RequestEvent {
     AttemptEnded(FinishedAttempt),
     RecheckDue,
@@ -20,9 +20,9 @@
 }
 
 impl ActiveRequest {
-    /// What happens next. Ends come before time-outs: after a stall that is their order. Before
-    /// either comes a client that has left: an attempt's first look at its connection is also its
-    /// first byte.
+    /// Waits for the next event. If several are ready, ended attempts come before timeouts, as that is
+    /// the order in which they occurred if the agent was stalled. A client that has disconnected comes
+    /// before both, because the first poll of an attempt may already write to its connection.
     pub(super) async fn next_event(&mut self, client: &mut Connection) -> RequestEvent {
         let agent = &self.agent;
         let attempts = &mut self.attempts;
@@ -54,8 +54,11 @@
         .await
     }
 
-    /// The next attempt that ends, or whose time is over at `timeout_at`.
-    pub(super) async fn next_end(&mut self, timeout_at: Duration) -> Option<FinishedAttempt> {
+    /// Waits for the next attempt that ends by itself or times out at `timeout_at`.
+    pub(super) async fn next_ended_attempt(
+        &mut self,
+        timeout_at: Duration,
+    ) -> Option<FinishedAttempt> {
         let agent = &self.agent;
         let attempts = &mut self.attempts;
         let mut timer = pin!(Timer::at(agent.clock.to_instant(timeout_at)));
@@ -70,8 +73,9 @@
     }
 }
 
-/// Ready once the client closes its connection, or ends its sending, which look the same.
-/// What it writes ahead is kept, up to a bound, beyond which its end is still seen.
+/// Waits until the client closes its connection or its sending direction, which can't be
+/// distinguished. Pipelined bytes are buffered up to a limit; beyond it nothing is read, but the close
+/// is still detected.
 async fn client_left(client: &mut Connection) {
     while client.receive_buffer.len() <= MAX_BYTES_READ_AHEAD {
         match client.read_more().await {
--- a/crates/agent/src/server/request/forwarding.rs
+++ b/crates/agent/src/server/request/forwarding.rs
@@ -1,4 +1,4 @@
-//! Attempts as the balancer decides on them.
+//! Starting the attempts that the balancer decides on.
 
 use super::in_flight::{InFlightAttempt, PendingResponse};
 use super::ActiveRequest;
@@ -11,13 +11,13 @@
 use tulipwall_zones::AttemptStart;
 
 impl ActiveRequest {
-    /// Begins an attempt; it is driven by `next_event`.
+    /// Starts an attempt, which `next_event` polls from then on.
     pub(super) fn start_attempt(&mut self, endpoint: usize, timeout: Duration) {
-        let sent = self.agent.clock.now();
-        let timeout_at = sent + timeout;
+        let decided_at = self.agent.clock.now();
+        let timeout_at = decided_at + timeout;
         let attempt = match self.agent.endpoints.target(endpoint) {
-            Some(target) => self.forward(target, sent, timeout_at),
-            None => self.attempt_to_missing_endpoint(sent, timeout_at),
+            Some(target) => self.forward(target, decided_at, timeout_at),
+            None => self.attempt_to_missing_endpoint(decided_at, timeout_at),
         };
         self.attempts.push(attempt);
     }
@@ -25,7 +25,7 @@
     fn forward(
         &self,
         target: AttemptTarget,
-        sent: Duration,
+        decided_at: Duration,
         timeout_at: Duration,
     ) -> InFlightAttempt {
         let agent = &self.agent;
@@ -41,7 +41,7 @@
         let config = agent.service_config();
         let reservation = agent
             .zone_traffic
-            .on_attempt(sent, start, |zone| agent.balancer.zone_counts(zone));
+            .on_attempt(decided_at, start, |zone| agent.balancer.zone_counts(zone));
         if target.zone != config.settings.zone {
             agent.apply_cross_zone_policy();
         }
@@ -55,26 +55,31 @@
         };
         let meter = Rc::new(TransferMeter::default());
         InFlightAttempt {
-            sent,
+            decided_at,
             timeout_at,
             class: self.class,
             build: target.build,
             reservation,
-            response: self.drive(plan, meter.clone()),
+            response: self.response_future(plan, meter.clone()),
             meter,
         }
     }
 
-    fn drive(&self, plan: AttemptPlan, meter: Rc<TransferMeter>) -> PendingResponse {
+    fn response_future(&self, plan: AttemptPlan, meter: Rc<TransferMeter>) -> PendingResponse {
         let agent = self.agent.clone();
         let statement = self.statement.clone();
         Box::pin(async move { send_attempt(&agent, &statement, plan, &meter).await })
     }
 
-    /// The endpoint has gone since the balancer was informed of it.
-    fn attempt_to_missing_endpoint(&self, sent: Duration, timeout_at: Duration) -> InFlightAttempt {
+    /// Returns an attempt that ends at once, for an endpoint that has been removed since the balancer
+    /// was informed of it.
+    fn attempt_to_missing_endpoint(
+        &self,
+        decided_at: Duration,
+        timeout_at: Duration,
+    ) -> InFlightAttempt {
         InFlightAttempt {
-            sent,
+            decided_at,
             timeout_at,
             class: self.class,
             build: 0,
@@ -85,7 +90,7 @@
     }
 }
 
-/// Whether a request that may have run must stay in its zone or cell.
+/// Returns whether a request that may have run must stay in its zone or cell.
 fn is_scoped(idempotency: Idempotency) -> bool {
     matches!(
         idempotency,
--- a/crates/agent/src/server/request/in_flight.rs
+++ b/crates/agent/src/server/request/in_flight.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request that are out.
+//! The attempts of one request that are in flight.
 
 use crate::agent::Agent;
 use crate::observability::logging::EVIDENCE;
@@ -12,34 +12,34 @@
 use tulipwall::Outcome;
 use tulipwall_zones::Reservation;
 
-/// The response of an attempt, once there is one.
+/// The future that runs an attempt and returns its response.
 pub type PendingResponse = Pin<Box<dyn Future<Output = AttemptResponse>>>;
 
-/// An attempt that is out.
+/// An attempt that is in flight.
 pub struct InFlightAttempt {
-    /// When it was decided, on the agent's clock.
-    pub sent: Duration,
-    /// When it is given up.
+    /// When the balancer decided on the attempt, on the agent's clock.
+    pub decided_at: Duration,
+    /// When the attempt times out, on the agent's clock.
     pub timeout_at: Duration,
-    /// The class of its request.
+    /// The index of the request's class.
     pub class: usize,
-    /// The build that it goes to.
+    /// The build to which the attempt is sent; 0 if its endpoint has been removed.
     pub build: u32,
-    /// What it transfers.
+    /// Counts the bytes that the attempt transfers.
     pub meter: Rc<TransferMeter>,
-    /// What it may take of the zones' budgets.
+    /// The attempt's share of the zones' budgets; `None` if cross-zone traffic is not accounted for.
     pub reservation: Option<Reservation>,
-    /// Drives it. Dropped, its connection is closed.
+    /// Runs the attempt. Dropping it closes the attempt's connection.
     pub response: PendingResponse,
 }
 
 impl InFlightAttempt {
-    /// It is over: its connection is closed where it still has one, and what it did goes into the
-    /// account of cross-zone traffic. Says when it was sent.
+    /// Ends the attempt: closes its connection if it still has one, and adds the attempt to the
+    /// accounting of cross-zone traffic. Returns when it was decided on.
     fn finish(self, agent: &Agent, outcome: Outcome) -> Duration {
         drop(self.response);
         let now = agent.clock.now();
-        let latency = now.saturating_sub(self.sent);
+        let latency = now.saturating_sub(self.decided_at);
         log::debug!(target: EVIDENCE, "{} attempt class {} build {} {outcome:?} {} us",
             agent.clock.to_unix_ms(now), self.class, self.build, latency.as_micros());
         agent.zone_traffic.on_attempt_end(
@@ -49,49 +49,50 @@
             outcome,
             latency,
         );
-        self.sent
+        self.decided_at
     }
 }
 
-/// An attempt that is over and accounted for; the balancer does not know of it yet.
+/// An attempt that has ended and is accounted for, but not yet reported to the balancer.
 pub struct FinishedAttempt {
-    /// Which of its request's attempts it is.
+    /// The index of the attempt within its request, from 0.
     pub attempt: usize,
-    /// When it was decided.
-    pub sent: Duration,
-    /// How it ended.
+    /// When the balancer decided on the attempt, on the agent's clock.
+    pub decided_at: Duration,
+    /// The outcome and the value, if any.
     pub response: AttemptResponse,
 }
 
-/// All attempts of one request, by their number.
+/// All attempts of one request, by their index.
 #[derive(Default)]
 pub struct InFlightAttempts {
-    attempts: Vec<Option<InFlightAttempt>>, // those that are over are `None`
+    attempts: Vec<Option<InFlightAttempt>>, // `None` for attempts that have ended
 }
 
 impl InFlightAttempts {
-    /// Adds the next attempt.
+    /// Adds the next attempt. Its index is the number of attempts before it.
     pub fn push(&mut self, attempt: InFlightAttempt) {
         self.attempts.push(Some(attempt));
     }
 
-    /// How many attempts there were, also those that are over.
+    /// Returns the number of attempts so far, including those that have ended.
     pub fn count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether any attempt is still out.
+    /// Returns whether any attempt is still in flight.
     pub fn any_in_flight(&self) -> bool {
         self.attempts.iter().any(Option::is_some)
     }
 
-    /// When the first of those that are out is given up.
+    /// Returns when the next attempt in flight times out; `None` if none is in flight.
     pub fn next_timeout(&self) -> Option<Duration> {
         let in_flight = self.attempts.iter().flatten();
         in_flight.map(|attempt| attempt.timeout_at).min()
     }
 
-    /// Those that are out and not yet written whole, so that they can't have run.
+    /// Returns the indices of the attempts in flight that are not fully written, and therefore can't
+    /// have run.
     pub fn not_fully_written(&self) -> Vec<usize> {
         (0..self.attempts.len())
             .filter(|n| match &self.attempts[*n] {
@@ -101,7 +102,8 @@
             .collect()
     }
 
-    /// Closes an attempt's connection; nothing if it is over.
+    /// Ends an attempt with `outcome` and closes its connection. Returns `None` if it has already
+    /// ended.
     pub fn finish(
         &mut self,
         agent: &Agent,
@@ -111,12 +113,12 @@
         let in_flight = self.attempts.get_mut(attempt)?.take()?;
         Some(FinishedAttempt {
             attempt,
-            sent: in_flight.finish(agent, outcome),
+            decided_at: in_flight.finish(agent, outcome),
             response: AttemptResponse::without_value(outcome),
         })
     }
 
-    /// Drives those that are out; the first that has ended.
+    /// Polls the attempts in flight and returns the first that has ended.
     pub fn poll_ended(&mut self, agent: &Agent, cx: &mut Context) -> Option<FinishedAttempt> {
         for (attempt, slot) in self.attempts.iter_mut().enumerate() {
             let Some(in_flight) = slot else {
@@ -128,14 +130,15 @@
             let ended = slot.take()?;
             return Some(FinishedAttempt {
                 attempt,
-                sent: ended.finish(agent, response.outcome),
+                decided_at: ended.finish(agent, response.outcome),
                 response,
             });
         }
         None
     }
 
-    /// Closes the first attempt whose time is over. It never ran if it was not yet written whole.
+    /// Ends the first attempt that has timed out. An attempt that was not fully written counts as
+    /// [`Outcome::ConnectFailed`], as it never ran.
     pub fn expire(&mut self, agent: &Agent, now: Duration) -> Option<FinishedAttempt> {
         let expired = self.attempts.iter().position(|slot| match slot {
             Some(attempt) => attempt.timeout_at <= now,
--- a/crates/agent/src/server/request/mod.rs
+++ b/crates/agent/src/server/request/mod.rs
@@ -1,8 +1,8 @@
-//! The life of one request: read, admit, route, attempt, answer.
+//! The processing of one request, from its admission to its final response.
 //!
-//! A statement is read and admitted by [`super::message`]. Here its names are resolved, the
-//! balancer routes it, attempts go out as it decides (`forwarding`), and what happens to them or
-//! to the client (`events`) leads to the next decision or to the final response.
+//! [`super::message`] reads and admits a statement. This module resolves its names, passes it to the
+//! balancer and starts the attempts that the balancer decides on (`forwarding`). What happens to the
+//! attempts or the client (`events`) leads to the next decision or to the final response.
 
 mod events;
 mod forwarding;
@@ -23,7 +23,7 @@
 use tulipwall::{Decision, Idempotency, Outcome, Request};
 use tulipwall_config::stable_hash;
 
-/// Sees a request that came in whole at `received_at` to its final response.
+/// Processes a request that was completely received at `received_at`, and returns its final response.
 pub async fn handle_request(
     agent: &Rc<Agent>,
     client: &mut Connection,
@@ -31,9 +31,9 @@
     received_at: Duration,
 ) -> FinalResponse {
     agent.endpoints.serving_allowed().await;
-    // Indices are those of the settings in force as the balancer takes the request, and stay its
-    // own to its end. They may have changed while it waited above: nothing ran, and a retry gets
-    // the reason.
+    // Resolved here, as the indices must be those of the settings in force when the balancer accepts
+    // the request; they stay valid until it ends. If the settings changed during the wait above and no
+    // longer allow the statement, nothing has run, and a retry receives the reason.
     let Ok(resolved) = ResolvedRequest::resolve(&agent.service_config(), &statement) else {
         return FinalResponse::Rejected { retry_after: None };
     };
@@ -45,7 +45,7 @@
     response
 }
 
-/// A request that the balancer has taken.
+/// A request that the balancer has accepted.
 struct ActiveRequest {
     agent: Rc<Agent>,
     statement: Rc<Statement>,
@@ -53,16 +53,16 @@
     idempotency: Idempotency,
     received_at: Duration,
     deadline: Duration,
-    /// The balancer's number of it.
+    /// The balancer's number for the request.
     id: u64,
     attempts: InFlightAttempts,
-    /// When the balancer wants to route it again, if it does.
+    /// When to ask the balancer for another decision; `None` if it did not ask for that.
     recheck_at: Option<Duration>,
     may_have_run: bool,
 }
 
 impl ActiveRequest {
-    /// Passes the request to the balancer, which decides where it goes first.
+    /// Passes the request to the balancer and returns it with the first decision.
     fn begin(
         agent: Rc<Agent>,
         statement: Statement,
@@ -97,7 +97,7 @@
         (request, admitted.decision)
     }
 
-    /// Does what the balancer decides, until there is a final response.
+    /// Carries out the balancer's decisions until there is a final response.
     async fn run(&mut self, client: &mut Connection, first: Decision) -> FinalResponse {
         let mut decision = first;
         loop {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells the balancer what happened: its next decision, or the final response.
+    /// Reports an event to the balancer. Returns its next decision, or the final response.
     fn on_event(&mut self, event: RequestEvent) -> ControlFlow<FinalResponse, Decision> {
         match event {
             RequestEvent::AttemptEnded(ended) if ended.response.outcome == Outcome::Succeeded => {
@@ -143,8 +143,8 @@
                 self.agent.balancer.close_request(self.id);
                 ControlFlow::Break(FinalResponse::Abandoned)
             }
-            // A net under the balancer's own time-outs: a response is owed before the deadline,
-            // come what may.
+            // A safeguard in case the balancer's own timeouts fail: the client gets a response by
+            // the deadline in any case.
             RequestEvent::DeadlinePassed => {
                 self.agent.balancer.close_request(self.id);
                 ControlFlow::Break(FinalResponse::Failed)
@@ -152,25 +152,27 @@
         }
     }
 
-    /// Tells the balancer the end of an attempt; `request_closed` once there is a final response.
+    /// Reports the end of an attempt to the balancer. `request_closed` says that the request already
+    /// has its final response.
     fn report(&self, ended: &FinishedAttempt, request_closed: bool) -> Decision {
         let result = AttemptResult {
             attempt: ended.attempt,
-            sent: ended.sent,
+            decided_at: ended.decided_at,
             outcome: ended.response.outcome,
             request_closed,
         };
         self.agent.balancer.on_attempt_end(self.id, result)
     }
 
-    /// Tells the balancer the end of an attempt of a request that needs no more of them.
+    /// Reports the end of an attempt of a request that needs no further attempts.
     fn close_attempt(&mut self, ended: &FinishedAttempt) {
         if let Decision::Cancel { attempt } = self.report(ended, true) {
             self.cancel(attempt, true);
         }
     }
 
-    /// Closes an attempt's connection, before anything else goes out for its request.
+    /// Cancels an attempt by closing its connection, before anything else is sent for its request.
+    /// Returns the balancer's next decision.
     fn cancel(&mut self, attempt: usize, request_closed: bool) -> Decision {
         match self
             .attempts
@@ -190,8 +192,8 @@
             clock.to_unix_ms(now), self.class, response.name(), latency.as_micros(), work.as_micros());
     }
 
-    /// Nothing goes out for the request from now on. What has gone and may not be cancelled ends by
-    /// itself, and the balancer is informed.
+    /// Stops sending for the request. Attempts that are not fully written end here; the others are not
+    /// cancelled but run to their end in a task that reports them to the balancer.
     fn finish(mut self) {
         for attempt in self.attempts.not_fully_written() {
             let ended = self.attempts.finish(&self.agent, attempt, Outcome::NotSent);
@@ -205,10 +207,10 @@
         }
     }
 
-    /// Waits for the attempts of a request that has its final response.
+    /// Waits for the remaining attempts of a request that has its final response.
     async fn drain(mut self) {
         while let Some(timeout_at) = self.attempts.next_timeout() {
-            if let Some(ended) = self.next_end(timeout_at).await {
+            if let Some(ended) = self.next_ended_attempt(timeout_at).await {
                 self.close_attempt(&ended);
             }
         }
--- a/crates/agent/src/server/response.rs
+++ b/crates/agent/src/server/response.rs
@@ -1,28 +1,28 @@
-//! The final response of a request, and how it is written.
+//! The final response of a request, and its encoding.
 
 use super::admission::Refusal;
 use crate::agent::Agent;
 use crate::protocol::postgres;
 use std::time::Duration;
 
-/// How a request ends for its client.
+/// The response with which a request ends for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// The messages of the value, as the endpoint made them.
+    /// The request succeeded. Holds the messages of the value as the endpoint sent them.
     Succeeded(Vec<u8>),
-    /// Nothing ran, and a retry is harmless.
+    /// The request was not executed, and a retry is safe.
     Rejected {
-        /// After how long to retry, where the balancer names a time.
+        /// The time after which to retry; `None` if the balancer gives none.
         retry_after: Option<Duration>,
     },
-    /// It may have run.
+    /// The request failed, and may have been executed.
     Failed,
-    /// Nothing: the client has left.
+    /// The client has disconnected, and no response is written.
     Abandoned,
 }
 
 impl FinalResponse {
-    /// Its name in the evidence log.
+    /// Returns the name of the response in the evidence log.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Succeeded(_) => "Succeeded",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Writes and counts a final response.
+/// Writes a final response into `reply` and counts it.
 pub fn write_final_response(agent: &Agent, reply: &mut Vec<u8>, response: FinalResponse) {
     let counters = &agent.counters;
     match response {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Writes and counts the refusal of a statement.
+/// Writes the refusal of a statement into `reply` and counts it.
 pub fn write_refusal(agent: &Agent, reply: &mut Vec<u8>, refusal: &Refusal) {
     let counters = &agent.counters;
     match refusal {
--- a/crates/agent/src/server/startup.rs
+++ b/crates/agent/src/server/startup.rs
@@ -1,25 +1,26 @@
-//! The steps of a connection, and the first of them: its startup.
+//! The startup of a client connection, and the steps in which a connection's input is handled.
 
 use crate::protocol::connection::Connection;
 use crate::protocol::postgres::{self, ClientOpening};
 use crate::protocol::ProtocolError;
 
-/// The answer to a client that asks for encryption: there is none.
+/// The response to a request for encryption, which the agent does not support.
 const ENCRYPTION_REFUSED: u8 = b'N';
 
-/// What a connection does after some of its input was handled.
+/// What to do on a connection after some of its input was handled.
 pub enum Step {
-    /// The reply is written, and the connection goes on.
+    /// Write the reply and continue.
     Reply,
-    /// The same, and the startup is over.
+    /// Write the reply and continue; the startup is complete.
     StartupComplete,
-    /// What came in so far is not whole.
+    /// Read more: the input does not hold a complete message yet.
     NeedMore,
-    /// The reply is written, and the connection ends.
+    /// Write the reply and close the connection.
     Close,
 }
 
-/// Handles what a client opens its connection with.
+/// Handles a message of the startup phase: the startup message itself, or a request for encryption or
+/// cancellation.
 pub fn handle_startup(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
     let Some((opening, length)) = postgres::parse_opening(client.receive_buffer.unread())? else {
         return Ok(Step::NeedMore);
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a connection, the statement written, the response read.
+//! One attempt: obtains a connection, writes the statement and reads the response.
 
 use crate::agent::Agent;
 use crate::protocol::postgres::{self, QueryOutcome, ResponseReader};
@@ -12,32 +12,32 @@
 use tulipwall_discovery::endpoint_table::{AttemptTarget, IndexGuard};
 use tulipwall_zones::ResponseFault;
 
-/// What was decided, and what it was decided on.
+/// The balancer's decision to send an attempt, and the state on which it is based.
 pub struct AttemptPlan {
-    /// The balancer's number of its request.
+    /// The balancer's number for the request.
     pub request_id: u64,
-    /// Which of that request's attempts it is.
+    /// The index of the attempt within its request, from 0.
     pub attempt: usize,
-    /// Where it goes.
+    /// The endpoint, with the address and the build at the time of the decision.
     pub target: AttemptTarget,
-    /// The revision of the rollout status that it was decided on.
+    /// The revision of the rollout status at the time of the decision.
     pub rollout_revision: u64,
-    /// When it is given up, on the agent's clock.
+    /// When the attempt times out, on the agent's clock.
     pub timeout_at: Duration,
-    /// Keeps the endpoint's index until the attempt is over.
+    /// Prevents the endpoint's index from being reassigned until the attempt has ended.
     pub retained_index: Option<IndexGuard>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt, with the endpoint's value.
 pub struct AttemptResponse {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The messages of the value, where there is one.
+    /// The messages of the value, as the endpoint sent them; empty if there is none.
     pub value: Vec<u8>,
 }
 
 impl AttemptResponse {
-    /// An end that brought no value.
+    /// Creates a response without a value.
     pub fn without_value(outcome: Outcome) -> AttemptResponse {
         AttemptResponse {
             outcome,
@@ -46,8 +46,9 @@
     }
 }
 
-/// Runs one attempt to its end. `meter` tells once all of it went out, and what went over its
-/// sockets. Dropping the future closes its connection, which cancels the attempt.
+/// Runs one attempt to its end. `meter` records when the statement is fully written, and the bytes
+/// transferred over the attempt's sockets. Dropping the future closes its connection, which cancels
+/// the attempt.
 pub async fn send_attempt(
     agent: &Agent,
     statement: &Statement,
@@ -68,8 +69,8 @@
         Ok(()) => release(agent, plan.target, pooled),
         Err(error) => {
             let begun = response.has_begun() || !pooled.connection.receive_buffer.is_empty();
-            let lost_within = begun && outcome == Outcome::ConnectionLost;
-            record_fault(agent, plan.target, meter, &error, lost_within);
+            let interrupted = begun && outcome == Outcome::ConnectionLost;
+            record_fault(agent, plan.target, meter, &error, interrupted);
         }
     }
     AttemptResponse {
@@ -78,13 +79,14 @@
     }
 }
 
-/// Where a connection comes from.
+/// The origin of a connection.
 enum ConnectionSource {
     Pool,
     New,
 }
 
-/// Writes the statement on a connection, idle or new; the outcome where that can't be.
+/// Writes the statement to a pooled or a new connection. Fails with the attempt's outcome if that is
+/// not possible.
 async fn write_statement(
     agent: &Agent,
     statement: &Statement,
@@ -113,8 +115,8 @@
                 agent.counters.connections_opened.increment();
                 return Ok(pooled);
             }
-            // The endpoint closed it as the request went out: not all of it was written, so it
-            // never ran.
+            // The endpoint closed the connection during the write: the statement was not fully
+            // written, so it never ran, and another connection is tried.
             (Err(_), ConnectionSource::Pool) => agent.counters.connections_found_closed.increment(),
             (Err(_), ConnectionSource::New) => return Err(Outcome::ConnectFailed),
         }
@@ -132,8 +134,8 @@
     Ok((pooled, ConnectionSource::New))
 }
 
-/// An attempt may have waited for its connection: nothing goes out that would be decided otherwise
-/// by now.
+/// Returns whether the attempt may still be sent. It may have waited for its connection, and the
+/// decision may no longer hold.
 fn is_still_allowed(agent: &Agent, plan: &AttemptPlan) -> bool {
     let balancer = &agent.balancer;
     agent.endpoints.is_current(plan.target)
@@ -141,7 +143,8 @@
         && balancer.attempt_allowed(plan.request_id, plan.attempt)
 }
 
-/// Passes the load on that the endpoint reported, while the endpoint is the same.
+/// Passes the load that the endpoint reported to the balancer, unless the endpoint has changed
+/// meanwhile.
 fn report_load(agent: &Agent, target: AttemptTarget, response: &ResponseReader) {
     let Some(load) = response.reported_load else {
         return;
@@ -151,7 +154,8 @@
     }
 }
 
-/// A response that is not whole proves nothing, not even that the request never ran.
+/// Returns the outcome of an attempt whose statement was fully written. An incomplete or malformed
+/// response proves nothing, not even that the request never ran.
 fn outcome(end: &Result<(), ResponseError>, response: &ResponseReader) -> Outcome {
     if let Err(ResponseError::Malformed(_) | ResponseError::Truncated) = end {
         return Outcome::ConnectionLost;
@@ -164,8 +168,8 @@
     }
 }
 
-/// Keeps a connection that is ready for the next query. What comes behind a response belongs to
-/// nobody, and would be taken for the next request's: such a connection is closed.
+/// Returns a connection that is ready for the next query to the pool. If it holds bytes after the
+/// response, it is closed: they would be taken for the response to the next request.
 fn release(agent: &Agent, target: AttemptTarget, mut pooled: PooledConnection) {
     if pooled.connection.receive_buffer.is_empty() {
         pooled.on_response(agent.clock.now());
@@ -175,13 +179,14 @@
     }
 }
 
-/// Notes what was wrong with a response; `lost_within` if the connection ended before it was whole.
+/// Records the fault of a response. `interrupted` says that the connection ended after the response
+/// had begun and before it was complete.
 fn record_fault(
     agent: &Agent,
     target: AttemptTarget,
     meter: &TransferMeter,
     error: &ResponseError,
-    lost_within: bool,
+    interrupted: bool,
 ) {
     match error {
         ResponseError::Malformed(error) => {
@@ -194,7 +199,7 @@
             meter.set_fault(ResponseFault::Truncated);
             agent.counters.responses_malformed.increment();
         }
-        ResponseError::ConnectionEnded if lost_within => {
+        ResponseError::ConnectionEnded if interrupted => {
             meter.set_fault(ResponseFault::Truncated);
         }
         ResponseError::ConnectionEnded => {}
