--- a/crates/agent/src/agent/control_state.rs
+++ b/crates/agent/src/agent/control_state.rs
@@ -9,8 +9,8 @@
 
 /// State shared with the control tasks.
 ///
-/// A configuration reload writes the addresses; the balancer's poll writes the watch request and the
-/// pending vote. The discovery watch and the platform session read them.
+/// A configuration reload writes the addresses; the balancer's poll writes the watch request and
+/// the pending vote. The discovery watch and the platform session read them.
 pub struct ControlState {
     /// The address of the discovery service.
     pub discovery: PeerAddress<SocketAddr>,
--- a/crates/agent/src/agent/endpoint_directory.rs
+++ b/crates/agent/src/agent/endpoint_directory.rs
@@ -11,8 +11,8 @@
 
 /// The endpoint list as discovery last reported it.
 ///
-/// The discovery watch writes it, and so does a configuration reload that changes zone indices; every
-/// attempt reads it.
+/// The discovery watch writes it, and so does a configuration reload that changes zone indices;
+/// every attempt reads it.
 #[derive(Default)]
 pub struct EndpointDirectory {
     list: RefCell<EndpointTable>,
@@ -63,7 +63,8 @@
         self.list.borrow_mut().update_zones(config)
     }
 
-    /// Allows requests to be served: discovery has responded, or the wait for it at startup is over.
+    /// Allows requests to be served: discovery has responded, or the wait for it at startup is
+    /// over.
     pub fn allow_serving(&self) {
         if !self.serving_allowed.replace(true) {
             self.serving_changed.notify(usize::MAX);
@@ -71,8 +72,8 @@
     }
 
     /// Waits until requests may be served with the known list. Whether that list is still valid is
-    /// checked by the balancer. Prevents a new process that was given an old list from serving with it
-    /// before discovery has had time to respond.
+    /// checked by the balancer. Prevents a new process that was given an old list from serving with
+    /// it before discovery has had time to respond.
     pub async fn serving_allowed(&self) {
         while !self.serving_allowed.get() {
             self.serving_changed.listen().await;
@@ -128,8 +129,8 @@
         self.list.borrow().id(endpoint).to_owned()
     }
 
-    /// Prevents an endpoint's index from being assigned to another endpoint until the returned guard
-    /// is dropped.
+    /// Prevents an endpoint's index from being assigned to another endpoint until the returned
+    /// guard is dropped.
     pub fn retain_index(&self, endpoint: usize) -> Option<IndexGuard> {
         self.list.borrow().hold_index(endpoint)
     }
--- a/crates/agent/src/agent/limits.rs
+++ b/crates/agent/src/agent/limits.rs
@@ -8,22 +8,23 @@
 const BUFFER_DIVISOR: usize = 4;
 /// Of the memory that the process and its connections leave unused, one part in this many may be
 /// buffered. A counted byte costs the process more than one byte: a growing buffer is copied, the
-/// allocator keeps freed memory for a second, and it takes memory from the kernel in pages of 2 MiB.
+/// allocator keeps freed memory for a second, and it takes memory from the kernel in pages of 2
+/// MiB.
 const UNUSED_MEMORY_DIVISOR: usize = 3;
 /// The memory of a client connection without its buffers: 3.1 KB for its task and socket, and 6 KB
 /// more while one of its requests is open at an endpoint, which is not the case for all at once.
 const CLIENT_STATE_BYTES: usize = 8 * 1024;
-/// The number of bytes that may be buffered under any memory limit: enough for a few messages of the
-/// maximum length with their copies. Prevents a low limit from stopping all reads from clients. Does
-/// harm where the limit is enforced from outside, as the process then exceeds it.
+/// The number of bytes that may be buffered under any memory limit: enough for a few messages of
+/// the maximum length with their copies. Prevents a low limit from stopping all reads from clients.
+/// Does harm where the limit is enforced from outside, as the process then exceeds it.
 pub const MIN_BUFFERED_BYTES: usize = 1024 * 1024;
 
 const BYTES_PER_MIB: usize = 1024 * 1024;
 /// The lowest memory limit in bytes under which the kernel may use huge pages.
 ///
 /// Keeps the process within lower limits: a page of 2 MiB stays allocated for a few bytes in use,
-/// which took 4 to 6 MB more than was allocated. Under lower limits it does harm, as more and smaller
-/// pages have to be looked up.
+/// which took 4 to 6 MB more than was allocated. Under lower limits it does harm, as more and
+/// smaller pages have to be looked up.
 const MIN_LIMIT_FOR_HUGE_PAGES: usize = 64 * BYTES_PER_MIB;
 
 /// Returns whether a memory limit, in bytes, leaves room for huge pages.
@@ -47,8 +48,8 @@
 
 /// Limits on sockets and memory.
 ///
-/// Startup and a configuration reload write them; the listener, client connections and attempts read
-/// them.
+/// Startup and a configuration reload write them; the listener, client connections and attempts
+/// read them.
 pub struct ResourceLimits {
     /// The limits on sockets, and the permits that are held.
     pub connections: ConnectionLimits,
--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -33,8 +33,9 @@
 use tulipwall_discovery::list_response::ListResponse;
 use tulipwall_zones::DisplayNames;
 
-/// The shared state of one agent. Each field owns its state and documents, here or on its type, which
-/// tasks write and read it. The methods of this struct are the operations that involve several fields.
+/// The shared state of one agent. Each field owns its state and documents, here or on its type,
+/// which tasks write and read it. The methods of this struct are the operations that involve
+/// several fields.
 pub struct Agent {
     /// The clock to which all times of the agent refer. Every task reads it.
     pub clock: Rc<Clock>,
@@ -63,8 +64,8 @@
     pub executors: Executors,
 }
 
-/// The addresses that only a restart can change. They are written at startup only; the listener and a
-/// reload read them.
+/// The addresses that only a restart can change. They are written at startup only; the listener and
+/// a reload read them.
 pub struct StartAddresses {
     /// The address on which the agent accepts clients.
     pub listen: SocketAddr,
@@ -137,8 +138,8 @@
         log::debug!(target: EVIDENCE, "{wall} classes {objectives:?}");
     }
 
-    /// Returns the service configuration in force. The indices of active requests stay valid in every
-    /// later configuration.
+    /// Returns the service configuration in force. The indices of active requests stay valid in
+    /// every later configuration.
     pub fn service_config(&self) -> Rc<ServiceConfig> {
         self.config.service()
     }
--- a/crates/agent/src/agent/reload.rs
+++ b/crates/agent/src/agent/reload.rs
@@ -47,10 +47,10 @@
 }
 
 impl Agent {
-    /// Applies a new configuration, all of it or nothing. Changes that need a restart are logged and
-    /// not applied. If the address of discovery or of the platform changed, its task reconnects. The
-    /// endpoint list and the rollout status in the file are ignored, as they are no newer than what
-    /// these services report.
+    /// Applies a new configuration, all of it or nothing. Changes that need a restart are logged
+    /// and not applied. If the address of discovery or of the platform changed, its task
+    /// reconnects. The endpoint list and the rollout status in the file are ignored, as they are no
+    /// newer than what these services report.
     pub fn reload(&self, start: StartupConfig) {
         let before = self.service_config();
         let applied = self.apply_decision_config(DecisionConfig {
@@ -109,8 +109,8 @@
     }
 
     /// Applies settings, installation and alternative settings, and returns what changed. Active
-    /// requests and everything learned so far are kept. Nothing is changed if the installation refers
-    /// to a name that the settings do not define.
+    /// requests and everything learned so far are kept. Nothing is changed if the installation
+    /// refers to a name that the settings do not define.
     fn apply_decision_config(
         &self,
         new: DecisionConfig,
--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -11,8 +11,8 @@
 
 /// Shared access to the balancer, its clock and the shadow evaluation.
 ///
-/// Client connections (requests and ends of attempts) and the control tasks (endpoint list, rollout,
-/// votes) write to it; the same tasks and the admin endpoint read it.
+/// Client connections (requests and ends of attempts) and the control tasks (endpoint list,
+/// rollout, votes) write to it; the same tasks and the admin endpoint read it.
 pub struct BalancerHandle {
     balancer: RefCell<Balancer>,
     clock: Rc<Clock>,
@@ -22,7 +22,7 @@
     rollout: RefCell<Option<RolloutStatus>>,
     rollout_revision: Cell<u64>, // number of changes of the rollout status so far
     shadow: RefCell<Option<ShadowEvaluator>>,
-    shadowed_requests: RefCell<HashMap<u64, ShadowedRequest>>, // active requests, by id; only while `shadow` is set
+    shadowed_requests: RefCell<HashMap<u64, ShadowedRequest>>, // by id; empty without a shadow
 }
 
 /// The properties of an active request that the shadow evaluation needs.
--- a/crates/agent/src/protocol/arrivals.rs
+++ b/crates/agent/src/protocol/arrivals.rs
@@ -1,21 +1,22 @@
-//! When each message in a receive buffer became whole.
+//! The arrival times of the messages in a receive buffer.
 
 use super::postgres;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// The arrival time of each whole unread message, the first message's first.
+/// The arrival time of each complete unread message, in the order of the messages.
 ///
 /// A pipelined request's deadline counts from its own arrival, not from that of later bytes.
 #[derive(Default)]
 pub struct ArrivalTracker {
-    /// Bytes at the start of the unread data that hold the whole messages noted so far.
+    /// The number of bytes at the start of the unread data that hold the messages recorded so far.
     scanned_bytes: usize,
     arrival_times: VecDeque<Instant>,
 }
 
 impl ArrivalTracker {
-    /// Notes the messages that have become whole at `now` in all unread bytes.
+    /// Records `now` for the messages that became complete since the last call. `unread` holds all
+    /// unread bytes.
     pub fn on_data(&mut self, unread: &[u8], now: Instant) {
         while let Some(Ok(Some(message))) = unread
             .get(self.scanned_bytes..)
@@ -26,14 +27,15 @@
         }
     }
 
-    /// Forgets the first message, of `length` bytes, and returns when it had become whole.
+    /// Removes the first message, of `length` bytes, and returns when it became complete; `None` if
+    /// it was not recorded.
     pub fn on_consumed(&mut self, length: usize) -> Option<Instant> {
         self.scanned_bytes = self.scanned_bytes.saturating_sub(length);
         self.arrival_times.pop_front()
     }
 
-    /// The number of whole unread messages.
-    pub fn whole_messages(&self) -> usize {
+    /// Returns the number of complete unread messages.
+    pub fn complete_messages(&self) -> usize {
         self.arrival_times.len()
     }
 }
--- a/crates/agent/src/protocol/buffer.rs
+++ b/crates/agent/src/protocol/buffer.rs
@@ -1,5 +1,5 @@
 //! The receive buffer of a connection. It grows on demand and is compacted in place. All buffered
-//! bytes of the process are counted, so that readers can be held back while memory is short.
+//! bytes of the process are counted, so that reading can be suspended while memory is short.
 
 use std::cell::Cell;
 
@@ -7,12 +7,12 @@
     static RESERVED_BYTES: Cell<usize> = const { Cell::new(0) };
 }
 
-/// Bytes that count as buffered until this is dropped.
+/// A number of bytes that count as buffered until the reservation is dropped.
 #[derive(Debug, Default, PartialEq)]
 pub struct MemoryReservation(usize);
 
 impl MemoryReservation {
-    /// Reserves `bytes`; this never fails.
+    /// Reserves a number of bytes. This never fails, also beyond any limit.
     pub fn new(bytes: usize) -> MemoryReservation {
         let mut reservation = MemoryReservation(0);
         reservation.resize(bytes);
@@ -24,7 +24,7 @@
         self.0 = bytes;
     }
 
-    /// The bytes of all reservations of this thread.
+    /// Returns the total number of bytes in all reservations of this thread.
     pub fn total() -> usize {
         RESERVED_BYTES.get()
     }
@@ -36,12 +36,12 @@
     }
 }
 
-/// The least free space that is offered to a read, in bytes.
+/// The minimum free space for a read, in bytes.
 const MIN_READ_SPACE: usize = 4096;
-/// An empty buffer with a larger capacity than this many bytes releases its memory.
+/// A buffer that becomes empty releases its memory if its capacity exceeds this number of bytes.
 pub const MAX_RETAINED_CAPACITY: usize = 16 * 1024;
 
-/// Received bytes that were not consumed yet.
+/// A buffer of the bytes that were received and not yet consumed.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -51,22 +51,22 @@
 }
 
 impl Buffer {
-    /// The bytes received and not consumed.
+    /// Returns the bytes that were received and not yet consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Whether all received bytes were consumed.
+    /// Returns whether all received bytes were consumed.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// The number of unread bytes.
+    /// Returns the number of unread bytes.
     pub fn len(&self) -> usize {
         self.end - self.start
     }
 
-    /// Drops the first `count` unread bytes, or all where there are fewer.
+    /// Removes the first `count` unread bytes, or all if there are fewer.
     pub fn consume(&mut self, count: usize) {
         self.start = self.start.saturating_add(count).min(self.end);
         if self.is_empty() {
@@ -79,18 +79,20 @@
         }
     }
 
-    /// Releases the memory of an empty buffer.
+    /// Releases the buffer's memory if it holds no unread bytes.
     pub fn release_if_empty(&mut self) {
         if self.is_empty() {
             *self = Buffer::default();
         }
     }
 
-    /// Makes space for `length` unread bytes in one step, once a read's worth of them is there.
+    /// Grows the buffer to hold `length` unread bytes in one step, once it holds at least as many
+    /// as the minimum space for a read.
     ///
-    /// Guards against a process that outgrows its limit: a buffer that doubles leaves a freed block
-    /// of each size on its way, which the allocator keeps for a second and nothing counts. Does harm
-    /// where a client sends that much and never the rest: all of it counts until its time is over.
+    /// Prevents the process from exceeding its memory limit: a buffer that grows by doubling frees
+    /// a block of each size, which the allocator keeps for a second and which is not counted. Does
+    /// harm where a client sends the first bytes of a message and never the rest: the whole
+    /// capacity counts until the client's receive timeout.
     pub fn reserve(&mut self, length: usize) {
         let capacity = length + MIN_READ_SPACE;
         if self.len() < MIN_READ_SPACE || self.bytes.len() >= capacity {
@@ -105,7 +107,7 @@
         self.reservation.resize(capacity);
     }
 
-    /// Appends what `read` writes into the free space; `read` returns how many bytes that were.
+    /// Appends the bytes that `read` writes into the free space. `read` returns their number.
     pub fn fill<E>(
         &mut self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
--- a/crates/agent/src/protocol/connection.rs
+++ b/crates/agent/src/protocol/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection with its receive buffer.
+//! Non-blocking TCP connections with a receive buffer.
 
 use super::arrivals::ArrivalTracker;
 use super::buffer::Buffer;
@@ -12,7 +12,8 @@
 
 const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 
-/// Bytes that went over one connection, and those of them that were accounted for.
+/// The numbers of bytes that were transferred over one connection, and of those already accounted
+/// for.
 #[derive(Default)]
 pub struct SocketTraffic {
     written: Cell<u64>,
@@ -22,12 +23,12 @@
 }
 
 impl SocketTraffic {
-    /// All bytes written so far.
+    /// Returns the number of bytes written so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Bytes written and read since the last call of this.
+    /// Returns the numbers of bytes written and read since the last call of this method.
     pub fn take_uncharged(&self) -> (u64, u64) {
         let written = self.written.get();
         let read = self.read.get();
@@ -48,18 +49,19 @@
 /// A non-blocking TCP connection.
 pub struct Connection {
     source: Source<TcpStream>,
-    /// What was received and not consumed yet.
+    /// The bytes that were received and not yet consumed.
     pub receive_buffer: Buffer,
-    /// The bytes that went over it.
+    /// The numbers of bytes transferred over the connection.
     pub traffic: Rc<SocketTraffic>,
-    /// When each unread message became whole, where that is tracked.
+    /// When each unread message became complete; `None` unless [`Connection::track_arrivals`] was
+    /// called.
     pub arrivals: Option<ArrivalTracker>,
 }
 
 impl Connection {
     fn new(stream: TcpStream) -> io::Result<Connection> {
-        // A response must not wait for more data to fill a segment; a socket that cannot do this
-        // still works.
+        // Without TCP_NODELAY, a response could wait for more data to fill a segment. A failure is
+        // ignored, as the socket works without the option.
         let _ = stream.set_nodelay(true);
         Ok(Connection {
             source: Source::new(stream)?,
@@ -89,14 +91,15 @@
         Ok(connection)
     }
 
-    /// The next client that has connected; fails with `WouldBlock` where there is none.
+    /// Accepts the next client. Fails with `WouldBlock` if none is waiting.
     pub fn accept(listener: &TcpListener) -> io::Result<Connection> {
         let socket = rustix::net::accept_with(listener, SOCKET_FLAGS)?;
         Connection::new(TcpStream::from(socket))
     }
 
-    /// Reads what is there, at least a byte, and returns how much; 0 at the end. Nothing is lost
-    /// when the future is dropped before it is ready.
+    /// Reads the available bytes into the receive buffer, waiting for at least one, and returns
+    /// their number; 0 at the end of the stream. Nothing is lost if the future is dropped before it
+    /// is ready.
     pub async fn read_more(&mut self) -> io::Result<usize> {
         let Connection {
             source,
@@ -110,7 +113,7 @@
         };
         let received = source.read(|| receive_buffer.fill(read)).await;
         if let Ok(length) = received {
-            // Less than there was space for: the socket is empty, the next read would block.
+            // The read did not fill the space: the socket is empty, and the next read would block.
             if length < offered_space.get() {
                 source.clear_read_readiness();
             }
@@ -122,7 +125,7 @@
         received
     }
 
-    /// Ready once there may be something to read.
+    /// Waits until there may be something to read.
     pub async fn readable(&self) {
         self.source.readable().await;
     }
@@ -130,7 +133,7 @@
     /// Writes all of `bytes`.
     pub async fn write(&mut self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
-            // Mostly there is space in the socket: it is tried before it is waited for.
+            // The socket buffer usually has space, so a write is tried before waiting.
             let written = match self.source.get().write(bytes) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.source.write(|| self.source.get().write(bytes)).await?
@@ -144,31 +147,33 @@
         Ok(())
     }
 
-    /// From now on [`Connection::arrivals`] is kept.
+    /// Starts to record arrival times in [`Connection::arrivals`]. Messages that were already
+    /// received count as arriving now.
     pub fn track_arrivals(&mut self) {
         let mut arrivals = ArrivalTracker::default();
         arrivals.on_data(self.receive_buffer.unread(), Instant::now());
         self.arrivals = Some(arrivals);
     }
 
-    /// Drops the first message, of `length` bytes, and returns when it became whole, where that is
-    /// tracked.
+    /// Removes the first message, of `length` bytes, and returns when it became complete; `None` if
+    /// arrival times are not recorded.
     pub fn consume(&mut self, length: usize) -> Option<Instant> {
         self.receive_buffer.consume(length);
         self.arrivals.as_mut()?.on_consumed(length)
     }
 
-    /// Ready once the peer has closed its sending direction, or all of the connection.
+    /// Waits until the peer has closed its sending direction or the whole connection.
     pub async fn peer_closed(&self) {
         self.source.peer_closed().await;
     }
 
-    /// Closes the sending direction.
+    /// Closes the sending direction. Errors are ignored.
     pub fn shutdown_write(&self) {
         let _ = self.source.get().shutdown(Shutdown::Write);
     }
 
-    /// Whether it is open with nothing to read: what an idle connection should be.
+    /// Returns whether the connection is open and there is nothing to read, as is expected of an
+    /// idle connection.
     pub fn is_open_and_quiet(&self) -> bool {
         let peeked = self.source.get().peek(&mut [0]);
         let would_block = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
@@ -179,7 +184,8 @@
     }
 }
 
-/// Whether a connection in progress is established; `WouldBlock` while that is not known.
+/// Checks whether a connection in progress is established. Fails with `WouldBlock` while that is
+/// not known.
 fn check_connected(stream: &TcpStream) -> io::Result<()> {
     if let Some(error) = stream.take_error()? {
         return Err(error);
--- a/crates/agent/src/protocol/http.rs
+++ b/crates/agent/src/protocol/http.rs
@@ -1,35 +1,36 @@
-//! HTTP/1.1 as spoken with the discovery service: a GET request, and a response with its body.
+//! The subset of HTTP/1.1 for the discovery service: a GET request, and a response with its body.
 
 use super::error::HttpError;
 use super::limits::MAX_BODY_LENGTH;
 use super::ProtocolError;
 
-/// The longest head of a response that is read, in bytes.
+/// The maximum length of a response head, in bytes.
 pub const MAX_HEAD_LENGTH: usize = 16 * 1024;
-/// The longest size line of a chunk that is read, in bytes.
+/// The maximum length of a chunk's size line, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 1024;
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 const END_OF_LINE: &[u8] = b"\r\n";
 
-/// A GET request for `path`.
+/// Returns a GET request for `path` as it is written to the connection.
 pub fn get_request(host: &str, path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-/// A whole response.
+/// A complete response.
 #[derive(Debug, PartialEq)]
 pub struct HttpResponse {
-    /// The status code.
+    /// The status code, from 100 to 599.
     pub status: u16,
     /// The body, without chunk framing.
     pub body: Vec<u8>,
-    /// Whether the connection ends with this response.
+    /// Whether the server closes the connection after this response.
     pub closes_connection: bool,
-    /// The bytes of the response with its head.
+    /// The length of the response in bytes, with its head and its framing.
     pub length: usize,
 }
 
-/// How the body of a response is delimited, and whether the connection goes on behind it.
+/// The head of a response: how the body is delimited, and whether the connection is closed after
+/// it.
 struct Head {
     status: u16,
     content_length: Option<usize>,
@@ -37,7 +38,8 @@
     closes_connection: bool,
 }
 
-/// Parses one response; `None` while it is not whole. `ended` says that no more bytes will come.
+/// Parses one response. Returns `None` while it is incomplete. `ended` says that the server has
+/// closed the connection, so that no more bytes will arrive.
 pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<HttpResponse>, ProtocolError> {
     Ok(try_parse_response(bytes, ended)?)
 }
@@ -75,7 +77,8 @@
     }))
 }
 
-/// The length of the head without the empty line behind it; `None` while that has not come.
+/// Returns the length of the head without the empty line that ends it; `None` while that line has
+/// not been received.
 fn find_end_of_head(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
     let end = bytes
         .windows(END_OF_HEAD.len())
@@ -131,7 +134,7 @@
     }
 }
 
-/// The body and the bytes it takes with its framing; `None` while it is not whole.
+/// Returns the body and its length in bytes with the framing; `None` while it is incomplete.
 fn parse_chunked_body(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     let mut body = Vec::new();
     let mut rest = bytes;
@@ -167,7 +170,7 @@
     }
 }
 
-/// The size of a chunk; extensions behind it are skipped.
+/// Parses the size of a chunk. Chunk extensions are ignored.
 fn parse_chunk_size(line: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(line).ok()?;
     let size = text.split(';').next()?;
--- a/crates/agent/src/protocol/limits.rs
+++ b/crates/agent/src/protocol/limits.rs
@@ -1,5 +1,5 @@
-//! Bounds that both a parser and its errors name.
+//! Limits that are used both by a parser and in its error messages.
 
-/// The longest body of a response that is read, in bytes: a list of 58,000 endpoints, at 143 bytes
-/// each, about twice the most that are planned for.
+/// The maximum length of a response body, in bytes: a list of 58,000 endpoints at 143 bytes each,
+/// which is about twice the largest planned number of endpoints.
 pub const MAX_BODY_LENGTH: usize = 8 * 1024 * 1024;
--- a/crates/agent/src/protocol/mod.rs
+++ b/crates/agent/src/protocol/mod.rs
@@ -1,7 +1,8 @@
-//! The protocols spoken: PostgreSQL v3 with clients and endpoints, HTTP/1.1 with the discovery
-//! service, JSON-RPC with the rollout platform.
+//! The network protocols of the agent: PostgreSQL v3 with clients and endpoints, HTTP/1.1 with the
+//! discovery service, and JSON-RPC with the rollout platform.
 //!
-//! The parsers are pure functions over bytes with bounded input. Names of the wire end here.
+//! The parsers are pure functions over bytes with bounded input. The field names and values of the
+//! wire formats are confined to this module.
 
 pub mod arrivals;
 pub mod buffer;
--- a/crates/agent/src/protocol/platform.rs
+++ b/crates/agent/src/protocol/platform.rs
@@ -1,4 +1,4 @@
-//! The rollout platform's calls and notifications: JSON-RPC 2.0, one object a line.
+//! The calls and notifications of the rollout platform: JSON-RPC 2.0 with one object per line.
 
 use super::error::PlatformError;
 use super::ProtocolError;
@@ -7,7 +7,7 @@
 use tulipwall::{RolloutPhase, Verdict, Vote, VoteReply};
 use tulipwall_config::Fields;
 
-/// The longest line that is read, in bytes.
+/// The maximum length of a line, in bytes.
 pub const MAX_LINE_LENGTH: usize = 8 * 1024;
 
 /// The state of the newest rollout as the platform reports it.
@@ -17,11 +17,11 @@
     pub build: u32,
     /// The stage of the rollout, from 0.
     pub stage: usize,
-    /// Whether the build is a canary, released, or on its way back.
+    /// Whether the build is a canary, released, being rolled back, or rolled back.
     pub phase: RolloutPhase,
-    /// The largest share of requests that the build may receive.
+    /// The maximum share of requests that the build may receive.
     pub cap: f64,
-    /// For how long the rollout has been in this state.
+    /// The time for which the rollout has been in this state.
     pub age: Duration,
 }
 
@@ -32,48 +32,48 @@
     RolloutStatus(RolloutReport),
     /// A client reported a wrong response to an attempt.
     ClientReportedError {
-        /// The endpoint that gave the response.
+        /// The id of the endpoint that sent the response.
         endpoint: String,
-        /// The request class of the attempt.
+        /// The name of the attempt's request class.
         class: String,
-        /// For how long the attempt had been sent.
+        /// The time since the attempt was sent.
         age: Duration,
     },
     /// Counts of a build and class in a sample of all agents' attempts.
     AggregatedCounts {
         /// The build that the attempts went to.
         build: u32,
-        /// The request class of the attempts.
+        /// The name of the attempts' request class.
         class: String,
         /// The number of attempts in the sample.
         attempts: u32,
-        /// How many of them failed.
+        /// The number of attempts in the sample that failed.
         failed: u32,
-        /// Their mean latency.
+        /// The mean latency of the attempts in the sample.
         mean_latency: Duration,
-        /// How old the sample is.
+        /// The age of the sample.
         age: Duration,
     },
     /// The response to the call with this id.
     Response {
         /// The id of the call.
         id: u64,
-        /// What became of the vote, where the call was one.
+        /// The reply to the vote; meaningless if the call was not a vote.
         reply: VoteReply,
-        /// The state of the newest rollout, where the response holds it.
+        /// The state of the newest rollout; `None` if the response does not hold it.
         rollout: Option<RolloutReport>,
     },
-    /// A periodic sign that the platform is alive.
+    /// The platform's periodic heartbeat.
     Heartbeat,
 }
 
-/// The call that subscribes to notifications.
+/// Returns the line of the call that subscribes to notifications.
 pub fn watch_request(id: u64) -> String {
     let call = json!({"jsonrpc": "2.0", "id": id, "method": "Events.Watch"});
     call.to_string() + "\n"
 }
 
-/// The call that casts a vote on a rollout.
+/// Returns the line of the call that casts a vote on a rollout.
 pub fn vote_request(id: u64, vote: &Vote) -> String {
     let opinion = match vote.verdict {
         Verdict::Hold => "pause",
@@ -85,7 +85,7 @@
     call.to_string() + "\n"
 }
 
-/// Reads the state of a rollout; the error names the field at fault.
+/// Reads the state of a rollout. An error names the missing or invalid field.
 pub fn parse_rollout_report(fields: &Fields) -> Result<RolloutReport, PlatformError> {
     Ok(RolloutReport {
         build: read_u32(fields, "image")?,
@@ -105,7 +105,7 @@
     })
 }
 
-/// Parses one line without its end.
+/// Parses one line, which is passed without its line feed.
 pub fn parse_message(line: &[u8]) -> Result<PlatformMessage, ProtocolError> {
     Ok(try_parse_message(line)?)
 }
@@ -184,7 +184,8 @@
         .map_err(|_| PlatformError::Field(format!("field {name}: too large")))
 }
 
-/// The first whole line, and the bytes it takes with its end; `None` while it is not whole.
+/// Returns the first line without its line feed, and its length in bytes with it; `None` while the
+/// line is incomplete.
 pub fn split_line(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) => Ok(Some((&bytes[..end], end + 1))),
--- a/crates/agent/src/protocol/postgres/client.rs
+++ b/crates/agent/src/protocol/postgres/client.rs
@@ -1,15 +1,15 @@
-//! The client's side: what a client sends, and what it is sent.
+//! The client side of the protocol: parsing of a client's messages and encoding of the responses.
 
 use super::*;
 use std::time::Duration;
 
-/// The longest startup message that is read, in bytes.
+/// The maximum length of a startup message, in bytes.
 const MAX_STARTUP_LENGTH: usize = 10_000;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// What a client opens its connection with.
+/// The first message of a client. After a request for encryption, another one follows.
 #[derive(Debug, PartialEq)]
 pub enum ClientOpening {
     /// A startup message of protocol version 3.0.
@@ -20,7 +20,8 @@
     Cancel,
 }
 
-/// What a client opens with, and the bytes that took; `None` while it is not whole.
+/// Parses a message of the startup phase. Returns it with its length in bytes; `None` while it is
+/// incomplete.
 pub fn parse_opening(bytes: &[u8]) -> Result<Option<(ClientOpening, usize)>, ProtocolError> {
     Ok(try_parse_opening(bytes)?)
 }
@@ -50,7 +51,7 @@
     Ok((bytes.len() >= length).then_some((opening, length)))
 }
 
-/// The SQL text of a query message.
+/// Returns the SQL text of a query message, given the message's body.
 pub fn parse_query_text(body: &[u8]) -> Result<&str, ProtocolError> {
     let Some((0, text)) = body.split_last() else {
         return Err(PostgresError::UnterminatedQuery.into());
@@ -61,8 +62,8 @@
     Ok(std::str::from_utf8(text).map_err(|_| PostgresError::QueryNotUtf8)?)
 }
 
-/// Appends what follows a client's startup message, up to ready-for-query.
-pub fn write_welcome(out: &mut Vec<u8>) {
+/// Appends the response to a client's startup message, up to ready-for-query.
+pub fn write_startup_response(out: &mut Vec<u8>) {
     const AUTHENTICATION_OK: u32 = 0;
     const NO_CANCEL_KEY: [u8; 8] = [0; 8];
     write_message(out, b'R', &AUTHENTICATION_OK.to_be_bytes());
@@ -83,38 +84,39 @@
     write_message(out, b'I', b"");
 }
 
-/// Appends command-complete with this command tag.
+/// Appends command-complete with the given command tag.
 pub fn write_command_complete(out: &mut Vec<u8>, command_tag: &str) {
     write_message(out, b'C', format!("{command_tag}\0").as_bytes());
 }
 
-/// Appends the rejection of a request: nothing ran, a retry is safe, after `retry_after` where
-/// that is given.
+/// Appends the rejection of a request, of which nothing ran. A retry is safe, after `retry_after`
+/// if that is given.
 pub fn write_rejected(out: &mut Vec<u8>, retry_after: Option<Duration>) {
     let detail = retry_after.map(|time| time.as_millis().to_string());
     let code = SQLSTATE_TOO_MANY_CONNECTIONS;
     write_error(out, "ERROR", code, "denied: a retry is harmless", detail);
 }
 
-/// Appends the rejection of a connection: nothing was taken from it, a retry is safe.
+/// Appends the rejection of a connection, of whose requests none ran. A retry is safe.
 pub fn write_too_many_clients(out: &mut Vec<u8>) {
     let code = SQLSTATE_TOO_MANY_CONNECTIONS;
     write_error(out, "FATAL", code, "too many clients", None);
 }
 
-/// Appends the failure of a request that may have run.
+/// Appends the error for a failed request that may have run.
 pub fn write_failed(out: &mut Vec<u8>) {
     let code = SQLSTATE_INTERNAL_ERROR;
     write_error(out, "ERROR", code, "scrapped: it may have run", None);
 }
 
-/// Appends a fault in the client's statement; the connection goes on.
+/// Appends an error in the client's statement. The connection stays open.
 pub fn write_statement_error(out: &mut Vec<u8>, fault: &ProtocolError) {
     let code = SQLSTATE_SYNTAX_ERROR;
     write_error(out, "ERROR", code, &fault.to_string(), None);
 }
 
-/// Appends a violation of the protocol by the client; the connection ends.
+/// Appends the error for a violation of the protocol by the client. The connection is closed
+/// afterwards.
 pub fn write_fatal(out: &mut Vec<u8>, fault: &ProtocolError) {
     let code = SQLSTATE_PROTOCOL_VIOLATION;
     write_error(out, "FATAL", code, &fault.to_string(), None);
--- a/crates/agent/src/protocol/postgres/endpoint.rs
+++ b/crates/agent/src/protocol/postgres/endpoint.rs
@@ -1,9 +1,10 @@
-//! The endpoint's side: what an endpoint is sent, and how its response to one query is read.
+//! The endpoint side of the protocol: encoding of the messages to an endpoint, and parsing of its
+//! response to one query.
 
 use super::*;
 
-/// The longest message of each type that an endpoint may send, in bytes without the type byte; no
-/// other type belongs in a response.
+/// The maximum length of each type of message from an endpoint, in bytes without the type byte.
+/// Other types are not valid in a response.
 const MAX_LENGTH_BY_TAG: [(u8, usize); 9] = [
     (b'T', 1024),
     (b'D', MAX_VALUE_LENGTH + ROW_OVERHEAD),
@@ -15,16 +16,17 @@
     (b'K', 64),
     (b'R', 64),
 ];
-/// The bytes of a data row of one column beside its value: length, column count, value length.
+/// The bytes of a data row with one column besides the value: length, column count and value
+/// length.
 const ROW_OVERHEAD: usize = 10;
 /// The declared length of ready-for-query.
 const READY_LENGTH: usize = 5;
-/// The bytes of a column description behind the column's name.
+/// The bytes of a column description after the column's name.
 const COLUMN_ATTRIBUTES_LENGTH: usize = 18;
-/// The largest number of requests in flight that a load report is believed.
+/// Load reports of this number of requests in flight or more are ignored as implausible.
 const MAX_REPORTED_LOAD: f64 = 1e6;
 
-/// The startup message of a connection to an endpoint.
+/// Returns the startup message of a connection to an endpoint.
 pub fn startup(user: &str, database: &str) -> Vec<u8> {
     let body = format!("user\0{user}\0database\0{database}\0\0");
     let mut out = (body.len() as u32 + 8).to_be_bytes().to_vec();
@@ -33,7 +35,7 @@
     out
 }
 
-/// A simple query.
+/// Returns a simple-query message with the given SQL text.
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(text.len() + HEADER_LENGTH + 1);
     out.push(b'Q');
@@ -43,8 +45,9 @@
     out
 }
 
-/// The first message of an endpoint; `None` while it is not whole. What can be no message of a
-/// response is found by its first bytes: a value that is declared too long is not waited for.
+/// Parses the first message of an endpoint. Returns `None` while it is incomplete. A message that
+/// can't be part of a response is detected by its first bytes, so that a value with too long a
+/// declared length is not waited for.
 pub fn parse_endpoint_message(bytes: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
     check_declared_lengths(bytes)?;
     parse_message(bytes)
@@ -76,43 +79,46 @@
     Ok(())
 }
 
-/// How an endpoint ended a query.
+/// The outcome of a query at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// One whole value.
+    /// The endpoint sent one complete value.
     Value,
-    /// An error; the query may have run.
+    /// The endpoint sent an error, and the query may have run.
     Failed,
-    /// An error that says that nothing ran.
+    /// The endpoint sent an error which says that nothing ran.
     Rejected,
 }
 
-/// Reads an endpoint's response to one query message by message.
+/// Reads an endpoint's response to one query, message by message.
 #[derive(Default)]
 pub struct ResponseReader {
-    /// The messages of the value, as the endpoint sent them.
+    /// The messages of the value, as the endpoint sent them; empty after an error.
     pub value: Vec<u8>,
-    /// How the query ended; `None` until that is known.
+    /// The outcome of the query; `None` until that is known.
     pub outcome: Option<QueryOutcome>,
-    /// The number of requests in flight that the endpoint reported.
+    /// The number of requests in flight that the endpoint last reported; `None` if it reported
+    /// none.
     pub reported_load: Option<f64>,
     rows: usize,
+    /// Whether the row description was received.
     described: bool,
 }
 
 impl ResponseReader {
-    /// Whether a part of the response itself has come.
+    /// Returns whether a part of the response itself was received; notices and load reports do not
+    /// count.
     pub fn has_begun(&self) -> bool {
         self.described || self.outcome.is_some()
     }
 
-    /// Takes the next message, `whole` with its header; true once the connection is ready for the
-    /// next query. Notices are ignored, and so are load reports that can't be read.
+    /// Handles the next message; `raw_message` holds it with its header. Returns true once the
+    /// connection is ready for the next query. Notices and unreadable load reports are ignored.
     pub fn on_message(
         &mut self,
         tag: u8,
         body: &[u8],
-        whole: &[u8],
+        raw_message: &[u8],
     ) -> Result<bool, ProtocolError> {
         let open = self.outcome.is_none();
         match tag {
@@ -122,7 +128,8 @@
             }
             b'N' | b'K' => return Ok(false),
             b'R' if body.get(..4) == Some(&[0; 4]) => return Ok(false),
-            // Ready within a row: the value is not whole.
+            // Ready-for-query is not accepted between the row description and the end of the
+            // command, as the value is incomplete then.
             b'Z' if matches!(body, b"I" | b"T" | b"E") && !(open && self.described) => {
                 return Ok(true)
             }
@@ -139,7 +146,7 @@
             }
             _ => return Err(PostgresError::UnexpectedMessage(tag).into()),
         }
-        self.value.extend_from_slice(whole);
+        self.value.extend_from_slice(raw_message);
         Ok(false)
     }
 
@@ -157,7 +164,8 @@
     }
 }
 
-/// The requests in flight that a load report names: `pressure`, then `inflight=7,util=0.61`.
+/// Parses the number of requests in flight from a load report, which is a parameter status named
+/// `pressure` with a value such as `inflight=7,util=0.61`.
 fn parse_load_report(parameter_status: &[u8]) -> Option<f64> {
     let fields = parameter_status
         .strip_prefix(b"pressure\0")?
@@ -172,7 +180,8 @@
         .then_some(in_flight)
 }
 
-/// A row description of one column: its name, then its attributes.
+/// Returns whether a row description holds exactly one column, as a name followed by its
+/// attributes.
 fn describes_one_column(body: &[u8]) -> bool {
     let name_length = body
         .get(2..)
@@ -181,13 +190,13 @@
         && name_length.is_some_and(|n| body.len() == 2 + n + 1 + COLUMN_ATTRIBUTES_LENGTH)
 }
 
-/// A data row of one value, of just the length that it declares.
+/// Returns whether a data row holds exactly one value of the declared length.
 fn holds_one_value(body: &[u8]) -> bool {
     let value_length = body.get(2..).and_then(read_u32);
     body.get(..2) == Some(&[0, 1]) && value_length.is_some_and(|n| body.len() - 6 == n as usize)
 }
 
-/// The tag of a completed command: letters, digits and spaces.
+/// Returns whether this is a valid command tag: letters, digits and spaces, ended by a zero byte.
 fn is_command_tag(body: &[u8]) -> bool {
     let allowed = |byte: &u8| byte.is_ascii_alphanumeric() || *byte == b' ';
     match body.split_last() {
@@ -196,7 +205,8 @@
     }
 }
 
-/// The SQLSTATE code of an error that is whole: fields with an end each, and an end of all.
+/// Returns the SQLSTATE code of an error message; `None` if the code or the format is invalid. Each
+/// field ends with a zero byte, and so does the list of fields.
 fn parse_error_code(body: &[u8]) -> Option<&[u8]> {
     let fields = body.strip_suffix(b"\0\0")?;
     if fields.split(|byte| *byte == 0).any(<[u8]>::is_empty) {
--- a/crates/agent/src/protocol/postgres/mod.rs
+++ b/crates/agent/src/protocol/postgres/mod.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol, version 3: message framing, the client's side, the endpoint's side.
+//! The PostgreSQL protocol, version 3: message framing, the client side and the endpoint side.
 
 mod client;
 mod endpoint;
@@ -9,34 +9,35 @@
 use super::error::PostgresError;
 use super::ProtocolError;
 
-/// A value holds 64 KiB at most; written as hex digits in a statement it takes twice that.
+/// The maximum length of a value in bytes. In a statement it is written as hex digits, which takes
+/// twice as many bytes.
 const MAX_VALUE_LENGTH: usize = 64 * 1024;
-/// The longest message that is read, in bytes without its type byte.
+/// The maximum length of a message, in bytes without the type byte.
 pub const MAX_MESSAGE_LENGTH: usize = 160 * 1024;
 const PROTOCOL_VERSION_3: u32 = 196_608;
-/// The bytes of a message's type and length.
+/// The length of a message's type byte and length field, in bytes.
 const HEADER_LENGTH: usize = 5;
 
-/// SQLSTATE `too_many_connections`: nothing ran, a retry is safe.
+/// SQLSTATE `too_many_connections`: nothing ran, and a retry is safe.
 const SQLSTATE_TOO_MANY_CONNECTIONS: &str = "53300";
-/// SQLSTATE `cannot_connect_now`: nothing ran, a retry is safe.
+/// SQLSTATE `cannot_connect_now`: nothing ran, and a retry is safe.
 const SQLSTATE_CANNOT_CONNECT_NOW: &str = "57P03";
 const SQLSTATE_INTERNAL_ERROR: &str = "XX000";
 const SQLSTATE_SYNTAX_ERROR: &str = "42601";
 const SQLSTATE_PROTOCOL_VIOLATION: &str = "08P01";
 
-/// One whole message.
+/// A complete message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Message<'a> {
     /// The type byte.
     pub tag: u8,
-    /// What follows the length.
+    /// The content of the message, without the type byte and the length field.
     pub body: &'a [u8],
-    /// The bytes of the whole message with its type and length.
+    /// The length of the whole message in bytes, with the type byte and the length field.
     pub length: usize,
 }
 
-/// The first message of `bytes`; `None` while it is not whole.
+/// Parses the first message of `bytes`. Returns `None` while it is incomplete.
 pub fn parse_message(bytes: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
     Ok(try_parse_message(bytes)?)
 }
@@ -50,14 +51,14 @@
         .map(|body| Message { tag, body, length }))
 }
 
-/// The length of the first message of `bytes`, with its type and length; `None` while that has not
-/// come, or is faulty.
+/// Returns the length of the first message of `bytes`, with its type byte and length field; `None`
+/// if the length field is incomplete or invalid.
 pub fn announced_length(bytes: &[u8]) -> Option<usize> {
     let (_, length) = parse_header(bytes).ok()??;
     Some(length)
 }
 
-/// The type of the first message, and the length of all of it.
+/// Parses the type of the first message, and its length with the type byte and the length field.
 fn parse_header(bytes: &[u8]) -> Result<Option<(u8, usize)>, PostgresError> {
     let (Some(tag), Some(length)) = (bytes.first(), bytes.get(1..).and_then(read_u32)) else {
         return Ok(None);
@@ -70,7 +71,7 @@
     Ok(Some((tag, 1 + length)))
 }
 
-/// The big-endian number at the start of `bytes`.
+/// Reads the big-endian number at the start of `bytes`; `None` if there are fewer than 4.
 fn read_u32(bytes: &[u8]) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
--- a/crates/agent/src/protocol/statement.rs
+++ b/crates/agent/src/protocol/statement.rs
@@ -1,4 +1,4 @@
-//! The statements of clients, with the comment that holds the attributes of a request.
+//! Parsing of clients' statements, which carry the attributes of a request in a comment.
 
 use super::buffer::MemoryReservation;
 use super::error::StatementError;
@@ -9,41 +9,43 @@
 /// A client's statement and the attributes of its request.
 #[derive(Debug, PartialEq)]
 pub struct Statement {
-    /// The id of the request.
+    /// The id of the request, which its client chooses.
     pub id: String,
-    /// Whether it carries the key by which repeats are deduplicated.
+    /// Whether the request carries a key by which repetitions are deduplicated.
     pub has_deduplication_key: bool,
-    /// The name of its request class.
+    /// The name of the request class.
     pub class: String,
-    /// The name of its tenant.
+    /// The name of the tenant; `None` if the client gives none.
     pub tenant: Option<String>,
-    /// The object it reads or writes; requests on the same object share affinity.
+    /// The object that the statement reads or writes. Requests for the same object have the same
+    /// affinity endpoint.
     pub object: String,
-    /// For how long its client waits.
+    /// The time for which the client waits for the response, at most one hour.
     pub client_timeout: Duration,
-    /// The client's estimate of its work; an unreadable one is ignored.
+    /// The client's estimate of the work; `None` if it is missing or unreadable.
     pub estimated_work: Option<Duration>,
-    /// Whether its client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
     text: String,
-    /// Where the value of the wait stands in `text`.
+    /// The position of the timeout's value in `text`.
     timeout_range: Range<usize>,
     _reservation: MemoryReservation,
 }
 
-/// The pieces of the known statements, with a quoted literal between any two.
+/// The pieces of the supported statements, with a quoted literal between any two.
 const SELECT_PIECES: [&str; 2] = ["SELECT body FROM objects WHERE oid = ", ""];
 const INSERT_PIECES: [&str; 3] = [
     "INSERT INTO objects (oid, body) VALUES (",
     ", ",
     ") RETURNING body",
 ];
-/// An hour, in milliseconds: longer waits are cut to it, so that no sum of times overflows.
+/// Longer timeouts are reduced to this number of milliseconds (one hour), so that sums of times do
+/// not overflow.
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
-/// The characters of a malformed attribute that an error quotes.
+/// The maximum number of characters of a malformed attribute that an error quotes.
 const MAX_QUOTED_CHARS: usize = 40;
 
-/// The attributes of a comment as they stand there.
+/// The attributes of a comment, before they are checked.
 #[derive(Default)]
 struct Attributes<'a> {
     id: Option<&'a str>,
@@ -52,12 +54,12 @@
     has_deduplication_key: bool,
     estimated_work: Option<Duration>,
     is_retry: bool,
-    /// The value of the wait, and where it stands in the statement.
+    /// The value of the timeout, and its position in the statement.
     client_timeout: Option<(&'a str, Range<usize>)>,
 }
 
 impl<'a> Attributes<'a> {
-    /// Parses the inside of a comment that begins at `offset` of the statement.
+    /// Parses the inside of a comment that begins at byte `offset` of the statement.
     fn parse(comment: &'a str, offset: usize) -> Result<Attributes<'a>, StatementError> {
         let mut attributes = Attributes::default();
         let mut offset = offset;
@@ -92,7 +94,7 @@
 }
 
 impl Statement {
-    /// Parses a statement of one of the two known forms.
+    /// Parses a statement of one of the two supported forms.
     pub fn parse(text: &str) -> Result<Statement, ProtocolError> {
         Ok(Statement::try_parse(text)?)
     }
@@ -125,12 +127,13 @@
             is_retry: attributes.is_retry,
             text: text.to_owned(),
             timeout_range,
-            // Once here, and once more as it is written on.
+            // Twice: the text is stored here, and copied when it is written to an endpoint.
             _reservation: MemoryReservation::new(text.len() * 2),
         })
     }
 
-    /// The same statement, with the time for which the agent will wait, at least 1 ms.
+    /// Returns the text of the statement with its timeout replaced by `client_timeout`, but at
+    /// least 1 ms. The agent passes the time for which it will wait itself.
     pub fn with_client_timeout(&self, client_timeout: Duration) -> String {
         let before = &self.text[..self.timeout_range.start];
         let after = &self.text[self.timeout_range.end..];
@@ -153,8 +156,8 @@
     ))
 }
 
-/// The inside of the first quoted literal where `text` is the given pieces with a quoted literal
-/// between any two.
+/// Returns the inside of the first quoted literal if `text` consists of the given pieces with a
+/// quoted literal between any two, and `None` otherwise.
 fn match_pieces<'a>(text: &'a str, pieces: &[&str]) -> Option<&'a str> {
     let mut rest = text.strip_prefix(pieces[0])?;
     let mut first = None;
@@ -171,7 +174,8 @@
     }
 }
 
-/// Where the literal ends; a doubled quote stands for one inside it.
+/// Returns the position of the quote that ends a literal. A doubled quote stands for one inside the
+/// literal.
 fn find_closing_quote(literal: &str) -> Option<usize> {
     let mut end = literal.find('\'')?;
     while literal[end + 1..].starts_with('\'') {
--- a/crates/agent/src/server/admission.rs
+++ b/crates/agent/src/server/admission.rs
@@ -34,7 +34,8 @@
     Terminating,
 }
 
-/// The indices of the names in a statement under one configuration, and the properties of its class.
+/// The indices of the names in a statement under one configuration, and the properties of its
+/// class.
 pub struct ResolvedRequest {
     /// The index of the request class.
     pub class: usize,
@@ -71,8 +72,8 @@
     Ok(statement)
 }
 
-/// Returns the index of a statement's class. Fails if the class is unknown, or if it is keyed and the
-/// statement carries no deduplication key.
+/// Returns the index of a statement's class. Fails if the class is unknown, or if it is keyed and
+/// the statement carries no deduplication key.
 fn resolve_class(config: &ServiceConfig, statement: &Statement) -> Result<usize, StatementError> {
     let Some(class) = config.class_index(&statement.class) else {
         return Err(StatementError::UnknownClass(statement.class.clone()));
--- a/crates/agent/src/server/connection.rs
+++ b/crates/agent/src/server/connection.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Serves a client until it disconnects, violates the protocol, exceeds a timeout, or is closed while
-/// idle because the agent needs its slot or terminates.
+/// Serves a client until it disconnects, violates the protocol, exceeds a timeout, or is closed
+/// while idle because the agent needs its slot or terminates.
 pub async fn serve(agent: Rc<Agent>, client: Connection, _permit: ConnectionPermit) {
     Session::new(&agent, client).run().await;
 }
@@ -28,8 +28,8 @@
     reply: Vec<u8>,
     /// Whether the startup is complete.
     started: bool,
-    /// When the first request, and later each message that has begun, must be complete; `None` while
-    /// nothing is due.
+    /// When the first request, and later each message that has begun, must be complete; `None`
+    /// while nothing is due.
     receive_deadline: Option<Duration>,
 }
 
--- a/crates/agent/src/server/input.rs
+++ b/crates/agent/src/server/input.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Reads from the client. `receive_deadline` is set while its first request or the rest of a message
-/// is outstanding. Between requests the agent may close the connection.
+/// Reads from the client. `receive_deadline` is set while its first request or the rest of a
+/// message is outstanding. Between requests the agent may close the connection.
 pub async fn read_input(
     agent: &Agent,
     client: &mut Connection,
@@ -95,7 +95,8 @@
 }
 
 /// Reads while the agent terminates. The connection is closed, but not before a request that has
-/// already arrived is served, nor before a new client's first request has had a short time to arrive.
+/// already arrived is served, nor before a new client's first request has had a short time to
+/// arrive.
 async fn read_before_close(
     agent: &Agent,
     client: &mut Connection,
@@ -116,7 +117,8 @@
 }
 
 /// Reads once memory allows: clients are not read while too much is buffered, which leaves the rest
-/// of the memory to the responses of endpoints. A client that closes its connection is read at once.
+/// of the memory to the responses of endpoints. A client that closes its connection is read at
+/// once.
 async fn read_when_memory_allows(agent: &Agent, client: &mut Connection) -> ReadEvent {
     loop {
         let memory_allows = async {
@@ -125,7 +127,8 @@
             }
         };
         memory_allows.or(client.peer_closed()).await;
-        // Polls once instead of waiting: memory that is free now may be in use when the bytes arrive.
+        // Polls once instead of waiting: memory that is free now may be in use when the bytes
+        // arrive.
         if let Some(read) = future::poll_once(client.read_more()).await {
             return read.into();
         }
@@ -133,8 +136,9 @@
     }
 }
 
-/// Prevents the empty buffers of idle clients from using up the memory for all others: they may hold
-/// at most half of what may be buffered. Costs one allocation per request while that much is in use.
+/// Prevents the empty buffers of idle clients from using up the memory for all others: they may
+/// hold at most half of what may be buffered. Costs one allocation per request while that much is
+/// in use.
 fn release_idle_buffer(agent: &Agent, client: &mut Connection) {
     if MemoryReservation::total() > agent.limits.max_buffered_bytes() / IDLE_BUFFER_DIVISOR {
         client.receive_buffer.release_if_empty();
--- a/crates/agent/src/server/limits.rs
+++ b/crates/agent/src/server/limits.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 /// The time from a client's connection to its first complete request, and from the first byte of a
-/// message to its last. Prevents clients that send nothing, or half a message, from occupying a slot.
+/// message to its last. Prevents clients that send nothing, or half a message, from occupying a
+/// slot.
 pub const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The shorter timeout for the first request of a client beyond the client limit or of one that
 /// connects while the agent terminates, and for the rest of a message while memory is short.
@@ -13,16 +14,17 @@
 /// Empty buffers of idle clients may hold the limit on buffered bytes divided by this.
 pub const IDLE_BUFFER_DIVISOR: usize = 2;
 /// The time for which a client may leave its responses unread without reading any byte. Prevents
-/// clients that never read from occupying a slot and from delaying the shutdown. A slow reader makes
-/// progress and is not affected.
+/// clients that never read from occupying a slot and from delaying the shutdown. A slow reader
+/// makes progress and is not affected.
 pub const WRITE_PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
 /// The time for which a client may still write after its last response.
 pub const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The number of bytes that a client may still write after its last response.
 pub const MAX_BYTES_AT_CLOSE: usize = 1024 * 1024;
-/// The number of requests that may wait behind the one being served. If there are more, the one being
-/// served is rejected at once: responses keep their order, so a later one can't be rejected first.
+/// The number of requests that may wait behind the one being served. If there are more, the one
+/// being served is rejected at once: responses keep their order, so a later one can't be rejected
+/// first.
 pub const MAX_PIPELINED_REQUESTS: usize = 32;
-/// The number of bytes that a client may write ahead of its responses before the agent stops reading
-/// from it.
+/// The number of bytes that a client may write ahead of its responses before the agent stops
+/// reading from it.
 pub const MAX_BYTES_READ_AHEAD: usize = 16 * 1024;
--- a/crates/agent/src/server/message.rs
+++ b/crates/agent/src/server/message.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Handles the next complete message in the receive buffer. For a request this lasts until its final
-/// response.
+/// Handles the next complete message in the receive buffer. For a request this lasts until its
+/// final response.
 pub async fn handle_message(
     agent: &Rc<Agent>,
     client: &mut Connection,
@@ -100,7 +100,7 @@
 /// Returns whether too many requests wait behind the first one on this connection.
 fn is_over_pipeline_limit(client: &Connection) -> bool {
     match &client.arrivals {
-        Some(arrivals) => arrivals.whole_messages() > MAX_PIPELINED_REQUESTS,
+        Some(arrivals) => arrivals.complete_messages() > MAX_PIPELINED_REQUESTS,
         None => false,
     }
 }
--- a/crates/agent/src/server/mod.rs
+++ b/crates/agent/src/server/mod.rs
@@ -1,7 +1,8 @@
 //! The server side of the agent: client connections and the processing of their requests.
 //!
-//! A connection ([`connection`]) handles messages one after the other ([`message`]). A statement that
-//! is admitted becomes a request ([`request`]), which ends with one final response ([`response`]).
+//! A connection ([`connection`]) handles messages one after the other ([`message`]). A statement
+//! that is admitted becomes a request ([`request`]), which ends with one final response
+//! ([`response`]).
 
 pub mod admission;
 pub mod connection;
--- a/crates/agent/src/server/output.rs
+++ b/crates/agent/src/server/output.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Closes a connection so that its last reply arrives: closing a socket with unread input would reset
-/// the connection and lose the reply. A client that keeps writing beyond the limits is reset.
+/// Closes a connection so that its last reply arrives: closing a socket with unread input would
+/// reset the connection and lose the reply. A client that keeps writing beyond the limits is reset.
 pub async fn close_gracefully(agent: &Agent, mut client: Connection) {
     client.shutdown_write();
     client.arrivals = None;
--- a/crates/agent/src/server/request/events.rs
+++ b/crates/agent/src/server/request/events.rs
@@ -20,9 +20,9 @@
 }
 
 impl ActiveRequest {
-    /// Waits for the next event. If several are ready, ended attempts come before timeouts, as that is
-    /// the order in which they occurred if the agent was stalled. A client that has disconnected comes
-    /// before both, because the first poll of an attempt may already write to its connection.
+    /// Waits for the next event. If several are ready, ended attempts come before timeouts, as that
+    /// is the order in which they occurred if the agent was stalled. A client that has disconnected
+    /// comes before both, because the first poll of an attempt may already write to its connection.
     pub(super) async fn next_event(&mut self, client: &mut Connection) -> RequestEvent {
         let agent = &self.agent;
         let attempts = &mut self.attempts;
@@ -74,8 +74,8 @@
 }
 
 /// Waits until the client closes its connection or its sending direction, which can't be
-/// distinguished. Pipelined bytes are buffered up to a limit; beyond it nothing is read, but the close
-/// is still detected.
+/// distinguished. Pipelined bytes are buffered up to a limit; beyond it nothing is read, but the
+/// close is still detected.
 async fn client_left(client: &mut Connection) {
     while client.receive_buffer.len() <= MAX_BYTES_READ_AHEAD {
         match client.read_more().await {
--- a/crates/agent/src/server/request/forwarding.rs
+++ b/crates/agent/src/server/request/forwarding.rs
@@ -71,8 +71,8 @@
         Box::pin(async move { send_attempt(&agent, &statement, plan, &meter).await })
     }
 
-    /// Returns an attempt that ends at once, for an endpoint that has been removed since the balancer
-    /// was informed of it.
+    /// Returns an attempt that ends at once, for an endpoint that has been removed since the
+    /// balancer was informed of it.
     fn attempt_to_missing_endpoint(
         &self,
         decided_at: Duration,
--- a/crates/agent/src/server/request/in_flight.rs
+++ b/crates/agent/src/server/request/in_flight.rs
@@ -27,7 +27,8 @@
     pub build: u32,
     /// Counts the bytes that the attempt transfers.
     pub meter: Rc<TransferMeter>,
-    /// The attempt's share of the zones' budgets; `None` if cross-zone traffic is not accounted for.
+    /// The attempt's share of the zones' budgets; `None` if cross-zone traffic is not accounted
+    /// for.
     pub reservation: Option<Reservation>,
     /// Runs the attempt. Dropping it closes the attempt's connection.
     pub response: PendingResponse,
@@ -91,8 +92,8 @@
         in_flight.map(|attempt| attempt.timeout_at).min()
     }
 
-    /// Returns the indices of the attempts in flight that are not fully written, and therefore can't
-    /// have run.
+    /// Returns the indices of the attempts in flight that are not fully written, and therefore
+    /// can't have run.
     pub fn not_fully_written(&self) -> Vec<usize> {
         (0..self.attempts.len())
             .filter(|n| match &self.attempts[*n] {
--- a/crates/agent/src/server/request/mod.rs
+++ b/crates/agent/src/server/request/mod.rs
@@ -1,8 +1,8 @@
 //! The processing of one request, from its admission to its final response.
 //!
-//! [`super::message`] reads and admits a statement. This module resolves its names, passes it to the
-//! balancer and starts the attempts that the balancer decides on (`forwarding`). What happens to the
-//! attempts or the client (`events`) leads to the next decision or to the final response.
+//! [`super::message`] reads and admits a statement. This module resolves its names, passes it to
+//! the balancer and starts the attempts that the balancer decides on (`forwarding`). What happens
+//! to the attempts or the client (`events`) leads to the next decision or to the final response.
 
 mod events;
 mod forwarding;
@@ -23,7 +23,8 @@
 use tulipwall::{Decision, Idempotency, Outcome, Request};
 use tulipwall_config::stable_hash;
 
-/// Processes a request that was completely received at `received_at`, and returns its final response.
+/// Processes a request that was completely received at `received_at`, and returns its final
+/// response.
 pub async fn handle_request(
     agent: &Rc<Agent>,
     client: &mut Connection,
@@ -31,9 +32,9 @@
     received_at: Duration,
 ) -> FinalResponse {
     agent.endpoints.serving_allowed().await;
-    // Resolved here, as the indices must be those of the settings in force when the balancer accepts
-    // the request; they stay valid until it ends. If the settings changed during the wait above and no
-    // longer allow the statement, nothing has run, and a retry receives the reason.
+    // Resolved here, as the indices must be those of the settings in force when the balancer
+    // accepts the request; they stay valid until it ends. If the settings changed during the wait
+    // above and no longer allow the statement, nothing has run, and a retry receives the reason.
     let Ok(resolved) = ResolvedRequest::resolve(&agent.service_config(), &statement) else {
         return FinalResponse::Rejected { retry_after: None };
     };
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Reports the end of an attempt to the balancer. `request_closed` says that the request already
-    /// has its final response.
+    /// Reports the end of an attempt to the balancer. `request_closed` says that the request
+    /// already has its final response.
     fn report(&self, ended: &FinishedAttempt, request_closed: bool) -> Decision {
         let result = AttemptResult {
             attempt: ended.attempt,
@@ -192,8 +193,8 @@
             clock.to_unix_ms(now), self.class, response.name(), latency.as_micros(), work.as_micros());
     }
 
-    /// Stops sending for the request. Attempts that are not fully written end here; the others are not
-    /// cancelled but run to their end in a task that reports them to the balancer.
+    /// Stops sending for the request. Attempts that are not fully written end here; the others are
+    /// not cancelled but run to their end in a task that reports them to the balancer.
     fn finish(mut self) {
         for attempt in self.attempts.not_fully_written() {
             let ended = self.attempts.finish(&self.agent, attempt, Outcome::NotSent);
--- a/crates/agent/src/server/startup.rs
+++ b/crates/agent/src/server/startup.rs
@@ -19,8 +19,8 @@
     Close,
 }
 
-/// Handles a message of the startup phase: the startup message itself, or a request for encryption or
-/// cancellation.
+/// Handles a message of the startup phase: the startup message itself, or a request for encryption
+/// or cancellation.
 pub fn handle_startup(client: &mut Connection, reply: &mut Vec<u8>) -> Result<Step, ProtocolError> {
     let Some((opening, length)) = postgres::parse_opening(client.receive_buffer.unread())? else {
         return Ok(Step::NeedMore);
@@ -29,7 +29,7 @@
     match opening {
         ClientOpening::Startup => {
             client.track_arrivals();
-            postgres::write_welcome(reply);
+            postgres::write_startup_response(reply);
             Ok(Step::StartupComplete)
         }
         ClientOpening::Encryption => {
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -85,8 +85,8 @@
     New,
 }
 
-/// Writes the statement to a pooled or a new connection. Fails with the attempt's outcome if that is
-/// not possible.
+/// Writes the statement to a pooled or a new connection. Fails with the attempt's outcome if that
+/// is not possible.
 async fn write_statement(
     agent: &Agent,
     statement: &Statement,
@@ -97,7 +97,7 @@
         let (mut pooled, source) = acquire_connection(agent, plan.target)
             .await
             .map_err(|error| error.outcome())?;
-        meter.follow(pooled.connection.traffic.clone());
+        meter.track(pooled.connection.traffic.clone());
         if !is_still_allowed(agent, plan) {
             agent.return_connection(plan.target, pooled);
             return Err(Outcome::NotSent);
--- a/crates/agent/src/upstream/connect.rs
+++ b/crates/agent/src/upstream/connect.rs
@@ -15,32 +15,32 @@
 use tulipwall_discovery::endpoint_table::AttemptTarget;
 use tulipwall_zones::ConnectionTraffic;
 
-/// The user and the database that a connection is opened for.
+/// The user and the database in the startup message of a connection.
 const USER: &str = "worker";
 const DATABASE: &str = "catalog";
 
-/// Why there is no connection. Nothing of a request was written.
+/// The reason for which a connection could not be opened. Nothing of a request was written.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// As many connections to endpoints are in use as there may be.
+    /// The limit on connections to endpoints is reached, and none of them is idle.
     #[error("all connections to endpoints are in use")]
     LimitReached,
-    /// The endpoint turned the connection away.
-    #[error("the endpoint takes no connections at present")]
+    /// The endpoint rejected the connection with an error that marks a retry as safe.
+    #[error("the endpoint rejected the connection")]
     Rejected,
     /// The endpoint was not ready for a query within the connect timeout.
-    #[error("the endpoint was not ready in time")]
+    #[error("the endpoint was not ready within the connect timeout")]
     TimedOut,
-    /// The connection could not be opened, or was closed again.
+    /// The connection could not be opened, or failed during the handshake.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The endpoint does not greet as PostgreSQL does.
-    #[error("the endpoint's greeting is not that of PostgreSQL")]
+    /// The endpoint did not complete the startup as PostgreSQL does.
+    #[error("the endpoint did not complete the PostgreSQL startup")]
     InvalidHandshake,
 }
 
 impl ConnectError {
-    /// What it means for the attempt that the connection was for.
+    /// Returns the outcome of an attempt that needed this connection.
     pub fn outcome(&self) -> Outcome {
         match self {
             ConnectError::LimitReached => Outcome::NotSent,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A new connection, ready for its first query.
+/// Opens a connection and completes its startup, so that it is ready for its first query.
 pub async fn open_connection(
     agent: &Agent,
     target: AttemptTarget,
@@ -67,7 +67,7 @@
     Ok(connection)
 }
 
-/// A place among the sockets, an idle connection's if there is no other.
+/// Acquires a permit for a socket. If none is free, an idle connection is closed for it.
 fn acquire_permit(agent: &Agent) -> Result<ConnectionPermit, ConnectError> {
     loop {
         if let Some(permit) = agent.limits.connections.endpoint_permit() {
@@ -85,7 +85,7 @@
     cost: &HandshakeCostGuard<'_>,
 ) -> Result<Connection, ConnectError> {
     let mut connection = Connection::open(target.address).await?;
-    cost.follow(connection.traffic.clone());
+    cost.track(connection.traffic.clone());
     let startup = postgres::startup(USER, DATABASE);
     connection.write(&startup).await?;
     let mut response = ResponseReader::default();
@@ -103,11 +103,11 @@
     Err(ConnectError::TimedOut)
 }
 
-/// Charges what opening a connection takes, also where it is given up halfway.
+/// Charges the cost of opening a connection to cross-zone traffic, also if it is abandoned halfway.
 struct HandshakeCostGuard<'a> {
     agent: &'a Agent,
     target: AttemptTarget,
-    begun: Duration,
+    started_at: Duration,
     traffic: RefCell<Option<Rc<SocketTraffic>>>,
 }
 
@@ -116,17 +116,17 @@
         HandshakeCostGuard {
             agent,
             target,
-            begun: agent.clock.now(),
+            started_at: agent.clock.now(),
             traffic: RefCell::default(),
         }
     }
 
-    /// The socket is open.
-    fn follow(&self, traffic: Rc<SocketTraffic>) {
+    /// Tracks the traffic of the socket, once it is open.
+    fn track(&self, traffic: Rc<SocketTraffic>) {
         *self.traffic.borrow_mut() = Some(traffic);
     }
 
-    /// The connection is ready for its first query.
+    /// Charges the cost of a connection that is ready for its first query.
     fn charge_opened(&self) {
         self.charge(true);
     }
@@ -136,7 +136,7 @@
             return;
         };
         let now = self.agent.clock.now();
-        let duration = now.saturating_sub(self.begun);
+        let duration = now.saturating_sub(self.started_at);
         let (bytes_sent, bytes_received) = traffic.take_uncharged();
         let traffic = ConnectionTraffic {
             to: self.target.zone,
--- a/crates/agent/src/upstream/limits.rs
+++ b/crates/agent/src/upstream/limits.rs
@@ -1,27 +1,27 @@
-//! The bound on all sockets, shared out between clients and endpoints.
+//! The limit on all sockets, divided between clients and endpoints.
 
 use event_listener::Event;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are neither a client's nor an endpoint's: standard streams, the reactor's, the
-/// signal pipe, the listener, discovery, the platform, and some room while one closes as another
-/// opens.
+/// The number of descriptors that serve neither clients nor endpoints: standard streams, the
+/// reactor, the signal pipe, the listener, discovery, the platform, and spare ones for the moments
+/// in which one closes while another opens.
 const OTHER_DESCRIPTORS: usize = 20;
-/// What part of the rest is for endpoints. Each client has at most one request out, a few have two
-/// attempts: somewhat less than half, as some clients only hold their places.
+/// The share of the remaining sockets for endpoints. Each client has at most one request in flight,
+/// and few requests have two attempts. Less than half is enough, as some clients are idle.
 const ENDPOINT_SHARE: f64 = 0.45;
-/// One in so many sockets is for clients that are rejected because there is no room.
-const OVERFLOW_SHARE: usize = 32;
-/// There are at least as many of those.
+/// One in this many sockets is for clients that are rejected because the client limit is reached.
+const OVERFLOW_DIVISOR: usize = 32;
+/// The minimum number of sockets for clients that are rejected.
 const MIN_OVERFLOW: usize = 2;
-/// Clients and endpoints have at least so many sockets together.
+/// The minimum number of sockets for clients and endpoints together.
 const MIN_SOCKETS: usize = 4;
-/// Places for clients count as nearly all taken once fewer than one in so many is free.
-const NEARLY_FULL_SHARE: usize = 8;
+/// Client permits count as nearly exhausted once fewer than one in this many is free.
+const NEARLY_FULL_DIVISOR: usize = 8;
 
-/// A socket that counts against its bound for as long as this lives.
-pub struct ConnectionPermit(Rc<Bound>);
+/// A permit for one socket, which counts against its limit until the permit is dropped.
+pub struct ConnectionPermit(Rc<Semaphore>);
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
@@ -30,21 +30,21 @@
     }
 }
 
-/// The sockets towards one side, and the bound on them.
+/// Counts the permits held for one kind of socket, up to a limit that can change.
 #[derive(Default)]
-struct Bound {
+struct Semaphore {
     held: Cell<usize>,
     max: Cell<usize>,
     freed: Event,
 }
 
-impl Bound {
-    fn is_reached(&self) -> bool {
+impl Semaphore {
+    fn is_exhausted(&self) -> bool {
         self.held.get() >= self.max.get()
     }
 
-    fn permit(self: &Rc<Bound>) -> Option<ConnectionPermit> {
-        if self.is_reached() {
+    fn try_acquire(self: &Rc<Semaphore>) -> Option<ConnectionPermit> {
+        if self.is_exhausted() {
             return None;
         }
         self.held.set(self.held.get() + 1);
@@ -52,16 +52,16 @@
     }
 }
 
-/// How many sockets are held. Each client has at most one request out, each request at most two
-/// attempts.
+/// The limits on client and endpoint sockets, and the permits that are held. Each client has at
+/// most one request in flight, and each request at most two attempts.
 pub struct ConnectionLimits {
-    clients: Rc<Bound>,
-    overflow: Rc<Bound>,
-    endpoints: Rc<Bound>,
+    clients: Rc<Semaphore>,
+    overflow: Rc<Semaphore>,
+    endpoints: Rc<Semaphore>,
 }
 
 impl ConnectionLimits {
-    /// A bound of so many sockets on all.
+    /// Creates the limits from the total number of sockets.
     pub fn new(max_sockets: usize) -> ConnectionLimits {
         let limits = ConnectionLimits {
             clients: Rc::default(),
@@ -72,9 +72,9 @@
         limits
     }
 
-    /// Another bound on all. Who holds a socket beyond a lower one keeps it.
+    /// Replaces the total number of sockets. Sockets that are held beyond a lower limit stay open.
     pub fn resize(&self, max_sockets: usize) {
-        let overflow = (max_sockets / OVERFLOW_SHARE).max(MIN_OVERFLOW);
+        let overflow = (max_sockets / OVERFLOW_DIVISOR).max(MIN_OVERFLOW);
         let shared = max_sockets
             .saturating_sub(OTHER_DESCRIPTORS + overflow)
             .max(MIN_SOCKETS);
@@ -84,55 +84,58 @@
         self.endpoints.max.set(endpoints);
     }
 
-    /// A place for a client; `None` where all are taken.
+    /// Acquires a permit for a client; `None` if all are in use.
     pub fn client_permit(&self) -> Option<ConnectionPermit> {
-        self.clients.permit()
+        self.clients.try_acquire()
     }
 
-    /// A place for a client that is rejected because there is no room.
+    /// Acquires a permit for a client that is rejected because the client limit is reached; `None`
+    /// if all of these are in use.
     pub fn overflow_permit(&self) -> Option<ConnectionPermit> {
-        self.overflow.permit()
+        self.overflow.try_acquire()
     }
 
-    /// A place for a connection to an endpoint; `None` where all are taken.
+    /// Acquires a permit for a connection to an endpoint; `None` if all are in use.
     pub fn endpoint_permit(&self) -> Option<ConnectionPermit> {
-        self.endpoints.permit()
+        self.endpoints.try_acquire()
     }
 
-    /// How many clients are connected.
+    /// Returns the number of connected clients, without those that are rejected for lack of
+    /// permits.
     pub fn client_count(&self) -> usize {
         self.clients.held.get()
     }
 
-    /// No client is connected, nor one that is rejected because there is no room.
+    /// Returns whether no client is connected, including those that are rejected for lack of
+    /// permits.
     pub fn is_without_clients(&self) -> bool {
         self.clients.held.get() + self.overflow.held.get() == 0
     }
 
-    /// How many clients may be connected.
+    /// Returns the maximum number of connected clients.
     pub fn max_clients(&self) -> usize {
         self.clients.max.get()
     }
 
-    /// Hardly any place is left for further clients.
+    /// Returns whether only the permits kept free for new clients are left, or fewer.
     pub fn is_nearly_full(&self) -> bool {
         self.clients.held.get() + self.reserved_client_permits() >= self.max_clients()
     }
 
-    /// So many places are kept free for new clients, by closing idle ones.
+    /// Returns the number of permits to keep free for new clients by closing idle ones.
     pub fn reserved_client_permits(&self) -> usize {
-        self.max_clients() / NEARLY_FULL_SHARE
+        self.max_clients() / NEARLY_FULL_DIVISOR
     }
 
-    /// Ready once a client's place may be free.
+    /// Waits until a client permit may be available.
     pub async fn client_permit_freed(&self) {
         let freed = self.clients.freed.listen();
-        if self.clients.is_reached() {
+        if self.clients.is_exhausted() {
             freed.await;
         }
     }
 
-    /// How many connections to endpoints may be open.
+    /// Returns the maximum number of open connections to endpoints.
     pub fn max_endpoint_connections(&self) -> usize {
         self.endpoints.max.get()
     }
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The endpoints' side: attempts, connections and their bounds, and the accounting of cross-zone
-//! traffic.
+//! The upstream side of the agent: attempts, connections to endpoints and their limits, and the
+//! accounting of cross-zone traffic.
 
 pub mod attempt;
 pub mod connect;
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that wait for their next request.
+//! The pool of idle connections to endpoints.
 
 use crate::observability::counters::Counters;
 use crate::protocol::connection::Connection;
@@ -9,27 +9,28 @@
 use std::time::Duration;
 use tulipwall_discovery::clock::Clock;
 
-/// A response without a request may come behind the awaited one, some milliseconds late: a connection
-/// rests for so long after its response, as it would be taken for that of the next request. Costs a
-/// connection more where requests follow each other faster.
-const REST_AFTER_RESPONSE: Duration = Duration::from_millis(20);
-/// The part of an endpoint's idle timeout after which a connection is closed from this side.
+/// The time after a response during which its connection is not reused. An unsolicited response may
+/// follow some milliseconds after the expected one, and would be taken for the response to the next
+/// request. Costs an additional connection where requests follow each other faster.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+/// The fraction of an endpoint's idle timeout after which the agent closes an idle connection
+/// itself.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// A connection to an endpoint, with its place among the sockets.
+/// A connection to an endpoint, with its permit for a socket.
 pub struct PooledConnection {
-    /// The connection.
+    /// The connection, which has completed its startup.
     pub connection: Connection,
-    /// Its idle time began no sooner: when it was opened, or its last request written. By the
-    /// endpoint's clock it may have begun before this agent, which may have been stalled, read the
-    /// response.
+    /// The earliest time at which the connection may have become idle: when it was opened, or when
+    /// its last request was written. The time of reading the response would be too late, as this
+    /// agent may have been stalled while the endpoint already counted the connection as idle.
     idle_since: Duration,
-    rests_until: Duration,
+    reusable_at: Duration,
     _permit: ConnectionPermit,
 }
 
 impl PooledConnection {
-    /// A connection that was opened at `now`.
+    /// Creates a pooled connection from one that was opened at `now`.
     pub fn new(
         connection: Connection,
         permit: ConnectionPermit,
@@ -38,19 +39,19 @@
         PooledConnection {
             connection,
             idle_since: now,
-            rests_until: now,
+            reusable_at: now,
             _permit: permit,
         }
     }
 
-    /// A request goes out on it.
+    /// Records that a request is written on the connection.
     pub fn on_request(&mut self, now: Duration) {
         self.idle_since = now;
     }
 
-    /// Its response has come in whole.
+    /// Records that the response was completely received.
     pub fn on_response(&mut self, now: Duration) {
-        self.rests_until = now + REST_AFTER_RESPONSE;
+        self.reusable_at = now + REUSE_DELAY;
     }
 
     fn is_open(&self) -> bool {
@@ -58,8 +59,8 @@
     }
 }
 
-/// The idle connections to all endpoints. What it does goes by the connections that it holds, not by
-/// the endpoints that are listed.
+/// The idle connections to all endpoints. The work of its methods depends on the connections that
+/// it holds, not on the number of listed endpoints.
 pub struct ConnectionPool {
     idle: RefCell<IdleConnections>,
     max_idle: Cell<Duration>,
@@ -68,7 +69,8 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool. An endpoint closes what has been idle for its idle timeout.
+    /// Creates an empty pool. `endpoint_idle_timeout` is the time after which endpoints close an
+    /// idle connection.
     pub fn new(
         endpoint_idle_timeout: Duration,
         clock: Rc<Clock>,
@@ -84,19 +86,19 @@
         pool
     }
 
-    /// The endpoints' idle timeout from now on.
+    /// Sets the time after which endpoints close an idle connection.
     pub fn set_endpoint_idle_timeout(&self, endpoint_idle_timeout: Duration) {
         self.max_idle
             .set(endpoint_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE));
     }
 
-    /// An open connection that has rested, the longest idle first. Those that are found closed are
-    /// counted and dropped.
+    /// Takes an open connection that may be reused, the longest idle first; `None` if there is
+    /// none. Connections that are found closed are counted and dropped.
     pub fn take(&self, endpoint: usize) -> Option<PooledConnection> {
         let now = self.clock.now();
         self.idle.borrow_mut().change(endpoint, |connections| {
-            while let Some(rested) = connections.iter().position(|c| now >= c.rests_until) {
-                let Some(connection) = connections.remove(rested) else {
+            while let Some(reusable) = connections.iter().position(|c| now >= c.reusable_at) {
+                let Some(connection) = connections.remove(reusable) else {
                     continue;
                 };
                 if self.is_expired(&connection, now) {
@@ -111,18 +113,19 @@
         })
     }
 
-    /// Keeps a connection for the endpoint's next request.
+    /// Adds a connection for the endpoint's next request.
     pub fn put(&self, endpoint: usize, connection: PooledConnection) {
         let mut idle = self.idle.borrow_mut();
         idle.change(endpoint, |connections| connections.push_back(connection));
     }
 
-    /// Closes all that wait for this endpoint.
+    /// Closes all idle connections to this endpoint.
     pub fn close_all_to(&self, endpoint: usize) {
         self.idle.borrow_mut().change(endpoint, VecDeque::clear);
     }
 
-    /// Closes what the other side has closed, which is counted, or is about to.
+    /// Closes the connections that the endpoint has closed, which are counted, and those that it is
+    /// about to close because of their idle time.
     pub fn close_stale(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest; false when there is none.
+    /// Closes the connection that has been idle the longest. Returns false if there is none.
     pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let Some(endpoint) = idle.longest_idle_endpoint() else {
@@ -148,8 +151,8 @@
         idle.change(endpoint, |connections| connections.pop_front().is_some())
     }
 
-    /// How many endpoints' connections were looked at so far: a measure of work that does not depend
-    /// on a clock.
+    /// Returns how often the connections of an endpoint were visited so far: a measure of work that
+    /// does not depend on a clock.
     pub fn endpoints_visited(&self) -> u64 {
         self.idle.borrow().visited
     }
@@ -159,27 +162,27 @@
     }
 }
 
-/// Idle connections of the endpoints that have any.
+/// The idle connections of the endpoints that have any.
 #[derive(Default)]
 struct IdleConnections {
-    by_endpoint: HashMap<usize, VecDeque<PooledConnection>>, // in the order they came, never empty
-    longest_idle: BTreeSet<(Duration, usize)>, // of each endpoint's first: idle since, endpoint
+    by_endpoint: HashMap<usize, VecDeque<PooledConnection>>, // in order of arrival, never empty
+    longest_idle: BTreeSet<(Duration, usize)>, // first connection's `idle_since`, endpoint
     visited: u64,
 }
 
 impl IdleConnections {
-    /// Changes what waits for one endpoint.
+    /// Applies `operation` to the idle connections of one endpoint, and updates `longest_idle`.
     fn change<T>(
         &mut self,
         endpoint: usize,
-        work: impl FnOnce(&mut VecDeque<PooledConnection>) -> T,
+        operation: impl FnOnce(&mut VecDeque<PooledConnection>) -> T,
     ) -> T {
         self.visited += 1;
         let mut connections = self.by_endpoint.remove(&endpoint).unwrap_or_default();
         if let Some(first) = connections.front() {
             self.longest_idle.remove(&(first.idle_since, endpoint));
         }
-        let result = work(&mut connections);
+        let result = operation(&mut connections);
         if let Some(first) = connections.front() {
             self.longest_idle.insert((first.idle_since, endpoint));
             self.by_endpoint.insert(endpoint, connections);
@@ -187,7 +190,7 @@
         result
     }
 
-    /// The endpoints that connections wait for.
+    /// Returns the endpoints that have idle connections.
     fn endpoints(&self) -> Vec<usize> {
         self.by_endpoint.keys().copied().collect()
     }
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -8,19 +8,19 @@
 use std::io;
 use std::time::Duration;
 
-/// How soon the rest of a response that has begun must come.
-const REST_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time without further data after which a response that has begun counts as truncated.
+const REMAINDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a connection is not ready for the next query after a response.
+/// The reason for which a connection is not ready for the next query after a response.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The endpoint closed the connection, or it broke.
-    #[error("the connection ended")]
+    /// The endpoint closed the connection, or the connection failed.
+    #[error("the connection was closed")]
     ConnectionEnded,
-    /// A response stopped short of its end, and the connection did not.
-    #[error("the response stopped short of its end for {} ms", REST_TIMEOUT.as_millis())]
+    /// The response stopped before its end while the connection stayed open.
+    #[error("the response is incomplete: no data for {} ms", REMAINDER_TIMEOUT.as_millis())]
     Truncated,
-    /// The bytes are no response.
+    /// The received bytes are not a valid response.
     #[error(transparent)]
     Malformed(#[from] ProtocolError),
 }
@@ -52,10 +52,11 @@
     }
 }
 
-/// Reads on; `begun` if part of the response was read already.
+/// Reads more bytes of a response. `begun` says that a part of the response was already handled.
 ///
-/// Guards against a response that stops short of its end. A whole one comes at once, however large;
-/// one whose rest was held up on its way for as long is given up, too.
+/// Detects a response that stops before its end. A complete response arrives without pauses,
+/// however large it is. Does harm where the rest of one is delayed in the network for
+/// [`REMAINDER_TIMEOUT`]: such a response is abandoned, too.
 async fn read_more(
     agent: &Agent,
     connection: &mut Connection,
@@ -64,7 +65,7 @@
     let begun = begun || !connection.receive_buffer.is_empty();
     let read = async { connection.read_more().await.map_err(ResponseError::from) };
     let count = if begun {
-        read.or(rest_timeout(agent)).await?
+        read.or(remainder_timeout(agent)).await?
     } else {
         read.await?
     };
@@ -74,7 +75,9 @@
     Ok(())
 }
 
-async fn rest_timeout(agent: &Agent) -> Result<usize, ResponseError> {
-    agent.sleep_until(agent.clock.now() + REST_TIMEOUT).await;
+async fn remainder_timeout(agent: &Agent) -> Result<usize, ResponseError> {
+    agent
+        .sleep_until(agent.clock.now() + REMAINDER_TIMEOUT)
+        .await;
     Err(ResponseError::Truncated)
 }
--- a/crates/agent/src/upstream/transfer_meter.rs
+++ b/crates/agent/src/upstream/transfer_meter.rs
@@ -1,67 +1,68 @@
-//! What one attempt transfers over its sockets.
+//! Measurement of the bytes that one attempt transfers over its sockets.
 
 use crate::protocol::connection::SocketTraffic;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tulipwall_zones::ResponseFault;
 
-/// Bytes that went both ways.
+/// The numbers of bytes transferred in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferredBytes {
-    /// Written by this agent.
+    /// The bytes that this agent wrote.
     pub sent: u64,
-    /// Read by this agent.
+    /// The bytes that this agent read.
     pub received: u64,
 }
 
-/// Follows one attempt, also when it is dropped halfway.
+/// Records the progress and the traffic of one attempt, and keeps them when the attempt is dropped
+/// halfway.
 ///
-/// Written by the attempt; read by the request that it belongs to.
+/// The attempt writes it; the request to which the attempt belongs reads it.
 #[derive(Default)]
 pub struct TransferMeter {
     fully_written: Cell<bool>,
     fault: Cell<ResponseFault>,
-    finished: Cell<TransferredBytes>, // over connections before the present one
-    present: RefCell<Option<Rc<SocketTraffic>>>,
+    accumulated: Cell<TransferredBytes>, // over the connections before the current one
+    current: RefCell<Option<Rc<SocketTraffic>>>,
 }
 
 impl TransferMeter {
-    /// The attempt goes on on this connection.
-    pub fn follow(&self, traffic: Rc<SocketTraffic>) {
+    /// Tracks the traffic of the connection on which the attempt continues.
+    pub fn track(&self, traffic: Rc<SocketTraffic>) {
         self.transferred();
-        *self.present.borrow_mut() = Some(traffic);
+        *self.current.borrow_mut() = Some(traffic);
     }
 
-    /// All of the statement went out: from now on it may have run.
+    /// Records that the statement was fully written; from then on it may have run.
     pub fn set_fully_written(&self) {
         self.fully_written.set(true);
     }
 
-    /// Whether all of the statement went out.
+    /// Returns whether the statement was fully written.
     pub fn is_fully_written(&self) -> bool {
         self.fully_written.get()
     }
 
-    /// What was wrong with the answer.
+    /// Records the fault of the response.
     pub fn set_fault(&self, fault: ResponseFault) {
         self.fault.set(fault);
     }
 
-    /// What was wrong with the answer, if anything.
+    /// Returns the fault of the response; [`ResponseFault::None`] if none was recorded.
     pub fn fault(&self) -> ResponseFault {
         self.fault.get()
     }
 
-    /// Bytes since the attempt's beginning. Each byte of a connection is charged once: afterwards
-    /// the present connection is not followed any more.
+    /// Returns the bytes transferred since the attempt began. Each byte of a connection is charged
+    /// once, so the current connection is no longer tracked after this call.
     pub fn transferred(&self) -> TransferredBytes {
-        let mut total = self.finished.get();
-        if let Some(traffic) = self.present.take() {
+        let mut total = self.accumulated.get();
+        if let Some(traffic) = self.current.take() {
             let (sent, received) = traffic.take_uncharged();
             total.sent += sent;
             total.received += received;
         }
-        self.finished.set(total);
+        self.accumulated.set(total);
         total
     }
 }
--- a/crates/agent/src/upstream/warm_up.rs
+++ b/crates/agent/src/upstream/warm_up.rs
@@ -1,22 +1,23 @@
-//! Connections that are opened ahead of the first requests.
+//! Opening of connections before the first requests arrive.
 
 use crate::agent::Agent;
 use crate::upstream::connect::open_connection;
 use std::rc::Rc;
 use tulipwall_discovery::endpoint_table::AttemptTarget;
 
-/// One in so many of the connections to endpoints is opened ahead.
-const WARM_SHARE: usize = 2;
+/// One in this many of the connections to endpoints is opened in advance.
+const WARM_UP_DIVISOR: usize = 2;
 
-/// Opens connections to all endpoints, once some are known: all at once the first requests would
-/// wait for as many handshakes. None where each is paid for, as most would close again before a
-/// request came for them; there the first requests wait for their own.
+/// Opens connections to all endpoints once some are usable. Otherwise the first requests would all
+/// wait for handshakes at the same time. If handshakes have a price, no connections are opened, as
+/// most would be closed before a request uses them; the first requests then wait for their own
+/// handshakes.
 pub async fn warm_up(agent: &Rc<Agent>) {
     let targets = agent.endpoints.usable_targets().await;
     if agent.service_config().handshake_price > 0.0 {
         return;
     }
-    let available = agent.limits.connections.max_endpoint_connections() / WARM_SHARE;
+    let available = agent.limits.connections.max_endpoint_connections() / WARM_UP_DIVISOR;
     let connections_each = available / targets.len().max(1);
     let tasks: Vec<_> = targets
         .into_iter()
@@ -30,7 +31,7 @@
     }
 }
 
-/// Opens connections one after the other, up to the first failure.
+/// Opens `count` connections to an endpoint one after the other, and stops at the first failure.
 async fn open_connections(agent: Rc<Agent>, target: AttemptTarget, count: usize) {
     for _ in 0..count {
         match open_connection(&agent, target).await {
--- a/crates/agent/src/upstream/zone_traffic.rs
+++ b/crates/agent/src/upstream/zone_traffic.rs
@@ -1,4 +1,5 @@
-//! Cross-zone traffic, where the installation configures zones: the one owner of `Zones`.
+//! Accounting of cross-zone traffic, if the installation configures zones. [`ZoneTraffic`] is the
+//! sole owner of [`Zones`].
 
 use crate::upstream::transfer_meter::TransferMeter;
 use std::cell::{Cell, RefCell};
@@ -10,21 +11,21 @@
     OverBudgetReason, ReportCursor, ReportLine, Reservation, ZoneConfig, Zones,
 };
 
-/// How often an exhausted budget is logged.
+/// The minimum interval between two log lines about the same exhausted budget.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The accounting of cross-zone traffic.
 ///
-/// Written by requests and attempts, and by a configuration reload; read by the balancer's poll and
-/// by the admin endpoint. Without zones in the installation nothing is accounted for.
+/// Requests, attempts and a configuration reload write it; the balancer's poll and the admin
+/// endpoint read it. It is disabled if the installation configures no zones.
 pub struct ZoneTraffic {
     zones: RefCell<Option<Zones>>,
     names: RefCell<DisplayNames>,
     started: Cell<Duration>,
-    logged_budgets: RefCell<BTreeMap<String, LoggedBudget>>, // by name
+    logged_budgets: RefCell<BTreeMap<String, LoggedBudget>>, // by the budget's name
 }
 
-/// When an exhausted budget was logged last, and how many attempts were over it by then.
+/// When an exhausted budget was last logged, and how many attempts had exceeded it by then.
 #[derive(Clone, Copy, Default)]
 struct LoggedBudget {
     at: Duration,
@@ -32,7 +33,7 @@
 }
 
 impl ZoneTraffic {
-    /// An account that begins now, where there are zones.
+    /// Creates an account that begins at `now`; it is disabled if `zone_config` is `None`.
     pub fn new(now: Duration, zone_config: Option<ZoneConfig>, names: DisplayNames) -> ZoneTraffic {
         ZoneTraffic {
             zones: RefCell::new(zone_config.map(|config| Zones::new(now, config))),
@@ -42,19 +43,19 @@
         }
     }
 
-    /// The name of the agent.
+    /// Returns the name of the agent, as reports display it.
     pub fn agent_name(&self) -> String {
         self.names.borrow().agent.clone()
     }
 
-    /// Whether anything is accounted for.
+    /// Returns whether cross-zone traffic is accounted for.
     pub fn is_enabled(&self) -> bool {
         self.zones.borrow().is_some()
     }
 
-    /// Continues under a reloaded installation and settings, with the class indices that
-    /// `class_origins` maps. The account and what is spent of the budgets survive as long as the
-    /// zones are the same. Returns whether nothing was lost.
+    /// Continues with a reloaded installation and settings, whose class indices `class_origins`
+    /// maps to the previous ones. The account and the spent part of the budgets are kept if the
+    /// zones are unchanged. Returns whether nothing was lost.
     pub fn reload(
         &self,
         now: Duration,
@@ -71,8 +72,8 @@
         };
         let continued = match zones.as_mut() {
             Some(zones) if same_zones => zones.reload(now, zone_config, class_origins),
-            present => {
-                let nothing_lost = present.is_none();
+            current => {
+                let nothing_lost = current.is_none();
                 *zones = Some(Zones::new(now, zone_config));
                 self.started.set(now);
                 return nothing_lost;
@@ -84,14 +85,15 @@
         continued
     }
 
-    /// A request has come in.
+    /// Records a request of a class.
     pub fn on_request(&self, now: Duration, class: usize) {
         if let Some(zones) = self.zones.borrow_mut().as_mut() {
             zones.on_request(now, class);
         }
     }
 
-    /// An attempt goes out; what it may cost is reserved.
+    /// Records the start of an attempt and reserves its possible cost. Returns `None` if the
+    /// accounting is disabled.
     pub fn on_attempt(
         &self,
         now: Duration,
@@ -103,7 +105,7 @@
         Some(zones.on_attempt(now, attempt, zone_counts))
     }
 
-    /// An attempt has ended: what its meter measured goes into the account.
+    /// Records the end of an attempt, with the traffic that its meter measured.
     pub fn on_attempt_end(
         &self,
         now: Duration,
@@ -128,15 +130,15 @@
         zones.on_attempt_end(now, reservation, &completed);
     }
 
-    /// A connection was opened, or given up as it was.
+    /// Records the traffic of a connection that was opened, or abandoned during its handshake.
     pub fn on_connection(&self, now: Duration, traffic: ConnectionTraffic) {
         if let Some(zones) = self.zones.borrow_mut().as_mut() {
             zones.on_connection(now, &traffic);
         }
     }
 
-    /// Recomputes the cross-zone policy, and logs budgets that are exhausted. `zone_capacities` is asked
-    /// for so many zones.
+    /// Recomputes the cross-zone policy, and logs exhausted budgets. `zone_capacities` is called
+    /// with the number of zones whose capacities it must return.
     pub fn update(&self, now: Duration, zone_capacities: impl FnOnce(usize) -> Vec<ZoneCapacity>) {
         if let Some(zones) = self.zones.borrow_mut().as_mut() {
             let count = zones.config().zone_count_with_unnamed();
@@ -145,7 +147,8 @@
         }
     }
 
-    /// A line for each budget that attempts went over, with why; none for a single request.
+    /// Logs one line for each budget that attempts have exceeded since its last line, with the
+    /// reasons. Single requests are not logged.
     fn log_exhausted_budgets(&self, now: Duration, zones: &Zones) {
         let mut logged_budgets = self.logged_budgets.borrow_mut();
         let meters = zones.budget_meters().meters();
@@ -173,19 +176,21 @@
         logged_budgets.retain(|name, _| meters.iter().any(|meter| meter.budget.name == *name));
     }
 
-    /// The cross-zone policy, if it has changed since it was last asked for.
+    /// Returns the cross-zone policy if it has changed since the last call.
     pub fn changed_policy(&self) -> Option<CrossZonePolicy> {
         self.zones.borrow_mut().as_mut()?.cross_zone_policy()
     }
 
-    /// Forgets all builds but these.
+    /// Keeps separate figures only for the builds that `builds` returns. Those of all other builds
+    /// are summed up under one entry for removed builds.
     pub fn retain_builds(&self, builds: impl FnOnce() -> BTreeSet<u32>) {
         if let Some(zones) = self.zones.borrow_mut().as_mut() {
             zones.retain_builds(&builds());
         }
     }
 
-    /// The next lines of the report and where it goes on; nothing where there is no account.
+    /// Returns the next lines of the report and the cursor from which to continue; `None` if the
+    /// accounting is disabled.
     pub fn report_lines(
         &self,
         now: Duration,
--- a/crates/agent/tests/large_lists.rs
+++ b/crates/agent/tests/large_lists.rs
@@ -59,7 +59,10 @@
     world
         .discovery
         .set_behavior(DiscoveryBehavior::Sends(long.into()));
-    says(&agent, "a body of 8388609 bytes, 8388608 are read at most");
+    says(
+        &agent,
+        "body of 8388609 bytes is longer than the maximum of 8388608 bytes",
+    );
     assert_eq!(ask(), None);
 
     // By the rules, what a whole list lacks is gone.
