--- a/crates/agent/src/agent/control_state.rs
+++ b/crates/agent/src/agent/control_state.rs
@@ -111,7 +111,7 @@
 
 /// A vote with the time at which the balancer cast it.
 pub struct CastVote {
-    /// The build, the stage and the verdict that the vote is about.
+    /// The verdict, with the build and the stage that it is about.
     pub vote: Vote,
     /// When the vote was cast, on the agent's clock.
     pub cast_at: Duration,
--- a/crates/agent/src/agent/limits.rs
+++ b/crates/agent/src/agent/limits.rs
@@ -16,7 +16,7 @@
 const CLIENT_STATE_BYTES: usize = 8 * 1024;
 /// The number of bytes that may be buffered under any memory limit: enough for a few messages of
 /// the maximum length with their copies. Prevents a low limit from stopping all reads from clients.
-/// Does harm where the limit is enforced from outside, as the process then exceeds it.
+/// This is harmful where the limit is enforced from outside, as the process then exceeds it.
 pub const MIN_BUFFERED_BYTES: usize = 1024 * 1024;
 
 const BYTES_PER_MIB: usize = 1024 * 1024;
@@ -82,7 +82,7 @@
     /// Returns the number of buffered bytes above which the agent stops reading from clients.
     ///
     /// Accounts for memory outside the buffers, which would otherwise take the process beyond its
-    /// limit. Does harm under a low limit, as long messages wait for each other sooner.
+    /// limit. This is harmful under a low limit, as long messages wait for each other sooner.
     pub fn max_buffered_bytes(&self) -> usize {
         let client_bytes = self.connections.client_count() * CLIENT_STATE_BYTES;
         self.unused_share(client_bytes)
--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -121,7 +121,7 @@
         agent
     }
 
-    /// Writes the settings on which the following evidence lines depend to the evidence log.
+    /// Logs the settings on which all later lines of the evidence log depend.
     fn log_start(&self) {
         let wall = self.clock.to_unix_ms(self.clock.now());
         let config = self.service_config();
--- a/crates/agent/src/protocol/buffer.rs
+++ b/crates/agent/src/protocol/buffer.rs
@@ -90,8 +90,8 @@
     /// as the minimum space for a read.
     ///
     /// Prevents the process from exceeding its memory limit: a buffer that grows by doubling frees
-    /// a block of each size, which the allocator keeps for a second and which is not counted. Does
-    /// harm where a client sends the first bytes of a message and never the rest: the whole
+    /// a block of each size, which the allocator keeps for a second and which is not counted. This
+    /// is harmful if a client sends the first bytes of a message and never the rest: the whole
     /// capacity counts until the client's receive timeout.
     pub fn reserve(&mut self, length: usize) {
         let capacity = length + MIN_READ_SPACE;
--- a/crates/agent/src/server/input.rs
+++ b/crates/agent/src/server/input.rs
@@ -37,17 +37,18 @@
     receive_deadline: Option<Duration>,
 ) -> ReadEvent {
     release_idle_buffer(agent, client);
-    let _owing = receive_deadline.map(|_| agent.lifecycle.register_incomplete_request());
+    let _incomplete_request =
+        receive_deadline.map(|_| agent.lifecycle.register_incomplete_request());
     if !client.receive_buffer.is_empty() {
         return read_remainder(agent, client, receive_deadline).await;
     }
-    let owes_first_request = receive_deadline.is_some();
+    let awaits_first_request = receive_deadline.is_some();
     let idle = agent
         .lifecycle
-        .register_idle_client(agent.clock.now(), owes_first_request);
+        .register_idle_client(agent.clock.now(), awaits_first_request);
     match idle {
         Some(idle) => read_while_idle(agent, client, receive_deadline, idle).await,
-        None => read_before_close(agent, client, owes_first_request).await,
+        None => read_before_close(agent, client, awaits_first_request).await,
     }
 }
 
@@ -100,9 +101,9 @@
 async fn read_before_close(
     agent: &Agent,
     client: &mut Connection,
-    owes_first_request: bool,
+    awaits_first_request: bool,
 ) -> ReadEvent {
-    let grace = if owes_first_request {
+    let grace = if awaits_first_request {
         SHORT_RECEIVE_TIMEOUT
     } else {
         Duration::ZERO
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -168,8 +168,9 @@
     }
 }
 
-/// Returns a connection that is ready for the next query to the pool. If it holds bytes after the
-/// response, it is closed: they would be taken for the response to the next request.
+/// Puts a connection that is ready for the next query back into the pool. If bytes follow the
+/// response, the connection is closed instead: they would be taken for the response to the next
+/// request.
 fn release(agent: &Agent, target: AttemptTarget, mut pooled: PooledConnection) {
     if pooled.connection.receive_buffer.is_empty() {
         pooled.on_response(agent.clock.now());
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -55,8 +55,8 @@
 /// Reads more bytes of a response. `begun` says that a part of the response was already handled.
 ///
 /// Detects a response that stops before its end. A complete response arrives without pauses,
-/// however large it is. Does harm where the rest of one is delayed in the network for
-/// [`REMAINDER_TIMEOUT`]: such a response is abandoned, too.
+/// however large it is. A response whose rest is delayed on its way for [`REMAINDER_TIMEOUT`] is
+/// wrongly abandoned, too.
 async fn read_more(
     agent: &Agent,
     connection: &mut Connection,
