--- a/crates/agent/tests/large_lists.rs
+++ b/crates/agent/tests/large_lists.rs
@@ -49,7 +49,7 @@
         .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
             &twice.to_string(),
         )));
-    says(&agent, "'s-00000011' stands twice");
+    says(&agent, "'s-00000011' is listed twice");
     assert_eq!(ask(), None);
 
     // Beyond what is read nothing is believed: what is known goes on.
--- a/crates/discovery/src/endpoint_table/entry.rs
+++ b/crates/discovery/src/endpoint_table/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the endpoint table.
+//! One entry of the endpoint table, and how discovery's records update it.
 
 use super::index_hold::IndexHold;
 use crate::list_response::EndpointRecord;
@@ -7,24 +7,26 @@
 use std::sync::Arc;
 use tulipwall::{EndpointEntry, EndpointState};
 
-/// What is known of one endpoint.
+/// What the table knows about one endpoint.
 pub(super) struct TableEntry {
     pub(super) id: Rc<str>,
     pub(super) address: SocketAddr,
     pub(super) zone_name: Arc<str>,
-    /// What was last listed of it, in the form of the balancer.
+    /// The state that was last listed, in the balancer's format.
     pub(super) listed: EndpointEntry,
+    /// The endpoint's last start, in Unix time milliseconds; `None` means long ago.
     started_ms: Option<u64>,
-    /// The newest version that said that it drains or is gone; 0 while it runs.
+    /// The newest list version that reported the endpoint as draining or gone; 0 while it is
+    /// running.
     stopped_at_version: u64,
-    /// The last response that lists it, by the table's own count.
+    /// The number of the last response that lists the endpoint, as counted by the table.
     pub(super) listed_in_response: u64,
-    /// Cloned by each attempt to it.
+    /// Keeps the endpoint's index from being reused; every attempt to the endpoint clones it.
     pub(super) hold: Rc<IndexHold>,
 }
 
 impl TableEntry {
-    /// An endpoint that was not known, as a record of the given version lists it.
+    /// Creates the entry of a new endpoint from its record in a list of the given version.
     pub(super) fn new(
         record: EndpointRecord,
         listed: EndpointEntry,
@@ -56,15 +58,20 @@
         self.state() == EndpointState::Gone
     }
 
-    pub(super) fn is_same_build_and_place(&self, record: &EndpointRecord, zone: usize) -> bool {
+    /// Whether the record has the build, the address and the zone of this entry. `zone` is the
+    /// index of the record's zone.
+    pub(super) fn has_same_build_and_location(&self, record: &EndpointRecord, zone: usize) -> bool {
         self.address == record.address
             && self.listed.zone == zone
             && self.listed.build == record.build
     }
 
-    /// The state after a record. Another instance of discovery may hold an older list, in which an
-    /// endpoint that has stopped since still runs: it stays stopped until a newer list, or
-    /// another start of the endpoint, says otherwise. That does harm to one that is called back
+    /// Returns the endpoint's state after a record is applied. `is_same` says whether the record
+    /// has the entry's build, address and zone.
+    ///
+    /// Another discovery instance may serve an older list, in which an endpoint that has since
+    /// stopped is still running. The endpoint stays stopped until a newer list or another start of
+    /// the endpoint says otherwise. This does harm to an endpoint that is put back into service
     /// within the same version.
     pub(super) fn state_after(
         &self,
@@ -81,7 +88,7 @@
         record.state
     }
 
-    /// Takes in a record of the given version, which lists it as `listed`.
+    /// Applies a record of the given version; `listed` is the record in the balancer's format.
     pub(super) fn update(&mut self, record: EndpointRecord, listed: EndpointEntry, version: u64) {
         self.address = record.address;
         self.zone_name = record.zone;
@@ -95,7 +102,7 @@
         }
     }
 
-    /// From this version on it drains or is gone.
+    /// Marks the endpoint as draining or gone from this version on.
     pub(super) fn stop(&mut self, state: EndpointState, version: u64) {
         self.listed.state = state;
         self.stopped_at_version = self.stopped_at_version.max(version);
--- a/crates/discovery/src/endpoint_table/index_hold.rs
+++ b/crates/discovery/src/endpoint_table/index_hold.rs
@@ -1,16 +1,16 @@
-//! Which indices may be given to other endpoints: those of endpoints that are gone and that no
+//! Tracks which endpoint indices may be reused: those of endpoints that are gone and that no
 //! attempt holds any more.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The indices that may be given to other endpoints, the least first.
+/// The indices that may be assigned to other endpoints, in ascending order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReusableIndices(Rc<RefCell<BTreeSet<usize>>>);
 
 impl ReusableIndices {
-    /// Takes the least index.
+    /// Removes and returns the lowest index; `None` if no index can be reused.
     pub(super) fn take(&self) -> Option<usize> {
         self.0.borrow_mut().pop_first()
     }
@@ -24,7 +24,8 @@
     }
 }
 
-/// The hold of one endpoint on its index. Shared by its entry in the table and by all guards.
+/// The reference-counted hold on one endpoint's index. It is shared by the endpoint's entry in the
+/// table and by all its guards.
 #[derive(Debug)]
 pub(super) struct IndexHold {
     index: usize,
@@ -33,7 +34,7 @@
 }
 
 impl IndexHold {
-    /// The hold of an endpoint that is not gone.
+    /// Creates the hold on `index` for an endpoint that is not gone.
     pub(super) fn new(index: usize, reusable: &ReusableIndices) -> Rc<IndexHold> {
         Rc::new(IndexHold {
             index,
@@ -42,8 +43,8 @@
         })
     }
 
-    /// The endpoint is gone, or is there again. The index of one that is gone may be given to
-    /// another at once, or when the last guard is dropped.
+    /// Records whether the endpoint is gone. The index of an endpoint that is gone becomes reusable
+    /// at once, or when its last guard is dropped. An endpoint that comes back keeps its index.
     pub(super) fn set_gone(self: &Rc<IndexHold>, is_gone: bool) {
         self.is_gone.set(is_gone);
         let is_held = Rc::strong_count(self) > 1;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Keeps the index of an endpoint from being reused for as long as it lives.
+/// Keeps an endpoint's index from being reused until the guard and all its clones are dropped.
 #[derive(Clone, Debug)]
 pub struct IndexGuard {
     hold: Rc<IndexHold>,
@@ -71,7 +72,7 @@
 
 impl Drop for IndexGuard {
     fn drop(&mut self) {
-        // The other one is that of the table's entry, unless the table is gone as well.
+        // The second reference belongs to the table's entry, unless the table was dropped before.
         let is_last_guard = Rc::strong_count(&self.hold) == 2;
         if is_last_guard && self.hold.is_gone.get() {
             self.hold.reusable.insert(self.hold.index);
--- a/crates/discovery/src/endpoint_table/mod.rs
+++ b/crates/discovery/src/endpoint_table/mod.rs
@@ -1,7 +1,8 @@
-//! The endpoints that discovery lists, with the small indices by which the balancer knows them.
+//! The endpoints that discovery lists, and the small indices that the balancer uses for them.
 //!
-//! A response is taken in by as many visits of entries as it has entries; one that lists every
-//! endpoint also visits those that it lacks. Nothing else walks the table.
+//! Applying a response visits one table entry for each entry of the response. A complete list also
+//! visits every entry of the table, to find the endpoints that it no longer contains. No other step
+//! of applying a response iterates over the table.
 
 mod entry;
 mod index_hold;
@@ -19,56 +20,59 @@
 use tulipwall::{EndpointEntry, EndpointState};
 use tulipwall_config::{stable_hash, ServiceConfig};
 
-/// The most endpoint types that are told apart; further ones count as the last.
+/// Maximum number of endpoint types that are distinguished; further types count as the last one.
 const MAX_ENDPOINT_TYPES: usize = 16;
 
 /// The endpoints that discovery listed, by index.
 ///
 /// The index of an endpoint that is gone is reused once no attempt holds it (see
-/// [`EndpointTable::hold_index`]), so the table grows with what runs and not with what ever ran.
+/// [`EndpointTable::hold_index`]), so the table's size depends on the endpoints that exist now, not
+/// on all that ever existed.
 #[derive(Default)]
 pub struct EndpointTable {
     indices: HashMap<Rc<str>, usize>,
     entries: EntryStore,
     endpoint_types: Vec<String>,
-    /// How many responses were applied.
+    /// The number of responses applied so far.
     responses: u64,
-    /// The version of the last list that could be read as a whole; 0 before the first.
+    /// The version of the last list that was read without errors; 0 before the first one.
     pub version: u64,
 }
 
-/// Where an attempt goes: one build at one address.
+/// The destination of an attempt: one build at one address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTarget {
     /// The endpoint's index.
     pub endpoint: usize,
-    /// Where it accepts connections.
+    /// The address on which the endpoint accepts connections.
     pub address: SocketAddr,
-    /// The index of its zone; the number of named zones for one that the settings do not have.
+    /// The index of the endpoint's zone. A zone that is not in the settings has the number of named
+    /// zones as its index.
     pub zone: usize,
-    /// The build that it runs.
+    /// The build that the endpoint runs.
     pub build: u32,
 }
 
-/// What a response changed.
+/// The result of applying a response to the table.
 #[derive(Debug, Default)]
 pub struct AppliedList {
-    /// The endpoints that it lists, in the form of the balancer.
+    /// The endpoints that the response lists, in the balancer's format.
     pub entries: Vec<EndpointEntry>,
-    /// The endpoints whose idle connections are of no more use.
+    /// The indices of endpoints whose idle connections must no longer be used.
     pub stale_endpoints: Vec<usize>,
-    /// The positions of those entries that differ from what was listed of the endpoint before.
+    /// The positions in `entries` of those that differ from what was listed before.
     changed: Vec<usize>,
-    /// The endpoints that are gone because a complete list lacks them.
+    /// The endpoints that are gone because a complete list does not contain them.
     removed: Vec<EndpointEntry>,
 }
 
 impl AppliedList {
-    /// What differs from all responses before, in the form of a change: endpoints that a complete
-    /// list lacks are among it as gone, those that it lists as before are not.
+    /// Returns only the entries that differ from the responses before, as an incremental update:
+    /// endpoints missing from a complete list are included as gone, unchanged ones are left out.
     pub fn into_changes(self) -> Vec<EndpointEntry> {
-        let is_all_new = self.removed.is_empty() && self.changed.len() == self.entries.len();
-        if is_all_new {
+        let all_entries_changed =
+            self.removed.is_empty() && self.changed.len() == self.entries.len();
+        if all_entries_changed {
             return self.entries;
         }
         let mut changes = self.removed;
@@ -88,8 +92,8 @@
     }
 }
 
-/// A response while it is applied.
-struct Application<'a> {
+/// State that is shared by the steps of applying one response.
+struct ApplyContext<'a> {
     version: u64,
     service: &'a ServiceConfig,
     clock: &'a Clock,
@@ -97,8 +101,8 @@
 }
 
 impl EndpointTable {
-    /// Applies a response. One that could not be read as a whole does not change the version, so
-    /// that all of it is asked for again.
+    /// Applies a response. If some of its entries could not be read, the version stays unchanged,
+    /// so that the whole response is requested again.
     pub fn apply(
         &mut self,
         response: ListResponse,
@@ -109,44 +113,44 @@
             self.version = response.version;
         }
         self.responses += 1;
-        let mut application = Application {
+        let mut context = ApplyContext {
             version: response.version,
             service,
             clock,
             applied: AppliedList::default(),
         };
         let records = response.endpoints.len();
-        application.applied.entries.reserve(records);
+        context.applied.entries.reserve(records);
         if response.complete {
             self.reserve(records);
         }
         for record in response.endpoints {
-            self.apply_record(record, &mut application);
+            self.apply_record(record, &mut context);
         }
         for id in &response.unreadable_ids {
             if let Some(endpoint) = self.index(id) {
-                self.drain_unreadable(endpoint, &mut application);
+                self.drain_unreadable(endpoint, &mut context);
             }
         }
         if response.complete {
-            self.remove_unlisted(&mut application);
+            self.remove_unlisted(&mut context);
         }
-        application.applied
+        context.applied
     }
 
-    /// Makes room for so many endpoints at once, rather than by doubling what there is.
+    /// Reserves space for this number of endpoints at once, rather than growing by doubling.
     fn reserve(&mut self, endpoints: usize) {
         let additional = endpoints.saturating_sub(self.entries.len());
         self.entries.reserve(additional);
         self.indices.reserve(additional);
     }
 
-    fn apply_record(&mut self, record: EndpointRecord, application: &mut Application) {
+    fn apply_record(&mut self, record: EndpointRecord, context: &mut ApplyContext) {
         match self.index(&record.id) {
-            Some(endpoint) => self.update_known(endpoint, record, application),
-            // It went before it was known.
+            Some(endpoint) => self.update_known(endpoint, record, context),
+            // The endpoint was gone before the table first saw it, so there is nothing to record.
             None if record.state == EndpointState::Gone => {}
-            None => self.insert_new(record, application),
+            None => self.insert_new(record, context),
         }
     }
 
@@ -154,14 +158,14 @@
         &mut self,
         endpoint: usize,
         record: EndpointRecord,
-        application: &mut Application,
+        context: &mut ApplyContext,
     ) {
-        let mut listed = self.balancer_entry(endpoint, &record, application);
+        let mut listed = self.balancer_entry(endpoint, &record, context);
         let response = self.responses;
-        let applied = &mut application.applied;
-        let version = application.version;
+        let applied = &mut context.applied;
+        let version = context.version;
         self.entries.update(endpoint, |entry| {
-            let is_same = entry.is_same_build_and_place(&record, listed.zone);
+            let is_same = entry.has_same_build_and_location(&record, listed.zone);
             listed.state = entry.state_after(&record, is_same, version);
             let is_changed = entry.listed != listed;
             let is_stale = !is_same || listed.state != EndpointState::Running;
@@ -171,14 +175,14 @@
         });
     }
 
-    /// Gives an endpoint an index that was not known.
-    fn insert_new(&mut self, record: EndpointRecord, application: &mut Application) {
+    /// Adds an endpoint that is not in the table and assigns it an index.
+    fn insert_new(&mut self, record: EndpointRecord, context: &mut ApplyContext) {
         let endpoint = self.entries.take_free_index();
-        let listed = self.balancer_entry(endpoint, &record, application);
+        let listed = self.balancer_entry(endpoint, &record, context);
         let is_stale = listed.state != EndpointState::Running;
-        application.applied.push(listed.clone(), true, is_stale);
+        context.applied.push(listed.clone(), true, is_stale);
         let hold = self.entries.hold(endpoint);
-        let mut entry = TableEntry::new(record, listed, application.version, hold);
+        let mut entry = TableEntry::new(record, listed, context.version, hold);
         entry.listed_in_response = self.responses;
         let id = Rc::clone(&entry.id);
         if let Some(replaced) = self.entries.insert(endpoint, entry) {
@@ -187,19 +191,19 @@
         self.indices.insert(id, endpoint);
     }
 
-    /// A record in the form of the balancer.
+    /// Converts a record to the balancer's format.
     fn balancer_entry(
         &mut self,
         endpoint: usize,
         record: &EndpointRecord,
-        application: &Application,
+        context: &ApplyContext,
     ) -> EndpointEntry {
         let started = record
             .started_ms
-            .and_then(|ms| application.clock.from_unix_ms(ms));
+            .and_then(|ms| context.clock.from_unix_ms(ms));
         EndpointEntry {
             endpoint,
-            zone: zone_index(application.service, &record.zone),
+            zone: zone_index(context.service, &record.zone),
             cell: record.cell,
             identity: stable_hash(&record.id),
             endpoint_type: self.endpoint_type_index(&record.endpoint_type),
@@ -209,11 +213,12 @@
         }
     }
 
-    /// An endpoint whose entry cannot be read gets no attempts until it can be.
-    fn drain_unreadable(&mut self, endpoint: usize, application: &mut Application) {
+    /// Drains an endpoint whose entry cannot be read: it gets no attempts until its entry is
+    /// readable.
+    fn drain_unreadable(&mut self, endpoint: usize, context: &mut ApplyContext) {
         let response = self.responses;
-        let version = application.version;
-        let applied = &mut application.applied;
+        let version = context.version;
+        let applied = &mut context.applied;
         self.entries.update(endpoint, |entry| {
             let before = entry.listed.clone();
             if entry.is_running() {
@@ -227,11 +232,11 @@
         });
     }
 
-    /// An endpoint that a complete list lacks is gone.
-    fn remove_unlisted(&mut self, application: &mut Application) {
+    /// Marks the endpoints that a complete list does not contain as gone.
+    fn remove_unlisted(&mut self, context: &mut ApplyContext) {
         let response = self.responses;
-        let version = application.version;
-        let applied = &mut application.applied;
+        let version = context.version;
+        let applied = &mut context.applied;
         for endpoint in 0..self.entries.len() {
             self.entries.update(endpoint, |entry| {
                 if entry.listed_in_response == response {
@@ -247,8 +252,8 @@
         }
     }
 
-    /// Zones have other indices under new settings: returns the endpoints whose zone has, each with
-    /// the zone's new index.
+    /// Recomputes the zone indices after a change of the settings. Returns each endpoint whose zone
+    /// index changed, with the new index.
     pub fn update_zones(&mut self, service: &ServiceConfig) -> Vec<(usize, usize)> {
         let mut moved = Vec::new();
         for endpoint in 0..self.entries.len() {
@@ -274,12 +279,12 @@
         self.endpoint_types.len() - 1
     }
 
-    /// The builds of all endpoints that are not gone.
+    /// Returns the builds of all endpoints that are not gone.
     pub fn builds(&self) -> BTreeSet<u32> {
         self.entries.builds()
     }
 
-    /// How many indices there are, with those of endpoints that are gone.
+    /// Returns the number of indices, including those of endpoints that are gone.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -289,39 +294,40 @@
         self.entries.len() == 0
     }
 
-    /// How many entries were visited so far, whatever for: a measure of work that does not depend
-    /// on the machine.
+    /// Returns how many entry accesses were made so far, for any purpose. This measures the work
+    /// independently of the machine.
     pub fn entry_visits(&self) -> u64 {
         self.entries.visits()
     }
 
-    /// Keeps the index with its endpoint for as long as the guard lives.
+    /// Keeps the index assigned to its endpoint until the guard is dropped. Returns `None` for an
+    /// index that is not in the table.
     pub fn hold_index(&self, endpoint: usize) -> Option<IndexGuard> {
         let entry = self.entries.get(endpoint)?;
         Some(IndexGuard::new(&entry.hold))
     }
 
-    /// Whether any endpoint runs.
+    /// Whether any endpoint is running.
     pub fn has_running(&self) -> bool {
         self.entries.has_running()
     }
 
-    /// The index of the endpoint with this id.
+    /// Returns the index of the endpoint with this id; `None` if the id is not in the table.
     pub fn index(&self, id: &str) -> Option<usize> {
         self.indices.get(id).copied()
     }
 
-    /// The id of the endpoint at this index; empty for an index that is not in the table.
+    /// Returns the id of the endpoint at this index; empty for an index that is not in the table.
     pub fn id(&self, endpoint: usize) -> &str {
         self.entries.get(endpoint).map_or("", |entry| &entry.id)
     }
 
-    /// All endpoints that run.
+    /// Returns the attempt targets of all running endpoints.
     pub fn targets(&self) -> Vec<AttemptTarget> {
         self.entries.iter().filter_map(target).collect()
     }
 
-    /// Where to reach the endpoint; `None` unless it runs.
+    /// Returns the endpoint's attempt target; `None` unless the endpoint is running.
     pub fn target(&self, endpoint: usize) -> Option<AttemptTarget> {
         target(self.entries.get(endpoint)?)
     }
@@ -336,7 +342,8 @@
     })
 }
 
-/// The index of a zone; that behind all named ones for a zone that the settings do not have.
+/// Returns the index of a zone. A zone that is not in the settings gets the index after all named
+/// zones.
 fn zone_index(service: &ServiceConfig, name: &str) -> usize {
     service.zone_index(name).unwrap_or(service.zones.len())
 }
--- a/crates/discovery/src/endpoint_table/store.rs
+++ b/crates/discovery/src/endpoint_table/store.rs
@@ -1,5 +1,5 @@
-//! The entries of the endpoint table by index, with what is asked about all of them kept up to
-//! date at each change.
+//! Stores the entries of the endpoint table by index, and keeps totals over all entries up to date
+//! at each change.
 
 use super::entry::TableEntry;
 use super::index_hold::{IndexHold, ReusableIndices};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tulipwall::EndpointState;
 
-/// What the sums over all entries have of one.
+/// The properties of one entry that the totals are counted by.
 #[derive(Clone, Copy, PartialEq)]
 struct Counted {
     state: EndpointState,
@@ -24,20 +24,21 @@
     }
 }
 
-/// The entries by index. Every access to one is counted, so that tests can hold the work of a list
-/// against its size.
+/// The entries by index. Every access to an entry is counted, so that tests can compare the work
+/// for a list with its size.
 #[derive(Default)]
 pub(super) struct EntryStore {
     entries: Vec<TableEntry>,
+    /// How many endpoints are running.
     running: usize,
-    /// How many endpoints that are not gone run each build.
+    /// For each build, how many endpoints that are not gone run it.
     builds: BTreeMap<u32, usize>,
     reusable: ReusableIndices,
     visits: Cell<u64>,
 }
 
 impl EntryStore {
-    /// How many entries were visited so far.
+    /// Returns how many entry accesses were counted so far.
     pub(super) fn visits(&self) -> u64 {
         self.visits.get()
     }
@@ -46,7 +47,7 @@
         self.visits.set(self.visits.get() + 1);
     }
 
-    /// The number of indices, with those of endpoints that are gone.
+    /// Returns the number of indices, including those of endpoints that are gone.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
@@ -59,7 +60,7 @@
         self.running > 0
     }
 
-    /// The builds of all endpoints that are not gone.
+    /// Returns the builds of all endpoints that are not gone.
     pub(super) fn builds(&self) -> BTreeSet<u32> {
         self.builds.keys().copied().collect()
     }
@@ -73,7 +74,8 @@
         self.entries.iter().inspect(|_| self.count_visit())
     }
 
-    /// Changes the entry at `index`, which must exist.
+    /// Applies `change` to the entry at `index` and updates the totals. Panics if there is no entry
+    /// at `index`.
     pub(super) fn update<T>(
         &mut self,
         index: usize,
@@ -95,23 +97,24 @@
         outcome
     }
 
-    /// The index that the next endpoint gets: the least that may be given out again, else a new
-    /// one. Must be followed by [`EntryStore::insert`] there.
+    /// Returns the index for the next endpoint: the lowest reusable one, or a new one if there is
+    /// none. The caller must then call [`EntryStore::insert`] with it.
     pub(super) fn take_free_index(&mut self) -> usize {
         self.reusable.take().unwrap_or(self.entries.len())
     }
 
-    /// The hold on `index` of an endpoint that is not gone.
+    /// Creates the hold on `index` for an endpoint that is not gone.
     pub(super) fn hold(&self, index: usize) -> Rc<IndexHold> {
         IndexHold::new(index, &self.reusable)
     }
 
-    /// Puts an endpoint that is not gone at a free index; the one that it replaces.
+    /// Stores an endpoint that is not gone at a free index. Returns the entry that it replaces, if
+    /// any.
     pub(super) fn insert(&mut self, index: usize, entry: TableEntry) -> Option<TableEntry> {
         self.count_visit();
         self.count(Counted::of(&entry));
         let replaced = match self.entries.get_mut(index) {
-            Some(place) => Some(std::mem::replace(place, entry)),
+            Some(slot) => Some(std::mem::replace(slot, entry)),
             None => {
                 self.entries.push(entry);
                 None
--- a/crates/discovery/src/list_document.rs
+++ b/crates/discovery/src/list_document.rs
@@ -1,9 +1,10 @@
-//! The list exactly as the protocol writes it.
+//! Typed parsing of a list that has exactly the form of the protocol.
 //!
-//! A document that deviates in anything, even in a field that nobody needs, is not read here but
-//! field by field, which names what is wrong. So both ways agree on each list that this one reads.
+//! A document that deviates in any way, even in a field that is not used, is rejected here and then
+//! read field by field, which reports what is wrong. Both parsers therefore give the same result
+//! for every list that this one accepts.
 
-use crate::list_response::{known_state, EndpointRecord};
+use crate::list_response::{parse_endpoint_state, EndpointRecord};
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -12,7 +13,7 @@
 use std::marker::PhantomData;
 use std::sync::Arc;
 
-/// A response with the list.
+/// A response with the endpoint list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ListDocument<'a> {
@@ -23,7 +24,7 @@
     endpoints: Vec<Object<EndpointDocument<'a>>>,
 }
 
-/// One endpoint.
+/// One endpoint of the list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EndpointDocument<'a> {
@@ -42,8 +43,8 @@
     build: u32,
 }
 
-/// Reads `T` from an object only. A derived reading takes an array of the fields in their order,
-/// too.
+/// Deserializes `T` from a JSON object only. A derived `Deserialize` also accepts an array of the
+/// field values in their order.
 struct Object<T>(T);
 
 struct ObjectVisitor<T>(PhantomData<T>);
@@ -67,14 +68,14 @@
 }
 
 impl<'a> ListDocument<'a> {
-    /// The document, where all of it has the exact form.
+    /// Parses a document; `None` unless all of it has exactly the form of the protocol.
     pub(crate) fn parse(body: &'a [u8]) -> Option<ListDocument<'a>> {
         let Object(document) = serde_json::from_slice(body).ok()?;
         Some(document)
     }
 
-    /// The endpoints in their order; `None` where an id stands twice, or a state or an address is
-    /// none.
+    /// Converts the endpoints to records, in their order; `None` if an id is duplicated, or if a
+    /// state or an address is invalid.
     pub(crate) fn into_records(self) -> Option<Vec<EndpointRecord>> {
         let mut ids = HashSet::with_capacity(self.endpoints.len());
         let mut names = SharedNames::default();
@@ -98,13 +99,13 @@
             cell: self.cell,
             endpoint_type: names.get(self.endpoint_type.unwrap_or_default()),
             build: self.build,
-            state: known_state(self.state)?,
+            state: parse_endpoint_state(self.state)?,
             started_ms: (started_ms > 0).then_some(started_ms),
         })
     }
 }
 
-/// Names that stand in many entries of a list, each kept once.
+/// Interns names that occur in many entries of a list, so that each name is stored once.
 #[derive(Default)]
 struct SharedNames(HashSet<Arc<str>>);
 
--- a/crates/discovery/src/list_lease.rs
+++ b/crates/discovery/src/list_lease.rs
@@ -1,48 +1,59 @@
-//! Until when the endpoint list that is known may be acted on.
+//! Tracks until when the current endpoint list may be used.
 
 use crate::watch_timer::WatchEnd;
 use std::time::Duration;
 use tulipwall::Settings;
 
-/// An agent is held to a change this long after discovery had it and could be reached, however its
-/// calls have failed.
+/// An agent must comply with a change from this long after discovery had it and was reachable,
+/// however the agent's calls have failed.
 const CHANGE_GRACE: Duration = Duration::from_millis(6000);
-/// An agent is held to a change this long after the wait of a call, where that is later.
+/// An agent must comply with a change from this long after the wait of a call ended, if that is
+/// later than the time given by [`CHANGE_GRACE`].
 const WAIT_GRACE: Duration = Duration::from_millis(2000);
 
-/// The lease of the list that is known, where lists are polled: until it ends the list has every
-/// change that the agent is held to. Beyond, the agent may be held to one that it never learned of,
-/// so nothing is sent until discovery answers again.
+/// The lease of the current endpoint list, where lists are polled. Until the lease ends, the list
+/// contains every change that the agent must comply with. After that, there may be a change that
+/// the agent must comply with but never received, so it sends nothing until discovery answers
+/// again.
 ///
-/// With N agents, a discovery that begins B watches a second, and S = N / B, every agent is
-/// answered within S of calling at once, and a little for calls in vain, if calls are frequent
-/// enough to fill what discovery bears. First calls after a start are spread over the agent's share
-/// of the calls (N / the rate in the settings, at most half of the poll interval); where that is
-/// over 3 s, over three quarters of it and 3 s at least. Those at a new address are spread over the
-/// share or 2 s, those after a silence of all over nearly twice the poll interval. After a refusal
-/// the next call comes a quarter of the share later (0.25 s at least), times a random factor from
-/// 0.7 to 1.3, then half as much more each time, up to the share (2 s at least). So every agent is
-/// answered within the 6 s while S is up to 3 s. Beyond that the last are not, and their leases end
-/// until they are. A discovery that does not answer at all is no refusal: agents are not held to
-/// what it has.
+/// Let N be the number of agents, B the number of watches that discovery can begin per second, and
+/// S = N / B. If all agents call at once, and often enough to use the full capacity of discovery,
+/// every agent is answered within S plus a short time for refused calls.
+///
+/// - First calls after a start are spread over the agent's call interval: N divided by the rate in
+///   the settings, at most half of the poll interval. If the call interval exceeds 3 s, they are
+///   spread over three quarters of it, but at least over 3 s.
+/// - First calls at a new address are spread over the call interval, at most over 2 s.
+/// - Calls after the watches of all agents fell silent are spread over nearly twice the poll
+///   interval.
+/// - After a refusal, the next call follows after a quarter of the call interval (at least 0.25 s),
+///   multiplied by a random factor from 0.7 to 1.3. Each further delay is half as long again, up to
+///   the call interval (or 2 s if that is longer).
+///
+/// So every agent is answered within the 6 s as long as S is at most 3 s. If S is longer, the last
+/// agents are not, and their leases stay expired until they are answered. A discovery that does not
+/// answer at all does not count as refusing: agents need not comply with the changes it has.
 pub struct ListLease {
-    /// `None` where lists are pushed: there the list that is known is always acted on.
+    /// When the lease ends; `None` where lists are pushed, since the current list is always used
+    /// there.
     valid_until: Option<Duration>,
-    /// When the current watch, or the call that is to begin it, was begun.
+    /// When the current watch, or the call that is meant to begin one, was started.
     watch_began: Duration,
-    /// The current watch was answered.
+    /// Whether the current watch has received a response.
     watch_was_answered: bool,
-    /// Some call was answered with a list.
+    /// Whether any call so far was answered with a list.
     was_ever_answered: bool,
-    /// Some call was refused.
+    /// Whether any call so far was refused.
     was_ever_refused: bool,
 }
 
 impl ListLease {
-    /// The lease after a start, by the configured list. The age of that list is unknown: the
-    /// process before this one may have been refused for long, and this one is held to what it
-    /// missed from its first moment. So there is no lease until a first call was answered, or has
-    /// shown that discovery cannot be reached. That does harm where the list lacks nothing.
+    /// Creates the lease for the configured list, with which the agent starts at `now`.
+    ///
+    /// The age of that list is unknown: the previous process may have been refused for a long time,
+    /// and this one must comply with the changes it missed from the start. So the lease is expired
+    /// until a first call is answered, or fails in a way that shows that discovery is unreachable.
+    /// This does harm if the list is in fact up to date.
     pub fn new(settings: &Settings, now: Duration) -> ListLease {
         ListLease {
             valid_until: settings.shared_discovery.then_some(now),
@@ -53,8 +64,8 @@
         }
     }
 
-    /// Continues under reloaded settings. Where lists were pushed before and are polled now, the
-    /// agent is held to what it missed 6 s from now.
+    /// Applies reloaded settings. If lists were pushed before and are polled now, the lease ends in
+    /// 6 s, when the agent must comply with the changes that it missed.
     pub fn reload(&mut self, settings: &Settings, now: Duration) {
         self.valid_until = if settings.shared_discovery {
             Some(self.valid_until.unwrap_or(now + CHANGE_GRACE))
@@ -63,18 +74,20 @@
         };
     }
 
-    /// When the lease ends; `None` where lists are pushed, and it never does.
+    /// Returns when the lease ends; `None` where lists are pushed, since the lease never ends
+    /// there.
     pub fn valid_until(&self) -> Option<Duration> {
         self.valid_until
     }
 
-    /// A call goes out that is to begin a watch.
+    /// Records that a call is sent that is meant to begin a watch.
     pub fn on_watch_begin(&mut self, now: Duration) {
         self.watch_began = now;
         self.watch_was_answered = false;
     }
 
-    /// A response came, and the next call may wait for `wait`.
+    /// Renews the lease after a response with a list. `wait` is how long discovery may hold the
+    /// next call.
     pub fn on_response(&mut self, now: Duration, wait: Duration) {
         let renewed_until = now + CHANGE_GRACE.max(wait + WAIT_GRACE);
         self.valid_until = self.valid_until.map(|_| renewed_until);
@@ -82,13 +95,14 @@
         self.was_ever_answered = true;
     }
 
-    /// Discovery has a new address, where the watch ends.
+    /// Records that the address of discovery changed, which ends the watch and may shorten the
+    /// lease.
     pub fn on_address_change(&mut self, now: Duration) {
         self.valid_until = self.valid_until.map(|until| until.min(now + CHANGE_GRACE));
         self.watch_was_answered = false;
     }
 
-    /// The watch, or the call that was to begin it, failed.
+    /// Updates the lease after the watch, or the call that was meant to begin it, failed.
     pub fn on_watch_end(&mut self, now: Duration, end: WatchEnd) {
         self.was_ever_refused |= end == WatchEnd::Refused;
         if let Some(until) = self.valid_until {
@@ -101,7 +115,7 @@
         self.watch_was_answered = false;
     }
 
-    /// The end of the lease after a call failed that was to begin a watch.
+    /// Returns the end of the lease after a call failed that was meant to begin a watch.
     fn valid_until_after_first_call(
         &self,
         until: Duration,
@@ -110,8 +124,9 @@
     ) -> Duration {
         match end {
             WatchEnd::TimedOut | WatchEnd::Disconnected => {
-                // Discovery could not be reached as the call went out. If a first call after the
-                // start was refused, it is there, and its absence now extends nothing.
+                // Discovery was unreachable when the call was sent. But if the first answer after
+                // the start was a refusal, discovery exists, and that it is unreachable now must
+                // not extend the lease.
                 let extends = self.was_ever_answered || !self.was_ever_refused;
                 if extends {
                     until.max(self.watch_began + CHANGE_GRACE)
@@ -125,10 +140,11 @@
     }
 }
 
-/// The end of the lease after a watch failed that had been answered.
+/// Returns the end of the lease after a watch failed that had received a response.
 fn valid_until_after_watch(until: Duration, now: Duration, end: WatchEnd) -> Duration {
     match end {
-        // Since when it was silent is not known; its wait bounds how long that may be.
+        // It is not known when discovery stopped responding. The wait of the call limits how long
+        // ago that may be, and the lease already accounts for it.
         WatchEnd::TimedOut => until,
         WatchEnd::Disconnected | WatchEnd::Refused | WatchEnd::Malformed => now + CHANGE_GRACE,
     }
--- a/crates/discovery/src/list_response.rs
+++ b/crates/discovery/src/list_response.rs
@@ -11,40 +11,40 @@
 use tulipwall::EndpointState;
 use tulipwall_config::{FieldError, Fields};
 
-/// The path of the whole list.
+/// The request path of the complete list.
 pub const LIST_PATH: &str = "/api/targets";
 
-/// The path of a long poll: discovery answers once its list is newer than `version`, or after
-/// `wait`.
+/// Returns the request path of a long poll: discovery answers once its list is newer than
+/// `version`, or after `wait`.
 pub fn watch_path(version: u64, wait: Duration) -> String {
     format!("{LIST_PATH}?after={version}&wait_ms={}", wait.as_millis())
 }
 
-/// What a response says of one endpoint.
+/// One endpoint as listed in a response.
 #[derive(Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// The endpoint's name, unique in the list.
+    /// The endpoint's id, unique in the list.
     pub id: String,
-    /// Where it accepts connections.
+    /// The address on which the endpoint accepts connections.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: Arc<str>,
-    /// Its cell: endpoints of one cell share what they know of idempotency keys.
+    /// The endpoint's cell. Endpoints of one cell share the idempotency keys that they have seen.
     pub cell: u64,
-    /// The type of its machine; empty where the response gives none.
+    /// The type of the endpoint's machine; empty if the response gives none.
     pub endpoint_type: Arc<str>,
-    /// The number of the build that it runs.
+    /// The number of the build that the endpoint runs.
     pub build: u32,
-    /// Whether it serves.
+    /// Whether the endpoint is running, draining or gone.
     pub state: EndpointState,
-    /// Its last start, in Unix time milliseconds; `None` means long ago.
+    /// The endpoint's last start, in Unix time milliseconds; `None` means long ago.
     pub started_ms: Option<u64>,
 }
 
-/// A response that could not be read as a whole.
+/// An error that makes the whole response unusable.
 #[derive(Debug, Error)]
 pub enum ListResponseError {
-    /// The body is no JSON.
+    /// The body is not valid JSON.
     #[error("list: {0}")]
     Json(#[from] serde_json::Error),
     /// A field of the list itself is missing or malformed.
@@ -52,33 +52,34 @@
     Field(#[from] FieldError),
 }
 
-/// Why one entry of a list is not believed.
+/// Why one entry of a list was discarded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EntryError {
     /// A field of the entry is missing or malformed.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// Two entries for one start of an endpoint contradict each other.
-    #[error("field id: '{id}' stands twice, differently")]
+    /// Two entries for the same start of an endpoint have different values.
+    #[error("field id: '{id}' is listed twice with different values")]
     Contradiction {
-        /// The endpoint.
+        /// The id of the endpoint.
         id: String,
     },
 }
 
-/// A response with the endpoint list, or with what changed in it.
+/// A response with the complete endpoint list, or with the changes to it.
 #[derive(Debug)]
 pub struct ListResponse {
     /// The version of discovery's list.
     pub version: u64,
-    /// Whether it lists every endpoint, rather than those that changed.
+    /// Whether the response lists every endpoint, rather than only those that changed.
     pub complete: bool,
-    /// The entries that could be read, one for each endpoint.
+    /// The readable entries, one for each endpoint.
     pub endpoints: Vec<EndpointRecord>,
-    /// Why the first of the other entries could not be read. Those that could must be applied all
-    /// the same, since discovery counts all of them as delivered; the list must be asked for again.
+    /// The error of the first entry that could not be read; `None` if all could. The readable
+    /// entries must still be applied, since discovery counts all entries as delivered, and the list
+    /// must be requested again.
     pub first_error: Option<EntryError>,
-    /// The endpoints of entries that could not be read, where their ids could.
+    /// The ids of the entries that could not be read, where the id itself was readable.
     pub unreadable_ids: Vec<String>,
 }
 
@@ -93,7 +94,8 @@
         Ok(ListResponse::read(&fields)?)
     }
 
-    /// Parses a body that has exactly the form of the protocol, at a fraction of the cost.
+    /// Parses a body that has exactly the form of the protocol, at a fraction of the cost of
+    /// reading it field by field. Returns `None` for any other body.
     fn parse_exact(body: &[u8]) -> Option<ListResponse> {
         let document = ListDocument::parse(body)?;
         let version = document.version;
@@ -107,7 +109,8 @@
         })
     }
 
-    /// Reads a response from its JSON object. An entry that cannot be read is no error.
+    /// Reads a response field by field from its JSON object. An entry that cannot be read does not
+    /// make the response an error; it is reported in [`ListResponse::first_error`].
     pub fn read(list: &Fields) -> Result<ListResponse, FieldError> {
         let mut entries = Entries::default();
         for value in list.array("servers")? {
@@ -124,7 +127,7 @@
     }
 }
 
-/// The entries of a list while it is read.
+/// Collects the entries of a list while it is read.
 #[derive(Default)]
 struct Entries {
     endpoints: Vec<EndpointRecord>,
@@ -146,9 +149,10 @@
         }
     }
 
-    /// Of two entries for one endpoint the one with the newer start counts. Where they are of the
-    /// same start and contradict each other neither is believed: one of them may say that the
-    /// endpoint drains. That does harm where it in fact runs.
+    /// Adds an endpoint. Of two entries for the same endpoint, the one with the later start is
+    /// kept. If both have the same start but different values, both are discarded, because one of
+    /// them may say that the endpoint is draining. This does harm if the endpoint is in fact
+    /// running.
     fn add_endpoint(&mut self, endpoint: EndpointRecord) {
         let Some(position) = self.positions.get(&endpoint.id) else {
             self.positions
@@ -211,11 +215,11 @@
 
 fn read_state(fields: &Fields) -> Result<EndpointState, FieldError> {
     let name = fields.text("state")?;
-    known_state(name).ok_or_else(|| FieldError::unknown_value("state", name))
+    parse_endpoint_state(name).ok_or_else(|| FieldError::unknown_value("state", name))
 }
 
-/// The state that the protocol calls `name`.
-pub(crate) fn known_state(name: &str) -> Option<EndpointState> {
+/// Parses an endpoint state from its name in the protocol; `None` for an unknown name.
+pub(crate) fn parse_endpoint_state(name: &str) -> Option<EndpointState> {
     match name {
         "in_service" => Some(EndpointState::Running),
         "terminating" => Some(EndpointState::Draining),
@@ -224,7 +228,7 @@
     }
 }
 
-/// Discovery says 0 of a start long ago.
+/// Reads the time of the last start. Discovery sends 0 for a start long ago.
 fn read_started_ms(fields: &Fields) -> Result<Option<u64>, FieldError> {
     let started_ms = fields.number("started_ms")? as u64;
     Ok((started_ms > 0).then_some(started_ms))
--- a/crates/discovery/src/watch_timer.rs
+++ b/crates/discovery/src/watch_timer.rs
@@ -1,101 +1,104 @@
-//! When discovery is called for the endpoint list, and when a call counts as failed.
+//! Decides when discovery is called for the endpoint list, and when a call has timed out.
 //!
-//! An agent watches the list by long polls on one connection. It is held to any change 6 s after
-//! its watch fell silent, or 2 s after the wait of the call where that is later, whether or not it
-//! learned of the change. So silence is noticed, and the list called for anew with some attempts to
-//! spare, before either.
+//! An agent watches the list through long polls on one connection. It must comply with any change
+//! from 6 s after its watch fell silent, or from 2 s after the wait of the call if that is later,
+//! whether or not it received the change. The timeouts are short enough to detect silence, and to
+//! call again with some attempts to spare, before both.
 //!
-//! Without I/O and clock: the timer gets the settings and what happened, and returns durations.
+//! The timer uses no I/O and no clock: it is given the settings and the events, and returns
+//! durations.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 use tulipwall::{list_call_interval, Settings};
 
-/// Wait of a long poll where lists are pushed. Calls cost nothing there and stay on this machine,
-/// so a short wait, which shows silence early, is free.
+/// Wait of a long poll where lists are pushed. Calls have no cost there and stay on this machine,
+/// so the wait can be short, which detects silence early.
 const PUSHED_WAIT: Duration = Duration::from_millis(1000);
-/// How long after its wait a response may come where lists are pushed.
+/// How long after the wait of a call its response may arrive where lists are pushed.
 const PUSHED_GRACE: Duration = Duration::from_millis(250);
 /// Timeout of a call that should be answered at once. Such calls are repeated while discovery is
-/// away, so that it is reached within this time and [`RETRY_DELAY`] after its return.
+/// unavailable, so that it is reached within this time plus [`RETRY_DELAY`] after its return.
 const QUICK_TIMEOUT: Duration = Duration::from_millis(100);
-/// Timeout of the call beside the quick ones, for connections that come up late.
+/// Timeout of the call made in parallel with the quick ones, for connections that open slowly.
 const PATIENT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Delay of a call after a failed one.
+/// Delay between a failed call and the next one.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Delay of a call after a malformed response, which costs time to read.
+/// Delay between a malformed response and the next call. Reading such a response costs time.
 const MALFORMED_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Wait of a long poll where lists are polled, as a multiple of the interval in which the settings
-/// want each agent to call.
+/// Maximum wait of a long poll where lists are polled, as a multiple of the interval in which the
+/// settings require each agent to call.
 ///
-/// A call that begins a watch is paid for by all agents there; one that goes on with it is not.
-/// Discovery bears one beginning of each agent in that interval. With twice the interval, nearly
-/// all of it drawn at random, agents whose watches fall silent together begin anew over nearly
-/// twice the interval, at half of what discovery bears, and call as often on average as the
-/// settings want of agents without a watch.
+/// There, a call that begins a watch uses capacity that all agents share; a call that continues a
+/// watch does not. Discovery can begin one watch for each agent in that interval. The wait is twice
+/// the interval, and nearly all of it is random. So agents whose watches fall silent together begin
+/// new ones over nearly twice the interval, at half of the rate that discovery can handle. On
+/// average they call as often as the settings require of agents without a watch.
 const POLLED_WAIT_FACTOR: u32 = 2;
-/// The part of the wait that is drawn at random.
-const POLLED_WAIT_RANDOM_PART: f64 = 0.95;
-/// The longest wait that discovery accepts.
+/// The fraction of the maximum wait that is chosen at random.
+const POLLED_WAIT_RANDOM_FRACTION: f64 = 0.95;
+/// The longest wait that discovery accepts for a long poll.
 const MAX_WAIT: Duration = Duration::from_millis(60_000);
-/// Timeout of the first call of a watch where lists are polled. Discovery answers it at once; its
-/// own timeout comes first, so that both know of a failure. A second call beside it would be paid
-/// for too, and would end the first.
+/// Timeout of the first call of a watch where lists are polled. Discovery answers it at once.
+/// Discovery's own timeout is shorter, so that both sides know of a failure. A second call in
+/// parallel would use shared capacity as well, and would end the first one.
 const POLLED_FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long after its wait a response may come where lists are polled. Discovery answers at once
-/// then; this leaves three quarters of the 2 s for calling anew.
+/// How long after the wait of a call its response may arrive where lists are polled. Discovery
+/// answers as soon as the wait ends; this leaves three quarters of the 2 s for another call.
 const POLLED_GRACE: Duration = Duration::from_millis(500);
-/// The first calls at a new address are spread over this time at most: half of the 4 s after which
-/// an agent is held to what that address has where lists are pushed, and a third of the 6 s where
-/// they are polled.
+/// The longest time over which the first calls at a new address are spread. An agent must comply
+/// with the list at that address after 4 s where lists are pushed and after 6 s where they are
+/// polled; this is half of the one and a third of the other.
 const MAX_ADDRESS_CHANGE_SPREAD: Duration = Duration::from_millis(2000);
 
-/// How long requests wait, after a start, for a first response before they are served by the
-/// configured list, where lists are pushed.
+/// How long requests wait for a first response after a start, where lists are pushed, before they
+/// are routed by the configured list.
 const STARTUP_LIST_TIMEOUT: Duration = Duration::from_millis(300);
+/// The shortest time over which first calls after a start are spread if an agent's call interval
+/// exceeds it. The spread is this or three quarters of the call interval, whichever is longer.
+///
 /// Agents send nothing after a start before their first call has ended (see
-/// [`ListLease`](crate::list_lease::ListLease)). Where an agent's share of the calls is longer than
-/// this, its first call is delayed by this or by three quarters of the share at most, whichever is
-/// longer: nobody who is answered waits for 4 s, and agents that all start at once, none of which
-/// knows of the others, make at most a third more calls than the settings allow.
+/// [`ListLease`](crate::list_lease::ListLease)). With this spread, no agent that is answered waits
+/// for 4 s. Agents that all start at once, without knowing of each other, make at most a third more
+/// calls than the settings allow.
 const STARTUP_SPREAD: Duration = Duration::from_millis(3000);
 
-/// How a watch, or a call that was to begin one, ended.
+/// How a watch, or a call that was meant to begin one, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// No response came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// The connection ended, never came up, or was refused.
+    /// The connection ended, could not be opened, or was refused.
     Disconnected,
-    /// Discovery answered that it refuses the call: it is there, so agents will be held to what it
-    /// has.
+    /// Discovery answered that it refuses the call. It is reachable, so agents must comply with the
+    /// changes that it has.
     Refused,
     /// The response could not be read.
     Malformed,
 }
 
-/// Which of the first calls of a watch: both run at once where calls are free, the patient one
-/// alone otherwise.
+/// The kinds of first call of a watch. Where calls are free, both run in parallel; otherwise only
+/// the patient one is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstCall {
-    /// A call that is given up early and repeated.
+    /// A call with a short timeout, which is repeated.
     Quick,
-    /// A call that allows for a connection that comes up late.
+    /// A call with a timeout that allows for a connection that opens slowly.
     Patient,
 }
 
-/// What the timer takes from the settings.
+/// The values that the timer derives from the settings.
 struct Timing {
-    /// Calls cost nothing: discovery runs beside the agent and pushes its list.
+    /// Whether calls are free: discovery runs on the agent's machine and pushes its list.
     is_pushed: bool,
-    /// The longest wait of a long poll.
+    /// The maximum wait of a long poll.
     max_wait: Duration,
-    /// First calls at a new address are spread over this time.
+    /// The time over which first calls at a new address are spread.
     address_change_spread: Duration,
-    /// First calls after a start are spread over this time; `None` where the balancer schedules
-    /// them, over the agent's share of the calls or at once.
+    /// The time over which first calls after a start are spread; `None` where the balancer
+    /// schedules them, over the agent's call interval or at once.
     startup_spread: Option<Duration>,
 }
 
@@ -107,27 +110,28 @@
         } else {
             (settings.max_poll_interval * POLLED_WAIT_FACTOR).min(MAX_WAIT)
         };
-        let share = list_call_interval(settings);
-        let exceeds_startup_spread = share > STARTUP_SPREAD;
+        let call_interval = list_call_interval(settings);
+        let needs_startup_spread = call_interval > STARTUP_SPREAD;
         Timing {
             is_pushed,
             max_wait,
-            address_change_spread: share.min(MAX_ADDRESS_CHANGE_SPREAD),
-            startup_spread: exceeds_startup_spread.then(|| STARTUP_SPREAD.max(share * 3 / 4)),
+            address_change_spread: call_interval.min(MAX_ADDRESS_CHANGE_SPREAD),
+            startup_spread: needs_startup_spread.then(|| STARTUP_SPREAD.max(call_interval * 3 / 4)),
         }
     }
 }
 
-/// Times the calls of one agent.
+/// Times the discovery calls of one agent.
 pub struct WatchTimer {
     timing: Timing,
     rng: Pcg64Mcg,
-    /// A response came since the last call that failed.
+    /// Whether a response arrived since the last failed call.
     was_answered: bool,
 }
 
 impl WatchTimer {
-    /// A timer for an agent with these settings. Random draws come from the settings' seed.
+    /// Creates a timer for an agent with these settings. Their seed initializes the random
+    /// generator.
     pub fn new(settings: &Settings) -> WatchTimer {
         WatchTimer {
             timing: Timing::from_settings(settings),
@@ -136,32 +140,33 @@
         }
     }
 
-    /// Continues under reloaded settings.
+    /// Applies reloaded settings.
     pub fn reload(&mut self, settings: &Settings) {
         self.timing = Timing::from_settings(settings);
     }
 
-    /// Whether calls cost nothing: then the list is called for at once, and again and again while
-    /// no response comes.
+    /// Whether calls use no capacity that agents share. If so, the list is requested at once, and
+    /// repeatedly while no response arrives.
     pub fn calls_are_free(&self) -> bool {
         self.timing.is_pushed
     }
 
-    /// The wait of the first long poll of a watch, which is answered at once.
+    /// Returns the wait of the first long poll of a watch. It is zero: the poll is answered at
+    /// once.
     pub fn first_wait(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// The wait of the next long poll of a watch.
+    /// Returns the wait of the next long poll of a watch; partly random where lists are polled.
     pub fn next_wait(&mut self) -> Duration {
         if self.timing.is_pushed {
             return self.timing.max_wait;
         }
-        let random_part = self.rng.gen_range(0.0..POLLED_WAIT_RANDOM_PART);
-        self.timing.max_wait.mul_f64(1.0 - random_part)
+        let random_fraction = self.rng.gen_range(0.0..POLLED_WAIT_RANDOM_FRACTION);
+        self.timing.max_wait.mul_f64(1.0 - random_fraction)
     }
 
-    /// How long after its wait the response to a long poll may still come.
+    /// Returns how long after the wait of a long poll its response may still arrive.
     pub fn response_grace(&self) -> Duration {
         if self.timing.is_pushed {
             PUSHED_GRACE
@@ -170,7 +175,7 @@
         }
     }
 
-    /// How long a first call may take, with its connection and without its wait.
+    /// Returns the timeout of a first call, including its connection setup and excluding its wait.
     pub fn first_call_timeout(&self, call: FirstCall) -> Duration {
         match (self.timing.is_pushed, call) {
             (true, FirstCall::Quick) => QUICK_TIMEOUT,
@@ -179,37 +184,37 @@
         }
     }
 
-    /// Discovery has a new address: how long to wait before the first call there.
+    /// Returns the delay of the first call after the address of discovery changed.
     pub fn on_address_change(&mut self) -> Duration {
         self.was_answered = false;
         if self.timing.is_pushed {
             return Duration::ZERO;
         }
-        let part = self.rng.gen_range(0.0..1.0);
-        self.timing.address_change_spread.mul_f64(part)
+        let fraction = self.rng.gen_range(0.0..1.0);
+        self.timing.address_change_spread.mul_f64(fraction)
     }
 
-    /// How long after its start an agent makes its first call; `None` where the balancer schedules
-    /// it.
+    /// Returns how long after its start an agent makes its first call; `None` where the balancer
+    /// schedules that call.
     pub fn startup_delay(&mut self) -> Option<Duration> {
         let spread = self.timing.startup_spread?;
-        let part = self.rng.gen_range(0.0..1.0);
-        Some(spread.mul_f64(part))
+        let fraction = self.rng.gen_range(0.0..1.0);
+        Some(spread.mul_f64(fraction))
     }
 
-    /// How long requests wait for a first response. Where lists are pushed an agent is held to what
-    /// discovery has from its first moment; `None` elsewhere, where the list's lease says what may
-    /// be sent.
+    /// Returns how long requests wait for a first response after a start. Where lists are pushed,
+    /// an agent must comply with discovery's list from its start. `None` where they are polled:
+    /// there the lease of the list decides whether requests may be sent.
     pub fn startup_list_timeout(&self) -> Option<Duration> {
         self.timing.is_pushed.then_some(STARTUP_LIST_TIMEOUT)
     }
 
-    /// A response came.
+    /// Records that a response arrived.
     pub fn on_response(&mut self) {
         self.was_answered = true;
     }
 
-    /// The delay between a free call that failed and the next one.
+    /// Returns the delay between a failed call and the next one, where calls are free.
     pub fn retry_delay(&self, end: WatchEnd) -> Duration {
         match end {
             WatchEnd::Malformed => MALFORMED_RETRY_DELAY,
@@ -217,9 +222,11 @@
         }
     }
 
-    /// A watch, or its beginning, failed: the delay of the next call. `None` where calls are paid
-    /// for and the balancer spreads them. A watch that was answered and then fell silent is begun
-    /// anew at once there too: otherwise the silence would be noticed in time and mended too late.
+    /// Returns the delay of the next call after a watch, or the call that was meant to begin it,
+    /// failed. `None` where calls use shared capacity and the balancer spreads them.
+    ///
+    /// A watch that was answered and then fell silent begins again at once there too. Otherwise the
+    /// silence would be detected in time, but the new call would come too late.
     pub fn on_watch_end(&mut self, end: WatchEnd) -> Option<Duration> {
         let was_answered = std::mem::take(&mut self.was_answered);
         match (was_answered, end) {
