--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The process: all instances, and the endpoint lists that they share.
+//! Dispatches the simulator's messages to the simulated agents of this process.
 
 use crate::error::AdapterError;
 use crate::instance::Instance;
@@ -8,17 +8,19 @@
 use std::time::Duration;
 use tulipwall_config::{ConfigError, Fields};
 
-/// All instances of this process, by the number of their agent.
+/// The state of this process: one instance for each running agent, by the agent's number, and the
+/// endpoint lists that they share.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<i64, Instance>,
     endpoint_lists: EndpointLists,
-    /// The first time that came. The instances' times count from it.
+    /// The time in the first message; `None` before it. The times of all instances are relative to
+    /// it.
     start: Option<Duration>,
 }
 
 impl Adapter {
-    /// Handles the messages of one line; the reply.
+    /// Handles the messages of one line and returns the reply.
     pub fn handle_line(&mut self, line: &[u8]) -> Result<Value, AdapterError> {
         let batch: Value = serde_json::from_slice(line).map_err(AdapterError::NotJson)?;
         let batch = Fields::new(&batch, "batch")?;
@@ -36,7 +38,7 @@
         reply.to_json()
     }
 
-    /// Handles the messages to one agent, then does what it has due.
+    /// Handles the messages to one agent, then polls it for actions that are due.
     fn handle_agent(
         &mut self,
         agent: i64,
@@ -82,7 +84,7 @@
             Ok(instance) => {
                 self.instances.insert(agent, instance);
             }
-            // The simulator's own fault: the settings name something that they do not define.
+            // An error of the simulator: the settings use a name that they do not define.
             Err(error) if error.is_undefined_name() => {
                 commands.push(Command::fatal(error.to_string()));
             }
@@ -91,7 +93,8 @@
         Ok(())
     }
 
-    /// Hands a message to its instance.
+    /// Forwards a message to the agent's instance. Without an instance, some kinds of message are
+    /// ignored and all others are errors.
     fn forward(
         &mut self,
         agent: i64,
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One simulated agent: the wire's names on one side, a [`Balancer`] with its small indices on the
-//! other.
+//! One simulated agent. It translates between the names in the simulator's messages and the small
+//! indices of a [`Balancer`].
 
 use crate::error::AdapterError;
 use crate::requests::RequestTable;
@@ -14,10 +14,10 @@
     ServiceConfig,
 };
 
-/// The `code` of a message about the rollout that is the reply to a vote.
+/// The value of `code` in a rollout message that replies to a vote.
 const CODE_VOTE_REPLY: u64 = 1;
 
-/// One simulated agent. Its times count from the start of the process.
+/// One simulated agent. Its times are relative to the first message to the process.
 pub struct Instance {
     balancer: Balancer,
     config: ServiceConfig,
@@ -25,12 +25,12 @@
     endpoint_names: NameTable,
     endpoint_types: NameTable,
     requests: RequestTable,
-    /// The next poll for which a timer is set.
+    /// The time of the next poll for which a timer is set; `None` if no timer is set.
     next_poll: Option<Duration>,
 }
 
 impl Instance {
-    /// An agent with the settings in this message.
+    /// Creates an agent with the settings in this message. `clock` and `start` are simulator times.
     pub fn open(
         clock: Duration,
         start: Duration,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Handles one message of this kind.
+    /// Handles one message of the given kind and appends the resulting commands.
     pub fn handle_message(
         &mut self,
         clock: Duration,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// After the messages of a line: does what the balancer has due, and sets the timer for the
-    /// next poll.
+    /// Polls the balancer after the messages of a line, sends what it requests, and sets the timer
+    /// for the next poll.
     pub fn poll(&mut self, clock: Duration, commands: &mut Vec<Command>) {
         let now = clock.saturating_sub(self.start);
         let result = self.balancer.poll(now);
@@ -101,8 +101,8 @@
         for text in result.log_lines {
             commands.push(Command::Log { text });
         }
-        let sooner = |set: Duration| result.next_poll < set;
-        if self.next_poll.is_none_or(sooner) {
+        let is_earlier = |set: Duration| result.next_poll < set;
+        if self.next_poll.is_none_or(is_earlier) {
             self.next_poll = Some(result.next_poll);
             commands.push(self.timer(wire::POLL_TIMER.to_owned(), result.next_poll));
         }
@@ -139,7 +139,8 @@
         })
     }
 
-    /// The client gets the first bytes of a response: no other attempt may answer it.
+    /// Handles the start of a response to the client. From then on no other attempt may answer the
+    /// request.
     fn on_response_started(&mut self, message: &Fields) -> Result<(), AdapterError> {
         let name = message.text("txn")?;
         message.unsigned("n")?;
@@ -315,7 +316,7 @@
         self.execute(id, decision, commands);
     }
 
-    /// Puts a decision on the wire.
+    /// Translates a decision into commands to the simulator.
     fn execute(&mut self, id: u64, decision: Decision, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.name(id).map(str::to_owned) else {
             return;
@@ -354,7 +355,7 @@
         self.requests.remove_if_done(id);
     }
 
-    /// A timer of this name at this time of the instance.
+    /// Creates the command for a timer; `at` is a time of this instance.
     fn timer(&self, timer: String, at: Duration) -> Command {
         Command::SetTimer {
             timer,
@@ -363,10 +364,11 @@
     }
 }
 
-/// Why an endpoint list cannot be taken over.
+/// The reason why an endpoint list cannot be applied.
 enum ListError {
-    /// It names a zone that the settings do not define.
+    /// The list names a zone that the settings do not define.
     UnknownZone(String),
+    /// An entry of the list has a missing or invalid field.
     Malformed(AdapterError),
 }
 
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Puts the decisions of `tulipwall` on the simulator's wire: one line of JSON in, one line out,
-//! many simulated agents in one process. It keeps timers and the names of open requests; it decides
-//! nothing.
+//! Connects the decisions of `tulipwall` to a simulator. Each line of JSON on standard input is
+//! answered by one line on standard output, for many simulated agents in one process. The adapter
+//! keeps timers and the names of open requests, and makes no decisions itself.
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
 
@@ -30,7 +30,7 @@
             }
         };
         let written = writeln!(out, "{reply}").and_then(|()| out.flush());
-        // A simulator that has gone needs no message.
+        // The simulator has exited, so nobody would read an error message.
         if written.is_err() {
             return ExitCode::FAILURE;
         }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: the messages to it, and the values that stand in the fields of its own.
+//! The simulator's protocol: the messages sent to it, and the field values in messages from it.
 
 use crate::error::AdapterError;
 use serde::Serialize;
@@ -8,17 +8,18 @@
 use tulipwall::{EndpointState, Outcome, RolloutPhase, Verdict, VoteReply};
 use tulipwall_config::{duration_from_ms, Fields};
 
-/// The numbered endpoint lists that came ahead of the messages that refer to them.
+/// The endpoint lists by their number. The simulator sends a list before the messages that refer to
+/// it.
 pub type EndpointLists = BTreeMap<u64, Vec<Value>>;
 
-/// The timer after which an instance is polled; any other is named by the id of its request.
+/// The name of the timer for polling an instance. All other timers are named by their request's id.
 pub const POLL_TIMER: &str = "wait";
 
-/// The shortest timeout that is sent: one of zero would mean none.
+/// The shortest timeout that is sent, in milliseconds. Zero would mean no timeout.
 pub const MIN_TIMEOUT_MS: f64 = 0.001;
 
-/// Messages that an agent gets. Those to an agent that is not there are ignored, as they were on
-/// their way when it went down.
+/// Messages that are ignored if their agent is not running: they may have been in flight when the
+/// agent went down.
 pub const IGNORED_WITHOUT_INSTANCE: [&str; 10] = [
     "Targets",
     "Accept",
@@ -35,10 +36,11 @@
 /// The reply to one line.
 #[derive(Serialize)]
 pub struct Reply {
+    /// The agents that have commands.
     pub agents: Vec<AgentReply>,
 }
 
-/// What one agent wants done.
+/// The commands of one agent.
 #[derive(Serialize)]
 pub struct AgentReply {
     #[serde(rename = "agent-id")]
@@ -47,32 +49,35 @@
     pub commands: Vec<Command>,
 }
 
-/// One thing that an agent wants done.
+/// One command from an agent to the simulator.
 #[derive(Serialize)]
 #[serde(tag = "t")]
 pub enum Command {
-    /// The settings or the endpoint list use a name that the settings do not define.
+    /// Reports that a message uses a name that the settings do not define.
     #[serde(rename = "Fatal")]
     Fatal {
         #[serde(rename = "note-text")]
         text: String,
     },
+    /// A log line of the balancer.
     #[serde(rename = "Debug")]
     Log {
         #[serde(rename = "note-text")]
         text: String,
     },
-    /// Asks for the endpoint list.
+    /// Requests the endpoint list.
     #[serde(rename = "Listen")]
     WatchEndpoints {
         #[serde(rename = "want")]
         open: bool,
     },
+    /// Requests a load report from an endpoint.
     #[serde(rename = "AskLoad")]
     RequestLoadReport {
         #[serde(rename = "appliance")]
         endpoint: String,
     },
+    /// Votes on a stage of a rollout.
     #[serde(rename = "Verdict")]
     Vote {
         #[serde(rename = "rel")]
@@ -82,6 +87,7 @@
         #[serde(rename = "code")]
         verdict: u8,
     },
+    /// Sets a timer.
     #[serde(rename = "Remind")]
     SetTimer {
         #[serde(rename = "ctx")]
@@ -89,6 +95,7 @@
         #[serde(rename = "instant-ms")]
         at_ms: f64,
     },
+    /// Sends an attempt to an endpoint.
     #[serde(rename = "Place")]
     Forward {
         #[serde(rename = "txn")]
@@ -98,6 +105,7 @@
         #[serde(rename = "give-up-after-ms")]
         timeout_ms: f64,
     },
+    /// Rejects a request; `retry_after_ms` is `None` if the client is not told when to retry.
     #[serde(rename = "Deny")]
     Reject {
         #[serde(rename = "txn")]
@@ -105,11 +113,13 @@
         #[serde(rename = "cool-down-ms")]
         retry_after_ms: Option<f64>,
     },
+    /// Answers a request with an error.
     #[serde(rename = "RespondError")]
     Fail {
         #[serde(rename = "txn")]
         request: String,
     },
+    /// Cancels an attempt.
     #[serde(rename = "DropAttempt")]
     Cancel {
         #[serde(rename = "txn")]
@@ -120,20 +130,20 @@
 }
 
 impl Command {
-    /// The report of a fault in what the simulator sent.
+    /// Creates the report of an error in the simulator's messages.
     pub fn fatal(text: impl Into<String>) -> Command {
         Command::Fatal { text: text.into() }
     }
 }
 
 impl Reply {
-    /// The reply as one line. The keys of every object are sorted.
+    /// Converts the reply to JSON, with the keys of every object sorted.
     pub fn to_json(&self) -> Result<Value, AdapterError> {
         serde_json::to_value(self).map_err(AdapterError::Reply)
     }
 }
 
-/// The code of a verdict.
+/// Returns the protocol's code for a verdict.
 pub fn verdict_code(verdict: Verdict) -> u8 {
     match verdict {
         Verdict::Withdraw => 0,
@@ -142,7 +152,7 @@
     }
 }
 
-/// How an attempt or a probe ended.
+/// Parses the outcome of an attempt or of a load report.
 pub fn parse_outcome(code: &str) -> Result<Outcome, AdapterError> {
     match code {
         "success" => Ok(Outcome::Succeeded),
@@ -157,7 +167,7 @@
     }
 }
 
-/// The state of an endpoint in a list.
+/// Parses the state of an endpoint in a list.
 pub fn parse_endpoint_state(code: &str) -> Result<EndpointState, AdapterError> {
     match code {
         "Running" => Ok(EndpointState::Running),
@@ -170,17 +180,18 @@
     }
 }
 
-/// What came of a call for the endpoint list.
+/// The kind of an answer to a call for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
+    /// The call failed.
     Failed,
-    /// Some entries; those that it does not name stay.
+    /// The list has some entries; endpoints that it does not list stay as they are.
     Incremental,
-    /// All entries.
+    /// The list has all entries.
     Complete,
 }
 
-/// What came of a call for the endpoint list.
+/// Parses the kind of an answer to a call for the endpoint list.
 pub fn parse_list_update(code: &str) -> Result<ListUpdate, AdapterError> {
     match code {
         "FAILED" => Ok(ListUpdate::Failed),
@@ -193,7 +204,7 @@
     }
 }
 
-/// The phase of a rollout.
+/// Parses the phase of a rollout.
 pub fn parse_rollout_phase(code: u64) -> Result<RolloutPhase, AdapterError> {
     match code {
         0 => Ok(RolloutPhase::Canary),
@@ -204,7 +215,7 @@
     }
 }
 
-/// What the rollout platform replied to a vote.
+/// Parses the rollout platform's reply to a vote.
 pub fn parse_vote_reply(code: &str) -> VoteReply {
     match code {
         "success" => VoteReply::Counted,
@@ -214,18 +225,20 @@
     }
 }
 
-/// The requests that an endpoint holds, where the message has a load report.
+/// Returns the number of requests in progress at an endpoint; `None` if the message has no load
+/// report.
 pub fn reported_load(message: &Fields) -> Option<f64> {
     let report = message.optional("pressure")?;
     report.get("concurrent")?.as_f64()
 }
 
-/// The text of a field that may be missing; other than text counts as missing.
+/// Returns the text of an optional field. A value that is not text counts as missing.
 pub fn optional_text<'a>(message: &Fields<'a>, field: &str) -> Option<&'a str> {
     message.optional(field)?.as_str()
 }
 
-/// The milliseconds of a field that may be missing; other than a number counts as missing.
+/// Returns the duration, given in milliseconds, of an optional field. A value that is not a number
+/// counts as missing.
 pub fn optional_duration(message: &Fields, field: &str) -> Option<Duration> {
     let milliseconds = message.optional(field)?.as_f64()?;
     Some(duration_from_ms(milliseconds))
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,10 +1,10 @@
-//! The program on the simulator's wire: a recorded session, and lines that are at fault.
+//! Tests of the program with the simulator's messages: a recorded session, and invalid lines.
 
 use serde_json::Value;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// A session of two agents on a made-up service, and the replies that were recorded with it.
+/// A recorded session of two agents of an invented service, and the replies to it.
 const SESSION: &str = include_str!("data/session.jsonl");
 const REPLIES: &str = include_str!("data/session.replies.jsonl");
 
@@ -21,15 +21,19 @@
     let input = input.to_owned();
     let writer = std::thread::spawn(move || stdin.write_all(input.as_bytes()));
     let output = child.wait_with_output().unwrap();
-    // A program that ends at a faulty line need not read the rest.
+    // The write may fail: a program that exits at an invalid line does not read the rest.
     let _ = writer.join().unwrap();
     output
 }
 
-/// The bytes of a line without its log lines, whose words are free to change.
+/// Checks the format of a reply, and returns it without the log commands, whose text may change.
 fn without_log_lines(line: &str) -> String {
     let mut reply: Value = serde_json::from_str(line).unwrap();
-    assert_eq!(reply.to_string(), line, "sorted keys, no spaces");
+    assert_eq!(
+        reply.to_string(),
+        line,
+        "the keys must be sorted and there must be no spaces"
+    );
     for agent in reply["agents"].as_array_mut().unwrap() {
         let commands = agent["cmds"].as_array_mut().unwrap();
         commands.retain(|command| command["t"] != "Debug");
@@ -54,9 +58,9 @@
 }
 
 #[test]
-fn ends_at_a_faulty_line_and_names_its_number_and_field() {
+fn exits_at_an_invalid_line_and_reports_its_number_and_field() {
     let opening = SESSION.lines().next().unwrap();
-    let to_agent = |message: &str| {
+    let line_to_agent = |message: &str| {
         format!("{{\"t-ms\":1000.0,\"agents\":[{{\"agent-id\":0,\"items\":[{message}]}}]}}")
     };
     let faults = [
@@ -65,23 +69,23 @@
             "not JSON: expected ident at line 1 column 2",
         ),
         (
-            to_agent(r#"{"t":"Nonsense"}"#),
+            line_to_agent(r#"{"t":"Nonsense"}"#),
             "field t: unknown message 'Nonsense'",
         ),
         (
-            to_agent(r#"{"t":"Targets","how":"PARTLY","buffer":0}"#),
+            line_to_agent(r#"{"t":"Targets","how":"PARTLY","buffer":0}"#),
             "field how: unknown value 'PARTLY'",
         ),
         (
-            to_agent(r#"{"t":"Targets","how":"FULL","buffer":99}"#),
+            line_to_agent(r#"{"t":"Targets","how":"FULL","buffer":99}"#),
             "field buffer: no such list",
         ),
         (
-            to_agent(r#"{"t":"ProbeDone","appliance":"ap-1","state-code":"odd"}"#),
+            line_to_agent(r#"{"t":"ProbeDone","appliance":"ap-1","state-code":"odd"}"#),
             "field state-code: unknown outcome",
         ),
         (
-            to_agent(r#"{"t":"Promotion","state-code":"success","course":7}"#),
+            line_to_agent(r#"{"t":"Promotion","state-code":"success","course":7}"#),
             "field course: unknown value 7",
         ),
     ];
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn ignores_messages_to_an_agent_that_is_not_there() {
+fn ignores_messages_to_an_agent_that_is_not_running() {
     let late = r#"{"t-ms":5.0,"agents":[{"agent-id":9,"items":[{"t":"Gone","txn":"r1"}]}]}"#;
     let output = run(&format!("{late}\n"));
     assert!(output.status.success(), "{output:?}");
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn reports_settings_that_name_what_they_do_not_define() {
+fn reports_a_name_that_the_settings_do_not_define() {
     let opening = SESSION.lines().next().unwrap();
     let elsewhere = opening.replace("\"zone\": \"east\"", "\"zone\": \"mars\"");
     let output = run(&format!("{elsewhere}\n"));
