--- a/crates/discovery/examples/list_update.rs
+++ b/crates/discovery/examples/list_update.rs
@@ -1,5 +1,5 @@
-//! Measures taking in endpoint lists by their size: parsing, the endpoint table, the balancer. With
-//! the agent's allocator.
+//! Measures how long it takes to apply endpoint lists of several sizes, separately for parsing, the
+//! endpoint table and the balancer. It uses the agent's allocator.
 //!
 //!     cargo run --release -p tulipwall-discovery --example list_update
 
@@ -17,20 +17,21 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
+/// The numbers of endpoints for which the lists are measured.
 const SIZES: [usize; 3] = [770, 7_700, 30_000];
-/// Runs of each measurement.
+/// How often each measurement is run; the shortest time is printed.
 const RUNS: usize = 7;
-/// Entries that differ in a small change.
+/// The number of entries that differ in a small change.
 const CHANGED: usize = 100;
 
-/// One list that is taken in, and its name in the output.
+/// One list that is applied, and its name in the output.
 struct Step {
     name: &'static str,
     complete: bool,
     servers: Vec<Value>,
 }
 
-/// How long each part of taking a list in took.
+/// How long each part of applying a list took.
 #[derive(Clone, Copy)]
 struct Times {
     parse: Duration,
@@ -93,25 +94,25 @@
     Ok(ServiceConfig::read(&Fields::new(&value, "settings")?, 1)?)
 }
 
-/// Takes the lists in one after another; the times of each.
+/// Applies the lists one after another and returns the times of each.
 fn run(service: &ServiceConfig, bodies: &[Vec<u8>]) -> Result<Vec<Times>, Box<dyn Error>> {
     let clock = Clock::start();
     let mut table = EndpointTable::default();
     let mut balancer = Balancer::new(clock.now(), service.settings.clone());
     let mut times = Vec::new();
     for body in bodies {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let response = ListResponse::parse(body)?;
-        let parse = begun.elapsed();
-        let begun = Instant::now();
+        let parse = started_at.elapsed();
+        let started_at = Instant::now();
         let changes = table.apply(response, service, &clock).into_changes();
-        let table_time = begun.elapsed();
-        let begun = Instant::now();
+        let table_time = started_at.elapsed();
+        let started_at = Instant::now();
         balancer.update_endpoints(clock.now(), &changes, false);
         times.push(Times {
             parse,
             table: table_time,
-            balancer: begun.elapsed(),
+            balancer: started_at.elapsed(),
         });
     }
     Ok(times)
--- a/crates/discovery/tests/endpoint_table.rs
+++ b/crates/discovery/tests/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! Endpoints that drain, as the endpoint table and the balancer learn of them, and when discovery
-//! is called; without sockets.
+//! Tests of the endpoint table, the balancer and the timing of calls to discovery, without sockets:
+//! draining endpoints, unreadable entries and watches that time out.
 
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -21,11 +21,11 @@
         "started_ms": 0, "release": build})
 }
 
-/// An endpoint table and a balancer, which must agree on the endpoints that may get attempts.
+/// An endpoint table and a balancer, which must agree on the endpoints that may receive attempts.
 struct TableAndBalancer {
     service: ServiceConfig,
     clock: Clock,
-    list: EndpointTable,
+    table: EndpointTable,
     balancer: Balancer,
 }
 
@@ -36,7 +36,7 @@
         TableAndBalancer {
             service,
             clock,
-            list: EndpointTable::default(),
+            table: EndpointTable::default(),
             balancer,
         }
     }
@@ -47,21 +47,21 @@
         let response = ListResponse::parse(body.as_bytes()).unwrap();
         let complete = response.complete;
         let entries = self
-            .list
+            .table
             .apply(response, &self.service, &self.clock)
             .entries;
         self.balancer
             .update_endpoints(self.clock.now(), &entries, complete);
     }
 
-    /// The ids of the table's targets, after the balancer has sent a hundred requests to some of
-    /// them and to no others.
+    /// Returns the ids of the table's targets, after checking that the balancer forwards a hundred
+    /// requests to these endpoints only.
     fn usable_endpoints(&mut self) -> Vec<String> {
         let mut ids: Vec<_> = self
-            .list
+            .table
             .targets()
             .iter()
-            .map(|t| self.list.id(t.endpoint).to_owned())
+            .map(|t| self.table.id(t.endpoint).to_owned())
             .collect();
         ids.sort();
         for id in 0..100 {
@@ -77,8 +77,8 @@
             self.balancer.on_request(now, id, request);
             if let Decision::Forward { endpoint, .. } = self.balancer.route(now, id) {
                 assert!(
-                    ids.contains(&self.list.id(endpoint).to_owned()),
-                    "they differ"
+                    ids.contains(&self.table.id(endpoint).to_owned()),
+                    "the balancer selected an endpoint that is not a target of the table"
                 );
             }
             self.balancer.close_request(id);
@@ -87,13 +87,22 @@
     }
 }
 
-/// Guards against a discovery at another address that is behind. Harms an endpoint that is called
-/// back within one version: it is told again by the next.
+/// Guards against a discovery instance at another address whose list is older. This does harm to an
+/// endpoint that is put back into service within one version: only the next version revives it.
 #[test]
 fn older_list_revives_only_restarted_endpoints() {
     let mut pair = TableAndBalancer::new();
-    let run = |id: &str| entry(id, "in_service", 7, 41);
-    pair.receive_list(10, true, &[run("s-0"), run("s-1"), run("s-2"), run("s-3")]);
+    let running_entry = |id: &str| entry(id, "in_service", 7, 41);
+    pair.receive_list(
+        10,
+        true,
+        &[
+            running_entry("s-0"),
+            running_entry("s-1"),
+            running_entry("s-2"),
+            running_entry("s-3"),
+        ],
+    );
     pair.receive_list(
         12,
         false,
@@ -102,11 +111,32 @@
             entry("s-1", "terminated", 7, 41),
         ],
     );
-    pair.receive_list(13, true, &[run("s-3"), entry("s-0", "terminating", 7, 41)]);
-    assert_eq!(pair.usable_endpoints(), ["s-3"], "who is lacking is gone");
-    pair.receive_list(11, true, &[run("s-0"), run("s-1"), run("s-2"), run("s-3")]);
-    assert_eq!(pair.usable_endpoints(), ["s-3"], "an older list");
-    // The same id with another build or address lives anew, whatever the version.
+    pair.receive_list(
+        13,
+        true,
+        &[running_entry("s-3"), entry("s-0", "terminating", 7, 41)],
+    );
+    assert_eq!(
+        pair.usable_endpoints(),
+        ["s-3"],
+        "an endpoint missing from a complete list is gone"
+    );
+    pair.receive_list(
+        11,
+        true,
+        &[
+            running_entry("s-0"),
+            running_entry("s-1"),
+            running_entry("s-2"),
+            running_entry("s-3"),
+        ],
+    );
+    assert_eq!(
+        pair.usable_endpoints(),
+        ["s-3"],
+        "an older list revives nothing"
+    );
+    // An endpoint with the same id but another build or address is revived by any version.
     pair.receive_list(
         12,
         false,
@@ -116,23 +146,32 @@
         ],
     );
     assert_eq!(pair.usable_endpoints(), ["s-0", "s-1", "s-3"]);
-    pair.receive_list(14, false, &[run("s-2")]);
+    pair.receive_list(14, false, &[running_entry("s-2")]);
     assert_eq!(
         pair.usable_endpoints(),
         ["s-0", "s-1", "s-2", "s-3"],
-        "a newer list says so"
+        "a newer list revives an endpoint"
     );
 }
 
-/// Guards against a list that counts as told though one entry cannot be read. Harms that endpoint
-/// until it can be.
+/// Guards against a list that counts as received although one of its entries cannot be read. This
+/// does harm to that endpoint until its entry can be read.
 #[test]
 fn applies_the_readable_entries_and_drains_the_unreadable_one() {
     let mut pair = TableAndBalancer::new();
-    let run = |id: &str| entry(id, "in_service", 7, 41);
-    pair.receive_list(1, true, &[run("s-0"), run("s-1"), run("s-2"), run("s-3")]);
+    let running_entry = |id: &str| entry(id, "in_service", 7, 41);
+    pair.receive_list(
+        1,
+        true,
+        &[
+            running_entry("s-0"),
+            running_entry("s-1"),
+            running_entry("s-2"),
+            running_entry("s-3"),
+        ],
+    );
     let unreadable = |key: &str, value: Value| {
-        let mut e = run("s-1");
+        let mut e = running_entry("s-1");
         e[key] = value;
         e
     };
@@ -151,87 +190,103 @@
                 unreadable(key, value),
                 entry("s-0", "terminating", 7, 41),
                 json!(7),
-                run("s-2"),
-                run("s-3"),
+                running_entry("s-2"),
+                running_entry("s-3"),
             ],
         );
         assert_eq!(
-            pair.list.version,
+            pair.table.version,
             version - 1,
-            "its version is not taken for heard"
+            "the version of a partly unreadable list must not count as received"
         );
         assert_eq!(pair.usable_endpoints(), ["s-2", "s-3"], "{key}");
         pair.receive_list(
             version + 1,
             true,
-            &[run("s-0"), run("s-1"), run("s-2"), run("s-3")],
+            &[
+                running_entry("s-0"),
+                running_entry("s-1"),
+                running_entry("s-2"),
+                running_entry("s-3"),
+            ],
         );
         assert_eq!(pair.usable_endpoints().len(), 4);
     }
-    for torn in 0..80 {
-        let text = json!({"version": 9, "full": false, "servers": [run("s-0")]}).to_string();
-        assert!(ListResponse::parse(&text.as_bytes()[..torn]).is_err());
+    for length in 0..80 {
+        let text =
+            json!({"version": 9, "full": false, "servers": [running_entry("s-0")]}).to_string();
+        assert!(ListResponse::parse(&text.as_bytes()[..length]).is_err());
     }
 }
 
-/// Three hundred agents whose watches fall silent at the same moment, right after an answer to all;
-/// for half of them the first call anew is lost in silence, too. Guards the rule on drains and
-/// discovery, which is paid for each call. One call a silence: a second beside it put an end to the
-/// first (the incident on refused calls), so who was not heard in time must vouch for nothing from
-/// then on.
+/// The watches of all agents of a fleet (300 agents and other sizes) fall silent at the same
+/// moment, right after a response to all. For half of the agents the first new call gets no
+/// response either. Guards against agents that miss drains, and against overloading discovery,
+/// where every call uses shared capacity. Each silence must cause a single call: in an incident
+/// with refused calls, a second call in parallel ended the first one. So an agent that is not
+/// answered in time must not rely on its list from then on.
 #[test]
-fn watches_that_time_out_at_once_begin_anew_in_time_and_spread_out() {
-    for (agents, within) in [(300, 10_000), (350, 4_000), (1024, 20_000), (4, 10_000)] {
+fn watches_that_time_out_together_restart_in_time_and_spread_out() {
+    for (agents, poll_interval_ms) in [(300, 10_000), (350, 4_000), (1024, 20_000), (4, 10_000)] {
         let mut calls = Vec::new();
         for seed in 0..agents {
-            let mut d = service(agents as u32).settings;
-            (d.seed, d.shared_discovery, d.max_poll_interval) =
-                (seed, true, Duration::from_millis(within));
-            let (mut timer, mut lease) = (WatchTimer::new(&d), ListLease::new(&d, Duration::ZERO));
+            let mut agent_settings = service(agents as u32).settings;
+            (
+                agent_settings.seed,
+                agent_settings.shared_discovery,
+                agent_settings.max_poll_interval,
+            ) = (seed, true, Duration::from_millis(poll_interval_ms));
+            let (mut timer, mut lease) = (
+                WatchTimer::new(&agent_settings),
+                ListLease::new(&agent_settings, Duration::ZERO),
+            );
             timer.on_response();
             let wait = timer.next_wait();
             lease.on_response(Duration::ZERO, wait);
-            let silent = wait + timer.response_grace();
-            lease.on_watch_end(silent, WatchEnd::TimedOut);
-            let at = silent + timer.on_watch_end(WatchEnd::TimedOut).unwrap();
+            let silence_detected_at = wait + timer.response_grace();
+            lease.on_watch_end(silence_detected_at, WatchEnd::TimedOut);
+            let at = silence_detected_at + timer.on_watch_end(WatchEnd::TimedOut).unwrap();
             calls.push(at);
             let receive_list = Duration::from_secs(6).max(wait + Duration::from_secs(2));
             lease.on_watch_begin(at);
             if seed % 2 == 0 {
-                // Nothing is vouched for between what counts as told and an answer.
+                // The lease must not extend beyond the time from which the agent must comply with
+                // changes, unless there is an answer.
                 assert!(lease
                     .valid_until()
                     .is_some_and(|t| t <= receive_list + Duration::from_millis(250)));
-                // What fails then is spread by the module.
+                // The balancer schedules the call after this failure.
                 assert_eq!(timer.on_watch_end(WatchEnd::TimedOut), None);
             } else {
-                // With a connection that comes up late, and some time to answer, which the call
-                // must be given.
-                let answer = Duration::from_millis(1300);
-                assert!(answer < wait + timer.first_call_timeout(FirstCall::Patient));
+                // Covers a connection that opens slowly and some time to answer, for which the
+                // timeout of the call must be long enough.
+                let answer_delay = Duration::from_millis(1300);
+                assert!(answer_delay < wait + timer.first_call_timeout(FirstCall::Patient));
                 assert!(
-                    at + answer < receive_list + Duration::from_millis(250),
-                    "{at:?} of {receive_list:?} after {wait:?}"
+                    at + answer_delay < receive_list + Duration::from_millis(250),
+                    "called after {at:?}, must comply after {receive_list:?}, wait {wait:?}"
                 );
             }
         }
-        let second = |c: &Duration| {
+        let calls_in_second = |c: &Duration| {
             calls
                 .iter()
                 .filter(|o| **o >= *c && **o < *c + Duration::from_secs(1))
                 .count()
         };
-        let most = calls.iter().map(second).max().unwrap() as f64;
-        // Nine tenths of the longest wait at least are left to chance; each silence brings one
-        // call.
-        let spread = 2.0 * within as f64 / 1000.0 * 0.9;
+        let most = calls.iter().map(calls_in_second).max().unwrap() as f64;
+        // At least nine tenths of the longest wait are random, and each silence causes one call.
+        let spread = 2.0 * poll_interval_ms as f64 / 1000.0 * 0.9;
         let bound = agents as f64 / spread * 1.3 + 4.0;
-        assert!(most <= bound, "{most} of {bound} in a second with {agents}");
+        assert!(
+            most <= bound,
+            "{most} calls in a second, expected at most {bound}, with {agents} agents"
+        );
     }
 }
 
 #[test]
-fn notices_silence_within_one_short_wait_where_calls_are_free() {
+fn detects_silence_within_one_short_wait_where_calls_are_free() {
     let mut timer = WatchTimer::new(&service(300).settings);
     assert_eq!(timer.first_wait(), Duration::ZERO);
     timer.on_response();
@@ -240,14 +295,15 @@
         + timer.on_watch_end(WatchEnd::TimedOut).unwrap();
     assert!(
         notice + timer.first_call_timeout(FirstCall::Patient) * 2 < Duration::from_secs(6),
-        "{notice:?} and two late tries"
+        "{notice:?} and two slow calls"
     );
-    // What discovery holds at its return counts at once: the next quick try is within the grace.
+    // Agents must comply with discovery's list as soon as it is available again. The next quick
+    // call comes within the grace period of 250 ms.
     assert!(
         timer.first_call_timeout(FirstCall::Quick) + timer.retry_delay(WatchEnd::TimedOut)
             < Duration::from_millis(250)
     );
-    // No busy loop on lists that end or are spoilt at every call.
+    // Guards against a busy loop when every call is disconnected or gets a malformed response.
     for ended in [WatchEnd::Disconnected, WatchEnd::Malformed] {
         timer.on_response();
         assert!(timer.on_watch_end(ended).unwrap() >= Duration::from_millis(50));
--- a/crates/discovery/tests/large_lists.rs
+++ b/crates/discovery/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of thousands of endpoints, complete, partly unreadable and empty.
+//! Tests with lists of thousands of endpoints that are complete, partly unreadable or empty.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 struct Agent {
     service: ServiceConfig,
     clock: Clock,
-    list: EndpointTable,
+    table: EndpointTable,
     balancer: Balancer,
     request_count: u64,
 }
@@ -36,20 +36,21 @@
         Agent {
             service,
             clock,
-            list: EndpointTable::default(),
+            table: EndpointTable::default(),
             balancer,
             request_count: 0,
         }
     }
 
-    /// Applies a list; the message of the first entry that cannot be read.
+    /// Applies a list. Returns the error message of the first entry that cannot be read, or `None`
+    /// if all entries can.
     fn receive_list(&mut self, version: u64, full: bool, servers: &[Value]) -> Option<String> {
         let text = json!({"version": version, "full": full, "servers": servers}).to_string();
         let response = ListResponse::parse(text.as_bytes()).unwrap();
         let complete = response.complete;
         let first_error = response.first_error.as_ref().map(ToString::to_string);
         let entries = self
-            .list
+            .table
             .apply(response, &self.service, &self.clock)
             .entries;
         self.balancer
@@ -57,15 +58,15 @@
         first_error
     }
 
-    fn serving(&self) -> usize {
-        self.list.targets().len()
+    fn running_count(&self) -> usize {
+        self.table.targets().len()
     }
 
-    /// The first decision on a request that comes now.
+    /// Returns the first decision on a request that arrives now.
     fn route_request(&mut self) -> Decision {
         let (now, id) = (self.clock.now(), self.request_count);
         self.request_count += 1;
-        let left = Duration::from_secs(1);
+        let remaining = Duration::from_secs(1);
         self.balancer.on_request(
             now,
             id,
@@ -73,42 +74,47 @@
                 class: 0,
                 tenant: None,
                 key: None,
-                time_left: left,
+                time_left: remaining,
                 estimated_work: None,
                 is_retry: false,
             },
         );
-        let answer = self.balancer.route(now, id);
+        let decision = self.balancer.route(now, id);
         self.balancer.close_request(id);
-        answer
+        decision
     }
 }
 
 #[test]
 fn applies_a_large_list_and_finds_endpoints_by_id() {
-    let (mut agent, begun) = (Agent::new(), Instant::now());
+    let (mut agent, started_at) = (Agent::new(), Instant::now());
     assert_eq!(agent.receive_list(1, true, &fleet()), None);
     assert_eq!(
-        (agent.serving(), agent.list.len(), agent.list.version),
+        (
+            agent.running_count(),
+            agent.table.len(),
+            agent.table.version
+        ),
         (ENDPOINTS, ENDPOINTS, 1)
     );
     assert_eq!(
-        agent.list.id(agent.list.index("s-00001e13").unwrap()),
+        agent.table.id(agent.table.index("s-00001e13").unwrap()),
         "s-00001e13"
     );
     assert!(matches!(agent.route_request(), Decision::Forward { .. }));
-    // Far above what it takes: against a walk of the whole list for each entry of it, which took
-    // seconds.
+    // Guards against a scan of the whole list for each of its entries, which took seconds. The
+    // bound is far above the time that the list normally takes.
     assert!(
-        begun.elapsed() < Duration::from_secs(20),
+        started_at.elapsed() < Duration::from_secs(20),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// Of two entries for one endpoint only one can be true, and it may be the one that drains it.
+/// Of two contradictory entries for one endpoint only one can be correct, and that may be the one
+/// that drains the endpoint.
 #[test]
-fn drains_and_names_an_endpoint_with_contradictory_entries() {
+fn drains_and_reports_an_endpoint_with_contradictory_entries() {
     let mut agent = Agent::new();
     agent.receive_list(1, true, &fleet());
     for (nth, (key, value)) in [
@@ -122,24 +128,28 @@
         let mut servers = fleet();
         let mut other = entry(17, "in_service");
         other[key] = value;
-        // Before and after the line that it contradicts.
+        // Alternates between the start and the end of the list, before and after the other entry.
         servers.insert(if nth % 2 == 0 { 0 } else { ENDPOINTS }, other);
         let version = 2 + 2 * nth as u64;
         let what = agent
             .receive_list(version, true, &servers)
-            .expect("it is named");
+            .expect("the contradiction must be reported");
         assert!(
             what.contains("s-00000011") && what.contains("twice"),
             "{what}"
         );
-        assert_eq!(agent.serving(), ENDPOINTS - 1);
+        assert_eq!(agent.running_count(), ENDPOINTS - 1);
         assert_eq!(
-            agent.list.target(agent.list.index("s-00000011").unwrap()),
+            agent.table.target(agent.table.index("s-00000011").unwrap()),
             None
         );
-        assert_eq!(agent.list.version, version - 1, "it is asked for anew");
+        assert_eq!(
+            agent.table.version,
+            version - 1,
+            "the list must be requested again"
+        );
         assert_eq!(agent.receive_list(version + 1, true, &fleet()), None);
-        assert_eq!(agent.serving(), ENDPOINTS);
+        assert_eq!(agent.running_count(), ENDPOINTS);
     }
 }
 
@@ -149,7 +159,10 @@
     let mut servers = fleet();
     servers.extend(fleet().into_iter().take(500));
     assert_eq!(agent.receive_list(1, true, &servers), None);
-    assert_eq!((agent.serving(), agent.list.len()), (ENDPOINTS, ENDPOINTS));
+    assert_eq!(
+        (agent.running_count(), agent.table.len()),
+        (ENDPOINTS, ENDPOINTS)
+    );
 }
 
 #[test]
@@ -162,39 +175,45 @@
         .step_by(10)
         .for_each(|e| e["state"] = json!("asleep"));
     servers[1] = entry(1, "terminating");
-    let what = agent.receive_list(2, true, &servers).expect("it is named");
+    let what = agent
+        .receive_list(2, true, &servers)
+        .expect("the unreadable entry must be reported");
     assert!(what.contains("asleep"), "{what}");
-    assert_eq!(agent.serving(), ENDPOINTS - ENDPOINTS / 10 - 1);
-    assert_eq!(agent.list.version, 1);
+    assert_eq!(agent.running_count(), ENDPOINTS - ENDPOINTS / 10 - 1);
+    assert_eq!(agent.table.version, 1);
     assert_eq!(agent.receive_list(3, true, &fleet()), None);
-    assert_eq!(agent.serving(), ENDPOINTS);
+    assert_eq!(agent.running_count(), ENDPOINTS);
 }
 
-/// An endpoint that a complete list lacks is gone, also where it lacks all. When they come back,
-/// they have their indices again.
+/// An endpoint that is missing from a complete list is gone, even if the list is empty. Endpoints
+/// that are listed again get the same indices as before.
 #[test]
 fn sends_nothing_after_an_empty_list_until_endpoints_are_listed_again() {
     let mut agent = Agent::new();
     agent.receive_list(1, true, &fleet());
-    let index_before = agent.list.index("s-00000100").unwrap();
+    let index_before = agent.table.index("s-00000100").unwrap();
     assert_eq!(agent.receive_list(2, true, &[]), None);
-    assert_eq!((agent.serving(), agent.list.has_running()), (0, false));
+    assert_eq!(
+        (agent.running_count(), agent.table.has_running()),
+        (0, false)
+    );
     for _ in 0..100 {
         assert!(!matches!(agent.route_request(), Decision::Forward { .. }));
     }
     assert_eq!(agent.receive_list(3, true, &fleet()[..ENDPOINTS / 2]), None);
-    assert_eq!(agent.serving(), ENDPOINTS / 2);
+    assert_eq!(agent.running_count(), ENDPOINTS / 2);
     assert_eq!(agent.receive_list(4, true, &fleet()), None);
     assert_eq!(
-        (agent.serving(), agent.list.len()),
+        (agent.running_count(), agent.table.len()),
         (ENDPOINTS, ENDPOINTS),
-        "nothing is kept twice"
+        "endpoints that return must reuse their entries"
     );
-    assert_eq!(agent.list.index("s-00000100"), Some(index_before));
+    assert_eq!(agent.table.index("s-00000100"), Some(index_before));
     assert!(matches!(agent.route_request(), Decision::Forward { .. }));
 }
 
-/// The table must grow with what runs, not with what ever ran.
+/// Guards against a table that keeps entries of all endpoints that ever ran, and so grows without
+/// bound.
 #[test]
 fn replaced_endpoints_leave_no_entries_behind() {
     let mut agent = Agent::new();
@@ -215,22 +234,22 @@
             })
             .collect();
         assert_eq!(agent.receive_list(version, true, &servers), None);
-        assert_eq!(agent.serving(), ENDPOINTS);
+        assert_eq!(agent.running_count(), ENDPOINTS);
         assert!(
-            agent.list.len() <= ENDPOINTS + 2 * (ENDPOINTS / 7 + 1),
+            agent.table.len() <= ENDPOINTS + 2 * (ENDPOINTS / 7 + 1),
             "{}",
-            agent.list.len()
+            agent.table.len()
         );
         agent.receive_list(version, false, &[]);
     }
-    let is_running = |n: usize| agent.list.target(n).is_some();
+    let is_running = |n: usize| agent.table.target(n).is_some();
     assert_eq!(
-        (0..agent.list.len()).filter(|n| is_running(*n)).count(),
+        (0..agent.table.len()).filter(|n| is_running(*n)).count(),
         ENDPOINTS
     );
     assert_eq!(
         EndpointState::default(),
         EndpointState::Gone,
-        "a number without an appliance counts as gone"
+        "an index without an endpoint counts as gone"
     );
 }
--- a/crates/discovery/tests/list_response.rs
+++ b/crates/discovery/tests/list_response.rs
@@ -1,5 +1,5 @@
-//! Lists that are written exactly as the protocol has them are read by a shorter way, which must
-//! say what the reading field by field says.
+//! Lists that have exactly the form of the protocol are parsed by a faster typed parser. These
+//! tests check that it gives the same results as reading the list field by field.
 
 use serde_json::{json, Value};
 use tulipwall_config::Fields;
@@ -14,8 +14,8 @@
     json!({"version": 41, "full": true, "servers": servers})
 }
 
-/// Both ways, by what they say.
-fn assert_same(body: &[u8]) {
+/// Checks that both parsers return the same response or the same error message.
+fn assert_same_result(body: &[u8]) {
     let parsed = ListResponse::parse(body).map_err(|error| error.to_string());
     let by_fields = match serde_json::from_slice::<Value>(body) {
         Ok(value) => Fields::new(&value, "list")
@@ -27,8 +27,8 @@
     assert_eq!(format!("{parsed:?}"), format!("{by_fields:?}"), "{text}");
 }
 
-/// Values in place of a field's own: some are read otherwise, some refused, some not looked at.
-fn other_values() -> Vec<Value> {
+/// Replacement values for a field. Depending on the field, they are accepted, rejected or ignored.
+fn replacement_values() -> Vec<Value> {
     vec![
         Value::Null,
         json!(true),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn reads_each_field_as_the_reading_by_fields_does() {
+fn both_parsers_agree_on_each_field() {
     for key in [
         "id",
         "addr",
@@ -66,35 +66,36 @@
         "release",
         "more",
     ] {
-        for value in other_values() {
+        for value in replacement_values() {
             let mut other = entry("s-1");
             other[key] = value;
-            assert_same(
+            assert_same_result(
                 list(vec![entry("s-0"), other, entry("s-2")])
                     .to_string()
                     .as_bytes(),
             );
         }
-        let mut lacking = entry("s-1");
-        lacking.as_object_mut().unwrap().remove(key);
-        assert_same(list(vec![lacking]).to_string().as_bytes());
+        let mut incomplete = entry("s-1");
+        incomplete.as_object_mut().unwrap().remove(key);
+        assert_same_result(list(vec![incomplete]).to_string().as_bytes());
     }
     for key in ["version", "full", "servers", "more"] {
-        for value in other_values() {
+        for value in replacement_values() {
             let mut other = list(vec![entry("s-0")]);
             other[key] = value;
-            assert_same(other.to_string().as_bytes());
+            assert_same_result(other.to_string().as_bytes());
         }
-        let mut lacking = list(vec![entry("s-0")]);
-        lacking.as_object_mut().unwrap().remove(key);
-        assert_same(lacking.to_string().as_bytes());
+        let mut incomplete = list(vec![entry("s-0")]);
+        incomplete.as_object_mut().unwrap().remove(key);
+        assert_same_result(incomplete.to_string().as_bytes());
     }
 }
 
 #[test]
-fn reads_odd_texts_as_the_reading_by_fields_does() {
+fn both_parsers_agree_on_unusual_json() {
     let texts = [
-        // Twice the same key, a number out of range, half of a surrogate pair, deep nesting.
+        // Duplicate key, number out of range, unpaired surrogate, deep nesting, trailing
+        // characters, array in place of the object, other order with spaces, and unusual entries.
         r#"{"version":1,"version":2,"full":true,"servers":[]}"#.to_owned(),
         r#"{"version":1,"full":true,"servers":[],"more":1e999}"#.to_owned(),
         r#"{"version":1,"full":true,"servers":[],"more":"\ud800"}"#.to_owned(),
@@ -125,36 +126,36 @@
         .to_string()
         .replace("\"weight\":1.0", "\"weight\":1e999");
     assert!(weight_out_of_range.contains("1e999"));
-    assert_same(weight_out_of_range.as_bytes());
+    assert_same_result(weight_out_of_range.as_bytes());
     for text in texts {
-        assert_same(text.as_bytes());
+        assert_same_result(text.as_bytes());
     }
-    let mut twice = entry("s-0");
-    twice["release"] = json!(42);
-    assert_same(
-        list(vec![entry("s-0"), twice.clone()])
+    let mut duplicate = entry("s-0");
+    duplicate["release"] = json!(42);
+    assert_same_result(
+        list(vec![entry("s-0"), duplicate.clone()])
             .to_string()
             .as_bytes(),
     );
-    twice["started_ms"] = json!(1764000000001u64);
-    assert_same(list(vec![entry("s-0"), twice]).to_string().as_bytes());
+    duplicate["started_ms"] = json!(1764000000001u64);
+    assert_same_result(list(vec![entry("s-0"), duplicate]).to_string().as_bytes());
 }
 
-/// Each byte lost, and each in the place of another.
+/// Removes each byte, cuts the text at each byte, and replaces each byte by several others.
 #[test]
-fn reads_damaged_texts_as_the_reading_by_fields_does() {
+fn both_parsers_agree_on_damaged_json() {
     let text = list(vec![entry("s-0"), entry("s-1")])
         .to_string()
         .into_bytes();
     for position in 0..text.len() {
         let mut shorter = text.clone();
         shorter.remove(position);
-        assert_same(&shorter);
-        assert_same(&text[..position]);
+        assert_same_result(&shorter);
+        assert_same_result(&text[..position]);
         for other in [b'"', b'0', b'9', b'-', b'e', b'\\', b',', b'}', b' ', 0xff] {
             let mut damaged = text.clone();
             damaged[position] = other;
-            assert_same(&damaged);
+            assert_same_result(&damaged);
         }
     }
 }
--- a/crates/discovery/tests/list_work.rs
+++ b/crates/discovery/tests/list_work.rs
@@ -1,5 +1,5 @@
-//! The work of taking a list in, by counts that do not depend on the machine: entries visited in
-//! the table, and entries handed on to the balancer.
+//! Tests of the work for applying a list, by counts that do not depend on the machine: visits of
+//! table entries, and entries passed on to the balancer.
 
 use std::time::Duration;
 use tulipwall::{Balancer, EndpointEntry, EndpointState, Request};
@@ -34,7 +34,7 @@
     (0..endpoints).map(|n| record(id(n), 41)).collect()
 }
 
-/// A table, and what the last response cost it.
+/// An endpoint table for which the work of each response is counted.
 struct MeteredTable {
     service: ServiceConfig,
     clock: Clock,
@@ -42,7 +42,7 @@
     version: u64,
 }
 
-/// What a response cost and changed.
+/// The entries that a response visited, and those that it changed.
 #[derive(Debug, PartialEq)]
 struct Work {
     visits: u64,
@@ -77,14 +77,15 @@
         self.table.apply(response, &self.service, &self.clock)
     }
 
-    /// Applies a response and asks what the agent asks after each.
+    /// Applies a response, and then makes the same queries as the agent does after each response.
+    /// Returns the work for both.
     fn receive(&mut self, complete: bool, endpoints: Vec<EndpointRecord>) -> Work {
         let before = self.table.entry_visits();
         let builds_before = self.table.builds();
-        let was_usable = self.table.has_running();
+        let had_running = self.table.has_running();
         let changes = self.apply(complete, endpoints).into_changes().len();
         let is_same =
-            self.table.builds() == builds_before && self.table.has_running() == was_usable;
+            self.table.builds() == builds_before && self.table.has_running() == had_running;
         assert!(is_same || changes > 0);
         Work {
             visits: self.table.entry_visits() - before,
@@ -93,10 +94,10 @@
     }
 }
 
-/// Whole lists cost two visits an entry: one to take it in, one to find what the list lacks.
-/// Guards against a search among all entries for each one of the list.
+/// A complete list costs two visits for each entry: one to apply it, and one to find endpoints that
+/// the list does not contain. Guards against searching all entries for each entry of the list.
 #[test]
-fn whole_lists_cost_two_visits_an_entry() {
+fn complete_lists_cost_two_visits_per_entry() {
     for size in SIZES {
         let mut table = MeteredTable::new();
         let visits = size as u64;
@@ -105,84 +106,102 @@
             visits: 2 * visits,
             changes: size,
         };
-        assert_eq!(first, all, "a first list of {size}");
-        let none = table.receive(true, Vec::new());
+        assert_eq!(first, all, "a first list of {size} endpoints");
+        let emptied = table.receive(true, Vec::new());
         let gone = Work {
             visits,
             changes: size,
         };
-        assert_eq!(none, gone, "a list of 0 after {size}");
-        let back = table.receive(true, records("s", size));
-        assert_eq!(back, all, "{size} back");
+        assert_eq!(emptied, gone, "an empty list after {size} endpoints");
+        let restored = table.receive(true, records("s", size));
+        assert_eq!(restored, all, "{size} endpoints listed again");
         table.receive(true, Vec::new());
         let renamed = table.receive(true, records("r", size));
-        assert_eq!(renamed, all, "{size} others in their place");
+        assert_eq!(
+            renamed, all,
+            "{size} new endpoints in place of the old ones"
+        );
         assert_eq!(table.table.len(), size);
         assert_eq!(table.table.index("s-00000000"), None);
     }
 }
 
-/// Guards against a whole table that is walked for a change of a few entries.
+/// Guards against iterating over the whole table for a change of a few entries.
 #[test]
-fn changes_cost_a_visit_for_each_of_their_entries() {
+fn incremental_lists_cost_one_visit_per_entry() {
     for size in SIZES {
         let mut table = MeteredTable::with_endpoints(size);
         for changed in [1, 100.min(size)] {
-            let mut restarted = records("s", changed);
-            for record in &mut restarted {
+            let mut updated = records("s", changed);
+            for record in &mut updated {
                 record.build = 42;
             }
-            restarted[0].build += changed as u32;
-            let work = table.receive(false, restarted);
+            updated[0].build += changed as u32;
+            let work = table.receive(false, updated);
             let expected = Work {
                 visits: changed as u64,
                 changes: changed,
             };
-            assert_eq!(work, expected, "{changed} of {size}");
+            assert_eq!(work, expected, "{changed} changes to {size} endpoints");
         }
         let added = table.receive(false, records("t", 100));
         let (visits, changes) = (100, 100);
-        assert_eq!(added, Work { visits, changes }, "100 more than {size}");
+        assert_eq!(
+            added,
+            Work { visits, changes },
+            "100 endpoints added to {size}"
+        );
         let mut leaving = records("t", 100);
         for record in &mut leaving {
             record.state = EndpointState::Gone;
         }
-        let left = table.receive(false, leaving);
-        assert_eq!(left, Work { visits, changes }, "100 fewer than before");
+        let removal = table.receive(false, leaving);
+        assert_eq!(removal, Work { visits, changes }, "100 endpoints removed");
         let work = table.receive(false, records("u", 100));
-        assert_eq!(work, Work { visits, changes }, "100 others at {size}");
-        assert_eq!(table.table.len(), size + 100, "in the places of those");
+        assert_eq!(
+            work,
+            Work { visits, changes },
+            "100 new endpoints in a table of {size}"
+        );
+        assert_eq!(
+            table.table.len(),
+            size + 100,
+            "new endpoints must reuse the indices of removed ones"
+        );
     }
 }
 
-/// Guards against a balancer that takes in thousands of entries which say what it knows.
+/// Guards against passing thousands of unchanged entries to the balancer.
 #[test]
-fn whole_lists_hand_on_only_what_differs() {
+fn complete_lists_pass_on_only_changed_entries() {
     for size in SIZES {
         let mut table = MeteredTable::with_endpoints(size);
         let same = table.receive(true, records("s", size));
-        assert_eq!(same.changes, 0, "the same {size}");
-        let mut few = records("s", size);
-        few[0].build = 42;
-        few[1].state = EndpointState::Draining;
-        few[2].cell = 7;
-        few[3].started_ms = Some(table.clock.to_unix_ms(START_OFFSET));
-        few[4].zone = "b".into();
-        few.swap_remove(5);
-        few.push(record("new".into(), 41));
-        let entries = table.apply(true, few).into_changes();
-        assert_eq!(entries.len(), 7, "of {size}");
-        let lacking = entries.iter().find(|entry| entry.endpoint == 5).unwrap();
-        assert_eq!(lacking.state, EndpointState::Gone);
+        assert_eq!(same.changes, 0, "an unchanged list of {size} endpoints");
+        let mut changed_records = records("s", size);
+        changed_records[0].build = 42;
+        changed_records[1].state = EndpointState::Draining;
+        changed_records[2].cell = 7;
+        changed_records[3].started_ms = Some(table.clock.to_unix_ms(START_OFFSET));
+        changed_records[4].zone = "b".into();
+        changed_records.swap_remove(5);
+        changed_records.push(record("new".into(), 41));
+        let entries = table.apply(true, changed_records).into_changes();
+        assert_eq!(entries.len(), 7, "changes to a list of {size} endpoints");
+        let removed = entries.iter().find(|entry| entry.endpoint == 5).unwrap();
+        assert_eq!(removed.state, EndpointState::Gone);
         let work = table.receive(true, records("s", size));
-        assert_eq!(work.changes, 7, "as before, without the new one");
+        assert_eq!(
+            work.changes, 7,
+            "the changes are undone and the new endpoint is removed"
+        );
     }
 }
 
-/// Guards against a search for a free index among all, or among those that attempts still hold.
-/// Does harm where it gives one out that an attempt holds.
+/// Guards against searching for a free index among all indices, or among those that attempts still
+/// hold. This does harm if an index that an attempt holds is reused.
 #[test]
-fn reuses_the_least_index_that_no_attempt_holds_without_a_search() {
+fn reuses_the_lowest_index_that_no_attempt_holds_without_a_search() {
     for size in SIZES {
         let mut table = MeteredTable::with_endpoints(size);
         let guards: Vec<_> = (0..size / 2)
@@ -191,16 +210,20 @@
         table.receive(true, Vec::new());
         let work = table.receive(false, records("new", 1));
         let (visits, changes) = (1, 1);
-        assert_eq!(work, Work { visits, changes }, "in {size}");
+        assert_eq!(work, Work { visits, changes }, "in a table of {size}");
         assert_eq!(table.table.index("new-00000000"), Some(size / 2));
 
         let second_guard = guards[7].clone();
         drop(guards);
         let work = table.receive(false, records("newer", 10));
-        assert_eq!(work.visits, 10, "in {size}");
+        assert_eq!(work.visits, 10, "in a table of {size}");
         let index = |n: usize| table.table.index(&format!("newer-{n:08x}")).unwrap();
         let indices: Vec<usize> = (0..10).map(index).collect();
-        assert_eq!(indices, [0, 1, 2, 3, 4, 5, 6, 8, 9, 10], "7 is held");
+        assert_eq!(
+            indices,
+            [0, 1, 2, 3, 4, 5, 6, 8, 9, 10],
+            "index 7 must not be reused while it is held"
+        );
         assert_eq!(table.table.id(7), "s-00000007");
         drop(second_guard);
         table.receive(false, records("last", 1));
@@ -208,7 +231,8 @@
     }
 }
 
-/// An endpoint that comes back keeps its index, though a guard of before is dropped later.
+/// An endpoint that is listed again keeps its index, even if a guard from before its removal is
+/// dropped afterwards.
 #[test]
 fn does_not_reuse_the_index_of_an_endpoint_that_came_back() {
     let mut table = MeteredTable::with_endpoints(3);
@@ -225,7 +249,7 @@
     assert_eq!(index("s-00000002"), None);
 }
 
-/// A sequence of numbers that is the same at each run.
+/// A pseudo-random number generator that gives the same sequence for the same seed.
 struct Random(u64);
 
 impl Random {
@@ -256,7 +280,7 @@
         record
     }
 
-    /// A list in which an id may lack, and some entries cannot be read.
+    /// Returns a response that may omit endpoints and may have an entry that cannot be read.
     fn response(&mut self, version: u64, clock: &Clock) -> ListResponse {
         let mut endpoints: Vec<EndpointRecord> = Vec::new();
         for _ in 0..self.below(60) {
@@ -279,7 +303,7 @@
     }
 }
 
-/// The first decisions on some requests that come now.
+/// Returns the first decisions on 20 requests that arrive now.
 fn decisions(balancer: &mut Balancer, now: Duration, round: u64) -> Vec<String> {
     let decide = |n| {
         let id = round * 100 + n;
@@ -299,7 +323,7 @@
     (0..20).map(decide).collect()
 }
 
-/// Keeps what was last listed of each endpoint.
+/// Updates `known` to the entry that was last listed for each endpoint.
 fn record_listed(known: &mut Vec<EndpointEntry>, listed: &AppliedList, complete: bool) {
     if complete {
         for entry in known.iter_mut() {
@@ -312,9 +336,10 @@
     }
 }
 
-/// What differs, told as changes, and whole lists, told as such, must come to the same decisions.
+/// A balancer that receives only the changes must make the same decisions as one that receives the
+/// lists as they are.
 #[test]
-fn changes_and_whole_lists_come_to_the_same_decisions() {
+fn changes_and_complete_lists_lead_to_the_same_decisions() {
     let service = service();
     for seed in 0..30 {
         let mut random = Random(seed);
@@ -343,6 +368,9 @@
             let listed = known.iter().filter(|e| e.state != EndpointState::Gone);
             assert_eq!(table.builds(), listed.map(|e| e.build).collect());
         }
-        assert!(forwarded > 300, "{forwarded} say little");
+        assert!(
+            forwarded > 300,
+            "only {forwarded} requests were forwarded, too few for the comparison"
+        );
     }
 }
--- a/crates/discovery/tests/watch_fleet.rs
+++ b/crates/discovery/tests/watch_fleet.rs
@@ -1,5 +1,6 @@
-//! Fleets of agents before a discovery that answers a number of calls a second and refuses the
-//! rest, in simulated time: balancer, watch timer and lease of each agent, without sockets.
+//! Simulates fleets of agents that call a discovery service of limited capacity, which answers a
+//! number of calls per second and refuses the rest. Each agent has a balancer, a watch timer and a
+//! lease; there are no sockets, and time is simulated.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,59 +11,65 @@
 use tulipwall_discovery::watch_timer::{WatchEnd, WatchTimer};
 use tulipwall_testkit::*;
 
+/// The time between two steps of the simulation.
 const STEP: Duration = ms(10);
-/// When the simulation begins; the balancer's clock does not begin at zero.
+/// The balancer's time at which the simulation begins. It is greater than zero, as in an agent.
 const BEGIN: Duration = ms(100_000);
-/// Agents are held to a change this long after it.
+/// An agent must comply with a change from this long after it.
 const CHANGE_GRACE: Duration = ms(6000);
-/// Agents are held to what a new address has this long after they learn of it.
+/// An agent must comply with the list at a new address from this long after it learns of the
+/// address.
 const ADDRESS_CHANGE_GRACE: Duration = ms(4000);
-/// Timeout of a request, which is rejected after half of it where it cannot be sent.
+/// Timeout of a request. A request that cannot be sent is rejected after half of it.
 const REQUEST_TIMEOUT: Duration = ms(1000);
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// What happens to all agents at once.
+/// An event that affects all agents at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
+    /// All agents start.
     Start,
-    /// Discovery has a new address, which each agent learns within 2 s.
+    /// Discovery moves to a new address, of which each agent learns within 2 s.
     AddressChange,
-    /// Watches time out, right after a response to all.
+    /// All watches time out, right after a response to all agents.
     Silence,
 }
 
+/// One agent, with what the tests record about it.
 struct Agent {
     balancer: Balancer,
     timer: WatchTimer,
     lease: ListLease,
     next_call: Option<Duration>,
-    /// Until when the call of its watch waits.
+    /// When the wait of the current long poll ends; `None` without a watch.
     waits_until: Option<Duration>,
     address_changes_at: Duration,
-    /// When it is held to what it missed.
-    must_hear_by: Duration,
-    heard_at: Option<Duration>,
-    /// The last attempt before it was heard.
-    last_unheard_attempt: Option<Duration>,
-    /// Whether an attempt was sent since it was heard.
+    /// From when the agent must comply with the changes that it missed.
+    must_be_answered_by: Duration,
+    /// When discovery answered the first call after the event; `None` before.
+    answered_at: Option<Duration>,
+    /// When the last attempt was sent before discovery answered.
+    last_attempt_before_answer: Option<Duration>,
+    /// Whether an attempt was sent since discovery answered.
     sends_again: bool,
     open_requests: Vec<u64>,
-    /// Requests that were not sent as they came.
+    /// The number of requests that were not sent on arrival.
     deferred: u64,
+    /// The number of requests that were rejected.
     rejected: u64,
 }
 
-/// What became of a fleet.
+/// The agents of a fleet after a simulation, and the calls to discovery in each second.
 struct FleetOutcome {
     agents: Vec<Agent>,
     calls_by_second: Vec<usize>,
 }
 
-/// A discovery that answers `capacity` calls a second and refuses the rest; those of one second may
-/// come at once.
+/// A discovery service that answers `capacity` calls per second and refuses the rest. Up to the
+/// calls of one second may arrive at once.
 struct Discovery {
     capacity: f64,
     tokens: f64,
@@ -128,20 +135,20 @@
             next_call: None,
             waits_until: None,
             address_changes_at: BEGIN,
-            must_hear_by: BEGIN + CHANGE_GRACE,
-            heard_at: None,
-            last_unheard_attempt: None,
+            must_be_answered_by: BEGIN + CHANGE_GRACE,
+            answered_at: None,
+            last_attempt_before_answer: None,
             sends_again: false,
             open_requests: Vec::new(),
             deferred: 0,
             rejected: 0,
         };
         if event != Event::Start {
-            agent.begin_with_a_watch();
+            agent.start_with_open_watch();
         }
         if event == Event::AddressChange {
             agent.address_changes_at = BEGIN + ms(rng.gen_range(0..2000));
-            agent.must_hear_by = agent.address_changes_at + ADDRESS_CHANGE_GRACE;
+            agent.must_be_answered_by = agent.address_changes_at + ADDRESS_CHANGE_GRACE;
         }
         let startup_delay = agent.timer.startup_delay();
         if event == Event::Start {
@@ -150,19 +157,19 @@
         agent
     }
 
-    fn begin_with_a_watch(&mut self) {
-        self.balancer.poll(BEGIN + ms(20_000)); // its first call is behind it
+    fn start_with_open_watch(&mut self) {
+        self.balancer.poll(BEGIN + ms(20_000)); // the balancer's first call is no longer due
         self.timer.on_response();
         let wait = self.timer.next_wait();
         self.lease.on_response(BEGIN, wait);
         self.waits_until = Some(BEGIN + wait);
-        self.must_hear_by = BEGIN + CHANGE_GRACE.max(wait + ms(2000));
+        self.must_be_answered_by = BEGIN + CHANGE_GRACE.max(wait + ms(2000));
     }
 
-    /// Calls discovery if it is time to; whether it did.
+    /// Calls discovery if a call is due, and returns whether it did.
     fn poll(&mut self, event: Event, now: Duration, discovery: &mut Discovery) -> bool {
         let is_due = self.balancer.poll(now).open_watch;
-        self.end_watch(event, now);
+        self.end_watch_if_due(event, now);
         let calls = self.waits_until.is_none()
             && match self.next_call {
                 Some(at) => now >= at,
@@ -175,7 +182,7 @@
         calls
     }
 
-    fn end_watch(&mut self, event: Event, now: Duration) {
+    fn end_watch_if_due(&mut self, event: Event, now: Duration) {
         let Some(waits_until) = self.waits_until else {
             return;
         };
@@ -183,7 +190,7 @@
             Event::Start => {}
             Event::AddressChange if now >= self.address_changes_at => {
                 self.waits_until = None;
-                // The old watch stood until then.
+                // The watch at the old address was still open until now.
                 self.lease.on_response(now, ms(0));
                 self.lease.on_address_change(now);
                 self.next_call = Some(now + self.timer.on_address_change());
@@ -202,7 +209,7 @@
         self.next_call = None;
         self.lease.on_watch_begin(now);
         if discovery.accepts_call() {
-            self.heard_at = Some(now);
+            self.answered_at = Some(now);
             self.timer.on_response();
             let wait = self.timer.next_wait();
             self.lease.on_response(now, wait);
@@ -217,7 +224,7 @@
         }
     }
 
-    fn take_request(&mut self, now: Duration, id: u64) {
+    fn receive_request(&mut self, now: Duration, id: u64) {
         let request = Request {
             class: 0,
             tenant: None,
@@ -232,12 +239,12 @@
         self.deferred += u64::from(self.open_requests.contains(&id));
     }
 
-    /// Asks what becomes of the requests that are open.
+    /// Asks the balancer for its decisions on the open requests.
     fn route_requests(&mut self, now: Duration) {
         for id in std::mem::take(&mut self.open_requests) {
             match self.balancer.route(now, id) {
-                Decision::Forward { .. } if self.heard_at.is_some() => self.sends_again = true,
-                Decision::Forward { .. } => self.last_unheard_attempt = Some(now),
+                Decision::Forward { .. } if self.answered_at.is_some() => self.sends_again = true,
+                Decision::Forward { .. } => self.last_attempt_before_answer = Some(now),
                 Decision::Defer { .. } => {
                     self.open_requests.push(id);
                     continue;
@@ -249,8 +256,8 @@
     }
 }
 
-/// Runs `agents` before a discovery that bears `capacity` calls a second, under settings that name
-/// `rate` for it.
+/// Simulates `agents` agents and a discovery service that can answer `capacity` calls per second.
+/// The settings state its rate as `rate`.
 fn simulate(event: Event, agents: u32, capacity: f64, rate: f64, seed: u64) -> FleetOutcome {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet = Vec::new();
@@ -264,16 +271,16 @@
         let now = BEGIN + STEP * step;
         discovery.advance(STEP);
         for (i, agent) in fleet.iter_mut().enumerate() {
-            if agent.heard_at.is_none() && agent.poll(event, now, &mut discovery) {
+            if agent.answered_at.is_none() && agent.poll(event, now, &mut discovery) {
                 calls_by_second[step as usize / 100] += 1;
             }
-            // Each gets five requests a second, at other times than its neighbors.
+            // Each agent gets five requests per second, at different times than its neighbors.
             let turn = step as usize + i;
-            let gets_requests = agent.heard_at.is_none_or(|at| now < at + ms(500));
+            let gets_requests = agent.answered_at.is_none_or(|at| now < at + ms(500));
             if gets_requests && turn.is_multiple_of(20) {
-                agent.take_request(now, u64::from(step));
+                agent.receive_request(now, u64::from(step));
             }
-            // What is deferred is routed ten times a second.
+            // Deferred requests are routed again ten times per second.
             if turn.is_multiple_of(10) {
                 agent.route_requests(now);
             }
@@ -288,9 +295,10 @@
     }
 }
 
-/// Before a discovery that bears one call of each agent in `span` seconds, which is what the
-/// settings tell, or in `tight`, a tenth of that.
-fn assert_heard_in_time(event: Event, span: f64, tight: f64) {
+/// Checks that discovery answers all agents in time. It can answer one call from each agent within
+/// `round_seconds`, as the settings state. If the settings overstate its rate tenfold, it can do so
+/// within `overstated_round_seconds`.
+fn assert_answered_in_time(event: Event, round_seconds: f64, overstated_round_seconds: f64) {
     for (agents, over) in [
         (30u32, 1.0),
         (300, 1.0),
@@ -298,22 +306,28 @@
         (30, 10.0),
         (300, 10.0),
     ] {
-        // Where the told rate spreads nothing the tries that follow refusals have to: those are
-        // closer then.
-        let capacity = f64::from(agents) / if over > 1.0 { tight } else { span };
+        // If the overstated rate does not spread the first calls, the calls that follow refusals
+        // must do so. These are closer together, so the capacity differs.
+        let capacity = f64::from(agents)
+            / if over > 1.0 {
+                overstated_round_seconds
+            } else {
+                round_seconds
+            };
         for seed in 1..9 {
             let outcome = simulate(event, agents, capacity, capacity * over, seed);
             let late: Vec<_> = outcome
                 .agents
                 .iter()
-                .filter(|a| a.heard_at.is_none_or(|t| t > a.must_hear_by))
+                .filter(|a| a.answered_at.is_none_or(|t| t > a.must_be_answered_by))
                 .collect();
             let worst = late
                 .iter()
-                .map(|a| a.heard_at.map(|t| t - a.must_hear_by))
+                .map(|a| a.answered_at.map(|t| t - a.must_be_answered_by))
                 .max();
-            let of =
-                format!("{event:?}, {agents} agents, {over} times what is borne told, seed {seed}");
+            let of = format!(
+                "{event:?}, {agents} agents, rate is {over} times the capacity, seed {seed}"
+            );
             assert!(late.is_empty(), "{of}: {} late, {worst:?}", late.len());
             let (most, all) = (
                 *outcome.calls_by_second.iter().max().unwrap(),
@@ -321,14 +335,15 @@
             );
             assert!(
                 most as f64 <= capacity * over * 1.35 + 6.0,
-                "{of}: {most} calls in a second, {capacity} borne"
+                "{of}: {most} calls in a second, capacity {capacity}"
             );
             assert!(
                 all as f64 <= f64::from(agents) * (1.05 + 0.3 * over),
                 "{of}: {all} calls"
             );
-            // Where all are heard in time nobody goes without, but starts: those send nothing
-            // before, and nothing waits for longer.
+            // If all agents are answered in time, no request is deferred, except after a start:
+            // then agents send nothing before their answer, and no request waits for longer than
+            // that.
             let deferred = outcome
                 .agents
                 .iter()
@@ -337,13 +352,13 @@
             assert_eq!(deferred.sum::<u64>(), 0, "{of}");
             for a in &outcome.agents {
                 let waited = a
-                    .heard_at
+                    .answered_at
                     .unwrap()
                     .saturating_sub(BEGIN + REQUEST_TIMEOUT / 2)
                     .as_secs_f64();
                 assert!(
                     a.rejected as f64 <= waited * 5.0 + 1.0,
-                    "{of}: {} denied in {waited} s",
+                    "{of}: {} requests rejected in {waited} s",
                     a.rejected
                 );
             }
@@ -352,25 +367,26 @@
 }
 
 #[test]
-fn agents_that_start_at_once_are_heard_in_time() {
-    assert_heard_in_time(Event::Start, 3.0, 4.5);
+fn agents_that_start_at_once_are_answered_in_time() {
+    assert_answered_in_time(Event::Start, 3.0, 4.5);
 }
 
 #[test]
-fn agents_whose_discovery_moves_within_two_seconds_are_heard_in_time() {
-    assert_heard_in_time(Event::AddressChange, 3.0, 3.75);
+fn agents_whose_discovery_moves_within_two_seconds_are_answered_in_time() {
+    assert_answered_in_time(Event::AddressChange, 3.0, 3.75);
 }
 
 #[test]
-fn agents_whose_watches_time_out_at_once_are_heard_in_time() {
-    assert_heard_in_time(Event::Silence, 8.0, 8.0);
+fn agents_whose_watches_time_out_at_once_are_answered_in_time() {
+    assert_answered_in_time(Event::Silence, 8.0, 8.0);
 }
 
-/// Discovery bears far less than the settings tell: one call of each agent in 8 s, and in 30 s. Who
-/// was not heard in time sends nothing until it is heard; before that, and from then on, it does.
+/// Discovery can handle far fewer calls than the settings state: one call from each agent in 8 s or
+/// in 30 s. An agent that is not answered in time must send nothing from then on until it is
+/// answered, and must send attempts before and after that period.
 #[test]
-fn sends_nothing_after_the_lease_until_heard() {
-    for (event, agents, span) in [
+fn sends_nothing_after_the_lease_until_answered() {
+    for (event, agents, round_seconds) in [
         (Event::Start, 30, 8.0),
         (Event::Start, 300, 30.0),
         (Event::AddressChange, 30, 8.0),
@@ -380,50 +396,56 @@
         let outcome = simulate(
             event,
             agents,
-            f64::from(agents) / span,
+            f64::from(agents) / round_seconds,
             f64::from(agents),
             7,
         );
         let bound = |a: &Agent| match event {
-            // Lists that are asked for count 6 s after the move; what it heard before that is no
-            // news.
+            // Where lists are polled, an agent must comply 6 s after the move. What it received
+            // before the move does not include the list at the new address.
             Event::AddressChange => a.address_changes_at + CHANGE_GRACE,
-            // What the process before it missed binds it from its first moment.
+            // From its start, the agent must comply with what the previous process missed.
             Event::Start => BEGIN,
-            _ => a.must_hear_by,
+            _ => a.must_be_answered_by,
         };
         let late = outcome
             .agents
             .iter()
-            .filter(|a| a.heard_at.is_none_or(|t| t > bound(a) + ms(200)))
+            .filter(|a| a.answered_at.is_none_or(|t| t > bound(a) + ms(200)))
             .count();
         assert!(
             late > 0,
-            "{event:?}: all are heard in time, so this shows nothing"
+            "{event:?}: all agents are answered in time, so the test checks nothing"
         );
         for a in &outcome.agents {
-            let (bound, heard_at) = (bound(a), a.heard_at.expect("each is heard in the end"));
-            // Who is heard at once has nothing to send before.
-            let last_attempt = a.last_unheard_attempt.unwrap_or(BEGIN);
-            // A start does not know how old its list is.
+            let (bound, answered_at) = (
+                bound(a),
+                a.answered_at.expect("every agent is answered in the end"),
+            );
+            // An agent that is answered at once sends nothing before that.
+            let last_attempt = a.last_attempt_before_answer.unwrap_or(BEGIN);
+            // After a start, the age of the list is unknown.
             assert!(
-                event != Event::Start || a.last_unheard_attempt.is_none(),
+                event != Event::Start || a.last_attempt_before_answer.is_none(),
                 "{event:?}: sent {:?}",
                 last_attempt - BEGIN
             );
             assert!(
                 last_attempt <= bound,
-                "{event:?}: sent {:?} after it counted",
+                "{event:?}: sent {:?} after it had to comply",
                 last_attempt - bound
             );
-            // Nobody goes without for longer than that: its requests come 0.2 s apart.
-            let last = bound.min(heard_at);
+            // An agent goes on sending until then: its requests arrive 0.2 s apart.
+            let last = bound.min(answered_at);
             assert!(
                 last_attempt + ms(250) >= last,
-                "{event:?}: the last went out {:?} before",
+                "{event:?}: the last attempt was sent {:?} before that",
                 last - last_attempt
             );
-            assert!(a.sends_again, "{event:?}: it sends again once heard");
+            assert!(
+                a.sends_again,
+                "{event:?}: the agent must send again once answered"
+            );
         }
         let most = *outcome.calls_by_second.iter().max().unwrap() as f64;
         assert!(
@@ -433,36 +455,38 @@
     }
 }
 
-/// A discovery that bears one call of each in 8 s, where the told rate spreads nothing: not all can
-/// be heard in time, and tries that are far apart leave what it bears unused. Counted over many
-/// fleets, as one late agent may be chance.
+/// Discovery can handle one call from each agent in 8 s, and the rate in the settings does not
+/// spread the calls. Not all agents can be answered in time, and retries that are far apart leave
+/// capacity unused. The lateness is summed over many fleets, since a single late agent may be due
+/// to chance.
 #[test]
 fn refused_agents_retry_often_enough_to_use_the_capacity_of_discovery() {
     for agents in [30u32, 300] {
         let capacity = f64::from(agents) / 8.0;
-        let (mut beyond, mut worst) = (Duration::ZERO, Duration::ZERO);
+        let (mut total_lateness, mut worst) = (Duration::ZERO, Duration::ZERO);
         for seed in 1..21 {
             for a in simulate(Event::Start, agents, capacity, capacity * 10.0, seed).agents {
                 let late = a
-                    .heard_at
-                    .expect("each is heard in the end")
-                    .saturating_sub(a.must_hear_by);
-                (beyond, worst) = (beyond + late, worst.max(late));
+                    .answered_at
+                    .expect("every agent is answered in the end")
+                    .saturating_sub(a.must_be_answered_by);
+                (total_lateness, worst) = (total_lateness + late, worst.max(late));
             }
         }
-        let mean = beyond / (agents * 20);
+        let mean = total_lateness / (agents * 20);
         assert!(
             mean < ms(350) && worst < ms(4000),
-            "{agents}: {mean:?} on the mean, {worst:?} at worst"
+            "{agents} agents: mean lateness {mean:?}, worst {worst:?}"
         );
     }
 }
 
-/// Starts by a list of unknown age, which the process before may have missed any change of: 30, 300
-/// and 770 at once, by rates that are told that spread their calls over 1, 3 and 5 s, before
-/// discoveries that bear a tenth, once and three times the rate told.
+/// Agents start with a list of unknown age: the previous process may have missed any change to it.
+/// Covers 30, 300 and 770 agents that start at once, rates in the settings that spread their calls
+/// over 1, 3 and 5 s, and discovery services with a tenth of that rate, the rate itself and three
+/// times the rate.
 #[test]
-fn sends_nothing_after_a_start_before_discovery_was_heard() {
+fn sends_nothing_after_a_start_before_discovery_answered() {
     for (agents, share) in [30u32, 300, 770]
         .into_iter()
         .flat_map(|n| [1.0, 3.0, 5.0].map(|s| (n, s)))
@@ -470,76 +494,81 @@
         let rate = f64::from(agents) / share;
         for times in [0.1, 1.0, 3.0] {
             let capacity = rate * times;
-            // Where all wait for long one fleet of this size shows enough.
+            // With a tenth of the rate, agents wait so long that one fleet of each size is enough.
             for seed in 1..if times < 1.0 { 2 } else { 4 } {
                 let outcome = simulate(Event::Start, agents, capacity, rate, seed);
-                let of =
-                    format!("{agents} agents, share {share} s, {times} times borne, seed {seed}");
+                let of = format!(
+                    "{agents} agents, interval {share} s, capacity {times} times rate, seed {seed}"
+                );
                 let last_attempt = outcome
                     .agents
                     .iter()
-                    .filter_map(|a| a.last_unheard_attempt)
+                    .filter_map(|a| a.last_attempt_before_answer)
                     .collect::<Vec<_>>();
                 assert!(
                     last_attempt.is_empty(),
-                    "{of}: {} send unheard, up to {:?}",
+                    "{of}: {} agents send before an answer, up to {:?}",
                     last_attempt.len(),
                     last_attempt.iter().max()
                 );
-                // What discovery bears is used: the last is heard not much later than if every call
-                // had come in turn.
+                // The capacity of discovery is used: the last agent is answered not much later than
+                // if all calls had arrived one after another.
                 let last = outcome
                     .agents
                     .iter()
-                    .map(|a| a.heard_at.expect("each is heard in the end") - BEGIN)
+                    .map(|a| a.answered_at.expect("every agent is answered in the end") - BEGIN)
                     .max();
-                let (last, need) = (last.unwrap().as_secs_f64(), f64::from(agents) / capacity);
+                let (last, required) = (last.unwrap().as_secs_f64(), f64::from(agents) / capacity);
                 assert!(
-                    last <= if times < 1.0 { need * 1.35 } else { 6.0 },
-                    "{of}: the last after {last} s"
+                    last <= if times < 1.0 { required * 1.35 } else { 6.0 },
+                    "{of}: the last agent is answered after {last} s"
                 );
-                // A third more than are told at first, and chance; refused ones try again, a
-                // quarter of the share later at least.
+                // The first calls may exceed the rate in the settings by a third, and by chance.
+                // Refused agents call again, at least a quarter of the call interval later.
                 let (most, all) = (
                     *outcome.calls_by_second.iter().max().unwrap() as f64,
                     outcome.calls_by_second.iter().sum::<usize>(),
                 );
-                let (second, each) = if times < 1.0 {
+                let (calls_per_second_bound, calls_per_agent_bound) = if times < 1.0 {
                     (rate * 3.5, 9.0)
                 } else {
                     (rate * 4.0 / 3.0, 1.3)
                 };
                 assert!(
-                    most <= second + 3.0 * second.sqrt() + 1.0,
+                    most <= calls_per_second_bound + 3.0 * calls_per_second_bound.sqrt() + 1.0,
                     "{of}: {most} calls in a second"
                 );
-                assert!(all as f64 <= f64::from(agents) * each, "{of}: {all} calls");
-                // At most one in ten goes without for 4 s, where discovery bears those calls.
-                let without = |a: &&Agent| a.heard_at.is_some_and(|t| t > BEGIN + ms(4000));
+                assert!(
+                    all as f64 <= f64::from(agents) * calls_per_agent_bound,
+                    "{of}: {all} calls"
+                );
+                // If discovery has the capacity for these calls, at most one agent in ten waits for
+                // 4 s.
+                let without = |a: &&Agent| a.answered_at.is_some_and(|t| t > BEGIN + ms(4000));
                 let without = outcome.agents.iter().filter(without).count();
                 assert!(
                     times <= 1.0 || without * 10 <= agents as usize,
-                    "{of}: {without} wait for 4 s"
+                    "{of}: {without} agents wait for 4 s"
                 );
             }
         }
     }
 }
 
-/// Guards a start from silence for good: what a discovery holds that cannot be reached does not
-/// count.
+/// Guards against agents that send nothing forever after a start while discovery is unreachable:
+/// agents need not comply with the list of a discovery service that cannot be reached.
 #[test]
 fn serves_by_the_configured_list_while_discovery_cannot_be_reached() {
-    let d = settings(5, 1.0, 1);
+    let agent_settings = settings(5, 1.0, 1);
     for ended in [WatchEnd::Disconnected, WatchEnd::TimedOut] {
-        let mut lease = ListLease::new(&d, BEGIN);
+        let mut lease = ListLease::new(&agent_settings, BEGIN);
         assert_eq!(
             lease.valid_until(),
             Some(BEGIN),
-            "nothing before its first call"
+            "nothing may be sent before the first call"
         );
         for n in 1..20 {
-            // Further apart than what one call vouches for.
+            // The calls are further apart than one call extends the lease.
             let (begun, failed) = (BEGIN + ms(10_000 * n), BEGIN + ms(10_000 * n + 100));
             lease.on_watch_begin(begun);
             lease.on_watch_end(failed, ended);
@@ -549,7 +578,7 @@
                 "{ended:?}, call {n}"
             );
         }
-        // It was there: what it holds counts from then on.
+        // Discovery was reachable, so the agent must comply with its list from then on.
         lease.on_watch_begin(BEGIN + ms(201_000));
         lease.on_watch_end(BEGIN + ms(201_100), WatchEnd::Refused);
         assert!(lease
