--- a/crates/discovery/src/endpoint_table/entry.rs
+++ b/crates/discovery/src/endpoint_table/entry.rs
@@ -12,7 +12,7 @@
     pub(super) id: Rc<str>,
     pub(super) address: SocketAddr,
     pub(super) zone_name: Arc<str>,
-    /// The state that was last listed, in the balancer's format.
+    /// The endpoint as last listed, in the balancer's format.
     pub(super) listed: EndpointEntry,
     /// The endpoint's last start, in Unix time milliseconds; `None` means long ago.
     started_ms: Option<u64>,
