--- a/tests/harness/fixtures.rs
+++ b/tests/harness/fixtures.rs
@@ -1,15 +1,16 @@
-//! Settings, endpoints and rollouts that tests share.
+//! Settings, endpoints and rollouts that several tests use.
 
 use super::Harness;
 use std::time::Duration;
 use tulipwall::*;
 
-/// So many milliseconds.
+/// A duration of `n` milliseconds.
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Three agents in two zones, with a class of each idempotency.
+/// Settings of one of three agents, with one request class of each kind of idempotency and two
+/// tenants.
 pub fn default_settings(seed: u64) -> Settings {
     let class = |latency_objective, priority_weight, idempotency| RequestClass {
         latency_objective: ms(latency_objective),
@@ -68,7 +69,8 @@
     }
 }
 
-/// A running endpoint, in one of two zones and three cells by its index.
+/// A running endpoint. Its index decides in which of two zones and three cells it is. `started` is
+/// in milliseconds; `None` stands for an unknown start.
 pub fn endpoint_entry(endpoint: usize, build: u32, started: Option<u64>) -> EndpointEntry {
     let (zone, cell) = (endpoint % 2, endpoint as u64 % 3);
     EndpointEntry {
@@ -83,7 +85,7 @@
     }
 }
 
-/// The status of a canary.
+/// The rollout status of a build that is a canary, since 1 s.
 pub fn canary_status(build: u32, stage: usize, cap: f64) -> RolloutStatus {
     RolloutStatus {
         build,
@@ -94,36 +96,38 @@
     }
 }
 
-/// Eight endpoints of build 7 that have answered, and two of build 8 as a canary, warm.
+/// A harness after the start of a rollout: eight endpoints of the released build 7, which have
+/// answered 60 requests, and two warm endpoints of the canary build 8 at a cap of 0.5. `change` is
+/// applied to the default settings.
 pub fn canary_rollout(change: fn(&mut Settings)) -> Harness {
-    let mut d = default_settings(11);
-    change(&mut d);
-    let mut w = Harness::new(d);
-    w.update_endpoints(
+    let mut settings = default_settings(11);
+    change(&mut settings);
+    let mut driver = Harness::new(settings);
+    driver.update_endpoints(
         &(0..8)
             .map(|i| endpoint_entry(i, 7, None))
             .collect::<Vec<_>>(),
     );
-    w.update_rollout(RolloutStatus {
+    driver.update_rollout(RolloutStatus {
         phase: RolloutPhase::Released,
         ..canary_status(7, 0, 1.0)
     });
-    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
-    w.update_rollout(canary_status(8, 0, 0.5));
-    w.update_endpoints(&[
+    driver.serve(60, 0, ms(20), |_| Outcome::Succeeded);
+    driver.update_rollout(canary_status(8, 0, 0.5));
+    driver.update_endpoints(&[
         endpoint_entry(8, 8, Some(1100)),
         endpoint_entry(9, 8, Some(1100)),
     ]);
-    w.advance(ms(4200));
-    w
+    driver.advance(ms(4200));
+    driver
 }
 
-/// Failures of the endpoints of this build.
+/// Lets all endpoints of this build fail and the others succeed.
 pub fn failing(build: u32) -> impl Fn(&EndpointEntry) -> Outcome {
     move |e| outcome_if(e.build == build, Outcome::Failed)
 }
 
-/// This outcome under a condition, else success.
+/// Returns `outcome` if `is` holds, and a success otherwise.
 pub fn outcome_if(is: bool, outcome: Outcome) -> Outcome {
     if is {
         outcome
@@ -132,10 +136,11 @@
     }
 }
 
-/// Attempts that went to this build.
-pub fn attempts_to(w: &Harness, build: u32) -> usize {
-    w.forwarded
+/// Counts the attempts that went to endpoints of this build.
+pub fn attempts_to(driver: &Harness, build: u32) -> usize {
+    driver
+        .forwarded
         .iter()
-        .filter(|(_, i)| w.endpoints[i].build == build)
+        .filter(|(_, i)| driver.endpoints[i].build == build)
         .count()
 }
--- a/tests/harness/fleet/fixtures.rs
+++ b/tests/harness/fleet/fixtures.rs
@@ -1,27 +1,27 @@
-//! Fleets, traffic and answers that tests share.
+//! Endpoints, traffic and answers of large fleets that several tests use.
 
 use super::{Answer, FleetDriver, Traffic};
 use crate::harness::{canary_status, endpoint_entry, ms};
 use tulipwall::*;
 
-/// All endpoints to plan for.
+/// Endpoints of the largest fleet that is planned for.
 pub const FLEET_SIZE: usize = 7700;
-/// Zones of the whole fleet: 1,100 endpoints each.
+/// Zones of the fleet, with 1,100 endpoints each.
 pub const ZONES: usize = 7;
-/// Requests a second of one agent at the peak.
+/// Peak traffic of one agent in requests per second.
 pub const PEAK_RATE: f64 = 143.0;
-/// The traffic of one agent at the peak.
+/// Peak traffic of one agent, all of it of the first class.
 pub const PEAK: [Traffic; 1] = [Traffic {
     class: 0,
     rate: PEAK_RATE,
 }];
 
-/// Traffic of the first class.
+/// Traffic of the first class, with `rate` in requests per second.
 pub fn traffic(rate: f64) -> [Traffic; 1] {
     [Traffic { class: 0, rate }]
 }
 
-/// An endpoint that has run for long, in one of the zones by its index.
+/// A running endpoint past its slow start. Its index decides in which zone it is.
 pub fn fleet_entry(endpoint: usize, build: u32) -> EndpointEntry {
     EndpointEntry {
         zone: endpoint % ZONES,
@@ -29,23 +29,23 @@
     }
 }
 
-/// So many endpoints that have run for long.
+/// This many running endpoints past their slow start.
 pub fn fleet_entries(endpoints: usize, build: u32) -> Vec<EndpointEntry> {
     (0..endpoints).map(|i| fleet_entry(i, build)).collect()
 }
 
-/// The same entries in this state.
+/// Returns the entries with their state replaced.
 pub fn in_state(entries: Vec<EndpointEntry>, state: EndpointState) -> Vec<EndpointEntry> {
     let with_state = |entry| EndpointEntry { state, ..entry };
     entries.into_iter().map(with_state).collect()
 }
 
-/// Endpoints that all answer well.
+/// A responder by which every endpoint succeeds after 20 ms.
 pub fn succeed(_: &EndpointEntry, _: usize) -> Answer {
     Answer::success()
 }
 
-/// The status of a released build.
+/// The rollout status of a released build.
 pub fn released_status(build: u32) -> RolloutStatus {
     RolloutStatus {
         phase: RolloutPhase::Released,
@@ -53,7 +53,8 @@
     }
 }
 
-/// A fleet of build 7 that has served for five seconds, of which no work is counted.
+/// A fleet of the released build 7 that has already served this traffic for five seconds. The work
+/// of these seconds is not counted.
 pub fn serving_fleet(settings: Settings, endpoints: usize, traffic: &[Traffic]) -> FleetDriver {
     let mut driver = FleetDriver::new(settings);
     driver.update_endpoints(&fleet_entries(endpoints, 7));
--- a/tests/harness/fleet/mod.rs
+++ b/tests/harness/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! A driver for fleets of thousands of endpoints: it keeps timers and attempts in flight, checks
-//! the rules in time that does not grow with the fleet, and counts the endpoints that decisions and
-//! evaluations look at.
+//! Drives a `Balancer` with thousands of endpoints: keeps track of timers and attempts in flight,
+//! checks invariants at a cost that does not depend on the size of the fleet, and counts the
+//! endpoints that decisions and evaluations scan.
 
 pub mod fixtures;
 pub mod work;
@@ -11,19 +11,22 @@
 use tulipwall::*;
 use work::Work;
 
-/// Time that each request has.
+/// Time from the arrival of a request to its deadline.
 const TIME_LEFT: Duration = Duration::from_millis(1500);
-/// Longest time for which a fault can keep an endpoint ejected, and a bit.
-const EJECTED_FOR: Duration = Duration::from_secs(10);
+/// Upper bound of the time for which a fault can keep an endpoint ejected, with a margin.
+const MAX_EJECTION: Duration = Duration::from_secs(10);
 
 /// How an endpoint answers an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
+    /// How the attempt ends if it does not time out first.
     pub outcome: Outcome,
+    /// Time from sending the attempt to its end.
     pub after: Duration,
 }
 
 impl Answer {
+    /// Creates an answer with this outcome after this time.
     pub fn new(outcome: Outcome, after: Duration) -> Answer {
         Answer { outcome, after }
     }
@@ -37,20 +40,25 @@
 /// Requests of one class, spread evenly over time.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
+    /// Index of the request class.
     pub class: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// What became of the requests.
+/// Numbers of requests by their final answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Answers {
+pub struct AnswerCounts {
+    /// Requests that an endpoint answered with success.
     pub succeeded: usize,
+    /// Requests that the balancer rejected.
     pub rejected: usize,
+    /// Requests that the balancer gave a final failure.
     pub failed: usize,
 }
 
-impl Answers {
+impl AnswerCounts {
+    /// Requests that have a final answer.
     pub fn total(&self) -> usize {
         self.succeeded + self.rejected + self.failed
     }
@@ -59,11 +67,15 @@
 /// An attempt that was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
+    /// When the attempt was sent.
     pub at: Duration,
+    /// Index of the endpoint.
     pub endpoint: usize,
+    /// Build that the endpoint ran.
     pub build: u32,
 }
 
+/// An attempt in flight.
 struct InFlight {
     number: usize,
     endpoint: usize,
@@ -72,6 +84,7 @@
     outcome: Outcome,
 }
 
+/// A request without a final answer.
 struct OpenRequest {
     class: usize,
     deadline: Duration,
@@ -80,31 +93,44 @@
     recheck_at: Option<Duration>,
 }
 
-/// How the endpoints of a fleet answer, by endpoint and class.
+/// Decides how an endpoint answers an attempt of a request class.
 pub type Responder<'a> = &'a dyn Fn(&EndpointEntry, usize) -> Answer;
 
-/// One agent before a large fleet.
+/// One agent that balances over a large fleet.
 pub struct FleetDriver {
+    /// Current simulated time.
     pub now: Duration,
+    /// The balancer under test.
     pub balancer: Balancer,
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// By index, as last listed.
+    /// Endpoints as last listed, by index.
     pub entries: Vec<EndpointEntry>,
+    /// All attempts, in the order in which they were sent.
     pub sent: Vec<Sent>,
-    pub answers: Answers,
+    /// Final answers so far.
+    pub answers: AnswerCounts,
+    /// Work since it was last taken.
     pub work: Work,
+    /// Votes that the balancer cast.
     pub votes: Vec<Vote>,
+    /// Log lines that the balancer returned.
     pub log_lines: Vec<String>,
     open: BTreeMap<u64, OpenRequest>,
+    /// Endpoints that were in slow start when they were last checked.
     warming: BTreeSet<usize>,
+    /// Endpoints that ended an attempt since the last evaluation.
     answered: BTreeSet<usize>,
+    /// When each endpoint that had a fault can no longer be ejected for it.
     faulty_until: BTreeMap<usize, Duration>,
     last_id: u64,
+    /// Requests to send by now, with the fraction of the next one.
     arrivals_due: f64,
     next_poll: Duration,
 }
 
 impl FleetDriver {
+    /// Creates a balancer without endpoints.
     pub fn new(settings: Settings) -> FleetDriver {
         let now = ms(1000);
         FleetDriver {
@@ -113,7 +139,7 @@
             settings,
             entries: Vec::new(),
             sent: Vec::new(),
-            answers: Answers::default(),
+            answers: AnswerCounts::default(),
             work: Work::default(),
             votes: Vec::new(),
             log_lines: Vec::new(),
@@ -127,7 +153,7 @@
         }
     }
 
-    /// Lists these endpoints, which follow those known so far without a gap.
+    /// Adds or changes these endpoints. New ones must have the next free indices, without a gap.
     pub fn update_endpoints(&mut self, entries: &[EndpointEntry]) {
         self.balancer.update_endpoints(self.now, entries, false);
         for entry in entries {
@@ -135,7 +161,7 @@
         }
     }
 
-    /// Lists these endpoints and no others.
+    /// Replaces the list by these endpoints; all others are gone.
     pub fn replace_endpoints(&mut self, entries: &[EndpointEntry]) {
         self.balancer.update_endpoints(self.now, entries, true);
         for entry in &mut self.entries {
@@ -158,7 +184,7 @@
         }
     }
 
-    /// Whether an endpoint runs and was started less than a slow start ago.
+    /// Whether an endpoint is running and in slow start.
     pub fn is_warming(&self, endpoint: usize) -> bool {
         let entry = &self.entries[endpoint];
         let warm_after = self.settings.slow_start_duration;
@@ -168,7 +194,7 @@
         is_young && entry.state == EndpointState::Running
     }
 
-    /// Endpoints that warm up now.
+    /// Counts the endpoints that are in slow start now.
     pub fn warming(&mut self) -> usize {
         let warming = std::mem::take(&mut self.warming);
         self.warming = warming
@@ -178,32 +204,35 @@
         self.warming.len()
     }
 
-    /// The work since it was last taken.
+    /// Returns the work since the last call, and resets it.
     pub fn take_work(&mut self) -> Work {
         std::mem::take(&mut self.work)
     }
 
-    /// Lets time pass in steps of one tick, with this traffic.
+    /// Advances the time by `span` in steps of the timer granularity, with this traffic.
     pub fn run(&mut self, span: Duration, traffic: &[Traffic], respond: Responder) {
         let end = self.now + span;
         while self.now < end {
             self.now += self.settings.timer_granularity;
             self.end_due_attempts(respond);
-            self.recheck(respond);
-            self.arrive(traffic, respond);
+            self.run_due_rechecks(respond);
+            self.send_due_requests(traffic, respond);
             if self.now >= self.next_poll {
                 self.poll();
             }
         }
     }
 
-    /// Lets time pass without new requests until each open one has its final answer.
+    /// Advances the time without new requests until every open request must have its final answer.
     pub fn finish(&mut self, respond: Responder) {
         self.run(TIME_LEFT + ms(100), &[], respond);
-        assert!(self.open.is_empty(), "no request is lost");
+        assert!(
+            self.open.is_empty(),
+            "requests without an answer after their deadline"
+        );
     }
 
-    fn arrive(&mut self, traffic: &[Traffic], respond: Responder) {
+    fn send_due_requests(&mut self, traffic: &[Traffic], respond: Responder) {
         let tick = self.settings.timer_granularity.as_secs_f64();
         self.arrivals_due += traffic.iter().map(|t| t.rate).sum::<f64>() * tick;
         while self.arrivals_due >= 1.0 {
@@ -213,7 +242,7 @@
         }
     }
 
-    /// Takes in one request.
+    /// Sends one request of this class.
     pub fn send_request(&mut self, class: usize, respond: Responder) {
         self.last_id += 1;
         let id = self.last_id;
@@ -237,14 +266,14 @@
         };
         let before = self.balancer.endpoints_scanned();
         self.balancer.on_request(self.now, id, request);
-        self.work.looked_at_by_decisions += self.balancer.endpoints_scanned() - before;
+        self.work.scanned_by_decisions += self.balancer.endpoints_scanned() - before;
         self.route(id, respond);
     }
 
     fn route(&mut self, id: u64, respond: Responder) {
         let before = self.balancer.endpoints_scanned();
         let decision = self.balancer.route(self.now, id);
-        self.work.looked_at_by_decisions += self.balancer.endpoints_scanned() - before;
+        self.work.scanned_by_decisions += self.balancer.endpoints_scanned() - before;
         self.work.decisions += 1;
         self.apply(id, decision, respond);
     }
@@ -257,7 +286,7 @@
                 recheck_at,
             } => self.forward(id, endpoint, timeout, recheck_at, respond),
             Decision::Defer { until } => {
-                assert!(until > self.now, "a decision is not deferred to the past");
+                assert!(until > self.now, "decision deferred to a time that is past");
                 self.open_mut(id).recheck_at = Some(until);
             }
             Decision::Reject { .. } => {
@@ -276,14 +305,17 @@
     fn open_mut(&mut self, id: u64) -> &mut OpenRequest {
         self.open
             .get_mut(&id)
-            .expect("nothing is decided after the final answer")
+            .expect("decision on a request that has its final answer")
     }
 
-    /// One final answer before the deadline.
+    /// Removes a request on its final answer, of which there must be one, before the deadline.
     fn close(&mut self, id: u64) {
-        let request = self.open.remove(&id).expect("one final answer");
+        let request = self
+            .open
+            .remove(&id)
+            .expect("second final answer to a request");
         let latest = request.deadline + self.settings.timer_granularity;
-        assert!(self.now <= latest, "answered in time");
+        assert!(self.now <= latest, "final answer after the deadline");
     }
 
     fn forward(
@@ -299,15 +331,18 @@
         assert_eq!(
             entry.state,
             EndpointState::Running,
-            "nothing to a draining or gone endpoint"
+            "attempt sent to an endpoint that is draining or gone"
         );
         let build = entry.build;
         let class = self.open[&id].class;
         let answer = respond(entry, class);
         let max_attempts = self.settings.max_attempts;
         let request = self.open_mut(id);
-        assert!(now < request.deadline, "nothing is sent past its deadline");
-        assert!(request.in_flight.is_none(), "one attempt at a time");
+        assert!(now < request.deadline, "attempt sent after the deadline");
+        assert!(
+            request.in_flight.is_none(),
+            "second attempt sent while one is in flight"
+        );
         assert!(request.attempts < max_attempts);
         let times_out = request.deadline.min(now + timeout);
         let is_late = now + answer.after > times_out;
@@ -360,7 +395,7 @@
         }
         self.answered.insert(ended.endpoint);
         if outcome != Outcome::Succeeded {
-            let until = self.now + EJECTED_FOR;
+            let until = self.now + MAX_EJECTION;
             self.faulty_until.insert(ended.endpoint, until);
         }
         let end = AttemptEnd {
@@ -373,15 +408,19 @@
         let decision = self
             .balancer
             .on_attempt_end(self.now, id, ended.number, end);
-        self.work.looked_at_by_decisions += self.balancer.endpoints_scanned() - before;
+        self.work.scanned_by_decisions += self.balancer.endpoints_scanned() - before;
         if is_final {
-            assert_eq!(decision, Decision::Await, "nothing after the final answer");
+            assert_eq!(
+                decision,
+                Decision::Await,
+                "decision other than Await after the final answer"
+            );
         } else {
             self.apply(id, decision, respond);
         }
     }
 
-    fn recheck(&mut self, respond: Responder) {
+    fn run_due_rechecks(&mut self, respond: Responder) {
         let now = self.now;
         let is_due = |request: &OpenRequest| request.recheck_at.is_some_and(|at| now >= at);
         let due = self.open.iter().filter(|(_, request)| is_due(request));
@@ -397,7 +436,7 @@
         let now = self.now;
         let before = self.balancer.endpoints_scanned();
         let due = self.balancer.poll(now);
-        self.work.looked_at_by_evaluations += self.balancer.endpoints_scanned() - before;
+        self.work.scanned_by_evaluations += self.balancer.endpoints_scanned() - before;
         self.work.evaluations += 1;
         self.faulty_until.retain(|_, until| *until > now);
         let answered = std::mem::take(&mut self.answered).len();
@@ -411,13 +450,14 @@
         }
     }
 
-    /// Attempts sent since a time.
+    /// Returns the attempts sent at or after a time.
     pub fn sent_since(&self, from: Duration) -> impl Iterator<Item = &Sent> {
         let first = self.sent.partition_point(|sent| sent.at < from);
         self.sent[first..].iter()
     }
 
-    /// Share of the attempts since a time that went to endpoints of a kind.
+    /// Returns the share of the attempts since a time for which `is_kind` holds, or 0 if there were
+    /// none.
     pub fn share_since(&self, from: Duration, is_kind: impl Fn(&Sent) -> bool) -> f64 {
         let all = self.sent_since(from).count();
         let of_kind = self.sent_since(from).filter(|sent| is_kind(sent)).count();
@@ -425,16 +465,18 @@
     }
 }
 
-/// The class of a request, so that classes share the requests by their rates.
+/// Assigns a class to a request, so that each class gets its share of the requests by its rate.
 fn class_of(traffic: &[Traffic], id: u64) -> usize {
     let total: f64 = traffic.iter().map(|t| t.rate).sum();
-    // Golden ratio: spreads consecutive numbers evenly over 0 to 1.
+    // Multiples of the golden ratio spread consecutive identifiers evenly over 0 to 1.
     let mut point = (id as f64 * 0.618_033_988_749_895).fract() * total;
-    for part in traffic {
-        if point < part.rate {
-            return part.class;
+    for class_traffic in traffic {
+        if point < class_traffic.rate {
+            return class_traffic.class;
         }
-        point -= part.rate;
+        point -= class_traffic.rate;
     }
-    traffic.last().map_or(0, |part| part.class)
+    traffic
+        .last()
+        .map_or(0, |class_traffic| class_traffic.class)
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A driver of `Balancer` that keeps timers and requests in flight as an adapter does, and checks the
-//! rules as it goes.
-#![allow(dead_code)] // each test file uses a part of it
+//! Drives a `Balancer` the way an adapter does: keeps track of time, timers and requests in flight,
+//! and checks the invariants at every decision.
+#![allow(dead_code)] // no test file uses all of the harness
 
 mod fixtures;
 pub mod fleet;
@@ -11,42 +11,71 @@
 use std::time::Duration;
 use tulipwall::*;
 
+/// An attempt that the balancer decided to send.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
+    /// Index of the endpoint.
     pub endpoint: usize,
+    /// When the attempt was sent.
     pub sent: Duration,
+    /// How the attempt ended. `None` while it is in flight.
     pub ended: Option<Outcome>,
+    /// When the harness ends the attempt as timed out.
     pub times_out_at: Duration,
 }
 
+/// A request and what the balancer decided on it.
 pub struct TrackedRequest {
+    /// Index of the request class.
     pub class: usize,
+    /// When the request must have its final answer.
     pub deadline: Duration,
+    /// Attempts in the order in which they were sent.
     pub attempts: Vec<SentAttempt>,
+    /// Final decisions; `Decision::Await` stands for a success. A request gets exactly one.
     pub answers: Vec<Decision>,
+    /// When to ask the balancer again. `None` if it did not ask for that.
     pub recheck_at: Option<Duration>,
 }
 
+/// One balancer with simulated time, requests and endpoints.
 pub struct Harness {
+    /// Current simulated time.
     pub now: Duration,
+    /// The balancer under test.
     pub balancer: Balancer,
+    /// Settings by which the invariants are checked.
     pub settings: Settings,
+    /// All requests sent so far, by identifier.
     pub requests: BTreeMap<u64, TrackedRequest>,
+    /// Endpoints as last listed, by index.
     pub endpoints: BTreeMap<usize, EndpointEntry>,
+    /// Last rollout status. `None` before the first one.
     pub status: Option<RolloutStatus>,
+    /// Votes that the balancer cast, with their times.
     pub votes: Vec<(Duration, Vote)>,
+    /// How often the balancer asked for the endpoint list.
     pub list_calls: usize,
+    /// Log lines that the balancer returned.
     pub log_lines: Vec<String>,
+    /// Time and endpoint of each attempt.
     pub forwarded: Vec<(Duration, usize)>,
+    /// Time, build and class of each attempt that went to a canary.
     canary_attempts: Vec<(Duration, u32, usize)>,
+    /// Time and class of each request.
     arrivals: Vec<(Duration, usize)>,
+    /// Build that last answered each key, among the rollout's build and newer ones.
     sticky_builds: BTreeMap<u64, u32>,
+    /// Index of the first of `canary_attempts` that counts as exposure.
     exposure_counted_from: usize,
-    listed_at: BTreeMap<usize, usize>,
+    /// Length of `forwarded` when each endpoint was last listed with a change.
+    forwarded_when_listed: BTreeMap<usize, usize>,
+    /// When to poll the balancer next.
     next_poll: Duration,
 }
 
 impl Harness {
+    /// Creates a balancer without endpoints and without a rollout.
     pub fn new(settings: Settings) -> Harness {
         let now = ms(1000);
         let balancer = Balancer::new(now, settings.clone());
@@ -65,11 +94,12 @@
             arrivals: Vec::new(),
             sticky_builds: BTreeMap::new(),
             exposure_counted_from: 0,
-            listed_at: BTreeMap::new(),
+            forwarded_when_listed: BTreeMap::new(),
             next_poll: now,
         }
     }
 
+    /// Adds or changes these endpoints; the others stay as they are.
     pub fn update_endpoints(&mut self, entries: &[EndpointEntry]) {
         self.balancer.update_endpoints(self.now, entries, false);
         for e in entries {
@@ -77,11 +107,14 @@
             if old
                 .is_none_or(|o| o.started != e.started || o.build != e.build || o.state != e.state)
             {
-                self.listed_at.insert(e.endpoint, self.forwarded.len());
+                self.forwarded_when_listed
+                    .insert(e.endpoint, self.forwarded.len());
             }
         }
     }
 
+    /// Passes on a rollout status. Exposure is counted anew for the first status, for another build
+    /// and for a lower cap.
     pub fn update_rollout(&mut self, n: RolloutStatus) {
         let restarts_count = self
             .status
@@ -94,10 +127,10 @@
         self.status = Some(n);
     }
 
-    /// Reloads the settings; the rules are checked by these. What nobody could know before is
-    /// checked from now on: exposure by class where it was counted for all, a lower cap, and
-    /// sticky builds.
-    pub fn reload(&mut self, d: Settings, by: &IndexMapping) {
+    /// Reloads the settings and checks the invariants by them from now on. Rules that the balancer
+    /// did not have before apply only to later attempts: exposure per class that was counted for all
+    /// classes together, a lower cap, and sticky builds.
+    pub fn reload(&mut self, d: Settings, mapping: &IndexMapping) {
         let (was, now) = (&self.settings.rollout, &d.rollout);
         if now.cap_per_class && !was.cap_per_class || now.caps[0] < was.caps[0] {
             self.exposure_counted_from = self.canary_attempts.len();
@@ -105,10 +138,12 @@
         if now.sticky_builds && !was.sticky_builds {
             self.sticky_builds.clear();
         }
-        self.balancer.reload(self.now, &d, by);
+        self.balancer.reload(self.now, &d, mapping);
         self.settings = d;
     }
 
+    /// Whether this build is a canary: by the rollout status a build that is not released yet, and
+    /// before the first status any build newer than that of a running endpoint.
     pub fn is_canary(&self, build: u32) -> bool {
         match &self.status {
             Some(n) => build > n.build || build == n.build && n.phase != RolloutPhase::Released,
@@ -119,8 +154,10 @@
         }
     }
 
-    pub fn send_request(&mut self, id: u64, class: usize, left: Duration) -> Decision {
-        let deadline = self.now + left;
+    /// Sends a request that has the time `remaining` until its deadline, and returns the first
+    /// decision on it.
+    pub fn send_request(&mut self, id: u64, class: usize, remaining: Duration) -> Decision {
+        let deadline = self.now + remaining;
         let request = TrackedRequest {
             class,
             deadline,
@@ -138,7 +175,7 @@
                 class,
                 tenant,
                 key: Some(id % 7),
-                time_left: left,
+                time_left: remaining,
                 estimated_work: None,
                 is_retry: false,
             },
@@ -148,35 +185,37 @@
         answer
     }
 
-    /// Ends the oldest attempt in flight to `endpoint`, if any.
+    /// Ends the oldest attempt in flight to `endpoint`. Returns whether there was one.
     pub fn end_oldest_attempt(&mut self, endpoint: usize, outcome: Outcome) -> bool {
-        let in_flight = |h: &TrackedRequest| {
-            h.attempts
+        let in_flight = |tracked: &TrackedRequest| {
+            tracked
+                .attempts
                 .iter()
                 .position(|d| d.ended.is_none() && d.endpoint == endpoint)
         };
         let found = self
             .requests
             .iter()
-            .find_map(|(id, h)| in_flight(h).map(|n| (*id, n)));
+            .find_map(|(id, tracked)| in_flight(tracked).map(|n| (*id, n)));
         if let Some((id, n)) = found {
             self.end_attempt(id, n, outcome);
         }
         found.is_some()
     }
 
+    /// Ends attempt `n` of a request and applies the decision that follows.
     pub fn end_attempt(&mut self, id: u64, n: usize, outcome: Outcome) {
-        let h = self.requests.get_mut(&id).unwrap();
-        h.attempts[n].ended = Some(outcome);
-        if outcome == Outcome::Succeeded && h.answers.is_empty() {
-            h.answers.push(Decision::Await);
+        let tracked = self.requests.get_mut(&id).unwrap();
+        tracked.attempts[n].ended = Some(outcome);
+        if outcome == Outcome::Succeeded && tracked.answers.is_empty() {
+            tracked.answers.push(Decision::Await);
         }
-        let closed = !h.answers.is_empty();
-        let build = self.endpoints[&h.attempts[n].endpoint].build;
+        let closed = !tracked.answers.is_empty();
+        let build = self.endpoints[&tracked.attempts[n].endpoint].build;
         if outcome == Outcome::Succeeded && self.status.as_ref().is_some_and(|t| build >= t.build) {
             self.sticky_builds.insert(id % 7, build);
         }
-        let took = self.now - h.attempts[n].sent;
+        let took = self.now - tracked.attempts[n].sent;
         let answer = self.balancer.on_attempt_end(
             self.now,
             id,
@@ -215,7 +254,10 @@
             }
             Decision::Await => {}
         }
-        assert!(self.requests[&id].answers.len() <= 1, "one final answer");
+        assert!(
+            self.requests[&id].answers.len() <= 1,
+            "more than one final answer"
+        );
     }
 
     fn request_mut(&mut self, id: u64) -> &mut TrackedRequest {
@@ -246,7 +288,8 @@
         self.check_exposure(&entry, class);
     }
 
-    /// Lets time pass in steps of one tick, as the adapter would: timers, time-outs, votes.
+    /// Advances the time in steps of the timer granularity and, as an adapter does, runs the timers,
+    /// times out attempts and polls the balancer.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -278,7 +321,7 @@
         let request = &self.requests[&id];
         assert!(
             !request.answers.is_empty() || self.now < request.deadline + ms(20),
-            "request {id} was lost"
+            "request {id} has no answer 20 ms after its deadline"
         );
     }
 
@@ -293,7 +336,8 @@
         }
     }
 
-    /// `n` idempotent requests, each answered after `took` by `outcome` of the endpoint it went to.
+    /// Sends `n` requests of a class one after another. Each attempt ends after `took` with the
+    /// `outcome` of its endpoint.
     pub fn serve(
         &mut self,
         n: u64,
@@ -320,12 +364,14 @@
         }
     }
 
+    /// Verdict of the last vote. `None` if there was no vote.
     pub fn last_verdict(&self) -> Option<Verdict> {
         self.votes.last().map(|v| v.1.verdict)
     }
 }
 
 impl TrackedRequest {
+    /// Whether the request has no final answer yet or attempts in flight.
     fn busy(&self) -> bool {
         self.answers.is_empty() || self.attempts.iter().any(|d| d.ended.is_none())
     }
