--- a/tests/evaluation_work.rs
+++ b/tests/evaluation_work.rs
@@ -1,4 +1,4 @@
-//! An evaluation looks at a bounded number of endpoints, however many there are.
+//! An evaluation scans a bounded number of endpoints, whatever the size of the fleet.
 
 use tulipwall::*;
 
@@ -6,16 +6,16 @@
 use harness::{canary_status, default_settings, endpoint_entry, ms};
 
 const EVALUATIONS: u64 = 50;
-/// Endpoints that an idle evaluation may look at: two peer groups, of one hardware type, by a sample
-/// of 512 each.
+/// Maximum endpoints scanned by an idle evaluation: a sample of 512 of each of the two peer groups
+/// that one endpoint type has during a rollout.
 const MAX_SCANNED: u64 = 2 * 512;
 
-/// A fleet of which a third runs a canary, past slow start, with nothing in flight.
+/// A fleet past its slow start of which a third runs a canary, with no attempts in flight.
 fn idle_fleet(endpoints: usize) -> Balancer {
     let mut balancer = Balancer::new(ms(1_000), default_settings(1));
-    let builds = |index: usize| if index.is_multiple_of(3) { 8 } else { 7 };
+    let build_of = |index: usize| if index.is_multiple_of(3) { 8 } else { 7 };
     let entries: Vec<EndpointEntry> = (0..endpoints)
-        .map(|index| endpoint_entry(index, builds(index), None))
+        .map(|index| endpoint_entry(index, build_of(index), None))
         .collect();
     balancer.update_endpoints(ms(1_000), &entries, true);
     balancer.update_rollout(canary_status(8, 0, 0.5));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_idle_evaluation_looks_at_a_bounded_number_of_endpoints() {
+fn an_idle_evaluation_scans_a_bounded_number_of_endpoints() {
     for endpoints in [55, 770, 7_700] {
         let mut balancer = idle_fleet(endpoints);
         balancer.poll(ms(1_000));
@@ -33,7 +33,7 @@
         }
         let scanned = balancer.endpoints_scanned() - before;
         let most = EVALUATIONS * MAX_SCANNED.min(endpoints as u64);
-        assert!(scanned <= most, "{endpoints}: {scanned}");
-        assert!(scanned > 0, "{endpoints}: none");
+        assert!(scanned <= most, "{endpoints} endpoints: {scanned} scanned");
+        assert!(scanned > 0, "{endpoints} endpoints: none scanned");
     }
 }
