--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -1,8 +1,8 @@
-//! Pins every decision of five seeded days in simulated time.
+//! Pins every decision of seeded scenarios in simulated time.
 //!
-//! Each day plays two agents against modelled endpoints. Every answer, with its agent, request and
-//! time, goes into a SHA-256 digest as plain numbers, so that renamed types leave it alone and any
-//! other threshold, draw or order of decisions alters it.
+//! Each scenario runs two agents against simulated endpoints. Every decision, with its agent,
+//! request and time, is added to a SHA-256 digest as plain numbers. Renamed types therefore do not
+//! change the digest, while a different threshold, random draw or order of decisions does.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,19 +14,28 @@
 mod harness;
 use harness::{canary_status, default_settings, endpoint_entry, ms};
 
-/// Steps of a full share in which capacities are compared: the order of rounding is no decision.
+/// Steps per full share to which capacities are rounded before they are compared, so that the order
+/// of floating-point operations does not change the digest.
 const CAPACITY_STEPS: f64 = 1e6;
+/// Simulated time at which each scenario starts.
 const START: Duration = Duration::from_secs(1);
+/// Interval between the polls of an agent.
 const TICK: Duration = Duration::from_millis(10);
 
+/// A simulated endpoint.
 #[derive(Clone)]
 struct Server {
     entry: EndpointEntry,
+    /// Mean time that an attempt takes while a core is free.
     service_time: Duration,
+    /// Attempts that run at once without slowing each other down.
     cores: usize,
+    /// Share of the attempts that fail.
     failing_share: f64,
+    /// Whether all attempts time out.
     unresponsive: bool,
-    refuses: bool,
+    refuses_connections: bool,
+    /// Attempts in flight.
     running: usize,
 }
 
@@ -38,18 +47,20 @@
             cores: 4,
             failing_share: 0.0,
             unresponsive: false,
-            refuses: false,
+            refuses_connections: false,
             running: 0,
         }
     }
 }
 
+/// An attempt of a request; `open` while it is in flight.
 struct Attempt {
     server: usize,
     sent: Duration,
     open: bool,
 }
 
+/// A request with its attempts, which is kept after its answer.
 struct Pending {
     class: usize,
     key: Option<u64>,
@@ -58,20 +69,25 @@
     answered: bool,
 }
 
+/// A scheduled event. Its fields begin with the agent, followed by the request and the attempt.
 #[derive(Clone, Copy)]
 enum Event {
     Arrival(usize),
     Decide(usize, u64),
     AttemptEnd(usize, u64, usize, Outcome),
     Deadline(usize, u64),
+    /// The agent polls its balancer.
     Tick(usize),
 }
 
+/// Changes the simulation at the beginning of a second, which is passed by its number.
 type Script = fn(&mut Simulation, u64);
 
+/// Two agents with their requests and the endpoints that they share.
 struct Simulation {
     now: Duration,
     digest: Sha256,
+    /// Number of records by kind, printed for diagnosis.
     counts: BTreeMap<u64, u64>,
     random: Pcg64Mcg,
     settings: Settings,
@@ -79,16 +95,21 @@
     shadows: Vec<ShadowEvaluator>,
     requests: Vec<BTreeMap<u64, Pending>>,
     servers: Vec<Server>,
+    /// Events by time, and in the order in which they were scheduled.
     events: BTreeMap<(Duration, u64), Event>,
+    /// Number of events scheduled so far, from which requests get their identifiers.
     sequence: u64,
+    /// Requests per second of each agent.
     rate: f64,
-    hints: bool,
+    /// Whether half of the requests carry an estimate of their work.
+    sends_work_estimates: bool,
+    /// Failing share that a script gives to a build.
     failing_share: f64,
 }
 
 impl Simulation {
     fn new(seed: u64, settings: Settings, servers: Vec<Server>, rate: f64) -> Simulation {
-        let shape = AlternativeSettings {
+        let alternative = AlternativeSettings {
             guarded_stages: Some(2),
             caps: Some(vec![0.05, 0.1, 0.5]),
             exposure_burst: Some(1.0),
@@ -96,7 +117,7 @@
             slow_start_duration: Some(ms(6000)),
             key_affinity: Some(true),
         };
-        let own = |agent: u64| Settings {
+        let settings_of = |agent: u64| Settings {
             seed: seed * 100 + agent,
             zone: agent as usize,
             ..settings.clone()
@@ -107,10 +128,10 @@
             counts: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
             agents: (0..2)
-                .map(|agent| Balancer::new(START, own(agent)))
+                .map(|agent| Balancer::new(START, settings_of(agent)))
                 .collect(),
             shadows: (0..2)
-                .map(|agent| ShadowEvaluator::new(&own(agent), &shape))
+                .map(|agent| ShadowEvaluator::new(&settings_of(agent), &alternative))
                 .collect(),
             requests: vec![BTreeMap::new(), BTreeMap::new()],
             settings,
@@ -118,7 +139,7 @@
             events: BTreeMap::new(),
             sequence: 0,
             rate,
-            hints: false,
+            sends_work_estimates: false,
             failing_share: 0.0,
         };
         simulation.publish_list(true);
@@ -134,6 +155,7 @@
         self.events.insert((at.max(self.now), self.sequence), event);
     }
 
+    /// Adds a record to the digest. `kind` tells records of different meanings apart.
     fn record(&mut self, agent: usize, id: u64, kind: u64, fields: &[u64]) {
         *self.counts.entry(kind).or_default() += 1;
         for number in [agent as u64, id, self.now.as_nanos() as u64, kind]
@@ -158,6 +180,7 @@
             .for_each(|a| a.update_rollout(status.clone()));
     }
 
+    /// Restarts a server with this build.
     fn start(&mut self, server: usize, build: u32) {
         let now = self.now;
         let entry = &mut self.servers[server].entry;
@@ -166,7 +189,8 @@
         entry.state = EndpointState::Running;
     }
 
-    /// Plays so many seconds; `script` is called at the beginning of each, with its number.
+    /// Runs the scenario for a number of seconds and returns the digest and the counts. `script` is
+    /// called at the beginning of each second with its number.
     fn play(mut self, seconds: u64, script: Script) -> (String, BTreeMap<u64, u64>) {
         for second in 0..seconds {
             script(&mut self, second);
@@ -179,21 +203,21 @@
             self.now = end;
         }
         for agent in 0..2 {
-            let kept = self.agents[agent].retained_counts().map(|n| n as u64);
-            let watched = self.shadows[agent].divergences().named().map(|(_, n)| n);
-            self.record(agent, 0, 90, &kept);
-            self.record(agent, 0, 91, &watched);
-            for room in self.agents[agent].zone_capacities(self.now, 2) {
+            let retained = self.agents[agent].retained_counts().map(|n| n as u64);
+            let divergence_counts = self.shadows[agent].divergences().named().map(|(_, n)| n);
+            self.record(agent, 0, 90, &retained);
+            self.record(agent, 0, 91, &divergence_counts);
+            for zone_capacity in self.agents[agent].zone_capacities(self.now, 2) {
                 let numbers = [
-                    room.running,
-                    room.draining,
-                    room.responsive,
-                    room.warm,
-                    room.in_flight,
+                    zone_capacity.running,
+                    zone_capacity.draining,
+                    zone_capacity.responsive,
+                    zone_capacity.warm,
+                    zone_capacity.in_flight,
                 ];
                 self.record(
                     agent,
-                    (room.capacity * CAPACITY_STEPS).round() as u64,
+                    (zone_capacity.capacity * CAPACITY_STEPS).round() as u64,
                     93,
                     &numbers.map(|n| n as u64),
                 );
@@ -208,11 +232,11 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrival(agent) => self.arrive(agent),
+            Event::Arrival(agent) => self.handle_arrival(agent),
             Event::Decide(agent, id) => {
                 if self.requests[agent].get(&id).is_some_and(|r| !r.answered) {
                     let decision = self.agents[agent].route(self.now, id);
-                    self.act(agent, id, decision);
+                    self.apply(agent, id, decision);
                 }
             }
             Event::AttemptEnd(agent, id, attempt, outcome) => self.end(agent, id, attempt, outcome),
@@ -229,19 +253,19 @@
         }
     }
 
-    fn arrive(&mut self, agent: usize) {
+    fn handle_arrival(&mut self, agent: usize) {
         let id = self.sequence;
         let class = self.random.gen_range(0..self.settings.classes.len());
-        let left = ms(self.random.gen_range(300..1500));
+        let remaining = ms(self.random.gen_range(300..1500));
         let key = self
             .random
             .gen_bool(0.7)
             .then(|| self.random.gen_range(0..200u64));
         let tenant = Some(self.random.gen_range(0..self.settings.tenants.len()));
-        let work =
-            (self.hints && self.random.gen_bool(0.5)).then(|| ms(self.random.gen_range(5..200)));
-        let again = self.random.gen_bool(0.05);
-        let deadline = self.now + left;
+        let work_estimate = (self.sends_work_estimates && self.random.gen_bool(0.5))
+            .then(|| ms(self.random.gen_range(5..200)));
+        let is_repeat = self.random.gen_bool(0.05);
+        let deadline = self.now + remaining;
         let request = Pending {
             class,
             key,
@@ -257,14 +281,14 @@
                 class,
                 tenant,
                 key,
-                time_left: left,
-                estimated_work: work,
-                is_retry: again,
+                time_left: remaining,
+                estimated_work: work_estimate,
+                is_retry: is_repeat,
             },
         );
         self.shadows[agent].on_request(&self.agents[agent], class);
         let decision = self.agents[agent].route(self.now, id);
-        self.act(agent, id, decision);
+        self.apply(agent, id, decision);
         self.schedule(deadline, Event::Deadline(agent, id));
         let gap = -self.random.gen_range(1e-9..1.0f64).ln() / self.rate;
         self.schedule(
@@ -273,18 +297,18 @@
         );
     }
 
-    fn act(&mut self, agent: usize, id: u64, decision: Decision) {
+    fn apply(&mut self, agent: usize, id: u64, decision: Decision) {
         let nanos = |t: Duration| t.as_nanos() as u64;
         match decision {
             Decision::Forward {
                 endpoint,
                 timeout,
-                recheck_at: look,
+                recheck_at: recheck,
             } => {
-                let fields = [endpoint as u64, nanos(timeout), look.map_or(0, nanos)];
+                let fields = [endpoint as u64, nanos(timeout), recheck.map_or(0, nanos)];
                 self.record(agent, id, 1, &fields);
                 self.forward(agent, id, endpoint, timeout);
-                if let Some(at) = look {
+                if let Some(at) = recheck {
                     self.schedule(at, Event::Decide(agent, id));
                 }
             }
@@ -294,11 +318,11 @@
             }
             Decision::Reject { retry_after } => {
                 self.record(agent, id, 3, &[retry_after.map_or(0, nanos)]);
-                self.answer(agent, id);
+                self.mark_answered(agent, id);
             }
             Decision::Fail => {
                 self.record(agent, id, 4, &[]);
-                self.answer(agent, id);
+                self.mark_answered(agent, id);
             }
             Decision::Cancel { attempt } => {
                 self.record(agent, id, 5, &[attempt as u64]);
@@ -308,7 +332,7 @@
         }
     }
 
-    fn answer(&mut self, agent: usize, id: u64) {
+    fn mark_answered(&mut self, agent: usize, id: u64) {
         if let Some(request) = self.requests[agent].get_mut(&id) {
             request.answered = true;
         }
@@ -326,27 +350,27 @@
             open: true,
         });
         let (class, key) = (request.class, request.key);
-        let stands = self.agents[agent].attempt_allowed(now + ms(1), id, attempt);
-        self.record(agent, id, 7, &[u64::from(stands)]);
+        let is_allowed = self.agents[agent].attempt_allowed(now + ms(1), id, attempt);
+        self.record(agent, id, 7, &[u64::from(is_allowed)]);
         self.shadows[agent].on_attempt(now, &self.agents[agent], class, key, server);
         let draws: [f64; 3] = [self.random.gen(), self.random.gen(), self.random.gen()];
         let s = &mut self.servers[server];
         s.running += 1;
         let waiting = (s.running as f64 / s.cores as f64).max(1.0);
-        let distance = if s.entry.zone == agent { 0.0 } else { 0.002 };
+        let zone_delay = if s.entry.zone == agent { 0.0 } else { 0.002 };
         let took = s.service_time.as_secs_f64() * (0.4 - 0.6 * draws[0].max(1e-9).ln()) * waiting
-            + distance;
+            + zone_delay;
         let took = Duration::from_secs_f64(took);
         let outcome = match s {
-            _ if s.refuses => Outcome::ConnectFailed,
+            _ if s.refuses_connections => Outcome::ConnectFailed,
             _ if s.entry.state == EndpointState::Gone => Outcome::ConnectFailed,
             _ if s.running > 60 => Outcome::Rejected,
             _ if draws[1] < s.failing_share => Outcome::Failed,
             _ if draws[2] < 0.001 => Outcome::ConnectionLost,
             _ => Outcome::Succeeded,
         };
-        let quick = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
-        let ends = now + if quick { ms(1) } else { took };
+        let fails_fast = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
+        let ends = now + if fails_fast { ms(1) } else { took };
         let in_time = !s.unresponsive && ends < now + timeout;
         let (at, outcome) = if in_time {
             (ends, outcome)
@@ -383,7 +407,7 @@
             reported_load: held,
         };
         let decision = self.agents[agent].on_attempt_end(now, id, number, end);
-        self.act(agent, id, decision);
+        self.apply(agent, id, decision);
     }
 
     fn tick(&mut self, agent: usize) {
@@ -428,8 +452,8 @@
     }
 }
 
-/// Classes of all three kinds, hints of work, load reports and probes; a drain, starts, and an
-/// outlier that stalls.
+/// Request classes of all three kinds of idempotency, work estimates, load reports and load probes.
+/// Endpoints drain, start, slow down, fail and refuse connections, and one stalls as an outlier.
 fn endpoints_come_and_go() -> (String, BTreeMap<u64, u64>) {
     let settings = Settings {
         load_probes: true,
@@ -439,7 +463,7 @@
     };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     let mut simulation = Simulation::new(1, settings, servers, 110.0);
-    simulation.hints = true;
+    simulation.sends_work_estimates = true;
     simulation.play(30, |s, second| {
         match second {
             3 => s.servers[1].entry.state = EndpointState::Draining,
@@ -451,15 +475,15 @@
             16 => (0..12).for_each(|n| s.servers[n].service_time = ms(75)),
             20 => s.servers[4].failing_share = 0.9,
             24 => s.servers[4].failing_share = 0.0,
-            26 => s.servers[5].refuses = true,
+            26 => s.servers[5].refuses_connections = true,
             _ => return,
         }
         s.publish_list(second == 6);
     })
 }
 
-/// A build is offered stage by stage and fails; the platform's counts and the clients' reports say
-/// so, too.
+/// A build that is rolled out in stages starts to fail, which platform counts and client-reported
+/// errors show too, and is rolled back.
 fn a_regressed_build() -> (String, BTreeMap<u64, u64>) {
     let mut settings = Settings {
         agents: 12,
@@ -482,7 +506,7 @@
             }),
             14 => (0..8).for_each(|n| s.servers[n].failing_share = 0.25),
             20 => {
-                let tally = |build, failed| PlatformCounts {
+                let build_counts = |build, failed| PlatformCounts {
                     build,
                     class: 0,
                     attempts: 300.0,
@@ -492,8 +516,8 @@
                 };
                 s.agents
                     .iter_mut()
-                    .for_each(|a| a.on_platform_counts(&tally(40, 2.0)));
-                s.agents[1].on_platform_counts(&tally(41, 90.0));
+                    .for_each(|a| a.on_platform_counts(&build_counts(40, 2.0)));
+                s.agents[1].on_platform_counts(&build_counts(41, 90.0));
             }
             22 => {
                 (0..3).for_each(|n| s.agents[0].on_client_reported_error(s.now, n, n % 3, ms(100)))
@@ -518,7 +542,7 @@
     })
 }
 
-/// A build that needs far more work replaces the earlier one in place and is released.
+/// A build that needs far more work per request replaces the earlier one in place and is released.
 fn a_slow_build_released_in_place() -> (String, BTreeMap<u64, u64>) {
     let mut settings = Settings {
         agents: 300,
@@ -553,8 +577,8 @@
     })
 }
 
-/// More than the endpoints can do, with hedged requests before and after, and lists that are
-/// refused.
+/// A load beyond the capacity of the endpoints, with hedged requests before and after it, and an
+/// endpoint list that expires because its requests fail.
 fn overload_with_hedged_requests() -> (String, BTreeMap<u64, u64>) {
     let settings = Settings {
         hedging: true,
@@ -580,9 +604,9 @@
     })
 }
 
-/// Settings are read anew, with a class that moves and one that is new; then one zone is cut off
-/// and comes back.
-fn a_reload_and_a_cut_zone() -> (String, BTreeMap<u64, u64>) {
+/// A reload that moves a request class and adds one. Later the endpoints of one zone stop
+/// responding and recover.
+fn a_reload_and_a_zone_outage() -> (String, BTreeMap<u64, u64>) {
     let settings = Settings {
         cross_zone_price: 0.2,
         ..default_settings(5)
@@ -624,7 +648,7 @@
             new.rollout.exposure_burst = 1.5;
             new.slow_start_duration = ms(5000);
             new.list_polled = true;
-            let by = IndexMapping {
+            let mapping = IndexMapping {
                 classes: vec![
                     IndexOrigin::New,
                     IndexOrigin::Same,
@@ -644,7 +668,7 @@
                         zone: agent,
                         ..new.clone()
                     },
-                    &by,
+                    &mapping,
                 );
             }
             s.settings = new;
@@ -671,7 +695,7 @@
     })
 }
 
-/// Builds that fail, time out or answer wrongly now and then, at agents that see little of them.
+/// A build that at times fails, times out or answers wrongly, at agents that send it few requests.
 fn builds_that_fail_a_little(seed: u64) -> (String, BTreeMap<u64, u64>) {
     let mut settings = Settings {
         agents: 4,
@@ -682,7 +706,7 @@
     let servers = (0..8).map(|n| Server::new(n, 40)).collect();
     let rate = [25.0, 40.0, 70.0][seed as usize % 3];
     let mut simulation = Simulation::new(seed, settings, servers, rate);
-    simulation.hints = seed.is_multiple_of(3);
+    simulation.sends_work_estimates = seed.is_multiple_of(3);
     simulation.failing_share = [0.05, 0.09, 0.14, 0.3][seed as usize % 4];
     simulation.play(30, |s, second| {
         let failing_share = s.failing_share;
@@ -696,7 +720,7 @@
             9 => (0..2).for_each(|n| s.servers[n].failing_share = failing_share),
             12 => s.servers[1].unresponsive = true,
             13 => s.servers[1].unresponsive = false,
-            14..=19 if s.hints => s
+            14..=19 if s.sends_work_estimates => s
                 .agents
                 .iter_mut()
                 .for_each(|a| a.on_client_reported_error(s.now, 0, second as usize % 3, ms(100))),
@@ -712,15 +736,16 @@
     })
 }
 
-type Day = (
+/// Name, function and pinned digest of a scenario.
+type Scenario = (
     &'static str,
     fn() -> (String, BTreeMap<u64, u64>),
     &'static str,
 );
 
 #[test]
-fn decides_as_before_on_seeded_days() {
-    let days: [Day; 5] = [
+fn decisions_match_the_pinned_digests() {
+    let scenarios: [Scenario; 5] = [
         (
             "endpoints come and go",
             endpoints_come_and_go,
@@ -742,25 +767,28 @@
             "5e22c319adac4a10b69526c448a970b8ae7dc3c74ec930f1825363dc11522588",
         ),
         (
-            "a reload and a cut zone",
-            a_reload_and_a_cut_zone,
+            "a reload and a zone outage",
+            a_reload_and_a_zone_outage,
             "2f9b94ffb4461f28e36ff9d9c9b5bdcd008a651bb01523e86e096834d2aa10ed",
         ),
     ];
-    let played = days.map(|(name, play, expected)| (name, play(), expected));
-    for (name, (digest, counts), _) in &played {
+    let results = scenarios.map(|(name, play, expected)| (name, play(), expected));
+    for (name, (digest, counts), _) in &results {
         println!("{name}: {digest} {counts:?}");
     }
-    for (name, (digest, _), expected) in played {
-        assert_eq!(digest, expected, "decisions differ on the day '{name}'");
+    for (name, (digest, _), expected) in results {
+        assert_eq!(
+            digest, expected,
+            "decisions differ in the scenario '{name}'"
+        );
     }
 }
 
 #[test]
-fn evaluates_builds_as_before_on_seeded_days() {
-    let played: Vec<_> = (1..=12).map(builds_that_fail_a_little).collect();
+fn build_evaluations_match_the_pinned_digest() {
+    let results: Vec<_> = (1..=12).map(builds_that_fail_a_little).collect();
     let mut all = Sha256::new();
-    for (digest, counts) in &played {
+    for (digest, counts) in &results {
         println!("{digest} {counts:?}");
         all.update(digest);
     }
--- a/tests/unit/balancer/class_summaries.rs
+++ b/tests/unit/balancer/class_summaries.rs
@@ -1,4 +1,4 @@
-//! What decisions ask of all classes, against loops over them.
+//! Summaries of all request classes that decisions use, compared with loops over the classes.
 
 use super::*;
 use crate::balancer::Balancer;
@@ -11,7 +11,8 @@
         .collect()
 }
 
-/// Silence after which an endpoint counts as unresponsive, by a loop over all classes.
+/// Computes the stall timeout, the silence after which an endpoint is unresponsive, by a loop over
+/// all classes.
 fn stall_timeout(balancer: &Balancer) -> Duration {
     let latencies = balancer.classes.iter().map(|class| &class.latency);
     let highest = latencies
@@ -20,6 +21,7 @@
     Duration::from_secs_f64((highest * 2.0).clamp(0.1, 3.0))
 }
 
+/// Computes the highest value of a class, its priority weight per work, by a loop over all classes.
 fn best_value(balancer: &Balancer) -> f64 {
     let values = balancer.classes.iter().map(|class| {
         let work = if balancer.parameters.weight_by_work {
@@ -32,7 +34,7 @@
     values.fold(1e-9, f64::max)
 }
 
-fn check(balancer: &Balancer) {
+fn assert_summaries_match(balancer: &Balancer) {
     assert_eq!(balancer.stall_timeout(), stall_timeout(balancer));
     assert_eq!(balancer.admission.best_value, best_value(balancer));
     let answer_rate: f64 = balancer.classes.iter().map(|c| c.answer_rate).sum();
@@ -62,22 +64,22 @@
 }
 
 #[test]
-fn summaries_of_classes_agree_with_loops_over_them() {
+fn class_summaries_match_loops_over_all_classes() {
     for (seed, count) in [1, 3, 11, 200].into_iter().enumerate() {
         let mut random = Pcg64Mcg::seed_from_u64(seed as u64);
         let mut settings = settings(classes(count, &mut random));
         settings.slow_start_duration = ms(0);
         let mut balancer = Balancer::new(START, settings.clone());
-        check(&balancer);
+        assert_summaries_match(&balancer);
         let entries: Vec<EndpointEntry> = (0..5).map(|index| entry(index, 0, 1)).collect();
         balancer.update_endpoints(START, &entries, true);
         let mut now = START;
         for id in 0..1_500 {
             now += ms(random.gen_range(0..20));
             handle_request(&mut balancer, now, id, &mut random);
-            check(&balancer);
+            assert_summaries_match(&balancer);
             balancer.poll(now);
-            check(&balancer);
+            assert_summaries_match(&balancer);
             if id % 200 == 0 {
                 settings.classes = classes(count, &mut random);
                 settings.weight_by_work = !settings.weight_by_work;
@@ -86,15 +88,16 @@
                     tenants: vec![IndexOrigin::Same; 2],
                 };
                 balancer.reload(now, &settings, &mapping);
-                check(&balancer);
+                assert_summaries_match(&balancer);
             }
         }
     }
 }
 
-/// Where the limit collapses the floors are the present latencies, and values follow.
+/// When the concurrency limit collapses, the latency floors are set to the present latencies, and
+/// the values of the classes must follow.
 #[test]
-fn the_best_value_follows_floors_that_are_set_anew() {
+fn the_best_value_follows_latency_floors_that_are_reset() {
     let mut random = Pcg64Mcg::seed_from_u64(8);
     let mut balancer = Balancer::new(START, settings(classes(5, &mut random)));
     for index in 0..balancer.classes.len() {
@@ -107,11 +110,11 @@
     balancer.update_limit(START);
     let class = &balancer.classes[0];
     assert_eq!(class.latency.floor, class.latency.mean);
-    check(&balancer);
+    assert_summaries_match(&balancer);
 }
 
 #[test]
-fn a_tenant_over_its_share_is_known_after_a_reload_that_moves_it() {
+fn a_tenant_stays_over_its_share_after_a_reload_that_moves_it() {
     let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
     for _ in 0..100 {
         balancer.count_tenant(Some(1));
--- a/tests/unit/balancer/endpoint_sets.rs
+++ b/tests/unit/balancer/endpoint_sets.rs
@@ -1,4 +1,4 @@
-//! Sets of endpoints that evaluations walk, against the endpoints themselves.
+//! Sets of endpoints that evaluations iterate over, compared with a scan of all endpoints.
 
 use super::*;
 use crate::balancer::Balancer;
@@ -7,6 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
+/// Changes one random property of an endpoint.
 fn change_at_random(endpoint: &mut Endpoint, random: &mut Pcg64Mcg, now: Duration) {
     match random.gen_range(0..8) {
         0 => endpoint.state = EndpointState::Running,
@@ -20,6 +21,7 @@
     }
 }
 
+/// Returns the indices of the endpoints that are members, by a scan of all endpoints.
 fn indices(balancer: &Balancer, is_member: impl Fn(&Endpoint) -> bool) -> BTreeSet<usize> {
     let endpoints = (0..balancer.fleet.len()).map(|index| (index, balancer.fleet.endpoint(index)));
     endpoints
@@ -32,7 +34,7 @@
     endpoint.state == EndpointState::Running
 }
 
-fn check(balancer: &Balancer) {
+fn assert_sets_match(balancer: &Balancer) {
     let sets = balancer.fleet.index().sets();
     let warming = indices(balancer, |e| is_running(e) && !e.is_warm());
     assert_eq!(*sets.warming(), warming);
@@ -56,7 +58,7 @@
     assert_eq!(all.len(), balancer.fleet.index().total().warm);
 }
 
-/// Attempts at endpoints that have said nothing for too long, by a walk over all.
+/// Counts the attempts in flight to unresponsive endpoints by a scan of all endpoints.
 fn unresponsive_in_flight(balancer: &Balancer, now: Duration) -> usize {
     let stall_timeout = balancer.stall_timeout();
     (0..balancer.fleet.len())
@@ -76,7 +78,7 @@
         let now = START + ms(step);
         let index = random.gen_range(0..60);
         change_at_random(&mut balancer.fleet.endpoint_mut(index), &mut random, now);
-        check(&balancer);
+        assert_sets_match(&balancer);
         if step % 100 == 0 {
             let later = now + ms(400);
             balancer.update_limit(later);
@@ -88,9 +90,10 @@
     }
 }
 
-/// After a stall of the agent no running endpoint counts as silent from before it.
+/// After a stall of the agent, the silence of each running endpoint counts from the end of the
+/// stall.
 #[test]
-fn a_stall_of_the_agent_is_held_against_no_endpoint() {
+fn a_stall_of_the_agent_makes_no_endpoint_unresponsive() {
     let mut random = Pcg64Mcg::seed_from_u64(4);
     let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
     let entries: Vec<EndpointEntry> = (0..30).map(|index| entry(index, 0, 1)).collect();
@@ -108,7 +111,8 @@
     assert_eq!(is_silent, was_silent);
 }
 
-/// The full loads that the fleet bears beyond the least part of it, by a walk over all.
+/// Compares the capacity beyond the required minimum, in full loads of one endpoint, with a scan of
+/// all endpoints.
 #[test]
 fn the_fleet_is_short_of_capacity_while_much_of_it_warms_up() {
     for warming in 0..=40 {
@@ -128,7 +132,7 @@
         let kept = balancer.excess_capacity(START);
         assert!(
             (kept - walked).abs() < 1e-9,
-            "{warming}: {kept} for {walked}"
+            "{warming} endpoints in slow start: found {kept}, expected {walked}"
         );
     }
 }
--- a/tests/unit/balancer/mod.rs
+++ b/tests/unit/balancer/mod.rs
@@ -1,4 +1,5 @@
-//! What evaluations keep up to date, against walks over all endpoints and classes.
+//! State of the balancer that is updated incrementally, compared with scans of all endpoints and
+//! classes.
 
 mod class_summaries;
 mod endpoint_sets;
@@ -9,6 +10,7 @@
 use crate::interface::*;
 use std::time::Duration;
 
+/// Time at which the tests begin.
 const START: Duration = Duration::from_secs(1_000_000);
 
 fn ms(n: u64) -> Duration {
--- a/tests/unit/balancer/slow_start_quotas.rs
+++ b/tests/unit/balancer/slow_start_quotas.rs
@@ -1,4 +1,5 @@
-//! Quotas of endpoints in slow start, of which those past it are not walked, against a walk.
+//! Quotas of endpoints in slow start, compared with a scan of all endpoints: evaluations skip the
+//! endpoints that are past it.
 
 use super::*;
 use crate::balancer::Balancer;
@@ -7,7 +8,8 @@
 
 const ENDPOINTS: usize = 30;
 
-/// The quota of a full load by the pace of the last evaluation.
+/// Returns the quota of an endpoint at its full share of the load, by the attempt rate of the last
+/// evaluation.
 fn full_quota(balancer: &Balancer, endpoint_type: usize) -> f64 {
     balancer
         .slow_start
@@ -15,9 +17,10 @@
         .attempts_per_window(1.0, balancer.fleet.types[endpoint_type].throughput)
 }
 
-/// What each endpoint would get in the overload window, warm or not, as the last evaluation found.
+/// An endpoint that returns to slow start gets the quota per overload window that the last evaluation
+/// would have given it, although it was warm then.
 #[test]
-fn an_endpoint_in_slow_start_again_has_the_quota_of_a_warm_one() {
+fn an_endpoint_that_returns_to_slow_start_has_the_quota_of_a_warm_one() {
     let mut random = Pcg64Mcg::seed_from_u64(6);
     let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
     let mut now = START;
@@ -56,11 +59,12 @@
     }
 }
 
-/// Where slow start lasts longer from now on, its young endpoints begin like those just started.
+/// A reload with a longer slow start returns young endpoints to it. They begin like endpoints that
+/// have just started.
 #[test]
-fn endpoints_in_slow_start_again_by_a_reload_begin_at_random_points_of_their_quota() {
-    let short = settings(vec![class(400, 1.0)]);
-    let mut balancer = Balancer::new(START, short.clone());
+fn endpoints_that_a_reload_returns_to_slow_start_begin_at_random_points_of_their_quota() {
+    let short_slow_start = settings(vec![class(400, 1.0)]);
+    let mut balancer = Balancer::new(START, short_slow_start.clone());
     let entries: Vec<EndpointEntry> = (0..ENDPOINTS)
         .map(|index| EndpointEntry {
             started: Some(START - ms(5_000)),
@@ -71,15 +75,15 @@
     balancer.slow_start.completed_per_interval.value = 2.0;
     balancer.update_endpoint_weights();
     balancer.update_slow_start_quotas(START);
-    let long = Settings {
+    let long_slow_start = Settings {
         slow_start_duration: ms(9_000),
-        ..short
+        ..short_slow_start
     };
     let mapping = IndexMapping {
         classes: vec![IndexOrigin::Same],
         tenants: vec![IndexOrigin::Same; 2],
     };
-    balancer.reload(START, &long, &mapping);
+    balancer.reload(START, &long_slow_start, &mapping);
     let mut attempts = 0.0;
     for index in 0..ENDPOINTS {
         let endpoint = balancer.fleet.endpoint(index);
@@ -94,7 +98,7 @@
 }
 
 #[test]
-fn a_slow_start_that_is_over_ends_at_the_next_evaluation() {
+fn a_completed_slow_start_ends_at_the_next_evaluation() {
     let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
     let started = EndpointEntry {
         started: Some(START),
--- a/tests/unit/balancer/zone_capacities.rs
+++ b/tests/unit/balancer/zone_capacities.rs
@@ -1,4 +1,4 @@
-//! Counts and capacities of zones, which look at few endpoints, against a walk over all.
+//! Counts and capacities of zones, which scan few endpoints, compared with a scan of all endpoints.
 
 use super::*;
 use crate::balancer::Balancer;
@@ -6,31 +6,31 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Zones that are asked for; endpoints may be in one more.
+/// Zones whose capacities are requested. Endpoints may also be in one further zone.
 const ZONES: usize = 3;
-/// Endpoints of a zone up to which its capacity is exact.
-const EXACT_UP_TO: usize = 512;
-/// Relative difference that the order of a sum may make.
-const ROUNDING: f64 = 1e-9;
-/// Standard deviation of an estimate by the responsive endpoints of its zone, at the most.
+/// Endpoints of a zone that are sampled for its capacity. A zone of at most this size is exact.
+const SAMPLE_SIZE: usize = 512;
+/// Relative difference allowed for sums that are added up in a different order.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// Upper bound of the standard deviation of an estimate, per responsive endpoint of its zone.
 const MAX_DEVIATION: f64 = 0.041;
-/// Standard deviations by which no estimate of a test may be off.
+/// Upper bound of the error of each estimate, in standard deviations.
 const MAX_DEVIATIONS: f64 = 4.5;
 
-/// What a walk over all endpoints finds of one zone.
+/// Counts and loads of one zone by a scan of all endpoints.
 #[derive(Default)]
-struct Walked {
+struct ReferenceZone {
     counts: ZoneCounts,
-    /// What each responsive endpoint can take.
+    /// Load that each responsive endpoint can take, in full loads of an average endpoint.
     loads: Vec<f64>,
 }
 
-impl Walked {
+impl ReferenceZone {
     fn capacity(&self) -> f64 {
         self.loads.iter().sum()
     }
 
-    /// Standard deviation of what single responsive endpoints can take.
+    /// Standard deviation of the loads.
     fn deviation(&self) -> f64 {
         let count = self.loads.len().max(1) as f64;
         let mean = self.capacity() / count;
@@ -39,8 +39,9 @@
     }
 }
 
-fn walk(balancer: &Balancer, now: Duration) -> Vec<Walked> {
-    let mut zones: Vec<Walked> = (0..ZONES).map(|_| Walked::default()).collect();
+/// Computes the zones by a scan of all endpoints.
+fn scan_zones(balancer: &Balancer, now: Duration) -> Vec<ReferenceZone> {
+    let mut zones: Vec<ReferenceZone> = (0..ZONES).map(|_| ReferenceZone::default()).collect();
     for index in 0..balancer.fleet.len() {
         let endpoint = balancer.fleet.endpoint(index);
         let Some(zone) = zones.get_mut(endpoint.zone) else {
@@ -75,7 +76,7 @@
     }
 }
 
-/// A fleet with so many endpoints in each zone that is asked for, and some beyond.
+/// A fleet with this number of endpoints in each requested zone and in one further zone.
 fn fleet(endpoints_per_zone: usize) -> Balancer {
     let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
     let in_zone = |index: usize| EndpointEntry {
@@ -88,6 +89,7 @@
     balancer
 }
 
+/// Changes one random property of an endpoint.
 fn change_at_random(endpoint: &mut Endpoint, random: &mut Pcg64Mcg, now: Duration) {
     match random.gen_range(0..9) {
         0 | 1 => endpoint.state = EndpointState::Running,
@@ -107,24 +109,32 @@
 
 fn assert_counts_match(balancer: &Balancer, now: Duration) {
     let capacities = balancer.zone_capacities(now, ZONES);
-    for (zone, walked) in walk(balancer, now).iter().enumerate() {
-        assert_eq!(counts_of(&capacities[zone]), walked.counts, "zone {zone}");
-        assert_eq!(balancer.zone_counts(now, zone), walked.counts);
+    for (zone, reference) in scan_zones(balancer, now).iter().enumerate() {
+        assert_eq!(
+            counts_of(&capacities[zone]),
+            reference.counts,
+            "zone {zone}"
+        );
+        assert_eq!(balancer.zone_counts(now, zone), reference.counts);
     }
 }
 
+/// Asserts that counts match a scan of all endpoints, and capacities do up to rounding.
 fn assert_exact(balancer: &Balancer, now: Duration) {
     assert_counts_match(balancer, now);
     let capacities = balancer.zone_capacities(now, ZONES);
-    for (zone, walked) in walk(balancer, now).iter().enumerate() {
-        let (found, expected) = (capacities[zone].capacity, walked.capacity());
+    for (zone, reference) in scan_zones(balancer, now).iter().enumerate() {
+        let (found, expected) = (capacities[zone].capacity, reference.capacity());
         let off = (found - expected).abs();
-        assert!(off <= ROUNDING * expected, "{found} for {expected}");
+        assert!(
+            off <= ROUNDING_TOLERANCE * expected,
+            "found {found}, expected {expected}"
+        );
     }
 }
 
 #[test]
-fn zones_of_few_endpoints_are_exact_through_random_changes() {
+fn zones_smaller_than_the_sample_stay_exact_through_random_changes() {
     for endpoints in [3, 20, 100, 400] {
         let mut random = Pcg64Mcg::seed_from_u64(endpoints as u64);
         let mut balancer = fleet(endpoints);
@@ -143,9 +153,9 @@
 }
 
 #[test]
-fn a_zone_of_as_many_endpoints_as_a_sample_has_is_exact() {
+fn a_zone_as_large_as_the_sample_is_exact() {
     let mut random = Pcg64Mcg::seed_from_u64(9);
-    let mut balancer = fleet(EXACT_UP_TO);
+    let mut balancer = fleet(SAMPLE_SIZE);
     for index in 0..balancer.fleet.len() {
         change_latency(&mut balancer, index, &mut random);
     }
@@ -155,9 +165,10 @@
     }
 }
 
-/// By the spread of what single endpoints can take, which is at most half the range of weights.
+/// The stated error follows from the spread of the loads of single endpoints, which is at most half
+/// the range of the weights.
 #[test]
-fn zones_of_many_endpoints_are_off_by_the_stated_error_at_most() {
+fn zones_larger_than_the_sample_stay_within_the_stated_error() {
     for endpoints in [513, 1_100, 7_700] {
         let mut random = Pcg64Mcg::seed_from_u64(endpoints as u64);
         let mut balancer = fleet(endpoints);
@@ -180,39 +191,42 @@
 
 fn assert_estimates(balancer: &Balancer, now: Duration) {
     let capacities = balancer.zone_capacities(now, ZONES);
-    for (zone, walked) in walk(balancer, now).iter().enumerate() {
-        let responsive = walked.counts.responsive as f64;
-        let deviation = walked.deviation() / (EXACT_UP_TO as f64).sqrt();
+    for (zone, reference) in scan_zones(balancer, now).iter().enumerate() {
+        let responsive = reference.counts.responsive as f64;
+        let deviation = reference.deviation() / (SAMPLE_SIZE as f64).sqrt();
         assert!(deviation < MAX_DEVIATION, "{deviation}");
-        let off = (capacities[zone].capacity - walked.capacity()) / responsive.max(1.0);
+        let off = (capacities[zone].capacity - reference.capacity()) / responsive.max(1.0);
         let allowed = MAX_DEVIATIONS * deviation;
-        assert!(off.abs() <= allowed, "{off} against {allowed}, zone {zone}");
+        assert!(
+            off.abs() <= allowed,
+            "error {off}, allowed {allowed}, zone {zone}"
+        );
     }
 }
 
-/// Endpoints looked at by one question.
-fn looked_at(balancer: &Balancer, question: impl Fn(&Balancer)) -> u64 {
+/// Counts the endpoints that a query scans.
+fn endpoints_scanned_by(balancer: &Balancer, query: impl Fn(&Balancer)) -> u64 {
     let before = balancer.endpoints_scanned();
-    question(balancer);
+    query(balancer);
     balancer.endpoints_scanned() - before
 }
 
 #[test]
-fn work_is_bounded_by_what_is_in_flight_and_a_sample_of_each_zone() {
+fn scans_are_bounded_by_endpoints_in_flight_and_a_sample_of_each_zone() {
     const IN_FLIGHT: usize = 40;
     for endpoints_per_zone in [190, 1_925, 7_500] {
         let mut balancer = fleet(endpoints_per_zone);
         for index in 0..IN_FLIGHT {
             balancer.fleet.endpoint_mut(index).in_flight = 1;
         }
-        let counts = looked_at(&balancer, |b| {
+        let counts = endpoints_scanned_by(&balancer, |b| {
             b.zone_counts(START, 0);
         });
         assert_eq!(counts, IN_FLIGHT as u64);
-        let capacities = looked_at(&balancer, |b| {
+        let capacities = endpoints_scanned_by(&balancer, |b| {
             b.zone_capacities(START, ZONES);
         });
-        let sampled = ZONES * endpoints_per_zone.min(EXACT_UP_TO);
+        let sampled = ZONES * endpoints_per_zone.min(SAMPLE_SIZE);
         assert_eq!(capacities, (IN_FLIGHT + sampled) as u64);
     }
 }
--- a/tests/unit/stats/mod.rs
+++ b/tests/unit/stats/mod.rs
@@ -1,19 +1,19 @@
-//! Structures that are kept up to date, against plain loops.
+//! Incrementally updated statistics, compared with plain loops over all values.
 
 use super::{DecayingCounts, LatencyHistogram, MaxTree};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Evaluations in 36 hours.
-const EVALUATIONS: usize = 36 * 36_000;
-/// Relative error allowed to sums whose order of rounding differs.
-const TOLERANCE: f64 = 1e-9;
+/// Evaluations in 36 hours, one every 100 ms.
+const EVALUATIONS_IN_36_HOURS: usize = 36 * 36_000;
+/// Relative error allowed between sums that round in a different order.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 fn assert_close(value: f64, expected: f64, what: &str) {
     let error = (value - expected).abs();
     assert!(
-        error <= TOLERANCE * expected.abs() + f64::MIN_POSITIVE,
-        "{what}: {value} for {expected}"
+        error <= ROUNDING_TOLERANCE * expected.abs() + f64::MIN_POSITIVE,
+        "{what}: found {value}, expected {expected}"
     );
 }
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_max_tree_ignores_what_is_no_value_of_it() {
+fn a_max_tree_ignores_invalid_values_and_indices() {
     let mut tree = MaxTree::new([1.0, f64::NAN, -3.0].into_iter());
     tree.set(1_000, 9.0);
     tree.set(1, f64::NAN);
@@ -54,22 +54,22 @@
 }
 
 #[test]
-fn decaying_counts_agree_with_a_walk_over_all_of_them() {
+fn decaying_counts_match_counts_that_decay_one_by_one() {
     for (seed, factor) in [0.98, 0.5, 1e-3, 0.9993, 1.0].into_iter().enumerate() {
         let mut random = Pcg64Mcg::seed_from_u64(seed as u64);
         let mut counts = DecayingCounts::new(50);
-        let mut walked = [0.0; 50];
+        let mut reference = [0.0; 50];
         for _ in 0..40_000 {
             for _ in 0..random.gen_range(0..4) {
                 let index = random.gen_range(0..50);
                 counts.increment(index);
-                walked[index] += 1.0;
+                reference[index] += 1.0;
             }
             counts.decay(factor);
-            walked.iter_mut().for_each(|count| *count *= factor);
+            reference.iter_mut().for_each(|count| *count *= factor);
             let index = random.gen_range(0..50);
-            assert_close(counts.get(index), walked[index], "count");
-            assert_close(counts.sum(), walked.iter().sum(), "sum");
+            assert_close(counts.get(index), reference[index], "count");
+            assert_close(counts.sum(), reference.iter().sum(), "sum");
         }
     }
 }
@@ -78,7 +78,7 @@
 fn decaying_counts_forget_what_is_36_hours_old() {
     let mut counts = DecayingCounts::new(3);
     counts.increment(0);
-    for _ in 0..EVALUATIONS {
+    for _ in 0..EVALUATIONS_IN_36_HOURS {
         counts.decay(0.98);
     }
     assert!(counts.get(0) < 1e-100 && counts.sum() < 1e-100);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn decaying_counts_sum_up_anew_where_indices_move() {
+fn decaying_counts_recompute_the_sum_when_indices_move() {
     let mut counts = DecayingCounts::new(3);
     counts.increment(0);
     counts.increment(1);
@@ -104,10 +104,10 @@
     assert_eq!(counts.sum(), 1.5);
 }
 
-/// The histogram as plain loops over all buckets.
-struct WalkedHistogram([f64; 64]);
+/// Reference implementation of the histogram: plain loops over all buckets.
+struct ReferenceHistogram([f64; 64]);
 
-impl WalkedHistogram {
+impl ReferenceHistogram {
     fn record(&mut self, seconds: f64) {
         let bucket = (seconds * 1000.0).max(1.0).log2() * 4.0;
         self.0[(bucket as usize).min(63)] += 1.0;
@@ -126,49 +126,49 @@
 }
 
 #[test]
-fn a_histogram_agrees_to_the_last_digit_with_loops_over_all_buckets() {
+fn a_histogram_equals_loops_over_all_buckets_exactly() {
     let mut random = Pcg64Mcg::seed_from_u64(5);
     let mut histogram = LatencyHistogram::default();
-    let mut walked = WalkedHistogram([0.0; 64]);
+    let mut reference = ReferenceHistogram([0.0; 64]);
     for step in 0..3_000 {
         match random.gen_range(0..8) {
             0..=3 => {
                 let seconds = 10f64.powf(random.gen_range(-4.0..3.0));
                 histogram.record(seconds);
-                walked.record(seconds);
+                reference.record(seconds);
             }
             4..=6 => {
                 histogram.decay(0.96);
-                walked.decay(0.96);
+                reference.decay(0.96);
             }
             _ => {
-                let total: f64 = walked.0.iter().sum();
+                let total: f64 = reference.0.iter().sum();
                 histogram.decay_towards(5.0, 0.9993);
                 if total > 5.0 {
-                    walked.decay((5.0 / total).max(0.9993));
+                    reference.decay((5.0 / total).max(0.9993));
                 }
             }
         }
         if step % 500 == 0 {
             histogram.decay(0.0);
-            walked.decay(0.0);
+            reference.decay(0.0);
         }
         let bucket = histogram.bucket_above_median();
-        assert_eq!(histogram.total(), walked.0.iter().sum::<f64>());
+        assert_eq!(histogram.total(), reference.0.iter().sum::<f64>());
         assert_eq!(histogram.is_empty(), histogram.total() == 0.0);
-        assert_eq!(histogram.sum_millis(), walked.sum_millis());
+        assert_eq!(histogram.sum_millis(), reference.sum_millis());
         assert_eq!(
             histogram.total_from(bucket),
-            walked.0.iter().skip(bucket).sum::<f64>()
+            reference.0.iter().skip(bucket).sum::<f64>()
         );
     }
 }
 
 #[test]
-fn a_histogram_is_empty_after_hours_without_answers() {
+fn a_histogram_is_empty_after_36_hours_without_answers() {
     let mut histogram = LatencyHistogram::default();
     histogram.record(0.02);
-    for _ in 0..EVALUATIONS {
+    for _ in 0..EVALUATIONS_IN_36_HOURS {
         histogram.decay(0.96);
     }
     assert!(histogram.is_empty());
