--- a/tests/unit/balancer/peer_latencies.rs
+++ b/tests/unit/balancer/peer_latencies.rs
@@ -138,7 +138,8 @@
     }
 
     /// Computes the median of a group, or of all endpoints if the group has at most two warm
-    /// ones. Returns `None` if the balancer samples the group, and checks the rank of its median instead.
+    /// ones. Returns `None` if the balancer samples the group, and then checks the rank of its
+    /// median.
     fn exact_median(&self, group: PeerGroup) -> Option<f64> {
         let mut peers = self.warm_latencies(|index| self.group(index) == group);
         if peers.len() <= 2 {
--- a/tests/unit/balancer/slow_start_quotas.rs
+++ b/tests/unit/balancer/slow_start_quotas.rs
@@ -17,8 +17,8 @@
         .attempts_per_window(1.0, balancer.fleet.types[endpoint_type].throughput)
 }
 
-/// An endpoint that returns to slow start gets the quota per overload window that the last evaluation
-/// would have given it, although it was warm then.
+/// An endpoint that returns to slow start gets the quota per overload window that the last
+/// evaluation would have given it, although it was warm then.
 #[test]
 fn an_endpoint_that_returns_to_slow_start_has_the_quota_of_a_warm_one() {
     let mut random = Pcg64Mcg::seed_from_u64(6);
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -1,5 +1,5 @@
-//! The outcomes that are kept up to date at each change, against a walk over endpoints times classes
-//! that lets each count decay at each evaluation interval.
+//! Outcome sums, which are updated at each change, compared with a reference that decays the counts
+//! of every endpoint and class at each evaluation interval.
 
 use super::super::evidence::NEGLIGIBLE_OUTCOMES;
 use super::super::Balancer;
@@ -9,42 +9,43 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-const HOUR: u64 = 36_000; // evaluation intervals
+const INTERVALS_PER_HOUR: u64 = 36_000; // evaluation intervals
+/// Whether the one endpoint with most of the failures is left out of the sums.
 const DISCARDS: [bool; 2] = [false, true];
 
-/// An endpoint of the walk, with counts for each class.
+/// An endpoint of the reference, with counts for each class.
 #[derive(Clone, Default)]
-struct WalkedEndpoint {
+struct ReferenceEndpoint {
     build: u32,
     runs: bool,
     is_ejected: bool,
     outcomes: Vec<OutcomeCounts>,
 }
 
-impl WalkedEndpoint {
+impl ReferenceEndpoint {
     fn failures(&self) -> f64 {
         OutcomeCounts::sum(&self.outcomes).failed_or_lost()
     }
 }
 
-/// The reference.
-struct Walk {
+/// Reference implementation of the evidence.
+struct Reference {
     classes: usize,
     newest_build: u32,
-    endpoints: Vec<WalkedEndpoint>,
+    endpoints: Vec<ReferenceEndpoint>,
 }
 
-impl Walk {
-    fn new(endpoints: usize, classes: usize) -> Walk {
-        Walk {
+impl Reference {
+    fn new(endpoints: usize, classes: usize) -> Reference {
+        Reference {
             classes,
             newest_build: 0,
-            endpoints: vec![WalkedEndpoint::default(); endpoints],
+            endpoints: vec![ReferenceEndpoint::default(); endpoints],
         }
     }
 
     fn start(&mut self, endpoint: usize, build: u32) {
-        self.endpoints[endpoint] = WalkedEndpoint {
+        self.endpoints[endpoint] = ReferenceEndpoint {
             build,
             runs: true,
             is_ejected: false,
@@ -66,7 +67,7 @@
         }
     }
 
-    fn of_build(&self, build: u32) -> impl Iterator<Item = &WalkedEndpoint> {
+    fn of_build(&self, build: u32) -> impl Iterator<Item = &ReferenceEndpoint> {
         let running = self.endpoints.iter().filter(|endpoint| endpoint.runs);
         running.filter(move |endpoint| endpoint.build == build)
     }
@@ -80,14 +81,14 @@
     fn sums_of(&self, build: u32, discards: bool) -> Vec<OutcomeCounts> {
         let is_newest = build >= self.newest_build;
         let mut sums = vec![OutcomeCounts::default(); self.classes];
-        let half = self
+        let half_of_failures = self
             .of_build(build)
-            .map(WalkedEndpoint::failures)
+            .map(ReferenceEndpoint::failures)
             .sum::<f64>()
             / 2.0;
         let discards = discards && self.of_build(build).count() > MIN_ENDPOINTS_TO_DISCARD;
         for endpoint in self.of_build(build) {
-            if discards && endpoint.failures() > half * (1.0 + ROUNDING_ERROR) {
+            if discards && endpoint.failures() > half_of_failures * (1.0 + ROUNDING_ERROR) {
                 continue;
             }
             let keeps_lost = is_newest || !endpoint.is_ejected;
@@ -112,102 +113,119 @@
     }
 }
 
-/// Both forms, told the same.
-struct Pair {
+/// The evidence and its reference, which receive the same events.
+struct CheckedEvidence {
     evidence: OutcomeEvidence,
-    walk: Walk,
+    reference: Reference,
 }
 
-impl Pair {
-    fn new(endpoints: usize, classes: usize) -> Pair {
-        Pair {
+impl CheckedEvidence {
+    fn new(endpoints: usize, classes: usize) -> CheckedEvidence {
+        CheckedEvidence {
             evidence: OutcomeEvidence::new(),
-            walk: Walk::new(endpoints, classes),
+            reference: Reference::new(endpoints, classes),
         }
     }
 
     fn start(&mut self, endpoint: usize, build: u32) {
         self.evidence.start(endpoint, build);
-        self.walk.start(endpoint, build);
+        self.reference.start(endpoint, build);
     }
 
     fn stop(&mut self, endpoint: usize) {
         let left = self.evidence.stop(endpoint);
-        let walked = &mut self.walk.endpoints[endpoint];
-        if walked.runs {
-            let mut by_class = vec![OutcomeCounts::default(); self.walk.classes];
+        let expected = &mut self.reference.endpoints[endpoint];
+        if expected.runs {
+            let mut by_class = vec![OutcomeCounts::default(); self.reference.classes];
             for (class, counts) in left {
                 by_class[class] = counts;
             }
-            assert_close(&by_class, &walked.outcomes, 1, &"left by a stop");
+            assert_close(
+                &by_class,
+                &expected.outcomes,
+                1,
+                &"outcomes returned by a stop",
+            );
         }
-        walked.runs = false;
+        expected.runs = false;
     }
 
     fn add(&mut self, endpoint: usize, class: usize, added: OutcomeCounts) {
         self.evidence.add(endpoint, class, &added);
-        let walked = &mut self.walk.endpoints[endpoint];
-        if walked.runs {
-            walked.outcomes[class].decay_and_add(1.0, &added);
+        let expected = &mut self.reference.endpoints[endpoint];
+        if expected.runs {
+            expected.outcomes[class].decay_and_add(1.0, &added);
         }
     }
 
     fn take_back_failure(&mut self, endpoint: usize, class: usize) {
         self.evidence.take_back_failure(endpoint, class);
-        if let Some(counts) = self.walk.endpoints[endpoint].outcomes.get_mut(class) {
+        if let Some(counts) = self.reference.endpoints[endpoint].outcomes.get_mut(class) {
             counts.failed = (counts.failed - 1.0).max(0.0);
         }
     }
 
     fn clear_failed(&mut self, endpoint: usize) {
         self.evidence.clear_failed(endpoint);
-        for counts in &mut self.walk.endpoints[endpoint].outcomes {
+        for counts in &mut self.reference.endpoints[endpoint].outcomes {
             counts.failed = 0.0;
         }
     }
 
     fn set_ejected(&mut self, endpoint: usize, is_ejected: bool) {
         self.evidence.set_ejected(endpoint, is_ejected);
-        self.walk.endpoints[endpoint].is_ejected = is_ejected;
+        self.reference.endpoints[endpoint].is_ejected = is_ejected;
     }
 
     fn set_newest_build(&mut self, build: u32) {
         self.evidence.set_newest_build(build);
-        self.walk.newest_build = build;
+        self.reference.newest_build = build;
     }
 
     fn end_intervals(&mut self, intervals: u64) {
         for _ in 0..intervals {
             self.evidence.end_interval();
-            self.walk.end_interval();
+            self.reference.end_interval();
         }
     }
 
     fn assert_agree(&self, context: &dyn std::fmt::Debug) {
-        let endpoints = self.walk.endpoints.len();
-        for build in 0..=self.walk.newest_build + 2 {
+        let endpoints = self.reference.endpoints.len();
+        for build in 0..=self.reference.newest_build + 2 {
             let failing = self.evidence.failing_endpoints(build);
-            assert_eq!(failing, self.walk.failing_endpoints(build), "{context:?}");
+            assert_eq!(
+                failing,
+                self.reference.failing_endpoints(build),
+                "{context:?}"
+            );
             for discards in DISCARDS {
-                // Only of the newest build is an endpoint ever left out.
-                let discards = discards && build >= self.walk.newest_build;
-                let sums = self.evidence.sums_of(build, self.walk.classes, discards);
-                let walked = self.walk.sums_of(build, discards);
+                // Endpoints are only left out of the sums of the newest build and of newer ones.
+                let discards = discards && build >= self.reference.newest_build;
+                let sums = self
+                    .evidence
+                    .sums_of(build, self.reference.classes, discards);
+                let expected = self.reference.sums_of(build, discards);
                 let context = (context, build, discards);
-                assert_close(&sums, &walked, endpoints, &context);
+                assert_close(&sums, &expected, endpoints, &context);
             }
         }
-        for (endpoint, walked) in self.walk.endpoints.iter().enumerate() {
-            if walked.runs {
+        for (endpoint, expected) in self.reference.endpoints.iter().enumerate() {
+            if expected.runs {
                 let total = self.evidence.total_of(endpoint);
-                let walked = OutcomeCounts::sum(&walked.outcomes);
-                assert_close(&[total], &[walked], self.walk.classes, &(context, endpoint));
+                let expected = OutcomeCounts::sum(&expected.outcomes);
+                assert_close(
+                    &[total],
+                    &[expected],
+                    self.reference.classes,
+                    &(context, endpoint),
+                );
             }
         }
     }
 }
 
-/// Counts agree up to rounding and to what as many entries may have been forgotten with.
+/// Asserts that counts agree up to rounding and up to the negligible outcomes of `entries` entries,
+/// which may have been dropped.
 fn assert_close(
     left: &[OutcomeCounts],
     right: &[OutcomeCounts],
@@ -227,7 +245,7 @@
             let error = (one - other).abs();
             assert!(
                 one >= 0.0 && error <= ROUNDING_ERROR * other + forgotten,
-                "{context:?}, class {class}: {left:?} instead of {right:?}"
+                "{context:?}, class {class}: found {left:?}, expected {right:?}"
             );
         }
     }
@@ -247,6 +265,7 @@
     }
 }
 
+/// Returns one outcome, mostly a success.
 fn random_outcome(random: &mut Pcg64Mcg) -> OutcomeCounts {
     let mut outcome = OutcomeCounts::default();
     match random.gen_range(0..20) {
@@ -258,7 +277,7 @@
     outcome
 }
 
-/// Every class goes on under one index, some swapped, one of them dropped at times.
+/// Maps each class to its own index, except that two are swapped and at times one is dropped.
 fn random_targets(random: &mut Pcg64Mcg, classes: usize) -> Vec<Vec<usize>> {
     let mut targets: Vec<Vec<usize>> = (0..classes).map(|class| vec![class]).collect();
     targets.swap(random.gen_range(0..classes), random.gen_range(0..classes));
@@ -268,113 +287,116 @@
     targets
 }
 
-fn random_step(pair: &mut Pair, random: &mut Pcg64Mcg) {
-    let endpoint = random.gen_range(0..pair.walk.endpoints.len());
-    let class = random.gen_range(0..pair.walk.classes);
-    let newest = pair.walk.newest_build;
+/// Applies a random event to the evidence and to its reference.
+fn random_step(checked: &mut CheckedEvidence, random: &mut Pcg64Mcg) {
+    let endpoint = random.gen_range(0..checked.reference.endpoints.len());
+    let class = random.gen_range(0..checked.reference.classes);
+    let newest = checked.reference.newest_build;
     match random.gen_range(0..1000) {
-        0..=29 => pair.start(endpoint, newest.saturating_sub(1) + random.gen_range(0..3)),
-        30..=44 => pair.stop(endpoint),
-        45..=64 => pair.set_ejected(endpoint, random.gen_bool(0.5)),
-        65..=94 => pair.take_back_failure(endpoint, class),
-        95..=99 => pair.clear_failed(endpoint),
-        100..=103 => pair.set_newest_build(newest + 1),
+        0..=29 => checked.start(endpoint, newest.saturating_sub(1) + random.gen_range(0..3)),
+        30..=44 => checked.stop(endpoint),
+        45..=64 => checked.set_ejected(endpoint, random.gen_bool(0.5)),
+        65..=94 => checked.take_back_failure(endpoint, class),
+        95..=99 => checked.clear_failed(endpoint),
+        100..=103 => checked.set_newest_build(newest + 1),
         104..=106 => {
-            let targets = random_targets(random, pair.walk.classes);
-            pair.evidence.renumber_classes(&targets);
-            pair.walk.renumber(&targets);
+            let targets = random_targets(random, checked.reference.classes);
+            checked.evidence.renumber_classes(&targets);
+            checked.reference.renumber(&targets);
         }
-        107..=109 => pair.end_intervals(random.gen_range(0..500)),
-        110..=299 => pair.end_intervals(random.gen_range(0..5)),
+        107..=109 => checked.end_intervals(random.gen_range(0..500)),
+        110..=299 => checked.end_intervals(random.gen_range(0..5)),
         _ => {
             for _ in 0..random.gen_range(1..6) {
                 let outcome = random_outcome(random);
-                pair.add(endpoint, class, outcome);
+                checked.add(endpoint, class, outcome);
             }
         }
     }
 }
 
-fn play(seed: u64, endpoints: usize, classes: usize, steps: usize) {
+fn run_random_steps(seed: u64, endpoints: usize, classes: usize, steps: usize) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let mut pair = Pair::new(endpoints, classes);
+    let mut checked = CheckedEvidence::new(endpoints, classes);
     for endpoint in 0..endpoints {
-        pair.start(endpoint, random.gen_range(0..3));
+        checked.start(endpoint, random.gen_range(0..3));
     }
-    pair.set_newest_build(1);
+    checked.set_newest_build(1);
     for step in 0..steps {
-        random_step(&mut pair, &mut random);
+        random_step(&mut checked, &mut random);
         if step % 10 == 0 {
-            pair.assert_agree(&(seed, step));
+            checked.assert_agree(&(seed, step));
         }
     }
-    pair.assert_agree(&(seed, steps));
+    checked.assert_agree(&(seed, steps));
 }
 
 #[test]
-fn sums_agree_with_a_walk_over_seeded_histories() {
+fn sums_match_the_reference_after_random_steps() {
     for seed in 0..200 {
         let endpoints = 1 + seed as usize % 12;
         let classes = [1, 2, 7, 30][seed as usize / 12 % 4];
-        play(seed, endpoints, classes, 600);
+        run_random_steps(seed, endpoints, classes, 600);
     }
 }
 
 #[test]
-fn sums_agree_with_a_walk_for_many_classes() {
+fn sums_match_the_reference_with_many_classes() {
     for seed in 0..4 {
-        play(1000 + seed, 4, 400 * (1 + seed as usize), 200);
+        run_random_steps(1000 + seed, 4, 400 * (1 + seed as usize), 200);
     }
 }
 
-/// Without the rule of its last decay an endpoint's baseline would go on to decay, or stop early.
+/// Guards against a wrong last interval of an endpoint's decay: its baseline would then decay too
+/// far or stop decaying too early.
 #[test]
-fn an_earlier_builds_outcomes_decay_to_what_is_kept_and_no_further() {
+fn outcomes_of_an_earlier_build_decay_to_the_minimum_baseline_and_no_further() {
     for requests in [1, 19, 20, 21, 25, 40, 80, 100, 1000, 100_000] {
-        let mut pair = Pair::new(1, 2);
-        pair.start(0, 1);
-        pair.set_newest_build(2);
-        pair.add(0, 0, succeeded(f64::from(requests)));
+        let mut checked = CheckedEvidence::new(1, 2);
+        checked.start(0, 1);
+        checked.set_newest_build(2);
+        checked.add(0, 0, succeeded(f64::from(requests)));
         for intervals in [1, 2, 30, 70, 100, 200, 1200, 100] {
-            pair.end_intervals(intervals);
-            pair.assert_agree(&(requests, intervals));
+            checked.end_intervals(intervals);
+            checked.assert_agree(&(requests, intervals));
         }
-        let total = pair.evidence.total_of(0).total();
+        let total = checked.evidence.total_of(0).total();
         assert!(total <= MIN_BASELINE_OUTCOMES * (1.0 + ROUNDING_ERROR));
         assert!(total >= (MIN_BASELINE_OUTCOMES * outcome_decay().factor).min(f64::from(requests)));
     }
 }
 
-/// Without a bound, factors of long spans overflow or bring old evidence back.
+/// Guards against unbounded decay factors: over long spans they overflow or bring old evidence
+/// back.
 #[test]
-fn counts_that_were_last_touched_hours_ago_are_gone_or_kept() {
-    let mut pair = Pair::new(3, 2);
-    pair.start(0, 1);
-    pair.start(1, 2);
-    pair.start(2, 2);
-    pair.set_newest_build(2);
+fn counts_unchanged_for_hours_decay_fully_or_to_the_minimum_baseline() {
+    let mut checked = CheckedEvidence::new(3, 2);
+    checked.start(0, 1);
+    checked.start(1, 2);
+    checked.start(2, 2);
+    checked.set_newest_build(2);
     for endpoint in 0..2 {
-        pair.add(endpoint, 0, succeeded(1000.0));
-        pair.add(endpoint, 1, failed(10.0));
+        checked.add(endpoint, 0, succeeded(1000.0));
+        checked.add(endpoint, 1, failed(10.0));
     }
     for hours in [1, 11, 24] {
-        pair.end_intervals(hours * HOUR);
-        pair.assert_agree(&hours);
-        let newest = OutcomeCounts::sum(&pair.evidence.sums_of(2, 2, true));
+        checked.end_intervals(hours * INTERVALS_PER_HOUR);
+        checked.assert_agree(&hours);
+        let newest = OutcomeCounts::sum(&checked.evidence.sums_of(2, 2, true));
         assert!(newest.total() < NEGLIGIBLE_OUTCOMES, "{newest:?}");
-        let earlier = OutcomeCounts::sum(&pair.evidence.sums_of(1, 2, false));
+        let earlier = OutcomeCounts::sum(&checked.evidence.sums_of(1, 2, false));
         assert!(earlier.total() > 19.0, "{earlier:?}");
     }
-    pair.add(1, 0, succeeded(1.0));
-    pair.add(0, 0, succeeded(10.0));
-    pair.assert_agree(&"after all");
-    assert_eq!(pair.evidence.total_of(1).succeeded, 1.0);
-    pair.set_newest_build(3);
-    pair.assert_agree(&"newest no more");
+    checked.add(1, 0, succeeded(1.0));
+    checked.add(0, 0, succeeded(10.0));
+    checked.assert_agree(&"outcomes after 36 hours");
+    assert_eq!(checked.evidence.total_of(1).succeeded, 1.0);
+    checked.set_newest_build(3);
+    checked.assert_agree(&"a newer build exists");
 }
 
 #[test]
-fn an_endpoint_remembers_the_classes_that_it_was_sent() {
+fn an_endpoint_tracks_only_classes_that_it_was_sent_recently() {
     let (endpoints, classes) = (200, 1600);
     let mut evidence = OutcomeEvidence::new();
     for endpoint in 0..endpoints {
@@ -386,18 +408,19 @@
         evidence.add(0, class, &succeeded(1.0));
     }
     assert_eq!(tracked_classes(&evidence), endpoints + classes - 1);
-    // One class carries all traffic from now on; what the others left is forgotten within the hour.
-    for interval in 0..HOUR {
+    // One class carries all traffic from now on; the outcomes of the others are dropped within an
+    // hour.
+    for interval in 0..INTERVALS_PER_HOUR {
         evidence.end_interval();
         evidence.add(interval as usize % endpoints, 0, &succeeded(1.0));
     }
     assert_eq!(tracked_classes(&evidence), endpoints);
 }
 
-/// Without a look through at its growth an endpoint that is sent ever other classes would remember
-/// all of them.
+/// Guards against unbounded memory: without pruning whenever its number of classes doubles, an
+/// endpoint that is always sent new classes would keep all of them.
 #[test]
-fn an_endpoint_forgets_classes_while_it_is_sent_others() {
+fn an_endpoint_drops_old_classes_while_it_is_sent_others() {
     let mut evidence = OutcomeEvidence::new();
     evidence.start(0, 1);
     let mut most = 0;
@@ -408,7 +431,7 @@
         }
         most = most.max(tracked_classes(&evidence));
     }
-    // A single request counts for 20 half-lives of 100 intervals.
+    // A single request is negligible after 20 half-lives of 100 intervals each.
     assert!((20..=2 * 22).contains(&most), "{most}");
 }
 
@@ -420,19 +443,19 @@
 }
 
 #[test]
-fn an_index_that_is_reused_has_nothing_of_the_earlier_endpoint() {
-    let mut pair = Pair::new(2, 3);
-    pair.start(0, 1);
-    pair.set_newest_build(1);
-    pair.add(0, 1, failed(5.0));
-    pair.set_ejected(0, true);
+fn a_reused_index_has_no_outcomes_of_the_earlier_endpoint() {
+    let mut checked = CheckedEvidence::new(2, 3);
+    checked.start(0, 1);
+    checked.set_newest_build(1);
+    checked.add(0, 1, failed(5.0));
+    checked.set_ejected(0, true);
     for build in [1, 2] {
-        pair.start(0, build);
-        pair.assert_agree(&build);
-        assert_eq!(pair.evidence.total_of(0).total(), 0.0);
-        assert_eq!(pair.evidence.failing_endpoints(build), 0);
-        pair.add(0, 2, succeeded(1.0));
-        pair.add(
+        checked.start(0, build);
+        checked.assert_agree(&build);
+        assert_eq!(checked.evidence.total_of(0).total(), 0.0);
+        assert_eq!(checked.evidence.failing_endpoints(build), 0);
+        checked.add(0, 2, succeeded(1.0));
+        checked.add(
             0,
             2,
             OutcomeCounts {
@@ -440,13 +463,14 @@
                 ..failed(1.0)
             },
         );
-        pair.assert_agree(&build);
+        checked.assert_agree(&build);
     }
 }
 
-/// What rounding leaves of a difference would pass for a class that the build was sent requests of.
+/// Guards against rounding errors of a subtraction: a remainder above zero would look as if the
+/// build had been sent requests of the class.
 #[test]
-fn a_class_that_no_running_endpoint_was_sent_has_no_outcomes_at_all() {
+fn a_class_that_no_running_endpoint_was_sent_has_exactly_zero_outcomes() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..50 {
         let mut evidence = OutcomeEvidence::new();
@@ -470,9 +494,9 @@
     }
 }
 
-/// The same where the one endpoint that was sent the class is left out.
+/// Guards against the same remainder where the only endpoint that was sent the class is discarded.
 #[test]
-fn a_class_that_only_the_discarded_endpoint_was_sent_has_no_outcomes_at_all() {
+fn a_class_that_only_the_discarded_endpoint_was_sent_has_exactly_zero_outcomes() {
     let mut random = Pcg64Mcg::seed_from_u64(2);
     let mut evidence = OutcomeEvidence::new();
     evidence.set_newest_build(2);
@@ -494,9 +518,10 @@
     }
 }
 
-/// Where others had many failures before, what rounding leaves of them is more than its own.
+/// Guards against rounding errors that exceed the failures of the one failing endpoint, after
+/// others with many failures were restarted.
 #[test]
-fn the_one_endpoint_that_fails_is_left_out_however_few_failures_it_has() {
+fn the_only_failing_endpoint_is_discarded_however_few_failures_it_has() {
     let mut random = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..50 {
         let mut evidence = OutcomeEvidence::new();
@@ -518,41 +543,42 @@
 }
 
 #[test]
-fn an_evaluation_interval_looks_only_at_endpoints_that_pass_to_what_is_kept() {
+fn an_evaluation_interval_scans_only_endpoints_that_reach_the_minimum_baseline() {
     let mut evidence = OutcomeEvidence::new();
     evidence.set_newest_build(2);
     for endpoint in 0..7700 {
         evidence.start(endpoint, 1 + endpoint as u32 % 2);
         evidence.add(endpoint, endpoint % 1600, &succeeded(10.0));
     }
-    // Endpoint 0 is of the earlier build: 41 outcomes are too many to be kept for 10.4 s.
+    // Endpoint 0 runs the earlier build. Its 41 outcomes decay for 10.4 s, until they are at the
+    // minimum baseline.
     evidence.add(0, 7, &succeeded(31.0));
-    let looked_at: Vec<usize> = (0..200).map(|_| evidence.end_interval()).collect();
-    assert_eq!(looked_at.iter().sum::<usize>(), 1);
-    assert_eq!(looked_at[103], 1);
+    let scanned: Vec<usize> = (0..200).map(|_| evidence.end_interval()).collect();
+    assert_eq!(scanned.iter().sum::<usize>(), 1);
+    assert_eq!(scanned[103], 1);
 }
 
 #[test]
-fn sums_that_do_not_decay_are_taken_anew_each_hour() {
+fn sums_that_do_not_decay_are_recomputed_each_hour() {
     let mut evidence = OutcomeEvidence::new();
     evidence.set_newest_build(2);
     for endpoint in 0..3 {
         evidence.start(endpoint, 1);
         evidence.add(endpoint, 0, &succeeded(3.0));
     }
-    // An error as rounding adds it up.
+    // An error such as rounding accumulates.
     let build = evidence.builds.get_mut(&1).unwrap();
     build.kept.add(0, &succeeded(0.5), false);
-    let looked_at: usize = (0..REBUILD_INTERVALS)
+    let scanned: usize = (0..REBUILD_INTERVALS)
         .map(|_| evidence.end_interval())
         .sum();
-    assert_eq!(looked_at, 3);
+    assert_eq!(scanned, 3);
     assert_eq!(evidence.sums_of(1, 1, false)[0].succeeded, 9.0);
 }
 
-/// The balancer tells the evidence of each start, end and ejection of an endpoint.
+/// The balancer must report each start, stop and ejection of an endpoint to the evidence.
 #[test]
-fn the_evidence_knows_each_endpoint_as_the_fleet_does() {
+fn evidence_and_fleet_agree_on_each_endpoint() {
     for seed in 0..20 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut now = Duration::from_secs(1);
@@ -569,14 +595,15 @@
                 balancer.update_rollout(status(random.gen_range(1..4)));
             }
             serve_one(&mut balancer, &mut random, now, id);
-            ejections += assert_known_as_in_the_fleet(&balancer);
+            ejections += assert_agrees_with_the_fleet(&balancer);
         }
         assert!(ejections > 0, "seed {seed}");
     }
 }
 
-/// Compares both. Returns how many endpoints that run are ejected.
-fn assert_known_as_in_the_fleet(balancer: &Balancer) -> usize {
+/// Asserts that the evidence and the fleet agree on all endpoints and builds. Returns the number of
+/// running endpoints that are ejected.
+fn assert_agrees_with_the_fleet(balancer: &Balancer) -> usize {
     let mut ejections = 0;
     for (index, endpoint) in balancer.fleet.iter().enumerate() {
         let Some(record) = balancer.outcomes.endpoints.get(index) else {
@@ -639,7 +666,7 @@
     let mut decision = balancer.route(now, id);
     let mut attempt = 0;
     while let Decision::Forward { endpoint, .. } = decision {
-        // Endpoints of even index are often lost.
+        // Attempts to endpoints of even index often get no connection or lose it.
         let outcome = match random.gen_range(0..10) {
             0 => Outcome::Failed,
             1..=3 if endpoint % 2 == 0 => Outcome::ConnectionLost,
