--- a/tests/harness/fleet/work.rs
+++ b/tests/harness/fleet/work.rs
@@ -3,7 +3,7 @@
 /// Maximum endpoints scanned per decision and end of its attempt, on average, for any size of the
 /// fleet.
 pub const MAX_SCANNED_PER_DECISION: f64 = 40.0;
-/// Maximum endpoints scanned per evaluation on average, even if nothing changed. Does not include
+/// Maximum endpoints scanned per evaluation on average, regardless of what changed. Does not include
 /// those scanned for medians.
 pub const MAX_SCANNED_PER_EVALUATION: f64 = 40.0;
 /// Maximum endpoints scanned for the medians of one evaluation: a sample of up to 512 of each peer
--- a/tests/unit/balancer/endpoint_sets.rs
+++ b/tests/unit/balancer/endpoint_sets.rs
@@ -111,10 +111,10 @@
     assert_eq!(is_silent, was_silent);
 }
 
-/// Compares the capacity beyond the required minimum, in full loads of one endpoint, with a scan of
-/// all endpoints.
+/// The fleet is short of capacity while much of it is in slow start. The capacity beyond the required
+/// minimum is in full loads of one endpoint.
 #[test]
-fn the_fleet_is_short_of_capacity_while_much_of_it_warms_up() {
+fn excess_capacity_during_slow_start_matches_a_scan_of_all_endpoints() {
     for warming in 0..=40 {
         let mut balancer = Balancer::new(START, settings(vec![class(400, 1.0)]));
         let entries: Vec<EndpointEntry> = (0..40)
--- a/tests/unit/balancer/zone_capacities.rs
+++ b/tests/unit/balancer/zone_capacities.rs
@@ -8,7 +8,8 @@
 
 /// Zones whose capacities are requested. Endpoints may also be in one further zone.
 const ZONES: usize = 3;
-/// Endpoints of a zone that are sampled for its capacity. A zone of at most this size is exact.
+/// Endpoints of a zone that are sampled for its capacity. The capacity of a zone of at most this size
+/// is exact.
 const SAMPLE_SIZE: usize = 512;
 /// Relative difference allowed for sums that are added up in a different order.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
@@ -21,7 +22,7 @@
 #[derive(Default)]
 struct ReferenceZone {
     counts: ZoneCounts,
-    /// Load that each responsive endpoint can take, in full loads of an average endpoint.
+    /// Load that each responsive endpoint can take, in warm endpoints of average speed.
     loads: Vec<f64>,
 }
 
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -9,7 +9,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-const INTERVALS_PER_HOUR: u64 = 36_000; // evaluation intervals
+/// Evaluation intervals in an hour.
+const INTERVALS_PER_HOUR: u64 = 36_000;
 /// Whether the one endpoint with most of the failures is left out of the sums.
 const DISCARDS: [bool; 2] = [false, true];
 
