--- a/crates/client-policy/src/agents/connecting.rs
+++ b/crates/client-policy/src/agents/connecting.rs
@@ -1,33 +1,35 @@
-//! When a new connection to one agent may be opened: not before its reconnect time, few at once,
-//! and at a limited rate.
+//! Paces new connections to one agent: none before the reconnect time, few at the same time, and at
+//! a limited rate.
 
 use crate::config::ConnectionPolicy;
 use std::time::Duration;
 
-/// An agent that closes an idle connection again within this time, and was reached in between,
-/// evicts idle connections in favour of other clients, rather than being lost.
+/// An agent that closes an idle connection twice within this time, and was reached in between, is
+/// taken to evict idle connections in favor of other clients rather than to be lost.
 const EVICTION_REPEAT_WINDOW: Duration = Duration::from_secs(30);
-/// The part of the reconnect spread that is used for an agent that evicts idle connections.
-const EVICTION_SPREAD_PART: f64 = 0.1;
-/// The reconnect spread doubles this many times at most while an agent stays lost.
+/// The fraction of the reconnect spread that applies to an agent that evicts idle connections.
+const EVICTION_SPREAD_FRACTION: f64 = 0.1;
+/// The reconnect spread doubles at most this many times while an agent stays lost.
 const MAX_SPREAD_DOUBLINGS: u32 = 2;
-/// Tokens that opening one connection costs.
+/// The number of tokens that opening one connection costs.
 const CONNECT_COST: f64 = 1.0;
-/// The lowest rate that is divided by, in connections per second.
+/// A lower bound on the connect rate, in connections per second, that avoids a division by zero.
 const MIN_RATE: f64 = 1e-3;
 /// The longest wait for a token.
 const MAX_TOKEN_WAIT_SECONDS: f64 = 60.0;
-/// Added to the wait for a token, so that rounding never makes it end just before the token.
+/// Added to the wait for a token, so that rounding never ends the wait just before the token is
+/// there.
 const TOKEN_WAIT_MARGIN: Duration = Duration::from_micros(1);
 
 /// Whether a new connection may be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectDecision {
-    /// Now; its end is owed to [`on_connect_end`](super::AgentSelector::on_connect_end).
+    /// The connection may be opened now. The caller must report the end of the connect to
+    /// [`on_connect_end`](super::AgentSelector::on_connect_end).
     Connect,
-    /// Not before this time.
+    /// No connection may be opened before this time.
     NotBefore(Duration),
-    /// Not before another that is being opened ends.
+    /// The maximum number of connections is being opened. One of these has to finish first.
     AtLimit,
 }
 
@@ -37,14 +39,14 @@
     connecting: usize,
     tokens: f64,
     refilled_at: Duration,
-    /// No new connection before this time.
+    /// No new connection is opened before this time.
     closed_until: Duration,
     consecutive_losses: u32,
     last_idle_close: Option<Duration>,
 }
 
 impl ConnectionGate {
-    /// A gate that is open, with all tokens.
+    /// Creates an open gate with a full token bucket.
     pub fn new(policy: &ConnectionPolicy) -> ConnectionGate {
         ConnectionGate {
             connecting: 0,
@@ -56,52 +58,53 @@
         }
     }
 
-    /// Whether no connection may be opened yet.
+    /// Returns whether the reconnect time is still ahead, so that no connection may be opened.
     pub fn is_closed(&self, now: Duration) -> bool {
         now < self.closed_until
     }
 
-    /// When the gate opens, or opened.
+    /// Returns the time when the gate opens; a time in the past if the gate is open.
     pub fn closed_until(&self) -> Duration {
         self.closed_until
     }
 
-    /// Closes the gate until this time, or longer where it is closed for longer.
+    /// Closes the gate at least until this time. A later end that was set before stays.
     pub fn close_until(&mut self, until: Duration) {
         self.closed_until = self.closed_until.max(until);
     }
 
-    /// The factor on the reconnect spread after the losses so far.
+    /// Returns the factor on the reconnect spread, which doubles with each consecutive loss.
     pub fn spread_factor(&self) -> u32 {
         1 << self.consecutive_losses.min(MAX_SPREAD_DOUBLINGS)
     }
 
-    /// An attempt at the agent succeeded: it is no longer lost.
+    /// Records a successful attempt, which ends a sequence of losses.
     pub fn on_success(&mut self) {
         self.consecutive_losses = 0;
     }
 
-    /// The agent was lost; the next connection is opened at this time.
+    /// Records that the agent was lost. The next connection may be opened at `reconnect_at`.
     pub fn on_loss(&mut self, reconnect_at: Duration) {
         self.closed_until = reconnect_at;
         self.consecutive_losses += 1;
     }
 
-    /// The only connection was closed between requests. The first time in a while the next one
-    /// waits as after a loss; when that happens again soon the agent evicts idle connections,
-    /// and the next connection is opened within a tenth of the spread.
+    /// Records that the only connection was closed between requests. The first time, the reconnect
+    /// is delayed as after a loss. If it happens again within [`EVICTION_REPEAT_WINDOW`], the agent
+    /// evicts idle connections, and the reconnect is delayed by at most a tenth of the spread.
     pub fn on_idle_close(&mut self, now: Duration, spread: Duration, jitter: f64) {
         let previous = self.last_idle_close.replace(now);
         let is_eviction = previous.is_some_and(|at| now < at + EVICTION_REPEAT_WINDOW);
-        let part = if is_eviction {
-            jitter * EVICTION_SPREAD_PART
+        let fraction = if is_eviction {
+            jitter * EVICTION_SPREAD_FRACTION
         } else {
             jitter
         };
-        self.close_until(now + spread.mul_f64(part));
+        self.close_until(now + spread.mul_f64(fraction));
     }
 
-    /// Whether a connection may be opened now; it is counted then.
+    /// Decides whether a connection may be opened now. If so, it counts as being opened and spends
+    /// a token.
     pub fn try_connect(&mut self, now: Duration, policy: &ConnectionPolicy) -> ConnectDecision {
         if self.is_closed(now) {
             return ConnectDecision::NotBefore(self.closed_until);
@@ -122,7 +125,7 @@
         ConnectDecision::Connect
     }
 
-    /// A connection is no longer being opened.
+    /// Records that opening a connection has ended.
     pub fn on_connect_end(&mut self) {
         self.connecting = self.connecting.saturating_sub(1);
     }
--- a/crates/client-policy/src/agents/health.rs
+++ b/crates/client-policy/src/agents/health.rs
@@ -1,41 +1,42 @@
-//! The health of one agent: ejection after consecutive failures, probing with few calls afterwards.
+//! The health of one agent: ejection after consecutive failures, then probing with few calls.
 
 use std::time::Duration;
 
-/// Consecutive failures after which an agent is ejected.
+/// The number of consecutive failures after which an agent is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// The first ejection lasts up to this long; each further one twice as long.
+/// The maximum length of the first ejection. Each further ejection is up to twice as long.
 pub const MIN_EJECTION: Duration = Duration::from_millis(100);
-/// The limit on the doubled ejection.
+/// The limit on the doubled ejection time.
 const MAX_EJECTION: Duration = Duration::from_secs(5);
-/// How long an agent that shuts down is passed over.
+/// How long an agent that is shutting down gets no attempts.
 const DRAINING_PAUSE: Duration = Duration::from_secs(2);
-/// A probe that succeeds while this many attempts are admitted ends the probing.
-const HEALTHY_FROM: usize = 32;
+/// A success while probing with a limit of at least this many attempts in flight makes the agent
+/// healthy.
+const MAX_PROBING_IN_FLIGHT: usize = 32;
 
 /// Whether an agent gets attempts, and how many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentHealth {
-    /// It gets attempts without a limit of its own.
+    /// The agent gets attempts without a limit of its own.
     Healthy,
-    /// It returns from a pause and gets few attempts at a time.
+    /// The agent returns from an ejection or a shutdown and gets few attempts at a time.
     Probing {
-        /// Attempts in flight at most.
+        /// The maximum number of attempts in flight.
         max_in_flight: usize,
     },
-    /// It failed again and again and gets no attempts.
+    /// The agent failed repeatedly and gets no attempts.
     Ejected {
-        /// When it is probed again.
+        /// The time at which probing starts.
         until: Duration,
     },
-    /// It shuts down and gets no attempts.
+    /// The agent is shutting down and gets no attempts.
     Draining {
-        /// When it is probed, as its successor may be there.
+        /// The time at which probing starts, as a successor may then listen at its address.
         until: Duration,
     },
 }
 
-/// Follows the health of one agent by how its attempts end.
+/// Tracks the health of one agent from the results of its attempts.
 #[derive(Debug)]
 pub struct HealthTracker {
     state: AgentHealth,
@@ -44,7 +45,7 @@
 }
 
 impl HealthTracker {
-    /// The health of an agent that was not tried yet.
+    /// Creates the tracker of an agent without attempts, which counts as healthy.
     pub fn new() -> HealthTracker {
         HealthTracker {
             state: AgentHealth::Healthy,
@@ -53,12 +54,12 @@
         }
     }
 
-    /// The health as of the last event.
+    /// Returns the health as of the last recorded event.
     pub fn state(&self) -> AgentHealth {
         self.state
     }
 
-    /// Begins to probe an agent whose pause is over.
+    /// Starts to probe the agent if its ejection or draining pause has ended.
     pub fn end_pause(&mut self, now: Duration) {
         match self.state {
             AgentHealth::Ejected { until } | AgentHealth::Draining { until } if now >= until => {
@@ -68,12 +69,12 @@
         }
     }
 
-    /// An attempt succeeded: admits twice as many while probing.
+    /// Records a successful attempt. While probing, this doubles the limit on attempts in flight.
     pub fn on_success(&mut self) {
         self.consecutive_failures = 0;
         self.next_ejection = MIN_EJECTION;
         if let AgentHealth::Probing { max_in_flight } = self.state {
-            self.state = if max_in_flight >= HEALTHY_FROM {
+            self.state = if max_in_flight >= MAX_PROBING_IN_FLIGHT {
                 AgentHealth::Healthy
             } else {
                 AgentHealth::Probing {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// `jitter`: the part of the ejection's length that is taken, if it comes to one.
+    /// Records a failed attempt, which may eject the agent. The length of the ejection is
+    /// multiplied by `jitter`, which lies between 0.5 and 1.
     pub fn on_failure(&mut self, now: Duration, jitter: f64) {
         if let AgentHealth::Probing { .. } = self.state {
             self.eject(now, jitter);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The agent shuts down.
+    /// Records that the agent is shutting down.
     pub fn on_draining(&mut self, now: Duration) {
         self.state = AgentHealth::Draining {
             until: now + DRAINING_PAUSE,
--- a/crates/client-policy/src/agents/mod.rs
+++ b/crates/client-policy/src/agents/mod.rs
@@ -1,13 +1,13 @@
-//! Which agent an attempt goes to, how gently an agent that failed is probed, and when a new
-//! connection may be opened.
+//! Selects the agent of each attempt, limits the calls to an agent that recovers from failures, and
+//! paces new connections.
 //!
-//! Of the agents that admit a call, two are drawn and the one with fewer calls in flight is taken,
-//! so that a slow agent gets fewer calls without being measured (power of two choices). An agent
-//! that fails again and again is ejected for a time that doubles, by chance between half and the
-//! whole of it; then it gets one call at a time, and twice as many with each that succeeds
-//! ([`health`]). The first new connection after an agent was lost waits for a random part of the
-//! reconnect spread, so that clients that were all cut off at the same moment return spread over it
-//! without knowing of each other ([`connecting`]).
+//! Of the agents that admit a call, two are drawn at random and the one with fewer calls in flight
+//! is chosen, so that a slow agent gets fewer calls without a latency measurement (power of two
+//! choices). An agent that fails repeatedly is ejected for a time that doubles with each ejection,
+//! with a jitter between half and the whole of it. Then it is probed with one call at a time, and
+//! with twice as many after each success ([`health`]). The first reconnect after an agent was lost
+//! is delayed by a random fraction of the reconnect spread, so that clients that were disconnected
+//! at the same moment reconnect spread over that time without coordination ([`connecting`]).
 
 mod connecting;
 mod health;
@@ -22,31 +22,32 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// The shortest wait for an agent, so that a caller that waits never spins.
+/// The shortest wait for an agent, which keeps a waiting caller from busy-looping.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// What comes of asking for an agent.
+/// The result of selecting an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// An attempt at the agent with this index has begun; its end is owed to
-    /// [`AgentSelector::on_attempt_end`].
+    /// The attempt goes to the agent with this index. The attempt counts as in flight until the
+    /// caller reports its end to [`AgentSelector::on_attempt_end`].
     Agent(usize),
-    /// No agent before this time, unless an attempt ends before.
+    /// No agent is available before this time, unless an attempt in flight ends earlier.
     NotBefore(Duration),
 }
 
-/// What the end of an attempt says of its agent.
+/// What the end of an attempt indicates about the health of its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptSignal {
-    /// The agent responded, be it with a rejection.
+    /// The agent responded; a rejection counts as a response.
     Success,
     /// The agent failed.
     Failure,
-    /// Nothing, as when the caller gave up.
+    /// The attempt ended without information about the agent, for example because the caller gave
+    /// up.
     Neutral,
 }
 
-/// Chooses among the agents of a service and paces the connections to them.
+/// Selects among the agents of a service and paces the connections to them.
 #[derive(Debug)]
 pub struct AgentSelector {
     policy: ConnectionPolicy,
@@ -70,7 +71,8 @@
         }
     }
 
-    /// When the agent may next admit an attempt, where that is known ahead.
+    /// Returns when the agent may next admit an attempt; `None` if that depends on attempts in
+    /// flight.
     fn available_at(&self, now: Duration) -> Option<Duration> {
         match self.health.state() {
             AgentHealth::Ejected { until } | AgentHealth::Draining { until } => {
@@ -85,7 +87,8 @@
 }
 
 impl AgentSelector {
-    /// A selector among this many agents, all healthy. The seed determines every random choice.
+    /// Creates a selector for this many agents, all healthy. The seed determines every random
+    /// choice.
     pub fn new(policy: ConnectionPolicy, agents: usize, seed: u64) -> AgentSelector {
         let new_agent = |_| AgentState {
             in_flight: 0,
@@ -99,21 +102,22 @@
         }
     }
 
-    /// The health of this agent.
+    /// Returns the health of this agent. An agent with an unknown index counts as healthy.
     pub fn health(&self, agent: usize) -> AgentHealth {
         let state = self.agents.get(agent);
         state.map_or(AgentHealth::Healthy, |state| state.health.state())
     }
 
-    /// Attempts in flight at this agent.
+    /// Returns the number of attempts in flight at this agent.
     pub fn in_flight(&self, agent: usize) -> usize {
         self.agents.get(agent).map_or(0, |state| state.in_flight)
     }
 
-    /// Draws an agent for an attempt, another than `excluded` where there is one.
+    /// Selects an agent for an attempt. The agent `excluded` is selected only if no other one is
+    /// available.
     ///
-    /// `has_idle_connection` tells of an agent whether a connection to it waits for a request:
-    /// without one, an agent to which no connection may be opened yet cannot be reached.
+    /// `has_idle_connection` returns whether the pool holds an idle connection to an agent. An
+    /// agent without one is not selected while no new connection to it may be opened.
     pub fn select(
         &mut self,
         now: Duration,
@@ -138,7 +142,7 @@
         Selection::Agent(agent)
     }
 
-    /// An attempt at this agent has ended.
+    /// Records the end of an attempt at this agent.
     pub fn on_attempt_end(&mut self, now: Duration, agent: usize, signal: AttemptSignal) {
         let jitter = self.rng.gen_range(0.5..1.0);
         let Some(state) = self.agents.get_mut(agent) else {
@@ -155,7 +159,8 @@
         }
     }
 
-    /// The agent said that it shuts down, or closed all its connections between requests.
+    /// Records that the agent announced its shutdown, or closed all its connections between
+    /// requests.
     pub fn on_draining(&mut self, now: Duration, agent: usize) {
         let reconnect_at = self.draw_reconnect_time(now, agent);
         if let Some(state) = self.agents.get_mut(agent) {
@@ -164,8 +169,8 @@
         }
     }
 
-    /// The only connection to the agent was closed between requests: the agent may have gone, or
-    /// made room for other clients.
+    /// Records that the only connection to the agent was closed between requests. The agent may be
+    /// lost, or may have evicted the idle connection to serve other clients.
     pub fn on_idle_close(&mut self, now: Duration, agent: usize) {
         let jitter = self.rng.gen_range(0.0..1.0);
         if let Some(state) = self.agents.get_mut(agent) {
@@ -174,8 +179,9 @@
         }
     }
 
-    /// The connections to the agent broke, or it refused one: the next is opened at a time drawn
-    /// from the reconnect spread, which doubles up to twice while the agent stays lost.
+    /// Records that the connections to the agent broke, or that it refused one. The next connection
+    /// is opened at a random time within the reconnect spread, which doubles up to twice while the
+    /// agent stays lost.
     pub fn on_connection_loss(&mut self, now: Duration, agent: usize) {
         let state = self.agents.get(agent);
         if state.is_some_and(|state| state.gate.is_closed(now)) {
@@ -187,7 +193,8 @@
         }
     }
 
-    /// Whether a connection to this agent may be opened now.
+    /// Decides whether a connection to this agent may be opened now. If so, the caller must report
+    /// the end of the connect to [`AgentSelector::on_connect_end`].
     pub fn try_connect(&mut self, now: Duration, agent: usize) -> ConnectDecision {
         match self.agents.get_mut(agent) {
             Some(state) => state.gate.try_connect(now, &self.policy),
@@ -195,7 +202,8 @@
         }
     }
 
-    /// A connection that was being opened is open, or could not be opened.
+    /// Records that opening a connection to this agent ended. With `connected` false, the agent
+    /// counts as lost.
     pub fn on_connect_end(&mut self, now: Duration, agent: usize, connected: bool) {
         if let Some(state) = self.agents.get_mut(agent) {
             state.gate.on_connect_end();
@@ -205,14 +213,14 @@
         }
     }
 
-    /// The lifetime of a new connection: its maximum, less up to a tenth by chance, so that
-    /// connections opened together are not closed together.
+    /// Returns a random lifetime for a new connection, between 0.9 of the maximum and the maximum,
+    /// so that connections opened together are not closed together.
     pub fn draw_connection_lifetime(&mut self) -> Duration {
-        let part = self.rng.gen_range(0.9..1.0);
-        self.policy.max_lifetime.mul_f64(part)
+        let fraction = self.rng.gen_range(0.9..1.0);
+        self.policy.max_lifetime.mul_f64(fraction)
     }
 
-    /// The agents that admit an attempt and to which a connection is there or may be opened.
+    /// Returns the agents that admit an attempt and to which a connection is idle or may be opened.
     fn reachable_agents(
         &self,
         now: Duration,
@@ -226,8 +234,8 @@
         (0..self.agents.len()).filter(reachable).collect()
     }
 
-    /// Of two agents drawn from the candidates, which are not empty, the one with fewer attempts in
-    /// flight.
+    /// Draws two of the candidates at random and returns the one with fewer attempts in flight.
+    /// `candidates` must not be empty.
     fn draw_less_loaded(&mut self, candidates: &[usize]) -> usize {
         let first = candidates[self.rng.gen_range(0..candidates.len())];
         let second = candidates[self.rng.gen_range(0..candidates.len())];
@@ -238,8 +246,8 @@
         }
     }
 
-    /// The first time at which an agent that is paused becomes available. Agents that are being
-    /// probed become available as their attempts end.
+    /// Returns the earliest time at which a paused agent becomes available. Agents that are being
+    /// probed have no such time: they become available when their attempts end.
     fn next_availability(&self, now: Duration) -> Duration {
         let times = self.agents.iter().filter_map(|a| a.available_at(now));
         let first = times.min().unwrap_or(now + health::MIN_EJECTION);
--- a/crates/client-policy/src/attempts.rs
+++ b/crates/client-policy/src/attempts.rs
@@ -1,36 +1,36 @@
-//! How the attempts of one call ended, and whether the call may be sent once more.
+//! The outcomes of the attempts of one call, and whether the call may be sent again.
 
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, Idempotency};
 
-/// How one attempt ended without a value.
+/// How an attempt that returned no value ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The agent rejected it before it ran: a retry is safe.
+    /// The agent rejected the request before it ran, so a retry is safe.
     Rejected {
-        /// The time before which the agent wants no retry, where it named one.
+        /// How long the agent asks to wait before a retry; `None` if it did not say.
         retry_after: Option<Duration>,
     },
-    /// The agent shuts down (57P03) and rejected it before it ran.
+    /// The agent is shutting down (57P03) and rejected the request before it ran.
     Draining,
-    /// Not written to its last byte, as the connection was refused, never opened, or broke before.
-    /// It never ran.
+    /// The request was not written up to its last byte, because the connection was refused, could
+    /// not be opened, or broke first. The request never ran.
     NotSent,
-    /// The connection, used before, was closed without a byte of a response: the agent may have
-    /// closed it as idle while the request was on its way.
+    /// A connection that had been used before was closed without a byte of a response: the agent
+    /// may have closed it as idle while the request was in transit.
     StaleConnection,
-    /// Written whole, then the connection broke.
+    /// The connection broke after the whole request was written.
     ConnectionLost,
-    /// The agent answered with an error that does not exclude that it ran.
+    /// The agent answered with an error that does not rule out that the request ran.
     Failed,
-    /// What came is no response.
+    /// The agent sent bytes that are not a valid response.
     MalformedResponse,
-    /// Nothing came before the deadline.
+    /// No response arrived before the deadline.
     TimedOut,
 }
 
 impl AttemptOutcome {
-    /// Whether the request may have run, or may yet.
+    /// Returns whether the request may have run, or may still run.
     pub fn may_have_executed(self) -> bool {
         match self {
             AttemptOutcome::Rejected { .. } => false,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The name in logs, counters and the output of `tulipwall-call`.
+    /// Returns the name used in logs, counters and the output of `tulipwall-call`.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptOutcome::Rejected { .. } => "denied",
@@ -61,20 +61,20 @@
 /// Why a call is not attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// It may have run, and must not run twice.
+    /// The request may have run and must not run twice.
     NotRepeatable,
-    /// It may have run, and the window in which the service recognizes its repeats is over.
+    /// The request may have run, and the window in which the service recognizes a repeat has ended.
     DeduplicationWindowExpired,
-    /// It was attempted as often as the policy allows.
+    /// The call has used all attempts that the policy allows.
     AttemptLimit,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// The next attempt would begin at its deadline or later.
+    /// The next attempt would start at or after the deadline of the call.
     Deadline,
 }
 
 impl GiveUpReason {
-    /// The name in logs, counters and the output of `tulipwall-call`.
+    /// Returns the name used in logs, counters and the output of `tulipwall-call`.
     pub fn as_str(self) -> &'static str {
         match self {
             GiveUpReason::NotRepeatable => "may_not_repeat",
@@ -86,24 +86,24 @@
     }
 }
 
-/// The attempts of one call so far.
+/// The history of the attempts of one call.
 #[derive(Clone, Debug)]
 pub struct AttemptHistory {
     /// Whether the call may run more than once.
     pub idempotency: Idempotency,
-    /// No attempt begins at this time or later.
+    /// No attempt starts at or after this time.
     pub deadline: Duration,
-    /// Attempts begun, the one that is out among them.
+    /// The number of attempts started, including the one in progress.
     pub attempts: u32,
-    /// When the first attempt that may have run began.
+    /// The start of the first attempt that may have run; `None` if no attempt can have run.
     pub possibly_executed_since: Option<Duration>,
-    /// Whether the one immediate resend after a stale connection was used.
+    /// Whether the single immediate resend after a stale connection was used.
     resent: bool,
     attempt_started: Duration,
 }
 
 impl AttemptHistory {
-    /// The history of a call that was not attempted yet.
+    /// Creates the history of a call that has not been attempted.
     pub fn new(idempotency: Idempotency, deadline: Duration) -> AttemptHistory {
         AttemptHistory {
             idempotency,
@@ -115,23 +115,23 @@
         }
     }
 
-    /// An attempt begins.
+    /// Records that an attempt starts at this time.
     pub fn on_attempt_start(&mut self, now: Duration) {
         self.attempts += 1;
         self.attempt_started = now;
     }
 
-    /// Whether any attempt may have run.
+    /// Returns whether any attempt may have run.
     pub fn may_have_executed(&self) -> bool {
         self.possibly_executed_since.is_some()
     }
 
-    /// Whether the call may be sent at this time. Has to be asked again when it is sent, as its
-    /// deduplication window may have ended since a retry was scheduled.
+    /// Checks whether the call may be sent at this time. This must be checked again right before
+    /// sending, because the deduplication window may have ended since the retry was scheduled.
     ///
     /// # Errors
     ///
-    /// Why it may not, if an earlier attempt may have run.
+    /// Returns the reason why the call must not be sent, if an earlier attempt may have run.
     pub fn check_repeatable(&self, now: Duration) -> Result<(), GiveUpReason> {
         let Some(executed_since) = self.possibly_executed_since else {
             return Ok(());
@@ -148,20 +148,21 @@
                     Err(GiveUpReason::DeduplicationWindowExpired)
                 }
             }
-            // The next agent may choose another zone or cell, which does not know the key.
+            // The next agent may choose another zone or cell, where the key is unknown.
             Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
                 Err(GiveUpReason::NotRepeatable)
             }
         }
     }
 
-    /// Remembers that the attempt that is out may have run.
+    /// Records that the current attempt may have run.
     pub(crate) fn mark_possibly_executed(&mut self) {
         self.possibly_executed_since
             .get_or_insert(self.attempt_started);
     }
 
-    /// Uses the one immediate resend after a stale connection; whether it was still there.
+    /// Consumes the single immediate resend after a stale connection. Returns whether it was still
+    /// available.
     pub(crate) fn take_resend(&mut self) -> bool {
         let available = !self.resent;
         self.resent = true;
--- a/crates/client-policy/src/concurrency.rs
+++ b/crates/client-policy/src/concurrency.rs
@@ -1,28 +1,30 @@
-//! The limit on calls in flight: as many as the agents can bear, estimated from their responses.
+//! The adaptive limit on calls in flight, estimated from the agents' responses.
 //!
-//! The limit grows by one for each limit's worth of timely responses while it is in use, and falls
-//! by a tenth for rejections and late responses, once in an interval at most (additive increase,
-//! multiplicative decrease: Chiu and Jain, 1989). The classes with the least priority weight are
+//! While the limit is in use it grows by one for each limit's worth of timely responses. It falls
+//! by a tenth on a rejection or a late response, at most once per interval (additive increase,
+//! multiplicative decrease: Chiu and Jain, 1989). The classes with the lowest priority weight are
 //! shed first, without queueing: each class may use 0.7 of the limit, and of the rest a share in
 //! proportion to its weight.
 
 use crate::config::{ConcurrencyPolicy, RequestClass};
 use std::time::Duration;
 
-/// The factor of a decrease.
+/// The limit is multiplied by this factor when it decreases.
 const DECREASE_FACTOR: f64 = 0.9;
-/// The limit decreases once in this interval at most: one overload is told by many responses.
+/// The limit decreases at most once per interval, because a single overload produces many late or
+/// rejected responses.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
-/// The limit may grow while at least this share of it is in flight.
+/// The limit grows only while at least this fraction of it is in flight.
 const GROWTH_UTILIZATION: f64 = 0.7;
-/// The share of the limit that every class may use.
-const SHARE_FOR_ALL: f64 = 0.7;
-/// A decrease starts at this multiple of the calls in flight, at most.
+/// The fraction of the limit that every class may use, whatever its weight.
+const BASE_SHARE: f64 = 0.7;
+/// A decrease starts from at most this multiple of the calls in flight (plus one).
 const DECREASE_HEADROOM: f64 = 1.5;
-/// The limit begins at this part of its maximum.
-const INITIAL_PART_OF_MAX: f64 = 0.25;
-/// Stands for the heaviest priority weight where all are zero, so that a ratio is defined.
-const LEAST_WEIGHT: f64 = 1e-9;
+/// The initial limit as a fraction of its maximum.
+const INITIAL_FRACTION: f64 = 0.25;
+/// A lower bound on the highest priority weight, so that the relative weights are defined when all
+/// weights are zero.
+const MIN_HIGHEST_WEIGHT: f64 = 1e-9;
 
 /// An adaptive limit on the calls of one client that are in flight.
 #[derive(Debug)]
@@ -30,16 +32,16 @@
     policy: ConcurrencyPolicy,
     limit: f64,
     in_flight: usize,
-    /// The share of the limit that a class may use, by class index.
+    /// The fraction of the limit that each class may use, indexed by class.
     class_shares: Vec<f64>,
     last_decrease: Option<Duration>,
 }
 
 impl ConcurrencyLimit {
-    /// A limit for these classes, at a quarter of its maximum.
+    /// Creates a limit for these classes that starts at a quarter of its maximum.
     pub fn new(policy: ConcurrencyPolicy, classes: &[RequestClass]) -> ConcurrencyLimit {
         let upper = policy.max_limit.max(policy.min_limit);
-        let initial = policy.max_limit * INITIAL_PART_OF_MAX;
+        let initial = policy.max_limit * INITIAL_FRACTION;
         ConcurrencyLimit {
             limit: initial.clamp(policy.min_limit, upper),
             in_flight: 0,
@@ -49,11 +51,11 @@
         }
     }
 
-    /// Admits one more call of this class, or sheds it. An admitted call is owed to
-    /// [`ConcurrencyLimit::release`].
+    /// Admits a call of this class (`true`) or sheds it. For each admitted call the caller must
+    /// call [`ConcurrencyLimit::release`] once.
     pub fn try_acquire(&mut self, class: usize) -> bool {
         let share = self.class_shares.get(class).copied();
-        let class_limit = self.limit * share.unwrap_or(SHARE_FOR_ALL);
+        let class_limit = self.limit * share.unwrap_or(BASE_SHARE);
         let admitted = (self.in_flight as f64) < class_limit.max(1.0);
         if admitted {
             self.in_flight += 1;
@@ -61,12 +63,12 @@
         admitted
     }
 
-    /// An admitted call has ended, however.
+    /// Records that an admitted call has ended, whatever its result.
     pub fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// A response came within the latency objective.
+    /// Records a response within the latency objective, which may raise the limit.
     pub fn on_timely_response(&mut self) {
         if self.in_flight as f64 >= self.limit * GROWTH_UTILIZATION {
             let increase = 1.0 / self.limit.max(1.0);
@@ -74,36 +76,37 @@
         }
     }
 
-    /// A rejection came, or a response that was late.
+    /// Records a rejection or a late response, which may lower the limit.
     pub fn on_overload(&mut self, now: Duration) {
         let recent = |at| now < at + DECREASE_INTERVAL;
         if self.last_decrease.is_some_and(recent) {
             return;
         }
         self.last_decrease = Some(now);
-        // From what is in flight: a limit far above that would decrease for long without effect.
+        // A limit far above the calls in flight would decrease many times before it took effect.
         let in_use = self.in_flight as f64 * DECREASE_HEADROOM + 1.0;
         let decreased = self.limit.min(in_use) * DECREASE_FACTOR;
         self.limit = decreased.max(self.policy.min_limit);
     }
 
-    /// The limit on calls in flight.
+    /// Returns the current limit on calls in flight. It need not be a whole number.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Calls that are in flight.
+    /// Returns the number of admitted calls that have not ended.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 }
 
-/// The share of the limit that each class may use, in proportion to the heaviest of them.
+/// Computes the fraction of the limit that each class may use. The class with the highest weight
+/// may use the whole limit.
 fn class_shares(classes: &[RequestClass]) -> Vec<f64> {
     let weights = classes.iter().map(|class| class.priority_weight);
-    let heaviest = weights.clone().fold(LEAST_WEIGHT, f64::max);
+    let highest = weights.clone().fold(MIN_HIGHEST_WEIGHT, f64::max);
     weights
-        .map(|weight| (weight / heaviest).clamp(0.0, 1.0))
-        .map(|relative| SHARE_FOR_ALL + (1.0 - SHARE_FOR_ALL) * relative)
+        .map(|weight| (weight / highest).clamp(0.0, 1.0))
+        .map(|relative| BASE_SHARE + (1.0 - BASE_SHARE) * relative)
         .collect()
 }
--- a/crates/client-policy/src/config.rs
+++ b/crates/client-policy/src/config.rs
@@ -1,33 +1,34 @@
-//! The configuration of a client, read once at its start.
+//! The configuration of a client, which is read once at startup.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tulipwall::Idempotency;
 
-/// A service behind agents, as one client of it sees it.
+/// Configuration of a client of one service that is reached through agents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientConfig {
-    /// Addresses of the agents; everywhere else an agent is named by its index in this list.
+    /// Addresses of the agents. All other APIs identify an agent by its index in this list.
     pub agents: Vec<SocketAddr>,
-    /// The request classes of the service; a class is named by its index in this list.
+    /// The request classes of the service. Other APIs identify a class by its index in this list.
     pub classes: Vec<RequestClass>,
-    /// Whether a retry is marked as such (`r=1`) in its statement.
+    /// Whether the statement of a retry carries the retry marker (`r=1`).
     pub marks_retries: bool,
     /// When and how often a call is attempted again.
     pub retry: RetryPolicy,
-    /// The connections to each agent.
+    /// Limits and timeouts of the connections to each agent.
     pub connections: ConnectionPolicy,
     /// The limits on calls in flight and on calls that queue for a connection.
     pub concurrency: ConcurrencyPolicy,
-    /// The longest value that is accepted, in bytes; a longer one is a malformed response.
+    /// The longest value accepted in a response, in bytes. A response with a longer value is
+    /// malformed.
     pub max_value_bytes: usize,
 }
 
 impl ClientConfig {
-    /// The longest value that is accepted unless configured otherwise, in bytes.
+    /// The default of `max_value_bytes`.
     const DEFAULT_MAX_VALUE_BYTES: usize = 64 * 1024;
 
-    /// A service with these agents and classes, and defaults for all else.
+    /// Creates a configuration with these agents and classes and defaults for everything else.
     pub fn new(agents: Vec<SocketAddr>, classes: Vec<RequestClass>) -> ClientConfig {
         ClientConfig {
             agents,
@@ -40,37 +41,37 @@
         }
     }
 
-    /// The index of the class with this name, if the service has one.
+    /// Returns the index of the class with this name, or `None` if the service has no such class.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 }
 
-/// A kind of request, and what its responses are worth.
+/// A class of requests that share idempotency, latency objective and priority.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The name in the statements sent to the agents.
+    /// The name of the class in the statements sent to the agents.
     pub name: String,
     /// Whether a request of this class may run more than once.
     pub idempotency: Idempotency,
-    /// A response that takes longer counts against the concurrency limit.
+    /// A call that takes longer counts as a sign of overload and lowers the concurrency limit.
     pub latency_objective: Duration,
-    /// The value of a response within the latency objective; the class with the least is shed
-    /// first.
+    /// The relative value of a response within the latency objective. The class with the lowest
+    /// weight is shed first.
     pub priority_weight: f64,
 }
 
 /// When and how often a call is attempted again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Attempts of one call, the first among them.
+    /// The maximum number of attempts of one call, including the first.
     pub max_attempts: u32,
-    /// Retry tokens that each successful request earns; a retry costs one. A tenth multiplies the
-    /// load by 1.1 at most.
+    /// Retry tokens that each successful request earns; a retry costs one token. With 0.1, retries
+    /// multiply the load by at most 1.1.
     pub tokens_per_success: f64,
-    /// Retry tokens that are kept at most, and held at the start.
+    /// The maximum number of retry tokens, and the number available at startup.
     pub max_tokens: f64,
-    /// The longest backoff before the first retry; doubled at each further one.
+    /// The upper bound of the backoff before the first retry. It doubles with each further retry.
     pub initial_backoff: Duration,
     /// The limit on the doubled backoff.
     pub max_backoff: Duration,
@@ -88,24 +89,26 @@
     }
 }
 
-/// The connections to each agent.
+/// Limits and timeouts of the connections to each agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionPolicy {
-    /// Connections that are opened ahead of the first call.
+    /// The number of connections to each agent that are opened before the first call.
     pub min_connections: usize,
-    /// Connections that are open at most, those in use among them.
+    /// The maximum number of open connections to an agent, including those in use.
     pub max_connections: usize,
-    /// A connection idle for longer is closed. Has to be less than the agent's own limit.
+    /// A connection that was idle for longer is closed. Must be shorter than the agent's own idle
+    /// timeout.
     pub idle_timeout: Duration,
-    /// A connection older than this is closed; up to a tenth earlier, at random.
+    /// The maximum age of a connection. The lifetime of each connection is up to a tenth shorter,
+    /// at random.
     pub max_lifetime: Duration,
-    /// How long opening a connection may take.
+    /// The time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Connections that are being opened at once, at most.
+    /// The maximum number of connections to an agent that are being opened at the same time.
     pub max_connecting: usize,
-    /// Connections that are opened in a second, at most.
+    /// The maximum rate at which connections to an agent are opened.
     pub connects_per_second: f64,
-    /// After an agent was lost, the first new connection waits for a random part of this.
+    /// After an agent was lost, the first reconnect is delayed by a random fraction of this.
     pub reconnect_spread: Duration,
 }
 
@@ -127,13 +130,13 @@
 /// The limits on calls in flight and on calls that queue for a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConcurrencyPolicy {
-    /// The adaptive limit on calls in flight never falls below this.
+    /// The lower bound of the adaptive limit on calls in flight.
     pub min_limit: f64,
-    /// The adaptive limit on calls in flight never grows beyond this.
+    /// The upper bound of the adaptive limit on calls in flight.
     pub max_limit: f64,
-    /// Calls that queue for a connection at most.
+    /// The maximum number of calls that queue for a connection.
     pub max_queued: usize,
-    /// How long a call may queue for a connection.
+    /// The maximum time that a call may queue for a connection.
     pub queue_timeout: Duration,
 }
 
--- a/crates/client-policy/src/lib.rs
+++ b/crates/client-policy/src/lib.rs
@@ -1,13 +1,14 @@
-//! The decisions of a careful client of the agents, and the parsing of their responses.
+//! The client-side policies (retries, agent selection, connection pacing, load shedding) and the
+//! parser of the agents' responses.
 //!
-//! The crate is pure: it opens no sockets and reads no clock. Times are [`Duration`]s since one
-//! fixed zero that the caller chooses; `tulipwall-client` performs the I/O that is decided here.
+//! The crate is pure: it opens no sockets and reads no clock. Times are [`Duration`]s since an
+//! origin that the caller chooses; `tulipwall-client` performs the I/O.
 //!
 //! - [`RetryController`]: whether and when a call is attempted again.
-//! - [`AgentSelector`]: which agent an attempt goes to, how an agent that failed is probed, and
-//!   when a new connection may be opened.
+//! - [`AgentSelector`]: which agent an attempt goes to, how a failed agent is probed, and when a
+//!   new connection may be opened.
 //! - [`ConcurrencyLimit`]: how many calls may be in flight, and which are shed first.
-//! - [`response`]: the bytes of a response, however hostile.
+//! - [`response`]: an incremental parser for responses, which may come from an untrusted peer.
 //!
 //! [`Duration`]: std::time::Duration
 #![warn(missing_docs)]
--- a/crates/client-policy/src/response/error.rs
+++ b/crates/client-policy/src/response/error.rs
@@ -1,53 +1,54 @@
-//! What can be wrong with the bytes of a response.
+//! The errors of the response parser.
 
 use thiserror::Error;
 
-/// Why bytes from an agent are no response.
+/// Why the bytes received from an agent are not a valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ProtocolError {
-    /// The length that a message states is impossible or beyond the limit.
-    #[error("a message states a length of {length} bytes; 4 to {limit} are expected")]
+    /// The length field of a message is below the minimum or above the limit.
+    #[error("invalid message length {length}, expected 4 to {limit} bytes")]
     FrameLength {
-        /// The stated length in bytes, which counts itself.
+        /// The value of the length field in bytes, which includes the field itself.
         length: usize,
-        /// The longest that is accepted.
+        /// The largest accepted length, in bytes.
         limit: usize,
     },
-    /// The messages beside the value go on without end.
-    #[error("the messages beside the value exceed {limit} bytes")]
+    /// The messages other than the value take too many bytes in total.
+    #[error("the messages other than the value exceed {limit} bytes")]
     TooManyBytes {
-        /// The bytes that are accepted.
+        /// The accepted number of bytes.
         limit: usize,
     },
-    /// The notices go on without end.
-    #[error("more than {limit} notices came with one response")]
+    /// The response contains too many notices.
+    #[error("the response contains more than {limit} notices")]
     TooManyNotices {
-        /// The notices that are accepted.
+        /// The accepted number of notices.
         limit: u32,
     },
-    /// The agent asks for a login that this library does not know, or at the wrong time.
-    #[error("the agent asks for an unsupported authentication")]
+    /// The agent requests an authentication method that this library does not support, or requests
+    /// authentication at the wrong time.
+    #[error("the agent requests an unsupported authentication method")]
     UnsupportedAuthentication,
-    /// A message that may not come at this point, or not with this body.
+    /// The message is not allowed at this point, or not with this body.
     #[error("unexpected message with tag {:?}", char::from(*.tag))]
     UnexpectedMessage {
         /// The first byte of the message.
         tag: u8,
     },
-    /// The agent is ready before its response was whole.
-    #[error("ready in the middle of a response")]
+    /// The agent reported that it is ready before its response was complete.
+    #[error("unexpected ready message before the end of the response")]
     IncompleteResponse,
-    /// A row description that is not of exactly one column.
-    #[error("malformed row description; one column is expected")]
+    /// The row description does not describe exactly one column.
+    #[error("malformed row description, expected one column")]
     MalformedRowDescription,
-    /// A data row whose lengths do not fit, or whose value is too long.
-    #[error("malformed data row; one value of at most {limit} bytes is expected")]
+    /// The lengths in the data row are inconsistent, or its value is too long.
+    #[error("malformed data row, expected one value of at most {limit} bytes")]
     MalformedDataRow {
-        /// The longest value that is accepted, in bytes.
+        /// The longest accepted value, in bytes.
         limit: usize,
     },
-    /// An error message that is too long, not terminated, or without a code.
-    #[error("malformed error message; a code of five characters is expected")]
+    /// The error message is too long, is not terminated, or has no code.
+    #[error("malformed error message, expected a code of five characters")]
     MalformedError,
 }
--- a/crates/client-policy/src/response/frame.rs
+++ b/crates/client-policy/src/response/frame.rs
@@ -1,38 +1,38 @@
-//! Single messages of the PostgreSQL protocol, as an agent sends them.
+//! Parsing of single PostgreSQL protocol messages sent by an agent.
 
 use super::{ProtocolError, Response};
 use std::time::Duration;
 
-/// The longest body of an error message, in bytes.
+/// The longest accepted body of an error message, in bytes.
 pub const MAX_ERROR_BYTES: usize = 16 * 1024;
-/// The tag byte and the length of a message.
+/// The size of a message header: the tag byte and the length field.
 const HEADER_BYTES: usize = 5;
-/// The length of a message counts its own four bytes.
+/// The size of the length field, which the length of a message includes.
 const LENGTH_BYTES: usize = 4;
 /// The longest command tag, in bytes.
 const MAX_COMMAND_TAG_BYTES: usize = 256;
-/// What follows the name of a column: its table, type, size and format.
+/// The size of the column attributes after a column's name: table, type, size and format.
 const COLUMN_ATTRIBUTE_BYTES: usize = 18;
-/// The number of columns and the length of the first value.
+/// The size of a data row's header: the number of columns and the length of the first value.
 const ROW_HEADER_BYTES: usize = 6;
-/// A count of one column or value.
+/// The encoded count of one column or value.
 const ONE: [u8; 2] = [0, 1];
-/// The longest retry-after that is believed: a day.
+/// A longer retry-after is shortened to one day.
 const MAX_RETRY_AFTER_MS: u64 = 86_400_000;
-/// The request was rejected before it ran: `too_many_connections`.
+/// The SQLSTATE of a request that was rejected before it ran: `too_many_connections`.
 const CODE_REJECTED: &str = "53300";
-/// The agent shuts down: `cannot_connect_now`.
+/// The SQLSTATE of an agent that is shutting down: `cannot_connect_now`.
 const CODE_DRAINING: &str = "57P03";
 
-/// One message.
+/// A complete message.
 pub struct Frame<'a> {
     pub tag: u8,
     pub body: &'a [u8],
-    /// Bytes of the whole message.
+    /// The size of the whole message in bytes, including its header.
     pub length: usize,
 }
 
-/// The message at the head of `bytes`; `None` while it is not whole.
+/// Parses the message at the start of `bytes`; `None` if it is incomplete.
 pub fn next_frame(bytes: &[u8], max_body: usize) -> Result<Option<Frame<'_>>, ProtocolError> {
     let Some(header) = bytes.get(..HEADER_BYTES) else {
         return Ok(None);
@@ -50,7 +50,7 @@
     }))
 }
 
-/// Whether this is the terminated text of a completed command.
+/// Returns whether `body` is a command tag: a text that ends with the only zero byte.
 pub fn is_command_tag(body: &[u8]) -> bool {
     let Some((terminator, text)) = body.split_last() else {
         return false;
@@ -58,7 +58,7 @@
     body.len() <= MAX_COMMAND_TAG_BYTES && *terminator == 0 && !text.contains(&0)
 }
 
-/// Accepts the description of a row of one column, whatever its name.
+/// Checks that a row description describes exactly one column, whatever its name.
 pub fn check_row_description(body: &[u8]) -> Result<(), ProtocolError> {
     let malformed = ProtocolError::MalformedRowDescription;
     let (count, column) = body.split_at_checked(ONE.len()).ok_or(malformed)?;
@@ -70,7 +70,7 @@
     }
 }
 
-/// The value of a row of one column.
+/// Parses a data row of one column and returns its value.
 pub fn parse_data_row(body: &[u8], max_value_bytes: usize) -> Result<Vec<u8>, ProtocolError> {
     let malformed = ProtocolError::MalformedDataRow {
         limit: max_value_bytes,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The response that an error message stands for.
+/// Parses an error message into the response that its code stands for.
 pub fn parse_error(body: &[u8]) -> Result<Response, ProtocolError> {
     let malformed = ProtocolError::MalformedError;
     if body.len() > MAX_ERROR_BYTES {
@@ -106,14 +106,14 @@
     })
 }
 
-/// The text of the first field of this type.
+/// Returns the text of the first field of this type, or `None` if there is none.
 fn error_field(fields: &[u8], field_type: u8) -> Option<String> {
     let mut fields = fields.split(|b| *b == 0);
     let field = fields.find(|field| field.first() == Some(&field_type))?;
     Some(String::from_utf8_lossy(&field[1..]).into_owned())
 }
 
-/// A detail that is no number of milliseconds names no time.
+/// Parses a retry-after in milliseconds; `None` if the text is not a number.
 fn parse_retry_after(detail: &str) -> Option<Duration> {
     let milliseconds = detail.trim().parse::<u64>().ok()?;
     Some(Duration::from_millis(milliseconds.min(MAX_RETRY_AFTER_MS)))
--- a/crates/client-policy/src/response/mod.rs
+++ b/crates/client-policy/src/response/mod.rs
@@ -1,5 +1,5 @@
-//! The bytes that an agent sends, parsed as they come and bounded in number. Whatever does not fit
-//! the protocol is a [`ProtocolError`], never a value.
+//! An incremental parser for the responses of an agent. It bounds the number of bytes and messages
+//! it accepts. Input that violates the protocol yields a [`ProtocolError`], never a value.
 
 mod error;
 mod frame;
@@ -12,35 +12,35 @@
 };
 use std::time::Duration;
 
-/// Notices, parameters and the like that may come with a response.
+/// The maximum number of notices, parameter statuses and key data messages in one response.
 const MAX_NOTICES: u32 = 64;
-/// Bytes that all messages of a response but its value may hold together.
+/// The maximum total size of all messages of a response except the one with its value.
 const MAX_OVERHEAD_BYTES: usize = 64 * 1024;
 
-/// What a whole response says.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// A value.
+    /// The request succeeded and returned this value.
     Value(Vec<u8>),
     /// The agent rejected the request before it ran (53300).
     Rejected {
-        /// The time before which the agent wants no retry, where it named one.
+        /// How long the agent asks to wait before a retry; `None` if it did not say.
         retry_after: Option<Duration>,
     },
-    /// The agent shuts down and rejected the request before it ran (57P03).
+    /// The agent is shutting down and rejected the request before it ran (57P03).
     Draining,
-    /// Another error.
+    /// The agent responded with any other error.
     Error {
-        /// The SQLSTATE code, of five characters.
+        /// The SQLSTATE code, five characters long.
         code: String,
-        /// The text for people; may be empty.
+        /// The human-readable message; may be empty.
         message: String,
     },
-    /// The agent is ready; the response to a startup message or an empty query.
+    /// The agent is ready. This is the response to a startup message or an empty query.
     Ready,
 }
 
-/// Parses one response, from bytes that may come in any pieces.
+/// Parses one response from bytes that may arrive in pieces of any size.
 #[derive(Debug)]
 pub struct ResponseParser {
     max_value_bytes: usize,
@@ -50,12 +50,12 @@
     value: Option<Vec<u8>>,
     command_complete: bool,
     error: Option<Response>,
-    /// An authentication or an empty query's response has come.
+    /// Whether the authentication, or the response to an empty query, was received.
     session_ready: bool,
 }
 
 impl ResponseParser {
-    /// A parser of one response whose value has this many bytes at most.
+    /// Creates a parser for one response whose value has at most this many bytes.
     pub fn new(max_value_bytes: usize) -> ResponseParser {
         ResponseParser {
             max_value_bytes,
@@ -69,18 +69,19 @@
         }
     }
 
-    /// Whether any message of the response has come.
+    /// Returns whether any message of the response was received.
     pub fn started(&self) -> bool {
         self.in_result() || self.notices > 0 || self.session_ready
     }
 
-    /// Parses the whole messages at the head of `bytes`. Returns how many bytes they took, and the
-    /// response once it is whole; the bytes that are left belong to the next call.
+    /// Parses the complete messages at the start of `bytes`. Returns the number of bytes consumed,
+    /// and the response once it is complete. The caller passes the remaining bytes, followed by
+    /// those received next, to the next call.
     ///
     /// # Errors
     ///
-    /// The first message that does not fit the protocol or exceeds a bound. The connection is of no
-    /// further use then.
+    /// Returns an error for the first message that violates the protocol or exceeds a bound. The
+    /// connection must not be used any more.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<(usize, Option<Response>), ProtocolError> {
         let max_body = self.max_value_bytes + MAX_ERROR_BYTES;
         let mut consumed = 0;
@@ -101,13 +102,14 @@
         Ok((consumed, None))
     }
 
-    /// The connection has ended: the error that was received, if any. An error that ends the
-    /// connection needs nothing behind it; half of any other response is none.
+    /// Ends parsing because the connection was closed. Returns the error response that was
+    /// received, if any: a fatal error closes the connection without a ready message. Any other
+    /// incomplete response is dropped.
     pub fn finish(&mut self) -> Option<Response> {
         self.error.take()
     }
 
-    /// Whether a result or an error has begun.
+    /// Returns whether a result or an error was received at least in part.
     fn in_result(&self) -> bool {
         self.row_described || self.error.is_some()
     }
@@ -131,7 +133,7 @@
             b'C' if self.value.is_some() && !self.command_complete && is_command_tag(body) => {
                 self.command_complete = true;
             }
-            // The response to an empty query, which this library never sends.
+            // The response to an empty query. This library never sends one.
             b'I' if !in_result && body.is_empty() => self.session_ready = true,
             b'E' if self.error.is_none() => self.error = Some(parse_error(body)?),
             b'Z' if matches!(body, [b'I' | b'T' | b'E']) => return self.on_ready().map(Some),
@@ -148,7 +150,7 @@
         Ok(())
     }
 
-    /// The agent is ready for the next request, which ends the response to this one.
+    /// Handles the ready message, which ends the response to the current request.
     fn on_ready(&mut self) -> Result<Response, ProtocolError> {
         if let Some(error) = self.error.take() {
             return Ok(error);
--- a/crates/client-policy/src/retries.rs
+++ b/crates/client-policy/src/retries.rs
@@ -1,12 +1,13 @@
-//! Whether a call is attempted again, and when.
+//! Decides whether a call is attempted again, and when.
 //!
 //! A non-idempotent request is sent again only if it provably never ran: its last byte was not
-//! written, or the agent rejected it before it ran. A request deduplicated among all endpoints may
-//! be sent again within its window, counted from the first attempt that may have run; one
-//! deduplicated within a zone or cell may not, as the next agent may choose another. Idempotent
-//! requests may always. Each retry costs a token of its agent and one of the client; tokens are
-//! earned by successful requests, so that retries stay a tenth of what succeeds and cease when
-//! nothing does.
+//! written, or the agent rejected it before it ran. A request that is deduplicated among all
+//! endpoints may be sent again within its window, counted from the first attempt that may have run.
+//! A request that is deduplicated within a zone or cell may not, because the next agent may choose
+//! another zone or cell. An idempotent request may always be sent again.
+//!
+//! Each retry costs one token of its agent and one of the client. Successful requests earn tokens,
+//! so that retries stay at a tenth of the successes and stop when nothing succeeds.
 
 use crate::attempts::{AttemptHistory, AttemptOutcome, GiveUpReason};
 use crate::config::RetryPolicy;
@@ -14,32 +15,33 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Tokens that one retry costs.
+/// The number of tokens that one retry costs.
 const RETRY_COST: f64 = 1.0;
-/// The backoff is doubled this many times at most, which keeps the factor within 32 bits.
+/// The backoff doubles at most this many times, which keeps the factor within 32 bits.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// What follows an attempt that ended without a value.
+/// The decision after an attempt that returned no value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// The call is attempted again at this time.
+    /// Attempt the call again at this time.
     RetryAt(Duration),
-    /// The call is not attempted again.
+    /// Do not attempt the call again, for this reason.
     GiveUp(GiveUpReason),
 }
 
-/// Decides the retries of one client and accounts for their budget.
+/// Decides on the retries of one client and keeps its retry budget.
 #[derive(Debug)]
 pub struct RetryController {
     policy: RetryPolicy,
     client_tokens: f64,
-    /// By agent index.
+    /// The retry tokens of each agent, indexed by agent.
     agent_tokens: Vec<f64>,
     rng: Pcg64Mcg,
 }
 
 impl RetryController {
-    /// A controller with a full budget. The seed determines the jitter of all backoffs.
+    /// Creates a controller with a full retry budget. The seed determines the jitter of all
+    /// backoffs.
     pub fn new(policy: RetryPolicy, agents: usize, seed: u64) -> RetryController {
         RetryController {
             client_tokens: policy.max_tokens,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// A request succeeded at this agent: it earns a part of a token.
+    /// Records a successful request at this agent, which earns `tokens_per_success` tokens.
     pub fn on_success(&mut self, agent: usize) {
         self.client_tokens = self.earn(self.client_tokens);
         if let Some(&tokens) = self.agent_tokens.get(agent) {
@@ -57,13 +59,13 @@
         }
     }
 
-    /// Tokens left for retries at all agents together.
+    /// Returns the client's remaining tokens, which bound the retries at all agents together.
     pub fn available_tokens(&self) -> f64 {
         self.client_tokens
     }
 
-    /// Decides what follows an attempt at this agent that ended so. Spends a token if the call is
-    /// attempted again.
+    /// Decides whether to retry after an attempt at this agent ended with this outcome. A retry
+    /// spends a token, except for the single immediate resend after a stale connection.
     pub fn decide(
         &mut self,
         now: Duration,
@@ -88,8 +90,8 @@
             history.mark_possibly_executed();
         }
         history.check_repeatable(now)?;
-        // The agent closed an idle connection while the request was on its way: it is sent once
-        // more at once, outside all counts.
+        // The agent closed an idle connection while the request was in transit. The request is
+        // resent once, immediately, without counting against the attempt limit or the budget.
         if outcome == AttemptOutcome::StaleConnection && history.take_resend() {
             return check_schedule(now, history);
         }
@@ -102,8 +104,8 @@
         Ok(at)
     }
 
-    /// When the backoff after this outcome ends: the agent's own retry-after, and a random part of
-    /// the backoff beyond it.
+    /// Computes the end of the backoff after this outcome: the agent's retry-after, if any, plus a
+    /// random part of the client's own backoff.
     fn backoff_end(
         &mut self,
         now: Duration,
@@ -114,20 +116,21 @@
             AttemptOutcome::Rejected { retry_after } => retry_after.unwrap_or_default(),
             _ => Duration::ZERO,
         };
-        // Many clients were given the same retry-after: beyond it they spread over as long again.
+        // Many clients may have received the same retry-after. To avoid a burst when it ends, they
+        // spread over at least the same length of time again.
         let spread = self.max_backoff(history.attempts).max(retry_after);
         let jitter = spread.mul_f64(self.rng.gen_range(0.0..1.0));
         let earliest = now.saturating_add(retry_after);
         if earliest >= history.deadline {
             return Err(GiveUpReason::Deadline);
         }
-        // The client's own backoff takes half of the time that is left at most, so that it never
-        // costs the last chance.
+        // The client's own backoff uses at most half of the remaining time, so that it never delays
+        // a retry past the deadline.
         let latest = earliest + (history.deadline - earliest) / 2;
         Ok(earliest.saturating_add(jitter).min(latest))
     }
 
-    /// The longest backoff after this many attempts.
+    /// Returns the upper bound of the backoff after this many attempts.
     fn max_backoff(&self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
         let doubled = self.policy.initial_backoff.saturating_mul(1 << doublings);
@@ -152,7 +155,7 @@
     }
 }
 
-/// This time, if the call may still be sent then.
+/// Returns `at` if the call may still be sent at that time.
 fn check_schedule(at: Duration, history: &AttemptHistory) -> Result<Duration, GiveUpReason> {
     history.check_repeatable(at)?;
     if at >= history.deadline {
--- a/crates/client-policy/tests/agents.rs
+++ b/crates/client-policy/tests/agents.rs
@@ -1,4 +1,4 @@
-//! Which agent a call goes to, case by case.
+//! Tests of the agent selection: load, ejection, probing, and the pacing of connections.
 
 use std::time::Duration;
 use tulipwall_client_policy::*;
@@ -14,19 +14,19 @@
 #[test]
 fn sends_fewer_calls_to_a_slow_agent() {
     let mut selector = selector(3, 1);
-    // The third answers ten times slower: by turns of a millisecond.
+    // The third agent responds ten times slower than the others. Each iteration is one millisecond.
     let (mut in_flight, mut calls): (Vec<(u64, usize)>, [u32; 3]) = (Vec::new(), [0; 3]);
     for now in 0..5000u64 {
         if let Selection::Agent(agent) = selector.select(ms(now), None, |_| true) {
             calls[agent] += 1;
             in_flight.push((now + if agent == 2 { 50 } else { 5 }, agent));
         }
-        in_flight.retain(|(at, agent)| {
-            let over = *at <= now;
-            if over {
+        in_flight.retain(|(end, agent)| {
+            let ended = *end <= now;
+            if ended {
                 selector.on_attempt_end(ms(now), *agent, AttemptSignal::Success);
             }
-            !over
+            !ended
         });
     }
     assert!(calls[2] * 3 < calls[0], "{calls:?}");
@@ -40,7 +40,7 @@
         selector.on_attempt_end(ms(0), 0, AttemptSignal::Failure);
     }
     let Selection::NotBefore(until) = selector.select(ms(0), None, |_| true) else {
-        panic!("it rests")
+        panic!("expected the agent to be ejected")
     };
     assert!(until >= ms(50) && until <= ms(100));
     assert_eq!(selector.select(until, None, |_| true), Selection::Agent(0));
@@ -49,7 +49,7 @@
             selector.select(until, None, |_| true),
             Selection::NotBefore(_)
         ),
-        "one at a time"
+        "expected one probe at a time"
     );
     selector.on_attempt_end(until, 0, AttemptSignal::Success);
     assert_eq!(
@@ -60,7 +60,7 @@
     selector.on_attempt_end(until, 0, AttemptSignal::Failure);
     assert!(
         matches!(selector.health(0), AgentHealth::Ejected { until: at } if at > until),
-        "and rests again at the first failure"
+        "expected a new ejection at the first failure while probing"
     );
 }
 
@@ -71,7 +71,7 @@
     selector.on_draining(ms(0), 0);
     assert!(
         (0..50).all(|_| selector.select(ms(0), Some(1), |_| true) == Selection::Agent(1)),
-        "the only one that is left"
+        "expected the excluded agent, as no other is left"
     );
 }
 
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn tells_an_agent_that_makes_room_from_one_that_is_lost() {
+fn reconnects_sooner_to_an_agent_that_evicts_idle_connections_than_to_a_lost_one() {
     let reconnect_wait = |selector: &mut AgentSelector, now| match selector.try_connect(now, 0) {
         ConnectDecision::NotBefore(at) => at - now,
         _ => ms(0),
@@ -102,14 +102,17 @@
             reconnect_wait(&mut selector, ms(1000))
         })
         .collect();
-    assert!(first.iter().max() > Some(&ms(2500)), "as after a loss");
+    assert!(
+        first.iter().max() > Some(&ms(2500)),
+        "expected the full reconnect spread, as after a loss"
+    );
     let mut selector = selector(1, 7);
     selector.on_idle_close(ms(1000), 0);
     selector.on_idle_close(ms(9000), 0);
     assert!(reconnect_wait(&mut selector, ms(9000)) <= ms(300));
 }
 
-/// When so many clients, cut at once, open their first connection again.
+/// When each of this many clients reconnects after all lost their connections at the same time.
 fn reconnect_times(clients: u64) -> Vec<Duration> {
     let open = |seed| {
         let mut selector = selector(1, seed);
@@ -117,7 +120,7 @@
         match selector.try_connect(ms(1000), 0) {
             ConnectDecision::NotBefore(at) => at,
             ConnectDecision::Connect => ms(1000),
-            ConnectDecision::AtLimit => panic!("nothing is being opened"),
+            ConnectDecision::AtLimit => panic!("unexpected limit: no connection is being opened"),
         }
     };
     (0..clients).map(open).collect()
@@ -135,10 +138,10 @@
             .filter(|t| t.as_millis() as u64 / 100 == 10 + n)
             .count()
     };
-    let (fullest, mean) = ((0..30).map(each).max().unwrap(), 10_000.0 / 30.0);
+    let (peak, mean) = ((0..30).map(each).max().unwrap(), 10_000.0 / 30.0);
     assert!(
-        fullest as f64 / mean < 1.3,
-        "{fullest} in the fullest 100 ms, {mean} in the mean"
+        peak as f64 / mean < 1.3,
+        "at most {peak} reconnects in 100 ms, {mean} on average"
     );
 }
 
@@ -157,13 +160,16 @@
             (0..4).for_each(|_| selector.on_connect_end(ms(0), 0, true));
         }
     }
-    assert!((45..=54).contains(&opened), "fifty a second: {opened}");
+    assert!(
+        (45..=54).contains(&opened),
+        "expected about 50 connections per second, found {opened}"
+    );
     selector.on_connect_end(ms(1000), 0, false);
     assert!(
         matches!(
             selector.try_connect(ms(1000), 0),
             ConnectDecision::NotBefore(_)
         ),
-        "after a refusal it waits"
+        "expected a delay after a failed connect"
     );
 }
--- a/crates/client-policy/tests/concurrency.rs
+++ b/crates/client-policy/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! The limit on calls in flight, case by case.
+//! Tests of the adaptive limit on calls in flight.
 
 use std::time::Duration;
 use tulipwall::Idempotency;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn sheds_the_least_weight_first_and_always_admits_one() {
+fn sheds_the_lowest_weight_first_and_always_admits_one() {
     let mut limit = ConcurrencyLimit::new(
         ConcurrencyPolicy {
             min_limit: 10.0,
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn follows_what_the_agents_can_bear() {
-    // They bear 40 at once; beyond that they reject.
+fn adapts_to_the_capacity_of_the_agents() {
+    // The agents process 40 calls at the same time and reject any further ones.
     let mut limit = ConcurrencyLimit::new(
         ConcurrencyPolicy {
             max_limit: 500.0,
--- a/crates/client-policy/tests/response.rs
+++ b/crates/client-policy/tests/response.rs
@@ -1,4 +1,4 @@
-//! Responses of an agent, parsed as they come in.
+//! Tests of the incremental response parser.
 
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
@@ -38,8 +38,8 @@
     assert_eq!(whole, (bytes.len(), Some(Response::Value(vec![7; 300]))));
     let (mut parser, mut from, mut response) = (ResponseParser::new(1000), 0, None);
     for to in 0..=bytes.len() {
-        let (consumed, s) = parser.feed(&bytes[from..to]).unwrap();
-        (from, response) = (from + consumed, s);
+        let (consumed, parsed_response) = parser.feed(&bytes[from..to]).unwrap();
+        (from, response) = (from + consumed, parsed_response);
     }
     assert_eq!(response, Some(Response::Value(vec![7; 300])));
     let response = |fields: &[u8]| {
@@ -70,23 +70,23 @@
 }
 
 #[test]
-fn rejects_what_does_not_fit_and_never_takes_it_for_a_value() {
+fn rejects_malformed_responses_and_never_takes_one_for_a_value() {
     let intact = value_response(&[1, 2, 3]);
-    let mut wrong: Vec<Vec<u8>> = vec![
-        value_response(&[0; 2000]),                   // longer than a value may be
-        [&intact[..31], &intact[31 + 10..]].concat(), // no row at all
-        [message(b'D', &[0, 1, 0, 0, 0, 1, 9]), intact.clone()].concat(), // a row before its description
-        [intact[..intact.len() - 6].to_vec(), intact.clone()].concat(),   // two answers in one
-        b"Z\0\0\0\x05I".to_vec(),                                         // ready without an answer
+    let mut malformed: Vec<Vec<u8>> = vec![
+        value_response(&[0; 2000]),                   // value too long
+        [&intact[..31], &intact[31 + 10..]].concat(), // no data row
+        [message(b'D', &[0, 1, 0, 0, 0, 1, 9]), intact.clone()].concat(), // data row before its description
+        [intact[..intact.len() - 6].to_vec(), intact.clone()].concat(), // two results in one response
+        b"Z\0\0\0\x05I".to_vec(),                                       // ready without a result
         b"D\xff\xff\xff\xff".to_vec(),
         b"D\0\0\0\0".to_vec(),
         b"HTTP/1.1 200 OK\r\n\r\n".to_vec(),
         message(b'R', &[0, 0, 0, 5]),
         error_response(b"C533"),
     ];
-    wrong.push((0..100).flat_map(|_| message(b'N', b"x\0\0")).collect());
-    wrong.push((0..10).flat_map(|_| message(b'S', &[b'x'; 9000])).collect());
-    for bytes in wrong {
+    malformed.push((0..100).flat_map(|_| message(b'N', b"x\0\0")).collect());
+    malformed.push((0..10).flat_map(|_| message(b'S', &[b'x'; 9000])).collect());
+    for bytes in malformed {
         let parsed = ResponseParser::new(1000).feed(&bytes);
         assert!(
             parsed.is_err() || parsed == Ok((0, None)) && bytes.len() < 5,
@@ -106,7 +106,10 @@
             .iter()
             .for_each(|(at, with)| flipped[*at as usize % length] ^= with);
         if let Ok((_, Some(Response::Value(v)))) = ResponseParser::new(100_000).feed(&flipped) {
-            assert!(v.len() == bytes.len(), "its own length is held to");
+            assert!(
+                v.len() == bytes.len(),
+                "expected the length of the original value"
+            );
         }
     }
     let mut check = QuickCheck::new()
--- a/crates/client-policy/tests/retries.rs
+++ b/crates/client-policy/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: what may go again, when, and how many.
+//! Tests of the retry decisions: which calls are retried, when, and how often.
 
 use quickcheck::{Gen, QuickCheck};
 use std::time::Duration;
@@ -52,8 +52,8 @@
             !outcome.may_have_executed(),
             "{outcome:?}: {decision:?}"
         );
-        // A later end of which it is known that it never ran does not help one that may have run
-        // before.
+        // A later attempt that provably never ran does not make the call repeatable again: the
+        // earlier attempt may have run.
         if !is_retried {
             history.on_attempt_start(ms(20));
             let later = controller.decide(ms(30), &mut history, 0, AttemptOutcome::NotSent);
@@ -77,7 +77,7 @@
             decision,
             RetryDecision::GiveUp(GiveUpReason::DeduplicationWindowExpired)
         ),
-        "its pause would end after it: {decision:?}"
+        "the backoff would end after the deduplication window: {decision:?}"
     );
     assert_eq!(
         history.check_repeatable(ms(500)),
@@ -115,7 +115,7 @@
     }
     assert!(
         sent <= 10_000 + 10,
-        "{sent}: only what was kept at the start"
+        "{sent} attempts, expected retries only from the initial tokens"
     );
     let mut controller = RetryController::new(RetryPolicy::default(), 2, 3);
     let mut sent = 0;
@@ -159,7 +159,7 @@
         }
     }
     assert!(times.iter().all(|t| (ms(400)..ms(800)).contains(t)));
-    let fullest = (0..8)
+    let peak = (0..8)
         .map(|n| {
             times
                 .iter()
@@ -168,8 +168,8 @@
         })
         .max();
     assert!(
-        fullest.unwrap() < 50,
-        "two hundred at once come back spread: {fullest:?} in 50 ms"
+        peak.unwrap() < 50,
+        "expected 200 rejected calls to spread their retries, found {peak:?} in 50 ms"
     );
     let (mut controller, mut history) = (
         RetryController::new(RetryPolicy::default(), 1, 1),
@@ -188,7 +188,7 @@
     assert_eq!(
         controller.available_tokens(),
         RetryPolicy::default().max_tokens,
-        "which costs no token"
+        "expected no token to be spent"
     );
 }
 
@@ -218,8 +218,8 @@
 }
 
 #[test]
-fn never_attempts_past_the_deadline_or_twice_where_it_must_not() {
-    fn play(seed: u64, script: Vec<(u8, u8)>) {
+fn never_attempts_past_the_deadline_or_repeats_a_non_repeatable_call() {
+    fn run_script(seed: u64, script: Vec<(u8, u8)>) {
         let mut controller = RetryController::new(
             RetryPolicy {
                 max_tokens: 1e9,
@@ -228,24 +228,24 @@
             3,
             seed,
         );
-        let kinds = [
+        let histories = [
             non_idempotent(),
             keyed(DeduplicationScope::All),
             keyed(DeduplicationScope::Zone),
             AttemptHistory::new(Idempotency::Idempotent, ms(2000)),
         ];
-        let mut history = kinds[seed as usize % 4].clone();
+        let mut history = histories[seed as usize % 4].clone();
         let (mut now, mut ran): (Duration, Option<Duration>) = (ms(0), None);
-        for (how, took) in script {
+        for (outcome_index, duration) in script {
             history.on_attempt_start(now);
-            let began = now;
-            now += ms(u64::from(took) * 4);
-            let outcome = ALL[how as usize % ALL.len()];
+            let started = now;
+            now += ms(u64::from(duration) * 4);
+            let outcome = ALL[outcome_index as usize % ALL.len()];
             if outcome.may_have_executed() {
-                ran.get_or_insert(began);
+                ran.get_or_insert(started);
             }
             let RetryDecision::RetryAt(at) =
-                controller.decide(now, &mut history, how as usize % 4, outcome)
+                controller.decide(now, &mut history, outcome_index as usize % 4, outcome)
             else {
                 return;
             };
@@ -262,7 +262,7 @@
                     assert!(at < from + window);
                 }
                 (Idempotency::Keyed { .. }, ran) => {
-                    assert!(ran.is_none() || history.idempotency == kinds[1].idempotency)
+                    assert!(ran.is_none() || history.idempotency == histories[1].idempotency)
                 }
                 _ => {}
             }
@@ -272,5 +272,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 4))
         .tests(3000)
-        .quickcheck(play as fn(u64, Vec<(u8, u8)>));
+        .quickcheck(run_script as fn(u64, Vec<(u8, u8)>));
 }
