--- a/crates/client-policy/src/concurrency.rs
+++ b/crates/client-policy/src/concurrency.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Computes the fraction of the limit that each class may use. The class with the highest weight
+/// Computes the fraction of the limit that each class may use. The class of the highest weight
 /// may use the whole limit.
 fn class_shares(classes: &[RequestClass]) -> Vec<f64> {
     let weights = classes.iter().map(|class| class.priority_weight);
--- a/crates/client-policy/src/retries.rs
+++ b/crates/client-policy/src/retries.rs
@@ -53,9 +53,9 @@
 
     /// Records a successful request at this agent, which earns `tokens_per_success` tokens.
     pub fn on_success(&mut self, agent: usize) {
-        self.client_tokens = self.earn(self.client_tokens);
+        self.client_tokens = self.with_earned_tokens(self.client_tokens);
         if let Some(&tokens) = self.agent_tokens.get(agent) {
-            self.agent_tokens[agent] = self.earn(tokens);
+            self.agent_tokens[agent] = self.with_earned_tokens(tokens);
         }
     }
 
@@ -137,7 +137,7 @@
         doubled.min(self.policy.max_backoff)
     }
 
-    fn earn(&self, tokens: f64) -> f64 {
+    fn with_earned_tokens(&self, tokens: f64) -> f64 {
         (tokens + self.policy.tokens_per_success).min(self.policy.max_tokens)
     }
 
--- a/crates/client-policy/tests/agents.rs
+++ b/crates/client-policy/tests/agents.rs
@@ -21,8 +21,8 @@
             calls[agent] += 1;
             in_flight.push((now + if agent == 2 { 50 } else { 5 }, agent));
         }
-        in_flight.retain(|(end, agent)| {
-            let ended = *end <= now;
+        in_flight.retain(|(at, agent)| {
+            let ended = *at <= now;
             if ended {
                 selector.on_attempt_end(ms(now), *agent, AttemptSignal::Success);
             }
--- a/crates/client-policy/tests/response.rs
+++ b/crates/client-policy/tests/response.rs
@@ -75,9 +75,9 @@
     let mut malformed: Vec<Vec<u8>> = vec![
         value_response(&[0; 2000]),                   // value too long
         [&intact[..31], &intact[31 + 10..]].concat(), // no data row
-        [message(b'D', &[0, 1, 0, 0, 0, 1, 9]), intact.clone()].concat(), // data row before its description
-        [intact[..intact.len() - 6].to_vec(), intact.clone()].concat(), // two results in one response
-        b"Z\0\0\0\x05I".to_vec(),                                       // ready without a result
+        [message(b'D', &[0, 1, 0, 0, 0, 1, 9]), intact.clone()].concat(), // row before its description
+        [intact[..intact.len() - 6].to_vec(), intact.clone()].concat(),   // two results
+        b"Z\0\0\0\x05I".to_vec(),                                         // ready without a result
         b"D\xff\xff\xff\xff".to_vec(),
         b"D\0\0\0\0".to_vec(),
         b"HTTP/1.1 200 OK\r\n\r\n".to_vec(),
--- a/crates/client/examples/calls.rs
+++ b/crates/client/examples/calls.rs
@@ -1,4 +1,4 @@
-//! A server that reads and writes through the agents; here against a fake that it starts itself.
+//! Example of a server that reads and writes through the agents. It starts a fake agent itself.
 //!
 //!     cargo run -p tulipwall-client --example calls
 
@@ -24,8 +24,8 @@
     let sent = client.call(message);
     println!("send: {:?}", sent.map(|r| r.attempts.agents.len()));
 
-    // The agent closes the connection instead of answering: the payment may have run, and is not
-    // sent again.
+    // The agent closes the connection instead of responding. The payment may have run and is
+    // therefore not sent again.
     agent.update_behavior(|behavior| behavior.response = ResponseBehavior::Close);
     match client.call(Call::write("payment", "p-1", vec![1], TIMEOUT)) {
         Err(CallError::Failed { attempts, .. }) => {
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -1,10 +1,10 @@
-//! What the client library keeps and takes by how many agents it may call; the figures of
+//! Measures the memory of a client and the time of an agent selection by the number of agents, for
 //! `docs/CAPACITY.md`.
 //!
 //!     cargo run --release -p tulipwall-client --example capacity
 //!
-//! Memory is the growth of this process over so many idle clients, the time of a choice the mean
-//! over many, in a loop.
+//! The memory of a client is the growth of this process divided by the number of idle clients
+//! created. The time of a selection is the mean over many selections in a loop.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -17,23 +17,23 @@
 const CLIENTS: usize = 2000;
 const SELECTIONS: u64 = 200_000;
 
-/// A figure measured at a number of agents.
+/// A measured value and the number of agents it was measured with.
 #[derive(Clone, Copy)]
 struct Point {
     agents: f64,
     figure: f64,
 }
 
-/// A line through measured points.
+/// A linear fit of the measured points.
 struct LineFit {
     slope: f64,
     intercept: f64,
-    /// The largest distance of a point from the line.
+    /// The largest vertical distance of a point from the line.
     max_error: f64,
 }
 
 impl LineFit {
-    /// The line of least squares.
+    /// Computes the least-squares line.
     fn of(points: &[Point]) -> LineFit {
         let mean =
             |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / points.len() as f64;
@@ -54,13 +54,13 @@
     }
 }
 
-fn print_figures(what: &str, unit: &str, measure: impl Fn(usize) -> f64) {
+fn print_figures(label: &str, unit: &str, measure: impl Fn(usize) -> f64) {
     let points = AGENT_COUNTS.map(|agents| Point {
         agents: agents as f64,
         figure: measure(agents),
     });
     for Point { agents, figure } in points {
-        println!("{what:40} {agents:6} {figure:12.3} {unit}");
+        println!("{label:40} {agents:6} {figure:12.3} {unit}");
     }
     let LineFit {
         slope,
@@ -68,11 +68,11 @@
         max_error,
     } = LineFit::of(&points);
     println!(
-        "{what:40} slope {slope:.4} {unit}, from {intercept:.3}, at most {max_error:.3} off the line\n"
+        "{label:40} slope {slope:.4} {unit}, from {intercept:.3}, at most {max_error:.3} off the line\n"
     );
 }
 
-/// Microseconds that one choice among this many agents takes.
+/// Measures the time of one selection among this many agents, in microseconds.
 fn selection_time(agents: usize) -> f64 {
     let mut selector = AgentSelector::new(ConnectionPolicy::default(), agents, 1);
     let started = Instant::now();
@@ -85,13 +85,13 @@
     started.elapsed().as_secs_f64() * 1e6 / SELECTIONS as f64
 }
 
-/// Kilobytes that one idle client of this many agents keeps.
+/// Measures the memory of one idle client of this many agents, in kilobytes.
 fn client_memory(agents: usize) -> f64 {
     let before = resident_bytes();
     let new_client = |_| Client::new(service(addresses(agents)));
     let clients: Vec<Client> = (0..CLIENTS).map(new_client).collect();
     let grown = resident_bytes() - before;
-    // Not given back before the next measurement, which would find it free.
+    // Leaked on purpose: freed memory would be reused by the next measurement and distort it.
     std::mem::forget(black_box(clients));
     grown / CLIENTS as f64 / 1024.0
 }
@@ -101,7 +101,7 @@
     (0..count).map(address).collect()
 }
 
-/// The resident memory of this process.
+/// Returns the resident memory of this process in bytes.
 fn resident_bytes() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/client/examples/measure/brownout.rs
+++ b/crates/client/examples/measure/brownout.rs
@@ -1,5 +1,5 @@
-//! For five seconds each attempt takes twenty times as long: what the endpoints get meanwhile, and
-//! when the throughput is back.
+//! Measures a brownout, in which each attempt takes twenty times as long for five seconds: the load
+//! on the endpoints meanwhile, and the time until the throughput recovers.
 
 use crate::cluster::{payments_run_twice, sample_increase, start_agent, start_endpoints};
 use crate::fleet::{ClientFleet, ClientKind};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tulipwall_testkit::TestCluster;
 
-/// Counts are read in intervals of this length.
+/// The interval at which counts are sampled.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 const SAMPLES_PER_SECOND: f64 = 4.0;
 const SAMPLES: usize = 64;
@@ -18,46 +18,46 @@
 const WARM_UP: Duration = Duration::from_secs(2);
 const USUAL_WORK: Duration = Duration::from_millis(10);
 const SLOW_WORK: Duration = Duration::from_millis(200);
-/// From the first sample to the beginning of the slow time, and its length.
-const SLOW_AFTER: Duration = Duration::from_secs(3);
-const SLOW_FOR: Duration = Duration::from_secs(5);
-/// The samples before the slow time, within it when it has taken effect, and right after it.
+/// The time from the first sample to the start of the brownout, and the length of the brownout.
+const BROWNOUT_AFTER: Duration = Duration::from_secs(3);
+const BROWNOUT_DURATION: Duration = Duration::from_secs(5);
+/// The samples before the brownout, during it once it has taken effect, and right after it.
 const BEFORE: Range<usize> = 0..12;
 const DURING: Range<usize> = 14..32;
 const JUST_AFTER: Range<usize> = 32..40;
-/// The throughput is back at this part of the usual one.
-const RECOVERED: f64 = 0.95;
+/// The throughput has recovered at this fraction of the usual throughput.
+const RECOVERED_FRACTION: f64 = 0.95;
 
-/// What was counted in each interval.
+/// The counts of each sample interval.
 pub struct Measurements {
-    /// Requests that went out to the agent.
+    /// Requests that were sent to the agent.
     agent_requests: Vec<f64>,
-    /// Attempts that came to the endpoints.
+    /// Attempts that reached the endpoints.
     pub endpoint_attempts: Vec<f64>,
     /// Calls that succeeded.
     pub successes: Vec<f64>,
 }
 
-/// Measures clients of one kind and prints a row.
+/// Measures clients of one kind and prints a row of the table.
 pub fn run(kind: ClientKind) -> Measurements {
     let cluster = Arc::new(start_endpoints(USUAL_WORK, 4));
     let agent = start_agent(&cluster);
-    let address = agent.address().expect("an address");
+    let address = agent.address().expect("the agent should have an address");
     let fleet = ClientFleet::start(kind, address, CLIENTS, CALL_PAUSE);
     thread::sleep(WARM_UP);
-    let slow_time = spawn_slow_time(cluster.clone());
+    let brownout = spawn_brownout(cluster.clone());
     let measurements = measure(&cluster, &fleet);
-    let _ = slow_time.join();
+    let _ = brownout.join();
     fleet.stop();
     print_row(kind, &measurements, payments_run_twice(&cluster));
     measurements
 }
 
-fn spawn_slow_time(cluster: Arc<TestCluster>) -> thread::JoinHandle<()> {
+fn spawn_brownout(cluster: Arc<TestCluster>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
-        thread::sleep(SLOW_AFTER);
+        thread::sleep(BROWNOUT_AFTER);
         set_work(&cluster, SLOW_WORK);
-        thread::sleep(SLOW_FOR);
+        thread::sleep(BROWNOUT_DURATION);
         set_work(&cluster, USUAL_WORK);
     })
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Reads all counts at the same times, each in a thread of its own.
+/// Samples all counts at the same times, each in a separate thread.
 fn measure(cluster: &Arc<TestCluster>, fleet: &ClientFleet) -> Measurements {
     let cluster = cluster.clone();
     let endpoint_attempts = spawn_sampler(move || {
@@ -107,10 +107,10 @@
     );
 }
 
-/// Seconds until the throughput of one second is back.
+/// Returns the seconds until the throughput over one second has recovered; `None` if it does not.
 fn seconds_to_recover(successes: &[f64], usual: f64) -> Option<f64> {
     let mut seconds = successes.windows(SAMPLES_PER_SECOND as usize);
-    let recovered = seconds.position(|second| per_second(second) >= usual * RECOVERED);
+    let recovered = seconds.position(|second| per_second(second) >= usual * RECOVERED_FRACTION);
     recovered.map(|samples| samples as f64 / SAMPLES_PER_SECOND)
 }
 
--- a/crates/client/examples/measure/cluster.rs
+++ b/crates/client/examples/measure/cluster.rs
@@ -1,10 +1,10 @@
-//! The real agent in front of fake endpoints.
+//! A cluster for the measurements: the real agent in front of fake endpoints.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tulipwall_testkit::{classes, AgentProcess, EndpointBehavior, TestCluster};
 
-/// A cluster of two endpoints with this work for each request and this many cores.
+/// Starts a cluster of two endpoints with this processing time per request and this many cores.
 pub fn start_endpoints(work: Duration, cores: usize) -> TestCluster {
     let cluster = TestCluster::new(&["a"], classes()).expect("loopback");
     for n in 0..2 {
@@ -23,17 +23,18 @@
 /// Starts an agent in front of the endpoints.
 pub fn start_agent(cluster: &TestCluster) -> AgentProcess {
     let configuration = cluster.configuration("n1", 0).expect("loopback");
-    AgentProcess::start(agent_binary(), configuration, &[]).expect("the agent, built for release")
+    AgentProcess::start(agent_binary(), configuration, &[])
+        .expect("failed to start the agent; build it with --release")
 }
 
-/// The agent's program, which lies in the folder above that of the examples.
+/// Returns the path of the agent's binary, which is in the parent of the examples' directory.
 pub fn agent_binary() -> PathBuf {
     let example = std::env::current_exe().unwrap_or_default();
     let folder = example.ancestors().nth(2).unwrap_or(Path::new("."));
     folder.join("tulipwall-agent")
 }
 
-/// Objects for which a payment ran more than once.
+/// Counts the repeated runs of payments for the same object.
 pub fn payments_run_twice(cluster: &TestCluster) -> usize {
     let queries = cluster.received_queries().into_values().flatten();
     let payments = queries.filter(|query| query.ran && query.class == "payment");
@@ -44,12 +45,12 @@
     objects.windows(2).filter(|pair| pair[0] == pair[1]).count()
 }
 
-/// The object in a statement: its first quoted text.
+/// Returns the name of the object in a statement: its first quoted text.
 fn object_of(statement: &str) -> &str {
     statement.split('\'').nth(1).unwrap_or_default()
 }
 
-/// The increase of a count in each of `samples` intervals.
+/// Samples a count and returns its increase in each of `samples` intervals.
 pub fn sample_increase(
     samples: usize,
     interval: Duration,
--- a/crates/client/examples/measure/fleet.rs
+++ b/crates/client/examples/measure/fleet.rs
@@ -1,4 +1,4 @@
-//! Many clients of one kind that call again and again.
+//! A fleet of clients of one kind that make calls continuously.
 
 use crate::naive::{NaiveClient, NaiveCounters};
 use crate::CALL_TIMEOUT;
@@ -13,29 +13,29 @@
 use tulipwall_testkit::runtime::{sleep, spawn};
 use tulipwall_testkit::service;
 
-/// The classes that a client calls in turn.
+/// The classes of a client's calls, in rotation.
 const CLASSES: [&str; 3] = ["view", "view", "payment"];
 
 /// Which client is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// A client without care.
+    /// A client with a fixed retry pause and no budget.
     Naive,
-    /// This library.
-    Careful,
+    /// The client of this library.
+    Library,
 }
 
 impl ClientKind {
-    /// The name in tables and plots.
+    /// Returns the name in tables and plots.
     pub fn label(self) -> &'static str {
         match self {
             ClientKind::Naive => "naive",
-            ClientKind::Careful => "this library",
+            ClientKind::Library => "this library",
         }
     }
 }
 
-/// Many clients of one kind that call until the fleet is stopped.
+/// Clients of one kind that make calls until the fleet is stopped.
 pub struct ClientFleet {
     stop: Arc<AtomicBool>,
     succeeded: Arc<AtomicU64>,
@@ -43,16 +43,16 @@
     tasks: Vec<Task<()>>,
 }
 
-/// Where the counts of a fleet are read.
+/// The source of a fleet's counts.
 #[derive(Clone)]
 enum FleetClients {
     Naive(NaiveCounters),
-    Careful(Vec<Client>),
+    Library(Vec<Client>),
 }
 
 /// A client whose calls are counted.
 pub trait MeasuredClient {
-    /// Reads an object; whether that succeeded in time. `id` differs between any two calls.
+    /// Reads an object and returns whether that succeeded in time. `id` is unique to the call.
     fn call(&mut self, class: &str, object: &str, id: &str) -> impl Future<Output = bool> + Send;
 }
 
@@ -63,9 +63,9 @@
     }
 }
 
-/// The calls of one client of a fleet.
+/// The call loop of one client of a fleet.
 struct CallLoop {
-    /// The number of the client in its fleet.
+    /// The index of the client in its fleet.
     client_number: usize,
     start_delay: Duration,
     pause: Duration,
@@ -74,7 +74,7 @@
 }
 
 impl CallLoop {
-    /// Calls again and again until the fleet is stopped.
+    /// Makes calls until the fleet is stopped.
     async fn run(self, mut client: impl MeasuredClient) {
         sleep(self.start_delay).await;
         for number in 0.. {
@@ -92,8 +92,8 @@
 }
 
 impl ClientFleet {
-    /// Starts this many clients, each with a pause between its calls; their starts are spread over
-    /// one pause.
+    /// Starts this many clients, each with a pause between its calls. Their starts are spread over
+    /// the length of one pause.
     pub fn start(
         kind: ClientKind,
         agent: SocketAddr,
@@ -111,7 +111,7 @@
         });
         let (clients, tasks) = match kind {
             ClientKind::Naive => spawn_naive(agent, call_loops),
-            ClientKind::Careful => spawn_careful(agent, call_loops),
+            ClientKind::Library => spawn_library(agent, call_loops),
         };
         ClientFleet {
             stop,
@@ -121,31 +121,31 @@
         }
     }
 
-    /// Reads how many calls succeeded.
+    /// Returns a function that reads the number of successful calls.
     pub fn success_count(&self) -> impl Fn() -> u64 + Send + 'static {
         let succeeded = self.succeeded.clone();
         move || succeeded.load(Ordering::Relaxed)
     }
 
-    /// Reads how many requests went out to the agent.
+    /// Returns a function that reads the number of requests sent to the agent.
     pub fn attempt_count(&self) -> impl Fn() -> u64 + Send + 'static {
         let clients = self.clients.clone();
         move || match &clients {
             FleetClients::Naive(counters) => counters.attempts.load(Ordering::Relaxed),
-            FleetClients::Careful(clients) => sum_counters(clients, |c| c.attempts),
+            FleetClients::Library(clients) => sum_counters(clients, |c| c.attempts),
         }
     }
 
-    /// Reads how many connections were opened.
+    /// Returns a function that reads the number of opened connections.
     pub fn connection_count(&self) -> impl Fn() -> u64 + Send + 'static {
         let clients = self.clients.clone();
         move || match &clients {
             FleetClients::Naive(counters) => counters.connections_opened.load(Ordering::Relaxed),
-            FleetClients::Careful(clients) => sum_counters(clients, |c| c.connections_opened),
+            FleetClients::Library(clients) => sum_counters(clients, |c| c.connections_opened),
         }
     }
 
-    /// Stops the clients and waits for their last calls.
+    /// Stops the clients and waits until their last calls have ended.
     pub fn stop(self) {
         self.stop.store(true, Ordering::Relaxed);
         self.tasks.into_iter().for_each(block_on);
@@ -157,7 +157,7 @@
     counters.map(|counters| counter(&counters)).sum()
 }
 
-fn spawn_careful(
+fn spawn_library(
     agent: SocketAddr,
     call_loops: impl Iterator<Item = CallLoop>,
 ) -> (FleetClients, Vec<Task<()>>) {
@@ -168,7 +168,7 @@
         clients.push(client.clone());
         tasks.push(spawn(call_loop.run(client)));
     }
-    (FleetClients::Careful(clients), tasks)
+    (FleetClients::Library(clients), tasks)
 }
 
 fn spawn_naive(
--- a/crates/client/examples/measure/main.rs
+++ b/crates/client/examples/measure/main.rs
@@ -1,10 +1,10 @@
-//! The figures and plots of `docs/client.md`: this library against a naive client, on the real
-//! agent.
+//! Compares this library with a naive client on the real agent, for the figures and plots of
+//! `docs/client.md`.
 //!
 //!     cargo build --release && cargo run --release -p tulipwall-client --example measure [FOLDER]
 //!
-//! The naive client keeps one connection, tries again after a fixed 50 ms whatever happened until
-//! its time is over, and opens a new connection at once. With a folder the plots are written there.
+//! The naive client keeps one connection, retries any failure after a fixed 50 ms until its
+//! timeout, and reconnects immediately. The plots are written to FOLDER, if given.
 
 mod brownout;
 mod cluster;
@@ -19,7 +19,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long a call may take.
+/// The timeout of each call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn ms(n: u64) -> Duration {
@@ -31,35 +31,35 @@
     println!("\n| clients | most new connections in 100 ms | over the mean | nine tenths within | all within | payments run twice |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let naive_restart = restart::run(ClientKind::Naive);
-    let careful_restart = restart::run(ClientKind::Careful);
+    let library_restart = restart::run(ClientKind::Library);
     println!("\n| clients | requests/s at the agent before | during | attempts/s before | during | 2 s after | succeeded/s before | during | throughput back after | payments run twice |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let naive_brownout = brownout::run(ClientKind::Naive);
-    let careful_brownout = brownout::run(ClientKind::Careful);
+    let library_brownout = brownout::run(ClientKind::Library);
     overhead::print_call_overhead();
     if let Some(folder) = std::env::args().nth(1).map(PathBuf::from) {
-        plot_restart(&folder, &naive_restart, &careful_restart);
-        plot_brownout(&folder, &naive_brownout, &careful_brownout);
+        plot_restart(&folder, &naive_restart, &library_restart);
+        plot_brownout(&folder, &naive_brownout, &library_brownout);
     }
 }
 
-fn plot_restart(folder: &Path, naive: &[f64], careful: &[f64]) {
+fn plot_restart(folder: &Path, naive: &[f64], library: &[f64]) {
     write_plot(
         &folder.join("client-restart.svg"),
         "new connections each 100 ms after a restart, 200 clients",
         restart::SAMPLE_INTERVAL,
-        [Curve::naive(naive), Curve::careful(careful)],
+        [Curve::naive(naive), Curve::library(library)],
     );
 }
 
-fn plot_brownout(folder: &Path, naive: &brownout::Measurements, careful: &brownout::Measurements) {
+fn plot_brownout(folder: &Path, naive: &brownout::Measurements, library: &brownout::Measurements) {
     write_plot(
         &folder.join("client-brownout-load.svg"),
         "attempts at endpoints each 250 ms; slow from 3 to 8 s",
         brownout::SAMPLE_INTERVAL,
         [
             Curve::naive(&naive.endpoint_attempts),
-            Curve::careful(&careful.endpoint_attempts),
+            Curve::library(&library.endpoint_attempts),
         ],
     );
     write_plot(
@@ -68,7 +68,7 @@
         brownout::SAMPLE_INTERVAL,
         [
             Curve::naive(&naive.successes),
-            Curve::careful(&careful.successes),
+            Curve::library(&library.successes),
         ],
     );
 }
--- a/crates/client/examples/measure/naive.rs
+++ b/crates/client/examples/measure/naive.rs
@@ -1,4 +1,4 @@
-//! What a client library does without care.
+//! A naive client, for comparison: fixed retry pause, no budget, immediate reconnects.
 
 use crate::fleet::MeasuredClient;
 use crate::CALL_TIMEOUT;
@@ -15,14 +15,14 @@
 /// The pause before each retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Counts of all naive clients together.
+/// The summed counts of all naive clients.
 #[derive(Clone, Default)]
 pub struct NaiveCounters {
     pub connections_opened: Arc<AtomicU64>,
     pub attempts: Arc<AtomicU64>,
 }
 
-/// A client that retries at a fixed pause until its time is over.
+/// A client that retries with a fixed pause until its timeout.
 pub struct NaiveClient {
     agent: SocketAddr,
     stream: Option<async_io::Async<TcpStream>>,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// One attempt; whether the agent returned a value rather than an error.
+    /// Makes one attempt. Returns whether the agent responded with a value rather than an error.
     async fn attempt(&mut self, statement: &str) -> io::Result<bool> {
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Reads until the agent is ready for the next request; whether no error came.
+/// Reads until the agent is ready for the next request. Returns false if it sent an error.
 pub async fn read_response(stream: &mut async_io::Async<TcpStream>) -> io::Result<bool> {
     let mut succeeded = true;
     loop {
--- a/crates/client/examples/measure/overhead.rs
+++ b/crates/client/examples/measure/overhead.rs
@@ -1,4 +1,4 @@
-//! What a call and an idle client cost.
+//! Measures the latency overhead of a call and the memory of an idle client.
 
 use crate::naive::read_response;
 use crate::CALL_TIMEOUT;
@@ -13,12 +13,12 @@
 
 const CALLS: usize = 12_000;
 const IDLE_CLIENTS: usize = 10_000;
-/// The same bytes as those of a call.
+/// A statement of the same size as that of a call.
 const STATEMENT: &str =
     "SELECT body FROM objects WHERE oid = 'o1' /* id=1234567890123456-1,c=view,d=1500 */";
 
-/// Prints what a call takes beyond the same bytes on a bare socket, against a fake that answers at
-/// once; in turns.
+/// Prints the latency of a call next to that of the same bytes on a bare socket, against a fake
+/// agent that responds immediately. The two are measured alternately.
 pub fn print_call_overhead() {
     let endpoint = Endpoint::start(1, EndpointBehavior::default(), 1).expect("loopback");
     let client = Client::new(service(vec![endpoint.address(0)]));
@@ -65,7 +65,7 @@
     sorted[index].as_secs_f64() * 1e6
 }
 
-/// Prints what an idle client keeps in memory.
+/// Prints the memory of an idle client.
 pub fn print_memory() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let before = resident_kb();
@@ -78,7 +78,7 @@
     );
 }
 
-/// The resident memory of this process.
+/// Returns the resident memory of this process in kilobytes.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/client/examples/measure/plot.rs
+++ b/crates/client/examples/measure/plot.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The counts of one kind of client.
+/// A curve of the counts of one kind of client.
 pub struct Curve<'a> {
     label: &'static str,
     counts: &'a [f64],
@@ -22,17 +22,17 @@
         }
     }
 
-    pub fn careful(counts: &'a [f64]) -> Curve<'a> {
+    pub fn library(counts: &'a [f64]) -> Curve<'a> {
         Curve {
-            label: ClientKind::Careful.label(),
+            label: ClientKind::Library.label(),
             counts,
             line_width: 3,
         }
     }
 }
 
-/// Writes a plot of counts in intervals of this length. A plot that cannot be written is reported
-/// on standard error.
+/// Writes a plot of counts that were sampled at this interval. A failure to write it is reported on
+/// standard error.
 pub fn write_plot(path: &Path, title: &str, interval: Duration, curves: [Curve<'_>; 2]) {
     if let Err(error) = draw(path, title, interval.as_secs_f64(), &curves) {
         eprintln!("{}: {error}", path.display());
--- a/crates/client/examples/measure/restart.rs
+++ b/crates/client/examples/measure/restart.rs
@@ -1,4 +1,5 @@
-//! The agent is killed and is back 300 ms later: how its clients spread their new connections.
+//! Measures how clients spread their reconnects when the agent is killed and restarted 300 ms
+//! later.
 
 use crate::cluster::{
     agent_binary, payments_run_twice, sample_increase, start_agent, start_endpoints,
@@ -9,7 +10,7 @@
 use std::time::Duration;
 use tulipwall_testkit::AgentProcess;
 
-/// Connections are counted in intervals of this length.
+/// The interval at which the count of connections is sampled.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 const SAMPLES: usize = 80;
 const CLIENTS: usize = 200;
@@ -17,17 +18,19 @@
 const WARM_UP: Duration = Duration::from_secs(2);
 const AGENT_DOWN: Duration = Duration::from_millis(300);
 
-/// Measures clients of one kind and prints a row; the new connections in each interval.
+/// Measures clients of one kind and prints a row of the table. Returns the new connections in each
+/// interval.
 pub fn run(kind: ClientKind) -> Vec<f64> {
     let cluster = start_endpoints(ms(5), 64);
     let agent = start_agent(&cluster);
-    let address = agent.address().expect("an address");
+    let address = agent.address().expect("the agent should have an address");
     let fleet = ClientFleet::start(kind, address, CLIENTS, CALL_PAUSE);
     thread::sleep(WARM_UP);
     let configuration = agent.configuration.clone();
     drop(agent);
     thread::sleep(AGENT_DOWN);
-    let restarted = AgentProcess::start(agent_binary(), configuration, &[]).expect("the agent");
+    let restarted = AgentProcess::start(agent_binary(), configuration, &[])
+        .expect("failed to restart the agent");
     let connections = sample_increase(SAMPLES, SAMPLE_INTERVAL, fleet.connection_count());
     fleet.stop();
     drop(restarted);
@@ -51,12 +54,12 @@
     );
 }
 
-/// The first interval up to which the sum reaches `sum`.
+/// Returns the index of the first interval at which the running total reaches `sum`.
 fn index_reaching(counts: &[f64], sum: f64) -> usize {
-    let mut so_far = 0.0;
+    let mut running_total = 0.0;
     let reached = counts.iter().position(|n| {
-        so_far += n;
-        so_far >= sum
+        running_total += n;
+        running_total >= sum
     });
     reached.unwrap_or(0)
 }
--- a/crates/client/src/acquire.rs
+++ b/crates/client/src/acquire.rs
@@ -1,4 +1,4 @@
-//! A connection for an attempt: an idle one, a new one, or the next in the queue that becomes free.
+//! Acquires a connection for an attempt: an idle one, a new one, or the next one that is released.
 
 use crate::connection::{ConnectError, Connection};
 use crate::deadline::with_deadline;
@@ -10,62 +10,62 @@
 use tulipwall_client_policy::response::Response;
 use tulipwall_client_policy::ConnectDecision;
 
-/// A timer that fires this much too late shows that the client itself stood still.
+/// A timer that fires this late indicates that the client process itself was stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// A connection in use, with its place in the pool.
+/// A connection in use, together with its slot in the pool.
 pub struct PooledConnection<'a> {
     permit: ConnectionPermit<'a>,
     pub connection: Connection,
 }
 
-/// Why there is no connection for an attempt.
+/// Why no connection could be acquired for an attempt.
 #[derive(Debug, Error)]
 pub enum AcquireError {
-    /// The agent was reached and said that it takes no requests.
+    /// The agent was reached but accepts no requests.
     #[error("the agent refused the connection: {0:?}")]
     Refused(Response),
     /// No connection to the agent could be opened.
     #[error("the agent could not be reached")]
     Unreachable,
-    /// The queue for a connection is full, or the call waited in it for as long as it may.
-    #[error("no connection became free")]
+    /// The queue for a connection is full, or the call reached the queue timeout.
+    #[error("no connection became available")]
     NoneFree,
 }
 
-/// A place among the connections to an agent. Dropping it gives the place back, unless its
-/// connection was put back into the pool.
+/// A slot among the connections to an agent. Dropping it releases the slot, unless its connection
+/// was returned to the pool.
 struct ConnectionPermit<'a> {
     shared: &'a Shared,
     agent: usize,
-    keeps_place: bool,
+    keeps_slot: bool,
 }
 
 impl<'a> ConnectionPermit<'a> {
-    /// A permit for a place that was counted already.
+    /// Creates a permit for a slot that was already counted.
     fn new(shared: &'a Shared, agent: usize) -> ConnectionPermit<'a> {
         ConnectionPermit {
             shared,
             agent,
-            keeps_place: false,
+            keeps_slot: false,
         }
     }
 }
 
 impl Drop for ConnectionPermit<'_> {
     fn drop(&mut self) {
-        if !self.keeps_place {
+        if !self.keeps_slot {
             self.shared.state().pools[self.agent].release_one();
             self.shared.notify_released();
         }
     }
 }
 
-/// A call in the queue for a connection.
+/// The place of a call in the queue for a connection. Dropping it leaves the queue.
 struct QueueGuard<'a>(&'a Shared);
 
 impl<'a> QueueGuard<'a> {
-    /// Joins the queue, unless it is full.
+    /// Joins the queue; `None` if the queue is full.
     fn enter(shared: &'a Shared) -> Option<QueueGuard<'a>> {
         let mut state = shared.state();
         if state.queued >= shared.config.concurrency.max_queued {
@@ -83,17 +83,17 @@
     }
 }
 
-/// How the opening of a connection ended.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectResult {
     Connected,
     Failed,
-    /// The call gave up first, which says nothing of the agent.
+    /// The call gave up first, which gives no information about the agent.
     Abandoned,
 }
 
-/// A connection that is being opened. Dropping it reports the result, `Abandoned` unless another
-/// was set.
+/// A connection that is being opened. Dropping it reports the result, which is `Abandoned` unless
+/// another one was set.
 struct ConnectGuard<'a> {
     shared: &'a Shared,
     agent: usize,
@@ -119,7 +119,7 @@
     }
 }
 
-/// What came first when a connection was opened.
+/// Which event came first while a connection was being opened.
 enum ConnectRace {
     Finished(Result<Connection, ConnectError>),
     ConnectTimeout,
@@ -127,8 +127,8 @@
 }
 
 impl Shared {
-    /// A connection to this agent: an idle one, or a new one where one may be opened, or the next
-    /// that becomes free.
+    /// Acquires a connection to this agent: an idle one, else a new one if one may be opened, else
+    /// the next one that is released.
     pub async fn acquire_connection(
         &self,
         agent: usize,
@@ -138,7 +138,8 @@
         let queue_deadline = deadline.min(Instant::now() + queue_timeout);
         let mut queue_guard = None;
         loop {
-            // Listens before it looks, so that no release in between is missed.
+            // The listener is registered before the state is checked, so that a release in between
+            // is not missed.
             let released = self.released.listen();
             if let Some(connection) = self.take_idle(agent) {
                 return Ok(connection);
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Puts a connection back for the next request, unless its lifetime is over.
+    /// Returns a connection to the pool, unless its lifetime has ended.
     pub fn put_back(&self, pooled: PooledConnection<'_>) {
         let PooledConnection {
             mut permit,
@@ -168,20 +169,20 @@
         if !connection.within_lifetime() {
             return;
         }
-        permit.keeps_place = true;
+        permit.keeps_slot = true;
         self.state().pools[permit.agent].put_back(connection);
         self.notify_released();
     }
 
-    /// An idle connection known to be open and quiet. Those that are too old, or were idle for too
-    /// long, are closed.
+    /// Takes an idle connection that is open and has no unread bytes. Connections that are too old
+    /// or were idle for too long are closed.
     fn take_idle(&self, agent: usize) -> Option<PooledConnection<'_>> {
         let idle_timeout = self.config.connections.idle_timeout;
         let mut state = self.state();
         while let Some(connection) = state.pools[agent].take_longest_idle() {
             let fresh = connection.within_lifetime() && connection.idle_time() < idle_timeout;
-            let quiet = connection.is_quiet();
-            if fresh && quiet {
+            let usable = connection.is_open_without_data();
+            if fresh && usable {
                 state.counters.connections_reused += 1;
                 return Some(PooledConnection {
                     permit: ConnectionPermit::new(self, agent),
@@ -189,7 +190,7 @@
                 });
             }
             state.pools[agent].release_one();
-            if fresh && !quiet {
+            if fresh && !usable {
                 state.counters.idle_found_closed += 1;
                 state.on_connection_broken(self.now(), agent);
             }
@@ -197,7 +198,7 @@
         None
     }
 
-    /// Whether a connection may be opened now; its place is counted then.
+    /// Decides whether a connection may be opened now. If so, its slot is counted.
     fn reserve_connect(&self, agent: usize) -> ConnectDecision {
         let now = self.now();
         let max_connections = self.config.connections.max_connections.max(1);
@@ -212,7 +213,7 @@
         decision
     }
 
-    /// Opens a connection for which a place was counted.
+    /// Opens a connection whose slot was already counted.
     async fn connect(
         &self,
         agent: usize,
@@ -245,12 +246,13 @@
         }
     }
 
-    /// Waits for a connection that is being opened, for the connect timeout or until the call's
+    /// Waits for a connection that is being opened, until the connect timeout or the call's
     /// deadline.
     ///
-    /// Where the timer fires late, the process stood still, and what the agent said meanwhile is
-    /// yet to be read: the timeout is extended, lest the client take its own stall for the agent's.
-    /// Where the agent is lost as well, this costs a call as much of its time again.
+    /// A timer that fires late means that the process was stalled, and what the agent sent in the
+    /// meantime is still unread. The timeout is then extended, so that the client does not mistake
+    /// its own stall for one of the agent. If the agent is lost as well, the extension costs the
+    /// call the same time again.
     async fn race_connect(
         &self,
         mut opening: Pin<&mut impl Future<Output = Result<Connection, ConnectError>>>,
--- a/crates/client/src/admission.rs
+++ b/crates/client/src/admission.rs
@@ -1,9 +1,10 @@
-//! The admission of calls: the concurrency limit, and one call per deduplication key.
+//! Admission of calls: the concurrency limit, and at most one call in flight per deduplication key.
 
 use crate::error::{CallError, InvalidCall};
 use crate::shared::Shared;
 
-/// An admitted call. Dropping it releases what the call holds, however it ends.
+/// The permit of an admitted call. Dropping it releases the call's slot and deduplication key,
+/// however the call ends.
 pub struct CallPermit<'a> {
     shared: &'a Shared,
     key: Option<String>,
@@ -14,7 +15,7 @@
     /// Admits a call of this class, or sheds it.
     pub fn admit(&self, class: usize, key: Option<String>) -> Result<CallPermit<'_>, CallError> {
         let mut state = self.state();
-        // Two calls under one key at once could not tell whose response is whose.
+        // Two concurrent calls with the same key could not tell whose response is whose.
         if key.as_ref().is_some_and(|k| state.active_keys.contains(k)) {
             return Err(InvalidCall::KeyInUse.into());
         }
@@ -31,7 +32,7 @@
 }
 
 impl CallPermit<'_> {
-    /// The call has ended by itself; otherwise its caller dropped it.
+    /// Marks the call as completed. A call that is not marked counts as cancelled by its caller.
     pub fn complete(&mut self) {
         self.completed = true;
     }
--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -1,4 +1,5 @@
-//! One call: its attempts, until there is a value, none may follow, or its deadline has passed.
+//! Executes a call: makes attempts until one returns a value, no further one is allowed, or the
+//! deadline has passed.
 
 use crate::acquire::{AcquireError, PooledConnection};
 use crate::attempt_summary::AttemptSummary;
@@ -15,10 +16,11 @@
     AttemptHistory, AttemptOutcome, AttemptSignal, RetryDecision, Selection,
 };
 
-/// The code of a call that was rejected at last, but may have run and may not run again.
+/// The code of a failed call whose last attempt was rejected, but which may have run and must not
+/// run again.
 const CODE_UNREACHABLE: &str = "unreachable";
 
-/// One call in progress.
+/// A call in progress.
 pub struct CallRun<'a> {
     shared: &'a Shared,
     call: &'a Call,
@@ -28,7 +30,7 @@
     summary: AttemptSummary,
 }
 
-/// How a call ends without a value.
+/// How a call that returns no value ends.
 enum CallFailure {
     Rejected { retry_after: Option<Duration> },
     Failed { code: String },
@@ -46,10 +48,10 @@
     }
 }
 
-/// An attempt without a value.
+/// An attempt that returned no value.
 struct FailedAttempt {
     outcome: AttemptOutcome,
-    /// How the call ends if no attempt follows.
+    /// How the call ends if it is not attempted again.
     failure: CallFailure,
 }
 
@@ -64,11 +66,11 @@
     }
 }
 
-/// Why an attempt has no value.
+/// Why an attempt returned no value.
 enum AttemptError {
     /// The call may be attempted again.
     Failed(FailedAttempt),
-    /// The call ends at once, and nothing is said of the agent.
+    /// The call ends immediately, without a signal about the agent.
     EndCall(CallFailure),
 }
 
@@ -78,7 +80,8 @@
     }
 }
 
-/// An attempt at an agent. Dropping it reports the signal, `Neutral` unless another was set.
+/// An attempt at an agent. Dropping it reports the signal, which is `Neutral` unless another one
+/// was set.
 struct AttemptGuard<'a> {
     shared: &'a Shared,
     agent: usize,
@@ -96,7 +99,7 @@
 }
 
 impl<'a> CallRun<'a> {
-    /// Makes a valid call of this class.
+    /// Executes a call that was validated and belongs to this class.
     pub async fn execute(
         shared: &'a Shared,
         call: &'a Call,
@@ -153,12 +156,13 @@
         }
     }
 
-    /// The agent for the next attempt, once there is one. Where that is beyond the deadline, the
-    /// call ends at once.
+    /// Waits until an agent is available for the next attempt. If that is past the deadline, the
+    /// call ends immediately.
     async fn select_agent(&self, excluded: Option<usize>) -> Result<usize, CallFailure> {
         let shared = self.shared;
         loop {
-            // Listens before it looks, so that no release in between is missed.
+            // The listener is registered before the state is checked, so that a release in between
+            // is not missed.
             let released = shared.released.listen();
             let now = shared.now();
             let available_at = match shared.state().select_agent(now, excluded) {
@@ -177,16 +181,16 @@
         }
     }
 
-    /// One attempt at this agent.
+    /// Makes one attempt at this agent.
     async fn attempt(&mut self, agent: usize) -> Result<Vec<u8>, AttemptError> {
         let acquired = with_deadline(
             self.deadline,
             self.shared.acquire_connection(agent, self.deadline),
         )
         .await;
-        // Its deduplication window may have ended while it waited.
+        // The deduplication window may have ended while the call waited for a connection.
         if let Err(reason) = self.history.check_repeatable(self.shared.now()) {
-            self.log_end(agent, "window", reason.as_str());
+            self.log_attempt_end(agent, "window", reason.as_str());
             let failure = CallFailure::failed(reason.as_str());
             return Err(AttemptError::EndCall(failure));
         }
@@ -205,7 +209,7 @@
         self.shared.state().counters.attempts += 1;
     }
 
-    /// What an attempt without a connection comes to. It never ran.
+    /// Converts the failure to acquire a connection. The attempt never ran.
     fn on_no_connection(&self, error: AcquireError) -> AttemptError {
         let is_first_attempt = self.history.attempts == 1 && !self.history.may_have_executed();
         let failed = match error {
@@ -225,8 +229,8 @@
         AttemptError::Failed(failed)
     }
 
-    /// Sends the request and reads the response. The connection goes back to the pool where it may
-    /// be used again.
+    /// Sends the request and reads the response. A connection that can be used again is returned to
+    /// the pool.
     async fn exchange(&self, mut pooled: PooledConnection<'_>) -> Result<Vec<u8>, FailedAttempt> {
         let statement = self.render_statement();
         let max_value_bytes = self.shared.config.max_value_bytes;
@@ -243,8 +247,8 @@
             }
             Some(Err(error)) => Err(interpret_outcome(error.into())),
             None => {
-                // Before its last byte was written it never ran, but its deadline has passed all
-                // the same.
+                // A request whose last byte was not written never ran, but the deadline of the call
+                // has passed in either case.
                 let outcome = if written {
                     AttemptOutcome::TimedOut
                 } else {
@@ -266,7 +270,7 @@
         statement::render(self.call, &header)
     }
 
-    /// Records how an attempt at this agent ended, and decides what follows.
+    /// Records how an attempt at this agent ended, and decides whether to retry.
     fn decide_retry(&mut self, agent: usize, outcome: AttemptOutcome) -> RetryDecision {
         let now = self.shared.now();
         let mut state = self.shared.state();
@@ -274,7 +278,7 @@
         state.retries.decide(now, &mut self.history, agent, outcome)
     }
 
-    /// The time of the next attempt, or how the call ends.
+    /// Returns the time of the next attempt, or how the call ends.
     fn apply_decision(
         &mut self,
         agent: usize,
@@ -287,12 +291,12 @@
         }
         match decision {
             RetryDecision::RetryAt(time) => {
-                self.log_end(agent, outcome, "again");
+                self.log_attempt_end(agent, outcome, "again");
                 self.summary.failures.push(outcome);
                 Ok(time)
             }
             RetryDecision::GiveUp(reason) => {
-                self.log_end(agent, outcome, reason.as_str());
+                self.log_attempt_end(agent, outcome, reason.as_str());
                 self.shared.state().counters.record_give_up(reason);
                 Err(failed.failure)
             }
@@ -307,10 +311,10 @@
         }
     }
 
-    fn log_end(&self, agent: usize, outcome: &str, next: &str) {
+    fn log_attempt_end(&self, agent: usize, outcome: &str, next: &str) {
         let class = self.call.class.as_str();
         log::debug!(class, agent:% = self.shared.config.agents[agent], outcome, next;
-            "an attempt of {class} ended: {outcome}; {next}");
+            "attempt of class {class} ended: {outcome}; {next}");
     }
 
     fn into_response(self, class: usize, value: Vec<u8>) -> CallResponse {
@@ -334,8 +338,8 @@
         let safe_to_retry =
             !attempts.may_have_executed || self.history.idempotency == Idempotency::Idempotent;
         match failure {
-            // What may have run and may not simply run again is not rejected, wherever the call
-            // ended.
+            // Callers may repeat a rejected call. A call that may have run and must not run again
+            // is therefore reported as failed, whatever its last attempt returned.
             CallFailure::Rejected { .. } if !safe_to_retry => CallError::Failed {
                 code: CODE_UNREACHABLE.to_owned(),
                 attempts,
@@ -351,7 +355,8 @@
     }
 }
 
-/// The key of a deduplicated call: the caller's, or else a new one.
+/// Returns the key of a deduplicated call: the one that the caller set, or else a new one. `None`
+/// if the class is not deduplicated.
 fn deduplication_key(shared: &Shared, call: &Call, idempotency: Idempotency) -> Option<String> {
     match idempotency {
         Idempotency::Keyed { .. } => Some(call.key.clone().unwrap_or_else(|| shared.new_id())),
@@ -359,7 +364,7 @@
     }
 }
 
-/// What the end of an attempt says of its agent.
+/// Maps the outcome of an attempt to a signal about the health of its agent.
 fn agent_signal(outcome: AttemptOutcome) -> AttemptSignal {
     match outcome {
         AttemptOutcome::Rejected { .. } | AttemptOutcome::Failed => AttemptSignal::Success,
@@ -384,7 +389,8 @@
     }
 }
 
-/// How the call ends after an attempt without a response, if no attempt follows.
+/// Creates a failed attempt from its outcome, with the failure of the call if it is not attempted
+/// again.
 fn interpret_outcome(outcome: AttemptOutcome) -> FailedAttempt {
     let failure = match outcome {
         AttemptOutcome::Draining | AttemptOutcome::NotSent => CallFailure::REJECTED,
--- a/crates/client/src/bin/tulipwall-call/arguments.rs
+++ b/crates/client/src/bin/tulipwall-call/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `tulipwall-call`.
 
 use clap::Parser;
 use std::fmt;
@@ -10,24 +10,24 @@
 use tulipwall_client::{Call, ClientConfig, Idempotency, RequestClass};
 use tulipwall_config::ConfigDiagnostic;
 
-/// Milliseconds that a caller may wait for a call.
+/// The accepted range of a call's timeout, in milliseconds.
 pub const TIMEOUT_RANGE_MS: RangeInclusive<u64> = 1..=3_600_000;
 
 const AFTER_HELP: &str = "\
-Each answer is a line of JSON: the call's line number, answer, value (hex) or code, come_back_ms, tries, agents,
-may_have_run, took_ms.
+Each call prints one line of JSON with these fields, where they apply: line (the number of the input line), answer,
+value (hex) or code, text, come_back_ms, tries, agents, may_have_run, took_ms.
 
-From standard input, a line a call: {\"lane\":\"view\",\"object\":\"a1\",\"expiry_ms\":800,\"value\":\"9f03\",
-\"customer\":\"acme\",\"key\":\"c0ffee\"}; only lane and object are needed.
+Standard input has one call per line: {\"lane\":\"view\",\"object\":\"a1\",\"expiry_ms\":800,\"value\":\"9f03\",
+\"customer\":\"acme\",\"key\":\"c0ffee\"}. Only lane and object are required.
 
-Exit codes: 0 a value (all, of many); 1 the file of the service is wrong; 2 the command line is wrong; 4 denied or
-shed; 5 scrapped; 6 expired; 7 a faulty call. Of many, the highest.";
+Exit codes: 0 every call returned a value; 1 invalid service file; 2 invalid command line; 4 denied or shed;
+5 scrapped; 6 expired; 7 faulty call. With several calls, the highest code of all.";
 
 /// Calls the agents of a service.
 #[derive(Parser)]
 #[command(name = "tulipwall-call", version, after_help = AFTER_HELP)]
 pub struct Arguments {
-    /// The client's file, KDL: agents, classes and limits.
+    /// Service file (KDL) with agents, classes and limits.
     #[arg(
         long,
         value_name = "FILE",
@@ -35,23 +35,24 @@
         required_unless_present = "agent"
     )]
     service: Option<PathBuf>,
-    /// An agent in the place of those in the file; may come again.
+    /// Address of an agent, used instead of those in the service file; may be repeated.
     #[arg(long, value_name = "ADDRESS")]
     agent: Vec<SocketAddr>,
-    /// The class; without one, calls are read from standard input.
+    /// Request class; without it, calls are read from standard input.
     #[arg(value_name = "LANE", requires = "object")]
     class: Option<String>,
-    /// The object it is about.
+    /// Object to read or write.
     object: Option<String>,
-    /// What is written, in hex; it reads otherwise.
+    /// Value to write, in hex; without it, the object is read.
     #[arg(long, value_parser = parse_hex)]
     value: Option<HexBytes>,
+    /// Tenant on whose behalf the call is made.
     #[arg(long = "customer", value_name = "CUSTOMER")]
     tenant: Option<String>,
-    /// By which repeats are told; drawn otherwise.
+    /// Deduplication key; generated if not given.
     #[arg(long)]
     key: Option<String>,
-    /// How long to wait, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[arg(
         long = "expiry",
         value_name = "MS",
@@ -59,27 +60,27 @@
         value_parser = clap::value_parser!(u64).range(TIMEOUT_RANGE_MS)
     )]
     timeout_ms: u64,
-    /// How the class repeats, where no file says so: idempotent, or else unrepeatable.
+    /// Without a service file: treat the class as idempotent; the default is non-idempotent.
     #[arg(long)]
     idempotent: bool,
-    /// Calls from standard input that are in hand at once.
+    /// Number of calls from standard input that are made concurrently.
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u16).range(1..=1024))]
     pub at_once: u16,
-    /// The client's counters on standard error at the end.
+    /// Print the client's counters to standard error at the end.
     #[arg(long)]
     pub counters: bool,
 }
 
-/// Why the file of the service cannot be used.
+/// Why the service file cannot be used.
 #[derive(Debug, Error)]
 pub enum ServiceFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         path: PathBuf,
         source: std::io::Error,
     },
-    /// It can be read, but not understood; a line for each mistake.
+    /// The file is invalid. The message has one line for each diagnostic.
     #[error("{}", DiagnosticLines { path, diagnostics })]
     Invalid {
         path: PathBuf,
@@ -87,7 +88,7 @@
     },
 }
 
-/// Prints a line for each diagnostic, headed by the file.
+/// Prints a line for each diagnostic, prefixed with the path of the file.
 struct DiagnosticLines<'a> {
     path: &'a PathBuf,
     diagnostics: &'a [ConfigDiagnostic],
@@ -103,13 +104,13 @@
     }
 }
 
-/// Bytes that are written as pairs of hex digits.
+/// Bytes that were given as pairs of hex digits.
 #[derive(Clone)]
 pub struct HexBytes(pub Vec<u8>);
 
-/// Why a text is no [`HexBytes`].
+/// The error for a text that is not a sequence of pairs of hex digits.
 #[derive(Debug, Error)]
-#[error("pairs of hex digits are wanted")]
+#[error("expected pairs of hex digits")]
 pub struct InvalidHex;
 
 /// Parses pairs of hex digits.
@@ -126,12 +127,12 @@
 }
 
 impl Arguments {
-    /// How long a call may take unless its line says otherwise.
+    /// Returns the timeout of the calls that do not set their own.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// The call on the command line; `None` where calls are read from standard input.
+    /// Returns the call on the command line, or `None` if calls are read from standard input.
     pub fn single_call(&self) -> Option<Call> {
         let class = self.class.as_ref()?;
         let object = self.object.as_ref()?;
@@ -143,8 +144,8 @@
         })
     }
 
-    /// The configuration in the file, with the agents of the command line in the place of its own.
-    /// Without a file, the class of the command line is the only one.
+    /// Returns the configuration of the service file. Agents on the command line replace its own.
+    /// Without a file, the class on the command line is the only one.
     pub fn client_config(&self) -> Result<ClientConfig, ServiceFileError> {
         let mut config = match &self.service {
             Some(path) => read_service_file(path)?,
--- a/crates/client/src/bin/tulipwall-call/batch.rs
+++ b/crates/client/src/bin/tulipwall-call/batch.rs
@@ -1,4 +1,4 @@
-//! Calls from standard input, one a line, some at once.
+//! Makes the calls that are read from standard input, one per line, several at the same time.
 
 use crate::arguments::{parse_hex, HexBytes, InvalidHex, TIMEOUT_RANGE_MS};
 use crate::report::{self, EXIT_INVALID_CALL};
@@ -9,16 +9,16 @@
 use thiserror::Error;
 use tulipwall_client::{Call, Client};
 
-/// Why a line is no call.
+/// Why a line of standard input is not a valid call.
 #[derive(Debug, Error)]
 pub enum LineError {
-    #[error("no JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    #[error("{field}: text is wanted")]
+    #[error("{field}: expected a string")]
     NotText { field: &'static str },
     #[error("{field}: missing")]
     Missing { field: &'static str },
-    #[error("expiry_ms: 1 to 3600000 is wanted")]
+    #[error("expiry_ms: expected an integer from 1 to 3600000")]
     Timeout,
     #[error("value: {0}")]
     Value(#[from] InvalidHex),
@@ -26,17 +26,17 @@
 
 /// A line of standard input.
 struct Line {
-    /// Counted from one.
+    /// The line number, starting at one.
     number: usize,
     text: String,
 }
 
-/// Reads the lines of standard input for several threads.
+/// Distributes the lines of standard input among several threads.
 #[derive(Default)]
 struct LineReader(Mutex<usize>);
 
 impl LineReader {
-    /// The next line; `None` at the end of the input.
+    /// Reads the next line; `None` at the end of the input.
     fn next_line(&self) -> Option<Line> {
         let mut lines_read = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         *lines_read += 1;
@@ -49,7 +49,8 @@
     }
 }
 
-/// Makes the calls of standard input, `at_once` at a time; the highest exit code.
+/// Makes the calls of standard input, up to `at_once` at the same time. Returns the highest exit
+/// code.
 pub fn run(client: &Client, at_once: u16, default_timeout: Duration) -> u8 {
     let reader = LineReader::default();
     thread::scope(|scope| {
@@ -62,7 +63,7 @@
     })
 }
 
-/// Makes calls until the input ends; the highest exit code.
+/// Makes calls until the input ends. Returns the highest exit code.
 fn make_calls(client: &Client, reader: &LineReader, default_timeout: Duration) -> u8 {
     let mut highest = 0;
     while let Some(line) = reader.next_line() {
--- a/crates/client/src/bin/tulipwall-call/main.rs
+++ b/crates/client/src/bin/tulipwall-call/main.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-call`: calls by hand, on the client library.
+//! `tulipwall-call`: a command-line tool that makes calls with the client library.
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
 
--- a/crates/client/src/bin/tulipwall-call/report.rs
+++ b/crates/client/src/bin/tulipwall-call/report.rs
@@ -1,4 +1,4 @@
-//! What is printed: a line of JSON for each call, and the counters.
+//! The output of the program: a line of JSON for each call, and the counters.
 
 use crate::batch::LineError;
 use serde::Serialize;
@@ -15,12 +15,12 @@
 const EXIT_REJECTED: u8 = 4;
 /// The call failed.
 const EXIT_FAILED: u8 = 5;
-/// The call's time is over.
+/// The call's timeout has elapsed.
 const EXIT_DEADLINE_EXCEEDED: u8 = 6;
-/// The call itself is wrong.
+/// The call, or its line of input, is invalid.
 pub const EXIT_INVALID_CALL: u8 = 7;
 
-/// A line of output. Its fields stand in the order in which they are printed.
+/// A line of output. The fields are printed in the order of their declaration.
 #[derive(Default, Serialize)]
 struct Report {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -80,7 +80,7 @@
 
     fn print(&self) {
         let mut out = std::io::stdout().lock();
-        // A reader that has gone wants nothing more.
+        // A write error means that the reader of the output is gone; there is nothing to do then.
         let _ = serde_json::to_string(self)
             .map_err(std::io::Error::from)
             .and_then(|line| writeln!(out, "{line}"))
@@ -88,7 +88,7 @@
     }
 }
 
-/// Makes one call and prints what came of it; its exit code.
+/// Makes one call and prints its result. Returns its exit code.
 pub async fn call_and_print(client: &Client, call: Call, line_number: usize) -> u8 {
     let result = client.call(call).await;
     let mut report = match &result {
@@ -107,7 +107,7 @@
     exit_code(&result)
 }
 
-/// Prints that a line of input is no call; its exit code.
+/// Prints that a line of input is not a valid call. Returns its exit code.
 pub fn print_line_error(error: &LineError, line_number: usize) -> u8 {
     let report = Report {
         answer: "faulty",
@@ -125,12 +125,12 @@
         Err(CallError::Rejected { .. } | CallError::Overloaded) => EXIT_REJECTED,
         Err(CallError::DeadlineExceeded { .. }) => EXIT_DEADLINE_EXCEEDED,
         Err(CallError::InvalidCall(_)) => EXIT_INVALID_CALL,
-        // `CallError` may grow; whatever has no code of its own is a failed call.
+        // `CallError` is non-exhaustive; an error without an exit code of its own counts as failed.
         Err(_) => EXIT_FAILED,
     }
 }
 
-/// Prints the counters on standard error.
+/// Prints the counters to standard error.
 pub fn print_counters(stats: &ClientStats) {
     eprintln!(
         "{:?}; bound {:.0}, tokens {:.1}",
@@ -140,7 +140,7 @@
     );
 }
 
-/// The counters under the names that operators know (`docs/operators-client.md`).
+/// Prints the counters under their documented names (`docs/operators-client.md`).
 struct PrintedCounters<'a>(&'a Counters);
 
 impl fmt::Debug for PrintedCounters<'_> {
--- a/crates/client/src/blocking.rs
+++ b/crates/client/src/blocking.rs
@@ -1,8 +1,8 @@
-//! The same client for code that blocks.
+//! A blocking wrapper around the asynchronous client.
 
 use crate::{Call, CallError, CallResponse, ClientConfig, ClientStats};
 
-/// A client whose calls block the calling thread, never for longer than their timeout.
+/// A client whose calls block the calling thread, for at most their timeout.
 ///
 /// ```no_run
 /// use std::time::Duration;
@@ -16,21 +16,21 @@
 pub struct Client(crate::Client);
 
 impl Client {
-    /// A client of this service; nothing is opened before the first call.
+    /// Creates a client of this service. It opens no connection before the first call.
     pub fn new(config: ClientConfig) -> Client {
         Client(crate::Client::new(config))
     }
 
-    /// Makes one call and blocks until its response.
+    /// Makes one call and blocks until it ends.
     ///
     /// # Errors
     ///
-    /// As [`Client::call`](crate::Client::call).
+    /// Returns the same errors as [`Client::call`](crate::Client::call).
     pub fn call(&self, call: Call) -> Result<CallResponse, CallError> {
         futures_lite::future::block_on(self.0.call(call))
     }
 
-    /// The counters and gauges of the client as they stand.
+    /// Returns a snapshot of the counters and gauges of the client.
     pub fn stats(&self) -> ClientStats {
         self.0.stats()
     }
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,14 +1,14 @@
-//! What a caller asks, and what it gets for it.
+//! The calls that a client makes, and their responses.
 
 use crate::attempt_summary::AttemptSummary;
 use crate::error::InvalidCall;
 use crate::limits::{MAX_NAME_BYTES, MAX_VALUE_BYTES};
 use std::time::Duration;
 
-/// What a name may consist of beside ASCII letters and digits.
+/// The characters that a name may contain besides ASCII letters and digits.
 const NAME_PUNCTUATION: &str = "_-.:";
 
-/// One call.
+/// A call that reads or writes one object.
 ///
 /// ```
 /// use std::time::Duration;
@@ -25,21 +25,21 @@
     pub class: String,
     /// The name of the object that is read or written.
     pub object: String,
-    /// What is written; `None` reads.
+    /// The value to write; `None` reads the object.
     pub value: Option<Vec<u8>>,
-    /// The tenant on whose behalf the call is made.
+    /// The tenant on whose behalf the call is made; `None` sends no tenant.
     pub tenant: Option<String>,
-    /// The key by which the service recognizes a repeat of a deduplicated request; drawn where it
-    /// is not given.
+    /// The key by which the service recognizes a repeat of a deduplicated request. With `None` the
+    /// client generates one.
     pub key: Option<String>,
-    /// How long the caller waits. No call outlives it.
+    /// How long the caller waits. Every call ends by then.
     pub timeout: Duration,
-    /// An estimate of the work, where the caller has one.
+    /// The estimated processing time of the request; `None` if the caller has no estimate.
     pub estimated_work: Option<Duration>,
 }
 
 impl Call {
-    /// Reads an object.
+    /// Creates a call that reads an object.
     pub fn read(class: &str, object: &str, timeout: Duration) -> Call {
         Call {
             class: class.to_owned(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Writes an object.
+    /// Creates a call that writes an object.
     pub fn write(class: &str, object: &str, value: Vec<u8>, timeout: Duration) -> Call {
         Call {
             value: Some(value),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The same call on behalf of this tenant.
+    /// Sets the tenant of the call.
     pub fn tenant(self, name: &str) -> Call {
         Call {
             tenant: Some(name.to_owned()),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The same call with this deduplication key.
+    /// Sets the deduplication key of the call.
     pub fn key(self, key: &str) -> Call {
         Call {
             key: Some(key.to_owned()),
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Rejects what cannot be sent: names go into a statement as they are.
+    /// Checks that the call can be sent. Names are inserted into the statement without escaping, so
+    /// that only harmless characters are accepted.
     pub(crate) fn validate(&self) -> Result<(), InvalidCall> {
         check_name("lane", &self.class)?;
         check_name("object", &self.object)?;
@@ -97,7 +98,8 @@
     }
 }
 
-/// `field` is the name of the name in the input of `tulipwall-call`.
+/// Checks the length and the characters of a name. `field` is the field of the name in the input of
+/// `tulipwall-call`.
 fn check_name(field: &'static str, name: &str) -> Result<(), InvalidCall> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || NAME_PUNCTUATION.contains(c);
     let length_fits = (1..=MAX_NAME_BYTES).contains(&name.len());
@@ -111,8 +113,8 @@
 /// The value that a call returned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallResponse {
-    /// The value of the object.
+    /// The value of the object; after a write, the value that the service returned.
     pub value: Vec<u8>,
-    /// The attempts that it took.
+    /// The attempts that the call took.
     pub attempts: AttemptSummary,
 }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The handle of a client.
+//! The asynchronous client.
 
 use crate::attempts::CallRun;
 use crate::call::{Call, CallResponse};
@@ -10,18 +10,19 @@
 use std::time::Instant;
 use tulipwall_client_policy::ClientConfig;
 
-/// Shared by all calls of a process; clones are the same client.
+/// An asynchronous client that all calls of a process share. Clones are handles to the same client.
 #[derive(Clone, Debug)]
 pub struct Client(Arc<Shared>);
 
 impl Client {
-    /// A client of this service. Nothing is opened before the first call, or [`Client::warm`].
+    /// Creates a client of this service. It opens no connection before the first call or
+    /// [`Client::warm`].
     pub fn new(config: ClientConfig) -> Client {
         Client(Arc::new(Shared::new(config)))
     }
 
-    /// Opens the least number of connections to each agent, as far as reconnect times and rates
-    /// let it. Returns how many are open.
+    /// Opens `min_connections` connections to each agent, as far as reconnect times and rate limits
+    /// allow. Returns the total number of open connections.
     pub async fn warm(&self) -> usize {
         for agent in 0..self.0.config.agents.len() {
             self.warm_agent(agent).await;
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Makes one call and returns its value. Dropping the future closes the connection of an
-    /// attempt that is out.
+    /// Makes one call and returns its response. Dropping the future closes the connection of an
+    /// attempt in progress.
     ///
     /// # Errors
     ///
-    /// Why there is no value; see [`CallError`] for what may be asked again.
+    /// Returns why the call has no value. [`CallError`] says which calls may be repeated.
     pub async fn call(&self, call: Call) -> Result<CallResponse, CallError> {
         let started = Instant::now();
         let result = match self.validate(&call) {
@@ -59,7 +60,7 @@
         result
     }
 
-    /// The index of the call's class, if the call is valid.
+    /// Validates the call and returns the index of its class.
     fn validate(&self, call: &Call) -> Result<usize, InvalidCall> {
         call.validate()?;
         let class = self.0.config.class_index(&call.class);
@@ -68,12 +69,12 @@
         })
     }
 
-    /// The counters and gauges of the client as they stand.
+    /// Returns a snapshot of the counters and gauges of the client.
     pub fn stats(&self) -> ClientStats {
         self.0.state().snapshot()
     }
 
-    /// The configuration of the client.
+    /// Returns the configuration that the client was created with.
     pub fn config(&self) -> &ClientConfig {
         &self.0.config
     }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an agent.
+//! A connection to an agent, and the exchange of a request and its response.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -9,23 +9,23 @@
 use tulipwall_client_policy::response::{ProtocolError, Response, ResponseParser};
 use tulipwall_client_policy::AttemptOutcome;
 
-/// Bytes that are read at once.
+/// The maximum number of bytes per read.
 const READ_BYTES: usize = 4096;
-/// A buffer that grew beyond this is not kept for the next response.
+/// A read buffer with a larger capacity, in bytes, is not kept for the next response.
 const MAX_KEPT_BUFFER: usize = READ_BYTES * 4;
-/// The body of the startup message: protocol 3.0, then names and values. Agents read none of them.
+/// The body of the startup message: protocol version 3.0, then parameters, which agents ignore.
 const STARTUP_BODY: &[u8] = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
-/// The length of a message counts its own four bytes.
+/// The size of the length field, which the length of a message includes.
 const LENGTH_BYTES: usize = 4;
 
-/// A connection that the agent has accepted.
+/// A connection whose startup the agent has accepted.
 #[derive(Debug)]
 pub struct Connection {
     stream: Async<TcpStream>,
     opened_at: Instant,
     idle_since: Instant,
     lifetime: Duration,
-    /// Whether a request was made on it before.
+    /// Whether a request was sent on the connection before.
     used: bool,
     buffer: Vec<u8>,
 }
@@ -36,22 +36,22 @@
     /// The agent could not be reached.
     #[error("the agent could not be reached: {0}")]
     Io(#[from] io::Error),
-    /// The agent answered the startup with an error.
+    /// The agent responded to the startup message with an error.
     #[error("the agent refused the connection: {0:?}")]
     Refused(Response),
-    /// The agent answered the startup with something else.
-    #[error("the agent's answer to the startup is malformed")]
+    /// The response to the startup message is invalid, or the connection ended before it.
+    #[error("the agent's response to the startup message is malformed")]
     Malformed,
 }
 
-/// Why a request on a connection has no response. The connection is of no further use.
+/// Why a request on a connection has no response. The connection must not be used any more.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    #[error("the request was not written to its last byte")]
+    #[error("the request was not completely written")]
     NotSent,
-    #[error("a connection used before was closed without a byte of a response")]
+    #[error("a reused connection was closed before the first byte of the response")]
     StaleConnection,
-    #[error("the connection was lost before the response was whole")]
+    #[error("the connection was lost before the response was complete")]
     ConnectionLost,
     #[error("malformed response: {0}")]
     Malformed(#[from] ProtocolError),
@@ -69,7 +69,8 @@
 }
 
 impl Connection {
-    /// Opens a connection and waits until the agent is ready, or says that it is not.
+    /// Opens a connection and waits until the agent reports that it is ready or refuses the
+    /// connection.
     pub async fn open(agent: SocketAddr, lifetime: Duration) -> Result<Connection, ConnectError> {
         let stream = Async::<TcpStream>::connect(agent).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -90,24 +91,25 @@
         }
     }
 
-    /// Whether its lifetime is not over.
+    /// Returns whether the connection is younger than its lifetime.
     pub fn within_lifetime(&self) -> bool {
         self.opened_at.elapsed() < self.lifetime
     }
 
-    /// How long it has waited for a request.
+    /// Returns the time since the connection was opened or its last exchange ended.
     pub fn idle_time(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
-    /// Whether it is open with nothing to read. Bytes that no request asked for belong to nobody.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether the connection is open and has no unread bytes. Bytes that arrive without a
+    /// request must not be taken for the response to the next one.
+    pub fn is_open_without_data(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a statement and reads the response. `written` is set once the last byte went out, also
-    /// where the future is dropped.
+    /// Sends a statement and reads the response. `written` is set once the last byte was written,
+    /// so that the caller knows it even after dropping the future.
     pub async fn exchange(
         &mut self,
         statement: &str,
@@ -115,7 +117,7 @@
         written: &mut bool,
     ) -> Result<Response, ExchangeError> {
         let query = query_message(statement);
-        // The last byte goes out with the rest or not at all: until then the request never ran.
+        // A write that failed did not write the last byte, and an incomplete request never runs.
         if self.stream.write_all(&query).await.is_err() {
             return Err(ExchangeError::NotSent);
         }
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Appends what can be read; how many bytes that was. A connection that broke has ended, too.
+    /// Reads available bytes into `unread` and returns their number. Returns 0 at the end of the
+    /// stream and also on a read error, as both end the connection.
     async fn read_more(&mut self, unread: &mut Vec<u8>) -> usize {
         let start = unread.len();
         unread.resize(start + READ_BYTES, 0);
@@ -165,7 +168,7 @@
         mut parser: ResponseParser,
         unread: &[u8],
     ) -> Result<Response, ExchangeError> {
-        // A fatal error needs nothing behind it, but half a message is none.
+        // A fatal error needs no further message, but a partial message after it makes it invalid.
         if let Some(response) = parser.finish().filter(|_| unread.is_empty()) {
             return Ok(response);
         }
@@ -175,8 +178,8 @@
         Err(ExchangeError::ConnectionLost)
     }
 
-    /// Keeps the buffer for the next response. Bytes behind a response do not change it, but end
-    /// the use of the connection.
+    /// Keeps the buffer for the next response. Bytes after a response do not invalidate it, but the
+    /// connection is not used again.
     fn keep_buffer(&mut self, unread: Vec<u8>) {
         if !unread.is_empty() {
             self.lifetime = Duration::ZERO;
--- a/crates/client/src/deadline.rs
+++ b/crates/client/src/deadline.rs
@@ -1,12 +1,12 @@
-//! Work with a time limit.
+//! Running a future with a deadline.
 
 use async_io::Timer;
 use futures_lite::future::FutureExt;
 use std::future::Future;
 use std::time::Instant;
 
-/// The output of `work`, or `None` once the deadline has passed. The work is polled first, so that
-/// what is ready at the deadline still counts.
+/// Returns the output of `work`, or `None` if the deadline passes first. `work` is polled before
+/// the timer, so that a result that is ready at the deadline still counts.
 pub async fn with_deadline<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     let expired = async {
         Timer::at(deadline).await;
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,49 +1,51 @@
-//! Why a call has no value.
+//! The errors of calls.
 
 use crate::attempt_summary::AttemptSummary;
 use crate::limits::{MAX_NAME_BYTES, MAX_VALUE_BYTES};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a call has no value.
+/// Why a call returned no value.
 ///
-/// The texts are part of the output of `tulipwall-call`.
+/// The messages are part of the output of `tulipwall-call`.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[non_exhaustive]
 pub enum CallError {
-    /// It did not run, or a repeat is harmless: the caller may ask again.
+    /// The call was rejected. It did not run or is idempotent, so that the caller may repeat it.
     #[error("denied{}", retry_after_clause(*.retry_after))]
     Rejected {
-        /// The time before which the caller should not ask again, where one is known.
+        /// How long the caller should wait before it repeats the call; `None` if unknown.
         retry_after: Option<Duration>,
         /// The attempts that were made.
         attempts: AttemptSummary,
     },
-    /// It failed. Where `attempts.may_have_executed` is set and the class is not idempotent, it
-    /// must not be asked again.
+    /// The call failed. If `attempts.may_have_executed` is set and the class is not idempotent, the
+    /// call must not be repeated.
     #[error("scrapped ({code}); {}", execution_clause(.attempts))]
     Failed {
-        /// The code of the agent's error (SQLSTATE), or the name of what ended the last attempt.
+        /// The SQLSTATE of the agent's error, or the name of what ended the call, for example the
+        /// outcome of the last attempt.
         code: String,
         /// The attempts that were made.
         attempts: AttemptSummary,
     },
-    /// Its timeout is over.
+    /// The timeout of the call has elapsed.
     #[error("expired; {}", execution_clause(.attempts))]
     DeadlineExceeded {
         /// The attempts that were made.
         attempts: AttemptSummary,
     },
-    /// More calls are in flight than the agents bear, or queue than may queue: it was not sent.
-    #[error("shed: more calls are in flight than the agents bear")]
+    /// The concurrency limit was reached, or no connection became available in the queue. The call
+    /// was not sent.
+    #[error("shed: too many calls are in flight or queued")]
     Overloaded,
-    /// The call itself is wrong; it was not sent.
+    /// The call is invalid and was not sent.
     #[error("faulty call: {0}")]
     InvalidCall(#[from] InvalidCall),
 }
 
 impl CallError {
-    /// The attempts that were made, where the call came to any.
+    /// Returns the attempts that were made; `None` if the call was not admitted.
     pub fn attempts(&self) -> Option<&AttemptSummary> {
         match self {
             CallError::Rejected { attempts, .. }
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The name in the output of `tulipwall-call`.
+    /// Returns the name of the error in the output of `tulipwall-call`.
     pub fn as_str(&self) -> &'static str {
         match self {
             CallError::Rejected { .. } => "denied",
@@ -67,41 +69,41 @@
 
 fn retry_after_clause(retry_after: Option<Duration>) -> String {
     match retry_after {
-        Some(retry_after) => format!("; come back after {retry_after:?}"),
+        Some(retry_after) => format!("; retry after {retry_after:?}"),
         None => String::new(),
     }
 }
 
 fn execution_clause(attempts: &AttemptSummary) -> &'static str {
     if attempts.may_have_executed {
-        "it may have run"
+        "the request may have run"
     } else {
-        "it never ran"
+        "the request never ran"
     }
 }
 
-/// What is wrong with a call.
+/// Why a call is invalid.
 ///
-/// The texts name a field as the input of `tulipwall-call` does.
+/// The messages use the field names of the input of `tulipwall-call`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum InvalidCall {
-    /// A name that is empty, too long, or has other than the allowed characters.
-    #[error("{field}: 1 to {MAX_NAME_BYTES} letters, digits or any of _-.: are wanted")]
+    /// A name is empty, is too long, or contains a character that is not allowed.
+    #[error("{field}: expected 1 to {MAX_NAME_BYTES} letters, digits or any of _-.:")]
     Name {
-        /// The field of the call.
+        /// The field that holds the name.
         field: &'static str,
     },
-    /// The value that is to be written is too long.
-    #[error("value: {MAX_VALUE_BYTES} bytes at most are wanted")]
+    /// The value to write is too long.
+    #[error("value: expected at most {MAX_VALUE_BYTES} bytes")]
     ValueTooLong,
-    /// The caller does not wait at all.
-    #[error("expiry: more than nothing is wanted")]
+    /// The timeout of the call is zero.
+    #[error("expiry: expected a duration above zero")]
     ZeroTimeout,
-    /// The service has no class of this name.
-    #[error("lane: '{class}' is not one of this service")]
+    /// The service has no class with this name.
+    #[error("lane: the service has no class '{class}'")]
     UnknownClass {
-        /// The name that was given.
+        /// The unknown class name.
         class: String,
     },
     /// A call with the same deduplication key is in flight.
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,10 +1,10 @@
-//! The client library for servers that call the agents: it keeps deadlines, never repeats what may
-//! not run twice, retries within a budget, spreads its reconnects and sheds what the agents cannot
-//! bear.
+//! The client library for servers that call a service through the agents. It enforces deadlines,
+//! never repeats a request that must not run twice, retries within a budget, spreads its
+//! reconnects, and sheds calls that exceed the capacity of the agents.
 //!
-//! A [`Client`] is shared by all calls of a process. It needs no executor and starts no thread of
-//! its own beside that of async-io: all it does happens inside calls. [`blocking::Client`] is the
-//! same for code that blocks.
+//! All calls of a process share one [`Client`]. It needs no executor, and it starts no thread other
+//! than the one of async-io: all work is done inside calls. [`blocking::Client`] is the equivalent
+//! for blocking code.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -26,9 +26,10 @@
 //! }
 //! ```
 //!
-//! Inside, a call is admitted (`admission`) and attempted until it has a value or no attempt may
-//! follow (`attempts`), each time on a connection of the pool (`pool`, `connection`). What all
-//! calls share is one [`Mutex`](std::sync::Mutex) with short critical sections (`shared`).
+//! Internally, a call is admitted (`admission`) and then attempted until it has a value or no
+//! further attempt is allowed (`attempts`). Each attempt uses a connection of the pool (`pool`,
+//! `connection`). The state that all calls share is protected by one
+//! [`Mutex`](std::sync::Mutex) with short critical sections (`shared`).
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
 
--- a/crates/client/src/shared.rs
+++ b/crates/client/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all calls of a client share.
+//! The state that all calls of a client share.
 
 use crate::pool::Pool;
 use crate::stats::{ClassStats, ClientStats, Counters};
@@ -12,39 +12,39 @@
     AgentSelector, AttemptOutcome, ClientConfig, ConcurrencyLimit, RetryController, Selection,
 };
 
-/// The shared part of a client.
+/// The configuration and state of a client, shared by its handles and calls.
 #[derive(Debug)]
 pub struct Shared {
     pub config: ClientConfig,
-    /// The zero of the times that the policies see.
+    /// The origin of the times that are passed to the policies.
     started_at: Instant,
-    /// Makes the ids of this client differ from those of others.
+    /// A random prefix that makes the ids of this client differ from those of other clients.
     id_prefix: String,
     next_id: AtomicU64,
     state: Mutex<State>,
-    /// Notified when a connection was put back, or a permit or guard was released.
+    /// Notified when a connection is returned to the pool, or a permit or guard is dropped.
     pub released: Event,
 }
 
-/// The mutable state of a client. It is locked for short sections and never across an `await`.
+/// The mutable state of a client. It is locked only briefly and never across an `await`.
 #[derive(Debug)]
 pub struct State {
     pub retries: RetryController,
     pub agents: AgentSelector,
     pub concurrency: ConcurrencyLimit,
-    /// By agent index.
+    /// The connection pools, indexed by agent.
     pub pools: Vec<Pool>,
-    /// Calls that queue for a connection.
+    /// The number of calls that queue for a connection.
     pub queued: usize,
     /// The keys of deduplicated calls in flight.
     pub active_keys: BTreeSet<String>,
     pub counters: Counters,
-    /// By class index.
+    /// The statistics of each class, indexed by class.
     pub classes: Vec<ClassStats>,
 }
 
 impl Shared {
-    /// The state of a client that has made no call.
+    /// Creates the state of a client that has made no call.
     pub fn new(config: ClientConfig) -> Shared {
         let mut rng = rand::thread_rng();
         let seed = rng.next_u64();
@@ -58,30 +58,30 @@
         }
     }
 
-    /// The locked state. A panic of another call leaves it usable: every section only moves
-    /// counters and whole entries.
+    /// Locks the state. A poisoned lock is ignored: the critical sections only update counters and
+    /// whole entries, so that a panic of another call leaves the state consistent.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The time that the policies see.
+    /// Returns the current time as passed to the policies: the time since the client's start.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The instant of a time that a policy named.
+    /// Converts a time that a policy returned to an instant.
     pub fn instant(&self, time: Duration) -> Instant {
         self.started_at + time
     }
 
-    /// Wakes all that wait for a connection or an agent.
+    /// Wakes all calls that wait for a connection or an agent.
     pub fn notify_released(&self) {
         self.released.notify(usize::MAX);
     }
 
-    /// An id that no other attempt has.
+    /// Returns a unique id, for an attempt or as a deduplication key.
     pub fn new_id(&self) -> String {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number:x}", self.id_prefix)
@@ -94,7 +94,7 @@
         let class_stats = |class: &crate::RequestClass| ClassStats::new(&class.name);
         State {
             retries: RetryController::new(config.retry.clone(), agents, seed),
-            // Another seed, so that backoffs and the choice of agents are independent.
+            // A different seed keeps the selection of agents independent of the backoffs.
             agents: AgentSelector::new(config.connections.clone(), agents, seed ^ 1),
             concurrency: ConcurrencyLimit::new(config.concurrency.clone(), &config.classes),
             pools: (0..agents).map(|_| Pool::default()).collect(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The counters and gauges as they stand.
+    /// Returns a snapshot of the counters and gauges.
     pub fn snapshot(&self) -> ClientStats {
         ClientStats {
             counters: self.counters.clone(),
@@ -117,8 +117,9 @@
         }
     }
 
-    /// A connection to this agent was closed by it, or broke. If others that are idle are still
-    /// open, that was all. If all are closed, the agent has gone, or is going.
+    /// Handles a connection that this agent closed or that broke. While another idle connection to
+    /// the agent is still open, nothing else follows. If all are closed, the agent is lost or is
+    /// shutting down.
     pub fn on_connection_broken(&mut self, now: Duration, agent: usize) {
         let idle_before = self.pools[agent].idle_count();
         let found_closed = self.pools[agent].remove_closed();
@@ -135,14 +136,15 @@
         }
     }
 
-    /// An agent for an attempt, another than `excluded` where there is one.
+    /// Selects an agent for an attempt. The agent `excluded` is selected only if no other one is
+    /// available.
     pub fn select_agent(&mut self, now: Duration, excluded: Option<usize>) -> Selection {
         let pools = &self.pools;
         self.agents
             .select(now, excluded, |agent| pools[agent].has_idle())
     }
 
-    /// Counts an attempt that ended without a value, and tells the policies but that of retries.
+    /// Counts an attempt that returned no value, and updates all policies except the retry policy.
     pub fn on_attempt_failure(&mut self, now: Duration, agent: usize, outcome: AttemptOutcome) {
         self.counters.record_attempt_failure(outcome);
         match outcome {
--- a/crates/client/src/statement.rs
+++ b/crates/client/src/statement.rs
@@ -1,22 +1,22 @@
-//! The statement that is sent to an agent for one attempt.
+//! Renders the statement that is sent to an agent for one attempt.
 
 use crate::call::Call;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// What an attempt adds to its call.
+/// The metadata of an attempt that is not part of its call.
 pub struct AttemptHeader<'a> {
-    /// Differs between any two attempts.
+    /// The unique id of the attempt.
     pub id: &'a str,
-    /// The same in all attempts of one call.
+    /// The deduplication key, the same in all attempts of a call; `None` if the call has none.
     pub deduplication_key: Option<&'a str>,
-    /// What is left of the call's timeout.
+    /// The remaining part of the call's timeout.
     pub time_left: Duration,
-    /// Whether the attempt is marked as a retry.
+    /// Whether the statement carries the retry marker.
     pub marked_as_retry: bool,
 }
 
-/// The statement of one attempt, with its metadata in a comment at the end.
+/// Renders the statement of one attempt, with its metadata in a comment at the end.
 pub fn render(call: &Call, header: &AttemptHeader<'_>) -> String {
     let mut text = render_query(call);
     // Writing to a string cannot fail.
--- a/crates/client/src/stats.rs
+++ b/crates/client/src/stats.rs
@@ -7,19 +7,21 @@
 use std::time::Duration;
 use tulipwall_client_policy::{AttemptOutcome, GiveUpReason};
 
-/// Numbers of attempts that are told apart; calls that took more count as the last.
+/// The number of latency histograms per class. Calls with at least this many attempts share the
+/// last one.
 const ATTEMPT_BUCKETS: usize = 4;
-/// The shortest latency that is told apart, in microseconds.
+/// Shorter latencies, in microseconds, are recorded as this.
 const MIN_LATENCY_US: u64 = 16;
-/// The longest latency that is told apart, in microseconds.
+/// Longer latencies, in microseconds, are recorded as this.
 const MAX_LATENCY_US: u64 = 120_000_000;
-/// Decimal digits that a recorded latency keeps: with two, a histogram takes 10 KB.
+/// The number of significant decimal digits of a recorded latency. With two, a histogram takes
+/// 10 KB.
 const LATENCY_DIGITS: u8 = 2;
 
-/// Counts since the client's start.
+/// Event counters since the client's start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Calls that have ended, those dropped by the caller excepted.
+    /// Calls that have ended, except those that the caller dropped.
     pub calls: u64,
     /// Calls that returned a value.
     pub succeeded: u64,
@@ -35,19 +37,19 @@
     pub invalid: u64,
     /// Calls that the caller dropped before their end.
     pub cancelled: u64,
-    /// Attempts that were begun.
+    /// Attempts that were started.
     pub attempts: u64,
-    /// Attempts that ended without a value, by how they ended.
+    /// Attempts that returned no value, by the name of their outcome.
     pub attempt_failures: BTreeMap<&'static str, u64>,
-    /// Calls that were not attempted again, by the reason.
+    /// Calls that were not attempted again, by the name of the reason.
     pub given_up: BTreeMap<&'static str, u64>,
     /// Connections that were opened.
     pub connections_opened: u64,
-    /// Requests that went out on a connection that was idle.
+    /// Attempts that reused an idle connection.
     pub connections_reused: u64,
-    /// Connections that could not be opened, or that a call gave up before they were.
+    /// Connections that could not be opened, or whose call gave up while they were being opened.
     pub connect_failures: u64,
-    /// Idle connections that were found closed or with bytes on them.
+    /// Idle connections that were found closed or with unread bytes.
     pub idle_found_closed: u64,
 }
 
@@ -66,7 +68,7 @@
         *counter += 1;
     }
 
-    /// Counts an attempt that ended without a value.
+    /// Counts an attempt that returned no value.
     pub(crate) fn record_attempt_failure(&mut self, outcome: AttemptOutcome) {
         let failures = self.attempt_failures.entry(outcome.as_str());
         *failures.or_default() += 1;
@@ -79,13 +81,13 @@
     }
 }
 
-/// The latencies of one request class.
+/// The latencies of the successful calls of one request class.
 #[derive(Clone, Debug)]
 pub struct ClassStats {
     /// The name of the class.
     pub name: String,
-    /// Microseconds from the beginning of a successful call to its end, by the number of attempts
-    /// it took: the first histogram is of those with one attempt.
+    /// Histograms of the time from the start to the end of a successful call, in microseconds, by
+    /// the number of attempts. The first histogram holds the calls with one attempt.
     pub latencies_by_attempts: Vec<Histogram<u32>>,
 }
 
@@ -103,7 +105,7 @@
         while self.latencies_by_attempts.len() <= bucket {
             let histogram =
                 Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, LATENCY_DIGITS);
-            // The bounds are constants that the library accepts.
+            // This does not happen: the bounds are constants that the library accepts.
             let Ok(histogram) = histogram else {
                 return;
             };
@@ -118,16 +120,16 @@
 /// The counters and gauges of a client at one moment.
 #[derive(Clone, Debug)]
 pub struct ClientStats {
-    /// Counts since the client's start.
+    /// Event counters since the client's start.
     pub counters: Counters,
-    /// Latencies by class, in the order of the configuration.
+    /// The latencies of each class, in the order of the configuration.
     pub classes: Vec<ClassStats>,
-    /// The limit on calls in flight.
+    /// The current limit on calls in flight.
     pub concurrency_limit: f64,
-    /// Calls in flight.
+    /// The number of calls in flight.
     pub in_flight: usize,
-    /// Tokens left for retries.
+    /// The number of retry tokens that are left, for all agents together.
     pub retry_tokens: f64,
-    /// Idle connections, by agent.
+    /// The number of idle connections to each agent, indexed by agent.
     pub idle_connections: Vec<usize>,
 }
--- a/crates/client/tests/command.rs
+++ b/crates/client/tests/command.rs
@@ -1,4 +1,4 @@
-//! `tulipwall-call` against a fake that speaks as an agent does.
+//! Tests of `tulipwall-call` against a fake agent.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -15,12 +15,12 @@
     Duration::from_millis(n)
 }
 
-/// An agent of one endpoint, as far as a client can tell.
+/// Starts a fake agent: a single endpoint, which speaks the same protocol.
 fn agent(behavior: EndpointBehavior) -> Endpoint {
     Endpoint::start(1, behavior, 1).unwrap()
 }
 
-/// Runs one call by the command line; the exit code and the line of output.
+/// Makes one call on the command line. Returns the exit code and the line of output.
 fn run_call(endpoint: &Endpoint, arguments: &[&str]) -> (Option<i32>, Value) {
     let out = Command::new(BINARY)
         .args(["--agent", &endpoint.address(0).to_string()])
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn reports_each_answer_by_exit_code_and_a_line_of_json() {
+fn reports_each_result_by_exit_code_and_a_line_of_json() {
     let endpoint = agent(EndpointBehavior::default());
     let (code, report) = run_call(&endpoint, &["view", "a1"]);
     assert_eq!(
@@ -47,18 +47,18 @@
     assert!(written.starts_with(
         r"INSERT INTO objects (oid, body) VALUES ('a1', '\x0011ff') RETURNING body /* id="
     ));
-    endpoint.update_behavior(|w| w.response = ResponseBehavior::Reject);
+    endpoint.update_behavior(|b| b.response = ResponseBehavior::Reject);
     assert_eq!(
         run_call(&endpoint, &["view", "a1", "--expiry", "300"]).0,
         Some(4)
     );
-    endpoint.update_behavior(|w| w.response = ResponseBehavior::Fail);
+    endpoint.update_behavior(|b| b.response = ResponseBehavior::Fail);
     let (code, report) = run_call(&endpoint, &["payment", "a1"]);
     assert_eq!(
         (code, &report["code"], &report["may_have_run"]),
         (Some(5), &"XX000".into(), &true.into())
     );
-    endpoint.update_behavior(|w| w.response = ResponseBehavior::NeverAnswer);
+    endpoint.update_behavior(|b| b.response = ResponseBehavior::NeverAnswer);
     let (code, report) = run_call(&endpoint, &["payment", "a1", "--expiry", "200"]);
     assert_eq!((code, &report["may_have_run"]), (Some(6), &true.into()));
     assert_eq!(run_call(&endpoint, &["pay'ment", "a1"]).0, Some(7));
@@ -71,8 +71,14 @@
     }
 }
 
-/// Runs the program on these lines of standard input; stops it for a while once calls are out.
-fn call_lines(endpoint: &Endpoint, lines: &str, more: &[&str], stall: Option<Duration>) -> Output {
+/// Runs the program with these lines as standard input. With `stall`, stops the process for that
+/// long once eight calls have reached the endpoint.
+fn call_lines(
+    endpoint: &Endpoint,
+    lines: &str,
+    extra_arguments: &[&str],
+    stall: Option<Duration>,
+) -> Output {
     let folder = std::env::temp_dir().join(format!(
         "tulipwall-call-{}-{}",
         std::process::id(),
@@ -88,7 +94,7 @@
     .unwrap();
     let mut child = Command::new(BINARY)
         .args(["--service", file.to_str().unwrap()])
-        .args(more)
+        .args(extra_arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -100,11 +106,11 @@
         .unwrap()
         .write_all(lines.as_bytes())
         .unwrap();
-    if let Some(span) = stall {
+    if let Some(duration) = stall {
         assert!(wait_until(|| endpoint.received_count() >= 8));
         let pid = Pid::from_raw(child.id() as i32).unwrap();
         kill_process(pid, Signal::STOP).unwrap();
-        thread::sleep(span);
+        thread::sleep(duration);
         kill_process(pid, Signal::CONT).unwrap();
     }
     let out = child.wait_with_output().unwrap();
@@ -112,7 +118,7 @@
     out
 }
 
-/// The lines of output.
+/// Parses the lines of output.
 fn reports_of(out: &Output) -> Vec<Value> {
     let text = String::from_utf8(out.stdout.clone()).unwrap();
     text.lines()
@@ -121,7 +127,7 @@
 }
 
 #[test]
-fn answers_each_line_of_standard_input_once() {
+fn reports_each_line_of_standard_input_once() {
     let endpoint = agent(EndpointBehavior {
         work: ms(3),
         ..EndpointBehavior::default()
@@ -150,7 +156,7 @@
 }
 
 #[test]
-fn answers_each_call_once_after_a_stall() {
+fn reports_each_call_once_after_a_stall_of_the_process() {
     let endpoint = agent(EndpointBehavior {
         work: ms(300),
         ..EndpointBehavior::default()
@@ -166,14 +172,14 @@
     );
     let reports = reports_of(&out);
     assert_eq!(reports.len(), 64);
-    let count_of = |k: &str| {
+    let count_of = |answer: &str| {
         reports
             .iter()
-            .filter(|report| report["answer"] == k)
+            .filter(|report| report["answer"] == answer)
             .count()
     };
-    // Those that were out when it stalled: their answers had come, or their time was over; nothing
-    // else is told.
+    // The calls in flight during the stall either had their response waiting or ran past their
+    // deadline. No other result is allowed.
     assert_eq!(count_of("value") + count_of("expired"), 64, "{reports:?}");
     assert!(count_of("expired") <= 8);
 }
--- a/crates/client/tests/library.rs
+++ b/crates/client/tests/library.rs
@@ -1,4 +1,4 @@
-//! The library against fakes that speak, or fail to speak, as an agent does.
+//! Tests of the client library against fake agents, including faulty and malicious ones.
 
 use futures_lite::future::block_on;
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
     Duration::from_millis(n)
 }
 
-/// An agent of one endpoint, as far as a client can tell.
+/// Starts a fake agent: a single endpoint, which speaks the same protocol.
 fn agent(behavior: EndpointBehavior) -> Endpoint {
     Endpoint::start(1, behavior, 1).unwrap()
 }
@@ -75,21 +75,25 @@
 }
 
 #[test]
-fn ends_every_call_by_its_deadline_wherever_it_waits() {
+fn ends_every_call_by_its_deadline_whatever_it_waits_for() {
     let view = request_class("view", Idempotency::Idempotent);
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let closed_port = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let mute = agent(EndpointBehavior {
+    let silent_at_startup = agent(EndpointBehavior {
         unresponsive: true,
         ..EndpointBehavior::default()
     });
-    let silent = agent(EndpointBehavior {
+    let never_answering = agent(EndpointBehavior {
         response: ResponseBehavior::NeverAnswer,
         ..EndpointBehavior::default()
     });
-    for address in [nobody, mute.address(0), silent.address(0)] {
+    for address in [
+        closed_port,
+        silent_at_startup.address(0),
+        never_answering.address(0),
+    ] {
         let mut config = ClientConfig::new(vec![address], vec![view.clone()]);
         config.connections.max_connections = 2;
         config.concurrency.max_queued = 2;
@@ -112,13 +116,13 @@
                 .all(|(took, e)| *took < ms(600) && e.is_err()),
             "{address}: {results:?}"
         );
-        let at_once = results
+        let shed_count = results
             .iter()
             .filter(|(took, e)| *took < ms(300) && *e == Err(CallError::Overloaded))
             .count();
         assert!(
-            address != silent.address(0) || at_once >= 8,
-            "shed, not queued: {results:?}"
+            address != never_answering.address(0) || shed_count >= 8,
+            "expected calls to be shed rather than queued: {results:?}"
         );
         assert_eq!(client.stats().in_flight, 0);
     }
@@ -127,28 +131,29 @@
 #[test]
 fn moves_from_a_draining_agent_without_a_failed_call() {
     let payment = request_class("payment", Idempotency::NonIdempotent);
-    let (stays, leaves) = (
+    let (healthy, draining) = (
         agent(EndpointBehavior::default()),
         agent(EndpointBehavior::default()),
     );
     let client = Client::new(ClientConfig::new(
-        vec![stays.address(0), leaves.address(0)],
+        vec![healthy.address(0), draining.address(0)],
         vec![payment],
     ));
-    let pay = |n: u32| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(900))));
-    assert!((0..20).all(|n| pay(n).is_ok()));
-    leaves.update_behavior(|w| w.response = ResponseBehavior::RejectAndClose);
-    let before = leaves.received_count();
-    assert!((20..80).all(|n| pay(n).is_ok()));
+    let make_payment =
+        |n: u32| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(900))));
+    assert!((0..20).all(|n| make_payment(n).is_ok()));
+    draining.update_behavior(|b| b.response = ResponseBehavior::RejectAndClose);
+    let before = draining.received_count();
+    assert!((20..80).all(|n| make_payment(n).is_ok()));
     assert_eq!(
-        leaves.received_count(),
+        draining.received_count(),
         before + 1,
-        "one of them told that it leaves; it is passed over then"
+        "expected a single request to the draining agent"
     );
-    // Closing between requests says the same.
-    leaves.crash();
+    // An agent that closes its connections between requests is treated as draining, too.
+    draining.crash();
     thread::sleep(ms(2100));
-    assert!((80..120).all(|n| pay(n).is_ok()));
+    assert!((80..120).all(|n| make_payment(n).is_ok()));
     let counters = client.stats().counters;
     assert_eq!(
         (
