--- a/crates/client-policy/src/config.rs
+++ b/crates/client-policy/src/config.rs
@@ -25,7 +25,7 @@
 }
 
 impl ClientConfig {
-    /// The default of `max_value_bytes`.
+    /// The default of `max_value_bytes`, in bytes.
     const DEFAULT_MAX_VALUE_BYTES: usize = 64 * 1024;
 
     /// Creates a configuration with these agents and classes and defaults for everything else.
@@ -54,7 +54,7 @@
     pub name: String,
     /// Whether a request of this class may run more than once.
     pub idempotency: Idempotency,
-    /// A call that takes longer counts as a sign of overload and lowers the concurrency limit.
+    /// A call that takes longer counts as a sign of overload and may lower the concurrency limit.
     pub latency_objective: Duration,
     /// The relative value of a response within the latency objective. The class with the lowest
     /// weight is shed first.
@@ -92,7 +92,8 @@
 /// Limits and timeouts of the connections to each agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionPolicy {
-    /// The number of connections to each agent that are opened before the first call.
+    /// The number of connections to each agent that the client opens before the first call when it
+    /// is warmed up.
     pub min_connections: usize,
     /// The maximum number of open connections to an agent, including those in use.
     pub max_connections: usize,
--- a/crates/client-policy/src/retries.rs
+++ b/crates/client-policy/src/retries.rs
@@ -91,7 +91,7 @@
         }
         history.check_repeatable(now)?;
         // The agent closed an idle connection while the request was in transit. The request is
-        // resent once, immediately, without counting against the attempt limit or the budget.
+        // resent once, immediately, whatever the attempt limit and the retry budget.
         if outcome == AttemptOutcome::StaleConnection && history.take_resend() {
             return check_schedule(now, history);
         }
--- a/crates/client-policy/tests/agents.rs
+++ b/crates/client-policy/tests/agents.rs
@@ -132,13 +132,16 @@
     let span = *ten.iter().max().unwrap() - *ten.iter().min().unwrap();
     assert!(span > ms(1500), "{span:?}");
     let ten_thousand = reconnect_times(10_000);
-    let each = |n: u64| {
+    let reconnects_in_interval = |n: u64| {
         ten_thousand
             .iter()
             .filter(|t| t.as_millis() as u64 / 100 == 10 + n)
             .count()
     };
-    let (peak, mean) = ((0..30).map(each).max().unwrap(), 10_000.0 / 30.0);
+    let (peak, mean) = (
+        (0..30).map(reconnects_in_interval).max().unwrap(),
+        10_000.0 / 30.0,
+    );
     assert!(
         peak as f64 / mean < 1.3,
         "at most {peak} reconnects in 100 ms, {mean} on average"
--- a/crates/client-policy/tests/concurrency.rs
+++ b/crates/client-policy/tests/concurrency.rs
@@ -61,10 +61,10 @@
         (0..admitted).for_each(|_| limit.release());
         admitted_by_round.push(admitted);
     }
-    let late = &admitted_by_round[1000..];
+    let settled = &admitted_by_round[1000..];
     assert!(
-        late.iter().all(|n| (25..=60).contains(n)),
+        settled.iter().all(|n| (25..=60).contains(n)),
         "{:?}",
-        late.iter().max()
+        settled.iter().max()
     );
 }
--- a/crates/client/examples/measure/overhead.rs
+++ b/crates/client/examples/measure/overhead.rs
@@ -60,8 +60,8 @@
     stream.read(&mut buffer).await
 }
 
-fn percentile_us(sorted: &[Duration], part: f64) -> f64 {
-    let index = (sorted.len() as f64 * part) as usize;
+fn percentile_us(sorted: &[Duration], fraction: f64) -> f64 {
+    let index = (sorted.len() as f64 * fraction) as usize;
     sorted[index].as_secs_f64() * 1e6
 }
 
--- a/crates/client/src/admission.rs
+++ b/crates/client/src/admission.rs
@@ -15,7 +15,7 @@
     /// Admits a call of this class, or sheds it.
     pub fn admit(&self, class: usize, key: Option<String>) -> Result<CallPermit<'_>, CallError> {
         let mut state = self.state();
-        // Two concurrent calls with the same key could not tell whose response is whose.
+        // With two concurrent calls under one key, neither could tell which response is its own.
         if key.as_ref().is_some_and(|k| state.active_keys.contains(k)) {
             return Err(InvalidCall::KeyInUse.into());
         }
