--- a/crates/agent/tests/alternative_settings.rs
+++ b/crates/agent/tests/alternative_settings.rs
@@ -1,5 +1,5 @@
-//! Watching the settings of another shape: it decides as before, and what it counts matches the
-//! fakes.
+//! Shadow evaluation of alternative settings: the agent's decisions stay the same, and the
+//! divergences that it counts match what the fake endpoints received.
 
 use rustix::process::Signal;
 use serde_json::Value;
@@ -10,8 +10,9 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
-/// The number behind a word in the last line of counters.
-fn counted(log: &str, word: &str) -> Option<u64> {
+/// The number that follows a word in the last line of counters, `None` if there is no such line,
+/// word or number.
+fn counter(log: &str, word: &str) -> Option<u64> {
     let line = log.lines().rev().find(|l| l.contains("watched:"))?;
     line.split("watched:")
         .nth(1)?
@@ -23,35 +24,35 @@
 }
 
 #[test]
-fn counts_divergences_as_the_fakes_saw_them_and_stops_after_a_reload() {
-    let world = TestCluster::new(&["a"], classes()).unwrap();
+fn counts_the_divergences_that_the_fakes_received_and_stops_after_a_reload() {
+    let cluster = TestCluster::new(&["a"], classes()).unwrap();
     for n in 0..3 {
-        world
+        cluster
             .add_endpoint(0, &format!("e-{n}"), 41, EndpointBehavior::default())
             .unwrap();
-        world
+        cluster
             .add_endpoint(0, &format!("t-{n}"), 42, EndpointBehavior::default())
             .unwrap();
     }
-    world
+    cluster
         .platform
         .set_rollout_status(platform::RolloutStatus::now(42, 0, "trial", 0.5));
     let file = std::env::temp_dir().join(format!("tulipwall-watch-{}.kdl", std::process::id()));
     let door = file.with_extension("door").to_str().unwrap().to_owned();
-    let shape = "watch {\n    guarded-stages 1\n    cold-for \"3s\"\n}\n";
-    std::fs::write(&file, format!("door \"unix:{door}\"\n{shape}")).unwrap();
-    let configuration = world.configuration("n1", 0).unwrap();
-    let program = AgentProcess::start(
+    let watch_settings = "watch {\n    guarded-stages 1\n    cold-for \"3s\"\n}\n";
+    std::fs::write(&file, format!("door \"unix:{door}\"\n{watch_settings}")).unwrap();
+    let configuration = cluster.configuration("n1", 0).unwrap();
+    let agent_process = AgentProcess::start(
         BINARY,
         configuration,
         &["run", "--installation", file.to_str().unwrap()],
     )
     .unwrap();
-    TestClient::connect(program.address().unwrap()).unwrap();
+    TestClient::connect(agent_process.address().unwrap()).unwrap();
     let class =
         |name: &str, weight, keyed| (name.to_owned(), weight, Duration::from_millis(1500), keyed);
     Load {
-        agent: program.address().unwrap(),
+        agent: agent_process.address().unwrap(),
         rate: 300.0,
         duration: Duration::from_secs(2),
         classes: vec![
@@ -63,44 +64,44 @@
         seed: 7,
     }
     .run();
-    program.signal(Signal::USR1).unwrap();
+    agent_process.signal(Signal::USR1).unwrap();
     assert!(
-        wait_until(|| counted(&program.log(), "guarded").is_some()),
+        wait_until(|| counter(&agent_process.log(), "guarded").is_some()),
         "{}",
-        program.log()
+        agent_process.log()
     );
-    let log = program.log();
-    let seen = |id: &str| {
+    let log = agent_process.log();
+    let queries_received_by = |id: &str| {
         (0..3)
             .flat_map(|n| {
-                world
+                cluster
                     .endpoint(&format!("{id}-{n}"))
                     .unwrap()
                     .received_queries()
             })
             .collect::<Vec<_>>()
     };
-    let (early, late) = (seen("e"), seen("t"));
-    let with_effect = late.iter().filter(|s| s.class != "view").count() as u64;
-    let all = early.len() + late.len();
+    let (baseline_queries, canary_queries) = (queries_received_by("e"), queries_received_by("t"));
+    let with_effect = canary_queries.iter().filter(|s| s.class != "view").count() as u64;
+    let all = baseline_queries.len() + canary_queries.len();
     assert!(
         with_effect > 20,
-        "the present settings let them pass: {with_effect}"
+        "requests that the settings in force permit: {with_effect}"
     );
     assert!(
-        counted(&log, "guarded").unwrap().abs_diff(with_effect) <= 2,
-        "{with_effect} seen; {log}"
+        counter(&log, "guarded").unwrap().abs_diff(with_effect) <= 2,
+        "{with_effect} received; {log}"
     );
     assert!(
-        counted(&log, "deliveries").unwrap().abs_diff(all as u64) <= 2,
-        "{all} seen; {log}"
+        counter(&log, "deliveries").unwrap().abs_diff(all as u64) <= 2,
+        "{all} received; {log}"
     );
     assert_eq!(
-        (counted(&log, "exposure"), counted(&log, "key")),
+        (counter(&log, "exposure"), counter(&log, "key")),
         (Some(0), Some(0)),
-        "not watched: {log}"
+        "expected no divergence where nothing is watched: {log}"
     );
-    // The report request tells the same.
+    // The subcommand `report` gives the same numbers.
     let report = || {
         let door = format!("unix:{door}");
         let out = Command::new(BINARY)
@@ -112,17 +113,23 @@
             serde_json::from_slice::<Value>(&out.stdout).map(|v| v[&door].clone()),
         )
     };
-    let (code, told) = report();
-    let told = told.unwrap();
+    let (code, reported) = report();
+    let reported = reported.unwrap();
     assert_eq!(code, Some(0));
     for kind in ["deliveries", "guarded", "exposure", "cold", "key"] {
-        assert_eq!(told[kind].as_u64(), counted(&log, kind), "{kind}: {told}");
+        assert_eq!(
+            reported[kind].as_u64(),
+            counter(&log, kind),
+            "{kind}: {reported}"
+        );
     }
-    // The way back: a file without the watch, and a signal.
+    // To stop the evaluation: a file without the node `watch`, and a SIGHUP.
     std::fs::write(&file, format!("door \"unix:{door}\"\n")).unwrap();
-    program.signal(Signal::HUP).unwrap();
-    assert!(wait_until(|| program.log().contains("a new configuration")));
-    program.signal(Signal::USR1).unwrap();
+    agent_process.signal(Signal::HUP).unwrap();
+    assert!(wait_until(|| agent_process
+        .log()
+        .contains("a new configuration")));
+    agent_process.signal(Signal::USR1).unwrap();
     let last = |log: &str| {
         log.lines()
             .rev()
@@ -130,10 +137,10 @@
             .map(str::to_owned)
     };
     assert!(
-        wait_until(|| last(&program.log()).is_some_and(|l| !l.contains("watched:"))),
+        wait_until(|| last(&agent_process.log()).is_some_and(|l| !l.contains("watched:"))),
         "{}",
-        program.log()
+        agent_process.log()
     );
-    assert_eq!(report().0, Some(3), "nothing is watched any longer");
+    assert_eq!(report().0, Some(3), "the shadow evaluation has stopped");
     let _ = std::fs::remove_file(file);
 }
--- a/crates/agent/tests/configurations.rs
+++ b/crates/agent/tests/configurations.rs
@@ -1,5 +1,5 @@
-//! Other tenants' settings, up to the extremes of what they may say: each agent starts, serves
-//! every class, ends well on SIGTERM and does so again.
+//! Settings of other services, up to the extremes of what is permitted: under each, an agent
+//! starts, serves every class, exits with success on SIGTERM, and does all of this a second time.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -8,12 +8,12 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
-/// A world of these zones and classes, two endpoints in each zone.
-fn world(zones: &[&str], classes: Vec<RequestClass>) -> TestCluster {
-    let world = TestCluster::new(zones, classes).unwrap();
+/// A cluster of these zones and classes, with two endpoints in each zone.
+fn cluster(zones: &[&str], classes: Vec<RequestClass>) -> TestCluster {
+    let cluster = TestCluster::new(zones, classes).unwrap();
     for (zone, name) in zones.iter().enumerate() {
         for n in 0..2 {
-            world
+            cluster
                 .add_endpoint(
                     zone,
                     &format!("{name}-{n}"),
@@ -23,10 +23,17 @@
                 .unwrap();
         }
     }
-    world
+    cluster
 }
 
-fn ask(client: &mut TestClient, n: usize, class: &RequestClass, wait: u32) -> Option<String> {
+/// Sends request `n` with a timeout of `wait` milliseconds. Returns the error code of the reply,
+/// `None` for a value.
+fn send_request(
+    client: &mut TestClient,
+    n: usize,
+    class: &RequestClass,
+    wait: u32,
+) -> Option<String> {
     let key = if class.idempotency == "by_key" {
         format!(",k=k{n}")
     } else {
@@ -39,9 +46,10 @@
     client.read_reply().unwrap().code()
 }
 
-/// Starts it twice under these settings; every class is served with `wait` milliseconds each time.
-fn starts_serves_and_restarts(world: &TestCluster, wait: u32, change: impl FnOnce(&mut Value)) {
-    let mut configuration = world.configuration("n1", 0).unwrap();
+/// Starts an agent twice under the changed settings. Each time it has to serve a request of every
+/// class within a timeout of `wait` milliseconds, and to exit with success on SIGTERM.
+fn starts_serves_and_restarts(cluster: &TestCluster, wait: u32, change: impl FnOnce(&mut Value)) {
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     change(&mut configuration);
     for round in 0..2 {
         let begun = Instant::now();
@@ -52,19 +60,19 @@
             "ready after {:?}",
             begun.elapsed()
         );
-        for (n, class) in world.classes.iter().enumerate() {
-            // A busy machine may be late for a short time: what it denies is asked again.
-            let served = (0..200).any(|again| {
-                ask(&mut client, round * 100_000 + n * 1000 + again, class, wait).is_none()
+        for (n, class) in cluster.classes.iter().enumerate() {
+            // On a busy machine requests may be rejected for a short time: these are sent again.
+            let served = (0..200).any(|retry| {
+                send_request(&mut client, round * 100_000 + n * 1000 + retry, class, wait).is_none()
             });
-            assert!(served, "lane {}", class.name);
+            assert!(served, "class {} is never served", class.name);
         }
         agent.terminate().unwrap();
         let begun = Instant::now();
         assert!(agent.wait_for_success().unwrap() && begun.elapsed() < TEST_TIMEOUT);
     }
-    for class in world.classes.iter().filter(|l| l.idempotency == "once") {
-        assert!(world.executed_twice(&class.name).is_empty());
+    for class in cluster.classes.iter().filter(|l| l.idempotency == "once") {
+        assert!(cluster.executed_twice(&class.name).is_empty());
     }
 }
 
@@ -82,9 +90,9 @@
 }
 
 #[test]
-fn serves_one_class_of_a_tenth_of_a_second_with_a_window_as_short_and_free_handshakes() {
-    let world = world(&["only"], vec![class("tick", "by_key", "cell", 20.0)]);
-    starts_serves_and_restarts(&world, 100, |c| {
+fn serves_a_class_with_a_timeout_and_window_of_100_ms_and_free_handshakes() {
+    let cluster = cluster(&["only"], vec![class("tick", "by_key", "cell", 20.0)]);
+    starts_serves_and_restarts(&cluster, 100, |c| {
         let settings = &mut c["settings"];
         settings["classes"][0]["give-up-ms"] = 100.into();
         settings["classes"][0]["window-ms"] = 100.into();
@@ -99,9 +107,10 @@
 }
 
 #[test]
-fn serves_thirty_classes_of_minutes_in_six_zones_with_polled_lists_and_many_tenants() {
+fn serves_thirty_classes_with_timeouts_of_minutes_in_six_zones_with_polled_lists_and_many_tenants()
+{
     let kinds = [("repeatable", "all"), ("by_key", "zone"), ("once", "all")];
-    let of = |n: usize| {
+    let nth_class = |n: usize| {
         class(
             &format!("lane {n}, \u{e9}").replace(", ", "-"),
             kinds[n % 3].0,
@@ -109,8 +118,11 @@
             60_000.0,
         )
     };
-    let world = world(&["a", "b", "c", "d", "e", "f"], (0..30).map(of).collect());
-    starts_serves_and_restarts(&world, 600_000, |c| {
+    let cluster = cluster(
+        &["a", "b", "c", "d", "e", "f"],
+        (0..30).map(nth_class).collect(),
+    );
+    starts_serves_and_restarts(&cluster, 600_000, |c| {
         let settings = &mut c["settings"];
         for class in settings["classes"].as_array_mut().unwrap() {
             class["give-up-ms"] = 600_000.into();
@@ -131,9 +143,9 @@
 }
 
 #[test]
-fn serves_with_the_fewest_descriptors_the_least_memory_and_no_slow_start() {
-    let world = world(&["only"], agent_process::classes());
-    starts_serves_and_restarts(&world, 1000, |c| {
+fn serves_with_the_minimum_of_descriptors_and_memory_and_without_slow_start() {
+    let cluster = cluster(&["only"], agent_process::classes());
+    starts_serves_and_restarts(&cluster, 1000, |c| {
         c["limits"] = json!({"sockets": 64, "memory_mb": 32, "cores": 0.05});
         let settings = &mut c["settings"];
         settings["rules"] =
--- a/crates/agent/tests/connection_pool.rs
+++ b/crates/agent/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections: which is closed first, and how much is looked at for it.
+//! Idle connections: which of them is closed first, and how many endpoints are visited to find it.
 
 use async_executor::LocalExecutor;
 use std::future::Future;
@@ -12,12 +12,12 @@
 use tulipwall_agent::upstream::pool::{ConnectionPool, PooledConnection};
 use tulipwall_discovery::clock::Clock;
 
-/// Endpoints of a large list.
+/// Number of endpoints in a large list.
 const ENDPOINTS: usize = 7_700;
-/// Within this time no connection expires.
+/// Long enough for no connection to expire during a test.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A pool with a listener that its connections lead to.
+/// A connection pool, and a listener that accepts its connections.
 struct PoolFixture {
     pool: ConnectionPool,
     counters: Rc<Counters>,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An open connection that has been idle since a time after the clock's zero.
+    /// Opens a connection that has been idle since this time, counted from the clock's zero.
     async fn connection(&self, idle_since: Duration) -> PooledConnection {
         let address = self.listener.local_addr().unwrap();
         let connection = Connection::open(address).await.unwrap();
@@ -45,7 +45,7 @@
         PooledConnection::new(connection, permit, idle_since)
     }
 
-    /// Endpoints of these that have a connection to take.
+    /// Takes a connection of each of these endpoints. Returns the endpoints that had one.
     fn taken(&self, endpoints: &[usize]) -> Vec<usize> {
         let endpoints = endpoints.iter().copied();
         endpoints
@@ -58,8 +58,8 @@
     reactor::run(&LocalExecutor::new(), &LocalExecutor::new(), main).unwrap()
 }
 
-/// A reading of the clock, whose zero lies an hour before its start.
-fn reading(millis: u64) -> Duration {
+/// A clock time so many milliseconds after the clock's start, which lies an hour after its zero.
+fn time_since_start(millis: u64) -> Duration {
     Duration::from_secs(3600) + Duration::from_millis(millis)
 }
 
@@ -68,24 +68,25 @@
     run(async {
         let fixture = PoolFixture::new();
         for (endpoint, since) in [(5, 30), (ENDPOINTS - 1, 10), (9, 20)] {
-            let connection = fixture.connection(reading(since)).await;
+            let connection = fixture.connection(time_since_start(since)).await;
             fixture.pool.put(endpoint, connection);
         }
         std::thread::sleep(Duration::from_millis(50));
         assert!(fixture.pool.evict_idle());
         assert!(fixture.pool.evict_idle());
         assert_eq!(fixture.taken(&[5, 9, ENDPOINTS - 1]), [5]);
-        assert!(!fixture.pool.evict_idle(), "none is left");
+        assert!(!fixture.pool.evict_idle(), "no connection is left");
     });
 }
 
 #[test]
-fn evicts_by_the_first_connection_of_each_endpoint() {
+fn evicts_by_the_longest_idle_connection_of_each_endpoint() {
     run(async {
         let fixture = PoolFixture::new();
-        // Endpoint 1 has two; behind its first the second is the next oldest but for endpoint 2.
+        // Endpoint 1 has two connections. Once the first is evicted, the connection of endpoint 2
+        // has been idle for longer than the other.
         for (endpoint, since) in [(1, 10), (1, 30), (2, 20)] {
-            let connection = fixture.connection(reading(since)).await;
+            let connection = fixture.connection(time_since_start(since)).await;
             fixture.pool.put(endpoint, connection);
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -96,14 +97,14 @@
 }
 
 #[test]
-fn closes_what_the_other_side_closed_or_is_about_to() {
+fn closes_connections_that_the_peer_closed_or_is_about_to_close() {
     run(async {
         let fixture = PoolFixture::new();
-        let kept = fixture.connection(reading(0)).await;
+        let kept = fixture.connection(time_since_start(0)).await;
         fixture.pool.put(1, kept);
         let expired = fixture.connection(Duration::ZERO).await;
         fixture.pool.put(2, expired);
-        let closed = fixture.connection(reading(0)).await;
+        let closed = fixture.connection(time_since_start(0)).await;
         fixture.pool.put(3, closed);
         let mut accepted: Vec<_> = (0..3).map(|_| fixture.listener.accept().unwrap()).collect();
         drop(accepted.pop());
@@ -114,22 +115,23 @@
     });
 }
 
-/// Guards against work that goes by the length of the list where an agent holds few connections.
+/// Guards against work that grows with the length of the endpoint list while an agent holds few
+/// connections.
 #[test]
-fn looks_at_held_connections_and_not_at_the_list() {
+fn visits_endpoints_with_connections_and_not_the_whole_list() {
     run(async {
         let fixture = PoolFixture::new();
         let held: Vec<usize> = (0..8).map(|n| ENDPOINTS - 1 - n * 900).collect();
         for endpoint in &held {
-            let connection = fixture.connection(reading(0)).await;
+            let connection = fixture.connection(time_since_start(0)).await;
             fixture.pool.put(*endpoint, connection);
         }
         let before = fixture.pool.endpoints_visited();
         fixture.pool.close_stale();
-        let of_cleanup = fixture.pool.endpoints_visited() - before;
-        assert_eq!(of_cleanup, held.len() as u64);
+        let visited_by_cleanup = fixture.pool.endpoints_visited() - before;
+        assert_eq!(visited_by_cleanup, held.len() as u64);
         assert!(fixture.pool.evict_idle());
-        let of_eviction = fixture.pool.endpoints_visited() - before - of_cleanup;
-        assert_eq!(of_eviction, 1);
+        let visited_by_eviction = fixture.pool.endpoints_visited() - before - visited_by_cleanup;
+        assert_eq!(visited_by_eviction, 1);
     });
 }
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -1,4 +1,5 @@
-//! The evidence that a verdict on a build rests on, as agents log it where that is asked for.
+//! The log target `evidence`: the observations behind the verdict on a build, which an agent logs
+//! when its log filter enables them.
 
 use rustix::process::Signal;
 use std::time::Duration;
@@ -7,27 +8,27 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 
-/// A second of requests at an agent whose log has this filter: its log, with its counters in the
-/// end.
-fn logged(filter: &str) -> String {
-    let world = TestCluster::new(&["a"], classes()).unwrap();
+/// Sends requests for one second to an agent with this log filter. Returns its log, which ends with
+/// its counters.
+fn log_under_load(filter: &str) -> String {
+    let cluster = TestCluster::new(&["a"], classes()).unwrap();
     for n in 0..2 {
-        world
+        cluster
             .add_endpoint(0, &format!("e-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
-    world
+    cluster
         .platform
         .set_rollout_status(platform::RolloutStatus::now(41, 2, "released", 1.0));
-    let program = AgentProcess::start(
+    let agent_process = AgentProcess::start(
         "env",
-        world.configuration("n1", 0).unwrap(),
+        cluster.configuration("n1", 0).unwrap(),
         &[filter, BINARY],
     )
     .unwrap();
-    TestClient::connect(program.address().unwrap()).unwrap();
+    TestClient::connect(agent_process.address().unwrap()).unwrap();
     Load {
-        agent: program.address().unwrap(),
+        agent: agent_process.address().unwrap(),
         rate: 150.0,
         duration: Duration::from_secs(1),
         classes: vec![("view".to_owned(), 1.0, Duration::from_millis(1500), false)],
@@ -35,23 +36,24 @@
         seed: 7,
     }
     .run();
-    program.signal(Signal::USR1).unwrap();
+    agent_process.signal(Signal::USR1).unwrap();
     assert!(
-        wait_until(|| program.log().contains("requests: taken")),
+        wait_until(|| agent_process.log().contains("requests: taken")),
         "{}",
-        program.log()
+        agent_process.log()
     );
-    program.log()
+    agent_process.log()
 }
 
 #[test]
-fn logs_the_end_of_each_attempt_and_request_only_at_the_evidence_target() {
-    let log = logged("RUST_LOG=info,evidence=debug");
+fn logs_each_finished_attempt_and_request_only_at_the_evidence_target() {
+    let log = log_under_load("RUST_LOG=info,evidence=debug");
     let lines = |begin: &str, with: &str| {
-        let said = log
+        let messages = log
             .lines()
             .filter_map(|l| l.split_once("evidence] ")?.1.split_once(' '));
-        said.filter(|(_, s)| s.starts_with(begin) && s.contains(with))
+        messages
+            .filter(|(_, s)| s.starts_with(begin) && s.contains(with))
             .count()
     };
     let counters = log.lines().find(|l| l.contains("requests: taken")).unwrap();
@@ -89,6 +91,6 @@
         "{log}"
     );
 
-    let quiet = logged("RUST_LOG=info");
+    let quiet = log_under_load("RUST_LOG=info");
     assert!(!quiet.contains("evidence]"), "{quiet}");
 }
--- a/crates/agent/tests/large_lists.rs
+++ b/crates/agent/tests/large_lists.rs
@@ -1,5 +1,5 @@
-//! Lists of the size to come on real sockets: taken in, spoilt, too long, empty, and whole again.
-//! One endpoint stands behind all their entries.
+//! Lists with thousands of endpoints on real sockets: applied, malformed, too long, empty, and
+//! valid again. All their entries lead to one endpoint.
 
 use serde_json::json;
 use tulipwall_testkit::*;
@@ -7,16 +7,16 @@
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
 const ENDPOINTS: usize = 7_700;
 
-fn fleet(one: &discovery::Entry) -> Vec<discovery::Entry> {
+fn entries_for(entry: &discovery::Entry) -> Vec<discovery::Entry> {
     (0..ENDPOINTS)
         .map(|n| discovery::Entry {
             id: format!("s-{n:08x}"),
-            ..one.clone()
+            ..entry.clone()
         })
         .collect()
 }
 
-fn says(agent: &AgentProcess, line: &str) {
+fn assert_logs(agent: &AgentProcess, line: &str) {
     assert!(
         runtime::wait_until(|| agent.log().contains(line)),
         "'{line}' is not in {}",
@@ -25,62 +25,69 @@
 }
 
 #[test]
-fn follows_lists_of_thousands_and_logs_their_faults_in_one_line() {
-    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
-    let one = world
+fn follows_lists_of_thousands_of_endpoints_and_logs_each_fault_in_one_line() {
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+    let entry = cluster
         .start_unlisted(0, "s-0", 41, EndpointBehavior::default())
         .unwrap();
-    world.discovery.update(fleet(&one));
-    let agent = AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
+    cluster.discovery.update(entries_for(&entry));
+    let agent = AgentProcess::start(BINARY, cluster.configuration("n1", 0).unwrap(), &[]).unwrap();
     let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
-    let mut ask = || {
+    let mut reply_code = || {
         client.send_query("view", 1000);
         client.read_reply().unwrap().code()
     };
-    assert_eq!(ask(), None);
+    assert_eq!(reply_code(), None);
 
-    // Of two lines for one endpoint neither is believed; the others go on.
-    let mut twice = world.discovery.full_list(0);
-    let mut other = twice["servers"][17].clone();
-    other["state"] = json!("terminating");
-    twice["servers"].as_array_mut().unwrap().push(other);
-    world
+    // Two entries for one endpoint: neither is applied, and the other endpoints go on serving.
+    let mut duplicated = cluster.discovery.full_list(0);
+    let mut duplicate = duplicated["servers"][17].clone();
+    duplicate["state"] = json!("terminating");
+    duplicated["servers"]
+        .as_array_mut()
+        .unwrap()
+        .push(duplicate);
+    cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
-            &twice.to_string(),
+            &duplicated.to_string(),
         )));
-    says(&agent, "'s-00000011' stands twice");
-    assert_eq!(ask(), None);
+    assert_logs(&agent, "'s-00000011' stands twice");
+    assert_eq!(reply_code(), None);
 
-    // Beyond what is read nothing is believed: what is known goes on.
-    let long = "HTTP/1.1 200 OK\r\nContent-Length: 8388609\r\n\r\n{";
-    world.discovery.set_behavior(DiscoveryBehavior::Normal);
-    says(&agent, "responding again");
-    world
+    // A list beyond the maximum length is not applied: the agent goes on with the list it has.
+    let oversized = "HTTP/1.1 200 OK\r\nContent-Length: 8388609\r\n\r\n{";
+    cluster.discovery.set_behavior(DiscoveryBehavior::Normal);
+    assert_logs(&agent, "responding again");
+    cluster
         .discovery
-        .set_behavior(DiscoveryBehavior::Sends(long.into()));
-    says(
+        .set_behavior(DiscoveryBehavior::Sends(oversized.into()));
+    assert_logs(
         &agent,
         "body of 8388609 bytes is longer than the maximum of 8388608 bytes",
     );
-    assert_eq!(ask(), None);
+    assert_eq!(reply_code(), None);
 
-    // By the rules, what a whole list lacks is gone.
-    let none = json!({"version": 99, "full": true, "servers": []}).to_string();
-    world
+    // By the rules of discovery, an endpoint that a full list lacks is gone.
+    let empty_list = json!({"version": 99, "full": true, "servers": []}).to_string();
+    cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
-            &none,
+            &empty_list,
         )));
-    says(&agent, "no endpoint runs, of 7700");
+    assert_logs(&agent, "no endpoint runs, of 7700");
     assert!(
-        ask().is_some_and(|code| code == "53300"),
-        "what cannot be sent is denied"
+        reply_code().is_some_and(|code| code == "53300"),
+        "a request that no endpoint can serve is rejected"
     );
 
-    // Whole again, none of it changed since the version that was heard: who has nothing to serve
-    // from asks for all of it.
-    (0..100).for_each(|_| world.discovery.update([]));
-    world.discovery.set_behavior(DiscoveryBehavior::Normal);
-    assert!(runtime::wait_until(|| ask().is_none()), "{}", agent.log());
+    // The list is valid again, and nothing in it has changed since the version that the agent
+    // received: an agent without any endpoint has to request the full list.
+    (0..100).for_each(|_| cluster.discovery.update([]));
+    cluster.discovery.set_behavior(DiscoveryBehavior::Normal);
+    assert!(
+        runtime::wait_until(|| reply_code().is_none()),
+        "{}",
+        agent.log()
+    );
 }
--- a/crates/agent/tests/list_calls.rs
+++ b/crates/agent/tests/list_calls.rs
@@ -1,5 +1,5 @@
-//! How often discovery is called for the list where calls are free, counted at the discovery
-//! service.
+//! How often an agent requests the list from a discovery whose calls are free, counted by the
+//! discovery service.
 
 use serde_json::{json, Value};
 use std::io::{self, Read, Write};
@@ -32,7 +32,7 @@
     agent
 }
 
-/// What one start asks of discovery.
+/// What discovery receives from one start of an agent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct StartCalls {
     connections: usize,
@@ -53,25 +53,25 @@
     }
 }
 
-/// Guards discovery and the agent against a list that is written and read twice at each start.
+/// Guards against a full list that discovery writes, and the agent reads, twice at each start.
 #[test]
-fn asks_for_a_pushed_list_once_at_a_start() {
+fn requests_a_pushed_list_once_at_a_start() {
     for knows_a_list in [false, true] {
         let expected = StartCalls {
             connections: 1,
             whole_lists: usize::from(!knows_a_list),
         };
         let starts: Vec<StartCalls> = (0..5).map(|_| calls_of_a_start(knows_a_list)).collect();
-        // A machine that stands still for 150 ms looks like a connection that is lost: once in
-        // five starts at most.
+        // A machine that stalls for 150 ms is taken for a lost connection: tolerated once in five
+        // starts.
         let once = starts.iter().filter(|calls| **calls == expected).count();
         assert!(once >= 4, "{starts:?}");
     }
 }
 
-/// Guards against a first connection that is lost in silence, whose call would be waited for.
+/// Guards against a start that waits for a call on a connection that was lost without notice.
 #[test]
-fn calls_again_soon_where_the_first_connection_of_a_start_is_silent() {
+fn calls_again_soon_when_the_first_connection_of_a_start_is_silent() {
     let cluster = cluster();
     let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration.as_object_mut().unwrap().remove("known");
@@ -80,7 +80,7 @@
         .silence_watches([ConnectionBehavior::Unanswered]);
     let begun = Instant::now();
     let _agent = start(configuration);
-    // The call that allows for more time is given up after 2 s.
+    // The second call, which allows more time, is abandoned only after 2 s.
     assert!(
         begun.elapsed() < Duration::from_millis(1500),
         "{:?}",
@@ -89,7 +89,7 @@
     assert!(cluster.discovery.connections() >= 2);
 }
 
-/// A discovery whose whole list comes in parts, and never changes.
+/// A discovery service that writes its full list in parts, and whose list never changes.
 struct PartwiseDiscovery {
     address: SocketAddr,
     whole_lists: Arc<AtomicUsize>,
@@ -99,9 +99,9 @@
     fn start(list: Value, pause: Duration) -> PartwiseDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let list = Arc::new(WrittenList {
+        let list = Arc::new(EncodedResponses {
             whole: ScriptedServer::http_response(&list.to_string()),
-            nothing_new: ScriptedServer::http_response(
+            unchanged: ScriptedServer::http_response(
                 &json!({"version": list["version"], "full": false, "servers": []}).to_string(),
             ),
             pause,
@@ -122,17 +122,17 @@
     }
 }
 
-/// The responses of a [`PartwiseDiscovery`].
-struct WrittenList {
+/// The encoded responses of a [`PartwiseDiscovery`].
+struct EncodedResponses {
     whole: String,
-    nothing_new: String,
-    /// Between two of the parts.
+    unchanged: String,
+    /// Time between two parts of the full list.
     pause: Duration,
 }
 
 fn serve_in_parts(
     mut stream: TcpStream,
-    list: &WrittenList,
+    list: &EncodedResponses,
     whole_lists: &AtomicUsize,
 ) -> io::Result<()> {
     loop {
@@ -144,7 +144,7 @@
         }
         if String::from_utf8_lossy(&head).contains("after=") {
             sleep(Duration::from_millis(900));
-            stream.write_all(list.nothing_new.as_bytes())?;
+            stream.write_all(list.unchanged.as_bytes())?;
             continue;
         }
         whole_lists.fetch_add(1, Ordering::SeqCst);
@@ -155,10 +155,10 @@
     }
 }
 
-/// Guards a discovery that takes longer to write a long list than a quick call may take: another
-/// one would make it slower still.
+/// Guards against a second request while discovery writes a long list for longer than a quick call
+/// may take: the additional list would slow it down further.
 #[test]
-fn does_not_ask_again_while_a_long_list_is_coming() {
+fn does_not_request_the_list_again_while_a_long_one_is_arriving() {
     let cluster = cluster();
     let slow = PartwiseDiscovery::start(cluster.discovery.full_list(0), Duration::from_millis(150));
     let mut configuration = cluster.configuration("n1", 0).unwrap();
@@ -171,20 +171,21 @@
         client.read_reply().unwrap().code().is_none()
     };
     assert!(runtime::wait_until(served), "{}", agent.log());
-    // A second one only where the machine stood still for 150 ms; without the guard there are four or more.
+    // A second list only if the machine stalled for 150 ms; without the guard there are four or
+    // more.
     let whole_lists = slow.whole_lists.load(Ordering::SeqCst);
     assert!((1..=2).contains(&whole_lists), "{whole_lists}");
     assert!(!agent.log().contains("calling again"), "{}", agent.log());
 }
 
-/// Guards against a bound on lists below the most endpoints that are planned for.
+/// Guards against a limit on lists that lies below the planned maximum number of endpoints.
 #[test]
-fn takes_in_a_list_of_thirty_thousand_endpoints() {
+fn applies_a_list_of_thirty_thousand_endpoints() {
     let cluster = cluster();
     let mut list = cluster.discovery.full_list(0);
-    let one = list["servers"][0].clone();
+    let template = list["servers"][0].clone();
     let entry = |n: usize| {
-        let mut entry = one.clone();
+        let mut entry = template.clone();
         entry["id"] = format!("akl-rack-7-s-{n:08x}").into();
         entry
     };
--- a/crates/agent/tests/list_reader.rs
+++ b/crates/agent/tests/list_reader.rs
@@ -1,4 +1,4 @@
-//! Long lists are parsed beside all else, short ones at once.
+//! Long endpoint lists are parsed on a thread of their own, short ones inline in the event loop.
 
 use futures_lite::future::poll_once;
 use serde_json::{json, Value};
@@ -20,12 +20,12 @@
         .into_bytes()
 }
 
-/// What a list says, or why it cannot be read.
-type Reading = Result<ListResponse, String>;
+/// A parsed list, or the text of the error that made it unreadable.
+type ParseResult = Result<ListResponse, String>;
 
-/// Parses a body in the event loop, with nothing else to do there: how it ended, and whether it
-/// was at once.
-fn read(body: Vec<u8>) -> (Reading, bool) {
+/// Parses a body in an otherwise idle event loop. Returns the result, and whether it was ready at
+/// the first poll.
+fn read(body: Vec<u8>) -> (ParseResult, bool) {
     let tasks = async_executor::LocalExecutor::new();
     let urgent = async_executor::LocalExecutor::new();
     let reading = async {
@@ -39,9 +39,9 @@
     (read.map_err(|error| error.to_string()), at_once)
 }
 
-/// Guards requests, which would wait for tens of thousands of entries.
+/// Guards against requests that wait while the event loop parses tens of thousands of entries.
 #[test]
-fn parses_a_long_list_beside_all_else_and_a_short_one_at_once() {
+fn parses_a_long_list_on_another_thread_and_a_short_one_inline() {
     for (endpoints, expected) in [
         (1, true),
         (55, true),
@@ -57,38 +57,39 @@
     }
 }
 
-/// Guards against a list of which a part is taken in.
+/// Guards against a long list of which only a part is applied.
 #[test]
-fn names_the_fault_of_a_long_list_as_that_of_a_short_one() {
-    let mut cut_off = body(7_700);
-    cut_off.pop();
+fn reports_the_same_error_for_a_long_list_as_for_a_short_one() {
+    let mut truncated = body(7_700);
+    truncated.pop();
     let without_version = [
         b"{\"full\": true, \"servers\": [], \"more\": \"".as_slice(),
         &[b'x'; 2 * MAX_INLINE_LENGTH],
         b"\"}",
     ]
     .concat();
-    for body in [cut_off, without_version] {
+    for body in [truncated, without_version] {
         let expected = ListResponse::parse(&body).unwrap_err().to_string();
         assert!(!expected.contains('\n'), "one line");
         assert_eq!(read(body).0.unwrap_err(), expected);
     }
 }
 
-/// A watch that is given up gives the list up with it: nothing is left open.
+/// A cancelled watch drops its unparsed list. Guards against sockets and threads that remain open
+/// afterwards.
 #[test]
-fn leaves_nothing_open_where_nobody_waits_for_a_list_any_more() {
+fn leaves_no_socket_or_thread_open_after_a_parse_is_dropped() {
     let body = body(7_700);
     let tasks = async_executor::LocalExecutor::new();
     let urgent = async_executor::LocalExecutor::new();
-    let given_up = async {
+    let dropped_parses = async {
         for _ in 0..20 {
             let mut parsing = Box::pin(list_reader::parse(body.clone()));
             assert!(poll_once(&mut parsing).await.is_none());
         }
     };
     let begun = Instant::now();
-    reactor::run(&tasks, &urgent, urgent.spawn(given_up)).unwrap();
+    reactor::run(&tasks, &urgent, urgent.spawn(dropped_parses)).unwrap();
     assert!(begun.elapsed() < Duration::from_secs(10));
     assert!(wait_until(|| open_sockets() == 0), "{}", open_sockets());
     assert!(wait_until(|| list_threads() == 0), "{}", list_threads());
--- a/crates/agent/tests/memory.rs
+++ b/crates/agent/tests/memory.rs
@@ -1,4 +1,5 @@
-//! The limit on memory: what is left of it for buffers, and that all are served within it.
+//! The memory limit: the share of it that remains for buffers, and that every client is served
+//! within it.
 
 use std::net::TcpStream;
 use tulipwall_agent::agent::{ResourceLimits, MIN_BUFFERED_BYTES};
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn takes_the_process_and_each_client_off_the_memory_for_buffers() {
+fn subtracts_the_process_and_each_client_from_the_memory_for_buffers() {
     let limits = limits(33, 18);
     assert_eq!(limits.max_buffered_bytes(), 5 * MIB);
     let clients: Vec<_> = (0..384)
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn serves_under_a_limit_below_the_size_of_the_process_and_says_so_in_one_line() {
+fn serves_under_a_limit_below_the_size_of_the_process_and_logs_it_in_one_line() {
     let cluster = cluster();
     let mut agent = start_agent(&cluster, 2);
     let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
@@ -73,7 +74,8 @@
     assert!(agent.wait_for_success().unwrap());
 }
 
-/// Each keeps a buffer of 16 KiB after its request, all of them three times what may be buffered.
+/// Guards against idle clients whose buffers exhaust the memory of all: each keeps 16 KiB after its
+/// request, which together is three times the limit on buffered bytes.
 #[test]
 fn serves_others_while_many_clients_that_sent_long_requests_are_idle() {
     let cluster = cluster();
@@ -93,7 +95,8 @@
     drop(idle);
 }
 
-/// Blocks of other sizes on the way would be freed memory that nothing counts.
+/// Guards against growth in several steps: the smaller blocks would remain as freed memory that no
+/// limit accounts for.
 #[test]
 fn grows_a_buffer_to_the_announced_length_in_one_step() {
     let read = |buffer: &mut Buffer| buffer.fill(|space| Ok::<_, ()>(space.len().min(4096)));
--- a/crates/agent/tests/protocols.rs
+++ b/crates/agent/tests/protocols.rs
@@ -1,4 +1,4 @@
-//! The parsers, over every split of the bytes and over damaged bytes.
+//! The protocol parsers on bytes that are split at every position, and on corrupted bytes.
 
 use quickcheck::quickcheck;
 use std::time::Duration;
@@ -15,22 +15,22 @@
                      /* id=9b1f,c=send,d=480,k=5c0f */";
 
 fn whole_messages(pieces: impl Iterator<Item = Vec<u8>>) -> Vec<(u8, Vec<u8>)> {
-    let mut inbox = Buffer::default();
+    let mut received = Buffer::default();
     let mut messages = Vec::new();
     for piece in pieces {
         let mut rest = &piece[..];
         while !rest.is_empty() {
-            inbox
-                .fill(|room| std::io::Read::read(&mut rest, room))
+            received
+                .fill(|space| std::io::Read::read(&mut rest, space))
                 .unwrap();
         }
-        while let Some(message) = postgres::parse_message(inbox.unread()).unwrap() {
+        while let Some(message) = postgres::parse_message(received.unread()).unwrap() {
             messages.push((message.tag, message.body.to_vec()));
             let length = message.length;
-            inbox.consume(length);
+            received.consume(length);
         }
     }
-    assert!(inbox.is_empty());
+    assert!(received.is_empty());
     messages
 }
 
@@ -43,35 +43,36 @@
     bytes
 }
 
-/// How a response in these pieces ends, with its value; `None` while it is not whole.
+/// Reads a response that arrives in these pieces. Returns its outcome and its value, `None` while
+/// it is incomplete.
 fn read_response(pieces: &[&[u8]]) -> Result<Option<(QueryOutcome, Vec<u8>)>, ProtocolError> {
-    let mut inbox = Vec::new();
+    let mut received = Vec::new();
     let mut reader = ResponseReader::default();
     for piece in pieces {
-        inbox.extend_from_slice(piece);
-        while let Some(message) = postgres::parse_endpoint_message(&inbox)? {
-            if reader.on_message(message.tag, message.body, &inbox[..message.length])? {
+        received.extend_from_slice(piece);
+        while let Some(message) = postgres::parse_endpoint_message(&received)? {
+            if reader.on_message(message.tag, message.body, &received[..message.length])? {
                 return Ok(reader.outcome.map(|v| (v, reader.value)));
             }
             let length = message.length;
-            inbox.drain(..length);
+            received.drain(..length);
         }
     }
     Ok(None)
 }
 
 quickcheck! {
-    fn reads_no_value_from_a_damaged_response_however_it_is_split(cut: usize, at: usize, by: u8) -> bool {
+    fn reads_no_value_from_a_damaged_response_however_it_is_split(cut: usize, at: usize, increment: u8) -> bool {
         let whole = response();
-        let (cut, at, by) = (cut % whole.len(), at % whole.len(), by.max(1));
+        let (cut, at, increment) = (cut % whole.len(), at % whole.len(), increment.max(1));
         let value = whole[..whole.len() - 6].to_vec();
         assert_eq!(read_response(&[&whole[..cut], &whole[cut..]]), Ok(Some((QueryOutcome::Value, value.clone()))));
-        assert_eq!(read_response(&[&whole[..cut]]), Ok(None), "only a part");
-        // No change of the value, of the column's description or of the command tag can be noticed.
-        let free = [7..30, 41..43, 48..57].iter().any(|r| r.contains(&at));
+        assert_eq!(read_response(&[&whole[..cut]]), Ok(None), "an incomplete response has no outcome");
+        // A change of the value, of the column's description or of the command tag is undetectable.
+        let undetectable = [7..30, 41..43, 48..57].iter().any(|r| r.contains(&at));
         let mut damaged = whole.clone();
-        damaged[at] = damaged[at].wrapping_add(by);
-        free || !matches!(read_response(&[&damaged[..cut], &damaged[cut..]]), Ok(Some((QueryOutcome::Value, _))))
+        damaged[at] = damaged[at].wrapping_add(increment);
+        undetectable || !matches!(read_response(&[&damaged[..cut], &damaged[cut..]]), Ok(Some((QueryOutcome::Value, _))))
     }
 
     fn reads_the_same_messages_however_they_are_split(cuts: Vec<usize>) -> bool {
@@ -84,14 +85,14 @@
             == whole_messages([bytes.clone()].into_iter())
     }
 
-    fn never_panics_on_any_bytes(noise: Vec<u8>, seed: Vec<(usize, u8)>) -> bool {
+    fn never_panics_on_any_bytes(noise: Vec<u8>, overwrites: Vec<(usize, u8)>) -> bool {
         let valid = [
             response(), postgres::query(WRITE), postgres::startup("worker", "catalog"), READ.into(), WRITE.into(),
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_vec(),
             platform::vote_request(7, &Vote { build: 3, stage: 1, verdict: tulipwall::Verdict::Hold }).into_bytes(), noise,
         ];
         for mut bytes in valid {
-            for (at, to) in &seed {
+            for (at, to) in &overwrites {
                 let at = at % bytes.len().max(1);
                 bytes.get_mut(at).into_iter().for_each(|b| *b = *to);
             }
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn forwards_a_statement_unchanged_but_for_its_wait() {
+fn forwards_a_statement_unchanged_except_for_its_timeout() {
     for (text, class, tenant) in [(READ, "view", Some("acme")), (WRITE, "send", None)] {
         let s = Statement::parse(text).unwrap();
         assert_eq!(
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn names_the_fault_of_a_statement() {
+fn reports_what_is_invalid_in_a_statement() {
     for (from, to, fault) in [
         ("d=480", "d=soon", "field d"),
         ("d=480", "d=inf", "field d"),
@@ -147,8 +148,8 @@
     assert!(ResponseReader::default()
         .on_message(b'C', b"SELECT 0\0", b"")
         .is_err());
-    // What can't be read says nothing, not even that the request never ran; what is too large is
-    // not awaited.
+    // An unreadable error proves nothing, not even that the request never ran. A message whose
+    // announced length is too large is refused before the rest of it arrives.
     assert!(ResponseReader::default()
         .on_message(b'E', b"SERROR\0C53300", b"")
         .is_err());
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn parses_an_http_response_only_when_it_is_whole() {
+fn parses_an_http_response_only_when_it_is_complete() {
     for whole in [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"[..],
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n",
@@ -191,9 +192,9 @@
         age: Duration::from_millis(310),
     };
     let state = r#"{"image":42,"ring":1,"progress":"trial","ceiling":0.28,"lag_ms":310}"#;
-    let line = |text: String| platform::parse_message(text.as_bytes());
+    let parse_line = |text: String| platform::parse_message(text.as_bytes());
     assert_eq!(
-        line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)),
+        parse_line(format!(r#"{{"method":"ROLLOUT","params":{state}}}"#)),
         Ok(PlatformMessage::RolloutStatus(report))
     );
     for (message, reply) in [
@@ -202,7 +203,7 @@
         ("InternalFailure", VoteReply::Refused),
         ("ValidationError", VoteReply::Refused),
     ] {
-        let response = line(format!(
+        let response = parse_line(format!(
             r#"{{"id":7,"error":{{"code":-32602,"message":"{message}"}}}}"#
         ));
         assert_eq!(
@@ -215,31 +216,31 @@
         );
     }
     assert_eq!(
-        line(r#"{"method":"ping"}"#.into()),
+        parse_line(r#"{"method":"ping"}"#.into()),
         Ok(PlatformMessage::Heartbeat)
     );
     let sample = r#"{"bad":1,"image":42,"lag_ms":828,"latency_ms":564.324,"n":3,"type":"view"}"#;
-    let (took, age) = (Duration::from_micros(564_324), Duration::from_millis(828));
-    let counted = PlatformMessage::AggregatedCounts {
+    let (latency, age) = (Duration::from_micros(564_324), Duration::from_millis(828));
+    let expected_counts = PlatformMessage::AggregatedCounts {
         build: 42,
         class: "view".into(),
         attempts: 3,
         failed: 1,
-        mean_latency: took,
+        mean_latency: latency,
         age,
     };
     assert_eq!(
-        line(format!(r#"{{"method":"SAMPLE","params":{sample}}}"#)),
-        Ok(counted)
+        parse_line(format!(r#"{{"method":"SAMPLE","params":{sample}}}"#)),
+        Ok(expected_counts)
     );
     for damaged in [
         r#"{"id":7}"#,
         r#"{"method":"pong"}"#,
         r#"{"id":7,"error":{"message":"Thr#ttling"}}"#,
     ] {
-        assert!(line(damaged.into()).is_err());
+        assert!(parse_line(damaged.into()).is_err());
     }
-    assert!(line(format!(
+    assert!(parse_line(format!(
         r#"{{"method":"ROLLOUT","params":{}}}"#,
         state.replace("ceiling", "c#iling")
     ))
--- a/crates/agent/tests/reactor.rs
+++ b/crates/agent/tests/reactor.rs
@@ -1,13 +1,13 @@
-//! Whose turn comes first in the agent's one thread.
+//! The order in which the agent's single thread runs urgent and other tasks.
 
 use std::time::Duration;
 use tulipwall_agent::runtime::reactor::{self, Timer};
 
-/// Guards against a list that waits, unread, behind a burst of requests.
+/// Guards against an endpoint list that stays unread while a burst of requests is served.
 #[test]
 fn runs_urgent_tasks_after_a_bounded_number_of_others() {
     let ran = std::cell::Cell::new(0);
-    let (tasks, first) = (
+    let (tasks, urgent) = (
         async_executor::LocalExecutor::new(),
         async_executor::LocalExecutor::new(),
     );
@@ -19,10 +19,10 @@
             })
             .detach();
     }
-    let heard = first.spawn(async {
+    let urgent_task = urgent.spawn(async {
         Timer::after(Duration::from_millis(1)).await;
         ran.get()
     });
-    let before = reactor::run(&tasks, &first, heard).unwrap();
-    assert!(before < 100, "{before} tasks before it");
+    let before = reactor::run(&tasks, &urgent, urgent_task).unwrap();
+    assert!(before < 100, "{before} tasks ran before the urgent one");
 }
