--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -1,5 +1,6 @@
-//! Settings taken over at a SIGHUP, whole or not at all, on real sockets: what requests meet before
-//! and after, what is asked of discovery and the platform, and that nobody is cut off.
+//! Settings that a SIGHUP applies as a whole or not at all, on real sockets: how requests are
+//! handled before and after, which calls discovery and the platform receive, and that no client is
+//! disconnected.
 
 use serde_json::{json, Value};
 use std::thread::sleep;
@@ -14,11 +15,11 @@
     Duration::from_millis(n)
 }
 
-fn cluster(endpoints: usize, ways: EndpointBehavior) -> TestCluster {
+fn cluster(endpoints: usize, behavior: EndpointBehavior) -> TestCluster {
     let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..endpoints {
         cluster
-            .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
+            .add_endpoint(0, &format!("s-{n}"), 41, behavior.clone())
             .unwrap();
     }
     cluster
@@ -38,7 +39,7 @@
     agent.log().matches("a new configuration").count()
 }
 
-/// Replaces the configuration and waits until it is in force; for how long that took.
+/// Replaces the configuration and waits until it is in force. Returns how long that took.
 fn reload(agent: &AgentProcess, configuration: &Value) -> Duration {
     let (before, begun) = (reload_count(agent), Instant::now());
     agent.reload(&configuration.to_string()).unwrap();
@@ -55,8 +56,8 @@
         "window-ms": 9000.0, "points": 3.0})
 }
 
-/// A request of its own; the code of what it was told, nothing for a value.
-fn ask(client: &mut TestClient, id: &str, class: &str) -> Option<String> {
+/// Sends a request with this id. Returns the error code of the reply, `None` for a value.
+fn send_request(client: &mut TestClient, id: &str, class: &str) -> Option<String> {
     client.send_query_as(id, class, 3000);
     client.read_reply().unwrap().code()
 }
@@ -65,9 +66,9 @@
     cluster.received_queries().get(id).map_or(0, Vec::len)
 }
 
-/// What is asked of discovery and the platform: whole lists, and connections to either. Of two
-/// tries at a start the later one may be on its way for a while after the first was answered; it is
-/// waited for.
+/// What discovery and the platform have received: requests for the full list, connections to
+/// discovery and connections to the platform. An agent may call discovery twice at its start, and
+/// the second call may arrive after the first was answered: this waits for it.
 fn control_calls(cluster: &TestCluster) -> (usize, usize, usize) {
     assert!(cluster.discovery.settled(0).unwrap(), "one watch at a time");
     (
@@ -82,10 +83,10 @@
     let cluster = cluster(1, EndpointBehavior::default());
     let agent = start(&cluster, |_| {});
     let mut client = connect_client(&agent);
-    assert_eq!(ask(&mut client, "v1", "view"), None);
+    assert_eq!(send_request(&mut client, "v1", "view"), None);
     assert!(
-        ask(&mut client, "x1", "extra").is_some(),
-        "no such lane yet"
+        send_request(&mut client, "x1", "extra").is_some(),
+        "the class does not exist yet"
     );
     let before = control_calls(&cluster);
     let opened =
@@ -114,14 +115,14 @@
         "{}",
         agent.log()
     );
-    // What went is found no more.
+    // A removed class is unknown again.
     reload(&agent, &agent.configuration);
-    assert!(ask(&mut client, "x2", "extra").is_some());
-    assert_eq!(ask(&mut client, "v2", "view"), None);
+    assert!(send_request(&mut client, "x2", "extra").is_some());
+    assert_eq!(send_request(&mut client, "v2", "view"), None);
     assert_eq!(
         (control_calls(&cluster), opened()),
         (before, connections),
-        "nobody was asked anew, nor cut off"
+        "no service is called again, and no connection is opened anew"
     );
 }
 
@@ -142,16 +143,25 @@
     };
     let agent = start(&cluster, |c| c["settings"]["classes"] = classes(10_000.0));
     let mut client = connect_client(&agent);
-    assert_eq!(ask(&mut client, "one", "one"), None);
-    assert_eq!(attempts(&cluster, "one"), 1, "late after a part of 10 s");
+    assert_eq!(send_request(&mut client, "one", "one"), None);
+    assert_eq!(
+        attempts(&cluster, "one"),
+        1,
+        "an attempt is late only after a part of the objective of 10 s"
+    );
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes(400.0);
     reload(&agent, &configuration);
-    assert_eq!(ask(&mut client, "other", "other"), None);
-    assert_eq!(attempts(&cluster, "other"), 2, "late after a part of 0.4 s");
+    assert_eq!(send_request(&mut client, "other", "other"), None);
+    assert_eq!(
+        attempts(&cluster, "other"),
+        2,
+        "an attempt is late after a part of the objective of 0.4 s"
+    );
 }
 
-/// Against a request in hand that is repeated, or not, by rules it was not taken under.
+/// Guards against a request in progress that is retried, or not retried, by idempotency rules other
+/// than those under which it was accepted.
 #[test]
 fn applies_changed_idempotency_with_requests_in_progress() {
     let cluster = cluster(
@@ -172,7 +182,7 @@
         c["settings"]["classes"] = classes("repeatable", "once")
     });
     let mut clients: Vec<TestClient> = (0..4).map(|_| connect_client(&agent)).collect();
-    // Each shows to be late after 2 s.
+    // The attempts of both count as late after 2 s.
     clients[0].send_query_as("view-before", "view", 7000);
     clients[1].send_query_as("payment-before", "payment", 7000);
     assert!(wait_until(|| attempts(&cluster, "view-before")
@@ -181,19 +191,22 @@
     let mut configuration = agent.configuration.clone();
     configuration["settings"]["classes"] = classes("once", "repeatable");
     let took = reload(&agent, &configuration);
-    assert!(took < ms(1500), "in force before either is late: {took:?}");
+    assert!(
+        took < ms(1500),
+        "in force only after {took:?}; both requests may be late by then"
+    );
     clients[2].send_query_as("view-after", "view", 5000);
     clients[3].send_query_as("payment-after", "payment", 5000);
     assert!(wait_until(
         || attempts(&cluster, "view-before") == 2 && attempts(&cluster, "payment-after") >= 2
     ));
-    // Another that changes nothing keeps them under their rules.
+    // A further reload without any change keeps the requests in progress under their rules.
     reload(&agent, &configuration);
     for client in &mut clients {
         client.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         assert!(
             client.read_reply().unwrap().code().is_some(),
-            "nobody answers them"
+            "no endpoint answers these requests"
         );
     }
     assert_eq!(
@@ -206,12 +219,12 @@
 }
 
 #[test]
-fn names_faulty_settings_in_one_line_and_changes_nothing() {
+fn reports_invalid_settings_in_one_line_and_changes_nothing() {
     let cluster = cluster(1, EndpointBehavior::default());
     let agent = start(&cluster, |_| {});
     let mut client = connect_client(&agent);
     let before = control_calls(&cluster);
-    let spoilt = |what: &str, change: &dyn Fn(&mut Value)| {
+    let assert_rejected = |expected_error: &str, change: &dyn Fn(&mut Value)| {
         let mut configuration = agent.configuration.clone();
         let settings = &mut configuration["settings"];
         settings["classes"]
@@ -219,21 +232,25 @@
             .unwrap()
             .push(class("extra", "repeatable", 400.0));
         change(settings);
-        let line = format!("{what}; the configuration read before stays");
-        let faults = || {
+        let line = format!("{expected_error}; the configuration read before stays");
+        let rejection_count = || {
             agent
                 .log()
                 .matches("the configuration read before stays")
                 .count()
         };
-        let (seen, over) = (faults(), reload_count(&agent));
+        let (rejections_before, reloads_before) = (rejection_count(), reload_count(&agent));
         agent.reload(&configuration.to_string()).unwrap();
-        assert!(wait_until(|| faults() > seen), "{}", agent.log());
+        assert!(
+            wait_until(|| rejection_count() > rejections_before),
+            "{}",
+            agent.log()
+        );
         assert!(agent.log().contains(&line), "{line}: {}", agent.log());
         assert_eq!(
-            (faults(), reload_count(&agent)),
-            (seen + 1, over),
-            "one line, and not taken over"
+            (rejection_count(), reload_count(&agent)),
+            (rejections_before + 1, reloads_before),
+            "logged in one line, and not applied"
         );
     };
     let tenants = |named: &[(&str, f64)]| -> Value {
@@ -242,36 +259,36 @@
             .map(|(name, share)| json!({"name": name, "share": share}))
             .collect()
     };
-    let double = tenants(&[("acme", 0.1), ("other", 0.1), ("acme", 0.2)]);
-    spoilt("field tenants: duplicate tenant 'acme'", &|s| {
-        s["tenants"] = double.clone()
+    let duplicate_tenants = tenants(&[("acme", 0.1), ("other", 0.1), ("acme", 0.2)]);
+    assert_rejected("field tenants: duplicate tenant 'acme'", &|s| {
+        s["tenants"] = duplicate_tenants.clone()
     });
-    let beyond = tenants(&[("acme", 1.5)]);
-    spoilt(
+    let excessive_share = tenants(&[("acme", 1.5)]);
+    assert_rejected(
         "field share: tenant 'acme': expected a share from 0 to 1",
-        &|s| s["tenants"] = beyond.clone(),
+        &|s| s["tenants"] = excessive_share.clone(),
     );
-    spoilt("field classes: duplicate class 'view'", &|s| {
+    assert_rejected("field classes: duplicate class 'view'", &|s| {
         s["classes"]
             .as_array_mut()
             .unwrap()
             .push(class("view", "once", 400.0));
     });
-    spoilt("field zones: duplicate zone 'a'", &|s| {
+    assert_rejected("field zones: duplicate zone 'a'", &|s| {
         s["zones"] = json!(["a", "b", "a"])
     });
-    spoilt("field aim-ms: expected a number", &|s| {
+    assert_rejected("field aim-ms: expected a number", &|s| {
         s["classes"][1]["aim-ms"] = "soon".into()
     });
     assert!(
-        ask(&mut client, "x", "extra").is_some(),
-        "nothing of them is in force"
+        send_request(&mut client, "x", "extra").is_some(),
+        "no part of the invalid settings is in force"
     );
-    assert_eq!(ask(&mut client, "v", "view"), None);
+    assert_eq!(send_request(&mut client, "v", "view"), None);
     assert_eq!(control_calls(&cluster), before);
-    // A start is refused.
+    // A start with invalid settings fails.
     let mut configuration = cluster.configuration("n2", 0).unwrap();
-    configuration["settings"]["tenants"] = double.clone();
+    configuration["settings"]["tenants"] = duplicate_tenants.clone();
     let mut refused = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     assert!(!refused.wait_for_success().unwrap());
     assert!(
@@ -283,11 +300,11 @@
     );
 }
 
-/// Against hundreds of agents that ask discovery for whole lists, and open their connections anew,
-/// at each change.
+/// Guards against hundreds of agents that request the full list from discovery, and open their
+/// connections anew, at each change of the settings.
 #[test]
 fn keeps_connections_to_services_whose_address_did_not_change() {
-    let (cluster, next) = (
+    let (cluster, new_platform) = (
         cluster(1, EndpointBehavior::default()),
         Platform::start(RolloutStatus::now(41, 0, "released", 1.0)).unwrap(),
     );
@@ -297,20 +314,20 @@
     let before = control_calls(&cluster);
     let mut configuration = agent.configuration.clone();
     for n in 0..20 {
-        // Every other one changes something.
+        // Every other reload changes a value.
         configuration["settings"]["classes"][0]["aim-ms"] = (400 + n / 2).into();
         configuration["limits"]["sockets"] = (1024 + n / 2).into();
         reload(&agent, &configuration);
-        assert_eq!(ask(&mut client, &format!("v{n}"), "view"), None);
+        assert_eq!(send_request(&mut client, &format!("v{n}"), "view"), None);
     }
     sleep(ms(300));
     assert_eq!(control_calls(&cluster), before);
     assert!(!agent.log().contains("Reloading"), "{}", agent.log());
-    // Who moves is, alone.
-    configuration["deployer"]["address"] = next.address.to_string().into();
+    // A service whose address changed is connected to anew, and only that one.
+    configuration["deployer"]["address"] = new_platform.address.to_string().into();
     reload(&agent, &configuration);
     assert!(wait_until(
-        || next.connections() == 1 && agent.log().matches("phase: Serving").count() == 2
+        || new_platform.connections() == 1 && agent.log().matches("phase: Serving").count() == 2
     ));
     assert_eq!(control_calls(&cluster), before);
     let discovery = Discovery::start(1).unwrap();
@@ -320,14 +337,17 @@
     assert!(wait_until(
         || agent.log().matches("phase: Serving").count() == 3
     ));
-    // Two tries may be made there, of which one goes on.
+    // The agent may call twice there; one of the two calls goes on.
     assert!(discovery.settled(0).unwrap());
-    let wholes = discovery.full_list_requests();
-    assert!(wholes >= 1);
-    assert_eq!((next.connections(), control_calls(&cluster)), (1, before));
-    // Another way to ask is a move as well: asked once more there, and where calls are paid for,
-    // for changes alone.
-    let (opened, wholes) = (discovery.connections(), discovery.full_list_requests());
+    let full_lists = discovery.full_list_requests();
+    assert!(full_lists >= 1);
+    assert_eq!(
+        (new_platform.connections(), control_calls(&cluster)),
+        (1, before)
+    );
+    // Another mode of discovery counts as a move too: discovery is called once more, and only for
+    // changes, as calls are paid for in this mode.
+    let (opened, full_lists) = (discovery.connections(), discovery.full_list_requests());
     configuration["settings"]["discovery"] = "ask".into();
     reload(&agent, &configuration);
     assert!(wait_until(
@@ -337,14 +357,14 @@
     assert!(discovery.settled(0).unwrap());
     assert_eq!(
         (discovery.connections(), discovery.full_list_requests()),
-        (opened + 1, wholes)
+        (opened + 1, full_lists)
     );
-    assert_eq!(next.connections(), 1);
-    assert_eq!(ask(&mut client, "last", "view"), None);
+    assert_eq!(new_platform.connections(), 1);
+    assert_eq!(send_request(&mut client, "last", "view"), None);
 }
 
 #[test]
-fn names_what_needs_a_restart_and_applies_the_rest() {
+fn logs_which_change_needs_a_restart_and_applies_the_rest() {
     let cluster = cluster(1, EndpointBehavior::default());
     let agent = start(&cluster, |_| {});
     let mut client = connect_client(&agent);
@@ -364,15 +384,15 @@
         "{}",
         agent.log()
     );
-    assert_eq!(ask(&mut client, "x", "extra"), None);
+    assert_eq!(send_request(&mut client, "x", "extra"), None);
     connect_client(&agent);
 }
 
-/// Reloads one after another while requests come: each is answered once, none is lost, no client
-/// is cut off, and what may not run twice does not.
+/// Applies one reload after another under load: each request is answered exactly once, none is
+/// lost, no client is disconnected, and no non-idempotent request runs twice.
 #[test]
 fn loses_no_request_in_two_hundred_reloads_under_load() {
-    let ways = EndpointBehavior {
+    let behavior = EndpointBehavior {
         work: ms(15),
         fixed_work_share: 0.3,
         cores: 8,
@@ -385,7 +405,7 @@
                 (ResponseBehavior::Fail, 0.02),
                 (ResponseBehavior::Reject, 0.02),
             ],
-            ..ways
+            ..behavior
         },
     );
     let agent = start(&cluster, |_| {});
@@ -418,7 +438,8 @@
             .as_array_mut()
             .unwrap()
             .extend((0..n % 3).map(|i| class(&format!("l{}", n + i), view, 400.0)));
-        // In another order each time, and with other rules for those that were there.
+        // The classes change their order each time, and those that existed before change their
+        // rules.
         classes.as_array_mut().unwrap().rotate_left(n % 3);
         settings["classes"] = classes;
         settings["tenants"] = (0..n % 20)
@@ -459,8 +480,8 @@
 #[test]
 fn applies_fifty_six_thousand_tenants_within_four_seconds() {
     let cluster = cluster(1, EndpointBehavior::default());
-    let tenants = |least: usize| -> Value {
-        (least..least + 56_000)
+    let tenants = |first_tenant: usize| -> Value {
+        (first_tenant..first_tenant + 56_000)
             .map(|n| json!({"name": format!("tenant-{n}"), "share": 0.00002}))
             .collect()
     };
@@ -477,12 +498,15 @@
         let text = configuration.to_string();
         let begun = Instant::now();
         agent.reload(&text).unwrap();
-        // By what a client is told, not by the log.
-        let served = (0..).find_map(|i| match ask(&mut client, &format!("n{n}-{i}"), &name) {
-            None => Some(begun.elapsed()),
-            Some(_) if begun.elapsed() > TEST_TIMEOUT => Some(TEST_TIMEOUT),
-            Some(_) => None,
-        });
+        // Measured by the replies that a client receives, not by the log.
+        let served =
+            (0..).find_map(
+                |i| match send_request(&mut client, &format!("n{n}-{i}"), &name) {
+                    None => Some(begun.elapsed()),
+                    Some(_) if begun.elapsed() > TEST_TIMEOUT => Some(TEST_TIMEOUT),
+                    Some(_) => None,
+                },
+            );
         assert!(served.unwrap() < Duration::from_secs(4), "{served:?}");
     }
 }
--- a/crates/agent/tests/configurations.rs
+++ b/crates/agent/tests/configurations.rs
@@ -107,8 +107,7 @@
 }
 
 #[test]
-fn serves_thirty_classes_with_timeouts_of_minutes_in_six_zones_with_polled_lists_and_many_tenants()
-{
+fn serves_thirty_classes_of_minutes_in_six_zones_with_polled_lists_and_many_tenants() {
     let kinds = [("repeatable", "all"), ("by_key", "zone"), ("once", "all")];
     let nth_class = |n: usize| {
         class(
--- a/crates/agent/tests/connection_pool.rs
+++ b/crates/agent/tests/connection_pool.rs
@@ -58,7 +58,8 @@
     reactor::run(&LocalExecutor::new(), &LocalExecutor::new(), main).unwrap()
 }
 
-/// A clock time so many milliseconds after the clock's start, which lies an hour after its zero.
+/// The clock time this many milliseconds after the clock's start, which lies an hour after its
+/// zero.
 fn time_since_start(millis: u64) -> Duration {
     Duration::from_secs(3600) + Duration::from_millis(millis)
 }
--- a/crates/agent/tests/discovery_refusals.rs
+++ b/crates/agent/tests/discovery_refusals.rs
@@ -1,47 +1,53 @@
-//! Discovery refuses calls for lists (503): what the agent asks for, when, and what it sends
-//! meanwhile.
+//! A discovery service that refuses requests for lists with status 503: what the agent requests,
+//! when, and what it sends to endpoints meanwhile.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
-const REFUSES: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// What a refused agent missed counts as told so long after; then there is the grace.
-const TOLD_AFTER: Duration = ms(6000);
+const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// A change that a refused agent misses counts as announced to it this long after.
+const MAX_ANNOUNCEMENT_DELAY: Duration = ms(6000);
+/// Time after the announcement of a drain until nothing may be sent to its endpoint.
 const GRACE: Duration = ms(250);
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// A world where lists are asked for, an agent that has heard its list, and a second discovery that
-/// tells the same.
-fn begin() -> (TestCluster, Discovery, AgentProcess) {
-    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+/// A cluster whose list is polled, an agent that has received the list, and a second discovery
+/// service with the same list.
+fn start_polling_agent() -> (TestCluster, Discovery, AgentProcess) {
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..3 {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
     let next = Discovery::start(1).unwrap();
-    next.update(world.discovery.entries());
-    // The versions are the list's: as many changes at either address.
-    while next.full_list(0)["version"].as_u64() < world.discovery.full_list(0)["version"].as_u64() {
-        next.update(world.discovery.entries());
+    next.update(cluster.discovery.entries());
+    // A version counts the changes of its list: make as many changes at either address.
+    while next.full_list(0)["version"].as_u64() < cluster.discovery.full_list(0)["version"].as_u64()
+    {
+        next.update(cluster.discovery.entries());
     }
-    let mut configuration = world.configuration("n1", 0).unwrap();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["settings"]["discovery"] = "ask".into();
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    ask_until(&world, &agent, Instant::now() + ms(700));
-    assert!(world.discovery.requests() > 0, "it has asked");
-    (world, next, agent)
+    send_until(&cluster, &agent, Instant::now() + ms(700));
+    assert!(
+        cluster.discovery.requests() > 0,
+        "the agent has requested the list"
+    );
+    (cluster, next, agent)
 }
 
-/// Asks until `until`: how many were served and rejected, and when `s-0` was last sent anything.
-fn ask_until(
-    world: &TestCluster,
+/// Sends requests until this time. Returns how many were served, how many were rejected, and when
+/// `s-0` last received one, `None` if it never did.
+fn send_until(
+    cluster: &TestCluster,
     agent: &AgentProcess,
     until: Instant,
 ) -> (usize, usize, Option<Instant>) {
@@ -58,7 +64,7 @@
     (
         served,
         rejected,
-        world
+        cluster
             .endpoint("s-0")
             .unwrap()
             .received_queries()
@@ -67,7 +73,8 @@
     )
 }
 
-fn moves(agent: &AgentProcess, next: &Discovery) -> Instant {
+/// Reloads the agent with the address of another discovery service. Returns the time of the reload.
+fn move_discovery(agent: &AgentProcess, next: &Discovery) -> Instant {
     let mut configuration = agent.configuration.clone();
     configuration["discovery"] = next.address(0).to_string().into();
     let moved = Instant::now();
@@ -75,28 +82,28 @@
     moved
 }
 
-/// Guards the rule on drains and discovery, which is paid for whole lists by the line.
+/// Guards the rule on drains, and the cost of discovery, where a full list is paid for by the line.
 #[test]
 fn receives_changes_in_time_after_a_new_address_refused_calls_for_three_seconds() {
-    let (world, next, agent) = begin();
-    next.set_behavior(DiscoveryBehavior::Sends(REFUSES.into()));
-    let moved = moves(&agent, &next);
+    let (cluster, next, agent) = start_polling_agent();
+    next.set_behavior(DiscoveryBehavior::Sends(SERVICE_UNAVAILABLE.into()));
+    let moved = move_discovery(&agent, &next);
     next.update_entry("s-0", |e| e.state = "terminating".into());
-    let (served, rejected, _) = ask_until(&world, &agent, moved + ms(3000));
+    let (served, rejected, _) = send_until(&cluster, &agent, moved + ms(3000));
     assert!(
         served > 50 && rejected == 0,
-        "{served} served, {rejected} denied meanwhile"
+        "{served} served, {rejected} rejected meanwhile"
     );
     assert!(
         (3..20).contains(&next.requests()),
-        "asked {} times in 3 s",
+        "{} requests in 3 s",
         next.requests()
     );
     next.set_behavior(DiscoveryBehavior::Normal);
-    let (_, _, last) = ask_until(&world, &agent, moved + TOLD_AFTER + GRACE * 2);
+    let (_, _, last) = send_until(&cluster, &agent, moved + MAX_ANNOUNCEMENT_DELAY + GRACE * 2);
     let last = last.unwrap();
     assert!(
-        last < moved + TOLD_AFTER,
+        last < moved + MAX_ANNOUNCEMENT_DELAY,
         "sent {:?} after the move",
         last - moved
     );
@@ -108,42 +115,43 @@
     assert_eq!(
         next.full_list_requests(),
         0,
-        "changes are asked for, not the whole list"
+        "only changes are requested, not the full list"
     );
 }
 
-/// Guards the rule where discovery bears no more. Denies what is asked meanwhile.
+/// Guards the rule on drains where discovery cannot take any more calls. Rejects the requests that
+/// arrive meanwhile.
 #[test]
 fn stops_sending_when_refused_for_longer_and_resumes_with_the_first_response() {
-    let (world, next, agent) = begin();
-    next.set_behavior(DiscoveryBehavior::Sends(REFUSES.into()));
-    let moved = moves(&agent, &next);
+    let (cluster, next, agent) = start_polling_agent();
+    next.set_behavior(DiscoveryBehavior::Sends(SERVICE_UNAVAILABLE.into()));
+    let moved = move_discovery(&agent, &next);
     next.update_entry("s-0", |e| e.state = "terminating".into());
-    let (_, rejected, last) = ask_until(&world, &agent, moved + ms(5500));
+    let (_, rejected, last) = send_until(&cluster, &agent, moved + ms(5500));
     assert!(
         rejected == 0 && last.is_some_and(|t| t > moved + ms(4500)),
-        "it serves as long as it may"
+        "the agent serves for as long as its list is valid"
     );
-    ask_until(&world, &agent, moved + TOLD_AFTER + GRACE);
-    let sent = world
+    send_until(&cluster, &agent, moved + MAX_ANNOUNCEMENT_DELAY + GRACE);
+    let sent = cluster
         .received_queries()
         .values()
         .map(Vec::len)
         .sum::<usize>();
-    let (served, rejected, _) = ask_until(&world, &agent, moved + ms(8000));
+    let (served, rejected, _) = send_until(&cluster, &agent, moved + ms(8000));
     assert_eq!(
         (
             served,
-            world
+            cluster
                 .received_queries()
                 .values()
                 .map(Vec::len)
                 .sum::<usize>()
         ),
         (0, sent),
-        "nothing is sent"
+        "nothing is sent after the list has expired"
     );
-    assert!(rejected > 3, "{rejected} denied: answered in time");
+    assert!(rejected > 3, "only {rejected} requests rejected in time");
     assert!(
         agent
             .log()
@@ -155,107 +163,114 @@
     assert!(runtime::wait_until(|| agent
         .log()
         .contains("discovery: responding again")));
-    let (served, rejected, last) = ask_until(&world, &agent, Instant::now() + ms(500));
+    let (served, rejected, last) = send_until(&cluster, &agent, Instant::now() + ms(500));
     assert!(
         served > 10 && rejected == 0,
-        "{served} served, {rejected} denied"
+        "{served} served, {rejected} rejected"
+    );
+    assert!(
+        last.unwrap() < moved + MAX_ANNOUNCEMENT_DELAY + GRACE,
+        "sent to s-0 after its drain was binding"
     );
-    assert!(last.unwrap() < moved + TOLD_AFTER + GRACE, "s-0 left");
 }
 
-/// Guards the rule on drains where the process before was not heard and the first answer is late.
-/// Denies meanwhile.
+/// Guards the rule on drains where the previous process was not informed and the first response is
+/// late. Rejects requests meanwhile.
 #[test]
 fn sends_nothing_from_a_known_list_while_the_first_call_is_in_progress() {
-    let world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+    let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
     for n in 0..3 {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
-    let mut configuration = world.configuration("n1", 0).unwrap();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["settings"]["discovery"] = "ask".into();
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
-    world
+    cluster
         .discovery
         .update_entry("s-0", |e| e.state = "terminating".into());
-    world
+    cluster
         .discovery
         .silence_watches([ConnectionBehavior::AnsweredAfter(ms(2700))]);
     let started = Instant::now();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    ask_until(&world, &agent, started + ms(2600));
-    let sent = world
+    send_until(&cluster, &agent, started + ms(2600));
+    let sent = cluster
         .received_queries()
         .values()
         .map(Vec::len)
         .sum::<usize>();
     assert_eq!(
-        (sent, world.discovery.requests()),
+        (sent, cluster.discovery.requests()),
         (0, 0),
-        "sent and asked before it was heard"
+        "no request is sent, and no list requested, before the first response"
     );
-    assert!(runtime::wait_until(|| world.discovery.requests() > 0));
-    let (served, _, last) = ask_until(&world, &agent, Instant::now() + ms(1000));
+    assert!(runtime::wait_until(|| cluster.discovery.requests() > 0));
+    let (served, _, last) = send_until(&cluster, &agent, Instant::now() + ms(1000));
     assert!(
         served > 10 && last.is_none(),
-        "{served} served, by s-0 last at {last:?}"
+        "{served} served, the last one by s-0 at {last:?}"
     );
 }
 
-/// Guards a discovery that counts its versions anew, where changes since a version of the other
-/// would say nothing.
+/// Guards against a discovery whose versions start anew: the changes since a version of the other
+/// discovery would be meaningless there.
 #[test]
 fn requests_the_whole_list_from_a_new_address_with_lower_versions() {
-    let (world, _, agent) = begin();
-    let anew = Discovery::start(1).unwrap();
-    let mut entries = world.discovery.entries();
+    let (cluster, _, agent) = start_polling_agent();
+    let renumbered = Discovery::start(1).unwrap();
+    let mut entries = cluster.discovery.entries();
     entries.retain(|e| e.id != "s-0");
-    anew.update(entries);
-    let moved = moves(&agent, &anew);
-    let (_, _, last) = ask_until(&world, &agent, moved + ms(4000));
-    assert_eq!(anew.full_list_requests(), 1);
-    assert!(last.unwrap() < moved + ms(2500), "what it lacks is gone");
+    renumbered.update(entries);
+    let moved = move_discovery(&agent, &renumbered);
+    let (_, _, last) = send_until(&cluster, &agent, moved + ms(4000));
+    assert_eq!(renumbered.full_list_requests(), 1);
+    assert!(
+        last.unwrap() < moved + ms(2500),
+        "an endpoint that the full list lacks is gone"
+    );
 }
 
-/// An agent at its start whose share of the calls is 4 s, before a discovery that told 7 s ago that
-/// `s-0` has left, which the process before was not told: its `known` names it.
-fn starts_unaware(seed: &str, down: bool) -> (TestCluster, AgentProcess, Instant) {
-    let mut world = TestCluster::new(&["a"], agent_process::classes()).unwrap();
-    world.agents = 4; // one call a second is told for all
+/// Starts an agent that may call once in 4 s, on a discovery that announced 7 s ago that `s-0` is
+/// gone. The previous process did not receive this: the setting `known` still lists `s-0`. Returns
+/// the time of the start as well.
+fn start_with_outdated_list(seed: &str, down: bool) -> (TestCluster, AgentProcess, Instant) {
+    let mut cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
+    cluster.agents = 4; // the settings allow one call per second for all agents together
     for n in 0..3 {
-        world
+        cluster
             .add_endpoint(0, &format!("s-{n}"), 41, EndpointBehavior::default())
             .unwrap();
     }
-    let mut configuration = world.configuration("n1", 0).unwrap();
+    let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["settings"]["discovery"] = "ask".into();
     configuration["settings"]["rules"]["must-ask-in-ms"] = 10_000.0.into();
     configuration["seed"] = seed.into();
-    world
+    cluster
         .discovery
         .update_entry("s-0", |e| e.state = "terminated".into());
     if down {
-        world
+        cluster
             .discovery
             .set_behavior(DiscoveryBehavior::ClosesConnections);
     }
     sleep(ms(7000));
     let begun = Instant::now();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    (world, agent, begun)
+    (cluster, agent, begun)
 }
 
-/// Guards the rule on drains, and the time of requests that wait meanwhile. Denies what comes
-/// before the first answer.
+/// Guards the rule on drains, and the deadline of requests that wait meanwhile. Rejects requests
+/// that arrive before the first response.
 #[test]
 fn sends_nothing_to_endpoints_removed_before_a_start_whose_first_call_is_delayed() {
-    let play = |seed: &str| {
-        let (world, agent, begun) = starts_unaware(seed, false);
+    let run_start = |seed: &str| {
+        let (cluster, agent, begun) = start_with_outdated_list(seed, false);
         let mut client = TestClient::connect(agent.address().unwrap()).unwrap();
         let (mut first, mut served, mut rejected, mut slowest) = (None, 0, 0, ms(0));
         while begun.elapsed() < ms(5000) {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             client.send_query("view", 400);
             match client.read_reply().unwrap().code() {
                 None => {
@@ -264,48 +279,48 @@
                 }
                 Some(_) => rejected += 1,
             }
-            slowest = slowest.max(asked.elapsed());
+            slowest = slowest.max(sent_at.elapsed());
             sleep(ms(5));
         }
         assert_eq!(
-            world.endpoint("s-0").unwrap().received_queries().len(),
+            cluster.endpoint("s-0").unwrap().received_queries().len(),
             0,
-            "seed {seed}: it left 7 s before the start"
+            "seed {seed}: s-0 was removed 7 s before the start"
         );
         assert!(
             slowest < ms(400 + 300),
-            "seed {seed}: answered after {slowest:?}, of 0.4 s"
+            "seed {seed}: answered after {slowest:?}, with a timeout of 0.4 s"
         );
         assert!(
             served > 20,
-            "seed {seed}: {served} served, {rejected} denied"
+            "seed {seed}: {served} served, {rejected} rejected"
         );
         first.unwrap()
     };
-    let plays = ["8c1f", "1", "2", "3", "4", "5"];
+    let seeds = ["8c1f", "1", "2", "3", "4", "5"];
     let first: Vec<Duration> = std::thread::scope(|s| {
-        let all: Vec<_> = plays
+        let all: Vec<_> = seeds
             .into_iter()
-            .map(|seed| s.spawn(move || play(seed)))
+            .map(|seed| s.spawn(move || run_start(seed)))
             .collect();
         all.into_iter().map(|p| p.join().unwrap()).collect()
     });
-    // Otherwise nothing is shown: requests were held for 2 s in any case.
+    // Otherwise the test shows nothing: requests are held for 2 s in any case.
     assert!(
         first.iter().any(|t| *t > ms(2200)) && first.iter().all(|t| *t < ms(4000)),
         "{first:?}"
     );
 }
 
-/// Guards against a start that a discovery which is down keeps silent.
+/// Guards against an agent that serves nothing after a start while discovery is down.
 #[test]
 fn serves_from_the_known_list_when_discovery_is_down_at_the_start() {
-    let (world, agent, begun) = starts_unaware("8c1f", true);
-    ask_until(&world, &agent, begun + ms(4000));
-    let (served, rejected, _) = ask_until(&world, &agent, begun + ms(14_000));
+    let (cluster, agent, begun) = start_with_outdated_list("8c1f", true);
+    send_until(&cluster, &agent, begun + ms(4000));
+    let (served, rejected, _) = send_until(&cluster, &agent, begun + ms(14_000));
     assert!(
         served > 300 && rejected == 0,
-        "{served} served, {rejected} denied"
+        "{served} served, {rejected} rejected"
     );
     assert!(
         !agent.log().contains("no requests are sent"),
--- a/crates/agent/tests/draining.rs
+++ b/crates/agent/tests/draining.rs
@@ -1,5 +1,5 @@
-//! Endpoints that leave: nothing goes to them after the announcement counts as told and its grace
-//! is over, judged by what the fake endpoints received.
+//! Draining endpoints: nothing is sent to them once their drain counts as announced to the agent
+//! and its grace is over. This is checked by what the fake endpoints received.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,8 +13,10 @@
 use tulipwall_testkit::*;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
-/// What a silent watch misses counts as told so long after it fell silent; then there is the grace.
-const TOLD_AFTER: Duration = ms(6000);
+/// A change that a silent watch misses counts as announced to the agent this long after the watch
+/// fell silent.
+const MAX_ANNOUNCEMENT_DELAY: Duration = ms(6000);
+/// Time after the announcement of a drain until nothing may be sent to its endpoint.
 const GRACE: Duration = ms(250);
 
 const fn ms(n: u64) -> Duration {
@@ -45,7 +47,7 @@
         .update_entry(id, |e| e.state = "terminating".into());
 }
 
-/// Asks until `until`, and says when `s-0` was last sent anything.
+/// Sends requests until this time. Returns when `s-0` last received one, `None` if it never did.
 fn last_sent(cluster: &TestCluster, agent: &AgentProcess, until: Instant) -> Option<Instant> {
     let mut client = connect_client(agent);
     while Instant::now() < until {
@@ -61,38 +63,39 @@
         .map(|s| s.at)
 }
 
-/// The watch falls silent, its next connections are met like this, and one endpoint is to leave.
-fn silence(next: &[ConnectionBehavior]) {
+/// Silences the watch, announces the drain of an endpoint and lets the next connections of the
+/// agent meet these faults. Checks that the endpoint receives nothing once its drain is binding.
+fn assert_drain_obeyed_after_silence(next: &[ConnectionBehavior]) {
     let cluster = cluster(2);
     let agent = start(&cluster);
-    // Past its first call, which waits for less.
+    // The first call has a shorter timeout: wait until it is over.
     last_sent(&cluster, &agent, Instant::now() + ms(1300));
-    let silent = Instant::now();
+    let silent_since = Instant::now();
     cluster.discovery.silence_watches(next.iter().cloned());
     announce_drain(&cluster, "s-0");
-    let told = silent + TOLD_AFTER + GRACE;
+    let told = silent_since + MAX_ANNOUNCEMENT_DELAY + GRACE;
     let last = last_sent(&cluster, &agent, told + GRACE).unwrap();
     assert!(
         last < told,
         "sent {:?} after the silence began",
-        last - silent
+        last - silent_since
     );
     assert!(runtime::wait_until(|| agent
         .log()
         .contains("discovery: responding again")));
 }
 
-/// Guards against a watch that is given up only when what it missed counts as told. Costs a call a
-/// second where they are free.
+/// Guards against a silent watch that is closed only when the changes it missed count as announced.
+/// Reopening it in time costs a call per second where calls are free.
 #[test]
 fn reopens_a_silent_watch_before_a_missed_drain_must_be_obeyed() {
-    silence(&[]);
+    assert_drain_obeyed_after_silence(&[]);
 }
 
 #[test]
 fn reopens_a_silent_watch_in_time_when_the_next_connections_are_late_refused_or_silent() {
     let answered_late = || ConnectionBehavior::AnsweredAfter(ms(1000));
-    silence(&[
+    assert_drain_obeyed_after_silence(&[
         answered_late(),
         ConnectionBehavior::Closed,
         ConnectionBehavior::Unanswered,
@@ -104,9 +107,9 @@
     ]);
 }
 
-/// Guards against lists that come between a decision and the first byte: the connection of either
-/// attempt, the hedged request too, comes up after them. Without room for connections kept ahead,
-/// each has to be opened.
+/// Guards against a list that arrives between the decision on an attempt and its first byte: the
+/// connections of both attempts, that of the hedged request too, open only after the list. Without
+/// room for connections opened in advance, each attempt has to open its own.
 #[test]
 fn reroutes_attempts_whose_connection_opens_after_their_endpoint_began_to_drain() {
     let cluster = cluster(2);
@@ -136,21 +139,22 @@
     assert_eq!((seen("s-0"), seen("s-1"), seen("s-2")), (0, 0, 1));
 }
 
-/// Guards a new process that was given an old list, while what discovery holds counts as told from
-/// its first moment. Delays the first requests while discovery is away, for the time of a start.
+/// Guards against a new process that sends by an outdated list, while what discovery holds counts
+/// as announced from its first moment. The guard delays the first requests while discovery is
+/// unreachable, for the duration of a start.
 #[test]
 fn sends_nothing_from_a_known_list_before_discovery_was_called() {
     let cluster = cluster(2);
     let configuration = cluster.configuration("n1", 0).unwrap();
     announce_drain(&cluster, "s-0");
-    // Both of its first tries.
+    // Applies to both of the first calls.
     cluster.discovery.silence_watches([
         ConnectionBehavior::AnsweredAfter(ms(120)),
         ConnectionBehavior::AnsweredAfter(ms(120)),
     ]);
     let agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
-    // Clients that do not wait until they are told that the agent serves, as after a restart.
-    let ask = |n: usize| {
+    // Clients that send requests before the agent reports that it is ready, as after a restart.
+    let connect_and_query = |n: usize| {
         let query =
             format!("SELECT body FROM objects WHERE oid = 'a{n}' /* id={n},c=view,d=900 */");
         let mut stream = loop {
@@ -163,13 +167,13 @@
             .unwrap();
         TestClient { stream }
     };
-    let eager: Vec<_> = (0..12).map(ask).collect();
-    for mut client in eager {
+    let early_clients: Vec<_> = (0..12).map(connect_and_query).collect();
+    for mut client in early_clients {
         client.read_until_ready().unwrap();
         assert_eq!(client.read_reply().unwrap().code(), None);
     }
     assert_eq!(last_sent(&cluster, &agent, Instant::now() + ms(300)), None);
-    // Discovery that is away keeps nobody from serving by that list.
+    // An unresponsive discovery does not keep an agent from serving by the list that it knows.
     cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Unresponsive);
@@ -182,7 +186,8 @@
     assert!(client.read_reply().unwrap().code().is_none() && begun.elapsed() < TEST_TIMEOUT);
 }
 
-/// Guards the rule where the address moves: what the new one holds counts as told 4 s later.
+/// Guards the rule on drains when discovery's address changes: what the new address holds counts as
+/// announced 4 s later.
 #[test]
 fn receives_the_list_of_a_slow_new_address_before_it_must_be_obeyed() {
     let (cluster, next) = (cluster(2), Discovery::start(1).unwrap());
@@ -201,11 +206,15 @@
     let moved = Instant::now();
     agent.reload(&configuration.to_string()).unwrap();
     let last = last_sent(&cluster, &agent, moved + ms(4000) + GRACE).unwrap();
-    assert!(last < moved + ms(4000), "sent {:?} after it", last - moved);
+    assert!(
+        last < moved + ms(4000),
+        "sent {:?} after the address changed",
+        last - moved
+    );
 }
 
-/// Guards against a list that is refused whole for one entry, and against asking for it over and
-/// over.
+/// Guards against a list that is refused as a whole because of one entry, and against requests for
+/// it without a pause.
 #[test]
 fn obeys_a_drain_listed_beside_an_unreadable_entry_and_retries_at_intervals() {
     let cluster = cluster(3);
@@ -227,43 +236,45 @@
     let last = last_sent(&cluster, &agent, malformed_since + ms(2000)).unwrap();
     assert!(
         last < malformed_since + GRACE,
-        "sent {:?} after it",
+        "sent {:?} after the malformed list",
         last - malformed_since
     );
     let asked = cluster.discovery.requests() - asked;
-    assert!((2..40).contains(&asked), "asked {asked} times in 2 s");
+    assert!((2..40).contains(&asked), "{asked} calls in 2 s");
     assert_eq!(
         agent.log().matches("; calling again").count(),
         1,
-        "named once"
+        "expected the error to be logged once"
     );
 }
 
-/// When something was announced to leave for good, and when that binds.
+/// The endpoints that were announced to drain for good, each with the time from which nothing may
+/// be sent to it.
 type Drains = BTreeMap<String, Instant>;
 
-/// Attempts to endpoints after their announcement bound.
+/// Counts the attempts that endpoints received after their drain was binding.
 fn late_attempts(cluster: &TestCluster, drains: &Drains) -> usize {
-    let late_attempts = |(id, bound): (&String, &Instant)| {
+    let late_attempts = |(id, deadline): (&String, &Instant)| {
         cluster
             .endpoint(id)
             .unwrap()
             .received_queries()
             .iter()
-            .filter(|s| s.at > *bound)
+            .filter(|s| s.at > *deadline)
             .count()
     };
     drains.iter().map(late_attempts).sum()
 }
 
-/// Silences, late and refused connections, spoilt lists, restarts from the old list, new
-/// configurations and drains by chance; `told` is what the agent hears.
+/// Runs an agent under random faults: silent watches, late and refused connections, restarts from
+/// the outdated list, reloads and drains. `told` is the discovery that the agent calls. Returns the
+/// number of late attempts.
 fn run_random_faults(seed: u64, cluster: &TestCluster, told: &Discovery) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["discovery"] = told.address(0).to_string().into();
     let mut agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
-    let (mut drains, mut silent) = (Drains::new(), None::<Instant>);
+    let (mut drains, mut silent_since) = (Drains::new(), None::<Instant>);
     for step in 0..9 {
         let mut client = connect_client(&agent);
         let until = Instant::now() + ms(rng.gen_range(400..1600));
@@ -273,16 +284,16 @@
         }
         match rng.gen_range(0..4) {
             0 | 1 => {
-                let meets = [
+                let connection_faults = [
                     ConnectionBehavior::Closed,
                     ConnectionBehavior::Unanswered,
                     ConnectionBehavior::AnsweredAfter(ms(rng.gen_range(50..1000))),
                 ];
                 let next: Vec<_> = (0..rng.gen_range(0..4))
-                    .map(|_| meets[rng.gen_range(0..3)].clone())
+                    .map(|_| connection_faults[rng.gen_range(0..3)].clone())
                     .collect();
                 told.silence_watches(next);
-                silent = Some(Instant::now());
+                silent_since = Some(Instant::now());
             }
             2 => agent.reload(&configuration.to_string()).unwrap(),
             _ => {
@@ -296,12 +307,12 @@
         let id = format!("s-{step}");
         let now = Instant::now();
         announce_drain(cluster, &id);
-        // A silence may last as long as the rule allows; a new address, and a start, may be under
-        // way.
-        let under_way = silent
-            .filter(|s| *s + TOLD_AFTER > now)
-            .map_or(now + ms(300), |s| s + TOLD_AFTER);
-        drains.insert(id, under_way + GRACE);
+        // A silence may last as long as the rule allows; a change of the address, or a start, may
+        // be in progress.
+        let announced_by = silent_since
+            .filter(|s| *s + MAX_ANNOUNCEMENT_DELAY > now)
+            .map_or(now + ms(300), |s| s + MAX_ANNOUNCEMENT_DELAY);
+        drains.insert(id, announced_by + GRACE);
     }
     let mut client = connect_client(&agent);
     let end = *drains.values().max().unwrap() + ms(300);
@@ -328,7 +339,7 @@
     }
 }
 
-/// The judge of these days finds an agent that is never told.
+/// Guards against a random-fault check that passes an agent which receives no drains at all.
 #[test]
 fn detects_an_agent_that_receives_no_drains() {
     let (cluster, outdated) = (cluster(12), Discovery::start(1).unwrap());
@@ -336,23 +347,23 @@
     assert!(run_random_faults(1, &cluster, &outdated) > 0);
 }
 
-/// Guards the bounds on lists: nothing on the way of a list, a decision or a report may end at some
-/// hundreds, nor hold more than the least memory an agent is given.
+/// Guards the limits on lists: nothing in the handling of a list, a decision or a report may be
+/// limited to some hundreds of endpoints, or use more than the least memory that an agent is given.
 #[test]
 fn lists_serves_and_drains_a_thousand_endpoints_with_long_names_within_its_memory() {
     let mut cluster = cluster(4);
     cluster.agents = 1024;
-    let there = cluster.discovery.entries();
+    let existing = cluster.discovery.entries();
     let long = "-with-a-name-as-long-as-some-platforms-give".repeat(4);
-    let many = |state: &str| -> Vec<Entry> {
+    let entries_in_state = |state: &str| -> Vec<Entry> {
         let entry = |n: usize| Entry {
             id: format!("m-{n}{long}"),
             state: state.into(),
-            ..there[n % 4].clone()
+            ..existing[n % 4].clone()
         };
         (0..1020).map(entry).collect()
     };
-    cluster.discovery.update(many("in_service"));
+    cluster.discovery.update(entries_in_state("in_service"));
     let begun = Instant::now();
     let agent = start(&cluster);
     let mut client = connect_client(&agent);
@@ -369,12 +380,12 @@
             .map(Vec::len)
             .sum::<usize>(),
     );
-    cluster.discovery.update(many("terminating"));
+    cluster.discovery.update(entries_in_state("terminating"));
     ["s-0", "s-1", "s-2"]
         .into_iter()
         .for_each(|id| announce_drain(&cluster, id));
     sleep(GRACE);
-    let only = cluster.endpoint("s-3").unwrap().received_count();
+    let received_before = cluster.endpoint("s-3").unwrap().received_count();
     for _ in 0..100 {
         client.send_query("view", 1000);
         assert_eq!(client.read_reply().unwrap().code(), None);
@@ -387,7 +398,7 @@
     assert_eq!(
         (
             all - seen,
-            cluster.endpoint("s-3").unwrap().received_count() - only
+            cluster.endpoint("s-3").unwrap().received_count() - received_before
         ),
         (100, 100),
         "after {:?}",
@@ -404,9 +415,9 @@
     assert!(peak.unwrap() < 40 * 1024, "{peak:?} kB at most");
 }
 
-/// A watch that falls silent, a new address by SIGHUP and a drain that both addresses tell, 60 ms
-/// apart in each order. Each bound of the page is over 3.75 s after the last of them; the agent is
-/// asked for less.
+/// A watch that falls silent, a new discovery address by SIGHUP and a drain that both addresses
+/// announce, 60 ms apart, in each order. By the rules the drain is binding over 3.75 s after the
+/// last event; the agent is required to obey it sooner.
 #[test]
 fn obeys_a_drain_that_crosses_a_silent_watch_and_a_new_address_in_any_order() {
     let order = |order: [u8; 3]| {
@@ -430,12 +441,12 @@
             }
             sleep(ms(60));
         }
-        let crossed = Instant::now();
-        let last = last_sent(&cluster, &agent, crossed + ms(2500)).unwrap();
+        let after_events = Instant::now();
+        let last = last_sent(&cluster, &agent, after_events + ms(2500)).unwrap();
         assert!(
-            last < crossed + ms(2000) + GRACE,
-            "{order:?}: sent {:?} after",
-            last.duration_since(crossed)
+            last < after_events + ms(2000) + GRACE,
+            "{order:?}: sent {:?} after the last event",
+            last.duration_since(after_events)
         );
     };
     let orders = [
