--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -1,5 +1,4 @@
-//! The client library against the real agent program, with the fakes behind it: the bad days of
-//! clients.
+//! The client library under faults, with the real agent program and fake endpoints behind it.
 
 use futures_lite::future::{block_on, zip};
 use rand::{Rng, SeedableRng};
@@ -22,17 +21,17 @@
 };
 
 const BINARY: &str = env!("CARGO_BIN_EXE_tulipwall-agent");
-/// What a call may take beyond its expiry on a machine that is busy with many others.
+/// Time that a call may take beyond its expiry on a machine that is busy with many other tests.
 const SLACK: Duration = Duration::from_millis(300);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn world(work: Duration) -> TestCluster {
-    let world = TestCluster::new(&["a"], classes()).unwrap();
+fn cluster(work: Duration) -> TestCluster {
+    let cluster = TestCluster::new(&["a"], classes()).unwrap();
     for n in 0..2 {
-        world
+        cluster
             .add_endpoint(
                 0,
                 &format!("s-{n}"),
@@ -44,17 +43,18 @@
             )
             .unwrap();
     }
-    world
+    cluster
 }
 
-fn start(world: &TestCluster) -> AgentProcess {
-    let program = AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &[]).unwrap();
-    tulipwall_testkit::TestClient::connect(program.address().unwrap()).unwrap();
-    program
+fn start(cluster: &TestCluster) -> AgentProcess {
+    let agent_process =
+        AgentProcess::start(BINARY, cluster.configuration("n1", 0).unwrap(), &[]).unwrap();
+    tulipwall_testkit::TestClient::connect(agent_process.address().unwrap()).unwrap();
+    agent_process
 }
 
-/// Bytes that an agent sends before its first answer.
-fn welcome(agent: SocketAddr) -> usize {
+/// The number of bytes that an agent sends before its first answer.
+fn greeting_length(agent: SocketAddr) -> usize {
     let mut stream = std::net::TcpStream::connect(agent).unwrap();
     stream.write_all(&pg::startup()).unwrap();
     let mut caller = TestClient { stream };
@@ -62,16 +62,17 @@
     heard.iter().map(|(_, body)| body.len() + 5).sum::<usize>() + 6
 }
 
-/// What many clients met.
+/// How the calls of many clients ended.
 #[derive(Default)]
-struct Met {
+struct CallOutcomes {
     succeeded: AtomicU64,
     others: AtomicU64,
+    /// Calls that ended later than [`SLACK`] after their expiry: their duration and result.
     late: Mutex<Vec<(Duration, String)>>,
 }
 
-impl Met {
-    fn note(&self, begun: Instant, expiry: Duration, ended: &Result<CallResponse, CallError>) {
+impl CallOutcomes {
+    fn record(&self, begun: Instant, expiry: Duration, ended: &Result<CallResponse, CallError>) {
         let count = if ended.is_ok() {
             &self.succeeded
         } else {
@@ -87,11 +88,12 @@
     }
 }
 
-/// Clients that call again and again, views and payments in turn, until told to stop.
-fn call_on(
+/// Makes each client call again and again, with the classes `view` and `payment` in turn, until
+/// `stop` is set.
+fn call_until_stopped(
     clients: &[Client],
     pause: Duration,
-    met: &Arc<Met>,
+    outcomes: &Arc<CallOutcomes>,
     stop: &Arc<AtomicBool>,
 ) -> Vec<async_executor::Task<()>> {
     let expiry = ms(1500);
@@ -99,7 +101,7 @@
         .iter()
         .enumerate()
         .map(|(c, client)| {
-            let (client, met, stop) = (client.clone(), met.clone(), stop.clone());
+            let (client, outcomes, stop) = (client.clone(), outcomes.clone(), stop.clone());
             spawn(async move {
                 sleep(pause.mul_f64(c as f64 / 200.0)).await;
                 for n in 0.. {
@@ -111,7 +113,7 @@
                     let ended = client
                         .call(Call::read(class, &format!("c{c}-{n}"), expiry))
                         .await;
-                    met.note(begun, expiry, &ended);
+                    outcomes.record(begun, expiry, &ended);
                     sleep(pause).await;
                 }
             })
@@ -119,9 +121,9 @@
         .collect()
 }
 
-/// Objects of a class that came to endpoints more than once.
-fn twice(world: &TestCluster, class: &str) -> Vec<String> {
-    let mut objects: Vec<String> = world
+/// Objects of a class for which endpoints ran more than one request.
+fn executed_twice(cluster: &TestCluster, class: &str) -> Vec<String> {
+    let mut objects: Vec<String> = cluster
         .received_queries()
         .into_values()
         .flatten()
@@ -135,25 +137,29 @@
         })
         .collect();
     objects.sort();
-    let mut twice: Vec<String> = objects
+    let mut executed_twice: Vec<String> = objects
         .windows(2)
         .filter(|w| w[0] == w[1])
         .map(|w| w[0].clone())
         .collect();
-    twice.dedup();
-    twice
+    executed_twice.dedup();
+    executed_twice
 }
 
-fn restarted(stop: impl Fn(&mut AgentProcess)) {
-    let world = world(ms(5));
-    let mut agent = start(&world);
+/// Restarts the agent of two hundred clients, which `stop` ends. Checks that they reconnect spread
+/// over time, that no call ends late and that no payment runs twice.
+fn assert_reconnects_are_spread(stop: impl Fn(&mut AgentProcess)) {
+    let cluster = cluster(ms(5));
+    let mut agent = start(&cluster);
     let address = agent.address().unwrap();
     let clients: Vec<Client> = (0..200)
         .map(|_| Client::new(service(vec![address])))
         .collect();
-    let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
-    let calls = call_on(&clients, ms(100), &met, &over);
-    assert!(wait_until(|| met.succeeded.load(Ordering::Relaxed) > 1000));
+    let (outcomes, finished) = (Arc::<CallOutcomes>::default(), Arc::<AtomicBool>::default());
+    let calls = call_until_stopped(&clients, ms(100), &outcomes, &finished);
+    assert!(wait_until(
+        || outcomes.succeeded.load(Ordering::Relaxed) > 1000
+    ));
     stop(&mut agent);
     let configuration = agent.configuration.clone();
     drop(agent);
@@ -164,52 +170,55 @@
             .map(|c| c.stats().counters.connections_opened)
             .sum::<u64>()
     };
-    // New connections in each 100 ms from the restart on.
-    let (mut before, mut each) = (opened(), Vec::new());
+    // The number of new connections in each interval of 100 ms after the restart.
+    let (mut before, mut counts) = (opened(), Vec::new());
     let begun = Instant::now();
     for n in 1..=70 {
         thread::sleep((begun + ms(100) * n).saturating_duration_since(Instant::now()));
         let now = opened();
-        each.push(now - before);
+        counts.push(now - before);
         before = now;
     }
-    over.store(true, Ordering::Relaxed);
+    finished.store(true, Ordering::Relaxed);
     calls.into_iter().for_each(block_on);
-    let (all, most) = (each.iter().sum::<u64>(), *each.iter().max().unwrap());
-    assert!(all >= 190, "they came back: {each:?}");
+    let (all, most) = (counts.iter().sum::<u64>(), *counts.iter().max().unwrap());
+    assert!(all >= 190, "too few clients reconnected: {counts:?}");
     assert!(
         most <= 40,
-        "a fifth of two hundred at most in any 100 ms: {each:?}"
+        "more than a fifth of the clients reconnected within 100 ms: {counts:?}"
     );
     let span =
-        each.iter().rposition(|n| *n > 0).unwrap() - each.iter().position(|n| *n > 0).unwrap();
-    assert!(span >= 15, "over seconds: {each:?}");
+        counts.iter().rposition(|n| *n > 0).unwrap() - counts.iter().position(|n| *n > 0).unwrap();
+    assert!(span >= 15, "not spread over seconds: {counts:?}");
     assert!(
-        met.late.lock().unwrap().is_empty(),
+        outcomes.late.lock().unwrap().is_empty(),
         "{:?}",
-        met.late.lock().unwrap()
+        outcomes.late.lock().unwrap()
     );
-    assert_eq!(twice(&world, "payment"), Vec::<String>::new());
+    assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
     drop(agent);
 }
 
-/// Cases that compare answer times have the machine to themselves: beside others both agents of one
-/// are slow.
-static TURN: RwLock<()> = RwLock::new(());
+/// Tests that compare response times hold this lock exclusively, all others hold it shared: beside
+/// other tests, both agents of such a test would be slow.
+static TIMING_LOCK: RwLock<()> = RwLock::new(());
 
-fn alone() -> RwLockWriteGuard<'static, ()> {
-    TURN.write()
+fn lock_exclusively() -> RwLockWriteGuard<'static, ()> {
+    TIMING_LOCK
+        .write()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn beside() -> RwLockReadGuard<'static, ()> {
-    TURN.read().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn lock_shared() -> RwLockReadGuard<'static, ()> {
+    TIMING_LOCK
+        .read()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 #[test]
 fn spreads_reconnects_of_two_hundred_clients_after_a_sigterm_and_runs_no_payment_twice() {
-    let _turn = beside();
-    restarted(|agent| {
+    let _timing_lock = lock_shared();
+    assert_reconnects_are_spread(|agent| {
         agent.terminate().unwrap();
         assert!(agent.wait_for_success().unwrap());
     });
@@ -217,18 +226,18 @@
 
 #[test]
 fn spreads_reconnects_of_two_hundred_clients_after_a_kill_and_runs_no_payment_twice() {
-    let _turn = beside();
-    restarted(|agent| agent.signal(rustix::process::Signal::KILL).unwrap());
+    let _timing_lock = lock_shared();
+    assert_reconnects_are_spread(|agent| agent.signal(rustix::process::Signal::KILL).unwrap());
 }
 
 #[test]
 fn does_not_repeat_a_payment_whose_agent_was_killed_before_its_response() {
-    let _turn = beside();
-    let world = world(ms(400));
-    let agent = start(&world);
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(400));
+    let agent = start(&cluster);
     let client = Client::new(service(vec![agent.address().unwrap()]));
-    // Also on a connection that was used before, whose close could be taken for one between
-    // requests.
+    // The payment is sent on a connection that was used before: its close could be mistaken for one
+    // between two requests.
     assert!(block_on(client.call(Call::read("view", "warm", ms(1500)))).is_ok());
     let c = client.clone();
     let paying = spawn(async move {
@@ -236,7 +245,7 @@
             .await
     });
     let seen = || {
-        world
+        cluster
             .received_queries()
             .values()
             .flatten()
@@ -262,11 +271,11 @@
 
 #[test]
 fn does_not_repeat_a_payment_after_half_a_response_and_a_close() {
-    let _turn = beside();
-    let world = world(ms(1));
-    let agent = start(&world);
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(1));
+    let agent = start(&cluster);
     let address = agent.address().unwrap();
-    let half = CutPoint::FromAgent(welcome(address) + 20);
+    let half = CutPoint::FromAgent(greeting_length(address) + 20);
     let cutter = ConnectionCutter::start(address, vec![half]).unwrap();
     let client = Client::new(service(vec![cutter.address]));
     match block_on(client.call(Call::read("payment", "p1", ms(1500)))) {
@@ -289,24 +298,24 @@
         (answered.value, answered.attempts.failures),
         (vec![0x9f, 3], vec!["broken"])
     );
-    assert_eq!(twice(&world, "payment"), Vec::<String>::new());
+    assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
 }
 
-/// The longest time for which an agent gave no answer, or the thread of clients and fakes did not
-/// run.
-struct Standstill {
-    over: Arc<AtomicBool>,
+/// Measures the longest time for which the agent gave no answer, or for which the thread of the
+/// clients and fakes did not run.
+struct StallMonitor {
+    finished: Arc<AtomicBool>,
     agent: thread::JoinHandle<Duration>,
     clients: async_executor::Task<Duration>,
 }
 
-impl Standstill {
-    fn watch(mut caller: TestClient) -> Standstill {
-        let over = Arc::<AtomicBool>::default();
-        let (here, there) = (over.clone(), over.clone());
+impl StallMonitor {
+    fn watch(mut caller: TestClient) -> StallMonitor {
+        let finished = Arc::<AtomicBool>::default();
+        let (clients_finished, agent_finished) = (finished.clone(), finished.clone());
         let agent = thread::spawn(move || {
             let mut longest = Duration::ZERO;
-            while !there.load(Ordering::Relaxed) {
+            while !agent_finished.load(Ordering::Relaxed) {
                 let asked = Instant::now();
                 caller.send_statement("");
                 caller.read_until_ready().unwrap();
@@ -317,40 +326,41 @@
         });
         let clients = spawn(async move {
             let mut longest = Duration::ZERO;
-            while !here.load(Ordering::Relaxed) {
+            while !clients_finished.load(Ordering::Relaxed) {
                 let begun = Instant::now();
                 sleep(ms(1)).await;
                 longest = longest.max(begun.elapsed());
             }
             longest
         });
-        Standstill {
-            over,
+        StallMonitor {
+            finished,
             agent,
             clients,
         }
     }
 
     fn end(self) -> Duration {
-        self.over.store(true, Ordering::Relaxed);
+        self.finished.store(true, Ordering::Relaxed);
         self.agent.join().unwrap().max(block_on(self.clients))
     }
 }
 
-/// In how many of a row of 50 ms each how many of two hundred came back that were rejected at the
-/// same moment with the same time to come back, and what stood still meanwhile.
-fn rejected_at_once() -> (Vec<usize>, Duration) {
-    let world = world(ms(1));
-    let turns_away = |act| {
-        world
+/// Rejects two hundred clients at the same moment with the same time to retry after. Returns how
+/// many of their requests ran in each successive interval of 50 ms after the rejections ended, and
+/// the longest stall meanwhile.
+fn measure_retries_after_rejection() -> (Vec<usize>, Duration) {
+    let cluster = cluster(ms(1));
+    let set_responses = |response_behavior| {
+        cluster
             .endpoints_in_zone(0)
             .iter()
-            .for_each(|(_, a)| a.update_behavior(|w| w.response = act))
+            .for_each(|(_, a)| a.update_behavior(|w| w.response = response_behavior))
     };
-    turns_away(ResponseBehavior::Reject);
-    let agent = start(&world);
+    set_responses(ResponseBehavior::Reject);
+    let agent = start(&cluster);
     let address = agent.address().unwrap();
-    let standstill = Standstill::watch(TestClient::connect(address).unwrap());
+    let stall_monitor = StallMonitor::watch(TestClient::connect(address).unwrap());
     let calls: Vec<_> = (0..200)
         .map(|n| {
             let client = Client::new(service(vec![address]));
@@ -362,78 +372,80 @@
         })
         .collect();
     thread::sleep(ms(450));
-    let healed = Instant::now();
-    turns_away(ResponseBehavior::Answer);
+    let since = Instant::now();
+    set_responses(ResponseBehavior::Answer);
     let ended: Vec<_> = calls.into_iter().map(block_on).collect();
-    let stood = standstill.end();
+    let longest_stall = stall_monitor.end();
     let good = ended.iter().filter(|e| e.is_ok()).count();
     assert!(
         good > 190,
         "{good}: {:?}",
         ended.iter().find(|e| e.is_err())
     );
-    assert_eq!(twice(&world, "payment"), Vec::<String>::new());
-    let came = |n: u64| {
-        let all = world.received_queries().into_values().flatten();
-        all.filter(|s| s.ran && s.at >= healed + ms(n * 50) && s.at < healed + ms(n * 50 + 50))
+    assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
+    let executed_in_interval = |n: u64| {
+        let all = cluster.received_queries().into_values().flatten();
+        all.filter(|s| s.ran && s.at >= since + ms(n * 50) && s.at < since + ms(n * 50 + 50))
             .count()
     };
-    ((0..40).map(came).collect(), stood)
+    ((0..40).map(executed_in_interval).collect(), longest_stall)
 }
 
-/// What is due while the machine lets one of them stand still comes at once when it goes on: only
-/// then it is tried again.
+/// Retries that become due while the machine stalls the agent or the clients are all sent when it
+/// goes on: only after such a stall is the measurement repeated.
 #[test]
 fn spreads_retries_of_two_hundred_clients_rejected_at_once_with_the_same_retry_after() {
-    let _turn = alone();
-    let spread = |each: &[usize]| each.iter().max().is_some_and(|most| *most <= 70);
+    let _timing_lock = lock_exclusively();
+    let is_spread = |counts: &[usize]| counts.iter().max().is_some_and(|most| *most <= 70);
     for _ in 0..5 {
-        let (each, stood) = rejected_at_once();
-        if spread(&each) {
+        let (counts, longest_stall) = measure_retries_after_rejection();
+        if is_spread(&counts) {
             return;
         }
         assert!(
-            stood >= ms(50),
-            "spread beyond the time they were told: {each:?}; {stood:?} at most stood still"
+            longest_stall >= ms(50),
+            "retries not spread beyond the time to retry after: {counts:?}; longest stall {longest_stall:?}"
         );
-        eprintln!("{each:?}: judged anew, {stood:?} stood still");
+        eprintln!("{counts:?}: measured again, longest stall {longest_stall:?}");
     }
-    panic!("never spread, or the machine always stood still");
+    panic!("retries were never spread, or the machine always stalled");
 }
 
-/// Its thread is kept by other work between its connect and the agent's greeting, for longer than
-/// an opening may take.
+/// Guards against a client that counts its own stall as the agent's: other work occupies its thread
+/// between its connect and the agent's greeting, for longer than opening a connection may take.
 #[test]
 fn does_not_take_the_agent_for_lost_after_a_stall_of_the_client() {
-    let _turn = beside();
-    let world = world(ms(1));
-    let agent = start(&world);
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(1));
+    let agent = start(&cluster);
     let client = Client::new(service(vec![agent.address().unwrap()]));
     let call = client.call(Call::read("payment", "p1", ms(5000)));
-    let keeps = async { thread::sleep(client.config().connections.connect_timeout + ms(200)) };
-    let (answered, ()) = block_on(zip(call, keeps));
+    let stall = async { thread::sleep(client.config().connections.connect_timeout + ms(200)) };
+    let (answered, ()) = block_on(zip(call, stall));
     let tried = answered.unwrap().attempts;
     assert_eq!((tried.agents.len(), tried.failures), (1, vec![]));
 }
 
 #[test]
 fn recovers_once_one_agent_is_back_after_all_were_away() {
-    let _turn = beside();
-    let world = world(ms(2));
-    let (one, two) = (start(&world), start(&world));
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(2));
+    let (one, two) = (start(&cluster), start(&cluster));
     let agents = vec![one.address().unwrap(), two.address().unwrap()];
     let clients: Vec<Client> = (0..20)
         .map(|_| Client::new(service(agents.clone())))
         .collect();
-    let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
-    let calls = call_on(&clients, ms(50), &met, &over);
-    assert!(wait_until(|| met.succeeded.load(Ordering::Relaxed) > 200));
+    let (outcomes, finished) = (Arc::<CallOutcomes>::default(), Arc::<AtomicBool>::default());
+    let calls = call_until_stopped(&clients, ms(50), &outcomes, &finished);
+    assert!(wait_until(
+        || outcomes.succeeded.load(Ordering::Relaxed) > 200
+    ));
     let configuration = one.configuration.clone();
     for agent in [one, two] {
         agent.signal(rustix::process::Signal::KILL).unwrap();
     }
     thread::sleep(Duration::from_secs(5));
-    let tries = || {
+    let attempts_made = || {
         clients
             .iter()
             .map(|c| c.stats().counters.attempts)
@@ -445,35 +457,38 @@
             .map(|c| c.stats().counters.calls)
             .sum::<u64>()
     };
-    let (before, called) = (tries(), calls_made());
+    let (before, called) = (attempts_made(), calls_made());
     thread::sleep(ms(500));
     assert!(
-        tries() - before <= (calls_made() - called) * 11 / 10 + 20,
-        "retries do not multiply an outage"
+        attempts_made() - before <= (calls_made() - called) * 11 / 10 + 20,
+        "retries multiply the load during an outage"
     );
     let _one = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    let succeeded = met.succeeded.load(Ordering::Relaxed);
+    let succeeded = outcomes.succeeded.load(Ordering::Relaxed);
     assert!(
-        wait_until(|| met.succeeded.load(Ordering::Relaxed) > succeeded + 500),
-        "they find it again"
+        wait_until(|| outcomes.succeeded.load(Ordering::Relaxed) > succeeded + 500),
+        "the clients do not use the agent again"
     );
-    over.store(true, Ordering::Relaxed);
+    finished.store(true, Ordering::Relaxed);
     calls.into_iter().for_each(block_on);
     assert!(
-        met.late.lock().unwrap().is_empty(),
+        outcomes.late.lock().unwrap().is_empty(),
         "{:?}",
-        met.late.lock().unwrap()
+        outcomes.late.lock().unwrap()
     );
-    assert_eq!(twice(&world, "payment"), Vec::<String>::new());
+    assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
 }
 
 #[test]
 fn answers_all_requests_beside_an_agent_that_accepts_and_never_responds() {
-    let _turn = beside();
-    let world = world(ms(2));
-    let agent = start(&world);
-    let mute = ScriptedServer::start("").unwrap();
-    let client = Client::new(service(vec![mute.address, agent.address().unwrap()]));
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(2));
+    let agent = start(&cluster);
+    let unresponsive = ScriptedServer::start("").unwrap();
+    let client = Client::new(service(vec![
+        unresponsive.address,
+        agent.address().unwrap(),
+    ]));
     let ended: Vec<_> = (0..60)
         .map(|n| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(1500)))))
         .collect();
@@ -487,14 +502,14 @@
         .flatten()
         .filter(|a| a.attempts.elapsed > ms(400))
         .count();
-    assert!(slow <= 6, "it is tried gently: {slow} of 60 met it");
-    assert_eq!(twice(&world, "payment"), Vec::<String>::new());
+    assert!(slow <= 6, "{slow} of 60 calls tried the unresponsive agent");
+    assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
 }
 
 #[test]
 fn sends_less_to_an_agent_that_is_ten_times_slower() {
-    let _turn = alone();
-    let (quick, slow) = (world(ms(8)), world(ms(80)));
+    let _timing_lock = lock_exclusively();
+    let (quick, slow) = (cluster(ms(8)), cluster(ms(80)));
     let (one, two) = (start(&quick), start(&slow));
     let client = Client::new(service(vec![
         one.address().unwrap(),
@@ -514,28 +529,28 @@
         })
         .collect();
     calls.into_iter().for_each(block_on);
-    let got = |w: &TestCluster| w.received_queries().len();
+    let received_count = |w: &TestCluster| w.received_queries().len();
     assert!(
-        got(&slow) * 2 < got(&quick),
+        received_count(&slow) * 2 < received_count(&quick),
         "{} and {}",
-        got(&slow),
-        got(&quick)
+        received_count(&slow),
+        received_count(&quick)
     );
 }
 
 #[test]
-fn ends_a_call_whose_deduplication_window_ends_between_two_tries() {
-    let _turn = beside();
-    let world = world(ms(1));
-    let agent = start(&world);
-    let half = CutPoint::FromAgent(welcome(agent.address().unwrap()) + 20);
+fn ends_a_call_whose_deduplication_window_ends_between_two_attempts() {
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(1));
+    let agent = start(&cluster);
+    let half = CutPoint::FromAgent(greeting_length(agent.address().unwrap()) + 20);
     let cutter = ConnectionCutter::start(agent.address().unwrap(), vec![half]).unwrap();
     let mut s = service(vec![cutter.address]);
     s.classes[1].idempotency = Idempotency::Keyed {
         scope: DeduplicationScope::All,
         window: ms(40),
     };
-    // New connections wait for longer than the window.
+    // A new connection waits for longer than the deduplication window.
     s.connections = ConnectionPolicy {
         reconnect_spread: Duration::from_secs(60),
         ..ConnectionPolicy::default()
@@ -551,7 +566,7 @@
     );
     assert!(begun.elapsed() < ms(1200) + SLACK);
     assert_eq!(
-        world
+        cluster
             .received_queries()
             .values()
             .flatten()
@@ -563,14 +578,14 @@
 
 #[test]
 fn refuses_a_key_that_another_open_call_uses() {
-    let _turn = beside();
-    let world = world(ms(200));
-    let agent = start(&world);
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(200));
+    let agent = start(&cluster);
     let client = Client::new(service(vec![agent.address().unwrap()]));
     let (one, two) = (client.clone(), client.clone());
     let call = || Call::write("send", "m1", vec![7], ms(1200)).key("k1");
     let first = spawn(async move { one.call(call()).await });
-    assert!(wait_until(|| world.received_queries().len() == 1));
+    assert!(wait_until(|| cluster.received_queries().len() == 1));
     assert!(matches!(
         block_on(two.call(call())),
         Err(CallError::InvalidCall(_))
@@ -578,22 +593,22 @@
     assert!(block_on(first).is_ok());
     assert!(
         block_on(client.call(call())).is_ok(),
-        "free again with the first one's end"
+        "the key is free again when the first call has ended"
     );
 }
 
 #[test]
 fn a_dropped_call_closes_its_connection_and_returns_its_permit() {
-    let _turn = beside();
-    let world = world(ms(1000));
-    let agent = start(&world);
+    let _timing_lock = lock_shared();
+    let cluster = cluster(ms(1000));
+    let agent = start(&cluster);
     let client = Client::new(service(vec![agent.address().unwrap()]));
     let c = client.clone();
     let call = spawn(async move {
         c.call(Call::write("send", "m1", vec![7], ms(1500)).key("k1"))
             .await
     });
-    assert!(wait_until(|| world.received_queries().len() == 1));
+    assert!(wait_until(|| cluster.received_queries().len() == 1));
     drop(call);
     assert!(wait_until(|| client.stats().in_flight == 0));
     assert_eq!(
@@ -606,18 +621,18 @@
     agent.signal(rustix::process::Signal::USR1).unwrap();
     assert!(
         wait_until(|| agent.log().contains("abandoned 1;")),
-        "the agent sees that it has gone: {}",
+        "the agent has not noticed that the client disconnected: {}",
         agent.log()
     );
 }
 
 #[test]
 fn runs_no_payment_twice_and_ends_each_call_once_in_a_thousand_fault_schedules() {
-    let _turn = beside();
-    let world = Arc::new(world(ms(0)));
-    let agent = start(&world);
+    let _timing_lock = lock_shared();
+    let cluster = Arc::new(cluster(ms(0)));
+    let agent = start(&cluster);
     let address = agent.address().unwrap();
-    let opens = welcome(address);
+    let greeting = greeting_length(address);
     let (next, good) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
     let threads: Vec<_> = (0..16)
         .map(|_| {
@@ -628,11 +643,11 @@
                     return;
                 }
                 let mut rng = Pcg64Mcg::seed_from_u64(seed);
-                // A statement is some 130 bytes behind a startup message of 41, an answer some 80
-                // behind a welcome.
+                // A statement has some 130 bytes and follows a startup message of 41 bytes; an
+                // answer has some 80 bytes and follows the greeting.
                 let cuts = (0..rng.gen_range(1..5)).map(|_| match rng.gen_range(0..3) {
                     0 => CutPoint::ToAgent(rng.gen_range(0..200)),
-                    1 => CutPoint::FromAgent(rng.gen_range(0..opens + 100)),
+                    1 => CutPoint::FromAgent(rng.gen_range(0..greeting + 100)),
                     _ => CutPoint::Never,
                 });
                 let cutter = ConnectionCutter::start(address, cuts.collect()).unwrap();
@@ -688,11 +703,10 @@
         "{}",
         good.load(Ordering::Relaxed)
     );
-    assert_eq!(twice(&world, "payment"), Vec::<String>::new());
-    // What ran is what was not rejected: a payment that a client was rejected never reached an
-    // endpoint.
+    assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
+    // A payment runs only if it is not rejected: a rejected one never reaches an endpoint.
     assert!(
-        world
+        cluster
             .received_queries()
             .values()
             .flatten()
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -1,5 +1,5 @@
-//! Where two events cross: each case forces them to, with fakes that come late or an agent that
-//! stands still, and is judged by what clients and endpoints saw.
+//! Races between two events. Each test forces one, by fake services that respond late or by an
+//! agent that is stalled, and checks what clients and endpoints observed.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -17,9 +17,9 @@
     Duration::from_millis(n)
 }
 
-fn responding_with(act: ResponseBehavior) -> EndpointBehavior {
+fn responding_with(response_behavior: ResponseBehavior) -> EndpointBehavior {
     EndpointBehavior {
-        response: act,
+        response: response_behavior,
         ..EndpointBehavior::default()
     }
 }
@@ -31,11 +31,11 @@
     }
 }
 
-fn cluster_of(ways: &[EndpointBehavior]) -> TestCluster {
+fn cluster_of(behavior: &[EndpointBehavior]) -> TestCluster {
     let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
-    for (n, ways) in ways.iter().enumerate() {
+    for (n, behavior) in behavior.iter().enumerate() {
         cluster
-            .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
+            .add_endpoint(0, &format!("s-{n}"), 41, behavior.clone())
             .unwrap();
     }
     cluster
@@ -48,8 +48,8 @@
     AgentProcess::start(BINARY, configuration, &[]).unwrap()
 }
 
-/// Without room for connections kept ahead, and with time for those that come up late: each attempt
-/// opens its own.
+/// Leaves no room for connections opened in advance, and enough time for those that open late: each
+/// attempt opens its own connection.
 fn with_late_connections(c: &mut serde_json::Value) {
     c["limits"]["sockets"] = 26.into();
     c["settings"]["limits"]["dial-timeout-ms"] = 2000.into();
@@ -57,7 +57,7 @@
 
 fn unchanged(_: &mut serde_json::Value) {}
 
-/// The connections to this endpoint come up so much later.
+/// Delays the replies of this endpoint by `time` milliseconds, so that connections to it open late.
 fn delay_replies(cluster: &TestCluster, id: &str, time: u64) {
     cluster.endpoint(id).unwrap().set_link(
         0,
@@ -80,7 +80,7 @@
     format!("SELECT body FROM objects WHERE oid = 'a1' /* id={id},c=view,d={wait} */")
 }
 
-/// A client that connects without waiting for anything, and writes this at once.
+/// Connects a client that writes these bytes at once, without waiting for any reply.
 fn connect_and_write(agent: &AgentProcess, bytes: &[u8]) -> TestClient {
     let mut stream = TcpStream::connect(agent.address().unwrap()).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -89,8 +89,8 @@
     TestClient { stream }
 }
 
-/// The code of its first answer, nothing for a value; an error where its connection ended without
-/// one.
+/// Returns the error code of the client's first answer, `None` for a value, or the error that ended
+/// its connection before any answer.
 fn first_answer(client: &mut TestClient) -> std::io::Result<Option<String>> {
     loop {
         match client.read_message()? {
@@ -101,23 +101,23 @@
     }
 }
 
-/// SIGTERM has come, and the agent stands still from just before it closes until just after it
-/// should have.
-fn across_termination(agent: &AgentProcess, crosses: impl FnOnce()) {
+/// Sends SIGTERM and stalls the agent from just before it starts to terminate until just after it
+/// should have. Runs `crosses` during the stall.
+fn stall_across_termination(agent: &AgentProcess, during_stall: impl FnOnce()) {
     agent.terminate().unwrap();
     assert!(wait_until(|| agent.log().contains("phase: Draining")));
     sleep(ms(400));
     agent.set_stalled(true).unwrap();
-    crosses();
+    during_stall();
     sleep(ms(250));
     assert!(
         !agent.log().contains("phase: Terminating"),
-        "it stood still before it closed"
+        "the agent began to terminate before it was stalled"
     );
     agent.set_stalled(false).unwrap();
 }
 
-// Clients that go.
+// Clients that disconnect.
 
 #[test]
 fn sends_nothing_for_a_client_that_left_while_the_first_attempt_was_connecting() {
@@ -150,11 +150,12 @@
     assert_eq!(
         received_count(&cluster, "s-0"),
         1,
-        "only of the one that stayed"
+        "only the request of the client that stayed is sent"
     );
 }
 
-/// More written ahead than is read ahead: its end is behind it.
+/// The client pipelines more statements than the agent reads ahead, so that the end of the
+/// connection comes after unread statements.
 #[test]
 fn sends_nothing_more_for_a_client_that_left_with_statements_queued() {
     let cluster = cluster_of(&[working_for_ms(500)]);
@@ -162,7 +163,7 @@
     let mut client = connect(&agent);
     client.send_query_as("first", "payment", 1400);
     assert!(wait_until(|| received_count(&cluster, "s-0") == 1));
-    // Few enough statements for none to be a flood.
+    // Few enough statements for none to be rejected as a flood.
     let object = "a".repeat(4000);
     for n in 0..20 {
         client.send_statement(&format!(
@@ -174,7 +175,8 @@
     assert_eq!(received_count(&cluster, "s-0"), 1);
 }
 
-/// On the wire it is the same as closing, and the page says of closing that the client has gone.
+/// On the wire this looks the same as closing the connection, and a client that closes its
+/// connection counts as gone by the specification.
 #[test]
 fn treats_a_client_that_shuts_down_its_write_side_as_gone() {
     let cluster = cluster_of(&[working_for_ms(0)]);
@@ -185,20 +187,24 @@
     client.stream.shutdown(Shutdown::Write).unwrap();
     let mut rest = Vec::new();
     client.stream.read_to_end(&mut rest).unwrap();
-    assert!(rest.is_empty(), "no answer, and its connection is closed");
+    assert!(
+        rest.is_empty(),
+        "expected no answer before the connection is closed"
+    );
     sleep(ms(500));
     assert_eq!(received_count(&cluster, "s-0"), 0);
 }
 
-// Decision and first byte.
+// Events between the decision and the first byte.
 
-/// Whichever endpoint comes first: the one that answers, or the one whose connection comes up
-/// behind the answer.
+/// Holds whichever endpoint is tried first: the one that answers, or the one whose connection opens
+/// after that answer.
 #[test]
 fn writes_no_hedge_whose_connection_opens_after_the_final_response() {
     let cluster = cluster_of(&[working_for_ms(400), working_for_ms(400)]);
     delay_replies(&cluster, "s-1", 900);
-    // Room for the hedged request's connection beside the first one's, and for none kept ahead.
+    // Room for the connections of the first attempt and of the hedged request, and for none opened
+    // in advance.
     let agent = start_agent(&cluster, |c| {
         with_late_connections(c);
         c["limits"]["sockets"] = 29.into();
@@ -224,7 +230,7 @@
     let mut client = connect(&agent);
     client.send_query("payment", 500);
     sleep(ms(50));
-    // The agent stands still until both the connection is up and the time is over.
+    // The agent is stalled until the connection is open and the deadline has passed.
     agent.set_stalled(true).unwrap();
     sleep(ms(700));
     agent.set_stalled(false).unwrap();
@@ -241,7 +247,7 @@
     client.send_query_as("first", "payment", 2000);
     client.send_query_as("second", "payment", 300);
     assert!(wait_until(|| received_count(&cluster, "s-0") == 1));
-    // By this one's arrival the second would still have time at its turn.
+    // Measured from the third one's arrival, the second would still have time at its turn.
     sleep(ms(450));
     client.send_query_as("third", "payment", 2000);
     let codes = [(); 3].map(|()| client.read_reply().unwrap().code());
@@ -256,12 +262,12 @@
     assert_eq!(
         sent,
         ["first", "third"],
-        "the second one's time was over before its turn"
+        "the deadline of the second passed before its turn"
     );
 }
 
-/// One endpoint loses its answers, the connections to the other come up after the group has
-/// forgotten the repeat.
+/// One endpoint loses its answers, and the connections to the other open only after the
+/// deduplication window, when the endpoints no longer drop the retry.
 #[test]
 fn fails_a_keyed_retry_at_once_after_its_deduplication_window() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Close), working_for_ms(0)]);
@@ -294,7 +300,8 @@
                 assert!(repeat < first + ms(300), "{:?} later", repeat - first)
             }
             (Some(_), None) => {
-                // Lost there: nothing says that a retry is harmless, and nothing is waited for.
+                // The answer was lost, and a retry could run a second time: the request fails at
+                // once.
                 assert_eq!(code, Some("XX000".into()));
                 assert!(took < ms(1300), "answered after {took:?}");
                 crossed += 1;
@@ -302,14 +309,17 @@
             _ => {}
         }
     }
-    assert!(crossed > 0, "some went to the one that loses answers first");
+    assert!(
+        crossed > 0,
+        "no request went first to the endpoint that loses answers"
+    );
 }
 
-/// Its connection ends right behind each answer, as the next request is on its way.
+/// The connection ends right after each answer, while the next request is on its way.
 #[test]
 fn runs_a_non_idempotent_request_at_most_once_when_its_connection_closes() {
-    for act in [ResponseBehavior::AnswerAndClose, ResponseBehavior::Close] {
-        let cluster = cluster_of(&[responding_with(act)]);
+    for response_behavior in [ResponseBehavior::AnswerAndClose, ResponseBehavior::Close] {
+        let cluster = cluster_of(&[responding_with(response_behavior)]);
         let agent = start_agent(&cluster, unchanged);
         let mut client = connect(&agent);
         for n in 0..40 {
@@ -321,21 +331,21 @@
                 .map_or(0, Vec::len);
             match code.as_deref() {
                 None => assert_eq!(ran, 1),
-                Some("53300") => assert_eq!(ran, 0, "a denial says that it never ran"),
+                Some("53300") => assert_eq!(ran, 0, "a rejected request never ran"),
                 other => assert!(ran <= 1, "{ran} runs, {other:?}"),
             }
         }
     }
 }
 
-/// Answers the first query on each connection, takes some bytes of the second and resets: it never
-/// runs there.
-fn resets_during_the_second(seen: Arc<AtomicUsize>) -> SocketAddr {
+/// Starts an endpoint that answers the first query on each connection, reads some bytes of the
+/// second and resets the connection, so that the second never runs. `seen` counts the resets.
+fn start_endpoint_that_resets_the_second_query(seen: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    // A long statement does not fit on its way.
+    // With this receive buffer a long statement cannot be written as a whole.
     rustix::net::sockopt::set_socket_recv_buffer_size(&listener, 2048).unwrap();
     let address = listener.local_addr().unwrap();
-    let talk = move |mut stream: TcpStream| -> std::io::Result<()> {
+    let serve_connection = move |mut stream: TcpStream| -> std::io::Result<()> {
         let mut startup = vec![0; pg::startup().len()];
         stream.read_exact(&mut startup)?;
         stream.write_all(&pg::startup_reply())?;
@@ -347,29 +357,29 @@
         stream.write_all(&pg::value_reply(&[0x9f, 3]))?;
         stream.read_exact(&mut [0; 700])?;
         seen.fetch_add(1, Ordering::SeqCst);
-        // What is unread is answered by a reset.
+        // Closing the socket with unread bytes resets the connection.
         Ok(())
     };
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let talk = talk.clone();
-            std::thread::spawn(move || talk(stream));
+            let serve_connection = serve_connection.clone();
+            std::thread::spawn(move || serve_connection(stream));
         }
     });
     address
 }
 
-/// The connection breaks before all of it has arrived, though all of it may have been written: then
-/// nobody can tell that it never ran, and it goes nowhere else.
+/// The connection breaks before the whole request has arrived, though all of it may have been
+/// written. The agent cannot tell that it never ran, so it must not send it to another endpoint.
 #[test]
 fn runs_a_non_idempotent_request_at_most_once_when_its_connection_breaks_before_it_arrived() {
     let begun = Arc::<AtomicUsize>::default();
     let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
-    let address = resets_during_the_second(begun.clone());
+    let address = start_endpoint_that_resets_the_second_query(begun.clone());
     cluster
         .discovery
         .update_entry("s-0", |e| e.addresses = vec![address]);
-    // Few connections are opened ahead, so that each is soon used again.
+    // Few connections are opened in advance, so that each is soon reused.
     let agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 64.into());
     let mut client = connect(&agent);
     let value = "9f".repeat(60_000);
@@ -388,7 +398,7 @@
             None => assert!(ran <= 1, "{ran} runs"),
             other => assert_eq!(
                 ran, 0,
-                "{other:?}: what was given up there went nowhere else"
+                "{other:?}: a failed request was sent to another endpoint"
             ),
         }
         if begun.load(Ordering::SeqCst) > 0 {
@@ -400,12 +410,12 @@
 
 // Answers.
 
-/// Thirty requests to an endpoint that writes a second answer so many milliseconds behind each;
-/// whether all were right. A wrong one is the agent's fault unless that second answer was really
-/// written after more than a connection's rest.
-fn late_duplicate_responses_are_discarded(gap: u16) -> bool {
+/// Sends thirty requests to an endpoint that writes a second answer `gap` milliseconds after each.
+/// Returns whether all replies were correct. A wrong reply is a fault of the agent, unless the
+/// second answer was in fact written later than the time for which a connection rests before reuse.
+fn discards_late_duplicate_responses(gap: u16) -> bool {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::AnswerAgainAfterMs(gap))]);
-    // Room for one connection, which would be the next request's.
+    // Room for a single connection, which the next request reuses.
     let agent = start_agent(&cluster, with_late_connections);
     let mut client = connect(&agent);
     for n in 0..30 {
@@ -413,19 +423,22 @@
         let told = client.read_reply().unwrap();
         if told != Reply::Value(vec![0x9f, 3]) {
             let before = format!("c{}", n - 1);
-            let behind = || {
+            let lateness_of_duplicate = || {
                 let seen = cluster.endpoint("s-0").unwrap().received_queries();
                 seen.into_iter()
                     .find(|s| s.id == before)
                     .and_then(|s| s.duplicate_delay)
             };
-            wait_until(|| behind().is_some());
+            wait_until(|| lateness_of_duplicate().is_some());
             assert!(
-                behind() >= Some(ms(20)),
-                "command {n}, {gap} ms: {told:?}, {:?} behind",
-                behind()
+                lateness_of_duplicate() >= Some(ms(20)),
+                "request {n}, {gap} ms: {told:?}, duplicate {:?} late",
+                lateness_of_duplicate()
+            );
+            eprintln!(
+                "{gap} ms, run again: duplicate {:?} late",
+                lateness_of_duplicate()
             );
-            eprintln!("{gap} ms, played again: written {:?} behind", behind());
             return false;
         }
     }
@@ -435,16 +448,16 @@
 #[test]
 fn discards_a_duplicate_response_some_milliseconds_late() {
     for gap in [1, 4, 9] {
-        // On a machine that does not let the fake run in time it is played again.
+        // Runs again if the machine did not let the fake endpoint run in time.
         assert!(
-            (0..10).any(|_| late_duplicate_responses_are_discarded(gap)),
-            "{gap} ms: never written in time"
+            (0..10).any(|_| discards_late_duplicate_responses(gap)),
+            "{gap} ms: the duplicate was never written in time"
         );
     }
 }
 
 #[test]
-fn takes_a_response_cut_at_any_byte_for_no_value_until_it_is_complete() {
+fn returns_no_value_of_a_response_cut_before_it_is_complete() {
     let cluster = cluster_of(&[working_for_ms(0)]);
     let agent = start_agent(&cluster, unchanged);
     let whole = pg::value_reply(&[0x9f, 3]).len();
@@ -455,7 +468,8 @@
             .unwrap()
             .update_behavior(|w| w.response = ResponseBehavior::CloseAfterBytes(cut as u16));
         let mut client = connect(&agent);
-        // So many failures may have it rejected, unrun: then it is asked again.
+        // After many failures the agent may reject the request without running it: then it is sent
+        // again.
         let (id, told) = (0..200)
             .map(|n| {
                 let id = format!("c{cut}-{n}");
@@ -476,7 +490,7 @@
 }
 
 #[test]
-fn answers_a_response_that_trickles_in_with_its_value_or_a_failure_in_time() {
+fn answers_with_a_value_or_a_failure_in_time_when_a_response_arrives_byte_by_byte() {
     let cluster = cluster_of(&[
         responding_with(ResponseBehavior::ByteEveryMs(10)),
         responding_with(ResponseBehavior::ByteEveryMs(40)),
@@ -494,10 +508,10 @@
     }
 }
 
-// Slow clients, and many.
+// Slow clients and many clients.
 
-/// Five hundred, each of which holds more of the memory than its share: none of them, nor anybody
-/// else, may wait for the others for good, nor does the shutdown.
+/// Five hundred clients that each hold more than their share of the memory: neither they, nor other
+/// clients, nor the shutdown may wait for them forever.
 #[test]
 fn serves_others_while_many_clients_hold_half_a_message_each() {
     let cluster = cluster_of(&[working_for_ms(0)]);
@@ -509,7 +523,7 @@
         &vec![b' '; 100_000],
     ]
     .concat();
-    let mut halves: Vec<_> = (0..500)
+    let mut half_written: Vec<_> = (0..500)
         .map(|_| {
             let mut stream = TcpStream::connect(agent.address().unwrap()).unwrap();
             stream.set_nonblocking(true).unwrap();
@@ -518,10 +532,11 @@
         })
         .collect();
     let begun = Instant::now();
-    // Each goes on, a byte at a time: whoever is read again waits for room, which the others hold.
+    // Each writes on, a byte at a time: a client that is read again waits for memory that the
+    // others hold.
     for _ in 0..5 {
         sleep(ms(50));
-        halves
+        half_written
             .iter_mut()
             .for_each(|stream| drop(stream.write(b" ")));
     }
@@ -553,19 +568,19 @@
         "ended after {:?}",
         begun.elapsed()
     );
-    drop(halves);
+    drop(half_written);
 }
 
-/// Guards against a rush of clients that owe a message, for each of which the agent would close a
-/// served client between two of its requests.
+/// Guards against a burst of clients that have not sent a whole message yet, for each of which the
+/// agent would close a served client between two of its requests.
 #[test]
-fn keeps_a_served_client_while_those_that_owe_a_message_take_the_places() {
+fn keeps_a_served_client_while_clients_with_incomplete_messages_take_all_places() {
     let half = [&pg::startup()[..], b"Q\x00\x00\x01\x00half"].concat();
     for owed in [&half[..], b""] {
         let cluster = cluster_of(&[working_for_ms(0)]);
         let agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 128.into());
         let mut good = connect(&agent);
-        // From here on it may be asked to go.
+        // From now on the served client counts as idle, and may be closed.
         sleep(ms(250));
         // All are in the queue before the agent accepts the first: none has been idle for long.
         agent.set_stalled(true).unwrap();
@@ -586,9 +601,9 @@
         ..EndpointBehavior::default()
     }]);
     let agent = start_agent(&cluster, unchanged);
-    let mut deaf = connect(&agent);
+    let mut non_reading = connect(&agent);
     for n in 0..400 {
-        deaf.send_query_as(&format!("n{n}"), "view", 60_000);
+        non_reading.send_query_as(&format!("n{n}"), "view", 60_000);
         sleep(ms(2));
     }
     let mut slow = connect(&agent);
@@ -604,22 +619,22 @@
     let mut other = connect(&agent);
     other.send_query("view", 1000);
     assert_eq!(other.read_reply().unwrap().code(), None);
-    // Long after it was let go, it reads: what it gets ends before its last answer.
+    // The disconnected client reads at last: its stream ends before the last answer.
     assert!(wait_until(|| agent
         .log()
         .contains("does not read its responses")));
-    let ends = (0..400).any(|_| deaf.read_reply().is_err());
+    let ends = (0..400).any(|_| non_reading.read_reply().is_err());
     assert!(ends);
 }
 
-/// Each is answered once and in its order, whatever is rejected of a flood, faulty, or too late,
-/// and what is answered with a value, and nothing else, ran once.
+/// Every request of a flood is answered once and in order, also those that are rejected, invalid or
+/// too late. Those answered with a value ran once, and no others ran.
 #[test]
 fn answers_each_of_many_pipelined_requests_once_and_in_order() {
     let cluster = cluster_of(&[working_for_ms(20)]);
     let agent = start_agent(&cluster, unchanged);
     let mut client = connect(&agent);
-    let pays = |n: usize, wait: u32| {
+    let payment_statement = |n: usize, wait: u32| {
         format!("SELECT body FROM objects WHERE oid = 'a1' /* id=f{n},c=payment,d={wait} */")
     };
     let mut all = Vec::new();
@@ -627,9 +642,9 @@
         all.extend(pg::query(&match n % 5 {
             0 => "nonsense".to_owned(),
             1 => String::new(),
-            // Its time is over before those ahead of it are answered.
-            4 => pays(n, 1),
-            _ => pays(n, 15_000),
+            // Its deadline passes before the requests ahead of it are answered.
+            4 => payment_statement(n, 1),
+            _ => payment_statement(n, 15_000),
         }));
     }
     client.stream.write_all(&all).unwrap();
@@ -657,14 +672,15 @@
 
 // Shutdown.
 
-/// More than there are places, and nobody else is connected: each gets an answer, none a reset.
+/// More connections than the agent has places for, while nobody else is connected: each gets an
+/// answer, none a reset.
 #[test]
 fn answers_connections_that_wait_to_be_accepted_at_termination() {
     let cluster = cluster_of(&[working_for_ms(0)]);
     let mut agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 40.into());
     drop(connect(&agent));
     let mut waiting = Vec::new();
-    across_termination(&agent, || {
+    stall_across_termination(&agent, || {
         for n in 0..30 {
             waiting.push(connect_and_write(
                 &agent,
@@ -691,7 +707,7 @@
     let cluster = cluster_of(&[working_for_ms(0)]);
     let mut agent = start_agent(&cluster, unchanged);
     let mut clients: Vec<_> = (0..40).map(|_| connect(&agent)).collect();
-    across_termination(&agent, || {
+    stall_across_termination(&agent, || {
         for (n, client) in clients.iter_mut().enumerate() {
             client.send_query_as(&format!("i{n}"), "payment", 1400);
         }
@@ -705,21 +721,21 @@
         };
         match client.read_reply() {
             Ok(told) => assert!(told.code().is_none() && ran() == 1),
-            // Reset, as what it wrote was not read: it asks again elsewhere.
+            // Reset, as its request was not read: the client may send it again elsewhere.
             Err(e) => assert!(e.kind() == ErrorKind::ConnectionReset && ran() == 0, "{e}"),
         }
     }
     assert!(agent.wait_for_success().unwrap());
 }
 
-/// It was taken in at the very end, and its first request is still on its way.
+/// The connection was accepted at the very end, and its first request is still on its way.
 #[test]
 fn waits_for_the_first_request_of_a_connection_accepted_at_termination() {
     let cluster = cluster_of(&[working_for_ms(0)]);
     let mut agent = start_agent(&cluster, unchanged);
     drop(connect(&agent));
     let mut fresh = Vec::new();
-    across_termination(&agent, || {
+    stall_across_termination(&agent, || {
         fresh.extend((0..5).map(|_| connect_and_write(&agent, &pg::startup())))
     });
     assert!(wait_until(|| agent.log().contains("phase: Terminating")));
@@ -757,7 +773,7 @@
     let cluster = cluster_of(&[working_for_ms(0)]);
     delay_replies(&cluster, "s-0", 200);
     let mut agent = start_agent(&cluster, unchanged);
-    // Its connections ahead are still being opened.
+    // The agent is still opening connections in advance.
     assert!(wait_until(|| agent.log().contains("listening on")));
     agent.terminate().unwrap();
     agent.reload(&agent.configuration.to_string()).unwrap();
@@ -773,7 +789,8 @@
 
 // Starts.
 
-/// One endpoint, many sockets, and handshakes that take nearly as long as they may.
+/// The worst case is one endpoint, many sockets, and handshakes that take nearly as long as is
+/// permitted.
 #[test]
 fn is_ready_within_its_bound_however_slowly_connections_open() {
     let cluster = cluster_of(&[working_for_ms(0)]);
@@ -788,14 +805,15 @@
     );
     client.send_query("view", 1400);
     assert_eq!(client.read_reply().unwrap().code(), None);
-    // No more than half of the places for endpoints are opened ahead, here for one of them.
+    // At most half of the connections permitted to endpoints are opened in advance, here all to one
+    // endpoint.
     let opened =
         cluster.transfer_counts(0, 0)[endpoint::CONNECTIONS].read as usize / pg::startup().len();
     assert!((1..=230).contains(&opened), "{opened} connections");
 }
 
-/// Where each handshake is paid for, a start opens none that no request asked for, and one request
-/// opens one.
+/// Where each handshake is paid for, a start opens no connection without a request, and one request
+/// opens one connection.
 #[test]
 fn warms_up_connections_only_where_handshakes_cost_nothing() {
     for (price, ahead) in [(0.0, true), (0.08, false)] {
@@ -831,7 +849,7 @@
 }
 
 #[test]
-fn is_ready_and_rejects_without_any_list_while_discovery_is_away() {
+fn is_ready_and_rejects_requests_without_any_list_while_discovery_is_unresponsive() {
     let cluster = cluster_of(&[working_for_ms(0)]);
     cluster
         .discovery
@@ -855,8 +873,9 @@
 
 // The platform.
 
-/// Where the platform counts for all. An agent that could not read it closed the connection at each
-/// count, and what was told while none was open was lost.
+/// Covers settings under which the platform aggregates the counts of all agents. Guards against an
+/// agent that cannot parse these counts: it closed its connection at each of them, and lost what the
+/// platform announced while no connection was open.
 #[test]
 fn rolls_back_a_build_that_the_platforms_counts_show_as_failing() {
     let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
@@ -872,7 +891,7 @@
         domain["counted-share"] = 0.5.into();
     });
     connect(&agent);
-    let back = wait_until(|| {
+    let voted_to_roll_back = wait_until(|| {
         cluster.platform.report_counts(41, "view", 20, 0, ms(20));
         cluster.platform.report_counts(42, "view", 20, 12, ms(20));
         sleep(ms(50));
@@ -882,7 +901,7 @@
             .iter()
             .any(|(_, vote)| vote["opinion"] == "abort" && vote["image"] == 42)
     });
-    assert!(back);
+    assert!(voted_to_roll_back);
     assert!(
         !agent.log().contains("its connection is closed"),
         "{}",
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The real agent on loopback against the fakes: single cases.
+//! The real agent program on loopback, with fake endpoints, discovery and platform: one behaviour
+//! in each test.
 
 use serde_json::json;
 use std::io::{BufRead, Read, Write};
@@ -22,9 +23,9 @@
     ]
 }
 
-fn responding_with(act: ResponseBehavior) -> EndpointBehavior {
+fn responding_with(response_behavior: ResponseBehavior) -> EndpointBehavior {
     EndpointBehavior {
-        response: act,
+        response: response_behavior,
         ..EndpointBehavior::default()
     }
 }
@@ -36,12 +37,12 @@
     }
 }
 
-/// One zone with an endpoint for each of these, `s-0` first.
-fn cluster_of(ways: &[EndpointBehavior]) -> TestCluster {
+/// A cluster of one zone with an endpoint for each of these behaviors, `s-0` first.
+fn cluster_of(behavior: &[EndpointBehavior]) -> TestCluster {
     let cluster = TestCluster::new(&["a"], classes()).unwrap();
-    for (n, ways) in ways.iter().enumerate() {
+    for (n, behavior) in behavior.iter().enumerate() {
         cluster
-            .add_endpoint(0, &format!("s-{n}"), 41, ways.clone())
+            .add_endpoint(0, &format!("s-{n}"), 41, behavior.clone())
             .unwrap();
     }
     cluster
@@ -57,7 +58,7 @@
     TestClient::connect(program.address().unwrap()).unwrap()
 }
 
-/// The code of the error, or nothing where the value came.
+/// Reads a reply. Returns the code of its error, `None` for a value.
 fn reply_code(client: &mut TestClient) -> Option<String> {
     let reply = client.read_reply().unwrap();
     if let Reply::Value(bytes) = &reply {
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn passes_a_value_on_and_answers_pipelined_queries_in_order() {
+fn forwards_a_value_and_answers_pipelined_queries_in_order() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let agent = start_agent(&cluster, 1024);
     let mut client = connect(&agent);
@@ -93,7 +94,7 @@
     );
     assert_eq!(codes, (None, Some("42601".into()), None));
     let sent = cluster.endpoint("s-0").unwrap().received_queries();
-    assert_eq!(sent.len(), 2, "a faulty statement goes nowhere");
+    assert_eq!(sent.len(), 2, "an invalid statement is sent to no endpoint");
     assert!(sent[0]
         .statement
         .starts_with("SELECT body FROM objects WHERE oid = 'a1' /* id="));
@@ -117,7 +118,7 @@
 
 #[test]
 fn rejects_a_request_that_finds_no_connection() {
-    // Refused before the last byte.
+    // The connection is refused before the last byte of the request is written.
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     cluster
         .discovery
@@ -151,7 +152,7 @@
         assert_eq!(
             (reply_code(&mut client), received_count(&cluster, "s-0")),
             (None, n),
-            "command {n}"
+            "request {n}"
         );
     }
 }
@@ -166,7 +167,7 @@
     assert_eq!(reply_code(&mut client), Some("XX000".into()));
     assert!(
         begun.elapsed() < Duration::from_millis(1000),
-        "its end is not waited for"
+        "the agent waits for the end of a malformed response"
     );
     assert_eq!(received_count(&one, "s-0"), 1);
     let both = cluster_of(&[
@@ -182,19 +183,19 @@
 }
 
 #[test]
-fn asks_again_after_a_malformed_list_or_line() {
+fn calls_again_after_a_malformed_list_or_line() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let agent = start_agent(&cluster, 1024);
     let mut client = connect(&agent);
-    // Spoilt here, not by a change there: the agent could be moved on between the change and its
-    // taking back.
+    // The malformed list comes from another address. If discovery itself changed its list for a
+    // short time, the agent could receive further changes before that change is reverted.
     let drains = cluster
         .discovery
         .full_list(0)
         .to_string()
         .replace("in_service", "terminating");
     assert!(drains.contains("terminating"));
-    let again_soon = || {
+    let retries_soon = || {
         let lists =
             ScriptedServer::start(ScriptedServer::http_response(&drains).split_at(150).0).unwrap();
         let watches = ScriptedServer::start("{\"method\":\"ROLL").unwrap();
@@ -217,14 +218,14 @@
         }
         begun.elapsed() < Duration::from_millis(1900)
     };
-    // A rest that is waited for as long as silence takes over 2 s at every try; a busy machine at
-    // some.
-    assert!((0..3).any(|_| again_soon()));
+    // An agent that waits for the rest of a message as long as for a silent peer takes over 2 s in
+    // every round; a busy machine does so only in some.
+    assert!((0..3).any(|_| retries_soon()));
     client.send_query("view", 1000);
     assert_eq!(
         (reply_code(&mut client), received_count(&cluster, "s-0")),
         (None, 1),
-        "half a list says nothing"
+        "an incomplete list is not applied"
     );
 }
 
@@ -289,9 +290,9 @@
     client.send_query("payment", 1500);
     assert!(runtime::wait_until(|| received_count(&cluster, "s-0") == 1));
     agent.terminate().unwrap();
-    // A new configuration on the way out ends nothing.
+    // A reload during the shutdown ends no request.
     agent.reload(&agent.configuration.to_string()).unwrap();
-    // New clients still come for a while.
+    // New clients are still accepted for a while.
     let mut later = connect(&agent);
     later.send_query("view", 1500);
     assert_eq!(
@@ -318,13 +319,13 @@
         }
     };
     serve(&|| received_count(&old, "s-0") > 0);
-    // A faulty file changes nothing.
+    // An invalid file changes nothing.
     agent.reload("{\"seed\": \"1\"").unwrap();
     thread::sleep(Duration::from_millis(100));
     let before = received_count(&old, "s-0");
     serve(&|| received_count(&old, "s-0") > before);
-    // Several in a row: the last one counts. The list that is told there has the first endpoint no
-    // more.
+    // Of several reloads in a row the last one counts. The list at the new address no longer has
+    // the first endpoint.
     new.discovery.update_entry("s-0", |e| e.id = "s-9".into());
     new.discovery
         .update_entry("s-0", |e| e.state = "terminated".into());
@@ -341,8 +342,8 @@
             && runtime::wait_until(|| agent.log().matches("phase: Serving").count() > 1)
     );
     let before = received_count(&old, "s-0");
-    let there = received_count(&new, "s-0");
-    serve(&|| received_count(&new, "s-0") > there + 3);
+    let received_there = received_count(&new, "s-0");
+    serve(&|| received_count(&new, "s-0") > received_there + 3);
     assert_eq!(received_count(&old, "s-0"), before);
 }
 
@@ -350,7 +351,7 @@
 fn disconnects_a_client_without_a_whole_first_request_and_keeps_one_that_asked_once() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let agent = start_agent(&cluster, 1024);
-    let mut stays = connect(&agent);
+    let mut idle_client = connect(&agent);
     let startup = pg::startup();
     let half = [&startup[..], b"Q\0\0\0\x40SELECT body"].concat();
     let huge = [&startup[..], b"Q\x03\x93\x87\x00SELECT"].concat();
@@ -365,13 +366,13 @@
         })
         .collect();
     for mut stream in waiting {
-        let mut heard = Vec::new();
-        let _ = stream.read_to_end(&mut heard);
-        assert!(heard.windows(6).any(|w| w == b"C08P01"));
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
+        assert!(received.windows(6).any(|w| w == b"C08P01"));
         assert!(begun.elapsed() < Duration::from_millis(2900));
     }
-    stays.send_query("view", 1000);
-    assert_eq!(reply_code(&mut stays), None);
+    idle_client.send_query("view", 1000);
+    assert_eq!(reply_code(&mut idle_client), None);
 }
 
 #[test]
@@ -400,7 +401,7 @@
 }
 
 #[test]
-fn serves_clients_that_hold_a_third_of_the_descriptors_all_at_once() {
+fn serves_clients_that_hold_a_third_of_the_descriptors_concurrently() {
     let work = Duration::from_secs(2);
     let cluster = cluster_of(&[EndpointBehavior {
         work,
@@ -409,7 +410,8 @@
     }]);
     let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["limits"]["sockets"] = 256.into();
-    // Of the machine's pace a connection that comes up late tells, not of the sockets.
+    // A connection that opens late shows that the machine is slow, not that sockets are lacking:
+    // allow it more time.
     configuration["settings"]["limits"]["dial-timeout-ms"] = 5000.into();
     let agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
     let mut clients: Vec<TestClient> = (0..85).map(|_| connect(&agent)).collect();
@@ -428,24 +430,24 @@
     assert_eq!(sent.len(), 85);
     assert!(
         sent[84] < sent[0] + work,
-        "the last was sent before the first was answered"
+        "the last request was sent only after the first was answered"
     );
 }
 
-/// Guards a rush: whoever finds the queue of connections full is left to a packet that is sent
-/// again a second later.
+/// Guards against an accept queue that is too short for a burst of clients: a client that finds it
+/// full has to wait for the retransmission of its SYN a second later.
 #[test]
-fn accepts_and_serves_a_rush_that_comes_while_the_agent_is_stalled() {
+fn accepts_and_serves_a_burst_of_clients_that_connect_while_the_agent_is_stalled() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let agent = start_agent(&cluster, 1024);
     drop(connect(&agent));
     agent.set_stalled(true).unwrap();
-    // The queue is the machine's: this waits for nothing that the agent does.
-    let rush: Vec<_> = (0..200)
+    // The kernel holds the accept queue: connecting does not wait for the agent.
+    let burst: Vec<_> = (0..200)
         .map(|n| {
             let mut stream =
                 TcpStream::connect_timeout(&agent.address().unwrap(), Duration::from_secs(5))
-                    .unwrap_or_else(|e| panic!("{n} came before: {e}"));
+                    .unwrap_or_else(|e| panic!("{n} clients connected before: {e}"));
             stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             let query =
                 format!("SELECT body FROM objects WHERE oid = 'a1' /* id=r{n},c=view,d=15000 */");
@@ -456,36 +458,37 @@
         })
         .collect();
     agent.set_stalled(false).unwrap();
-    for mut client in rush {
+    for mut client in burst {
         client.read_until_ready().unwrap();
         assert_eq!(reply_code(&mut client), None);
     }
 }
 
 #[test]
-fn keeps_only_the_state_of_what_is_alive() {
+fn keeps_state_only_for_endpoints_and_builds_that_exist() {
     let value = agent_process::settings(&["a"], "a", 1, &classes());
-    let site = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap();
-    let (mut kept, clock) = (EndpointTable::default(), Clock::start());
-    let mut choice = Balancer::new(clock.now(), site.settings.clone());
+    let config = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap();
+    let (mut table, clock) = (EndpointTable::default(), Clock::start());
+    let mut balancer = Balancer::new(clock.now(), config.settings.clone());
     let mut held = None;
     for n in 0..2000u32 {
-        // Builds follow one another; an address returns under another build, an id now and then.
+        // Builds follow one another; addresses return with other builds, and ids return now and
+        // then.
         let entry = |i: u32, state: &str| {
             json!({"id": format!("s-{}", i % if n % 7 < 1 { 21 } else { 5000 }), "addr": format!("127.0.0.1:{}", 1 + i % 9),
                 "zone": "a", "cell": 0, "state": state, "started_ms": 0, "release": i / 5})
         };
-        let told = json!({"version": n, "full": n % 50 == 49, "servers": [entry(n, "in_service"),
+        let list = json!({"version": n, "full": n % 50 == 49, "servers": [entry(n, "in_service"),
             entry(n + 2000, "terminated"), entry(n.saturating_sub(8), "terminated")]});
-        let entries = kept
+        let entries = table
             .apply(
-                ListResponse::parse(told.to_string().as_bytes()).unwrap(),
-                &site,
+                ListResponse::parse(list.to_string().as_bytes()).unwrap(),
+                &config,
                 &clock,
             )
             .entries;
-        choice.update_endpoints(clock.now(), &entries, n % 50 == 49);
-        choice.update_rollout(RolloutStatus {
+        balancer.update_endpoints(clock.now(), &entries, n % 50 == 49);
+        balancer.update_rollout(RolloutStatus {
             build: n / 5,
             stage: 0,
             phase: RolloutPhase::Canary,
@@ -493,39 +496,39 @@
             since: clock.now(),
         });
         if n == 100 {
-            held = kept.hold_index(entries[0].endpoint).map(|h| {
+            held = table.hold_index(entries[0].endpoint).map(|h| {
                 (
                     h,
                     entries[0].endpoint,
-                    kept.id(entries[0].endpoint).to_owned(),
+                    table.id(entries[0].endpoint).to_owned(),
                 )
             });
         }
     }
-    let [_, endpoints, builds, _] = choice.retained_counts();
+    let [_, endpoints, builds, _] = balancer.retained_counts();
     assert!(
-        kept.len() < 40 && endpoints <= kept.len() && builds < 5,
+        table.len() < 40 && endpoints <= table.len() && builds < 5,
         "{} {builds}",
-        kept.len()
+        table.len()
     );
     let (_, number, id) = held.unwrap();
     assert_eq!(
-        kept.id(number),
+        table.id(number),
         id,
-        "not given anew while a delivery to it is out"
+        "an index is not reused while an attempt to its endpoint is in progress"
     );
 }
 
 #[test]
-fn goes_on_serving_at_the_descriptor_limit() {
+fn keeps_serving_at_the_descriptor_limit() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let agent = start_agent(&cluster, 60);
-    // Twenty-one clients are the most here. Who comes then is rejected, and those that are in are
-    // served.
+    // The limit is twenty-one clients here. A further client is rejected, and those that are
+    // connected are served.
     let mut clients: Vec<TestClient> = (0..21).map(|_| connect(&agent)).collect();
     let query = pg::query("SELECT body FROM objects WHERE oid = 'a1' /* id=1,c=view,d=900 */");
     let ahead = [pg::startup(), query].concat();
-    let load_report_requests = || {
+    let first_reply = || {
         let mut more = TcpStream::connect(agent.address().unwrap()).unwrap();
         more.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         more.write_all(&ahead).unwrap();
@@ -537,17 +540,17 @@
             }
         }
     };
-    let (tag, body) = load_report_requests();
+    let (tag, body) = first_reply();
     assert!(tag == b'E' && body.windows(6).any(|w| w == b"C53300"));
     for client in &mut clients {
         client.send_query("view", 1000);
         assert_eq!(reply_code(client), None);
     }
-    // The one that has been idle for longest makes room.
+    // The client that has been idle for longest is closed to make room.
     thread::sleep(Duration::from_millis(300));
     let served = (0..5).any(|_| {
         thread::sleep(Duration::from_millis(20));
-        load_report_requests().0 == b'D'
+        first_reply().0 == b'D'
     });
     assert!(served);
 }
@@ -558,7 +561,7 @@
     let mut stream = TcpStream::connect(platform.address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut lines = std::io::BufReader::new(stream.try_clone().unwrap());
-    let mut ask = |opinion: &str, ring: u32| {
+    let mut send_vote = |opinion: &str, ring: u32| {
         let params = json!({"image": 42, "ring": ring, "opinion": opinion});
         let call = json!({"jsonrpc": "2.0", "id": 1, "method": "Rollout.Judge", "params": params});
         stream.write_all(format!("{call}\n").as_bytes()).unwrap();
@@ -566,11 +569,11 @@
         lines.read_line(&mut line).unwrap();
         serde_json::from_str::<serde_json::Value>(&line).unwrap()
     };
-    assert_eq!(ask("pause", 0)["result"]["progress"], "trial");
-    assert_eq!(ask("abstain", 0)["result"]["image"], 42);
-    assert_eq!(ask("pause", 3)["error"]["message"], "ConditionFailed");
-    assert_eq!(ask("shout", 0)["error"]["message"], "ValidationError");
-    assert_eq!(ask("abort", 0)["result"]["progress"], "rolling_back");
+    assert_eq!(send_vote("pause", 0)["result"]["progress"], "trial");
+    assert_eq!(send_vote("abstain", 0)["result"]["image"], 42);
+    assert_eq!(send_vote("pause", 3)["error"]["message"], "ConditionFailed");
+    assert_eq!(send_vote("shout", 0)["error"]["message"], "ValidationError");
+    assert_eq!(send_vote("abort", 0)["result"]["progress"], "rolling_back");
     assert_eq!(
         (platform.votes().len(), platform.current_rollout().cap),
         (5, 0.0)
@@ -578,7 +581,7 @@
 }
 
 #[test]
-fn names_the_key_at_fault_when_it_cannot_start() {
+fn names_the_invalid_key_when_it_cannot_start() {
     let path = std::env::temp_dir().join(format!("tulipwall-faulty-{}.json", std::process::id()));
     std::fs::write(
         &path,
@@ -595,7 +598,7 @@
 }
 
 #[test]
-fn asks_only_for_changes_since_the_list_it_knows() {
+fn requests_only_changes_since_the_known_list() {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["known"] = cluster.discovery.full_list(0);
@@ -610,6 +613,9 @@
             && received_count(&cluster, "s-0") > 0
             && received_count(&cluster, "s-1") > 0
     });
-    assert!(both, "what came after the known list is told");
+    assert!(
+        both,
+        "the agent did not receive the changes since the known list"
+    );
     assert_eq!(cluster.discovery.full_list_requests(), 0);
 }
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -1,5 +1,5 @@
-//! Traffic across zones on sockets: what the agent accounts for against what the fakes counted at
-//! their end.
+//! Cross-zone traffic on real sockets: the agent's account is compared with what the fake endpoints
+//! counted.
 
 use rustix::process::Signal;
 use serde_json::Value;
@@ -18,18 +18,18 @@
     Duration::from_millis(n)
 }
 
-/// Two zones, three endpoints in each, the far ones 8 ms away.
-fn world(near: EndpointBehavior, far: EndpointBehavior) -> TestCluster {
-    let world = TestCluster::new(&["akl-east", "akl-west"], classes()).unwrap();
+/// Two zones with three endpoints in each. The delays to and from the far zone add up to 8 ms.
+fn cluster(near: EndpointBehavior, far: EndpointBehavior) -> TestCluster {
+    let cluster = TestCluster::new(&["akl-east", "akl-west"], classes()).unwrap();
     for n in 0..3 {
-        world
+        cluster
             .add_endpoint(0, &format!("e-{n}"), 41, near.clone())
             .unwrap();
-        world
+        cluster
             .add_endpoint(1, &format!("w-{n}"), 41, far.clone())
             .unwrap();
     }
-    world.set_link(
+    cluster.set_link(
         0,
         1,
         Link {
@@ -38,11 +38,11 @@
             cut: false,
         },
     );
-    world
+    cluster
 }
 
-/// One load at a time: two of them on a few cores would make near look full, and none of these
-/// tests is about that.
+/// Only one test at a time generates load: two loads on a few cores would make the near zone look
+/// full, which none of these tests checks.
 static LOAD_LOCK: Mutex<()> = Mutex::new(());
 
 fn exclusive_load() -> MutexGuard<'static, ()> {
@@ -51,27 +51,28 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// An agent in akl-east with this said of zones, and its door.
+/// An agent in the zone akl-east, with the address of its admin endpoint.
 struct Agent {
     _exclusive_load: MutexGuard<'static, ()>,
     program: AgentProcess,
     door: String,
 }
 
-fn start(world: &TestCluster, zones: &str) -> Agent {
+/// Starts an agent whose installation file has these lines in its node `zones`.
+fn start(cluster: &TestCluster, zones: &str) -> Agent {
     let exclusive_load = exclusive_load();
     let door = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
         .to_string();
-    let configuration = world.configuration("n1", 0).unwrap();
+    let configuration = cluster.configuration("n1", 0).unwrap();
     let file = std::env::temp_dir().join(format!(
         "tulipwall-{}-{}.kdl",
         std::process::id(),
         door.replace(':', "-")
     ));
-    std::fs::write(&file, text(&door, zones)).unwrap();
+    std::fs::write(&file, installation_text(&door, zones)).unwrap();
     let program = AgentProcess::start(
         BINARY,
         configuration,
@@ -87,7 +88,8 @@
     agent
 }
 
-fn text(door: &str, zones: &str) -> String {
+/// The text of an installation file.
+fn installation_text(door: &str, zones: &str) -> String {
     format!("door \"{door}\"\nzones {{\n    routing \"near-first\"\n{zones}\n}}\n")
 }
 
@@ -105,23 +107,24 @@
         std::env::temp_dir().join(name)
     }
 
-    /// The installation says this of zones from now on.
-    fn renew(&self, zones: &str) {
-        std::fs::write(self.file(), text(&self.door, zones)).unwrap();
+    /// Replaces the lines in the node `zones` of the installation file, and reloads the agent.
+    fn reload_zones(&self, zones: &str) {
+        std::fs::write(self.file(), installation_text(&self.door, zones)).unwrap();
         self.program.signal(Signal::HUP).unwrap();
     }
 
-    fn ask(&self, more: &[&str]) -> Output {
+    /// Runs the subcommand `report` on this agent, with these further arguments.
+    fn run_report(&self, further_arguments: &[&str]) -> Output {
         Command::new(BINARY)
             .arg("report")
             .arg(&self.door)
-            .args(more)
+            .args(further_arguments)
             .output()
             .unwrap()
     }
 
     fn report(&self) -> Value {
-        let asked = self.ask(&["--json"]);
+        let asked = self.run_report(&["--json"]);
         assert!(
             asked.status.success(),
             "{}",
@@ -130,24 +133,25 @@
         serde_json::from_slice(&asked.stdout).unwrap()
     }
 
-    /// The sum of a field over all builds.
+    /// The sum of a field over the links of all builds to a zone and class.
     fn sum(report: &Value, to: &str, class: &str, field: &str) -> u64 {
         let rows = report["links"].as_array().unwrap().iter();
-        let ours = rows.filter(|l| l["to"] == to && l["lane"] == class);
-        ours.map(|l| l[field].as_u64().unwrap()).sum()
+        let selected = rows.filter(|l| l["to"] == to && l["lane"] == class);
+        selected.map(|l| l[field].as_u64().unwrap()).sum()
     }
 
-    fn over(report: &Value, why: &str) -> u64 {
+    /// The number of attempts that went over a budget for this reason.
+    fn over(report: &Value, reason: &str) -> u64 {
         let rows = report["links"].as_array().unwrap().iter();
-        rows.filter_map(|l| l["over"][why].as_u64()).sum()
+        rows.filter_map(|l| l["over"][reason].as_u64()).sum()
     }
 
-    fn load(&self, rate: f64, span: Duration) -> Load {
+    fn load(&self, rate: f64, duration_of_load: Duration) -> Load {
         let class = |name: &str, weight, keyed| (name.to_owned(), weight, ms(1500), keyed);
         Load {
             agent: self.address(),
             rate,
-            duration: span,
+            duration: duration_of_load,
             classes: vec![
                 class("view", 4.0, false),
                 class("send", 4.0, true),
@@ -165,36 +169,38 @@
     }
 }
 
-/// Within a hundredth, or two.
-fn same(reported: u64, counted: u64, what: &str) {
-    let most = (counted as f64 * 0.01).max(2.0);
+/// Checks that both numbers are equal within a hundredth or within two, whichever is more.
+fn assert_close(reported: u64, counted: u64, what: &str) {
+    let tolerance = (counted as f64 * 0.01).max(2.0);
     assert!(
-        reported.abs_diff(counted) as f64 <= most,
+        reported.abs_diff(counted) as f64 <= tolerance,
         "{what}: {reported} reported, {counted} counted"
     );
 }
 
-fn compare(agent: &Agent, world: &TestCluster) -> Value {
-    // What is still out, such as hedged requests, ends first.
+/// Checks the agent's report against what the endpoints counted. Returns the report.
+fn assert_report_matches_fakes(agent: &Agent, cluster: &TestCluster) -> Value {
+    // Attempts that are still in progress, such as hedged requests, have to end first.
     thread::sleep(ms(300));
     let report = agent.report();
-    for (to, zone) in world.zones.iter().enumerate() {
-        let counted = world.transfer_counts(0, to);
+    for (to, zone) in cluster.zones.iter().enumerate() {
+        let counted = cluster.transfer_counts(0, to);
         for class in ["view", "send", "payment"] {
             let c = counted.get(class).copied().unwrap_or_default();
             let what = format!("{class} to {zone}");
-            same(
+            assert_close(
                 Agent::sum(&report, zone, class, "deliveries"),
                 c.attempts,
                 &format!("{what}: deliveries"),
             );
-            // A byte of a class is a small part: its hundredth is taken of the class.
-            same(
+            // A byte is a small part of a class's traffic: the tolerance is a hundredth of the
+            // class.
+            assert_close(
                 Agent::sum(&report, zone, class, "bytes_out"),
                 c.read,
                 &format!("{what}: bytes out"),
             );
-            same(
+            assert_close(
                 Agent::sum(&report, zone, class, "bytes_in"),
                 c.written,
                 &format!("{what}: bytes in"),
@@ -205,12 +211,12 @@
             .copied()
             .unwrap_or_default();
         let class = "(connections)";
-        same(
+        assert_close(
             Agent::sum(&report, zone, class, "bytes_out"),
             c.read,
             &format!("connections to {zone}: bytes out"),
         );
-        same(
+        assert_close(
             Agent::sum(&report, zone, class, "bytes_in"),
             c.written,
             &format!("connections to {zone}: bytes in"),
@@ -227,7 +233,7 @@
         value_bytes: 300,
         ..EndpointBehavior::default()
     };
-    let world = world(
+    let cluster = cluster(
         near,
         EndpointBehavior {
             work: ms(4),
@@ -235,11 +241,11 @@
             ..EndpointBehavior::default()
         },
     );
-    let agent = start(&world, "");
-    // More than near can bear, so that some of it crosses.
+    let agent = start(&cluster, "");
+    // More load than the near zone can serve, so that some of it crosses zones.
     let answered = agent.load(900.0, Duration::from_secs(3)).run();
     assert_eq!(answered.unanswered, 0, "{:?}", answered.unanswered_ids);
-    let report = compare(&agent, &world);
+    let report = assert_report_matches_fakes(&agent, &cluster);
     assert!(Agent::sum(&report, "akl-west", "view", "deliveries") > 50);
     let far = report["links"]
         .as_array()
@@ -251,7 +257,7 @@
 
 #[test]
 fn reports_what_was_counted_while_endpoints_fail() {
-    let bad = vec![
+    let faults = vec![
         (ResponseBehavior::Fail, 0.04),
         (ResponseBehavior::Reject, 0.04),
         (ResponseBehavior::Close, 0.02),
@@ -261,29 +267,29 @@
         (ResponseBehavior::AnswerTwice, 0.03),
         (ResponseBehavior::NeverAnswer, 0.01),
     ];
-    let ways = EndpointBehavior {
+    let behavior = EndpointBehavior {
         work: ms(3),
         value_bytes: 500,
-        random_responses: bad,
+        random_responses: faults,
         ..EndpointBehavior::default()
     };
-    let world = world(ways.clone(), ways);
+    let cluster = cluster(behavior.clone(), behavior);
     let agent = start(
-        &world,
+        &cluster,
         "    budget \"all\" { deliveries 100; window \"1s\"; }",
     );
     let load = agent.load(400.0, Duration::from_secs(4)).start();
     thread::sleep(ms(1500));
-    world.set_zone_state(0, "terminating");
+    cluster.set_zone_state(0, "terminating");
     let answered = futures_lite::future::block_on(load);
     assert_eq!(answered.unanswered, 0, "{:?}", answered.unanswered_ids);
     assert!(
-        world.executed_twice("payment").is_empty(),
+        cluster.executed_twice("payment").is_empty(),
         "{:?}",
-        world.executed_twice("payment")
+        cluster.executed_twice("payment")
     );
     thread::sleep(ms(700));
-    let report = compare(&agent, &world);
+    let report = assert_report_matches_fakes(&agent, &cluster);
     for kind in ["spoilt", "half", "never_ran", "further"] {
         let all = report["links"]
             .as_array()
@@ -298,22 +304,25 @@
 
 #[test]
 fn answers_every_request_while_the_local_zone_drains_in_a_burst_with_the_budget_spent() {
-    let ways = EndpointBehavior {
+    let behavior = EndpointBehavior {
         work: ms(5),
         ..EndpointBehavior::default()
     };
-    let world = world(ways.clone(), ways);
+    let cluster = cluster(behavior.clone(), behavior);
     let agent = start(
-        &world,
+        &cluster,
         "    budget \"none\" { deliveries 0; window \"10s\"; }",
     );
     let load = agent.load(500.0, Duration::from_secs(3)).start();
     thread::sleep(ms(1500));
-    let before = world.transfer_counts(0, 1);
+    let before = cluster.transfer_counts(0, 1);
     let crossed: u64 = before.values().map(|c| c.attempts).sum();
-    assert!(crossed <= 2, "{crossed} went over while near had room");
+    assert!(
+        crossed <= 2,
+        "{crossed} attempts crossed zones while the near zone had room"
+    );
     let drained = Instant::now();
-    world.set_zone_state(0, "terminating");
+    cluster.set_zone_state(0, "terminating");
     let answered = futures_lite::future::block_on(load);
     assert_eq!(
         (answered.unanswered, answered.answered()),
@@ -325,8 +334,8 @@
         answered.succeeded as f64 > 0.98 * answered.requests as f64,
         "{answered:?}"
     );
-    assert!(world.executed_twice("payment").is_empty());
-    let late: usize = world
+    assert!(cluster.executed_twice("payment").is_empty());
+    let late: usize = cluster
         .endpoints_in_zone(0)
         .iter()
         .map(|(_, a)| {
@@ -336,12 +345,12 @@
                 .count()
         })
         .sum();
-    assert_eq!(late, 0, "sent to a draining appliance");
+    assert_eq!(late, 0, "requests sent to a draining endpoint");
     let report = agent.report();
     assert!(Agent::over(&report, "drained") > 400, "{}", report["heads"]);
     let head = &report["heads"][0]["budgets"][0];
     assert!(head["over"]["drained"].as_u64().unwrap() > 400);
-    let table = String::from_utf8(agent.ask(&[]).stdout).unwrap();
+    let table = String::from_utf8(agent.run_report(&[]).stdout).unwrap();
     assert!(
         table.contains("drained") && table.contains("akl-west"),
         "{table}"
@@ -360,7 +369,7 @@
         cores: 1,
         ..EndpointBehavior::default()
     };
-    let world = world(
+    let cluster = cluster(
         near,
         EndpointBehavior {
             work: ms(10),
@@ -368,12 +377,12 @@
         },
     );
     let agent = start(
-        &world,
+        &cluster,
         "    budget \"b\" { deliveries 100000; window \"3s\"; }",
     );
     let load = agent.load(450.0, Duration::from_secs(5)).start();
     let crossed = || {
-        world
+        cluster
             .transfer_counts(0, 1)
             .values()
             .map(|c| c.attempts)
@@ -382,15 +391,15 @@
     assert!(wait_until(|| crossed() > 100));
     let before = Agent::sum(&agent.report(), "akl-west", "view", "deliveries");
     assert!(before > 10);
-    // A faulty file is named and changes nothing.
-    agent.renew("    budget \"b\" { deliveries -1; windw \"3s\"; }");
+    // The error of an invalid file is logged, and the file changes nothing.
+    agent.reload_zones("    budget \"b\" { deliveries -1; windw \"3s\"; }");
     assert!(
         wait_until(|| agent.program.log().contains("did you mean 'window'?")),
         "{}",
         agent.program.log()
     );
     assert_eq!(agent.report()["heads"][0]["budgets"][0]["limit"], 100000.0);
-    agent.renew("    budget \"b\" { deliveries 10; window \"3s\"; }");
+    agent.reload_zones("    budget \"b\" { deliveries 10; window \"3s\"; }");
     assert!(wait_until(|| agent.report()["heads"][0]["budgets"][0]
         ["limit"]
         == 10.0));
@@ -398,7 +407,7 @@
     let budget = &report["heads"][0]["budgets"][0];
     assert!(
         budget["used"].as_f64().unwrap() > 10.0,
-        "what was spent stays spent: {budget}"
+        "a reload resets what was spent: {budget}"
     );
     assert!(Agent::sum(&report, "akl-west", "view", "deliveries") >= before);
     assert_eq!(futures_lite::future::block_on(load).unanswered, 0);
@@ -406,25 +415,26 @@
 
 #[test]
 fn drops_a_report_reader_that_stops_reading() {
-    let ways = EndpointBehavior {
+    let behavior = EndpointBehavior {
         work: ms(2),
         ..EndpointBehavior::default()
     };
-    let world = world(ways.clone(), ways);
-    let agent = start(&world, "");
+    let cluster = cluster(behavior.clone(), behavior);
+    let agent = start(&cluster, "");
     let answered = agent.load(300.0, ms(800)).run();
     assert_eq!(answered.unanswered, 0);
     let readers: Vec<TcpStream> = (0..12)
         .map(|n| {
             let mut reader = TcpStream::connect(&agent.door).unwrap();
-            // Some ask and do not read, some ask half, some say what is no question.
-            let load_report_requests: [&[u8]; 4] = [
+            // Some send a request and do not read, some send half of one, some send bytes that are
+            // no request, some send nothing.
+            let raw_requests: [&[u8]; 4] = [
                 b"GET /zones HTTP/1.1\r\n\r\n",
                 b"GET /zo",
                 b"\xff\0\xff\r\n\r\n",
                 b"",
             ];
-            reader.write_all(load_report_requests[n % 4]).unwrap();
+            reader.write_all(raw_requests[n % 4]).unwrap();
             reader
         })
         .collect();
@@ -437,8 +447,8 @@
     );
     drop(readers);
     assert!(
-        wait_until(|| agent.ask(&[]).status.success()),
-        "the door serves again"
+        wait_until(|| agent.run_report(&[]).status.success()),
+        "the admin endpoint does not serve again"
     );
     let mut other = TcpStream::connect(&agent.door).unwrap();
     other.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -450,12 +460,12 @@
 
 #[test]
 fn serves_reports_on_a_unix_socket_and_writes_a_plot_and_a_json_log() {
-    let ways = EndpointBehavior {
+    let behavior = EndpointBehavior {
         work: ms(6),
         cores: 1,
         ..EndpointBehavior::default()
     };
-    let world = world(ways.clone(), ways);
+    let cluster = cluster(behavior.clone(), behavior);
     let folder = std::env::temp_dir().join(format!("tulipwall-unix-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (socket, file, svg) = (
@@ -471,13 +481,13 @@
         &file,
         format!(
             "log \"json\"\n{}",
-            text(&door, &format!("{price}\n{budgets}"))
+            installation_text(&door, &format!("{price}\n{budgets}"))
         ),
     )
     .unwrap();
     let arguments = ["run", "--installation", file.to_str().unwrap()];
     let mut program =
-        AgentProcess::start(BINARY, world.configuration("n1", 0).unwrap(), &arguments).unwrap();
+        AgentProcess::start(BINARY, cluster.configuration("n1", 0).unwrap(), &arguments).unwrap();
     TestClient::connect(program.address().unwrap()).unwrap();
     let mut agent = Agent {
         program,
@@ -485,17 +495,17 @@
         _exclusive_load: exclusive_load(),
     };
     assert_eq!(agent.load(600.0, ms(2500)).run().unanswered, 0);
-    let drawn = agent.ask(&["--svg", svg.to_str().unwrap()]);
+    let plotted = agent.run_report(&["--svg", svg.to_str().unwrap()]);
     assert!(
-        drawn.status.success(),
+        plotted.status.success(),
         "{}",
-        String::from_utf8_lossy(&drawn.stderr)
+        String::from_utf8_lossy(&plotted.stderr)
     );
-    let picture = std::fs::read_to_string(&svg).unwrap();
+    let plot = std::fs::read_to_string(&svg).unwrap();
     assert!(
-        picture.starts_with("<svg")
-            && picture.contains("akl-east to akl-west")
-            && picture.contains("budget")
+        plot.starts_with("<svg")
+            && plot.contains("akl-east to akl-west")
+            && plot.contains("budget")
     );
     for line in agent.program.log().lines() {
         let line: Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
@@ -507,11 +517,11 @@
     assert!(agent.program.log().contains("\"phase\":\"Serving\""));
     agent.program.terminate().unwrap();
     assert!(agent.program.wait_for_success().unwrap());
-    assert!(!socket.exists(), "the socket's file goes with the program");
+    assert!(!socket.exists(), "the socket's file is removed on exit");
     assert_eq!(
-        agent.ask(&[]).status.code(),
+        agent.run_report(&[]).status.code(),
         Some(3),
-        "no report can be had"
+        "no report is available without an agent"
     );
     program = AgentProcess::start(BINARY, agent.program.configuration.clone(), &arguments).unwrap();
     TestClient::connect(program.address().unwrap()).unwrap();
@@ -523,16 +533,16 @@
     let folder = std::env::temp_dir().join(format!("tulipwall-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (file, config) = (folder.join("i.kdl"), folder.join("c.json"));
-    let world = TestCluster::new(&["akl-east", "akl-west"], classes()).unwrap();
-    std::fs::write(&config, world.configuration("n1", 0).unwrap().to_string()).unwrap();
-    let check = |text: &str, more: &[&str]| {
-        std::fs::write(&file, text).unwrap();
+    let cluster = TestCluster::new(&["akl-east", "akl-west"], classes()).unwrap();
+    std::fs::write(&config, cluster.configuration("n1", 0).unwrap().to_string()).unwrap();
+    let check = |installation_text: &str, further_arguments: &[&str]| {
+        std::fs::write(&file, installation_text).unwrap();
         let mut check = Command::new(BINARY);
         check
             .env_remove("PROXY_CONFIG")
             .arg("check")
             .arg(&file)
-            .args(more);
+            .args(further_arguments);
         let out = check.output().unwrap();
         (
             out.status.code(),
@@ -560,12 +570,12 @@
     assert!(said.contains("--config FILE checks them"), "{said}");
     let (code, said, _) = check("zonse { }\nlog \"xml\"\ndoor \"0.0.0.0:80\"\n", &[]);
     assert_eq!(code, Some(1));
-    let wanted = [
+    let expected_lines = [
         "i.kdl:1:1: zonse: unknown in the file; did you mean 'zones'?",
         "i.kdl:2:1: log: expected one of text, json",
     ];
     assert!(
-        wanted.iter().all(|w| said.contains(w))
+        expected_lines.iter().all(|w| said.contains(w))
             && said.contains("i.kdl:3:1: door: expected a loopback"),
         "{said}"
     );
@@ -583,7 +593,8 @@
 
 #[test]
 fn the_demo_ends_by_itself_with_every_request_answered() {
-    // In a process of its own with a limit: a fake that stands still would keep it from ending.
+    // Runs in a process of its own with a time limit: a fake endpoint that stalls would keep it
+    // from ending.
     let mut demo = Command::new(BINARY);
     let mut demo = demo
         .args(["demo", "--rate", "60"])
