--- a/crates/agent/tests/discovery_refusals.rs
+++ b/crates/agent/tests/discovery_refusals.rs
@@ -119,8 +119,8 @@
     );
 }
 
-/// Guards the rule on drains where discovery cannot take any more calls. Rejects the requests that
-/// arrive meanwhile.
+/// Guards the rule on drains where discovery cannot take any more calls. Requests that arrive
+/// meanwhile are rejected.
 #[test]
 fn stops_sending_when_refused_for_longer_and_resumes_with_the_first_response() {
     let (cluster, next, agent) = start_polling_agent();
@@ -175,7 +175,7 @@
 }
 
 /// Guards the rule on drains where the previous process was not informed and the first response is
-/// late. Rejects requests meanwhile.
+/// late. Requests that arrive meanwhile are rejected.
 #[test]
 fn sends_nothing_from_a_known_list_while_the_first_call_is_in_progress() {
     let cluster = TestCluster::new(&["a"], agent_process::classes()).unwrap();
@@ -261,8 +261,8 @@
     (cluster, agent, begun)
 }
 
-/// Guards the rule on drains, and the deadline of requests that wait meanwhile. Rejects requests
-/// that arrive before the first response.
+/// Guards the rule on drains, and the deadline of requests that wait meanwhile. Requests
+/// that arrive before the first response are rejected.
 #[test]
 fn sends_nothing_to_endpoints_removed_before_a_start_whose_first_call_is_delayed() {
     let run_start = |seed: &str| {
--- a/crates/agent/tests/draining.rs
+++ b/crates/agent/tests/draining.rs
@@ -416,8 +416,8 @@
 }
 
 /// A watch that falls silent, a new discovery address by SIGHUP and a drain that both addresses
-/// announce, 60 ms apart, in each order. By the rules the drain is binding over 3.75 s after the
-/// last event; the agent is required to obey it sooner.
+/// announce, 60 ms apart, in each order. By the rules the drain is binding only more than 3.75 s
+/// after the last event; the agent is required to obey it sooner.
 #[test]
 fn obeys_a_drain_that_crosses_a_silent_watch_and_a_new_address_in_any_order() {
     let order = |order: [u8; 3]| {
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -102,7 +102,7 @@
 }
 
 /// Sends SIGTERM and stalls the agent from just before it starts to terminate until just after it
-/// should have. Runs `crosses` during the stall.
+/// should have. Runs `during_stall` meanwhile.
 fn stall_across_termination(agent: &AgentProcess, during_stall: impl FnOnce()) {
     agent.terminate().unwrap();
     assert!(wait_until(|| agent.log().contains("phase: Draining")));
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -187,8 +187,8 @@
     let cluster = cluster_of(&[responding_with(ResponseBehavior::Answer)]);
     let agent = start_agent(&cluster, 1024);
     let mut client = connect(&agent);
-    // The malformed list comes from another address. If discovery itself changed its list for a
-    // short time, the agent could receive further changes before that change is reverted.
+    // The malformed list is made here and comes from another address. If discovery itself changed
+    // its list for a short time, the agent could receive that change before it is reverted.
     let drains = cluster
         .discovery
         .full_list(0)
