--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -240,7 +240,7 @@
     // between two requests.
     assert!(block_on(client.call(Call::read("view", "warm", ms(1500)))).is_ok());
     let c = client.clone();
-    let paying = spawn(async move {
+    let payment_call = spawn(async move {
         c.call(Call::write("payment", "p1", vec![1], ms(1500)))
             .await
     });
@@ -257,7 +257,7 @@
     agent.signal(rustix::process::Signal::KILL).unwrap();
     drop(agent);
     let _agent = AgentProcess::start(BINARY, configuration, &[]).unwrap();
-    match block_on(paying) {
+    match block_on(payment_call) {
         Err(CallError::Failed {
             attempts: tried, ..
         }) => {
@@ -275,8 +275,8 @@
     let cluster = cluster(ms(1));
     let agent = start(&cluster);
     let address = agent.address().unwrap();
-    let half = CutPoint::FromAgent(greeting_length(address) + 20);
-    let cutter = ConnectionCutter::start(address, vec![half]).unwrap();
+    let mid_answer = CutPoint::FromAgent(greeting_length(address) + 20);
+    let cutter = ConnectionCutter::start(address, vec![mid_answer]).unwrap();
     let client = Client::new(service(vec![cutter.address]));
     match block_on(client.call(Call::read("payment", "p1", ms(1500)))) {
         Err(CallError::Failed {
@@ -284,7 +284,7 @@
         }) => assert!(tried.may_have_executed),
         other => panic!("{other:?}"),
     }
-    let cutter = ConnectionCutter::start(address, vec![half]).unwrap();
+    let cutter = ConnectionCutter::start(address, vec![mid_answer]).unwrap();
     let quick = ConnectionPolicy {
         reconnect_spread: ms(50),
         ..ConnectionPolicy::default()
@@ -543,8 +543,8 @@
     let _timing_lock = lock_shared();
     let cluster = cluster(ms(1));
     let agent = start(&cluster);
-    let half = CutPoint::FromAgent(greeting_length(agent.address().unwrap()) + 20);
-    let cutter = ConnectionCutter::start(agent.address().unwrap(), vec![half]).unwrap();
+    let mid_answer = CutPoint::FromAgent(greeting_length(agent.address().unwrap()) + 20);
+    let cutter = ConnectionCutter::start(agent.address().unwrap(), vec![mid_answer]).unwrap();
     let mut s = service(vec![cutter.address]);
     s.classes[1].idempotency = Idempotency::Keyed {
         scope: DeduplicationScope::All,
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -420,8 +420,8 @@
     let mut client = connect(&agent);
     for n in 0..30 {
         client.send_query_as(&format!("c{n}"), "payment", 1000);
-        let told = client.read_reply().unwrap();
-        if told != Reply::Value(vec![0x9f, 3]) {
+        let answer = client.read_reply().unwrap();
+        if answer != Reply::Value(vec![0x9f, 3]) {
             let before = format!("c{}", n - 1);
             let lateness_of_duplicate = || {
                 let seen = cluster.endpoint("s-0").unwrap().received_queries();
@@ -432,7 +432,7 @@
             wait_until(|| lateness_of_duplicate().is_some());
             assert!(
                 lateness_of_duplicate() >= Some(ms(20)),
-                "request {n}, {gap} ms: {told:?}, duplicate {:?} late",
+                "request {n}, {gap} ms: {answer:?}, duplicate {:?} late",
                 lateness_of_duplicate()
             );
             eprintln!(
@@ -470,20 +470,21 @@
         let mut client = connect(&agent);
         // After many failures the agent may reject the request without running it: then it is sent
         // again.
-        let (id, told) = (0..200)
+        let (id, answer) = (0..200)
             .map(|n| {
                 let id = format!("c{cut}-{n}");
                 client.send_query_as(&id, "payment", 1000);
                 (id, client.read_reply().unwrap())
             })
-            .find(|(id, told)| {
-                !matches!(told, Reply::Rejected(..)) || cluster.received_queries().contains_key(id)
+            .find(|(id, answer)| {
+                !matches!(answer, Reply::Rejected(..))
+                    || cluster.received_queries().contains_key(id)
             })
             .unwrap();
         if cut < whole - ready {
-            assert_eq!(told.code().as_deref(), Some("XX000"), "cut at {cut}");
+            assert_eq!(answer.code().as_deref(), Some("XX000"), "cut at {cut}");
         } else {
-            assert_eq!(told, Reply::Value(vec![0x9f, 3]), "cut at {cut}");
+            assert_eq!(answer, Reply::Value(vec![0x9f, 3]), "cut at {cut}");
         }
         assert_eq!(cluster.received_queries()[&id].len(), 1);
     }
@@ -576,7 +577,7 @@
 #[test]
 fn keeps_a_served_client_while_clients_with_incomplete_messages_take_all_places() {
     let half = [&pg::startup()[..], b"Q\x00\x00\x01\x00half"].concat();
-    for owed in [&half[..], b""] {
+    for partial_message in [&half[..], b""] {
         let cluster = cluster_of(&[working_for_ms(0)]);
         let agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 128.into());
         let mut good = connect(&agent);
@@ -584,13 +585,20 @@
         sleep(ms(250));
         // All are in the queue before the agent accepts the first: none has been idle for long.
         agent.set_stalled(true).unwrap();
-        let owing: Vec<_> = (0..54).map(|_| connect_and_write(&agent, owed)).collect();
+        let waiting_clients: Vec<_> = (0..54)
+            .map(|_| connect_and_write(&agent, partial_message))
+            .collect();
         agent.set_stalled(false).unwrap();
         sleep(ms(250));
         good.send_query("view", 5000);
         let reply = good.read_reply();
-        assert_eq!(reply.unwrap().code(), None, "{} bytes each", owed.len());
-        drop(owing);
+        assert_eq!(
+            reply.unwrap().code(),
+            None,
+            "{} bytes each",
+            partial_message.len()
+        );
+        drop(waiting_clients);
     }
 }
 
@@ -623,8 +631,8 @@
     assert!(wait_until(|| agent
         .log()
         .contains("does not read its responses")));
-    let ends = (0..400).any(|_| non_reading.read_reply().is_err());
-    assert!(ends);
+    let disconnected = (0..400).any(|_| non_reading.read_reply().is_err());
+    assert!(disconnected);
 }
 
 /// Every request of a flood is answered once and in order, also those that are rejected, invalid or
@@ -650,9 +658,9 @@
     client.stream.write_all(&all).unwrap();
     let mut ran = Vec::new();
     for n in 0..200 {
-        let heard = client.read_until_ready().unwrap();
-        let tags: Vec<u8> = heard.iter().map(|(tag, _)| *tag).collect();
-        let code = heard
+        let messages = client.read_until_ready().unwrap();
+        let tags: Vec<u8> = messages.iter().map(|(tag, _)| *tag).collect();
+        let code = messages
             .iter()
             .find(|(tag, _)| *tag == b'E')
             .and_then(|(_, body)| pg::error_field(body, b'C'));
@@ -720,7 +728,7 @@
                 .map_or(0, Vec::len)
         };
         match client.read_reply() {
-            Ok(told) => assert!(told.code().is_none() && ran() == 1),
+            Ok(answer) => assert!(answer.code().is_none() && ran() == 1),
             // Reset, as its request was not read: the client may send it again elsewhere.
             Err(e) => assert!(e.kind() == ErrorKind::ConnectionReset && ran() == 0, "{e}"),
         }
@@ -734,13 +742,13 @@
     let cluster = cluster_of(&[working_for_ms(0)]);
     let mut agent = start_agent(&cluster, unchanged);
     drop(connect(&agent));
-    let mut fresh = Vec::new();
+    let mut new_clients = Vec::new();
     stall_across_termination(&agent, || {
-        fresh.extend((0..5).map(|_| connect_and_write(&agent, &pg::startup())))
+        new_clients.extend((0..5).map(|_| connect_and_write(&agent, &pg::startup())))
     });
     assert!(wait_until(|| agent.log().contains("phase: Terminating")));
     sleep(ms(60));
-    for (n, client) in fresh.iter_mut().enumerate() {
+    for (n, client) in new_clients.iter_mut().enumerate() {
         client
             .stream
             .write_all(&pg::query(&view_statement(&format!("r{n}"), 1400)))
--- a/crates/agent/tests/sockets.rs
+++ b/crates/agent/tests/sockets.rs
@@ -293,10 +293,10 @@
     // A reload during the shutdown ends no request.
     agent.reload(&agent.configuration.to_string()).unwrap();
     // New clients are still accepted for a while.
-    let mut later = connect(&agent);
-    later.send_query("view", 1500);
+    let mut late_client = connect(&agent);
+    late_client.send_query("view", 1500);
     assert_eq!(
-        (reply_code(&mut client), reply_code(&mut later)),
+        (reply_code(&mut client), reply_code(&mut late_client)),
         (None, None)
     );
     assert!(agent.wait_for_success().unwrap());
@@ -470,7 +470,7 @@
     let config = ServiceConfig::read(&Fields::new(&value, "settings").unwrap(), 1).unwrap();
     let (mut table, clock) = (EndpointTable::default(), Clock::start());
     let mut balancer = Balancer::new(clock.now(), config.settings.clone());
-    let mut held = None;
+    let mut held_endpoint = None;
     for n in 0..2000u32 {
         // Builds follow one another; addresses return with other builds, and ids return now and
         // then.
@@ -496,7 +496,7 @@
             since: clock.now(),
         });
         if n == 100 {
-            held = table.hold_index(entries[0].endpoint).map(|h| {
+            held_endpoint = table.hold_index(entries[0].endpoint).map(|h| {
                 (
                     h,
                     entries[0].endpoint,
@@ -511,7 +511,7 @@
         "{} {builds}",
         table.len()
     );
-    let (_, number, id) = held.unwrap();
+    let (_, number, id) = held_endpoint.unwrap();
     assert_eq!(
         table.id(number),
         id,
@@ -527,11 +527,11 @@
     // connected are served.
     let mut clients: Vec<TestClient> = (0..21).map(|_| connect(&agent)).collect();
     let query = pg::query("SELECT body FROM objects WHERE oid = 'a1' /* id=1,c=view,d=900 */");
-    let ahead = [pg::startup(), query].concat();
+    let pipelined = [pg::startup(), query].concat();
     let first_reply = || {
         let mut more = TcpStream::connect(agent.address().unwrap()).unwrap();
         more.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        more.write_all(&ahead).unwrap();
+        more.write_all(&pipelined).unwrap();
         let mut more = TestClient { stream: more };
         loop {
             let (tag, body) = more.read_message().unwrap();
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -124,13 +124,13 @@
     }
 
     fn report(&self) -> Value {
-        let asked = self.run_report(&["--json"]);
+        let result = self.run_report(&["--json"]);
         assert!(
-            asked.status.success(),
+            result.status.success(),
             "{}",
-            String::from_utf8_lossy(&asked.stderr)
+            String::from_utf8_lossy(&result.stderr)
         );
-        serde_json::from_slice(&asked.stdout).unwrap()
+        serde_json::from_slice(&result.stdout).unwrap()
     }
 
     /// The sum of a field over the links of all builds to a zone and class.
