--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -17,7 +17,7 @@
 };
 use tulipwall_testkit::runtime::{sleep, spawn, wait_until};
 use tulipwall_testkit::{
-    classes, pg, service, AgentProcess, ConnectionCutter, CutPoint, EndpointBehavior,
+    classes, client_config, pg, AgentProcess, ConnectionCutter, CutPoint, EndpointBehavior,
     ResponseBehavior, ScriptedServer, TestClient, TestCluster,
 };
 
@@ -149,7 +149,7 @@
     let mut agent = start(&world);
     let address = agent.address().unwrap();
     let clients: Vec<Client> = (0..200)
-        .map(|_| Client::new(service(vec![address])))
+        .map(|_| Client::new(client_config(vec![address])))
         .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(100), &met, &over);
@@ -226,7 +226,7 @@
     let _turn = beside();
     let world = world(ms(400));
     let agent = start(&world);
-    let client = Client::new(service(vec![agent.address().unwrap()]));
+    let client = Client::new(client_config(vec![agent.address().unwrap()]));
     // Also on a connection that was used before, whose close could be taken for one between
     // requests.
     assert!(block_on(client.call(Call::read("view", "warm", ms(1500)))).is_ok());
@@ -268,7 +268,7 @@
     let address = agent.address().unwrap();
     let half = CutPoint::FromAgent(welcome(address) + 20);
     let cutter = ConnectionCutter::start(address, vec![half]).unwrap();
-    let client = Client::new(service(vec![cutter.address]));
+    let client = Client::new(client_config(vec![cutter.address]));
     match block_on(client.call(Call::read("payment", "p1", ms(1500)))) {
         Err(CallError::Failed {
             attempts: tried, ..
@@ -282,7 +282,7 @@
     };
     let client = Client::new(ClientConfig {
         connections: quick,
-        ..service(vec![cutter.address])
+        ..client_config(vec![cutter.address])
     });
     let answered = block_on(client.call(Call::read("view", "v1", ms(1500)))).unwrap();
     assert_eq!(
@@ -353,7 +353,7 @@
     let standstill = Standstill::watch(TestClient::connect(address).unwrap());
     let calls: Vec<_> = (0..200)
         .map(|n| {
-            let client = Client::new(service(vec![address]));
+            let client = Client::new(client_config(vec![address]));
             spawn(async move {
                 client
                     .call(Call::read("payment", &format!("p{n}"), ms(2500)))
@@ -408,7 +408,7 @@
     let _turn = beside();
     let world = world(ms(1));
     let agent = start(&world);
-    let client = Client::new(service(vec![agent.address().unwrap()]));
+    let client = Client::new(client_config(vec![agent.address().unwrap()]));
     let call = client.call(Call::read("payment", "p1", ms(5000)));
     let keeps = async { thread::sleep(client.config().connections.connect_timeout + ms(200)) };
     let (answered, ()) = block_on(zip(call, keeps));
@@ -423,7 +423,7 @@
     let (one, two) = (start(&world), start(&world));
     let agents = vec![one.address().unwrap(), two.address().unwrap()];
     let clients: Vec<Client> = (0..20)
-        .map(|_| Client::new(service(agents.clone())))
+        .map(|_| Client::new(client_config(agents.clone())))
         .collect();
     let (met, over) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
     let calls = call_on(&clients, ms(50), &met, &over);
@@ -473,7 +473,7 @@
     let world = world(ms(2));
     let agent = start(&world);
     let mute = ScriptedServer::start("").unwrap();
-    let client = Client::new(service(vec![mute.address, agent.address().unwrap()]));
+    let client = Client::new(client_config(vec![mute.address, agent.address().unwrap()]));
     let ended: Vec<_> = (0..60)
         .map(|n| block_on(client.call(Call::read("payment", &format!("p{n}"), ms(1500)))))
         .collect();
@@ -496,7 +496,7 @@
     let _turn = alone();
     let (quick, slow) = (world(ms(8)), world(ms(80)));
     let (one, two) = (start(&quick), start(&slow));
-    let client = Client::new(service(vec![
+    let client = Client::new(client_config(vec![
         one.address().unwrap(),
         two.address().unwrap(),
     ]));
@@ -530,7 +530,7 @@
     let agent = start(&world);
     let half = CutPoint::FromAgent(welcome(agent.address().unwrap()) + 20);
     let cutter = ConnectionCutter::start(agent.address().unwrap(), vec![half]).unwrap();
-    let mut s = service(vec![cutter.address]);
+    let mut s = client_config(vec![cutter.address]);
     s.classes[1].idempotency = Idempotency::Keyed {
         scope: DeduplicationScope::All,
         window: ms(40),
@@ -566,7 +566,7 @@
     let _turn = beside();
     let world = world(ms(200));
     let agent = start(&world);
-    let client = Client::new(service(vec![agent.address().unwrap()]));
+    let client = Client::new(client_config(vec![agent.address().unwrap()]));
     let (one, two) = (client.clone(), client.clone());
     let call = || Call::write("send", "m1", vec![7], ms(1200)).key("k1");
     let first = spawn(async move { one.call(call()).await });
@@ -587,7 +587,7 @@
     let _turn = beside();
     let world = world(ms(1000));
     let agent = start(&world);
-    let client = Client::new(service(vec![agent.address().unwrap()]));
+    let client = Client::new(client_config(vec![agent.address().unwrap()]));
     let c = client.clone();
     let call = spawn(async move {
         c.call(Call::write("send", "m1", vec![7], ms(1500)).key("k1"))
@@ -636,7 +636,7 @@
                     _ => CutPoint::Never,
                 });
                 let cutter = ConnectionCutter::start(address, cuts.collect()).unwrap();
-                let mut s = service(vec![cutter.address]);
+                let mut s = client_config(vec![cutter.address]);
                 s.connections = ConnectionPolicy {
                     reconnect_spread: ms(4),
                     ..ConnectionPolicy::default()
--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -69,7 +69,10 @@
 /// tries at a start the later one may be on its way for a while after the first was answered; it is
 /// waited for.
 fn control_calls(cluster: &TestCluster) -> (usize, usize, usize) {
-    assert!(cluster.discovery.settled(0).unwrap(), "one watch at a time");
+    assert!(
+        cluster.discovery.wait_until_requests_counted(0).unwrap(),
+        "one watch at a time"
+    );
     (
         cluster.discovery.full_list_requests(),
         cluster.discovery.connections(),
@@ -321,7 +324,7 @@
         || agent.log().matches("phase: Serving").count() == 3
     ));
     // Two tries may be made there, of which one goes on.
-    assert!(discovery.settled(0).unwrap());
+    assert!(discovery.wait_until_requests_counted(0).unwrap());
     let wholes = discovery.full_list_requests();
     assert!(wholes >= 1);
     assert_eq!((next.connections(), control_calls(&cluster)), (1, before));
@@ -334,7 +337,7 @@
         || agent.log().matches("phase: Serving").count() == 4
     ));
     sleep(ms(300));
-    assert!(discovery.settled(0).unwrap());
+    assert!(discovery.wait_until_requests_counted(0).unwrap());
     assert_eq!(
         (discovery.connections(), discovery.full_list_requests()),
         (opened + 1, wholes)
--- a/crates/agent/tests/configurations.rs
+++ b/crates/agent/tests/configurations.rs
@@ -71,11 +71,11 @@
 fn class(
     name: &str,
     idempotency: &'static str,
-    group: &'static str,
+    deduplication_scope: &'static str,
     latency_objective_ms: f64,
 ) -> RequestClass {
     RequestClass {
-        group,
+        deduplication_scope,
         latency_objective_ms,
         ..RequestClass::new(name, idempotency, 1.0)
     }
--- a/crates/agent/tests/list_calls.rs
+++ b/crates/agent/tests/list_calls.rs
@@ -46,7 +46,10 @@
         configuration.as_object_mut().unwrap().remove("known");
     }
     let _agent = start(configuration);
-    assert!(cluster.discovery.settled(0).unwrap(), "one watch at a time");
+    assert!(
+        cluster.discovery.wait_until_requests_counted(0).unwrap(),
+        "one watch at a time"
+    );
     StartCalls {
         connections: cluster.discovery.connections(),
         whole_lists: cluster.discovery.full_list_requests(),
--- a/crates/client/examples/capacity.rs
+++ b/crates/client/examples/capacity.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tulipwall_client::Client;
 use tulipwall_client_policy::{AgentSelector, AttemptSignal, ConnectionPolicy, Selection};
-use tulipwall_testkit::service;
+use tulipwall_testkit::client_config;
 
 const AGENT_COUNTS: [usize; 4] = [6, 77, 385, 770];
 const CLIENTS: usize = 2000;
@@ -88,7 +88,7 @@
 /// Kilobytes that one idle client of this many agents keeps.
 fn client_memory(agents: usize) -> f64 {
     let before = resident_bytes();
-    let new_client = |_| Client::new(service(addresses(agents)));
+    let new_client = |_| Client::new(client_config(addresses(agents)));
     let clients: Vec<Client> = (0..CLIENTS).map(new_client).collect();
     let grown = resident_bytes() - before;
     // Not given back before the next measurement, which would find it free.
--- a/crates/client/examples/measure/fleet.rs
+++ b/crates/client/examples/measure/fleet.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tulipwall_client::{Call, Client, Counters};
+use tulipwall_testkit::client_config;
 use tulipwall_testkit::runtime::{sleep, spawn};
-use tulipwall_testkit::service;
 
 /// The classes that a client calls in turn.
 const CLASSES: [&str; 3] = ["view", "view", "payment"];
@@ -164,7 +164,7 @@
     let mut clients = Vec::new();
     let mut tasks = Vec::new();
     for call_loop in call_loops {
-        let client = Client::new(service(vec![agent]));
+        let client = Client::new(client_config(vec![agent]));
         clients.push(client.clone());
         tasks.push(spawn(call_loop.run(client)));
     }
--- a/crates/client/examples/measure/overhead.rs
+++ b/crates/client/examples/measure/overhead.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 use tulipwall_client::{Call, Client};
-use tulipwall_testkit::{pg, service, Endpoint, EndpointBehavior};
+use tulipwall_testkit::{client_config, pg, Endpoint, EndpointBehavior};
 
 const CALLS: usize = 12_000;
 const IDLE_CLIENTS: usize = 10_000;
@@ -21,7 +21,7 @@
 /// once; in turns.
 pub fn print_call_overhead() {
     let endpoint = Endpoint::start(1, EndpointBehavior::default(), 1).expect("loopback");
-    let client = Client::new(service(vec![endpoint.address(0)]));
+    let client = Client::new(client_config(vec![endpoint.address(0)]));
     let mut bare = block_on(connect(endpoint.address(0))).expect("loopback");
     let query = pg::query(STATEMENT);
     let mut call_times = Vec::with_capacity(CALLS);
@@ -69,7 +69,7 @@
 pub fn print_memory() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let before = resident_kb();
-    let new_client = |_| Client::new(service(vec![address, address]));
+    let new_client = |_| Client::new(client_config(vec![address, address]));
     let clients: Vec<Client> = (0..IDLE_CLIENTS).map(new_client).collect();
     let grown = resident_kb() - before;
     println!(
--- a/crates/experiments/src/fleet/measures/added_latency.rs
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -95,12 +95,12 @@
         };
         let waited_before = agent.usage()?.waited;
         let accepted_before = installation.accepted_by_timed_endpoints();
-        let through = play(ConnectionUse::Kept, through_agent);
+        let through = play(ConnectionUse::Reused, through_agent);
         let connections = installation.accepted_by_timed_endpoints() - accepted_before;
         let waited = agent.usage()?.waited.saturating_sub(waited_before);
         let loads = Loads {
             through,
-            straight: play(ConnectionUse::Kept, endpoint),
+            straight: play(ConnectionUse::Reused, endpoint),
             handshaken: play(ConnectionUse::NewForEach, endpoint),
         };
         samples.push(sample(plan, &loads, connections, waited));
--- a/crates/experiments/src/fleet/measures/load.rs
+++ b/crates/experiments/src/fleet/measures/load.rs
@@ -16,7 +16,7 @@
 
 /// Plays a load over classes and tenants from all parts of the settings, to its end.
 pub fn load(size: &Size, at: SocketAddr, rate: f64, duration: Duration, seed: u64) -> LoadReport {
-    load_on(ConnectionUse::Kept, size, at, rate, duration, seed)
+    load_on(ConnectionUse::Reused, size, at, rate, duration, seed)
 }
 
 /// The same on connections that are used so.
@@ -45,5 +45,5 @@
         connections: LOAD_CONNECTIONS,
         seed,
     };
-    load.run_on(connection_use)
+    load.run_with(connection_use)
 }
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -490,11 +490,11 @@
         seed: 5,
     };
     let _polling = BusyPolling::begin();
-    let handshaken = load.clone().run_on(ConnectionUse::NewForEach);
+    let handshaken = load.clone().run_with(ConnectionUse::NewForEach);
     let accepted = installation.accepted_by_timed_endpoints();
     assert_eq!(handshaken.succeeded, handshaken.requests);
     assert_eq!(accepted, handshaken.requests);
-    let kept = load.run_on(ConnectionUse::Kept);
+    let kept = load.run_with(ConnectionUse::Reused);
     assert_eq!(kept.requests, handshaken.requests);
     let accepted_by_kept = installation.accepted_by_timed_endpoints() - accepted;
     assert!(accepted_by_kept < kept.requests, "{accepted_by_kept}");
--- a/crates/testkit/src/agent_process/configuration.rs
+++ b/crates/testkit/src/agent_process/configuration.rs
@@ -16,28 +16,28 @@
     /// `repeatable`, `by_key` or `once`, as the settings name it.
     pub idempotency: &'static str,
     /// The scope within which keys are recognized: `all`, `zone` or `cell`.
-    pub group: &'static str,
+    pub deduplication_scope: &'static str,
     /// Its latency objective in milliseconds.
     pub latency_objective_ms: f64,
     /// Its priority weight.
-    pub points: f64,
+    pub priority_weight: f64,
 }
 
 impl RequestClass {
     /// A class with a latency objective of 400 ms, whose keys are recognized everywhere.
-    pub fn new(name: &str, idempotency: &'static str, points: f64) -> RequestClass {
+    pub fn new(name: &str, idempotency: &'static str, priority_weight: f64) -> RequestClass {
         RequestClass {
             name: name.to_owned(),
             idempotency,
-            group: "all",
+            deduplication_scope: "all",
             latency_objective_ms: 400.0,
-            points,
+            priority_weight,
         }
     }
 }
 
 /// What a client of agents that serve views, messages (`send`) and payments sets.
-pub fn service(agents: Vec<SocketAddr>) -> ClientConfig {
+pub fn client_config(agents: Vec<SocketAddr>) -> ClientConfig {
     let class = |name: &str, idempotency, priority_weight| {
         let latency_objective = Duration::from_millis(400);
         tulipwall_client_policy::RequestClass {
@@ -109,9 +109,9 @@
         "aim-ms": class.latency_objective_ms,
         "give-up-ms": 1500.0,
         "idempotency": class.idempotency,
-        "dedup-scope": class.group,
+        "dedup-scope": class.deduplication_scope,
         "window-ms": 5000.0,
-        "points": class.points,
+        "points": class.priority_weight,
     })
 }
 
--- a/crates/testkit/src/agent_process/mod.rs
+++ b/crates/testkit/src/agent_process/mod.rs
@@ -2,7 +2,7 @@
 
 mod configuration;
 
-pub use configuration::{classes, configuration, service, settings, RequestClass};
+pub use configuration::{classes, client_config, configuration, settings, RequestClass};
 
 use crate::runtime;
 use rustix::process::{kill_process, Pid, Signal};
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -48,7 +48,7 @@
     registry: Registry,
     connections: usize,
     open: usize,       // of them
-    own: usize,        // of them, with one request each: those of `settled`
+    own: usize,        // of them, with one request each: those of `wait_until_requests_counted`
     written: usize,    // bytes
     requests: usize,   // of all kinds
     full_lists: usize, // of them
@@ -167,7 +167,7 @@
 
     /// Waits until all that was asked before this call is counted: at most one of the connections
     /// that were opened by then goes on. Whether it came to that within [`runtime::TEST_TIMEOUT`].
-    pub fn settled(&self, from: usize) -> io::Result<bool> {
+    pub fn wait_until_requests_counted(&self, from: usize) -> io::Result<bool> {
         // Connections are taken in their order, so each earlier one has been once this one is
         // answered.
         let mut last = TcpStream::connect(self.address(from))?;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -29,7 +29,9 @@
 pub mod scripted_server;
 pub mod simulation;
 
-pub use agent_process::{classes, configuration, service, settings, AgentProcess, RequestClass};
+pub use agent_process::{
+    classes, client_config, configuration, settings, AgentProcess, RequestClass,
+};
 pub use client::{Reply, TestClient};
 pub use cluster::TestCluster;
 pub use connection_cutter::{ConnectionCutter, CutPoint};
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 /// Latencies of successful requests that are kept one by one, at most.
-pub const EACH_MOST: usize = 50_000;
+pub const MAX_RECORDED_LATENCIES: usize = 50_000;
 /// Ids of unanswered requests that are kept, at most.
 const MAX_UNANSWERED_IDS: usize = 100;
 /// How long after its deadline a request is still waited for; a connection is waited for as long as
@@ -68,7 +68,7 @@
     pub send_delays: Option<Histogram<u64>>,
     /// Microseconds to each successful answer, by class.
     pub latencies: BTreeMap<String, Histogram<u64>>,
-    /// Ids of successful requests with their microseconds, the first [`EACH_MOST`].
+    /// Ids of successful requests with their microseconds, the first [`MAX_RECORDED_LATENCIES`].
     pub request_latencies: Vec<(String, u64)>,
 }
 
@@ -114,7 +114,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
     /// On an idle one, if there is any.
-    Kept,
+    Reused,
     /// Each on a new one, whose handshake counts as part of the request.
     NewForEach,
 }
@@ -131,7 +131,7 @@
 impl Load {
     /// Starts; the report is there once the last request has had its answer or its time.
     pub fn start(self) -> Task<LoadReport> {
-        runtime::spawn(self.generate(ConnectionUse::Kept))
+        runtime::spawn(self.generate(ConnectionUse::Reused))
     }
 
     /// The same, and waits for it.
@@ -140,7 +140,7 @@
     }
 
     /// The same on connections that are used so.
-    pub fn run_on(self, connection_use: ConnectionUse) -> LoadReport {
+    pub fn run_with(self, connection_use: ConnectionUse) -> LoadReport {
         futures_lite::future::block_on(runtime::spawn(self.generate(connection_use)))
     }
 
@@ -234,7 +234,7 @@
             None => within(longest, connect(self.agent)).await?,
         };
         let code = within(longest, ask(&mut stream, &request.statement)).await?;
-        if self.connection_use == ConnectionUse::Kept {
+        if self.connection_use == ConnectionUse::Reused {
             lock_unpoisoned(&self.idle).push(stream);
         }
         Ok(code)
@@ -266,7 +266,7 @@
             .entry(request.class.clone())
             .or_insert_with(histogram)
             .saturating_record(micros(latency));
-        if self.request_latencies.len() < EACH_MOST {
+        if self.request_latencies.len() < MAX_RECORDED_LATENCIES {
             let micros = latency.as_micros() as u64;
             self.request_latencies.push((request.id.clone(), micros));
         }
