--- a/crates/testkit/src/agent_process/configuration.rs
+++ b/crates/testkit/src/agent_process/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of an agent, as the platform gives it, and that of a client.
+//! Builders for the configuration of an agent, in the platform's format, and of a client.
 
 use super::free_address;
 use serde_json::{json, Value};
@@ -8,23 +8,23 @@
 use tulipwall::{DeduplicationScope, Idempotency};
 use tulipwall_client_policy::ClientConfig;
 
-/// A class of the settings.
+/// A request class in an agent's settings.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name.
+    /// The class name, which requests carry in their comment.
     pub name: String,
-    /// `repeatable`, `by_key` or `once`, as the settings name it.
+    /// The idempotency as spelled in the settings: `repeatable`, `by_key` or `once`.
     pub idempotency: &'static str,
-    /// The scope within which keys are recognized: `all`, `zone` or `cell`.
+    /// The scope within which endpoints deduplicate keys: `all`, `zone` or `cell`.
     pub deduplication_scope: &'static str,
-    /// Its latency objective in milliseconds.
+    /// The latency objective in milliseconds.
     pub latency_objective_ms: f64,
-    /// Its priority weight.
+    /// The priority weight relative to the other classes.
     pub priority_weight: f64,
 }
 
 impl RequestClass {
-    /// A class with a latency objective of 400 ms, whose keys are recognized everywhere.
+    /// Creates a class with a latency objective of 400 ms and deduplication scope `all`.
     pub fn new(name: &str, idempotency: &'static str, priority_weight: f64) -> RequestClass {
         RequestClass {
             name: name.to_owned(),
@@ -36,7 +36,8 @@
     }
 }
 
-/// What a client of agents that serve views, messages (`send`) and payments sets.
+/// Returns the configuration of a client for agents that serve the request classes of [`classes`]:
+/// views, messages (`send`) and payments.
 pub fn client_config(agents: Vec<SocketAddr>) -> ClientConfig {
     let class = |name: &str, idempotency, priority_weight| {
         let latency_objective = Duration::from_millis(400);
@@ -59,7 +60,7 @@
     ClientConfig::new(agents, classes)
 }
 
-/// The classes of that service, as settings name them.
+/// Returns the request classes of [`client_config`] in the form that the agent's settings use.
 pub fn classes() -> Vec<RequestClass> {
     let class = RequestClass::new;
     vec![
@@ -69,7 +70,7 @@
     ]
 }
 
-/// The settings of a deployment, as an agent in `zone` gets them.
+/// Returns the settings of a deployment of `agents` agents for an agent in `zone`.
 pub fn settings(zones: &[&str], zone: &str, agents: u32, classes: &[RequestClass]) -> Value {
     let classes: Vec<Value> = classes.iter().map(class_settings).collect();
     json!({
@@ -115,7 +116,9 @@
     })
 }
 
-/// The configuration of one agent, that listens on an address of its own.
+/// Returns the configuration of one agent, which listens on a free loopback address.
+///
+/// `known` is the endpoint list that the agent starts with.
 pub fn configuration(
     name: &str,
     discovery: SocketAddr,
--- a/crates/testkit/src/agent_process/mod.rs
+++ b/crates/testkit/src/agent_process/mod.rs
@@ -1,4 +1,4 @@
-//! An agent as a process, with a configuration of the form that the platform gives.
+//! Runs an agent as a child process, with a configuration in the platform's format.
 
 mod configuration;
 
@@ -16,33 +16,36 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use tempfile::TempDir;
 
-/// Hosts of one loopback network of 256 that a listener may have.
+/// Number of usable host addresses in one loopback network of 256 addresses.
 const HOSTS: u16 = 254;
-/// The lowest port that is given out.
+/// The lowest port that [`free_address`] returns.
 const FIRST_PORT: u16 = 20_000;
 
-/// A loopback address that nobody else is given: a port that was free a moment ago may be another's
-/// by now, and a client of the one would speak to the other.
+/// Returns a loopback address that no other caller gets.
+///
+/// Probing for a free port is not enough: another listener can bind the port before this one does,
+/// and a client of one would then connect to the other.
 pub fn free_address() -> SocketAddr {
-    static GIVEN: AtomicU16 = AtomicU16::new(0);
-    let given = GIVEN.fetch_add(1, Ordering::Relaxed);
+    static ISSUED: AtomicU16 = AtomicU16::new(0);
+    let issued = ISSUED.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    // A host by process, and there by number, so that processes do not meet.
-    let host = [127, 64 + (high & 63), low, 1 + (given % HOSTS) as u8];
-    (host, FIRST_PORT + given / HOSTS).into()
+    // The process id selects the network and the counter the host, so that processes do not collide.
+    let host = [127, 64 + (high & 63), low, 1 + (issued % HOSTS) as u8];
+    (host, FIRST_PORT + issued / HOSTS).into()
 }
 
-/// A process that is killed when this is dropped; its files go with it.
+/// An agent that runs as a child process. Dropping it kills the process and deletes its files.
 pub struct AgentProcess {
     child: Child,
-    /// The configuration that it was started with.
+    /// The configuration that the agent was started with.
     pub configuration: Value,
     folder: TempDir,
 }
 
 impl AgentProcess {
-    /// Starts an agent with this configuration and further arguments, its log in
-    /// [`AgentProcess::log`].
+    /// Starts the agent `binary` with this configuration and additional command-line arguments.
+    ///
+    /// Its standard error goes to a file that [`AgentProcess::log`] reads.
     pub fn start(
         binary: impl Into<OsString>,
         configuration: Value,
@@ -66,66 +69,68 @@
         })
     }
 
-    /// Where clients connect.
+    /// Returns the address on which the agent accepts clients.
     pub fn address(&self) -> io::Result<SocketAddr> {
         let text = self.configuration["listen"].as_str().unwrap_or_default();
         text.parse().map_err(io::Error::other)
     }
 
-    /// A folder of its own.
+    /// Returns the temporary directory that holds the agent's configuration and log.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// What it has logged so far.
+    /// Returns the log so far; an empty string if it cannot be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder().join("log")).unwrap_or_default()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         let pid = pid.ok_or(io::ErrorKind::InvalidInput)?;
         Ok(kill_process(pid, signal)?)
     }
 
-    /// Asks it to shut down.
+    /// Requests a shutdown with SIGTERM.
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Replaces the configuration's text and says so.
+    /// Replaces the configuration file with `text` and requests a reload with SIGHUP.
     pub fn reload(&self, text: &str) -> io::Result<()> {
-        // Whole or not at all, as a platform replaces it: the agent may just be reading the one
-        // before.
+        // The rename is atomic, like the platform's own update: the agent may be reading the old file
+        // at this moment.
         let next = self.folder().join("config.json.next");
         std::fs::write(&next, text)?;
         std::fs::rename(next, self.folder().join("config.json"))?;
         self.signal(Signal::HUP)
     }
 
-    /// Its process number.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Stops it where it stands, or lets it go on: an agent that stalls. The signal takes a moment
-    /// on a busy machine: that it stands is waited for.
-    pub fn set_stalled(&self, stalls: bool) -> io::Result<()> {
-        self.signal(if stalls { Signal::STOP } else { Signal::CONT })?;
-        let stands = || {
+    /// Suspends the process with SIGSTOP, or resumes it with SIGCONT, to simulate a stall.
+    ///
+    /// Waits until the process has changed state, because the signal takes effect with a delay on a
+    /// busy machine.
+    pub fn set_stalled(&self, stalled: bool) -> io::Result<()> {
+        self.signal(if stalled { Signal::STOP } else { Signal::CONT })?;
+        let is_stopped = || {
             let stat =
                 std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
             stat.rsplit_once(") ")
                 .is_some_and(|(_, rest)| rest.starts_with('T'))
         };
-        match runtime::wait_until(|| stands() == stalls) {
+        match runtime::wait_until(|| is_stopped() == stalled) {
             true => Ok(()),
             false => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 
-    /// Waits for its end; whether it ended well.
+    /// Waits for the process to exit and returns whether its exit status was success.
     pub fn wait_for_success(&mut self) -> io::Result<bool> {
         Ok(self.child.wait()?.success())
     }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Zones with endpoints, discovery and a platform, put together.
+//! A test deployment: zones with fake endpoints, a fake discovery service and a fake platform.
 
 use crate::agent_process::{configuration, settings, RequestClass};
 use crate::discovery::Discovery;
@@ -12,17 +12,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Zones with endpoints, and what an agent needs to reach them.
+/// Zones with fake endpoints, and the services that an agent needs to reach them.
 pub struct TestCluster {
-    /// Names of the zones.
+    /// Names of the zones. Other methods refer to a zone by its index here.
     pub zones: Vec<String>,
-    /// The request classes of its settings.
+    /// The request classes in the agents' settings.
     pub classes: Vec<RequestClass>,
-    /// Lists the endpoints.
+    /// The discovery service that lists the endpoints.
     pub discovery: Discovery,
-    /// Knows the newest build.
+    /// The platform that publishes the newest build.
     pub platform: Platform,
-    /// How many agents its settings name.
+    /// The number of agents in the settings.
     pub agents: u32,
     endpoints: Mutex<EndpointsById>,
 }
@@ -35,7 +35,7 @@
 }
 
 impl TestCluster {
-    /// Zones without endpoints, build 41 released.
+    /// Starts discovery and a platform on which build 41 is released, for zones without endpoints.
     pub fn new(zones: &[&str], classes: Vec<RequestClass>) -> io::Result<TestCluster> {
         Ok(TestCluster {
             zones: zones.iter().map(|z| (*z).to_owned()).collect(),
@@ -51,7 +51,8 @@
         lock_unpoisoned(&self.endpoints)
     }
 
-    /// Starts an endpoint in a zone, not yet listed. Its entry goes to [`Discovery::update`].
+    /// Starts an endpoint that discovery does not list yet. The returned entry is meant for
+    /// [`Discovery::update`].
     pub fn start_unlisted(
         &self,
         zone: usize,
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Starts an endpoint and lists it as up for long.
+    /// Starts an endpoint and lists it with start time 0, that is past its slow start.
     pub fn add_endpoint(
         &self,
         zone: usize,
@@ -90,7 +91,7 @@
         Ok(())
     }
 
-    /// Starts an endpoint and lists it as started now.
+    /// Starts an endpoint and lists it as started now, so that agents put it in slow start.
     pub fn add_cold_endpoint(
         &self,
         zone: usize,
@@ -104,13 +105,13 @@
         Ok(())
     }
 
-    /// The endpoint of this id.
+    /// Returns the endpoint with this id; `None` if it was never started.
     pub fn endpoint(&self, id: &str) -> Option<Arc<Endpoint>> {
         let endpoints = self.endpoints();
         endpoints.get(id).map(|found| found.endpoint.clone())
     }
 
-    /// The endpoints of one zone, by id.
+    /// Returns the endpoints of one zone with their ids, ordered by id.
     pub fn endpoints_in_zone(&self, zone: usize) -> Vec<(String, Arc<Endpoint>)> {
         let endpoints = self.endpoints();
         endpoints
@@ -120,7 +121,7 @@
             .collect()
     }
 
-    /// Lists all of a zone as this: `in_service`, `terminating` or `terminated`.
+    /// Lists all endpoints of a zone in this state: `in_service`, `terminating` or `terminated`.
     pub fn set_zone_state(&self, zone: usize, state: &str) {
         let name = &self.zones[zone];
         let entries = self
@@ -134,14 +135,14 @@
         }));
     }
 
-    /// Sets the link from one zone to all endpoints of another.
+    /// Sets the link from one zone to all current endpoints of another.
     pub fn set_link(&self, from: usize, to: usize, link: Link) {
         for (_, endpoint) in self.endpoints_in_zone(to) {
             endpoint.set_link(from, link);
         }
     }
 
-    /// The configuration of an agent in this zone.
+    /// Returns the configuration of an agent in this zone.
     pub fn configuration(&self, name: &str, zone: usize) -> io::Result<Value> {
         let zones: Vec<&str> = self.zones.iter().map(String::as_str).collect();
         let settings = settings(&zones, zones[zone], self.agents, &self.classes);
@@ -157,7 +158,7 @@
         )
     }
 
-    /// What endpoints of a zone have counted for callers of another, by class.
+    /// Returns the traffic that the endpoints of zone `to` counted for callers in zone `from`, by class.
     pub fn transfer_counts(&self, from: usize, to: usize) -> BTreeMap<String, TransferCounts> {
         let mut sums: BTreeMap<String, TransferCounts> = BTreeMap::new();
         for (_, endpoint) in self.endpoints_in_zone(to) {
@@ -173,7 +174,7 @@
         sums
     }
 
-    /// All attempts that came anywhere, by id of their request.
+    /// Returns the queries that any endpoint received, by request id.
     pub fn received_queries(&self) -> BTreeMap<String, Vec<ReceivedQuery>> {
         let endpoints: Vec<Arc<Endpoint>> = self
             .endpoints()
@@ -187,7 +188,7 @@
         by_id
     }
 
-    /// Ids of requests of a class that may have run more than once.
+    /// Returns the ids of a class's requests that may have run more than once.
     pub fn executed_twice(&self, class: &str) -> Vec<String> {
         let ran = |query: &&ReceivedQuery| query.ran && query.class == class;
         self.received_queries()
@@ -198,14 +199,14 @@
     }
 }
 
-/// A seed for the draws of the endpoint with this id.
+/// Derives the random seed of an endpoint from its id.
 fn seed_of(id: &str) -> u64 {
     id.bytes().fold(7, |hash: u64, byte| {
         hash.wrapping_mul(31).wrapping_add(u64::from(byte))
     })
 }
 
-/// Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/testkit/src/connection_cutter.rs
+++ b/crates/testkit/src/connection_cutter.rs
@@ -1,5 +1,5 @@
-//! A proxy in front of an agent that cuts connections after so many bytes, in one direction or the
-//! other.
+//! A proxy in front of an agent that cuts connections after a given number of bytes in one
+//! direction.
 
 use crate::runtime::{self, lock_unpoisoned, TerminationSignal};
 use async_executor::Task;
@@ -10,30 +10,31 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// Bytes that are read at once.
+/// Size of the copy buffer.
 const BUFFER_BYTES: usize = 4096;
 
-/// Where one connection is cut.
+/// The point at which a connection is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutPoint {
-    /// Not by the cutter.
+    /// The proxy does not cut the connection.
     Never,
-    /// After so many bytes to the agent.
+    /// After this many bytes from the client to the agent.
     ToAgent(usize),
-    /// After so many bytes from it.
+    /// After this many bytes from the agent to the client.
     FromAgent(usize),
 }
 
-/// Passes connections on, each cut as its script says; those beyond the script are not cut.
+/// A proxy that forwards connections to an agent and cuts them at scripted points. Connections
+/// beyond the end of the script are not cut.
 pub struct ConnectionCutter {
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
     connections: Arc<TerminationSignal>,
     _task: Task<()>,
 }
 
 impl ConnectionCutter {
-    /// Starts a proxy to this agent; the script is used up by connections in their order.
+    /// Starts a proxy to this agent. The n-th accepted connection uses the n-th entry of the script.
     pub fn start(agent: SocketAddr, script: Vec<CutPoint>) -> io::Result<ConnectionCutter> {
         let script = Arc::new(Mutex::new(script.into_iter()));
         let connections = Arc::<TerminationSignal>::default();
@@ -66,7 +67,7 @@
         CutPoint::ToAgent(bytes) => (bytes, usize::MAX),
         CutPoint::FromAgent(bytes) => (usize::MAX, bytes),
     };
-    // Either end ends both, as a machine between them that dies would.
+    // Closing one direction closes both, as a failed machine in between would.
     copy(&client, &server, to_agent)
         .or(copy(&server, &client, from_agent))
         .await?;
@@ -75,20 +76,20 @@
     Ok(())
 }
 
-/// Copies until the sender closes or so many bytes have passed.
+/// Copies until the sender closes the connection or `limit` bytes have been copied.
 async fn copy(from: &Async<TcpStream>, to: &Async<TcpStream>, limit: usize) -> io::Result<()> {
     let mut from = from;
     let mut to = to;
-    let mut left = limit;
+    let mut remaining = limit;
     let mut buffer = [0; BUFFER_BYTES];
-    while left > 0 {
+    while remaining > 0 {
         let read = from.read(&mut buffer).await?;
         if read == 0 {
             return Ok(());
         }
-        let passed = read.min(left);
-        to.write_all(&buffer[..passed]).await?;
-        left -= passed;
+        let copied = read.min(remaining);
+        to.write_all(&buffer[..copied]).await?;
+        remaining -= copied;
     }
     Ok(())
 }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Fake discovery: the list over HTTP, whole or as a watch, for each zone with the addresses that
-//! are its own.
+//! A fake discovery service. It serves the endpoint list over HTTP, in full or as a long-poll watch
+//! for changes, and gives each caller's zone its own endpoint addresses.
 
 pub use crate::registry::Entry;
 use crate::registry::{self, Registry};
@@ -15,28 +15,28 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How discovery answers.
+/// How discovery responds to requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum DiscoveryBehavior {
-    /// With the list.
+    /// Responds with the endpoint list.
     #[default]
     Normal,
-    /// Not at all: it closes the connection.
+    /// Closes the connection without a response.
     ClosesConnections,
-    /// Not at all: the connection stays open.
+    /// Never responds; the connection stays open.
     Unresponsive,
-    /// With this text.
+    /// Sends this text in place of an HTTP response.
     Sends(String),
 }
 
-/// How one further connection is treated, whatever the [`DiscoveryBehavior`].
+/// How one scripted connection is handled. Takes precedence over the [`DiscoveryBehavior`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConnectionBehavior {
-    /// It is closed.
+    /// The connection is closed at once.
     Closed,
-    /// Its requests are answered as usual after this time.
+    /// The first request is read after this delay; then requests are answered as usual.
     AnsweredAfter(Duration),
-    /// Nothing is ever sent on it.
+    /// Nothing is ever sent on the connection.
     Unanswered,
 }
 
@@ -44,20 +44,20 @@
 struct State {
     behavior: DiscoveryBehavior,
     next_connections: VecDeque<ConnectionBehavior>,
-    silenced: u64, // how often open connections fell silent
+    silenced: u64, // how many times the open connections were silenced
     registry: Registry,
     connections: usize,
-    open: usize,       // of them
-    own: usize,        // of them, with one request each: those of `wait_until_requests_counted`
-    written: usize,    // bytes
-    requests: usize,   // of all kinds
-    full_lists: usize, // of them
+    open: usize,            // connections that are open now
+    own_connections: usize, // opened by `wait_until_requests_counted`, one request each
+    bytes_sent: usize,      // bytes of responses
+    requests: usize,        // for the full list and for changes
+    full_list_count: usize, // requests for the full list
 }
 
-/// How a connection was accepted.
+/// The state that applies to a connection from the time it was accepted.
 struct Accepted {
     behavior: Option<ConnectionBehavior>,
-    /// How often connections had been silenced by then.
+    /// The value of [`State::silenced`] when the connection was accepted.
     silenced: u64,
 }
 
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Counts a request and says how it is answered.
+    /// Counts a request and returns the behavior that applies to it.
     fn count_request(&self, path: &str) -> DiscoveryBehavior {
         let mut state = self.state();
         state.requests += 1;
-        state.full_lists += usize::from(!path.contains("after="));
+        state.full_list_count += usize::from(!path.contains("after="));
         state.behavior.clone()
     }
 }
@@ -99,7 +99,7 @@
 }
 
 impl Discovery {
-    /// Listens for those who ask from each of `zones` zones.
+    /// Starts a service with one listener for each of `zones` zones.
     pub fn start(zones: usize) -> io::Result<Discovery> {
         let shared = Arc::<Shared>::default();
         let connections = Arc::<TerminationSignal>::default();
@@ -119,18 +119,18 @@
         })
     }
 
-    /// Where callers of a zone reach it.
+    /// Returns the address for callers in zone `from`.
     pub fn address(&self, from: usize) -> SocketAddr {
         self.listeners.addresses[from]
     }
 
-    /// Changes or adds entries, under one version; watches are answered at once.
+    /// Adds or replaces entries under one new version. Pending watches are answered at once.
     pub fn update(&self, entries: impl IntoIterator<Item = Entry>) {
         self.shared.state().registry.update(entries);
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Changes one entry, if it is listed.
+    /// Applies `change` to the entry with this id. Does nothing if the id is not listed.
     pub fn update_entry(&self, id: &str, change: impl FnOnce(&mut Entry)) {
         let found = self.shared.state().registry.get(id).cloned();
         if let Some(mut e) = found {
@@ -139,36 +139,39 @@
         }
     }
 
-    /// All entries.
+    /// Returns all entries, terminated ones included, ordered by id.
     pub fn entries(&self) -> Vec<Entry> {
         self.shared.state().registry.entries().cloned().collect()
     }
 
-    /// Behaves like this from now on; connections that are open end.
+    /// Sets the behavior for further requests and closes all open connections.
     pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
         self.shared.state().behavior = behavior;
         self.connections.end();
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Watches that are open fall silent, though their connections stay. The next connections are
-    /// treated as given, then as usual.
+    /// Stops responding on the connections that are open now, without closing them.
+    ///
+    /// The next connections are handled as listed in `next`, later ones as usual.
     pub fn silence_watches(&self, next: impl IntoIterator<Item = ConnectionBehavior>) {
         let mut state = self.shared.state();
         state.silenced += 1;
         state.next_connections = next.into_iter().collect();
     }
 
-    /// How many connections were opened to it.
+    /// Returns how many connections were opened, except by [`Self::wait_until_requests_counted`].
     pub fn connections(&self) -> usize {
         let state = self.shared.state();
-        state.connections - state.own
+        state.connections - state.own_connections
     }
 
-    /// Waits until all that was asked before this call is counted: at most one of the connections
-    /// that were opened by then goes on. Whether it came to that within [`runtime::TEST_TIMEOUT`].
+    /// Waits until all requests that were sent before this call are counted, which is when at most
+    /// one of the connections opened by then is still open.
+    ///
+    /// Returns `false` if that does not happen within [`runtime::TEST_TIMEOUT`].
     pub fn wait_until_requests_counted(&self, from: usize) -> io::Result<bool> {
-        // Connections are taken in their order, so each earlier one has been once this one is
+        // Connections are accepted in order, so all earlier ones have been accepted once this one is
         // answered.
         let mut last = TcpStream::connect(self.address(from))?;
         last.set_read_timeout(Some(runtime::TEST_TIMEOUT))?;
@@ -179,33 +182,34 @@
         )?;
         last.read_exact(&mut [0; 1])?;
         drop(last);
-        self.shared.state().own += 1;
+        self.shared.state().own_connections += 1;
         Ok(runtime::wait_until(|| self.shared.state().open <= 1))
     }
 
-    /// Bytes of all answers so far.
+    /// Returns the bytes of all list responses so far, HTTP heads included.
     pub fn bytes_written(&self) -> usize {
-        self.shared.state().written
+        self.shared.state().bytes_sent
     }
 
-    /// How many requests came.
+    /// Returns how many requests were received, except from
+    /// [`Self::wait_until_requests_counted`].
     pub fn requests(&self) -> usize {
         let state = self.shared.state();
-        state.requests - state.own
+        state.requests - state.own_connections
     }
 
-    /// How many of them asked for the whole list.
+    /// Returns how many requests asked for the full list.
     pub fn full_list_requests(&self) -> usize {
-        self.shared.state().full_lists
+        self.shared.state().full_list_count
     }
 
-    /// The list as a configuration's `known`.
+    /// Returns the full list for callers in zone `from`, in the form of a configuration's `known`.
     pub fn full_list(&self, from: usize) -> Value {
         self.shared.state().registry.full_list(from)
     }
 }
 
-/// Counts a connection as open until it is dropped.
+/// Decrements [`State::open`] when it is dropped.
 struct OpenGuard<'a>(&'a Shared);
 
 impl Drop for OpenGuard<'_> {
@@ -241,13 +245,14 @@
             pending::<()>().await;
         }
         let answer = registry::http_response(&body);
-        shared.state().written += answer.len();
+        shared.state().bytes_sent += answer.len();
         stream.write_all(answer.as_bytes()).await?;
     }
     Ok(())
 }
 
-/// The path of the next request; nothing where the caller has closed or sends no head.
+/// Reads the next request head and returns its path; `None` if the caller closes the connection or
+/// sends more than 8 KiB without the end of a head.
 async fn read_path(stream: &mut Async<TcpStream>) -> io::Result<Option<String>> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -261,12 +266,13 @@
     Ok(line.split(' ').nth(1).map(str::to_owned))
 }
 
-/// The whole list, or what is newer than the version that is named, for which it waits.
+/// Returns the full list or, for a watch, the changes since the named version. A watch waits for a
+/// change until its timeout.
 async fn list_document(shared: &Shared, zone: usize, path: &str) -> Value {
     let Some((after, wait)) = registry::parse_watch(path) else {
         return shared.state().registry.full_list(zone);
     };
-    let newer = async {
+    let newer_version = async {
         loop {
             let listener = shared.changed.listen();
             if shared.state().registry.version > after {
@@ -275,7 +281,7 @@
             listener.await;
         }
     };
-    newer.or(sleep(wait)).await;
+    newer_version.or(sleep(wait)).await;
     let state = shared.state();
     state.registry.changes_since(after, zone)
 }
--- a/crates/testkit/src/endpoint/behavior.rs
+++ b/crates/testkit/src/endpoint/behavior.rs
@@ -1,43 +1,44 @@
-//! How a fake endpoint behaves, and the links to it.
+//! The configurable behavior of a fake endpoint and of the links to it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What it does with a query that has come whole.
+/// What an endpoint does with a query that it has received in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseBehavior {
-    /// Runs it and answers with a value.
+    /// Runs the query and answers with a value.
     Answer,
-    /// Runs it and answers with an error.
+    /// Runs the query and answers with an error.
     Fail,
-    /// Rejects it at once (53300): it never runs.
+    /// Rejects the query at once with SQLSTATE 53300. The query never runs.
     Reject,
-    /// Rejects it as a server that shuts down (57P03), and closes the connection.
+    /// Rejects the query with SQLSTATE 57P03, as a server that shuts down does, and closes the
+    /// connection. The query never runs.
     RejectAndClose,
-    /// Runs it and closes the connection in place of an answer.
+    /// Runs the query and closes the connection instead of answering.
     Close,
-    /// Closes the connection right behind its answer.
+    /// Closes the connection directly after the answer.
     AnswerAndClose,
-    /// Sends a copy of its answer right behind it.
+    /// Sends the answer twice in a row.
     AnswerTwice,
-    /// Sends another value behind its answer, so many milliseconds later.
+    /// Sends a second answer with a different value, this many milliseconds after the first.
     AnswerAgainAfterMs(u16),
-    /// Sends so many bytes of its answer and closes the connection.
+    /// Sends this many bytes of the answer and closes the connection.
     CloseAfterBytes(u16),
-    /// Sends its answer byte by byte, one in so many milliseconds.
+    /// Sends the answer one byte at a time, with this many milliseconds between bytes.
     ByteEveryMs(u16),
-    /// Sends an answer that stops short of its end; the connection stays open.
+    /// Sends the beginning of an answer and stops; the connection stays open.
     StallMidAnswer,
-    /// The same, and closes the connection.
+    /// Sends the beginning of an answer and closes the connection.
     CloseMidAnswer,
-    /// Sends bytes that are no answer.
+    /// Sends bytes that are not a valid protocol message.
     Garbage,
-    /// Never answers.
+    /// Runs the query and never answers.
     NeverAnswer,
 }
 
 impl ResponseBehavior {
-    /// Whether the query is run, whatever becomes of its answer.
+    /// Whether the endpoint runs the query, even if the answer is never sent.
     pub fn runs_query(self) -> bool {
         !matches!(
             self,
@@ -45,7 +46,7 @@
         )
     }
 
-    /// Whether the connection is closed once the answer is sent.
+    /// Whether the endpoint closes the connection after it has sent the answer.
     pub fn closes_after_answer(self) -> bool {
         matches!(
             self,
@@ -57,31 +58,31 @@
     }
 }
 
-/// How an endpoint behaves, which may change at any time.
+/// How an endpoint behaves. Can be changed at any time.
 #[derive(Clone, Debug)]
 pub struct EndpointBehavior {
-    /// What one query takes, in the mean.
+    /// Mean run time of a query.
     pub work: Duration,
-    /// The same of single classes, where it differs.
+    /// Mean run time by class, for classes where it differs from `work`.
     pub work_by_class: BTreeMap<String, Duration>,
-    /// The share of the work that is always the same, 0 to 1; the rest is exponential. Real work
-    /// differs from request to request, and decisions that compare fast answers with the median
-    /// take equal ones for a standstill.
+    /// Constant share of the run time, 0 to 1; the rest is exponentially distributed. Real run times
+    /// vary between requests, and decisions that compare fast answers with the median take equal run
+    /// times for a stall.
     pub fixed_work_share: f64,
-    /// Queries that run at once; the others wait.
+    /// Number of queries that run concurrently; further ones wait.
     pub cores: usize,
-    /// What it does with queries.
+    /// What the endpoint does with a query.
     pub response: ResponseBehavior,
-    /// What it does in place of `response`, each with its probability.
+    /// Behaviors that replace `response` at random, each with its probability.
     pub random_responses: Vec<(ResponseBehavior, f64)>,
-    /// Bytes of a value.
+    /// Size of the returned value in bytes.
     pub value_bytes: usize,
-    /// Accepts connections and sends nothing on them.
+    /// Whether the endpoint accepts connections but sends nothing on them.
     pub unresponsive: bool,
 }
 
 impl EndpointBehavior {
-    /// What a query of this class takes, in the mean.
+    /// Returns the mean run time of a query of this class.
     pub fn work_of(&self, class: &str) -> Duration {
         self.work_by_class.get(class).copied().unwrap_or(self.work)
     }
@@ -102,13 +103,13 @@
     }
 }
 
-/// The link from one zone to an endpoint.
+/// The network link between one zone and an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    /// Delay of each query.
+    /// Delay added to each query.
     pub request_delay: Duration,
-    /// Delay of each answer.
+    /// Delay added to each answer.
     pub reply_delay: Duration,
-    /// Nothing passes; connections stay open.
+    /// Whether the link is cut: no data passes, but connections stay open.
     pub cut: bool,
 }
--- a/crates/testkit/src/endpoint/mod.rs
+++ b/crates/testkit/src/endpoint/mod.rs
@@ -1,5 +1,5 @@
-//! A fake endpoint that speaks PostgreSQL's protocol. It listens once for each zone that calls it,
-//! so that the link from there can be slow, cut and counted apart.
+//! A fake endpoint that speaks the PostgreSQL protocol. It has one listener for each calling zone,
+//! so that the link from that zone can be delayed, cut and counted separately.
 
 mod behavior;
 mod session;
@@ -17,39 +17,40 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Queries that are kept one by one, at most.
+/// Upper limit on the queries that are recorded individually.
 const MAX_RECEIVED: usize = 1_000_000;
 
-/// The name under which bytes are counted that belong to no query.
+/// The class name under which bytes are counted that belong to no query.
 pub const CONNECTIONS: &str = "(connections)";
 
-/// One query that came whole.
+/// A query that was received in full.
 #[derive(Clone, Debug)]
 pub struct ReceivedQuery {
-    /// When it had come.
+    /// When the last byte was received.
     pub at: Instant,
     /// Index of the caller's zone.
     pub from_zone: usize,
-    /// Its request class, as its comment names it.
+    /// The request class named in the query's comment; empty if it names none.
     pub class: String,
-    /// The id of its request.
+    /// The request id in the query's comment; empty if it names none.
     pub id: String,
-    /// The key by which repetitions are recognized, where there is one.
+    /// The deduplication key in the query's comment; `None` for a query without one.
     pub key: Option<String>,
-    /// Its whole text.
+    /// The full text of the query, comment included.
     pub statement: String,
-    /// It was run, whatever became of its answer.
+    /// Whether the endpoint runs the query, even if the answer is never sent.
     pub ran: bool,
-    /// How long after its answer was begun another one behind it was written, once it was.
+    /// Time from the start of the answer to the end of a duplicate answer; `None` until one was
+    /// written.
     pub duplicate_delay: Option<Duration>,
 }
 
-/// What passed on one link and class, counted at this end of the wire.
+/// Traffic of one link and class, counted at the endpoint's end of the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TransferCounts {
-    /// Queries that came whole.
+    /// Queries that were received in full.
     pub attempts: u64,
-    /// Bytes that came.
+    /// Bytes that were received.
     pub read: u64,
     /// Bytes that were sent.
     pub written: u64,
@@ -58,9 +59,9 @@
 #[derive(Default)]
 struct State {
     behavior: EndpointBehavior,
-    links: Vec<Link>, // by zone of the caller
+    links: Vec<Link>, // by the caller's zone
     received: Vec<ReceivedQuery>,
-    counts: BTreeMap<(usize, String), TransferCounts>, // by zone of the caller and class
+    counts: BTreeMap<(usize, String), TransferCounts>, // by the caller's zone and class
 }
 
 struct Shared {
@@ -69,7 +70,7 @@
     random: Mutex<Pcg64Mcg>,
 }
 
-/// A fake endpoint. It stops when it is dropped.
+/// A fake endpoint. Dropping it closes its listeners and connections.
 pub struct Endpoint {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
@@ -78,7 +79,7 @@
 }
 
 impl Endpoint {
-    /// Listens for callers of `zones` zones; `seed` is that of its draws.
+    /// Starts an endpoint with one listener for each of `zones` zones. `seed` seeds its random draws.
     pub fn start(zones: usize, behavior: EndpointBehavior, seed: u64) -> io::Result<Endpoint> {
         let shared = Arc::new(Shared {
             cores: Semaphore::new(behavior.cores.max(1)),
@@ -107,43 +108,44 @@
         Ok(bound.addresses)
     }
 
-    /// Where callers of a zone reach it.
+    /// Returns the address for callers in zone `from`.
     pub fn address(&self, from: usize) -> SocketAddr {
         self.addresses[from]
     }
 
-    /// Changes how it behaves from now on.
+    /// Changes the behavior for further queries.
     pub fn update_behavior(&self, change: impl FnOnce(&mut EndpointBehavior)) {
         change(&mut self.shared.state().behavior);
     }
 
-    /// Sets the link from a zone.
+    /// Sets the link for callers in zone `from`.
     pub fn set_link(&self, from: usize, link: Link) {
         self.shared.state().links[from] = link;
     }
 
-    /// Its connections are reset, new ones refused.
+    /// Closes all connections and listeners, so that new connections are refused.
     pub fn crash(&self) {
         lock_unpoisoned(&self.listeners).clear();
         self.connections.end();
     }
 
-    /// Listens again at its addresses.
+    /// Listens again on the same addresses after [`Endpoint::crash`].
     pub fn restart(&self) -> io::Result<()> {
         self.listen(&self.addresses).map(drop)
     }
 
-    /// The queries that came whole, in their order.
+    /// Returns the queries that were received in full, in order of arrival.
     pub fn received_queries(&self) -> Vec<ReceivedQuery> {
         self.shared.state().received.clone()
     }
 
-    /// How many queries came whole.
+    /// Returns how many queries were received in full.
     pub fn received_count(&self) -> usize {
         self.shared.state().received.len()
     }
 
-    /// By zone of the caller and class, [`CONNECTIONS`] for what belongs to no query.
+    /// Returns the traffic by the caller's zone and class. Bytes that belong to no query are listed
+    /// under [`CONNECTIONS`].
     pub fn transfer_counts(&self) -> BTreeMap<(usize, String), TransferCounts> {
         self.shared.state().counts.clone()
     }
@@ -169,7 +171,7 @@
         self.state().links[from]
     }
 
-    /// Keeps a query and returns its place among those that are kept.
+    /// Records a query and returns its index among the recorded ones.
     fn record(&self, query: ReceivedQuery) -> usize {
         let mut state = self.state();
         if state.received.len() < MAX_RECEIVED {
@@ -178,13 +180,13 @@
         state.received.len() - 1
     }
 
-    /// What is done with the next query.
+    /// Draws the behavior for the next query.
     fn draw_response(&self) -> ResponseBehavior {
         let behavior = self.state().behavior.clone();
-        let mut left = lock_unpoisoned(&self.random).gen_range(0.0..1.0);
+        let mut remaining = lock_unpoisoned(&self.random).gen_range(0.0..1.0);
         for (response, probability) in &behavior.random_responses {
-            left -= probability;
-            if left < 0.0 {
+            remaining -= probability;
+            if remaining < 0.0 {
                 return *response;
             }
         }
--- a/crates/testkit/src/endpoint/session.rs
+++ b/crates/testkit/src/endpoint/session.rs
@@ -1,4 +1,4 @@
-//! One connection to a fake endpoint.
+//! Serves one connection to a fake endpoint.
 
 use super::{EndpointBehavior, ReceivedQuery, ResponseBehavior, Shared, CONNECTIONS};
 use crate::pg;
@@ -12,15 +12,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often a link that is cut is looked at again.
+/// Interval at which a session checks whether a cut link has been restored.
 const LINK_POLL: Duration = Duration::from_millis(5);
-/// Bytes of an answer that stops short: within its first message.
+/// Length of a truncated answer, which ends within its first message.
 const TRUNCATED_BYTES: usize = 20;
-/// The bytes of a value: filled with the one, ended by the other.
+/// All bytes of a value but the last.
 const VALUE_FILL: u8 = 0x9f;
+/// The last byte of a value.
 const VALUE_END: u8 = 3;
-/// The value of an answer that nobody has asked for.
-const UNASKED_VALUE: u8 = 0xee;
+/// The value of an unsolicited second answer.
+const UNSOLICITED_VALUE: u8 = 0xee;
 
 /// Serves a connection until the caller or this side closes it.
 pub(super) async fn serve(shared: Arc<Shared>, zone: usize, stream: Async<TcpStream>) {
@@ -29,20 +30,20 @@
         zone,
         stream,
     };
-    // However it ends, the caller notices.
+    // The caller sees the end of the connection, so the error needs no report.
     let _ = session.run().await;
 }
 
 struct Session<'a> {
     shared: &'a Shared,
-    /// The zone of the caller.
+    /// Index of the caller's zone.
     zone: usize,
     stream: Async<TcpStream>,
 }
 
-/// A query that was received and is to be answered.
+/// A query that was received and is not yet answered.
 struct PendingQuery {
-    /// Its place among the received ones.
+    /// Index among the recorded queries.
     index: usize,
     class: String,
     response: ResponseBehavior,
@@ -55,13 +56,13 @@
             let Some(answer) = self.work_on(&query).await else {
                 return Ok(());
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             self.send_answer(&query, &answer).await?;
             if query.response.closes_after_answer() {
                 return Ok(());
             }
             if let ResponseBehavior::AnswerAgainAfterMs(gap) = query.response {
-                self.answer_again(&query, begun, gap).await?;
+                self.answer_again(&query, started, gap).await?;
             }
         }
         Ok(())
@@ -75,17 +76,17 @@
             pending::<()>().await;
         }
         let link = self.shared.link(self.zone);
-        let on_the_way = async {
+        let delayed = async {
             self.wait_while_cut().await;
             sleep(link.request_delay + link.reply_delay).await;
             Ok(())
         };
-        // Nothing is written that nobody reads.
-        let gone = async {
-            caller_gone(&self.stream).await;
+        // Nothing is written once the caller has closed the connection.
+        let caller_closed = async {
+            wait_for_close(&self.stream).await;
             Err(io::Error::from(io::ErrorKind::ConnectionAborted))
         };
-        gone.or(on_the_way).await?;
+        caller_closed.or(delayed).await?;
         let reply = pg::startup_reply();
         self.stream.write_all(&reply).await?;
         self.shared.count(self.zone, CONNECTIONS, |counts| {
@@ -94,7 +95,7 @@
         Ok(())
     }
 
-    /// The next query; nothing where the caller sends anything else.
+    /// Reads the next query; `None` if the caller sends any other message.
     async fn receive_query(&mut self) -> io::Result<Option<PendingQuery>> {
         let (tag, body) = pg::read(&mut self.stream).await?;
         if tag != pg::QUERY {
@@ -116,8 +117,8 @@
         }))
     }
 
-    /// The answer to a query; nothing where the connection is closed in its place, or where the
-    /// caller has gone: nothing is written that nobody reads.
+    /// Runs a query and returns the answer; `None` if the connection is to be closed instead, or if
+    /// the caller has closed it, in which case nothing may be written.
     async fn work_on(&self, query: &PendingQuery) -> Option<Vec<u8>> {
         let work = async {
             self.wait_while_cut().await;
@@ -127,12 +128,13 @@
             sleep(self.shared.link(self.zone).reply_delay).await;
             answer
         };
-        let gone = async {
-            caller_gone(&self.stream).await;
+        let caller_closed = async {
+            wait_for_close(&self.stream).await;
             None
         };
-        // Polled in this order: where this side is late, the caller may be gone as the work is done.
-        gone.or(work).await
+        // `caller_closed` is polled first: if this task runs late, the caller may already have closed the
+        // connection when the work is done.
+        caller_closed.or(work).await
     }
 
     async fn send_answer(&mut self, query: &PendingQuery, answer: &[u8]) -> io::Result<()> {
@@ -153,15 +155,15 @@
     async fn answer_again(
         &mut self,
         query: &PendingQuery,
-        begun: Instant,
+        started: Instant,
         gap_ms: u16,
     ) -> io::Result<()> {
         sleep(Duration::from_millis(gap_ms.into())).await;
         let written = self
             .stream
-            .write_all(&pg::value_reply(&[UNASKED_VALUE]))
+            .write_all(&pg::value_reply(&[UNSOLICITED_VALUE]))
             .await;
-        self.shared.state().received[query.index].duplicate_delay = Some(begun.elapsed());
+        self.shared.state().received[query.index].duplicate_delay = Some(started.elapsed());
         written
     }
 
@@ -172,7 +174,7 @@
     }
 }
 
-/// A query as it was received, with what its comment names.
+/// Builds the record of a received query from the fields of its comment.
 fn received_query(
     at: Instant,
     from_zone: usize,
@@ -198,18 +200,18 @@
     }
 }
 
-/// Ready once the caller has closed its end.
-async fn caller_gone(stream: &Async<TcpStream>) {
+/// Completes once the caller has closed its end of the connection.
+async fn wait_for_close(stream: &Async<TcpStream>) {
     let mut byte = [0; 1];
     let has_written = matches!(stream.peek(&mut byte).await, Ok(read) if read > 0);
     if has_written {
-        // Nothing more can be seen before that is read.
+        // A later close cannot be detected while unread bytes are pending.
         pending::<()>().await;
     }
 }
 
 impl Shared {
-    /// The bytes of an answer; nothing where the connection is closed in its place.
+    /// Returns the bytes of an answer; `None` if the connection is to be closed instead.
     async fn answer(&self, class: &str, response: ResponseBehavior) -> Option<Vec<u8>> {
         match response {
             ResponseBehavior::Reject => return Some(pg::error_reply("53300", "full")),
@@ -242,7 +244,7 @@
         Some(answer)
     }
 
-    /// The work of one query.
+    /// Draws the run time of one query.
     fn draw_work(&self, behavior: &EndpointBehavior, class: &str) -> Duration {
         let drawn = lock_unpoisoned(&self.random).gen_range(0.0..1.0f64);
         let fixed = behavior.fixed_work_share;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,15 +1,16 @@
-//! Fakes of everything an agent talks to, and checkers of its rules.
+//! Fakes of all services that an agent talks to, and checkers of the rules that an agent must keep.
 //!
-//! The fakes are written from the public descriptions of their protocols, apart from the agent's
-//! own code. They stay on loopback addresses, take scripts of faults, and count what passes at
-//! their end of the wire. Used by tests, benchmarks and the demo.
+//! The fakes are written from the public descriptions of their protocols and share no code with the
+//! agent. They listen on loopback addresses only, inject scripted faults, and count the traffic at
+//! their end of the connection. Tests, benchmarks and the demo use them.
 //!
-//! - [`TestCluster`]: zones with [`Endpoint`]s, [`Discovery`] and a [`Platform`], put together.
-//! - [`TestClient`]: one client, for single cases. [`Load`]: many, at a rate of their own.
-//! - [`AgentProcess`]: an agent as a process, with its configuration.
-//! - [`ScriptedServer`]: sends fixed bytes, for what no fake would send.
-//! - [`simulation`]: agents, endpoints and clients in simulated time, for the decisions and the zones
-//!   alone, with the rules checked after each step.
+//! - [`TestCluster`]: zones with [`Endpoint`]s, a [`Discovery`] service and a [`Platform`].
+//! - [`TestClient`]: one blocking client for single requests. [`Load`]: an open-loop load generator
+//!   with many clients.
+//! - [`AgentProcess`]: an agent that runs as a child process, with its configuration.
+//! - [`ScriptedServer`]: a server that sends fixed bytes, for replies that no fake sends.
+//! - [`simulation`]: agents, endpoints and clients in simulated time. It covers the balancer's
+//!   decisions and the zones only, and checks the rules after each step.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -1,5 +1,5 @@
-//! Many clients at a rate of their own: each request is due at its time, whatever became of those
-//! before.
+//! An open-loop load generator: each request is sent at its scheduled time, whether or not earlier
+//! requests have been answered.
 
 use crate::latencies::histogram;
 use crate::pg;
@@ -19,79 +19,85 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Latencies of successful requests that are kept one by one, at most.
+/// Upper limit on the latencies of successful requests that a report records individually.
 pub const MAX_RECORDED_LATENCIES: usize = 50_000;
-/// Ids of unanswered requests that are kept, at most.
+/// Upper limit on the ids of unanswered requests that a report records.
 const MAX_UNANSWERED_IDS: usize = 100;
-/// How long after its deadline a request is still waited for; a connection is waited for as long as
-/// a request.
+/// How long after a request's deadline the client still waits for the answer. Opening a connection
+/// has the same time limit as a request.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// Requests read one of so many objects.
+/// Number of objects that requests are spread over.
 const OBJECTS: u32 = 10_000;
-/// Gaps are drawn as if at least this many requests came a second.
+/// Lower limit, in requests per second, on the rate used for drawing gaps. Prevents a division by
+/// zero.
 const MIN_RATE: f64 = 1e-6;
 
-/// The load to generate.
+/// The load to generate, as Poisson arrivals.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The agent that is asked.
+    /// The address of the agent.
     pub agent: SocketAddr,
-    /// Requests a second, in the mean; they come at random.
+    /// Mean requests per second; the gaps between requests are exponentially distributed.
     pub rate: f64,
-    /// How long requests come.
+    /// How long requests are generated.
     pub duration: Duration,
-    /// Classes with their weights, the time that clients wait, and whether they carry a key.
+    /// For each class its name, its weight, the request timeout, and whether requests carry a
+    /// deduplication key.
     pub classes: Vec<(String, f64, Duration, bool)>,
-    /// Connections at most; a request that finds none free waits for one, and that time counts.
+    /// Upper limit on concurrent connections. A request waits for a free one, and the wait counts
+    /// towards its latency.
     pub connections: usize,
-    /// Seeds all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What came of it. Times count from when a request was due.
+/// The result of a load. Latencies count from the time at which a request was due.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Requests that were sent, or could not be.
+    /// All requests, including those that could not be sent.
     pub requests: u64,
     /// Requests that were answered with a value.
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Requests that the agent rejected with SQLSTATE 53300 or 57P03.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that were answered with any other error.
     pub failed: u64,
-    /// No whole answer before its deadline and half a second, counted from when it was written as the
-    /// agent counts it, or its connection ended.
+    /// Requests without a complete answer within half a second after their deadline, or whose
+    /// connection failed. The deadline counts from when the request was written, as the agent counts
+    /// it.
     pub unanswered: u64,
-    /// Ids of those without an answer, the first hundred.
+    /// Ids of the first 100 unanswered requests.
     pub unanswered_ids: Vec<String>,
-    /// Microseconds by which requests went out later than they were due.
+    /// Delay in microseconds between when a request was due and when it was started; `None` before
+    /// the first request.
     pub send_delays: Option<Histogram<u64>>,
-    /// Microseconds to each successful answer, by class.
+    /// Latency of successful requests in microseconds, by class.
     pub latencies: BTreeMap<String, Histogram<u64>>,
-    /// Ids of successful requests with their microseconds, the first [`MAX_RECORDED_LATENCIES`].
+    /// Ids and latencies in microseconds of the first [`MAX_RECORDED_LATENCIES`] successful requests.
     pub request_latencies: Vec<(String, u64)>,
 }
 
 impl LoadReport {
-    /// The time, in milliseconds, within which this share (0 to 1) of the successful answers came.
+    /// Returns the latency quantile, in milliseconds, of successful requests over all classes. `share`
+    /// is 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut all = histogram();
         for latencies in self.latencies.values() {
-            // Equal bounds: nothing is refused.
+            // Cannot fail, as all histograms have the same bounds.
             let _ = all.add(latencies);
         }
         all.value_at_quantile(share) as f64 / 1000.0
     }
 
-    /// How late, in milliseconds, this share of the requests went out at most: high where the load
-    /// itself, or its machine, does not keep up.
+    /// Returns the quantile, in milliseconds, of the delay with which requests were started. A high
+    /// value means that the load generator or its machine does not keep up.
     pub fn send_delay_ms(&self, share: f64) -> f64 {
         self.send_delays.as_ref().map_or(0.0, |delays| {
             delays.value_at_quantile(share) as f64 / 1000.0
         })
     }
 
-    /// Requests with an answer of any kind.
+    /// Returns the number of requests that got an answer of any kind.
     pub fn answered(&self) -> u64 {
         self.succeeded + self.rejected + self.failed
     }
@@ -101,7 +107,7 @@
     time.as_micros().max(1) as u64
 }
 
-/// A request that is due.
+/// A request that is due to be sent.
 struct DueRequest {
     at: Instant,
     id: String,
@@ -110,16 +116,16 @@
     statement: String,
 }
 
-/// Which connections the requests of a load go out on.
+/// Which connections a load uses for its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// On an idle one, if there is any.
+    /// A request reuses an idle connection if there is one.
     Reused,
-    /// Each on a new one, whose handshake counts as part of the request.
+    /// Each request opens a connection, whose handshake counts towards the request's latency.
     NewForEach,
 }
 
-/// What the requests of one load share.
+/// State shared by the requests of one load.
 struct Shared {
     agent: SocketAddr,
     connection_use: ConnectionUse,
@@ -129,17 +135,18 @@
 }
 
 impl Load {
-    /// Starts; the report is there once the last request has had its answer or its time.
+    /// Starts the load in the background, reusing connections. The task completes once each request
+    /// was answered or has timed out.
     pub fn start(self) -> Task<LoadReport> {
         runtime::spawn(self.generate(ConnectionUse::Reused))
     }
 
-    /// The same, and waits for it.
+    /// Runs the load, reusing connections, and waits for its report.
     pub fn run(self) -> LoadReport {
         futures_lite::future::block_on(self.start())
     }
 
-    /// The same on connections that are used so.
+    /// Runs the load with the given use of connections and waits for its report.
     pub fn run_with(self, connection_use: ConnectionUse) -> LoadReport {
         futures_lite::future::block_on(runtime::spawn(self.generate(connection_use)))
     }
@@ -153,7 +160,7 @@
             permits: Semaphore::new(self.connections.max(1)),
             report: Mutex::default(),
         });
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut elapsed = 0.0;
         let mut tasks = Vec::new();
         loop {
@@ -161,7 +168,7 @@
             if elapsed >= self.duration.as_secs_f64() {
                 break;
             }
-            let due = begun + Duration::from_secs_f64(elapsed);
+            let due = started + Duration::from_secs_f64(elapsed);
             sleep(due.saturating_duration_since(Instant::now())).await;
             let number = tasks.len() as u64 + 1;
             let Some(request) = self.draw_request(&mut random, due, number) else {
@@ -177,19 +184,19 @@
         report
     }
 
-    /// Seconds to the next request.
+    /// Draws the seconds until the next request.
     fn draw_gap(&self, random: &mut Pcg64Mcg) -> f64 {
         let drawn: f64 = random.gen_range(0.0..1.0);
         -(1.0 - drawn).ln() / self.rate.max(MIN_RATE)
     }
 
-    /// A request of a class drawn by weight; nothing where there are no classes.
+    /// Draws a request, its class by weight; `None` if the load has no classes.
     fn draw_request(&self, random: &mut Pcg64Mcg, at: Instant, number: u64) -> Option<DueRequest> {
         let weights: f64 = self.classes.iter().map(|class| class.1).sum();
-        let mut left = random.gen_range(0.0..weights.max(1e-9));
+        let mut remaining_weight = random.gen_range(0.0..weights.max(1e-9));
         let drawn = self.classes.iter().find(|class| {
-            left -= class.1;
-            left < 0.0
+            remaining_weight -= class.1;
+            remaining_weight < 0.0
         });
         let (class, _, timeout, keyed) = drawn.or(self.classes.last())?;
         let id = format!("{:x}-{number}", self.seed);
@@ -213,7 +220,7 @@
     }
 }
 
-/// Sends a request as soon as a connection is free, and records what comes of it.
+/// Sends a request once a connection is free and records the outcome.
 async fn send(shared: Arc<Shared>, request: DueRequest) {
     let permit = shared.permits.acquire().await;
     let outcome = shared.call(&request).await;
@@ -222,18 +229,18 @@
 }
 
 impl Shared {
-    /// One request; the code of an error, nothing for a value.
+    /// Sends a request and returns the SQLSTATE code of an error; `None` for a value.
     ///
-    /// The time of an answer counts from when the request is written: what went by before, while it
-    /// waited for a connection, is none that the agent knows of.
+    /// The time limit counts from when the request is written. The agent does not know of the time
+    /// that the request waited for a connection before.
     async fn call(&self, request: &DueRequest) -> io::Result<Option<String>> {
-        let longest = request.timeout + ANSWER_GRACE;
+        let limit = request.timeout + ANSWER_GRACE;
         let idle = lock_unpoisoned(&self.idle).pop();
         let mut stream = match idle {
             Some(stream) => stream,
-            None => within(longest, connect(self.agent)).await?,
+            None => within(limit, connect(self.agent)).await?,
         };
-        let code = within(longest, ask(&mut stream, &request.statement)).await?;
+        let code = within(limit, ask(&mut stream, &request.statement)).await?;
         if self.connection_use == ConnectionUse::Reused {
             lock_unpoisoned(&self.idle).push(stream);
         }
@@ -280,16 +287,17 @@
     }
 }
 
-/// Fails with [`io::ErrorKind::TimedOut`] if `work` takes longer than `longest`.
-async fn within<T>(longest: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Runs `work` and fails with [`io::ErrorKind::TimedOut`] if it takes longer than `limit`.
+async fn within<T>(limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let timeout = async {
-        sleep(longest).await;
+        sleep(limit).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     work.or(timeout).await
 }
 
-/// Writes a statement and reads its answer: the code of an error, nothing for a value.
+/// Writes a statement and reads its answer. Returns the SQLSTATE code of an error; `None` for a
+/// value.
 async fn ask(stream: &mut Async<TcpStream>, statement: &str) -> io::Result<Option<String>> {
     stream.write_all(&pg::query(statement)).await?;
     let mut code = None;
--- a/crates/testkit/src/pg.rs
+++ b/crates/testkit/src/pg.rs
@@ -1,29 +1,30 @@
-//! As much of PostgreSQL's protocol, version 3, as clients and endpoints speak here. Written apart
-//! from the agent's own, so that neither hides the other's mistakes.
+//! The subset of the PostgreSQL protocol, version 3, that test clients and fake endpoints use. It
+//! shares no code with the agent's implementation, so that an error in one is not hidden by the same
+//! error in the other.
 
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use std::io;
 use std::net::TcpStream;
 
-/// Bodies of this many bytes, and longer ones, are not read.
+/// Bodies of this many bytes or more are rejected.
 const MAX_BODY: usize = 1 << 20;
-/// The length field of a message.
+/// Size of a message's length field.
 pub const LENGTH_BYTES: usize = 4;
-/// Tag and length field of a message.
+/// Size of a message's tag and length field.
 pub const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
-/// The tag of a query.
+/// The tag of a `Query` message.
 pub const QUERY: u8 = b'Q';
-/// The tag of an error.
+/// The tag of an `ErrorResponse` message.
 pub const ERROR: u8 = b'E';
-/// The tag of a row.
+/// The tag of a `DataRow` message.
 pub const DATA_ROW: u8 = b'D';
-/// The tag of what says that the next query may come.
+/// The tag of a `ReadyForQuery` message.
 pub const READY: u8 = b'Z';
 /// The object id of the type `bytea`.
 const BYTEA: u32 = 17;
 
-/// A message with this tag and body.
+/// Encodes a message with this tag and body.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![tag];
     out.extend((body.len() as u32 + 4).to_be_bytes());
@@ -31,7 +32,7 @@
     out
 }
 
-/// The startup message of a client.
+/// Encodes a client's startup message.
 pub fn startup() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0worker\0database\0catalog\0\0";
     let mut out = (body.len() as u32 + 4).to_be_bytes().to_vec();
@@ -39,17 +40,17 @@
     out
 }
 
-/// A query with this text.
+/// Encodes a `Query` message with this text.
 pub fn query(text: &str) -> Vec<u8> {
     message(QUERY, &[text.as_bytes(), b"\0"].concat())
 }
 
-/// Says that the next query may come.
+/// Encodes a `ReadyForQuery` message outside of a transaction.
 pub fn ready() -> Vec<u8> {
     message(READY, b"I")
 }
 
-/// The reply of a server to a startup message.
+/// Encodes a server's reply to a startup message, up to `ReadyForQuery`.
 pub fn startup_reply() -> Vec<u8> {
     [
         message(b'R', &[0; 4]),
@@ -59,14 +60,14 @@
     .concat()
 }
 
-/// The reply with one row of one column, from its description to the ready message.
+/// Encodes a result of one row with one column, from `RowDescription` to `ReadyForQuery`.
 pub fn value_reply(bytes: &[u8]) -> Vec<u8> {
     let mut column = vec![0, 1];
     column.extend(b"body\0");
-    column.extend([0, 0, 0, 0, 0, 0]); // no table, no column of it
+    column.extend([0, 0, 0, 0, 0, 0]); // table and column number: none
     column.extend(BYTEA.to_be_bytes());
-    column.extend([0xff; 6]); // of any length, no modifier
-    column.extend([0, 1]); // binary
+    column.extend([0xff; 6]); // type size: variable; type modifier: none
+    column.extend([0, 1]); // format: binary
     let mut row = vec![0, 1];
     row.extend((bytes.len() as u32).to_be_bytes());
     row.extend(bytes);
@@ -79,45 +80,48 @@
     .concat()
 }
 
-/// The reply with an error of this code.
+/// Encodes an `ErrorResponse` with this SQLSTATE code, followed by `ReadyForQuery`.
 pub fn error_reply(code: &str, text: &str) -> Vec<u8> {
     let body = format!("SERROR\0VERROR\0C{code}\0M{text}\0\0");
     [message(ERROR, body.as_bytes()), ready()].concat()
 }
 
-/// The field of an error or notice.
+/// Returns the field with this type of an `ErrorResponse` or `NoticeResponse` body; `None` if it is
+/// absent.
 pub fn error_field(body: &[u8], name: u8) -> Option<String> {
     let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&name))?;
     Some(String::from_utf8_lossy(&field[1..]).into_owned())
 }
 
-/// Reads the startup message; how many bytes it took.
+/// Reads the startup message and returns its length in bytes.
 pub async fn read_startup(stream: &mut Async<TcpStream>) -> io::Result<usize> {
     let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length).await?;
-    let mut rest = vec![0; limited(body_length(length)?)?];
+    let mut rest = vec![0; check_body_limit(body_length(length)?)?];
     stream.read_exact(&mut rest).await?;
     Ok(LENGTH_BYTES + rest.len())
 }
 
-/// Reads the next message: its tag and its body.
+/// Reads the next message and returns its tag and body.
 pub async fn read(stream: &mut Async<TcpStream>) -> io::Result<(u8, Vec<u8>)> {
     let mut header = [0; HEADER_BYTES];
     stream.read_exact(&mut header).await?;
     let [tag, length @ ..] = header;
-    let mut body = vec![0; limited(body_length(length)?)?];
+    let mut body = vec![0; check_body_limit(body_length(length)?)?];
     stream.read_exact(&mut body).await?;
     Ok((tag, body))
 }
 
-/// The length of a body whose message has this length field, which counts itself.
+/// Returns the length of a message body from the message's length field, which counts itself.
+///
+/// Fails with [`io::ErrorKind::InvalidData`] if the field is smaller than its own size.
 pub fn body_length(length: [u8; LENGTH_BYTES]) -> io::Result<usize> {
     let length = u32::from_be_bytes(length) as usize;
     let body = length.checked_sub(LENGTH_BYTES);
     body.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-fn limited(length: usize) -> io::Result<usize> {
+fn check_body_limit(length: usize) -> io::Result<usize> {
     if length < MAX_BODY {
         Ok(length)
     } else {
@@ -125,13 +129,13 @@
     }
 }
 
-/// The names and values in the comment of a statement.
+/// Iterates over the names and values in the last comment of a statement.
 pub fn comment_fields(statement: &str) -> impl Iterator<Item = (&str, &str)> {
-    let inside = statement
+    let comment = statement
         .rsplit_once("/*")
         .and_then(|(_, c)| c.split_once("*/"))
         .map_or("", |(c, _)| c);
-    inside
+    comment
         .split(',')
         .filter_map(|pair| pair.trim().split_once('='))
 }
--- a/crates/testkit/src/platform/mod.rs
+++ b/crates/testkit/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! A fake platform: tells of the newest build, takes votes, and carries a build through its stages
-//! by the clock.
+//! A fake rollout platform: publishes the status of the newest build, accepts votes, and moves a
+//! build through timed stages.
 
 mod rollout_status;
 mod service;
@@ -17,27 +17,27 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often the platform pings those who watch.
+/// Interval at which the platform pings its subscribers.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a rollout looks whether it is held or rolled back.
+/// Interval at which a rollout checks whether it is held or rolled back.
 const ROLLOUT_TICK: Duration = Duration::from_millis(50);
-/// How old the counts are that the platform reports, in milliseconds.
+/// Age of the counts that the platform reports, in milliseconds.
 const COUNTS_LAG_MS: u64 = 500;
 
-/// How a build is rolled out.
+/// The plan by which a build is rolled out.
 #[derive(Clone, Debug)]
 pub struct StagedRollout {
-    /// The build.
+    /// The number of the build.
     pub build: u32,
-    /// The cap of each stage: share of requests that may go to the build.
+    /// For each stage the cap: the share of requests, 0 to 1, that may go to the build.
     pub caps: Vec<f64>,
-    /// How long each stage lasts, without holds.
+    /// How long each stage lasts, not counting holds.
     pub stage_duration: Duration,
 }
 
 struct State {
     service: RolloutService,
-    notifications: Vec<Value>, // in their order
+    notifications: Vec<Value>, // in order of publication
     silent: bool,
     connections: usize,
 }
@@ -65,17 +65,17 @@
     }
 }
 
-/// A fake platform. It stops when it is dropped.
+/// A fake platform. Dropping it closes its listener and stops its pings.
 pub struct Platform {
     shared: Arc<Shared>,
     open: Arc<TerminationSignal>,
-    /// Where it listens.
+    /// The address on which the platform listens.
     pub address: SocketAddr,
     _tasks: Vec<Task<()>>,
 }
 
 impl Platform {
-    /// Starts a platform with this status of the newest build.
+    /// Starts a platform that publishes this status of the newest build.
     pub fn start(rollout_status: RolloutStatus) -> io::Result<Platform> {
         let state = State {
             service: RolloutService::new(rollout_status),
@@ -88,9 +88,9 @@
             changed: Event::new(),
         });
         let open = Arc::<TerminationSignal>::default();
-        let served = shared.clone();
+        let server_state = shared.clone();
         let serve = move |stream| {
-            let shared = served.clone();
+            let shared = server_state.clone();
             shared.state().connections += 1;
             async move {
                 let _ = session::serve(&shared, stream).await;
@@ -106,25 +106,26 @@
         })
     }
 
-    /// Sets the status of the newest build and notifies all of it.
+    /// Sets the status of the newest build and notifies all subscribers.
     pub fn set_rollout_status(&self, rollout_status: RolloutStatus) {
         self.shared.set_rollout_status(rollout_status);
     }
 
-    /// The status of the newest build.
+    /// Returns the status of the newest build.
     pub fn current_rollout(&self) -> RolloutStatus {
         self.shared.state().service.rollout_status.clone()
     }
 
-    /// Notifies of a client that found an answer of this endpoint wrong, so long ago.
+    /// Notifies subscribers of a client-reported error: a client found an answer of this endpoint
+    /// wrong, `age` ago.
     pub fn report_client_error(&self, endpoint: &str, class: &str, age: Duration) {
         let lag = age.as_millis() as u64;
         let params = json!({"host": endpoint, "type": class, "lag_ms": lag});
         self.shared.notify("DISPUTE", params);
     }
 
-    /// Notifies of what was counted of a build and class in a sample of all attempts: `bad` of `n`
-    /// did not succeed, and they took so long in the mean.
+    /// Notifies subscribers of platform counts for a build and class, from a sample of all attempts:
+    /// `bad` of `n` attempts did not succeed, and `latency` is their mean latency.
     pub fn report_counts(&self, build: u32, class: &str, n: u32, bad: u32, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         let params = json!({
@@ -138,29 +139,29 @@
         self.shared.notify("SAMPLE", params);
     }
 
-    /// Whether it sends no pings.
+    /// Sets whether the platform omits its pings.
     pub fn set_silent(&self, silent: bool) {
         self.shared.state().silent = silent;
     }
 
-    /// How many connections were opened to it.
+    /// Returns how many connections were opened so far.
     pub fn connections(&self) -> usize {
         self.shared.state().connections
     }
 
-    /// Ends all connections.
+    /// Closes all open connections.
     pub fn close_connections(&self) {
         self.open.end();
     }
 
-    /// The votes that came: when, and their parameters.
+    /// Returns the votes received so far, each with its time and its call parameters.
     pub fn votes(&self) -> Vec<(Instant, Value)> {
         self.shared.state().service.votes.clone()
     }
 
-    /// Takes a build through its stages by the clock, which stands still while a vote to hold
-    /// lasts. A vote to roll back ends it. `on_stage` is called at the beginning of each stage,
-    /// with its index and its cap.
+    /// Runs a staged rollout in the background. The stage timer is paused while a vote to hold is in
+    /// force, and a vote to roll back ends the rollout. `on_stage` is called at the start of each
+    /// stage with its index and its cap.
     pub fn run_rollout(
         &self,
         rollout: StagedRollout,
@@ -190,17 +191,17 @@
     RolledBack,
 }
 
-/// Waits until a stage has run for so long, without holds, or was rolled back.
+/// Waits until a stage has run for `duration`, not counting holds, or the build is rolled back.
 async fn run_stage(shared: &Shared, duration: Duration) -> StageEnd {
-    let mut ran = Duration::ZERO;
-    while ran < duration {
+    let mut elapsed = Duration::ZERO;
+    while elapsed < duration {
         sleep(ROLLOUT_TICK).await;
         let state = shared.state();
         if state.service.rollout_status.phase == "rolling_back" {
             return StageEnd::RolledBack;
         }
         if !state.service.is_held() {
-            ran += ROLLOUT_TICK;
+            elapsed += ROLLOUT_TICK;
         }
     }
     StageEnd::Completed
--- a/crates/testkit/src/platform/rollout_status.rs
+++ b/crates/testkit/src/platform/rollout_status.rs
@@ -1,25 +1,25 @@
-//! What the platform says of the newest build, as the wire has it.
+//! The platform's status of the newest build, and its wire format.
 
 use serde_json::{json, Value};
 use std::time::Instant;
 
-/// What the platform says of the newest build.
+/// The platform's status of the newest build.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStatus {
-    /// The build.
+    /// The number of the build.
     pub build: u32,
-    /// The stage that it is in, from 0.
+    /// The index of the current stage.
     pub stage: usize,
-    /// `trial`, `rolling_back`, `released` or `withdrawn`.
+    /// The phase as the wire spells it: `trial`, `rolling_back`, `released` or `withdrawn`.
     pub phase: String,
-    /// Share of requests that may go to it.
+    /// The share of requests, 0 to 1, that may go to the build.
     pub cap: f64,
-    /// When this came to be.
+    /// When the build entered this status.
     pub since: Instant,
 }
 
 impl RolloutStatus {
-    /// A status that holds from now on.
+    /// Creates a status that begins now.
     pub fn now(build: u32, stage: usize, phase: &str, cap: f64) -> RolloutStatus {
         RolloutStatus {
             build,
@@ -30,24 +30,24 @@
         }
     }
 
-    /// In the form of a configuration's `deployer.news`.
+    /// Returns the status in the form of a configuration's `deployer.news`, with its age as of now.
     pub fn value(&self) -> Value {
         self.value_at(Instant::now())
     }
 
-    /// The same as it is sent at another time.
+    /// Returns the status in the form of a configuration's `deployer.news`, with its age as of `now`.
     pub fn value_at(&self, now: Instant) -> Value {
         json!({"image": self.build, "ring": self.stage, "progress": self.phase, "ceiling": self.cap,
             "lag_ms": now.saturating_duration_since(self.since).as_millis() as u64})
     }
 
-    /// The notification of it.
+    /// Returns the JSON-RPC notification of this status, with its age as of `now`.
     pub fn notification(&self, now: Instant) -> Value {
         notification("ROLLOUT", self.value_at(now))
     }
 }
 
-/// A notification of the platform, as JSON-RPC.
+/// Builds a JSON-RPC notification, which is a call without an id.
 pub fn notification(method: &str, params: Value) -> Value {
     json!({"jsonrpc": "2.0", "method": method, "params": params})
 }
--- a/crates/testkit/src/platform/service.rs
+++ b/crates/testkit/src/platform/service.rs
@@ -1,30 +1,31 @@
-//! The calls that the platform takes, and what it knows of the newest build. Without sockets.
+//! The platform's handling of calls and its state of the newest build, without sockets.
 
 use super::RolloutStatus;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// How long a vote to hold lasts.
+/// How long a vote to hold stays in force.
 const HOLD_DURATION: Duration = Duration::from_secs(10);
-/// JSON-RPC's code for invalid parameters.
+/// The JSON-RPC error code for invalid parameters.
 const INVALID_PARAMS: i32 = -32602;
 
 /// The platform's side of a rollout: its status, and the votes on it.
 pub struct RolloutService {
     /// The status of the newest build.
     pub rollout_status: RolloutStatus,
-    /// The votes that came: when, and their parameters.
+    /// The votes received so far, stale ones included, each with its time and its call parameters.
     pub votes: Vec<(Instant, Value)>,
-    last_hold: Option<Instant>, // the last vote to hold, unless it was withdrawn
+    last_hold: Option<Instant>, // the last vote to hold; `None` if there was none or it was withdrawn
 }
 
-/// What becomes of a call.
+/// The result of a call.
 pub struct CallResult {
-    /// The reply, as JSON-RPC.
+    /// The JSON-RPC reply.
     pub reply: Value,
-    /// The caller asks for notifications.
+    /// Whether the call subscribes the caller to notifications.
     pub subscribes: bool,
-    /// The status that the call has brought about, of which all are to be notified.
+    /// The status that the call changed, which must be sent to all subscribers; `None` if the call
+    /// changed nothing.
     pub rollout_status: Option<RolloutStatus>,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl RolloutService {
-    /// A service without votes.
+    /// Creates a service that has received no votes.
     pub fn new(rollout_status: RolloutStatus) -> RolloutService {
         RolloutService {
             rollout_status,
@@ -63,7 +64,7 @@
             .is_some_and(|at| at.elapsed() < HOLD_DURATION)
     }
 
-    /// Handles a call.
+    /// Handles a JSON-RPC call that was received at `now`.
     pub fn handle_call(&mut self, now: Instant, call: &Value) -> CallResult {
         let id = &call["id"];
         match call["method"].as_str() {
--- a/crates/testkit/src/platform/session.rs
+++ b/crates/testkit/src/platform/session.rs
@@ -1,4 +1,4 @@
-//! One connection to the fake platform: calls, and notifications once they were asked for.
+//! Serves one connection to the fake platform: calls, and notifications after a subscription.
 
 use super::{notification, Shared};
 use async_io::Async;
@@ -11,19 +11,19 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// What a session goes on with.
+/// The next thing that a session handles.
 enum Input {
-    /// A line, empty at the end of the connection.
+    /// A line from the caller; empty at the end of the connection.
     Line(String),
-    /// There are notifications to send.
+    /// Notifications are waiting to be sent.
     Notifications,
 }
 
 struct Session<'a> {
     shared: &'a Shared,
     stream: Arc<Async<TcpStream>>,
-    /// Notifications that were sent here, once they were asked for.
-    notified: Option<usize>,
+    /// Index of the next notification to send; `None` until the caller subscribes.
+    next_notification: Option<usize>,
 }
 
 /// Serves a connection until the caller or this side closes it.
@@ -33,7 +33,7 @@
     let mut session = Session {
         shared,
         stream: stream.clone(),
-        notified: None,
+        next_notification: None,
     };
     loop {
         match session.next_input(&mut lines).await? {
@@ -48,11 +48,11 @@
     async fn next_input(&self, lines: &mut BufReader<&Async<TcpStream>>) -> io::Result<Input> {
         let mut line = String::new();
         let read = async { lines.read_line(&mut line).await.map(Some) };
-        let notified = async {
+        let next_notification = async {
             self.wait_for_notifications().await;
             Ok(None)
         };
-        let read = read.or(notified).await?;
+        let read = read.or(next_notification).await?;
         Ok(match read {
             Some(_) => Input::Line(line),
             None => Input::Notifications,
@@ -62,7 +62,7 @@
     async fn wait_for_notifications(&self) {
         loop {
             let listener = self.shared.changed.listen();
-            let sent = self.notified;
+            let sent = self.next_notification;
             if sent.is_some_and(|sent| sent < self.shared.state().notifications.len()) {
                 return;
             }
@@ -77,7 +77,7 @@
             .state()
             .service
             .handle_call(Instant::now(), &call);
-        // The lock is released before anything else takes it.
+        // The lock is released by now: `set_rollout_status` takes it again.
         if let Some(status) = result.rollout_status {
             self.shared.set_rollout_status(status);
         }
@@ -88,20 +88,20 @@
         Ok(())
     }
 
-    /// Notifications are sent from now on, beginning with the status that holds.
+    /// Subscribes the caller to notifications and sends the current status.
     async fn subscribe(&mut self) -> io::Result<()> {
         let status = {
             let state = self.shared.state();
-            self.notified = Some(state.notifications.len());
+            self.next_notification = Some(state.notifications.len());
             state.service.rollout_status.value()
         };
         self.send(&notification("ROLLOUT", status)).await
     }
 
     async fn send_notifications(&mut self) -> io::Result<()> {
-        let from = self.notified.unwrap_or_default();
+        let from = self.next_notification.unwrap_or_default();
         let new: Vec<Value> = self.shared.state().notifications[from..].to_vec();
-        self.notified = Some(from + new.len());
+        self.next_notification = Some(from + new.len());
         for notification in new {
             self.send(&notification).await?;
         }
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -1,35 +1,35 @@
-//! What discovery knows, without sockets: the endpoints, each with the version of its last change,
-//! and the documents that the wire has of them.
+//! The state of the fake discovery service, without sockets: the endpoints, each with the version of
+//! its last change, and the JSON documents that describe them.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One endpoint of the list.
+/// One endpoint of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its id.
+    /// The endpoint's unique id.
     pub id: String,
-    /// By zone of the caller.
+    /// The endpoint's addresses, by index of the caller's zone.
     pub addresses: Vec<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// Its cell.
+    /// The number of the endpoint's cell.
     pub cell: u64,
-    /// `in_service`, `terminating` or `terminated`.
+    /// The state as the wire spells it: `in_service`, `terminating` or `terminated`.
     pub state: String,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// Start time as Unix time in milliseconds; 0 for an endpoint that is past its slow start.
     pub started_ms: u64,
-    /// The build that it runs.
+    /// The number of the build that the endpoint runs.
     pub build: u32,
 }
 
-/// The endpoints by id.
+/// The listed endpoints by id, with versions.
 pub struct Registry {
-    /// Of the last change; 1 before any.
+    /// The version of the last change; 1 before the first.
     pub version: u64,
-    entries: BTreeMap<String, (u64, Entry)>, // with the version of its last change
+    entries: BTreeMap<String, (u64, Entry)>, // each with the version of its last change
 }
 
 impl Default for Registry {
@@ -42,7 +42,7 @@
 }
 
 impl Registry {
-    /// Changes or adds entries. One version for all of them.
+    /// Adds or replaces entries under one new version.
     pub fn update(&mut self, entries: impl IntoIterator<Item = Entry>) {
         self.version += 1;
         for e in entries {
@@ -50,24 +50,25 @@
         }
     }
 
-    /// The entry of this id.
+    /// Returns the entry with this id; `None` if there is none.
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.entries.get(id).map(|(_, e)| e)
     }
 
-    /// All entries, by id.
+    /// Iterates over all entries, terminated ones included, ordered by id.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().map(|(_, e)| e)
     }
 
-    /// The whole list for callers of zone `from`. It lacks what is terminated.
+    /// Returns the full list for callers in zone `from`, without terminated endpoints.
     pub fn full_list(&self, from: usize) -> Value {
-        let there = self.entries().filter(|e| e.state != "terminated");
-        let servers: Vec<Value> = there.map(|e| entry(e, from)).collect();
+        let listed = self.entries().filter(|e| e.state != "terminated");
+        let servers: Vec<Value> = listed.map(|e| entry(e, from)).collect();
         json!({"version": self.version, "full": true, "servers": servers})
     }
 
-    /// What has changed since this version.
+    /// Returns the entries changed after version `after`, for callers in zone `from`. Terminated
+    /// endpoints are included.
     pub fn changes_since(&self, after: u64, from: usize) -> Value {
         let newer = self.entries.values().filter(|(v, _)| *v > after);
         let changed: Vec<Value> = newer.map(|(_, e)| entry(e, from)).collect();
@@ -89,8 +90,8 @@
     })
 }
 
-/// The version that a watch names and how long it may wait; nothing where the whole list is asked
-/// for.
+/// Returns the version that a watch names and how long it may wait; `None` for a request of the full
+/// list.
 pub fn parse_watch(path: &str) -> Option<(u64, Duration)> {
     let query = path.split_once('?').map_or("", |(_, q)| q);
     let named = |name: &str| -> Option<u64> {
@@ -101,7 +102,7 @@
     named("after").map(|after| (after, Duration::from_millis(named("wait_ms").unwrap_or(0))))
 }
 
-/// The HTTP answer with this body.
+/// Formats an HTTP response with this JSON body.
 pub fn http_response(body: &Value) -> String {
     let body = body.to_string();
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length:";
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -1,5 +1,5 @@
-//! The thread on which all fakes of a process run, and what they share: tasks, locks, listeners. It
-//! is not a thread of the agent, so the time that fakes take is their own.
+//! The executor thread on which all fakes of a process run, and shared helpers for tasks, locks and
+//! listeners. The agent does not run on this thread, so work done by the fakes does not delay it.
 
 use async_executor::{Executor, Task};
 use async_io::{Async, Timer};
@@ -12,29 +12,30 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what must come, at most. Generous: no figure depends on it.
+/// Upper limit on a test's wait for an expected event. No measured figure depends on it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A free port on the loopback address.
+/// The loopback address with port 0, for which the system chooses a free port.
 pub const ANY_PORT: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0));
 
-/// How soon a listener that could not accept (no descriptors are left) tries again.
+/// Delay before a listener retries a failed accept, for instance when no file descriptors are left.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
-/// How often a test looks whether what it waits for holds.
+/// Interval at which [`wait_until`] checks its condition.
 const WAIT_POLL: Duration = Duration::from_millis(2);
 
 static EXECUTOR: Executor<'static> = Executor::new();
 static THREAD: OnceLock<()> = OnceLock::new();
-/// How many [`BusyPolling`] live.
-static POLLERS: AtomicUsize = AtomicUsize::new(0);
-static POLLERS_CHANGED: Event = Event::new();
+/// Number of live [`BusyPolling`] guards.
+static BUSY_POLLING_GUARDS: AtomicUsize = AtomicUsize::new(0);
+static BUSY_POLLING_CHANGED: Event = Event::new();
 
-/// Runs this in the background, until it ends or the task is dropped.
+/// Runs a future in the background until it completes or the returned task is dropped.
 pub fn spawn<T: Send + 'static>(work: impl Future<Output = T> + Send + 'static) -> Task<T> {
     THREAD.get_or_init(|| {
-        // It waits for events itself: a helper thread would have to be woken before it.
-        let run = || async_io::block_on(EXECUTOR.run(poll_while_wanted()));
-        // Without a thread nothing here would ever answer; the tests then say so.
+        // This thread waits for I/O events itself. With a separate I/O thread, that thread would have
+        // to be woken first.
+        let run = || async_io::block_on(EXECUTOR.run(poll_while_requested()));
+        // If the thread cannot be started, no fake ever responds and the tests time out.
         let _ = std::thread::Builder::new()
             .name("testkit".into())
             .spawn(run);
@@ -42,31 +43,30 @@
     EXECUTOR.spawn(work)
 }
 
-/// While one of these lives the thread of the fakes looks for events all the time in place of
-/// sleeping until one comes, so that none of them is late by the wake-up of an idle core. It takes
-/// a core whole: for measurements of latency.
+/// A guard that keeps the fakes' thread busy-polling for events instead of sleeping, so that no event
+/// is delayed by the wake-up of an idle core. Uses one core fully; meant for latency measurements.
 pub struct BusyPolling(());
 
 impl BusyPolling {
-    /// Begins to look for events all the time.
+    /// Starts busy polling, which lasts until all guards are dropped.
     pub fn begin() -> BusyPolling {
-        POLLERS.fetch_add(1, Ordering::SeqCst);
-        POLLERS_CHANGED.notify(usize::MAX);
+        BUSY_POLLING_GUARDS.fetch_add(1, Ordering::SeqCst);
+        BUSY_POLLING_CHANGED.notify(usize::MAX);
         BusyPolling(())
     }
 }
 
 impl Drop for BusyPolling {
     fn drop(&mut self) {
-        POLLERS.fetch_sub(1, Ordering::SeqCst);
+        BUSY_POLLING_GUARDS.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Keeps the thread awake while there is any [`BusyPolling`].
-async fn poll_while_wanted() -> Infallible {
+/// Keeps the thread awake while a [`BusyPolling`] guard is live.
+async fn poll_while_requested() -> Infallible {
     loop {
-        let changed = POLLERS_CHANGED.listen();
-        if POLLERS.load(Ordering::SeqCst) == 0 {
+        let changed = BUSY_POLLING_CHANGED.listen();
+        if BUSY_POLLING_GUARDS.load(Ordering::SeqCst) == 0 {
             changed.await;
         } else {
             drop(changed);
@@ -75,17 +75,19 @@
     }
 }
 
-/// What a lock holds, also after a holder has panicked: a test that failed must not fail the
-/// others.
-pub fn lock_unpoisoned<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+/// Locks a mutex even if it is poisoned, so that a panic in one test does not fail the others.
+pub fn lock_unpoisoned<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Waits until this holds, looking every few milliseconds; whether it did within [`TEST_TIMEOUT`].
-pub fn wait_until(mut holds: impl FnMut() -> bool) -> bool {
-    let begun = Instant::now();
-    while !holds() {
-        if begun.elapsed() > TEST_TIMEOUT {
+/// Waits until the condition holds, checking it every few milliseconds. Returns `false` if it does
+/// not hold within [`TEST_TIMEOUT`].
+pub fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
+    let started = Instant::now();
+    while !condition() {
+        if started.elapsed() > TEST_TIMEOUT {
             return false;
         }
         std::thread::sleep(WAIT_POLL);
@@ -93,7 +95,8 @@
     true
 }
 
-/// Ends connections, again and again: each end is for those that were accepted before it.
+/// A reusable signal that terminates connections. Each signal applies to the connections that were
+/// accepted before it.
 #[derive(Default)]
 pub struct TerminationSignal {
     count: AtomicU64,
@@ -101,18 +104,18 @@
 }
 
 impl TerminationSignal {
-    /// How many ends there were.
+    /// Returns how many times [`TerminationSignal::end`] was called.
     pub fn count(&self) -> u64 {
         self.count.load(Ordering::SeqCst)
     }
 
-    /// Ends all connections that are open now.
+    /// Terminates all connections that are open now.
     pub fn end(&self) {
         self.count.fetch_add(1, Ordering::SeqCst);
         self.event.notify(usize::MAX);
     }
 
-    /// Ready once there were other ends than `seen`.
+    /// Completes once the count differs from `seen`.
     pub async fn ended(&self, seen: u64) {
         loop {
             let listener = self.event.listen();
@@ -124,8 +127,8 @@
     }
 }
 
-/// A listener on a free loopback port; each connection is served by a task of its own until
-/// `signal` ends it. Returns its address and the task that listens.
+/// Listens on a free loopback port. Each connection is served by a task of its own until `signal`
+/// terminates it. Returns the address and the task that accepts connections.
 pub fn listen<F>(
     signal: &Arc<TerminationSignal>,
     serve: impl Fn(Async<TcpStream>) -> F + Send + 'static,
@@ -136,7 +139,7 @@
     listen_at(ANY_PORT, signal, serve)
 }
 
-/// The same at a given address.
+/// Listens on the given address. Otherwise like [`listen`].
 pub fn listen_at<F>(
     address: SocketAddr,
     signal: &Arc<TerminationSignal>,
@@ -171,15 +174,16 @@
     }
 }
 
-/// The listeners of a fake server.
+/// The listeners of a fake server, one for each zone.
 pub struct Listeners {
-    /// Where they listen, by zone.
+    /// The address of each listener, by zone.
     pub addresses: Vec<SocketAddr>,
-    /// They listen until these are dropped.
+    /// The tasks that accept connections. Dropping a task closes its listener.
     pub tasks: Vec<Task<()>>,
 }
 
-/// Listens at an address for each zone; `serve` gets the caller's zone with each connection.
+/// Listens on one address for each zone. `serve` gets the index of the caller's zone with each
+/// connection.
 pub fn listen_by_zone<F>(
     addresses: &[SocketAddr],
     signal: &Arc<TerminationSignal>,
@@ -201,9 +205,9 @@
     Ok(listeners)
 }
 
-/// Sleeps for a span; not at all for none.
-pub async fn sleep(span: Duration) {
-    if !span.is_zero() {
-        Timer::after(span).await;
+/// Sleeps for `duration`. Returns at once, without yielding, if it is zero.
+pub async fn sleep(duration: Duration) {
+    if !duration.is_zero() {
+        Timer::after(duration).await;
     }
 }
--- a/crates/testkit/src/scripted_server.rs
+++ b/crates/testkit/src/scripted_server.rs
@@ -1,4 +1,4 @@
-//! A server that sends fixed bytes on each connection: for what no fake would send.
+//! A server that sends fixed bytes on each connection, for replies that no fake sends.
 
 use crate::runtime::{self, TerminationSignal};
 use async_executor::Task;
@@ -8,21 +8,21 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 
-/// Bytes of the first request that are read, at most.
+/// Upper limit on the bytes of a request that are read.
 const MAX_REQUEST: usize = 1024;
 
 /// A server that answers the first request of each connection with fixed bytes.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The first request of each connection.
+    /// Receives the first request of each connection, in order of arrival.
     pub requests: Receiver<String>,
     _task: Task<()>,
 }
 
 impl ScriptedServer {
-    /// Sends `reply` on each connection once anything was received there, and nothing more; the
-    /// connection stays open.
+    /// Starts a server that sends `reply` once on each connection, after it has received any data
+    /// there. The connection then stays open.
     pub fn start(reply: &str) -> io::Result<ScriptedServer> {
         let (sender, requests) = channel();
         let reply = reply.to_owned();
@@ -45,7 +45,7 @@
         })
     }
 
-    /// An HTTP answer with this body.
+    /// Formats an HTTP response with this body.
     pub fn http_response(body: &str) -> String {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/testkit/tests/checks.rs
+++ b/crates/testkit/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each checker catches a break of its rule, and passes what is just within it.
+//! Each checker reports a violation of its rule and accepts the limiting case that is still allowed.
 
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, EndpointState, Idempotency};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn rule_1_wants_one_answer_in_time_and_nothing_after_it() {
+fn rule_1_requires_one_answer_in_time_and_no_attempt_after_it() {
     let mut check = AnswerCheck::new(7, 1, DEADLINE);
     assert_eq!(check.on_send(), None);
     assert_eq!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn rule_1_excuses_an_agent_that_has_just_stalled() {
+fn rule_1_tolerates_a_late_answer_right_after_a_stall() {
     let now = DEADLINE + at(5);
     let mut check = AnswerCheck::new(7, 1, DEADLINE);
     assert_eq!(check.on_decision(now, now - ANSWER_SLACK), None);
@@ -62,13 +62,14 @@
     }
 }
 
-/// Runs a request at endpoint 0 and, so much later, at `other`; endpoints below 10 are in zone 0.
+/// Runs a request at endpoint 0 and, `later` after that, at endpoint `other`. Returns whether the
+/// checker reports it. Endpoints below 10 are in zone 0.
 fn runs_twice(idempotency: Idempotency, later: Duration, other: usize) -> bool {
     let mut check = RepeatCheck::default();
     let zone_of = |endpoint: usize| endpoint / 10;
     assert_eq!(check.on_run(at(1), checked(idempotency), 0, zone_of), []);
-    let found = check.on_run(at(1) + later, checked(idempotency), other, zone_of);
-    found
+    let violations = check.on_run(at(1) + later, checked(idempotency), other, zone_of);
+    violations
         == [Violation::RanTwice {
             request: 7,
             class: 1,
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn rule_2_catches_repetitions_that_no_endpoint_recognizes() {
+fn rule_2_reports_repetitions_that_are_not_deduplicated() {
     let window = at(3);
     let keyed = |scope| Idempotency::Keyed { scope, window };
     let latest = window + ANSWER_SLACK;
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn rule_2_catches_a_rejection_of_what_has_run() {
+fn rule_2_reports_a_rejection_of_a_request_that_has_run() {
     let payment = checked(Idempotency::NonIdempotent);
     let mut check = RepeatCheck::default();
     assert_eq!(check.on_reject(payment), None);
@@ -101,11 +102,11 @@
 }
 
 #[test]
-fn rule_3_catches_an_attempt_past_the_grace_of_a_drain() {
+fn rule_3_reports_an_attempt_after_the_drain_grace_period() {
     let draining = EndpointState::Draining;
     let mut check = DrainCheck::default();
     check.on_notice(at(1), 4, draining);
-    // A second notice doesn't extend the grace.
+    // A second notice does not extend the grace period.
     check.on_notice(at(2), 4, EndpointState::Gone);
     let latest = at(1) + DRAIN_GRACE;
     assert_eq!(check.on_send(latest, 7, 4, draining), None);
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn rule_4_catches_overload_within_the_window_of_a_slow_start_only() {
+fn rule_4_reports_overload_only_during_slow_start_and_within_its_window() {
     let (window, slow_start) = (at(2), at(4));
     let (work, capacity) = (0.01, 1.0);
     let first_violation = |started: Option<Duration>, gap: Duration| {
@@ -133,30 +134,47 @@
             check.on_work(now, started, work, capacity).is_some()
         })
     };
-    // Four times two core-seconds, and 0.9 for the scatter of drawn work.
+    // Four times two core-seconds, plus 0.9 for the variation of the drawn work.
     let burst = first_violation(Some(at(10)), Duration::ZERO);
     assert!(burst.is_some_and(|n| (890..895).contains(&n)), "{burst:?}");
-    assert_eq!(first_violation(None, Duration::ZERO), None, "long up");
+    assert_eq!(
+        first_violation(None, Duration::ZERO),
+        None,
+        "past its slow start"
+    );
     let warm = Some(at(10) - slow_start);
-    assert_eq!(first_violation(warm, Duration::ZERO), None, "warm by now");
-    // 3.3 core-seconds a second.
+    assert_eq!(
+        first_violation(warm, Duration::ZERO),
+        None,
+        "slow start just over"
+    );
+    // 3.3 core-seconds per second.
     let spread = first_violation(Some(at(10)), TICK * 3);
-    assert_eq!(spread, None, "spread out");
+    assert_eq!(spread, None, "spread over time");
 }
 
 #[test]
-fn rule_5_catches_what_exceeds_the_cap_and_the_burst() {
+fn rule_5_reports_attempts_beyond_the_cap_and_the_burst() {
     let burst = 2.0;
-    let over = |check: &mut ExposureCheck| check.on_canary_send(3, burst).is_some();
+    let is_reported = |check: &mut ExposureCheck| check.on_canary_send(3, burst).is_some();
     let mut check = ExposureCheck::default();
     check.set_cap(0.5);
-    assert!(!over(&mut check) && !over(&mut check), "the burst");
-    assert!(over(&mut check));
-    // Six requests at a cap of a half pay for the three attempts.
+    assert!(
+        !is_reported(&mut check) && !is_reported(&mut check),
+        "within the burst"
+    );
+    assert!(is_reported(&mut check));
+    // Six requests at a cap of 0.5 offset the three attempts.
     (0..6).for_each(|_| check.on_request());
-    assert!(!over(&mut check) && !over(&mut check) && over(&mut check));
+    assert!(!is_reported(&mut check) && !is_reported(&mut check) && is_reported(&mut check));
     check.set_cap(0.8);
-    assert!(over(&mut check), "a higher cap forgives nothing");
+    assert!(
+        is_reported(&mut check),
+        "raising the cap does not reset the exposure"
+    );
     check.set_cap(0.2);
-    assert!(!over(&mut check), "a lower one counts anew");
+    assert!(
+        !is_reported(&mut check),
+        "lowering the cap resets the exposure"
+    );
 }
--- a/crates/testkit/tests/endpoint.rs
+++ b/crates/testkit/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a fake endpoint counts at its end of the wire.
+//! What a fake endpoint writes and counts when the caller closes the connection early.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -7,9 +7,10 @@
 
 const QUERY: &str = "SELECT body FROM objects WHERE oid = 'a1' /* id=q1,c=view,d=500 */";
 
-/// The order of events is forced: the endpoint cannot draw its response before the caller has gone.
+/// Guards against an answer that is written after the caller has closed its end. The lock enforces
+/// the order: the endpoint cannot draw its response before the caller has closed.
 #[test]
-fn writes_and_counts_nothing_for_a_caller_that_has_gone_by_the_time_of_the_answer() {
+fn writes_and_counts_no_answer_for_a_caller_that_has_already_closed() {
     let behavior = EndpointBehavior {
         work: Duration::ZERO,
         ..EndpointBehavior::default()
@@ -20,7 +21,7 @@
     caller
         .read_exact(&mut vec![0; pg::startup_reply().len()])
         .unwrap();
-    // The endpoint's state is locked meanwhile.
+    // The endpoint's state is locked while the closure runs.
     endpoint.update_behavior(|_| {
         caller.write_all(&pg::query(QUERY)).unwrap();
         caller.shutdown(Shutdown::Write).unwrap();
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn writes_and_counts_nothing_for_a_caller_that_has_gone_before_its_startup_is_answered() {
+fn writes_and_counts_no_startup_reply_for_a_caller_that_has_already_closed() {
     let endpoint = Endpoint::start(1, EndpointBehavior::default(), 1).unwrap();
     let link = Link {
         reply_delay: Duration::from_millis(50),
--- a/crates/testkit/tests/event_queue.rs
+++ b/crates/testkit/tests/event_queue.rs
@@ -1,4 +1,4 @@
-//! The order of events in simulated time.
+//! The order in which the event queue returns events, and its simulated clock.
 
 use std::time::Duration;
 use tulipwall_testkit::simulation::event_queue::EventQueue;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn takes_events_by_time_and_events_of_one_time_as_scheduled() {
+fn pops_events_by_time_and_then_in_scheduling_order() {
     let mut queue = EventQueue::new(START);
     for (seconds, event) in [(30, "c"), (20, "a"), (30, "d"), (20, "b")] {
         queue.schedule(at(seconds), event);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn moves_events_of_the_past_to_now_behind_those_that_are_due() {
+fn reschedules_an_event_in_the_past_to_now_behind_those_already_due() {
     let mut queue = EventQueue::new(START);
     queue.schedule(at(20), "first");
     queue.schedule(at(20), "second");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn leaves_events_after_the_end_in_the_queue() {
+fn does_not_pop_events_after_the_end() {
     let mut queue = EventQueue::new(START);
     queue.schedule(at(40), "last");
     queue.schedule(at(41), "after");
--- a/crates/testkit/tests/platform.rs
+++ b/crates/testkit/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's calls, without sockets.
+//! How the fake platform handles calls, without sockets.
 
 use serde_json::{json, Value};
 use std::time::Instant;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn refuses_votes_on_another_build_or_stage_and_keeps_them() {
+fn rejects_but_records_votes_on_another_build_or_stage() {
     let mut service = service();
     for stale in [vote(41, 1, "abort"), vote(42, 0, "abort")] {
         let result = service.handle_call(Instant::now(), &stale);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_vote_to_abort_rolls_back_and_is_answered_with_the_new_status() {
+fn a_vote_to_abort_rolls_the_build_back_and_returns_the_new_status() {
     let mut service = service();
     let result = service.handle_call(Instant::now(), &vote(42, 1, "abort"));
     assert_eq!(result.reply["id"], 7);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn refuses_what_it_does_not_know() {
+fn rejects_unknown_methods_and_unknown_votes() {
     let mut service = service();
     let unknown = json!({"jsonrpc": "2.0", "id": 1, "method": "Rollout.Other", "params": {}});
     for call in [unknown, vote(42, 1, "perhaps")] {
--- a/crates/testkit/tests/simulation.rs
+++ b/crates/testkit/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Links, draws, and whole simulations that break a rule on purpose.
+//! Links, random draws, and simulations whose injected faults must be reported as violations.
 
 use std::time::Duration;
 use tulipwall::{EndpointState, Idempotency};
@@ -21,13 +21,13 @@
     Simulation::small(agents, endpoints, 200.0, Duration::from_secs(10), seed)
 }
 
-fn breaks(report: &SimulationReport, rule: &str) -> bool {
+fn violates(report: &SimulationReport, rule: &str) -> bool {
     let mut violations = report.violations.iter();
     violations.any(|violation| violation.to_string().starts_with(rule))
 }
 
 #[test]
-fn a_link_has_a_delay_each_way_and_loses_only_between_zones() {
+fn a_link_has_a_delay_per_direction_and_loses_messages_only_between_zones() {
     let delays = vec![vec![ms(1), ms(2)], vec![ms(5), ms(1)]];
     let mut network = Network::new(delays, 1.0);
     assert_eq!(network.round_trip(0, 1), ms(7));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_link_that_loses_nothing_draws_nothing() {
+fn a_link_without_loss_makes_no_random_draw() {
     let network = Network::new(vec![vec![ms(1); 2]; 2], 0.0);
     let mut random = Random::new(1);
     assert!(!network.loses(0, 1, &mut random));
@@ -58,34 +58,34 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_decisions_and_other_seeds_do_not() {
+fn equal_seeds_give_equal_decisions_and_different_seeds_do_not() {
     let digest = |seed| two_agents(seed).run().digest;
     assert_eq!(digest(1), digest(1));
     assert_ne!(digest(1), digest(2));
 }
 
 #[test]
-fn a_sound_simulation_breaks_no_rule_and_answers_everything() {
+fn a_simulation_without_faults_violates_no_rule_and_answers_every_request() {
     let report = two_agents(1).run();
     assert_eq!((report.violations, report.unanswered), (Vec::new(), 0));
     assert!(report.requests > 1000 && report.succeeded == report.requests);
 }
 
 #[test]
-fn an_agent_that_thinks_payments_idempotent_breaks_rule_2() {
+fn an_agent_that_treats_payments_as_idempotent_violates_rule_2() {
     let mut simulation = two_agents(1);
     let faults = &mut simulation.injected_faults;
     faults.idempotency.insert(2, Idempotency::Idempotent);
     let failing = ScenarioEvent::SetFailureRate(0, 0.8);
     simulation.events.push((Duration::from_secs(1), failing));
-    assert!(breaks(&simulation.run(), "rule 2"));
+    assert!(violates(&simulation.run(), "rule 2"));
 }
 
 #[test]
-fn an_agent_that_is_not_told_of_a_drain_breaks_rule_3() {
+fn an_agent_that_is_not_notified_of_a_drain_violates_rule_3() {
     let mut simulation = two_agents(1);
     simulation.injected_faults.hide_drains = true;
     let drains = ScenarioEvent::SetState(0, EndpointState::Draining);
     simulation.events.push((Duration::from_secs(2), drains));
-    assert!(breaks(&simulation.run(), "rule 3"));
+    assert!(violates(&simulation.run(), "rule 3"));
 }
