--- a/crates/testkit/src/simulation/agent.rs
+++ b/crates/testkit/src/simulation/agent.rs
@@ -1,4 +1,4 @@
-//! A simulated agent: the real balancer and zones, with what its requests are up to.
+//! A simulated agent: the real balancer and zones, with the state of the agent's requests.
 
 use super::checks::{AnswerCheck, DrainCheck, ExposureCheck};
 use super::client::ClientRequest;
@@ -9,31 +9,31 @@
 use tulipwall_client_policy::{RetryController, RetryPolicy};
 use tulipwall_zones::{Reservation, Zones};
 
-/// Spreads the seeds of agents.
+/// Multiplier of the simulation's seed, so that agents of different simulations get different seeds.
 const SEED_STRIDE: u64 = 1_000_003;
 
 pub(super) struct Agent {
     pub zone: usize,
     pub balancer: Balancer,
     pub zones: Option<Zones>,
-    /// The retry policy of its clients.
+    /// The retry controller of the agent's clients.
     pub retries: RetryController,
     pub open: BTreeMap<u64, OpenRequest>,
     pub stalled_until: Duration,
-    /// By endpoint: whether a connection is open to it.
+    /// Whether a connection is open, by endpoint.
     pub connected: Vec<bool>,
     pub drains: DrainCheck,
     pub exposure: ExposureCheck,
     next_request: u64,
 }
 
-/// A request that has no answer yet, or attempts that have not ended.
+/// A request that is not yet answered or that has attempts in flight.
 pub(super) struct OpenRequest {
     pub class: usize,
     pub received: Duration,
     pub attempts: Vec<SimulatedAttempt>,
     pub answer: AnswerCheck,
-    /// When the balancer is asked again.
+    /// When the balancer decides on the request again; `None` if no recheck is scheduled.
     pub recheck_at: Option<Duration>,
     pub client: ClientRequest,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Agent {
-    /// Agent `index` of a simulation, which knows the endpoints from the beginning.
+    /// Creates agent `index` of a simulation. It knows `endpoints` from the beginning.
     pub fn new(
         simulation: &Simulation,
         index: usize,
@@ -88,14 +88,14 @@
         }
     }
 
-    /// The id of the next request.
+    /// Returns the id for a new request.
     pub fn next_request_id(&mut self) -> u64 {
         let id = self.next_request;
         self.next_request += 1;
         id
     }
 
-    /// Whether this attempt is known and has not ended.
+    /// Whether this attempt exists and has not ended.
     pub fn is_in_flight(&self, request: u64, attempt: usize) -> bool {
         let request = self.open.get(&request);
         request
@@ -103,7 +103,8 @@
             .is_some_and(|attempt| !attempt.ended)
     }
 
-    /// Notes the end of an attempt. A connection on which the end was no reply is closed.
+    /// Records the end of an attempt; `None` if the attempt does not exist. If it ended without a
+    /// reply, its connection is closed.
     pub fn end_attempt(
         &mut self,
         now: Duration,
@@ -126,17 +127,17 @@
         })
     }
 
-    /// Drops a request that is answered and whose attempts have all ended.
-    pub fn forget_if_over(&mut self, request: u64) {
-        let over = self.open.get(&request).is_some_and(|open| {
+    /// Removes a request that is answered and has no attempts in flight.
+    pub fn remove_if_complete(&mut self, request: u64) {
+        let complete = self.open.get(&request).is_some_and(|open| {
             open.answer.is_answered() && open.attempts.iter().all(|attempt| attempt.ended)
         });
-        if over {
+        if complete {
             self.open.remove(&request);
         }
     }
 
-    /// Hands the policy of its zones to its balancer, where there is a new one.
+    /// Passes the zones' cross-zone policy to the balancer if it has changed.
     pub fn apply_cross_zone_policy(&mut self) {
         if let Some(policy) = self.zones.as_mut().and_then(Zones::cross_zone_policy) {
             self.balancer.set_cross_zone_policy(policy);
@@ -144,7 +145,7 @@
     }
 }
 
-/// The settings of one agent, with the faults that are injected there.
+/// Returns the settings of one agent, with the injected idempotency faults applied.
 fn agent_settings(simulation: &Simulation, zone: usize, seed: u64) -> Settings {
     let mut settings = Settings {
         seed,
--- a/crates/testkit/src/simulation/checks.rs
+++ b/crates/testkit/src/simulation/checks.rs
@@ -1,23 +1,23 @@
-//! Checkers of the rules. They look from outside, at what was received, sent, run and answered, and
-//! never at what an agent says of itself.
+//! Checkers of the rules. They observe an agent from outside, by what was received, sent, run and
+//! answered, and never rely on what the agent reports about itself.
 
 use super::Violation;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, EndpointState, Idempotency};
 
-/// How late a final answer may be.
+/// How long after its deadline a final answer is still in time.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// How soon after its notice a drain must be respected.
+/// How long after a notice of a drain attempts may still be sent to the endpoint.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// An endpoint in slow start falls over when it gets so many times what it can do.
+/// An endpoint in slow start is overloaded above this multiple of its current capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// Rounding that the sum of exposure may carry.
+/// Tolerance for rounding errors in the sum of exposure.
 const EXPOSURE_TOLERANCE: f64 = 1e-6;
-/// Standard deviations, and mean requests, by which drawn work may exceed the limit of rule 4.
+/// Tolerance of rule 4 for the variation of drawn work, in standard deviations and in mean requests.
 const WORK_DEVIATIONS: f64 = 3.0;
 
-/// Rule 1 for one request: exactly one answer, in time, and nothing sent after it.
+/// Rule 1 for one request: exactly one answer, in time, and no attempt sent after it.
 #[derive(Clone, Debug)]
 pub struct AnswerCheck {
     request: u64,
@@ -27,7 +27,7 @@
 }
 
 impl AnswerCheck {
-    /// A request that was received and must be answered by its deadline.
+    /// Creates a check of a received request that must be answered by `deadline`.
     pub fn new(request: u64, class: usize, deadline: Duration) -> AnswerCheck {
         AnswerCheck {
             request,
@@ -37,41 +37,41 @@
         }
     }
 
-    /// Whether it has had its answer.
+    /// Whether the request has been answered.
     pub fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// Checks an attempt that is sent.
+    /// Checks that no attempt is sent after the answer.
     pub fn on_send(&self) -> Option<Violation> {
         let request = self.request;
         self.answered
             .then_some(Violation::SentAfterAnswer { request })
     }
 
-    /// Checks a decision on the request. An agent that stalled until `stalled_until` is excused
-    /// for a moment.
+    /// Checks that a decision is not made past the deadline. An agent that stalled until
+    /// `stalled_until` gets [`ANSWER_SLACK`] from then on.
     pub fn on_decision(&self, now: Duration, stalled_until: Duration) -> Option<Violation> {
         let late = !self.answered && self.is_late(now, stalled_until);
         let request = self.request;
         late.then_some(Violation::OpenPastDeadline { request })
     }
 
-    /// Notes the answer and checks it.
+    /// Records an answer and checks that it is the first and in time.
     pub fn on_answer(&mut self, now: Duration, stalled_until: Duration) -> Vec<Violation> {
         let request = self.request;
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         if self.answered {
-            found.push(Violation::AnsweredTwice { request });
+            violations.push(Violation::AnsweredTwice { request });
         }
         if self.is_late(now, stalled_until) {
-            found.push(Violation::AnsweredLate { request });
+            violations.push(Violation::AnsweredLate { request });
         }
         self.answered = true;
-        found
+        violations
     }
 
-    /// Checks the request when the simulation is over.
+    /// Checks at the end of the simulation that the request was answered.
     pub fn at_end(&self) -> Option<Violation> {
         (!self.answered).then_some(Violation::Unanswered {
             request: self.request,
@@ -91,33 +91,35 @@
     at: Duration,
 }
 
-/// Rule 2: what may not simply be repeated runs once, or where its repetition is recognized.
+/// Rule 2: a request that is not idempotent runs once, or is repeated only where endpoints
+/// deduplicate it.
 #[derive(Default)]
 pub struct RepeatCheck {
     runs: BTreeMap<(usize, u64), Vec<Run>>, // by agent and request
 }
 
-/// A request as [`RepeatCheck`] knows it.
+/// The properties of a request that [`RepeatCheck`] needs.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckedRequest {
-    /// Index of its agent.
+    /// Index of the agent that received the request.
     pub agent: usize,
-    /// Its id there.
+    /// Id of the request at its agent.
     pub request: u64,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// How the class may be repeated.
+    /// The idempotency of the class.
     pub idempotency: Idempotency,
 }
 
 impl RepeatCheck {
-    /// Whether the request came to an endpoint. Not kept of idempotent ones.
+    /// Whether the request has run at an endpoint. Always `false` for idempotent requests, whose runs
+    /// are not recorded.
     pub fn has_run(&self, agent: usize, request: u64) -> bool {
         self.runs.contains_key(&(agent, request))
     }
 
-    /// Notes that a request came to an endpoint, and checks that against its earlier runs.
-    /// `zone_of` gives the zone of an endpoint.
+    /// Records that a request runs at an endpoint and checks that against its earlier runs. `zone_of`
+    /// returns the zone of an endpoint.
     pub fn on_run(
         &mut self,
         now: Duration,
@@ -134,16 +136,17 @@
         let repeats = runs
             .iter()
             .filter(|run| !is_deduplicated(request.idempotency, run.at, now, same_zone(run)));
-        let found = repeats.map(|_| Violation::RanTwice {
+        let violations = repeats.map(|_| Violation::RanTwice {
             request: request.request,
             class: request.class,
         });
-        let found = found.collect();
+        let violations = violations.collect();
         runs.push(Run { endpoint, at: now });
-        found
+        violations
     }
 
-    /// Checks a rejection, which tells the client that a retry is safe.
+    /// Checks that a rejected request has not run, as a rejection tells the client that a retry is
+    /// safe.
     pub fn on_reject(&self, request: CheckedRequest) -> Option<Violation> {
         let unsafe_retry = request.idempotency == Idempotency::NonIdempotent
             && self.has_run(request.agent, request.request);
@@ -153,7 +156,7 @@
     }
 }
 
-/// Whether the endpoints recognize the repetition of a request that ran at `earlier`.
+/// Whether the endpoints deduplicate a repetition of a request that ran at `earlier`.
 fn is_deduplicated(
     idempotency: Idempotency,
     earlier: Duration,
@@ -169,14 +172,14 @@
     }
 }
 
-/// Rule 3 for one agent: nothing goes to an endpoint that it knows to be leaving.
+/// Rule 3 for one agent: no attempt is sent to an endpoint that it knows to be draining or gone.
 #[derive(Default)]
 pub struct DrainCheck {
-    leaving: BTreeMap<usize, Duration>, // endpoint, and when its first notice came
+    leaving: BTreeMap<usize, Duration>, // by endpoint: time of the first notice
 }
 
 impl DrainCheck {
-    /// Notes what the agent was told of an endpoint.
+    /// Records the state of an endpoint that the agent was notified of.
     pub fn on_notice(&mut self, now: Duration, endpoint: usize, state: EndpointState) {
         if state == EndpointState::Running {
             self.leaving.remove(&endpoint);
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Checks an attempt that is sent.
+    /// Checks that an attempt is not sent to an endpoint after its drain grace period. `state` is the
+    /// endpoint's true state, for the violation.
     pub fn on_send(
         &self,
         now: Duration,
@@ -193,8 +197,8 @@
         endpoint: usize,
         state: EndpointState,
     ) -> Option<Violation> {
-        let noticed = self.leaving.get(&endpoint)?;
-        (now > *noticed + DRAIN_GRACE).then_some(Violation::SentToLeaving {
+        let notified_at = self.leaving.get(&endpoint)?;
+        (now > *notified_at + DRAIN_GRACE).then_some(Violation::SentToLeaving {
             request,
             endpoint,
             state,
@@ -202,7 +206,7 @@
     }
 }
 
-/// Rule 4 for one endpoint: in slow start it gets no more work than it stands.
+/// Rule 4 for one endpoint: in slow start it is not overloaded.
 pub struct SlowStartCheck {
     endpoint: usize,
     window: Duration,
@@ -216,7 +220,8 @@
 }
 
 impl SlowStartCheck {
-    /// `window` is the span over which work is summed, `slow_start` how long slow start lasts.
+    /// Creates a check of an endpoint. Work is summed over `window`; `slow_start` is the duration of a
+    /// slow start.
     pub fn new(endpoint: usize, window: Duration, slow_start: Duration) -> SlowStartCheck {
         SlowStartCheck {
             endpoint,
@@ -226,8 +231,9 @@
         }
     }
 
-    /// Checks work (core-seconds) that comes to the endpoint, which was started then and can do
-    /// `capacity` core-seconds a second by now.
+    /// Checks that arriving work, in core-seconds, does not overload the endpoint. `started` is `None`
+    /// for an endpoint past its slow start; `capacity` is its current capacity in core-seconds per
+    /// second.
     pub fn on_work(
         &mut self,
         now: Duration,
@@ -254,16 +260,16 @@
     }
 }
 
-/// Rule 5 for one agent: a build on trial gets at most its cap of the requests, and a burst.
+/// Rule 5 for one agent: a canary gets at most its cap of the requests, plus a burst.
 #[derive(Default)]
 pub struct ExposureCheck {
-    /// The most attempts less cap times requests in any window that ends now.
+    /// The maximum, over all windows that end now, of canary attempts minus cap times requests.
     exposed: f64,
     cap: Option<f64>,
 }
 
 impl ExposureCheck {
-    /// Sets the cap that holds from now on; under a lower one the count begins anew.
+    /// Sets the cap that applies from now on. Lowering the cap resets the exposure.
     pub fn set_cap(&mut self, cap: f64) {
         if self.cap.is_none_or(|before| cap < before) {
             self.exposed = 0.0;
@@ -271,13 +277,12 @@
         self.cap = Some(cap);
     }
 
-    /// Notes a request that the agent received.
+    /// Records a request that the agent received.
     pub fn on_request(&mut self) {
         self.exposed = (self.exposed - self.cap.unwrap_or(0.0)).max(0.0);
     }
 
-    /// Checks an attempt that goes to a build on trial; `burst` attempts beyond the cap are
-    /// allowed.
+    /// Checks an attempt that is sent to a canary; `burst` attempts beyond the cap are allowed.
     pub fn on_canary_send(&mut self, agent: usize, burst: f64) -> Option<Violation> {
         self.exposed += 1.0;
         let exposed = self.exposed;
--- a/crates/testkit/src/simulation/client.rs
+++ b/crates/testkit/src/simulation/client.rs
@@ -1,32 +1,32 @@
-//! Simulated clients: what they want, over all their tries, and when they retry.
+//! Simulated clients: their requests, over all retries, and when they retry.
 
 use super::ClientBehavior;
 use std::time::Duration;
 use tulipwall_client_policy::{AttemptHistory, AttemptOutcome, RetryController, RetryDecision};
 
-/// No client waits longer than this before a retry, whatever the agent asks for.
+/// Upper limit on the delay before a retry that an agent can ask a client for.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a client wants, over all its tries.
+/// A client's request, over its first try and all retries.
 #[derive(Clone, Debug)]
 pub(super) struct ClientRequest {
     pub class: usize,
-    /// When it was first asked for.
-    pub first_asked: Duration,
+    /// When the client first sent the request.
+    pub first_sent: Duration,
     pub key: Option<u64>,
     pub tries: AttemptHistory,
 }
 
-/// How a try ended without success.
+/// How a try of a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TryFailure {
     /// A retry is safe.
     Rejected,
-    /// Nothing is known of what became of it.
+    /// It is unknown whether the request ran.
     Failed,
 }
 
-/// When the client retries; `None` where it gives up.
+/// Returns when the client retries; `None` if it gives up.
 pub(super) fn retry_at(
     behavior: &ClientBehavior,
     retries: &mut RetryController,
@@ -46,13 +46,13 @@
             allowed.then_some(at)
         }
         ClientBehavior::PolicyRetries(_) => {
-            let ended = match failure {
+            let outcome = match failure {
                 TryFailure::Rejected => AttemptOutcome::Rejected {
                     retry_after: retry_after.map(|after| after.min(MAX_RETRY_AFTER)),
                 },
                 TryFailure::Failed => AttemptOutcome::Failed,
             };
-            match retries.decide(now, &mut request.tries, 0, ended) {
+            match retries.decide(now, &mut request.tries, 0, outcome) {
                 RetryDecision::RetryAt(at) => Some(at),
                 RetryDecision::GiveUp(_) => None,
             }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Requests whose clients wait to retry, in slots that are used again.
+/// Requests whose clients wait to retry, in reusable slots.
 #[derive(Default)]
 pub(super) struct PendingRetries {
     slots: Vec<ClientRequest>,
@@ -68,7 +68,7 @@
 }
 
 impl PendingRetries {
-    /// Keeps a request and returns its slot.
+    /// Stores a request and returns its slot.
     pub fn insert(&mut self, request: ClientRequest) -> usize {
         let slot = self.free.pop().unwrap_or(self.slots.len());
         match self.slots.get_mut(slot) {
@@ -78,7 +78,7 @@
         slot
     }
 
-    /// Takes the request of a slot.
+    /// Removes the request from a slot and returns it.
     pub fn take(&mut self, slot: usize) -> ClientRequest {
         self.free.push(slot);
         self.slots[slot].clone()
--- a/crates/testkit/src/simulation/mod.rs
+++ b/crates/testkit/src/simulation/mod.rs
@@ -1,16 +1,16 @@
-//! Agents, endpoints and clients in simulated time: the real decisions and the real zones against
-//! modelled endpoints.
+//! A discrete-event simulation of agents, endpoints and clients. The agents run the real balancer and
+//! the real zones; the endpoints are modelled.
 //!
-//! A [`Simulation`] runs from a seed and a list of events, takes little real time, and checks the
-//! rules ([`Violation`]) from outside: by what was received, sent, run and answered, not by what an
-//! agent says. Equal simulations give equal [`SimulationReport`]s, to the bit.
+//! A [`Simulation`] is driven by a seed and a list of events and takes little real time. It checks the
+//! rules ([`Violation`]) from outside, by what was received, sent, run and answered, not by what an
+//! agent reports. Equal simulations give bit-identical [`SimulationReport`]s.
 //!
 //! - [`config`](Simulation): what is simulated.
-//! - [`event_queue`]: the order of events, and the clock.
-//! - [`network`] and [`random`]: links between zones, and all draws.
+//! - [`event_queue`]: the queue of events and the simulated clock.
+//! - [`network`] and [`random`]: links between zones, and all random draws.
 //! - [`checks`]: a checker for each rule.
-//! - the runner: takes events from the queue and hands them to agents, endpoints, clients and the
-//!   platform.
+//! - the runner: takes events from the queue and dispatches them to agents, endpoints, clients and
+//!   the platform.
 
 mod agent;
 pub mod checks;
@@ -35,7 +35,7 @@
 
 use std::time::Duration;
 
-/// Time at which a simulation begins, so that what began before has a time, too.
+/// Clock time at which a simulation begins. It is not zero, so that earlier events have a time too.
 pub const START: Duration = Duration::from_secs(3600);
-/// What an attempt carries each way, in bytes: the request and the reply.
+/// Bytes of an attempt in each direction: the request and the reply.
 pub const ATTEMPT_BYTES: (u64, u64) = (180, 420);
--- a/crates/testkit/src/simulation/runner/attempts.rs
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -234,7 +234,7 @@
             self.answer(agent, request);
         }
         self.follow(agent, request, decision);
-        self.agents[agent].forget_if_over(request);
+        self.agents[agent].remove_if_complete(request);
     }
 }
 
--- a/crates/testkit/src/simulation/runner/requests.rs
+++ b/crates/testkit/src/simulation/runner/requests.rs
@@ -45,7 +45,7 @@
         self.report.second(agent, second).first_tries += 1;
         let request = ClientRequest {
             class,
-            first_asked: now,
+            first_sent: now,
             key,
             tries: AttemptHistory::new(idempotency, now + total_time),
         };
@@ -214,7 +214,7 @@
             return;
         };
         let violations = open.answer.on_answer(now, state.stalled_until);
-        state.forget_if_over(request);
+        state.remove_if_complete(request);
         self.report_violations(violations);
     }
 
@@ -230,7 +230,7 @@
         let latency = now.saturating_sub(open.received);
         self.report.succeeded += 1;
         self.report.within_objective += u64::from(latency <= objective);
-        if now.saturating_sub(open.client.first_asked) <= objective {
+        if now.saturating_sub(open.client.first_sent) <= objective {
             self.report.second(agent, second).within_objective += 1;
         }
         let received_in = (open.received - START).as_secs() as usize;
