--- a/crates/testkit/examples/renewal.rs
+++ b/crates/testkit/examples/renewal.rs
@@ -1,11 +1,11 @@
-//! Measures the cost of a settings change at one agent under load, by number of tenants and of listed
-//! endpoints, applied by SIGHUP or by a restart: the time until a client is answered under the new
-//! settings, the agent's CPU time, and the traffic to discovery and the platform.
+//! Measures the cost of a settings change at one agent under load, by number of tenants and of
+//! listed endpoints, applied by SIGHUP or by a restart: the time until a client is answered under
+//! the new settings, the agent's CPU time, and the traffic to discovery and the platform.
 //!
 //!     cargo run --release -p tulipwall-testkit --example renewal -- AGENT hup|restart|signal|idle TENANTS ENDPOINTS TIMES [WORK_MS]
 //!
-//! `signal` sends SIGHUP without waiting until the change is in force. `idle` changes nothing, which
-//! gives the CPU time used by the load alone.
+//! `signal` sends SIGHUP without waiting until the change is in force. `idle` changes nothing,
+//! which gives the CPU time used by the load alone.
 
 use serde_json::{json, Value};
 use std::error::Error;
@@ -181,7 +181,8 @@
         })
     }
 
-    /// Replaces the tenants, adds a class, and measures how long it takes until the change is in force.
+    /// Replaces the tenants, adds a class, and measures how long it takes until the change is in
+    /// force.
     fn change(&mut self, arguments: &Arguments, n: usize) -> Result<Change> {
         let class = format!("extra-{n}");
         self.edit_configuration(&class, n, arguments.tenants)?;
@@ -225,8 +226,8 @@
         Ok(())
     }
 
-    /// Sends queries of a class until the agent knows it. An unknown class gives a statement error; any
-    /// other reply, a rejection included, shows that the class is known.
+    /// Sends queries of a class until the agent knows it. An unknown class gives a statement error;
+    /// any other reply, a rejection included, shows that the class is known.
     fn wait_for_class(&mut self, class: &str, n: usize, started: Instant) -> Result<()> {
         for i in 0.. {
             self.client.send_query_as(&format!("n{n}-{i}"), class, 1000);
--- a/crates/testkit/src/agent_process/configuration.rs
+++ b/crates/testkit/src/agent_process/configuration.rs
@@ -20,18 +20,18 @@
     /// The latency objective in milliseconds.
     pub latency_objective_ms: f64,
     /// The priority weight relative to the other classes.
-    pub priority_weight: f64,
+    pub weight: f64,
 }
 
 impl RequestClass {
     /// Creates a class with a latency objective of 400 ms and deduplication scope `all`.
-    pub fn new(name: &str, idempotency: &'static str, priority_weight: f64) -> RequestClass {
+    pub fn new(name: &str, idempotency: &'static str, weight: f64) -> RequestClass {
         RequestClass {
             name: name.to_owned(),
             idempotency,
             deduplication_scope: "all",
             latency_objective_ms: 400.0,
-            priority_weight,
+            weight,
         }
     }
 }
@@ -112,7 +112,7 @@
         "idempotency": class.idempotency,
         "dedup-scope": class.deduplication_scope,
         "window-ms": 5000.0,
-        "points": class.priority_weight,
+        "points": class.weight,
     })
 }
 
--- a/crates/testkit/src/agent_process/mod.rs
+++ b/crates/testkit/src/agent_process/mod.rs
@@ -29,7 +29,8 @@
     static ISSUED: AtomicU16 = AtomicU16::new(0);
     let issued = ISSUED.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    // The process id selects the network and the counter the host, so that processes do not collide.
+    // The process id selects the network and the counter the host, so that processes do not
+    // collide.
     let host = [127, 64 + (high & 63), low, 1 + (issued % HOSTS) as u8];
     (host, FIRST_PORT + issued / HOSTS).into()
 }
@@ -99,8 +100,8 @@
 
     /// Replaces the configuration file with `text` and requests a reload with SIGHUP.
     pub fn reload(&self, text: &str) -> io::Result<()> {
-        // The rename is atomic, like the platform's own update: the agent may be reading the old file
-        // at this moment.
+        // The rename is atomic, like the platform's own update: the agent may be reading the old
+        // file at this moment.
         let next = self.folder().join("config.json.next");
         std::fs::write(&next, text)?;
         std::fs::rename(next, self.folder().join("config.json"))?;
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -11,8 +11,8 @@
 pub enum Reply {
     /// The requested value.
     Value(Vec<u8>),
-    /// The request was rejected and a retry is safe. Holds the SQLSTATE code, and the delay before a
-    /// retry if the agent named one.
+    /// The request was rejected and a retry is safe. Holds the SQLSTATE code, and the delay before
+    /// a retry if the agent named one.
     Rejected(String, Option<Duration>),
     /// The request failed and may have run. Holds the SQLSTATE code.
     Failed(String),
@@ -54,12 +54,12 @@
         stream.write_all(&[pg::startup(), pg::query("")].concat())?;
         let mut client = TestClient { stream };
         client.read_until_ready()?;
-        let messages = client.read_until_ready()?;
-        if messages.iter().any(|(tag, _)| *tag == b'I') {
+        let reply = client.read_until_ready()?;
+        if reply.iter().any(|(tag, _)| *tag == b'I') {
             Ok(client)
         } else {
             Err(io::Error::other(format!(
-                "no response to the empty query: {messages:?}"
+                "no response to the empty query: {reply:?}"
             )))
         }
     }
@@ -76,23 +76,24 @@
 
     /// Reads messages up to the next `ReadyForQuery`, which is not returned.
     pub fn read_until_ready(&mut self) -> io::Result<Vec<(u8, Vec<u8>)>> {
-        let mut messages = Vec::new();
+        let mut reply = Vec::new();
         loop {
             match self.read_message()? {
-                (pg::READY, _) => return Ok(messages),
-                other => messages.push(other),
+                (pg::READY, _) => return Ok(reply),
+                other => reply.push(other),
             }
         }
     }
 
-    /// Sends a query for one object with a deadline of `deadline_ms` milliseconds. The request id is the
-    /// client's port.
+    /// Sends a query for one object with a deadline of `deadline_ms` milliseconds. The request id
+    /// is the client's port.
     pub fn send_query(&mut self, class: &str, deadline_ms: u32) {
         let id = self.stream.local_addr().map_or(0, |a| a.port());
         self.send_query_as(&id.to_string(), class, deadline_ms);
     }
 
-    /// Sends a query for one object with this request id and a deadline of `deadline_ms` milliseconds.
+    /// Sends a query for one object with this request id and a deadline of `deadline_ms`
+    /// milliseconds.
     pub fn send_query_as(&mut self, id: &str, class: &str, deadline_ms: u32) {
         self.send_statement(&format!(
             "SELECT body FROM objects WHERE oid = 'a1' /* id={id},c={class},d={deadline_ms} */"
@@ -106,13 +107,8 @@
 
     /// Reads the reply to the oldest unanswered request.
     pub fn read_reply(&mut self) -> io::Result<Reply> {
-        let messages = self.read_until_ready()?;
-        let first = |tag| {
-            messages
-                .iter()
-                .find(|(t, _)| *t == tag)
-                .map(|(_, body)| body)
-        };
+        let reply = self.read_until_ready()?;
+        let first = |tag| reply.iter().find(|(t, _)| *t == tag).map(|(_, body)| body);
         if let Some(error) = first(pg::ERROR) {
             let code = pg::error_field(error, b'C').unwrap_or_default();
             let retry_after = pg::error_field(error, b'D')
@@ -124,8 +120,7 @@
             });
         }
         let row = first(pg::DATA_ROW).and_then(|row| row.get(6..));
-        row.map(|v| Reply::Value(v.to_vec())).ok_or_else(|| {
-            io::Error::other(format!("no error and no row in the response: {messages:?}"))
-        })
+        row.map(|v| Reply::Value(v.to_vec()))
+            .ok_or_else(|| io::Error::other(format!("no error or row in the response: {reply:?}")))
     }
 }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -158,7 +158,8 @@
         )
     }
 
-    /// Returns the traffic that the endpoints of zone `to` counted for callers in zone `from`, by class.
+    /// Returns the traffic that the endpoints of zone `to` counted for callers in zone `from`, by
+    /// class.
     pub fn transfer_counts(&self, from: usize, to: usize) -> BTreeMap<String, TransferCounts> {
         let mut sums: BTreeMap<String, TransferCounts> = BTreeMap::new();
         for (_, endpoint) in self.endpoints_in_zone(to) {
--- a/crates/testkit/src/connection_cutter.rs
+++ b/crates/testkit/src/connection_cutter.rs
@@ -34,7 +34,8 @@
 }
 
 impl ConnectionCutter {
-    /// Starts a proxy to this agent. The n-th accepted connection uses the n-th entry of the script.
+    /// Starts a proxy to this agent. The n-th accepted connection uses the n-th entry of the
+    /// script.
     pub fn start(agent: SocketAddr, script: Vec<CutPoint>) -> io::Result<ConnectionCutter> {
         let script = Arc::new(Mutex::new(script.into_iter()));
         let connections = Arc::<TerminationSignal>::default();
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -171,8 +171,8 @@
     ///
     /// Returns `false` if that does not happen within [`runtime::TEST_TIMEOUT`].
     pub fn wait_until_requests_counted(&self, from: usize) -> io::Result<bool> {
-        // Connections are accepted in order, so all earlier ones have been accepted once this one is
-        // answered.
+        // Connections are accepted in order, so all earlier ones have been accepted once this one
+        // is answered.
         let mut last = TcpStream::connect(self.address(from))?;
         last.set_read_timeout(Some(runtime::TEST_TIMEOUT))?;
         write!(
--- a/crates/testkit/src/endpoint/behavior.rs
+++ b/crates/testkit/src/endpoint/behavior.rs
@@ -65,9 +65,9 @@
     pub work: Duration,
     /// Mean run time by class, for classes where it differs from `work`.
     pub work_by_class: BTreeMap<String, Duration>,
-    /// Constant share of the run time, 0 to 1; the rest is exponentially distributed. Real run times
-    /// vary between requests, and decisions that compare fast answers with the median take equal run
-    /// times for a stall.
+    /// Constant share of the run time, 0 to 1; the rest is exponentially distributed. Real run
+    /// times vary between requests, and decisions that compare fast answers with the median take
+    /// equal run times for a stall.
     pub fixed_work_share: f64,
     /// Number of queries that run concurrently; further ones wait.
     pub cores: usize,
--- a/crates/testkit/src/endpoint/mod.rs
+++ b/crates/testkit/src/endpoint/mod.rs
@@ -79,7 +79,8 @@
 }
 
 impl Endpoint {
-    /// Starts an endpoint with one listener for each of `zones` zones. `seed` seeds its random draws.
+    /// Starts an endpoint with one listener for each of `zones` zones. `seed` seeds its random
+    /// draws.
     pub fn start(zones: usize, behavior: EndpointBehavior, seed: u64) -> io::Result<Endpoint> {
         let shared = Arc::new(Shared {
             cores: Semaphore::new(behavior.cores.max(1)),
--- a/crates/testkit/src/endpoint/session.rs
+++ b/crates/testkit/src/endpoint/session.rs
@@ -132,8 +132,8 @@
             wait_for_close(&self.stream).await;
             None
         };
-        // `caller_closed` is polled first: if this task runs late, the caller may already have closed the
-        // connection when the work is done.
+        // `caller_closed` is polled first: if this task runs late, the caller may already have
+        // closed the connection when the work is done.
         caller_closed.or(work).await
     }
 
--- a/crates/testkit/src/load.rs
+++ b/crates/testkit/src/load.rs
@@ -63,8 +63,8 @@
     /// Requests that were answered with any other error.
     pub failed: u64,
     /// Requests without a complete answer within half a second after their deadline, or whose
-    /// connection failed. The deadline counts from when the request was written, as the agent counts
-    /// it.
+    /// connection failed. The deadline counts from when the request was written, as the agent
+    /// counts it.
     pub unanswered: u64,
     /// Ids of the first 100 unanswered requests.
     pub unanswered_ids: Vec<String>,
@@ -73,13 +73,14 @@
     pub send_delays: Option<Histogram<u64>>,
     /// Latency of successful requests in microseconds, by class.
     pub latencies: BTreeMap<String, Histogram<u64>>,
-    /// Ids and latencies in microseconds of the first [`MAX_RECORDED_LATENCIES`] successful requests.
+    /// Ids and latencies in microseconds of the first [`MAX_RECORDED_LATENCIES`] successful
+    /// requests.
     pub request_latencies: Vec<(String, u64)>,
 }
 
 impl LoadReport {
-    /// Returns the latency quantile, in milliseconds, of successful requests over all classes. `share`
-    /// is 0 to 1.
+    /// Returns the latency quantile, in milliseconds, of successful requests over all classes.
+    /// `share` is 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut all = histogram();
         for latencies in self.latencies.values() {
--- a/crates/testkit/src/pg.rs
+++ b/crates/testkit/src/pg.rs
@@ -1,6 +1,6 @@
 //! The subset of the PostgreSQL protocol, version 3, that test clients and fake endpoints use. It
-//! shares no code with the agent's implementation, so that an error in one is not hidden by the same
-//! error in the other.
+//! shares no code with the agent's implementation, so that an error in one is not hidden by the
+//! same error in the other.
 
 use async_io::Async;
 use futures_lite::AsyncReadExt;
--- a/crates/testkit/src/platform/mod.rs
+++ b/crates/testkit/src/platform/mod.rs
@@ -124,8 +124,8 @@
         self.shared.notify("DISPUTE", params);
     }
 
-    /// Notifies subscribers of platform counts for a build and class, from a sample of all attempts:
-    /// `bad` of `n` attempts did not succeed, and `latency` is their mean latency.
+    /// Notifies subscribers of platform counts for a build and class, from a sample of all
+    /// attempts: `bad` of `n` attempts did not succeed, and `latency` is their mean latency.
     pub fn report_counts(&self, build: u32, class: &str, n: u32, bad: u32, latency: Duration) {
         let latency_ms = latency.as_secs_f64() * 1000.0;
         let params = json!({
@@ -159,9 +159,9 @@
         self.shared.state().service.votes.clone()
     }
 
-    /// Runs a staged rollout in the background. The stage timer is paused while a vote to hold is in
-    /// force, and a vote to roll back ends the rollout. `on_stage` is called at the start of each
-    /// stage with its index and its cap.
+    /// Runs a staged rollout in the background. The stage timer is paused while a vote to hold is
+    /// in force, and a vote to roll back ends the rollout. `on_stage` is called at the start of
+    /// each stage with its index and its cap.
     pub fn run_rollout(
         &self,
         rollout: StagedRollout,
--- a/crates/testkit/src/platform/rollout_status.rs
+++ b/crates/testkit/src/platform/rollout_status.rs
@@ -35,7 +35,8 @@
         self.value_at(Instant::now())
     }
 
-    /// Returns the status in the form of a configuration's `deployer.news`, with its age as of `now`.
+    /// Returns the status in the form of a configuration's `deployer.news`, with its age as of
+    /// `now`.
     pub fn value_at(&self, now: Instant) -> Value {
         json!({"image": self.build, "ring": self.stage, "progress": self.phase, "ceiling": self.cap,
             "lag_ms": now.saturating_duration_since(self.since).as_millis() as u64})
--- a/crates/testkit/src/platform/service.rs
+++ b/crates/testkit/src/platform/service.rs
@@ -15,7 +15,7 @@
     pub rollout_status: RolloutStatus,
     /// The votes received so far, stale ones included, each with its time and its call parameters.
     pub votes: Vec<(Instant, Value)>,
-    last_hold: Option<Instant>, // the last vote to hold; `None` if there was none or it was withdrawn
+    last_hold: Option<Instant>, // the last vote to hold, unless it was withdrawn
 }
 
 /// The result of a call.
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -1,5 +1,5 @@
-//! The state of the fake discovery service, without sockets: the endpoints, each with the version of
-//! its last change, and the JSON documents that describe them.
+//! The state of the fake discovery service, without sockets: the endpoints, each with the version
+//! of its last change, and the JSON documents that describe them.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -90,8 +90,8 @@
     })
 }
 
-/// Returns the version that a watch names and how long it may wait; `None` for a request of the full
-/// list.
+/// Returns the version that a watch names and how long it may wait; `None` for a request of the
+/// full list.
 pub fn parse_watch(path: &str) -> Option<(u64, Duration)> {
     let query = path.split_once('?').map_or("", |(_, q)| q);
     let named = |name: &str| -> Option<u64> {
--- a/crates/testkit/src/runtime.rs
+++ b/crates/testkit/src/runtime.rs
@@ -32,8 +32,8 @@
 /// Runs a future in the background until it completes or the returned task is dropped.
 pub fn spawn<T: Send + 'static>(work: impl Future<Output = T> + Send + 'static) -> Task<T> {
     THREAD.get_or_init(|| {
-        // This thread waits for I/O events itself. With a separate I/O thread, that thread would have
-        // to be woken first.
+        // This thread waits for I/O events itself. With a separate I/O thread, that thread would
+        // have to be woken first.
         let run = || async_io::block_on(EXECUTOR.run(poll_while_requested()));
         // If the thread cannot be started, no fake ever responds and the tests time out.
         let _ = std::thread::Builder::new()
@@ -43,8 +43,9 @@
     EXECUTOR.spawn(work)
 }
 
-/// A guard that keeps the fakes' thread busy-polling for events instead of sleeping, so that no event
-/// is delayed by the wake-up of an idle core. Uses one core fully; meant for latency measurements.
+/// A guard that keeps the fakes' thread busy-polling for events instead of sleeping, so that no
+/// event is delayed by the wake-up of an idle core. Uses one core fully; meant for latency
+/// measurements.
 pub struct BusyPolling(());
 
 impl BusyPolling {
--- a/crates/testkit/src/simulation/checks.rs
+++ b/crates/testkit/src/simulation/checks.rs
@@ -14,7 +14,8 @@
 pub const OVERLOAD_MULTIPLE: f64 = 4.0;
 /// Tolerance for rounding errors in the sum of exposure.
 const EXPOSURE_TOLERANCE: f64 = 1e-6;
-/// Tolerance of rule 4 for the variation of drawn work, in standard deviations and in mean requests.
+/// Tolerance of rule 4 for the variation of drawn work, in standard deviations and in mean
+/// requests.
 const WORK_DEVIATIONS: f64 = 3.0;
 
 /// Rule 1 for one request: exactly one answer, in time, and no attempt sent after it.
@@ -112,14 +113,14 @@
 }
 
 impl RepeatCheck {
-    /// Whether the request has run at an endpoint. Always `false` for idempotent requests, whose runs
-    /// are not recorded.
+    /// Whether the request has run at an endpoint. Always `false` for idempotent requests, whose
+    /// runs are not recorded.
     pub fn has_run(&self, agent: usize, request: u64) -> bool {
         self.runs.contains_key(&(agent, request))
     }
 
-    /// Records that a request runs at an endpoint and checks that against its earlier runs. `zone_of`
-    /// returns the zone of an endpoint.
+    /// Records that a request runs at an endpoint and checks that against its earlier runs.
+    /// `zone_of` returns the zone of an endpoint.
     pub fn on_run(
         &mut self,
         now: Duration,
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Checks that an attempt is not sent to an endpoint after its drain grace period. `state` is the
-    /// endpoint's true state, for the violation.
+    /// Checks that an attempt is not sent to an endpoint after its drain grace period. `state` is
+    /// the endpoint's true state, for the violation.
     pub fn on_send(
         &self,
         now: Duration,
@@ -220,8 +221,8 @@
 }
 
 impl SlowStartCheck {
-    /// Creates a check of an endpoint. Work is summed over `window`; `slow_start` is the duration of a
-    /// slow start.
+    /// Creates a check of an endpoint. Work is summed over `window`; `slow_start` is the duration
+    /// of a slow start.
     pub fn new(endpoint: usize, window: Duration, slow_start: Duration) -> SlowStartCheck {
         SlowStartCheck {
             endpoint,
@@ -231,9 +232,9 @@
         }
     }
 
-    /// Checks that arriving work, in core-seconds, does not overload the endpoint. `started` is `None`
-    /// for an endpoint past its slow start; `capacity` is its current capacity in core-seconds per
-    /// second.
+    /// Checks that arriving work, in core-seconds, does not overload the endpoint. `started` is
+    /// `None` for an endpoint past its slow start; `capacity` is its current capacity in
+    /// core-seconds per second.
     pub fn on_work(
         &mut self,
         now: Duration,
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -1,4 +1,4 @@
-//! What is simulated: agents, endpoints, clients, and what happens to them.
+//! The description of a simulation: agents, endpoints, clients and scenario events.
 
 use super::runner::Runner;
 use super::SimulationReport;
@@ -11,36 +11,37 @@
 use tulipwall_client_policy::RetryPolicy;
 use tulipwall_zones::{Budget, ClassProfile, Link, RoutingPolicy, ZoneConfig};
 
-/// Delay of one way within a zone.
+/// One-way delay within a zone.
 const LOCAL_DELAY: Duration = Duration::from_micros(150);
-/// Delay of one way between two zones.
+/// One-way delay between two zones.
 const REMOTE_DELAY: Duration = Duration::from_millis(2);
 
-/// A simulated endpoint.
+/// The description of a simulated endpoint.
 #[derive(Clone, Debug)]
 pub struct SimulatedEndpoint {
-    /// Index of its zone.
+    /// Index of the endpoint's zone.
     pub zone: usize,
-    /// The build that it runs.
+    /// The number of the build that the endpoint runs.
     pub build: u32,
-    /// How many requests run at once.
+    /// Number of requests that run concurrently.
     pub cores: usize,
-    /// What a request takes against the usual work: at 2.0 the endpoint is half as fast.
+    /// Work of a request relative to the mean work of its class: at 2.0 the endpoint is half as
+    /// fast.
     pub work_factor: f64,
-    /// Requests that may wait for a core; further ones are rejected.
+    /// Number of requests that may wait for a core; further ones are rejected.
     pub queue_limit: usize,
-    /// Share of replies that are errors, 0 to 1.
+    /// Share of requests that fail after they have run, 0 to 1.
     pub failure_rate: f64,
-    /// What the list says of it.
+    /// The state in the endpoint list.
     pub state: EndpointState,
-    /// When it was started; `None` for long ago.
+    /// Simulated time of the start; `None` for an endpoint past its slow start.
     pub started: Option<Duration>,
-    /// It neither replies nor refuses.
+    /// Whether the endpoint neither replies nor refuses connections.
     pub unresponsive: bool,
 }
 
 impl SimulatedEndpoint {
-    /// A running endpoint that has been up for long.
+    /// Creates a running endpoint that is past its slow start.
     pub fn new(zone: usize, build: u32, cores: usize) -> SimulatedEndpoint {
         SimulatedEndpoint {
             zone,
@@ -56,68 +57,67 @@
     }
 }
 
-/// One agent.
+/// The description of a simulated agent.
 #[derive(Clone, Debug)]
 pub struct SimulatedAgent {
-    /// Index of its zone.
+    /// Index of the agent's zone.
     pub zone: usize,
-    /// Its weight when requests are spread over the agents.
+    /// Weight by which requests are distributed over the agents.
     pub load_share: f64,
-    /// Its cross-zone settings; `None` for an agent that knows no zones.
+    /// The cross-zone settings; `None` for an agent without accounting of cross-zone traffic.
     pub zoning: Option<ZoneConfig>,
 }
 
-/// What clients do with a request that was rejected or failed.
+/// How clients handle a request that was rejected or failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientBehavior {
-    /// Nothing: each request is tried once.
+    /// Clients do not retry.
     NoRetries,
-    /// Retry after a fixed pause, whatever happened and whatever it costs.
+    /// Clients retry after a fixed pause, regardless of the failure, the idempotency and the load.
     FixedRetries {
-        /// Time between a failure and the retry.
+        /// Delay between a failure and the retry.
         pause: Duration,
-        /// Tries in all.
+        /// Upper limit on tries, the first one included.
         max_attempts: u32,
     },
-    /// Retry as the client library does, one client to each agent.
+    /// Clients retry as the client library does, with one client per agent.
     PolicyRetries(RetryPolicy),
 }
 
-/// A build that the platform takes through its stages by the clock, which stands still while a hold
-/// lasts.
+/// A rollout with timed stages. The stage timer is paused while a hold is in force.
 #[derive(Clone, Debug)]
 pub struct RolloutPlan {
-    /// The build.
+    /// The number of the build.
     pub build: u32,
-    /// When the first stage begins, since the beginning of the simulation.
+    /// Start of the first stage, from the beginning of the simulation.
     pub starts_at: Duration,
-    /// Share of requests that may go to the build, by stage.
+    /// For each stage the cap: the share of requests, 0 to 1, that may go to the build.
     pub caps: Vec<f64>,
-    /// How long each stage lasts, without holds.
+    /// How long each stage lasts, not counting holds.
     pub stage_duration: Duration,
-    /// Its endpoints, which start in equal parts with the stages. Until then they must be listed as
-    /// gone.
+    /// Indices of the build's endpoints. Each stage starts an equal part of them. Until then they
+    /// must be listed as gone.
     pub endpoints: Vec<usize>,
-    /// Agents that must vote to roll back.
+    /// Number of agents that must vote to roll back before the build is rolled back.
     pub votes_to_roll_back: usize,
 }
 
-/// What the agents are told wrongly, so that they break a rule and a checker must see it. Nothing
-/// by default.
+/// Injected faults: false information given to the agents, so that they break a rule and a checker
+/// must report it. Empty by default.
 #[derive(Clone, Debug, Default)]
 pub struct InjectedFaults {
-    /// By class: how it may be repeated, as the decisions think.
+    /// Idempotency that agents assume instead of the true one, by class.
     pub idempotency: BTreeMap<usize, Idempotency>,
-    /// Agents are not told of endpoints that drain or go.
+    /// Whether agents are not notified of endpoints that drain or are gone.
     pub hide_drains: bool,
-    /// Endpoints in slow start are told as long up.
+    /// Whether agents are told that endpoints in slow start are past it.
     pub hide_cold_starts: bool,
-    /// The cap that agents are told in place of the one that holds.
+    /// Cap that agents are told instead of the true one; `None` for the true one.
     pub reported_cap: Option<f64>,
 }
 
-/// The classes of a small service: idempotent views, keyed messages, and payments that are never
-/// repeated.
+/// Returns the classes of a small service: idempotent views, keyed messages, and non-idempotent
+/// payments.
 pub fn classes() -> Vec<RequestClass> {
     let class = |latency_objective, priority_weight, idempotency| RequestClass {
         latency_objective: Duration::from_millis(latency_objective),
@@ -135,8 +135,8 @@
     ]
 }
 
-/// Settings for a simulation: cross-zone traffic has a price, builds run side by side and pass by
-/// the clock, hedging and cancellation are allowed, and a rejection may name a retry time.
+/// Returns settings for a simulation: cross-zone traffic has a price, builds run side by side in
+/// timed stages, hedging and cancellation are allowed, and a rejection may name a retry time.
 pub fn default_settings(classes: Vec<RequestClass>) -> Settings {
     let secs = Duration::from_secs;
     Settings {
@@ -180,15 +180,16 @@
     }
 }
 
-/// Cross-zone settings of an agent in zone `own` of `zones`: the local zone first, no prices.
+/// Returns the cross-zone settings of an agent in zone `own_zone` of `zones` zones: the local zone
+/// first, no prices.
 pub fn default_zoning(
     classes: &[RequestClass],
-    own: usize,
+    own_zone: usize,
     zones: usize,
     budgets: Vec<Budget>,
 ) -> ZoneConfig {
     ZoneConfig {
-        local_zone: own,
+        local_zone: own_zone,
         zone_count: zones,
         classes: classes
             .iter()
@@ -204,8 +205,9 @@
 }
 
 impl Simulation {
-    /// A simulation without events on [`classes`], build 41 released: links of 2 ms between zones
-    /// and of 0.15 ms within, work of 20 ms (payments 30), clients without retries.
+    /// Creates a simulation of [`classes`] without events, with build 41 released. One-way delays
+    /// are 2 ms between zones and 0.15 ms within a zone, the mean work is 20 ms (30 ms for
+    /// payments), and clients do not retry.
     pub fn small(
         agents: Vec<SimulatedAgent>,
         endpoints: Vec<SimulatedEndpoint>,
@@ -236,13 +238,13 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs the simulation to its end.
     pub fn run(self) -> SimulationReport {
         Runner::new(self).run()
     }
 }
 
-/// Zones that are in use, and one more that endpoints may move to.
+/// Returns the number of zones in use, plus one that endpoints may move to.
 fn zone_count(agents: &[SimulatedAgent], endpoints: &[SimulatedEndpoint]) -> usize {
     let agent_zones = agents.iter().map(|agent| agent.zone);
     let endpoint_zones = endpoints.iter().map(|endpoint| endpoint.zone);
@@ -272,14 +274,14 @@
     }
 }
 
-/// Something that happens in a simulation.
+/// A scripted event of a simulation.
 #[derive(Clone, Debug)]
 pub enum ScenarioEvent {
-    /// What the list says of an endpoint from now on. One that is gone crashes.
+    /// Sets the state of an endpoint. An endpoint that is set to gone crashes.
     SetState(usize, EndpointState),
-    /// An endpoint is started anew and is in slow start.
+    /// Restarts an endpoint, which begins a slow start.
     Restart(usize),
-    /// An endpoint crashes and is up again in another zone.
+    /// Crashes an endpoint, which comes up again in another zone.
     MoveToZone(usize, usize),
     /// Sets an endpoint's [`SimulatedEndpoint::work_factor`].
     SetWorkFactor(usize, f64),
@@ -287,56 +289,56 @@
     SetFailureRate(usize, f64),
     /// Sets an endpoint's [`SimulatedEndpoint::unresponsive`].
     SetUnresponsive(usize, bool),
-    /// What the platform says of the rollout from now on.
+    /// Sets the rollout status that the platform publishes.
     RolloutStatus(RolloutStatus),
-    /// Requests a second, over all agents.
+    /// Sets the requests per second over all agents.
     SetRequestRate(f64),
-    /// An agent stands still for so long.
+    /// Stalls an agent for this long.
     StallAgent(usize, Duration),
-    /// An agent's cross-zone settings are reloaded; zones and classes stay as they are.
+    /// Reloads an agent's cross-zone settings. Zones and classes must stay the same.
     SetZoning(usize, ZoneConfig),
-    /// Sets one direction of the link between two zones.
+    /// Sets the one-way delay from one zone to another.
     SetLinkDelay(usize, usize, Duration),
 }
 
-/// Agents, endpoints and clients, with what happens to them.
+/// The complete description of a simulation.
 #[derive(Clone, Debug)]
 pub struct Simulation {
-    /// The settings of all agents, but for what is an agent's own.
+    /// The settings of all agents. Seed, zone and number of agents are set for each agent.
     pub settings: Settings,
-    /// The agents.
+    /// The agents. Other fields refer to an agent by its index here.
     pub agents: Vec<SimulatedAgent>,
-    /// The endpoints.
+    /// The endpoints. Other fields refer to an endpoint by its index here.
     pub endpoints: Vec<SimulatedEndpoint>,
-    /// Delay from zone to zone, one way.
+    /// One-way delays, by source zone and destination zone.
     pub link_delays: Vec<Vec<Duration>>,
-    /// Mean work of each class.
+    /// Mean work of a request, by class.
     pub mean_work: Vec<Duration>,
-    /// The share of the work that is always the same; the rest is exponential. 0 gives the queues
-    /// of the textbook.
+    /// Constant share of the work, 0 to 1; the rest is exponentially distributed. 0 gives the
+    /// exponential service times of textbook M/M/c queues.
     pub fixed_work_share: f64,
-    /// Share of attempts, and of their replies, that is lost between two zones.
+    /// Share, 0 to 1, of attempts and of replies that are lost between two zones.
     pub link_loss: f64,
-    /// How much later agents are told of lists and rollouts.
+    /// Delay before agents learn of a change of the endpoint list or the rollout.
     pub notification_delay: Duration,
-    /// Weights of classes, and how long a request of each may take.
+    /// For each class its weight and the time within which requests must be answered.
     pub classes: Vec<(f64, Duration)>,
-    /// Requests a second, over all agents.
+    /// Requests per second over all agents.
     pub request_rate: f64,
-    /// What clients do with a request that was rejected or failed.
+    /// How clients handle a request that was rejected or failed.
     pub client_behavior: ClientBehavior,
-    /// A build that is rolled out meanwhile.
+    /// The build that is rolled out during the simulation; `None` for no rollout.
     pub rollout_plan: Option<RolloutPlan>,
-    /// What the agents are told wrongly.
+    /// Faults that are injected into what the agents are told.
     pub injected_faults: InjectedFaults,
-    /// A request that is traced in the report: its agent, and its id there.
+    /// The request to trace in the report, by agent index and request id; `None` to trace none.
     pub traced_request: Option<(usize, u64)>,
-    /// How long requests come.
+    /// How long requests arrive.
     pub duration: Duration,
-    /// What the platform says of the rollout at the beginning.
+    /// The rollout status at the beginning; `None` if agents are told nothing about rollouts.
     pub rollout_status: Option<RolloutStatus>,
-    /// When something happens, since the beginning of the simulation, in any order.
+    /// Scripted events with their times from the beginning of the simulation, in any order.
     pub events: Vec<(Duration, ScenarioEvent)>,
-    /// Seeds all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
--- a/crates/testkit/src/simulation/endpoint.rs
+++ b/crates/testkit/src/simulation/endpoint.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use tulipwall::{EndpointEntry, Settings};
 
-/// The shortest slow start that is reckoned with, in seconds.
+/// Lower limit on the duration of a slow start, in seconds. Prevents a division by zero.
 const MIN_SLOW_START_SECONDS: f64 = 1e-3;
-/// Endpoints are spread over so many cells.
+/// Number of cells that endpoints are distributed over.
 const CELLS: u64 = 3;
 
-/// The state of one endpoint.
+/// The run-time state of one endpoint.
 pub(super) struct EndpointRuntime {
     pub spec: SimulatedEndpoint,
     pub slow_start: SlowStartCheck,
-    /// Counts its restarts: what was meant for an earlier one is refused.
+    /// Number of crashes so far. Attempts sent to an earlier incarnation are refused.
     pub incarnation: u64,
     running: BTreeMap<u64, AttemptRef>, // by slot
     waiting: VecDeque<AttemptRef>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Its entry in the list of discovery.
+    /// Returns the endpoint's entry in the endpoint list.
     pub fn entry(&self, index: usize) -> EndpointEntry {
         EndpointEntry {
             endpoint: index,
@@ -53,13 +53,14 @@
         }
     }
 
-    /// Core-seconds of the usual work that it does in a second, fewer in slow start.
+    /// Returns the capacity in core-seconds of mean work per second, which is reduced in slow
+    /// start.
     pub fn capacity(&self, now: Duration, settings: &Settings) -> f64 {
-        self.spec.cores as f64 * self.warmth(now, settings) / self.spec.work_factor
+        self.spec.cores as f64 * self.capacity_share(now, settings) / self.spec.work_factor
     }
 
-    /// The share of its capacity that it has by now.
-    fn warmth(&self, now: Duration, settings: &Settings) -> f64 {
+    /// Returns the share of full capacity that is available during slow start; 1 after it.
+    fn capacity_share(&self, now: Duration, settings: &Settings) -> f64 {
         let Some(started) = self.spec.started else {
             return 1.0;
         };
@@ -69,37 +70,37 @@
         settings.slow_start_share + (1.0 - settings.slow_start_share) * age.min(1.0)
     }
 
-    /// How many attempts run.
+    /// Returns the number of running attempts.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// How many attempts wait.
+    /// Returns the number of queued attempts.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether it can run another attempt.
+    /// Whether a core is free to run another attempt.
     pub fn has_free_core(&self) -> bool {
         self.running.len() < self.spec.cores
     }
 
-    /// Whether it has neither a free core nor a free place in its queue.
+    /// Whether all cores are busy and the queue is full.
     pub fn is_full(&self) -> bool {
         !self.has_free_core() && self.waiting.len() >= self.spec.queue_limit
     }
 
-    /// Puts an attempt at the end of the queue.
+    /// Appends an attempt to the queue.
     pub fn enqueue(&mut self, attempt: AttemptRef) {
         self.waiting.push_back(attempt);
     }
 
-    /// Takes the attempt that has waited longest.
+    /// Removes the attempt at the head of the queue.
     pub fn dequeue(&mut self) -> Option<AttemptRef> {
         self.waiting.pop_front()
     }
 
-    /// Puts an attempt on a core and returns its slot.
+    /// Runs an attempt on a core and returns its slot.
     pub fn run(&mut self, attempt: AttemptRef) -> u64 {
         let slot = self.next_slot;
         self.next_slot += 1;
@@ -107,12 +108,12 @@
         slot
     }
 
-    /// Takes the attempt of a slot off its core.
+    /// Frees the core of a slot and returns its attempt; `None` if the slot is not in use.
     pub fn finish(&mut self, slot: u64) -> Option<AttemptRef> {
         self.running.remove(&slot)
     }
 
-    /// Begins a new incarnation and returns what the one before had in hand.
+    /// Begins a new incarnation and returns the running and queued attempts of the previous one.
     pub fn crash(&mut self) -> Vec<AttemptRef> {
         self.incarnation += 1;
         let running = std::mem::take(&mut self.running).into_values();
--- a/crates/testkit/src/simulation/event.rs
+++ b/crates/testkit/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulation.
+//! The events of a simulation.
 
 use std::time::Duration;
 use tulipwall::{EndpointEntry, Outcome, RolloutStatus};
@@ -8,7 +8,7 @@
 pub(super) struct AttemptRef {
     pub agent: usize,
     pub request: u64,
-    /// Its place among the attempts of the request.
+    /// Index among the attempts of the request.
     pub attempt: usize,
 }
 
@@ -17,9 +17,9 @@
 pub(super) enum EndpointReply {
     Succeeded,
     Failed,
-    /// Its queue is full.
+    /// The endpoint's queue is full.
     Rejected,
-    /// It is gone or was restarted: the connection is refused.
+    /// The endpoint is gone or was restarted, so the connection is refused.
     Refused,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What discovery or the platform tells the agents.
+/// A change that discovery or the platform reports to the agents.
 #[derive(Clone, Debug)]
 pub(super) enum Notification {
     Endpoint(EndpointEntry),
@@ -43,47 +43,47 @@
 
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// An event of the scenario, by its place there.
+    /// A scripted event, by its index in the simulation's list.
     Scenario(usize),
-    /// A new request comes to an agent.
+    /// A new request arrives at an agent.
     Arrival { agent: usize },
-    /// A client retries what waits in this slot.
+    /// A client retries the request in this slot.
     Retry { agent: usize, slot: usize },
-    /// The platform looks at the rollout.
+    /// The platform checks the rollout's progress.
     RolloutTick,
     /// A notification reaches the agents.
     Notify(Notification),
     /// An agent polls its balancer.
     Poll { agent: usize },
-    /// An attempt reaches its endpoint, unless that was restarted meanwhile.
+    /// An attempt arrives at its endpoint. It is refused if `incarnation` is no longer current.
     AttemptArrival {
         attempt: AttemptRef,
         endpoint: usize,
         incarnation: u64,
     },
-    /// An endpoint is done with the work of a slot.
+    /// An endpoint completes the work of a slot.
     WorkDone {
         endpoint: usize,
         incarnation: u64,
         slot: u64,
     },
-    /// A reply reaches the agent.
+    /// A reply arrives at the agent.
     Reply {
         attempt: AttemptRef,
         reply: EndpointReply,
     },
-    /// The agent asks its balancer again what to do with a request.
+    /// The agent's balancer decides again on a request.
     Recheck {
         agent: usize,
         request: u64,
         at: Duration,
     },
-    /// An attempt's timeout is over.
+    /// An attempt's timeout expires.
     Timeout { attempt: AttemptRef },
 }
 
 impl Event {
-    /// The agent that handles it, where one does.
+    /// Returns the agent that handles the event; `None` if no agent does.
     pub fn agent(&self) -> Option<usize> {
         match self {
             Event::Arrival { agent }
--- a/crates/testkit/src/simulation/event_queue.rs
+++ b/crates/testkit/src/simulation/event_queue.rs
@@ -1,10 +1,11 @@
-//! The queue of what is still to happen, and the simulated clock that it drives.
+//! The queue of scheduled events, and the simulated clock that it advances.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Events by time. Events of the same time come out in the order in which they were scheduled.
+/// A queue of events ordered by time. Events with the same time are returned in the order in which
+/// they were scheduled.
 pub struct EventQueue<E> {
     now: Duration,
     scheduled: u64,
@@ -44,7 +45,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// An empty queue whose clock stands at `start`.
+    /// Creates an empty queue whose clock is set to `start`.
     pub fn new(start: Duration) -> EventQueue<E> {
         EventQueue {
             now: start,
@@ -53,12 +54,12 @@
         }
     }
 
-    /// The time of the event that was taken last.
+    /// Returns the simulated time, which is the time of the last event that was taken.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Adds an event. One that is due in the past happens now.
+    /// Schedules an event. An event with a time in the past is scheduled for now.
     pub fn schedule(&mut self, time: Duration, event: E) {
         self.scheduled += 1;
         self.heap.push(Reverse(Entry {
@@ -68,8 +69,7 @@
         }));
     }
 
-    /// Takes the next event and sets the clock to its time; nothing once all that is left is due
-    /// after `end`.
+    /// Takes the next event and sets the clock to its time; `None` if no event is due by `end`.
     pub fn pop_until(&mut self, end: Duration) -> Option<E> {
         let next = self.heap.peek()?;
         if next.0.time > end {
--- a/crates/testkit/src/simulation/mod.rs
+++ b/crates/testkit/src/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! A discrete-event simulation of agents, endpoints and clients. The agents run the real balancer and
-//! the real zones; the endpoints are modelled.
+//! A discrete-event simulation of agents, endpoints and clients. The agents run the real balancer
+//! and the real zones; the endpoints are modelled.
 //!
-//! A [`Simulation`] is driven by a seed and a list of events and takes little real time. It checks the
-//! rules ([`Violation`]) from outside, by what was received, sent, run and answered, not by what an
-//! agent reports. Equal simulations give bit-identical [`SimulationReport`]s.
+//! A [`Simulation`] is driven by a seed and a list of events and takes little real time. It checks
+//! the rules ([`Violation`]) from outside, by what was received, sent, run and answered, not by
+//! what an agent reports. Equal simulations give bit-identical [`SimulationReport`]s.
 //!
 //! - [`config`](Simulation): what is simulated.
 //! - [`event_queue`]: the queue of events and the simulated clock.
--- a/crates/testkit/src/simulation/random.rs
+++ b/crates/testkit/src/simulation/random.rs
@@ -4,49 +4,51 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Gaps are drawn as if at least this many requests came a second.
+/// Lower limit, in requests per second, on the rate used for drawing gaps. Prevents a division by
+/// zero.
 const MIN_RATE: f64 = 1e-6;
-/// No gap is longer, in seconds.
+/// Upper limit on a drawn gap, in seconds.
 const MAX_GAP_SECONDS: f64 = 1e6;
 
-/// A seeded source of draws.
+/// A seeded random number generator.
 pub struct Random(Pcg64Mcg);
 
 impl Random {
-    /// Equal seeds give equal draws.
+    /// Creates a generator. Equal seeds give equal draws.
     pub fn new(seed: u64) -> Random {
         Random(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// Uniform in 0 to 1, without 1.
+    /// Draws a uniform number from 0 to 1, excluding 1.
     pub fn uniform(&mut self) -> f64 {
         self.0.gen_range(0.0..1.0)
     }
 
-    /// A whole number below `limit`.
+    /// Draws a uniform integer below `limit`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0.gen_range(0..limit)
     }
 
-    /// The gap to the next of events that come by chance, so many a second in the mean.
+    /// Draws the gap to the next event of a Poisson process with `rate` events per second.
     pub fn arrival_gap(&mut self, rate: f64) -> Duration {
         let gap = -(1.0 - self.uniform()).ln() / rate.max(MIN_RATE);
         Duration::from_secs_f64(gap.min(MAX_GAP_SECONDS))
     }
 
-    /// The work of one request against the mean: this share is fixed, the rest exponential.
+    /// Draws the work of one request relative to the mean: `fixed_share` of it is constant, the
+    /// rest exponentially distributed.
     pub fn work_factor(&mut self, fixed_share: f64) -> f64 {
         fixed_share - (1.0 - fixed_share) * (1.0 - self.uniform()).ln()
     }
 
-    /// An index, drawn by weight; 0 where rounding leaves none.
+    /// Draws an index by weight. Returns 0 if rounding errors leave no index.
     pub fn weighted_index(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
         let total: f64 = weights.clone().sum();
-        let mut left = self.uniform() * total;
-        let mut drawn = weights;
-        let index = drawn.position(|weight| {
-            left -= weight;
-            left < 0.0
+        let mut remaining = self.uniform() * total;
+        let mut candidates = weights;
+        let index = candidates.position(|weight| {
+            remaining -= weight;
+            remaining < 0.0
         });
         index.unwrap_or(0)
     }
--- a/crates/testkit/src/simulation/report.rs
+++ b/crates/testkit/src/simulation/report.rs
@@ -1,4 +1,4 @@
-//! What came of a simulation.
+//! The result of a simulation.
 
 use super::Violation;
 use crate::latencies::histogram;
@@ -7,35 +7,36 @@
 use tulipwall::{Decision, Vote};
 use tulipwall_zones::Zones;
 
-/// Start value and prime of FNV-1a, to which each step adds a rotation.
+/// Offset basis and prime of the FNV-1a hash; each digest step also rotates the hash.
 const DIGEST_SEED: u64 = 0xcbf2_9ce4_8422_2325;
 const DIGEST_PRIME: u64 = 0x0100_0000_01b3;
 const DIGEST_ROTATION: u32 = 23;
-/// An agent counts as mostly remote from above the one share to below the other.
+/// Hysteresis for [`SimulationReport::direction_changes_per_minute`]: an agent turns mostly remote
+/// above this share of remote attempts and back to local below [`HARDLY_REMOTE`].
 const MOSTLY_REMOTE: f64 = 0.5;
 const HARDLY_REMOTE: f64 = 0.25;
 
-/// What became of a rollout. Times count from the beginning of the simulation.
+/// The outcome of a rollout. Times count from the beginning of the simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RolloutOutcome {
-    /// When the first hold came, and in which stage.
+    /// Time and stage of the first vote to hold; `None` if there was none.
     pub first_hold: Option<(Duration, usize)>,
-    /// When the build was rolled back.
+    /// When the build was rolled back; `None` if it was not.
     pub rolled_back: Option<Duration>,
-    /// When it was released.
+    /// When the build was released; `None` if it was not.
     pub released: Option<Duration>,
-    /// How long holds stopped the clock.
+    /// How long holds paused the stage timer.
     pub time_held: Duration,
 }
 
-/// What one agent did in one second.
+/// Counts of one agent in one second of simulated time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondCounts {
-    /// Requests that came, retries among them.
+    /// Requests received, including retries.
     pub requests_received: u64,
-    /// Requests that came for the first time.
+    /// Requests received, excluding retries.
     pub first_tries: u64,
-    /// Of these, those that succeeded within their latency objective.
+    /// Requests that succeeded within their latency objective, counted from the client's first try.
     pub within_objective: u64,
     /// Attempts sent within the agent's zone.
     pub local_sends: u64,
@@ -43,55 +44,56 @@
     pub remote_sends: u64,
 }
 
-/// One attempt that was sent to an endpoint of another zone.
+/// An attempt that was sent to an endpoint in another zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrossZoneSend {
-    /// Time since the beginning of the simulation.
+    /// Time from the beginning of the simulation.
     pub at: Duration,
     /// Index of the request's class.
     pub class: usize,
-    /// Why it went over a budget, where it did.
+    /// Why the attempt was sent over a budget; `None` if it was within all budgets.
     pub over_budget: Option<tulipwall_zones::OverBudgetReason>,
 }
 
-/// What came of a simulation.
+/// The result of a simulation.
 #[derive(Debug)]
 pub struct SimulationReport {
-    /// Requests that agents received, retries among them.
+    /// Requests that agents received, including retries.
     pub requests: u64,
     /// Requests that succeeded.
     pub succeeded: u64,
-    /// Of these, those within their latency objective.
+    /// Requests that succeeded within their latency objective.
     pub within_objective: u64,
     /// Requests that were rejected.
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests that had no answer when the simulation ended.
+    /// Requests without an answer when the simulation ended.
     pub unanswered: u64,
-    /// Microseconds to successful answers.
+    /// Latency of successful requests in microseconds.
     pub latencies: Histogram<u64>,
-    /// The same by second in which the request came.
+    /// Latency of successful requests in microseconds, by the second in which the request was
+    /// received.
     pub latencies_by_second: Vec<Histogram<u64>>,
     /// Counts by agent and second.
     pub counts_by_second: Vec<Vec<SecondCounts>>,
-    /// Attempts to other zones, by agent.
+    /// Attempts sent to other zones, by agent.
     pub cross_zone_sends: Vec<Vec<CrossZoneSend>>,
-    /// Broken rules.
+    /// All rule violations, in order of detection.
     pub violations: Vec<Violation>,
-    /// Votes of agents: since the beginning of the simulation.
+    /// Votes of agents, with their times from the beginning of the simulation.
     pub votes: Vec<(Duration, Vote)>,
-    /// What became of the rollout plan.
+    /// The outcome of the rollout plan.
     pub rollout: RolloutOutcome,
-    /// What happened to the request that was traced.
+    /// The trace of [`traced_request`](super::Simulation::traced_request), one line per step.
     pub trace: Vec<String>,
-    /// Events that were handled.
+    /// Number of events taken from the queue.
     pub events: u64,
-    /// Attempts by endpoint.
+    /// Number of attempts sent, by endpoint.
     pub sends_by_endpoint: Vec<u64>,
-    /// The agents' zones at the end.
+    /// The agents' zones at the end; `None` for agents without zones.
     pub zones: Vec<Option<Zones>>,
-    /// All decisions, folded into one number: equal simulations give equal ones.
+    /// Hash of all decisions. Equal simulations give equal digests.
     pub digest: u64,
 }
 
@@ -119,14 +121,14 @@
         }
     }
 
-    /// The counts of an agent in a second; what comes after the last one counts there.
+    /// Returns the counts of an agent in a second. Times after the last second count towards it.
     pub(super) fn second(&mut self, agent: usize, second: usize) -> &mut SecondCounts {
         let seconds = &mut self.counts_by_second[agent];
         let last = seconds.len() - 1;
         &mut seconds[second.min(last)]
     }
 
-    /// Records a successful answer to a request that came in this second.
+    /// Records the latency of a successful request that was received in this second.
     pub(super) fn record_latency(&mut self, second: usize, latency: Duration) {
         let micros = latency.as_micros().max(1) as u64;
         self.latencies.saturating_record(micros);
@@ -134,7 +136,7 @@
         self.latencies_by_second[second.min(last)].saturating_record(micros);
     }
 
-    /// Folds a decision into the digest: its agent, its request, its kind and what it holds.
+    /// Adds a decision to the digest: its agent, its request, its kind and its content.
     pub(super) fn fold_decision(&mut self, agent: usize, request: u64, decision: &Decision) {
         let (kind, content) = match decision {
             Decision::Forward {
@@ -152,12 +154,13 @@
         }
     }
 
-    /// The share of all attempts that went to another zone.
+    /// Returns the share of attempts that went to another zone, 0 to 1.
     pub fn cross_zone_share(&self) -> f64 {
         remote_share(self.counts_by_second.iter().flatten())
     }
 
-    /// The same between two seconds of the simulation.
+    /// Returns the share of attempts between two seconds of the simulation that went to another
+    /// zone.
     pub fn cross_zone_share_between(&self, from: u64, to: u64) -> f64 {
         let seconds = |agent: &Vec<SecondCounts>| from as usize..(to as usize).min(agent.len());
         remote_share(
@@ -167,8 +170,8 @@
         )
     }
 
-    /// How often an agent changed sides in a minute: seconds with most attempts remote after
-    /// seconds with hardly any, and back.
+    /// Returns how many times per minute an agent changed between sending most of a second's
+    /// attempts to other zones and sending hardly any there.
     pub fn direction_changes_per_minute(&self) -> f64 {
         let mut changes = 0;
         let mut minutes = 0.0;
@@ -179,23 +182,24 @@
         f64::from(changes) / minutes.max(1e-9)
     }
 
-    /// Milliseconds within which this share (0 to 1) of successful answers came.
+    /// Returns the latency quantile of successful requests in milliseconds. `share` is 0 to 1.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         self.latencies.value_at_quantile(share) as f64 / 1000.0
     }
 
-    /// The same of requests that came between two seconds of the simulation.
+    /// Returns the latency quantile, in milliseconds, of successful requests that were received
+    /// between two seconds of the simulation.
     pub fn quantile_between(&self, share: f64, from: usize, to: usize) -> f64 {
         let mut all = histogram();
         let to = to.min(self.latencies_by_second.len());
         for second in &self.latencies_by_second[from..to] {
-            // Equal bounds: nothing is refused.
+            // Cannot fail, as all histograms have the same bounds.
             let _ = all.add(second);
         }
         all.value_at_quantile(share) as f64 / 1000.0
     }
 
-    /// How many attempts to other zones went over a budget.
+    /// Returns the number of attempts to other zones that were sent over a budget.
     pub fn over_budget_sends(&self) -> usize {
         self.cross_zone_sends
             .iter()
@@ -205,7 +209,7 @@
     }
 }
 
-/// Remote attempts against all.
+/// Returns the share of attempts that were sent to another zone.
 fn remote_share<'a>(seconds: impl Iterator<Item = &'a SecondCounts>) -> f64 {
     let mut local = 0;
     let mut remote = 0;
@@ -216,7 +220,7 @@
     remote as f64 / (local + remote).max(1) as f64
 }
 
-/// How often one agent changed between mostly remote and hardly remote.
+/// Returns how many times an agent changed between mostly remote and hardly remote.
 fn direction_changes(seconds: &[SecondCounts]) -> u32 {
     let mut changes = 0;
     let mut mostly_remote = false;
--- a/crates/testkit/src/simulation/rollout.rs
+++ b/crates/testkit/src/simulation/rollout.rs
@@ -1,38 +1,38 @@
-//! The platform's side of a rollout: stages by the clock, and the agents' votes.
+//! The platform's side of a rollout: timed stages and the agents' votes.
 
 use super::{RolloutOutcome, RolloutPlan, START};
 use std::ops::Range;
 use std::time::Duration;
 use tulipwall::{Verdict, Vote};
 
-/// How often the platform looks at the rollout.
+/// Interval at which the platform checks the rollout's progress.
 pub(super) const TICK: Duration = Duration::from_millis(100);
 
-/// The stage that is on.
+/// The current stage of a rollout.
 #[derive(Clone, Copy, Debug)]
 struct ActiveStage {
     index: usize,
-    /// How long it has run, without holds.
-    ran: Duration,
+    /// How long the stage has run, not counting holds.
+    elapsed: Duration,
 }
 
-/// What the platform does at a tick.
+/// The platform's action at a tick.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RolloutStep {
-    /// A stage begins: these endpoints of the plan start.
+    /// A stage begins and starts this range of the plan's endpoints.
     StartStage {
         stage: usize,
         endpoints: Range<usize>,
     },
-    /// All stages are over.
+    /// All stages are complete and the build is released.
     Release { last_stage: usize },
-    /// The stage runs on, or is held.
+    /// The current stage continues or is held.
     Continue,
-    /// Nothing is to be done any more.
+    /// The rollout has ended; no further ticks are needed.
     Over,
 }
 
-/// Takes one build through its stages. The clock stands still while a hold lasts.
+/// Moves one build through its stages. The stage timer is paused while a hold is in force.
 pub(super) struct RolloutController {
     pub plan: Option<RolloutPlan>,
     pub outcome: RolloutOutcome,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Takes an agent's vote on the build and stage that are on. Whether the build is rolled back
-    /// for it.
+    /// Records an agent's vote on the current build and stage. Returns whether the votes suffice to
+    /// roll the build back.
     pub fn on_vote(&mut self, now: Duration, agent: usize, vote: &Vote, ttl: Duration) -> bool {
         let holds = vote.verdict == Verdict::Hold;
         self.held_until[agent] = holds.then_some(now + ttl);
@@ -71,13 +71,13 @@
         plan.is_some_and(|plan| votes >= plan.votes_to_roll_back.max(1))
     }
 
-    /// Ends the rollout.
+    /// Ends the rollout as rolled back.
     pub fn roll_back(&mut self, now: Duration) {
         self.stage = None;
         self.outcome.rolled_back = Some(now - START);
     }
 
-    /// Looks at the clock.
+    /// Advances the rollout by one tick and returns the action to take.
     pub fn tick(&mut self, now: Duration) -> RolloutStep {
         let over = self.outcome.rolled_back.is_some() || self.outcome.released.is_some();
         let Some(plan) = self.plan.as_ref().filter(|_| !over) else {
@@ -88,16 +88,16 @@
         let stage_duration = plan.stage_duration;
         let next = match self.stage {
             None => 0,
-            Some(stage) if stage.ran >= stage_duration => stage.index + 1,
+            Some(stage) if stage.elapsed >= stage_duration => stage.index + 1,
             Some(stage) => {
-                self.run_on(now, stage);
+                self.continue_stage(now, stage);
                 return RolloutStep::Continue;
             }
         };
         if next < stages {
             self.stage = Some(ActiveStage {
                 index: next,
-                ran: Duration::ZERO,
+                elapsed: Duration::ZERO,
             });
             return RolloutStep::StartStage {
                 stage: next,
@@ -111,13 +111,13 @@
         }
     }
 
-    fn run_on(&mut self, now: Duration, stage: ActiveStage) {
+    fn continue_stage(&mut self, now: Duration, stage: ActiveStage) {
         let held = self.held_until.iter().flatten().any(|until| now < *until);
         if held {
             self.outcome.time_held += TICK;
         } else {
-            let ran = stage.ran + TICK;
-            self.stage = Some(ActiveStage { ran, ..stage });
+            let elapsed = stage.elapsed + TICK;
+            self.stage = Some(ActiveStage { elapsed, ..stage });
         }
     }
 }
--- a/crates/testkit/src/simulation/runner/attempts.rs
+++ b/crates/testkit/src/simulation/runner/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts as the agents see them: what is sent, and how it ends.
+//! Attempts from the agents' side: sending, accounting and completion.
 
 use super::super::agent::SimulatedAttempt;
 use super::super::event::{AttemptRef, Event};
@@ -12,7 +12,7 @@
     AttemptStart, CompletedAttempt, ConnectionTraffic, Reservation, ResponseFault,
 };
 
-/// What opening a connection takes each way, in bytes.
+/// Bytes of a connection handshake in each direction.
 const HANDSHAKE_BYTES: u64 = 60;
 
 impl Runner {
@@ -31,7 +31,7 @@
         self.trace(agent, request, || {
             let zone = spec.zone;
             let build = spec.build;
-            format!("goes to endpoint {endpoint} of zone {zone}, build {build}")
+            format!("attempt sent to endpoint {endpoint} in zone {zone}, build {build}")
         });
         self.check_send(agent, request, endpoint, &spec);
         let Some(sending) = self.sending(agent, request, &spec) else {
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Rules 3, 5 and 1. What comes to an endpoint in slow start (rule 4) is checked there.
+    /// Checks rules 3, 5 and 1 for an attempt. Rule 4 is checked when the attempt arrives at its
+    /// endpoint.
     fn check_send(
         &mut self,
         agent: usize,
@@ -86,7 +87,8 @@
         self.report_violations([drain, exposure, answered].into_iter().flatten());
     }
 
-    /// Whether the agents have been told that this build is on trial.
+    /// Whether this build is a canary according to the status that the agents have been notified
+    /// of.
     fn is_canary(&self, build: u32) -> bool {
         let on_trial = |status: &RolloutStatus| {
             let pending = build == status.build && status.phase != RolloutPhase::Released;
@@ -95,7 +97,8 @@
         self.notified_status.as_ref().is_some_and(on_trial)
     }
 
-    /// The next attempt of a request, as the zones know it.
+    /// Describes the next attempt of a request for the zones' accounting; `None` once the request
+    /// is removed.
     fn sending(
         &self,
         agent: usize,
@@ -124,7 +127,7 @@
         })
     }
 
-    /// Accounts an attempt with the agent's zones.
+    /// Accounts an attempt with the agent's zones and applies their cross-zone policy.
     fn reserve(&mut self, agent: usize, sending: &AttemptStart) -> Option<Reservation> {
         let now = self.queue.now();
         let state = &mut self.agents[agent];
@@ -157,7 +160,8 @@
         self.report.cross_zone_sends[agent].push(send);
     }
 
-    /// Puts an attempt on its way. A first connection goes there and back once before.
+    /// Schedules the arrival of an attempt at its endpoint unless the link loses it. A new
+    /// connection adds one round trip.
     fn transmit(&mut self, attempt: AttemptRef, endpoint: usize, was_connected: bool) {
         let now = self.queue.now();
         let from = self.agents[attempt.agent].zone;
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Ends an attempt unless it has ended before.
+    /// Ends an attempt unless it has already ended.
     pub(super) fn end_if_in_flight(&mut self, attempt: AttemptRef, outcome: Outcome) {
         if self.agents[attempt.agent].is_in_flight(attempt.request, attempt.attempt) {
             self.end(attempt, outcome);
@@ -233,12 +237,12 @@
             self.record_success(agent, request);
             self.answer(agent, request);
         }
-        self.follow(agent, request, decision);
+        self.apply_decision(agent, request, decision);
         self.agents[agent].remove_if_complete(request);
     }
 }
 
-/// The end of an attempt, as the zones account it.
+/// Describes the end of an attempt for the zones' accounting.
 fn accounted_end(outcome: Outcome, latency: Duration) -> CompletedAttempt {
     let written = outcome != Outcome::ConnectFailed && outcome != Outcome::NotSent;
     let replied = matches!(outcome, Outcome::Succeeded | Outcome::Failed);
--- a/crates/testkit/src/simulation/runner/endpoints.rs
+++ b/crates/testkit/src/simulation/runner/endpoints.rs
@@ -1,4 +1,4 @@
-//! What endpoints do with the attempts that reach them.
+//! Attempts from the endpoints' side: arrival, queueing, work and replies.
 
 use super::super::event::{AttemptRef, EndpointReply, Event};
 use super::Runner;
@@ -6,7 +6,7 @@
 use tulipwall::EndpointState;
 
 impl Runner {
-    /// An attempt reaches its endpoint.
+    /// Handles the arrival of an attempt at its endpoint: replies, refuses or enqueues it.
     pub(super) fn on_attempt_arrival(
         &mut self,
         attempt: AttemptRef,
@@ -32,19 +32,21 @@
         let waiting = state.waiting();
         self.check_repeat(attempt, class, endpoint);
         self.trace(attempt.agent, attempt.request, || {
-            format!("has come to endpoint {endpoint}, where {running} run and {waiting} wait")
+            format!(
+                "attempt arrived at endpoint {endpoint}, where {running} run and {waiting} wait"
+            )
         });
         self.endpoints[endpoint].enqueue(attempt);
         self.start_waiting(endpoint);
     }
 
-    /// The class of an attempt's request; `None` once that is over.
+    /// Returns the class of an attempt's request; `None` once the request is complete.
     fn class_of(&self, attempt: AttemptRef) -> Option<usize> {
         let open = self.agents[attempt.agent].open.get(&attempt.request)?;
         Some(open.class)
     }
 
-    /// Rule 4.
+    /// Checks rule 4 for an arriving attempt.
     fn check_slow_start(&mut self, endpoint: usize, class: usize) {
         let now = self.queue.now();
         let work = self.simulation.mean_work[class].as_secs_f64();
@@ -55,23 +57,23 @@
         self.report_violations(violation);
     }
 
-    /// Rule 2.
+    /// Checks rule 2 for an attempt that is about to run.
     fn check_repeat(&mut self, attempt: AttemptRef, class: usize, endpoint: usize) {
         let now = self.queue.now();
-        let request = self.checked(attempt.agent, attempt.request, class);
+        let request = self.checked_request(attempt.agent, attempt.request, class);
         let endpoints = &self.endpoints;
         let zone_of = |index: usize| endpoints[index].spec.zone;
         let violations = self.repeats.on_run(now, request, endpoint, zone_of);
         self.report_violations(violations);
     }
 
-    /// Puts what waits on free cores.
+    /// Starts queued attempts on free cores.
     fn start_waiting(&mut self, endpoint: usize) {
         while self.endpoints[endpoint].has_free_core() {
             let Some(attempt) = self.endpoints[endpoint].dequeue() else {
                 return;
             };
-            // Without a class its request is over: it was cancelled meanwhile.
+            // Without a class the request is complete: the attempt was cancelled while queued.
             if let Some(class) = self.class_of(attempt) {
                 self.start_work(endpoint, attempt, class);
             }
@@ -84,16 +86,16 @@
         let factor = self.random.work_factor(self.simulation.fixed_work_share);
         let state = &mut self.endpoints[endpoint];
         let speed = state.capacity(now, &self.simulation.settings) / state.spec.cores as f64;
-        let took = Duration::from_secs_f64(mean * factor / speed);
+        let work_time = Duration::from_secs_f64(mean * factor / speed);
         let done = Event::WorkDone {
             endpoint,
             incarnation: state.incarnation,
             slot: state.run(attempt),
         };
-        self.queue.schedule(now + took, done);
+        self.queue.schedule(now + work_time, done);
     }
 
-    /// A core is free again: its attempt is replied to, the next one starts.
+    /// Handles completed work: sends the reply and starts the next queued attempt.
     pub(super) fn on_work_done(&mut self, endpoint: usize, incarnation: u64, slot: u64) {
         let state = &mut self.endpoints[endpoint];
         if state.incarnation != incarnation {
@@ -115,7 +117,7 @@
         self.start_waiting(endpoint);
     }
 
-    /// Puts a reply on its way to the agent.
+    /// Schedules the arrival of a reply at the agent.
     fn reply(&mut self, attempt: AttemptRef, endpoint: usize, reply: EndpointReply) {
         let from = self.endpoints[endpoint].spec.zone;
         let to = self.agents[attempt.agent].zone;
--- a/crates/testkit/src/simulation/runner/mod.rs
+++ b/crates/testkit/src/simulation/runner/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: takes events in their order and hands them to who they concern.
+//! The event loop: takes events in order of time and dispatches them to their handlers.
 
 mod attempts;
 mod endpoints;
@@ -19,14 +19,14 @@
 use std::time::Duration;
 use tulipwall::{EndpointEntry, RolloutPhase, RolloutStatus, VoteReply};
 
-/// Time after the last arrival in which what was received is answered.
+/// Time after the last arrival in which open requests can still be answered.
 const DRAIN_TIME: Duration = Duration::from_secs(5);
-/// Agents poll for the first time so far apart.
+/// Interval between the first polls of successive agents.
 const POLL_STAGGER: Duration = Duration::from_micros(137);
-/// Agents poll no more often than this.
+/// Lower limit on the interval between two polls of an agent.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A simulation that runs.
+/// A running simulation.
 pub(super) struct Runner {
     simulation: Simulation,
     queue: EventQueue<Event>,
@@ -37,8 +37,9 @@
     repeats: RepeatCheck,
     retries: PendingRetries,
     rollout: RolloutController,
-    /// What the platform says, and what agents have been told of it.
+    /// The rollout status that the platform publishes.
     rollout_status: Option<RolloutStatus>,
+    /// The rollout status that the agents have been notified of, before injected faults.
     notified_status: Option<RolloutStatus>,
     report: SimulationReport,
 }
@@ -75,14 +76,14 @@
         }
     }
 
-    /// Handles events until the simulation is over.
+    /// Runs the event loop until the end of the simulation and returns the report.
     pub fn run(mut self) -> SimulationReport {
         self.schedule_first_events();
         let end = START + self.simulation.duration + DRAIN_TIME;
         while let Some(event) = self.queue.pop_until(end) {
             self.report.events += 1;
             match self.stalled_until(&event) {
-                // An agent that stands still finds all of it once it goes on, in its order.
+                // A stalled agent handles its events in order once it resumes.
                 Some(until) => self.queue.schedule(until, event),
                 None => self.handle(event),
             }
@@ -106,7 +107,8 @@
         }
     }
 
-    /// When the agent that handles this event goes on, where it stands still.
+    /// Returns when the agent that handles this event resumes; `None` if it is not stalled or no
+    /// agent handles the event.
     fn stalled_until(&self, event: &Event) -> Option<Duration> {
         let until = self.agents[event.agent()?].stalled_until;
         (until > self.queue.now()).then_some(until)
@@ -189,20 +191,22 @@
         self.report.violations.extend(violations);
     }
 
-    /// Time since the beginning.
+    /// Returns the time since the beginning of the simulation.
     fn elapsed(&self) -> Duration {
         self.queue.now() - START
     }
 
-    /// Writes down what happens to the request that is traced.
-    fn trace(&mut self, agent: usize, request: u64, what: impl FnOnce() -> String) {
+    /// Adds a line to the report's trace if the request is the traced one.
+    fn trace(&mut self, agent: usize, request: u64, message: impl FnOnce() -> String) {
         if self.simulation.traced_request == Some((agent, request)) {
             let at = self.elapsed().as_secs_f64();
-            self.report.trace.push(format!("{at:12.6} s  {}", what()));
+            self.report
+                .trace
+                .push(format!("{at:12.6} s  {}", message()));
         }
     }
 
-    /// The cap that holds for what the agents have been told.
+    /// Sets the cap of the exposure checks from the status that the agents have been notified of.
     fn apply_cap(&mut self) {
         let cap = match &self.notified_status {
             Some(status) if status.phase == RolloutPhase::Released => 1.0,
--- a/crates/testkit/src/simulation/runner/platform.rs
+++ b/crates/testkit/src/simulation/runner/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: votes, and the stages of a rollout.
+//! The platform's events: votes and the stages of a rollout.
 
 use super::super::event::Event;
 use super::super::rollout::{RolloutStep, TICK};
@@ -8,7 +8,7 @@
 use tulipwall::{EndpointState, RolloutPhase, RolloutStatus, Vote};
 
 impl Runner {
-    /// Takes an agent's vote. One on an earlier build or stage does not count.
+    /// Handles an agent's vote. A vote on an earlier build or stage is recorded but does not count.
     pub(super) fn on_vote(&mut self, agent: usize, vote: Vote) {
         let now = self.queue.now();
         let status = self.rollout_status.as_ref();
--- a/crates/testkit/src/simulation/runner/requests.rs
+++ b/crates/testkit/src/simulation/runner/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: arrivals, decisions, answers and retries.
+//! Requests at the agents: arrivals, decisions, answers and retries.
 
 use super::super::agent::OpenRequest;
 use super::super::checks::{AnswerCheck, CheckedRequest, ANSWER_SLACK};
@@ -10,11 +10,11 @@
 use tulipwall::{Decision, Outcome, Request};
 use tulipwall_client_policy::AttemptHistory;
 
-/// Keys of requests are drawn from so many.
+/// Number of keys that requests draw from.
 const KEYS: u64 = 100_000;
-/// Clients that retry wait this many times as long, over all their tries.
+/// Total time of a request over all its tries, in multiples of the time for one try.
 const RETRY_TIME_FACTOR: u32 = 2;
-/// The clock's step behind the latest time of an answer.
+/// Delay of the last recheck after the latest permitted time of an answer.
 const AFTER_SLACK: Duration = Duration::from_millis(1);
 
 impl Runner {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A client asks for something new.
+    /// Handles a new request of a client.
     pub(super) fn on_arrival(&mut self, agent: usize) {
         let weights = self.simulation.classes.iter().map(|class| class.0);
         let class = self.random.weighted_index(weights);
@@ -52,7 +52,7 @@
         self.receive(agent, request);
     }
 
-    /// A request comes to an agent, for the first time or again.
+    /// Handles a request that an agent receives, be it a first try or a retry.
     pub(super) fn receive(&mut self, agent: usize, mut client: ClientRequest) {
         let now = self.queue.now();
         let class = client.class;
@@ -85,8 +85,8 @@
         state.balancer.on_request(now, request, balancer_request);
         let decision = state.balancer.route(now, request);
         self.count_request(agent);
-        // A request that the balancer defers without end is decided on once more when it is late, so
-        // that the checker of rule 1 sees it.
+        // A request that the balancer defers forever is decided on again once it is late, so that
+        // the checker of rule 1 reports it.
         let at = deadline + ANSWER_SLACK + AFTER_SLACK;
         let last_recheck = Event::Recheck {
             agent,
@@ -94,7 +94,7 @@
             at: Duration::MAX,
         };
         self.queue.schedule(at, last_recheck);
-        self.follow(agent, request, decision);
+        self.apply_decision(agent, request, decision);
     }
 
     fn count_request(&mut self, agent: usize) {
@@ -103,13 +103,13 @@
         self.report.second(agent, second).requests_received += 1;
     }
 
-    /// The second of the simulation.
+    /// Returns the current second of the simulation.
     pub(super) fn second(&self) -> usize {
         self.elapsed().as_secs() as usize
     }
 
-    /// Does what the balancer has decided.
-    pub(super) fn follow(&mut self, agent: usize, request: u64, decision: Decision) {
+    /// Carries out a decision of the balancer.
+    pub(super) fn apply_decision(&mut self, agent: usize, request: u64, decision: Decision) {
         self.report.fold_decision(agent, request, &decision);
         self.trace(agent, request, || format!("decision: {decision:?}"));
         match decision {
@@ -139,8 +139,9 @@
     }
 
     fn reject(&mut self, agent: usize, request: u64) {
-        let checked = self.checked(agent, request, self.agents[agent].open[&request].class);
-        let violation = self.repeats.on_reject(checked);
+        let checked_request =
+            self.checked_request(agent, request, self.agents[agent].open[&request].class);
+        let violation = self.repeats.on_reject(checked_request);
         self.report_violations(violation);
         self.report.rejected += 1;
         self.retry(agent, request, TryFailure::Rejected);
@@ -153,8 +154,13 @@
         self.answer(agent, request);
     }
 
-    /// A request as the checker of rule 2 knows it.
-    pub(super) fn checked(&self, agent: usize, request: u64, class: usize) -> CheckedRequest {
+    /// Describes a request for the checker of rule 2.
+    pub(super) fn checked_request(
+        &self,
+        agent: usize,
+        request: u64,
+        class: usize,
+    ) -> CheckedRequest {
         CheckedRequest {
             agent,
             request,
@@ -171,7 +177,8 @@
         }
     }
 
-    /// Asks the balancer again, unless it has named another time meanwhile.
+    /// Asks the balancer for a new decision, unless the request is answered or was rescheduled to
+    /// another time.
     pub(super) fn on_recheck(&mut self, agent: usize, request: u64, at: Duration) {
         let state = &mut self.agents[agent];
         let due = state
@@ -180,11 +187,11 @@
             .is_some_and(|open| !open.answer.is_answered() && open.recheck_at == Some(at));
         if due {
             let decision = state.balancer.route(self.queue.now(), request);
-            self.follow(agent, request, decision);
+            self.apply_decision(agent, request, decision);
         }
     }
 
-    /// A client was told that its request was rejected, or failed: it may retry.
+    /// Schedules a client's retry of a rejected or failed request, unless the client gives up.
     fn retry(&mut self, agent: usize, request: u64, failure: TryFailure) {
         let now = self.queue.now();
         let state = &mut self.agents[agent];
@@ -206,7 +213,7 @@
         }
     }
 
-    /// The request has its answer.
+    /// Records and checks the answer to a request.
     pub(super) fn answer(&mut self, agent: usize, request: u64) {
         let now = self.queue.now();
         let state = &mut self.agents[agent];
@@ -218,7 +225,7 @@
         self.report_violations(violations);
     }
 
-    /// Counts the first success of a request.
+    /// Records the success of a request and its latency.
     pub(super) fn record_success(&mut self, agent: usize, request: u64) {
         let now = self.queue.now();
         let second = self.second();
--- a/crates/testkit/src/simulation/runner/scenario.rs
+++ b/crates/testkit/src/simulation/runner/scenario.rs
@@ -1,4 +1,4 @@
-//! The events of a scenario, and what the agents are told of them.
+//! Scripted events, and the notifications that the agents get about them.
 
 use super::super::event::{Event, Notification};
 use super::super::ScenarioEvent;
@@ -7,7 +7,7 @@
 use tulipwall_zones::ZoneConfig;
 
 impl Runner {
-    /// Lets an event happen.
+    /// Applies a scripted event.
     pub(super) fn apply(&mut self, event: ScenarioEvent) {
         match event {
             ScenarioEvent::SetState(endpoint, state) => self.set_state(endpoint, state),
@@ -57,7 +57,8 @@
         self.publish_endpoint(endpoint);
     }
 
-    /// What the endpoint had in hand is lost, its connections are broken.
+    /// Crashes an endpoint: its running and queued attempts lose their connections, and agents must
+    /// reconnect.
     fn crash(&mut self, endpoint: usize) {
         for attempt in self.endpoints[endpoint].crash() {
             self.end_if_in_flight(attempt, Outcome::ConnectionLost);
@@ -73,7 +74,7 @@
         let Some(zones) = &mut agent.zones else {
             return;
         };
-        // Zones and classes stay as they are, and nothing else is ever refused.
+        // Zones and classes stay the same, and `reload` refuses no other change.
         let classes = vec![IndexOrigin::Same; zoning.classes.len()];
         zones.reload(now, zoning, &classes);
         agent.apply_cross_zone_policy();
@@ -93,7 +94,7 @@
         self.notify(Notification::Endpoint(entry));
     }
 
-    /// Tells the agents, at once or after the delay of notifications.
+    /// Notifies the agents, at once or after the notification delay.
     fn notify(&mut self, notification: Notification) {
         let delay = self.simulation.notification_delay;
         if delay.is_zero() {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A notification reaches all agents.
+    /// Delivers a notification to all agents.
     pub(super) fn on_notification(&mut self, notification: Notification) {
         match notification {
             Notification::Endpoint(entry) => self.notify_endpoint(entry),
--- a/crates/testkit/tests/checks.rs
+++ b/crates/testkit/tests/checks.rs
@@ -1,4 +1,5 @@
-//! Each checker reports a violation of its rule and accepts the limiting case that is still allowed.
+//! Each checker reports a violation of its rule and accepts the limiting case that is still
+//! allowed.
 
 use std::time::Duration;
 use tulipwall::{DeduplicationScope, EndpointState, Idempotency};
