--- a/crates/testkit/src/simulation/agent.rs
+++ b/crates/testkit/src/simulation/agent.rs
@@ -9,8 +9,8 @@
 use tulipwall_client_policy::{RetryController, RetryPolicy};
 use tulipwall_zones::{Reservation, Zones};
 
-/// Multiplier of the simulation's seed, so that agents of different simulations get different
-/// seeds.
+/// Spacing of the agents' seeds between successive simulation seeds, so that agents of different
+/// simulations get different seeds.
 const SEED_STRIDE: u64 = 1_000_003;
 
 pub(super) struct Agent {
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -193,9 +193,9 @@
         zone_count: zones,
         classes: classes
             .iter()
-            .map(|l| ClassProfile {
-                priority_weight: l.priority_weight,
-                latency_objective: l.latency_objective,
+            .map(|request_class| ClassProfile {
+                priority_weight: request_class.priority_weight,
+                latency_objective: request_class.latency_objective,
             })
             .collect(),
         links: vec![Link::default(); zones + 1],
