--- a/crates/experiments/src/scale/agent/discovery.rs
+++ b/crates/experiments/src/scale/agent/discovery.rs
@@ -32,7 +32,7 @@
     /// Starts that were scheduled; only the last one counts.
     pub(super) watch_starts: u64,
     is_start_scheduled: bool,
-    pub(super) is_watch_wanted: bool,
+    pub(super) is_watch_requested: bool,
 }
 
 impl DiscoveryState {
@@ -44,7 +44,7 @@
             watch: Watch::Idle,
             watch_starts: 0,
             is_start_scheduled: false,
-            is_watch_wanted: false,
+            is_watch_requested: false,
         }
     }
 
@@ -81,17 +81,17 @@
     }
 
     /// Starts a watch that the balancer asked for, unless one stands or is scheduled.
-    pub(super) fn start_wanted_watch(&mut self, now: Duration) {
+    pub(super) fn start_requested_watch(&mut self, now: Duration) {
         let discovery = &self.discovery;
         let is_idle = matches!(discovery.watch, Watch::Idle);
-        if discovery.is_watch_wanted && !discovery.is_start_scheduled && is_idle {
+        if discovery.is_watch_requested && !discovery.is_start_scheduled && is_idle {
             self.start_watch(now);
         }
     }
 
     fn start_watch(&mut self, now: Duration) {
         let discovery = &mut self.discovery;
-        discovery.is_watch_wanted = false;
+        discovery.is_watch_requested = false;
         discovery.is_start_scheduled = false;
         let wait = discovery.timer.first_wait();
         let needs_whole_list = self.reload.awaits_discovery && discovery.timer.calls_are_free();
@@ -116,7 +116,8 @@
         self.last_call += 1;
         let call = self.last_call;
         let length = http::get_request(DISCOVERY_HOST, &path).len();
-        self.meter.passed(now, MessageKind::DiscoveryCall, length);
+        self.meter
+            .record_message(now, MessageKind::DiscoveryCall, length);
         let output = AgentOutput::DiscoveryCall {
             call,
             path,
@@ -142,7 +143,7 @@
         match self.discovery.timer.on_watch_end(ended) {
             Some(gap) => self.schedule_watch(now + gap),
             None => {
-                self.discovery.is_watch_wanted = false;
+                self.discovery.is_watch_requested = false;
                 self.balancer.on_list_failure(now);
             }
         }
@@ -176,11 +177,12 @@
             return; // It came on a connection that is closed.
         }
         if status != HTTP_OK {
-            self.meter.passed(now, MessageKind::Refusal, bytes.len());
+            self.meter
+                .record_message(now, MessageKind::Refusal, bytes.len());
             return self.on_call_failure(now, call, WatchEnd::Refused);
         }
-        let is_sound = self.take_response(now, bytes);
-        if !is_sound {
+        let is_well_formed = self.apply_response(now, bytes);
+        if !is_well_formed {
             return self.on_call_failure(now, call, WatchEnd::Malformed);
         }
         self.discovery.timer.on_response();
@@ -201,15 +203,16 @@
     }
 
     /// Parses an HTTP response and takes in its list; whether all of it could be used.
-    fn take_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
+    fn apply_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
         let timer = ProcessorTimer::start();
         let response = http::parse_response(bytes, false).ok().flatten();
         let response = response.and_then(|response| ListResponse::parse(&response.body).ok());
-        self.meter.spent(now, Operation::Parsing, timer);
+        self.meter
+            .record_processor_time(now, Operation::Parsing, timer);
         let Some(response) = response else {
             return false;
         };
-        let is_sound = response.first_error.is_none();
+        let is_well_formed = response.first_error.is_none();
         let kind = if response.complete {
             MessageKind::WholeList
         } else if response.endpoints.is_empty() {
@@ -217,30 +220,33 @@
         } else {
             MessageKind::Changes
         };
-        self.meter.passed(now, kind, bytes.len());
-        self.take_list(now, response);
-        is_sound
+        self.meter.record_message(now, kind, bytes.len());
+        self.apply_list(now, response);
+        is_well_formed
     }
 
     /// Takes in the list of a process's configuration.
-    pub(super) fn take_known_list(&mut self, now: Duration, bytes: &[u8]) {
+    pub(super) fn apply_known_list(&mut self, now: Duration, bytes: &[u8]) {
         let timer = ProcessorTimer::start();
         let response = ListResponse::parse(bytes);
-        self.meter.spent(now, Operation::Parsing, timer);
+        self.meter
+            .record_processor_time(now, Operation::Parsing, timer);
         if let Ok(response) = response {
-            self.take_list(now, response);
+            self.apply_list(now, response);
         }
     }
 
-    fn take_list(&mut self, now: Duration, response: ListResponse) {
+    fn apply_list(&mut self, now: Duration, response: ListResponse) {
         let list = &mut self.discovery.list;
         let timer = ProcessorTimer::start();
         let applied = list.apply(response, &self.config, &self.clock);
         let changes = applied.into_changes();
-        self.meter.spent(now, Operation::ListUpdate, timer);
+        self.meter
+            .record_processor_time(now, Operation::ListUpdate, timer);
         let timer = ProcessorTimer::start();
         self.balancer.update_endpoints(now, &changes, false);
-        self.meter.spent(now, Operation::BalancerUpdate, timer);
+        self.meter
+            .record_processor_time(now, Operation::BalancerUpdate, timer);
         let version = list.version;
         let last = self.counts.versions.last();
         if last.is_none_or(|learnt| learnt.version != version) {
--- a/crates/experiments/src/scale/agent/mod.rs
+++ b/crates/experiments/src/scale/agent/mod.rs
@@ -118,7 +118,9 @@
             clock,
             balancer: process.balancer,
             discovery: process.discovery,
-            platform: PlatformState { silent_at: now },
+            platform: PlatformState {
+                silence_deadline: now,
+            },
             requests: Requests::default(),
             rng: Pcg64Mcg::seed_from_u64(seed ^ LOAD_SEED),
             events: EventQueue::default(),
@@ -169,7 +171,7 @@
     /// Discards what was counted before now.
     pub fn count_from(&mut self, now: Duration) {
         self.meter = Meter {
-            from: now,
+            counted_from: now,
             clock_cost_ns: self.meter.clock_cost_ns,
             ..Meter::default()
         };
@@ -231,13 +233,14 @@
     fn on_poll(&mut self, now: Duration) {
         let timer = ProcessorTimer::start();
         let result = self.balancer.poll(now);
-        self.meter.spent(now, Operation::Poll, timer);
+        self.meter
+            .record_processor_time(now, Operation::Poll, timer);
         self.counts.polls += 1;
-        self.discovery.is_watch_wanted |= result.open_watch;
+        self.discovery.is_watch_requested |= result.open_watch;
         if let Some(vote) = result.vote {
             self.send_vote(now, &vote);
         }
-        self.start_wanted_watch(now);
+        self.start_requested_watch(now);
         let next = result.next_poll.max(now + MIN_POLL_GAP);
         self.events.push(next, EventKind::Poll);
     }
@@ -278,7 +281,7 @@
         self.reload.awaits_discovery = false;
         self.reload.awaits_platform = false;
         self.start_discovery(now);
-        self.take_known_list(now, known_list);
+        self.apply_known_list(now, known_list);
         self.open_platform_watch(now);
     }
 }
--- a/crates/experiments/src/scale/agent/platform.rs
+++ b/crates/experiments/src/scale/agent/platform.rs
@@ -16,15 +16,15 @@
 /// What an agent knows of the platform.
 pub(super) struct PlatformState {
     /// When its silence will have lasted too long.
-    pub(super) silent_at: Duration,
+    pub(super) silence_deadline: Duration,
 }
 
 impl SimulatedAgent {
     pub(super) fn on_platform_timeout(&mut self, now: Duration) {
-        if now >= self.platform.silent_at {
+        if now >= self.platform.silence_deadline {
             self.open_platform_watch(now);
         }
-        let next = self.platform.silent_at.max(now + MIN_CHECK_GAP);
+        let next = self.platform.silence_deadline.max(now + MIN_CHECK_GAP);
         self.events.push(next, EventKind::PlatformTimeout);
     }
 
@@ -32,7 +32,7 @@
         self.last_call += 1;
         let line = platform::watch_request(self.last_call);
         self.send_to_platform(now, line.len(), AgentOutput::PlatformWatch { line });
-        self.platform.silent_at = now + SILENCE_TIMEOUT;
+        self.platform.silence_deadline = now + SILENCE_TIMEOUT;
     }
 
     pub(super) fn send_vote(&mut self, now: Duration, vote: &Vote) {
@@ -42,20 +42,22 @@
     }
 
     fn send_to_platform(&mut self, now: Duration, length: usize, output: AgentOutput) {
-        self.meter.passed(now, MessageKind::PlatformCall, length);
+        self.meter
+            .record_message(now, MessageKind::PlatformCall, length);
         self.outputs.push((now, self.number, output));
     }
 
     pub(super) fn on_platform_line(&mut self, now: Duration, kind: MessageKind, bytes: &[u8]) {
-        self.meter.passed(now, kind, bytes.len());
-        self.platform.silent_at = now + SILENCE_TIMEOUT;
+        self.meter.record_message(now, kind, bytes.len());
+        self.platform.silence_deadline = now + SILENCE_TIMEOUT;
         let timer = ProcessorTimer::start();
         match platform::parse_message(bytes) {
             Ok(PlatformMessage::RolloutStatus(status)) => self.update_rollout(now, status),
             Ok(PlatformMessage::Response { reply, .. }) => self.balancer.on_vote_reply(now, reply),
             _ => {}
         }
-        self.meter.spent(now, Operation::PlatformLine, timer);
+        self.meter
+            .record_processor_time(now, Operation::PlatformLine, timer);
         if std::mem::take(&mut self.reload.awaits_platform) {
             self.count_reload(now);
         }
--- a/crates/experiments/src/scale/agent/requests.rs
+++ b/crates/experiments/src/scale/agent/requests.rs
@@ -66,7 +66,8 @@
         let timer = ProcessorTimer::start();
         self.balancer.on_request(now, id, request);
         let decision = self.balancer.route(now, id);
-        self.meter.spent(now, Operation::Decisions, timer);
+        self.meter
+            .record_processor_time(now, Operation::Decisions, timer);
         self.requests.open.insert(id, OpenRequest::default());
         let deadline = EventKind::Deadline { request: id };
         self.events.push(now + DEADLINE, deadline);
@@ -80,7 +81,8 @@
         let key = self.rng.gen();
         let timer = ProcessorTimer::start();
         let tenant = self.config.tenant_index(&name);
-        self.meter.spent(now, Operation::TenantLookup, timer);
+        self.meter
+            .record_processor_time(now, Operation::TenantLookup, timer);
         Request {
             class,
             tenant,
@@ -107,7 +109,7 @@
                     return;
                 }
                 Decision::Defer { until } => return self.schedule_recheck(id, until),
-                Decision::Reject { .. } | Decision::Fail => return self.answer(id),
+                Decision::Reject { .. } | Decision::Fail => return self.mark_answered(id),
                 Decision::Cancel { attempt } => {
                     match self.end_attempt(now, id, attempt, Outcome::Cancelled, false) {
                         Some(next) => decision = next,
@@ -134,7 +136,8 @@
         if self.requests.open.get(&id).is_some_and(is_due) {
             let timer = ProcessorTimer::start();
             let decision = self.balancer.route(now, id);
-            self.meter.spent(now, Operation::Decisions, timer);
+            self.meter
+                .record_processor_time(now, Operation::Decisions, timer);
             self.act_on(now, id, decision, actual);
         }
     }
@@ -142,7 +145,7 @@
     pub(super) fn on_deadline(&mut self, id: u64) {
         if self.requests.open.get(&id).is_some_and(|r| !r.is_answered) {
             self.balancer.close_request(id);
-            self.answer(id);
+            self.mark_answered(id);
         }
     }
 
@@ -157,7 +160,8 @@
         let timer = ProcessorTimer::start();
         let target = self.discovery.list.target(endpoint);
         let index_guard = self.discovery.list.hold_index(endpoint);
-        self.meter.spent(now, Operation::Decisions, timer);
+        self.meter
+            .record_processor_time(now, Operation::Decisions, timer);
         let (duration, outcome) = match target.map(|t| (t.address, t.zone)) {
             None => (Duration::ZERO, Outcome::NotSent),
             Some((address, zone)) => self.draw_outcome(address, zone, timeout, actual),
@@ -221,7 +225,8 @@
         };
         let timer = ProcessorTimer::start();
         let decision = self.balancer.on_attempt_end(now, id, attempt, end);
-        self.meter.spent(now, Operation::Decisions, timer);
+        self.meter
+            .record_processor_time(now, Operation::Decisions, timer);
         Some(decision)
     }
 
@@ -248,14 +253,14 @@
             }
         }
         if is_closed {
-            self.answer(id);
+            self.mark_answered(id);
         } else {
             self.act_on(now, id, decision, actual);
         }
     }
 
     /// The client has its answer; attempts may still be open.
-    fn answer(&mut self, id: u64) {
+    fn mark_answered(&mut self, id: u64) {
         let Some(request) = self.requests.open.get_mut(&id) else {
             return;
         };
--- a/crates/experiments/src/scale/command/installations.rs
+++ b/crates/experiments/src/scale/command/installations.rs
@@ -2,7 +2,8 @@
 
 use super::Options;
 use crate::scale::extrapolation::{
-    every_agent_fronts_all, largest_service, mean_service, measured_agent_memory, Reading,
+    every_agent_fronts_all, largest_service, mean_service, measured_agent_memory,
+    SizeInterpretation,
 };
 use crate::scale::report::SweepResult;
 use crate::scale::size::Size;
@@ -10,7 +11,7 @@
 /// Load of all rows but the peak and the calm one, in requests a second for each agent.
 const QUIET_RATE: f64 = 14.3;
 /// The same where every agent fronts all endpoints, which takes long.
-const QUIET_RATE_OF_ALL: f64 = 1.0;
+const QUIET_RATE_ALL_ENDPOINTS: f64 = 1.0;
 /// Counts of classes that are tried where every agent fronts all endpoints, largest first.
 const CLASS_COUNTS: [usize; 3] = [1600, 160, 11];
 
@@ -25,7 +26,7 @@
 
 impl Options {
     /// Whether any size is on the command line.
-    pub(super) fn names_size(&self) -> bool {
+    pub(super) fn has_size_options(&self) -> bool {
         let counts = [
             self.services,
             self.agents,
@@ -33,8 +34,8 @@
             self.classes,
             self.tenants,
         ];
-        let names_count = counts.iter().any(Option::is_some);
-        names_count || self.rate.is_some() || self.calls.is_some() || self.every_call
+        let has_count_option = counts.iter().any(Option::is_some);
+        has_count_option || self.rate.is_some() || self.calls.is_some() || self.every_call
     }
 
     /// The size on the command line, with defaults.
@@ -60,7 +61,7 @@
         allowed_memory: f64,
         measured: &[SweepResult],
     ) -> Vec<Installation> {
-        if self.names_size() {
+        if self.has_size_options() {
             return vec![Installation {
                 reading: "as told".into(),
                 size: self.size(),
@@ -117,7 +118,7 @@
             Installation {
                 reading: fitting_reading,
                 size: fitting,
-                quiet_rate: self.quiet.or(Some(QUIET_RATE_OF_ALL)),
+                quiet_rate: self.quiet.or(Some(QUIET_RATE_ALL_ENDPOINTS)),
             },
         ]
     }
@@ -128,7 +129,11 @@
 ///
 /// Guards against an estimate of an earlier version, by which fewer classes would be simulated than
 /// fit. Does harm where requests leave more than in the sweeps, which are short.
-fn fitting_size(reading: Reading, allowed_memory: f64, measured: &[SweepResult]) -> Size {
+fn fitting_size(
+    reading: SizeInterpretation,
+    allowed_memory: f64,
+    measured: &[SweepResult],
+) -> Size {
     let memory = |size: &Size| {
         measured_agent_memory(measured, size).map_or_else(
             || size.estimated_memory(false),
--- a/crates/experiments/src/scale/command/mod.rs
+++ b/crates/experiments/src/scale/command/mod.rs
@@ -127,7 +127,7 @@
                 self.write(&report)?;
             }
         }
-        list_rows_beyond(&mut report);
+        add_rows_beyond_limits(&mut report);
         self.write(&report)?;
         println!("Beyond the limits: {}", report.beyond.len());
         for line in &report.beyond {
@@ -137,7 +137,7 @@
     }
 
     fn runs_sweeps(&self) -> bool {
-        self.only != Some(Only::Rows) && !self.names_size() && self.row.is_empty()
+        self.only != Some(Only::Rows) && !self.has_size_options() && self.row.is_empty()
     }
 
     fn runs_rows(&self) -> bool {
@@ -182,7 +182,7 @@
 }
 
 /// Adds what lies beyond the limits in rows to that of the report.
-fn list_rows_beyond(report: &mut Report) {
+fn add_rows_beyond_limits(report: &mut Report) {
     for row in &report.rows {
         for beyond in &row.beyond {
             let line = format!("{}, {}: {beyond}", row.reading, row.name);
--- a/crates/experiments/src/scale/command/rows.rs
+++ b/crates/experiments/src/scale/command/rows.rs
@@ -2,8 +2,8 @@
 
 use super::{Installation, Options};
 use crate::scale::error::ScaleError;
-use crate::scale::report::{memory_beyond, Report, RowResult, ROW_TABLE_HEAD};
-use crate::scale::rows::{rows, Row, RESTARTS, RESTARTS_A_DAY};
+use crate::scale::report::{memory_beyond_limit, Report, RowResult, ROW_TABLE_HEAD};
+use crate::scale::rows::{rows, Row, RESTARTS, RESTARTS_PER_DAY};
 use crate::scale::simulation::Outcome;
 use serde_json::json;
 
@@ -11,7 +11,7 @@
 const MAX_PAIRS_FOR_ALL_ROWS: usize = 1_000_000;
 /// The rows that say most.
 const IMPORTANT_ROWS: [&str; 3] = ["peak", "configuration", "zone"];
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 const MEGABYTE: f64 = 1e6;
 
 impl Options {
@@ -42,12 +42,12 @@
         }
         print_retained(&results);
         print_restarts(&results);
-        let memory = memory_an_agent(&results);
+        let memory = memory_per_agent(&results);
         println!(
             "memory, an agent: {:.1} MB (settings shared)\n",
             memory / MEGABYTE
         );
-        let beyond = memory_beyond(memory).map(|text| format!("{reading}: {text}"));
+        let beyond = memory_beyond_limit(memory).map(|text| format!("{reading}: {text}"));
         report.beyond.extend(beyond);
         report.rows.extend(results);
         Ok(())
@@ -104,14 +104,14 @@
         if let Some(restarts) = outcome(results, name) {
             let added = restarts.discovery_bytes - calm.discovery_bytes;
             let each = added * restarts.seconds / RESTARTS as f64;
-            let daily = each * RESTARTS_A_DAY / SECONDS_A_DAY;
-            println!("{what}: {each:.0} bytes from discovery in sum; {daily:.0} a second on a day of {RESTARTS_A_DAY}");
+            let daily = each * RESTARTS_PER_DAY / SECONDS_PER_DAY;
+            println!("{what}: {each:.0} bytes from discovery in sum; {daily:.0} a second on a day of {RESTARTS_PER_DAY}");
         }
     }
 }
 
 /// Most bytes of memory that an agent took in any row.
-fn memory_an_agent(results: &[RowResult]) -> f64 {
+fn memory_per_agent(results: &[RowResult]) -> f64 {
     results
         .iter()
         .map(|result| result.outcome.memory / result.outcome.agents.max(1) as f64)
--- a/crates/experiments/src/scale/command/sweeps.rs
+++ b/crates/experiments/src/scale/command/sweeps.rs
@@ -59,7 +59,7 @@
         sweep
             .points
             .iter()
-            .map(|point| least_of(&point.simulation, runs))
+            .map(|point| min_times_of_runs(&point.simulation, runs))
             .collect()
     }
 
@@ -113,7 +113,7 @@
 }
 
 /// The least times of several runs of a simulation.
-fn least_of(simulation: &Simulation, runs: usize) -> Result<Outcome, ScaleError> {
+fn min_times_of_runs(simulation: &Simulation, runs: usize) -> Result<Outcome, ScaleError> {
     let mut least = simulation.run()?;
     for _ in 1..runs {
         least = least.least(&simulation.run()?);
--- a/crates/experiments/src/scale/extrapolation.rs
+++ b/crates/experiments/src/scale/extrapolation.rs
@@ -96,7 +96,7 @@
 
 /// An installation that the operators' size may mean, as one agent meets it.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct SizeInterpretation {
     /// Name in reports.
     pub name: &'static str,
     /// The size.
@@ -104,8 +104,8 @@
 }
 
 /// One mean service of 140.
-pub fn mean_service() -> Reading {
-    Reading {
+pub fn mean_service() -> SizeInterpretation {
+    SizeInterpretation {
         name: "mean service",
         size: Size {
             agents: 6,
@@ -115,8 +115,8 @@
 }
 
 /// The largest service.
-pub fn largest_service() -> Reading {
-    Reading {
+pub fn largest_service() -> SizeInterpretation {
+    SizeInterpretation {
         name: "largest service",
         size: Size {
             agents: 77,
@@ -129,8 +129,8 @@
 }
 
 /// One service of which every agent fronts all endpoints.
-pub fn every_agent_fronts_all() -> Reading {
-    Reading {
+pub fn every_agent_fronts_all() -> SizeInterpretation {
+    SizeInterpretation {
         name: "every agent fronts all",
         size: Size {
             agents: 770,
@@ -199,7 +199,7 @@
         })
     }
 
-    fn cost(&self, reading: Reading) -> AgentCost {
+    fn cost(&self, reading: SizeInterpretation) -> AgentCost {
         let size = reading.size;
         let decision_us = self.decision.at(&size);
         let poll_us = self.poll.at(&size);
--- a/crates/experiments/src/scale/figures.rs
+++ b/crates/experiments/src/scale/figures.rs
@@ -39,7 +39,7 @@
     ns as f64 / count.max(1) as f64 / 1000.0
 }
 
-fn milliseconds_an_agent(outcome: &Outcome, operation: &str) -> f64 {
+fn milliseconds_per_agent(outcome: &Outcome, operation: &str) -> f64 {
     microseconds_each(outcome, operation, outcome.agents as u64) / 1000.0
 }
 
@@ -56,11 +56,11 @@
     microseconds_each(o, "decisions", o.requests)
 });
 /// Endpoints that the balancer looks at for a request.
-pub const SCANS_A_REQUEST: Figure = Figure::count("looks at appliances a command", |o| {
+pub const SCANS_PER_REQUEST: Figure = Figure::count("looks at appliances a command", |o| {
     o.endpoints_scanned as f64 / o.requests.max(1) as f64
 });
 /// Endpoints that the balancer looks at in a poll.
-pub const SCANS_A_POLL: Figure = Figure::count("looks at appliances a survey", |o| {
+pub const SCANS_PER_POLL: Figure = Figure::count("looks at appliances a survey", |o| {
     o.endpoints_scanned as f64 / o.polls.max(1) as f64
 });
 /// Processor time of a poll.
@@ -73,15 +73,15 @@
 });
 /// Processor time to parse an endpoint list.
 pub const PARSING: Figure = Figure::time("reading, ms a list", |o| {
-    milliseconds_an_agent(o, "reading")
+    milliseconds_per_agent(o, "reading")
 });
 /// Processor time to update the agent's list.
 pub const LIST_UPDATE: Figure = Figure::time("List::take, ms a list", |o| {
-    milliseconds_an_agent(o, "taking")
+    milliseconds_per_agent(o, "taking")
 });
 /// Processor time to update the balancer.
 pub const BALANCER_UPDATE: Figure = Figure::time("Choice::list, ms a list", |o| {
-    milliseconds_an_agent(o, "listing")
+    milliseconds_per_agent(o, "listing")
 });
 /// Size of a whole list.
 pub const WHOLE_LIST: Figure = Figure::count("whole list, bytes", |o| {
--- a/crates/experiments/src/scale/meter.rs
+++ b/crates/experiments/src/scale/meter.rs
@@ -107,7 +107,7 @@
 
 /// What one second took.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Second {
+pub struct SecondUsage {
     /// Bytes sent and received.
     pub bytes: u64,
     /// Processor time, in nanoseconds.
@@ -158,24 +158,29 @@
     /// Messages by kind, in bytes.
     pub traffic: [Total; MessageKind::NAMES.len()],
     /// Both by second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondUsage>,
     /// Nothing counts before.
-    pub from: Duration,
+    pub counted_from: Duration,
     /// What reading the clock costs, in nanoseconds.
     pub clock_cost_ns: u64,
 }
 
 impl Meter {
-    fn second(&mut self, now: Duration) -> Option<&mut Second> {
-        let index = now.checked_sub(self.from)?.as_secs() as usize;
+    fn second(&mut self, now: Duration) -> Option<&mut SecondUsage> {
+        let index = now.checked_sub(self.counted_from)?.as_secs() as usize;
         if self.seconds.len() <= index {
-            self.seconds.resize(index + 1, Second::default());
+            self.seconds.resize(index + 1, SecondUsage::default());
         }
         self.seconds.get_mut(index)
     }
 
     /// Counts the processor time of an operation.
-    pub fn spent(&mut self, now: Duration, operation: Operation, timer: ProcessorTimer) {
+    pub fn record_processor_time(
+        &mut self,
+        now: Duration,
+        operation: Operation,
+        timer: ProcessorTimer,
+    ) {
         let ns = timer.elapsed_ns().saturating_sub(self.clock_cost_ns);
         let Some(second) = self.second(now) else {
             return;
@@ -188,7 +193,7 @@
     }
 
     /// Counts a message.
-    pub fn passed(&mut self, now: Duration, kind: MessageKind, bytes: usize) {
+    pub fn record_message(&mut self, now: Duration, kind: MessageKind, bytes: usize) {
         let Some(second) = self.second(now) else {
             return;
         };
--- a/crates/experiments/src/scale/report/mod.rs
+++ b/crates/experiments/src/scale/report/mod.rs
@@ -48,7 +48,7 @@
 }
 
 /// The memory of one agent in bytes, where it lies beyond the operators' limit.
-pub fn memory_beyond(bytes: f64) -> Option<String> {
+pub fn memory_beyond_limit(bytes: f64) -> Option<String> {
     let megabytes = bytes / MEGABYTE;
     let limit = MAX_MEMORY / MEGABYTE;
     (bytes > MAX_MEMORY).then(|| format!("memory of an agent {megabytes:.0} MB beyond {limit:.0}"))
--- a/crates/experiments/src/scale/report/sweep.rs
+++ b/crates/experiments/src/scale/report/sweep.rs
@@ -55,7 +55,7 @@
         let first = sweep.points.first();
         SweepResult {
             name: sweep.name,
-            over: sweep.key,
+            over: sweep.count_name,
             size: first.map_or_else(Size::default, |point| point.simulation.size),
             curves: sweep.figures.iter().map(curve).collect(),
         }
--- a/crates/experiments/src/scale/rows.rs
+++ b/crates/experiments/src/scale/rows.rs
@@ -32,7 +32,7 @@
 /// Machines of a rack.
 const RACK_MACHINES: usize = 40;
 /// Restarts and replacements on an ordinary day.
-pub const RESTARTS_A_DAY: f64 = 990.0;
+pub const RESTARTS_PER_DAY: f64 = 990.0;
 /// Restarts in a row in the scenarios of restarts.
 pub const RESTARTS: usize = 12;
 const RESTART_INTERVAL: Duration = seconds(2);
@@ -41,7 +41,7 @@
 /// Services of the operators' installation.
 const SERVICES: usize = 140;
 /// One service with more endpoints than this stands for the whole installation.
-const LARGE_SERVICE: usize = 1000;
+const MAX_SERVICE_ENDPOINTS: usize = 1000;
 /// Endpoints that restart while the regions cannot reach each other.
 const PARTITION_RESTARTS: usize = 5;
 /// Build that is rolled out.
@@ -93,7 +93,7 @@
     }
 }
 
-fn list(
+fn list_event(
     endpoints: Vec<usize>,
     state: &'static str,
     build: Option<u32>,
@@ -120,9 +120,15 @@
     for (n, endpoint) in endpoints.iter().enumerate() {
         let at = from + interval * n as u32;
         let one = || vec![*endpoint];
-        events.push((at, list(one(), "terminating", None, false)));
-        events.push((at + TERMINATION, list(one(), "terminated", None, false)));
-        events.push((at + REPLACEMENT, list(one(), "in_service", build, true)));
+        events.push((at, list_event(one(), "terminating", None, false)));
+        events.push((
+            at + TERMINATION,
+            list_event(one(), "terminated", None, false),
+        ));
+        events.push((
+            at + REPLACEMENT,
+            list_event(one(), "in_service", build, true),
+        ));
     }
     events
 }
@@ -137,8 +143,8 @@
     ];
     for (n, group) in endpoints.chunks(group_size).enumerate() {
         let delay = NOTICE_INTERVAL * n as u32;
-        let gone = list(group.to_vec(), "terminated", None, false);
-        let back = list(group.to_vec(), "in_service", None, true);
+        let gone = list_event(group.to_vec(), "terminated", None, false);
+        let back = list_event(group.to_vec(), "in_service", None, true);
         events.push((START + FIRST_NOTICE + delay, gone));
         events.push((RECOVERY + delay, back));
     }
@@ -232,7 +238,7 @@
 
 fn release_rows(size: Size) -> Vec<Row> {
     // A service is one of 140, or the whole of a smaller installation.
-    let is_whole_installation = size.services == 1 && size.endpoints > LARGE_SERVICE;
+    let is_whole_installation = size.services == 1 && size.endpoints > MAX_SERVICE_ENDPOINTS;
     let service: Vec<usize> = if is_whole_installation {
         (0..size.endpoints / SERVICES).collect()
     } else {
--- a/crates/experiments/src/scale/servers/discovery.rs
+++ b/crates/experiments/src/scale/servers/discovery.rs
@@ -41,17 +41,17 @@
 struct CallBudget {
     per_second: f64,
     tokens: f64,
-    filled_at: Duration,
+    refilled_at: Duration,
     /// Whether calls that continue a watch are paid for, too.
     every_call: bool,
 }
 
 impl CallBudget {
     /// Pays for a call; whether there was enough.
-    fn pay(&mut self, now: Duration, starts_watch: bool) -> bool {
-        let gained = now.saturating_sub(self.filled_at).as_secs_f64() * self.per_second;
-        self.tokens = (self.tokens + gained).min(self.per_second);
-        self.filled_at = now.max(self.filled_at);
+    fn try_acquire(&mut self, now: Duration, starts_watch: bool) -> bool {
+        let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + refill).min(self.per_second);
+        self.refilled_at = now.max(self.refilled_at);
         if !starts_watch && !self.every_call {
             return true;
         }
@@ -90,7 +90,7 @@
             budget: CallBudget {
                 per_second: call_budget,
                 tokens: call_budget,
-                filled_at: Duration::ZERO,
+                refilled_at: Duration::ZERO,
                 every_call,
             },
         }
@@ -135,7 +135,7 @@
         inputs: &mut Vec<PendingInput>,
     ) {
         let timer = ProcessorTimer::start();
-        if !self.budget.pay(now, starts_watch) {
+        if !self.budget.try_acquire(now, starts_watch) {
             self.counts.count_refusal(now);
             let refusal = Arc::new(REFUSAL.to_vec());
             inputs.push(response_input(now, caller, HTTP_UNAVAILABLE, refusal));
--- a/crates/experiments/src/scale/servers/mod.rs
+++ b/crates/experiments/src/scale/servers/mod.rs
@@ -38,28 +38,32 @@
     /// Processor time of the fake, in nanoseconds.
     pub ns: u64,
     /// Nothing counts before.
-    from: Duration,
+    counted_from: Duration,
 }
 
 impl ServerCounts {
     /// Counts that begin now.
-    pub fn starting_at(from: Duration) -> ServerCounts {
+    pub fn starting_at(counted_from: Duration) -> ServerCounts {
         ServerCounts {
-            from,
+            counted_from,
             ..ServerCounts::default()
         }
     }
 
     fn count_call(&mut self, now: Duration) {
-        add_at(&mut self.calls, now.checked_sub(self.from), 1);
+        add_at(&mut self.calls, now.checked_sub(self.counted_from), 1);
     }
 
     fn count_bytes(&mut self, now: Duration, bytes: usize) {
-        add_at(&mut self.bytes, now.checked_sub(self.from), bytes as u64);
+        add_at(
+            &mut self.bytes,
+            now.checked_sub(self.counted_from),
+            bytes as u64,
+        );
     }
 
     fn count_refusal(&mut self, now: Duration) {
-        if now >= self.from {
+        if now >= self.counted_from {
             self.refused += 1;
         }
     }
--- a/crates/experiments/src/scale/simulation/coordinator.rs
+++ b/crates/experiments/src/scale/simulation/coordinator.rs
@@ -76,7 +76,7 @@
             let until = now + DELAY;
             self.begin_counting(now);
             let outputs = self.step_agents(until)?;
-            self.pass_on(outputs);
+            self.forward_outputs(outputs);
             now = until;
             self.advance_servers(now);
             self.apply_events(now);
@@ -131,7 +131,7 @@
     }
 
     /// Passes to the servers what agents sent, unless they are cut off.
-    fn pass_on(&mut self, outputs: Outputs) {
+    fn forward_outputs(&mut self, outputs: Outputs) {
         let is_partitioned = self.actual[0].is_partitioned;
         for (at, agent, output) in outputs {
             if is_partitioned && is_in_second_region(&self.size, agent) {
@@ -181,7 +181,7 @@
                 state,
                 build,
                 started,
-            } => self.list(now, &endpoints, |entry| {
+            } => self.change_entries(now, &endpoints, |entry| {
                 entry.state = state.to_owned();
                 entry.build = build.unwrap_or(entry.build);
                 if started {
@@ -232,7 +232,7 @@
     }
 
     /// Changes the entries of endpoints at the discovery of their services.
-    fn list(&mut self, now: Duration, endpoints: &[usize], change: impl Fn(&mut Entry)) {
+    fn change_entries(&mut self, now: Duration, endpoints: &[usize], change: impl Fn(&mut Entry)) {
         let mut by_service: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for endpoint in endpoints {
             let service = self.service_of_endpoint(*endpoint);
--- a/crates/experiments/src/scale/simulation/mod.rs
+++ b/crates/experiments/src/scale/simulation/mod.rs
@@ -61,8 +61,8 @@
             let mut handles = Vec::new();
             for thread in 0..threads {
                 let agents = (0..self.size.agents).filter(|a| a % threads == thread);
-                let (link, ends) = WorkerLink::channel();
-                let worker = Worker::new(self, agents.collect(), &known_lists, ends);
+                let (link, channels) = WorkerLink::channel();
+                let worker = Worker::new(self, agents.collect(), &known_lists, channels);
                 handles.push(scope.spawn(move || worker.run()));
                 links.push(link);
             }
--- a/crates/experiments/src/scale/simulation/workers.rs
+++ b/crates/experiments/src/scale/simulation/workers.rs
@@ -35,25 +35,25 @@
 }
 
 /// A worker's end of it.
-pub(super) struct WorkerEnds {
+pub(super) struct WorkerChannels {
     commands: Receiver<Command>,
     outputs: Sender<Outputs>,
 }
 
 impl WorkerLink {
     /// Both ends of a new connection.
-    pub(super) fn channel() -> (WorkerLink, WorkerEnds) {
+    pub(super) fn channel() -> (WorkerLink, WorkerChannels) {
         let (command_sender, command_receiver) = channel();
         let (output_sender, output_receiver) = channel();
         let link = WorkerLink {
             commands: command_sender,
             outputs: output_receiver,
         };
-        let ends = WorkerEnds {
+        let channels = WorkerChannels {
             commands: command_receiver,
             outputs: output_sender,
         };
-        (link, ends)
+        (link, channels)
     }
 
     /// Sends a command.
@@ -81,7 +81,7 @@
     agents: Vec<usize>,
     /// By service.
     known_lists: &'a [Arc<Vec<u8>>],
-    ends: WorkerEnds,
+    channels: WorkerChannels,
 }
 
 impl<'a> Worker<'a> {
@@ -89,13 +89,13 @@
         simulation: &'a Simulation,
         agents: Vec<usize>,
         known_lists: &'a [Arc<Vec<u8>>],
-        ends: WorkerEnds,
+        channels: WorkerChannels,
     ) -> Worker<'a> {
         Worker {
             simulation,
             agents,
             known_lists,
-            ends,
+            channels,
         }
     }
 
@@ -106,7 +106,7 @@
             .values_mut()
             .flat_map(|agent| std::mem::take(&mut agent.outputs))
             .collect();
-        while let Ok(command) = self.ends.commands.recv() {
+        while let Ok(command) = self.channels.commands.recv() {
             match command {
                 Command::CountFrom(now) => {
                     for agent in agents.values_mut() {
@@ -120,7 +120,7 @@
                 } => {
                     let mut outputs = std::mem::take(&mut first_outputs);
                     self.step(&mut agents, until, &actual, inputs, &mut outputs);
-                    if self.ends.outputs.send(outputs).is_err() {
+                    if self.channels.outputs.send(outputs).is_err() {
                         break;
                     }
                 }
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -162,7 +162,7 @@
         let classes = self.classes as f64;
         let tenants = self.tenants as f64;
         let agent = AGENT_BYTES
-            + self.listed() * (LISTED_BYTES + LISTED_CLASS_BYTES * classes)
+            + self.listed_endpoints() * (LISTED_BYTES + LISTED_CLASS_BYTES * classes)
             + classes * CLASS_BYTES
             + tenants * TENANT_BYTES;
         let own = if own_settings {
@@ -170,25 +170,25 @@
         } else {
             0.0
         };
-        self.memory_with_agents_of(agent + own)
+        self.installation_memory(agent + own)
     }
 
     /// Bytes that a simulation of this size takes where agents share their settings, by what the
     /// sweeps of this very program measured of an agent with settings of its own.
     pub fn memory_by_measured_agent(&self, agent: f64) -> f64 {
         let without_settings = (agent - self.settings_memory()).max(AGENT_BYTES);
-        self.memory_with_agents_of(without_settings)
+        self.installation_memory(without_settings)
     }
 
-    fn memory_with_agents_of(&self, agent: f64) -> f64 {
+    fn installation_memory(&self, agent: f64) -> f64 {
         let discovery = self.endpoints as f64 * DISCOVERY_ENTRY_BYTES;
-        let parsing = self.listed() * PARSED_ENTRY_BYTES * WORKERS;
+        let parsing = self.listed_endpoints() * PARSED_ENTRY_BYTES * WORKERS;
         let settings = self.settings_memory() * WORKERS;
         self.agents as f64 * agent + settings + discovery + parsing + PROCESS_BYTES
     }
 
     /// Endpoints in the list of one agent.
-    fn listed(&self) -> f64 {
+    fn listed_endpoints(&self) -> f64 {
         self.endpoints as f64 / self.services.max(1) as f64
     }
 
--- a/crates/experiments/src/scale/sweeps.rs
+++ b/crates/experiments/src/scale/sweeps.rs
@@ -2,8 +2,8 @@
 
 use super::figures::{
     Figure, BALANCER_UPDATE, BYTES, CONTROL_CORE, CORE, DECISIONS, DISCOVERY_BYTES,
-    DISCOVERY_CALLS, LIST_UPDATE, MEMORY, PARSING, PLATFORM_BYTES, POLL, SCANS_A_POLL,
-    SCANS_A_REQUEST, TENANT_LOOKUP, WHOLE_LIST,
+    DISCOVERY_CALLS, LIST_UPDATE, MEMORY, PARSING, PLATFORM_BYTES, POLL, SCANS_PER_POLL,
+    SCANS_PER_REQUEST, TENANT_LOOKUP, WHOLE_LIST,
 };
 use super::rows::rolling_restart;
 use super::simulation::{InstallationEvent, Simulation};
@@ -23,7 +23,7 @@
 const AGENTS: usize = 2;
 const MEMORY_AGENTS: usize = 8;
 /// Agents and endpoints of a mean service.
-const SERVICE_AGENTS_TWICE: usize = 11;
+const AGENTS_PER_TWO_SERVICES: usize = 11;
 const SERVICE_ENDPOINTS: usize = 55;
 /// Endpoints that restart in a sweep of changes.
 const RESTARTS: usize = 5;
@@ -43,7 +43,7 @@
     /// Name on the command line and in reports.
     pub name: &'static str,
     /// What is counted.
-    pub key: &'static str,
+    pub count_name: &'static str,
     /// The simulations.
     pub points: Vec<SweepPoint>,
     /// What is measured.
@@ -64,7 +64,7 @@
     endpoints: &'static [usize],
     classes: &'static [usize],
     /// Classes where there are many endpoints.
-    classes_of_many: &'static [usize],
+    classes_of_many_endpoints: &'static [usize],
     tenants: &'static [usize],
     agents: &'static [usize],
     services: &'static [usize],
@@ -78,7 +78,7 @@
 const FULL: Counts = Counts {
     endpoints: &[55, 550, 1100, 2200, 4400, 7700],
     classes: &[11, 40, 160, 400, 1600],
-    classes_of_many: &[11, 40, 80, 160],
+    classes_of_many_endpoints: &[11, 40, 80, 160],
     tenants: &[400, 5600, 14_000, 28_000, 56_000],
     agents: &[6, 24, 96, 384, 770],
     services: &[1, 10, 35, 70, 140],
@@ -90,7 +90,7 @@
 const SMALL: Counts = Counts {
     endpoints: &[55, 110, 220, 440],
     classes: &[11, 20, 40, 80],
-    classes_of_many: &[3, 6, 12, 24],
+    classes_of_many_endpoints: &[3, 6, 12, 24],
     tenants: &[400, 800, 1600, 3200],
     agents: &[4, 8, 16, 32],
     services: &[1, 2, 4, 8],
@@ -157,7 +157,7 @@
     Size { tenants, ..base() }
 }
 
-fn gentle() -> Size {
+fn low_rate_size() -> Size {
     Size {
         rate: TRAFFIC_RATE,
         ..base()
@@ -174,7 +174,7 @@
     fn sweep(
         &self,
         name: &'static str,
-        key: &'static str,
+        count_name: &'static str,
         counts: &[usize],
         size: impl Fn(usize) -> Size,
         events: Events,
@@ -189,7 +189,7 @@
         };
         Sweep {
             name,
-            key,
+            count_name,
             points: counts.iter().map(point).collect(),
             figures: figures.to_vec(),
             in_own_process: false,
@@ -223,7 +223,7 @@
                 "surveys alone, by appliances",
                 without_load,
                 no_events,
-                &[SCANS_A_POLL, POLL],
+                &[SCANS_PER_POLL, POLL],
             ),
             over(
                 "a list that is known, by appliances",
@@ -260,7 +260,7 @@
         let many = self.sweep(
             "lanes of many appliances",
             "lanes",
-            self.counts.classes_of_many,
+            self.counts.classes_of_many_endpoints,
             |classes| self.many_endpoints(classes),
             no_events,
             &REQUEST_FIGURES,
@@ -297,15 +297,18 @@
     /// Sweeps of the traffic with discovery and platform, by agents and by services.
     fn traffic_sweeps(&self) -> [Sweep; 3] {
         let by_agents = |name, events| {
-            let with_agents = |agents| Size { agents, ..gentle() };
+            let with_agents = |agents| Size {
+                agents,
+                ..low_rate_size()
+            };
             let counts = self.counts.agents;
             self.traffic_sweep(name, "agents", counts, with_agents, events)
         };
         let with_services = |services| Size {
             services,
-            agents: services * SERVICE_AGENTS_TWICE / 2,
+            agents: services * AGENTS_PER_TWO_SERVICES / 2,
             endpoints: services * SERVICE_ENDPOINTS,
-            ..gentle()
+            ..low_rate_size()
         };
         let services = self.counts.services;
         [
@@ -318,12 +321,12 @@
     fn traffic_sweep(
         &self,
         name: &'static str,
-        key: &'static str,
+        count_name: &'static str,
         counts: &[usize],
         size: fn(usize) -> Size,
         events: Events,
     ) -> Sweep {
-        let mut sweep = self.sweep(name, key, counts, size, events, &TRAFFIC_FIGURES);
+        let mut sweep = self.sweep(name, count_name, counts, size, events, &TRAFFIC_FIGURES);
         for point in &mut sweep.points {
             point.simulation.warm_up = TRAFFIC_WARM_UP;
             point.simulation.duration = TRAFFIC_DURATION;
@@ -344,7 +347,7 @@
             self.memory_sweep(
                 "memory by lanes of many appliances",
                 "lanes",
-                counts.classes_of_many,
+                counts.classes_of_many_endpoints,
                 |classes| self.many_endpoints(classes),
             ),
             self.memory_sweep("memory by tenants", "tenants", counts.tenants, with_tenants),
@@ -354,7 +357,7 @@
     fn memory_sweep(
         &self,
         name: &'static str,
-        key: &'static str,
+        count_name: &'static str,
         counts: &[usize],
         size: impl Fn(usize) -> Size,
     ) -> Sweep {
@@ -363,7 +366,7 @@
             rate: MEMORY_RATE,
             ..size(count)
         };
-        let mut sweep = self.sweep(name, key, counts, size, no_events, &[MEMORY]);
+        let mut sweep = self.sweep(name, count_name, counts, size, no_events, &[MEMORY]);
         sweep.in_own_process = true;
         for point in &mut sweep.points {
             point.simulation.own_settings = true;
@@ -374,6 +377,6 @@
 }
 
 /// What requests cost.
-const REQUEST_FIGURES: [Figure; 5] = [DECISIONS, SCANS_A_REQUEST, POLL, CORE, CONTROL_CORE];
+const REQUEST_FIGURES: [Figure; 5] = [DECISIONS, SCANS_PER_REQUEST, POLL, CORE, CONTROL_CORE];
 /// What control costs.
 const TRAFFIC_FIGURES: [Figure; 4] = [BYTES, DISCOVERY_CALLS, DISCOVERY_BYTES, PLATFORM_BYTES];
