--- a/crates/experiments/src/scale/agent/discovery.rs
+++ b/crates/experiments/src/scale/agent/discovery.rs
@@ -1,4 +1,5 @@
-//! An agent's watch of discovery, as the real agent keeps it where calls are paid for.
+//! A simulated agent's long-poll watch of discovery, with the timing that the real agent uses where
+//! discovery limits the rate of calls.
 
 use super::events::EventKind;
 use super::{AgentOutput, LearntVersion, SimulatedAgent};
@@ -11,27 +12,30 @@
 use tulipwall_discovery::list_response::{self, ListResponse};
 use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
-/// Host header of calls to discovery; its length is counted.
+/// Host header of calls to discovery. Its length counts towards the bytes sent.
 const DISCOVERY_HOST: &str = "10.200.0.1:8500";
 const HTTP_OK: u16 = 200;
 
-/// The call to discovery that is under way.
+/// State of the watch of discovery.
 #[derive(Clone, Copy)]
 enum Watch {
+    /// No call is in progress.
     Idle,
-    /// The first call of a watch, or a later one.
+    /// The call with this number, the first of a watch or a later one, is in progress.
     Calling(u64),
 }
 
-/// What an agent knows of discovery.
+/// An agent's endpoint list, and the state of its watch of discovery.
 pub(super) struct DiscoveryState {
     pub(super) list: EndpointTable,
     timer: WatchTimer,
     lease: ListLease,
     watch: Watch,
-    /// Starts that were scheduled; only the last one counts.
+    /// Number of watch starts scheduled so far. A [`EventKind::StartWatch`] with a lower number is
+    /// stale and is ignored.
     pub(super) watch_starts: u64,
     is_start_scheduled: bool,
+    /// Whether the balancer asked for a watch that has not been started yet.
     pub(super) is_watch_requested: bool,
 }
 
@@ -48,13 +52,15 @@
         }
     }
 
+    /// Whether this call is the one in progress.
     fn is_current(&self, call: u64) -> bool {
         matches!(self.watch, Watch::Calling(current) if current == call)
     }
 }
 
 impl SimulatedAgent {
-    /// At the start of a process: how long the list is valid, and when discovery is first called.
+    /// Called when a process starts: sets how long the list is valid, and schedules the first call to
+    /// discovery.
     pub(super) fn start_discovery(&mut self, now: Duration) {
         self.update_list_validity();
         if let Some(gap) = self.discovery.timer.startup_delay() {
@@ -62,6 +68,7 @@
         }
     }
 
+    /// Passes the lease's current expiry to the balancer.
     fn update_list_validity(&mut self) {
         let valid_until = self.discovery.lease.valid_until();
         self.balancer.set_list_valid_until(valid_until);
@@ -80,7 +87,7 @@
         }
     }
 
-    /// Starts a watch that the balancer asked for, unless one stands or is scheduled.
+    /// Starts a watch that the balancer asked for, unless one is in progress or scheduled.
     pub(super) fn start_requested_watch(&mut self, now: Duration) {
         let discovery = &self.discovery;
         let is_idle = matches!(discovery.watch, Watch::Idle);
@@ -106,6 +113,7 @@
         self.discovery.watch = Watch::Calling(call);
     }
 
+    /// Sends a call to discovery, schedules its timeout, and returns its number.
     fn call_discovery(
         &mut self,
         now: Duration,
@@ -133,6 +141,8 @@
         self.on_call_failure(now, call, WatchEnd::TimedOut);
     }
 
+    /// Ends a watch whose current call failed, and schedules the next one if a retry is due. Failures
+    /// of earlier calls are ignored.
     fn on_call_failure(&mut self, now: Duration, call: u64, ended: WatchEnd) {
         if !self.discovery.is_current(call) {
             return;
@@ -149,7 +159,7 @@
         }
     }
 
-    /// A new configuration: the watch ends, and another starts after a gap.
+    /// Ends the watch after a configuration reload, and schedules another after a delay.
     pub(super) fn restart_watch_after_reload(&mut self, now: Duration) {
         self.close_watch(now);
         self.discovery.lease.on_address_change(now);
@@ -174,7 +184,7 @@
         bytes: &[u8],
     ) {
         if !self.discovery.is_current(call) {
-            return; // It came on a connection that is closed.
+            return; // The connection of this call is already closed.
         }
         if status != HTTP_OK {
             self.meter
@@ -202,7 +212,8 @@
         self.discovery.watch = Watch::Calling(call);
     }
 
-    /// Parses an HTTP response and takes in its list; whether all of it could be used.
+    /// Parses an HTTP response and applies its list. Returns whether the response was well-formed in
+    /// full; the valid entries of a partly malformed list are applied all the same.
     fn apply_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
         let timer = ProcessorTimer::start();
         let response = http::parse_response(bytes, false).ok().flatten();
@@ -225,7 +236,8 @@
         is_well_formed
     }
 
-    /// Takes in the list of a process's configuration.
+    /// Applies the endpoint list (`known`) that comes with a process's configuration. A list that
+    /// cannot be parsed is ignored.
     pub(super) fn apply_known_list(&mut self, now: Duration, bytes: &[u8]) {
         let timer = ProcessorTimer::start();
         let response = ListResponse::parse(bytes);
@@ -236,6 +248,7 @@
         }
     }
 
+    /// Updates the endpoint list and the balancer, and records the version when it is new.
     fn apply_list(&mut self, now: Duration, response: ListResponse) {
         let list = &mut self.discovery.list;
         let timer = ProcessorTimer::start();
--- a/crates/experiments/src/scale/agent/events.rs
+++ b/crates/experiments/src/scale/agent/events.rs
@@ -1,11 +1,11 @@
-//! Future events of an agent, in the order of their times.
+//! The queue of an agent's scheduled events, ordered by time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::time::Duration;
 use tulipwall::Outcome;
 
-/// What happens at an agent by itself.
+/// An event that an agent schedules for itself, as opposed to an input from outside.
 pub(super) enum EventKind {
     /// A request arrives.
     Arrival,
@@ -15,20 +15,21 @@
         attempt: usize,
         outcome: Outcome,
     },
-    /// A request is to be routed again.
+    /// The balancer asked to route a request again at this time.
     Recheck { request: u64 },
-    /// The client of a request stops waiting.
+    /// The deadline of a request is reached; its client stops waiting.
     Deadline { request: u64 },
-    /// The balancer asked to be polled.
+    /// The balancer asked to be polled at this time.
     Poll,
-    /// A watch is to be started, unless another start has been scheduled since.
+    /// A watch of discovery is due to start, unless another start has been scheduled since.
     StartWatch { number: u64 },
-    /// A call to discovery has not been answered in time.
+    /// A call to discovery reaches its timeout.
     CallTimeout { call: u64 },
-    /// The platform may have been silent for too long.
+    /// Check whether the platform has been silent for longer than the timeout.
     PlatformTimeout,
 }
 
+/// An event with its time and the tie-breaking order of its insertion.
 struct Event {
     at: Duration,
     sequence: u64,
@@ -55,7 +56,8 @@
     }
 }
 
-/// Events by time; those of the same time in the order they were added.
+/// A priority queue of events by time. Events with equal times come out in the order in which they
+/// were added, which keeps the simulation deterministic.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Event>>,
@@ -63,6 +65,7 @@
 }
 
 impl EventQueue {
+    /// Schedules an event.
     pub(super) fn push(&mut self, at: Duration, kind: EventKind) {
         self.last_sequence += 1;
         self.heap.push(Reverse(Event {
@@ -72,12 +75,12 @@
         }));
     }
 
-    /// Time of the next event.
+    /// Returns the time of the next event, or `None` when the queue is empty.
     pub(super) fn next_at(&self) -> Option<Duration> {
         self.heap.peek().map(|event| event.0.at)
     }
 
-    /// Removes the next event.
+    /// Removes and returns the next event with its time, or `None` when the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(Duration, EventKind)> {
         let Reverse(event) = self.heap.pop()?;
         Some((event.at, event.kind))
--- a/crates/experiments/src/scale/agent/messages.rs
+++ b/crates/experiments/src/scale/agent/messages.rs
@@ -1,70 +1,72 @@
-//! What passes between a simulated agent and the rest of the installation.
+//! Messages between a simulated agent and the rest of the installation.
 
 use crate::scale::meter::MessageKind;
 use std::sync::Arc;
 
-/// The actual state of the installation, whatever agents have been told.
+/// The actual state of machines and network, which may differ from what agents have learnt from
+/// discovery.
 #[derive(Clone, Debug, Default)]
 pub struct ActualState {
-    /// By endpoint: whether its machine is gone and does not answer.
+    /// Whether an endpoint's machine is down and does not answer, by endpoint number.
     pub down: Vec<bool>,
-    /// Whether the two regions cannot reach each other. Discovery and platform are in the first.
+    /// Whether the two regions are partitioned from each other. Discovery and the platform are in
+    /// the first region.
     pub is_partitioned: bool,
 }
 
-/// What comes to an agent.
+/// A message or signal that an agent receives.
 #[derive(Clone, Debug)]
 pub enum AgentInput {
-    /// Discovery's whole HTTP response to a call.
+    /// The complete HTTP response of discovery to a call.
     DiscoveryResponse {
-        /// The call that it answers.
+        /// Number of the call that it answers.
         call: u64,
         /// HTTP status.
         status: u16,
-        /// The response, headers included.
+        /// The whole response, headers included.
         bytes: Arc<Vec<u8>>,
     },
-    /// A line from the platform.
+    /// A line sent by the platform.
     PlatformLine {
-        /// What the line is, for counting.
+        /// Kind of message that the line is counted as.
         kind: MessageKind,
-        /// The line with its end.
+        /// The line, including its line terminator.
         bytes: Arc<Vec<u8>>,
     },
-    /// SIGHUP: a new configuration.
+    /// SIGHUP, by which the agent reads its configuration again.
     Reload,
-    /// The process ends and another begins.
+    /// The agent's process ends and another starts in its place.
     Restart {
-        /// The endpoint list in the new process's configuration.
+        /// The endpoint list in the new process's configuration, as JSON.
         known_list: Arc<Vec<u8>>,
     },
 }
 
-/// What an agent sends.
+/// A message that an agent sends, or an action on one of its connections.
 #[derive(Clone, Debug)]
 pub enum AgentOutput {
-    /// A call to discovery.
+    /// An HTTP request to discovery.
     DiscoveryCall {
         /// Number of the call, unique at its agent.
         call: u64,
         /// Path of the HTTP request.
         path: String,
-        /// Whether it starts a watch, on a connection of its own, or continues one.
+        /// Whether the call starts a watch on a new connection, rather than continuing one.
         starts_watch: bool,
     },
-    /// The connection of a call to discovery is closed.
+    /// The agent closes the connection of a call to discovery.
     CloseDiscoveryCall {
-        /// The call.
+        /// Number of the call.
         call: u64,
     },
-    /// A connection to the platform, in place of any other.
+    /// A new connection to the platform, which replaces the earlier one.
     PlatformWatch {
-        /// First line on the connection.
+        /// First line sent on the connection: the request for rollout status.
         line: String,
     },
-    /// A vote, on the connection to the platform.
+    /// A vote on a rollout, sent on the connection to the platform.
     Vote {
-        /// The line.
+        /// The request, a line of JSON.
         line: String,
     },
 }
--- a/crates/experiments/src/scale/agent/mod.rs
+++ b/crates/experiments/src/scale/agent/mod.rs
@@ -1,8 +1,8 @@
-//! A simulated agent: the agent's real decisions, endpoint list, parsers and watch timing in
-//! simulated time, without sockets.
+//! A simulated agent, which runs the real agent's balancer, endpoint list, parsers and watch timing
+//! in simulated time and without sockets.
 //!
-//! It decides nothing of its own. Where an outcome depends on chance, such as how long an endpoint
-//! takes, the chance is drawn from the seed.
+//! The simulation makes no routing decisions itself. Random outcomes, such as the processing time at
+//! an endpoint, are drawn from a generator that is initialized from the simulation's seed.
 
 mod discovery;
 mod events;
@@ -26,16 +26,17 @@
 use tulipwall_config::ServiceConfig;
 use tulipwall_discovery::clock::Clock;
 
-/// The balancer is polled no sooner than this after the last time.
+/// Minimum time between two polls of the balancer.
 const MIN_POLL_GAP: Duration = Duration::from_millis(1);
-/// Spreads the seeds of agents, so that neighbours draw differently (golden ratio, 64 bits).
+/// Spreads the seeds, so that agents with adjacent numbers draw different random sequences (golden
+/// ratio, 64 bits).
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Separates the draws of the load from those of the balancer.
+/// Combined with an agent's seed, so that the load and the balancer draw from different sequences.
 const LOAD_SEED: u64 = 0xa11c;
-/// Added to the seed of an agent at each restart.
+/// Added to an agent's seed at each restart, so that every process draws a sequence of its own.
 const RESTART_SEED: u64 = 0x51_7c_c1;
 
-/// What an agent counts beside its meter.
+/// Counts of an agent in addition to those of its [`Meter`].
 #[derive(Clone, Debug, Default)]
 pub struct AgentCounts {
     /// Requests that arrived.
@@ -44,28 +45,29 @@
     pub succeeded: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Endpoints looked at by the balancer.
+    /// Endpoints that the balancer scanned.
     pub endpoints_scanned: u64,
-    /// How often the balancer was polled.
+    /// Polls of the balancer.
     pub polls: u64,
-    /// When which version of the endpoint list was learnt.
+    /// Versions of the endpoint list that the agent learnt, in the order in which they came.
     pub versions: Vec<LearntVersion>,
-    /// From each reload until discovery and the platform were heard anew.
+    /// For each completed reload, the time until both discovery and the platform had responded.
     pub reloads: Vec<Duration>,
-    /// What it keeps: requests, endpoints, builds, keys, and what is listed.
+    /// Entries retained at the end: requests, endpoints, builds and keys in the balancer, and
+    /// endpoints in the list.
     pub retained: [usize; 5],
 }
 
-/// A version of the endpoint list that came to an agent.
+/// A version of the endpoint list that an agent learnt.
 #[derive(Clone, Copy, Debug)]
 pub struct LearntVersion {
-    /// When it came.
+    /// Simulated time at which the agent learnt it.
     pub at: Duration,
-    /// The version.
+    /// Version number, as discovery assigns it.
     pub version: u64,
 }
 
-/// A reload that is under way.
+/// The progress of the last reload.
 #[derive(Default)]
 struct Reload {
     started_at: Duration,
@@ -73,9 +75,9 @@
     awaits_platform: bool,
 }
 
-/// An agent in simulated time.
+/// An agent that runs in simulated time.
 pub struct SimulatedAgent {
-    /// Its number in the installation.
+    /// Number of the agent in the installation, from 0.
     pub number: usize,
     size: Size,
     config: Rc<ServiceConfig>,
@@ -89,18 +91,19 @@
     last_call: u64,
     reload: Reload,
     process_seed: u64,
-    /// What it sent and has not been passed on: when, from which agent, what.
+    /// Messages sent that the simulation has not collected yet: the time, the agent's number and the
+    /// message.
     pub outputs: Vec<(Duration, usize, AgentOutput)>,
-    /// Processor time and traffic.
+    /// Processor time and traffic of this agent.
     pub meter: Meter,
-    /// Further counts.
+    /// Counts of requests, polls and list versions.
     pub counts: AgentCounts,
-    /// Endpoints scanned by the current balancer before counting began.
+    /// Endpoints that the current balancer had scanned before counting began.
     scanned_before: u64,
 }
 
 impl SimulatedAgent {
-    /// Starts an agent that knows no endpoints yet.
+    /// Starts an agent whose endpoint list is still empty.
     pub fn start(
         number: usize,
         size: Size,
@@ -142,8 +145,8 @@
         agent
     }
 
-    /// Simulates all that happens before `until`, its own events and `inputs`, in the order of
-    /// their times.
+    /// Advances the simulation to `until`: handles the agent's own events and `inputs` in order of
+    /// time. At equal times the input comes first.
     pub fn step(
         &mut self,
         until: Duration,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Discards what was counted before now.
+    /// Resets all counts, so that counting starts now.
     pub fn count_from(&mut self, now: Duration) {
         self.meter = Meter {
             counted_from: now,
@@ -183,7 +186,7 @@
         self.scanned_before = self.balancer.endpoints_scanned();
     }
 
-    /// Completes the counts at the end of a simulation.
+    /// Completes the counts at the end of the simulation.
     pub fn finish(&mut self) {
         self.count_scanned();
         let [requests, endpoints, builds, keys] = self.balancer.retained_counts();
@@ -191,6 +194,7 @@
         self.counts.retained = [requests, endpoints, builds, keys, listed];
     }
 
+    /// Adds the endpoints that the current balancer has scanned since counting began.
     fn count_scanned(&mut self) {
         let scanned = self.balancer.endpoints_scanned() - self.scanned_before;
         self.counts.endpoints_scanned += scanned;
@@ -229,7 +233,8 @@
         }
     }
 
-    /// Polls the balancer, and acts on what it asks for.
+    /// Polls the balancer, starts the watch and sends the vote that it asks for, and schedules the next
+    /// poll.
     fn on_poll(&mut self, now: Duration) {
         let timer = ProcessorTimer::start();
         let result = self.balancer.poll(now);
@@ -245,7 +250,7 @@
         self.events.push(next, EventKind::Poll);
     }
 
-    /// SIGHUP: discovery and the platform are called anew.
+    /// Handles SIGHUP: starts new watches of discovery and the platform.
     fn reload(&mut self, now: Duration) {
         self.reload = Reload {
             started_at: now,
@@ -256,15 +261,15 @@
         self.open_platform_watch(now);
     }
 
-    /// Counts the reload once both discovery and the platform have been heard.
+    /// Records the duration of the reload once both discovery and the platform have responded.
     fn count_reload(&mut self, now: Duration) {
         if !self.reload.awaits_discovery && !self.reload.awaits_platform {
             self.counts.reloads.push(now - self.reload.started_at);
         }
     }
 
-    /// Another process takes its place: open requests are lost, and the endpoint list comes with
-    /// the configuration.
+    /// Replaces the agent's process by a new one: open requests are lost, and the endpoint list starts
+    /// out as the one in the configuration.
     pub fn restart(&mut self, now: Duration, known_list: &[u8]) {
         self.close_watch(now);
         self.process_seed = self.process_seed.wrapping_add(RESTART_SEED);
@@ -275,7 +280,8 @@
         self.balancer = process.balancer;
         let watch_starts = self.discovery.watch_starts;
         self.discovery = process.discovery;
-        // Starts that the earlier process scheduled must not be taken for those of this one.
+        // The count continues, because the queue may still hold starts that the earlier process
+        // scheduled; they must not be taken for those of the new one.
         self.discovery.watch_starts = watch_starts;
         self.requests.open.clear();
         self.reload.awaits_discovery = false;
@@ -286,7 +292,7 @@
     }
 }
 
-/// What a process creates at its start.
+/// The state that an agent's process creates when it starts.
 struct Process {
     balancer: Balancer,
     discovery: DiscoveryState,
--- a/crates/experiments/src/scale/agent/platform.rs
+++ b/crates/experiments/src/scale/agent/platform.rs
@@ -1,4 +1,4 @@
-//! An agent's connection to the rollout platform.
+//! A simulated agent's connection to the rollout platform.
 
 use super::events::EventKind;
 use super::{AgentOutput, SimulatedAgent};
@@ -7,15 +7,14 @@
 use tulipwall::{RolloutStatus, Vote};
 use tulipwall_agent::protocol::platform::{self, PlatformMessage};
 
-/// Without a line for so long the connection to the platform is opened anew, as the real agent
-/// does.
+/// The agent reconnects to the platform after this long without a line, as the real agent does.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Silence is looked for no sooner than this after the last time.
+/// Minimum time between two checks for silence of the platform.
 const MIN_CHECK_GAP: Duration = Duration::from_millis(50);
 
-/// What an agent knows of the platform.
+/// State of an agent's connection to the platform.
 pub(super) struct PlatformState {
-    /// When its silence will have lasted too long.
+    /// Time at which the agent reconnects, unless a line arrives before.
     pub(super) silence_deadline: Duration,
 }
 
@@ -28,6 +27,7 @@
         self.events.push(next, EventKind::PlatformTimeout);
     }
 
+    /// Opens a new connection to the platform and asks for rollout status.
     pub(super) fn open_platform_watch(&mut self, now: Duration) {
         self.last_call += 1;
         let line = platform::watch_request(self.last_call);
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Passes a rollout status to the balancer, with its age converted to a time.
     fn update_rollout(&mut self, now: Duration, status: platform::RolloutReport) {
         self.balancer.update_rollout(RolloutStatus {
             build: status.build,
--- a/crates/experiments/src/scale/agent/requests.rs
+++ b/crates/experiments/src/scale/agent/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of an agent: their arrival, their attempts and their end.
+//! The simulated requests of an agent, from their arrival through their attempts to their end.
 
 use super::events::EventKind;
 use super::{ActualState, SimulatedAgent};
@@ -11,39 +11,43 @@
 use tulipwall::{AttemptEnd, Decision, Outcome, Request};
 use tulipwall_discovery::endpoint_table::IndexGuard;
 
-/// How long a client waits.
+/// Time that a client waits for the response to a request.
 const DEADLINE: Duration = Duration::from_millis(1500);
 /// Mean processing time at an endpoint, in milliseconds.
 const MEAN_WORK_MS: f64 = 20.0;
-/// Network time to an endpoint and back.
+/// Network round-trip time between an agent and an endpoint.
 const ROUND_TRIP: Duration = Duration::from_millis(1);
-/// Bits of an IPv4 address that hold the number of an endpoint; see `Size::entry`.
+/// Mask for the bits of an IPv4 address that hold the endpoint number; see `Size::entry`.
 const ENDPOINT_MASK: usize = 0xff_ffff;
 
-/// The requests of an agent.
+/// The open requests of an agent, by identifier.
 #[derive(Default)]
 pub(super) struct Requests {
     pub(super) open: HashMap<u64, OpenRequest>,
     next_id: u64,
 }
 
-/// A request that is not yet answered, or some attempt of which has not yet ended.
+/// A request that has not been answered, or that still has an attempt in flight.
 #[derive(Default)]
 pub(super) struct OpenRequest {
-    /// By attempt; none for those that ended.
+    /// The attempts in the order in which they were sent; `None` for those that have ended.
     attempts: Vec<Option<OpenAttempt>>,
+    /// Time at which to route the request again; `None` if the balancer asked for no recheck.
     recheck_at: Option<Duration>,
     is_answered: bool,
 }
 
+/// An attempt in flight.
 struct OpenAttempt {
     sent_at: Duration,
-    /// Keeps the endpoint's index from being given to another.
+    /// Keeps the endpoint's index from being reused for another endpoint while the attempt is in
+    /// flight.
     _index_guard: Option<IndexGuard>,
 }
 
 impl SimulatedAgent {
-    /// Schedules the next request; arrivals are Poisson.
+    /// Schedules the arrival of the next request. Arrivals form a Poisson process; a rate of zero
+    /// produces none.
     pub(super) fn schedule_arrival(&mut self, now: Duration) {
         if self.size.rate > 0.0 {
             let gap = self.draw_exponential() / self.size.rate;
@@ -52,7 +56,7 @@
         }
     }
 
-    /// Draws from the exponential distribution of mean 1.
+    /// Draws from the exponential distribution with mean 1.
     fn draw_exponential(&mut self) -> f64 {
         -self.rng.gen_range(f64::MIN_POSITIVE..1.0).ln()
     }
@@ -74,6 +78,7 @@
         self.act_on(now, id, decision, actual);
     }
 
+    /// Draws the class, tenant and key of a request.
     fn draw_request(&mut self, now: Duration) -> Request {
         let tenant_number = self.rng.gen_range(0..self.size.tenants.max(1));
         let name = tenant(tenant_number);
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Acts on a decision of the balancer, as the agent does.
+    /// Carries out a decision of the balancer as the real agent does.
     fn act_on(&mut self, now: Duration, id: u64, mut decision: Decision, actual: &ActualState) {
         loop {
             match decision {
@@ -130,7 +135,7 @@
 
     pub(super) fn on_recheck(&mut self, now: Duration, id: u64, actual: &ActualState) {
         let is_due = |request: &OpenRequest| {
-            // A later decision may have moved the recheck.
+            // A later decision may have rescheduled the recheck, which makes this event stale.
             !request.is_answered && request.recheck_at == Some(now)
         };
         if self.requests.open.get(&id).is_some_and(is_due) {
@@ -149,6 +154,7 @@
         }
     }
 
+    /// Sends an attempt to an endpoint and schedules its end, with the outcome drawn in advance.
     fn send_attempt(
         &mut self,
         now: Duration,
@@ -182,7 +188,7 @@
         self.events.push(now + duration, end);
     }
 
-    /// How long an attempt takes and how it ends.
+    /// Draws the duration and the outcome of an attempt.
     fn draw_outcome(
         &mut self,
         address: SocketAddr,
@@ -205,7 +211,8 @@
         }
     }
 
-    /// Tells the balancer of the end of an attempt, unless it has been told already.
+    /// Reports the end of an attempt to the balancer and returns its next decision. Returns `None` if
+    /// the attempt has been reported already or the request is gone.
     fn end_attempt(
         &mut self,
         now: Duration,
@@ -215,7 +222,7 @@
         request_closed: bool,
     ) -> Option<Decision> {
         let request = self.requests.open.get_mut(&id)?;
-        // The hold on the endpoint's index lasts until the balancer has been told.
+        // The index guard is held until the balancer knows of the end.
         let open_attempt = request.attempts.get_mut(attempt)?.take()?;
         let end = AttemptEnd {
             outcome,
@@ -259,7 +266,7 @@
         }
     }
 
-    /// The client has its answer; attempts may still be open.
+    /// Marks a request as answered, and removes it unless attempts are still in flight.
     fn mark_answered(&mut self, id: u64) {
         let Some(request) = self.requests.open.get_mut(&id) else {
             return;
@@ -271,7 +278,7 @@
     }
 }
 
-/// The number of the endpoint at this address.
+/// Returns the number of the endpoint with this address; IPv6 addresses belong to none.
 fn endpoint_number(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(v4) => u32::from_be_bytes(v4.ip().octets()) as usize & ENDPOINT_MASK,
--- a/crates/experiments/src/scale/command/installations.rs
+++ b/crates/experiments/src/scale/command/installations.rs
@@ -1,4 +1,4 @@
-//! The installations whose rows are simulated.
+//! Selects the installations whose measurement scenarios (rows) are simulated.
 
 use super::Options;
 use crate::scale::extrapolation::{
@@ -8,24 +8,26 @@
 use crate::scale::report::SweepResult;
 use crate::scale::size::Size;
 
-/// Load of all rows but the peak and the calm one, in requests a second for each agent.
+/// Load of all rows except `peak` and `calm`, in requests a second for each agent.
 const QUIET_RATE: f64 = 14.3;
-/// The same where every agent fronts all endpoints, which takes long.
+/// The same load where every agent fronts all endpoints. It is lower, because simulating such an
+/// installation takes long.
 const QUIET_RATE_ALL_ENDPOINTS: f64 = 1.0;
-/// Counts of classes that are tried where every agent fronts all endpoints, largest first.
+/// Numbers of classes to try where every agent fronts all endpoints, largest first.
 const CLASS_COUNTS: [usize; 3] = [1600, 160, 11];
 
-/// An installation whose rows are simulated.
+/// An installation whose measurement scenarios are simulated.
 pub(super) struct Installation {
-    /// Name in reports.
+    /// Name of the installation in reports.
     pub(super) reading: String,
     pub(super) size: Size,
-    /// The load of all rows but the peak and the calm one, in requests a second for each agent.
+    /// Load of all rows except `peak` and `calm`, in requests a second for each agent; `None` for the
+    /// rate of the size.
     pub(super) quiet_rate: Option<f64>,
 }
 
 impl Options {
-    /// Whether any size is on the command line.
+    /// Returns whether any option on the command line sets a size.
     pub(super) fn has_size_options(&self) -> bool {
         let counts = [
             self.services,
@@ -38,7 +40,7 @@
         has_count_option || self.rate.is_some() || self.calls.is_some() || self.every_call
     }
 
-    /// The size on the command line, with defaults.
+    /// Returns the size set on the command line, with defaults for the options that are missing.
     fn size(&self) -> Size {
         let default = Size::default();
         Size {
@@ -54,8 +56,8 @@
         }
     }
 
-    /// The installations whose rows are simulated in so many bytes of memory, by the sweeps that
-    /// were run before.
+    /// Returns the installations whose rows are simulated. With `--full`, the largest is reduced to
+    /// `allowed_memory` bytes, by the memory measured in the sweeps that were run before.
     pub(super) fn installations(
         &self,
         allowed_memory: f64,
@@ -83,7 +85,7 @@
         }]
     }
 
-    /// The readings of the operators' size.
+    /// Returns the installations for the interpretations of the operators' size.
     fn full_installations(
         &self,
         allowed_memory: f64,
@@ -124,11 +126,13 @@
     }
 }
 
-/// As many classes of a reading as fit in memory, then as many agents; extrapolation covers the
-/// rest.
+/// Returns the largest size that fits in memory: first as many classes as fit, then as many agents.
+/// Extrapolation covers the rest.
 ///
-/// Guards against an estimate of an earlier version, by which fewer classes would be simulated than
-/// fit. Does harm where requests leave more than in the sweeps, which are short.
+/// Uses the memory per agent that the sweeps measured, because the constants of
+/// [`Size::estimated_memory`] may come from an earlier version and would then allow fewer classes
+/// than fit. The result is too large where requests leave behind more memory than in the sweeps,
+/// which are short.
 fn fitting_size(
     reading: SizeInterpretation,
     allowed_memory: f64,
--- a/crates/experiments/src/scale/command/rows.rs
+++ b/crates/experiments/src/scale/command/rows.rs
@@ -1,4 +1,4 @@
-//! Runs the measurement scenarios of an installation.
+//! Runs the measurement scenarios (rows) of an installation.
 
 use super::{Installation, Options};
 use crate::scale::error::ScaleError;
@@ -7,15 +7,16 @@
 use crate::scale::simulation::Outcome;
 use serde_json::json;
 
-/// Beyond so many pairs of agent and endpoint only some rows are run: polls alone take minutes.
+/// With more pairs of an agent and an endpoint than this, only the important rows are run, because
+/// the polls alone take minutes.
 const MAX_PAIRS_FOR_ALL_ROWS: usize = 1_000_000;
-/// The rows that say most.
+/// The rows that are run where running all of them would take too long.
 const IMPORTANT_ROWS: [&str; 3] = ["peak", "configuration", "zone"];
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const MEGABYTE: f64 = 1e6;
 
 impl Options {
-    /// Runs the rows that are named, or all, and prints what they measured.
+    /// Runs the rows named on the command line, or all, and prints their results.
     pub(super) fn run_rows(
         &self,
         installation: &Installation,
@@ -44,7 +45,7 @@
         print_restarts(&results);
         let memory = memory_per_agent(&results);
         println!(
-            "memory, an agent: {:.1} MB (settings shared)\n",
+            "memory of one agent: {:.1} MB (settings shared)\n",
             memory / MEGABYTE
         );
         let beyond = memory_beyond_limit(memory).map(|text| format!("{reading}: {text}"));
@@ -53,6 +54,7 @@
         Ok(())
     }
 
+    /// Returns the rows to run, or an error if a name on the command line is unknown.
     fn selected_rows(&self, installation: &Installation) -> Result<Vec<Row>, ScaleError> {
         let size = installation.size;
         let all = rows(size, installation.quiet_rate);
@@ -76,28 +78,29 @@
     }
 }
 
+/// Returns the outcome of the row with this name, or `None` if it was not run.
 fn outcome<'a>(results: &'a [RowResult], name: &str) -> Option<&'a Outcome> {
     let result = results.iter().find(|result| result.name == name)?;
     Some(&result.outcome)
 }
 
-/// Prints what one agent keeps at the peak.
+/// Prints how many entries of each kind one agent retains at the peak.
 fn print_retained(results: &[RowResult]) {
     if let Some(peak) = outcome(results, "peak") {
         let [requests, endpoints, builds, keys, listed] = peak.retained;
         println!(
-            "kept by one agent at the peak: {requests} commands, {endpoints} appliances, {builds} builds, {keys} keys, {listed} listed"
+            "retained by one agent at the peak: {requests} requests, {endpoints} endpoints, {builds} builds, {keys} keys, {listed} listed endpoints"
         );
     }
 }
 
-/// Prints what restarts cost beyond a calm installation.
+/// Prints the additional discovery traffic of restarts, compared to the row `calm`.
 fn print_restarts(results: &[RowResult]) {
     let Some(calm) = outcome(results, "calm") else {
         return;
     };
     let kinds = [
-        ("restarts", "restart of an appliance"),
+        ("restarts", "restart of an endpoint"),
         ("agents", "restart of an agent"),
     ];
     for (name, what) in kinds {
@@ -105,12 +108,12 @@
             let added = restarts.discovery_bytes - calm.discovery_bytes;
             let each = added * restarts.seconds / RESTARTS as f64;
             let daily = each * RESTARTS_PER_DAY / SECONDS_PER_DAY;
-            println!("{what}: {each:.0} bytes from discovery in sum; {daily:.0} a second on a day of {RESTARTS_PER_DAY}");
+            println!("{what}: {each:.0} bytes from discovery in total; {daily:.0} bytes a second on a day of {RESTARTS_PER_DAY} restarts");
         }
     }
 }
 
-/// Most bytes of memory that an agent took in any row.
+/// Returns the largest memory of an agent in any row, in bytes.
 fn memory_per_agent(results: &[RowResult]) -> f64 {
     results
         .iter()
--- a/crates/experiments/src/scale/command/sweeps.rs
+++ b/crates/experiments/src/scale/command/sweeps.rs
@@ -1,4 +1,4 @@
-//! Runs sweeps.
+//! Runs the sweeps, and prints their results and the extrapolated costs.
 
 use super::Options;
 use crate::scale::error::ScaleError;
@@ -10,10 +10,10 @@
 use serde_json::json;
 use std::process::Command;
 
-/// Runs of each point of a full sweep of times, of which the least count.
+/// Number of runs of each point of a timed sweep with `--full`; the minimum of each time is reported.
 const FULL_RUNS: usize = 3;
 
-/// What is read of the outcome that another process prints.
+/// The fields that are read from the outcome that a point's own process prints.
 #[derive(Deserialize)]
 struct PrintedOutcome {
     #[serde(default)]
@@ -23,7 +23,7 @@
 }
 
 impl Options {
-    /// Runs the sweeps that are named, or all, and prints what they measured.
+    /// Runs the sweeps named on the command line, or all, and prints their results.
     pub(super) fn run_sweeps(&self, report: &mut Report) -> Result<(), ScaleError> {
         let all = sweeps(self.full, self.seed);
         for name in &self.sweep {
@@ -46,6 +46,7 @@
         Ok(())
     }
 
+    /// Runs all points of a sweep and returns their outcomes in order.
     fn run_sweep(&self, sweep: &Sweep) -> Result<Vec<Outcome>, ScaleError> {
         if sweep.in_own_process {
             return (0..sweep.points.len())
@@ -63,8 +64,8 @@
             .collect()
     }
 
-    /// Runs a point of which nothing is timed: once, on all threads, since counts are the same in
-    /// each run.
+    /// Runs a point whose figures are all counts: once and on all threads, since counts are the same
+    /// in every run.
     fn count(&self, point: &SweepPoint) -> Result<Outcome, ScaleError> {
         let simulation = Simulation {
             cores: usize::from(self.cores),
@@ -73,7 +74,8 @@
         simulation.run()
     }
 
-    /// Runs one point of a sweep in a process of its own; only memory and agents are measured.
+    /// Runs one point of a sweep in a process of its own. The outcome holds only the memory and the
+    /// number of agents.
     fn run_in_own_process(&self, sweep: &Sweep, point: usize) -> Result<Outcome, ScaleError> {
         let program = std::env::current_exe().map_err(ScaleError::Process)?;
         let mut command = Command::new(program);
@@ -95,7 +97,7 @@
         })
     }
 
-    /// Runs one point, `SWEEP:INDEX`, and prints its outcome as JSON.
+    /// Runs the point named `SWEEP:INDEX` and prints its outcome as JSON.
     pub(super) fn run_point(&self, point: &str) -> Result<(), ScaleError> {
         let all = sweeps(self.full, self.seed);
         let simulation =
@@ -105,6 +107,7 @@
     }
 }
 
+/// Returns the simulation of the point `SWEEP:INDEX`, or `None` if there is no such point.
 fn find_point<'a>(sweeps: &'a [Sweep], point: &str) -> Option<&'a Simulation> {
     let (name, index) = point.rsplit_once(':')?;
     let sweep = sweeps.iter().find(|sweep| sweep.name == name)?;
@@ -112,7 +115,7 @@
     Some(&point.simulation)
 }
 
-/// The least times of several runs of a simulation.
+/// Runs a simulation several times and returns the minimum of each time.
 fn min_times_of_runs(simulation: &Simulation, runs: usize) -> Result<Outcome, ScaleError> {
     let mut least = simulation.run()?;
     for _ in 1..runs {
@@ -121,7 +124,8 @@
     Ok(least)
 }
 
-/// Prints the extrapolated costs, where all sweeps that they need were run.
+/// Prints the extrapolated costs if all sweeps that they need were run, and adds those that exceed a
+/// limit to the report.
 fn print_agent_costs(report: &mut Report) {
     let costs = agent_costs(&report.sweeps);
     if !costs.is_empty() {
--- a/crates/experiments/src/scale/error.rs
+++ b/crates/experiments/src/scale/error.rs
@@ -1,70 +1,70 @@
-//! Errors of simulations of scale.
+//! Errors of the subcommand `scale` and its simulations.
 
 use std::fmt::Display;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why something could not be simulated or reported.
+/// An error that prevents a simulation or its report.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The settings of a simulated agent cannot be read.
-    #[error("{0}")]
+    /// The settings of a simulated agent are invalid.
+    #[error("invalid settings of the simulated agents: {0}")]
     Settings(String),
-    /// A thread of agents panicked.
-    #[error("a thread of agents failed")]
+    /// A worker thread panicked.
+    #[error("a worker thread panicked")]
     ThreadFailed,
-    /// A thread of agents ended before the simulation did.
-    #[error("a thread of agents ended early")]
+    /// A worker thread ended before the simulation did.
+    #[error("a worker thread ended before the simulation")]
     ThreadEnded,
-    /// There is too little memory; sizes are in bytes.
+    /// The simulation needs more memory than it may use.
     #[error(
-        "it would take about {:.1} GB; {:.1} GB may be taken, {:.1} GB are free",
+        "the simulation needs about {:.1} GB of memory; at most {:.1} GB may be used, {:.1} GB are free",
         needed / 1e9, allowed / 1e9, available / 1e9
     )]
     TooLarge {
-        /// What it would take.
+        /// Estimated memory of the simulation, in bytes.
         needed: f64,
-        /// What it may take.
+        /// Memory that it may use, in bytes.
         allowed: f64,
-        /// What is free on this machine.
+        /// Free memory of this machine, in bytes.
         available: f64,
     },
-    /// There is no sweep of this name.
-    #[error("no sweep '{name}'; known are {}", known.join("; "))]
+    /// The command line names a sweep that does not exist.
+    #[error("unknown sweep '{name}'; expected one of: {}", known.join("; "))]
     UnknownSweep {
-        /// The name.
+        /// The unknown name.
         name: String,
         /// Names of all sweeps.
         known: Vec<&'static str>,
     },
-    /// There is no row of this name.
-    #[error("no row '{name}'; known are {}", known.join(", "))]
+    /// The command line names a row that does not exist.
+    #[error("unknown row '{name}'; expected one of: {}", known.join(", "))]
     UnknownRow {
-        /// The name.
+        /// The unknown name.
         name: String,
-        /// Names of all rows.
+        /// Names of all rows of the installation.
         known: Vec<&'static str>,
     },
-    /// There is no such point of a sweep.
-    #[error("no point {0}")]
+    /// The command line names a point of a sweep that does not exist.
+    #[error("unknown sweep point {0}; expected SWEEP:INDEX")]
     UnknownPoint(String),
     /// The process that simulates a point cannot be started.
     #[error(transparent)]
     Process(io::Error),
-    /// The process that simulates a point failed.
-    #[error("{sweep}: {stderr}")]
+    /// The process that simulates a point printed no valid outcome.
+    #[error("sweep {sweep}: the process of a point failed: {stderr}")]
     ProcessFailed {
         /// Name of the sweep.
         sweep: &'static str,
-        /// What the process wrote to its standard error.
+        /// Standard error output of the process.
         stderr: String,
     },
-    /// A report cannot be written.
-    #[error("{}", path.display())]
+    /// A report cannot be written to its file.
+    #[error("cannot write {}", path.display())]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A report cannot be encoded as JSON.
@@ -76,12 +76,12 @@
 }
 
 impl ScaleError {
-    /// An error in the settings of a simulated agent.
+    /// Wraps an error in the settings of a simulated agent.
     pub(super) fn settings(error: impl Display) -> ScaleError {
         ScaleError::Settings(error.to_string())
     }
 
-    /// An error in writing this file.
+    /// Returns a function that wraps an error in writing this file.
     pub(super) fn write(path: &Path) -> impl Fn(io::Error) -> ScaleError + '_ {
         |source| ScaleError::Write {
             path: path.to_owned(),
--- a/crates/experiments/src/scale/extrapolation.rs
+++ b/crates/experiments/src/scale/extrapolation.rs
@@ -1,28 +1,29 @@
-//! Extrapolates measured lines to sizes that are not simulated.
+//! Extrapolates the fitted lines of sweeps to installation sizes that are not simulated.
 
 use super::report::SweepResult;
 use super::size::{Size, MAX_CORE_SHARE, MAX_MEMORY};
 
-/// Polls of a balancer in a second.
+/// Number of times that an agent polls its balancer in a second.
 const POLLS_PER_SECOND: f64 = 10.0;
 const MEGABYTE: f64 = 1e6;
 const MICROSECONDS: f64 = 1e6;
 const PERCENT: f64 = 100.0;
 
-/// A figure as a sum of slopes times counts: by endpoints, classes, both together, and tenants.
+/// A model of a figure that is linear in the numbers of endpoints, classes and tenants, with one
+/// further term for the product of endpoints and classes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Plane {
-    /// The figure where the slopes meet.
+    /// The figure at the origin.
     base: f64,
     per_endpoint: f64,
     per_class: f64,
     per_endpoint_and_class: f64,
     per_tenant: f64,
-    /// The counts at which the slopes meet.
+    /// The counts that the sweeps have in common, from which the slopes are applied.
     origin: Counts,
 }
 
-/// Counts as numbers to calculate with.
+/// The counts of a size, as floating-point numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Counts {
     endpoints: f64,
@@ -30,7 +31,7 @@
     tenants: f64,
 }
 
-/// Four sweeps that share all counts but one.
+/// The four sweeps that a [`Plane`] is fitted to; each varies one count and shares the others.
 #[derive(Clone, Copy)]
 struct Sweeps<'a> {
     endpoints: &'a SweepResult,
@@ -40,6 +41,7 @@
 }
 
 impl Plane {
+    /// Fits the model of a figure; `None` if a sweep lacks the figure or its line.
     fn through(figure: &str, sweeps: Sweeps) -> Option<Plane> {
         let slope = |sweep: &SweepResult| Some(sweep.curve(figure)?.line?.slope);
         let origin = Counts {
@@ -51,8 +53,8 @@
         let many = sweeps.classes_of_many_endpoints;
         let more_endpoints = many.size.endpoints as f64 - origin.endpoints;
         Some(Plane {
-            // As measured where the slopes meet: a line through large counts says little of a
-            // small one.
+            // The measured value rather than the line's: a line through large counts is inaccurate
+            // at small ones.
             base: sweeps.endpoints.curve(figure)?.points.first()?.1,
             per_endpoint: slope(sweeps.endpoints)?,
             per_class,
@@ -62,6 +64,7 @@
         })
     }
 
+    /// Evaluates the model at a size.
     fn at(&self, size: &Size) -> f64 {
         let endpoints = size.endpoints as f64 - self.origin.endpoints;
         let classes = size.classes as f64 - self.origin.classes;
@@ -76,34 +79,35 @@
 /// The extrapolated cost of one agent in an installation of a size.
 #[derive(Clone, Debug)]
 pub struct AgentCost {
-    /// How the operators' size is read.
+    /// Name of the interpretation of the operators' size.
     pub reading: &'static str,
-    /// The size.
+    /// Size of the installation.
     pub size: Size,
-    /// Bytes of memory.
+    /// Memory, in bytes.
     pub memory: f64,
-    /// Microseconds of decisions for a request.
+    /// Processor time of decisions for a request, in microseconds.
     pub decision_us: f64,
-    /// Microseconds of a poll.
+    /// Processor time of a poll, in microseconds.
     pub poll_us: f64,
-    /// Microseconds to look up a tenant's name.
+    /// Processor time to look up a tenant by name, in microseconds.
     pub tenant_lookup_us: f64,
-    /// Share of a core at the size's load.
+    /// Share of a core at the load of the size.
     pub core: f64,
-    /// Share of a core without what each request takes.
+    /// Share of a core without the work for each request.
     pub control_core: f64,
 }
 
-/// An installation that the operators' size may mean, as one agent meets it.
+/// A possible interpretation of the operators' stated size, as the service that one agent belongs
+/// to.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeInterpretation {
-    /// Name in reports.
+    /// Name of the interpretation in reports.
     pub name: &'static str,
-    /// The size.
+    /// Size of the service.
     pub size: Size,
 }
 
-/// One mean service of 140.
+/// Returns the size of a mean service in an installation of 140 services.
 pub fn mean_service() -> SizeInterpretation {
     SizeInterpretation {
         name: "mean service",
@@ -114,7 +118,7 @@
     }
 }
 
-/// The largest service.
+/// Returns the size of the largest service.
 pub fn largest_service() -> SizeInterpretation {
     SizeInterpretation {
         name: "largest service",
@@ -128,7 +132,7 @@
     }
 }
 
-/// One service of which every agent fronts all endpoints.
+/// Returns the size of a single service in which every agent fronts all endpoints.
 pub fn every_agent_fronts_all() -> SizeInterpretation {
     SizeInterpretation {
         name: "every agent fronts all",
@@ -142,7 +146,8 @@
     }
 }
 
-/// Extrapolates the cost of an agent for each reading; nothing where a sweep is missing.
+/// Extrapolates the cost of an agent for each interpretation of the operators' size; empty if a
+/// sweep is missing.
 pub fn agent_costs(results: &[SweepResult]) -> Vec<AgentCost> {
     let Some(model) = CostModel::of(results) else {
         return Vec::new();
@@ -153,7 +158,7 @@
         .collect()
 }
 
-/// Memory of one agent with settings of its own, as the sweeps measured it.
+/// Models the memory of an agent that does not share its settings; `None` if a sweep is missing.
 fn memory_plane(results: &[SweepResult]) -> Option<Plane> {
     let find = |name: &str| results.iter().find(|result| result.name == name);
     let sweeps = Sweeps {
@@ -165,14 +170,14 @@
     Plane::through("memory, bytes an agent", sweeps)
 }
 
-/// Bytes of one agent with settings of its own, by the sweeps; none where one is missing. Sizes are
-/// those of one service.
+/// Returns the memory in bytes of an agent that does not share its settings, by the results of the
+/// sweeps, or `None` if a sweep is missing. The size is that of one service.
 pub fn measured_agent_memory(results: &[SweepResult], size: &Size) -> Option<f64> {
     let plane = memory_plane(results)?;
     Some(plane.at(size).max(plane.base))
 }
 
-/// Planes of all figures of which an agent's cost is made up.
+/// Models of all figures that make up the cost of an agent.
 struct CostModel<'a> {
     memory: Plane,
     decision: Plane,
@@ -181,6 +186,7 @@
 }
 
 impl<'a> CostModel<'a> {
+    /// Fits the models to the results of the sweeps; `None` if a sweep is missing.
     fn of(results: &'a [SweepResult]) -> Option<CostModel<'a>> {
         let find = |name: &str| results.iter().find(|result| result.name == name);
         let processor_sweeps = Sweeps {
@@ -199,6 +205,7 @@
         })
     }
 
+    /// Extrapolates the cost of an agent.
     fn cost(&self, reading: SizeInterpretation) -> AgentCost {
         let size = reading.size;
         let decision_us = self.decision.at(&size);
@@ -218,7 +225,8 @@
         }
     }
 
-    /// As measured at this count of tenants, or on the line.
+    /// Returns the time to look up a tenant: the measured value if a point has this number of
+    /// tenants, otherwise the value on the line.
     fn tenant_lookup_us(&self, tenants: f64) -> f64 {
         let curve = self.tenant_lookup;
         let measured = curve.points.iter().find(|point| point.0 == tenants);
@@ -230,14 +238,14 @@
     }
 }
 
-/// Head of a table of [`AgentCost::line`], in Markdown.
+/// Markdown table head for the rows of [`AgentCost::line`].
 pub const TABLE_HEAD: &str = "\
 | one agent, reckoned | appliances | lanes | tenants | memory, MB | us a command | us a survey | us a tenant's name | core | \
 surveys alone |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
 impl AgentCost {
-    /// A row of a table, in Markdown.
+    /// Formats the cost as a row of a Markdown table.
     pub fn line(&self) -> String {
         format!(
             "| {} | {} | {} | {} | {:.1} | {:.2} | {:.1} | {:.2} | {:.2}% | {:.2}% |",
@@ -254,7 +262,7 @@
         )
     }
 
-    /// What lies beyond the operators' limits.
+    /// Returns a line for each figure that exceeds an operators' limit.
     pub fn beyond(&self) -> Vec<String> {
         let memory = self.beyond_limit("memory, MB", self.memory / MEGABYTE, MAX_MEMORY / MEGABYTE);
         let max_core = MAX_CORE_SHARE * PERCENT;
@@ -262,6 +270,7 @@
         memory.into_iter().chain(core).collect()
     }
 
+    /// Describes a value that exceeds its limit; `None` if it does not.
     fn beyond_limit(&self, what: &str, value: f64, limit: f64) -> Option<String> {
         let reading = self.reading;
         (value > limit).then(|| format!("{reading}, reckoned: {what} {value:.2} beyond {limit:.1}"))
--- a/crates/experiments/src/scale/fit.rs
+++ b/crates/experiments/src/scale/fit.rs
@@ -1,24 +1,24 @@
-//! A straight line through measured points, and how well it fits.
+//! Fits a straight line to measured points and evaluates the quality of the fit.
 
 use crate::stats::least_squares;
 use serde::Serialize;
 
-/// `y = intercept + slope * x`, by least squares.
+/// The line `y = intercept + slope * x`, fitted by least squares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Line {
-    /// Growth of `y` for each unit of `x`.
+    /// Increase of `y` for each unit of `x`.
     pub slope: f64,
-    /// `y` at zero.
+    /// Value of `y` at `x = 0`.
     pub intercept: f64,
-    /// The farthest that any point lies from the line, as a part of the largest point.
+    /// Largest distance of a point from the line, as a fraction of the largest absolute `y`.
     pub residual: f64,
-    /// The exponent of the power that fits best: 1 where it grows as the count does, 2 with its
-    /// square. It disregards the intercept.
+    /// Exponent of the power law that fits best to the points above the intercept: 1 for linear
+    /// growth, 2 for quadratic growth.
     pub power: f64,
 }
 
 impl Line {
-    /// The line through these points; none for fewer than two different counts.
+    /// Fits a line to the points; `None` if they have fewer than two different values of `x`.
     pub fn through(points: &[(f64, f64)]) -> Option<Line> {
         let line = least_squares(points)?;
         let largest = points
@@ -37,13 +37,14 @@
         })
     }
 
-    /// Its value at a count.
+    /// Returns the value of the line at a count.
     pub fn at(&self, count: f64) -> f64 {
         self.intercept + self.slope * count
     }
 }
 
-/// The slope through the logarithms of the points above an offset.
+/// Returns the exponent of the power law that fits best after subtracting an offset: the slope of a
+/// line through the logarithms of the points. Points that are not positive are left out.
 fn best_power(points: &[(f64, f64)], offset: f64) -> f64 {
     let logarithms: Vec<(f64, f64)> = points
         .iter()
--- a/crates/experiments/src/scale/meter.rs
+++ b/crates/experiments/src/scale/meter.rs
@@ -1,29 +1,29 @@
-//! What one agent consumes: processor time of its thread by operation, messages and bytes by kind,
-//! and both by second.
+//! Measures the resources that one agent consumes: processor time by operation, messages and bytes
+//! by kind, and both for each second of simulated time.
 
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 use std::time::Duration;
 
-/// Readings of the clock from which its own cost is taken.
+/// Number of clock readings from which the cost of a reading is determined.
 const CLOCK_READINGS: usize = 2001;
 
-/// What processor time is spent on.
+/// A kind of work that processor time is spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// `Balancer::on_request`, `route` and `on_attempt_end`, and the lookup of the target.
     Decisions,
-    /// `Balancer::poll`, ten times a second.
+    /// `Balancer::poll`, which an agent calls ten times a second.
     Poll,
-    /// Bytes to an endpoint list: the HTTP response and its document.
+    /// Parsing an endpoint list: the HTTP response and its JSON document.
     Parsing,
-    /// The update of the endpoint list.
+    /// Updating the agent's endpoint list.
     ListUpdate,
-    /// `Balancer::update_endpoints`.
+    /// `Balancer::update_endpoints`, after a change of the endpoint list.
     BalancerUpdate,
-    /// `ServiceConfig::tenant`: a tenant's name to its number.
+    /// `ServiceConfig::tenant_index`, which looks up a tenant by name.
     TenantLookup,
-    /// The platform's lines, parsed and passed to the balancer.
+    /// Parsing a line of the platform and passing it to the balancer.
     PlatformLine,
 }
 
@@ -39,32 +39,32 @@
         (Operation::PlatformLine, "news"),
     ];
 
-    /// Whether each request takes it.
+    /// Whether the operation is part of the work for each request.
     fn is_per_request(self) -> bool {
         matches!(self, Operation::Decisions | Operation::TenantLookup)
     }
 }
 
-/// What is sent over an agent's control connections.
+/// A kind of message on an agent's control connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// A whole endpoint list.
+    /// A response of discovery with the whole endpoint list.
     WholeList,
-    /// Changes of the endpoint list.
+    /// A response of discovery with changes of the endpoint list.
     Changes,
-    /// A watch that ended without changes.
+    /// A response of discovery to a watch that ended without changes.
     EmptyWatch,
-    /// A call to discovery that was refused.
+    /// A response of discovery that refuses a call.
     Refusal,
-    /// A call to discovery.
+    /// An agent's call to discovery.
     DiscoveryCall,
     /// The platform's status of a rollout.
     RolloutStatus,
-    /// The platform's sign of life.
+    /// The platform's periodic ping, which shows that it is alive.
     Ping,
     /// The platform's reply to a call.
     PlatformReply,
-    /// A call to the platform.
+    /// An agent's call to the platform.
     PlatformCall,
 }
 
@@ -83,16 +83,17 @@
     ];
 }
 
-/// How often something happened, and the total of what it took.
+/// A number of occurrences, and the total amount that they consumed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Total {
-    /// How often.
+    /// Number of occurrences.
     pub count: u64,
-    /// Nanoseconds or bytes in all.
+    /// Total amount, in nanoseconds or bytes.
     pub total: u64,
 }
 
 impl Total {
+    /// Counts one more occurrence.
     fn add(&mut self, amount: u64) {
         self.count += 1;
         self.total += amount;
@@ -105,44 +106,44 @@
     }
 }
 
-/// What one second took.
+/// What an agent consumed in one second of simulated time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondUsage {
     /// Bytes sent and received.
     pub bytes: u64,
     /// Processor time, in nanoseconds.
     pub ns: u64,
-    /// Processor time without what each request takes, in nanoseconds.
+    /// Processor time without the work for each request, in nanoseconds.
     pub control_ns: u64,
 }
 
-/// Processor time of this thread since a moment.
+/// Measures the processor time of the current thread since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessorTimer {
     started_at_ns: u64,
 }
 
 impl ProcessorTimer {
-    /// Starts a timer.
+    /// Starts the timer now.
     pub fn start() -> ProcessorTimer {
         ProcessorTimer {
             started_at_ns: thread_time_ns(),
         }
     }
 
-    /// Nanoseconds that this thread has run since the start.
+    /// Returns the processor time of the current thread since the start, in nanoseconds.
     pub fn elapsed_ns(self) -> u64 {
         thread_time_ns() - self.started_at_ns
     }
 }
 
-/// Nanoseconds that this thread has run.
+/// Returns the processor time of the current thread, in nanoseconds.
 fn thread_time_ns() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-/// What reading the thread's clock itself takes, in nanoseconds: the median of many readings.
+/// Returns the cost of reading the thread's clock, in nanoseconds: the median of many readings.
 pub fn clock_cost_ns() -> u64 {
     let readings: Vec<u64> = (0..CLOCK_READINGS).map(|_| thread_time_ns()).collect();
     let mut costs: Vec<u64> = readings.windows(2).map(|pair| pair[1] - pair[0]).collect();
@@ -150,22 +151,23 @@
     costs[costs.len() / 2]
 }
 
-/// Counts of one agent.
+/// The processor time and traffic of one agent.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     /// Processor time by operation, in nanoseconds.
     pub work: [Total; Operation::NAMES.len()],
     /// Messages by kind, in bytes.
     pub traffic: [Total; MessageKind::NAMES.len()],
-    /// Both by second.
+    /// Processor time and bytes by second since counting began.
     pub seconds: Vec<SecondUsage>,
-    /// Nothing counts before.
+    /// Simulated time at which counting begins; earlier records are discarded.
     pub counted_from: Duration,
-    /// What reading the clock costs, in nanoseconds.
+    /// Cost of a reading of the clock in nanoseconds, which is subtracted from each measured time.
     pub clock_cost_ns: u64,
 }
 
 impl Meter {
+    /// Returns the record of the current second; `None` before counting begins.
     fn second(&mut self, now: Duration) -> Option<&mut SecondUsage> {
         let index = now.checked_sub(self.counted_from)?.as_secs() as usize;
         if self.seconds.len() <= index {
@@ -174,7 +176,7 @@
         self.seconds.get_mut(index)
     }
 
-    /// Counts the processor time of an operation.
+    /// Records the processor time of an operation, from the start of the timer until now.
     pub fn record_processor_time(
         &mut self,
         now: Duration,
@@ -192,7 +194,7 @@
         self.work[operation as usize].add(ns);
     }
 
-    /// Counts a message.
+    /// Records a message of a size in bytes.
     pub fn record_message(&mut self, now: Duration, kind: MessageKind, bytes: usize) {
         let Some(second) = self.second(now) else {
             return;
--- a/crates/experiments/src/scale/mod.rs
+++ b/crates/experiments/src/scale/mod.rs
@@ -1,12 +1,14 @@
-//! How an installation bears its size: hundreds of simulated agents in one process, in simulated
-//! time, against the discovery and platform of the test kit.
+//! Scale measurements: simulates an installation of up to hundreds of agents in one process, in
+//! simulated time, against the discovery and platform of the test kit.
 //!
-//! What each consumes is measured by numbers of agents, endpoints, services, classes and tenants.
+//! Measures what each agent consumes, depending on the numbers of agents, endpoints, services,
+//! classes and tenants.
 //!
-//! - [`simulation`] runs an installation of a [`size`]: each [`agent`], and the [`servers`].
+//! - [`simulation`] runs an installation of a given [`size`]: its [`agent`]s and its [`servers`].
 //! - [`meter`] counts processor time and traffic.
-//! - [`rows`] are the measurement scenarios, [`sweeps`] the series over one count.
-//! - [`fit`], [`extrapolation`] and [`report`] evaluate them; [`command`] is the subcommand.
+//! - [`rows`] defines the measurement scenarios, [`sweeps`] the series that vary one count.
+//! - [`figures`], [`fit`], [`extrapolation`] and [`report`] evaluate the outcomes; [`command`] is the
+//!   subcommand.
 
 pub mod agent;
 pub mod command;
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -456,7 +456,7 @@
     assert_eq!(out.status.code(), Some(1));
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        said.contains("it would take about 3") && said.contains("GB may be taken"),
+        said.contains("the simulation needs about 3") && said.contains("GB may be used"),
         "{said}"
     );
     assert!(out.stdout.is_empty(), "nothing was played");
