--- a/crates/experiments/src/scale/report/mod.rs
+++ b/crates/experiments/src/scale/report/mod.rs
@@ -1,4 +1,4 @@
-//! What was measured, for people and programs: tables, JSON and a plot.
+//! Reports of the results: Markdown tables, JSON and an SVG plot.
 
 mod plot;
 mod row;
@@ -13,7 +13,7 @@
 
 const MEGABYTE: f64 = 1e6;
 
-/// All that one call measured.
+/// All results of one run of the subcommand.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
     /// Seed of all simulations.
@@ -22,21 +22,21 @@
     pub sweeps: Vec<SweepResult>,
     /// Results of measurement scenarios.
     pub rows: Vec<RowResult>,
-    /// What lies beyond the operators' limits, a line each.
+    /// A line for each figure that exceeds an operators' limit.
     pub beyond: Vec<String>,
 }
 
 impl Report {
-    /// All curves, with points and lines, as an SVG document.
+    /// Draws all curves, with their points and lines, as an SVG document.
     ///
     /// # Errors
-    /// The drawing library fails.
+    /// Returns an error if the drawing library fails.
     pub fn plot(&self) -> Result<String, PlotError> {
         plot::draw(&self.sweeps)
     }
 }
 
-/// A number with about four significant digits.
+/// Formats a number with a precision that depends on its magnitude.
 pub(super) fn format_number(number: f64) -> String {
     match number.abs() {
         0.0 => "0".into(),
@@ -47,7 +47,8 @@
     }
 }
 
-/// The memory of one agent in bytes, where it lies beyond the operators' limit.
+/// Describes the memory of one agent, given in bytes, if it exceeds the operators' limit; otherwise
+/// returns `None`.
 pub fn memory_beyond_limit(bytes: f64) -> Option<String> {
     let megabytes = bytes / MEGABYTE;
     let limit = MAX_MEMORY / MEGABYTE;
--- a/crates/experiments/src/scale/report/plot.rs
+++ b/crates/experiments/src/scale/report/plot.rs
@@ -1,28 +1,28 @@
-//! Draws the curves of sweeps as SVG: a panel for each, with its points and line.
+//! Draws the curves of sweeps as SVG, each in a panel with its points and its fitted line.
 
 use super::{Curve, SweepResult};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::io;
 
-/// Panels side by side.
+/// Number of panels side by side.
 const COLUMNS: usize = 3;
 const WIDTH: u32 = 1260;
 const PANEL_HEIGHT: u32 = 240;
-/// Axes reach this much beyond the largest point.
+/// Factor by which an axis extends beyond the largest point.
 const HEADROOM: f64 = 1.05;
-/// Least length of an axis, for figures that are zero throughout.
+/// Minimum length of an axis, so that figures that are zero at all points have a valid range.
 const MIN_LENGTH: f64 = 1e-9;
 const POINT_RADIUS: i32 = 3;
 
 type DrawingError = DrawingAreaErrorKind<io::Error>;
 
-/// A plot that cannot be drawn.
+/// An error of the drawing library.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct PlotError(DrawingError);
 
-/// All curves of these sweeps.
+/// Draws all curves of these sweeps and returns the SVG document.
 pub(super) fn draw(sweeps: &[SweepResult]) -> Result<String, PlotError> {
     let mut svg = String::new();
     draw_into(&mut svg, sweeps).map_err(PlotError)?;
@@ -78,6 +78,7 @@
     Ok(())
 }
 
+/// Returns the end of an axis that begins at zero and covers these values.
 fn axis_end(values: impl Iterator<Item = f64>) -> f64 {
     values.fold(MIN_LENGTH, f64::max) * HEADROOM
 }
--- a/crates/experiments/src/scale/report/row.rs
+++ b/crates/experiments/src/scale/report/row.rs
@@ -1,4 +1,4 @@
-//! Result of a measurement scenario.
+//! The result of a measurement scenario (row), and its check against the operators' limits.
 
 use super::format_number;
 use crate::scale::rows::Row;
@@ -6,36 +6,37 @@
 use crate::scale::size::{Size, MAX_BYTES_PER_SECOND, MAX_CORE_SHARE};
 use serde::Serialize;
 
-/// A measurement scenario, what it came to, and what of it lies beyond the operators' limits.
+/// The result of a measurement scenario, with the operators' limits that it exceeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct RowResult {
-    /// How the operators' size is read.
+    /// Name of the installation, such as the interpretation of the operators' size.
     pub reading: String,
-    /// Name of the scenario.
+    /// Name of the scenario, as on the command line.
     pub name: &'static str,
-    /// What happens in it.
+    /// Description of what happens in the scenario.
     pub what: &'static str,
     /// Size of the installation.
     pub size: Size,
-    /// Share of a core at the peak's load, on average.
+    /// Mean share of a core of an agent at the load of the peak.
     pub core: f64,
-    /// Share of a core at the peak's load, in the worst second of any agent.
+    /// Share of a core of an agent at the load of the peak, in the worst second of any agent.
     pub core_worst: f64,
-    /// All that was measured.
+    /// All measurements of the simulation.
     pub outcome: Outcome,
-    /// What lies beyond a limit, a line each.
+    /// A line for each figure that exceeds a limit.
     pub beyond: Vec<String>,
 }
 
-/// Head of a table of [`RowResult::line`], in Markdown.
+/// Markdown table head for the rows of [`RowResult::line`].
 pub const ROW_TABLE_HEAD: &str = "\
 | row | B/s an agent | worst second | core at the peak | worst second | without commands | worst second | discovery calls/s | \
 worst | refused | discovery B/s | worst | told late | heard, most s | renewed, most s |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
 impl RowResult {
-    /// The result of a scenario. `request_core` is the share of a core that requests take at the
-    /// peak, where the scenario's own load is not the peak's.
+    /// Evaluates the outcome of a scenario. `request_core` is the share of a core that requests take
+    /// at the peak, for scenarios that run at a lower load; `None` if the scenario runs at the load of
+    /// the peak itself.
     pub fn of(reading: &str, row: &Row, outcome: Outcome, request_core: Option<f64>) -> RowResult {
         let core = request_core.map_or(outcome.core, |c| c + outcome.control_core);
         let core_worst =
@@ -87,7 +88,7 @@
         }
     }
 
-    /// A row of a table, in Markdown.
+    /// Formats the result as a row of a Markdown table.
     pub fn line(&self) -> String {
         let outcome = &self.outcome;
         let figures = [
--- a/crates/experiments/src/scale/report/sweep.rs
+++ b/crates/experiments/src/scale/report/sweep.rs
@@ -1,4 +1,4 @@
-//! Result of a sweep: each figure over the count, with the line through it.
+//! The result of a sweep: each figure as a function of the count, with a fitted line.
 
 use super::format_number;
 use crate::scale::figures::Figure;
@@ -9,35 +9,35 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Columns of a table beside the points.
+/// Number of columns of a table in addition to those of the points.
 const OTHER_COLUMNS: usize = 5;
 
-/// A figure over one count.
+/// A figure as a function of the count that a sweep varies.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
     /// Name of the figure.
     pub figure: &'static str,
-    /// Counts with the figure at each.
+    /// Pairs of a count and the value of the figure.
     pub points: Vec<(f64, f64)>,
-    /// The line through them.
+    /// The line fitted to the points; `None` for fewer than two different counts.
     pub line: Option<Line>,
 }
 
-/// Result of a sweep.
+/// The result of a sweep, with a curve for each figure.
 #[derive(Clone, Debug, Serialize)]
 pub struct SweepResult {
-    /// Name of the sweep.
+    /// Name of the sweep, as on the command line.
     pub name: &'static str,
-    /// What is counted.
+    /// Name of the count that the sweep varies.
     pub over: &'static str,
-    /// Size of the first point; the others differ by their count.
+    /// Size of the first point; the other points differ from it in the count.
     pub size: Size,
-    /// The figures.
+    /// One curve for each figure.
     pub curves: Vec<Curve>,
 }
 
 impl SweepResult {
-    /// The result of a sweep with these outcomes, one for each point.
+    /// Evaluates the outcomes of a sweep, one for each of its points.
     pub fn of(sweep: &Sweep, outcomes: &[Outcome]) -> SweepResult {
         let curve = |figure: &Figure| {
             let points: Vec<(f64, f64)> = sweep
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The curve of a figure.
+    /// Returns the curve of the figure with this name; `None` if the sweep does not report it.
     pub fn curve(&self, figure: &str) -> Option<&Curve> {
         self.curves.iter().find(|curve| curve.figure == figure)
     }
 
-    /// A table in Markdown: a row for each figure.
+    /// Formats the result as a Markdown table with a row for each figure; empty without curves.
     pub fn table(&self) -> String {
         let Some(first) = self.curves.first() else {
             return String::new();
@@ -88,6 +88,7 @@
 }
 
 impl Curve {
+    /// Formats the curve as a row of the table.
     fn table_row(&self) -> String {
         let points: Vec<String> = self.points.iter().map(|p| format_number(p.1)).collect();
         let line = self.line.unwrap_or_default();
--- a/crates/experiments/src/scale/rows.rs
+++ b/crates/experiments/src/scale/rows.rs
@@ -1,10 +1,11 @@
-//! Measurement scenarios: what happens to an installation, shortened in time and not in size.
+//! The measurement scenarios (rows): changes and failures of an installation, at its full size but
+//! over a short time.
 
 use super::simulation::{InstallationEvent, Simulation};
 use super::size::Size;
 use std::time::Duration;
 
-/// An event and when it happens.
+/// An event with its time, counted from the end of the warm-up.
 type TimedEvent = (Duration, InstallationEvent);
 
 const fn seconds(n: u64) -> Duration {
@@ -15,36 +16,37 @@
     Duration::from_millis(n)
 }
 
-/// Before anything counts, so that watches stand and rates have settled.
+/// Simulated time before counting begins, so that watches are established and rates are steady.
 const WARM_UP: Duration = seconds(5);
-/// When the event of a scenario begins.
+/// Time at which the event of a scenario begins.
 const START: Duration = seconds(1);
-/// Discovery notices that machines vanished within this span, one group after another.
+/// Discovery notices the loss of machines between these times after it, one group after another.
 const FIRST_NOTICE: Duration = milliseconds(1700);
 const LAST_NOTICE: Duration = milliseconds(4700);
-/// Between groups of machines that discovery notices.
+/// Interval between the groups of lost machines that discovery notices.
 const NOTICE_INTERVAL: Duration = milliseconds(250);
-/// When machines that vanished are back.
+/// Time at which lost machines are back.
 const RECOVERY: Duration = seconds(12);
-/// From an endpoint's first notice of its end until it is gone, and until it is back.
+/// Time from the moment that discovery lists an endpoint as terminating until it is terminated, and
+/// until its replacement is in service.
 const TERMINATION: Duration = seconds(2);
 const REPLACEMENT: Duration = seconds(3);
-/// Machines of a rack.
+/// Number of machines in a rack.
 const RACK_MACHINES: usize = 40;
-/// Restarts and replacements on an ordinary day.
+/// Number of restarts and replacements on an ordinary day.
 pub const RESTARTS_PER_DAY: f64 = 990.0;
-/// Restarts in a row in the scenarios of restarts.
+/// Number of consecutive restarts in the scenarios of restarts.
 pub const RESTARTS: usize = 12;
 const RESTART_INTERVAL: Duration = seconds(2);
-/// Share of the peak's load in the calm scenario.
+/// Load of the scenario `calm`, as a fraction of the load of the peak.
 const CALM_SHARE: f64 = 0.2;
-/// Services of the operators' installation.
+/// Number of services in the operators' installation.
 const SERVICES: usize = 140;
-/// One service with more endpoints than this stands for the whole installation.
+/// A single service with more endpoints than this represents the whole installation.
 const MAX_SERVICE_ENDPOINTS: usize = 1000;
-/// Endpoints that restart while the regions cannot reach each other.
+/// Number of endpoints that restart while the regions are partitioned.
 const PARTITION_RESTARTS: usize = 5;
-/// Build that is rolled out.
+/// Build that the scenarios of releases roll out.
 const NEW_BUILD: u32 = 42;
 
 /// A measurement scenario: one row of the first table of docs/CAPACITY.md.
@@ -52,13 +54,13 @@
 pub struct Row {
     /// Name on the command line and in reports.
     pub name: &'static str,
-    /// What happens.
+    /// Description of what happens, for reports.
     pub what: &'static str,
-    /// Simulated time that counts.
+    /// Simulated time after the warm-up, in which everything is counted.
     pub duration: Duration,
     /// Size of the installation.
     pub size: Size,
-    /// What happens, counted from the end of the warm-up.
+    /// Events with their times, counted from the end of the warm-up.
     pub events: Vec<TimedEvent>,
 }
 
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The simulation of the scenario.
+    /// Returns the simulation of the scenario, on `cores` threads.
     pub fn simulation(&self, seed: u64, cores: usize) -> Simulation {
         Simulation {
             size: self.size,
@@ -93,6 +95,7 @@
     }
 }
 
+/// Returns the event of a change of endpoints in discovery's list.
 fn list_event(
     endpoints: Vec<usize>,
     state: &'static str,
@@ -107,8 +110,8 @@
     }
 }
 
-/// One endpoint after another goes and comes back, as another build where one is named: first it is
-/// told to leave, then it is gone, then it is back.
+/// Restarts the endpoints one after another at equal intervals over the time `over`, with a new build
+/// if one is given. Each is first listed as terminating, then as terminated, then as in service.
 pub(super) fn rolling_restart(
     endpoints: &[usize],
     from: Duration,
@@ -133,7 +136,8 @@
     events
 }
 
-/// Machines vanish, discovery notices one group after another, and all are back later.
+/// All machines of these endpoints fail at once, discovery notices one group after another, and all
+/// machines are back later.
 fn outage(endpoints: Vec<usize>) -> Vec<TimedEvent> {
     let groups = ((LAST_NOTICE - FIRST_NOTICE).as_millis() / NOTICE_INTERVAL.as_millis()).max(1);
     let group_size = endpoints.len().div_ceil(groups as usize).max(1);
@@ -151,7 +155,8 @@
     events
 }
 
-/// A rollout's stages, and the endpoints that change to the new build within `over`.
+/// Rolls out the new build: the endpoints restart with it over the time `over`, while the platform
+/// reports the stages of the rollout.
 fn release(
     endpoints: &[usize],
     over: Duration,
@@ -176,7 +181,7 @@
     events
 }
 
-/// Agents restart one after another.
+/// Restarts the agents one after another at an interval.
 fn agent_restarts(agents: &[usize], interval: Duration) -> Vec<TimedEvent> {
     let restart = |(n, agent): (usize, &usize)| {
         let at = START + interval * n as u32;
@@ -185,25 +190,26 @@
     agents.iter().enumerate().map(restart).collect()
 }
 
-/// The endpoints of a zone.
+/// Returns the numbers of the endpoints in a zone.
 fn zone_endpoints(size: &Size, zone: usize) -> Vec<usize> {
     let in_zone = |endpoint: &usize| size.zone(*endpoint) == zone;
     (0..size.endpoints).filter(in_zone).collect()
 }
 
-/// The agents of a zone.
+/// Returns the numbers of the agents in a zone.
 fn zone_agents(size: &Size, zone: usize) -> Vec<usize> {
     let in_zone = |agent: &usize| size.zone(*agent) == zone;
     (0..size.agents).filter(in_zone).collect()
 }
 
-/// The first `count` of these numbers.
+/// Returns the first `count` of these numbers.
 fn first(numbers: impl IntoIterator<Item = usize>, count: usize) -> Vec<usize> {
     numbers.into_iter().take(count).collect()
 }
 
-/// The scenarios by name. `quiet` is the load of all but the peak and the calm one, in requests a
-/// second for each agent, where only bytes and messages are of interest.
+/// Returns all scenarios. `quiet` is the load of all except `peak` and `calm`, in requests a second
+/// for each agent, for runs in which only their bytes and messages matter; `None` for the load of
+/// the size.
 pub fn rows(size: Size, quiet: Option<f64>) -> Vec<Row> {
     let rate = quiet.unwrap_or(size.rate);
     let quiet_size = Size { rate, ..size };
@@ -237,7 +243,8 @@
 }
 
 fn release_rows(size: Size) -> Vec<Row> {
-    // A service is one of 140, or the whole of a smaller installation.
+    // One service is a 140th of the installation if a single large service represents all of it;
+    // otherwise it is the first service.
     let is_whole_installation = size.services == 1 && size.endpoints > MAX_SERVICE_ENDPOINTS;
     let service: Vec<usize> = if is_whole_installation {
         (0..size.endpoints / SERVICES).collect()
--- a/crates/experiments/src/scale/servers/discovery.rs
+++ b/crates/experiments/src/scale/servers/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of one service.
+//! Simulated discovery of one service.
 
 use super::{PendingInput, ServerCounts, DELAY};
 use crate::scale::agent::AgentInput;
@@ -12,7 +12,7 @@
 const HTTP_UNAVAILABLE: u16 = 503;
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// A call of an agent.
+/// Identifies a call of an agent to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Caller {
     /// Number of the agent.
@@ -21,33 +21,35 @@
     pub call: u64,
 }
 
-/// A watch that waits for a change.
+/// A watch that waits for a change of the list.
 #[derive(Clone, Copy)]
 struct ParkedWatch {
+    /// Version of the list that the caller knows.
     known_version: u64,
+    /// Time at which the watch ends without a change.
     until: Duration,
 }
 
-/// When a version of the endpoint list came about.
+/// A version of the endpoint list and the time of the change that created it.
 #[derive(Clone, Copy, Debug)]
 pub struct ListVersion {
-    /// When.
+    /// Simulated time of the change.
     pub at: Duration,
-    /// The version.
+    /// Version number.
     pub version: u64,
 }
 
-/// Calls are paid for from a token bucket, which holds as much as a second fills.
+/// A token bucket that limits the rate of calls. Its capacity is the refill of one second.
 struct CallBudget {
     per_second: f64,
     tokens: f64,
     refilled_at: Duration,
-    /// Whether calls that continue a watch are paid for, too.
+    /// Whether calls that continue a watch consume a token, too.
     every_call: bool,
 }
 
 impl CallBudget {
-    /// Pays for a call; whether there was enough.
+    /// Takes a token for a call if the call needs one. Returns whether the call is within the limit.
     fn try_acquire(&mut self, now: Duration, starts_watch: bool) -> bool {
         let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + refill).min(self.per_second);
@@ -65,21 +67,22 @@
 
 /// Discovery of one service in simulated time.
 pub struct SimulatedDiscovery {
-    /// The endpoint list.
+    /// The current endpoint list.
     pub registry: Registry,
-    /// When each version came about.
+    /// All versions of the list, in the order of their times.
     pub versions: Vec<ListVersion>,
-    /// What it has answered.
+    /// Calls and bytes that it has answered.
     pub counts: ServerCounts,
     parked: BTreeMap<Caller, ParkedWatch>,
-    /// Responses by the version that the caller knows; none for the whole list.
+    /// Cached responses by the version that the caller knows; the key `None` is the whole list.
     responses: HashMap<Option<u64>, Arc<Vec<u8>>>,
     budget: CallBudget,
 }
 
 impl SimulatedDiscovery {
-    /// Answers `call_budget` calls a second, and as many at once after a quiet second. Calls that
-    /// continue a watch cost nothing, unless `every_call` does.
+    /// Creates a discovery that answers `call_budget` calls a second, with bursts of the same number
+    /// after a second without calls. Calls that continue a watch are not limited, unless `every_call`
+    /// is set.
     pub fn new(call_budget: f64, every_call: bool) -> SimulatedDiscovery {
         SimulatedDiscovery {
             registry: Registry::default(),
@@ -96,11 +99,13 @@
         }
     }
 
-    /// The whole list, as a configuration's `known`.
+    /// Returns the whole list as JSON, as in the field `known` of a configuration.
     pub fn known_list(&self) -> Arc<Vec<u8>> {
         Arc::new(self.registry.full_list(0).to_string().into_bytes())
     }
 
+    /// Returns the response to a caller that knows this version of the list, from the cache if
+    /// possible.
     fn response(&mut self, known_version: Option<u64>) -> Arc<Vec<u8>> {
         let registry = &self.registry;
         let response = self.responses.entry(known_version).or_insert_with(|| {
@@ -125,7 +130,8 @@
         inputs.push(response_input(now, caller, HTTP_OK, bytes));
     }
 
-    /// Handles a call, which starts a watch or continues one.
+    /// Handles a call: refuses it if it exceeds the limit, responds if the caller's version is out of
+    /// date, and otherwise keeps it waiting for a change.
     pub fn on_call(
         &mut self,
         now: Duration,
@@ -156,18 +162,18 @@
         self.counts.ns += timer.elapsed_ns();
     }
 
-    /// The caller has closed the connection of its call.
+    /// Ends the watch of a caller that has closed its connection.
     pub fn on_close(&mut self, caller: Caller) {
         self.parked.remove(&caller);
     }
 
-    /// These agents are out of reach from now on.
+    /// Closes the connections of agents that can no longer be reached, which ends their watches.
     pub fn disconnect(&mut self, agents: &BTreeSet<usize>) {
         self.parked
             .retain(|caller, _| !agents.contains(&caller.agent));
     }
 
-    /// Changes entries of the list, and tells all who watch it.
+    /// Changes entries of the list and responds to all waiting watches.
     pub fn change(&mut self, now: Duration, entries: Vec<Entry>, inputs: &mut Vec<PendingInput>) {
         let timer = ProcessorTimer::start();
         self.registry.update(entries);
@@ -182,7 +188,7 @@
         self.counts.ns += timer.elapsed_ns();
     }
 
-    /// Ends the watches whose wait is over by now.
+    /// Responds to the watches whose wait has ended.
     pub fn expire(&mut self, now: Duration, inputs: &mut Vec<PendingInput>) {
         let expired: Vec<(Caller, ParkedWatch)> = self
             .parked
@@ -197,6 +203,7 @@
     }
 }
 
+/// Returns a response to a call as an input of the calling agent, after the network delay.
 fn response_input(now: Duration, caller: Caller, status: u16, bytes: Arc<Vec<u8>>) -> PendingInput {
     PendingInput {
         at: now + DELAY,
--- a/crates/experiments/src/scale/servers/mod.rs
+++ b/crates/experiments/src/scale/servers/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery and the platform of one service in simulated time, by the logic of the test kit's
-//! fakes, and what they are asked.
+//! Discovery and the platform of one service in simulated time, with the logic of the test kit's
+//! fakes, and counts of the calls that they answer.
 
 mod discovery;
 mod platform;
@@ -11,38 +11,38 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::RolloutStatus;
 
-/// Network delay of everything that comes to an agent. It is as long as a step of the simulation,
-/// so that agents are simulated independently of each other within a step.
+/// Network delay of all messages to an agent. It equals the step of the simulation, so that no
+/// message sent within a step arrives in it and agents can be simulated independently of each other.
 pub const DELAY: Duration = Duration::from_millis(25);
 
 /// An input on its way to an agent.
 #[derive(Clone, Debug)]
 pub struct PendingInput {
-    /// When it arrives.
+    /// Simulated time at which it arrives.
     pub at: Duration,
-    /// Number of the agent.
+    /// Number of the receiving agent.
     pub agent: usize,
-    /// What it is.
+    /// The input itself.
     pub input: AgentInput,
 }
 
-/// What a server has answered, by second.
+/// Counts of the calls that a server answered and the bytes that it sent.
 #[derive(Clone, Debug, Default)]
 pub struct ServerCounts {
-    /// Calls answered.
+    /// Calls answered, by second since counting began.
     pub calls: Vec<u64>,
-    /// Calls refused.
+    /// Calls refused since counting began.
     pub refused: u64,
-    /// Bytes sent.
+    /// Bytes sent, by second since counting began.
     pub bytes: Vec<u64>,
-    /// Processor time of the fake, in nanoseconds.
+    /// Processor time that the simulated server itself used, in nanoseconds.
     pub ns: u64,
-    /// Nothing counts before.
+    /// Simulated time at which counting begins.
     counted_from: Duration,
 }
 
 impl ServerCounts {
-    /// Counts that begin now.
+    /// Creates empty counts that ignore everything before `counted_from`.
     pub fn starting_at(counted_from: Duration) -> ServerCounts {
         ServerCounts {
             counted_from,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Adds to the count of a second; `since` is the time since counting began.
+/// Adds to the count of a second. `since` is the time since counting began, or `None` before that.
 fn add_at(series: &mut Vec<u64>, since: Option<Duration>, amount: u64) {
     let Some(since) = since else {
         return;
@@ -81,16 +81,17 @@
     series[second] += amount;
 }
 
-/// The servers of one service.
+/// Discovery and the platform of one service.
 pub struct Servers {
-    /// Its discovery.
+    /// Discovery of the service.
     pub discovery: SimulatedDiscovery,
-    /// Its platform.
+    /// Rollout platform of the service.
     pub platform: SimulatedPlatform,
 }
 
 impl Servers {
-    /// Servers of a service whose discovery answers `call_budget` calls a second.
+    /// Creates the servers of a service. Its discovery answers `call_budget` calls a second; with
+    /// `every_call` that includes the calls that continue a watch.
     pub fn new(
         call_budget: f64,
         every_call: bool,
@@ -103,13 +104,13 @@
         }
     }
 
-    /// Discards what was counted before now.
+    /// Resets all counts, so that counting starts now.
     pub fn count_from(&mut self, now: Duration) {
         self.discovery.counts = ServerCounts::starting_at(now);
         self.platform.counts = ServerCounts::starting_at(now);
     }
 
-    /// Handles what an agent sent.
+    /// Handles a message of an agent and adds the responses to `inputs`.
     pub fn handle(
         &mut self,
         now: Duration,
--- a/crates/experiments/src/scale/servers/platform.rs
+++ b/crates/experiments/src/scale/servers/platform.rs
@@ -1,4 +1,4 @@
-//! The rollout platform of one service.
+//! Simulated rollout platform of one service.
 
 use super::{PendingInput, ServerCounts, DELAY};
 use crate::scale::agent::AgentInput;
@@ -13,15 +13,16 @@
 /// The platform of one service in simulated time.
 pub struct SimulatedPlatform {
     service: RolloutService,
+    /// Numbers of the agents that watch the rollout status.
     watching: BTreeSet<usize>,
-    /// The instant at which simulated time is zero.
+    /// The instant that corresponds to simulated time zero.
     time_zero: Instant,
-    /// What it has answered.
+    /// Calls and bytes that it has answered.
     pub counts: ServerCounts,
 }
 
 impl SimulatedPlatform {
-    /// A platform with this rollout status.
+    /// Creates a platform that reports this rollout status.
     pub fn new(time_zero: Instant, rollout_status: RolloutStatus) -> SimulatedPlatform {
         SimulatedPlatform {
             service: RolloutService::new(rollout_status),
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Sends a line to one agent.
     fn send(
         &mut self,
         now: Duration,
@@ -50,6 +52,7 @@
         });
     }
 
+    /// Sends a line to all agents that watch the rollout status.
     fn broadcast(
         &mut self,
         now: Duration,
@@ -65,7 +68,8 @@
         self.watching = agents;
     }
 
-    /// Handles a line of an agent.
+    /// Handles a call of an agent, a line of JSON: replies to it and, if it subscribes, sends the
+    /// rollout status.
     pub fn on_call(
         &mut self,
         now: Duration,
@@ -95,7 +99,7 @@
         self.counts.ns += timer.elapsed_ns();
     }
 
-    /// Sets the rollout status as of now, and tells all who watch it.
+    /// Sets the rollout status as of now, and sends it to all agents that watch it.
     pub fn set_rollout_status(
         &mut self,
         now: Duration,
@@ -113,18 +117,19 @@
         self.broadcast(now, MessageKind::RolloutStatus, &line, inputs);
     }
 
-    /// Sends a sign of life to all who watch.
+    /// Sends a ping to all agents that watch the rollout status.
     pub fn ping(&mut self, now: Duration, inputs: &mut Vec<PendingInput>) {
         let line = notification("ping", json!({}));
         self.broadcast(now, MessageKind::Ping, &line, inputs);
     }
 
-    /// These agents are out of reach from now on.
+    /// Closes the connections of agents that can no longer be reached, which ends their watches.
     pub fn disconnect(&mut self, agents: &BTreeSet<usize>) {
         self.watching.retain(|agent| !agents.contains(agent));
     }
 }
 
+/// Encodes a message as a line of JSON.
 fn encode(line: &Value) -> Arc<Vec<u8>> {
     Arc::new(format!("{line}\n").into_bytes())
 }
