--- a/crates/experiments/src/scale/agent/discovery.rs
+++ b/crates/experiments/src/scale/agent/discovery.rs
@@ -59,8 +59,8 @@
 }
 
 impl SimulatedAgent {
-    /// Called when a process starts: sets how long the list is valid, and schedules the first call to
-    /// discovery.
+    /// Called when a process starts: sets how long the list is valid, and schedules the first call
+    /// to discovery.
     pub(super) fn start_discovery(&mut self, now: Duration) {
         self.update_list_validity();
         if let Some(gap) = self.discovery.timer.startup_delay() {
@@ -141,8 +141,8 @@
         self.on_call_failure(now, call, WatchEnd::TimedOut);
     }
 
-    /// Ends a watch whose current call failed, and schedules the next one if a retry is due. Failures
-    /// of earlier calls are ignored.
+    /// Ends a watch whose current call failed, and schedules the next one if a retry is due.
+    /// Failures of earlier calls are ignored.
     fn on_call_failure(&mut self, now: Duration, call: u64, ended: WatchEnd) {
         if !self.discovery.is_current(call) {
             return;
@@ -212,8 +212,8 @@
         self.discovery.watch = Watch::Calling(call);
     }
 
-    /// Parses an HTTP response and applies its list. Returns whether the response was well-formed in
-    /// full; the valid entries of a partly malformed list are applied all the same.
+    /// Parses an HTTP response and applies its list. Returns whether the response was well-formed
+    /// in full; the valid entries of a partly malformed list are applied all the same.
     fn apply_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
         let timer = ProcessorTimer::start();
         let response = http::parse_response(bytes, false).ok().flatten();
--- a/crates/experiments/src/scale/agent/mod.rs
+++ b/crates/experiments/src/scale/agent/mod.rs
@@ -1,8 +1,8 @@
 //! A simulated agent, which runs the real agent's balancer, endpoint list, parsers and watch timing
 //! in simulated time and without sockets.
 //!
-//! The simulation makes no routing decisions itself. Random outcomes, such as the processing time at
-//! an endpoint, are drawn from a generator that is initialized from the simulation's seed.
+//! The simulation makes no routing decisions itself. Random outcomes, such as the processing time
+//! at an endpoint, are drawn from a generator that is initialized from the simulation's seed.
 
 mod discovery;
 mod events;
@@ -91,8 +91,8 @@
     last_call: u64,
     reload: Reload,
     process_seed: u64,
-    /// Messages sent that the simulation has not collected yet: the time, the agent's number and the
-    /// message.
+    /// Messages sent that the simulation has not collected yet: the time, the agent's number and
+    /// the message.
     pub outputs: Vec<(Duration, usize, AgentOutput)>,
     /// Processor time and traffic of this agent.
     pub meter: Meter,
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Polls the balancer, starts the watch and sends the vote that it asks for, and schedules the next
-    /// poll.
+    /// Polls the balancer, starts the watch and sends the vote that it asks for, and schedules the
+    /// next poll.
     fn on_poll(&mut self, now: Duration) {
         let timer = ProcessorTimer::start();
         let result = self.balancer.poll(now);
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Replaces the agent's process by a new one: open requests are lost, and the endpoint list starts
-    /// out as the one in the configuration.
+    /// Replaces the agent's process by a new one: open requests are lost, and the endpoint list
+    /// starts out as the one in the configuration.
     pub fn restart(&mut self, now: Duration, known_list: &[u8]) {
         self.close_watch(now);
         self.process_seed = self.process_seed.wrapping_add(RESTART_SEED);
--- a/crates/experiments/src/scale/agent/requests.rs
+++ b/crates/experiments/src/scale/agent/requests.rs
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Reports the end of an attempt to the balancer and returns its next decision. Returns `None` if
-    /// the attempt has been reported already or the request is gone.
+    /// Reports the end of an attempt to the balancer and returns its next decision. Returns `None`
+    /// if the attempt has been reported already or the request is gone.
     fn end_attempt(
         &mut self,
         now: Duration,
--- a/crates/experiments/src/scale/command/installations.rs
+++ b/crates/experiments/src/scale/command/installations.rs
@@ -21,8 +21,8 @@
     /// Name of the installation in reports.
     pub(super) reading: String,
     pub(super) size: Size,
-    /// Load of all rows except `peak` and `calm`, in requests a second for each agent; `None` for the
-    /// rate of the size.
+    /// Load of all rows except `peak` and `calm`, in requests a second for each agent; `None` for
+    /// the rate of the size.
     pub(super) quiet_rate: Option<f64>,
 }
 
--- a/crates/experiments/src/scale/command/mod.rs
+++ b/crates/experiments/src/scale/command/mod.rs
@@ -53,8 +53,8 @@
     /// Number of threads that simulate agents.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=256))]
     cores: u16,
-    /// Limit for the memory of a simulation, in GB; never more than half of the machine's memory and
-    /// half of its free memory.
+    /// Limit for the memory of a simulation, in GB; never more than half of the machine's memory
+    /// and half of its free memory.
     #[arg(long, value_name = "GB")]
     memory: Option<f64>,
     /// Write all results to this file as JSON.
@@ -87,8 +87,8 @@
     /// Count all calls against discovery's limit, including those that continue a watch.
     #[arg(long)]
     every_call: bool,
-    /// Requests a second for each agent in all rows except `peak` and `calm`; the share of a core is
-    /// still calculated for the load of the peak.
+    /// Requests a second for each agent in all rows except `peak` and `calm`; the share of a core
+    /// is still calculated for the load of the peak.
     #[arg(long, value_parser = rate)]
     quiet: Option<f64>,
     /// Run one point of a sweep, SWEEP:INDEX, and print its outcome; for points that need a process
@@ -108,11 +108,12 @@
 
 impl Options {
     /// Runs the simulations and prints the results; `available` is the free memory in bytes. With
-    /// `--full`, returns a line for each figure that exceeds an operators' limit, otherwise nothing.
+    /// `--full`, returns a line for each figure that exceeds an operators' limit, otherwise
+    /// nothing.
     ///
     /// # Errors
-    /// Returns an error if the simulations would not fit in memory or fail, or if a report cannot be
-    /// written.
+    /// Returns an error if the simulations would not fit in memory or fail, or if a report cannot
+    /// be written.
     pub fn run(&self, available: f64) -> Result<Vec<String>, ScaleError> {
         if let Some(point) = &self.point {
             self.run_point(point)?;
--- a/crates/experiments/src/scale/command/sweeps.rs
+++ b/crates/experiments/src/scale/command/sweeps.rs
@@ -10,7 +10,8 @@
 use serde_json::json;
 use std::process::Command;
 
-/// Number of runs of each point of a timed sweep with `--full`; the minimum of each time is reported.
+/// Number of runs of each point of a timed sweep with `--full`; the minimum of each time is
+/// reported.
 const FULL_RUNS: usize = 3;
 
 /// The fields that are read from the outcome that a point's own process prints.
@@ -64,8 +65,8 @@
             .collect()
     }
 
-    /// Runs a point whose figures are all counts: once and on all threads, since counts are the same
-    /// in every run.
+    /// Runs a point whose figures are all counts: once and on all threads, since counts are the
+    /// same in every run.
     fn count(&self, point: &SweepPoint) -> Result<Outcome, ScaleError> {
         let simulation = Simulation {
             cores: usize::from(self.cores),
@@ -124,8 +125,8 @@
     Ok(least)
 }
 
-/// Prints the extrapolated costs if all sweeps that they need were run, and adds those that exceed a
-/// limit to the report.
+/// Prints the extrapolated costs if all sweeps that they need were run, and adds those that exceed
+/// a limit to the report.
 fn print_agent_costs(report: &mut Report) {
     let costs = agent_costs(&report.sweeps);
     if !costs.is_empty() {
--- a/crates/experiments/src/scale/mod.rs
+++ b/crates/experiments/src/scale/mod.rs
@@ -7,8 +7,8 @@
 //! - [`simulation`] runs an installation of a given [`size`]: its [`agent`]s and its [`servers`].
 //! - [`meter`] counts processor time and traffic.
 //! - [`rows`] defines the measurement scenarios, [`sweeps`] the series that vary one count.
-//! - [`figures`], [`fit`], [`extrapolation`] and [`report`] evaluate the outcomes; [`command`] is the
-//!   subcommand.
+//! - [`figures`], [`fit`], [`extrapolation`] and [`report`] evaluate the outcomes; [`command`] is
+//!   the subcommand.
 
 pub mod agent;
 pub mod command;
--- a/crates/experiments/src/scale/report/mod.rs
+++ b/crates/experiments/src/scale/report/mod.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Formats a number with a precision that depends on its magnitude.
+/// Formats a number with about four significant digits.
 pub(super) fn format_number(number: f64) -> String {
     match number.abs() {
         0.0 => "0".into(),
--- a/crates/experiments/src/scale/report/row.rs
+++ b/crates/experiments/src/scale/report/row.rs
@@ -34,9 +34,9 @@
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
 impl RowResult {
-    /// Evaluates the outcome of a scenario. `request_core` is the share of a core that requests take
-    /// at the peak, for scenarios that run at a lower load; `None` if the scenario runs at the load of
-    /// the peak itself.
+    /// Evaluates the outcome of a scenario. `request_core` is the share of a core that requests
+    /// take at the peak, for scenarios that run at a lower load; `None` if the scenario runs at the
+    /// load of the peak itself.
     pub fn of(reading: &str, row: &Row, outcome: Outcome, request_core: Option<f64>) -> RowResult {
         let core = request_core.map_or(outcome.core, |c| c + outcome.control_core);
         let core_worst =
--- a/crates/experiments/src/scale/rows.rs
+++ b/crates/experiments/src/scale/rows.rs
@@ -110,8 +110,9 @@
     }
 }
 
-/// Restarts the endpoints one after another at equal intervals over the time `over`, with a new build
-/// if one is given. Each is first listed as terminating, then as terminated, then as in service.
+/// Restarts the endpoints one after another at equal intervals over the time `over`, with a new
+/// build if one is given. Each is first listed as terminating, then as terminated, then as in
+/// service.
 pub(super) fn rolling_restart(
     endpoints: &[usize],
     from: Duration,
--- a/crates/experiments/src/scale/servers/discovery.rs
+++ b/crates/experiments/src/scale/servers/discovery.rs
@@ -49,7 +49,8 @@
 }
 
 impl CallBudget {
-    /// Takes a token for a call if the call needs one. Returns whether the call is within the limit.
+    /// Takes a token for a call if the call needs one. Returns whether the call is within the
+    /// limit.
     fn try_acquire(&mut self, now: Duration, starts_watch: bool) -> bool {
         let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * self.per_second;
         self.tokens = (self.tokens + refill).min(self.per_second);
@@ -80,9 +81,9 @@
 }
 
 impl SimulatedDiscovery {
-    /// Creates a discovery that answers `call_budget` calls a second, with bursts of the same number
-    /// after a second without calls. Calls that continue a watch are not limited, unless `every_call`
-    /// is set.
+    /// Creates a discovery that answers `call_budget` calls a second, with bursts of the same
+    /// number after a second without calls. Calls that continue a watch are not limited, unless
+    /// `every_call` is set.
     pub fn new(call_budget: f64, every_call: bool) -> SimulatedDiscovery {
         SimulatedDiscovery {
             registry: Registry::default(),
@@ -130,8 +131,8 @@
         inputs.push(response_input(now, caller, HTTP_OK, bytes));
     }
 
-    /// Handles a call: refuses it if it exceeds the limit, responds if the caller's version is out of
-    /// date, and otherwise keeps it waiting for a change.
+    /// Handles a call: refuses it if it exceeds the limit, responds if the caller's version is out
+    /// of date, and otherwise keeps it waiting for a change.
     pub fn on_call(
         &mut self,
         now: Duration,
--- a/crates/experiments/src/scale/servers/mod.rs
+++ b/crates/experiments/src/scale/servers/mod.rs
@@ -12,7 +12,8 @@
 use tulipwall_testkit::RolloutStatus;
 
 /// Network delay of all messages to an agent. It equals the step of the simulation, so that no
-/// message sent within a step arrives in it and agents can be simulated independently of each other.
+/// message sent within a step arrives in it and agents can be simulated independently of each
+/// other.
 pub const DELAY: Duration = Duration::from_millis(25);
 
 /// An input on its way to an agent.
--- a/crates/experiments/src/scale/simulation/coordinator.rs
+++ b/crates/experiments/src/scale/simulation/coordinator.rs
@@ -1,4 +1,5 @@
-//! The servers' side of a simulation and its time: all but the agents.
+//! Coordinates a simulation: advances time, runs the servers, and exchanges messages with the
+//! worker threads that simulate the agents.
 
 use super::workers::{Command, Outputs, WorkerLink};
 use super::{InstallationEvent, Simulation, START_MS};
@@ -12,27 +13,30 @@
 use tulipwall_discovery::clock::START_OFFSET;
 use tulipwall_testkit::{Entry, RolloutStatus};
 
-/// The platform sends a sign of life this often.
+/// Interval between the pings of a platform.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
-/// The region without discovery and platform.
+/// The region that has neither discovery nor the platform.
 const SECOND_REGION: usize = 1;
 
-/// Advances time, the servers and the installation's events.
+/// Advances simulated time step by step, and with it the servers and the events of the
+/// installation.
 pub(super) struct Coordinator<'a> {
     size: Size,
-    /// When counting begins and when the simulation ends.
+    /// Simulated time at which counting begins.
     count_from: Duration,
+    /// Simulated time at which the simulation ends.
     end: Duration,
-    /// By service.
+    /// Discovery and the platform, by service.
     servers: &'a mut [Servers],
     workers: &'a [WorkerLink],
-    /// By service.
+    /// The actual state of machines and network, by service.
     actual: Arc<Vec<ActualState>>,
-    /// What is on its way to agents.
+    /// Messages in transit to agents.
     inputs: Vec<PendingInput>,
-    /// What will happen, the next one last.
+    /// Future events in reverse order of time, so that the next one is last.
     events: Vec<(Duration, InstallationEvent)>,
     is_counting: bool,
+    /// Time of the last ping.
     pinged_at: Duration,
 }
 
@@ -84,13 +88,14 @@
         Ok(())
     }
 
+    /// Resets the counts of all agents and servers once the warm-up is over.
     fn begin_counting(&mut self, now: Duration) {
         if self.is_counting || now < self.count_from {
             return;
         }
         self.is_counting = true;
         for worker in self.workers {
-            // A thread that has ended is noticed at the next step.
+            // The next step detects a thread that has ended.
             let _ = worker.send(Command::CountFrom(self.count_from));
         }
         for servers in self.servers.iter_mut() {
@@ -98,8 +103,8 @@
         }
     }
 
-    /// Lets all agents simulate up to a time; returns what they sent, in the order of time and
-    /// agent.
+    /// Advances all agents to a time and returns the messages that they sent, ordered by time and
+    /// agent number.
     fn step_agents(&mut self, until: Duration) -> Result<Outputs, ScaleError> {
         let inputs = self.inputs_before(until);
         for (worker, inputs) in self.workers.iter().zip(inputs) {
@@ -117,7 +122,7 @@
         Ok(outputs)
     }
 
-    /// Takes what arrives before a time, by worker.
+    /// Removes the inputs that arrive before a time, and groups them by worker.
     fn inputs_before(&mut self, until: Duration) -> Vec<Vec<PendingInput>> {
         self.inputs
             .sort_by_key(|pending| (pending.at, pending.agent));
@@ -130,7 +135,8 @@
         by_worker
     }
 
-    /// Passes to the servers what agents sent, unless they are cut off.
+    /// Forwards the messages of agents to the servers. Messages of agents that a partition cuts off
+    /// are lost.
     fn forward_outputs(&mut self, outputs: Outputs) {
         let is_partitioned = self.actual[0].is_partitioned;
         for (at, agent, output) in outputs {
@@ -142,7 +148,7 @@
         }
     }
 
-    /// Ends watches and sends signs of life that are due.
+    /// Ends the watches and sends the pings that are due.
     fn advance_servers(&mut self, now: Duration) {
         for servers in self.servers.iter_mut() {
             servers.discovery.expire(now, &mut self.inputs);
@@ -155,6 +161,7 @@
         }
     }
 
+    /// Applies the events that are due.
     fn apply_events(&mut self, now: Duration) {
         while self.events.last().is_some_and(|(at, _)| *at <= now) {
             if let Some((_, event)) = self.events.pop() {
@@ -204,7 +211,7 @@
         }
     }
 
-    /// Sends an input to agents, which may depend on their service.
+    /// Sends each agent an input, which may depend on the agent's service.
     fn send_to_agents(
         &mut self,
         now: Duration,
@@ -220,6 +227,7 @@
         }
     }
 
+    /// Restarts agents with the current endpoint list of their service in the configuration.
     fn restart(&mut self, now: Duration, agents: &[usize]) {
         let services: BTreeSet<usize> = agents.iter().map(|a| self.size.service_of(*a)).collect();
         let known_lists: BTreeMap<usize, Arc<Vec<u8>>> = services
@@ -231,7 +239,7 @@
         });
     }
 
-    /// Changes the entries of endpoints at the discovery of their services.
+    /// Changes the entries of endpoints in the discovery of their services.
     fn change_entries(&mut self, now: Duration, endpoints: &[usize], change: impl Fn(&mut Entry)) {
         let mut by_service: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for endpoint in endpoints {
@@ -252,14 +260,15 @@
         }
     }
 
+    /// Returns the number of the service that an endpoint belongs to.
     fn service_of_endpoint(&self, endpoint: usize) -> usize {
         let mut services = 0..self.size.services;
         let found = services.find(|s| self.size.service_endpoints(*s).contains(&endpoint));
         found.unwrap_or_default()
     }
 
-    /// Cuts the regions off from each other, or connects them again. What was on its way to the
-    /// second region is lost, and its connections to the servers are closed.
+    /// Partitions the two regions, or connects them again. Messages in transit to the second region
+    /// are lost, and its connections to the servers are closed.
     fn partition(&mut self, is_partitioned: bool) {
         for actual in Arc::make_mut(&mut self.actual) {
             actual.is_partitioned = is_partitioned;
--- a/crates/experiments/src/scale/simulation/event.rs
+++ b/crates/experiments/src/scale/simulation/event.rs
@@ -1,36 +1,36 @@
-//! What happens to an installation from outside.
+//! Events that affect an installation from outside.
 
-/// A change of the installation.
+/// A change or failure of the installation.
 #[derive(Clone, Debug)]
 pub enum InstallationEvent {
-    /// SIGHUP to these agents.
+    /// SIGHUP is sent to the agents with these numbers.
     Reload(Vec<usize>),
-    /// These agents end, and others begin in their places.
+    /// The agents with these numbers end, and new processes start in their places.
     Restart(Vec<usize>),
-    /// The machines of these endpoints vanish (`true`), or are back.
+    /// The machines of these endpoints go down (`true`) or are up again (`false`).
     Down(Vec<usize>, bool),
-    /// Discovery lists endpoints differently.
+    /// Discovery changes its entries of some endpoints.
     List {
-        /// The endpoints.
+        /// Numbers of the endpoints.
         endpoints: Vec<usize>,
-        /// Their state, as discovery writes it.
+        /// Their new state, as discovery writes it.
         state: &'static str,
-        /// Their new build, if it changes.
+        /// Their new build; `None` if it does not change.
         build: Option<u32>,
-        /// Whether they started just now.
+        /// Whether their start time is set to the time of the event.
         started: bool,
     },
-    /// The platforms of all services report a rollout.
+    /// The platforms of all services report a new rollout status.
     RolloutStatus {
-        /// The build.
+        /// Build that is rolled out.
         build: u32,
-        /// Its stage.
+        /// Index of the stage.
         stage: usize,
-        /// Its phase, as the platform writes it.
+        /// Phase of the rollout, as the platform writes it.
         phase: &'static str,
-        /// Highest share of the load that it may take.
+        /// Maximum share of the load that the build may take, from 0 to 1.
         cap: f64,
     },
-    /// The regions cannot reach each other (`true`), or can again.
+    /// The two regions are partitioned (`true`) or connected again (`false`).
     Partition(bool),
 }
--- a/crates/experiments/src/scale/simulation/mod.rs
+++ b/crates/experiments/src/scale/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Simulates an installation of agents.
+//! Simulates an installation of agents and servers.
 //!
-//! Each thread has agents of its own. All advance in steps no longer than the network delay to an
-//! agent, so that the outcome is the same on any number of threads.
+//! Each worker thread simulates a subset of the agents. All threads advance in steps no longer than
+//! the network delay to an agent, so that the outcome is the same on any number of threads.
 
 mod coordinator;
 mod event;
@@ -24,30 +24,31 @@
 /// Unix time, in milliseconds, at which simulated time begins.
 const START_MS: u64 = 1_790_000_000_000;
 
-/// One simulation.
+/// The parameters of one simulation.
 #[derive(Clone, Debug)]
 pub struct Simulation {
     /// Size of the installation.
     pub size: Size,
-    /// Seed of all chance.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Threads of agents.
+    /// Number of worker threads that simulate agents.
     pub cores: usize,
-    /// Simulated time before anything counts.
+    /// Simulated time before counting begins.
     pub warm_up: Duration,
-    /// Simulated time that counts.
+    /// Simulated time after the warm-up, in which everything is counted.
     pub duration: Duration,
-    /// What happens, counted from the end of the warm-up.
+    /// Events with their times, counted from the end of the warm-up.
     pub events: Vec<(Duration, InstallationEvent)>,
-    /// Whether each agent holds its settings by itself, as a process does.
+    /// Whether each agent holds its own copy of the settings, as separate processes do. Otherwise
+    /// the agents of a thread share one copy.
     pub own_settings: bool,
 }
 
 impl Simulation {
-    /// Runs it.
+    /// Runs the simulation and returns what it measured.
     ///
     /// # Errors
-    /// The settings cannot be read, or a thread ended early.
+    /// Returns an error if the settings are invalid, or if a thread panics or ends early.
     pub fn run(&self) -> Result<Outcome, ScaleError> {
         let mut servers = self.servers();
         let known_lists: Vec<Arc<Vec<u8>>> = servers
@@ -78,7 +79,7 @@
         })
     }
 
-    /// The servers of all services, with their endpoints listed.
+    /// Creates the servers of all services, with all endpoints in their lists.
     fn servers(&self) -> Vec<Servers> {
         let size = self.size;
         let time_zero = Instant::now();
--- a/crates/experiments/src/scale/simulation/outcome.rs
+++ b/crates/experiments/src/scale/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! What a simulation measured.
+//! The measurements of a simulation, summed up over agents and servers.
 
 use super::coordinator::is_in_second_region;
 use super::workers::AgentReport;
@@ -11,21 +11,22 @@
 use std::time::Duration;
 use tulipwall_discovery::clock::START_OFFSET;
 
-/// A change that an agent has not learnt after so long counts as late, whether it came or not.
+/// A change of the endpoint list that an agent has not learnt after this time counts as late, even
+/// if the agent learns it afterwards.
 const MAX_PROPAGATION: Duration = Duration::from_secs(6);
 const NS_PER_SECOND: f64 = 1e9;
 
-/// What was measured. Bytes and messages are those on the agents' connections, both ways; those of
-/// TCP itself are not counted.
+/// The measurements of a simulation. Bytes and messages are those on the agents' control
+/// connections in both directions, without the overhead of TCP.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// Number of agents.
+    /// Number of simulated agents.
     pub agents: usize,
-    /// Simulated seconds that counted.
+    /// Simulated time in which everything was counted, in seconds.
     pub seconds: f64,
-    /// By operation: how often, and nanoseconds of the thread's clock. All agents.
+    /// Occurrences and processor time in nanoseconds by operation, over all agents.
     pub work: BTreeMap<&'static str, Total>,
-    /// By kind of message: how many, and bytes. All agents.
+    /// Messages and bytes by kind of message, over all agents.
     pub traffic: BTreeMap<&'static str, Total>,
     /// Requests that arrived.
     #[serde(rename = "commands")]
@@ -36,65 +37,66 @@
     /// Attempts sent.
     #[serde(rename = "deliveries")]
     pub attempts: u64,
-    /// Endpoints looked at by balancers.
+    /// Endpoints that balancers scanned.
     #[serde(rename = "looks")]
     pub endpoints_scanned: u64,
-    /// Polls of balancers.
+    /// Number of polls of balancers.
     #[serde(rename = "surveys")]
     pub polls: u64,
-    /// The most that any agent keeps: requests, endpoints, builds, keys, listed.
+    /// Largest number of entries that any agent retains: requests, endpoints, builds and keys in
+    /// the balancer, and endpoints in the list.
     #[serde(rename = "kept")]
     pub retained: [usize; 5],
-    /// An agent's share of a core, on average.
+    /// Mean share of a core of an agent.
     pub core: f64,
-    /// An agent's share of a core in the worst second of any.
+    /// Share of a core of an agent, in the worst second of any agent.
     pub core_worst: f64,
-    /// An agent's share of a core without decisions for requests, on average.
+    /// Mean share of a core of an agent without the work for each request.
     pub control_core: f64,
     /// The same in the worst second of any agent.
     pub control_core_worst: f64,
-    /// Bytes a second of an agent, on average.
+    /// Mean control traffic of an agent, in bytes a second.
     pub bytes: f64,
-    /// Bytes in the worst second of any agent.
+    /// Control traffic in the worst second of any agent, in bytes.
     pub bytes_worst: f64,
-    /// Calls a second that all discoveries answer together.
+    /// Calls a second answered by the discovery of all services together.
     pub calls: f64,
     /// The same in the worst second.
     pub calls_worst: f64,
-    /// Calls that discoveries refused.
+    /// Calls refused by the discovery of all services together.
     pub refused: u64,
-    /// Bytes a second that all discoveries send together.
+    /// Bytes a second sent by the discovery of all services together.
     pub discovery_bytes: f64,
     /// The same in the worst second.
     pub discovery_bytes_worst: f64,
-    /// Processor time of the simulated discoveries, as a share of a core.
+    /// Processor time of the simulated discovery of all services, as a share of a core.
     pub discovery_core: f64,
-    /// Bytes a second that all platforms send together.
+    /// Bytes a second sent by the platforms of all services together.
     pub platform_bytes: f64,
-    /// Calls a second that all platforms answer together.
+    /// Calls a second answered by the platforms of all services together.
     pub platform_calls: f64,
-    /// Mean seconds from a change of the list until an agent knew it.
+    /// Mean time from a change of the endpoint list until an agent learnt it, in seconds.
     #[serde(rename = "heard_mean")]
     pub propagation_mean: f64,
-    /// Most seconds from a change of the list until an agent knew it.
+    /// Maximum time from a change of the endpoint list until an agent learnt it, in seconds.
     #[serde(rename = "heard_most")]
     pub propagation_max: f64,
-    /// Changes that an agent learnt late or never, over all agents.
+    /// Number of changes that an agent learnt late or never, over all agents.
     #[serde(rename = "heard_late")]
     pub propagation_late: u64,
-    /// Most seconds from a reload until everything was heard anew.
+    /// Maximum time from a reload until both discovery and the platform had responded, in seconds.
     #[serde(rename = "renewed_most")]
     pub reload_max: f64,
-    /// Reloads that took longer than the limit, or were not complete at the end.
+    /// Number of reloads that took longer than the limit or were incomplete at the end.
     #[serde(rename = "renewed_late")]
     pub reload_late: u64,
-    /// Bytes of memory that the agents took, by the process's resident set.
+    /// Memory of all agents in bytes: the growth of the process's resident set.
     pub memory: f64,
 }
 
 impl Outcome {
-    /// Of two runs of the same simulation, which count the same, the lesser times: what else ran
-    /// on the machine only adds.
+    /// Combines two runs of the same simulation, whose counts are equal, by taking the minimum of
+    /// each processor time: other load on the machine can only increase a time.
     pub fn least(mut self, other: &Outcome) -> Outcome {
         for (name, total) in &mut self.work {
             if let Some(other) = other.work.get(name) {
@@ -108,7 +110,7 @@
         self
     }
 
-    /// Sums up what agents and servers counted.
+    /// Sums up the counts of all agents and servers.
     pub(super) fn of(
         simulation: &Simulation,
         reports: &[AgentReport],
@@ -121,7 +123,7 @@
             memory,
             ..Outcome::default()
         };
-        // A part of a second at the end is no second.
+        // An incomplete second at the end is left out of the counts by second.
         let whole_seconds = simulation.duration.as_secs() as usize;
         outcome.add_agents(reports, whole_seconds);
         outcome.add_reloads(simulation, reports);
@@ -131,6 +133,7 @@
         outcome
     }
 
+    /// Adds the processor time and traffic of all agents.
     fn add_agents(&mut self, reports: &[AgentReport], whole_seconds: usize) {
         let mut ns = 0;
         let mut control_ns = 0;
@@ -153,6 +156,7 @@
         self.bytes = total_bytes / self.seconds / agents;
     }
 
+    /// Adds the counts of one agent.
     fn add_counts(&mut self, report: &AgentReport) {
         for ((_, name), total) in Operation::NAMES.iter().zip(&report.meter.work) {
             self.work.entry(name).or_default().merge(total);
@@ -171,6 +175,7 @@
         }
     }
 
+    /// Adds the times of reloads. A reload without a completion counts as late.
     fn add_reloads(&mut self, simulation: &Simulation, reports: &[AgentReport]) {
         let completed = || reports.iter().flat_map(|r| &r.counts.reloads);
         let is_late = |duration: &&Duration| **duration > MAX_RELOAD_TIME;
@@ -188,6 +193,7 @@
         self.reload_max = completed().map(Duration::as_secs_f64).fold(0.0, f64::max);
     }
 
+    /// Adds the times until agents learnt changes of the endpoint list.
     fn add_propagation(
         &mut self,
         simulation: &Simulation,
@@ -208,6 +214,7 @@
         self.propagation_late = delays.iter().filter(is_late).count() as u64;
     }
 
+    /// Adds the counts of the discovery of all services.
     fn add_discovery(&mut self, servers: &[Servers], whole_seconds: usize) {
         let counts: Vec<&ServerCounts> = servers.iter().map(|s| &s.discovery.counts).collect();
         let total = |of: &dyn Fn(&ServerCounts) -> f64| counts.iter().map(|c| of(c)).sum::<f64>();
@@ -222,6 +229,7 @@
         self.discovery_core = ns / NS_PER_SECOND / self.seconds;
     }
 
+    /// Adds the counts of the platforms of all services.
     fn add_platforms(&mut self, servers: &[Servers]) {
         let counts = || servers.iter().map(|s| &s.platform.counts);
         let bytes: u64 = counts().flat_map(|c| &c.bytes).sum();
@@ -231,7 +239,7 @@
     }
 }
 
-/// The largest sum over all servers in any second.
+/// Returns the largest sum of a count over all servers in any whole second.
 fn worst_second(
     counts: &[&ServerCounts],
     whole_seconds: usize,
@@ -245,8 +253,10 @@
     sums.max().unwrap_or_default() as f64
 }
 
-/// Seconds until an agent knew each change of its list, from its return where it was out of reach;
-/// none where it never did. Changes of the last moments had no time to arrive and are left out.
+/// Returns the time in seconds until an agent learnt each change of its list, or `None` for a
+/// change that it never learnt. For an agent that a partition cut off, the time counts from the end
+/// of the partition. Changes shortly before the end of the simulation are left out, since they may
+/// not have had the time to arrive.
 fn propagation_delays(
     simulation: &Simulation,
     report: &AgentReport,
@@ -273,7 +283,8 @@
         .collect()
 }
 
-/// When an agent that a partition cut off was connected again.
+/// Returns the time at which an agent that a partition cut off was connected again; `None` for
+/// agents that were not cut off or are never reconnected.
 fn reconnected_at(simulation: &Simulation, agent: usize) -> Option<Duration> {
     if !is_in_second_region(&simulation.size, agent) {
         return None;
--- a/crates/experiments/src/scale/simulation/workers.rs
+++ b/crates/experiments/src/scale/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Threads that simulate agents.
+//! The worker threads, which simulate the agents.
 
 use super::{Simulation, START_MS};
 use crate::scale::agent::{ActualState, AgentCounts, AgentInput, AgentOutput, SimulatedAgent};
@@ -12,36 +12,36 @@
 use std::time::Duration;
 use tulipwall_discovery::clock::{Clock, START_OFFSET};
 
-/// What agents sent in a step: when, which of them, what.
+/// Messages that agents sent in a step: the time, the agent's number and the message.
 pub(super) type Outputs = Vec<(Duration, usize, AgentOutput)>;
 
-/// What a worker is told to do.
+/// A command of the coordinator to a worker.
 pub(super) enum Command {
-    /// Simulate up to a time, and reply with what agents sent.
+    /// Advance all agents to a time, and reply with the messages that they sent.
     Step {
         until: Duration,
-        /// By service.
+        /// The actual state of machines and network, by service.
         actual: Arc<Vec<ActualState>>,
         inputs: Vec<PendingInput>,
     },
-    /// Discard what was counted before a time.
+    /// Reset all counts, so that counting starts at this time.
     CountFrom(Duration),
 }
 
-/// The coordinator's end of the connection to a worker.
+/// The coordinator's ends of the channels to and from a worker.
 pub(super) struct WorkerLink {
     commands: Sender<Command>,
     outputs: Receiver<Outputs>,
 }
 
-/// A worker's end of it.
+/// A worker's ends of the channels to and from the coordinator.
 pub(super) struct WorkerChannels {
     commands: Receiver<Command>,
     outputs: Sender<Outputs>,
 }
 
 impl WorkerLink {
-    /// Both ends of a new connection.
+    /// Creates the channels and returns the coordinator's and the worker's ends.
     pub(super) fn channel() -> (WorkerLink, WorkerChannels) {
         let (command_sender, command_receiver) = channel();
         let (output_sender, output_receiver) = channel();
@@ -56,30 +56,31 @@
         (link, channels)
     }
 
-    /// Sends a command.
+    /// Sends a command; fails if the worker has ended.
     pub(super) fn send(&self, command: Command) -> Result<(), ScaleError> {
         let sent = self.commands.send(command);
         sent.map_err(|_| ScaleError::ThreadEnded)
     }
 
-    /// Waits for the reply to a step.
+    /// Waits for the reply to a step; fails if the worker has ended.
     pub(super) fn receive(&self) -> Result<Outputs, ScaleError> {
         self.outputs.recv().map_err(|_| ScaleError::ThreadEnded)
     }
 }
 
-/// What an agent consumed.
+/// The measurements of one agent.
 pub(super) struct AgentReport {
     pub(super) number: usize,
     pub(super) meter: Meter,
     pub(super) counts: AgentCounts,
 }
 
-/// The agents of one thread.
+/// Simulates the agents of one thread.
 pub(super) struct Worker<'a> {
     simulation: &'a Simulation,
+    /// Numbers of the agents.
     agents: Vec<usize>,
-    /// By service.
+    /// Endpoint lists for the agents' configurations, by service.
     known_lists: &'a [Arc<Vec<u8>>],
     channels: WorkerChannels,
 }
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Simulates its agents until no more commands can come.
+    /// Executes commands until the coordinator closes the channel, then returns the agents'
+    /// reports.
     pub(super) fn run(self) -> Result<Vec<AgentReport>, ScaleError> {
         let mut agents = self.start_agents()?;
         let mut first_outputs: Outputs = agents
@@ -129,6 +131,7 @@
         Ok(agents.into_values().map(report).collect())
     }
 
+    /// Starts the agents, each with its service's endpoint list in the configuration.
     fn start_agents(&self) -> Result<BTreeMap<usize, SimulatedAgent>, ScaleError> {
         let size = self.simulation.size;
         let clock = Rc::new(Clock::starting_at_unix_ms(START_MS));
@@ -151,6 +154,7 @@
         Ok(agents)
     }
 
+    /// Advances all agents to a time and appends the messages that they sent to `outputs`.
     fn step(
         &self,
         agents: &mut BTreeMap<usize, SimulatedAgent>,
@@ -173,6 +177,7 @@
     }
 }
 
+/// Returns the measurements of an agent at the end of the simulation.
 fn report(mut agent: SimulatedAgent) -> AgentReport {
     agent.finish();
     AgentReport {
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -1,4 +1,5 @@
-//! Size of a simulated installation, the settings of its agents, and the memory that it takes.
+//! The size of a simulated installation, the settings of its agents, and an estimate of the memory
+//! that a simulation needs.
 
 use super::ScaleError;
 use serde::Serialize;
@@ -13,47 +14,49 @@
 pub const MAX_MEMORY: f64 = 256e6;
 /// The operators' limit for the control traffic of an agent, in bytes a second.
 pub const MAX_BYTES_PER_SECOND: f64 = 3000.0;
-/// The operators' limit from a new configuration until it is in force everywhere.
+/// The operators' limit for the time from a new configuration until it is in effect everywhere.
 pub const MAX_RELOAD_TIME: Duration = Duration::from_secs(4);
 
-/// Calls a second that discovery answers at least, however few its agents are.
+/// Minimum number of calls a second that discovery answers, however few agents it has.
 const MIN_CALL_BUDGET: f64 = 10.0;
-/// Endpoints that share a machine.
+/// Number of endpoints that share a machine.
 const ENDPOINTS_PER_MACHINE: usize = 8;
 /// Spreads the identifiers of endpoints (golden ratio, 32 bits).
 const ID_MULTIPLIER: u32 = 0x9e37_79b1;
 const POSTGRES_PORT: u16 = 6543;
-/// Build that all endpoints run at first.
+/// Build that all endpoints run at the start of a simulation.
 pub(super) const FIRST_BUILD: u32 = 41;
 
-/// All agents and endpoints together, split evenly over the services; classes and tenants are those
-/// of one agent.
+/// The size and load of an installation. Agents and endpoints are those of all services together
+/// and split evenly over them; classes and tenants are those of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Size {
-    /// Services, each with its own agents, endpoints and discovery.
+    /// Number of services, each with its own agents, endpoints and discovery.
     pub services: usize,
-    /// Agents of all services.
+    /// Number of agents of all services together.
     pub agents: usize,
-    /// Endpoints of all services.
+    /// Number of endpoints of all services together.
     #[serde(rename = "appliances")]
     pub endpoints: usize,
-    /// Request classes of one service.
+    /// Number of request classes of one service.
     #[serde(rename = "lanes")]
     pub classes: usize,
-    /// Tenants of one service.
+    /// Number of tenants of one service.
     pub tenants: usize,
-    /// Zones, over which agents and endpoints are distributed in turn.
+    /// Number of zones, over which agents and endpoints are distributed round-robin.
     pub zones: usize,
     /// Requests a second for each agent.
     pub rate: f64,
-    /// Calls a second that discovery answers, for each of its agents: those that start a watch.
+    /// Calls a second that discovery answers for each of its agents; only calls that start a watch
+    /// count.
     pub calls: f64,
-    /// Whether calls that continue a watch count, too.
+    /// Whether calls that continue a watch count against that limit, too.
     pub every_call: bool,
 }
 
 impl Default for Size {
-    /// The mean one of 140 services, each with agents of its own, at the operators' peak.
+    /// Returns the size of a mean service in an installation of 140 services, each with agents of
+    /// its own, at the operators' peak load.
     fn default() -> Size {
         Size {
             services: 1,
@@ -70,38 +73,39 @@
 }
 
 impl Size {
-    /// The service of an agent.
+    /// Returns the number of the service that an agent belongs to.
     pub fn service_of(&self, agent: usize) -> usize {
         agent * self.services / self.agents.max(1)
     }
 
-    /// The endpoints of a service.
+    /// Returns the numbers of the endpoints of a service.
     pub fn service_endpoints(&self, service: usize) -> std::ops::Range<usize> {
         let from = |s: usize| s * self.endpoints / self.services.max(1);
         from(service)..from(service + 1)
     }
 
-    /// How many agents share one endpoint list.
+    /// Returns the number of agents of one service, which share an endpoint list. Rounded up, and
+    /// at least 1.
     pub fn agents_per_service(&self) -> usize {
         self.agents.div_ceil(self.services.max(1)).max(1)
     }
 
-    /// Calls a second that the discovery of one service answers.
+    /// Returns the limit of the discovery of one service, in calls a second.
     pub fn call_budget(&self) -> f64 {
         (self.calls * self.agents_per_service() as f64).max(MIN_CALL_BUDGET)
     }
 
-    /// The zone of an agent or endpoint.
+    /// Returns the zone of the agent or endpoint with this number.
     pub fn zone(&self, number: usize) -> usize {
         number % self.zones.max(1)
     }
 
-    /// The region of a zone, 0 or 1: the first half of the zones is one, the others are the other.
+    /// Returns the region of a zone: 0 for the first half of the zones, 1 for the others.
     pub fn region(&self, zone: usize) -> usize {
         zone * 2 / self.zones.max(1)
     }
 
-    /// The settings, as the platform's configuration has them.
+    /// Returns the settings as JSON, in the form of the platform's configuration.
     pub fn settings(&self) -> Value {
         let zones: Vec<String> = (0..self.zones).map(|z| format!("zone-{z}")).collect();
         let zones: Vec<&str> = zones.iter().map(String::as_str).collect();
@@ -117,7 +121,7 @@
         settings
     }
 
-    /// Classes of all kinds of idempotency, with different weights.
+    /// Returns the request classes, which cycle through all kinds of idempotency and seven weights.
     fn request_classes(&self) -> Vec<RequestClass> {
         let kinds = ["repeatable", "by_key", "once"];
         let class = |n: usize| {
@@ -127,21 +131,22 @@
         (0..self.classes).map(class).collect()
     }
 
-    /// The settings as an agent reads them.
+    /// Returns the configuration that an agent reads from the settings.
     ///
     /// # Errors
-    /// Those of [`ServiceConfig::read`].
+    /// Returns the errors of [`Fields::new`] and [`ServiceConfig::read`].
     pub fn service_config(&self) -> Result<ServiceConfig, ScaleError> {
         let settings = self.settings();
         let fields = Fields::new(&settings, "settings").map_err(ScaleError::settings)?;
         let mut config = ServiceConfig::read(&fields, 1).map_err(ScaleError::settings)?;
-        // As the agent sets them on sockets, whatever the settings say.
+        // The real agent sets these two itself, independently of its settings.
         config.settings.list_polled = true;
         config.settings.load_probes = false;
         Ok(config)
     }
 
-    /// An endpoint as discovery lists it, long up.
+    /// Returns the entry of an endpoint in discovery's list: in service, and started long ago. The
+    /// address holds the endpoint's number in its last three bytes.
     pub fn entry(&self, endpoint: usize) -> Entry {
         let [_, a, b, c] = (endpoint as u32).to_be_bytes();
         Entry {
@@ -155,9 +160,9 @@
         }
     }
 
-    /// Estimated bytes that a simulation of this size takes, from the slopes that
-    /// `tulipwall-experiments scale` measured at some time; `own_settings` where agents do not share
-    /// them.
+    /// Estimates the memory of a simulation of this size in bytes, from slopes that an earlier
+    /// version of `tulipwall-experiments scale` reported. `own_settings` says that agents do not
+    /// share their settings.
     pub fn estimated_memory(&self, own_settings: bool) -> f64 {
         let classes = self.classes as f64;
         let tenants = self.tenants as f64;
@@ -173,13 +178,15 @@
         self.installation_memory(agent + own)
     }
 
-    /// Bytes that a simulation of this size takes where agents share their settings, by what the
-    /// sweeps of this very program measured of an agent with settings of its own.
+    /// Returns the memory in bytes of a simulation of this size whose agents share their settings.
+    /// `agent` is the memory of an agent that does not share them, as the sweeps of this version
+    /// of the program measure it.
     pub fn memory_by_measured_agent(&self, agent: f64) -> f64 {
         let without_settings = (agent - self.settings_memory()).max(AGENT_BYTES);
         self.installation_memory(without_settings)
     }
 
+    /// Returns the memory of a simulation in bytes, given that of an agent without its settings.
     fn installation_memory(&self, agent: f64) -> f64 {
         let discovery = self.endpoints as f64 * DISCOVERY_ENTRY_BYTES;
         let parsing = self.listed_endpoints() * PARSED_ENTRY_BYTES * WORKERS;
@@ -187,22 +194,22 @@
         self.agents as f64 * agent + settings + discovery + parsing + PROCESS_BYTES
     }
 
-    /// Endpoints in the list of one agent.
+    /// Returns the number of endpoints in the list of one agent.
     fn listed_endpoints(&self) -> f64 {
         self.endpoints as f64 / self.services.max(1) as f64
     }
 
-    /// Bytes of the settings.
+    /// Returns the memory of one copy of the settings, in bytes.
     fn settings_memory(&self) -> f64 {
         self.tenants as f64 * SETTINGS_TENANT_BYTES + self.classes as f64 * SETTINGS_CLASS_BYTES
     }
 }
 
-/// Bytes of an agent alone.
+/// Bytes of an agent without endpoints, classes and tenants.
 const AGENT_BYTES: f64 = 60e3;
-/// Bytes of an endpoint in an agent's list and balancer.
+/// Bytes of an endpoint in an agent's list and balancer, without its counts by class.
 const LISTED_BYTES: f64 = 560.0;
-/// Bytes of an endpoint's counts of one class.
+/// Bytes of the counts that a balancer keeps for one endpoint and class.
 const LISTED_CLASS_BYTES: f64 = 32.0;
 /// Bytes of a class in the balancer.
 const CLASS_BYTES: f64 = 1400.0;
@@ -212,16 +219,16 @@
 const SETTINGS_TENANT_BYTES: f64 = 160.0;
 /// Bytes of a class in the settings.
 const SETTINGS_CLASS_BYTES: f64 = 120.0;
-/// Bytes of an entry at discovery, and its JSON.
+/// Bytes of an entry in discovery's list, and of its JSON.
 const DISCOVERY_ENTRY_BYTES: f64 = 1500.0;
 /// Bytes of an entry while a whole list is parsed.
 const PARSED_ENTRY_BYTES: f64 = 2500.0;
-/// Threads that hold settings and parse lists at once, at most.
+/// Maximum number of threads that hold a copy of the settings and parse a list at the same time.
 const WORKERS: f64 = 4.0;
-/// Bytes of the process alone.
+/// Bytes of the process itself.
 const PROCESS_BYTES: f64 = 20e6;
 
-/// The name of a tenant.
+/// Returns the name of the tenant with this number.
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number:05}")
 }
--- a/crates/experiments/src/scale/sweeps.rs
+++ b/crates/experiments/src/scale/sweeps.rs
@@ -1,4 +1,4 @@
-//! Sweeps: series of simulations that differ in one count, from which slopes are measured.
+//! The sweeps: series of simulations that differ in one count, to which lines are fitted.
 
 use super::figures::{
     Figure, BALANCER_UPDATE, BYTES, CONTROL_CORE, CORE, DECISIONS, DISCOVERY_BYTES,
@@ -11,70 +11,74 @@
 use std::time::Duration;
 
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Sums over agents need longer, since their watches last many seconds.
+/// Traffic is measured over a longer time, because a watch lasts many seconds.
 const TRAFFIC_WARM_UP: Duration = Duration::from_secs(5);
 const TRAFFIC_DURATION: Duration = Duration::from_secs(20);
 const MEMORY_DURATION: Duration = Duration::from_secs(1);
-/// When the event of a sweep happens.
+/// Time of the event of a sweep, counted from the end of the warm-up.
 const EVENT_AT: Duration = Duration::from_secs(1);
-/// Requests a second of an agent where traffic is measured, and where memory is.
+/// Requests a second of an agent in the sweeps that measure traffic, and in those that measure
+/// memory.
 const TRAFFIC_RATE: f64 = 10.0;
 const MEMORY_RATE: f64 = 20.0;
+/// Number of agents in the sweeps that measure processor time.
 const AGENTS: usize = 2;
+/// Number of agents in the sweeps that measure memory.
 const MEMORY_AGENTS: usize = 8;
-/// Agents and endpoints of a mean service.
+/// Number of agents in two mean services, which have 5.5 each.
 const AGENTS_PER_TWO_SERVICES: usize = 11;
+/// Number of endpoints in a mean service.
 const SERVICE_ENDPOINTS: usize = 55;
-/// Endpoints that restart in a sweep of changes.
+/// Number of endpoints that restart in the sweep of list changes.
 const RESTARTS: usize = 5;
 
-/// A simulation at one count.
+/// One point of a sweep: a simulation with one value of the count.
 #[derive(Clone, Debug)]
 pub struct SweepPoint {
-    /// The count.
+    /// Value of the count.
     pub count: f64,
-    /// The simulation.
+    /// Simulation with this count.
     pub simulation: Simulation,
 }
 
-/// Simulations over one count.
+/// A series of simulations that vary one count.
 #[derive(Clone, Debug)]
 pub struct Sweep {
     /// Name on the command line and in reports.
     pub name: &'static str,
-    /// What is counted.
+    /// Name of the count that varies.
     pub count_name: &'static str,
-    /// The simulations.
+    /// The points, in increasing order of the count.
     pub points: Vec<SweepPoint>,
-    /// What is measured.
+    /// Figures to report for each point.
     pub figures: Vec<Figure>,
-    /// Whether each point is simulated in a process of its own, whose memory is its own.
+    /// Whether each point is simulated in a process of its own, so that its memory can be measured.
     pub in_own_process: bool,
 }
 
 impl Sweep {
-    /// Whether any figure is a time, which other threads of the same process would disturb.
+    /// Whether any figure is a processor time, which other threads of the process would distort.
     pub fn is_timed(&self) -> bool {
         self.figures.iter().any(|figure| figure.is_time)
     }
 }
 
-/// The counts of all sweeps.
+/// The values of the counts in all sweeps.
 struct Counts {
     endpoints: &'static [usize],
     classes: &'static [usize],
-    /// Classes where there are many endpoints.
+    /// Numbers of classes in the sweeps with many endpoints.
     classes_of_many_endpoints: &'static [usize],
     tenants: &'static [usize],
     agents: &'static [usize],
     services: &'static [usize],
     rates: &'static [usize],
-    /// How many endpoints are many.
+    /// Number of endpoints in the sweeps with many endpoints.
     many_endpoints: usize,
     duration: Duration,
 }
 
-/// Up to the operators' size.
+/// Counts up to the operators' size.
 const FULL: Counts = Counts {
     endpoints: &[55, 550, 1100, 2200, 4400, 7700],
     classes: &[11, 40, 160, 400, 1600],
@@ -87,6 +91,7 @@
     duration: Duration::from_secs(5),
 };
 
+/// Counts for a quick run.
 const SMALL: Counts = Counts {
     endpoints: &[55, 110, 220, 440],
     classes: &[11, 20, 40, 80],
@@ -99,7 +104,7 @@
     duration: Duration::from_secs(3),
 };
 
-/// The sweeps of all counts; `full` up to the operators' size.
+/// Returns all sweeps; with `full` their counts go up to the operators' size.
 pub fn sweeps(full: bool, seed: u64) -> Vec<Sweep> {
     let counts = if full { &FULL } else { &SMALL };
     let builder = SweepBuilder { counts, seed };
@@ -112,7 +117,7 @@
     sweeps
 }
 
-/// What happens in the simulations of a sweep.
+/// Returns the events of a simulation, which may depend on its size.
 type Events = fn(&Size) -> Vec<(Duration, InstallationEvent)>;
 
 fn no_events(_: &Size) -> Vec<(Duration, InstallationEvent)> {
@@ -134,7 +139,7 @@
     rolling_restart(&endpoints, EVENT_AT, Duration::from_secs(5), None)
 }
 
-/// Sizes that differ from the base in one count.
+/// Returns the size from which those of the points differ in one count.
 fn base() -> Size {
     Size {
         agents: AGENTS,
@@ -157,6 +162,7 @@
     Size { tenants, ..base() }
 }
 
+/// Returns the base size with the load of the sweeps that measure traffic.
 fn low_rate_size() -> Size {
     Size {
         rate: TRAFFIC_RATE,
@@ -164,13 +170,14 @@
     }
 }
 
-/// What a sweep goes over, and what is the same at all its points.
+/// Builds the sweeps from their counts and the seed.
 struct SweepBuilder<'a> {
     counts: &'a Counts,
     seed: u64,
 }
 
 impl SweepBuilder<'_> {
+    /// Builds a sweep with one point for each count.
     fn sweep(
         &self,
         name: &'static str,
@@ -240,7 +247,7 @@
         ]
     }
 
-    /// A size with many endpoints and so many classes.
+    /// Returns a size with many endpoints and this number of classes.
     fn many_endpoints(&self, classes: usize) -> Size {
         Size {
             endpoints: self.counts.many_endpoints,
@@ -294,7 +301,7 @@
         )
     }
 
-    /// Sweeps of the traffic with discovery and platform, by agents and by services.
+    /// Sweeps of the traffic with discovery and the platform, by number of agents and of services.
     fn traffic_sweeps(&self) -> [Sweep; 3] {
         let by_agents = |name, events| {
             let with_agents = |agents| Size {
@@ -318,6 +325,7 @@
         ]
     }
 
+    /// Builds a sweep that measures traffic.
     fn traffic_sweep(
         &self,
         name: &'static str,
@@ -354,6 +362,7 @@
         ]
     }
 
+    /// Builds a sweep that measures memory, in which agents do not share their settings.
     fn memory_sweep(
         &self,
         name: &'static str,
@@ -376,7 +385,7 @@
     }
 }
 
-/// What requests cost.
+/// Figures on the cost of requests.
 const REQUEST_FIGURES: [Figure; 5] = [DECISIONS, SCANS_PER_REQUEST, POLL, CORE, CONTROL_CORE];
-/// What control costs.
+/// Figures on the control traffic.
 const TRAFFIC_FIGURES: [Figure; 4] = [BYTES, DISCOVERY_CALLS, DISCOVERY_BYTES, PLATFORM_BYTES];
