--- a/crates/experiments/src/scale/servers/mod.rs
+++ b/crates/experiments/src/scale/servers/mod.rs
@@ -16,7 +16,7 @@
 /// other.
 pub const DELAY: Duration = Duration::from_millis(25);
 
-/// An input on its way to an agent.
+/// An input in transit to an agent.
 #[derive(Clone, Debug)]
 pub struct PendingInput {
     /// Simulated time at which it arrives.
--- a/crates/experiments/src/scale/simulation/outcome.rs
+++ b/crates/experiments/src/scale/simulation/outcome.rs
@@ -53,7 +53,8 @@
     pub core_worst: f64,
     /// Mean share of a core of an agent without the work for each request.
     pub control_core: f64,
-    /// The same in the worst second of any agent.
+    /// Share of a core of an agent without the work for each request, in the worst second of any
+    /// agent.
     pub control_core_worst: f64,
     /// Mean control traffic of an agent, in bytes a second.
     pub bytes: f64,
@@ -61,13 +62,13 @@
     pub bytes_worst: f64,
     /// Calls a second answered by the discovery of all services together.
     pub calls: f64,
-    /// The same in the worst second.
+    /// Calls answered by the discovery of all services together, in the worst second.
     pub calls_worst: f64,
     /// Calls refused by the discovery of all services together.
     pub refused: u64,
     /// Bytes a second sent by the discovery of all services together.
     pub discovery_bytes: f64,
-    /// The same in the worst second.
+    /// Bytes sent by the discovery of all services together, in the worst second.
     pub discovery_bytes_worst: f64,
     /// Processor time of the simulated discovery of all services, as a share of a core.
     pub discovery_core: f64,
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -21,7 +21,7 @@
 const MIN_CALL_BUDGET: f64 = 10.0;
 /// Number of endpoints that share a machine.
 const ENDPOINTS_PER_MACHINE: usize = 8;
-/// Spreads the identifiers of endpoints (golden ratio, 32 bits).
+/// Spreads the identifiers of endpoints over all 32-bit numbers (golden ratio, 32 bits).
 const ID_MULTIPLIER: u32 = 0x9e37_79b1;
 const POSTGRES_PORT: u16 = 6543;
 /// Build that all endpoints run at the start of a simulation.
@@ -45,7 +45,7 @@
     pub tenants: usize,
     /// Number of zones, over which agents and endpoints are distributed round-robin.
     pub zones: usize,
-    /// Requests a second for each agent.
+    /// Load of each agent, in requests a second.
     pub rate: f64,
     /// Calls a second that discovery answers for each of its agents; only calls that start a watch
     /// count.
