--- a/crates/experiments/src/scale/agent/discovery.rs
+++ b/crates/experiments/src/scale/agent/discovery.rs
@@ -1,4 +1,5 @@
-//! An agent's watch of discovery, as the real agent keeps it where calls are paid for.
+//! A simulated agent's long-poll watch of discovery, with the timing that the real agent uses where
+//! discovery limits the rate of calls.
 
 use super::events::EventKind;
 use super::{AgentOutput, LearntVersion, SimulatedAgent};
@@ -11,28 +12,31 @@
 use tulipwall_discovery::list_response::{self, ListResponse};
 use tulipwall_discovery::watch_timer::{FirstCall, WatchEnd, WatchTimer};
 
-/// Host header of calls to discovery; its length is counted.
+/// Host header of calls to discovery. Its length counts towards the bytes sent.
 const DISCOVERY_HOST: &str = "10.200.0.1:8500";
 const HTTP_OK: u16 = 200;
 
-/// The call to discovery that is under way.
+/// State of the watch of discovery.
 #[derive(Clone, Copy)]
 enum Watch {
+    /// No call is in progress.
     Idle,
-    /// The first call of a watch, or a later one.
+    /// The call with this number, the first of a watch or a later one, is in progress.
     Calling(u64),
 }
 
-/// What an agent knows of discovery.
+/// An agent's endpoint list, and the state of its watch of discovery.
 pub(super) struct DiscoveryState {
     pub(super) list: EndpointTable,
     timer: WatchTimer,
     lease: ListLease,
     watch: Watch,
-    /// Starts that were scheduled; only the last one counts.
+    /// Number of watch starts scheduled so far. A [`EventKind::StartWatch`] with a lower number is
+    /// stale and is ignored.
     pub(super) watch_starts: u64,
     is_start_scheduled: bool,
-    pub(super) is_watch_wanted: bool,
+    /// Whether the balancer asked for a watch that has not been started yet.
+    pub(super) is_watch_requested: bool,
 }
 
 impl DiscoveryState {
@@ -44,17 +48,19 @@
             watch: Watch::Idle,
             watch_starts: 0,
             is_start_scheduled: false,
-            is_watch_wanted: false,
+            is_watch_requested: false,
         }
     }
 
+    /// Whether this call is the one in progress.
     fn is_current(&self, call: u64) -> bool {
         matches!(self.watch, Watch::Calling(current) if current == call)
     }
 }
 
 impl SimulatedAgent {
-    /// At the start of a process: how long the list is valid, and when discovery is first called.
+    /// Called when a process starts: sets how long the list is valid, and schedules the first call
+    /// to discovery.
     pub(super) fn start_discovery(&mut self, now: Duration) {
         self.update_list_validity();
         if let Some(gap) = self.discovery.timer.startup_delay() {
@@ -62,6 +68,7 @@
         }
     }
 
+    /// Passes the lease's current expiry to the balancer.
     fn update_list_validity(&mut self) {
         let valid_until = self.discovery.lease.valid_until();
         self.balancer.set_list_valid_until(valid_until);
@@ -80,18 +87,18 @@
         }
     }
 
-    /// Starts a watch that the balancer asked for, unless one stands or is scheduled.
-    pub(super) fn start_wanted_watch(&mut self, now: Duration) {
+    /// Starts a watch that the balancer asked for, unless one is in progress or scheduled.
+    pub(super) fn start_requested_watch(&mut self, now: Duration) {
         let discovery = &self.discovery;
         let is_idle = matches!(discovery.watch, Watch::Idle);
-        if discovery.is_watch_wanted && !discovery.is_start_scheduled && is_idle {
+        if discovery.is_watch_requested && !discovery.is_start_scheduled && is_idle {
             self.start_watch(now);
         }
     }
 
     fn start_watch(&mut self, now: Duration) {
         let discovery = &mut self.discovery;
-        discovery.is_watch_wanted = false;
+        discovery.is_watch_requested = false;
         discovery.is_start_scheduled = false;
         let wait = discovery.timer.first_wait();
         let needs_whole_list = self.reload.awaits_discovery && discovery.timer.calls_are_free();
@@ -106,6 +113,7 @@
         self.discovery.watch = Watch::Calling(call);
     }
 
+    /// Sends a call to discovery, schedules its timeout, and returns its number.
     fn call_discovery(
         &mut self,
         now: Duration,
@@ -116,7 +124,8 @@
         self.last_call += 1;
         let call = self.last_call;
         let length = http::get_request(DISCOVERY_HOST, &path).len();
-        self.meter.passed(now, MessageKind::DiscoveryCall, length);
+        self.meter
+            .record_message(now, MessageKind::DiscoveryCall, length);
         let output = AgentOutput::DiscoveryCall {
             call,
             path,
@@ -132,6 +141,8 @@
         self.on_call_failure(now, call, WatchEnd::TimedOut);
     }
 
+    /// Ends a watch whose current call failed, and schedules the next one if a retry is due.
+    /// Failures of earlier calls are ignored.
     fn on_call_failure(&mut self, now: Duration, call: u64, ended: WatchEnd) {
         if !self.discovery.is_current(call) {
             return;
@@ -142,13 +153,13 @@
         match self.discovery.timer.on_watch_end(ended) {
             Some(gap) => self.schedule_watch(now + gap),
             None => {
-                self.discovery.is_watch_wanted = false;
+                self.discovery.is_watch_requested = false;
                 self.balancer.on_list_failure(now);
             }
         }
     }
 
-    /// A new configuration: the watch ends, and another starts after a gap.
+    /// Ends the watch after a configuration reload, and schedules another after a delay.
     pub(super) fn restart_watch_after_reload(&mut self, now: Duration) {
         self.close_watch(now);
         self.discovery.lease.on_address_change(now);
@@ -173,14 +184,15 @@
         bytes: &[u8],
     ) {
         if !self.discovery.is_current(call) {
-            return; // It came on a connection that is closed.
+            return; // The connection of this call is already closed.
         }
         if status != HTTP_OK {
-            self.meter.passed(now, MessageKind::Refusal, bytes.len());
+            self.meter
+                .record_message(now, MessageKind::Refusal, bytes.len());
             return self.on_call_failure(now, call, WatchEnd::Refused);
         }
-        let is_sound = self.take_response(now, bytes);
-        if !is_sound {
+        let is_well_formed = self.apply_response(now, bytes);
+        if !is_well_formed {
             return self.on_call_failure(now, call, WatchEnd::Malformed);
         }
         self.discovery.timer.on_response();
@@ -200,16 +212,18 @@
         self.discovery.watch = Watch::Calling(call);
     }
 
-    /// Parses an HTTP response and takes in its list; whether all of it could be used.
-    fn take_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
+    /// Parses an HTTP response and applies its list. Returns whether the response was well-formed
+    /// in full; the valid entries of a partly malformed list are applied all the same.
+    fn apply_response(&mut self, now: Duration, bytes: &[u8]) -> bool {
         let timer = ProcessorTimer::start();
         let response = http::parse_response(bytes, false).ok().flatten();
         let response = response.and_then(|response| ListResponse::parse(&response.body).ok());
-        self.meter.spent(now, Operation::Parsing, timer);
+        self.meter
+            .record_processor_time(now, Operation::Parsing, timer);
         let Some(response) = response else {
             return false;
         };
-        let is_sound = response.first_error.is_none();
+        let is_well_formed = response.first_error.is_none();
         let kind = if response.complete {
             MessageKind::WholeList
         } else if response.endpoints.is_empty() {
@@ -217,30 +231,35 @@
         } else {
             MessageKind::Changes
         };
-        self.meter.passed(now, kind, bytes.len());
-        self.take_list(now, response);
-        is_sound
+        self.meter.record_message(now, kind, bytes.len());
+        self.apply_list(now, response);
+        is_well_formed
     }
 
-    /// Takes in the list of a process's configuration.
-    pub(super) fn take_known_list(&mut self, now: Duration, bytes: &[u8]) {
+    /// Applies the endpoint list (`known`) that comes with a process's configuration. A list that
+    /// cannot be parsed is ignored.
+    pub(super) fn apply_known_list(&mut self, now: Duration, bytes: &[u8]) {
         let timer = ProcessorTimer::start();
         let response = ListResponse::parse(bytes);
-        self.meter.spent(now, Operation::Parsing, timer);
+        self.meter
+            .record_processor_time(now, Operation::Parsing, timer);
         if let Ok(response) = response {
-            self.take_list(now, response);
+            self.apply_list(now, response);
         }
     }
 
-    fn take_list(&mut self, now: Duration, response: ListResponse) {
+    /// Updates the endpoint list and the balancer, and records the version when it is new.
+    fn apply_list(&mut self, now: Duration, response: ListResponse) {
         let list = &mut self.discovery.list;
         let timer = ProcessorTimer::start();
         let applied = list.apply(response, &self.config, &self.clock);
         let changes = applied.into_changes();
-        self.meter.spent(now, Operation::ListUpdate, timer);
+        self.meter
+            .record_processor_time(now, Operation::ListUpdate, timer);
         let timer = ProcessorTimer::start();
         self.balancer.update_endpoints(now, &changes, false);
-        self.meter.spent(now, Operation::BalancerUpdate, timer);
+        self.meter
+            .record_processor_time(now, Operation::BalancerUpdate, timer);
         let version = list.version;
         let last = self.counts.versions.last();
         if last.is_none_or(|learnt| learnt.version != version) {
--- a/crates/experiments/src/scale/command/rows.rs
+++ b/crates/experiments/src/scale/command/rows.rs
@@ -1,21 +1,22 @@
-//! Runs the measurement scenarios of an installation.
+//! Runs the measurement scenarios (rows) of an installation.
 
 use super::{Installation, Options};
 use crate::scale::error::ScaleError;
-use crate::scale::report::{memory_beyond, Report, RowResult, ROW_TABLE_HEAD};
-use crate::scale::rows::{rows, Row, RESTARTS, RESTARTS_A_DAY};
+use crate::scale::report::{memory_beyond_limit, Report, RowResult, ROW_TABLE_HEAD};
+use crate::scale::rows::{rows, Row, RESTARTS, RESTARTS_PER_DAY};
 use crate::scale::simulation::Outcome;
 use serde_json::json;
 
-/// Beyond so many pairs of agent and endpoint only some rows are run: polls alone take minutes.
+/// With more pairs of an agent and an endpoint than this, only the important rows are run, because
+/// the polls alone take minutes.
 const MAX_PAIRS_FOR_ALL_ROWS: usize = 1_000_000;
-/// The rows that say most.
+/// The rows that are run where running all of them would take too long.
 const IMPORTANT_ROWS: [&str; 3] = ["peak", "configuration", "zone"];
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 const MEGABYTE: f64 = 1e6;
 
 impl Options {
-    /// Runs the rows that are named, or all, and prints what they measured.
+    /// Runs the rows named on the command line, or all, and prints their results.
     pub(super) fn run_rows(
         &self,
         installation: &Installation,
@@ -42,17 +43,18 @@
         }
         print_retained(&results);
         print_restarts(&results);
-        let memory = memory_an_agent(&results);
+        let memory = memory_per_agent(&results);
         println!(
-            "memory, an agent: {:.1} MB (settings shared)\n",
+            "memory of one agent: {:.1} MB (settings shared)\n",
             memory / MEGABYTE
         );
-        let beyond = memory_beyond(memory).map(|text| format!("{reading}: {text}"));
+        let beyond = memory_beyond_limit(memory).map(|text| format!("{reading}: {text}"));
         report.beyond.extend(beyond);
         report.rows.extend(results);
         Ok(())
     }
 
+    /// Returns the rows to run, or an error if a name on the command line is unknown.
     fn selected_rows(&self, installation: &Installation) -> Result<Vec<Row>, ScaleError> {
         let size = installation.size;
         let all = rows(size, installation.quiet_rate);
@@ -76,42 +78,43 @@
     }
 }
 
+/// Returns the outcome of the row with this name, or `None` if it was not run.
 fn outcome<'a>(results: &'a [RowResult], name: &str) -> Option<&'a Outcome> {
     let result = results.iter().find(|result| result.name == name)?;
     Some(&result.outcome)
 }
 
-/// Prints what one agent keeps at the peak.
+/// Prints how many entries of each kind one agent retains at the peak.
 fn print_retained(results: &[RowResult]) {
     if let Some(peak) = outcome(results, "peak") {
         let [requests, endpoints, builds, keys, listed] = peak.retained;
         println!(
-            "kept by one agent at the peak: {requests} commands, {endpoints} appliances, {builds} builds, {keys} keys, {listed} listed"
+            "retained by one agent at the peak: {requests} requests, {endpoints} endpoints, {builds} builds, {keys} keys, {listed} listed endpoints"
         );
     }
 }
 
-/// Prints what restarts cost beyond a calm installation.
+/// Prints the additional discovery traffic of restarts, compared to the row `calm`.
 fn print_restarts(results: &[RowResult]) {
     let Some(calm) = outcome(results, "calm") else {
         return;
     };
     let kinds = [
-        ("restarts", "restart of an appliance"),
+        ("restarts", "restart of an endpoint"),
         ("agents", "restart of an agent"),
     ];
     for (name, what) in kinds {
         if let Some(restarts) = outcome(results, name) {
             let added = restarts.discovery_bytes - calm.discovery_bytes;
             let each = added * restarts.seconds / RESTARTS as f64;
-            let daily = each * RESTARTS_A_DAY / SECONDS_A_DAY;
-            println!("{what}: {each:.0} bytes from discovery in sum; {daily:.0} a second on a day of {RESTARTS_A_DAY}");
+            let daily = each * RESTARTS_PER_DAY / SECONDS_PER_DAY;
+            println!("{what}: {each:.0} bytes from discovery in total; {daily:.0} bytes a second on a day of {RESTARTS_PER_DAY} restarts");
         }
     }
 }
 
-/// Most bytes of memory that an agent took in any row.
-fn memory_an_agent(results: &[RowResult]) -> f64 {
+/// Returns the largest memory of an agent in any row, in bytes.
+fn memory_per_agent(results: &[RowResult]) -> f64 {
     results
         .iter()
         .map(|result| result.outcome.memory / result.outcome.agents.max(1) as f64)
