--- a/crates/zones/src/account/class_record.rs
+++ b/crates/zones/src/account/class_record.rs
@@ -1,4 +1,4 @@
-//! What is recorded of one class on one link, over all builds.
+//! The traffic recorded for one class on one link, over all builds.
 
 use crate::events::{CompletedAttempt, ConnectionTraffic, Reservation};
 use crate::latency_histogram::{clamped_micros, new_histogram};
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use tulipwall::Outcome;
 
-/// Ten-second bins of the last hour.
+/// The recent series covers the last hour in ten-second bins.
 const RECENT_BIN: Duration = Duration::from_secs(10);
 const RECENT_BINS: u32 = 360;
-/// Minute bins of the last day.
+/// The daily series covers the last day in one-minute bins.
 const DAILY_BIN: Duration = Duration::from_secs(60);
 const DAILY_BINS: u32 = 1440;
 
 /// The build number under which removed builds are summed.
 pub(crate) const REMOVED_BUILDS: u32 = 0;
 
-/// The account of one class and build over one link.
+/// The counters of one class and build on one link.
 #[derive(Clone, Debug)]
 pub struct LinkRow {
     /// Counts since the agent's start.
     pub counts: LinkCounts,
-    /// Ten-second bins of the last hour.
+    /// Traffic over the last hour, in ten-second bins.
     pub recent: TimeSeries,
 }
 
@@ -42,12 +42,13 @@
     }
 }
 
-/// What is recorded of one class on one link.
+/// The traffic recorded for one class on one link.
 #[derive(Debug)]
 pub(super) struct ClassRecord {
-    /// Sorted by build; few builds are alive at a time.
+    /// Sorted by build; only a few builds are listed at a time.
     rows: Vec<(u32, LinkRow)>,
     daily: TimeSeries,
+    /// Latencies of successful responses; `None` until the first one.
     latencies: Option<Histogram<u32>>,
 }
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The row of this build, which begins empty.
+    /// The row of this build, inserted empty if there is none.
     pub(super) fn row(&mut self, build: u32) -> &mut LinkRow {
         let index = self.rows.partition_point(|(other, _)| *other < build);
         let exists = self
@@ -73,7 +74,7 @@
         &mut self.rows[index].1
     }
 
-    /// The rows, by build.
+    /// All rows, in ascending order of the build.
     pub(super) fn rows(&self) -> impl Iterator<Item = (u32, &LinkRow)> {
         self.rows.iter().map(|(build, row)| (*build, row))
     }
@@ -86,8 +87,8 @@
         self.latencies.as_ref()
     }
 
-    /// Records an attempt that ended. `added_latency_s`: how much longer than a local response its
-    /// response took, where both are known.
+    /// Records a completed attempt. `added_latency_s` is the extra latency of its response compared
+    /// with a local one, in seconds; `None` if the two cannot be compared.
     pub(super) fn record_end(
         &mut self,
         now: Duration,
@@ -141,7 +142,7 @@
         add_to(self.daily.bin(now));
     }
 
-    /// Sums the rows of all other builds under [`REMOVED_BUILDS`].
+    /// Merges the rows of all builds other than `builds` into the row of [`REMOVED_BUILDS`].
     pub(super) fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
         let is_removed =
             |(build, _): &mut (u32, LinkRow)| *build != REMOVED_BUILDS && !builds.contains(build);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Adds what was recorded of another class on the same link.
+    /// Adds the traffic recorded for another class on the same link.
     pub(super) fn merge(&mut self, other: ClassRecord) {
         for (build, row) in &other.rows {
             self.row(*build).merge(row);
@@ -161,7 +162,7 @@
             return;
         };
         match &mut self.latencies {
-            // It fails only for a value out of bounds, and both have the same bounds.
+            // `add` fails only on values out of bounds, and both histograms have the same bounds.
             Some(all) => drop(all.add(latencies)),
             none => *none = Some(latencies),
         }
--- a/crates/zones/src/account/mod.rs
+++ b/crates/zones/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! The account of cross-zone traffic: by link, class and build, in total and over time.
+//! Accounting of cross-zone traffic by link, class and build: totals and time series.
 
 mod class_record;
 
@@ -15,27 +15,27 @@
 
 /// Gain of the moving average of local response latencies.
 const LOCAL_LATENCY_GAIN: f64 = 0.05;
-/// Records of each zone beside those of its classes: one for connections, one for removed classes.
+/// Records per zone in addition to one per class: one for connections, one for removed classes.
 const EXTRA_RECORDS: usize = 2;
 
-/// What identifies a row: attempts of one class and build over one link.
+/// Identifies a row of the account: one class and build on one link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkKey {
-    /// The zone at the other end.
+    /// The zone index of the endpoints.
     pub to: u16,
-    /// The class. The index after the last class stands for connections (what opening and keeping
-    /// them took), the one after that for all removed classes.
+    /// The class index. The index after the last class stands for connections (the traffic of
+    /// opening and keeping them), the one after that for all removed classes.
     pub class: u16,
-    /// The build; 0 for all builds that were removed.
+    /// The build; 0 for the sum of all removed builds.
     pub build: u32,
 }
 
 /// One class on one link, over all builds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkClass {
-    /// The zone at the other end.
+    /// The zone index of the endpoints.
     pub to: u16,
-    /// The class, or an index beyond the classes as in [`LinkKey::class`].
+    /// The class index, or one of the two indices beyond the classes, as in [`LinkKey::class`].
     pub class: u16,
 }
 
@@ -49,25 +49,26 @@
     }
 }
 
-/// The account of one agent. Its size follows zones x classes x builds alive, never tenants or
-/// keys.
+/// The cross-zone traffic account of one agent. Its size grows with zones x classes x listed
+/// builds, never with tenants or keys.
 #[derive(Debug)]
 pub struct Account {
     local_zone: usize,
     class_count: usize,
     zone_count: usize,
-    /// By zone and class; each zone ends with its [`EXTRA_RECORDS`].
+    /// By zone, then by class. The records of each zone end with its [`EXTRA_RECORDS`].
     records: Vec<Option<Box<ClassRecord>>>,
-    /// Builds that have rows.
+    /// Builds that have rows in any record.
     builds: BTreeSet<u32>,
+    /// Requests received, by class.
     requests: Vec<u64>,
     requests_of_removed_classes: u64,
-    /// Moving average of local response latencies by class, in seconds.
+    /// Moving average of local response latencies by class, in seconds; `None` before the first.
     local_latency_s: Vec<Option<f64>>,
 }
 
 impl Account {
-    /// An empty account for an agent in `local_zone` of so many named zones.
+    /// Creates an empty account for an agent in `local_zone`, with `zone_count` named zones.
     pub fn new(local_zone: usize, zone_count: usize, class_count: usize) -> Account {
         let record_count = (zone_count + 1) * (class_count + EXTRA_RECORDS);
         Account {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Continues with the classes of a new configuration. What was counted of a class whose index
-    /// another has now, or none, is added to the removed classes.
+    /// Switches to the classes of a new configuration. Counts of a class that no longer has an
+    /// index, or whose index now belongs to another class, are added to the removed classes.
     pub fn reload(&mut self, origins: &[IndexOrigin]) {
         self.remap_records(origins);
         self.remap_requests(origins);
@@ -119,14 +120,14 @@
         self.requests_of_removed_classes += former.into_iter().flatten().sum::<u64>();
     }
 
-    /// Counts a request received.
+    /// Counts a received request of this class.
     pub fn record_request(&mut self, class: usize) {
         if let Some(count) = self.requests.get_mut(class) {
             *count += 1;
         }
     }
 
-    /// Counts an attempt that was decided on.
+    /// Counts an attempt that the balancer decided to send.
     pub fn record_attempt(&mut self, attempt: &AttemptStart) {
         self.builds.insert(attempt.build);
         self.record_mut(attempt.to, attempt.class)
@@ -135,7 +136,7 @@
             .record_start(attempt.previous_attempts, attempt.hedged);
     }
 
-    /// Counts an attempt that ended; `cost` is what it cost by its link's price.
+    /// Counts a completed attempt. `cost` is its cost at the price of its link.
     pub fn record_attempt_end(
         &mut self,
         now: Duration,
@@ -169,18 +170,19 @@
         });
     }
 
-    /// Counts a connection that was opened, or closed while no attempt used it.
+    /// Counts a connection that was opened, or that was closed while no attempt used it. `cost` is
+    /// the cost of its traffic at the price of the link.
     pub fn record_connection(&mut self, now: Duration, connection: &ConnectionTraffic, cost: f64) {
         self.builds.insert(connection.build);
         self.record_mut(connection.to, self.class_count)
             .record_connection(now, connection, cost);
     }
 
-    /// Only these builds are alive: what the rows of others count is summed under build 0.
+    /// Keeps the rows of these builds and sums the rows of all other builds under build 0.
     pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
         let is_kept = |build: &u32| *build == REMOVED_BUILDS || builds.contains(build);
         if self.builds.iter().all(is_kept) {
-            // Most lists change no build: then nothing is walked.
+            // Most endpoint lists change no build: skip the walk over all records.
             return;
         }
         self.builds.retain(is_kept);
@@ -189,7 +191,7 @@
         }
     }
 
-    /// The index that stands for connections in the place of a class.
+    /// The class index that stands for connections, see [`LinkKey::class`].
     pub fn connections_class(&self) -> u16 {
         self.class_count as u16
     }
@@ -209,7 +211,7 @@
         self.records[index].get_or_insert_with(|| Box::new(ClassRecord::new()))
     }
 
-    /// All rows, by zone, class and build.
+    /// All rows, ordered by zone, class and build.
     pub fn rows(&self) -> impl Iterator<Item = (LinkKey, &LinkRow)> {
         self.records_from(0).flat_map(|(link, record)| {
             record
@@ -218,7 +220,7 @@
         })
     }
 
-    /// The records from this index on.
+    /// The existing records at or after this index.
     fn records_from(&self, index: usize) -> impl Iterator<Item = (LinkClass, &ClassRecord)> {
         let width = self.records_per_zone();
         let records = self.records.iter().enumerate().skip(index);
@@ -231,8 +233,8 @@
         })
     }
 
-    /// The first row at or after `from`, so that a reader may go through all of them while the
-    /// account is being written.
+    /// The first row at or after `from`, or `None` at the end. A reader can use it to iterate over
+    /// all rows while the account keeps changing.
     pub fn next_row(&self, from: LinkKey) -> Option<(LinkKey, &LinkRow)> {
         if usize::from(from.to) > self.zone_count {
             return None;
@@ -240,13 +242,13 @@
         let index = self.record_index(usize::from(from.to), usize::from(from.class));
         self.records_from(index).find_map(|(link, record)| {
             let is_first = (link.to, link.class) == (from.to, from.class);
-            let least_build = if is_first { from.build } else { 0 };
-            let (build, row) = record.rows().find(|(build, _)| *build >= least_build)?;
+            let min_build = if is_first { from.build } else { 0 };
+            let (build, row) = record.rows().find(|(build, _)| *build >= min_build)?;
             Some((link.with_build(build), row))
         })
     }
 
-    /// The first series of the last day at or after this link and class.
+    /// The first series of the last day at or after this link and class, or `None` at the end.
     pub fn next_daily_series(&self, from: LinkClass) -> Option<(LinkClass, &TimeSeries)> {
         if usize::from(from.to) > self.zone_count {
             return None;
@@ -256,23 +258,25 @@
         Some((link, record.daily()))
     }
 
-    /// Latencies of successful responses of a class over a link, in microseconds.
+    /// Latencies of successful responses of a class over a link, in microseconds; `None` before the
+    /// first one.
     pub fn latencies(&self, link: LinkClass) -> Option<&Histogram<u32>> {
         let index = self.record_index(usize::from(link.to), usize::from(link.class));
         self.records[index].as_ref()?.latencies()
     }
 
-    /// Requests received, by class.
+    /// The number of requests received, by class index.
     pub fn requests_by_class(&self) -> &[u64] {
         &self.requests
     }
 
-    /// Requests received of classes that were removed.
+    /// The number of requests received of classes that were removed since.
     pub fn requests_of_removed_classes(&self) -> u64 {
         self.requests_of_removed_classes
     }
 
-    /// The moving average of local response latencies of this class, in seconds.
+    /// The moving average of local response latencies of this class, in seconds; `None` before the
+    /// first local response.
     pub fn typical_local_latency(&self, class: usize) -> Option<f64> {
         self.local_latency_s.get(class).copied().flatten()
     }
--- a/crates/zones/src/budget/meter.rs
+++ b/crates/zones/src/budget/meter.rs
@@ -1,4 +1,4 @@
-//! The meter of one budget: what this agent has spent of it and may still spend.
+//! The meter of one budget: how much of it this agent has spent and may still spend.
 
 use super::usage::{ResourceUsage, UsageEstimator};
 use super::window::SpendingWindow;
@@ -7,34 +7,34 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The fraction of the limit that must remain after an attempt of the class of lowest rank; nothing
-/// for that of highest rank, and in proportion between.
+/// The fraction of the limit that must remain after an attempt of the lowest-ranked class. It is
+/// zero for the highest-ranked class and proportional to the rank in between.
 const RANK_RESERVE: f64 = 0.4;
-/// Must remain on top of that after retries and hedged requests.
+/// The additional fraction of the limit that must remain after retries and hedged requests.
 const REPEAT_RESERVE: f64 = 0.5;
-/// Relative tolerance for rounding errors where spending is compared with the limit.
+/// Relative tolerance for rounding errors in comparisons of spending with the limit.
 const LIMIT_TOLERANCE: f64 = 1e-9;
-/// Amounts held that are below this are rounding errors.
+/// Smaller held amounts are rounding errors and count as zero.
 const MIN_HELD: f64 = 1e-9;
-/// The rank of a class that has none: the lowest.
+/// The rank of a class without a computed rank: the lowest.
 const LOWEST_RANK: f64 = 1.0;
 
-/// Identifies a meter as long as it exists.
+/// Identifies a meter for its lifetime, across reloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct MeterId(pub(super) u32);
 
-/// What this agent has spent of one budget.
+/// Tracks how much of one budget this agent has spent, in the unit of the budget's limit.
 #[derive(Clone, Debug)]
 pub struct BudgetMeter {
-    /// The budget it meters.
+    /// The budget that is metered.
     pub budget: Budget,
     pub(super) id: MeterId,
     window: SpendingWindow,
-    /// Above this use another class is restricted to the local zone.
+    /// When the used amount exceeds this, another class must be restricted to the local zone.
     restriction_threshold: f64,
-    /// Reserved by attempts in flight.
+    /// The amount reserved by attempts in flight.
     held: f64,
-    /// By class: 0 for the highest benefit for its cost, 1 for the lowest.
+    /// By class: 0 for the highest benefit per cost, 1 for the lowest.
     ranks: Vec<f64>,
     over_budget_total: u64,
     over_budget: [u64; OverBudgetReason::COUNT],
@@ -42,13 +42,13 @@
 }
 
 impl BudgetMeter {
-    /// A meter that begins as if this agent's part had been spent evenly until now: an agent that
-    /// starts does not know what it spent before a restart, and restarts must not give it the
-    /// window's part again and again.
+    /// Creates a meter that starts as if this agent's limit had been spent evenly up to now. An
+    /// agent does not know what it spent before a restart, and repeated restarts must not grant it
+    /// the limit of a window again and again.
     pub(super) fn new(now: Duration, budget: Budget, id: MeterId) -> BudgetMeter {
         let window = match budget.limit {
             Limit::Share(_) => SpendingWindow::new(budget.window),
-            _ => SpendingWindow::evenly_spent(now, budget.window, absolute_part(&budget)),
+            _ => SpendingWindow::evenly_spent(now, budget.window, absolute_agent_limit(&budget)),
         };
         BudgetMeter {
             budget,
@@ -63,36 +63,36 @@
         }
     }
 
-    /// Continues under a new configuration; what is spent stays spent.
+    /// Applies a new configuration of the budget. Past spending still counts.
     pub(super) fn reload(&mut self, now: Duration, budget: Budget) {
         self.window.resize(now, budget.window);
         self.budget = budget;
     }
 
-    /// What this agent may spend in the window that ends now.
+    /// The amount that this agent may spend in the window that ends now.
     pub fn limit(&self) -> f64 {
         match self.budget.limit {
             Limit::Share(share) => share * self.window.requests(),
-            _ => absolute_part(&self.budget),
+            _ => absolute_agent_limit(&self.budget),
         }
     }
 
-    /// What it has spent in that window, with what attempts in flight hold.
+    /// The amount spent in that window plus the amount held by attempts in flight.
     pub fn used(&self) -> f64 {
         self.window.spent() + self.held
     }
 
-    /// How many attempts went over this limit.
+    /// The number of attempts that went over this limit.
     pub fn over_budget_total(&self) -> u64 {
         self.over_budget_total
     }
 
-    /// How many attempts went over this limit for this reason.
+    /// The number of attempts that went over this limit for this reason.
     pub fn over_budget(&self, reason: OverBudgetReason) -> u64 {
         self.over_budget[reason as usize]
     }
 
-    /// What was spent since the start.
+    /// The amount spent since the start.
     pub fn total(&self) -> f64 {
         self.total
     }
@@ -115,7 +115,8 @@
         self.total += amount;
     }
 
-    /// Holds the amount until [`BudgetMeter::release`], if there is room for it.
+    /// Holds the amount until [`BudgetMeter::release`] if it fits in the limit. Returns whether it
+    /// fits.
     pub(super) fn try_hold(&mut self, amount: f64) -> bool {
         let fits = self.fits(amount, 0.0);
         if fits {
@@ -143,7 +144,7 @@
         self.covers_zone(to) && self.covers_class(class)
     }
 
-    /// The part of a usage that counts against this limit.
+    /// The component of `usage` that counts against this limit.
     pub(super) fn amount(&self, usage: &ResourceUsage) -> f64 {
         match self.budget.limit {
             Limit::Attempts(_) | Limit::Share(_) => usage.attempts,
@@ -152,7 +153,8 @@
         }
     }
 
-    /// What one more attempt may take of this limit. Of attempts it is always one: no estimate.
+    /// The estimated amount of this limit that one more attempt uses. Limits in attempts need no
+    /// estimate: it is always one.
     pub(super) fn estimated_amount(&self, usage: &UsageEstimator, to: usize, class: usize) -> f64 {
         match self.budget.limit {
             Limit::Attempts(_) | Limit::Share(_) => 1.0,
@@ -160,12 +162,12 @@
         }
     }
 
-    /// Whether all attempts of a class take the same of this limit, whatever the zone.
-    pub(super) fn takes_the_same_of_each_zone(&self) -> bool {
+    /// Whether attempts of a class use the same amount of this limit in all zones.
+    pub(super) fn is_zone_independent(&self) -> bool {
         matches!(self.budget.limit, Limit::Attempts(_) | Limit::Share(_))
     }
 
-    /// The classes that it covers, of so many.
+    /// The indices below `class_count` of the classes that the budget covers.
     pub(super) fn covered_classes(&self, class_count: usize) -> Range<usize> {
         match self.budget.class {
             Some(class) => class.min(class_count)..class.saturating_add(1).min(class_count),
@@ -173,9 +175,9 @@
         }
     }
 
-    /// What is used and may be used now, to check many classes against.
-    pub(super) fn reading(&self) -> MeterReading<'_> {
-        MeterReading {
+    /// The current usage and limit, for checking many classes against them.
+    pub(super) fn snapshot(&self) -> MeterSnapshot<'_> {
+        MeterSnapshot {
             used: self.used(),
             limit: self.limit(),
             ranks: &self.ranks,
@@ -183,7 +185,7 @@
     }
 
     fn fits(&self, amount: f64, reserve: f64) -> bool {
-        self.reading().fits(amount, reserve)
+        self.snapshot().fits(amount, reserve)
     }
 
     pub(super) fn set_ranks(&mut self, ranks: Vec<f64>) {
@@ -194,32 +196,32 @@
         self.restriction_threshold = threshold;
     }
 
-    /// Whether so much is used that another class is to be restricted to the local zone.
+    /// Whether usage has grown so far that another class must be restricted to the local zone.
     pub(super) fn passed_restriction_threshold(&self) -> bool {
         self.used() > self.restriction_threshold
     }
 }
 
-/// A meter at one time: what stays the same while classes are checked against it.
-pub(super) struct MeterReading<'a> {
+/// The state of a meter at one time, which is the same for all classes checked against it.
+pub(super) struct MeterSnapshot<'a> {
     pub(super) used: f64,
     limit: f64,
     ranks: &'a [f64],
 }
 
-impl MeterReading<'_> {
-    /// Whether an attempt of this class that takes `amount` may cross by choice, leaving the reserve
-    /// for classes of higher rank.
+impl MeterSnapshot<'_> {
+    /// Whether an attempt of this class that uses `amount` may cross by choice without touching the
+    /// reserve for higher-ranked classes.
     pub(super) fn admits(&self, amount: f64, class: usize, is_repeat: bool) -> bool {
         self.fits(amount, self.reserve(class, is_repeat))
     }
 
-    /// The highest use at which an attempt that takes `amount` is still admitted.
+    /// The highest usage at which an attempt that uses `amount` is still admitted.
     pub(super) fn highest_admitting_use(&self, amount: f64, class: usize, is_repeat: bool) -> f64 {
         self.limit - self.reserve(class, is_repeat) - amount
     }
 
-    /// What must remain after an attempt of this class.
+    /// The amount that must remain after an attempt of this class.
     fn reserve(&self, class: usize, is_repeat: bool) -> f64 {
         let rank = self.ranks.get(class).copied().unwrap_or(LOWEST_RANK);
         let repeat_reserve = if is_repeat { REPEAT_RESERVE } else { 0.0 };
@@ -227,12 +229,12 @@
     }
 
     fn fits(&self, amount: f64, reserve: f64) -> bool {
-        // What costs nothing always fits, also where the limit is zero.
+        // An attempt that costs nothing always fits, even if the limit is zero.
         amount <= 0.0 || self.used + amount + reserve <= self.limit * (1.0 + LIMIT_TOLERANCE)
     }
 }
 
-/// This agent's part of an absolute limit.
-fn absolute_part(budget: &Budget) -> f64 {
+/// The part of an absolute limit that this agent may spend.
+fn absolute_agent_limit(budget: &Budget) -> f64 {
     budget.limit.amount() * budget.agent_fraction
 }
--- a/crates/zones/src/budget/mod.rs
+++ b/crates/zones/src/budget/mod.rs
@@ -1,13 +1,13 @@
-//! Budgets for cross-zone traffic, and what one agent may spend of them on its own.
+//! Budgets for cross-zone traffic, and the part of them that one agent may spend.
 //!
-//! Agents share nothing, so each keeps to a part of its own: of an absolute limit a fixed fraction
-//! (by default one over the number of agents), of a share the same share of the requests that it
-//! received itself. Either way the sum over all agents stays within the budget however unequal they
-//! are. What an idle agent leaves is used by nobody.
+//! Agents share no state, so each enforces a limit of its own: for an absolute limit, a fixed
+//! fraction of it (by default one divided by the number of agents); for a share, the same share of
+//! the requests that the agent itself received. Either way all agents together stay within the
+//! budget, however unequal their loads are. The unused part of an idle agent is used by no other.
 //!
-//! Spending is counted in bins over a sliding window, always over one bin more than the window
-//! holds: no window ever sees more than the limit, and a stall does not make anything available at
-//! once that was not spent before.
+//! Spending is counted in bins over a sliding window. The sum always covers one bin more than the
+//! window, so that no window exceeds the limit, and so that a stall does not free the unspent
+//! amount of the past all at once.
 
 mod meter;
 mod ranking;
@@ -20,12 +20,12 @@
 use crate::config::{Budget, ZoneConfig};
 use crate::reason::OverBudgetReason;
 use meter::MeterId;
-use ranking::{rank_by_worth, worth};
+use ranking::{benefit_per_cost, rank_by_benefit_per_cost};
 use std::time::Duration;
 use tulipwall::IndexOrigin;
 use usage::UsageEstimator;
 
-/// What an attempt in flight holds of the budgets, and which budgets had no room for it.
+/// The amounts that an attempt in flight holds of the budgets, and the budgets that it exceeded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BudgetHold {
     held: Vec<HeldAmount>,
@@ -39,17 +39,17 @@
 }
 
 impl BudgetHold {
-    /// Whether some budget had no room for it.
+    /// Whether the attempt exceeded at least one budget.
     pub fn is_over_budget(&self) -> bool {
         !self.exhausted.is_empty()
     }
 }
 
-/// By class, whether an attempt may cross to a zone by choice.
+/// Whether attempts may cross to a zone by choice, by class.
 #[derive(Clone, Debug)]
 pub(crate) struct AdmittedClasses {
     pub(crate) first_attempts: Vec<bool>,
-    /// Retries and hedged requests.
+    /// For retries and hedged requests.
     pub(crate) repeats: Vec<bool>,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl BudgetMeters {
-    /// Meters for the budgets of this configuration, as after a restart.
+    /// Creates meters for the budgets of this configuration, in the state after a restart.
     pub fn new(now: Duration, config: &ZoneConfig) -> BudgetMeters {
         let mut meters = BudgetMeters {
             meters: Vec::new(),
@@ -75,8 +75,8 @@
         meters
     }
 
-    /// Continues under a new configuration. A budget is the same if its name and unit are; a lower
-    /// limit holds at once, whatever was spent.
+    /// Applies a new configuration. A budget keeps its spending if its name and unit are unchanged;
+    /// a lower limit applies at once, whatever was spent before.
     pub fn reload(&mut self, now: Duration, config: &ZoneConfig, origins: &[IndexOrigin]) {
         self.usage.reload(config, origins);
         self.apply(now, config);
@@ -87,7 +87,10 @@
         self.priority_weights = classes.map(|class| class.priority_weight).collect();
         let mut former = std::mem::take(&mut self.meters);
         for budget in &config.budgets {
-            let meter = match former.iter().position(|m| is_same(&m.budget, budget)) {
+            let meter = match former
+                .iter()
+                .position(|m| is_same_budget(&m.budget, budget))
+            {
                 Some(index) => {
                     let mut meter = former.swap_remove(index);
                     meter.reload(now, budget.clone());
@@ -105,11 +108,11 @@
         MeterId(self.last_id)
     }
 
-    /// Ranks the classes for each budget by their benefit for their cost.
+    /// Ranks the classes for each budget by benefit per cost.
     pub fn rank_classes(&mut self) {
         let usage = &self.usage;
         for meter in &mut self.meters {
-            // A budget for no zone in particular ranks by the most expensive one.
+            // A budget that covers several zones ranks by the cost of the most expensive one.
             let cost = |class: usize| {
                 (0..usage.zone_count())
                     .filter(|zone| meter.covers_zone(*zone))
@@ -117,16 +120,17 @@
                     .fold(0.0, f64::max)
             };
             let weights = self.priority_weights.iter().enumerate();
-            let worths: Vec<f64> = weights
-                .map(|(class, weight)| worth(*weight, cost(class)))
+            let benefits_per_cost: Vec<f64> = weights
+                .map(|(class, weight)| benefit_per_cost(*weight, cost(class)))
                 .collect();
-            let ranks = rank_by_worth(&worths, |class| meter.covers_class(class));
+            let ranks =
+                rank_by_benefit_per_cost(&benefits_per_cost, |class| meter.covers_class(class));
             meter.set_ranks(ranks);
         }
     }
 
-    /// Recomputes up to which use each budget admits the classes that it admits now. To be called
-    /// whenever that may have changed for another reason than attempts in flight.
+    /// Recomputes the usage of each budget up to which it admits the classes that it admits now.
+    /// Call this whenever something other than attempts in flight may have changed it.
     pub fn update_restriction_thresholds(&mut self) {
         let class_count = self.priority_weights.len();
         for meter in &mut self.meters {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Whether since then so much was used that another class is to be restricted to the local
+    /// Whether usage has since grown so far that another class must be restricted to the local
     /// zone.
     pub fn restrictions_outdated(&self) -> bool {
         self.meters
@@ -143,12 +147,12 @@
             .any(BudgetMeter::passed_restriction_threshold)
     }
 
-    /// What one more attempt may take.
+    /// The estimated usage of one more attempt.
     pub fn estimate(&self, to: usize, class: usize) -> ResourceUsage {
         self.usage.estimate(to, class)
     }
 
-    /// A request of this class was received.
+    /// Counts a received request of this class.
     pub fn record_request(&mut self, now: Duration, class: usize) {
         for meter in &mut self.meters {
             if meter.covers_class(class) {
@@ -157,27 +161,27 @@
         }
     }
 
-    /// Lets go of spending that has left the windows.
+    /// Drops spending that has left the sliding windows.
     pub fn advance(&mut self, now: Duration) {
         for meter in &mut self.meters {
             meter.advance(now);
         }
     }
 
-    /// Whether an attempt may cross by choice: each budget keeps the reserve for classes of higher
-    /// rank. `is_repeat` for retries and hedged requests.
+    /// Whether an attempt may cross by choice, leaving the reserve of each budget to higher-ranked
+    /// classes. `is_repeat` is true for retries and hedged requests.
     pub fn admits(&self, to: usize, class: usize, is_repeat: bool) -> bool {
         self.meters
             .iter()
             .filter(|meter| meter.covers(to, class))
             .all(|meter| {
                 let amount = meter.estimated_amount(&self.usage, to, class);
-                meter.reading().admits(amount, class, is_repeat)
+                meter.snapshot().admits(amount, class, is_repeat)
             })
     }
 
-    /// Which classes may cross to this zone by choice: each budget keeps the reserve for classes of
-    /// higher rank.
+    /// The classes whose attempts may cross to this zone by choice, leaving the reserve of each
+    /// budget to higher-ranked classes.
     pub(crate) fn admitted_classes(&self, to: usize) -> AdmittedClasses {
         let class_count = self.priority_weights.len();
         let mut admitted = AdmittedClasses {
@@ -185,17 +189,17 @@
             repeats: vec![true; class_count],
         };
         for meter in self.meters.iter().filter(|meter| meter.covers_zone(to)) {
-            let reading = meter.reading();
+            let snapshot = meter.snapshot();
             for class in meter.covered_classes(class_count) {
                 let amount = meter.estimated_amount(&self.usage, to, class);
-                admitted.first_attempts[class] &= reading.admits(amount, class, false);
-                admitted.repeats[class] &= reading.admits(amount, class, true);
+                admitted.first_attempts[class] &= snapshot.admits(amount, class, false);
+                admitted.repeats[class] &= snapshot.admits(amount, class, true);
             }
         }
         admitted
     }
 
-    /// An attempt crosses: holds what it may take of each budget that has room for it.
+    /// Reserves the estimated usage of an attempt that crosses, in each budget that it fits in.
     pub fn reserve(&mut self, now: Duration, to: usize, class: usize) -> BudgetHold {
         let usage = self.estimate(to, class);
         let mut hold = BudgetHold::default();
@@ -215,9 +219,9 @@
         hold
     }
 
-    /// An attempt crossed although budgets were exhausted: counted at each of these. It is not
-    /// spent there, so that what crosses by choice in any window is what the budget gives, whatever
-    /// else had to cross.
+    /// Counts an attempt that crossed although budgets were exhausted, at each of these. It is not
+    /// charged to them, so that the traffic that has to cross leaves the whole budget to traffic
+    /// that crosses by choice.
     pub fn record_over_budget(&mut self, hold: &BudgetHold, reason: OverBudgetReason) {
         for meter in &mut self.meters {
             if hold.exhausted.contains(&meter.id) {
@@ -226,7 +230,8 @@
         }
     }
 
-    /// An attempt ended: what it took replaces what it held. Returns its cost by the link's price.
+    /// Replaces the amounts that a completed attempt held by its actual usage. Returns its cost at
+    /// the price of the link.
     pub fn settle(
         &mut self,
         now: Duration,
@@ -247,8 +252,9 @@
         usage.money
     }
 
-    /// Traffic of a connection outside attempts: bytes and money are spent though no request
-    /// crossed. Budgets of one class are not charged, as a connection serves any. Returns its cost.
+    /// Charges the traffic of a connection outside attempts, which uses bytes and money although no
+    /// request crossed. Budgets of a single class are not charged, because a connection serves all
+    /// classes. Returns the cost of the traffic.
     pub fn charge(&mut self, now: Duration, to: usize, transfer: Transfer) -> f64 {
         let usage = self.usage.measure(to, transfer);
         for meter in &mut self.meters {
@@ -259,7 +265,7 @@
         usage.money
     }
 
-    /// The meters, one for each budget in the order of the configuration.
+    /// The meters, one per budget, in the order of the configuration.
     pub fn meters(&self) -> &[BudgetMeter] {
         &self.meters
     }
@@ -270,27 +276,27 @@
     }
 }
 
-fn is_same(a: &Budget, b: &Budget) -> bool {
+fn is_same_budget(a: &Budget, b: &Budget) -> bool {
     a.name == b.name && a.limit.unit() == b.limit.unit()
 }
 
-/// The lowest use above which this budget stops admitting a class that it admits now; infinite
-/// where there is none.
+/// The lowest usage above which this budget stops admitting a class that it admits now; infinite if
+/// there is no such class.
 fn restriction_threshold(meter: &BudgetMeter, usage: &UsageEstimator, class_count: usize) -> f64 {
-    let reading = meter.reading();
+    let snapshot = meter.snapshot();
     let mut threshold = f64::INFINITY;
     let covered_zones = (0..usage.zone_count()).filter(|zone| meter.covers_zone(*zone));
-    let differing_zones = if meter.takes_the_same_of_each_zone() {
+    let max_zones_to_check = if meter.is_zone_independent() {
         1
     } else {
         usage.zone_count()
     };
-    for zone in covered_zones.take(differing_zones) {
+    for zone in covered_zones.take(max_zones_to_check) {
         for class in meter.covered_classes(class_count) {
             let amount = meter.estimated_amount(usage, zone, class);
             for is_repeat in [false, true] {
-                let highest = reading.highest_admitting_use(amount, class, is_repeat);
-                if highest >= reading.used {
+                let highest = snapshot.highest_admitting_use(amount, class, is_repeat);
+                if highest >= snapshot.used {
                     threshold = threshold.min(highest);
                 }
             }
--- a/crates/zones/src/budget/usage.rs
+++ b/crates/zones/src/budget/usage.rs
@@ -1,37 +1,37 @@
-//! What attempts take, and estimates of what the next one will take.
+//! The resource usage of attempts, measured and estimated.
 
 use crate::config::{Price, ZoneConfig};
 use crate::remap::remap_classes;
 use tulipwall::IndexOrigin;
 
-/// Assumed for an attempt before any was seen, in bytes each way.
+/// The assumed size of an attempt before any was observed, in bytes in each direction.
 const INITIAL_BYTES: f64 = 1024.0;
-/// Factor by which the largest recent attempt is forgotten with each attempt.
+/// Factor by which the size of the largest recent attempt decays with each attempt.
 const LARGEST_DECAY: f64 = 0.98;
 
-/// What one attempt takes, in the units of all limits.
+/// The resource usage of traffic, in the units of all limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
     /// Attempts written completely.
     pub attempts: f64,
     /// Bytes written and read.
     pub bytes: f64,
-    /// Cost by the link's price.
+    /// Cost at the price of the link.
     pub money: f64,
 }
 
-/// Traffic over a link, as counted on the socket.
+/// Traffic over a link, as counted on the sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transfer {
     /// Attempts written completely.
     pub attempts: u64,
-    /// Bytes written.
+    /// Bytes written to endpoints.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read from endpoints.
     pub bytes_received: u64,
 }
 
-/// The largest recent attempt of a class to a zone, in bytes each way.
+/// The size of the largest recent attempt of a class to a zone, in bytes in each direction.
 #[derive(Clone, Copy, Debug)]
 struct LargestAttempt {
     bytes_sent: f64,
@@ -52,25 +52,25 @@
     }
 }
 
-/// Estimates what attempts take, by zone and class.
+/// Estimates the resource usage of attempts by zone and class.
 #[derive(Clone, Debug)]
 pub(super) struct UsageEstimator {
-    /// By zone.
+    /// The price of the link to each zone, by zone index.
     prices: Vec<Price>,
-    /// By zone and class.
+    /// By zone, then by class.
     largest: Vec<Vec<LargestAttempt>>,
 }
 
 impl UsageEstimator {
     pub(super) fn new(config: &ZoneConfig) -> UsageEstimator {
-        let of_zone = vec![LargestAttempt::INITIAL; config.classes.len()];
+        let initial_by_class = vec![LargestAttempt::INITIAL; config.classes.len()];
         UsageEstimator {
             prices: prices(config),
-            largest: vec![of_zone; config.zone_count_with_unnamed()],
+            largest: vec![initial_by_class; config.zone_count_with_unnamed()],
         }
     }
 
-    /// Continues under a new configuration of the same zones.
+    /// Applies a new configuration with the same zones.
     pub(super) fn reload(&mut self, config: &ZoneConfig, origins: &[IndexOrigin]) {
         self.prices = prices(config);
         for zone in &mut self.largest {
@@ -86,7 +86,7 @@
         self.largest.len()
     }
 
-    /// What one more attempt may take.
+    /// The estimated usage of one more attempt, based on the largest recent one.
     pub(super) fn estimate(&self, to: usize, class: usize) -> ResourceUsage {
         let largest = self
             .largest
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What this traffic took.
+    /// The resource usage of this traffic.
     pub(super) fn measure(&self, to: usize, transfer: Transfer) -> ResourceUsage {
         ResourceUsage {
             attempts: transfer.attempts as f64,
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Learns from an attempt that ended; one that was not written completely says nothing.
+    /// Updates the estimate with a completed attempt. An attempt that was not written completely is
+    /// ignored, because it does not show the size of a whole one.
     pub(super) fn observe(&mut self, to: usize, class: usize, transfer: Transfer) {
         if transfer.attempts == 0 {
             return;
--- a/crates/zones/src/budget/window.rs
+++ b/crates/zones/src/budget/window.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Bins in a window. One more than these is always summed, so that no window exceeds the limit.
-const BINS: u32 = 32;
+/// The number of bins per window. The sums cover one bin more, so that no window exceeds the limit.
+const BINS_PER_WINDOW: u32 = 32;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct WindowBin {
@@ -13,7 +13,7 @@
     requests: f64,
 }
 
-/// Sums of what was spent and of the requests received in the window that ends now.
+/// Sums of the spending and of the requests received in the sliding window that ends now.
 #[derive(Clone, Debug)]
 pub(super) struct SpendingWindow {
     bin_width: Duration,
@@ -24,10 +24,10 @@
 }
 
 impl SpendingWindow {
-    /// An empty window of this length.
+    /// Creates an empty window of this length.
     pub(super) fn new(length: Duration) -> SpendingWindow {
         SpendingWindow {
-            bin_width: length / BINS,
+            bin_width: length / BINS_PER_WINDOW,
             bins: VecDeque::new(),
             newest_bin_end: Duration::ZERO,
             spent: 0.0,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// A window in which `amount` was spent evenly until now.
+    /// Creates a window in which `amount` was spent evenly up to now.
     pub(super) fn evenly_spent(now: Duration, length: Duration, amount: f64) -> SpendingWindow {
         let mut window = SpendingWindow::new(length);
-        let spent_per_bin = amount / f64::from(BINS + 1);
+        let spent_per_bin = amount / f64::from(BINS_PER_WINDOW + 1);
         let newest = window.bin_index(now);
-        let oldest = newest.saturating_sub(u64::from(BINS));
+        let oldest = newest.saturating_sub(u64::from(BINS_PER_WINDOW));
         for index in oldest..=newest {
             window.bins.push_back(WindowBin {
                 index,
@@ -52,12 +52,12 @@
         window
     }
 
-    /// What was spent in the window.
+    /// The amount spent in the window.
     pub(super) fn spent(&self) -> f64 {
         self.spent
     }
 
-    /// Requests received in the window.
+    /// The number of requests received in the window.
     pub(super) fn requests(&self) -> f64 {
         self.requests
     }
@@ -92,24 +92,24 @@
         while self
             .bins
             .front()
-            .is_some_and(|bin| has_left(bin.index, index))
+            .is_some_and(|bin| is_expired(bin.index, index))
         {
             self.bins.pop_front();
         }
         self.recompute_sums();
     }
 
-    /// Changes the length of the window; what was spent stays spent, in the new bins.
+    /// Changes the length of the window. Past spending is moved to the new bins and still counts.
     pub(super) fn resize(&mut self, now: Duration, length: Duration) {
         let former_width = self.bin_width.as_micros() as u64;
         let former_bins = std::mem::take(&mut self.bins);
         self.newest_bin_end = Duration::ZERO;
-        self.bin_width = length / BINS;
+        self.bin_width = length / BINS_PER_WINDOW;
         let newest = self.bin_index(now);
         for bin in former_bins {
             let start = Duration::from_micros(former_width.saturating_mul(bin.index));
             let index = self.bin_index(start.min(now));
-            if has_left(index, newest) {
+            if is_expired(index, newest) {
                 continue;
             }
             match self.bins.back_mut().filter(|last| last.index >= index) {
@@ -128,13 +128,13 @@
         (now.as_micros() / width) as u64
     }
 
-    /// Sums all bins anew, so that rounding errors do not add up.
+    /// Sums all bins from scratch, so that rounding errors do not accumulate.
     fn recompute_sums(&mut self) {
         self.spent = self.bins.iter().fold(0.0, |sum, bin| sum + bin.spent);
         self.requests = self.bins.iter().fold(0.0, |sum, bin| sum + bin.requests);
     }
 }
 
-fn has_left(index: u64, newest: u64) -> bool {
-    index + u64::from(BINS) < newest
+fn is_expired(index: u64, newest: u64) -> bool {
+    index + u64::from(BINS_PER_WINDOW) < newest
 }
--- a/crates/zones/src/events.rs
+++ b/crates/zones/src/events.rs
@@ -1,4 +1,4 @@
-//! What an agent reports of its attempts and connections.
+//! Events that an agent reports about its attempts and connections.
 
 use crate::budget::BudgetHold;
 use crate::reason::OverBudgetReason;
@@ -8,77 +8,77 @@
 /// An attempt that is about to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptStart {
-    /// The zone of its endpoint.
+    /// The zone index of its endpoint.
     pub to: usize,
-    /// The class of its request.
+    /// The class index of its request.
     pub class: usize,
-    /// The build of its endpoint.
+    /// The build number of its endpoint.
     pub build: u32,
-    /// How many attempts of its request came before.
+    /// How many attempts of the same request preceded it.
     pub previous_attempts: usize,
-    /// Another attempt of its request is in flight.
+    /// Whether another attempt of the same request is in flight.
     pub hedged: bool,
-    /// Its build is a canary.
+    /// Whether its build is a canary.
     pub is_canary: bool,
-    /// Its request is deduplicated within a zone or cell, and may have run there.
+    /// Whether its request is deduplicated within a zone or cell where it may already have run.
     pub pinned_to_scope: bool,
 }
 
-/// An attempt in flight, to be handed back when it ends.
+/// The budget reservation of an attempt in flight, to be passed back when the attempt ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// The zone of its endpoint.
+    /// The zone index of its endpoint.
     pub to: usize,
-    /// The class of its request.
+    /// The class index of its request.
     pub class: usize,
-    /// The build of its endpoint.
+    /// The build number of its endpoint.
     pub build: u32,
-    /// Why it crossed although a budget was exhausted; `None` where none was.
+    /// Why it crossed although a budget was exhausted; `None` if no budget was.
     pub over_budget: Option<OverBudgetReason>,
-    /// What it holds of the budgets.
+    /// The amounts that it holds of the budgets.
     pub(crate) hold: BudgetHold,
 }
 
-/// What was wrong with the response of a connection that was lost.
+/// The fault in the response on a connection that was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResponseFault {
-    /// Nothing, as far as it was read.
+    /// No fault in the bytes that were read.
     #[default]
     None,
-    /// It could not be parsed.
+    /// The response could not be parsed.
     Malformed,
-    /// It stopped short of its end.
+    /// The response ended early.
     Truncated,
 }
 
-/// How one attempt ended, as seen on the socket.
+/// The result of one attempt, as observed on the socket.
 #[derive(Clone, Copy, Debug)]
 pub struct CompletedAttempt {
-    /// Its outcome.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// What was wrong with its response.
+    /// The fault in its response, if its connection was lost.
     pub fault: ResponseFault,
-    /// Its last byte was written, so that it may have run.
+    /// Whether its last byte was written, which means that it may have run.
     pub fully_written: bool,
-    /// Bytes written.
+    /// Bytes written to the socket.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read from the socket.
     pub bytes_received: u64,
-    /// From the decision to send it until it ended.
+    /// The time from the decision to send it until it ended.
     pub latency: Duration,
 }
 
 /// A connection that was opened, or that was closed while no attempt used it.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTraffic {
-    /// The zone of its endpoint.
+    /// The zone index of its endpoint.
     pub to: usize,
-    /// The build of its endpoint.
+    /// The build number of its endpoint.
     pub build: u32,
-    /// Bytes written.
+    /// Bytes written while no attempt used the connection.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read while no attempt used the connection.
     pub bytes_received: u64,
-    /// How long it took until it was ready for a request; `None` where it never was.
+    /// The time until the connection was ready for a request; `None` if it never was.
     pub handshake: Option<Duration>,
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,10 +1,9 @@
-//! Cross-zone traffic of one agent: an account of it, budgets for it, and hints for the routing
-//! between zones.
+//! Accounting, budgets and routing hints for the cross-zone traffic of one agent.
 //!
-//! Pure: no sockets, files or clock. Times are durations since one fixed zero, passed in by the
-//! caller; zones, classes and builds are the numbers that the balancer uses. [`Zones`] is the entry
-//! point: it is told of requests, attempts and connections, and returns how the balancer is to
-//! treat other zones as a [`tulipwall::CrossZonePolicy`]. The decisions stay with
+//! This crate performs no I/O and reads no clock. The caller passes times as durations since a
+//! fixed origin, and identifies zones, classes and builds by the numbers that the balancer uses.
+//! [`Zones`] is the entry point: it is notified of requests, attempts and connections, and returns
+//! the [`tulipwall::CrossZonePolicy`] that the balancer is to apply. Routing decisions stay with
 //! [`tulipwall::Balancer`]; nothing here sends, delays or rejects a request.
 //!
 //! ```
@@ -42,7 +41,7 @@
 //! };
 //! let zone_counts = |_zone| tulipwall::ZoneCounts::default();
 //! let reservation = zones.on_attempt(now, attempt, zone_counts);
-//! assert_eq!(reservation.over_budget, None, "the first of the five that this agent may send");
+//! assert_eq!(reservation.over_budget, None, "the first of five attempts this agent may send");
 //! ```
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
--- a/crates/zones/src/link_counts.rs
+++ b/crates/zones/src/link_counts.rs
@@ -1,10 +1,10 @@
-//! Counters of the attempts of one class and build over one link.
+//! Counters of the attempts of one class and build on one link.
 
 use crate::events::{CompletedAttempt, ConnectionTraffic, ResponseFault};
 use crate::reason::OverBudgetReason;
 use tulipwall::Outcome;
 
-/// All outcomes, each at the index that [`outcome_index`] gives it.
+/// All outcomes, each at its [`outcome_index`].
 pub(crate) const OUTCOMES: [Outcome; 8] = [
     Outcome::Succeeded,
     Outcome::Failed,
@@ -19,7 +19,7 @@
 /// Outcomes of attempts that provably never ran.
 const NEVER_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
 
-/// The index of an outcome in [`LinkCounts::outcomes`].
+/// The index at which [`LinkCounts::outcomes`] counts an outcome.
 pub fn outcome_index(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Succeeded => 0,
@@ -33,47 +33,47 @@
     }
 }
 
-/// Counts since the agent's start.
+/// Counters of one class and build on one link since the agent's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCounts {
     /// Attempts that the balancer decided to send.
     pub decided: u64,
-    /// Attempts written to their last byte: these may have run, and budgets count them.
+    /// Attempts written completely: these may have run and are charged to the budgets.
     pub written: u64,
-    /// How attempts ended, by [`outcome_index`].
+    /// Completed attempts by outcome, indexed by [`outcome_index`].
     pub outcomes: [u64; 8],
-    /// Lost connections whose response could not be parsed.
+    /// Attempts that lost their connection because the response could not be parsed.
     pub malformed: u64,
-    /// Lost connections whose response stopped short of its end.
+    /// Attempts that lost their connection in the middle of the response.
     pub truncated: u64,
     /// Attempts sent while another of the same request was in flight.
     pub hedges: u64,
-    /// Attempts sent after another of the same request had ended.
+    /// Attempts sent after all earlier ones of the same request had ended.
     pub retries: u64,
-    /// Attempts over a budget, by [`OverBudgetReason`].
+    /// Attempts over a budget, indexed by [`OverBudgetReason`].
     pub over_budget: [u64; OverBudgetReason::COUNT],
-    /// Connections opened.
+    /// Connections that became ready for requests.
     pub connections_opened: u64,
-    /// Bytes written.
+    /// Bytes written to endpoints.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read from endpoints.
     pub bytes_received: u64,
-    /// Seconds that crossing added to successful responses against local ones of the class; below
-    /// zero where the remote zone was faster.
+    /// The sum of the latencies that crossing added to successful responses, compared with local
+    /// ones of the class, in seconds; negative if the remote zone was faster.
     pub added_latency_s: f64,
-    /// How many responses `added_latency_s` sums over.
+    /// The number of responses summed in `added_latency_s`.
     pub compared_responses: u64,
-    /// Cost by the link's price.
+    /// Cost at the price of the link.
     pub cost: f64,
 }
 
 impl LinkCounts {
-    /// Attempts over a budget, for any reason.
+    /// The number of attempts over a budget, for any reason.
     pub fn over_budget_total(&self) -> u64 {
         self.over_budget.iter().sum()
     }
 
-    /// Attempts that provably never ran.
+    /// The number of attempts that provably never ran.
     pub fn never_ran(&self) -> u64 {
         NEVER_RAN
             .into_iter()
@@ -81,7 +81,7 @@
             .sum()
     }
 
-    /// Adds the counts of another row.
+    /// Adds the counters of another row.
     pub fn add(&mut self, other: &LinkCounts) {
         self.decided += other.decided;
         self.written += other.written;
--- a/crates/zones/src/reason.rs
+++ b/crates/zones/src/reason.rs
@@ -1,13 +1,15 @@
-//! Why an attempt crossed to another zone although a budget was exhausted.
+//! The reasons for which an attempt crosses to another zone although a budget is exhausted.
 
 use tulipwall::ZoneCounts;
 
-/// Why an attempt crossed although a budget was exhausted.
+/// The reason why an attempt crossed to another zone although a budget was exhausted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverBudgetReason {
-    /// It went to a canary, which must be evaluated; the canary's cap bounds the traffic.
+    /// It went to a canary, which needs traffic to be evaluated; the canary's cap bounds that
+    /// traffic.
     Canary,
-    /// Its request is deduplicated within a group of endpoints in that zone, where it may have run.
+    /// Its request is deduplicated only within a group of endpoints in that zone, where it may
+    /// already have run.
     DeduplicationScope,
     /// The local zone has no endpoint.
     NoLocalEndpoint,
@@ -15,18 +17,18 @@
     LocalDraining,
     /// All local endpoints are ejected or unresponsive.
     LocalUnavailable,
-    /// All responsive local endpoints are warming up and have received their share.
+    /// All responsive local endpoints are in slow start and have received their share.
     LocalWarmingUp,
-    /// Local responses would come too late.
+    /// Local responses would miss the latency objective.
     LocalSaturated,
-    /// Each local endpoint that could serve the request has failed it.
+    /// Every local endpoint that could serve the request has already failed it.
     LocalAlreadyTried,
-    /// The cap of a canary, or the builds allowed for a key, left no local endpoint.
+    /// The cap of a canary or the builds allowed for the key excluded all local endpoints.
     LocalExcluded,
 }
 
 impl OverBudgetReason {
-    /// How many reasons there are.
+    /// The number of reasons.
     pub const COUNT: usize = Self::ALL.len();
 
     /// All reasons, in the order of their discriminants.
@@ -42,7 +44,7 @@
         OverBudgetReason::LocalExcluded,
     ];
 
-    /// The word that stands for it in reports.
+    /// The label of the reason in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             OverBudgetReason::Canary => "trial",
@@ -57,11 +59,11 @@
         }
     }
 
-    /// The reason that follows from the state of the local zone, for an attempt that goes neither
-    /// to a canary nor to the deduplication scope of its request.
+    /// Derives the reason from the state of the local zone, for an attempt that goes neither to a
+    /// canary nor to the deduplication scope of its request.
     ///
-    /// `saturated`: local responses of its class are close to being late. `previous_attempts`: how
-    /// many attempts of the request came before.
+    /// `saturated` says whether local responses of its class are close to being late,
+    /// `previous_attempts` is the number of earlier attempts of the same request.
     pub fn for_counts(
         local: &ZoneCounts,
         saturated: bool,
--- a/crates/zones/src/report/document.rs
+++ b/crates/zones/src/report/document.rs
@@ -1,4 +1,4 @@
-//! A report as its reader holds it, of one agent or merged from several.
+//! The in-memory form of a report, of one agent or merged from several agents.
 
 use super::error::ReportError;
 use super::schema::{DelayLine, LinkLine, ReportHeader, ReportLine, SeriesLine, VERSION};
@@ -7,27 +7,27 @@
 
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// A whole report, of one agent or of several.
+/// A report of one agent, or the merged report of several agents.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Document {
-    /// The header of each agent.
+    /// The headers, one per agent.
     pub heads: Vec<ReportHeader>,
     /// Counts by link, class and build.
     pub links: Vec<LinkLine>,
-    /// Latencies by link and class.
+    /// Latency histograms by link and class.
     pub delays: Vec<DelayLine>,
-    /// Traffic over time.
+    /// Traffic over time, by link and class, with and without builds.
     pub series: Vec<SeriesLine>,
     #[serde(skip)]
     complete: bool,
 }
 
 impl Document {
-    /// Adds one line.
+    /// Adds one line of the report.
     ///
     /// # Errors
     ///
-    /// [`ReportError::UnsupportedVersion`] for a header of another version.
+    /// Returns [`ReportError::UnsupportedVersion`] for a header with another version.
     pub fn add_line(&mut self, line: ReportLine) -> Result<(), ReportError> {
         match line {
             ReportLine::Head(header) if header.version != VERSION => {
@@ -44,12 +44,12 @@
         Ok(())
     }
 
-    /// Whether the last line was added.
+    /// Whether the last line of the report was added; after a merge, that of all reports.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Adds the report of another agent: rows of the same link, class and build become one.
+    /// Adds the report of another agent. Rows of the same link, class and build are summed.
     pub fn merge(&mut self, other: Document) {
         self.heads.extend(other.heads);
         self.complete &= other.complete;
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Sums over builds: one row for each link and class, cross-zone links first.
+    /// Sums the rows over builds into one row per link and class. Rows are sorted by the zone they
+    /// come from; its local link comes last.
     pub fn by_class(&self) -> Vec<LinkLine> {
         let mut rows: Vec<LinkLine> = Vec::new();
         for link in &self.links {
@@ -97,8 +98,8 @@
         rows
     }
 
-    /// The latency that this fraction (0 to 1) of the responses of a class over a link did not
-    /// exceed, in milliseconds.
+    /// The latency in milliseconds that the given fraction (0 to 1) of the responses of a class
+    /// over a link did not exceed; `None` without responses.
     pub fn latency_quantile_ms(&self, link: &LinkLine, fraction: f64) -> Option<f64> {
         let line = self.delays.iter().find(|delay| {
             delay.from == link.from && delay.to == link.to && delay.class == link.class
@@ -114,7 +115,7 @@
     }
 }
 
-/// Orders rows by the zone they come from, the local link last, then by zone and class.
+/// Orders rows by the zone they come from, its local link last, then by destination and class.
 fn sort_key(link: &LinkLine) -> (&str, bool, &str, &str) {
     let is_local = link.from == link.to;
     (&link.from, is_local, &link.to, &link.class)
--- a/crates/zones/src/report/error.rs
+++ b/crates/zones/src/report/error.rs
@@ -1,12 +1,12 @@
-//! Errors of readers of reports.
+//! Errors from reading reports.
 
 use super::schema::VERSION;
 
-/// Why a line of a report is refused.
+/// The reason why a line of a report is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// The header names a version other than [`VERSION`].
-    #[error("version {found}: this program reads version {VERSION}")]
+    /// The header has a version other than [`VERSION`].
+    #[error("unsupported report version {found}, expected version {VERSION}")]
     UnsupportedVersion {
         /// The version in the header.
         found: u32,
--- a/crates/zones/src/report/labels.rs
+++ b/crates/zones/src/report/labels.rs
@@ -1,34 +1,34 @@
-//! The names that stand for indices and outcomes in reports.
+//! The names of zones, classes and outcomes in reports.
 
 use crate::link_counts::{outcome_index, OUTCOMES};
 use std::collections::BTreeMap;
 use tulipwall::Outcome;
 
-/// Stands for the zone that the configuration does not name.
+/// The name of the zone index for all zones that the configuration does not name.
 const UNNAMED_ZONE: &str = "(unnamed)";
-/// Stands for connections in the place of a class.
+/// The name of the class index for connections.
 const CONNECTIONS: &str = "(connections)";
-/// Stands for all classes that were removed.
+/// The name of the class index for all removed classes.
 pub(super) const REMOVED_CLASSES: &str = "(gone)";
 
-/// The names of the agent, its zones and its classes.
+/// The display names of the agent, its zones and its classes.
 #[derive(Clone, Debug, Default)]
 pub struct DisplayNames {
-    /// The agent's name.
+    /// The name of the agent.
     pub agent: String,
-    /// Names by zone index.
+    /// The names of zones, by zone index.
     pub zones: Vec<String>,
-    /// Names by class index.
+    /// The names of classes, by class index.
     pub classes: Vec<String>,
 }
 
 impl DisplayNames {
-    /// The name of a zone, also of the unnamed one.
+    /// The name of a zone; `(unnamed)` for indices beyond the named zones.
     pub fn zone(&self, zone: usize) -> &str {
         self.zones.get(zone).map_or(UNNAMED_ZONE, String::as_str)
     }
 
-    /// The name of a class, also of the indices beyond the classes (see [`crate::LinkKey::class`]).
+    /// The name of a class, or of an index beyond the classes (see [`crate::LinkKey::class`]).
     pub fn class(&self, class: usize) -> &str {
         if let Some(name) = self.classes.get(class) {
             return name;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Counts by outcome under their labels.
+/// The counts above zero by the label of their outcome.
 pub(super) fn labelled_outcomes(counts: &[u64; OUTCOMES.len()]) -> BTreeMap<String, u64> {
     let labelled = OUTCOMES.map(|outcome| (outcome_label(outcome), counts[outcome_index(outcome)]));
     nonzero_counts(labelled)
--- a/crates/zones/src/report/merge.rs
+++ b/crates/zones/src/report/merge.rs
@@ -1,13 +1,13 @@
-//! Adds up lines of several agents that stand for the same link.
+//! Merges the lines of several agents for the same link.
 
 use super::schema::{DelayLine, LatencyBucket, LinkLine, SeriesBin, SeriesLine};
 use std::collections::BTreeMap;
 
-/// Bins are matched as if they were at least this wide, in seconds.
+/// The minimum bin width for matching bins, in seconds; prevents a division by zero.
 const MIN_BIN_WIDTH_S: f64 = 1e-3;
 
 impl LinkLine {
-    /// Whether both stand for the same class on the same link, whatever the build.
+    /// Whether both lines are for the same class on the same link, regardless of the build.
     pub(super) fn is_same_class(&self, other: &LinkLine) -> bool {
         self.from == other.from && self.to == other.to && self.class == other.class
     }
@@ -33,7 +33,7 @@
         self.cost += other.cost;
     }
 
-    /// The average over the responses of both.
+    /// Sets the added latency to the average over the responses of both lines.
     fn merge_added_latency(&mut self, other: &LinkLine) {
         let responses = self.compared_responses + other.compared_responses;
         if responses > 0 {
@@ -68,7 +68,8 @@
             && self.width_s as u64 == other.width_s as u64
     }
 
-    /// Agents' clocks differ: bins are matched by the nearest whole bin width of Unix time.
+    /// Adds the bins of another agent. Because the clocks of agents differ, bins are matched by
+    /// Unix time rounded to whole bin widths.
     pub(super) fn merge(&mut self, other: &SeriesLine) {
         let width_s = self.width_s.max(MIN_BIN_WIDTH_S);
         let mut bins: BTreeMap<u64, SeriesBin> = BTreeMap::new();
--- a/crates/zones/src/report/mod.rs
+++ b/crates/zones/src/report/mod.rs
@@ -1,7 +1,7 @@
-//! The report of an account: lines of JSON, one for the header, one for each row and each series.
+//! The report of an account as JSON lines: one for the header, then one for each row and series.
 //!
-//! An agent writes it line by line with [`crate::Zones::lines`]; a reader collects the lines in a
-//! [`Document`] and merges the documents of several agents into one.
+//! An agent writes the report line by line with [`crate::Zones::lines`]. A reader collects the
+//! lines in a [`Document`] and merges the documents of several agents into one.
 
 mod document;
 mod error;
--- a/crates/zones/src/report/schema.rs
+++ b/crates/zones/src/report/schema.rs
@@ -1,12 +1,12 @@
-//! The lines of a report as they are serialized. The names on the wire are those of version 1.
+//! The serialized lines of a report. The field names on the wire are those of version 1.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of the lines; a reader accepts no other.
+/// The version of the report format; readers reject all others.
 pub const VERSION: u32 = 1;
 
-/// One line of a report.
+/// One line of a report, tagged by its kind.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum ReportLine {
@@ -14,65 +14,65 @@
     Head(ReportHeader),
     /// Counts of one class and build on one link.
     Link(LinkLine),
-    /// Latencies of one class on one link.
+    /// The latency histogram of one class on one link.
     Delay(DelayLine),
-    /// Traffic over time.
+    /// Traffic of one class on one link over time.
     Series(SeriesLine),
     /// The last line: the report is complete.
     End,
 }
 
-/// What holds for the whole account.
+/// The header of a report: properties and totals of the whole account.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ReportHeader {
-    /// The version of the lines, [`VERSION`].
+    /// The version of the report format, [`VERSION`].
     pub version: u32,
-    /// The agent's name.
+    /// The name of the agent.
     pub agent: String,
-    /// The zone it runs in.
+    /// The name of the zone that the agent runs in.
     pub zone: String,
     /// Unix time of the report, in seconds.
     pub at_s: f64,
-    /// How long the account has run, in seconds.
+    /// The time since the start of the account, in seconds.
     #[serde(rename = "since_s")]
     pub uptime_s: f64,
-    /// Requests received, by class.
+    /// Requests received, by class name.
     #[serde(rename = "taken")]
     pub requests: BTreeMap<String, u64>,
     /// The budgets, in the order of the configuration.
     pub budgets: Vec<BudgetLine>,
-    /// The weight of an endpoint of a remote zone against a local one, by zone.
+    /// The weight of an endpoint of a remote zone relative to a local one, by zone name.
     #[serde(rename = "draws")]
     pub weights: BTreeMap<String, f64>,
-    /// How often traffic to a remote zone changed its direction to rising, by zone.
+    /// The number of times that traffic to a remote zone began to rise, by zone name.
     #[serde(rename = "turns")]
     pub direction_changes: BTreeMap<String, u64>,
 }
 
-/// One budget of one agent.
+/// The state of one budget in one agent.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct BudgetLine {
-    /// The budget's name.
+    /// The name of the budget, as configured.
     pub name: String,
-    /// The zone that it covers; absent for all.
+    /// The zone that it covers; `None` for all other zones.
     pub to: Option<String>,
-    /// The class that it covers; absent for all.
+    /// The class that it covers; `None` for all classes.
     #[serde(rename = "lane")]
     pub class: Option<String>,
-    /// The unit of its limit.
+    /// The unit of its limit, see [`crate::Limit::unit`].
     pub unit: String,
-    /// Length of its window, in seconds.
+    /// The length of its window, in seconds.
     pub window_s: f64,
-    /// The limit over all agents; a share is of the requests received.
+    /// The limit for all agents together; a limit in shares is relative to the requests received.
     pub limit: f64,
-    /// What this agent may spend in the window that ends now.
+    /// The amount that this agent may spend in the window that ends now.
     #[serde(rename = "part")]
     pub agent_limit: f64,
-    /// What this agent has spent and holds in that window.
+    /// The amount that this agent has spent in that window, plus what its attempts in flight hold.
     pub used: f64,
-    /// What this agent has spent since its start.
+    /// The amount that this agent has spent since its start.
     pub total: f64,
-    /// Attempts over it since the start, by reason.
+    /// Attempts over this budget since the start, by reason.
     #[serde(rename = "over")]
     pub over_budget: BTreeMap<String, u64>,
 }
@@ -80,21 +80,21 @@
 /// Counts of one class and build on one link.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct LinkLine {
-    /// The agent's zone.
+    /// The name of the agent's zone.
     pub from: String,
-    /// The zone of the endpoints.
+    /// The name of the zone of the endpoints.
     pub to: String,
-    /// The class.
+    /// The name of the class; `(connections)` or `(gone)` for the indices beyond the classes.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The build; 0 for all builds that were removed.
+    /// The build; 0 for the sum of all removed builds.
     pub build: u32,
-    /// Attempts decided on.
+    /// Attempts that the balancer decided to send.
     pub decided: u64,
     /// Attempts written completely.
     #[serde(rename = "deliveries")]
     pub attempts: u64,
-    /// How attempts ended.
+    /// Completed attempts, by the label of their outcome.
     #[serde(rename = "ended")]
     pub outcomes: BTreeMap<String, u64>,
     /// Attempts that provably never ran.
@@ -102,39 +102,39 @@
     /// Responses that could not be parsed.
     #[serde(rename = "spoilt")]
     pub malformed: u64,
-    /// Responses that stopped short of their end.
+    /// Responses that ended early.
     #[serde(rename = "half")]
     pub truncated: u64,
-    /// Hedged requests.
+    /// Attempts sent while another of the same request was in flight.
     #[serde(rename = "second_copies")]
     pub hedges: u64,
-    /// Retries.
+    /// Attempts sent after all earlier ones of the same request had ended.
     #[serde(rename = "further")]
     pub retries: u64,
     /// Attempts over a budget, by reason.
     #[serde(rename = "over")]
     pub over_budget: BTreeMap<String, u64>,
-    /// Connections opened.
+    /// Connections that became ready for requests.
     #[serde(rename = "opened")]
     pub connections_opened: u64,
-    /// Bytes written.
+    /// Bytes written to endpoints.
     #[serde(rename = "bytes_out")]
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read from endpoints.
     #[serde(rename = "bytes_in")]
     pub bytes_received: u64,
-    /// What crossing added to a successful response on average, in milliseconds.
+    /// The average latency that crossing added to a successful response, in milliseconds.
     #[serde(rename = "added_ms")]
     pub added_latency_ms: f64,
-    /// How many responses that is the average of.
+    /// The number of responses averaged in `added_latency_ms`.
     #[serde(rename = "compared")]
     pub compared_responses: u64,
-    /// Cost by the link's price.
+    /// Cost at the price of the link.
     pub cost: f64,
 }
 
 impl LinkLine {
-    /// Attempts over a budget, for any reason.
+    /// The number of attempts over a budget, for any reason.
     pub fn over_budget_total(&self) -> u64 {
         self.over_budget.values().sum()
     }
@@ -143,14 +143,14 @@
 /// Latencies of successful responses of one class on one link, over all builds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct DelayLine {
-    /// The agent's zone.
+    /// The name of the agent's zone.
     pub from: String,
-    /// The zone of the endpoints.
+    /// The name of the zone of the endpoints.
     pub to: String,
-    /// The class.
+    /// The name of the class; `(connections)` or `(gone)` for the indices beyond the classes.
     #[serde(rename = "lane")]
     pub class: String,
-    /// How many responses took how long, in ascending order.
+    /// The non-empty buckets of the histogram, in ascending order of latency.
     #[serde(rename = "delays_us")]
     pub latencies: Vec<LatencyBucket>,
 }
@@ -159,9 +159,9 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct LatencyBucket {
-    /// Latency in microseconds: the upper bound of the bucket.
+    /// The upper bound of the bucket, in microseconds.
     pub micros: u64,
-    /// Responses with that latency.
+    /// The number of responses in the bucket.
     pub count: u64,
 }
 
@@ -180,39 +180,39 @@
 /// Traffic of one class on one link over time.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct SeriesLine {
-    /// The agent's zone.
+    /// The name of the agent's zone.
     pub from: String,
-    /// The zone of the endpoints.
+    /// The name of the zone of the endpoints.
     pub to: String,
-    /// The class.
+    /// The name of the class; `(connections)` or `(gone)` for the indices beyond the classes.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The build; absent in series over all builds.
+    /// The build; `None` in series over all builds.
     pub build: Option<u32>,
-    /// Width of the bins, in seconds.
+    /// The width of the bins, in seconds.
     pub width_s: f64,
     /// The non-empty bins, oldest first.
     pub bins: Vec<SeriesBin>,
 }
 
-/// The form in which a [`SeriesBin`] is serialized: its fields in their order.
+/// The serialized form of a [`SeriesBin`]: its fields in order of declaration.
 type SerializedBin = (f64, u64, u64, u64, u64, f64);
 
-/// One bin of a series, serialized as an array of its fields.
+/// One bin of a time series, serialized as an array of its fields.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(from = "SerializedBin", into = "SerializedBin")]
 pub struct SeriesBin {
-    /// Unix time of its beginning, in seconds.
+    /// The Unix time at which the bin starts, in seconds.
     pub start_s: f64,
     /// Attempts written completely.
     pub attempts: u64,
     /// Attempts over a budget.
     pub over_budget: u64,
-    /// Bytes written.
+    /// Bytes written to endpoints.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read from endpoints.
     pub bytes_received: u64,
-    /// Cost by the link's price.
+    /// Cost at the price of the link.
     pub cost: f64,
 }
 
--- a/crates/zones/src/report/writer.rs
+++ b/crates/zones/src/report/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the report of an account line by line, while the account goes on.
+//! Writes the report of an account line by line, while the account keeps changing.
 
 use super::labels::{labelled_outcomes, nonzero_counts, DisplayNames, REMOVED_CLASSES};
 use super::schema::{
@@ -16,11 +16,11 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// How far a reader has come: the header is first, then each row, then each series of the last day,
-/// then the end.
+/// The position of a reader in a report. The header comes first, then the rows, then the series of
+/// the last day, then the end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ReportCursor {
-    /// Nothing was read.
+    /// Nothing was read yet; the header is next.
     #[default]
     Head,
     /// The first row at or after this key is next.
@@ -29,31 +29,32 @@
     DailySeries(LinkClass),
     /// The last line is next.
     End,
-    /// Everything was read.
+    /// The whole report was read.
     Finished,
 }
 
 /// Maps the agent's clock, whose zero is arbitrary, to Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockMapping {
-    /// Now on the agent's clock.
+    /// The current time on the agent's clock.
     pub now: Duration,
-    /// Now as Unix time.
+    /// The current Unix time.
     pub unix_now: Duration,
-    /// When the account began, on the agent's clock.
+    /// The start of the account, on the agent's clock.
     pub started: Duration,
 }
 
 impl ClockMapping {
-    /// Unix time of a time on the agent's clock, in seconds.
+    /// Converts a time on the agent's clock to Unix time, in seconds.
     fn unix_seconds(&self, at: Duration) -> f64 {
         (self.unix_now.as_secs_f64() + at.as_secs_f64() - self.now.as_secs_f64()).max(0.0)
     }
 }
 
 impl Zones {
-    /// The next lines of the report, and where to continue: one row at a time, so that no step
-    /// takes long however much there is. Rows that are added meanwhile may be missed.
+    /// Returns the next lines of the report and the cursor for the next call. Each call covers one
+    /// row or series, so that it is short regardless of the size of the account. Rows that are
+    /// added between calls may be missing.
     pub fn lines(
         &self,
         names: &DisplayNames,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Turns parts of an account into lines.
+/// Converts parts of an account to report lines.
 struct ReportWriter<'a> {
     zones: &'a Zones,
     names: &'a DisplayNames,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Requests received, by class. A class whose idempotency changed has two indices for a while,
-    /// so that counts of equal names are added.
+    /// Requests received, by class name. A class whose idempotency changed temporarily has two
+    /// indices with the same name, so counts of equal names are added.
     fn requests(&self) -> BTreeMap<String, u64> {
         let account = self.zones.account();
         let mut requests = BTreeMap::new();
@@ -268,7 +269,7 @@
     }
 }
 
-/// The least key above this one, within its zone.
+/// The next possible key after this one, within its zone.
 fn key_after(key: LinkKey) -> LinkKey {
     match key.build.checked_add(1) {
         Some(build) => LinkKey { build, ..key },
--- a/crates/zones/src/router/mod.rs
+++ b/crates/zones/src/router/mod.rs
@@ -1,12 +1,15 @@
-//! How much traffic crosses: the local zone first while it has capacity, more by degrees as it
-//! fills, and back by degrees.
+//! Decides how much traffic crosses to other zones. Traffic stays in the local zone while it has
+//! capacity, overflows gradually as it fills up, and returns gradually.
 //!
-//! Two signals say that the local zone is full. *The rate that it was seen to sustain*: it is given
-//! up to [`TRUSTED_RATE_FACTOR`] times the highest rate per unit of capacity at which its latencies
-//! stayed usual in the last minutes. What comes beyond crosses at once, so that the loss of half of
-//! the local endpoints does not have to show in latencies first. And *its latencies*: once they are
-//! higher than those of the remote zone, link included, more crosses with each tick; once they are
-//! lower again, less (see [`zone_state::Overflow`]).
+//! Two signals indicate that the local zone is full:
+//!
+//! - *Its sustained rate*: it receives up to [`TRUSTED_RATE_FACTOR`] times the highest rate per
+//!   unit of capacity at which its latencies stayed normal in the last minutes. Traffic beyond that
+//!   crosses at once, so that the loss of half of the local endpoints does not have to show in
+//!   latencies first.
+//! - *Its latencies*: while they are higher than those of the remote zone, including the latency of
+//!   the link, more traffic crosses with each tick; once they are lower again, less (see
+//!   [`zone_state::Overflow`]).
 
 mod class_latency;
 mod observed_classes;
@@ -20,49 +23,51 @@
 use tulipwall::{IndexOrigin, ZoneCapacity};
 use zone_state::{ZoneState, MAX_OVERFLOW};
 
-/// Ticks are this far apart; a late one counts once.
-const TICK: Duration = Duration::from_millis(100);
-/// The local zone is given up to this many times the highest rate that it was seen to sustain.
+/// The time between two ticks. A late tick counts once.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The local zone receives up to this many times the highest rate that it has sustained.
 const TRUSTED_RATE_FACTOR: f64 = 1.25;
-/// Decay per tick of the recent number of warm endpoints towards the present one: by half in five
+/// Decay per tick of the recent number of warm endpoints towards the current one: by half in five
 /// seconds.
 const WARM_DECAY: f64 = 0.986;
-/// Endpoints that warm up keep at least this fraction of their share.
+/// Endpoints in slow start keep at least this fraction of their share.
 const MIN_SLOW_START_FACTOR: f64 = 0.2;
-/// Of several remote zones the faster ones are preferred by this power of their latency ratio.
+/// Faster remote zones are preferred to slower ones by this power of their latency ratio.
 const PREFERENCE_EXPONENT: i32 = 4;
-/// Weights of remote endpoints are not below this, so that their latencies stay known.
+/// The minimum weight of remote endpoints, so that their latencies stay known.
 const MIN_WEIGHT: f64 = 1e-4;
-/// The total weight of remote zones counts at least as this.
+/// The minimum total weight of remote zones, which is a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
-/// Latencies below count as this, in seconds.
+/// Lower latencies are raised to this value, in seconds, because ratios divide by them.
 const MIN_LATENCY_S: f64 = 1e-6;
-/// Ratios below count as this in a geometric mean.
+/// Lower ratios are raised to this value in a geometric mean, which takes their logarithm.
 const MIN_RATIO: f64 = 1e-6;
-/// A measured link latency is at most this, in seconds.
+/// The maximum of a measured link latency, in seconds.
 const MAX_LINK_LATENCY_S: f64 = 60.0;
 
-/// The routing between zones of one agent.
+/// The routing between zones of one agent, derived from response latencies and zone capacities.
 #[derive(Clone, Debug)]
 pub struct ZoneRouter {
     local_zone: usize,
     policy: RoutingPolicy,
     /// By class, in seconds.
     latency_objectives: Vec<f64>,
-    /// By zone: the configured latency of the link to it.
+    /// The configured latency of the link to each zone; `None` if it is measured.
     link_latencies: Vec<Option<Duration>>,
+    /// By class.
     classes: Vec<ClassLatency>,
-    /// Ticks look at no other classes.
+    /// The only classes that ticks visit.
     observed_classes: ObservedClasses,
+    /// By zone.
     zones: Vec<ZoneState>,
-    /// Warm endpoints of late.
+    /// The recent number of warm endpoints in all zones.
     warm_endpoints: f64,
     slow_start_factor: f64,
     last_tick: Option<Duration>,
 }
 
 impl ZoneRouter {
-    /// A router that has seen no traffic.
+    /// Creates a router that has seen no traffic.
     pub fn new(config: &ZoneConfig) -> ZoneRouter {
         let class_count = config.classes.len();
         ZoneRouter {
@@ -79,8 +84,8 @@
         }
     }
 
-    /// Continues under a new configuration of the same zones, with its classes mapped by `origins`;
-    /// what was learned stays.
+    /// Applies a new configuration with the same zones, whose classes are mapped by `origins`. The
+    /// learned latencies and rates are kept.
     pub fn reload(&mut self, config: &ZoneConfig, origins: &[IndexOrigin]) {
         self.policy = config.routing;
         self.link_latencies = config.link_latencies();
@@ -92,7 +97,7 @@
             .map(Option::unwrap_or_default)
             .collect();
         let classes = self.classes.iter().enumerate();
-        let observed = classes.filter(|(_, latency)| latency.usual().is_some());
+        let observed = classes.filter(|(_, latency)| latency.typical().is_some());
         self.observed_classes
             .replace(observed.map(|(class, _)| class));
         for zone in &mut self.zones {
@@ -100,14 +105,14 @@
         }
     }
 
-    /// An attempt goes to this zone.
+    /// Counts an attempt that is sent to this zone.
     pub fn on_attempt(&mut self, zone: usize) {
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.count_attempt();
         }
     }
 
-    /// A successful response came from this zone.
+    /// Records the latency of a successful response from this zone.
     pub fn on_response(&mut self, now: Duration, zone: usize, class: usize, latency: Duration) {
         let Some(class_latency) = self.classes.get_mut(class) else {
             return;
@@ -124,15 +129,15 @@
         }
     }
 
-    /// A connection to this zone was ready for requests after `handshake`.
+    /// Records a connection to this zone that was ready for requests after `handshake`.
     pub fn on_connection(&mut self, zone: usize, handshake: Duration) {
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.observe_handshake(handshake);
         }
     }
 
-    /// What the round trip to a zone adds to a response: as configured, else how much longer new
-    /// connections take there than locally. Zero while neither is known.
+    /// The latency that the round trip to a zone adds to a response: the configured value, or else
+    /// how much longer opening a connection takes there than locally. Zero while it is unknown.
     pub fn added_latency(&self, zone: usize) -> Duration {
         if zone == self.local_zone {
             return Duration::ZERO;
@@ -151,16 +156,18 @@
         self.zones.get(zone)?.handshake_s()
     }
 
-    /// Updates how much is to cross from now on; to be called about every 100 ms, with the
-    /// capacities by zone index. After a stall it counts once.
+    /// Updates how much traffic is to cross from now on. Call it about every 100 ms, with the
+    /// capacities by zone index. A call after a stall counts as a single tick.
     pub fn tick(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
-        let span = self.last_tick.map_or(TICK, |last| now.saturating_sub(last));
-        if span < TICK / 2 {
+        let elapsed = self
+            .last_tick
+            .map_or(TICK_INTERVAL, |last| now.saturating_sub(last));
+        if elapsed < TICK_INTERVAL / 2 {
             return;
         }
         self.last_tick = Some(now);
         for zone in &mut self.zones {
-            zone.tick(now, span, self.observed_classes.iter());
+            zone.tick(now, elapsed, self.observed_classes.iter());
         }
         self.update_saturation();
         self.update_slow_start(zone_capacities);
@@ -183,8 +190,8 @@
         }
     }
 
-    /// Warm endpoints that take over from others carry more than usual; those that warm up must not
-    /// follow them.
+    /// Lowers the slow start factor after a loss of warm endpoints. The remaining ones then carry
+    /// more load than usual, and endpoints in slow start must not be given a share of that load.
     fn update_slow_start(&mut self, zone_capacities: &[ZoneCapacity]) {
         let warm: f64 = zone_capacities.iter().map(|zone| zone.warm as f64).sum();
         self.warm_endpoints = (self.warm_endpoints * WARM_DECAY).max(warm);
@@ -195,8 +202,8 @@
         };
     }
 
-    /// The fraction of all traffic beyond what the local zone was seen to sustain; `None` where the
-    /// local zone is unknown.
+    /// The fraction of all traffic in excess of the rate that the local zone can sustain; `None` if
+    /// the local zone is unknown.
     fn update_excess(&mut self, local_capacity: f64) -> Option<f64> {
         let total_rate: f64 = self.zones.iter().map(ZoneState::rate).sum();
         let latency_ratio = self.local_latency_ratio();
@@ -210,14 +217,14 @@
         }
     }
 
-    /// The remote zones, with the preference that their latencies give them.
+    /// The remote zones, each with a preference derived from its latencies.
     fn rank_remote_zones(&self, zone_capacities: &[ZoneCapacity]) -> Vec<RemoteZone> {
         let mut remote_zones: Vec<RemoteZone> = (0..self.zones.len())
             .filter(|zone| *zone != self.local_zone)
             .map(|zone| RemoteZone {
                 zone,
                 capacity: capacity_of(zone_capacities, zone),
-                latency_ratio: self.latency_over_usual(zone),
+                latency_ratio: self.latency_over_typical(zone),
                 preference: 0.0,
             })
             .collect();
@@ -253,19 +260,20 @@
         for remote in remote_zones {
             let state = &mut self.zones[remote.zone];
             let fraction = state.overflow.fraction().max(excess).min(MAX_OVERFLOW);
-            let wanted = if local_capacity > 0.0 {
+            let desired_weight = if local_capacity > 0.0 {
                 fraction / (1.0 - fraction) * local_capacity / total_weight.max(MIN_TOTAL_WEIGHT)
             } else {
                 1.0
             };
-            // No remote endpoint weighs more than a local one: it has its own zone's load. Without
-            // this bound a flapping local zone drove the other zone into overload (0.31 to 0.64
-            // crossing, p99 393 to 728 ms).
-            state.weight = (remote.preference * wanted.min(1.0)).max(MIN_WEIGHT);
+            // A remote endpoint never weighs more than a local one, because it also serves its own
+            // zone. Without this bound, a flapping local zone drove the other zone into overload:
+            // the crossing share went from 0.31 to 0.64 and p99 from 393 to 728 ms.
+            state.weight = (remote.preference * desired_weight.min(1.0)).max(MIN_WEIGHT);
         }
     }
 
-    /// Local latencies against their best of late: the mean over classes, 1 where none is known.
+    /// The ratio of local latencies to the best recent ones: the mean over classes, or 1 if none is
+    /// known.
     fn local_latency_ratio(&self) -> f64 {
         let classes = self.observed_classes.iter();
         let ratio = |class: usize| self.classes.get(class)?.local_over_best();
@@ -277,8 +285,8 @@
         }
     }
 
-    /// The average latency of responses from a zone, in seconds. Where none came of late: the best
-    /// local one plus the link's latency.
+    /// The average latency of responses from a zone, in seconds. Without recent responses from a
+    /// remote zone, it is the best local average plus the latency of the link.
     fn latency(&self, zone: usize, class: usize) -> Option<f64> {
         let measured = self.zones.get(zone).and_then(|state| state.latency(class));
         if measured.is_some() || zone == self.local_zone {
@@ -288,10 +296,11 @@
         Some(best_local + self.added_latency(zone).as_secs_f64())
     }
 
-    /// How much slower local responses are than those of a zone, link included: the geometric mean
-    /// over the classes of which both are known. Compared class by class and not with a usual
-    /// latency that moves with them: zones are heard unequally often, and would follow it unequally
-    /// fast.
+    /// The factor by which local responses are slower than those of a zone, including the latency
+    /// of the link: the geometric mean over the classes for which both are known.
+    ///
+    /// Classes are compared one by one, not through a typical latency that moves with them: the
+    /// zones respond unequally often and would follow such a latency at unequal speed.
     fn local_slowdown(&self, zone: usize) -> f64 {
         let ratio = |class| {
             let local = self.latency(self.local_zone, class)?;
@@ -300,17 +309,17 @@
         geometric_mean(self.observed_classes.iter().filter_map(ratio))
     }
 
-    /// Latencies of responses from a zone against the usual ones of their classes.
-    fn latency_over_usual(&self, zone: usize) -> f64 {
+    /// The ratio of the latencies of a zone to the typical ones: the geometric mean over classes.
+    fn latency_over_typical(&self, zone: usize) -> f64 {
         let ratio = |class: usize| {
             let latency = self.latency(zone, class)?;
-            Some(latency / self.classes.get(class)?.usual()?)
+            Some(latency / self.classes.get(class)?.typical()?)
         };
         geometric_mean(self.observed_classes.iter().filter_map(ratio))
     }
 
-    /// The weight of an endpoint of this zone against a local one, 0 to 1; `None` where the
-    /// balancer's own weight holds.
+    /// The weight of an endpoint of this zone relative to a local one, 0 to 1; `None` if the
+    /// balancer's own weight applies.
     pub fn weight(&self, zone: usize) -> Option<f64> {
         if self.policy != RoutingPolicy::LocalFirst || zone == self.local_zone {
             return None;
@@ -325,18 +334,18 @@
             .is_some_and(ClassLatency::is_saturated)
     }
 
-    /// The fraction of its share that an endpoint gets while it warms up.
+    /// The fraction of its share that an endpoint in slow start receives, 0 to 1.
     pub fn slow_start_factor(&self) -> f64 {
         self.slow_start_factor
     }
 
-    /// Classes that ticks have looked at so far, each as often as it was: a measure of work that
-    /// does not depend on a clock.
+    /// The number of class visits by all ticks so far: a measure of work that does not depend on a
+    /// clock.
     pub fn classes_visited(&self) -> u64 {
         self.observed_classes.visited()
     }
 
-    /// How often the traffic to this zone changed its direction to rising.
+    /// The number of times that traffic to this zone began to rise.
     pub fn direction_changes(&self, zone: usize) -> u64 {
         self.zones
             .get(zone)
@@ -344,14 +353,14 @@
     }
 }
 
-/// A remote zone as one tick sees it.
+/// The state of a remote zone during one tick.
 #[derive(Clone, Copy, Debug)]
 struct RemoteZone {
     zone: usize,
     capacity: f64,
-    /// Its latencies against the usual ones.
+    /// The ratio of its latencies to the typical ones.
     latency_ratio: f64,
-    /// 1 for the fastest remote zone with capacity, less for slower ones.
+    /// 1 for the fastest remote zone with capacity, lower for slower ones.
     preference: f64,
 }
 
@@ -368,7 +377,7 @@
         .collect()
 }
 
-/// The geometric mean; 1 of nothing.
+/// The geometric mean of the ratios; 1 if there are none.
 fn geometric_mean(ratios: impl Iterator<Item = f64>) -> f64 {
     let mut log_sum = 0.0;
     let mut count = 0.0;
--- a/crates/zones/src/router/zone_state.rs
+++ b/crates/zones/src/router/zone_state.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one zone.
+//! The router's state for one zone: latencies, attempt rate, sustained rate and overflow.
 
 use crate::remap::remap_classes;
 use std::time::Duration;
@@ -6,38 +6,39 @@
 
 /// Gain of the moving average of response latencies of a class.
 const LATENCY_GAIN: f64 = 0.05;
-/// An average without a response for as long says nothing.
+/// A latency average is discarded after this time without a response.
 const LATENCY_TTL: Duration = Duration::from_secs(10);
-/// Factor by which the shortest handshake rises with each connection until it is met again.
+/// Factor by which the shortest handshake grows with each connection, until a handshake is as short
+/// again.
 const HANDSHAKE_GROWTH: f64 = 1.02;
 /// Gain of the moving average of the attempt rate.
 const RATE_GAIN: f64 = 0.2;
-/// Up to this ratio to its best latency of late the local zone sustains its rate. It lies far above
-/// 1, as the best of an average over long-tailed latencies lies low.
+/// The local zone sustains its rate up to this ratio of its latency to the best recent one. The
+/// ratio is far above 1, because the minimum of an average over long-tailed latencies is low.
 const SUSTAINED_LATENCY_RATIO: f64 = 1.8;
-/// Decay per tick of the rate that the local zone was seen to sustain: by half in five minutes.
+/// Decay per tick of the rate that the local zone has sustained: by half in five minutes.
 const SUSTAINED_DECAY: f64 = 0.99977;
-/// Decay per tick of the recent capacity towards the present one: by half in 1.5 seconds.
+/// Decay per tick of the recent capacity towards the current one: by half in 1.5 seconds.
 const CAPACITY_DECAY: f64 = 0.955;
-/// The local zone is saturated when its responses are slower than remote ones, link included, by
-/// this factor.
+/// The local zone is saturated if its responses are slower than remote ones, including the latency
+/// of the link, by more than this factor.
 const SATURATED_RATIO: f64 = 1.25;
-/// It has capacity again when they are not slower than by this factor.
+/// The local zone has capacity again if they are slower by less than this factor.
 const RECOVERED_RATIO: f64 = 1.02;
-/// Per tick of saturation the overflow grows by this factor, and by this much at least.
+/// Growth of the overflow per tick of saturation: by this factor, but at least by the step below.
 const OVERFLOW_GROWTH: f64 = 1.5;
 const OVERFLOW_MIN_STEP: f64 = 0.02;
-/// Decay of the overflow per tick after the calm span: by half in about two seconds.
+/// Decay of the overflow per tick after the cooldown: by half in about two seconds.
 const OVERFLOW_DECAY: f64 = 0.965;
-/// At least this fraction crosses, so that the latency of the link stays known.
+/// The minimum fraction that crosses, so that the latency of the link stays known.
 const MIN_OVERFLOW: f64 = 0.01;
-/// At most this fraction crosses.
+/// The maximum fraction that crosses.
 pub(super) const MAX_OVERFLOW: f64 = 0.98;
-/// Bounds of the calm span.
-const MIN_CALM_SPAN: Duration = Duration::from_secs(1);
-const MAX_CALM_SPAN: Duration = Duration::from_secs(16);
-/// After as long without a change of direction, the calm span is halved.
-const CALM_SPAN_HALVING: Duration = Duration::from_secs(20);
+/// Bounds of the time without a rise that must pass before the overflow falls.
+const MIN_COOLDOWN: Duration = Duration::from_secs(1);
+const MAX_COOLDOWN: Duration = Duration::from_secs(16);
+/// After this time without a change of direction, the cooldown is halved.
+const COOLDOWN_HALVING_INTERVAL: Duration = Duration::from_secs(20);
 
 /// The moving average of response latencies of one class.
 #[derive(Clone, Copy, Debug)]
@@ -52,23 +53,23 @@
     }
 }
 
-/// What the router knows of one zone.
+/// The router's state for one zone.
 #[derive(Clone, Debug)]
 pub(super) struct ZoneState {
-    /// By class.
+    /// By class; `None` without a recent response.
     latencies: Vec<Option<RecentLatency>>,
     attempts_since_tick: f64,
-    /// Attempts a second.
+    /// Moving average of attempts per second.
     rate: f64,
-    /// Recent capacity: the sustained rate was sustained by this.
+    /// The recent capacity, which served the sustained rate.
     capacity: f64,
-    /// The highest rate per unit of capacity at which latencies stayed usual.
+    /// The highest recent rate, per unit of capacity, at which latencies stayed normal.
     sustained_rate: f64,
-    /// The shortest time to a new connection of late, in seconds.
+    /// The shortest recent time to open a connection, in seconds; `None` before the first one.
     handshake_s: Option<f64>,
-    /// Weight of an endpoint of this zone against a local one.
+    /// The weight of an endpoint of this zone relative to a local one, 0 to 1.
     pub(super) weight: f64,
-    /// How much is to cross to this zone by its latencies.
+    /// How much traffic is to cross to this zone because of latencies.
     pub(super) overflow: Overflow,
 }
 
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Continues with the classes of a new configuration.
+    /// Switches to the classes of a new configuration.
     pub(super) fn reload(&mut self, origins: &[IndexOrigin]) {
         self.latencies = remap_classes(origins, &mut self.latencies);
     }
@@ -95,7 +96,7 @@
         self.attempts_since_tick += 1.0;
     }
 
-    /// Counts a response and returns the moving average of its class, in seconds.
+    /// Adds the latency of a response and returns the moving average of its class, in seconds.
     pub(super) fn observe_latency(&mut self, now: Duration, class: usize, latency_s: f64) -> f64 {
         let former = self.latencies[class]
             .filter(|latency| latency.is_recent(now))
@@ -116,7 +117,7 @@
         });
     }
 
-    /// The moving average of latencies of a class, in seconds.
+    /// The moving average of latencies of a class, in seconds; `None` without a recent response.
     pub(super) fn latency(&self, class: usize) -> Option<f64> {
         let latency = self.latencies.get(class).copied().flatten()?;
         Some(latency.average_s)
@@ -126,20 +127,20 @@
         self.handshake_s
     }
 
-    /// Attempts a second.
+    /// The moving average of attempts per second.
     pub(super) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Updates the rate after a span between ticks, and drops averages without recent responses.
-    /// Other classes than those `observed` have none.
+    /// Updates the rate from the attempts in the `elapsed` time since the last tick, and drops
+    /// averages without recent responses. Only the `observed` classes have averages.
     pub(super) fn tick(
         &mut self,
         now: Duration,
-        span: Duration,
+        elapsed: Duration,
         observed: impl Iterator<Item = usize>,
     ) {
-        self.rate += (self.attempts_since_tick / span.as_secs_f64() - self.rate) * RATE_GAIN;
+        self.rate += (self.attempts_since_tick / elapsed.as_secs_f64() - self.rate) * RATE_GAIN;
         self.attempts_since_tick = 0.0;
         for class in observed {
             if let Some(latency) = self.latencies.get_mut(class) {
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Learns which rate the zone sustains per unit of capacity, and returns it. `latency_ratio`:
-    /// its latencies against their best of late.
+    /// Updates and returns the rate that the zone sustains per unit of capacity, in attempts per
+    /// second. `latency_ratio` is the ratio of its latencies to the best recent ones.
     pub(super) fn update_sustained_rate(&mut self, capacity: f64, latency_ratio: f64) -> f64 {
         self.sustained_rate *= SUSTAINED_DECAY;
         self.capacity = (self.capacity * CAPACITY_DECAY).max(capacity);
@@ -160,18 +161,18 @@
     }
 }
 
-/// The fraction of requests that is to cross to a zone, by the latencies of responses.
+/// The fraction of requests that is to cross to a zone, derived from response latencies.
 ///
-/// Rising is never delayed. Falling waits for a calm span, which doubles each time the direction
-/// changes soon and halves while it does not, so that a local zone that flaps does not make
-/// requests swing with it.
+/// The fraction rises without delay, but falls only after a cooldown without a rise. The cooldown
+/// doubles whenever the direction changes again soon, and halves while it does not. This keeps a
+/// flapping local zone from swinging requests back and forth between the zones.
 #[derive(Clone, Debug)]
 pub(super) struct Overflow {
     fraction: f64,
     rising: bool,
     last_rise: Duration,
-    calm_span: Duration,
-    calm_span_changed: Duration,
+    cooldown: Duration,
+    cooldown_changed: Duration,
     direction_changes: u64,
 }
 
@@ -181,32 +182,33 @@
             fraction: 0.0,
             rising: false,
             last_rise: Duration::ZERO,
-            calm_span: MIN_CALM_SPAN,
-            calm_span_changed: Duration::ZERO,
+            cooldown: MIN_COOLDOWN,
+            cooldown_changed: Duration::ZERO,
             direction_changes: 0,
         }
     }
 }
 
 impl Overflow {
-    /// The fraction of requests that is to cross, 0 to [`MAX_OVERFLOW`].
+    /// The fraction of requests that is to cross, between 0 and [`MAX_OVERFLOW`].
     pub(super) fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// How often the direction changed to rising.
+    /// The number of times that the fraction began to rise.
     pub(super) fn direction_changes(&self) -> u64 {
         self.direction_changes
     }
 
-    /// Updates the fraction, once a tick. `local_slowdown`: how much slower local responses are
-    /// than those of the zone, link included; `None` where the local zone has no capacity.
+    /// Updates the fraction; called once per tick. `local_slowdown` is the factor by which local
+    /// responses are slower than those of the zone, including the latency of the link; `None` if
+    /// the local zone has no capacity.
     pub(super) fn update(&mut self, now: Duration, local_slowdown: Option<f64>) {
-        self.relax_calm_span(now);
+        self.shorten_cooldown(now);
         let rises = local_slowdown.is_none_or(|ratio| ratio > SATURATED_RATIO);
         let falls = local_slowdown.is_some_and(|ratio| ratio < RECOVERED_RATIO);
         if rises {
-            self.change_direction(now);
+            self.start_rising(now);
             self.last_rise = now;
             self.fraction = if local_slowdown.is_some() {
                 self.raised_fraction()
@@ -214,7 +216,7 @@
                 MAX_OVERFLOW
             };
         }
-        if falls && now >= self.last_rise + self.calm_span {
+        if falls && now >= self.last_rise + self.cooldown {
             self.rising = false;
             self.fraction = (self.fraction * OVERFLOW_DECAY).max(MIN_OVERFLOW);
         }
@@ -227,24 +229,25 @@
             .min(MAX_OVERFLOW)
     }
 
-    fn relax_calm_span(&mut self, now: Duration) {
-        if now > self.calm_span_changed + CALM_SPAN_HALVING {
-            self.calm_span = (self.calm_span / 2).max(MIN_CALM_SPAN);
-            self.calm_span_changed = now;
+    fn shorten_cooldown(&mut self, now: Duration) {
+        if now > self.cooldown_changed + COOLDOWN_HALVING_INTERVAL {
+            self.cooldown = (self.cooldown / 2).max(MIN_COOLDOWN);
+            self.cooldown_changed = now;
         }
     }
 
-    /// Begins to rise, unless it rises already.
-    fn change_direction(&mut self, now: Duration) {
+    /// Marks the fraction as rising and counts the change of direction, unless it already rises.
+    fn start_rising(&mut self, now: Duration) {
         if self.rising {
             return;
         }
-        let rose_recently = now < self.last_rise + CALM_SPAN_HALVING && self.direction_changes > 0;
+        let rose_recently =
+            now < self.last_rise + COOLDOWN_HALVING_INTERVAL && self.direction_changes > 0;
         if rose_recently {
-            self.calm_span = (self.calm_span * 2).min(MAX_CALM_SPAN);
+            self.cooldown = (self.cooldown * 2).min(MAX_COOLDOWN);
         }
         self.rising = true;
-        self.calm_span_changed = now;
+        self.cooldown_changed = now;
         self.direction_changes += 1;
     }
 }
--- a/crates/zones/src/time_series.rs
+++ b/crates/zones/src/time_series.rs
@@ -1,22 +1,22 @@
-//! Traffic over time, in bins of one width, for a bounded span.
+//! Traffic over time in bins of equal width, for a bounded period.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The traffic in one bin.
+/// The traffic in one bin of a time series.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TimeBin {
-    /// Its position: the count of bin widths from the zero of the agent's clock.
+    /// The start of the bin, in bin widths since the origin of the agent's clock.
     pub index: u32,
     /// Attempts written completely.
     pub attempts: u32,
     /// Attempts over a budget.
     pub over_budget: u32,
-    /// Cost by the link's price.
+    /// Cost at the price of the link.
     pub cost: f32,
-    /// Bytes written.
+    /// Bytes written to endpoints.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes read from endpoints.
     pub bytes_received: u64,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Bins of the last span of time. Only bins with traffic are kept.
+/// The most recent bins of a time series. Bins without traffic are not stored.
 #[derive(Clone, Debug)]
 pub struct TimeSeries {
     bin_width: Duration,
@@ -40,7 +40,7 @@
 }
 
 impl TimeSeries {
-    /// Keeps the last `max_bins` bins of this width.
+    /// Creates an empty series that covers the last `max_bins` bins of this width.
     pub fn new(bin_width: Duration, max_bins: u32) -> TimeSeries {
         TimeSeries {
             bin_width,
@@ -55,8 +55,8 @@
         self.bin_width
     }
 
-    /// The bin of this time; bins that are too old are dropped. A time before the newest bin counts
-    /// in the newest.
+    /// The bin that contains `now`; drops bins that are too old. A time before the newest bin is
+    /// counted in the newest bin.
     pub fn bin(&mut self, now: Duration) -> &mut TimeBin {
         if now >= self.newest_bin_end || self.bins.is_empty() {
             self.push_bin(now);
@@ -82,21 +82,22 @@
         }
     }
 
-    /// Never reserves more than the bound: doubling would take up to twice that.
+    /// Reserves space for at most `max_bins + 1` bins. Doubling would allocate up to twice as many.
     fn reserve_within_bound(&mut self) {
-        let held = self.bins.len();
+        let bin_count = self.bins.len();
         let bound = self.max_bins as usize + 1;
-        if held == self.bins.capacity() && held * 2 > bound {
-            self.bins.reserve_exact(bound.saturating_sub(held).max(1));
+        if bin_count == self.bins.capacity() && bin_count * 2 > bound {
+            self.bins
+                .reserve_exact(bound.saturating_sub(bin_count).max(1));
         }
     }
 
-    /// The bins with traffic, oldest first.
+    /// The stored bins, oldest first.
     pub fn bins(&self) -> impl Iterator<Item = &TimeBin> {
         self.bins.iter()
     }
 
-    /// Adds another series of the same width to this one.
+    /// Adds the bins of another series of the same bin width to this one.
     pub fn merge(&mut self, other: &TimeSeries) {
         let mut bins: Vec<TimeBin> = self.bins.iter().chain(&other.bins).copied().collect();
         bins.sort_by_key(|bin| bin.index);
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,5 +1,5 @@
-//! Cross-zone traffic of one agent: accounts for it, spends budgets for it, and says how the
-//! balancer is to treat other zones.
+//! Accounts for the cross-zone traffic of one agent, charges it to budgets, and derives the policy
+//! that the balancer applies to other zones.
 
 use crate::account::Account;
 use crate::budget::{BudgetHold, BudgetMeters, Transfer};
@@ -11,25 +11,25 @@
 use std::time::Duration;
 use tulipwall::{CrossZonePolicy, IndexOrigin, Outcome, ZoneCapacity, ZoneCounts, ZonePolicy};
 
-/// How often classes are ranked anew by benefit for cost.
+/// The interval at which classes are ranked again by benefit per cost.
 const RANKING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Cross-zone traffic of one agent.
+/// Tracks the cross-zone traffic of one agent and computes the policy for the balancer.
 #[derive(Debug)]
 pub struct Zones {
     config: ZoneConfig,
     account: Account,
     budget_meters: BudgetMeters,
     router: ZoneRouter,
-    /// The policy that was returned last.
+    /// The policy that was last returned; `None` before the first.
     last_policy: Option<CrossZonePolicy>,
-    /// The policy may have changed since.
+    /// Whether the policy may have changed since then.
     policy_outdated: bool,
     ranked_at: Duration,
 }
 
 impl Zones {
-    /// Begins an account, with budgets as after a restart.
+    /// Starts a new account, with budgets in the state after a restart.
     pub fn new(now: Duration, config: ZoneConfig) -> Zones {
         Zones {
             account: Account::new(config.local_zone, config.zone_count, config.classes.len()),
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Continues under a new configuration, with its classes mapped by `origins`: the account and
-    /// what is spent stay. Where the zones differ from those of before, the account begins anew,
-    /// and the budgets as after a restart. Returns whether it continued.
+    /// Applies a new configuration, whose classes are mapped by `origins`, and keeps the account
+    /// and past spending. If the zones differ from the current ones, the account starts anew and
+    /// the budgets are in the state after a restart. Returns whether the account was kept.
     pub fn reload(&mut self, now: Duration, config: ZoneConfig, origins: &[IndexOrigin]) -> bool {
-        if !self.has_zones_of(&config) || config.classes.len() != origins.len() {
+        if !self.has_same_zones_as(&config) || config.classes.len() != origins.len() {
             *self = Zones::new(now, config);
             return false;
         }
@@ -62,18 +62,18 @@
         true
     }
 
-    fn has_zones_of(&self, other: &ZoneConfig) -> bool {
+    fn has_same_zones_as(&self, other: &ZoneConfig) -> bool {
         self.config.local_zone == other.local_zone && self.config.zone_count == other.zone_count
     }
 
-    /// A request was received.
+    /// Records a received request.
     pub fn on_request(&mut self, now: Duration, class: usize) {
         self.account.record_request(class);
         self.budget_meters.record_request(now, class);
     }
 
-    /// An attempt was decided on. `zone_counts` is asked for the local zone only where the
-    /// attempt goes over a budget, to find out why.
+    /// Records an attempt that the balancer decided to send. `zone_counts` is called for the local
+    /// zone only if the attempt exceeds a budget, to determine the reason.
     pub fn on_attempt(
         &mut self,
         now: Duration,
@@ -124,7 +124,7 @@
         )
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt. `reservation` is the result of [`Zones::on_attempt`].
     pub fn on_attempt_end(
         &mut self,
         now: Duration,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// A connection was opened, or closed while no attempt used it.
+    /// Records a connection that was opened, or that was closed while no attempt used it.
     pub fn on_connection(&mut self, now: Duration, connection: &ConnectionTraffic) {
         let to = self.known_zone(connection.to);
         let connection = ConnectionTraffic { to, ..*connection };
@@ -170,12 +170,13 @@
         }
     }
 
-    /// Zones beyond the known ones count as the unnamed one.
+    /// Maps indices beyond the named zones to that of the unnamed zone.
     fn known_zone(&self, zone: usize) -> usize {
         zone.min(self.config.zone_count)
     }
 
-    /// Updates how much is to cross; to be called about every 100 ms.
+    /// Updates how much traffic is to cross. Call it about every 100 ms, with the capacities by
+    /// zone index.
     pub fn tick(&mut self, now: Duration, zone_capacities: &[ZoneCapacity]) {
         self.router.tick(now, zone_capacities);
         self.budget_meters.advance(now);
@@ -186,7 +187,8 @@
         self.policy_outdated = true;
     }
 
-    /// How the balancer is to treat other zones, if that differs from what was returned last.
+    /// The policy for other zones that the balancer is to apply; `None` if it equals the last one
+    /// returned.
     pub fn cross_zone_policy(&mut self) -> Option<CrossZonePolicy> {
         if !std::mem::take(&mut self.policy_outdated) {
             return None;
@@ -222,8 +224,8 @@
     }
 
     /// For each class, whether its first attempts, and whether its retries and hedged requests, may
-    /// go to this zone only where no other can serve them; empty without budgets. A saturated local
-    /// zone takes precedence over the budgets.
+    /// go to this zone only if no other can serve them. Both lists are empty without budgets. While
+    /// the local zone is saturated for a class, budgets do not restrict that class.
     fn last_resort_classes(&self, zone: usize) -> [Vec<bool>; 2] {
         if self.budget_meters.is_empty() {
             return Default::default();
@@ -237,22 +239,22 @@
         })
     }
 
-    /// Only these builds are alive; the counts of others are summed.
+    /// Keeps separate counts for these builds only; the counts of all other builds are summed.
     pub fn retain_builds(&mut self, builds: &BTreeSet<u32>) {
         self.account.retain_builds(builds);
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn config(&self) -> &ZoneConfig {
         &self.config
     }
 
-    /// The account since the start.
+    /// The cross-zone traffic account since the start.
     pub fn account(&self) -> &Account {
         &self.account
     }
 
-    /// The meters of the budgets.
+    /// The meters of all budgets.
     pub fn budget_meters(&self) -> &BudgetMeters {
         &self.budget_meters
     }
--- a/crates/zones/tests/report_format.rs
+++ b/crates/zones/tests/report_format.rs
@@ -1,4 +1,4 @@
-//! Pins the JSON of the report: one serialized line of each kind, to the last byte.
+//! Pins the JSON of the report byte by byte, with serialized lines of each kind.
 
 use std::time::Duration;
 use tulipwall::{Outcome, ZoneCounts};
@@ -29,7 +29,8 @@
     }
 }
 
-/// An account with one attempt over its budget, which stopped short, and one that was answered.
+/// An account with a local attempt that succeeded, a remote attempt whose response was truncated,
+/// and a hedged remote attempt that succeeded. Both remote attempts are over their budget.
 fn account() -> Zones {
     let mut zones = Zones::new(START, config());
     let attempts = [
@@ -37,7 +38,7 @@
         (1, Outcome::ConnectionLost, ResponseFault::Truncated),
         (1, Outcome::Succeeded, ResponseFault::None),
     ];
-    for (nth, (to, outcome, flaw)) in attempts.into_iter().enumerate() {
+    for (nth, (to, outcome, response_fault)) in attempts.into_iter().enumerate() {
         let now = START + Duration::from_millis(500 * nth as u64);
         zones.on_request(now, 0);
         let start = AttemptStart {
@@ -52,7 +53,7 @@
         let reservation = zones.on_attempt(now, start, |_| ZoneCounts::default());
         let end = CompletedAttempt {
             outcome,
-            fault: flaw,
+            fault: response_fault,
             fully_written: true,
             bytes_sent: 180,
             bytes_received: 420,
@@ -108,9 +109,12 @@
 }
 
 #[test]
-fn refuses_a_header_of_another_version() {
+fn rejects_a_header_of_another_version() {
     let text = serialized()[0].replace("\"version\":1", "\"version\":2");
     let line: ReportLine = serde_json::from_str(&text).unwrap();
     let error = Document::default().add_line(line).unwrap_err();
-    assert_eq!(error.to_string(), "version 2: this program reads version 1");
+    assert_eq!(
+        error.to_string(),
+        "unsupported report version 2, expected version 1"
+    );
 }
