--- a/crates/zones/benches/agent/mod.rs
+++ b/crates/zones/benches/agent/mod.rs
@@ -1,4 +1,4 @@
-//! One simulated agent that receives, routes and completes requests, to be timed.
+//! One simulated agent that receives, routes and completes requests, for timing measurements.
 
 use std::time::Duration;
 use tulipwall::*;
@@ -8,9 +8,9 @@
 /// The build that all endpoints run.
 const BUILD: u32 = 41;
 const LOCAL_ZONE: usize = 0;
-/// Time between two requests: 3,000 a second.
+/// The time between two requests: 3,000 per second.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(333);
-/// A poll follows each of so many requests: ten polls a second.
+/// The number of requests per poll: ten polls per second.
 const REQUESTS_PER_POLL: u64 = 300;
 const BYTES_SENT: u64 = 180;
 const BYTES_RECEIVED: u64 = 420;
@@ -79,7 +79,7 @@
     }
 }
 
-/// An agent with its balancer, and with or without an account of cross-zone traffic.
+/// An agent with a balancer, and with or without an account of cross-zone traffic.
 pub struct Agent {
     now: Duration,
     last_id: u64,
@@ -91,7 +91,8 @@
 }
 
 impl Agent {
-    /// `with_account`: cross-zone traffic is accounted for and kept to budgets.
+    /// Creates an agent. `with_account` enables the accounting and the budgets of cross-zone
+    /// traffic.
     pub fn new(zones: usize, classes: usize, endpoints: usize, with_account: bool) -> Agent {
         let now = ms(3_600_000);
         let config = zone_config(zones, classes);
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Without an account, and with alternative settings evaluated in parallel.
-    #[allow(dead_code)] // `examples/measure.rs` has no use for it
+    /// Creates an agent without an account that evaluates alternative settings in parallel.
+    #[allow(dead_code)] // not used by `examples/measure.rs`
     pub fn with_shadow(zones: usize, classes: usize, endpoints: usize) -> Agent {
         let alternative = AlternativeSettings {
             guarded_stages: Some(1),
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Without an account, and with a fixed policy that avoids remote zones.
+    /// Creates an agent without an account that has a fixed policy with low weights for remote
+    /// zones.
     pub fn with_fixed_policy(zones: usize, classes: usize, endpoints: usize) -> Agent {
         let mut agent = Agent::new(zones, classes, endpoints, false);
         let remote = ZonePolicy {
@@ -138,7 +140,7 @@
         agent
     }
 
-    /// One request from its arrival to its response.
+    /// Processes one request from its arrival to its response.
     pub fn handle_request(&mut self) {
         self.last_id += 1;
         self.now += REQUEST_INTERVAL;
--- a/crates/zones/benches/decision.rs
+++ b/crates/zones/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What one request costs in decisions (received, routed, completed): without and with an account
-//! of cross-zone traffic, and with alternative settings evaluated in parallel.
+//! The cost of the decisions for one request (received, routed, completed): without and with an
+//! account of cross-zone traffic, and with alternative settings evaluated in parallel.
 //!
 //!     cargo bench -p tulipwall-zones
 
@@ -9,10 +9,10 @@
 use criterion::measurement::WallTime;
 use criterion::{criterion_group, criterion_main, BenchmarkGroup, Criterion, Throughput};
 
-/// Requests in one sample: as many as an agent receives in a tenth of a second, so that what is
-/// done ten times a second is a part of it.
+/// The number of requests in one sample: as many as an agent receives in 100 ms, so that each
+/// sample includes the work that is done ten times per second.
 const REQUESTS_PER_SAMPLE: u64 = 300;
-/// Requests before the first sample.
+/// The number of requests before the first sample.
 const WARM_UP_REQUESTS: u64 = 6000;
 
 fn handle_requests(agent: &mut Agent, count: u64) {
--- a/crates/zones/benches/fleet_size.rs
+++ b/crates/zones/benches/fleet_size.rs
@@ -1,6 +1,7 @@
-//! What a decision and an evaluation cost by the number of endpoints, with few and with many
-//! request classes, in processor time of the thread: what else runs on the machine counts little.
-//! Only the public calls of `tulipwall` are used, so that it compiles on earlier versions, too.
+//! The cost of a decision and of an evaluation by the number of endpoints, with few and with many
+//! request classes. It is measured in CPU time of the thread, on which other processes of the
+//! machine have little influence. Only public functions of `tulipwall` are called, so that the
+//! bench also compiles with earlier versions.
 //!
 //!     cargo bench -p tulipwall-zones --bench fleet_size
 
@@ -13,25 +14,27 @@
 /// The build that all endpoints run.
 const BUILD: u32 = 41;
 const ZONES: usize = 7;
-/// Time between two requests: 143 a second, the peak of one agent.
+/// The time between two requests: 143 per second, the peak of one agent.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(7);
-/// Requests between two evaluations, which come ten times a second.
+/// The number of requests between two evaluations, which run ten times per second.
 const REQUESTS_PER_EVALUATION: u64 = 14;
-/// Evaluations before the first sample: 20 seconds.
+/// The number of evaluations before the first sample: 20 seconds.
 const WARM_UP_EVALUATIONS: u64 = 200;
 const LATENCY: Duration = Duration::from_millis(9);
 const TIME_LEFT: Duration = Duration::from_millis(1500);
 const START: Duration = Duration::from_secs(3600);
 
-/// Classes of a mean service, and of the largest size to plan for.
+/// The number of classes of an average service.
 const FEW_CLASSES: usize = 11;
+/// The largest number of classes to plan for.
 const MANY_CLASSES: usize = 1600;
-/// Endpoints with few classes.
+/// The numbers of endpoints to measure with few classes.
 const ENDPOINTS: [usize; 4] = [55, 550, 7700, 30_000];
-/// Endpoints with many classes. One count by pair of endpoint and class would take 1.5 GB at 30,000.
+/// The numbers of endpoints to measure with many classes. At 30,000 endpoints, one counter per pair
+/// of endpoint and class would use 1.5 GB.
 const ENDPOINTS_OF_MANY_CLASSES: [usize; 3] = [55, 550, 7700];
 
-/// An agent whose endpoints all run and answer alike.
+/// An agent whose endpoints are all running and respond with the same latency.
 struct Agent {
     now: Duration,
     last_id: u64,
@@ -79,7 +82,7 @@
         }
     }
 
-    /// One decision with the end of its attempt.
+    /// Routes one request and completes its attempt.
     fn handle_request(&mut self) {
         self.last_id += 1;
         self.now += REQUEST_INTERVAL;
@@ -109,7 +112,7 @@
         self.balancer.poll(self.now);
     }
 
-    /// Time of so many decisions, without that of the evaluations between them.
+    /// The CPU time of `count` decisions, without that of the evaluations between them.
     fn time_decisions(&mut self, count: u64) -> Duration {
         let mut left = count;
         let mut spent = Duration::ZERO;
@@ -124,7 +127,7 @@
         spent
     }
 
-    /// Time of so many evaluations, without that of the requests between them.
+    /// The CPU time of `count` evaluations, without that of the requests between them.
     fn time_evaluations(&mut self, count: u64) -> Duration {
         let mut spent = Duration::ZERO;
         for _ in 0..count {
@@ -137,7 +140,7 @@
     }
 }
 
-/// Processor time of this thread so far.
+/// The CPU time of this thread so far.
 fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
@@ -177,7 +180,7 @@
 
 criterion_group! {
     name = benches;
-    // What one call takes is far above the clock's own cost only in sum: few, long samples.
+    // Few, long samples: a single call takes too little time compared with reading the clock.
     config = Criterion::default()
         .sample_size(10)
         .warm_up_time(Duration::from_millis(200))
--- a/crates/zones/examples/measure.rs
+++ b/crates/zones/examples/measure.rs
@@ -1,5 +1,6 @@
-//! The figures of `docs/zones.md`: the same simulated scenarios without cross-zone routing and with
-//! it, budgets over unequal agents, memory of an account and cost of decisions.
+//! Measures the figures of `docs/zones.md`: simulated scenarios without and with cross-zone
+//! routing, budgets of agents with unequal loads, the memory of an account and the cost of
+//! decisions.
 //!
 //!     cargo run --release -p tulipwall-zones --example measure
 
@@ -16,7 +17,7 @@
 
 const SEEDS: std::ops::Range<u64> = 1..6;
 
-/// Events with their time since the start.
+/// Events with their times since the start of the simulation.
 type Events = Vec<(Duration, ScenarioEvent)>;
 
 fn millis(n: u64) -> Duration {
@@ -28,7 +29,7 @@
 }
 
 fn main() {
-    // First, while no freed memory is reused.
+    // Memory comes first, while there is no freed memory to reuse.
     measure_memory();
     measure_scenarios();
     measure_budget_sums();
@@ -39,8 +40,8 @@
     simulation::default_zoning(&simulation::classes(), local_zone, 2, budgets)
 }
 
-/// Three agents, two in zone 0 and one in zone 1; six endpoints of four cores in each zone; a link
-/// delay of 2 ms.
+/// A scenario with three agents (two in zone 0 and one in zone 1), six endpoints of four cores in
+/// each zone, and a link delay of 2 ms.
 fn scenario(seed: u64, with_zones: bool, events: Events, duration: Duration) -> Simulation {
     let agent = |zone, load_share| SimulatedAgent {
         zone,
@@ -61,8 +62,8 @@
     Vec::new()
 }
 
-/// Three of the six local endpoints stop responding for 10 s, then are delisted, then return and
-/// warm up.
+/// Three of the six local endpoints stop responding for 10 s, are then delisted, and later return
+/// and warm up.
 fn half_lost() -> Events {
     let mut events = Events::new();
     events.extend((0..3).map(|n| (seconds(10), ScenarioEvent::SetUnresponsive(n, true))));
@@ -71,7 +72,7 @@
     events
 }
 
-/// Zone 0 is slower by ten times in every other second, for 30 s.
+/// Zone 0 is ten times slower in every other second, for 30 s.
 fn flapping() -> Events {
     let mut events = Events::new();
     for second in 0..30u64 {
@@ -82,7 +83,7 @@
     events
 }
 
-/// All of zone 0 drains in one second, and returns fifteen seconds later.
+/// All endpoints of zone 0 drain within one second and return fifteen seconds later.
 fn drained() -> Events {
     let mut events = Events::new();
     for n in 0..6 {
@@ -97,7 +98,8 @@
     ScenarioEvent::SetState(endpoint, state)
 }
 
-/// What crosses, and what that gives, as means over the seeds with the least and the most of p99.
+/// Prints the crossing share and the resulting latencies and rule violations as means over the
+/// seeds, with the minimum and the maximum of p99.
 fn measure_scenarios() {
     println!(
         "| scenario | program | crossing | in time | p50 ms | p99 ms (least to most) \
@@ -131,26 +133,26 @@
         mean(&|r| r.within_objective as f64 / r.requests as f64),
         mean(&|r| r.quantile_ms(0.5)),
         mean(&|r| r.quantile_ms(0.99)),
-        least(&p99),
-        greatest(&p99),
+        minimum(&p99),
+        maximum(&p99),
         mean(&SimulationReport::direction_changes_per_minute),
         reports.iter().map(|r| r.violations.len()).sum::<usize>(),
     );
 }
 
-fn least(figures: &[f64]) -> f64 {
+fn minimum(figures: &[f64]) -> f64 {
     figures.iter().copied().fold(f64::MAX, f64::min)
 }
 
-fn greatest(figures: &[f64]) -> f64 {
+fn maximum(figures: &[f64]) -> f64 {
     figures.iter().copied().fold(0.0, f64::max)
 }
 
-/// The window of the budgets that unequal agents share.
+/// The window of the budgets of agents with unequal loads.
 const BUDGET_WINDOW: Duration = Duration::from_secs(5);
 
-/// Ten agents from idle to two fifths of the load; the most that all of them spent by choice in any
-/// window.
+/// Prints the peak amount that ten agents, with between none and two fifths of the load each,
+/// together spent by choice in any window.
 fn measure_budget_sums() {
     println!(
         "\n| budget over all agents | window | most in any window, least to most over the seeds \
@@ -165,22 +167,23 @@
         let reports: Vec<SimulationReport> = SEEDS
             .map(|seed| unequal_agents(seed, limit).run())
             .collect();
-        let most: Vec<f64> = reports
+        let peak: Vec<f64> = reports
             .iter()
-            .map(|report| most_by_choice(report, limit))
+            .map(|report| peak_by_choice(report, limit))
             .collect();
         let over_budget: usize = reports.iter().map(|r| r.over_budget_sends()).sum();
         let answered: u64 = reports.iter().map(|r| r.requests - r.unanswered).sum();
         let requests: u64 = reports.iter().map(|r| r.requests).sum();
         println!(
             "| {label} | 5 s | {:.3} to {:.3} | {over_budget} | {answered} of {requests} |",
-            least(&most),
-            greatest(&most),
+            minimum(&peak),
+            maximum(&peak),
         );
     }
 }
 
-/// Six local endpoints and two others against a load that the local ones do not sustain.
+/// A scenario with ten agents, six local and two remote endpoints, and a load that the local ones
+/// do not sustain.
 fn unequal_agents(seed: u64, limit: Limit) -> Simulation {
     let load_shares = [40.0, 20.0, 12.0, 10.0, 8.0, 5.0, 3.0, 1.5, 0.5, 0.0];
     let budget = Budget {
@@ -203,9 +206,9 @@
     scenario
 }
 
-/// The most attempts that crossed by choice in any window; for a share of the requests, the share
-/// over the whole run.
-fn most_by_choice(report: &SimulationReport, limit: Limit) -> f64 {
+/// The maximum number of attempts that crossed by choice in any window; for limits in shares, the
+/// share of requests that crossed by choice in the whole run.
+fn peak_by_choice(report: &SimulationReport, limit: Limit) -> f64 {
     let mut times: Vec<Duration> = report
         .cross_zone_sends
         .iter()
@@ -218,17 +221,17 @@
     }
     times.sort();
     let mut from = 0;
-    let mut most = 0;
+    let mut peak = 0;
     for to in 0..times.len() {
         while times[from] + BUDGET_WINDOW <= times[to] {
             from += 1;
         }
-        most = most.max(to - from + 1);
+        peak = peak.max(to - from + 1);
     }
-    most as f64
+    peak as f64
 }
 
-/// Resident kilobytes of this process.
+/// The resident memory of this process, in kilobytes.
 fn resident_kilobytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
@@ -241,11 +244,11 @@
         .unwrap_or_default()
 }
 
-/// Rounds of [`measure_memory`] in an hour: one for each ten-second bin.
+/// The number of rounds of [`measure_memory`] per hour: one for each ten-second bin.
 const ROUNDS_PER_HOUR: u64 = 360;
 
-/// Memory of an account of eight zones, twenty classes and three builds, when each of its bins
-/// holds something.
+/// Prints the memory of an account of eight zones, twenty classes and three builds, with traffic in
+/// every bin.
 fn measure_memory() {
     let before = resident_kilobytes();
     let class = ClassProfile {
@@ -260,7 +263,7 @@
     };
     let mut zones = Zones::new(seconds(3600), config);
     for round in 0..24 * ROUNDS_PER_HOUR {
-        // Builds follow one another by the hour; the last hour has three.
+        // A new build replaces the oldest every hour; three are listed at a time.
         let hour = round / ROUNDS_PER_HOUR;
         let builds = hour as u32 + 1..=hour as u32 + 3;
         for to in 0..9 {
@@ -309,8 +312,9 @@
 const WARM_UP_ROUNDS: usize = 50;
 const REQUESTS_PER_ROUND: u64 = 300;
 
-/// What a request costs in decisions, in turns so that a machine whose speed drifts drifts for all:
-/// medians over rounds, and against the first.
+/// Prints the cost of the decisions for a request: the median over rounds, and for all agents but
+/// the first the difference from it. The agents take turns, so that drift in the speed of the
+/// machine affects all of them alike.
 fn measure_costs() {
     println!("\n| size | without account, ns | with a fixed policy | with account |");
     println!("| --- | --- | --- | --- |");
@@ -330,7 +334,7 @@
     }
 }
 
-/// The median cost of a request of each agent, in nanoseconds.
+/// The median cost of a request in each agent, in nanoseconds.
 fn median_costs(agents: &mut [Agent; 3]) -> [f64; 3] {
     let mut costs = [const { Vec::new() }; 3];
     for round in 0..COST_ROUNDS {
--- a/crates/zones/tests/account.rs
+++ b/crates/zones/tests/account.rs
@@ -1,4 +1,4 @@
-//! What the account keeps of builds that come and go.
+//! Accounting for builds that are added and removed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 
 const OLD_BUILD: u32 = 40;
 const NEW_BUILD: u32 = 41;
-/// The number that stands for all builds that were removed.
+/// The build number under which all removed builds are summed.
 const REMOVED_BUILDS: u32 = 0;
 const NOW: Duration = Duration::from_secs(7200);
 
-/// The traffic of an agent in zone 0 of two, without budgets.
+/// The cross-zone traffic of an agent in zone 0 of two zones, without budgets.
 fn zones() -> Zones {
     let class = ClassProfile {
         priority_weight: 3.0,
@@ -52,23 +52,26 @@
     }
 }
 
-/// Builds that have rows.
+/// The builds that have rows in the account.
 fn builds(zones: &Zones) -> BTreeSet<u32> {
     let rows = zones.account().rows();
     rows.map(|(link, _)| link.build).collect()
 }
 
 #[test]
-fn sums_what_ends_after_its_build_was_removed() {
+fn sums_attempts_that_end_after_their_build_was_removed() {
     let mut zones = zones();
-    let late = send(&mut zones, OLD_BUILD);
+    let in_flight = send(&mut zones, OLD_BUILD);
     send(&mut zones, NEW_BUILD);
     let alive = BTreeSet::from([NEW_BUILD]);
     let kept = BTreeSet::from([REMOVED_BUILDS, NEW_BUILD]);
     zones.retain_builds(&alive);
     assert_eq!(builds(&zones), kept);
-    zones.on_attempt_end(NOW, &late, &succeeded());
-    assert!(builds(&zones).contains(&OLD_BUILD), "until the next list");
+    zones.on_attempt_end(NOW, &in_flight, &succeeded());
+    assert!(
+        builds(&zones).contains(&OLD_BUILD),
+        "its row remains until the next endpoint list"
+    );
     zones.retain_builds(&alive);
     assert_eq!(builds(&zones), kept);
 }
--- a/crates/zones/tests/budget_scenarios.rs
+++ b/crates/zones/tests/budget_scenarios.rs
@@ -1,4 +1,4 @@
-//! Budgets for cross-zone traffic in simulated scenarios.
+//! Budgets for cross-zone traffic, tested in simulated scenarios.
 
 mod scenarios;
 
@@ -10,7 +10,7 @@
 #[test]
 fn a_stalled_agent_does_not_spend_a_window_at_once() {
     let mut scenario = two_zones(9, vec![budget(Limit::Attempts(200.0), seconds(2))]);
-    // More than the local zone sustains: the budget is always in demand.
+    // More than the local zone sustains, so that there is always demand for the budget.
     scenario.request_rate = 900.0;
     scenario.events = vec![(seconds(10), ScenarioEvent::StallAgent(0, seconds(2)))];
     let report = scenario.run();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_lowered_budget_holds_at_once() {
+fn a_lowered_budget_applies_at_once() {
     let mut scenario = two_zones(11, vec![budget(Limit::Attempts(3000.0), seconds(4))]);
     scenario.request_rate = 900.0;
     let lowered = zone_config(0, 2, vec![budget(Limit::Attempts(40.0), seconds(4))]);
@@ -34,8 +34,8 @@
         report.cross_zone_sends[0].iter().filter(within).count()
     };
     assert!(by_choice(6, 10) > 300, "{}", by_choice(6, 10));
-    // What was spent before counts: nothing more until that window has passed, then the lower one
-    // holds.
+    // Past spending still counts: nothing more crosses by choice until it has left the window, then
+    // the lower limit applies.
     assert_eq!(by_choice(10, 13), 0);
     assert!(
         max_sends_in_window(&report, 0, seconds(4)) <= 3000 && by_choice(15, 19) <= 40,
@@ -48,12 +48,12 @@
             .account()
             .rows()
             .any(|(key, row)| key.to == 1 && row.counts.written > 300),
-        "the account survives"
+        "the account is kept"
     );
 }
 
 #[test]
-fn ten_unequal_agents_keep_to_the_budget_in_sum() {
+fn ten_unequal_agents_together_stay_within_the_budget() {
     let mut scenario = two_zones(12, Vec::new());
     let budgets = || {
         vec![Budget {
@@ -61,7 +61,8 @@
             ..budget(Limit::Attempts(600.0), seconds(5))
         }]
     };
-    // From a two-hundredth to two fifths of the load, one idle; more than the local zone sustains.
+    // From 1/200 to 2/5 of the load, and one idle agent; in total more than the local zone
+    // sustains.
     let load_shares = [40.0, 20.0, 12.0, 10.0, 8.0, 5.0, 3.0, 1.5, 0.5, 0.0];
     scenario.agents = load_shares
         .map(|load_share| SimulatedAgent {
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_short_budget_keeps_low_priority_classes_and_repeats_local_first() {
+fn a_scarce_budget_restricts_low_priority_classes_and_repeats_first() {
     let mut scenario = two_zones(13, vec![budget(Limit::Attempts(300.0), seconds(3))]);
     scenario.request_rate = 800.0;
     let report = scenario.run();
@@ -138,7 +139,7 @@
     let admits = |is_repeat| zones.budget_meters().admits(1, VIEW, is_repeat);
     assert!(
         !admits(true) || admits(false),
-        "copies are left before first ones"
+        "repeats are restricted before first attempts"
     );
 }
 
@@ -173,16 +174,16 @@
         "{cost} {expected}"
     );
     assert!(written > 100);
-    // By choice no window holds more bytes than the budget.
+    // In no window does more than the budget cross by choice, in bytes.
     let by_choice = max_sends_in_window(&report, 0, seconds(4)) as f64;
     assert!(by_choice * 600.0 <= 40_000.0 + 600.0, "{by_choice}");
 }
 
 #[test]
-fn an_exhausted_budget_costs_no_response_when_only_remote_ones_are_in_time() {
+fn an_exhausted_budget_loses_no_responses_when_only_remote_zones_are_in_time() {
     let mut scenario = two_zones(16, exhausted_budget());
     scenario.duration = seconds(30);
-    // The local endpoints stay listed, warm and responsive, but are very slow.
+    // The local endpoints stay listed, warm and responsive, but become very slow.
     scenario.events = (0..4)
         .map(|n| (seconds(8), ScenarioEvent::SetWorkFactor(n, 30.0)))
         .collect();
@@ -194,7 +195,7 @@
     let without = unlimited.succeeded as f64 / unlimited.requests as f64;
     assert!(
         with > without - 0.01,
-        "{with} with the budget spent, {without} without a budget"
+        "{with} with an exhausted budget, {without} without a budget"
     );
     assert!(
         over_budget_count(&report, OverBudgetReason::LocalSaturated, 8..30)
--- a/crates/zones/tests/canary_scenarios.rs
+++ b/crates/zones/tests/canary_scenarios.rs
@@ -1,4 +1,4 @@
-//! Canaries that run only in a remote zone, in simulated scenarios.
+//! Canaries that run only in a remote zone, tested in simulated scenarios.
 
 mod scenarios;
 
@@ -15,7 +15,7 @@
     remote.failure_rate = failure_rate;
     remote.state = EndpointState::Gone;
     scenario.endpoints.extend([remote.clone(), remote]);
-    // A slow link with a configured latency: responses over it are far from fast.
+    // A slow link with a configured latency: responses over it take far longer than local ones.
     scenario.link_delays[0][1] = millis(25);
     scenario.link_delays[1][0] = millis(25);
     scenario.events = vec![
@@ -41,7 +41,7 @@
 #[test]
 fn evaluates_a_good_remote_canary_beyond_the_budget_without_a_hold() {
     let report = run_remote_canary(0.0);
-    assert_rules_kept(&report); // the rules include the exposure
+    assert_rules_kept(&report); // the rules include the limit of the exposure
     let canary_sends = over_budget_count(&report, OverBudgetReason::Canary, 9..40);
     assert!(canary_sends > 500, "{canary_sends}");
     let holds = report
--- a/crates/zones/tests/decision_digest.rs
+++ b/crates/zones/tests/decision_digest.rs
@@ -1,8 +1,8 @@
-//! Pins the decisions of two seeded scenarios with cross-zone routing, budgets, client retries and a
-//! staged rollout.
+//! Pins the decisions of two seeded scenarios with cross-zone routing, budgets, client retries and
+//! a staged rollout by their digests and counts.
 //!
-//! The digest is folded from plain numbers (agent, request, kind of decision, endpoint or time), so
-//! that renamed types leave it alone.
+//! The digest is computed from plain numbers (agent, request, kind of decision, endpoint or time),
+//! so that it does not change when types are renamed.
 
 use std::time::Duration;
 use tulipwall::*;
@@ -17,7 +17,7 @@
     Duration::from_secs(n)
 }
 
-fn zoning(own: usize, limit: f64) -> ZoneConfig {
+fn zoning(local_zone: usize, limit: f64) -> ZoneConfig {
     let limit = Limit::Attempts(limit);
     let budget = Budget {
         name: "all".into(),
@@ -27,10 +27,10 @@
         window: seconds(20),
         agent_fraction: 0.5,
     };
-    simulation::default_zoning(&simulation::classes(), own, 2, vec![budget])
+    simulation::default_zoning(&simulation::classes(), local_zone, 2, vec![budget])
 }
 
-fn two_zones(seed: u64, limit: f64, rate: f64, span: Duration) -> Simulation {
+fn two_zones(seed: u64, limit: f64, rate: f64, duration: Duration) -> Simulation {
     let agent = |zone| SimulatedAgent {
         zone,
         load_share: 0.5,
@@ -39,25 +39,29 @@
     let nodes = (0..12)
         .map(|i| SimulatedEndpoint::new(i / 6, 41, 4))
         .collect();
-    Simulation::small(vec![agent(0), agent(1)], nodes, rate, span, seed)
+    Simulation::small(vec![agent(0), agent(1)], nodes, rate, duration, seed)
 }
 
-fn numbers(p: &SimulationReport) -> [u64; 8] {
-    let crossed: usize = p.cross_zone_sends.iter().map(Vec::len).sum();
+fn pinned_numbers(simulation_report: &SimulationReport) -> [u64; 8] {
+    let crossed: usize = simulation_report
+        .cross_zone_sends
+        .iter()
+        .map(Vec::len)
+        .sum();
     [
-        p.digest,
-        p.requests,
-        p.succeeded,
-        p.within_objective,
-        p.rejected,
-        p.failed,
-        p.unanswered,
+        simulation_report.digest,
+        simulation_report.requests,
+        simulation_report.succeeded,
+        simulation_report.within_objective,
+        simulation_report.rejected,
+        simulation_report.failed,
+        simulation_report.unanswered,
         crossed as u64,
     ]
 }
 
 #[test]
-fn decides_as_before_while_a_zone_is_cut_and_drains() {
+fn decisions_stay_pinned_while_a_zone_is_cut_off_and_drains() {
     let mut scenario = two_zones(11, 400.0, 600.0, seconds(30));
     scenario.client_behavior = ClientBehavior::PolicyRetries(RetryPolicy::default());
     scenario.events = vec![
@@ -89,13 +93,13 @@
         .events
         .extend((6..9).map(|n| (seconds(19), ScenarioEvent::SetUnresponsive(n, false))));
     assert_eq!(
-        numbers(&scenario.run()),
+        pinned_numbers(&scenario.run()),
         [14736919548978038216, 20357, 20321, 20315, 0, 36, 0, 1143]
     );
 }
 
 #[test]
-fn decides_as_before_while_a_build_is_offered_and_fails() {
+fn decisions_stay_pinned_while_a_canary_fails() {
     let mut scenario = two_zones(12, 2000.0, 700.0, seconds(30));
     let nodes: Vec<usize> = (12..18).collect();
     for (i, number) in nodes.iter().enumerate() {
@@ -118,14 +122,14 @@
         pause: Duration::from_millis(100),
         max_attempts: 3,
     };
-    let played = scenario.run();
+    let report = scenario.run();
     assert!(
-        played.rollout.first_hold.is_some() || played.rollout.rolled_back.is_some(),
+        report.rollout.first_hold.is_some() || report.rollout.rolled_back.is_some(),
         "{:?}",
-        played.rollout
+        report.rollout
     );
     assert_eq!(
-        numbers(&played),
+        pinned_numbers(&report),
         [10740102917459229812, 21129, 21122, 21122, 1, 6, 0, 1170]
     );
 }
--- a/crates/zones/tests/policy.rs
+++ b/crates/zones/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The policy for the balancer against the budgets, class by class.
+//! Compares the policy for the balancer with the budgets, class by class.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -11,7 +11,7 @@
 const LOCAL_ZONE: usize = 1;
 const STEPS: usize = 400;
 
-/// Budgets of all units, for all zones and for one, for all classes and for one.
+/// A budget of any unit, for all zones or one of them, and for all classes or one of them.
 fn random_budget(random: &mut Pcg64Mcg, number: usize) -> Budget {
     let limit = match random.gen_range(0..4) {
         0 => Limit::Attempts(random.gen_range(0.0..60.0)),
@@ -67,7 +67,7 @@
     vec![capacity; ZONES + 1]
 }
 
-/// The counts of each of the [`capacities`].
+/// The endpoint counts of each zone, which match its [`capacities`].
 fn counts() -> ZoneCounts {
     ZoneCounts {
         running: 4,
@@ -77,7 +77,7 @@
     }
 }
 
-/// One request that crosses, or not, and its end.
+/// Sends one request to a random zone and completes it.
 fn send(zones: &mut Zones, random: &mut Pcg64Mcg, now: Duration) {
     let class = random.gen_range(0..CLASSES);
     zones.on_request(now, class);
@@ -102,15 +102,19 @@
     zones.on_attempt_end(now, &reservation, &end);
 }
 
-/// How many classes the policy in force restricts: it must say of each what the budgets say.
+/// Asserts that a new policy restricts each class as the budgets do, and counts the restricted
+/// ones. Returns 0 if the policy did not change.
 fn count_restricted(zones: &mut Zones, seed: u64) -> usize {
     let Some(policy) = zones.cross_zone_policy() else {
         return 0;
     };
     let mut restricted = 0;
     for zone in (0..=ZONES).filter(|zone| *zone != LOCAL_ZONE) {
-        let of_zone = &policy.zones[zone];
-        let both = [&of_zone.last_resort, &of_zone.last_resort_for_retries];
+        let zone_policy = &policy.zones[zone];
+        let both = [
+            &zone_policy.last_resort,
+            &zone_policy.last_resort_for_retries,
+        ];
         for (is_repeat, last_resort) in [false, true].into_iter().zip(both) {
             for (class, is_last_resort) in last_resort.iter().enumerate() {
                 let admitted = zones.budget_meters().admits(zone, class, is_repeat);
@@ -141,18 +145,21 @@
             restricted += count_restricted(&mut zones, seed);
         }
     }
-    assert!(restricted > 1000, "only {restricted} were restricted");
+    assert!(
+        restricted > 1000,
+        "only {restricted} classes were restricted"
+    );
 }
 
-/// A class that is restricted late must be so at once: the use at which that is due is known
-/// between two ticks.
+/// Guards against a class that crosses until the next tick although its budget no longer admits it:
+/// the usage at which it must be restricted is known between two ticks.
 #[test]
 fn a_class_is_restricted_between_two_ticks_once_its_budget_is_used() {
     for seed in 0..50 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut now = Duration::from_secs(3600);
         let mut zones = Zones::new(now, random_config(&mut random));
-        // What counts as spent at the start has left the windows.
+        // The amount that counts as spent at the start has left the windows.
         now += Duration::from_secs(60);
         (0..STEPS).for_each(|step| zones.on_request(now, step % CLASSES));
         zones.tick(now, &capacities());
--- a/crates/zones/tests/random_scenarios.rs
+++ b/crates/zones/tests/random_scenarios.rs
@@ -1,4 +1,4 @@
-//! Random scenarios keep the rules, and equal ones give equal decisions.
+//! Random scenarios break no rule, and equal scenarios result in equal decisions.
 
 mod scenarios;
 
--- a/crates/zones/tests/reload.rs
+++ b/crates/zones/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Request classes that are added, removed and renumbered while an account is kept.
+//! Reloads that add, remove and renumber request classes while the account is kept.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -59,19 +59,19 @@
 }
 
 fn end(zones: &mut Zones, reservation: &Reservation) {
-    let took = Duration::from_millis(20);
+    let response_latency = Duration::from_millis(20);
     let ended = CompletedAttempt {
         outcome: Outcome::Succeeded,
         fault: ResponseFault::None,
         fully_written: true,
         bytes_sent: 100,
         bytes_received: 200,
-        latency: took,
+        latency: response_latency,
     };
     zones.on_attempt_end(NOW, reservation, &ended);
 }
 
-/// Attempts by class, and requests received by class, as the report tells them.
+/// The attempts by class and the requests received by class, as stated in the report.
 fn reported(zones: &Zones, names: &DisplayNames) -> (BTreeMap<String, u64>, BTreeMap<String, u64>) {
     let clock = ClockMapping {
         now: NOW,
@@ -130,9 +130,9 @@
     assert_eq!(
         zones.budget_meters().meters()[0].used(),
         spent,
-        "what is spent stays spent"
+        "past spending still counts"
     );
-    // Its former index is given to another class, and class 1 is removed.
+    // The former index of class 0 is assigned to another class, and class 1 is removed.
     let origins = [
         IndexOrigin::New,
         IndexOrigin::Unused,
@@ -144,7 +144,7 @@
     assert_eq!(attempts, counts(&[("view", 3), ("(gone)", 4)]));
     assert_eq!(requests["(gone)"] + requests["view"], 7, "{requests:?}");
     assert_eq!((requests["other"], requests["new"]), (0, 0));
-    // With fewer classes, connections still have the index after them.
+    // With fewer classes, connections are still counted at the index after the last class.
     assert!(zones.reload(NOW, config(1, None), &[IndexOrigin::MovedFrom(2)]));
     zones.on_connection(
         NOW,
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn other_zones_begin_a_new_account() {
+fn a_reload_with_other_zones_starts_a_new_account() {
     let mut zones = Zones::new(Duration::ZERO, config(2, None));
     let reservation = send(&mut zones, 0);
     let more = ZoneConfig {
--- a/crates/zones/tests/router.rs
+++ b/crates/zones/tests/router.rs
@@ -1,4 +1,5 @@
-//! The router alone: weights from zone capacities and response latencies, tick by tick.
+//! Tests of the router alone: its weights for given zone capacities and response latencies, tick by
+//! tick.
 
 use std::time::Duration;
 use tulipwall::ZoneCapacity;
@@ -25,9 +26,10 @@
     }
 }
 
-/// Ticks number `from` to `to` (100 ms apart) under the same zone capacities. Local and remote
-/// responses take as many milliseconds as `latency_ms(tick, zone)` says; `rate` attempts go out in
-/// each tick, one of them to each remote zone. `inspect` sees the router after each tick.
+/// Runs the ticks `from` to `to` (exclusive, 100 ms apart) with constant zone capacities. Responses
+/// take `latency_ms(tick, zone)` milliseconds; `None` means that there are none. Each tick sends
+/// `rate` attempts to the local zone, if it has endpoints, and one to each remote zone. `inspect`
+/// is called with the router after each tick.
 fn run_ticks(
     router: &mut ZoneRouter,
     (from, to): (u64, u64),
@@ -66,7 +68,7 @@
 }
 
 #[test]
-fn warm_endpoints_that_take_over_do_not_draw_load_to_those_warming_up() {
+fn warm_endpoints_that_take_over_do_not_shift_load_to_those_warming_up() {
     let mut router = new_router(2);
     run_ticks(
         &mut router,
@@ -87,7 +89,7 @@
     );
     assert!(
         router.slow_start_factor() < 0.3,
-        "two warm ones carry what eight did: {}",
+        "two warm endpoints carry the load of eight: {}",
         router.slow_start_factor()
     );
     run_ticks(
@@ -100,7 +102,7 @@
     );
     assert!(
         router.slow_start_factor() > 0.9,
-        "and that is then what they carry: {}",
+        "two warm endpoints are the normal state by then: {}",
         router.slow_start_factor()
     );
 }
@@ -131,8 +133,8 @@
     assert!(before < 0.02 && after > 0.4, "{before}, then {after}");
 }
 
-/// How often the weight of a remote endpoint goes from under a quarter to over a half, and back,
-/// and what it is at the end.
+/// Counts how often the weight of a remote endpoint rises above a half or falls below a quarter
+/// while the local zone flaps. Returns the count and the weight after two stable minutes.
 fn count_swings(half_period: u64) -> (u32, f64) {
     let mut router = new_router(2);
     let both = [capacity(8, 0), capacity(8, 0)];
@@ -163,22 +165,22 @@
 }
 
 #[test]
-fn a_flapping_local_zone_does_not_swing_the_weight_and_calm_restores_it() {
+fn a_flapping_local_zone_does_not_swing_the_weight_and_a_stable_one_restores_it() {
     for half_period in [5, 10, 20, 30, 50, 70, 90, 120] {
         let (swings, at_the_end) = count_swings(half_period);
-        // Without the calm span 17 at seven seconds and 13 at nine; beyond that the local zone is
-        // slow long enough to be followed.
-        let most = (half_period / 12).max(5) as u32;
+        // Without the cooldown the weight swings 17 times at seven seconds and 13 times at nine. At
+        // longer half periods the local zone is slow long enough that the weight may follow it.
+        let max_swings = (half_period / 12).max(5) as u32;
         assert!(
-            swings <= most,
-            "{swings} swings in two minutes at {half_period} steps a half period"
+            swings <= max_swings,
+            "{swings} swings in two minutes at a half period of {half_period} ticks"
         );
         assert!(at_the_end < 0.03, "{at_the_end}");
     }
 }
 
 #[test]
-fn of_two_remote_zones_the_slower_weighs_less_by_degrees() {
+fn the_slower_of_two_remote_zones_weighs_less_but_is_not_excluded() {
     let mut router = new_router(3);
     let zone_capacities = [capacity(4, 0), capacity(4, 0), capacity(4, 0)];
     run_ticks(
@@ -212,17 +214,17 @@
         "{before}, then {:?}",
         router.weight(1)
     );
-    assert_eq!(router.added_latency(1), Duration::ZERO, "not known");
+    assert_eq!(router.added_latency(1), Duration::ZERO, "unknown so far");
     (0..5).for_each(|_| router.on_connection(0, ms(2)));
     (0..5).for_each(|_| router.on_connection(1, ms(10)));
     assert_eq!(
         router.added_latency(1),
         ms(8),
-        "what new connections take longer"
+        "the extra time to open a connection"
     );
 }
 
-/// A router of so many classes, all of whose responses are of one of them.
+/// Creates a router with this many classes.
 fn new_router_of_classes(classes: usize) -> ZoneRouter {
     let config = ZoneConfig {
         local_zone: 0,
@@ -235,11 +237,12 @@
     ZoneRouter::new(&config)
 }
 
-/// Guards against ticks whose work goes by the configured classes, 1,600 of which may carry nothing.
+/// Guards against ticks whose work grows with the number of configured classes, of which 1,600 may
+/// have no traffic.
 #[test]
 fn classes_without_traffic_are_not_visited_and_change_no_weight() {
     let capacities = [capacity(4, 0), capacity(4, 0), capacity(4, 0)];
-    let play = |classes: usize| {
+    let run = |classes: usize| {
         let mut router = new_router_of_classes(classes);
         let mut weights = Vec::new();
         run_ticks(
@@ -252,9 +255,9 @@
         );
         (weights, router.classes_visited())
     };
-    let (weights_of_one, visited_of_one) = play(1);
-    let (weights_of_many, visited_of_many) = play(1600);
+    let (weights_of_one, visited_of_one) = run(1);
+    let (weights_of_many, visited_of_many) = run(1600);
     assert_eq!(weights_of_many, weights_of_one);
     assert_eq!(visited_of_many, visited_of_one);
-    assert!(visited_of_one > 300, "each tick looks at the one class");
+    assert!(visited_of_one > 300, "each tick visits the one class");
 }
--- a/crates/zones/tests/routing_scenarios.rs
+++ b/crates/zones/tests/routing_scenarios.rs
@@ -1,4 +1,4 @@
-//! Routing between zones in simulated scenarios: overflow, failover, recovery.
+//! Routing between zones, tested in simulated scenarios: overflow, failover and recovery.
 
 mod scenarios;
 
@@ -8,10 +8,10 @@
 use tulipwall_zones::*;
 
 #[test]
-fn stays_local_while_there_is_capacity_and_overflows_by_degrees() {
+fn stays_local_while_there_is_capacity_and_overflows_gradually() {
     let mut scenario = two_zones(1, Vec::new());
     scenario.duration = seconds(40);
-    // Twice what the local zone sustains, then as before.
+    // Twice the rate that the local zone sustains for ten seconds, then the initial rate again.
     scenario.events = vec![
         (seconds(10), ScenarioEvent::SetRequestRate(1000.0)),
         (seconds(20), ScenarioEvent::SetRequestRate(380.0)),
@@ -50,8 +50,8 @@
         .extend(state_changes(10_000, 0..4, EndpointState::Draining));
     let report = scenario.run();
     assert_rules_kept(&report);
-    // The local zone had capacity before: nothing crossed. From the drain on everything does, with
-    // its reason.
+    // Nothing crosses while the local zone has capacity. Once its endpoints drain, everything
+    // crosses, and the reason is recorded.
     assert_eq!(
         report.cross_zone_sends[0]
             .iter()
@@ -67,7 +67,7 @@
         .count();
     assert!(
         payments > 300,
-        "unrepeatable commands among them: {payments}"
+        "non-idempotent requests among them: {payments}"
     );
     assert!(
         report.succeeded as f64 > 0.99 * report.requests as f64,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn returns_by_degrees_to_local_endpoints_that_warm_up() {
+fn returns_gradually_to_local_endpoints_that_warm_up() {
     let mut scenario = two_zones(3, exhausted_budget());
     scenario.duration = seconds(30);
     scenario.events = state_changes(8000, 0..4, EndpointState::Gone);
@@ -86,7 +86,7 @@
         .events
         .extend((0..4).map(|n| (seconds(14), ScenarioEvent::Restart(n))));
     let report = scenario.run();
-    // The rules include the slow start: the load did not return at once.
+    // The rules include slow start, which prevents the load from returning all at once.
     assert_rules_kept(&report);
     assert!(over_budget_count(&report, OverBudgetReason::NoLocalEndpoint, 8..14) > 1500);
     assert!(
@@ -116,21 +116,21 @@
         |report: &SimulationReport| report.sends_by_endpoint[4] + report.sends_by_endpoint[5];
     let report = scenario.clone().run();
     assert_rules_kept(&report);
-    // Without the slow start factor they receive more.
+    // Without the slow start factor, the endpoints that warm up receive more.
     scenario.agents[0].zoning = None;
-    let without_account = scenario.run();
+    let without_zoning = scenario.run();
     assert!(
-        warming_up(&report) < warming_up(&without_account),
+        warming_up(&report) < warming_up(&without_zoning),
         "{} against {}",
         warming_up(&report),
-        warming_up(&without_account)
+        warming_up(&without_zoning)
     );
 }
 
 #[test]
 fn an_endpoint_that_moves_to_another_zone_counts_as_remote() {
     let mut scenario = two_zones(6, exhausted_budget());
-    // All local endpoints return in the other zone at the same build, without a gap.
+    // All local endpoints move to the other zone, with the same build and without a gap.
     scenario.events = (0..4)
         .map(|n| (seconds(10), ScenarioEvent::MoveToZone(n, 1)))
         .collect();
@@ -146,14 +146,14 @@
 #[test]
 fn endpoints_of_an_unnamed_zone_form_a_link_of_their_own() {
     let mut scenario = two_zones(7, exhausted_budget());
-    scenario.endpoints.iter_mut().for_each(|n| n.zone = 2); // the index of what has no name
+    scenario.endpoints.iter_mut().for_each(|n| n.zone = 2); // the index of unnamed zones
     let report = scenario.run();
     assert_rules_kept(&report);
     let zones = report.zones[0].as_ref().unwrap();
     let rows: Vec<_> = zones.account().rows().collect();
     assert!(
         rows.iter().all(|(key, _)| key.to == 2),
-        "neither near nor of another zone"
+        "neither local nor of another named zone"
     );
     assert!(report.succeeded as f64 > 0.99 * report.requests as f64);
     let names = DisplayNames {
@@ -177,32 +177,33 @@
 }
 
 #[test]
-fn a_flapping_local_zone_does_not_make_requests_swing() {
+fn a_flapping_local_zone_does_not_swing_requests_between_zones() {
     let mut scenario = two_zones(10, Vec::new());
     scenario.duration = seconds(75);
-    // Slower by ten times in every other second, for 30 s.
+    // Ten times slower in every other second, for 30 s.
     for n in 0..30 {
-        let slowness = if n % 2 == 0 { 10.0 } else { 1.0 };
+        let work_factor = if n % 2 == 0 { 10.0 } else { 1.0 };
         scenario
             .events
-            .extend((0..4).map(|i| (seconds(8 + n), ScenarioEvent::SetWorkFactor(i, slowness))));
+            .extend((0..4).map(|i| (seconds(8 + n), ScenarioEvent::SetWorkFactor(i, work_factor))));
     }
     let report = scenario.clone().run();
     assert_rules_kept(&report);
     scenario.agents[0].zoning = None;
-    let without_account = scenario.run();
+    let without_zoning = scenario.run();
     assert!(
         report.direction_changes_per_minute() <= 6.0,
-        "{} a minute",
+        "{} direction changes per minute",
         report.direction_changes_per_minute()
     );
     assert!(
-        report.within_objective >= without_account.within_objective,
-        "{} in time, {} before",
+        report.within_objective >= without_zoning.within_objective,
+        "{} in time with zones, {} without",
         report.within_objective,
-        without_account.within_objective
+        without_zoning.within_objective
     );
-    // Back to local once it is calm: after the longest calm span and some seconds of falling.
+    // Requests return to the local zone once it is stable: after the longest cooldown and some
+    // seconds in which the crossing share falls.
     assert!(
         report.cross_zone_share_between(65, 75) < 0.1,
         "{}",
@@ -217,7 +218,7 @@
     scenario.endpoints = (0..9)
         .map(|i| SimulatedEndpoint::new([0, 0, 1, 1, 1, 1, 1, 2, 2][i], 41, 4))
         .collect();
-    // Fast on the way there, slow on the way back: only the round trip counts.
+    // Fast on the way to the zone, slow on the way back: only the round trip counts.
     scenario.link_delays[1][0] = millis(60);
     scenario.request_rate = 600.0;
     scenario.duration = seconds(30);
@@ -234,7 +235,7 @@
     };
     assert!(
         sent(2) > sent(1),
-        "{} to the quick small zone, {} to the slow large one",
+        "{} to the fast small zone, {} to the slow large one",
         sent(2),
         sent(1)
     );
--- a/crates/zones/tests/scenarios/mod.rs
+++ b/crates/zones/tests/scenarios/mod.rs
@@ -1,7 +1,7 @@
-//! Scenarios in simulated time with the real balancer and the real accounting of cross-zone traffic;
-//! endpoints are modelled. The simulation checks its rules after each step.
+//! Scenarios in simulated time, with the real balancer, the real accounting of cross-zone traffic
+//! and modelled endpoints. The simulation checks its rules after each step.
 
-#![allow(dead_code)] // each test file uses a part of it
+#![allow(dead_code)] // each test file uses only some of the items
 
 use std::ops::Range;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 pub const SEND: usize = 1;
 pub const PAYMENT: usize = 2;
 
-/// Routed to the local zone first, without prices.
+/// A configuration that routes to the local zone first and has no prices.
 pub fn zone_config(local_zone: usize, zones: usize, budgets: Vec<Budget>) -> ZoneConfig {
     simulation::default_zoning(&simulation::classes(), local_zone, zones, budgets)
 }
@@ -46,7 +46,8 @@
     vec![budget(Limit::Attempts(0.0), seconds(60))]
 }
 
-/// One agent in zone 0 of two, with four endpoints in each, at half of what its zone sustains.
+/// One agent in zone 0 of two zones with four endpoints each, at half the load that its zone
+/// sustains.
 pub fn two_zones(seed: u64, budgets: Vec<Budget>) -> Simulation {
     let agent = SimulatedAgent {
         zone: 0,
@@ -59,7 +60,7 @@
     Simulation::small(vec![agent], endpoints, 380.0, seconds(20), seed)
 }
 
-/// Asserts that no rule was broken and each request was answered.
+/// Asserts that no rule was violated and that each request received a response.
 pub fn assert_rules_kept(report: &SimulationReport) {
     assert!(
         report.violations.is_empty(),
@@ -69,7 +70,7 @@
     assert_eq!(report.unanswered, 0);
 }
 
-/// Attempts that crossed over budget for this reason, from one second to another.
+/// The number of attempts that crossed over budget for this reason, in this range of seconds.
 pub fn over_budget_count(
     report: &SimulationReport,
     reason: OverBudgetReason,
@@ -86,7 +87,7 @@
         .count()
 }
 
-/// Sets the state of these endpoints, at a time in milliseconds.
+/// Events that set the state of these endpoints at a time in milliseconds.
 pub fn state_changes(
     at: u64,
     endpoints: Range<usize>,
@@ -97,7 +98,7 @@
         .collect()
 }
 
-/// The most attempts that crossed by choice in any window of this length.
+/// The maximum number of attempts that crossed by choice in any window of this length.
 pub fn max_sends_in_window(report: &SimulationReport, agent: usize, window: Duration) -> usize {
     let times: Vec<Duration> = report.cross_zone_sends[agent]
         .iter()
--- a/crates/zones/tests/time_series.rs
+++ b/crates/zones/tests/time_series.rs
@@ -1,4 +1,4 @@
-//! Time series of cross-zone traffic over long times.
+//! Time series of cross-zone traffic over long periods.
 
 use std::time::Duration;
 use tulipwall_zones::*;
