--- a/crates/experiments/examples/beside.rs
+++ b/crates/experiments/examples/beside.rs
@@ -1,5 +1,5 @@
-//! The same small installation simulated and on real sockets, side by side: the real agent, with
-//! fakes on loopback.
+//! Compares one small installation in the simulation and on real sockets. On sockets, the real
+//! agent runs against fake endpoints on the loopback interface.
 //!
 //!     cargo build --release && cargo run --release -p tulipwall-experiments --example beside
 
@@ -18,25 +18,25 @@
 const SECONDS: u64 = 15;
 const BUILD: u32 = 41;
 const WORK: Duration = Duration::from_millis(10);
-/// One-way delay between the zones.
+/// One-way network delay between the zones.
 const DELAY: Duration = Duration::from_millis(2);
 const DEADLINE: Duration = Duration::from_millis(1500);
 const CONNECTIONS: usize = 200;
 const SEED: u64 = 1;
-/// Requests a second.
+/// Request rates that are compared, in requests per second.
 const RATES: [f64; 4] = [120.0, 480.0, 840.0, 1080.0];
 
-/// What is compared.
+/// The figures of one run that are compared.
 struct Row {
     p50_ms: f64,
     p99_ms: f64,
-    /// Share of attempts that went to the other zone.
+    /// Share of the attempts that went to the other zone, 0 to 1.
     cross_zone: f64,
-    /// Share of requests that succeeded.
+    /// Share of the requests that succeeded, 0 to 1.
     succeeded: f64,
 }
 
-/// The agent's program, beside the folder of examples.
+/// Path of the agent's binary, which is in the parent of the directory of the examples.
 fn agent_binary() -> PathBuf {
     let example = std::env::current_exe().unwrap_or_default();
     let profile = example.ancestors().nth(2).map(PathBuf::from);
@@ -64,7 +64,7 @@
     Ok(cluster)
 }
 
-fn on_sockets(rate: f64) -> io::Result<Row> {
+fn run_on_sockets(rate: f64) -> io::Result<Row> {
     let cluster = start_cluster()?;
     let agent = AgentProcess::start(agent_binary(), cluster.configuration("n1", 0)?, &[])?;
     TestClient::connect(agent.address()?)?;
@@ -97,7 +97,7 @@
     })
 }
 
-fn simulated(rate: f64) -> Row {
+fn run_simulated(rate: f64) -> Row {
     let text = format!(
         "experiment \"beside\" {{
             span \"{SECONDS}s\"; rate {rate}; agents 1; steady 1
@@ -112,7 +112,7 @@
     );
     let scenario = Scenario::read(&text).unwrap_or_else(|all| panic!("{all:?}"));
     let mut simulation = run::build_simulation(&scenario, SEED);
-    // As the settings of the fakes say: crossing has no price.
+    // The settings of the test cluster put no price on cross-zone traffic.
     simulation.settings.cross_zone_price = 0.0;
     let report = simulation.run();
     Row {
@@ -123,7 +123,7 @@
     }
 }
 
-fn print(rate: f64, place: &str, row: &Row) {
+fn print_row(rate: f64, place: &str, row: &Row) {
     let cores = (ZONES.len() * ENDPOINTS_PER_ZONE * CORES) as f64;
     let utilization = rate / cores * WORK.as_secs_f64();
     println!(
@@ -136,8 +136,8 @@
     println!("| commands/s | of capacity | where | p50 ms | p99 ms | crossing | satisfied |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for rate in RATES {
-        print(rate, "sockets", &on_sockets(rate)?);
-        print(rate, "model", &simulated(rate));
+        print_row(rate, "sockets", &run_on_sockets(rate)?);
+        print_row(rate, "model", &run_simulated(rate));
     }
     Ok(())
 }
--- a/crates/experiments/examples/verdicts/log.rs
+++ b/crates/experiments/examples/verdicts/log.rs
@@ -1,18 +1,18 @@
-//! Reads the evidence in agents' logs. The words of its lines are those that the agent writes with
-//! the log target `evidence`; a change of either is a change of both.
+//! Parses the evidence in agents' logs. The format is that of the lines which the agent writes with
+//! the log target `evidence`; the writer and this parser must change together.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// What stands before the evidence in a line of a log.
+/// Precedes the evidence in a log line.
 const MARKER: &str = "evidence] ";
 
-/// An attempt that ended. Times are in seconds since the first line of evidence.
+/// An attempt that ended. As in the other types, `at` is in seconds since the first line of evidence.
 pub struct Attempt {
     pub at: f64,
     pub build: u32,
     pub outcome: String,
-    /// Seconds.
+    /// In seconds.
     pub duration: f64,
 }
 
@@ -21,26 +21,26 @@
     pub at: f64,
     pub class: usize,
     pub outcome: String,
-    /// Seconds.
+    /// In seconds.
     pub duration: f64,
-    /// The client's estimate of its work.
+    /// The client's estimate of the work that the request takes.
     pub estimated_work: f64,
 }
 
-/// A class as the settings have it.
+/// A request class as configured in the settings.
 pub struct Class {
-    /// Seconds.
+    /// In seconds.
     pub latency_objective: f64,
     pub priority_weight: f64,
 }
 
-/// An error of a build that a client reported.
+/// A client-reported error, with the build that it is attributed to.
 pub struct ClientError {
     pub at: f64,
     pub build: u32,
 }
 
-/// What an agent noted of a build that regressed.
+/// An agent's note that a build regressed.
 pub struct Note {
     pub at: f64,
     pub build: u32,
@@ -63,7 +63,7 @@
     pub phase: String,
 }
 
-/// The evidence of all agents, in the order of time.
+/// The evidence of all agents, ordered by time.
 #[derive(Default)]
 pub struct Log {
     pub classes: Vec<Class>,
@@ -71,14 +71,15 @@
     pub attempts: Vec<Attempt>,
     pub requests: Vec<Request>,
     pub client_errors: Vec<ClientError>,
-    /// Since when each status holds.
+    /// The time at which each status began.
     pub rollouts: BTreeMap<RolloutStatus, f64>,
     pub notes: Vec<Note>,
     pub votes: Vec<Vote>,
 }
 
 impl Log {
-    /// When a build first was in a phase; in any, if none is named.
+    /// Returns when a build first entered a phase, or any phase if `None` is given. Returns `None` if
+    /// it never did.
     pub fn phase_began(&self, build: u32, phase: Option<&str>) -> Option<f64> {
         self.rollouts
             .iter()
@@ -88,7 +89,7 @@
             .reduce(f64::min)
     }
 
-    /// Adds a line of evidence that was written at this time; unknown ones are skipped.
+    /// Adds a line of evidence that was written at the given time. Skips lines of unknown kinds.
     fn add(&mut self, line: &Line, at: f64, clock: &Clock) {
         match line.word(0) {
             "start" => self.votes_to_roll_back = line.number(4) as usize,
@@ -139,7 +140,7 @@
     }
 }
 
-/// Latency objectives and priority weights: `[(400.0, 3.0), ...]`.
+/// Parses pairs of latency objective in milliseconds and priority weight: `[(400.0, 3.0), ...]`.
 fn classes(line: &Line) -> Vec<Class> {
     let text = line.rest(1).replace(['[', ']', '(', ')'], "");
     let numbers: Vec<f64> = text.split(", ").filter_map(|n| n.parse().ok()).collect();
@@ -152,14 +153,15 @@
         .collect()
 }
 
-/// Why a build regressed, without what the note says of the canary.
+/// Returns why a build regressed, without the note's figures of the canary.
 fn reason(line: &Line) -> String {
     let text = line.rest(4);
     let reason = text.split(", canary").next();
     reason.unwrap_or_default().to_owned()
 }
 
-/// A line of evidence: milliseconds of Unix time, the agent, and what it says.
+/// A line of evidence: its Unix time in milliseconds, the index of the agent and the words that
+/// follow the time. Lines sort by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Line {
     unix_ms: u64,
@@ -183,7 +185,7 @@
         self.words.get(index).map_or("", String::as_str)
     }
 
-    /// All words from this one on.
+    /// Joins all words from this index on.
     fn rest(&self, index: usize) -> String {
         self.words.get(index..).unwrap_or_default().join(" ")
     }
@@ -193,7 +195,7 @@
     }
 }
 
-/// Seconds since the first line of evidence.
+/// Converts Unix time to seconds since the first line of evidence.
 struct Clock {
     start_ms: u64,
 }
@@ -204,8 +206,8 @@
     }
 }
 
-/// Reads every line of evidence in the files below a directory, one file for each agent. What
-/// cannot be read is skipped.
+/// Reads every line of evidence in the files below a directory, one file for each agent. Skips
+/// directories, files and lines that cannot be read.
 pub fn read(dir: &Path) -> Log {
     let mut paths = Vec::new();
     add_files(dir, &mut paths);
--- a/crates/experiments/examples/verdicts/slowing.rs
+++ b/crates/experiments/examples/verdicts/slowing.rs
@@ -1,29 +1,29 @@
-//! Outcomes by tenths of a second, and the most likely slowing in them.
+//! Groups outcomes into bins of a tenth of a second and finds the most likely slowdown in them.
 
-use crate::evidence::EXCUSED_SLOWING;
+use crate::evidence::TOLERATED_LATENCY_RATIO;
 use crate::log::Log;
 
-/// Length of a bin, in seconds.
+/// Length of a bin in seconds.
 pub const BIN: f64 = 0.1;
-/// Weight of a bin in the smoothed share of the canary.
-const SMOOTHING: f64 = 0.3;
-/// Slowings that are tried in step with the canary; each is the square root of two times the one
-/// before.
+/// Weight of each new bin in the exponentially smoothed share of the canary.
+const SMOOTHING_FACTOR: f64 = 0.3;
+/// Number of slowdowns in proportion to the canary's share that are tried; each is larger than the
+/// previous one by a factor of the square root of two.
 const TRIED_SLOWINGS: u32 = 24;
-/// Keeps logarithms and quotients finite.
-const TINY: f64 = 1e-9;
+/// Lower bound of arguments of logarithms and of divisors, which keeps results finite.
+const EPSILON: f64 = 1e-9;
 
-/// Answers of some builds.
+/// Totals of the answers of some builds. An answer is an attempt that succeeded or failed.
 #[derive(Clone, Copy, Default)]
 pub struct Answers {
     pub count: f64,
     pub failed: f64,
-    /// Seconds of all attempts together.
+    /// Total duration of all attempts in seconds, including attempts that ended without an answer.
     pub seconds: f64,
 }
 
 impl Answers {
-    /// The sum over bins.
+    /// Adds up the answers that `side` selects from each bin.
     pub fn sum(bins: &[Bin], side: fn(&Bin) -> Answers) -> Answers {
         let mut sum = Answers::default();
         for bin in bins {
@@ -36,7 +36,7 @@
     }
 }
 
-/// What happened in a tenth of a second.
+/// Attempts during a tenth of a second.
 #[derive(Clone, Copy, Default)]
 pub struct Bin {
     /// Answers of the canary.
@@ -45,7 +45,7 @@
     pub others: Answers,
     sent_to_canary: f64,
     sent: f64,
-    /// Seconds that attempts were in flight.
+    /// Time that attempts were in flight within this bin, summed over the attempts, in seconds.
     waited: f64,
 }
 
@@ -55,7 +55,8 @@
     }
 }
 
-/// Bins of the attempts of a canary and of earlier builds in a span of time.
+/// Groups the attempts of a canary and of earlier builds between two times into bins. Answers count
+/// at their end, sent attempts at their start.
 pub fn bins(log: &Log, build: u32, from: f64, until: f64) -> Vec<Bin> {
     let count = ((until - from) / BIN).ceil().max(0.0) as usize;
     let mut bins = vec![Bin::default(); count];
@@ -70,13 +71,13 @@
                 &mut bin.others
             };
             let has_failed = attempt.outcome == "Failed";
-            side.count += as_number(has_failed || attempt.outcome == "Succeeded");
-            side.failed += as_number(has_failed);
+            side.count += as_count(has_failed || attempt.outcome == "Succeeded");
+            side.failed += as_count(has_failed);
             side.seconds += attempt.duration;
         }
         let start_bin = bins.get_mut(index(started_at));
         if let Some(bin) = start_bin.filter(|_| started_at >= from) {
-            bin.sent_to_canary += as_number(attempt.build == build);
+            bin.sent_to_canary += as_count(attempt.build == build);
             bin.sent += 1.0;
         }
         for n in index(started_at)..=index(attempt.at) {
@@ -90,51 +91,51 @@
     bins
 }
 
-fn as_number(holds: bool) -> f64 {
+fn as_count(holds: bool) -> f64 {
     f64::from(u8::from(holds))
 }
 
-/// How likely a slowing is, as logarithms of likelihood ratios.
+/// How likely a slowdown is, as natural logarithms of likelihood ratios.
 pub struct Likelihood {
-    /// Against no slowing beyond what is excused.
+    /// Compared with no slowdown beyond the tolerated one.
     pub over_none: f64,
-    /// Against the other kind of slowing, and none.
+    /// Compared with the other kind of slowdown and with no slowdown.
     pub over_other: f64,
 }
 
-/// The two kinds of slowing.
+/// Likelihoods of the two kinds of slowdown.
 pub struct Slowing {
-    /// In step with the canary's share of what was sent.
+    /// A slowdown in proportion to the canary's share of the attempts sent.
     pub in_step: Likelihood,
-    /// At any one moment.
+    /// A slowdown of all builds that begins at one moment.
     pub at_one_moment: Likelihood,
 }
 
-/// The most likely slowing of each kind beyond what is excused. Answers are Poisson by the time
-/// waited.
+/// Finds the most likely slowdown of each kind beyond the tolerated one. Models answers as a Poisson
+/// process over the time that attempts were in flight.
 pub fn slowing(bins: &[Bin]) -> Slowing {
     let total = Total::of(bins);
-    let flat = total.likelihood();
-    let moment = moment_likelihood(bins, &total, flat);
+    let constant_rate_likelihood = total.likelihood();
+    let moment = moment_likelihood(bins, &total, constant_rate_likelihood);
     let shares = smoothed_shares(bins);
-    let excused = in_step_likelihood(bins, &shares, EXCUSED_SLOWING - 1.0);
+    let tolerated = in_step_likelihood(bins, &shares, TOLERATED_LATENCY_RATIO - 1.0);
     let step = (0..TRIED_SLOWINGS)
-        .map(|n| (EXCUSED_SLOWING - 1.0) * (f64::from(n) / 2.0).exp2())
+        .map(|n| (TOLERATED_LATENCY_RATIO - 1.0) * (f64::from(n) / 2.0).exp2())
         .map(|by| in_step_likelihood(bins, &shares, by))
-        .fold(excused, f64::max);
+        .fold(tolerated, f64::max);
     Slowing {
         in_step: Likelihood {
-            over_none: step - excused,
+            over_none: step - tolerated,
             over_other: step - moment,
         },
         at_one_moment: Likelihood {
-            over_none: moment - flat,
-            over_other: moment - step.max(flat),
+            over_none: moment - constant_rate_likelihood,
+            over_other: moment - step.max(constant_rate_likelihood),
         },
     }
 }
 
-/// Answers, and the time waited for them.
+/// Number of answers, and the time that attempts were in flight, in seconds.
 #[derive(Clone, Copy, Default)]
 struct Total {
     answers: f64,
@@ -155,21 +156,22 @@
         self.waited += bin.waited;
     }
 
-    /// Logarithm of the likelihood at the most likely rate, but for a constant.
+    /// Logarithm of the likelihood at the most likely rate, up to an additive constant.
     fn likelihood(&self) -> f64 {
         poisson_likelihood(self.answers, self.waited)
     }
 }
 
 fn poisson_likelihood(answers: f64, waited: f64) -> f64 {
-    answers * (answers.max(TINY) / waited.max(TINY)).ln()
+    answers * (answers.max(EPSILON) / waited.max(EPSILON)).ln()
 }
 
-/// The likelihood of the most likely slowing at one moment; `flat` where that is excused.
-fn moment_likelihood(bins: &[Bin], total: &Total, flat: f64) -> f64 {
+/// Returns the log-likelihood of the most likely slowdown at one moment, or
+/// `constant_rate_likelihood` if that slowdown is within the tolerated ratio.
+fn moment_likelihood(bins: &[Bin], total: &Total, constant_rate_likelihood: f64) -> f64 {
     let mut before = Total::default();
-    let mut best = flat;
-    let mut slower_by = 1.0;
+    let mut best = constant_rate_likelihood;
+    let mut latency_ratio = 1.0;
     for bin in bins {
         before.add(bin);
         let after = Total {
@@ -180,31 +182,31 @@
         let is_slower = after.answers * before.waited < before.answers * after.waited;
         if is_slower && likelihood > best {
             best = likelihood;
-            let pace_after = after.waited / after.answers.max(TINY);
-            let pace_before = before.waited / before.answers.max(TINY);
-            slower_by = pace_after / pace_before;
+            let wait_per_answer_after = after.waited / after.answers.max(EPSILON);
+            let wait_per_answer_before = before.waited / before.answers.max(EPSILON);
+            latency_ratio = wait_per_answer_after / wait_per_answer_before;
         }
     }
-    if slower_by > EXCUSED_SLOWING {
+    if latency_ratio > TOLERATED_LATENCY_RATIO {
         best
     } else {
-        flat
+        constant_rate_likelihood
     }
 }
 
-/// The canary's share of what was sent of late, by bin.
+/// Returns the canary's share of the attempts sent, exponentially smoothed, for each bin.
 fn smoothed_shares(bins: &[Bin]) -> Vec<f64> {
     let mut share = 0.0;
     let smoothed = |bin: &Bin| {
         if bin.sent > 0.0 {
-            share += (bin.sent_to_canary / bin.sent - share) * SMOOTHING;
+            share += (bin.sent_to_canary / bin.sent - share) * SMOOTHING_FACTOR;
         }
         share
     };
     bins.iter().map(smoothed).collect()
 }
 
-/// The likelihood of a slowing that grows with the canary's share.
+/// Returns the log-likelihood of a slowdown that grows with the canary's share.
 fn in_step_likelihood(bins: &[Bin], shares: &[f64], slowing: f64) -> f64 {
     let mut sum = 0.0;
     let mut waited = 0.0;
--- a/crates/experiments/examples/verdicts/tables.rs
+++ b/crates/experiments/examples/verdicts/tables.rs
@@ -1,6 +1,6 @@
-//! Prints tables in Markdown: builds, and seconds.
+//! Prints tables of builds and of seconds in Markdown.
 
-use crate::evidence::first_told;
+use crate::evidence::first_detected;
 use crate::log::Log;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,11 @@
 const ROLLING_BACK: &str = "RollingBack";
 const RELEASED: &str = "Released";
 const ROLL_BACK: &str = "RollBack";
-/// Seconds around a build's first answer that are printed.
+/// Range of seconds that is printed, relative to a build's first answer.
 const SECONDS_SHOWN: std::ops::Range<i32> = -2..12;
 
-/// Prints when each build was told, voted on and rolled back, and its first seconds.
+/// Prints when each build was detected as regressed, voted on and rolled back, and its first
+/// seconds.
 pub fn print_builds(log: &Log) {
     println!(
         "| build | on trial from, first answer | all outcomes tell | first note | {} voices back | went back | released |",
@@ -39,8 +40,8 @@
     let next_began = next.and_then(|next| log.phase_began(next, None));
     let until = rolled_back.or(next_began).unwrap_or(f64::MAX);
     let first_answer = first_answer(log, build);
-    let told = first_answer.map(|from| first_told(log, build, from, until));
-    let told: Vec<String> = told
+    let detected = first_answer.map(|from| first_detected(log, build, from, until));
+    let detected: Vec<String> = detected
         .unwrap_or_default()
         .iter()
         .map(|(kind, at)| format!("{kind} {at:.1}"))
@@ -50,10 +51,10 @@
         "| {build} | {}, {} | {} | {} | {} | {} | {} |",
         format_time(log.phase_began(build, Some(CANARY))),
         format_time(first_answer),
-        if told.is_empty() {
+        if detected.is_empty() {
             "nothing".into()
         } else {
-            told.join(", ")
+            detected.join(", ")
         },
         note.map_or("-".into(), |note| format!(
             "{:.1}: {}",
@@ -70,7 +71,8 @@
     first.map(|attempt| attempt.at)
 }
 
-/// When enough agents voted at once to roll a build back.
+/// Returns when enough agents' votes to roll a build back stood at the same time, or `None` if they
+/// never did.
 fn enough_votes_at(log: &Log, build: u32) -> Option<f64> {
     let mut agents = BTreeSet::new();
     for vote in log.votes.iter().filter(|vote| vote.build == build) {
@@ -94,7 +96,7 @@
     let Some(first) = first_answer(log, build).map(f64::floor) else {
         return;
     };
-    println!("\nBuild {build} by second, its part of the deliveries and the mean of the earlier builds' answers in ms:");
+    println!("\nBuild {build} by second, its share of the attempts and the mean latency of the earlier builds in ms:");
     let second = |n| {
         let at = first + f64::from(n);
         let (share, duration) = second(log, build, at);
@@ -104,8 +106,8 @@
     println!("{}", seconds.join("; "));
 }
 
-/// The share of the attempts of a second that went to a build, and the mean duration of the others'
-/// answers in seconds.
+/// Returns the share of the attempts in a second that went to a build, and the mean duration in
+/// seconds of the successful attempts of earlier builds.
 fn second(log: &Log, build: u32, from: f64) -> (f64, f64) {
     let is_within = |at: f64| at >= from && at < from + 1.0;
     let attempts = || log.attempts.iter().filter(|a| is_within(a.at));
@@ -119,7 +121,8 @@
     (share, mean)
 }
 
-/// Values of requests in a second, by outcome.
+/// The value of the requests that ended in a second, in total and by outcome. The value of a request
+/// is its estimated work times the priority weight of its class.
 #[derive(Default)]
 struct Second<'a> {
     by_outcome: BTreeMap<&'a str, f64>,
@@ -133,7 +136,7 @@
     }
 }
 
-/// Prints the value of the requests of each second, and what became of it.
+/// Prints for each second the value of its requests and the share of that value by outcome.
 pub fn print_seconds(log: &Log) {
     println!("\n| second | benefit asked for, % of the day's | in time % | late % | denied % | scrapped % | left % |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
