--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Real agents before fakes: the figures that are the same each time, which are counts, bytes, and
-//! that each figure and line is there. No times: those are for the large form, on a quiet machine.
+//! Runs real agents against fake endpoints and checks what is the same in each run: counts, bytes,
+//! and that each figure and fitted line is present. Does not check times, which need a full run on
+//! a quiet machine.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -17,42 +18,43 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tulipwall-experiments");
 
-/// The newest file below.
-fn newest(folder: &Path) -> SystemTime {
+/// Returns the latest modification time of the files below a directory.
+fn latest_modification(folder: &Path) -> SystemTime {
     let entries = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap());
     let each = entries.map(|e| match e.file_type().unwrap().is_dir() {
-        true => newest(&e.path()),
+        true => latest_modification(&e.path()),
         false => e.metadata().unwrap().modified().unwrap(),
     });
     each.max().unwrap_or(SystemTime::UNIX_EPOCH)
 }
 
-/// The agent's program of this build. Cargo builds it with all tests, but not with those of this
-/// package alone: where it is missing, or older than what it is made of, it is built here.
+/// Returns the path of the agent's binary of this build profile. Cargo builds the binary with the
+/// tests of the workspace, but not with those of this package alone, so this function builds it if
+/// it is missing or older than its sources.
 fn agent() -> &'static Path {
     static AGENT: OnceLock<PathBuf> = OnceLock::new();
     AGENT.get_or_init(|| {
         let path = Path::new(PROGRAM).with_file_name("tulipwall-agent");
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-        let parts = [
+        let source_dirs = [
             "src",
             "crates/agent/src",
             "crates/client-policy/src",
             "crates/config/src",
         ];
-        let more = [
+        let more_source_dirs = [
             "crates/discovery/src",
             "crates/testkit/src",
             "crates/zones/src",
         ];
-        let made_of = parts
+        let sources_modified_at = source_dirs
             .iter()
-            .chain(&more)
-            .map(|p| newest(&root.join(p)))
+            .chain(&more_source_dirs)
+            .map(|p| latest_modification(&root.join(p)))
             .max()
             .unwrap();
-        let built = path.metadata().and_then(|m| m.modified());
-        if built.is_ok_and(|at| at >= made_of) {
+        let binary_modified_at = path.metadata().and_then(|m| m.modified());
+        if binary_modified_at.is_ok_and(|at| at >= sources_modified_at) {
             return path;
         }
         let profile = path.parent().unwrap();
@@ -77,10 +79,14 @@
             .unwrap();
         assert!(
             out.status.success(),
-            "no agent to start: {}",
+            "building the agent failed: {}",
             String::from_utf8_lossy(&out.stderr)
         );
-        assert!(path.is_file(), "the build left no {}", path.display());
+        assert!(
+            path.is_file(),
+            "the build did not create {}",
+            path.display()
+        );
         path
     })
 }
@@ -97,8 +103,8 @@
     }
 }
 
-/// Runs the measures with an allocator that takes no huge pages, as `docs/CAPACITY.md` has it: what
-/// is resident goes by what is kept then, not by pages of 2 MiB.
+/// Runs the measurements with an allocator that uses no huge pages, as in `docs/CAPACITY.md`, so
+/// that resident memory follows the memory retained rather than pages of 2 MiB.
 fn run_fleet(arguments: &[&str]) -> Output {
     Command::new(PROGRAM)
         .env("MIMALLOC_ALLOW_THP", "0")
@@ -108,8 +114,9 @@
         .unwrap()
 }
 
-/// A short run of these measures, as JSON; one agent unless told otherwise.
-fn measured(arguments: &[&str]) -> (Option<i32>, Value) {
+/// Runs short measurements and returns the exit code and the JSON report. Starts one agent unless
+/// the arguments say otherwise.
+fn run_measurements(arguments: &[&str]) -> (Option<i32>, Value) {
     let agent = [
         "--agent",
         agent().to_str().unwrap(),
@@ -120,37 +127,37 @@
         "--json",
     ];
     let out = run_fleet(&[&agent, arguments].concat());
-    let told = serde_json::from_slice(&out.stdout);
+    let reported = serde_json::from_slice(&out.stdout);
     (
         out.status.code(),
-        told.unwrap_or_else(|_| panic!("{}", String::from_utf8_lossy(&out.stderr))),
+        reported.unwrap_or_else(|_| panic!("{}", String::from_utf8_lossy(&out.stderr))),
     )
 }
 
-fn rows<'a>(told: &'a Value, measure: &str, by: &str) -> Vec<&'a Value> {
-    let all = told["rows"].as_array().unwrap();
+fn rows<'a>(reported: &'a Value, measure: &str, by: &str) -> Vec<&'a Value> {
+    let all = reported["rows"].as_array().unwrap();
     all.iter()
         .filter(|r| r["measure"] == measure && r["by"] == by)
         .collect()
 }
 
-fn figures(told: &Value, measure: &str, by: &str, figure: &str) -> Vec<f64> {
-    rows(told, measure, by)
+fn figures(reported: &Value, measure: &str, by: &str, figure: &str) -> Vec<f64> {
+    rows(reported, measure, by)
         .iter()
         .map(|r| {
             r["figures"][figure]
                 .as_f64()
-                .unwrap_or_else(|| panic!("{measure} lacks {figure}"))
+                .unwrap_or_else(|| panic!("{measure} has no figure {figure}"))
         })
         .collect()
 }
 
-fn fit(told: &Value, measure: &str, by: &str, figure: &str, value: &str) -> f64 {
-    let all = told["fits"].as_array().unwrap();
+fn fit(reported: &Value, measure: &str, by: &str, figure: &str, value: &str) -> f64 {
+    let all = reported["fits"].as_array().unwrap();
     let found = all
         .iter()
         .find(|f| f["measure"] == measure && f["by"] == by && f["figure"] == figure);
-    found.unwrap_or_else(|| panic!("no line for {figure} in {measure}"))[value]
+    found.unwrap_or_else(|| panic!("no fitted line for {figure} in {measure}"))[value]
         .as_f64()
         .unwrap()
 }
@@ -160,7 +167,8 @@
     let exact = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
     assert!((exact.slope - 2.0).abs() < 1e-12 && (exact.intercept - 3.0).abs() < 1e-12);
     assert!(exact.residual_max < 1e-12 && exact.r2 > 1.0 - 1e-12);
-    // By hand: means 2 and 3, slope 2.5 / 2; the points lie 0.25, -0.5 and 0.25 off.
+    // Calculated by hand: the means are 2 and 3, the slope is 2.5 / 2, and the residuals are 0.25,
+    // -0.5 and 0.25.
     let off = Line::through(&[(1.0, 2.0), (2.0, 2.5), (3.0, 4.5)]).unwrap();
     assert!((off.slope - 1.25).abs() < 1e-12 && (off.intercept - 0.5).abs() < 1e-12);
     assert!((off.residual_max - 0.5).abs() < 1e-12);
@@ -174,28 +182,31 @@
     let stat = "77 (a) b (c)) R 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20 0 1 0 99";
     assert_eq!(ticks(stat), Some(Duration::from_secs(3)));
     assert_eq!(ticks("nothing"), None);
-    let (before, begun) = (usage(std::process::id()).unwrap(), Instant::now());
+    let (before, started_at) = (usage(std::process::id()).unwrap(), Instant::now());
     let mut kept = vec![1u8; 8 << 20];
     while usage(std::process::id()).unwrap().ran < before.ran + Duration::from_millis(20) {
         kept.iter_mut().for_each(|b| *b = b.wrapping_add(1));
-        assert!(begun.elapsed() < Duration::from_secs(60), "it never ran");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(60),
+            "no 20 ms of processor time within 60 s"
+        );
     }
     let after = usage(std::process::id()).unwrap();
     assert!(after.peak >= after.resident && after.resident > 8 << 20 && kept.len() == 8 << 20);
-    // The same clock in ticks; each of two counts may lack one, and time goes on between the two
-    // readings.
+    // The same clock in ticks. User and system time may each lack up to one tick, and time passes
+    // between the two readings.
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
     assert!(ticks(&stat).unwrap() + Duration::from_millis(20) >= after.ran);
     assert!(usage(u32::MAX).is_err());
 }
 
-/// What the meter counts is what discovery wrote: its head and the list, to the byte; then what the
-/// agent asked.
+/// Checks that the traffic meter counts exactly the bytes that discovery wrote, the response head
+/// and the list, and that it also counts the agent's requests.
 #[test]
 fn counts_a_whole_list_to_the_byte() {
     let installation = Installation::start(&size(), EndpointBehavior::default()).unwrap();
     let running = installation.agent(agent(), 0, false).unwrap();
-    let taken = until("the next question", || {
+    let taken = until("the next discovery request", || {
         running
             .discovery
             .response_since(Instant::now() - Duration::from_secs(600))
@@ -212,11 +223,11 @@
     );
     let id = running.program.id();
     drop(running);
-    assert!(usage(id).is_err(), "it outlives its owner");
+    assert!(usage(id).is_err(), "the agent outlived its owner");
 }
 
-/// A change is one answer on the watch that stands: a part that is always the same, and each entry
-/// as long as the next.
+/// A change of the list is one response on the pending watch: a constant part, and entries of equal
+/// length.
 #[test]
 fn change_bytes_grow_with_the_entries_changed() {
     let arguments = [
@@ -229,15 +240,15 @@
         "10",
         "100",
     ];
-    let (code, told) = measured(&[&arguments[..], &["--repeats", "2"]].concat());
-    assert_eq!(code, Some(0), "{told}");
+    let (code, reported) = run_measurements(&[&arguments[..], &["--repeats", "2"]].concat());
+    assert_eq!(code, Some(0), "{reported}");
     let of = ("a change of the list", "entries");
-    assert_eq!(figures(&told, of.0, of.1, "bytes").len(), 4);
+    assert_eq!(figures(&reported, of.0, of.1, "bytes").len(), 4);
     let [slope, off, r2] =
-        ["slope", "residual_most", "r2"].map(|v| fit(&told, of.0, of.1, "bytes", v));
-    assert!((120.0..170.0).contains(&slope), "{slope} bytes an entry");
-    assert!(off < slope / 4.0 && r2 > 0.9999, "{told}");
-    assert!(figures(&told, of.0, of.1, "ran_ms")
+        ["slope", "residual_most", "r2"].map(|v| fit(&reported, of.0, of.1, "bytes", v));
+    assert!((120.0..170.0).contains(&slope), "{slope} bytes per entry");
+    assert!(off < slope / 4.0 && r2 > 0.9999, "{reported}");
+    assert!(figures(&reported, of.0, of.1, "ran_ms")
         .iter()
         .all(|ran| *ran > 0.0));
 }
@@ -255,7 +266,7 @@
         "16000",
     ];
     let classes = ["--lanes", "5", "100", "250"];
-    let (_, told) = measured(
+    let (_, reported) = run_measurements(
         &[
             &["--measure", "appliances", "tenants", "pairs"],
             &sizes[..],
@@ -264,16 +275,17 @@
         .concat(),
     );
     for by in ["appliances", "tenants"] {
-        let all = figures(&told, "memory", by, "resident_mb");
+        let all = figures(&reported, "memory", by, "resident_mb");
         assert!(
             all.len() == 3 && all.windows(2).all(|w| w[0] < w[1]),
             "{by}: {all:?}"
         );
-        assert!(fit(&told, "memory", by, "peak_mb", "slope") > 0.0);
-        assert!(fit(&told, "memory", by, "peak_mb", "residual").is_finite());
+        assert!(fit(&reported, "memory", by, "peak_mb", "slope") > 0.0);
+        assert!(fit(&reported, "memory", by, "peak_mb", "residual").is_finite());
     }
-    // Counts of 3,000 endpoints times 245 more classes took 23 MB.
-    let pairs = figures(&told, "memory", "appliance-lane pairs", "resident_mb");
+    // Guards against counts kept per pair: for 3,000 endpoints times 245 more classes they took
+    // 23 MB.
+    let pairs = figures(&reported, "memory", "appliance-lane pairs", "resident_mb");
     assert!(
         pairs.len() == 3 && pairs.iter().all(|mb| (mb - pairs[0]).abs() < 5.0),
         "pairs: {pairs:?}"
@@ -285,7 +297,8 @@
     );
 }
 
-/// Each request is out once at least, on a connection of its own, and as many as were asked.
+/// Each request is sent at least once, on its own connection, and as many requests are open as were
+/// asked for.
 #[test]
 fn measures_memory_while_requests_and_connections_are_open() {
     let arguments = [
@@ -299,20 +312,20 @@
         "5",
         "20",
     ];
-    let (code, told) = measured(&[&arguments[..], &["--sockets", "256"]].concat());
-    assert_eq!(code, Some(0), "{told}");
+    let (code, reported) = run_measurements(&[&arguments[..], &["--sockets", "256"]].concat());
+    assert_eq!(code, Some(0), "{reported}");
     assert_eq!(
-        figures(&told, "memory", "open commands", "open"),
+        figures(&reported, "memory", "open commands", "open"),
         [5.0, 20.0]
     );
-    let attempts = figures(&told, "memory", "open commands", "deliveries");
+    let attempts = figures(&reported, "memory", "open commands", "deliveries");
     assert!(attempts[0] >= 5.0 && attempts[1] >= 20.0, "{attempts:?}");
-    assert!(figures(&told, "memory", "connections", "resident_mb")
+    assert!(figures(&reported, "memory", "connections", "resident_mb")
         .iter()
         .all(|mb| *mb > 1.0));
 }
 
-const FEW: [&str; 7] = [
+const SMALL_RUN_OPTIONS: [&str; 7] = [
     "--appliances",
     "10",
     "400",
@@ -325,8 +338,9 @@
 #[test]
 fn idle_traffic_is_independent_of_the_list_and_a_whole_list_is_not() {
     let arguments = ["--measure", "idle", "start", "--agents", "2"];
-    let (_, told) = measured(&[&arguments[..], &FEW, &["--lanes", "2", "5"]].concat());
-    let pairs = rows(&told, "idle, lists pushed", "appliance-lane pairs");
+    let (_, reported) =
+        run_measurements(&[&arguments[..], &SMALL_RUN_OPTIONS, &["--lanes", "2", "5"]].concat());
+    let pairs = rows(&reported, "idle, lists pushed", "appliance-lane pairs");
     assert_eq!(
         pairs
             .iter()
@@ -334,54 +348,83 @@
             .collect::<Vec<_>>(),
         [800.0, 2000.0]
     );
-    let idle = figures(&told, "idle, lists pushed", "appliances", "control_bytes_s");
+    let idle = figures(
+        &reported,
+        "idle, lists pushed",
+        "appliances",
+        "control_bytes_s",
+    );
     assert!(
         idle.len() == 2 && idle.iter().all(|b| *b < 3000.0),
         "{idle:?}"
     );
     assert_eq!(
-        figures(&told, "idle, lists pushed", "appliances", "agents"),
+        figures(&reported, "idle, lists pushed", "appliances", "agents"),
         [2.0, 2.0]
     );
-    let list = figures(&told, "start without a list", "appliances", "list_bytes");
+    let list = figures(
+        &reported,
+        "start without a list",
+        "appliances",
+        "list_bytes",
+    );
     let entry = (list[1] - list[0]) / 390.0;
-    assert!((120.0..170.0).contains(&entry), "{entry} bytes an entry");
+    assert!((120.0..170.0).contains(&entry), "{entry} bytes per entry");
 }
 
-/// How much is asked for is the agent's to say; here that it is counted, and no more than it may be
-/// at the very most: two calls for the whole list.
+/// How many bytes are requested depends on the agent. This checks that they are counted and do not
+/// exceed the maximum, which is two requests for the whole list.
 #[test]
 fn counts_reloads_and_restarts_until_they_are_in_force() {
-    let (_, told) = measured(&[&["--measure", "start", "renew", "restart"][..], &FEW].concat());
-    let whole = figures(&told, "start without a list", "appliances", "list_bytes");
-    let renewed = figures(&told, "a new configuration (SIGHUP)", "appliances", "bytes");
-    let again = figures(&told, "new settings (restart)", "appliances", "bytes");
+    let (_, reported) = run_measurements(
+        &[
+            &["--measure", "start", "renew", "restart"][..],
+            &SMALL_RUN_OPTIONS,
+        ]
+        .concat(),
+    );
+    let whole = figures(
+        &reported,
+        "start without a list",
+        "appliances",
+        "list_bytes",
+    );
+    let bytes_after_reload = figures(
+        &reported,
+        "a new configuration (SIGHUP)",
+        "appliances",
+        "bytes",
+    );
+    let bytes_after_restart = figures(&reported, "new settings (restart)", "appliances", "bytes");
     for (n, whole) in whole.iter().enumerate() {
         assert!(
-            renewed[n] > 200.0 && renewed[n] < whole * 2.0 + 8000.0,
-            "{renewed:?} of {whole}"
+            bytes_after_reload[n] > 200.0 && bytes_after_reload[n] < whole * 2.0 + 8000.0,
+            "{bytes_after_reload:?} of {whole}"
         );
         assert!(
-            again[n] > 200.0 && again[n] < whole * 2.0 + 8000.0,
-            "{again:?} of {whole}"
+            bytes_after_restart[n] > 200.0 && bytes_after_restart[n] < whole * 2.0 + 8000.0,
+            "{bytes_after_restart:?} of {whole}"
         );
     }
     for by in ["appliances", "tenants"] {
-        let ms = figures(&told, "a new configuration (SIGHUP)", by, "in_force_ms");
+        let ms = figures(&reported, "a new configuration (SIGHUP)", by, "in_force_ms");
         assert!(ms.iter().all(|ms| *ms > 0.0));
-        assert!(figures(&told, "new settings (restart)", by, "in_force_ms")
-            .iter()
-            .all(|ms| *ms > 0.0));
+        assert!(
+            figures(&reported, "new settings (restart)", by, "in_force_ms")
+                .iter()
+                .all(|ms| *ms > 0.0)
+        );
     }
 }
 
-/// Whether an agent takes settings over at SIGHUP is its to say: either no time is told, or one for
-/// all repeats.
+/// The agent decides whether it takes settings over at SIGHUP. The report has either no time or one
+/// that covers all repeats.
 #[test]
 fn reports_settings_taken_over_for_all_repeats_or_none() {
-    let (_, told) = measured(&[&["--measure", "settings"][..], &FEW].concat());
+    let (_, reported) =
+        run_measurements(&[&["--measure", "settings"][..], &SMALL_RUN_OPTIONS].concat());
     for by in ["appliances", "tenants"] {
-        let settings = rows(&told, "new settings (SIGHUP)", by);
+        let settings = rows(&reported, "new settings (SIGHUP)", by);
         for row in settings.iter().map(|r| &r["figures"]) {
             assert_eq!(
                 row["taken_over"] == 1.0,
@@ -393,7 +436,7 @@
     }
 }
 
-const LOADS: [&str; 9] = [
+const LOAD_OPTIONS: [&str; 9] = [
     "--appliances",
     "10",
     "60",
@@ -405,12 +448,12 @@
     "1",
 ];
 
-/// The load is the same each time: so many requests, whatever they are sent to.
+/// The load generator sends the same number of requests in each run, whatever it sends them to.
 #[test]
 fn load_sends_the_same_number_of_requests_at_each_size() {
-    let (_, told) = measured(&[&["--measure", "added"][..], &LOADS].concat());
+    let (_, reported) = run_measurements(&[&["--measure", "added"][..], &LOAD_OPTIONS].concat());
     let asked = figures(
-        &told,
+        &reported,
         "added to a request at 40 a second",
         "appliances",
         "asked",
@@ -429,7 +472,7 @@
     ] {
         assert_eq!(
             figures(
-                &told,
+                &reported,
                 "added to a request at 40 a second",
                 "appliances",
                 figure
@@ -442,16 +485,22 @@
 
 #[test]
 fn counts_requests_by_endpoints_and_by_tenants() {
-    let (_, told) = measured(&[&["--measure", "commands"][..], &LOADS].concat());
-    let asked = figures(&told, "commands at 40 a second", "appliances", "asked");
+    let (_, reported) = run_measurements(&[&["--measure", "commands"][..], &LOAD_OPTIONS].concat());
+    let asked = figures(&reported, "commands at 40 a second", "appliances", "asked");
     assert!(asked[0] > 10.0 && asked[0] == asked[1], "{asked:?}");
     assert!(
-        figures(&told, "commands at 40 a second", "appliances", "core_%")
+        figures(&reported, "commands at 40 a second", "appliances", "core_%")
             .iter()
             .all(|c| *c > 0.0)
     );
     assert_eq!(
-        figures(&told, "commands at 40 a second", "tenants", "us_a_command").len(),
+        figures(
+            &reported,
+            "commands at 40 a second",
+            "tenants",
+            "us_a_command"
+        )
+        .len(),
         1
     );
 }
@@ -461,24 +510,24 @@
     let installation = Installation::start(&size(), EndpointBehavior::default()).unwrap();
     let at = installation.endpoints[0].address(0);
     let answered = measures::load(&size(), at, 60.0, Duration::from_secs(1), 3);
-    let seen = installation.endpoints[0].received_queries();
+    let received = installation.endpoints[0].received_queries();
     assert!(
-        answered.requests > 20 && seen.len() as u64 == answered.requests,
+        answered.requests > 20 && received.len() as u64 == answered.requests,
         "{}",
-        seen.len()
+        received.len()
     );
-    assert!(seen
+    assert!(received
         .iter()
         .all(|s| s.class.starts_with("route-") && s.statement.contains(",t=tenant-")));
-    assert!(seen.iter().any(|s| s.key.is_some()));
-    let classes: std::collections::BTreeSet<_> = seen.iter().map(|s| &s.class).collect();
+    assert!(received.iter().any(|s| s.key.is_some()));
+    let classes: std::collections::BTreeSet<_> = received.iter().map(|s| &s.class).collect();
     assert!(classes.len() > 3, "{classes:?}");
 }
 
-/// What a handshake for each request takes is told apart by a load that makes one for each, also
-/// while the fakes look for events all the time.
+/// The cost of a handshake per request is measured with a load that opens a connection for each
+/// request. This has to work also while the fake endpoints poll for events continuously.
 #[test]
-fn load_makes_a_handshake_for_each_request_where_it_is_told_to() {
+fn load_makes_a_handshake_for_each_request_if_configured() {
     let mean = Duration::from_millis(4);
     let installation = Installation::with_timed_endpoints(&size(), mean).unwrap();
     let load = Load {
@@ -490,18 +539,18 @@
         seed: 5,
     };
     let _polling = BusyPolling::begin();
-    let handshaken = load.clone().run_with(ConnectionUse::NewForEach);
+    let with_handshakes = load.clone().run_with(ConnectionUse::NewForEach);
     let accepted = installation.accepted_by_timed_endpoints();
-    assert_eq!(handshaken.succeeded, handshaken.requests);
-    assert_eq!(accepted, handshaken.requests);
+    assert_eq!(with_handshakes.succeeded, with_handshakes.requests);
+    assert_eq!(accepted, with_handshakes.requests);
     let kept = load.run_with(ConnectionUse::Reused);
-    assert_eq!(kept.requests, handshaken.requests);
-    let accepted_by_kept = installation.accepted_by_timed_endpoints() - accepted;
-    assert!(accepted_by_kept < kept.requests, "{accepted_by_kept}");
+    assert_eq!(kept.requests, with_handshakes.requests);
+    let accepted_by_reused = installation.accepted_by_timed_endpoints() - accepted;
+    assert!(accepted_by_reused < kept.requests, "{accepted_by_reused}");
 }
 
-/// What a request takes is known beforehand, by its id: no answer comes sooner, and the mean is the
-/// one that was told.
+/// The work of a request is determined by its id. No answer comes sooner, and the mean work is the
+/// configured one.
 #[test]
 fn timed_endpoint_takes_the_time_that_the_id_gives() {
     let mean = Duration::from_millis(4);
@@ -528,7 +577,7 @@
         .collect();
     let of = |f: &dyn Fn(f64) -> f64| all.iter().map(|x| f(*x)).sum::<f64>() / all.len() as f64;
     let (m, variance) = (of(&|x| x), of(&|x| (x - 4.0).powi(2)));
-    // Half of it is exponential: mean 2, deviation 2.
+    // Half of the work is exponential, with a mean and a standard deviation of 2 ms.
     assert!(
         (m - 4.0).abs() < 0.05 && (variance - 4.0).abs() < 0.2,
         "mean {m}, variance {variance}"
@@ -538,8 +587,9 @@
 
 #[test]
 fn refuses_a_run_that_does_not_fit_before_it_starts() {
-    // No such program: whoever came to start it would say so.
-    let refused = |arguments: &[&str], why: &str| {
+    // The program does not exist: a run that got as far as starting it would fail with another
+    // message.
+    let refused = |arguments: &[&str], refusal_reason: &str| {
         let out = run_fleet(
             &[
                 &[
@@ -552,11 +602,11 @@
             ]
             .concat(),
         );
-        let said = String::from_utf8(out.stderr).unwrap();
+        let message = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.status.code(), Some(1));
         assert!(
-            said.contains(why) && said.contains("the run would take"),
-            "{said}"
+            message.contains(refusal_reason) && message.contains("the run would take"),
+            "{message}"
         );
         assert!(out.stdout.is_empty());
     };
@@ -578,7 +628,7 @@
     assert_eq!(run_fleet(&["--seconds", "61"]).status.code(), Some(2));
     assert_eq!(run_fleet(&["--limit", "peak_mb"]).status.code(), Some(2));
 
-    let room = Machine {
+    let machine = Machine {
         memory: 8 << 30,
         descriptors: 20_000,
         load: 0.0,
@@ -595,29 +645,30 @@
             0,
         )
     };
-    assert_eq!(of(100, 1000).refused(&room), None);
-    let why = |e: Estimate, m: Machine| {
+    assert_eq!(of(100, 1000).refused(&machine), None);
+    let refusal_reason = |e: Estimate, m: Machine| {
         e.refused(&m)
             .map_or_else(String::new, |refusal| refusal.to_string())
     };
-    let little = Machine {
+    let small_machine = Machine {
         memory: 2 << 30,
-        ..room
+        ..machine
     };
-    assert!(why(of(100, 1000), little).contains("of which half is left"));
-    assert!(why(
+    assert!(refusal_reason(of(100, 1000), small_machine).contains("of which half is left"));
+    assert!(refusal_reason(
         of(100, 1000),
         Machine {
             descriptors: 1024,
-            ..room
+            ..machine
         }
     )
     .contains("1024 descriptors are allowed"));
-    // It does not overflow.
-    assert!(of(usize::MAX, usize::MAX).refused(&room).is_some());
+    // The estimate does not overflow.
+    assert!(of(usize::MAX, usize::MAX).refused(&machine).is_some());
 }
 
-/// Else a run that does not fit would be let in.
+/// Guards against an estimate that is too low, by which a run that does not fit in memory would
+/// start.
 #[test]
 fn agent_takes_no_more_memory_than_its_estimate() {
     let size = Size {
@@ -631,27 +682,30 @@
     let clients: Vec<_> = (0..20)
         .map(|_| TestClient::connect(running.address().unwrap()).unwrap())
         .collect();
-    let (took, told) = (
+    let (took, reported) = (
         running.usage().unwrap().peak,
         estimate::size(&size, clients.len()).agent,
     );
-    assert!(took <= told, "{took} of {told}");
+    assert!(
+        took <= reported,
+        "peak of {took} bytes exceeds the estimate of {reported}"
+    );
 }
 
 #[test]
 fn lists_figures_beyond_a_limit_and_exits_with_4() {
     let sizes = ["--measure", "appliances", "--appliances", "10", "20"];
-    let (code, told) = measured(&sizes);
+    let (code, reported) = run_measurements(&sizes);
     assert_eq!(
-        (code, told["beyond"].as_array().map(Vec::len)),
+        (code, reported["beyond"].as_array().map(Vec::len)),
         (Some(0), Some(0)),
-        "{told}"
+        "{reported}"
     );
-    let (code, told) = measured(&[&sizes[..], &["--limit", "peak_mb=1"]].concat());
+    let (code, reported) = run_measurements(&[&sizes[..], &["--limit", "peak_mb=1"]].concat());
     assert_eq!(
-        (code, told["beyond"].as_array().map(Vec::len)),
+        (code, reported["beyond"].as_array().map(Vec::len)),
         (Some(4), Some(2)),
-        "{told}"
+        "{reported}"
     );
     let row = |figure, value| Row::new("m", "n", 7.0, [(figure, value)]);
     let results = |figure, value| {
@@ -662,8 +716,8 @@
         of.add(vec![row(figure, value)], &[]);
         of.beyond()
     };
-    // The operators' letter, figure by figure.
-    let letter = [
+    // The limits that the operators stated, one per figure.
+    let stated_limits = [
         ("control_core_%", 1.2),
         ("peak_mb", 256.0),
         ("control_bytes_s", 3000.0),
@@ -671,8 +725,11 @@
         ("in_force_ms", 4000.0),
         ("added_p99_ms", 7.9),
     ];
-    for (figure, most) in letter {
-        assert!(results(figure, most).is_empty(), "{figure}");
-        assert!(results(figure, most * 1.01)[0].contains(figure), "{figure}");
+    for (figure, limit) in stated_limits {
+        assert!(results(figure, limit).is_empty(), "{figure}");
+        assert!(
+            results(figure, limit * 1.01)[0].contains(figure),
+            "{figure}"
+        );
     }
 }
--- a/crates/experiments/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -1,11 +1,12 @@
-//! The load tool against a fake that speaks as an agent does, and whose limit is known.
+//! Tests the load generator against a fake endpoint that speaks the agent's protocol and has a
+//! known capacity.
 
 use std::process::Command;
 use std::time::Duration;
 use tulipwall_experiments::load::{LoadClass, Plan, Step};
 use tulipwall_testkit::{runtime, Endpoint, EndpointBehavior, ResponseBehavior};
 
-fn plan(of: &Endpoint) -> Plan {
+fn plan(endpoint: &Endpoint) -> Plan {
     let view = LoadClass {
         name: "view".to_owned(),
         weight: 1.0,
@@ -13,14 +14,14 @@
         keyed: false,
     };
     Plan {
-        agent: of.address(0),
+        agent: endpoint.address(0),
         classes: vec![view],
         connections: 200,
         seed: 1,
     }
 }
 
-fn of(cores: usize) -> Endpoint {
+fn endpoint(cores: usize) -> Endpoint {
     Endpoint::start(
         1,
         EndpointBehavior {
@@ -35,9 +36,9 @@
 
 #[test]
 fn latencies_count_from_when_a_request_was_due() {
-    // One core takes 50 a second; at 100 the queue grows by a second in each two. Times that
-    // counted from the sending on a free connection would hide that.
-    let agent = of(1);
+    // One core serves 50 requests per second; at 100, the queue grows by one second of work every
+    // two seconds. Latencies measured from sending on a free connection would hide that.
+    let agent = endpoint(1);
     let step = Plan {
         connections: 1,
         ..plan(&agent)
@@ -47,19 +48,24 @@
     let late = step.answered.send_delay_ms(0.5);
     assert!(
         late < 100.0,
-        "each went out when it was due, whatever became of those before: {late} ms"
+        "each request must be sent when due, whatever happened to earlier ones: {late} ms late"
     );
 }
 
 #[test]
-fn search_finds_the_highest_rate_that_an_agent_keeps() {
-    // Four cores of 20 ms: 200 a second at the very most.
-    let agent = of(4);
+fn search_finds_the_highest_rate_that_an_agent_sustains() {
+    // Four cores at 20 ms per request serve at most 200 requests per second.
+    let agent = endpoint(4);
     let mut steps = 0;
-    // Those in which the load itself was late are played again.
-    let in_time = |s: &Step| steps += usize::from(!s.is_generator_late());
-    let found =
-        plan(&agent).highest_rate(40.0, 1600.0, Duration::from_millis(1200), 250.0, in_time);
+    // Steps in which the load generator itself was late are repeated and do not count.
+    let count_if_on_time = |s: &Step| steps += usize::from(!s.is_generator_late());
+    let found = plan(&agent).highest_rate(
+        40.0,
+        1600.0,
+        Duration::from_millis(1200),
+        250.0,
+        count_if_on_time,
+    );
     let found = found.unwrap();
     assert!(
         (60.0..=240.0).contains(&found) && steps < 16,
@@ -71,17 +77,17 @@
     );
 }
 
-/// Guards a search against a machine that lets the load stand still for a moment: that tells
-/// nothing of the agent.
+/// Guards against a search that ends at too low a rate because the machine stalled the load
+/// generator for a moment, which says nothing about the agent.
 #[test]
 fn repeats_a_step_in_which_the_load_generator_was_late() {
-    let agent = of(4);
+    let agent = endpoint(4);
     let mut late = Vec::new();
-    let stands_still = async {
+    let stall = async {
         runtime::sleep(Duration::from_millis(300)).await;
         std::thread::sleep(Duration::from_millis(150));
     };
-    runtime::spawn(stands_still).detach();
+    runtime::spawn(stall).detach();
     let found = plan(&agent).highest_rate(40.0, 40.0, Duration::from_millis(1200), 250.0, |s| {
         late.push(s.is_generator_late())
     });
@@ -120,10 +126,10 @@
         "--json",
     ]);
     assert!(out.status.success());
-    let told: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
-    assert_eq!(told["asked"], told["denied"]);
-    assert_eq!(told["satisfied"].as_u64(), Some(0));
-    assert!(told["load_is_the_bottleneck"].is_boolean() && told["ms"]["p99"].is_number());
+    let printed: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
+    assert_eq!(printed["asked"], printed["denied"]);
+    assert_eq!(printed["satisfied"].as_u64(), Some(0));
+    assert!(printed["load_is_the_bottleneck"].is_boolean() && printed["ms"]["p99"].is_number());
     assert!(agent
         .received_queries()
         .iter()
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -1,5 +1,5 @@
-//! Whether the model is right: against published formulas, against itself, and with the rules
-//! broken on purpose.
+//! Checks the simulation against published formulas, against itself, and with injected faults that
+//! deliberately violate its rules.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,44 +14,44 @@
     Scenario::read(&text).unwrap_or_else(|all| panic!("{all:?}"))
 }
 
-const LANES: &str = "lane \"view\" { weight 0.45; benefit 3; }
+const CLASSES: &str = "lane \"view\" { weight 0.45; benefit 3; }
 lane \"send\" { repeats \"deduplicated\"; weight 0.45; benefit 3; }
 lane \"payment\" { repeats \"unrepeatable\"; weight 0.1; work \"30ms\"; benefit 9; expiry \"2s\"; quoted \"750ms\"; }";
 
 fn two_zones(more: &str) -> Scenario {
     scenario(&format!(
         "span \"20s\"; rate 600\nzone \"a\" {{ appliances 4; cores 4; }}\nzone \"b\" {{ appliances 4; cores 4; }}\n\
-         way \"a\" \"b\" {{ delay \"2ms\"; }}\nway \"b\" \"a\" {{ delay \"2ms\"; }}\n{LANES}\n{more}"
+         way \"a\" \"b\" {{ delay \"2ms\"; }}\nway \"b\" \"a\" {{ delay \"2ms\"; }}\n{CLASSES}\n{more}"
     ))
 }
 
 #[test]
 fn one_endpoint_waits_as_the_pollaczek_khinchine_formula_says() {
-    // One core, Poisson arrivals; work is 0.4 of its mean and 0.6 of it exponential: squared
-    // variation 0.36.
-    let s = scenario(
+    // One core and Poisson arrivals. 0.4 of the mean work is constant and 0.6 exponential, which
+    // gives a squared coefficient of variation of 0.36.
+    let parsed_scenario = scenario(
         "span \"400s\"; rate 30; agents 1; seeds 1\nzone \"a\" { appliances 1; cores 1; }\n\
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
     );
-    let p = run::build_simulation(&s, 3).run();
+    let report = run::build_simulation(&parsed_scenario, 3).run();
     assert!(
-        p.violations.is_empty() && p.rejected + p.failed == 0,
+        report.violations.is_empty() && report.rejected + report.failed == 0,
         "{:?} {} {}",
-        p.violations,
-        p.rejected,
-        p.failed
+        report.violations,
+        report.rejected,
+        report.failed
     );
     let (work, load) = (0.020, 30.0 * 0.020);
     let wait = load * work * (1.0 + 0.36) / (2.0 * (1.0 - load));
-    let wanted = (work + wait + 0.0003) * 1000.0;
-    let mean = p.latencies.mean() / 1000.0;
+    let expected = (work + wait + 0.0003) * 1000.0;
+    let mean = report.latencies.mean() / 1000.0;
     assert!(
-        (mean / wanted - 1.0).abs() < 0.05,
-        "{mean:.2} ms, {wanted:.2} by the formula"
+        (mean / expected - 1.0).abs() < 0.05,
+        "mean latency {mean:.2} ms, expected {expected:.2} ms by the formula"
     );
 }
 
-/// The probability that a request waits where `c` cores share a load of `a` (Erlang's C formula).
+/// Probability that a request waits if `c` cores share an offered load of `a` (Erlang C formula).
 fn erlang(c: usize, a: f64) -> f64 {
     let term = |n: usize| (1..=n).fold(1.0, |t, k| t * a / k as f64);
     let last = term(c) * c as f64 / (c as f64 - a);
@@ -61,33 +61,36 @@
 #[test]
 fn one_and_eight_cores_wait_as_the_erlang_c_formula_says() {
     for (cores, rate) in [(1usize, 30.0), (8, 320.0)] {
-        let s = scenario(&format!(
+        let parsed_scenario = scenario(&format!(
             "span \"400s\"; rate {rate}; agents 1; steady 0\nzone \"a\" {{ appliances 1; cores {cores}; }}\n\
              lane \"view\" {{ work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }}"
         ));
-        let p = run::build_simulation(&s, 5).run();
+        let report = run::build_simulation(&parsed_scenario, 5).run();
         assert!(
-            p.violations.is_empty() && p.rejected + p.failed == 0,
+            report.violations.is_empty() && report.rejected + report.failed == 0,
             "{cores}: {} {}",
-            p.rejected,
-            p.failed
+            report.rejected,
+            report.failed
         );
         let (work, load) = (0.020, rate * 0.020);
         let wait = erlang(cores, load) * work / (cores as f64 - load);
-        let (wanted, mean) = ((work + wait + 0.0003) * 1000.0, p.latencies.mean() / 1000.0);
+        let (expected, mean) = (
+            (work + wait + 0.0003) * 1000.0,
+            report.latencies.mean() / 1000.0,
+        );
         assert!(
-            (mean / wanted - 1.0).abs() < 0.06,
-            "{cores} cores: {mean:.2} ms, {wanted:.2} by the formula"
+            (mean / expected - 1.0).abs() < 0.06,
+            "{cores} cores: mean latency {mean:.2} ms, expected {expected:.2} ms by the formula"
         );
     }
 }
 
 #[test]
-fn message_loss_and_late_notifications_cost_time_and_break_no_rule() {
+fn message_loss_and_late_notifications_add_latency_but_violate_no_rule() {
     let figures = |more: &str| {
-        let offer = "offer { at \"5s\"; stages 0.1 1; step \"4s\"; appliances 4; }\n\
+        let rollout = "offer { at \"5s\"; stages 0.1 1; step \"4s\"; appliances 4; }\n\
             fault { at \"8s\"; for \"4s\"; zone \"a\"; kind \"drain\"; }";
-        let record = run::run(&two_zones(&format!("{offer}\n{more}")), 0, &[], 3);
+        let record = run::run(&two_zones(&format!("{rollout}\n{more}")), 0, &[], 3);
         assert!(
             record.violations.is_empty(),
             "{more}: {:?}",
@@ -115,117 +118,134 @@
 
 #[test]
 fn two_random_choices_leave_shorter_queues_than_one() {
-    // Ten endpoints of one core at 0.7: by chance alone each is an M/G/1 queue; two choices wait
-    // far less (Mitzenmacher 2001: the longest queues fall from log n to log log n).
-    let s = scenario(
+    // Ten endpoints of one core at a utilization of 0.7. With one random choice each is an M/G/1
+    // queue. With two choices, requests wait far less (Mitzenmacher 2001: the longest queue falls
+    // from log n to log log n).
+    let parsed_scenario = scenario(
         "span \"60s\"; rate 350; agents 1\nzone \"a\" { appliances 10; cores 1; }\n\
          lane \"view\" { work \"20ms\"; quoted \"100s\"; expiry \"200s\"; repeats \"unrepeatable\"; }",
     );
-    let p = run::build_simulation(&s, 4).run();
+    let report = run::build_simulation(&parsed_scenario, 4).run();
     let (work, load) = (0.020, 0.7);
-    let alone = load * work * 1.36 / (2.0 * (1.0 - load)) * 1000.0;
-    let waits = p.latencies.mean() / 1000.0 - 20.3;
+    let single_choice_wait_ms = load * work * 1.36 / (2.0 * (1.0 - load)) * 1000.0;
+    let mean_wait_ms = report.latencies.mean() / 1000.0 - 20.3;
     assert!(
-        waits < alone * 0.5,
-        "{waits:.2} ms of waiting, {alone:.2} ms where one is drawn"
+        mean_wait_ms < single_choice_wait_ms * 0.5,
+        "mean wait {mean_wait_ms:.2} ms, {single_choice_wait_ms:.2} ms with a single random choice"
     );
 }
 
 #[test]
 fn equal_seeds_give_equal_records_and_other_seeds_do_not() {
-    let s = two_zones("routing \"near-first\"; share 0.05");
+    let parsed_scenario = two_zones("routing \"near-first\"; share 0.05");
     let values = Vec::new();
-    let (one, two) = (run::run(&s, 0, &values, 7), run::run(&s, 0, &values, 7));
+    let (one, two) = (
+        run::run(&parsed_scenario, 0, &values, 7),
+        run::run(&parsed_scenario, 0, &values, 7),
+    );
     assert_eq!(one, two);
-    assert_ne!(one.digest, run::run(&s, 0, &values, 8).digest);
+    assert_ne!(one.digest, run::run(&parsed_scenario, 0, &values, 8).digest);
     let threads: Vec<_> = (0..4)
         .map(|_| {
-            let s = s.clone();
-            std::thread::spawn(move || run::run(&s, 0, &[], 7).digest)
+            let parsed_scenario = parsed_scenario.clone();
+            std::thread::spawn(move || run::run(&parsed_scenario, 0, &[], 7).digest)
         })
         .collect();
     assert!(
         threads.into_iter().all(|t| t.join().unwrap() == one.digest),
-        "on any number of threads"
+        "the digest depends on the number of threads"
     );
 }
 
-fn broken(p: &SimulationReport, rule: &str) -> bool {
-    p.violations.iter().any(|b| b.to_string().starts_with(rule))
+fn violates(report: &SimulationReport, rule: &str) -> bool {
+    report
+        .violations
+        .iter()
+        .any(|b| b.to_string().starts_with(rule))
 }
 
 #[test]
 fn catches_a_deliberate_violation_of_each_rule() {
-    let good = |s: &Scenario| run::build_simulation(s, 1).run();
-    assert!(good(&two_zones("")).violations.is_empty());
-    // 1: an agent that stands still past the expiry of what it has and is killed there.
-    let mut d = run::build_simulation(&two_zones(""), 1);
-    d.events.push((
+    let run_without_faults =
+        |parsed_scenario: &Scenario| run::build_simulation(parsed_scenario, 1).run();
+    assert!(run_without_faults(&two_zones("")).violations.is_empty());
+    // Rule 1: an agent stalls past the deadline of its requests and is killed while it stalls.
+    let mut faulty_simulation = run::build_simulation(&two_zones(""), 1);
+    faulty_simulation.events.push((
         Duration::from_secs(19),
         ScenarioEvent::StallAgent(0, Duration::from_secs(60)),
     ));
-    assert!(broken(&d.run(), "rule 1"), "an answer that never comes");
-    // 2: the decisions think that payments repeat; the checker does not.
-    let mut d = run::build_simulation(&two_zones("fault { at \"2s\"; fail 0.5; }"), 1);
-    d.injected_faults.idempotency = BTreeMap::from([(2, Idempotency::Idempotent)]);
-    assert!(broken(&d.run(), "rule 2"), "a payment that runs twice");
-    // 3: agents are not told of a drain.
-    let mut d = run::build_simulation(
+    assert!(
+        violates(&faulty_simulation.run(), "rule 1"),
+        "not reported: a request without an answer"
+    );
+    // Rule 2: the decisions treat payments as idempotent; the checker does not.
+    let mut faulty_simulation =
+        run::build_simulation(&two_zones("fault { at \"2s\"; fail 0.5; }"), 1);
+    faulty_simulation.injected_faults.idempotency = BTreeMap::from([(2, Idempotency::Idempotent)]);
+    assert!(
+        violates(&faulty_simulation.run(), "rule 2"),
+        "not reported: a payment that runs twice"
+    );
+    // Rule 3: drains are hidden from the agents.
+    let mut faulty_simulation = run::build_simulation(
         &two_zones("fault { at \"2s\"; kind \"drain\"; appliances 2; }"),
         1,
     );
-    d.injected_faults.hide_drains = true;
+    faulty_simulation.injected_faults.hide_drains = true;
     assert!(
-        broken(&d.run(), "rule 3"),
-        "a delivery to a draining appliance"
+        violates(&faulty_simulation.run(), "rule 3"),
+        "not reported: an attempt at a draining endpoint"
     );
-    // 4: agents are not told that an endpoint is cold, and are too many to see it each.
+    // Rule 4: cold starts are hidden from the agents, of which there are too many for each to
+    // observe them by itself.
     let cold = "agents 80\nfault { at \"2s\"; for \"1s\"; kind \"gone\"; appliances 3; }\nfault { at \"3s\"; burst 3; }";
-    let mut d = run::build_simulation(&two_zones(cold), 1);
+    let mut faulty_simulation = run::build_simulation(&two_zones(cold), 1);
     (
-        d.injected_faults.hide_cold_starts,
-        d.settings.slow_start_share,
-        d.settings.slow_start_duration,
+        faulty_simulation.injected_faults.hide_cold_starts,
+        faulty_simulation.settings.slow_start_share,
+        faulty_simulation.settings.slow_start_duration,
     ) = (true, 0.01, Duration::from_secs(20));
     assert!(
-        broken(&d.run(), "rule 4"),
-        "a cold appliance that gets too much"
+        violates(&faulty_simulation.run(), "rule 4"),
+        "not reported: a cold endpoint that gets too many requests"
     );
-    // 5: agents are told a higher cap than holds.
-    let offer = "offer { at \"2s\"; stages 0.05 1; appliances 4; step \"8s\"; }";
-    let mut d = run::build_simulation(&two_zones(offer), 1);
-    d.injected_faults.reported_cap = Some(1.0);
+    // Rule 5: the cap reported to the agents is higher than the one in force.
+    let rollout = "offer { at \"2s\"; stages 0.05 1; appliances 4; step \"8s\"; }";
+    let mut faulty_simulation = run::build_simulation(&two_zones(rollout), 1);
+    faulty_simulation.injected_faults.reported_cap = Some(1.0);
     assert!(
-        broken(&d.run(), "rule 5"),
-        "a build on trial that gets more than its cap"
+        violates(&faulty_simulation.run(), "rule 5"),
+        "not reported: a canary that gets more than its cap"
     );
 }
 
 #[test]
 fn naive_retries_prolong_an_overload_and_careful_ones_do_not() {
-    let after = |clients: &str| {
-        let s = two_zones(&format!(
+    let run_with_clients = |clients: &str| {
+        let parsed_scenario = two_zones(&format!(
             "clients \"{clients}\"\nfault {{ at \"6s\"; for \"4s\"; slow 6; }}"
         ));
-        let record = run::run(&s, 0, &[], 2);
+        let record = run::run(&parsed_scenario, 0, &[], 2);
         assert!(record.violations.is_empty(), "{:?}", record.violations);
         (record.figures["good"], record.figures["taken_over_asked"])
     };
-    let ((naive, multiplied), (careful, spared)) = (after("naive"), after("careful"));
+    let ((naive, naive_attempt_ratio), (careful, careful_attempt_ratio)) =
+        (run_with_clients("naive"), run_with_clients("careful"));
     assert!(
-        multiplied > spared + 0.1,
-        "{multiplied} and {spared} commands for each that was wanted"
+        naive_attempt_ratio > careful_attempt_ratio + 0.1,
+        "{naive_attempt_ratio} and {careful_attempt_ratio} attempts received per request"
     );
     assert!(careful > naive - 0.02, "{careful} and {naive}");
 }
 
 #[test]
 fn simulates_a_thousand_agents_and_more_agents_than_requests() {
-    let s = scenario(
+    let parsed_scenario = scenario(
         "span \"2s\"; rate 4000; agents 1000\nzone \"a\" { appliances 250; cores 4; }\n\
          zone \"b\" { appliances 250; cores 4; }\nlane \"view\" { work \"10ms\"; }",
     );
-    let record = run::run(&s, 0, &[], 1);
+    let record = run::run(&parsed_scenario, 0, &[], 1);
     assert!(
         record.violations.is_empty() && record.figures["good"] > 0.99,
         "{:?}",
@@ -246,11 +266,11 @@
 fn resumes_a_file_of_records_and_drops_damaged_lines() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("r.records");
-    let s = two_zones("");
+    let parsed_scenario = two_zones("");
     let header = || Header::of("t", "text");
     let mut file = RecordFile::open(&path, header()).unwrap();
     for seed in 1..=3 {
-        file.add(run::run(&s, 0, &[], seed)).unwrap();
+        file.add(run::run(&parsed_scenario, 0, &[], seed)).unwrap();
     }
     let all = file.records.clone();
     drop(file);
@@ -275,7 +295,7 @@
         .iter()
         .map(|m| m.to_string())
         .collect();
-    for wanted in [
+    for expected in [
         "2:3: rte: unknown in experiment; did you mean 'rate'?",
         "3:25: appliances: expected a number from 0 to 100000",
         "4:3: way: no zone 'c'; known are a",
@@ -286,8 +306,8 @@
         "1:1: vary: an offer is wanted for what varies of it",
     ] {
         assert!(
-            all.iter().any(|m| m.starts_with(wanted)),
-            "{wanted}\nin {all:#?}"
+            all.iter().any(|m| m.starts_with(expected)),
+            "{expected}\nnot found in {all:#?}"
         );
     }
     assert!(Scenario::read("").is_err());
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -1,5 +1,5 @@
-//! How an installation bears its size, by counts that are the same on any machine: walks, bytes and
-//! messages. Times are for `tulipwall-experiments scale`.
+//! Checks how an installation scales by counts that are the same on any machine: endpoints scanned,
+//! bytes and messages. `tulipwall-experiments scale` measures times.
 
 use std::process::{Command, Output};
 use std::time::Duration;
@@ -15,7 +15,11 @@
     Duration::from_secs(n)
 }
 
-fn play(size: Size, duration: Duration, events: Vec<(Duration, InstallationEvent)>) -> Simulation {
+fn simulation_of(
+    size: Size,
+    duration: Duration,
+    events: Vec<(Duration, InstallationEvent)>,
+) -> Simulation {
     Simulation {
         size,
         seed: 7,
@@ -28,7 +32,7 @@
 }
 
 fn run(size: Size, duration: Duration, events: Vec<(Duration, InstallationEvent)>) -> Outcome {
-    play(size, duration, events).run().unwrap()
+    simulation_of(size, duration, events).run().unwrap()
 }
 
 fn row(size: Size, name: &str) -> Row {
@@ -38,37 +42,37 @@
         .unwrap()
 }
 
-fn bytes(o: &Outcome, kind: &str) -> f64 {
-    o.traffic.get(kind).map_or(0.0, |s| s.total as f64)
+fn bytes(outcome: &Outcome, kind: &str) -> f64 {
+    outcome.traffic.get(kind).map_or(0.0, |s| s.total as f64)
 }
 
-fn count(o: &Outcome, kind: &str) -> u64 {
-    o.traffic.get(kind).map_or(0, |s| s.count)
+fn count(outcome: &Outcome, kind: &str) -> u64 {
+    outcome.traffic.get(kind).map_or(0, |s| s.count)
 }
 
-/// All that is counted and not timed.
-fn counts(o: &Outcome) -> String {
+/// Formats all figures of an outcome that are counts, and none that are times.
+fn counts(outcome: &Outcome) -> String {
     let load = (
-        o.requests,
-        o.succeeded,
-        o.attempts,
-        o.endpoints_scanned,
-        o.polls,
-        o.retained,
+        outcome.requests,
+        outcome.succeeded,
+        outcome.attempts,
+        outcome.endpoints_scanned,
+        outcome.polls,
+        outcome.retained,
     );
     let wire = (
-        &o.traffic,
-        o.calls,
-        o.refused,
-        o.discovery_bytes,
-        o.platform_bytes,
-        o.propagation_max,
-        o.reload_max,
+        &outcome.traffic,
+        outcome.calls,
+        outcome.refused,
+        outcome.discovery_bytes,
+        outcome.platform_bytes,
+        outcome.propagation_max,
+        outcome.reload_max,
     );
     format!("{load:?} {wire:?}")
 }
 
-/// A fleet with an agent or two, that takes a few requests.
+/// Returns an installation with two agents and a low request rate.
 fn small(endpoints: usize) -> Size {
     Size {
         agents: 2,
@@ -101,7 +105,7 @@
     };
     let [one, three, other] = [one, three, other].map(|p| counts(&p.run().unwrap()));
     assert_eq!(one, three);
-    assert_ne!(one, other, "chance is drawn from the seed");
+    assert_ne!(one, other, "another seed must give other random draws");
 }
 
 #[test]
@@ -111,41 +115,51 @@
         rate: 40.0,
         ..Size::default()
     };
-    let o = run(size, secs(10), Vec::new());
-    assert!((1000..1400).contains(&o.requests), "{} of 1200", o.requests);
+    let outcome = run(size, secs(10), Vec::new());
     assert!(
-        o.succeeded as f64 > o.requests as f64 * 0.99,
+        (1000..1400).contains(&outcome.requests),
+        "{} of 1200",
+        outcome.requests
+    );
+    assert!(
+        outcome.succeeded as f64 > outcome.requests as f64 * 0.99,
         "{} of {}",
-        o.succeeded,
-        o.requests
+        outcome.succeeded,
+        outcome.requests
     );
-    assert_eq!(o.retained[1..], [55, 1, 0, 55]);
-    // A machine goes silent: what was sent there is sent again, and once it is told as gone nothing
-    // goes there.
-    let o = row(size, "machine").simulation(7, 2).run().unwrap();
-    assert_eq!(o.propagation_late, 0);
+    assert_eq!(outcome.retained[1..], [55, 1, 0, 55]);
+    // A machine stops responding: requests that were sent to it are retried, and once discovery
+    // reports it as gone, nothing is sent to it.
+    let outcome = row(size, "machine").simulation(7, 2).run().unwrap();
+    assert_eq!(outcome.propagation_late, 0);
     assert!(
-        o.succeeded as f64 > o.requests as f64 * 0.99,
+        outcome.succeeded as f64 > outcome.requests as f64 * 0.99,
         "{} of {}",
-        o.succeeded,
-        o.requests
+        outcome.succeeded,
+        outcome.requests
     );
-    assert!(o.attempts > o.requests, "none was sent in vain");
-    // While regions do not reach each other the second one serves by what it knows.
-    let o = row(size, "cut").simulation(7, 2).run().unwrap();
     assert!(
-        o.succeeded as f64 > o.requests as f64 * 0.9,
+        outcome.attempts > outcome.requests,
+        "no request was retried"
+    );
+    // While the regions cannot reach each other, the second one serves with the endpoint list that
+    // it has.
+    let outcome = row(size, "cut").simulation(7, 2).run().unwrap();
+    assert!(
+        outcome.succeeded as f64 > outcome.requests as f64 * 0.9,
         "{} of {}",
-        o.succeeded,
-        o.requests
+        outcome.succeeded,
+        outcome.requests
     );
 }
 
-/// Endpoints looked at for a request, and in the evaluation that its answer is a part of.
+/// Limit of the endpoints scanned for a request, including its part of the evaluation that counts
+/// its answer.
 const MAX_SCANS_A_REQUEST: f64 = 44.0;
-/// Endpoints looked at in a poll of an agent without requests, but for those of the median.
+/// Limit of the endpoints scanned in a poll of an agent without requests, apart from those scanned
+/// for the median.
 const MAX_SCANS_A_POLL: f64 = 40.0;
-/// Endpoints that a median is taken over, at the most.
+/// Maximum number of endpoints that a median is taken over.
 const MAX_MEDIAN_PEERS: usize = 512;
 
 #[test]
@@ -162,18 +176,21 @@
     };
     for endpoints in [55, 220, 440, 880] {
         let (calm, busy) = (scans(endpoints, 0.0), scans(endpoints, 50.0));
-        assert_eq!(calm.polls, busy.polls, "ten a second each");
+        assert_eq!(
+            calm.polls, busy.polls,
+            "each agent polls ten times per second"
+        );
         let poll = calm.endpoints_scanned as f64 / calm.polls as f64;
         let request =
             (busy.endpoints_scanned as f64 - calm.endpoints_scanned as f64) / busy.requests as f64;
         let peers = endpoints.min(MAX_MEDIAN_PEERS) as f64;
         assert!(
             poll <= MAX_SCANS_A_POLL + peers,
-            "{endpoints} appliances: {poll} looked at in a survey"
+            "{endpoints} endpoints: {poll} scanned in a poll"
         );
         assert!(
             request > 0.0 && request <= MAX_SCANS_A_REQUEST,
-            "{endpoints} appliances: {request} looked at for a command"
+            "{endpoints} endpoints: {request} scanned for a request"
         );
     }
 }
@@ -206,16 +223,21 @@
         (130.0..170.0).contains(&line.slope) && line.residual < 0.01,
         "{line:?}"
     );
-    // At a new configuration it is asked for by nobody who knows one: what has changed is the same
-    // at any size.
+    // At a reload, an agent that has a list does not request the whole list. The bytes of the
+    // changes are the same at any size.
     let reload = |n: usize| {
-        let o = run(
+        let outcome = run(
             small(n),
             secs(5),
             vec![(secs(1), InstallationEvent::Reload(vec![0, 1]))],
         );
-        assert_eq!((count(&o, "whole lists"), o.reload_late), (0, 0));
-        bytes(&o, "changes") + bytes(&o, "quiet watches") + bytes(&o, "list calls")
+        assert_eq!(
+            (count(&outcome, "whole lists"), outcome.reload_late),
+            (0, 0)
+        );
+        bytes(&outcome, "changes")
+            + bytes(&outcome, "quiet watches")
+            + bytes(&outcome, "list calls")
     };
     let [small_list, large_list] = [55, 880].map(reload);
     assert!(
@@ -229,16 +251,16 @@
             build: None,
             started: false,
         };
-        let o = run(small(880), secs(9), vec![(secs(1), list)]);
+        let outcome = run(small(880), secs(9), vec![(secs(1), list)]);
         assert_eq!(
             (
-                count(&o, "whole lists"),
-                count(&o, "changes"),
-                o.propagation_late
+                count(&outcome, "whole lists"),
+                count(&outcome, "changes"),
+                outcome.propagation_late
             ),
             (0, 2, 0)
         );
-        (n as f64, bytes(&o, "changes") / 2.0)
+        (n as f64, bytes(&outcome, "changes") / 2.0)
     };
     let line = Line::through(&[1, 55, 220, 440].map(changed)).unwrap();
     assert!(
@@ -250,7 +272,8 @@
 #[test]
 fn control_traffic_of_a_calm_agent_is_independent_of_the_size() {
     let calm = |size: Size| run(Size { rate: 1.0, ..size }, secs(100), Vec::new());
-    let each = |o: &Outcome, kind: &str| bytes(o, kind) / count(o, kind).max(1) as f64;
+    let each =
+        |outcome: &Outcome, kind: &str| bytes(outcome, kind) / count(outcome, kind).max(1) as f64;
     let many = Size {
         services: 3,
         agents: 30,
@@ -260,33 +283,33 @@
         ..small(0)
     };
     let (one, all) = (calm(small(55)), calm(many));
-    for (o, agents) in [(&one, 2.0), (&all, 30.0)] {
-        // A sign of life each second; a watch each 1 to 20 s, by chance, 10.5 s on the mean.
-        assert_eq!(count(o, "pings") as f64, agents * 100.0);
-        let watches = count(o, "list calls") as f64 / agents / 100.0;
+    for (outcome, agents) in [(&one, 2.0), (&all, 30.0)] {
+        // A ping each second, and a watch after a random 1 to 20 s, 10.5 s on average.
+        assert_eq!(count(outcome, "pings") as f64, agents * 100.0);
+        let watches = count(outcome, "list calls") as f64 / agents / 100.0;
         assert!(
             (1.0 / 20.0..1.0 / 7.0).contains(&watches),
-            "{watches} watches a second and agent"
+            "{watches} watches per second and agent"
         );
         assert!(
-            o.bytes > 46.0 && o.bytes <= 46.0 + watches * 260.0,
-            "{} bytes a second",
-            o.bytes
+            outcome.bytes > 46.0 && outcome.bytes <= 46.0 + watches * 260.0,
+            "{} bytes per second",
+            outcome.bytes
         );
         assert!(
-            o.calls <= agents / 7.0,
-            "discovery's calls grow with the agents alone: {}",
-            o.calls
+            outcome.calls <= agents / 7.0,
+            "discovery calls must grow with the agents alone: {} per second",
+            outcome.calls
         );
         assert_eq!(
-            count(o, "whole lists") + count(o, "changes") + count(o, "refusals"),
+            count(outcome, "whole lists") + count(outcome, "changes") + count(outcome, "refusals"),
             0
         );
     }
     assert_eq!(each(&one, "pings"), each(&all, "pings"));
     assert!(
         (each(&one, "quiet watches") - each(&all, "quiet watches")).abs() < 2.0,
-        "whatever the size"
+        "a watch without changes must cost the same bytes at any size"
     );
 }
 
@@ -308,9 +331,9 @@
         (secs(1 + a as u64), list)
     };
     let calls = |changes: usize| {
-        let o = run(size, secs(12), (0..changes).map(one).collect());
-        assert_eq!(count(&o, "changes"), 40 * changes as u64);
-        count(&o, "list calls") as f64
+        let outcome = run(size, secs(12), (0..changes).map(one).collect());
+        assert_eq!(count(&outcome, "changes"), 40 * changes as u64);
+        count(&outcome, "list calls") as f64
     };
     let line = Line::through(&[1, 2, 3, 4].map(|n| (n as f64, calls(n)))).unwrap();
     assert!((36.0..=44.0).contains(&line.slope), "{line:?}");
@@ -318,7 +341,8 @@
 
 #[test]
 fn discovery_refuses_calls_beyond_its_budget() {
-    // Each of 30 agents asks 20 times a second while lists change as often; the rate is 15.
+    // The list changes 20 times per second, so each of 30 agents sends as many requests; the budget
+    // is 15 calls per second.
     let size = Size {
         agents: 30,
         rate: 1.0,
@@ -334,9 +358,9 @@
         (secs(1) + Duration::from_millis(50) * n as u32, list)
     };
     let changes: Vec<_> = (0..40).map(change).collect();
-    let free = run(size, secs(12), changes.clone());
-    assert_eq!((free.refused, free.propagation_late), (0, 0));
-    let paid = run(
+    let unlimited = run(size, secs(12), changes.clone());
+    assert_eq!((unlimited.refused, unlimited.propagation_late), (0, 0));
+    let limited = run(
         Size {
             every_call: true,
             ..size
@@ -344,15 +368,15 @@
         secs(12),
         changes,
     );
-    assert!(paid.refused > 30, "{} refused", paid.refused);
+    assert!(limited.refused > 30, "{} refused", limited.refused);
     assert!(
-        paid.calls_worst <= 30.0,
-        "{} answered in a second, with what was saved before",
-        paid.calls_worst
+        limited.calls_worst <= 30.0,
+        "{} answered in a second, including the unused budget of earlier seconds",
+        limited.calls_worst
     );
 }
 
-/// What is only counted is run once, on all threads; what is timed several times, on one.
+/// Sweeps that only count run once, on all threads. Timed sweeps run several times, on one thread.
 #[test]
 fn sweeps_are_timed_where_any_figure_is_a_time() {
     let all = sweeps(true, 7);
@@ -371,7 +395,7 @@
         "memory by tenants",
     ];
     assert_eq!(untimed, expected);
-    assert_eq!(all.len(), 15, "the others are timed");
+    assert_eq!(all.len(), 15, "the other sweeps are timed");
     let timed = all.iter().filter(|sweep| sweep.is_timed());
     for figure in timed.flat_map(|sweep| &sweep.figures) {
         let is_time = figure.name.contains(", us ")
@@ -381,7 +405,8 @@
     }
 }
 
-/// Against an estimate of an earlier version by which less is simulated than fits.
+/// Guards against deciding by an earlier version's estimate, which is too high, so that less is
+/// simulated than fits in memory.
 #[test]
 fn measured_memory_decides_what_fits() {
     let sweep = |name, size: Size, points: [(f64, f64); 3]| SweepResult {
@@ -399,7 +424,7 @@
         endpoints: 770,
         ..base
     };
-    // 300 kB, and 800 bytes for each endpoint, 3,000 for each class, 200 for each tenant.
+    // 300 kB, plus 800 bytes per endpoint, 3,000 per class and 200 per tenant.
     let over = |from: f64, slope: f64, base: f64| {
         [0.0, 100.0, 200.0].map(|more| (from + more, base + slope * more))
     };
@@ -422,7 +447,10 @@
     };
     let agent = measured_agent_memory(&all, &largest).unwrap();
     let expected = 300e3 + 800.0 * 7645.0 + 3000.0 * 1589.0 + 200.0 * 55_600.0;
-    assert!((agent - expected).abs() < 1e3, "{agent} of {expected}");
+    assert!(
+        (agent - expected).abs() < 1e3,
+        "{agent} bytes per agent, expected {expected}"
+    );
     let [estimated, measured] = [
         largest.estimated_memory(false),
         largest.memory_by_measured_agent(agent),
@@ -454,12 +482,12 @@
     ];
     let out = run_scale(&all);
     assert_eq!(out.status.code(), Some(1));
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let message = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        said.contains("it would take about 3") && said.contains("GB may be taken"),
-        "{said}"
+        message.contains("it would take about 3") && message.contains("GB may be taken"),
+        "{message}"
     );
-    assert!(out.stdout.is_empty(), "nothing was played");
+    assert!(out.stdout.is_empty(), "no simulation must run");
     let small = ["--agents", "20", "--row", "calm", "--memory"];
     assert_eq!(
         run_scale(&[&small[..], &["0.001"]].concat()).status.code(),
@@ -473,32 +501,33 @@
 
 #[test]
 fn full_run_exits_with_4_beyond_the_limits() {
-    let form = ["--full", "--quiet", "5", "--agents", "3"];
-    let list = run_scale(&[&form[..], &["--appliances", "200", "--row", "release"]].concat());
+    let options = ["--full", "--quiet", "5", "--agents", "3"];
+    let list = run_scale(&[&options[..], &["--appliances", "200", "--row", "release"]].concat());
     assert_eq!(
         list.status.code(),
         Some(4),
-        "a release of so many in 30 s is more than 3 kB in a second"
+        "a release of 200 endpoints in 30 s must exceed 3 kB in a second"
     );
-    let told = String::from_utf8_lossy(&list.stdout);
+    let printed = String::from_utf8_lossy(&list.stdout);
     assert!(
-        told.contains("- as told, release: bytes in the worst second"),
-        "{told}"
+        printed.contains("- as told, release: bytes in the worst second"),
+        "{printed}"
     );
-    // Its processor share may be beyond on a busy machine; its bytes are counted.
-    let renewed = run_scale(
+    // Its processor share may exceed the limit on a busy machine; its bytes are counted and must
+    // not.
+    let reloaded = run_scale(
         &[
-            &form[..],
+            &options[..],
             &["--appliances", "200", "--row", "configuration"],
         ]
         .concat(),
     );
     assert!(
-        !String::from_utf8_lossy(&renewed.stdout).contains("configuration: bytes"),
-        "{renewed:?}"
+        !String::from_utf8_lossy(&reloaded.stdout).contains("configuration: bytes"),
+        "{reloaded:?}"
     );
     assert_eq!(
-        run_scale(&[&form[..], &["--row", "calm"]].concat())
+        run_scale(&[&options[..], &["--row", "calm"]].concat())
             .status
             .code(),
         Some(0)
--- a/crates/experiments/tests/stats.rs
+++ b/crates/experiments/tests/stats.rs
@@ -1,4 +1,4 @@
-//! The statistics of the lab against the textbook.
+//! Compares the statistics of the experiments with textbook values.
 
 use tulipwall_experiments::stats::*;
 
@@ -15,7 +15,8 @@
 
 #[test]
 fn one_in_twenty_equal_samples_seems_to_differ() {
-    // Two samples of ten from the same uniform draws, a thousand times over.
+    // Compares two samples of ten from the same uniform distribution, 1000 times. The test is at
+    // the 5% level, so about 50 pairs should seem to differ.
     let mut state = 12345u64;
     let mut draw = || {
         state = state
--- a/crates/experiments/tests/stored_files.rs
+++ b/crates/experiments/tests/stored_files.rs
@@ -1,4 +1,5 @@
-//! Files written by earlier versions of this program read as before.
+//! Checks that files written by earlier versions of this program are still read, and written, the
+//! same.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -7,8 +8,8 @@
 use tulipwall_experiments::run;
 use tulipwall_experiments::scenario::{ClientKind, Link, Scenario, Value};
 
-/// Records of `version-1.kdl`, as the program wrote them before its records were reorganised
-/// (commit 31575e5).
+/// Records of the scenario `version-1.kdl`, as the program wrote them before its records were
+/// reorganised (commit 31575e5).
 const RECORDS: &str = "version-1.records";
 const SCENARIO: &str = "version-1.kdl";
 
@@ -61,17 +62,17 @@
     let bytes = std::fs::read(data(RECORDS)).unwrap();
     std::fs::write(&path, &bytes).unwrap();
     let header = Header::of("a slow build in two zones", &scenario_text());
-    // Opening a file writes it anew.
-    let old = RecordFile::open(&path, header.clone()).unwrap();
+    // Opening a file rewrites it.
+    let reopened = RecordFile::open(&path, header.clone()).unwrap();
     assert_eq!(std::fs::read(&path).unwrap(), bytes);
-    // Appending to a new one gives the same.
-    let next_path = folder.path().join("next-run.records");
-    let mut next = RecordFile::open(&next_path, header).unwrap();
-    for record in &old.records {
-        next.add(record.clone()).unwrap();
+    // Appending the same records to a new file gives the same bytes.
+    let appended_path = folder.path().join("next-run.records");
+    let mut appended = RecordFile::open(&appended_path, header).unwrap();
+    for record in &reopened.records {
+        appended.add(record.clone()).unwrap();
     }
-    drop(next);
-    assert_eq!(std::fs::read(&next_path).unwrap(), bytes);
+    drop(appended);
+    assert_eq!(std::fs::read(&appended_path).unwrap(), bytes);
 }
 
 #[test]
@@ -106,7 +107,7 @@
     let rollout = scenario.rollout.as_ref().unwrap();
     assert_eq!(rollout.stages, [0.2, 1.0]);
     assert_eq!((rollout.failure_rate, rollout.endpoints), (0.01, 2));
-    // Its points are those of the records.
+    // The scenario has the same points as the records.
     let (_, records) = records::read(&data(RECORDS)).unwrap();
     let points = scenario.points();
     assert_eq!(points.len(), records.len());
