--- a/crates/experiments/examples/verdicts/log.rs
+++ b/crates/experiments/examples/verdicts/log.rs
@@ -7,7 +7,7 @@
 /// Precedes the evidence in a log line.
 const MARKER: &str = "evidence] ";
 
-/// An attempt that ended. As in the other types, `at` is in seconds since the first line of evidence.
+/// An attempt that ended. In all types here, `at` is in seconds since the first line of evidence.
 pub struct Attempt {
     pub at: f64,
     pub build: u32,
