--- a/crates/experiments/examples/verdicts/log.rs
+++ b/crates/experiments/examples/verdicts/log.rs
@@ -78,8 +78,8 @@
 }
 
 impl Log {
-    /// Returns when a build first entered a phase, or any phase if `None` is given. Returns `None` if
-    /// it never did.
+    /// Returns when a build first entered a phase, or any phase if `None` is given. Returns `None`
+    /// if it never did.
     pub fn phase_began(&self, build: u32, phase: Option<&str>) -> Option<f64> {
         self.rollouts
             .iter()
--- a/crates/experiments/examples/verdicts/main.rs
+++ b/crates/experiments/examples/verdicts/main.rs
@@ -3,7 +3,7 @@
 //! suffice to detect a regression, when enough agents voted and when it was rolled back; with
 //! `--seconds`, also what was lost in each second.
 //!
-//!     RUST_LOG=info,evidence=debug ...                      # on each agent; each logs to its own file
+//!     RUST_LOG=info,evidence=debug ...                      # on each agent, to its own log file
 //!     cargo run --release -p tulipwall-experiments --example verdicts -- DIR [--seconds]
 
 mod evidence;
--- a/crates/experiments/examples/verdicts/slowing.rs
+++ b/crates/experiments/examples/verdicts/slowing.rs
@@ -111,8 +111,8 @@
     pub at_one_moment: Likelihood,
 }
 
-/// Finds the most likely slowdown of each kind beyond the tolerated one. Models answers as a Poisson
-/// process over the time that attempts were in flight.
+/// Finds the most likely slowdown of each kind beyond the tolerated one. Models answers as a
+/// Poisson process over the time that attempts were in flight.
 pub fn slowing(bins: &[Bin]) -> Slowing {
     let total = Total::of(bins);
     let constant_rate_likelihood = total.likelihood();
