--- a/crates/experiments/src/fleet/command.rs
+++ b/crates/experiments/src/fleet/command.rs
@@ -146,7 +146,7 @@
             );
             print!("{}", table::all(&results));
         }
-        Ok(!results.beyond().is_empty())
+        Ok(!results.exceeded_limits().is_empty())
     }
 
     fn plan(self) -> Plan {
@@ -192,7 +192,7 @@
         for limit in &mut limits {
             if limit.figure == argument.figure {
                 limit.max = argument.max;
-                limit.what = "told by --limit".into();
+                limit.source = "told by --limit".into();
             }
         }
     }
--- a/crates/experiments/src/fleet/measures/idle.rs
+++ b/crates/experiments/src/fleet/measures/idle.rs
@@ -38,8 +38,8 @@
     let both = || after.iter().zip(&before);
     let core_percent = || {
         both().map(|(a, b)| {
-            let ran = a.usage.ran.saturating_sub(b.usage.ran);
-            ran.as_secs_f64() / seconds * 100.0
+            let cpu_time = a.usage.cpu_time.saturating_sub(b.usage.cpu_time);
+            cpu_time.as_secs_f64() / seconds * 100.0
         })
     };
     let waited = both().map(|(a, b)| {
--- a/crates/experiments/src/fleet/measures/list_change.rs
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -16,7 +16,7 @@
 struct Sample {
     bytes: f64,
     processing_ms: f64,
-    ran_ms: f64,
+    cpu_time_ms: f64,
 }
 
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Row>, FleetError> {
@@ -36,7 +36,7 @@
                 "taken_in_ms",
                 median(samples.iter().map(|s| s.processing_ms)),
             ),
-            ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+            ("ran_ms", median(samples.iter().map(|s| s.cpu_time_ms))),
         ];
         let measure = "a change of the list";
         Ok(Row::new(measure, "entries", count as f64, figures))
@@ -68,16 +68,16 @@
         entry.cell += 1;
     }
     let started_at = Instant::now();
-    let before = agent.usage()?.ran;
+    let before = agent.usage()?.cpu_time;
     installation.discovery.update(entries);
     let change = until("the question behind a change", || {
         agent.discovery.response_since(started_at)
     })?;
     sleep(REST);
-    let ran = agent.usage()?.ran.saturating_sub(before);
+    let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
     Ok(Sample {
         bytes: change.bytes as f64,
         processing_ms: milliseconds(change.next_request_at - change.complete_at),
-        ran_ms: milliseconds(ran),
+        cpu_time_ms: milliseconds(cpu_time),
     })
 }
--- a/crates/experiments/src/fleet/measures/reload.rs
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -22,7 +22,7 @@
     heard_ms: f64,
     in_force_ms: f64,
     /// Processor time beyond that of an idle agent.
-    ran_ms: f64,
+    cpu_time_ms: f64,
     bytes: f64,
 }
 
@@ -39,7 +39,7 @@
 
 fn sample(installation: &Installation, agent: &mut RunningAgent) -> Result<Sample, FleetError> {
     let idle_share = idle_share(agent)?;
-    let before = agent.usage()?.ran;
+    let before = agent.usage()?.cpu_time;
     let reload = agent.reload(installation, |_| {})?;
     let list = until("the question behind the new list", || {
         agent.discovery.response_since(reload.at)
@@ -49,14 +49,14 @@
     })?;
     sleep(REST);
     let bytes = agent.control_bytes().total();
-    let ran = agent.usage()?.ran.saturating_sub(before).as_secs_f64();
-    let idle_ran = idle_share * reload.at.elapsed().as_secs_f64();
+    let cpu_time = agent.usage()?.cpu_time.saturating_sub(before).as_secs_f64();
+    let idle_cpu_time = idle_share * reload.at.elapsed().as_secs_f64();
     let heard_at = list.complete_at.max(platform_heard_at);
     let in_force_at = list.next_request_at.max(platform_heard_at);
     Ok(Sample {
         heard_ms: milliseconds(heard_at - reload.at),
         in_force_ms: milliseconds(in_force_at - reload.at),
-        ran_ms: (ran - idle_ran).max(0.0) * 1000.0,
+        cpu_time_ms: (cpu_time - idle_cpu_time).max(0.0) * 1000.0,
         bytes: bytes as f64,
     })
 }
@@ -64,25 +64,25 @@
 /// Share of a core that the idle agent takes.
 fn idle_share(agent: &RunningAgent) -> Result<f64, FleetError> {
     let started_at = Instant::now();
-    let before = agent.usage()?.ran;
+    let before = agent.usage()?.cpu_time;
     sleep(REST);
-    let ran = agent.usage()?.ran.saturating_sub(before);
-    Ok(ran.as_secs_f64() / started_at.elapsed().as_secs_f64())
+    let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
+    Ok(cpu_time.as_secs_f64() / started_at.elapsed().as_secs_f64())
 }
 
 fn figures(samples: &[Sample]) -> [(&'static str, f64); 7] {
     let in_force = || samples.iter().map(|s| s.in_force_ms);
-    let ran_ms = median(samples.iter().map(|s| s.ran_ms));
+    let cpu_time_ms = median(samples.iter().map(|s| s.cpu_time_ms));
     let bytes = median(samples.iter().map(|s| s.bytes));
     let daily = |each: f64| each * RELOADS_A_DAY / SECONDS_A_DAY;
     [
         ("heard_ms", median(samples.iter().map(|s| s.heard_ms))),
         ("in_force_ms", median(in_force())),
         ("in_force_most_ms", largest(in_force())),
-        ("ran_ms", ran_ms),
+        ("ran_ms", cpu_time_ms),
         ("bytes", bytes),
         ("bytes_s_at_1000_a_day", daily(bytes)),
         // Milliseconds a second are tenths of a percent.
-        ("core_%_at_1000_a_day", daily(ran_ms) / 10.0),
+        ("core_%_at_1000_a_day", daily(cpu_time_ms) / 10.0),
     ]
 }
--- a/crates/experiments/src/fleet/measures/request_cost.rs
+++ b/crates/experiments/src/fleet/measures/request_cost.rs
@@ -30,17 +30,20 @@
     let after = agent.usage()?;
     let seconds = started_at.elapsed().as_secs_f64();
 
-    let ran = after.ran.saturating_sub(before.ran).as_secs_f64();
+    let cpu_time = after.cpu_time.saturating_sub(before.cpu_time).as_secs_f64();
     let waited = after.waited.saturating_sub(before.waited).as_secs_f64();
     let requests = answered.requests.max(1) as f64;
-    let ran_for_requests = (ran - idle_share * seconds).max(0.0);
+    let cpu_time_for_requests = (cpu_time - idle_share * seconds).max(0.0);
     let figures = [
         ("rate", rate),
         ("asked", answered.requests as f64),
         ("satisfied", answered.succeeded as f64),
         ("idle_core_%", idle_share * 100.0),
-        ("core_%", ran / seconds * 100.0),
-        ("us_a_command", ran_for_requests / requests * MICROSECONDS),
+        ("core_%", cpu_time / seconds * 100.0),
+        (
+            "us_a_command",
+            cpu_time_for_requests / requests * MICROSECONDS,
+        ),
         ("waited_us_a_command", waited / requests * MICROSECONDS),
     ];
     let measure = format!("commands at {rate} a second");
@@ -50,8 +53,8 @@
 /// Share of a core that the idle agent takes.
 fn idle_share(agent: &RunningAgent, duration: Duration) -> io::Result<f64> {
     let started_at = Instant::now();
-    let before = agent.usage()?.ran;
+    let before = agent.usage()?.cpu_time;
     sleep(duration);
-    let ran = agent.usage()?.ran.saturating_sub(before);
-    Ok(ran.as_secs_f64() / started_at.elapsed().as_secs_f64())
+    let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
+    Ok(cpu_time.as_secs_f64() / started_at.elapsed().as_secs_f64())
 }
--- a/crates/experiments/src/fleet/measures/restart.rs
+++ b/crates/experiments/src/fleet/measures/restart.rs
@@ -22,7 +22,7 @@
     ended_ms: f64,
     ready_ms: f64,
     in_force_ms: f64,
-    ran_ms: f64,
+    cpu_time_ms: f64,
     bytes: f64,
 }
 
@@ -38,7 +38,7 @@
         ("ready_ms", median(samples.iter().map(|s| s.ready_ms))),
         ("in_force_ms", median(in_force())),
         ("in_force_most_ms", largest(in_force())),
-        ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+        ("ran_ms", median(samples.iter().map(|s| s.cpu_time_ms))),
         ("bytes", median(samples.iter().map(|s| s.bytes))),
     ];
     let measure = "new settings (restart)";
@@ -57,7 +57,7 @@
         settings["classes"][0]["aim-ms"] = latency_objective_ms.into();
     };
     let times = agent.restart(&plan.binary, change)?;
-    let ran = agent.usage()?.ran;
+    let cpu_time = agent.usage()?.cpu_time;
     sleep(REST);
     let bytes = agent.control_bytes().total() - before;
     drop(client);
@@ -65,7 +65,7 @@
         ended_ms: milliseconds(times.ended),
         ready_ms: milliseconds(agent.ready_after),
         in_force_ms: milliseconds(times.serving),
-        ran_ms: milliseconds(ran),
+        cpu_time_ms: milliseconds(cpu_time),
         bytes: bytes as f64,
     })
 }
--- a/crates/experiments/src/fleet/measures/start.rs
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct Sample {
     ready_ms: f64,
-    ran_ms: f64,
+    cpu_time_ms: f64,
     list_bytes: f64,
     /// From the last byte of the list to the next request.
     processing_ms: f64,
@@ -52,7 +52,7 @@
     let agent = installation.agent(&plan.binary, 0, known)?;
     let mut sample = Sample {
         ready_ms: milliseconds(agent.ready_after),
-        ran_ms: milliseconds(agent.usage()?.ran),
+        cpu_time_ms: milliseconds(agent.usage()?.cpu_time),
         ..Sample::default()
     };
     if !known {
@@ -70,7 +70,7 @@
     let mut figures = vec![
         ("ready_ms", median(ready())),
         ("ready_most_ms", largest(ready())),
-        ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+        ("ran_ms", median(samples.iter().map(|s| s.cpu_time_ms))),
     ];
     if !known {
         let list_bytes = samples.iter().map(|s| s.list_bytes);
--- a/crates/experiments/src/fleet/process.rs
+++ b/crates/experiments/src/fleet/process.rs
@@ -20,7 +20,7 @@
     /// Resident memory in bytes, at most so far.
     pub peak: u64,
     /// Processor time of all its threads, user and system.
-    pub ran: Duration,
+    pub cpu_time: Duration,
     /// How long its threads were ready and had no core: high where the machine is busy.
     pub waited: Duration,
 }
@@ -38,21 +38,21 @@
     let resident = bytes("VmRSS:")?;
     let peak = bytes("VmHWM:")?;
     let mut times = schedule_times(id)?;
-    if times.ran.is_zero() {
+    if times.cpu_time.is_zero() {
         let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
-        times.ran = ticks(&stat).ok_or(io::ErrorKind::InvalidData)?;
+        times.cpu_time = ticks(&stat).ok_or(io::ErrorKind::InvalidData)?;
     }
     Ok(Usage {
         resident,
         peak,
-        ran: times.ran,
+        cpu_time: times.cpu_time,
         waited: times.waited,
     })
 }
 
 #[derive(Default)]
 struct ScheduleTimes {
-    ran: Duration,
+    cpu_time: Duration,
     waited: Duration,
 }
 
@@ -68,7 +68,7 @@
             .split_whitespace()
             .filter_map(|n| n.parse().ok())
             .map(Duration::from_nanos);
-        times.ran += numbers.next().unwrap_or_default();
+        times.cpu_time += numbers.next().unwrap_or_default();
         times.waited += numbers.next().unwrap_or_default();
     }
     Ok(times)
--- a/crates/experiments/src/fleet/results.rs
+++ b/crates/experiments/src/fleet/results.rs
@@ -102,20 +102,20 @@
     /// The most.
     pub max: f64,
     /// Where the limit comes from.
-    pub what: String,
+    pub source: String,
 }
 
 impl Limit {
-    fn new(figure: &str, max: f64, what: &str) -> Limit {
+    fn new(figure: &str, max: f64, source: &str) -> Limit {
         Limit {
             figure: figure.into(),
             max,
-            what: what.into(),
+            source: source.into(),
         }
     }
 
     fn to_json(&self) -> Value {
-        json!({"figure": self.figure, "most": self.max, "what": self.what})
+        json!({"figure": self.figure, "most": self.max, "what": self.source})
     }
 }
 
@@ -156,11 +156,11 @@
     }
 
     /// What lies beyond a limit, a line each.
-    pub fn beyond(&self) -> Vec<String> {
+    pub fn exceeded_limits(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for row in &self.rows {
             for limit in &self.limits {
-                lines.extend(beyond_limit(row, limit));
+                lines.extend(exceeded_limit(row, limit));
             }
         }
         lines
@@ -171,7 +171,7 @@
         let rows: Vec<Value> = self.rows.iter().map(Row::to_json).collect();
         let fits: Vec<Value> = self.fits.iter().map(Fitted::to_json).collect();
         let limits: Vec<Value> = self.limits.iter().map(Limit::to_json).collect();
-        json!({"rows": rows, "fits": fits, "limits": limits, "beyond": self.beyond()})
+        json!({"rows": rows, "fits": fits, "limits": limits, "beyond": self.exceeded_limits()})
     }
 }
 
@@ -192,13 +192,17 @@
     })
 }
 
-fn beyond_limit(row: &Row, limit: &Limit) -> Option<String> {
-    let Limit { figure, max, what } = limit;
+fn exceeded_limit(row: &Row, limit: &Limit) -> Option<String> {
+    let Limit {
+        figure,
+        max,
+        source,
+    } = limit;
     let found = row.figure(figure).filter(|value| value > max)?;
     let Row {
         measure, by, size, ..
     } = row;
     Some(format!(
-        "{measure} at {size} {by}: {figure} {found:.2}, limit {max} ({what})"
+        "{measure} at {size} {by}: {figure} {found:.2}, limit {max} ({source})"
     ))
 }
--- a/crates/experiments/src/fleet/table.rs
+++ b/crates/experiments/src/fleet/table.rs
@@ -84,7 +84,7 @@
         }
         text.push('\n');
     }
-    text + &beyond(results)
+    text + &exceeded_limits(results)
 }
 
 /// Measures with what they count, in the order they were taken.
@@ -99,13 +99,13 @@
     measures
 }
 
-fn beyond(results: &Results) -> String {
-    let beyond = results.beyond();
-    if beyond.is_empty() {
+fn exceeded_limits(results: &Results) -> String {
+    let exceeded_limits = results.exceeded_limits();
+    if exceeded_limits.is_empty() {
         return "nothing lies beyond the operators' limits\n".into();
     }
-    let mut text = format!("beyond the operators' limits: {}\n", beyond.len());
-    for line in &beyond {
+    let mut text = format!("beyond the operators' limits: {}\n", exceeded_limits.len());
+    for line in &exceeded_limits {
         let _ = writeln!(text, "  {line}");
     }
     text
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -52,39 +52,39 @@
     /// How long the load lasted.
     pub duration: Duration,
     /// Outcomes and latencies of the requests.
-    pub answered: LoadReport,
+    pub report: LoadReport,
 }
 
 impl Step {
     /// Whether the load generator did not keep up, so that the figures are its own.
     pub fn is_generator_late(&self) -> bool {
-        self.answered.send_delay_ms(0.99) > MAX_ISSUE_DELAY_MS
+        self.report.send_delay_ms(0.99) > MAX_ISSUE_DELAY_MS
     }
 
     /// The step as JSON.
     pub fn to_json(&self) -> Value {
-        let answered = &self.answered;
+        let report = &self.report;
         let quantiles: Map<String, Value> = QUANTILES
             .iter()
-            .map(|q| (format!("p{}", q * 100.0), json!(answered.quantile_ms(*q))))
+            .map(|q| (format!("p{}", q * 100.0), json!(report.quantile_ms(*q))))
             .collect();
         json!({
             "rate": self.rate,
             "span_s": self.duration.as_secs_f64(),
-            "asked": answered.requests,
-            "satisfied": answered.succeeded,
-            "denied": answered.rejected,
-            "failed": answered.failed,
-            "unanswered": answered.unanswered,
+            "asked": report.requests,
+            "satisfied": report.succeeded,
+            "denied": report.rejected,
+            "failed": report.failed,
+            "unanswered": report.unanswered,
             "ms": quantiles,
-            "issued_late_p99_ms": answered.send_delay_ms(0.99),
+            "issued_late_p99_ms": report.send_delay_ms(0.99),
             "load_is_the_bottleneck": self.is_generator_late(),
         })
     }
 
     /// The step as one line of text.
     pub fn summary(&self) -> String {
-        let answered = &self.answered;
+        let report = &self.report;
         let warning = if self.is_generator_late() {
             "  the load itself is late: its machine is the bottleneck"
         } else {
@@ -93,20 +93,20 @@
         format!(
             "{:8.0}/s  satisfied {:7}  denied {:5}  failed {:5}  unanswered {:4}  p50 {:8.2} ms  p99 {:8.2} ms{warning}",
             self.rate,
-            answered.succeeded,
-            answered.rejected,
-            answered.failed,
-            answered.unanswered,
-            answered.quantile_ms(0.5),
-            answered.quantile_ms(0.99),
+            report.succeeded,
+            report.rejected,
+            report.failed,
+            report.unanswered,
+            report.quantile_ms(0.5),
+            report.quantile_ms(0.99),
         )
     }
 
     /// Whether the agent kept this p99, and nearly all requests succeeded.
     fn keeps(&self, p99_ms: f64) -> bool {
-        let answered = &self.answered;
-        let required = MIN_SUCCESS_SHARE * answered.requests as f64;
-        answered.quantile_ms(0.99) <= p99_ms && answered.succeeded as f64 >= required
+        let report = &self.report;
+        let required = MIN_SUCCESS_SHARE * report.requests as f64;
+        report.quantile_ms(0.99) <= p99_ms && report.succeeded as f64 >= required
     }
 }
 
@@ -129,7 +129,7 @@
         Step {
             rate,
             duration,
-            answered: load.run(),
+            report: load.run(),
         }
     }
 
--- a/crates/experiments/src/report/chart.rs
+++ b/crates/experiments/src/report/chart.rs
@@ -25,9 +25,13 @@
 impl ChartPoint {
     /// Lowest and highest value of its confidence interval.
     pub(super) fn interval(&self) -> (f64, f64) {
-        let half = self.mean.half();
-        let half = if half.is_finite() { half } else { 0.0 };
-        (self.mean.mean - half, self.mean.mean + half)
+        let half_width = self.mean.half_width();
+        let half_width = if half_width.is_finite() {
+            half_width
+        } else {
+            0.0
+        };
+        (self.mean.mean - half_width, self.mean.mean + half_width)
     }
 }
 
--- a/crates/experiments/src/report/mod.rs
+++ b/crates/experiments/src/report/mod.rs
@@ -79,9 +79,9 @@
 /// A mean with its confidence interval, where it has one.
 fn format_mean(mean: &Mean) -> String {
     let digits = if mean.mean.abs() >= 100.0 { 0 } else { 3 };
-    let half = mean.half();
-    if half.is_finite() {
-        format!("{:.digits$} ± {half:.digits$}", mean.mean)
+    let half_width = mean.half_width();
+    if half_width.is_finite() {
+        format!("{:.digits$} ± {half_width:.digits$}", mean.mean)
     } else {
         format!("{:.digits$}", mean.mean)
     }
--- a/crates/experiments/src/run/simulation.rs
+++ b/crates/experiments/src/run/simulation.rs
@@ -212,7 +212,7 @@
             &|n| ScenarioEvent::SetState(n, EndpointState::Gone),
             &ScenarioEvent::Restart,
         ),
-        FaultKind::Mute => on_nodes(&|n| ScenarioEvent::SetUnresponsive(n, true), &|n| {
+        FaultKind::Unresponsive => on_nodes(&|n| ScenarioEvent::SetUnresponsive(n, true), &|n| {
             ScenarioEvent::SetUnresponsive(n, false)
         }),
         FaultKind::Stall => stall_changes(scenario, fault),
--- a/crates/experiments/src/scenario/mod.rs
+++ b/crates/experiments/src/scenario/mod.rs
@@ -175,7 +175,7 @@
     /// Endpoints are removed from the list.
     Gone,
     /// Endpoints stop answering.
-    Mute,
+    Unresponsive,
     /// All agents stop running.
     Stall,
     /// The load is this multiple of the usual one.
--- a/crates/experiments/src/scenario/parse/fault.rs
+++ b/crates/experiments/src/scenario/parse/fault.rs
@@ -22,7 +22,7 @@
 const SIMPLE_FAULTS: [FaultKind; 4] = [
     FaultKind::Drain,
     FaultKind::Gone,
-    FaultKind::Mute,
+    FaultKind::Unresponsive,
     FaultKind::Stall,
 ];
 
--- a/crates/experiments/src/scenario/point.rs
+++ b/crates/experiments/src/scenario/point.rs
@@ -14,17 +14,17 @@
     /// Slowness of the build that is rolled out.
     Slowness,
     /// Failure rate of the build that is rolled out.
-    Fails,
+    FailureRate,
     /// How clients retry.
     Clients,
     /// Whether the local zone is preferred.
     Routing,
     /// Budget for cross-zone traffic.
-    Share,
+    CrossZoneShare,
     /// Duration of a rollout stage, in seconds.
-    Step,
+    StageDuration,
     /// Inequality of the agents' loads.
-    Spread,
+    LoadSpread,
     /// Share of messages lost between zones.
     Loss,
     /// Notification delay, in milliseconds.
@@ -37,12 +37,12 @@
         ("agents", Parameter::Agents),
         ("rate", Parameter::Rate),
         ("slowness", Parameter::Slowness),
-        ("fails", Parameter::Fails),
+        ("fails", Parameter::FailureRate),
         ("clients", Parameter::Clients),
         ("routing", Parameter::Routing),
-        ("share", Parameter::Share),
-        ("step", Parameter::Step),
-        ("spread", Parameter::Spread),
+        ("share", Parameter::CrossZoneShare),
+        ("step", Parameter::StageDuration),
+        ("spread", Parameter::LoadSpread),
         ("loss", Parameter::Loss),
         ("told-late-ms", Parameter::NotificationDelayMs),
     ];
@@ -72,7 +72,7 @@
     pub(super) fn needs_rollout(self) -> bool {
         matches!(
             self,
-            Parameter::Slowness | Parameter::Fails | Parameter::Step
+            Parameter::Slowness | Parameter::FailureRate | Parameter::StageDuration
         )
     }
 }
@@ -149,13 +149,13 @@
         match parameter {
             Parameter::Agents => self.agents = number as usize,
             Parameter::Rate => self.rate = number,
-            Parameter::Spread => self.load_spread = number,
+            Parameter::LoadSpread => self.load_spread = number,
             Parameter::Loss => self.loss = number.min(1.0),
-            Parameter::Share => self.cross_zone_share = Some(number),
+            Parameter::CrossZoneShare => self.cross_zone_share = Some(number),
             Parameter::NotificationDelayMs => {
                 self.notification_delay = Duration::from_secs_f64(number / 1000.0);
             }
-            Parameter::Slowness | Parameter::Fails | Parameter::Step => {
+            Parameter::Slowness | Parameter::FailureRate | Parameter::StageDuration => {
                 self.set_rollout_number(parameter, number);
             }
             Parameter::Clients | Parameter::Routing => {}
@@ -168,8 +168,8 @@
         };
         match parameter {
             Parameter::Slowness => rollout.slowness = number,
-            Parameter::Fails => rollout.failure_rate = number,
-            Parameter::Step => rollout.stage_duration = Duration::from_secs_f64(number),
+            Parameter::FailureRate => rollout.failure_rate = number,
+            Parameter::StageDuration => rollout.stage_duration = Duration::from_secs_f64(number),
             _ => {}
         }
     }
--- a/crates/experiments/src/stats.rs
+++ b/crates/experiments/src/stats.rs
@@ -44,7 +44,7 @@
 
     /// Half the width of the 95% confidence interval of the mean; infinite for fewer than two
     /// values.
-    pub fn half(&self) -> f64 {
+    pub fn half_width(&self) -> f64 {
         if self.of < 2 {
             return f64::INFINITY;
         }
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -176,7 +176,8 @@
     assert_eq!(ticks("nothing"), None);
     let (before, begun) = (usage(std::process::id()).unwrap(), Instant::now());
     let mut kept = vec![1u8; 8 << 20];
-    while usage(std::process::id()).unwrap().ran < before.ran + Duration::from_millis(20) {
+    while usage(std::process::id()).unwrap().cpu_time < before.cpu_time + Duration::from_millis(20)
+    {
         kept.iter_mut().for_each(|b| *b = b.wrapping_add(1));
         assert!(begun.elapsed() < Duration::from_secs(60), "it never ran");
     }
@@ -185,7 +186,7 @@
     // The same clock in ticks; each of two counts may lack one, and time goes on between the two
     // readings.
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
-    assert!(ticks(&stat).unwrap() + Duration::from_millis(20) >= after.ran);
+    assert!(ticks(&stat).unwrap() + Duration::from_millis(20) >= after.cpu_time);
     assert!(usage(u32::MAX).is_err());
 }
 
@@ -239,7 +240,7 @@
     assert!(off < slope / 4.0 && r2 > 0.9999, "{told}");
     assert!(figures(&told, of.0, of.1, "ran_ms")
         .iter()
-        .all(|ran| *ran > 0.0));
+        .all(|cpu_time| *cpu_time > 0.0));
 }
 
 #[test]
@@ -660,7 +661,7 @@
             ..Results::default()
         };
         of.add(vec![row(figure, value)], &[]);
-        of.beyond()
+        of.exceeded_limits()
     };
     // The operators' letter, figure by figure.
     let letter = [
--- a/crates/experiments/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -43,8 +43,8 @@
         ..plan(&agent)
     }
     .step(100.0, Duration::from_secs(1));
-    assert!(step.answered.quantile_ms(0.9) > 400.0, "{}", step.summary());
-    let late = step.answered.send_delay_ms(0.5);
+    assert!(step.report.quantile_ms(0.9) > 400.0, "{}", step.summary());
+    let late = step.report.send_delay_ms(0.5);
     assert!(
         late < 100.0,
         "each went out when it was due, whatever became of those before: {late} ms"
--- a/crates/experiments/tests/stats.rs
+++ b/crates/experiments/tests/stats.rs
@@ -6,10 +6,12 @@
 fn intervals_and_tests_agree_with_the_textbook() {
     let m = Mean::of(&[4.0, 5.0, 6.0, 7.0, 8.0]);
     assert_eq!((m.mean, m.variance), (6.0, 2.5));
-    assert!((m.half() - 2.776 * 0.5f64.sqrt()).abs() < 1e-9);
+    assert!((m.half_width() - 2.776 * 0.5f64.sqrt()).abs() < 1e-9);
     assert!(!m.differs(&Mean::of(&[5.0, 6.0, 7.0, 8.0, 9.0])));
     assert!(m.differs(&Mean::of(&[14.0, 15.0, 16.0, 17.0, 18.0])));
-    assert!(!Mean::of(&[1.0]).differs(&Mean::of(&[2.0])) && Mean::of(&[1.0]).half().is_infinite());
+    assert!(
+        !Mean::of(&[1.0]).differs(&Mean::of(&[2.0])) && Mean::of(&[1.0]).half_width().is_infinite()
+    );
     assert!(!Mean::of(&[3.0; 4]).differs(&Mean::of(&[3.0; 4])));
 }
 
