--- a/crates/experiments/src/cli/experiment.rs
+++ b/crates/experiments/src/cli/experiment.rs
@@ -16,7 +16,7 @@
 /// Share of the available memory that runs may take.
 const MEMORY_SHARE: f64 = 0.8;
 /// Violations of the simulation's rules that are printed.
-const SHOWN_VIOLATIONS: usize = 5;
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// Why a scenario could not be run.
 #[derive(Debug, thiserror::Error)]
@@ -172,8 +172,8 @@
 fn missing_runs(seeds: u64, points: usize, file: &RecordFile) -> Vec<(usize, u64)> {
     let mut missing = Vec::new();
     for seed in 1..=seeds {
-        let of_seed = (0..points).filter(|point| !file.has(*point, seed));
-        missing.extend(of_seed.map(|point| (point, seed)));
+        let missing_for_seed = (0..points).filter(|point| !file.has(*point, seed));
+        missing.extend(missing_for_seed.map(|point| (point, seed)));
     }
     missing
 }
@@ -197,7 +197,7 @@
         file.records.len(),
         violations.len()
     );
-    for violation in violations.iter().take(SHOWN_VIOLATIONS) {
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
     if violations.is_empty() {
--- a/crates/experiments/src/cli/mod.rs
+++ b/crates/experiments/src/cli/mod.rs
@@ -12,13 +12,13 @@
 use tulipwall_experiments::report::PlotError;
 use tulipwall_experiments::scale::{self, ScaleError};
 
-const EXITS: &str = "\
+const EXIT_CODES: &str = "\
 Exit codes: 0 done; 1 a scenario or a file of records is wrong, or an agent could not be reached; 2 the command line is
 wrong; 3 a rule was broken in some run; 4 a figure of `fleet` or `scale --full` lies beyond an operators' limit.";
 
 /// Experiments on a model of the whole installation, and load on real agents.
 #[derive(Parser)]
-#[command(name = "tulipwall-experiments", version, after_help = EXITS)]
+#[command(name = "tulipwall-experiments", version, after_help = EXIT_CODES)]
 pub(crate) struct CommandLine {
     #[command(subcommand)]
     command: Command,
@@ -75,7 +75,7 @@
     /// Drive a real agent over its protocol, open loop.
     Load(load::Options),
     /// What real agents on loopback take and add: memory, processor time, bytes, latency.
-    #[command(after_help = EXITS)]
+    #[command(after_help = EXIT_CODES)]
     Fleet(Box<fleet::command::Options>),
 }
 
@@ -86,7 +86,7 @@
     /// A rule of the simulation was broken in some run.
     RuleBroken,
     /// A figure lies beyond an operators' limit.
-    BeyondLimit,
+    LimitExceeded,
 }
 
 /// Why a subcommand could not be carried out.
@@ -112,8 +112,8 @@
 }
 
 /// Carries out a subcommand.
-pub(crate) fn run(line: CommandLine) -> Result<Outcome, CliError> {
-    match line.command {
+pub(crate) fn run(command_line: CommandLine) -> Result<Outcome, CliError> {
+    match command_line.command {
         Command::Run {
             scenario,
             out,
@@ -138,16 +138,16 @@
         }
         Command::Load(options) => Ok(options.run()?),
         Command::Scale(options) => {
-            let beyond = options.run(procfs::available_memory())?;
-            Ok(limit_outcome(!beyond.is_empty()))
+            let exceeded_limits = options.run(procfs::available_memory())?;
+            Ok(limit_outcome(!exceeded_limits.is_empty()))
         }
         Command::Fleet(options) => Ok(limit_outcome(options.run()?)),
     }
 }
 
-fn limit_outcome(is_beyond: bool) -> Outcome {
-    if is_beyond {
-        Outcome::BeyondLimit
+fn limit_outcome(exceeds_limit: bool) -> Outcome {
+    if exceeds_limit {
+        Outcome::LimitExceeded
     } else {
         Outcome::Done
     }
--- a/crates/experiments/src/fleet/installation.rs
+++ b/crates/experiments/src/fleet/installation.rs
@@ -101,7 +101,7 @@
             .map(|seed| Endpoint::start(1, behavior.clone(), seed as u64))
             .collect::<io::Result<Vec<_>>>()?;
         let addresses: Vec<SocketAddr> = endpoints.iter().map(|e| e.address(0)).collect();
-        Installation::before(size, &addresses, endpoints, Vec::new())
+        Installation::with_endpoints(size, &addresses, endpoints, Vec::new())
     }
 
     /// Starts fakes whose endpoints take known times, `mean` on average.
@@ -113,11 +113,11 @@
             .map(|_| TimedEndpoint::start(mean))
             .collect::<io::Result<Vec<_>>>()?;
         let addresses: Vec<SocketAddr> = endpoints.iter().map(|e| e.address).collect();
-        Installation::before(size, &addresses, Vec::new(), endpoints)
+        Installation::with_endpoints(size, &addresses, Vec::new(), endpoints)
     }
 
     /// Starts discovery and platform before endpoints.
-    fn before(
+    fn with_endpoints(
         size: &Size,
         addresses: &[SocketAddr],
         endpoints: Vec<Endpoint>,
--- a/crates/experiments/src/fleet/measures/added_latency.rs
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -29,31 +29,31 @@
     requests: u64,
     succeeded: u64,
     through: Quantiles,
-    straight: Quantiles,
+    direct: Quantiles,
     /// Straight, with a handshake for each request.
-    handshaken: Quantiles,
+    with_handshake: Quantiles,
     /// Connections that the agent opened to endpoints.
     connections: u64,
-    issued_late_ms: f64,
+    send_delay_p99_ms: f64,
     /// How long the agent was ready and had no core, for each request.
-    waited_us: f64,
+    cpu_wait_us: f64,
 }
 
 impl Sample {
     fn added_p50(&self) -> f64 {
-        self.through.p50 - self.straight.p50
+        self.through.p50 - self.direct.p50
     }
 
     fn added_p99(&self) -> f64 {
-        self.through.p99 - self.straight.p99
+        self.through.p99 - self.direct.p99
     }
 
     fn handshake_p50(&self) -> f64 {
-        self.handshaken.p50 - self.straight.p50
+        self.with_handshake.p50 - self.direct.p50
     }
 
     fn handshake_p99(&self) -> f64 {
-        self.handshaken.p99 - self.straight.p99
+        self.with_handshake.p99 - self.direct.p99
     }
 }
 
@@ -89,19 +89,19 @@
     let mut samples = Vec::new();
     for n in 0..plan.repeats as u64 {
         let _polling = BusyPolling::begin();
-        let play = |connection_use, address| {
+        let run_load = |connection_use, address| {
             let seed = FIRST_SEED + n;
             load_on(connection_use, size, address, rate, plan.duration, seed)
         };
         let waited_before = agent.usage()?.waited;
         let accepted_before = installation.accepted_by_timed_endpoints();
-        let through = play(ConnectionUse::Reused, through_agent);
+        let through = run_load(ConnectionUse::Reused, through_agent);
         let connections = installation.accepted_by_timed_endpoints() - accepted_before;
         let waited = agent.usage()?.waited.saturating_sub(waited_before);
         let loads = Loads {
             through,
-            straight: play(ConnectionUse::Reused, endpoint),
-            handshaken: play(ConnectionUse::NewForEach, endpoint),
+            direct: run_load(ConnectionUse::Reused, endpoint),
+            with_handshake: run_load(ConnectionUse::NewForEach, endpoint),
         };
         samples.push(sample(plan, &loads, connections, waited));
     }
@@ -120,32 +120,36 @@
 /// The same load in three ways.
 struct Loads {
     through: LoadReport,
-    straight: LoadReport,
-    handshaken: LoadReport,
+    direct: LoadReport,
+    with_handshake: LoadReport,
 }
 
 fn sample(plan: &Plan, loads: &Loads, connections: u64, waited: Duration) -> Sample {
     let requests = loads.through.requests.max(1) as f64;
     let through_late = loads.through.send_delay_ms(0.99);
-    let straight_late = loads.straight.send_delay_ms(0.99);
+    let direct_late = loads.direct.send_delay_ms(0.99);
     Sample {
         requests: loads.through.requests,
         succeeded: loads.through.succeeded,
         through: quantiles_beyond_work(&loads.through, plan.work),
-        straight: quantiles_beyond_work(&loads.straight, plan.work),
-        handshaken: quantiles_beyond_work(&loads.handshaken, plan.work),
+        direct: quantiles_beyond_work(&loads.direct, plan.work),
+        with_handshake: quantiles_beyond_work(&loads.with_handshake, plan.work),
         connections,
-        issued_late_ms: through_late.max(straight_late),
-        waited_us: waited.as_secs_f64() / requests * MICROSECONDS,
+        send_delay_p99_ms: through_late.max(direct_late),
+        cpu_wait_us: waited.as_secs_f64() / requests * MICROSECONDS,
     }
 }
 
-fn quantiles_beyond_work(answered: &LoadReport, work: Duration) -> Quantiles {
+fn quantiles_beyond_work(load_report: &LoadReport, work: Duration) -> Quantiles {
     let beyond_work = |(id, took_us): &(String, u64)| {
         let work = timed_endpoint::work(id, work);
         *took_us as f64 / 1000.0 - milliseconds(work)
     };
-    let mut sorted: Vec<f64> = answered.request_latencies.iter().map(beyond_work).collect();
+    let mut sorted: Vec<f64> = load_report
+        .request_latencies
+        .iter()
+        .map(beyond_work)
+        .collect();
     sorted.sort_by(f64::total_cmp);
     let quantile = |share: f64| {
         let rank = (sorted.len() as f64 * share).ceil() as usize;
@@ -165,7 +169,7 @@
     let added_p99 = || samples.iter().map(Sample::added_p99);
     let on_time: Vec<f64> = samples
         .iter()
-        .filter(|s| s.issued_late_ms <= ON_TIME_MS)
+        .filter(|s| s.send_delay_p99_ms <= ON_TIME_MS)
         .map(Sample::added_p99)
         .collect();
     vec![
@@ -173,7 +177,7 @@
         ("satisfied", succeeded as f64),
         (
             "straight_p99_ms",
-            median(samples.iter().map(|s| s.straight.p99)),
+            median(samples.iter().map(|s| s.direct.p99)),
         ),
         (
             "through_p99_ms",
@@ -206,11 +210,11 @@
         ),
         (
             "issued_late_p99_ms",
-            median(samples.iter().map(|s| s.issued_late_ms)),
+            median(samples.iter().map(|s| s.send_delay_p99_ms)),
         ),
         (
             "waited_us_a_command",
-            median(samples.iter().map(|s| s.waited_us)),
+            median(samples.iter().map(|s| s.cpu_wait_us)),
         ),
     ]
 }
--- a/crates/experiments/src/fleet/measures/idle.rs
+++ b/crates/experiments/src/fleet/measures/idle.rs
@@ -35,21 +35,23 @@
     let after = agents.iter().map(read).collect::<io::Result<Vec<_>>>()?;
     let seconds = started_at.elapsed().as_secs_f64();
 
-    let both = || after.iter().zip(&before);
+    let reading_pairs = || after.iter().zip(&before);
     let core_percent = || {
-        both().map(|(a, b)| {
+        reading_pairs().map(|(a, b)| {
             let cpu_time = a.usage.cpu_time.saturating_sub(b.usage.cpu_time);
             cpu_time.as_secs_f64() / seconds * 100.0
         })
     };
-    let waited = both().map(|(a, b)| {
+    let waited = reading_pairs().map(|(a, b)| {
         let waited = a.usage.waited.saturating_sub(b.usage.waited);
         milliseconds(waited) / seconds
     });
-    let discovery =
-        mean(both().map(|(a, b)| (a.control.discovery - b.control.discovery) as f64 / seconds));
-    let platform =
-        mean(both().map(|(a, b)| (a.control.platform - b.control.platform) as f64 / seconds));
+    let discovery = mean(
+        reading_pairs().map(|(a, b)| (a.control.discovery - b.control.discovery) as f64 / seconds),
+    );
+    let platform = mean(
+        reading_pairs().map(|(a, b)| (a.control.platform - b.control.platform) as f64 / seconds),
+    );
     let figures = [
         ("agents", agents.len() as f64),
         ("control_core_%", mean(core_percent())),
--- a/crates/experiments/src/fleet/measures/list_change.rs
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -10,7 +10,7 @@
 use tulipwall_testkit::EndpointBehavior;
 
 /// After the request behind a change some work may still be under way.
-const REST: Duration = Duration::from_millis(20);
+const SETTLE_TIME: Duration = Duration::from_millis(20);
 
 /// One change.
 struct Sample {
@@ -73,7 +73,7 @@
     let change = until("the question behind a change", || {
         agent.discovery.response_since(started_at)
     })?;
-    sleep(REST);
+    sleep(SETTLE_TIME);
     let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
     Ok(Sample {
         bytes: change.bytes as f64,
--- a/crates/experiments/src/fleet/measures/reload.rs
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -13,7 +13,7 @@
 
 /// Processor time and bytes count until so long after a reload; an idle time as long is measured
 /// before it.
-const REST: Duration = Duration::from_millis(500);
+const IDLE_TIME: Duration = Duration::from_millis(500);
 const RELOADS_A_DAY: f64 = 1000.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
 
@@ -47,7 +47,7 @@
     let platform_heard_at = until("word of the platform", || {
         agent.platform.first_response_at()
     })?;
-    sleep(REST);
+    sleep(IDLE_TIME);
     let bytes = agent.control_bytes().total();
     let cpu_time = agent.usage()?.cpu_time.saturating_sub(before).as_secs_f64();
     let idle_cpu_time = idle_share * reload.at.elapsed().as_secs_f64();
@@ -65,7 +65,7 @@
 fn idle_share(agent: &RunningAgent) -> Result<f64, FleetError> {
     let started_at = Instant::now();
     let before = agent.usage()?.cpu_time;
-    sleep(REST);
+    sleep(IDLE_TIME);
     let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
     Ok(cpu_time.as_secs_f64() / started_at.elapsed().as_secs_f64())
 }
--- a/crates/experiments/src/fleet/measures/request_cost.rs
+++ b/crates/experiments/src/fleet/measures/request_cost.rs
@@ -26,18 +26,18 @@
     load(size, address, rate, plan.settle, WARM_UP_SEED);
     let started_at = Instant::now();
     let before = agent.usage()?;
-    let answered = load(size, address, rate, plan.duration, SEED);
+    let load_report = load(size, address, rate, plan.duration, SEED);
     let after = agent.usage()?;
     let seconds = started_at.elapsed().as_secs_f64();
 
     let cpu_time = after.cpu_time.saturating_sub(before.cpu_time).as_secs_f64();
     let waited = after.waited.saturating_sub(before.waited).as_secs_f64();
-    let requests = answered.requests.max(1) as f64;
+    let requests = load_report.requests.max(1) as f64;
     let cpu_time_for_requests = (cpu_time - idle_share * seconds).max(0.0);
     let figures = [
         ("rate", rate),
-        ("asked", answered.requests as f64),
-        ("satisfied", answered.succeeded as f64),
+        ("asked", load_report.requests as f64),
+        ("satisfied", load_report.succeeded as f64),
         ("idle_core_%", idle_share * 100.0),
         ("core_%", cpu_time / seconds * 100.0),
         (
--- a/crates/experiments/src/fleet/measures/restart.rs
+++ b/crates/experiments/src/fleet/measures/restart.rs
@@ -13,7 +13,7 @@
 use tulipwall_testkit::{EndpointBehavior, TestClient};
 
 /// How long an agent is left alone before and after a restart, at most.
-const REST: Duration = Duration::from_millis(500);
+const IDLE_TIME: Duration = Duration::from_millis(500);
 /// Latency objective that each restart changes, in milliseconds.
 const LATENCY_OBJECTIVE_MS: f64 = 500.0;
 
@@ -51,14 +51,14 @@
     latency_objective_ms: f64,
 ) -> Result<Sample, FleetError> {
     let client = TestClient::connect(agent.address()?)?;
-    sleep(plan.settle.min(REST));
+    sleep(plan.settle.min(IDLE_TIME));
     let before = agent.control_bytes().total();
     let change = |settings: &mut Value| {
         settings["classes"][0]["aim-ms"] = latency_objective_ms.into();
     };
     let times = agent.restart(&plan.binary, change)?;
     let cpu_time = agent.usage()?.cpu_time;
-    sleep(REST);
+    sleep(IDLE_TIME);
     let bytes = agent.control_bytes().total() - before;
     drop(client);
     Ok(Sample {
--- a/crates/experiments/src/fleet/measures/settings_reload.rs
+++ b/crates/experiments/src/fleet/measures/settings_reload.rs
@@ -15,7 +15,7 @@
 
 /// Settings that are not in force by then are not taken over. Some agents never take settings over
 /// so, which shows as none of the repeats.
-const TAKEN_OVER_WITHIN: Duration = Duration::from_secs(2);
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a request of the new class waits.
 const DEADLINE_MS: u32 = 500;
 const CLASS_WEIGHT: f64 = 3.0;
@@ -63,7 +63,7 @@
     };
     let reload = agent.reload(installation, add_class)?;
     let served = || served_after(address, class_name, reload.at);
-    Ok(until_timeout(TAKEN_OVER_WITHIN, served))
+    Ok(until_timeout(RELOAD_TIMEOUT, served))
 }
 
 /// A class as settings have it.
@@ -78,6 +78,6 @@
 fn served_after(agent: SocketAddr, class_name: &str, reloaded_at: Instant) -> Option<f64> {
     let mut client = TestClient::connect(agent).ok()?;
     client.send_query(class_name, DEADLINE_MS);
-    let answer = client.read_reply().ok()?;
-    matches!(answer, Reply::Value(_)).then(|| milliseconds(reloaded_at.elapsed()))
+    let reply = client.read_reply().ok()?;
+    matches!(reply, Reply::Value(_)).then(|| milliseconds(reloaded_at.elapsed()))
 }
--- a/crates/experiments/src/fleet/proxy.rs
+++ b/crates/experiments/src/fleet/proxy.rs
@@ -87,7 +87,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     traffic: Arc<Mutex<Traffic>>,
-    ends: Arc<TerminationSignal>,
+    termination: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
@@ -98,9 +98,9 @@
     /// It cannot listen.
     pub fn start(server: SocketAddr) -> io::Result<CountingProxy> {
         let traffic = Arc::<Mutex<Traffic>>::default();
-        let ends = Arc::<TerminationSignal>::default();
+        let termination = Arc::<TerminationSignal>::default();
         let shared_traffic = traffic.clone();
-        let (address, task) = runtime::listen(&ends, move |stream| {
+        let (address, task) = runtime::listen(&termination, move |stream| {
             let traffic = shared_traffic.clone();
             async move {
                 // A connection that fails is the agent's to notice.
@@ -110,7 +110,7 @@
         Ok(CountingProxy {
             address,
             traffic,
-            ends,
+            termination,
             _task: task,
         })
     }
@@ -166,7 +166,7 @@
 
 impl Drop for CountingProxy {
     fn drop(&mut self) {
-        self.ends.end();
+        self.termination.end();
     }
 }
 
--- a/crates/experiments/src/fleet/timed_endpoint.rs
+++ b/crates/experiments/src/fleet/timed_endpoint.rs
@@ -24,7 +24,7 @@
     /// Its address.
     pub address: SocketAddr,
     accepted: Arc<AtomicU64>,
-    ends: Arc<TerminationSignal>,
+    termination: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
@@ -49,10 +49,10 @@
     /// # Errors
     /// It cannot listen.
     pub fn start(mean: Duration) -> io::Result<TimedEndpoint> {
-        let ends = Arc::<TerminationSignal>::default();
+        let termination = Arc::<TerminationSignal>::default();
         let accepted = Arc::<AtomicU64>::default();
         let count = accepted.clone();
-        let (address, task) = runtime::listen(&ends, move |stream| {
+        let (address, task) = runtime::listen(&termination, move |stream| {
             count.fetch_add(1, Ordering::Relaxed);
             async move {
                 // A connection that fails is the client's to notice.
@@ -62,7 +62,7 @@
         Ok(TimedEndpoint {
             address,
             accepted,
-            ends,
+            termination,
             _task: task,
         })
     }
@@ -75,7 +75,7 @@
 
 impl Drop for TimedEndpoint {
     fn drop(&mut self) {
-        self.ends.end();
+        self.termination.end();
     }
 }
 
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether the agent kept this p99, and nearly all requests succeeded.
-    fn keeps(&self, p99_ms: f64) -> bool {
+    fn sustains(&self, p99_ms: f64) -> bool {
         let report = &self.report;
         let required = MIN_SUCCESS_SHARE * report.requests as f64;
         report.quantile_ms(0.99) <= p99_ms && report.succeeded as f64 >= required
@@ -146,7 +146,7 @@
         p99_ms: f64,
         mut observe: impl FnMut(&Step),
     ) -> Option<f64> {
-        let mut keeps = |rate: f64| {
+        let mut sustains = |rate: f64| {
             let step = || {
                 let step = self.step(rate, duration);
                 observe(&step);
@@ -155,28 +155,28 @@
             let in_time = std::iter::repeat_with(step)
                 .take(MAX_ATTEMPTS)
                 .find(|step| !step.is_generator_late());
-            in_time.is_some_and(|step| step.keeps(p99_ms))
+            in_time.is_some_and(|step| step.sustains(p99_ms))
         };
-        if !keeps(from) {
+        if !sustains(from) {
             return None;
         }
-        let mut kept = from;
-        let mut not_kept: Option<f64> = None;
+        let mut sustained = from;
+        let mut unsustained: Option<f64> = None;
         // Doubling up to the first rate that is not kept, then bisecting what lies between.
-        while not_kept.is_none_or(|rate| rate / kept > SEARCH_PRECISION) {
-            let next = match not_kept {
-                Some(rate) => (rate * kept).sqrt(),
-                None => (kept * 2.0).min(to),
+        while unsustained.is_none_or(|rate| rate / sustained > SEARCH_PRECISION) {
+            let next = match unsustained {
+                Some(rate) => (rate * sustained).sqrt(),
+                None => (sustained * 2.0).min(to),
             };
-            if !keeps(next) {
-                not_kept = Some(next);
+            if !sustains(next) {
+                unsustained = Some(next);
                 continue;
             }
-            kept = next;
-            if not_kept.is_none() && next >= to {
+            sustained = next;
+            if unsustained.is_none() && next >= to {
                 break;
             }
         }
-        Some(kept)
+        Some(sustained)
     }
 }
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -13,22 +13,22 @@
 /// A rule of the simulation was broken in some run.
 const RULE_BROKEN: u8 = 3;
 /// A figure lies beyond an operators' limit.
-const BEYOND_LIMIT: u8 = 4;
+const LIMIT_EXCEEDED: u8 = 4;
 
 fn main() -> ExitCode {
     match cli::run(CommandLine::parse()) {
         Ok(Outcome::Done) => ExitCode::SUCCESS,
         Ok(Outcome::RuleBroken) => RULE_BROKEN.into(),
-        Ok(Outcome::BeyondLimit) => BEYOND_LIMIT.into(),
+        Ok(Outcome::LimitExceeded) => LIMIT_EXCEEDED.into(),
         Err(error) => {
-            eprintln!("{}", chain(&error));
+            eprintln!("{}", error_chain(&error));
             ExitCode::FAILURE
         }
     }
 }
 
 /// An error with its causes, in one line.
-fn chain(error: &dyn Error) -> String {
+fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/experiments/src/report/chart.rs
+++ b/crates/experiments/src/report/chart.rs
@@ -1,6 +1,6 @@
 //! Data of a plot: curves of one figure, and the axes that hold them.
 
-use super::{group_by_point, joined};
+use super::{format_values, group_by_point};
 use crate::records::Record;
 use crate::stats::Mean;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
             let x = first.map_or(0.0, |(_, value)| words.position(value));
             let others = group.values.get(1..).unwrap_or_default();
             let mean = group.figure(figure);
-            let curve = curves.entry(joined(others)).or_default();
+            let curve = curves.entry(format_values(others)).or_default();
             curve.push(ChartPoint { x, mean });
         }
         let first_key = groups.first().and_then(|group| group.values.first());
@@ -127,20 +127,20 @@
 
 fn x_extent(curves: &BTreeMap<String, Vec<ChartPoint>>) -> (f64, f64) {
     let points = curves.values().flatten();
-    points.fold((f64::MAX, f64::MIN), |(least, most), point| {
-        (least.min(point.x), most.max(point.x))
+    points.fold((f64::MAX, f64::MIN), |(lowest, highest), point| {
+        (lowest.min(point.x), highest.max(point.x))
     })
 }
 
 fn is_logarithmic(curves: &BTreeMap<String, Vec<ChartPoint>>) -> bool {
-    let (least, most) = x_extent(curves);
-    least > 0.0 && most / least >= LOGARITHMIC_RATIO
+    let (lowest, highest) = x_extent(curves);
+    lowest > 0.0 && highest / lowest >= LOGARITHMIC_RATIO
 }
 
 fn x_range(curves: &BTreeMap<String, Vec<ChartPoint>>, logarithmic: bool) -> Range<f64> {
-    let (least, most) = x_extent(curves);
-    let left = x_position(least, logarithmic);
-    let right = x_position(most, logarithmic);
+    let (lowest, highest) = x_extent(curves);
+    let left = x_position(lowest, logarithmic);
+    let right = x_position(highest, logarithmic);
     let padding = ((right - left) * PADDING_SHARE).max(MIN_PADDING);
     left - padding..right + padding
 }
--- a/crates/experiments/src/report/drawing.rs
+++ b/crates/experiments/src/report/drawing.rs
@@ -60,10 +60,10 @@
             .draw_series(LineSeries::new(line, style))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE, y)], style));
-        let bars = curve
+        let error_bars = curve
             .iter()
-            .map(|point| PathElement::new(bar(chart, point), style));
-        context.draw_series(bars)?;
+            .map(|point| PathElement::new(error_bar(chart, point), style));
+        context.draw_series(error_bars)?;
     }
     context
         .configure_series_labels()
@@ -79,7 +79,7 @@
 }
 
 /// Ends of the bar that shows a confidence interval.
-fn bar(chart: &Chart, point: &ChartPoint) -> [(f64, f64); 2] {
+fn error_bar(chart: &Chart, point: &ChartPoint) -> [(f64, f64); 2] {
     let x = chart.x_position(point.x);
     let (low, high) = point.interval();
     [(x, low), (x, high)]
--- a/crates/experiments/src/report/mod.rs
+++ b/crates/experiments/src/report/mod.rs
@@ -39,12 +39,12 @@
         if self.values.is_empty() {
             return "as written".into();
         }
-        joined(self.values)
+        format_values(self.values)
     }
 }
 
 /// Parameters with their values as text.
-fn joined(values: &[(String, String)]) -> String {
+fn format_values(values: &[(String, String)]) -> String {
     let texts: Vec<String> = values
         .iter()
         .map(|(key, value)| format!("{key} {value}"))
--- a/crates/experiments/src/run/simulation.rs
+++ b/crates/experiments/src/run/simulation.rs
@@ -20,21 +20,22 @@
 /// Share of the agents whose votes roll a build back.
 const ROLLBACK_SHARE: f64 = 0.05;
 /// Retries of naive clients.
-const NAIVE_PAUSE: Duration = Duration::from_millis(50);
-const NAIVE_TRIES: u32 = 20;
+const NAIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
+const NAIVE_MAX_ATTEMPTS: u32 = 20;
 /// How long a stall lasts where the scenario does not say.
 const DEFAULT_STALL: Duration = Duration::from_secs(1);
 
 /// The simulation of a scenario with this seed.
 pub fn build_simulation(scenario: &Scenario, seed: u64) -> Simulation {
-    let mut nodes = Vec::new();
-    let zone_nodes = add_zone_nodes(&scenario.zones, &mut nodes);
+    let mut simulated = Vec::new();
+    let zone_endpoints = add_zone_endpoints(&scenario.zones, &mut simulated);
     let rollout_plan = scenario
         .rollout
         .as_ref()
-        .map(|rollout| rollout_plan(scenario, rollout, &mut nodes));
+        .map(|rollout| rollout_plan(scenario, rollout, &mut simulated));
     let agents = (0..scenario.agents).map(|n| agent(scenario, n)).collect();
-    let mut simulation = Simulation::small(agents, nodes, scenario.rate, scenario.duration, seed);
+    let mut simulation =
+        Simulation::small(agents, simulated, scenario.rate, scenario.duration, seed);
     simulation.link_delays = delays(scenario);
     simulation.settings = settings(scenario);
     simulation.mean_work = scenario.classes.iter().map(|class| class.work).collect();
@@ -48,33 +49,33 @@
     simulation.notification_delay = scenario.notification_delay;
     simulation.client_behavior = clients(scenario.clients);
     simulation.rollout_plan = rollout_plan;
-    simulation.events = events(scenario, &zone_nodes);
+    simulation.events = events(scenario, &zone_endpoints);
     simulation
 }
 
 /// Adds the endpoints of all zones; returns their indices by zone.
-fn add_zone_nodes(zones: &[Zone], nodes: &mut Vec<SimulatedEndpoint>) -> Vec<Vec<usize>> {
-    let mut zone_nodes = vec![Vec::new(); zones.len()];
+fn add_zone_endpoints(zones: &[Zone], simulated: &mut Vec<SimulatedEndpoint>) -> Vec<Vec<usize>> {
+    let mut zone_endpoints = vec![Vec::new(); zones.len()];
     for (index, zone) in zones.iter().enumerate() {
         for _ in 0..zone.endpoints {
-            zone_nodes[index].push(nodes.len());
-            nodes.push(SimulatedEndpoint::new(index, OLD_BUILD, zone.cores));
+            zone_endpoints[index].push(simulated.len());
+            simulated.push(SimulatedEndpoint::new(index, OLD_BUILD, zone.cores));
         }
     }
-    zone_nodes
+    zone_endpoints
 }
 
 /// Adds the endpoints of the new build, which are not yet listed.
 fn rollout_plan(
     scenario: &Scenario,
     rollout: &Rollout,
-    nodes: &mut Vec<SimulatedEndpoint>,
+    simulated: &mut Vec<SimulatedEndpoint>,
 ) -> RolloutPlan {
-    let mut own_nodes = Vec::new();
+    let mut new_build_endpoints = Vec::new();
     for n in 0..rollout.endpoints {
         let zone = n % scenario.zones.len();
-        own_nodes.push(nodes.len());
-        nodes.push(SimulatedEndpoint {
+        new_build_endpoints.push(simulated.len());
+        simulated.push(SimulatedEndpoint {
             work_factor: rollout.slowness,
             failure_rate: rollout.failure_rate,
             state: EndpointState::Gone,
@@ -86,7 +87,7 @@
         starts_at: rollout.start,
         caps: rollout.stages.clone(),
         stage_duration: rollout.stage_duration,
-        endpoints: own_nodes,
+        endpoints: new_build_endpoints,
         votes_to_roll_back: votes_to_roll_back(scenario),
     }
 }
@@ -101,13 +102,13 @@
     let has_zoning = scenario.prefer_local_zone || scenario.cross_zone_share.is_some();
     SimulatedAgent {
         zone,
-        load_share: load_part(scenario, number).max(0.0),
+        load_share: relative_load(scenario, number).max(0.0),
         zoning: has_zoning.then(|| zoning(scenario, zone)),
     }
 }
 
 /// An agent's load relative to the mean: from one plus the spread down to one less it.
-fn load_part(scenario: &Scenario, number: usize) -> f64 {
+fn relative_load(scenario: &Scenario, number: usize) -> f64 {
     let last = (scenario.agents.max(2) - 1) as f64;
     1.0 + scenario.load_spread * (1.0 - 2.0 * number as f64 / last)
 }
@@ -138,8 +139,8 @@
     match kind {
         ClientKind::Open => ClientBehavior::NoRetries,
         ClientKind::Naive => ClientBehavior::FixedRetries {
-            pause: NAIVE_PAUSE,
-            max_attempts: NAIVE_TRIES,
+            pause: NAIVE_RETRY_DELAY,
+            max_attempts: NAIVE_MAX_ATTEMPTS,
         },
         ClientKind::Careful => ClientBehavior::PolicyRetries(RetryPolicy::default()),
     }
@@ -179,40 +180,39 @@
 }
 
 /// Scheduled changes of all faults.
-fn events(scenario: &Scenario, zone_nodes: &[Vec<usize>]) -> Vec<(Duration, ScenarioEvent)> {
+fn events(scenario: &Scenario, zone_endpoints: &[Vec<usize>]) -> Vec<(Duration, ScenarioEvent)> {
     scenario
         .faults
         .iter()
-        .flat_map(|fault| fault_changes(scenario, fault, zone_nodes))
+        .flat_map(|fault| fault_changes(scenario, fault, zone_endpoints))
         .collect()
 }
 
 fn fault_changes(
     scenario: &Scenario,
     fault: &Fault,
-    zone_nodes: &[Vec<usize>],
+    zone_endpoints: &[Vec<usize>],
 ) -> Vec<(Duration, ScenarioEvent)> {
-    let nodes = affected_nodes(fault, zone_nodes);
-    let on_nodes = |begin: &dyn Fn(usize) -> ScenarioEvent,
-                    end: &dyn Fn(usize) -> ScenarioEvent| {
-        node_changes(fault, &nodes, begin, end)
+    let simulated = affected_endpoints(fault, zone_endpoints);
+    let on_each = |begin: &dyn Fn(usize) -> ScenarioEvent, end: &dyn Fn(usize) -> ScenarioEvent| {
+        endpoint_changes(fault, &simulated, begin, end)
     };
     match fault.kind {
-        FaultKind::Slow(factor) => on_nodes(&|n| ScenarioEvent::SetWorkFactor(n, factor), &|n| {
+        FaultKind::Slow(factor) => on_each(&|n| ScenarioEvent::SetWorkFactor(n, factor), &|n| {
             ScenarioEvent::SetWorkFactor(n, 1.0)
         }),
-        FaultKind::Fail(share) => on_nodes(&|n| ScenarioEvent::SetFailureRate(n, share), &|n| {
+        FaultKind::Fail(share) => on_each(&|n| ScenarioEvent::SetFailureRate(n, share), &|n| {
             ScenarioEvent::SetFailureRate(n, 0.0)
         }),
-        FaultKind::Drain => on_nodes(
+        FaultKind::Drain => on_each(
             &|n| ScenarioEvent::SetState(n, EndpointState::Draining),
             &ScenarioEvent::Restart,
         ),
-        FaultKind::Gone => on_nodes(
+        FaultKind::Gone => on_each(
             &|n| ScenarioEvent::SetState(n, EndpointState::Gone),
             &ScenarioEvent::Restart,
         ),
-        FaultKind::Unresponsive => on_nodes(&|n| ScenarioEvent::SetUnresponsive(n, true), &|n| {
+        FaultKind::Unresponsive => on_each(&|n| ScenarioEvent::SetUnresponsive(n, true), &|n| {
             ScenarioEvent::SetUnresponsive(n, false)
         }),
         FaultKind::Stall => stall_changes(scenario, fault),
@@ -221,28 +221,28 @@
 }
 
 /// The endpoints that a fault concerns.
-fn affected_nodes(fault: &Fault, zone_nodes: &[Vec<usize>]) -> Vec<usize> {
+fn affected_endpoints(fault: &Fault, zone_endpoints: &[Vec<usize>]) -> Vec<usize> {
     let zones = match fault.zone {
-        Some(zone) => &zone_nodes[zone..=zone],
-        None => zone_nodes,
+        Some(zone) => &zone_endpoints[zone..=zone],
+        None => zone_endpoints,
     };
     zones
         .iter()
-        .flat_map(|nodes| nodes.iter().take(fault.max_endpoints).copied())
+        .flat_map(|simulated| simulated.iter().take(fault.max_endpoints).copied())
         .collect()
 }
 
 /// A change of each endpoint at the start of a fault, and another at its end if it has one.
-fn node_changes(
+fn endpoint_changes(
     fault: &Fault,
-    nodes: &[usize],
+    simulated: &[usize],
     begin: &dyn Fn(usize) -> ScenarioEvent,
     end: &dyn Fn(usize) -> ScenarioEvent,
 ) -> Vec<(Duration, ScenarioEvent)> {
-    let mut changes: Vec<_> = nodes.iter().map(|n| (fault.start, begin(*n))).collect();
+    let mut changes: Vec<_> = simulated.iter().map(|n| (fault.start, begin(*n))).collect();
     if let Some(duration) = fault.duration {
         let end_at = fault.start + duration;
-        changes.extend(nodes.iter().map(|n| (end_at, end(*n))));
+        changes.extend(simulated.iter().map(|n| (end_at, end(*n))));
     }
     changes
 }
--- a/crates/experiments/src/scenario/parse/fault.rs
+++ b/crates/experiments/src/scenario/parse/fault.rs
@@ -36,7 +36,7 @@
         max_endpoints: usize::MAX,
         kind: FaultKind::Drain,
     };
-    let mut found = Vec::new();
+    let mut kinds = Vec::new();
     for node in reader.nodes(node.children(), "fault", &KEYS, &[]) {
         match node.name().value() {
             "at" => fault.start = reader.duration(node, Duration::ZERO)?,
@@ -46,14 +46,14 @@
                 let endpoints = reader.number(node, 1.0, MAX_ENDPOINTS);
                 fault.max_endpoints = endpoints.map_or(usize::MAX, |n| n as usize);
             }
-            _ => found.extend(kind(reader, node)),
+            _ => kinds.extend(kind(reader, node)),
         }
     }
-    if found.len() != 1 {
+    if kinds.len() != 1 {
         let text = "one of slow, fail, burst or kind is wanted in it";
         reader.report(location, "fault", text.into());
     }
-    fault.kind = found.first().copied()?;
+    fault.kind = kinds.first().copied()?;
     Some(fault)
 }
 
