--- a/crates/experiments/src/arguments.rs
+++ b/crates/experiments/src/arguments.rs
@@ -3,10 +3,10 @@
 use std::ops::RangeInclusive;
 use std::str::FromStr;
 
-/// Largest count of agents, endpoints, classes, tenants or connections.
+/// Largest accepted count of agents, endpoints, classes, tenants or connections.
 const MAX_COUNT: usize = 1_000_000;
 
-/// A command-line value that cannot be used.
+/// A rejected command-line value; the message says what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{expected}")]
 pub struct InvalidArgument {
@@ -14,7 +14,7 @@
 }
 
 impl InvalidArgument {
-    /// An error whose text says what was expected.
+    /// Creates an error with this message, which says what was expected.
     pub fn expected(text: impl Into<String>) -> InvalidArgument {
         InvalidArgument {
             expected: text.into(),
@@ -22,10 +22,10 @@
     }
 }
 
-/// A number within a range; `expected` is the text of the error otherwise.
+/// Parses a number and checks that it lies within a range; `expected` is the error message.
 ///
 /// # Errors
-/// The text is no number, or lies outside the range.
+/// Returns an error if the text is not a number or the number lies outside the range.
 pub fn number_in<T: FromStr + PartialOrd>(
     text: &str,
     range: RangeInclusive<T>,
@@ -35,10 +35,10 @@
     number.ok_or_else(|| InvalidArgument::expected(expected))
 }
 
-/// A count from 1 to a million; `expected` is the text of the error otherwise.
+/// Parses a count from 1 to a million; `expected` is the error message.
 ///
 /// # Errors
-/// The text is no such count.
+/// Returns an error if the text is not a count in this range.
 pub fn count(text: &str, expected: &str) -> Result<usize, InvalidArgument> {
     number_in(text, 1..=MAX_COUNT, expected)
 }
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,12 +1,13 @@
 //! Experiments on simulated installations, and measurements of real agents.
 //!
-//! - [`scenario`], [`run`], [`records`] and [`report`]: a scenario in KDL says what installation is
-//!   simulated, what varies and over how many seeds; its runs are stored, compared and drawn. The
-//!   simulation is [`tulipwall_testkit::simulation`]: the real decisions, zones and client retries
-//!   in simulated time, with the rules checked from outside.
+//! - [`scenario`], [`run`], [`records`] and [`report`]: a KDL scenario describes the simulated
+//!   installation, the parameters that vary and the number of seeds; the results of its runs are
+//!   stored, compared and plotted. The simulation is [`tulipwall_testkit::simulation`]: it runs the
+//!   real decisions, zones and client retries in simulated time and checks the rules from outside
+//!   that code.
 //! - [`load`]: an open-loop load generator for a real agent.
-//! - [`scale`]: hundreds of simulated agents in one process, and what each costs.
-//! - [`fleet`]: what real agents on loopback cost.
+//! - [`scale`]: hundreds of simulated agents in one process, and the cost of each.
+//! - [`fleet`]: the memory, processor time, traffic and added latency of real agents on loopback.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,53 +1,53 @@
-//! Load on a real agent: open loop, with latencies counted from when a request was due.
+//! Open-loop load on a real agent; latencies are measured from the time at which a request was due.
 
 use serde_json::{json, Map, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tulipwall_testkit::{Load, LoadReport};
 
-/// A request that is sent later than this after it was due shows that the load generator itself
-/// does not keep up.
+/// If the 99th percentile of the delay between a request's due time and its sending exceeds this,
+/// the load generator itself does not keep up.
 const MAX_ISSUE_DELAY_MS: f64 = 5.0;
-/// How often a step of a search is played in which the load generator did not keep up, before its
-/// rate counts as not kept.
+/// Number of times that a search runs a step while the load generator does not keep up; after that
+/// the rate counts as not sustained.
 const MAX_ATTEMPTS: usize = 4;
-/// Share of the requests that have to succeed for a rate to count as kept.
+/// Share of the requests that must succeed for a rate to count as sustained.
 const MIN_SUCCESS_SHARE: f64 = 0.99;
-/// A search ends when the highest rate is known within this ratio.
+/// A search ends when the highest sustained rate is known within this ratio.
 const SEARCH_PRECISION: f64 = 1.05;
-/// Quantiles of the latency in reports.
+/// Latency quantiles that reports contain.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
-/// A request class of a load.
+/// A request class of a load on an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadClass {
-    /// Name in the agent's settings.
+    /// Name of the class in the agent's settings.
     pub name: String,
     /// Share of the load, relative to the other classes.
     pub weight: f64,
-    /// How long clients wait.
+    /// How long clients wait for a response.
     pub deadline: Duration,
     /// Whether requests carry an idempotency key.
     pub keyed: bool,
 }
 
-/// How an agent is loaded.
+/// Settings of a load on an agent.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Address of the agent.
     pub agent: SocketAddr,
     /// Request classes of the load.
     pub classes: Vec<LoadClass>,
-    /// Most connections to the agent.
+    /// Maximum number of connections to the agent.
     pub connections: usize,
-    /// Seed of arrival times and classes.
+    /// Seed of the random arrival times and classes.
     pub seed: u64,
 }
 
-/// What was measured at one rate.
+/// Measurements at one request rate.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// How long the load lasted.
     pub duration: Duration,
@@ -56,12 +56,13 @@
 }
 
 impl Step {
-    /// Whether the load generator did not keep up, so that the figures are its own.
+    /// Returns whether the load generator did not keep up, so that the figures describe it rather
+    /// than the agent.
     pub fn is_generator_late(&self) -> bool {
         self.report.send_delay_ms(0.99) > MAX_ISSUE_DELAY_MS
     }
 
-    /// The step as JSON.
+    /// Returns the step as a JSON object.
     pub fn to_json(&self) -> Value {
         let report = &self.report;
         let quantiles: Map<String, Value> = QUANTILES
@@ -82,11 +83,11 @@
         })
     }
 
-    /// The step as one line of text.
+    /// Formats the step as one line of text.
     pub fn summary(&self) -> String {
         let report = &self.report;
         let warning = if self.is_generator_late() {
-            "  the load itself is late: its machine is the bottleneck"
+            "  the load generator is late: its machine is the bottleneck"
         } else {
             ""
         };
@@ -102,7 +103,8 @@
         )
     }
 
-    /// Whether the agent kept this p99, and nearly all requests succeeded.
+    /// Returns whether the agent kept this p99 latency and [`MIN_SUCCESS_SHARE`] of the requests
+    /// succeeded.
     fn sustains(&self, p99_ms: f64) -> bool {
         let report = &self.report;
         let required = MIN_SUCCESS_SHARE * report.requests as f64;
@@ -111,7 +113,7 @@
 }
 
 impl Plan {
-    /// Loads the agent at one rate.
+    /// Loads the agent at one rate, in requests per second, and waits for the end of the load.
     pub fn step(&self, rate: f64, duration: Duration) -> Step {
         let classes = self
             .classes
@@ -133,11 +135,12 @@
         }
     }
 
-    /// Searches the highest rate between `from` and `to` that keeps this p99, to within a
-    /// twentieth; each step is passed to `observe`. None where not even the lowest rate is kept.
+    /// Searches for the highest rate between `from` and `to` at which the agent keeps this p99
+    /// latency, to within a twentieth; each step is passed to `observe`. Returns `None` if the
+    /// agent does not even sustain the lowest rate.
     ///
-    /// A step in which the load generator was late says nothing of the agent and is played again,
-    /// some times at most.
+    /// A step in which the load generator was late says nothing about the agent and is repeated a
+    /// limited number of times.
     pub fn highest_rate(
         &self,
         from: f64,
@@ -162,7 +165,7 @@
         }
         let mut sustained = from;
         let mut unsustained: Option<f64> = None;
-        // Doubling up to the first rate that is not kept, then bisecting what lies between.
+        // Double the rate until one is not sustained, then bisect the interval between.
         while unsustained.is_none_or(|rate| rate / sustained > SEARCH_PRECISION) {
             let next = match unsustained {
                 Some(rate) => (rate * sustained).sqrt(),
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,5 @@
-//! `tulipwall-experiments`: experiments in simulated time, and load on real agents.
+//! `tulipwall-experiments`: experiments in simulated time, and load and measurements of real
+//! agents.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
@@ -10,9 +11,9 @@
 use std::error::Error;
 use std::process::ExitCode;
 
-/// A rule of the simulation was broken in some run.
+/// Exit code if any run violated a rule of the simulation.
 const RULE_BROKEN: u8 = 3;
-/// A figure lies beyond an operators' limit.
+/// Exit code if a figure exceeds an operators' limit.
 const LIMIT_EXCEEDED: u8 = 4;
 
 fn main() -> ExitCode {
@@ -27,7 +28,7 @@
     }
 }
 
-/// An error with its causes, in one line.
+/// Formats an error and its chain of causes on one line.
 fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/experiments/src/procfs.rs
+++ b/crates/experiments/src/procfs.rs
@@ -1,24 +1,26 @@
-//! What the kernel reports in `/proc` about memory.
+//! Memory figures that the kernel reports in `/proc`.
 
 use std::fs;
 
-/// The value of a line such as `MemAvailable:   1024 kB`, in kilobytes.
+/// Returns the value of the line that starts with `key`, such as `MemAvailable:   1024 kB`, in
+/// kilobytes; `None` if there is no such line or it holds no number.
 pub fn kilobytes(text: &str, key: &str) -> Option<u64> {
     let line = text.lines().find(|line| line.starts_with(key))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Memory that is available on this machine, in bytes; `f64::MAX` where the kernel does not tell.
+/// Returns the available memory of this machine, in bytes; `f64::MAX` if the kernel does not report
+/// it.
 pub fn available_memory() -> f64 {
     bytes("/proc/meminfo", "MemAvailable:").unwrap_or(f64::MAX)
 }
 
-/// Memory that this machine has, in bytes; `f64::MAX` where the kernel does not tell.
+/// Returns the total memory of this machine, in bytes; `f64::MAX` if the kernel does not report it.
 pub fn total_memory() -> f64 {
     bytes("/proc/meminfo", "MemTotal:").unwrap_or(f64::MAX)
 }
 
-/// Resident memory of this process, in bytes; zero where the kernel does not tell.
+/// Returns the resident memory of this process, in bytes; zero if the kernel does not report it.
 pub fn resident_memory() -> f64 {
     bytes("/proc/self/status", "VmRSS:").unwrap_or(0.0)
 }
--- a/crates/experiments/src/records.rs
+++ b/crates/experiments/src/records.rs
@@ -1,8 +1,8 @@
 //! Stored results of runs.
 //!
-//! A file of records has a line for its header and one for each run, each a CRC-32 checksum in
-//! hexadecimal digits, a space and a JSON document. Lines that were torn or damaged are skipped,
-//! and their runs are done again.
+//! A records file has one line for its header and one for each run. Each line holds a CRC-32
+//! checksum in hexadecimal digits, a space and a JSON document. Truncated or damaged lines are
+//! skipped, and their runs are repeated.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,44 +13,44 @@
 /// Version of the file format.
 const VERSION: u32 = 1;
 
-/// Why a file of records cannot be used.
+/// Errors of reading and writing a records file.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     #[error("{}", path.display())]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// It is empty, or its first line is no text.
-    #[error("{}:1: no head", path.display())]
+    /// The file is empty, or its first line is not text.
+    #[error("{}:1: missing header", path.display())]
     MissingHeader {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// Its first line is no header.
-    #[error("{}:1: no head of a file of records", path.display())]
+    /// The first line is not a valid header.
+    #[error("{}:1: invalid header of a records file", path.display())]
     InvalidHeader {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// It was written by another version of this program.
-    #[error("{}:1: version {found}, this program reads version {VERSION}", path.display())]
+    /// The file was written by another version of this program.
+    #[error("{}:1: found format version {found}, expected version {VERSION}", path.display())]
     UnsupportedVersion {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The version in its header.
+        /// Format version in the header of the file.
         found: u32,
     },
-    /// It holds the records of another scenario.
+    /// The file holds the records of another scenario, or of another version of this one.
     #[error(
-        "{}: its records are of another scenario, or of another version of it",
+        "{}: the records belong to another scenario, or to another version of it",
         path.display()
     )]
     OtherScenario {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
 }
@@ -64,20 +64,20 @@
     }
 }
 
-/// First line of a file of records: which scenario it belongs to.
+/// First line of a records file; identifies the scenario that the records belong to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// Version of the file format.
     pub version: u32,
     /// Name of the scenario.
     pub name: String,
-    /// CRC-32 of the scenario's text: records of different texts are not mixed.
+    /// CRC-32 of the scenario's text, so that records of different texts are not mixed.
     #[serde(rename = "scenario")]
     pub scenario_checksum: u32,
 }
 
 impl Header {
-    /// The header for records of a scenario with this name and text.
+    /// Creates the header for records of a scenario with this name and text.
     pub fn of(name: &str, scenario_text: &str) -> Header {
         Header {
             version: VERSION,
@@ -87,32 +87,33 @@
     }
 }
 
-/// What was measured in one run.
+/// Measurements of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Index of the point in the scenario.
+    /// Index of the point in the list of the scenario's points.
     pub point: usize,
     /// Keys and values of the parameters that vary.
     pub values: Vec<(String, String)>,
-    /// Seed of the run.
+    /// Seed of the random numbers of the run.
     pub seed: u64,
-    /// Figures by name.
+    /// Figures of the run by name.
     pub figures: BTreeMap<String, f64>,
-    /// Histogram of the latencies of requests that succeeded: microseconds, and how many.
+    /// Latency histogram of the requests that succeeded: pairs of a latency in microseconds and the
+    /// number of requests.
     #[serde(rename = "delays_us")]
     pub latencies_us: Vec<(u64, u64)>,
-    /// Digest of all decisions: equal runs have equal ones.
+    /// Digest of all decisions of the run; equal runs have equal digests.
     pub digest: u64,
-    /// The first violations of the simulation's rules.
+    /// The first violations of the simulation's rules; empty if there were none.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
-/// A file of records that is open for appending.
+/// A records file that is open for appending.
 pub struct RecordFile {
-    /// Its header.
+    /// Header of the file.
     pub header: Header,
-    /// Its records, in the order of the file.
+    /// Records in the order of the file.
     pub records: Vec<Record>,
     file: File,
 }
@@ -123,7 +124,7 @@
     Ok(format!("{checksum:08x} {text}\n"))
 }
 
-/// The document of a line whose checksum is right.
+/// Decodes the document of a line; `None` if the line is damaged or its checksum is wrong.
 fn decode<T: for<'d> Deserialize<'d>>(line: &str) -> Option<T> {
     let (checksum, text) = line.split_once(' ')?;
     let checksum = u32::from_str_radix(checksum, 16).ok()?;
@@ -133,10 +134,11 @@
     serde_json::from_str(text).ok()
 }
 
-/// Reads a file of records; damaged records are skipped and reported on standard error.
+/// Reads a records file; damaged records are skipped and reported on standard error.
 ///
 /// # Errors
-/// The file cannot be read, or its header is not that of a file of records of this version.
+/// Returns an error if the file cannot be read, or if its header is not that of a records file of
+/// this version.
 pub fn read(path: &Path) -> Result<(Header, Vec<Record>), RecordError> {
     let file = File::open(path).map_err(RecordError::io(path))?;
     let mut lines = BufReader::new(file).lines();
@@ -168,16 +170,17 @@
 
 fn report_damaged(path: &Path, line: usize) {
     eprintln!(
-        "{}:{line}: not whole; that run is done again",
+        "{}:{line}: damaged record; its run will be repeated",
         path.display()
     );
 }
 
 impl RecordFile {
-    /// Opens a file for more records of this scenario, or creates it.
+    /// Opens a records file to append records of this scenario, or creates it.
     ///
     /// # Errors
-    /// The file cannot be read or written, or holds records of another scenario.
+    /// Returns an error if the file cannot be read or written, or if it holds records of another
+    /// scenario.
     pub fn open(path: &Path, header: Header) -> Result<RecordFile, RecordError> {
         let records = if path.exists() {
             let (old_header, records) = read(path)?;
@@ -202,17 +205,17 @@
         })
     }
 
-    /// Whether the run of this point and seed is recorded.
+    /// Returns whether the run of this point and seed is recorded.
     pub fn has(&self, point: usize, seed: u64) -> bool {
         self.records
             .iter()
             .any(|record| record.point == point && record.seed == seed)
     }
 
-    /// Appends a record; it is in the file when this returns.
+    /// Appends a record; it has been written to the file when this returns.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn add(&mut self, record: Record) -> io::Result<()> {
         self.file.write_all(encode(&record)?.as_bytes())?;
         self.records.push(record);
@@ -220,8 +223,8 @@
     }
 }
 
-/// Writes the file anew without its damaged lines. It is renamed into place, so that a crash never
-/// leaves less than what was there.
+/// Rewrites the file without its damaged lines. The new file is renamed into place, so that a crash
+/// never loses records that the old file held.
 fn rewrite(path: &Path, header: &Header, records: &[Record]) -> io::Result<()> {
     let next = path.with_extension("next");
     let mut file = File::create(&next)?;
--- a/crates/experiments/src/report/chart.rs
+++ b/crates/experiments/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! Data of a plot: curves of one figure, and the axes that hold them.
+//! Data of a plot: the curves of one figure and the ranges of the axes.
 
 use super::{format_values, group_by_point};
 use crate::records::Record;
@@ -6,24 +6,26 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// The horizontal axis is logarithmic where its values span at least this ratio.
+/// The horizontal axis is logarithmic if the ratio of its largest to its smallest value is at least
+/// this.
 const LOGARITHMIC_RATIO: f64 = 50.0;
-/// Free space at both ends of the horizontal axis, as a part of its length, and at least.
+/// Padding at both ends of the horizontal axis, as a share of its length, and the minimum padding.
 const PADDING_SHARE: f64 = 0.05;
 const MIN_PADDING: f64 = 0.1;
-/// Free space above the highest point, as a part of the height.
+/// Padding above the highest point, as a share of the height.
 const HEADROOM: f64 = 0.08;
-/// Least height of the vertical axis, for figures that are zero throughout.
+/// Minimum height of the vertical axis, for figures that are zero throughout.
 const MIN_HEIGHT: f64 = 1e-9;
 
-/// A figure at one value of the first parameter.
+/// Mean of a figure at one value of the first parameter.
 pub(super) struct ChartPoint {
     pub(super) x: f64,
     pub(super) mean: Mean,
 }
 
 impl ChartPoint {
-    /// Lowest and highest value of its confidence interval.
+    /// Returns the lowest and the highest value of the confidence interval; both are the mean if
+    /// the interval is infinite.
     pub(super) fn interval(&self) -> (f64, f64) {
         let half_width = self.mean.half_width();
         let half_width = if half_width.is_finite() {
@@ -35,11 +37,11 @@
     }
 }
 
-/// A figure over the first parameter that varies.
+/// Curves of a figure over the first parameter that varies.
 pub(super) struct Chart<'a> {
     pub(super) figure: &'a str,
     pub(super) x_label: String,
-    /// Curves by the values of the other parameters.
+    /// Curves keyed by the values of the other parameters.
     pub(super) curves: BTreeMap<String, Vec<ChartPoint>>,
     pub(super) logarithmic: bool,
     pub(super) x_range: Range<f64>,
@@ -47,7 +49,7 @@
 }
 
 impl<'a> Chart<'a> {
-    /// Curves of a figure over all records.
+    /// Builds the curves of a figure from all records.
     pub(super) fn of(records: &[Record], figure: &'a str) -> Chart<'a> {
         let groups = group_by_point(records);
         let mut words = WordPositions::default();
@@ -73,12 +75,12 @@
         }
     }
 
-    /// The horizontal position of a value.
+    /// Returns the horizontal position of a value: its logarithm on a logarithmic axis.
     pub(super) fn x_position(&self, x: f64) -> f64 {
         x_position(x, self.logarithmic)
     }
 
-    /// The label of a horizontal position.
+    /// Formats the label of a horizontal position.
     pub(super) fn x_tick(&self, position: f64) -> String {
         if self.logarithmic {
             format!("{:.3}", 10f64.powf(position))
@@ -88,14 +90,14 @@
     }
 }
 
-/// Words stand at 0, 1, 2 ... in the order they come.
+/// Assigns the positions 0, 1, 2 ... to words in the order of their first use.
 #[derive(Default)]
 struct WordPositions {
     words: Vec<String>,
 }
 
 impl WordPositions {
-    /// The number itself, or the position of a word.
+    /// Returns the number that `value` holds, or the position of a word.
     fn position(&mut self, value: &str) -> f64 {
         if let Ok(number) = value.parse() {
             return number;
--- a/crates/experiments/src/report/compare.rs
+++ b/crates/experiments/src/report/compare.rs
@@ -1,11 +1,12 @@
-//! Comparison of points: which figures differ beyond chance.
+//! Comparison of points: the figures that differ significantly.
 
 use super::{figure_names, format_mean, group_by_point, PointRuns};
 use crate::records::Record;
 use std::fmt::Write;
 
-/// Each point of one file against the same point of another: the figures that differ beyond chance
-/// by Welch's test at 5%. Of twenty figures that do not differ one will seem to.
+/// Compares each point of one file with the same point of another, and lists the figures that
+/// differ significantly by Welch's t-test at the 5% level. Of twenty figures that do not differ,
+/// one is expected to be listed by chance.
 pub fn compare(one: &[Record], other: &[Record]) -> String {
     let mut text = String::new();
     let names = figure_names(one);
@@ -21,10 +22,10 @@
             }
         }
     }
-    text + "Figures that are not named do not differ beyond chance (5%, Welch).\n"
+    text + "Figures that are not listed do not differ significantly (Welch's t-test, 5%).\n"
 }
 
-/// The first point of a file against each of its others.
+/// Compares the first point of a file with each of its other points.
 pub fn compare_within(records: &[Record]) -> String {
     let groups = group_by_point(records);
     let Some((first, others)) = groups.split_first() else {
@@ -37,7 +38,8 @@
         .collect()
 }
 
-/// The runs of a group as if they belonged to another point.
+/// Copies the runs of a group and assigns them to another point, with whose runs they can then be
+/// compared.
 fn at_point(group: &PointRuns, point: usize) -> Vec<Record> {
     let moved = |run: &&Record| Record {
         point,
--- a/crates/experiments/src/report/drawing.rs
+++ b/crates/experiments/src/report/drawing.rs
@@ -1,4 +1,4 @@
-//! Draws a chart as SVG.
+//! Drawing of a chart as SVG.
 
 use super::chart::{Chart, ChartPoint};
 use plotters::prelude::*;
@@ -15,17 +15,17 @@
 
 type DrawingError = DrawingAreaErrorKind<io::Error>;
 
-/// A figure that cannot be drawn.
+/// The error that a figure cannot be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("{figure}")]
 pub struct PlotError {
     /// Name of the figure.
     figure: String,
-    /// What the drawing library said.
+    /// Error of the drawing library.
     source: DrawingError,
 }
 
-/// The chart as an SVG document.
+/// Draws a chart and returns the SVG document.
 pub(super) fn draw(chart: &Chart) -> Result<String, PlotError> {
     let mut svg = String::new();
     draw_into(&mut svg, chart).map_err(|source| PlotError {
@@ -78,7 +78,7 @@
     RGBColor(grey, grey, grey).stroke_width(1 + index as u32 % LINE_WIDTHS)
 }
 
-/// Ends of the bar that shows a confidence interval.
+/// Returns the end points of the error bar that shows a confidence interval.
 fn error_bar(chart: &Chart, point: &ChartPoint) -> [(f64, f64); 2] {
     let x = chart.x_position(point.x);
     let (low, high) = point.interval();
--- a/crates/experiments/src/report/mod.rs
+++ b/crates/experiments/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Results for people: tables, comparisons, and a page with plots.
+//! Readable reports of records: tables, comparisons, and an HTML page with plots.
 
 mod chart;
 mod compare;
@@ -24,7 +24,7 @@
 }
 
 impl PointRuns<'_> {
-    /// Mean of a figure over the runs that have it.
+    /// Computes the mean of a figure over the runs that have it.
     pub fn figure(&self, name: &str) -> Mean {
         let values: Vec<f64> = self
             .runs
@@ -34,7 +34,8 @@
         Mean::of(&values)
     }
 
-    /// The point as text: each parameter with its value.
+    /// Formats the point as text: each parameter with its value, or `as written` if no parameter
+    /// varies.
     pub fn name(&self) -> String {
         if self.values.is_empty() {
             return "as written".into();
@@ -43,7 +44,7 @@
     }
 }
 
-/// Parameters with their values as text.
+/// Formats parameters with their values as text.
 fn format_values(values: &[(String, String)]) -> String {
     let texts: Vec<String> = values
         .iter()
@@ -52,7 +53,7 @@
     texts.join(", ")
 }
 
-/// Runs grouped by point, in the order of points.
+/// Groups runs by point, in the order of the points.
 pub fn group_by_point(records: &[Record]) -> Vec<PointRuns<'_>> {
     let mut groups: BTreeMap<usize, PointRuns> = BTreeMap::new();
     for record in records {
@@ -65,7 +66,7 @@
     groups.into_values().collect()
 }
 
-/// Names of all figures, in alphabetical order.
+/// Returns the names of all figures, in alphabetical order.
 fn figure_names(records: &[Record]) -> Vec<String> {
     let mut names: Vec<String> = records
         .iter()
@@ -76,7 +77,7 @@
     names
 }
 
-/// A mean with its confidence interval, where it has one.
+/// Formats a mean, with its confidence interval unless that is infinite.
 fn format_mean(mean: &Mean) -> String {
     let digits = if mean.mean.abs() >= 100.0 { 0 } else { 3 };
     let half_width = mean.half_width();
--- a/crates/experiments/src/report/table.rs
+++ b/crates/experiments/src/report/table.rs
@@ -4,8 +4,8 @@
 use crate::records::Record;
 use std::fmt::Write;
 
-/// A table in Markdown: a row for each point, a column for each of these figures (all, if none is
-/// named).
+/// Renders a Markdown table with a row for each point and a column for each of these figures, or
+/// for all figures if none is named.
 pub fn table(records: &[Record], figures: &[String]) -> String {
     let names = if figures.is_empty() {
         figure_names(records)
--- a/crates/experiments/src/stats.rs
+++ b/crates/experiments/src/stats.rs
@@ -6,13 +6,14 @@
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
     2.052, 2.048, 2.045, 2.042,
 ];
-/// Means of samples without variance differ if they are farther apart than rounding errors.
+/// Means of samples without variance differ only if they are farther apart than this, which is more
+/// than rounding errors amount to.
 const ROUNDING: f64 = 1e-12;
 
 /// Mean and variance of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
-    /// Size of the sample.
+    /// Number of values in the sample.
     pub of: usize,
     /// Arithmetic mean; zero for an empty sample.
     pub mean: f64,
@@ -20,7 +21,8 @@
     pub variance: f64,
 }
 
-/// The 95% point of Student's t distribution, approximated beyond 30 degrees of freedom.
+/// Returns the two-sided 95% point of Student's t distribution, approximated beyond 30 degrees of
+/// freedom. It is infinite for less than one degree of freedom.
 fn student_t(degrees_of_freedom: f64) -> f64 {
     match degrees_of_freedom.floor() as usize {
         0 => f64::INFINITY,
@@ -30,7 +32,7 @@
 }
 
 impl Mean {
-    /// Mean and variance of these values.
+    /// Computes the mean and the variance of these values.
     pub fn of(values: &[f64]) -> Mean {
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n.max(1.0);
@@ -42,8 +44,8 @@
         }
     }
 
-    /// Half the width of the 95% confidence interval of the mean; infinite for fewer than two
-    /// values.
+    /// Returns half the width of the 95% confidence interval of the mean; infinite for fewer than
+    /// two values.
     pub fn half_width(&self) -> f64 {
         if self.of < 2 {
             return f64::INFINITY;
@@ -52,8 +54,8 @@
         student_t(n - 1.0) * (self.variance / n).sqrt()
     }
 
-    /// Whether it differs from another mean beyond chance: Welch's t test at 5%, for unequal
-    /// variances. Never for samples of fewer than two values.
+    /// Returns whether the two means differ significantly at the 5% level by Welch's t-test, which
+    /// allows for unequal variances. Always false if a sample has fewer than two values.
     pub fn differs(&self, other: &Mean) -> bool {
         if self.of < 2 || other.of < 2 {
             return false;
@@ -71,16 +73,17 @@
     }
 }
 
-/// `y = intercept + slope * x`.
+/// A straight line, `y = intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StraightLine {
-    /// Growth of `y` for each unit of `x`.
+    /// Change of `y` per unit of `x`.
     pub slope: f64,
-    /// `y` at zero.
+    /// Value of `y` where `x` is zero.
     pub intercept: f64,
 }
 
-/// The straight line through points by least squares; none for fewer than two different `x`.
+/// Fits a straight line to points by least squares. Returns `None` for fewer than two different
+/// values of `x`.
 pub fn least_squares(points: &[(f64, f64)]) -> Option<StraightLine> {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -263,7 +263,7 @@
     assert!(other.is_err_and(|e| e.to_string().contains("another scenario")));
     assert_eq!(records::read(&path).unwrap().1.len(), 2);
     std::fs::write(&path, "nonsense\n").unwrap();
-    assert!(records::read(&path).is_err_and(|e| e.to_string().contains(":1: no head")));
+    assert!(records::read(&path).is_err_and(|e| e.to_string().contains(":1: invalid header")));
 }
 
 #[test]
