--- a/crates/experiments/src/cli/experiment.rs
+++ b/crates/experiments/src/cli/experiment.rs
@@ -13,25 +13,25 @@
 use tulipwall_experiments::run;
 use tulipwall_experiments::scenario::Scenario;
 
-/// Share of the available memory that runs may take.
+/// Share of the available memory that concurrent runs may use.
 const MEMORY_SHARE: f64 = 0.8;
-/// Violations of the simulation's rules that are printed.
+/// Maximum number of rule violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Why a scenario could not be run.
+/// Errors of the subcommands on scenarios.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExperimentError {
-    /// The scenario or a file of records cannot be read or written.
+    /// The scenario or a records file cannot be read or written.
     #[error("{}", path.display())]
     Io { path: PathBuf, source: io::Error },
-    /// The scenario is wrong.
+    /// The scenario document is invalid.
     #[error(transparent)]
     Scenario(InvalidScenario),
     #[error(transparent)]
     Records(#[from] RecordError),
-    /// One run takes more memory than there is.
+    /// One run needs more memory than is available.
     #[error(
-        "{}: one run may take {:.1} GB, of which {:.1} are free",
+        "{}: one run may need {:.1} GB of memory, found {:.1} GB available",
         path.display(), needed / 1e9, available / 1e9
     )]
     TooLarge {
@@ -39,17 +39,17 @@
         needed: f64,
         available: f64,
     },
-    #[error("the threads of the runs cannot be started")]
+    #[error("cannot start the threads of the runs")]
     Threads(#[from] rayon::ThreadPoolBuildError),
     /// There is no point with this number.
-    #[error("point {point}: there are {points}")]
+    #[error("point {point} does not exist: the scenario has {points} points")]
     NoSuchPoint { point: usize, points: usize },
-    /// The agent did not get so many requests.
-    #[error("agent {} took no command {}", .0.agent, .0.request)]
+    /// The agent received no request with this number in the run.
+    #[error("agent {} received no request {}", .0.agent, .0.request)]
     NoSuchRequest(RequestNumber),
 }
 
-/// Everything that is wrong with a scenario document, a line each.
+/// Everything that is wrong with a scenario document, displayed with one line for each diagnostic.
 #[derive(Debug)]
 pub(crate) struct InvalidScenario {
     path: PathBuf,
@@ -68,7 +68,7 @@
 
 impl std::error::Error for InvalidScenario {}
 
-/// A request by its agent and its number at that agent, from 0.
+/// A request, identified by its agent and its number at that agent, counted from 0.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestNumber {
     pub(crate) agent: usize,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Runs what is not yet recorded of a scenario.
+/// Runs the points and seeds of a scenario that are not recorded yet.
 pub(super) fn run(
     path: &Path,
     out: Option<PathBuf>,
@@ -117,7 +117,7 @@
     Ok(print_violations(&out, &file))
 }
 
-/// How many runs fit into memory at once.
+/// Returns how many runs fit into memory at the same time.
 fn runs_that_fit(path: &Path, scenario: &Scenario) -> Result<usize, ExperimentError> {
     let needed = scenario
         .points()
@@ -141,7 +141,7 @@
     Threads(rayon::ThreadPoolBuildError),
 }
 
-/// Runs on several threads what is not yet recorded, and records it.
+/// Runs the points and seeds that are not recorded yet on several threads, and records the results.
 fn run_missing(
     scenario: &Scenario,
     file: &mut RecordFile,
@@ -167,8 +167,8 @@
     failed.map_or(Ok(()), |error| Err(MissingRunsError::Write(error)))
 }
 
-/// Points and seeds that are not recorded: seed by seed, so that an unfinished file has some runs
-/// of each point.
+/// Returns the points and seeds that are not recorded yet, seed by seed, so that a file of an
+/// interrupted run has some runs of each point.
 fn missing_runs(seeds: u64, points: usize, file: &RecordFile) -> Vec<(usize, u64)> {
     let mut missing = Vec::new();
     for seed in 1..=seeds {
@@ -184,7 +184,7 @@
 
 fn progress_bar(length: usize) -> ProgressBar {
     let bar = ProgressBar::new(length as u64);
-    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {eta} to go");
+    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {eta} remaining");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar
 }
@@ -192,7 +192,7 @@
 fn print_violations(path: &Path, file: &RecordFile) -> Outcome {
     let violations: Vec<&String> = file.records.iter().flat_map(|r| &r.violations).collect();
     println!(
-        "{}: {} runs; rules broken: {}",
+        "{}: {} runs; rule violations: {}",
         path.display(),
         file.records.len(),
         violations.len()
@@ -203,11 +203,11 @@
     if violations.is_empty() {
         Outcome::Done
     } else {
-        Outcome::RuleBroken
+        Outcome::RuleViolated
     }
 }
 
-/// Prints the points of a scenario with what a run of each takes.
+/// Prints the points of a scenario with the requests and the memory of one run of each.
 pub(super) fn list(path: &Path) -> Result<Outcome, ExperimentError> {
     let scenario = read(path)?.scenario;
     println!(
@@ -219,7 +219,7 @@
         let values: Vec<String> = point.iter().map(|value| value.to_string()).collect();
         let requests = at_point.rate * at_point.duration.as_secs_f64();
         println!(
-            "{index:4}  {}  {requests:.0} commands, {:.0} MB",
+            "{index:4}  {}  {requests:.0} requests, {:.0} MB",
             values.join(", "),
             at_point.estimated_memory() / 1e6
         );
@@ -227,7 +227,7 @@
     Ok(Outcome::Done)
 }
 
-/// Prints what became of one request in one run.
+/// Prints the trace of one request in one run.
 pub(super) fn explain(
     path: &Path,
     point: usize,
--- a/crates/experiments/src/cli/load.rs
+++ b/crates/experiments/src/cli/load.rs
@@ -1,4 +1,5 @@
-//! Subcommand `load`.
+//! Subcommand `load`: loads a real agent at given rates, or searches for the highest rate that it
+//! sustains.
 
 use super::Outcome;
 use clap::Args;
@@ -8,11 +9,11 @@
 use tulipwall_experiments::arguments::{number_in, InvalidArgument};
 use tulipwall_experiments::load::{LoadClass, Plan, Step};
 
-/// A search goes up to this multiple of its first rate at least.
+/// A search covers rates up to at least this multiple of the first rate.
 const SEARCH_FACTOR: f64 = 64.0;
 const SEED: u64 = 1;
 
-/// Why an agent cannot be loaded.
+/// Errors of loading an agent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LoadError {
     /// The agent does not accept connections.
@@ -26,30 +27,31 @@
 #[derive(Args)]
 pub(crate) struct Options {
     agent: SocketAddr,
-    /// A class with its weight, `NAME` or `NAME=WEIGHT`; `NAME=WEIGHT+k` carries a key.
+    /// Request class with its weight, `NAME` or `NAME=WEIGHT`; with `NAME=WEIGHT+k`, requests carry
+    /// an idempotency key.
     #[arg(long = "lane", required = true, value_parser = class)]
     class: Vec<ClassArgument>,
-    /// Commands a second; several are steps one after another.
+    /// Requests per second; several rates are run as steps one after another.
     #[arg(long, default_values_t = [100.0], num_args = 1.., value_parser = rate)]
     rate: Vec<f64>,
-    /// Seconds of each step.
+    /// Duration of each step, in seconds.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// How long clients wait, in milliseconds.
+    /// How long clients wait for a response, in milliseconds.
     #[arg(long, default_value_t = 1500, value_parser = clap::value_parser!(u64).range(1..=600_000))]
     expiry: u64,
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u16).range(1..=20_000))]
     connections: u16,
-    /// Search the highest rate that keeps this p99, in milliseconds, from the first rate up to the
-    /// last.
+    /// Search for the highest rate that keeps this p99 latency, in milliseconds, from the first
+    /// rate up to the highest one, or to 64 times the first if that is more.
     #[arg(long, value_name = "MS")]
     limit: Option<f64>,
-    /// A line of JSON for each step.
+    /// Print one line of JSON for each step.
     #[arg(long)]
     json: bool,
 }
 
-/// A request class as the command line names it.
+/// A request class as given on the command line.
 #[derive(Clone)]
 struct ClassArgument {
     name: String,
@@ -58,14 +60,14 @@
 }
 
 fn rate(text: &str) -> Result<f64, InvalidArgument> {
-    let expected = "commands a second from 0.1 to 1000000 are wanted";
+    let expected = "expected requests per second from 0.1 to 1000000";
     number_in(text, 0.1..=1e6, expected)
 }
 
 fn class(text: &str) -> Result<ClassArgument, InvalidArgument> {
     let (name, weight) = text.split_once('=').unwrap_or((text, "1"));
     let unkeyed = weight.strip_suffix("+k");
-    let expected = "NAME, NAME=WEIGHT or NAME=WEIGHT+k is wanted";
+    let expected = "expected NAME, NAME=WEIGHT or NAME=WEIGHT+k";
     let weight = unkeyed.unwrap_or(weight).parse::<f64>().ok();
     let weight = weight.filter(|w| w.is_finite() && *w > 0.0);
     Ok(ClassArgument {
@@ -117,10 +119,12 @@
         let found = plan.highest_rate(from, to, duration, p99_ms, |step| self.print(step));
         match found {
             Some(rate) => {
-                println!("highest rate with p99 within {p99_ms} ms: {rate:.0} a second");
+                println!("highest rate with p99 within {p99_ms} ms: {rate:.0} per second");
             }
             None => {
-                println!("not even {from} a second is answered with p99 within {p99_ms} ms");
+                println!(
+                    "the lowest rate, {from} per second, does not keep p99 within {p99_ms} ms"
+                );
             }
         }
     }
--- a/crates/experiments/src/cli/mod.rs
+++ b/crates/experiments/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command line: its subcommands and their errors.
+//! Command line: the subcommands and their errors.
 
 mod experiment;
 mod load;
@@ -13,10 +13,11 @@
 use tulipwall_experiments::scale::{self, ScaleError};
 
 const EXIT_CODES: &str = "\
-Exit codes: 0 done; 1 a scenario or a file of records is wrong, or an agent could not be reached; 2 the command line is
-wrong; 3 a rule was broken in some run; 4 a figure of `fleet` or `scale --full` lies beyond an operators' limit.";
+Exit codes: 0 success; 1 a scenario or a records file is invalid, or an agent could not be reached; 2 the command line
+is invalid; 3 a run violated a rule of the simulation; 4 a figure of `fleet` or `scale --full` exceeds an operators'
+limit.";
 
-/// Experiments on a model of the whole installation, and load on real agents.
+/// Experiments on simulated installations, and load and measurements of real agents.
 #[derive(Parser)]
 #[command(name = "tulipwall-experiments", version, after_help = EXIT_CODES)]
 pub(crate) struct CommandLine {
@@ -26,70 +27,71 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario at each of its points and seeds. Broken off, it goes on where it was.
+    /// Run a scenario at each of its points and seeds. An interrupted run continues where it
+    /// stopped.
     Run {
         scenario: PathBuf,
-        /// Where records go; the scenario's name with `.records` otherwise.
+        /// Records file; by default the scenario's path with the extension `.records`.
         #[arg(long, short, value_name = "FILE")]
         out: Option<PathBuf>,
-        /// Cores; all otherwise.
+        /// Number of cores to use; all by default.
         #[arg(long, value_parser = clap::value_parser!(u16).range(1..=1024))]
         cores: Option<u16>,
     },
-    /// The points of a scenario, and what a run takes.
+    /// List the points of a scenario, with the requests and the memory of one run of each.
     List { scenario: PathBuf },
-    /// A table of what was measured.
+    /// Print a table of the figures that were measured.
     Table {
         records: PathBuf,
-        /// Only these figures.
+        /// Show only these figures.
         figures: Vec<String>,
     },
-    /// What differs beyond chance: two files point by point, or the points of one against its
-    /// first.
+    /// List the figures that differ significantly: between two files point by point, or between the
+    /// first point of one file and each of its others.
     Compare {
         records: PathBuf,
         other: Option<PathBuf>,
     },
-    /// One HTML page with a plot for each figure.
+    /// Write an HTML page with a plot of each figure.
     Plot {
         records: PathBuf,
         #[arg(long, short, value_name = "FILE")]
         out: PathBuf,
     },
-    /// The life of one command in one run.
+    /// Print the trace of one request in one run.
     Explain {
         scenario: PathBuf,
-        /// As `list` numbers them.
+        /// Number of the point, as `list` prints it.
         #[arg(long, default_value_t = 0)]
         point: usize,
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long, default_value_t = 0)]
         agent: usize,
-        /// Its number at that agent, from 0.
+        /// Number of the request at that agent, counted from 0.
         command: u64,
     },
-    /// Simulated agents by their number, endpoints, services, classes and tenants: what each costs,
-    /// against the limits.
+    /// Measure the cost of simulated agents by the number of agents, endpoints, services, classes
+    /// and tenants, and compare it with the limits.
     Scale(scale::command::Options),
-    /// Drive a real agent over its protocol, open loop.
+    /// Load a real agent over its protocol, in an open loop.
     Load(load::Options),
-    /// What real agents on loopback take and add: memory, processor time, bytes, latency.
+    /// Measure what real agents on loopback use and add: memory, processor time, bytes, latency.
     #[command(after_help = EXIT_CODES)]
     Fleet(Box<fleet::command::Options>),
 }
 
-/// How a subcommand ended that could be carried out.
+/// Result of a subcommand that ended without an error.
 pub(crate) enum Outcome {
-    /// Nothing is wrong.
+    /// No rule was violated and no limit exceeded.
     Done,
-    /// A rule of the simulation was broken in some run.
-    RuleBroken,
-    /// A figure lies beyond an operators' limit.
+    /// A run violated a rule of the simulation.
+    RuleViolated,
+    /// A figure exceeds an operators' limit.
     LimitExceeded,
 }
 
-/// Why a subcommand could not be carried out.
+/// Errors of the subcommands.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CliError {
     #[error(transparent)]
@@ -111,7 +113,7 @@
     Fleet(#[from] FleetError),
 }
 
-/// Carries out a subcommand.
+/// Runs a subcommand.
 pub(crate) fn run(command_line: CommandLine) -> Result<Outcome, CliError> {
     match command_line.command {
         Command::Run {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -12,14 +12,14 @@
 use std::process::ExitCode;
 
 /// Exit code if any run violated a rule of the simulation.
-const RULE_BROKEN: u8 = 3;
+const RULE_VIOLATED: u8 = 3;
 /// Exit code if a figure exceeds an operators' limit.
 const LIMIT_EXCEEDED: u8 = 4;
 
 fn main() -> ExitCode {
     match cli::run(CommandLine::parse()) {
         Ok(Outcome::Done) => ExitCode::SUCCESS,
-        Ok(Outcome::RuleBroken) => RULE_BROKEN.into(),
+        Ok(Outcome::RuleViolated) => RULE_VIOLATED.into(),
         Ok(Outcome::LimitExceeded) => LIMIT_EXCEEDED.into(),
         Err(error) => {
             eprintln!("{}", error_chain(&error));
--- a/crates/experiments/src/run/figures.rs
+++ b/crates/experiments/src/run/figures.rs
@@ -1,11 +1,12 @@
-//! Figures of a run.
+//! Figures that are computed from the report of a simulated run.
 
 use crate::scenario::{Rollout, Scenario};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use tulipwall_testkit::simulation::{SecondCounts, SimulationReport};
 
-/// The figures of a run by name. Shares are of requests as they first came, retries apart.
+/// Returns the figures of a run by name. Shares refer to requests as first sent, without the
+/// clients' retries.
 pub(super) fn figures(scenario: &Scenario, report: &SimulationReport) -> BTreeMap<String, f64> {
     let mut figures = load_figures(scenario, report);
     if let Some(rollout) = &scenario.rollout {
@@ -70,14 +71,15 @@
     f64::from(u8::from(happened))
 }
 
-/// Share of the requests of these seconds that succeeded within their latency objective.
+/// Returns the share of the requests of these seconds that succeeded within their latency
+/// objective.
 fn good_share(report: &SimulationReport, seconds: Range<usize>) -> f64 {
     let good = total(report, seconds.clone(), |second| second.within_objective);
     let first_tries = total(report, seconds, |second| second.first_tries);
     good / first_tries.max(1.0)
 }
 
-/// Sum of a count over these seconds of all agents.
+/// Returns the sum of a count over these seconds of all agents.
 fn total(report: &SimulationReport, seconds: Range<usize>, count: fn(&SecondCounts) -> u64) -> f64 {
     let within = |agent: &[SecondCounts]| {
         let end = seconds.end.min(agent.len());
--- a/crates/experiments/src/run/mod.rs
+++ b/crates/experiments/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run: a scenario at one point with one seed, simulated and measured.
+//! Simulates and measures one run: a scenario at one point with one seed.
 
 mod figures;
 mod simulation;
@@ -8,10 +8,11 @@
 use crate::records::Record;
 use crate::scenario::{ParameterValue, Scenario};
 
-/// Violations of the simulation's rules that a record keeps.
+/// Maximum number of rule violations that a record keeps.
 const MAX_VIOLATIONS: usize = 5;
 
-/// Simulates one run and measures it. `point` is the index of the point with these values.
+/// Simulates one run and returns its measurements. `point` is the index of the point with these
+/// values.
 pub fn run(scenario: &Scenario, point: usize, values: &[ParameterValue], seed: u64) -> Record {
     let scenario = scenario.at(values);
     let report = build_simulation(&scenario, seed).run();
--- a/crates/experiments/src/run/simulation.rs
+++ b/crates/experiments/src/run/simulation.rs
@@ -1,4 +1,4 @@
-//! Builds the simulation of a scenario.
+//! Construction of the simulation of a scenario.
 
 use crate::scenario::{ClientKind, Fault, FaultKind, RequestClass, Rollout, Scenario, Zone};
 use std::time::Duration;
@@ -9,23 +9,23 @@
 };
 use tulipwall_zones::{Budget, Limit, RoutingPolicy, ZoneConfig};
 
-/// Build that runs from the start, and the one that is rolled out.
+/// Build that runs from the start, and build that is rolled out.
 const OLD_BUILD: u32 = 41;
 const NEW_BUILD: u32 = 42;
-/// One-way network delays where the scenario names none.
+/// One-way network delays within a zone and between zones, unless the scenario sets them.
 const LOCAL_DELAY: Duration = Duration::from_micros(150);
 const REMOTE_DELAY: Duration = Duration::from_micros(500);
-/// Window over which a cross-zone budget holds.
+/// Window over which the cross-zone budget applies.
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
-/// Share of the agents whose votes roll a build back.
+/// Share of the agents whose votes suffice to roll a build back.
 const ROLLBACK_SHARE: f64 = 0.05;
-/// Retries of naive clients.
+/// Delay between the attempts of naive clients, and their maximum number.
 const NAIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 const NAIVE_MAX_ATTEMPTS: u32 = 20;
-/// How long a stall lasts where the scenario does not say.
+/// Duration of a stall, unless the scenario sets one.
 const DEFAULT_STALL: Duration = Duration::from_secs(1);
 
-/// The simulation of a scenario with this seed.
+/// Builds the simulation of a scenario with this seed.
 pub fn build_simulation(scenario: &Scenario, seed: u64) -> Simulation {
     let mut simulated = Vec::new();
     let zone_endpoints = add_zone_endpoints(&scenario.zones, &mut simulated);
@@ -65,7 +65,7 @@
     zone_endpoints
 }
 
-/// Adds the endpoints of the new build, which are not yet listed.
+/// Adds the endpoints of the new build, which are not yet listed, and returns the rollout plan.
 fn rollout_plan(
     scenario: &Scenario,
     rollout: &Rollout,
@@ -96,7 +96,7 @@
     (scenario.agents as f64 * ROLLBACK_SHARE).ceil() as usize
 }
 
-/// An agent of the scenario; they are distributed over the zones in turn.
+/// Creates an agent of the scenario; agents are distributed over the zones in turn.
 fn agent(scenario: &Scenario, number: usize) -> SimulatedAgent {
     let zone = number % scenario.zones.len();
     let has_zoning = scenario.prefer_local_zone || scenario.cross_zone_share.is_some();
@@ -107,13 +107,15 @@
     }
 }
 
-/// An agent's load relative to the mean: from one plus the spread down to one less it.
+/// Returns the load of an agent relative to the mean. Over the agents, it falls linearly from one
+/// plus the spread to one minus the spread.
 fn relative_load(scenario: &Scenario, number: usize) -> f64 {
     let last = (scenario.agents.max(2) - 1) as f64;
     1.0 + scenario.load_spread * (1.0 - 2.0 * number as f64 / last)
 }
 
-/// One-way delays by sending and receiving zone; clients stand behind the last zone.
+/// Returns the one-way delays by sending and receiving zone; the index after the last zone stands
+/// for the clients.
 fn delays(scenario: &Scenario) -> Vec<Vec<Duration>> {
     let zones = scenario.zones.len();
     let row = |from| (0..=zones).map(|to| delay(scenario, from, to)).collect();
@@ -126,7 +128,7 @@
     } else {
         REMOTE_DELAY
     };
-    // The last of several links between the same zones holds.
+    // If several links connect the same zones, the last one applies.
     let link = scenario
         .links
         .iter()
@@ -179,7 +181,7 @@
     settings
 }
 
-/// Scheduled changes of all faults.
+/// Returns the scheduled changes of all faults.
 fn events(scenario: &Scenario, zone_endpoints: &[Vec<usize>]) -> Vec<(Duration, ScenarioEvent)> {
     scenario
         .faults
@@ -220,7 +222,7 @@
     }
 }
 
-/// The endpoints that a fault concerns.
+/// Returns the indices of the endpoints that a fault affects.
 fn affected_endpoints(fault: &Fault, zone_endpoints: &[Vec<usize>]) -> Vec<usize> {
     let zones = match fault.zone {
         Some(zone) => &zone_endpoints[zone..=zone],
@@ -232,7 +234,7 @@
         .collect()
 }
 
-/// A change of each endpoint at the start of a fault, and another at its end if it has one.
+/// Returns a change of each endpoint at the start of a fault, and another at its end if it has one.
 fn endpoint_changes(
     fault: &Fault,
     simulated: &[usize],
--- a/crates/experiments/src/scenario/mod.rs
+++ b/crates/experiments/src/scenario/mod.rs
@@ -12,7 +12,7 @@
 use tulipwall::Idempotency;
 use tulipwall_config::ConfigDiagnostic;
 
-/// Estimated bytes that an agent keeps for each endpoint, classes apart.
+/// Estimated bytes that an agent keeps for each endpoint, without the state per request class.
 const ENDPOINT_BYTES: f64 = 400.0;
 /// Estimated bytes that an agent keeps for each pair of endpoint and request class.
 const ENDPOINT_CLASS_BYTES: f64 = 40.0;
@@ -23,20 +23,20 @@
 /// Estimated bytes of a request in flight.
 const REQUEST_BYTES: f64 = 2000.0;
 
-/// One experiment: an installation, its load, the faults injected into it and what varies.
+/// One experiment: an installation, its load, the injected faults and the parameters that vary.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Title, as records and pages show it.
+    /// Title of the experiment, as records and pages show it.
     pub name: String,
-    /// Runs of each point, with the seeds 1 to this number.
+    /// Number of runs of each point; their seeds are 1 to this number.
     pub seeds: u64,
     /// Simulated time of one run.
     pub duration: Duration,
-    /// Requests a second, over all agents.
+    /// Requests per second, over all agents.
     pub rate: f64,
     /// Number of agents, distributed over the zones in turn.
     pub agents: usize,
-    /// Inequality of the agents' loads: 0 for equal ones, 1 where the largest is twice the mean.
+    /// Spread of the agents' loads: 0 if they are equal, 1 if the largest is twice the mean.
     pub load_spread: f64,
     /// Request classes of the load.
     pub classes: Vec<RequestClass>,
@@ -44,38 +44,38 @@
     pub zones: Vec<Zone>,
     /// Network delays that differ from the defaults.
     pub links: Vec<Link>,
-    /// How clients retry.
+    /// Retry behavior of the clients.
     pub clients: ClientKind,
     /// Whether agents prefer endpoints of their own zone.
     pub prefer_local_zone: bool,
-    /// The part of a request's work that is constant, 0 to 1; the rest is exponential.
+    /// Share of a request's work that is constant, 0 to 1; the rest is exponentially distributed.
     pub constant_work_share: f64,
-    /// Share of attempts and of answers lost between zones, 0 to 1.
+    /// Share of attempts and of responses that are lost between zones, 0 to 1.
     pub loss: f64,
-    /// Delay until agents are told of endpoint lists and rollout status.
+    /// Delay until agents are notified of changes to the endpoint list and the rollout status.
     pub notification_delay: Duration,
-    /// Budget for cross-zone traffic, as a share of all requests.
+    /// Budget for cross-zone traffic, as a share of all requests; `None` for no budget.
     pub cross_zone_share: Option<f64>,
-    /// A build that is rolled out during the run.
+    /// Build that is rolled out during the run, if any.
     pub rollout: Option<Rollout>,
     /// Faults injected during the run.
     pub faults: Vec<Fault>,
-    /// Parameters that vary, the first one slowest.
+    /// Parameters that vary; the first one changes slowest from point to point.
     pub variations: Vec<Variation>,
 }
 
 /// A request class of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Name in the scenario.
+    /// Name of the class in the scenario.
     pub name: String,
-    /// Whether requests may be sent again.
+    /// Whether requests of this class may be sent again.
     pub idempotency: Idempotency,
     /// Mean processing time at an endpoint.
     pub work: Duration,
-    /// Latency that clients are promised.
+    /// Latency that clients are promised for a response.
     pub latency_objective: Duration,
-    /// How long clients wait.
+    /// How long clients wait for a response.
     pub deadline: Duration,
     /// Value of a request that succeeds within its latency objective.
     pub priority_weight: f64,
@@ -83,14 +83,14 @@
     pub load_weight: f64,
 }
 
-/// A zone and its endpoints, which are all equal.
+/// A zone and its endpoints, which all have the same number of cores.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Name in the scenario.
+    /// Name of the zone in the scenario.
     pub name: String,
     /// Number of endpoints.
     pub endpoints: usize,
-    /// Cores of each endpoint.
+    /// Number of cores of each endpoint.
     pub cores: usize,
 }
 
@@ -108,18 +108,18 @@
 /// How clients behave after a rejection or failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// They do not retry.
+    /// Clients do not retry.
     Open,
-    /// They retry often and without a budget.
+    /// Clients retry often and without a budget.
     Naive,
-    /// They follow the retry policy of `tulipwall-client-policy`.
+    /// Clients follow the retry policy of `tulipwall-client-policy`.
     Careful,
 }
 
 impl ClientKind {
     /// All kinds, in the order of [`ClientKind::NAMES`].
     pub const ALL: [ClientKind; 3] = [ClientKind::Open, ClientKind::Naive, ClientKind::Careful];
-    /// Their names in scenarios.
+    /// Names of the kinds in scenario documents, in the order of [`ClientKind::ALL`].
     pub const NAMES: [&'static str; 3] = ["open", "naive", "careful"];
 
     fn from_name(name: &str) -> Option<ClientKind> {
@@ -134,51 +134,52 @@
 /// A new build that is rolled out in stages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
-    /// When its first stage starts.
+    /// Start of the first stage, from the start of the run.
     pub start: Duration,
-    /// Processing time of its endpoints, as a multiple of the usual one.
+    /// Processing time of the new build's endpoints, as a multiple of the usual time.
     pub slowness: f64,
-    /// Share of requests that its endpoints fail, 0 to 1.
+    /// Share of requests that fail at the new build's endpoints, 0 to 1.
     pub failure_rate: f64,
-    /// Highest share of the load that the build may take in each stage.
+    /// Cap of each stage: the highest share of the load that the build may receive.
     pub stages: Vec<f64>,
-    /// How long each stage lasts.
+    /// Duration of each stage.
     pub stage_duration: Duration,
-    /// Number of its endpoints, distributed over the zones in turn.
+    /// Number of the new build's endpoints, distributed over the zones in turn.
     pub endpoints: usize,
 }
 
 /// A fault that is injected during the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it starts.
+    /// Start of the fault, from the start of the run.
     pub start: Duration,
-    /// How long it lasts; for good otherwise. Drained and removed endpoints return with a start.
+    /// Duration of the fault; `None` if it lasts to the end of the run, except that a stall then
+    /// lasts one second. Drained and removed endpoints return by a restart.
     pub duration: Option<Duration>,
-    /// The zone whose endpoints it concerns; all zones otherwise.
+    /// Index of the zone whose endpoints are affected; `None` for all zones.
     pub zone: Option<usize>,
-    /// Number of endpoints concerned in each zone, from the first on.
+    /// Maximum number of endpoints affected in each zone, counted from the zone's first endpoint.
     pub max_endpoints: usize,
-    /// What happens.
+    /// Effect of the fault.
     pub kind: FaultKind,
 }
 
-/// What a fault does.
+/// Effect of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// Endpoints take this multiple of the usual processing time.
     Slow(f64),
-    /// Endpoints fail this share of their requests.
+    /// Endpoints fail this share of their requests, 0 to 1.
     Fail(f64),
     /// Endpoints are listed as draining.
     Drain,
-    /// Endpoints are removed from the list.
+    /// Endpoints are removed from the endpoint list.
     Gone,
-    /// Endpoints stop answering.
+    /// Endpoints stop responding.
     Unresponsive,
-    /// All agents stop running.
+    /// All agents stop running for the duration of the fault.
     Stall,
-    /// The load is this multiple of the usual one.
+    /// The load is this multiple of the usual load.
     Burst(f64),
 }
 
@@ -186,13 +187,13 @@
     /// Parses a scenario document.
     ///
     /// # Errors
-    /// Everything that is wrong with the text, in the order of its lines.
+    /// Returns a diagnostic for everything that is wrong with the text, in the order of its lines.
     pub fn read(text: &str) -> Result<Scenario, Vec<ConfigDiagnostic>> {
         parse::scenario(text)
     }
 
-    /// Estimated peak memory of one run in bytes: what agents know of endpoints, statistics by
-    /// second, and requests in flight.
+    /// Estimates the peak memory of one run, in bytes: the agents' state of endpoints, the
+    /// statistics of each second, and the requests in flight.
     pub fn estimated_memory(&self) -> f64 {
         let zone_endpoints: usize = self.zones.iter().map(|z| z.endpoints).sum();
         let rollout_endpoints = self.rollout.as_ref().map_or(0, |r| r.endpoints);
--- a/crates/experiments/src/scenario/parse/fault.rs
+++ b/crates/experiments/src/scenario/parse/fault.rs
@@ -1,4 +1,4 @@
-//! Section `fault`: a fault that is injected.
+//! Parses the section `fault`: a fault that is injected.
 
 use super::installation::zone_index;
 use super::MAX_ENDPOINTS;
@@ -50,7 +50,7 @@
         }
     }
     if kinds.len() != 1 {
-        let text = "one of slow, fail, burst or kind is wanted in it";
+        let text = "expected exactly one of slow, fail, burst or kind";
         reader.report(location, "fault", text.into());
     }
     fault.kind = kinds.first().copied()?;
--- a/crates/experiments/src/scenario/parse/installation.rs
+++ b/crates/experiments/src/scenario/parse/installation.rs
@@ -1,4 +1,5 @@
-//! Sections `zone`, `way` and `lane`: where endpoints are, how far apart, and what load they get.
+//! Parses the sections `zone`, `way` and `lane`: the zones with their endpoints, the network delays
+//! between zones, and the request classes of the load.
 
 use super::{name_argument, MAX_ENDPOINTS};
 use crate::scenario::{Link, RequestClass, Zone};
@@ -16,7 +17,7 @@
         return;
     };
     if zones.iter().any(|known| known.name == zone.name) {
-        let text = format!("the name '{}' stands twice", zone.name);
+        let text = format!("duplicate zone name '{}'", zone.name);
         reader.report(location, "zone", text.into());
     }
     zones.push(zone);
@@ -41,7 +42,7 @@
     Some(zone)
 }
 
-/// The index of the zone with this name, which is reported if there is none.
+/// Returns the index of the zone with this name; reports a diagnostic if there is none.
 pub(super) fn zone_index(
     reader: &mut KdlReader,
     location: SourceLocation,
@@ -52,7 +53,10 @@
     let found = zones.iter().position(|zone| zone.name == name);
     if found.is_none() {
         let known: Vec<&str> = zones.iter().map(|zone| zone.name.as_str()).collect();
-        let text = format!("no zone '{name}'; known are {}", known.join(", "));
+        let text = format!(
+            "unknown zone '{name}'; expected one of {}",
+            known.join(", ")
+        );
         reader.report(location, key, text.into());
     }
     found
@@ -71,11 +75,11 @@
         .copied();
     let delay = delay_node.and_then(|node| reader.duration(node, Duration::ZERO));
     let [from, to]: [String; 2] = names.try_into().ok()?;
-    // Both names are looked up before either ends the parsing, so that both are reported.
+    // Look up both names before returning, so that both are reported if they are unknown.
     let from = zone_index(reader, location, "way", &from, zones);
     let to = zone_index(reader, location, "way", &to, zones);
     if delay.is_none() {
-        reader.report(location, "way", "a delay is wanted in it".into());
+        reader.report(location, "way", "expected a delay".into());
     }
     Some(Link {
         from: from?,
--- a/crates/experiments/src/scenario/parse/mod.rs
+++ b/crates/experiments/src/scenario/parse/mod.rs
@@ -1,4 +1,4 @@
-//! Reads scenario documents (KDL), a module for each kind of section.
+//! Parser of scenario documents (KDL), with a module for each kind of section.
 
 mod fault;
 mod installation;
@@ -12,12 +12,12 @@
 
 const DEFAULT_SEEDS: u64 = 5;
 const DEFAULT_AGENTS: usize = 3;
-/// Most agents of an experiment.
+/// Maximum number of agents of an experiment.
 const MAX_AGENTS: f64 = 1e5;
-/// Most endpoints of a zone or a rollout.
+/// Maximum number of endpoints of a zone or a rollout.
 const MAX_ENDPOINTS: f64 = 1e5;
 
-/// Keys of an experiment that stand at most once.
+/// Keys that may appear at most once in an experiment.
 const SINGLE_KEYS: [&str; 12] = [
     "seeds",
     "span",
@@ -32,10 +32,11 @@
     "loss",
     "told-late",
 ];
-/// Keys of an experiment that may stand several times.
+/// Keys that may appear several times in an experiment.
 const REPEATED_KEYS: [&str; 5] = ["lane", "zone", "way", "fault", "vary"];
 
-/// Parses a document; everything that is wrong with it otherwise, in the order of its lines.
+/// Parses a document, or returns a diagnostic for everything that is wrong with it, in the order of
+/// its lines.
 pub(super) fn scenario(text: &str) -> Result<Scenario, Vec<ConfigDiagnostic>> {
     let mut reader = KdlReader::new(text);
     let document = reader.document();
@@ -44,7 +45,7 @@
     let scenario = node.and_then(|node| experiment(&mut reader, node));
     if node.is_none() && !reader.has_diagnostics() {
         let start = SourceLocation { line: 1, column: 1 };
-        reader.report(start, "experiment", "one is wanted".into());
+        reader.report(start, "experiment", "expected one, found none".into());
     }
     match scenario {
         Some(scenario) if !reader.has_diagnostics() => Ok(scenario),
@@ -56,7 +57,7 @@
     let name = name_argument(reader, node, "experiment")?;
     let mut scenario = default_scenario(name);
     let nodes = reader.nodes(node.children(), "experiment", &SINGLE_KEYS, &REPEATED_KEYS);
-    // Zones first, since links and faults name them.
+    // Read the zones first, since links and faults refer to them by name.
     for node in nodes.iter().filter(|n| n.name().value() == "zone") {
         installation::add_zone(reader, node, &mut scenario.zones);
     }
@@ -146,17 +147,22 @@
     }
 }
 
-/// Checks what no single section can: required sections, and a rollout where it varies.
+/// Checks what concerns more than one section: that required sections exist, and that there is a
+/// rollout if a parameter of it varies.
 fn check_complete(reader: &mut KdlReader, node: &KdlNode, scenario: &Scenario) {
     let required = [
         ("lane", scenario.classes.is_empty()),
         ("zone", scenario.zones.is_empty()),
     ];
     for (key, missing) in required {
-        // One that is there and wrong has been reported already.
+        // A section that exists and is invalid has been reported already.
         let reported = reader.has_diagnostics_for(key);
         if missing && !reported {
-            reader.report(reader.location(node), key, "one or more are wanted".into());
+            reader.report(
+                reader.location(node),
+                key,
+                "expected one or more, found none".into(),
+            );
         }
     }
     let varies_rollout = scenario
@@ -164,12 +170,12 @@
         .iter()
         .any(|v| v.parameter.needs_rollout());
     if scenario.rollout.is_none() && varies_rollout {
-        let text = "an offer is wanted for what varies of it";
+        let text = "expected an offer, since a parameter of it varies";
         reader.report(reader.location(node), "vary", text.into());
     }
 }
 
-/// The name that a node has as its only argument.
+/// Returns the name that is the only argument of a node.
 fn name_argument(reader: &mut KdlReader, node: &KdlNode, key: &str) -> Option<String> {
     let arguments = reader.arguments(node, 1, &[]);
     arguments
--- a/crates/experiments/src/scenario/parse/rollout.rs
+++ b/crates/experiments/src/scenario/parse/rollout.rs
@@ -1,4 +1,4 @@
-//! Section `offer`: a build that is rolled out.
+//! Parses the section `offer`: a build that is rolled out.
 
 use super::MAX_ENDPOINTS;
 use crate::scenario::Rollout;
--- a/crates/experiments/src/scenario/parse/variation.rs
+++ b/crates/experiments/src/scenario/parse/variation.rs
@@ -1,11 +1,11 @@
-//! Section `vary`: a parameter and the values it takes.
+//! Parses the section `vary`: a parameter and the values it takes.
 
 use super::MAX_AGENTS;
 use crate::scenario::{Parameter, Value, Variation};
 use kdl::{KdlEntry, KdlNode};
 use tulipwall_config::KdlReader;
 
-/// Largest number that any parameter takes.
+/// Largest number that any parameter accepts.
 const MAX_NUMBER: f64 = 1e7;
 
 pub(super) fn variation(reader: &mut KdlReader, node: &KdlNode) -> Option<Variation> {
@@ -13,13 +13,13 @@
     let location = reader.location(node);
     let key = entries.next().and_then(|e| reader.entry_text(e, "vary"));
     let Some(key) = key else {
-        let text = "a key and its values are wanted";
+        let text = "expected a key and its values";
         reader.report(location, "vary", text.into());
         return None;
     };
     let Some(parameter) = Parameter::from_key(&key) else {
         let text = format!(
-            "'{key}' is not among {}",
+            "unknown parameter '{key}'; expected one of {}",
             Parameter::KEYS.map(|k| k.0).join(", ")
         );
         reader.report(location, "vary", text.into());
@@ -29,13 +29,13 @@
     for entry in entries {
         let value = value(reader, entry, parameter);
         if value.is_none() && !parameter.words().is_empty() {
-            let text = format!("a word that {key} does not have");
+            let text = format!("unknown value of {key}");
             reader.report(location, "vary", text.into());
         }
         values.extend(value);
     }
     if values.is_empty() {
-        let text = "one value or more are wanted";
+        let text = "expected one or more values";
         reader.report(location, "vary", text.into());
         return None;
     }
--- a/crates/experiments/src/scenario/point.rs
+++ b/crates/experiments/src/scenario/point.rs
@@ -4,28 +4,28 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A parameter that may vary.
+/// A parameter of a scenario that may vary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Parameter {
     /// Number of agents.
     Agents,
-    /// Requests a second.
+    /// Requests per second, over all agents.
     Rate,
-    /// Slowness of the build that is rolled out.
+    /// Processing time of the build that is rolled out, as a multiple of the usual time.
     Slowness,
-    /// Failure rate of the build that is rolled out.
+    /// Share of requests that fail at the build that is rolled out, 0 to 1.
     FailureRate,
-    /// How clients retry.
+    /// Retry behavior of the clients.
     Clients,
-    /// Whether the local zone is preferred.
+    /// Routing policy: whether the local zone is preferred.
     Routing,
-    /// Budget for cross-zone traffic.
+    /// Budget for cross-zone traffic, as a share of all requests.
     CrossZoneShare,
     /// Duration of a rollout stage, in seconds.
     StageDuration,
-    /// Inequality of the agents' loads.
+    /// Spread of the agents' loads: 0 if they are equal, 1 if the largest is twice the mean.
     LoadSpread,
-    /// Share of messages lost between zones.
+    /// Share of messages that are lost between zones, 0 to 1.
     Loss,
     /// Notification delay, in milliseconds.
     NotificationDelayMs,
@@ -47,19 +47,19 @@
         ("told-late-ms", Parameter::NotificationDelayMs),
     ];
 
-    /// The parameter with this key.
+    /// Returns the parameter with this key; `None` if the key is unknown.
     pub fn from_key(key: &str) -> Option<Parameter> {
         let found = Parameter::KEYS.iter().find(|(known, _)| *known == key);
         found.map(|(_, parameter)| *parameter)
     }
 
-    /// Its key in scenario documents and records.
+    /// Returns the key of the parameter in scenario documents and records.
     pub fn key(self) -> &'static str {
         let found = Parameter::KEYS.iter().find(|(_, known)| *known == self);
         found.map_or("", |(key, _)| key)
     }
 
-    /// The words it takes; none where it takes numbers.
+    /// Returns the words that the parameter accepts; empty if it accepts numbers.
     pub(super) fn words(self) -> &'static [&'static str] {
         match self {
             Parameter::Clients => &ClientKind::NAMES,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether it changes the rollout, which the scenario then has to have.
+    /// Returns whether the parameter changes the rollout, which the scenario must then contain.
     pub(super) fn needs_rollout(self) -> bool {
         matches!(
             self,
@@ -80,16 +80,16 @@
 /// A parameter and the values it takes, one after another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Variation {
-    /// What varies.
+    /// The parameter that varies.
     pub parameter: Parameter,
-    /// Its values; never empty.
+    /// Values of the parameter; never empty.
     pub values: Vec<Value>,
 }
 
 /// A value of a parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A number, in the unit of its parameter.
+    /// A number, in the unit of the parameter.
     Number(f64),
     /// One of the parameter's words.
     Word(String),
@@ -107,9 +107,9 @@
 /// A parameter with the value it has at one point.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParameterValue {
-    /// What varies.
+    /// The parameter that varies.
     pub parameter: Parameter,
-    /// Its value at the point.
+    /// Value of the parameter at the point.
     pub value: Value,
 }
 
@@ -120,8 +120,8 @@
 }
 
 impl Scenario {
-    /// Every combination of what varies, the first parameter slowest. One empty point where nothing
-    /// varies.
+    /// Returns every combination of the values that vary; the first parameter changes slowest. If
+    /// no parameter varies, there is one empty point.
     pub fn points(&self) -> Vec<Vec<ParameterValue>> {
         let mut points = vec![Vec::new()];
         for variation in &self.variations {
@@ -133,7 +133,7 @@
         points
     }
 
-    /// The same scenario at one point.
+    /// Returns the scenario with the parameter values of one point.
     pub fn at(&self, point: &[ParameterValue]) -> Scenario {
         let mut scenario = self.clone();
         for ParameterValue { parameter, value } in point {
@@ -185,7 +185,7 @@
     }
 }
 
-/// A point with each value of a further parameter.
+/// Extends a point by each value of a further parameter.
 fn extended(point: &[ParameterValue], variation: &Variation) -> Vec<Vec<ParameterValue>> {
     let with = |value: &Value| {
         let mut point = point.to_vec();
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -278,12 +278,12 @@
     for wanted in [
         "2:3: rte: unknown in experiment; did you mean 'rate'?",
         "3:25: appliances: expected a number from 0 to 100000",
-        "4:3: way: no zone 'c'; known are a",
-        "6:3: fault: one of slow, fail, burst or kind is wanted in it",
-        "7:3: vary: 'agnts' is not among agents, rate",
+        "4:3: way: unknown zone 'c'; expected one of a",
+        "6:3: fault: expected exactly one of slow, fail, burst or kind",
+        "7:3: vary: unknown parameter 'agnts'; expected one of agents, rate",
         "9:3: clients: expected one of open, naive, careful",
-        "1:1: lane: one or more are wanted",
-        "1:1: vary: an offer is wanted for what varies of it",
+        "1:1: lane: expected one or more, found none",
+        "1:1: vary: expected an offer, since a parameter of it varies",
     ] {
         assert!(
             all.iter().any(|m| m.starts_with(wanted)),
