--- a/crates/experiments/src/fleet/command.rs
+++ b/crates/experiments/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! Subcommand `fleet`.
+//! Subcommand `fleet`: measures real agents on loopback.
 
 use super::error::FleetError;
 use super::plan::{Measure, Plan};
@@ -12,23 +12,23 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The agent's program, where it stands beside this one.
+/// Name of the agent's program, which is expected in the directory of this one.
 const AGENT_PROGRAM: &str = "tulipwall-agent";
 
 fn count(text: &str) -> Result<usize, InvalidArgument> {
-    arguments::count(text, "a count from 1 to 1000000 is wanted")
+    arguments::count(text, "expected a count from 1 to 1000000")
 }
 
 fn rate(text: &str) -> Result<f64, InvalidArgument> {
-    let expected = "commands a second from 1 to 5000 are wanted";
+    let expected = "expected requests per second from 1 to 5000";
     number_in(text, 1.0..=5000.0, expected)
 }
 
 fn seconds(text: &str) -> Result<f64, InvalidArgument> {
-    number_in(text, 0.2..=60.0, "seconds from 0.2 to 60 are wanted")
+    number_in(text, 0.2..=60.0, "expected seconds from 0.2 to 60")
 }
 
-/// Another limit for a figure, as the command line names it.
+/// Limit that replaces an operators' limit of a figure, as given on the command line.
 #[derive(Clone)]
 struct LimitArgument {
     figure: String,
@@ -38,7 +38,10 @@
 fn limit(text: &str) -> Result<LimitArgument, InvalidArgument> {
     parse_limit(text).ok_or_else(|| {
         let names: Vec<String> = limits().into_iter().map(|limit| limit.figure).collect();
-        let expected = format!("FIGURE=MOST is wanted; figures are {}", names.join(", "));
+        let expected = format!(
+            "expected FIGURE=MOST, where FIGURE is one of {}",
+            names.join(", ")
+        );
         InvalidArgument::expected(expected)
     })
 }
@@ -53,23 +56,25 @@
     })
 }
 
-/// Starts real agents before fakes on loopback and measures what they take and add: one figure
-/// against one size, with the straight line through the points (least squares). The first of each
-/// list of sizes is what the other measures go by. Agents and fakes end with the request.
+/// Starts real agents in front of fake servers on loopback and measures what they use and add:
+/// figures over one size at a time, with a straight line fitted to the points (least squares). The
+/// first element of each list of sizes is the one that all other measures use. Agents and fake
+/// servers end with the command.
 ///
-/// Endpoints of the list share 16 listeners at most; an idle measure sends nothing to any of them,
-/// a load goes to all that the agent chooses. Memory is VmRSS and VmHWM; processor time is what the
-/// kernel counts as utime and stime, read in nanoseconds. Bytes are counted between agent and fake,
-/// without the heads of TCP and IP.
+/// The endpoints of the list share at most 16 listeners. An idle measure sends no requests; a load
+/// goes to every endpoint that the agent chooses. Memory is VmRSS and VmHWM; processor time is what
+/// the kernel counts as utime and stime, read in nanoseconds. Bytes are counted between the agent
+/// and the fake servers, without the headers of TCP and IP.
 #[derive(Args)]
 pub struct Options {
-    /// The agent's program; `tulipwall-agent` beside this one otherwise.
+    /// Path of the agent's program; by default `tulipwall-agent` in the directory of this one.
     #[arg(long, value_name = "PATH")]
     agent: Option<PathBuf>,
-    /// What is measured; everything otherwise.
+    /// Measures to take; all by default.
     #[arg(long, num_args = 1.., value_enum)]
     measure: Vec<Measure>,
-    /// Agents at once, in the measures of memory and of idle agents; 100 at most.
+    /// Number of agents that run at the same time in the measures of memory and of idle agents; at
+    /// most 100.
     #[arg(long, default_value_t = 1, value_parser = count)]
     agents: usize,
     #[arg(long, default_value_t = 7, value_parser = count)]
@@ -80,50 +85,52 @@
     classes: Vec<usize>,
     #[arg(long, num_args = 1.., default_values_t = [400, 5600, 28_000, 56_000], value_parser = count)]
     tenants: Vec<usize>,
-    /// Clients that are connected and ask nothing.
+    /// Numbers of clients that are connected and send no requests.
     #[arg(long, num_args = 1.., default_values_t = [50, 100, 200, 400], value_parser = count)]
     connections: Vec<usize>,
-    /// Requests that no endpoint answers.
+    /// Numbers of requests that no endpoint answers.
     #[arg(long, num_args = 1.., default_values_t = [25, 50, 100, 200], value_parser = count)]
     open: Vec<usize>,
-    /// Requests a second.
+    /// Rates of loads, in requests per second.
     #[arg(long, num_args = 1.., default_values_t = [20.0, 143.0, 500.0], value_parser = rate)]
     rate: Vec<f64>,
-    /// Entries of the list that change at once; all of them come behind these.
+    /// Numbers of entries of the endpoint list that change at once; a change of the whole list
+    /// follows.
     #[arg(long, num_args = 1.., default_values_t = [1, 10, 100, 1100], value_parser = count)]
     changed: Vec<usize>,
-    /// Sockets of an agent, at most.
+    /// Maximum number of sockets of an agent.
     #[arg(long, default_value_t = 1024, value_parser = clap::value_parser!(u16).range(32..=4096))]
     sockets: u16,
-    /// Agents share the calls to discovery; their lists are pushed otherwise.
+    /// Let the agents share the calls to discovery; by default, endpoint lists are pushed to them.
     #[arg(long)]
     ask: bool,
-    /// Seconds of each figure that counts over time, and of each load.
+    /// Duration of each measurement over time, and of each load, in seconds.
     #[arg(long, default_value_t = 10.0, value_parser = seconds)]
     seconds: f64,
-    /// Milliseconds that an agent is left alone before.
+    /// How long an agent is left idle before it is measured, in milliseconds.
     #[arg(long, default_value_t = 2000, value_parser = clap::value_parser!(u64).range(100..=60_000))]
     settle: u64,
-    /// What an endpoint takes for a request in loads, in milliseconds, in the mean: half of it
-    /// always, the rest by its id.
+    /// Mean processing time of a request at an endpoint in loads, in milliseconds: half of it is
+    /// constant, the rest depends on the request's id.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
     work: u64,
-    /// How often each start, change and load is measured; the median is told.
+    /// Number of times that each start, change and load is measured; the median is reported.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=50))]
     repeats: u16,
-    /// Another limit in the place of the operators' own, `FIGURE=MOST`.
+    /// Limit that replaces the operators' limit of a figure, `FIGURE=MOST`.
     #[arg(long, num_args = 1.., value_parser = limit)]
     limit: Vec<LimitArgument>,
-    /// One document of JSON in the place of tables.
+    /// Print one JSON document instead of tables.
     #[arg(long)]
     json: bool,
 }
 
 impl Options {
-    /// Measures and prints the results; whether any figure lies beyond a limit.
+    /// Takes the measures and prints the results. Returns whether any figure exceeds a limit.
     ///
     /// # Errors
-    /// The run would take too much, or an agent or a fake fails.
+    /// Returns an error if the run would need too many resources, or if an agent or a fake server
+    /// fails.
     pub fn run(self) -> Result<bool, FleetError> {
         let prints_json = self.json;
         let plan = self.plan();
@@ -141,7 +148,7 @@
             println!("{}", document(&results, &machine, load_after, &estimate));
         } else {
             println!(
-                "{} cores, {} of them for this run; load of the machine {} before, {load_after} after\n",
+                "{} cores, {} of them available to this run; load average {} before, {load_after} after\n",
                 machine.cores, machine.own_cores, machine.load
             );
             print!("{}", table::all(&results));
@@ -178,28 +185,28 @@
     }
 }
 
-/// The agent's program beside this one.
+/// Returns the path of the agent's program in the directory of this one.
 fn default_binary() -> PathBuf {
     std::env::current_exe()
         .unwrap_or_default()
         .with_file_name(AGENT_PROGRAM)
 }
 
-/// The operators' limits, with others in their places.
+/// Returns the operators' limits, with those replaced that the command line sets.
 fn limits_with(arguments: &[LimitArgument]) -> Vec<Limit> {
     let mut limits = limits();
     for argument in arguments {
         for limit in &mut limits {
             if limit.figure == argument.figure {
                 limit.max = argument.max;
-                limit.source = "told by --limit".into();
+                limit.source = "set by --limit".into();
             }
         }
     }
     limits
 }
 
-/// The results with the machine and the estimate, as one JSON document.
+/// Returns the results, the machine and the estimate as one JSON document.
 fn document(results: &Results, machine: &Machine, load_after: f64, estimate: &Estimate) -> Value {
     let mut document = results.to_json();
     document["machine"] = json!({
--- a/crates/experiments/src/fleet/error.rs
+++ b/crates/experiments/src/fleet/error.rs
@@ -1,54 +1,54 @@
-//! Errors of measurements of real agents.
+//! Errors of the measurements of real agents.
 
 use super::estimate::Refusal;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why something could not be measured.
+/// Errors of measuring real agents.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The kernel's reports cannot be read.
     #[error("/proc")]
     Proc(#[source] io::Error),
-    /// The run would take too much.
+    /// The run would need more resources than allowed or available.
     #[error(transparent)]
     Refused(#[from] Refusal),
     /// The agent's program does not exist.
-    #[error("{}: no such program; --agent names the agent's", path.display())]
+    #[error("{}: no such program; set the path of the agent with --agent", path.display())]
     NoProgram {
-        /// Where it was looked for.
+        /// Path at which it was expected.
         path: PathBuf,
     },
     /// The agent's program cannot be started.
     #[error("{}", path.display())]
     Start {
-        /// The program.
+        /// Path of the program.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An agent does not accept connections.
-    #[error("{address} is not served; its log:\n{log}")]
+    #[error("no agent accepts connections at {address}; log of the agent:\n{log}")]
     NotServing {
         /// Address of the agent.
         address: SocketAddr,
-        /// Its log.
+        /// Log of the agent.
         log: String,
     },
-    /// An agent that was to end did not exit with success.
-    #[error("it did not end well; its log:\n{log}")]
+    /// An agent that was told to terminate did not exit with success.
+    #[error("the agent did not exit with success; log of the agent:\n{log}")]
     FailedExit {
-        /// Its log.
+        /// Log of the agent.
         log: String,
     },
-    /// Something that was waited for did not come.
-    #[error("{what} did not come")]
+    /// An event did not happen within the timeout.
+    #[error("timed out waiting for {what}")]
     TimedOut {
-        /// What was waited for.
+        /// The event that was expected.
         what: &'static str,
     },
-    /// A connection to an agent or a fake failed.
+    /// A connection to an agent or a fake server failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/experiments/src/fleet/estimate.rs
+++ b/crates/experiments/src/fleet/estimate.rs
@@ -1,17 +1,18 @@
-//! What a run would take, estimated before it starts.
+//! Estimate of the resources that a run needs, made before it starts.
 
 use super::plan::{Measure, Plan, PlannedSize, Size};
 use super::process::Machine;
 
-/// Most processes of agents.
+/// Maximum number of agent processes.
 pub const MAX_AGENTS: usize = 100;
-/// Most bytes of all processes.
+/// Maximum memory of all processes, in bytes.
 pub const MAX_MEMORY: u64 = 4 << 30;
 
-// Bytes of an agent at its start, at most. They lie above what was measured, as a refusal that
-// comes too late is of no use; `tests/fleet.rs` holds them against a run.
+// Upper bounds of an agent's memory at its start, in bytes. They are higher than the memory that
+// agents really use, since refusing a run is of no use once it has exhausted the memory;
+// `tests/fleet.rs` checks them against a run.
 
-/// Bytes of an agent alone.
+/// Bytes of an agent without endpoints, classes, tenants and clients.
 const AGENT_BYTES: u64 = 22 << 20;
 /// Bytes of an agent for each endpoint.
 const ENDPOINT_BYTES: u64 = 5 << 10;
@@ -23,7 +24,7 @@
 const CLIENT_BYTES: u64 = 64 << 10;
 /// Bytes of an agent for each pair of endpoint and class.
 const PAIR_BYTES: u64 = 48;
-/// Bytes of this process alone.
+/// Bytes of this process without entries, tenants, agents and connections.
 const OWN_BYTES: u64 = 64 << 20;
 /// Bytes of this process for each entry of the endpoint list.
 const OWN_ENTRY_BYTES: u64 = 4 << 10;
@@ -33,27 +34,27 @@
 const OWN_AGENT_BYTES: u64 = 1 << 20;
 /// Bytes of this process for each connection of a client.
 const OWN_CONNECTION_BYTES: u64 = 256 << 10;
-/// Descriptors for each agent beside its connections to endpoints: both ends of two proxies.
+/// Descriptors for each agent besides its connections to endpoints: both ends of two proxies.
 const AGENT_DESCRIPTORS: u64 = 16;
 /// Descriptors for each client: both ends of its connection.
 const CLIENT_DESCRIPTORS: u64 = 2;
 /// Descriptors of listeners and files.
 const OTHER_DESCRIPTORS: u64 = 200;
 
-/// What the largest moment of a run takes.
+/// Peak resources that a run needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Processes of agents.
+    /// Number of agent processes.
     pub agents: usize,
-    /// Bytes of one agent.
+    /// Memory of one agent, in bytes.
     pub agent: u64,
-    /// Bytes of all processes.
+    /// Memory of all processes, in bytes.
     pub memory: u64,
-    /// Descriptors of this process.
+    /// Number of descriptors of this process.
     pub descriptors: u64,
 }
 
-/// The estimate of one installation with so many connections of clients.
+/// Estimates one installation with this many client connections.
 pub fn size(size: &Size, clients: usize) -> Estimate {
     let agents = size.agents as u64;
     let endpoints = size.endpoints as u64;
@@ -92,9 +93,9 @@
     parts.into_iter().fold(0, u64::saturating_add)
 }
 
-/// The largest moment of all measures.
+/// Estimates the peak resources over all measures of a plan.
 pub fn plan(plan: &Plan) -> Estimate {
-    // An idle agent is measured by pairs as well.
+    // The measure of idle agents also uses the sizes of the measure by pairs.
     let is_idle_measured = plan.measures.contains(&Measure::Idle);
     let pairs = is_idle_measured.then_some(Measure::Pairs);
     plan.measures
@@ -106,30 +107,30 @@
         .fold(Estimate::default(), Estimate::larger)
 }
 
-/// Why a run does not fit.
+/// The reason why a run is refused.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error(
-    "the run would take {} agents of {} MB each, {} MB in all and {} descriptors; {reason}",
+    "the run would take {} agents of {} MB each, {} MB of memory in total and {} descriptors; {reason}",
     estimate.agents,
     megabytes(estimate.agent),
     megabytes(estimate.memory),
     estimate.descriptors
 )]
 pub struct Refusal {
-    /// What the run would take.
+    /// Resources that the run would need.
     estimate: Estimate,
     reason: RefusalReason,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 enum RefusalReason {
-    #[error("at most {MAX_AGENTS} agents are started")]
+    #[error("at most {MAX_AGENTS} agents are allowed")]
     AgentLimit,
-    #[error("at most {} MB are taken", megabytes(MAX_MEMORY))]
+    #[error("at most {} MB of memory are allowed", megabytes(MAX_MEMORY))]
     MemoryLimit,
-    #[error("{} MB are free, of which half is left to others", megabytes(*available))]
+    #[error("{} MB of memory are available, of which half is left to other processes", megabytes(*available))]
     AvailableMemory { available: u64 },
-    #[error("{allowed} descriptors are allowed here")]
+    #[error("this process is limited to {allowed} descriptors")]
     DescriptorLimit { allowed: u64 },
 }
 
@@ -138,7 +139,7 @@
 }
 
 impl Estimate {
-    /// The larger of each.
+    /// Returns the maximum of each resource.
     fn larger(self, other: Estimate) -> Estimate {
         Estimate {
             agents: self.agents.max(other.agents),
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Why it does not fit on this machine, if it does not.
+    /// Returns why a run with this estimate is refused on this machine; `None` if it fits.
     pub fn refused(&self, machine: &Machine) -> Option<Refusal> {
         let reason = if self.agents > MAX_AGENTS {
             RefusalReason::AgentLimit
--- a/crates/experiments/src/fleet/installation.rs
+++ b/crates/experiments/src/fleet/installation.rs
@@ -1,4 +1,4 @@
-//! An installation of fakes with real agents before it.
+//! An installation of fake servers, and the real agents in front of it.
 
 use super::error::FleetError;
 use super::plan::Size;
@@ -17,85 +17,87 @@
     RequestClass, TestClient,
 };
 
-/// Entries of the endpoint list share so many listeners, one after another.
+/// Maximum number of listeners, which the entries of the endpoint list share in turn.
 pub const LISTENERS: usize = 16;
-/// How long anything that must come is waited for.
+/// How long to wait for an expected event before the measure fails.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// Between looks at something that is waited for.
+/// Interval between checks for an expected event.
 const POLL_INTERVAL: Duration = Duration::from_micros(500);
 /// Build that all endpoints run.
 const BUILD: u32 = 41;
 /// Cells over which endpoints are distributed in turn.
 const CELLS: usize = 7;
-/// Spreads the identifiers of endpoints (golden ratio, 32 bits).
+/// Spreads the identifiers of endpoints over 32 bits (multiplicative hashing by the golden ratio).
 const ID_MULTIPLIER: u32 = 0x9e37_79b1;
 /// Weight of a request class.
 const CLASS_WEIGHT: f64 = 3.0;
 
-/// Discovery, platform and endpoints, all fakes.
+/// Fake servers: discovery, the platform and the endpoints.
 pub struct Installation {
-    /// The discovery.
+    /// The fake discovery server.
     pub discovery: Discovery,
-    /// The platform.
+    /// The fake rollout platform.
     pub platform: Platform,
-    /// Listeners of the endpoints, unless they are timed.
+    /// Listeners of the endpoints; empty if the endpoints are timed.
     pub endpoints: Vec<Endpoint>,
-    /// Listeners of the endpoints whose time for each request is known.
+    /// Listeners of timed endpoints, whose processing time of each request is known; empty if the
+    /// endpoints are not timed.
     pub timed_endpoints: Vec<TimedEndpoint>,
     size: Size,
 }
 
-/// A real agent, with the proxies through which it reaches discovery and the platform.
+/// A real agent, and the proxies through which it reaches discovery and the platform.
 pub struct RunningAgent {
-    /// Its process.
+    /// Process of the agent.
     pub program: AgentProcess,
-    /// Counts its traffic with discovery.
+    /// Proxy that counts the agent's traffic with discovery.
     pub discovery: CountingProxy,
-    /// Counts its traffic with the platform.
+    /// Proxy that counts the agent's traffic with the platform.
     pub platform: CountingProxy,
-    /// From before its configuration was written until it answered a client's empty query.
+    /// Time from before the agent's configuration was written until the agent answered a client's
+    /// empty query.
     pub ready_after: Duration,
     zone: usize,
 }
 
-/// A reload that an agent has been told of.
+/// A configuration reload that an agent has been signalled.
 pub struct Reload {
-    /// When.
+    /// When the agent was signalled.
     pub at: Instant,
-    /// The proxies that the agent used before, which stay open.
+    /// Proxies that the agent used before, which stay open until this is dropped.
     _old_proxies: [CountingProxy; 2],
 }
 
-/// How long a restart took.
+/// Durations of a restart, from the signal to terminate.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartTimes {
-    /// Until the old process had ended.
+    /// Time until the old process had ended.
     pub ended: Duration,
-    /// Until the new process served.
+    /// Time until the new process served clients.
     pub serving: Duration,
 }
 
-/// Bytes that passed between an agent and its servers, both ways.
+/// Bytes that an agent exchanged with its control servers, in both directions.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlBytes {
-    /// With discovery.
+    /// Bytes exchanged with discovery.
     pub discovery: u64,
-    /// With the platform.
+    /// Bytes exchanged with the platform.
     pub platform: u64,
 }
 
 impl ControlBytes {
-    /// With both.
+    /// Returns the bytes exchanged with both servers.
     pub fn total(self) -> u64 {
         self.discovery + self.platform
     }
 }
 
 impl Installation {
-    /// Starts fakes whose endpoints all behave like this.
+    /// Starts fake servers; all endpoints have this behavior.
     ///
     /// # Errors
-    /// A fake cannot listen.
+    /// Returns an error if a fake server cannot listen.
     pub fn start(size: &Size, behavior: EndpointBehavior) -> io::Result<Installation> {
         let endpoints = (0..listeners(size))
             .map(|seed| Endpoint::start(1, behavior.clone(), seed as u64))
@@ -104,10 +106,10 @@
         Installation::with_endpoints(size, &addresses, endpoints, Vec::new())
     }
 
-    /// Starts fakes whose endpoints take known times, `mean` on average.
+    /// Starts fake servers with timed endpoints, whose mean processing time is `mean`.
     ///
     /// # Errors
-    /// A fake cannot listen.
+    /// Returns an error if a fake server cannot listen.
     pub fn with_timed_endpoints(size: &Size, mean: Duration) -> io::Result<Installation> {
         let endpoints = (0..listeners(size))
             .map(|_| TimedEndpoint::start(mean))
@@ -116,7 +118,7 @@
         Installation::with_endpoints(size, &addresses, Vec::new(), endpoints)
     }
 
-    /// Starts discovery and platform before endpoints.
+    /// Starts discovery and the platform for endpoints that are listening.
     fn with_endpoints(
         size: &Size,
         addresses: &[SocketAddr],
@@ -144,7 +146,7 @@
         })
     }
 
-    /// Connections that the timed endpoints have accepted.
+    /// Returns the number of connections that the timed endpoints have accepted.
     pub fn accepted_by_timed_endpoints(&self) -> u64 {
         self.timed_endpoints
             .iter()
@@ -152,7 +154,7 @@
             .sum()
     }
 
-    /// Names of all zones.
+    /// Returns the names of all zones.
     pub fn zones(&self) -> Vec<String> {
         (0..self.size.zones).map(zone_name).collect()
     }
@@ -170,11 +172,11 @@
         settings
     }
 
-    /// Starts an agent and waits until it serves. With `known` its configuration holds the endpoint
-    /// list as it is; otherwise it asks for the whole list.
+    /// Starts an agent and waits until it serves clients. With `known`, its configuration contains
+    /// the current endpoint list; otherwise it requests the whole list from discovery.
     ///
     /// # Errors
-    /// The agent cannot be started, or does not serve in time.
+    /// Returns an error if the agent cannot be started, or does not serve within the timeout.
     pub fn agent(
         &self,
         binary: &Path,
@@ -215,23 +217,24 @@
         })
     }
 
-    /// Starts all agents of the size.
+    /// Starts all agents of the installation.
     ///
     /// # Errors
-    /// An agent cannot be started, or does not serve in time.
+    /// Returns an error if an agent cannot be started, or does not serve within the timeout.
     pub fn agents(&self, binary: &Path) -> Result<Vec<RunningAgent>, FleetError> {
         (0..self.size.agents)
             .map(|number| self.agent(binary, number, true))
             .collect()
     }
 
-    /// Attempts that came to any endpoint.
+    /// Returns the number of attempts that all endpoints have received; timed endpoints do not
+    /// count them.
     pub fn attempts(&self) -> usize {
         self.endpoints.iter().map(Endpoint::received_count).sum()
     }
 }
 
-/// Waits until an agent answers an empty query; returns how long after `started_at`.
+/// Waits until an agent answers an empty query; returns the time since `started_at`.
 fn wait_until_serving(program: &AgentProcess, started_at: Instant) -> Result<Duration, FleetError> {
     let address = program.address()?;
     while TcpStream::connect(address).is_err() {
@@ -246,23 +249,23 @@
 }
 
 impl RunningAgent {
-    /// Where it serves clients.
+    /// Returns the address at which the agent serves clients.
     ///
     /// # Errors
-    /// Its configuration names no address.
+    /// Returns an error if the agent's configuration contains no valid address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.program.address()
     }
 
-    /// What its process has taken so far.
+    /// Returns the resources that the agent's process has used so far.
     ///
     /// # Errors
-    /// The process is gone.
+    /// Returns an error if the process does not exist any more.
     pub fn usage(&self) -> io::Result<Usage> {
         usage(self.program.id())
     }
 
-    /// Control traffic so far.
+    /// Returns the agent's control traffic so far, through its current proxies.
     pub fn control_bytes(&self) -> ControlBytes {
         ControlBytes {
             discovery: self.discovery.bytes(),
@@ -270,11 +273,11 @@
         }
     }
 
-    /// Reloads its configuration: discovery and the platform at other addresses, the endpoint list
-    /// as it is now, and changed settings.
+    /// Makes the agent reload a configuration with new addresses of discovery and the platform, the
+    /// current endpoint list, and changed settings.
     ///
     /// # Errors
-    /// A proxy cannot listen, or the agent cannot be signalled.
+    /// Returns an error if a proxy cannot listen, or the agent cannot be signalled.
     pub fn reload(
         &mut self,
         installation: &Installation,
@@ -301,10 +304,12 @@
         })
     }
 
-    /// Ends it and starts another with changed settings at the same address.
+    /// Terminates the agent's process and starts another one with changed settings at the same
+    /// address.
     ///
     /// # Errors
-    /// It does not end well, or the other one cannot be started or does not serve in time.
+    /// Returns an error if the old process does not exit with success, or if the new one cannot be
+    /// started or does not serve within the timeout.
     pub fn restart(
         &mut self,
         binary: &Path,
@@ -337,12 +342,13 @@
     format!("zone-{n}")
 }
 
-/// The name of a tenant.
+/// Returns the name of the tenant with this number.
 pub fn tenant(n: usize) -> String {
     format!("tenant-{n}")
 }
 
-/// Request classes: of each ten, six are idempotent, three keyed and one is non-idempotent.
+/// Returns this many request classes: of each ten, six are idempotent, three keyed and one is
+/// non-idempotent.
 pub fn classes(count: usize) -> Vec<RequestClass> {
     let idempotency = |n: usize| match n % 10 {
         9 => "once",
@@ -354,15 +360,16 @@
         .collect()
 }
 
-/// Waits until `find` finds something, looking every half millisecond.
+/// Calls `find` every half millisecond until it returns a value.
 ///
 /// # Errors
-/// It finds nothing in time.
+/// Returns an error that names `what` if `find` returns no value within the timeout.
 pub fn until<T>(what: &'static str, find: impl FnMut() -> Option<T>) -> Result<T, FleetError> {
     until_timeout(TIMEOUT, find).ok_or(FleetError::TimedOut { what })
 }
 
-/// The same with another timeout; none where it finds nothing.
+/// Calls `find` every half millisecond until it returns a value; `None` if it returns none within
+/// this timeout.
 pub fn until_timeout<T>(timeout: Duration, mut find: impl FnMut() -> Option<T>) -> Option<T> {
     let started_at = Instant::now();
     loop {
--- a/crates/experiments/src/fleet/line.rs
+++ b/crates/experiments/src/fleet/line.rs
@@ -2,23 +2,24 @@
 
 use crate::stats::least_squares;
 
-/// `y = intercept + slope * x`, by least squares.
+/// A straight line, `y = intercept + slope * x`, fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Growth of `y` for each unit of `x`.
+    /// Change of `y` per unit of `x`.
     pub slope: f64,
-    /// `y` at zero.
+    /// Value of `y` where `x` is zero.
     pub intercept: f64,
-    /// Root of the mean square distance of the points.
+    /// Root mean square of the points' distances from the line, in units of `y`.
     pub residual: f64,
-    /// Largest distance of a point.
+    /// Largest distance of a point from the line, in units of `y`.
     pub residual_max: f64,
-    /// The part of the variance that the line accounts for, 0 to 1.
+    /// Share of the variance that the line explains, 0 to 1; 1 if the points have no variance.
     pub r2: f64,
 }
 
 impl Line {
-    /// The line through these points; none where they do not have two different `x`.
+    /// Fits a line to these points. Returns `None` if they do not have two different values of `x`,
+    /// or if a value of `y` is not finite.
     pub fn through(points: &[(f64, f64)]) -> Option<Line> {
         let line = least_squares(points)?;
         let n = points.len() as f64;
--- a/crates/experiments/src/fleet/measures/added_latency.rs
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -1,9 +1,10 @@
-//! Latency that an agent adds to a request: the same load through an agent and straight at an
-//! endpoint, in turns. Latencies count from when a request was due.
+//! Measure of the latency that an agent adds to a request: the same load is sent through the agent
+//! and directly to an endpoint, in turns. Latencies are measured from the time at which a request
+//! was due.
 //!
-//! The fakes look for events all the time meanwhile: woken from sleep on an idle core they were
-//! milliseconds late for one request in a hundred, which is no latency of the agent. The agent
-//! sleeps and wakes as ever.
+//! Meanwhile the fake servers poll for events without sleeping: when they had to be woken on an
+//! idle core, they were milliseconds late for one request in a hundred, which would count as
+//! latency of the agent. The agent itself sleeps and wakes as usual.
 
 use super::load::{load, load_on, WARM_UP_SEED};
 use super::samples::{if_any, median, milliseconds};
@@ -17,25 +18,25 @@
 use tulipwall_testkit::runtime::BusyPolling;
 use tulipwall_testkit::{ConnectionUse, LoadReport};
 
-/// A load whose requests were sent within so long of when they were due, for 99 in 100, had the
-/// cores that it needs.
+/// A load is on time, having had the cores that it needs, if the 99th percentile of the delay
+/// between a request's due time and its sending is at most this.
 const ON_TIME_MS: f64 = 1.0;
-/// Seed of the first measured load; the others follow.
+/// Seed of the first measured load; each repeat uses the next seed.
 const FIRST_SEED: u64 = 100;
 const MICROSECONDS: f64 = 1e6;
 
-/// One load through the agent and straight at an endpoint.
+/// Measurements of one load, through the agent and directly to an endpoint.
 struct Sample {
     requests: u64,
     succeeded: u64,
     through: Quantiles,
     direct: Quantiles,
-    /// Straight, with a handshake for each request.
+    /// Direct, with a new connection and its handshake for each request.
     with_handshake: Quantiles,
-    /// Connections that the agent opened to endpoints.
+    /// Number of connections that the agent opened to endpoints.
     connections: u64,
     send_delay_p99_ms: f64,
-    /// How long the agent was ready and had no core, for each request.
+    /// How long the agent was runnable without a core, in microseconds per request.
     cpu_wait_us: f64,
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Milliseconds that requests took beyond the work of the endpoint.
+/// Quantiles of the latency beyond the endpoint's processing time, in milliseconds.
 struct Quantiles {
     p50: f64,
     p99: f64,
@@ -71,7 +72,7 @@
     let mut rows = Vec::new();
     for PlannedSize { size, .. } in plan.sizes(Measure::Added) {
         report(&format!(
-            "Added: {} appliances, {rate} a second",
+            "Added: {} endpoints, {rate} requests per second",
             size.endpoints
         ));
         rows.push(row(plan, &size, rate)?);
@@ -117,7 +118,7 @@
     ))
 }
 
-/// The same load in three ways.
+/// Reports of the same load, sent in three ways.
 struct Loads {
     through: LoadReport,
     direct: LoadReport,
--- a/crates/experiments/src/fleet/measures/idle.rs
+++ b/crates/experiments/src/fleet/measures/idle.rs
@@ -1,4 +1,4 @@
-//! What agents take when no client asks them anything.
+//! Measure of the processor time and control traffic of agents without any requests.
 
 use super::count_by;
 use super::samples::{largest, mean, milliseconds};
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use tulipwall_testkit::EndpointBehavior;
 
-/// What an agent has taken so far.
+/// Resources that an agent has used so far.
 struct Reading {
     usage: Usage,
     control: ControlBytes,
--- a/crates/experiments/src/fleet/measures/list_change.rs
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, by how many entries change at once.
+//! Measure of changes of the endpoint list, by the number of entries that change at once.
 
 use super::samples::{median, milliseconds};
 use crate::fleet::error::FleetError;
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::EndpointBehavior;
 
-/// After the request behind a change some work may still be under way.
+/// Time for work of the agent that may still be in progress after it has requested the next change.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
 
-/// One change.
+/// Measurements of one change.
 struct Sample {
     bytes: f64,
     processing_ms: f64,
@@ -47,7 +47,7 @@
         .collect()
 }
 
-/// The planned counts that the list has, and the whole list.
+/// Returns the planned counts that do not exceed the length of the list, and the length itself.
 fn counts(plan: &Plan, endpoints: usize) -> Vec<usize> {
     let planned = plan.changed.iter().copied().filter(|n| *n <= endpoints);
     let mut counts: Vec<usize> = planned.chain([endpoints]).collect();
@@ -56,7 +56,7 @@
     counts
 }
 
-/// Changes the cell of so many entries at once.
+/// Changes the cell of `count` entries at once and measures what the agent uses for it.
 fn sample(
     installation: &Installation,
     agent: &RunningAgent,
@@ -70,7 +70,7 @@
     let started_at = Instant::now();
     let before = agent.usage()?.cpu_time;
     installation.discovery.update(entries);
-    let change = until("the question behind a change", || {
+    let change = until("the request after a change of the endpoint list", || {
         agent.discovery.response_since(started_at)
     })?;
     sleep(SETTLE_TIME);
--- a/crates/experiments/src/fleet/measures/load.rs
+++ b/crates/experiments/src/fleet/measures/load.rs
@@ -1,4 +1,4 @@
-//! Loads on an agent, or straight on an endpoint.
+//! Loads on an agent, or directly on an endpoint.
 
 use crate::fleet::installation::{classes, tenant};
 use crate::fleet::plan::{Size, LOAD_CONNECTIONS};
@@ -6,20 +6,20 @@
 use std::time::Duration;
 use tulipwall_testkit::{ConnectionUse, Load, LoadReport};
 
-/// How long clients wait.
+/// How long clients wait for a response.
 const DEADLINE: Duration = Duration::from_millis(1500);
-/// Most classes of a load.
+/// Maximum number of classes of a load.
 const MAX_CLASSES: usize = 8;
-/// Seed of the load before a measured one, and of a measured one.
+/// Seed of the load that warms up before a measurement, and of the measured load.
 pub(super) const WARM_UP_SEED: u64 = 7;
 pub(super) const SEED: u64 = 8;
 
-/// Plays a load over classes and tenants from all parts of the settings, to its end.
+/// Runs a load to its end, over classes and tenants from all parts of the settings.
 pub fn load(size: &Size, at: SocketAddr, rate: f64, duration: Duration, seed: u64) -> LoadReport {
     load_on(ConnectionUse::Reused, size, at, rate, duration, seed)
 }
 
-/// The same on connections that are used so.
+/// Runs the same load as [`load`], with this use of connections.
 pub(super) fn load_on(
     connection_use: ConnectionUse,
     size: &Size,
@@ -33,7 +33,8 @@
     let class = |n: usize| {
         let class = &all[n * all.len() / used];
         let tenant = tenant((n * size.tenants + size.tenants / 2) / used);
-        // A load writes the class's name into the comment, so that a further field can follow it.
+        // The load writes the name of the class into a comment of the query, so a further field of
+        // the comment can be appended to the name.
         let name = format!("{},t={tenant}", class.name);
         (name, 1.0, DEADLINE, class.idempotency == "by_key")
     };
--- a/crates/experiments/src/fleet/measures/memory.rs
+++ b/crates/experiments/src/fleet/measures/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of agents.
+//! Measures of the memory of agents.
 
 use super::samples::{largest, mean};
 use super::PAIRS;
@@ -14,10 +14,10 @@
 const MEGABYTE: f64 = 1e6;
 /// Deadline of requests that no endpoint answers, in milliseconds.
 const OPEN_REQUEST_DEADLINE_MS: u32 = 30_000;
-/// Their class, which all settings have.
+/// Class of requests that no endpoint answers; all settings contain it.
 const OPEN_REQUEST_CLASS: &str = "route-0";
 
-/// Resident and peak memory of agents: the mean, and the largest.
+/// Returns the mean and the largest resident and peak memory of agents, in megabytes.
 fn memory_figures(agents: &[RunningAgent]) -> io::Result<[(&'static str, f64); 4]> {
     let usages: Vec<Usage> = agents
         .iter()
@@ -33,7 +33,7 @@
     ])
 }
 
-/// Memory by what an agent is told of.
+/// Measures memory by the number of endpoints, classes, tenants, or pairs of endpoint and class.
 pub(super) fn agents(plan: &Plan, measure: Measure) -> Result<Vec<Row>, FleetError> {
     let (by, count): (_, fn(&Size) -> usize) = match measure {
         Measure::Classes => ("lanes", |size| size.classes),
@@ -52,7 +52,7 @@
     plan.sizes(measure).into_iter().map(row).collect()
 }
 
-/// Memory by idle connections of clients.
+/// Measures memory by the number of idle client connections.
 pub(super) fn connections(plan: &Plan) -> Result<Vec<Row>, FleetError> {
     let row = |PlannedSize { size, clients }| {
         let installation = Installation::start(&size, EndpointBehavior::default())?;
@@ -72,8 +72,9 @@
     (0..clients).map(|_| TestClient::connect(address)).collect()
 }
 
-/// Memory by requests that no endpoint answers, each on a connection of its own: how many were
-/// open, and what the agent held meanwhile, with the connections of clients and to endpoints.
+/// Measures memory by the number of requests that no endpoint answers, each on its own connection.
+/// The figures are the number of open requests and the agent's memory meanwhile, which includes its
+/// connections to clients and endpoints.
 pub(super) fn open_requests(plan: &Plan) -> Result<Vec<Row>, FleetError> {
     let silent = EndpointBehavior {
         response: ResponseBehavior::NeverAnswer,
@@ -98,7 +99,7 @@
     plan.sizes(Measure::Open).into_iter().map(row).collect()
 }
 
-/// Requests some attempt of which came to an endpoint.
+/// Returns the number of requests of which an endpoint received at least one attempt.
 fn requests_at_endpoints(installation: &Installation) -> usize {
     let mut ids: Vec<String> = installation
         .endpoints
--- a/crates/experiments/src/fleet/measures/mod.rs
+++ b/crates/experiments/src/fleet/measures/mod.rs
@@ -1,4 +1,5 @@
-//! The measures, a module for each. Each starts its own installation and ends it.
+//! The measures, with a module for each. Each measure starts its own installation and stops it at
+//! its end.
 
 mod added_latency;
 mod idle;
@@ -18,13 +19,13 @@
 use super::plan::{Measure, Plan, PlannedSize, Size};
 use super::results::{Results, Row};
 
-/// Name of what a size counts where it counts pairs of endpoint and class.
+/// What a size counts if it counts pairs of endpoint and class.
 const PAIRS: &str = "appliance-lane pairs";
 
-/// Runs all that the plan names; `report` is told what is under way.
+/// Takes all measures of a plan; `report` is called with progress messages.
 ///
 /// # Errors
-/// An agent or a fake fails.
+/// Returns an error if an agent or a fake server fails.
 pub fn run(plan: &Plan, mut report: impl FnMut(&str)) -> Result<Results, FleetError> {
     let mut results = Results {
         limits: plan.limits.clone(),
@@ -83,17 +84,17 @@
     Ok(())
 }
 
-/// Figures with a line where something comes into force.
+/// Figures to which lines are fitted in the measures of how long a change takes to come into force.
 const IN_FORCE_FIGURES: [&str; 3] = ["in_force_ms", "ran_ms", "bytes"];
 
-/// Sizes that differ in one count.
+/// Sizes of installations that differ in one count.
 struct Series {
-    /// What is counted.
+    /// The count in which the sizes differ.
     by: &'static str,
     sizes: Vec<Size>,
 }
 
-/// The installations of a measure by endpoints, and those by tenants.
+/// Returns the sizes of a measure by endpoints, and those by tenants.
 fn endpoint_and_tenant_series(plan: &Plan, measure: Measure) -> Vec<Series> {
     let mut endpoints = sizes(plan.sizes(measure));
     let tenants = endpoints.split_off(plan.endpoints.len());
@@ -132,7 +133,7 @@
     Ok(())
 }
 
-/// Measures each size of each series, and adds the rows.
+/// Measures each size of each series and adds the rows to the results.
 fn add_series(
     plan: &Plan,
     results: &mut Results,
@@ -151,7 +152,7 @@
     Ok(())
 }
 
-/// The count of a size by its name.
+/// Returns the count of a size that `by` names.
 fn count_by(size: &Size, by: &str) -> f64 {
     let count = match by {
         PAIRS => size.endpoints * size.classes,
--- a/crates/experiments/src/fleet/measures/reload.rs
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -1,5 +1,5 @@
-//! Configuration reload (SIGHUP) with other addresses of discovery and the platform, until both
-//! were heard there and the endpoint list has been taken in.
+//! Measure of a configuration reload (SIGHUP) with new addresses of discovery and the platform,
+//! until both have responded there and the agent has processed the endpoint list.
 
 use super::count_by;
 use super::samples::{largest, median, milliseconds};
@@ -11,17 +11,17 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::EndpointBehavior;
 
-/// Processor time and bytes count until so long after a reload; an idle time as long is measured
-/// before it.
+/// Processor time and bytes are counted until this long after a reload has come into force; an idle
+/// time of the same length is measured before the reload.
 const IDLE_TIME: Duration = Duration::from_millis(500);
 const RELOADS_A_DAY: f64 = 1000.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
 
-/// One reload.
+/// Measurements of one reload.
 struct Sample {
     heard_ms: f64,
     in_force_ms: f64,
-    /// Processor time beyond that of an idle agent.
+    /// Processor time beyond that of an idle agent, in milliseconds.
     cpu_time_ms: f64,
     bytes: f64,
 }
@@ -41,10 +41,10 @@
     let idle_share = idle_share(agent)?;
     let before = agent.usage()?.cpu_time;
     let reload = agent.reload(installation, |_| {})?;
-    let list = until("the question behind the new list", || {
+    let list = until("the request after the new endpoint list", || {
         agent.discovery.response_since(reload.at)
     })?;
-    let platform_heard_at = until("word of the platform", || {
+    let platform_heard_at = until("a response of the platform", || {
         agent.platform.first_response_at()
     })?;
     sleep(IDLE_TIME);
@@ -61,7 +61,7 @@
     })
 }
 
-/// Share of a core that the idle agent takes.
+/// Returns the share of a core that the idle agent uses.
 fn idle_share(agent: &RunningAgent) -> Result<f64, FleetError> {
     let started_at = Instant::now();
     let before = agent.usage()?.cpu_time;
@@ -82,7 +82,7 @@
         ("ran_ms", cpu_time_ms),
         ("bytes", bytes),
         ("bytes_s_at_1000_a_day", daily(bytes)),
-        // Milliseconds a second are tenths of a percent.
+        // One millisecond per second is a tenth of a percent.
         ("core_%_at_1000_a_day", daily(cpu_time_ms) / 10.0),
     ]
 }
--- a/crates/experiments/src/fleet/measures/request_cost.rs
+++ b/crates/experiments/src/fleet/measures/request_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of a request, beyond that of an idle agent.
+//! Measure of the processor time of a request, beyond that of an idle agent.
 
 use super::count_by;
 use super::load::{load, SEED, WARM_UP_SEED};
@@ -50,7 +50,7 @@
     Ok(Row::new(measure, by, count_by(size, by), figures))
 }
 
-/// Share of a core that the idle agent takes.
+/// Returns the share of a core that the idle agent uses.
 fn idle_share(agent: &RunningAgent, duration: Duration) -> io::Result<f64> {
     let started_at = Instant::now();
     let before = agent.usage()?.cpu_time;
--- a/crates/experiments/src/fleet/measures/restart.rs
+++ b/crates/experiments/src/fleet/measures/restart.rs
@@ -1,5 +1,5 @@
-//! Other settings by a restart: an agent is ended and started anew, with a client that has an idle
-//! connection.
+//! Measure of a change of settings by a restart: an agent that has an idle client connection is
+//! terminated and started again.
 
 use super::count_by;
 use super::samples::{largest, median, milliseconds};
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use tulipwall_testkit::{EndpointBehavior, TestClient};
 
-/// How long an agent is left alone before and after a restart, at most.
+/// How long an agent is left idle after a restart, and at most before it.
 const IDLE_TIME: Duration = Duration::from_millis(500);
-/// Latency objective that each restart changes, in milliseconds.
+/// Base of the latency objective, which each restart increases, in milliseconds.
 const LATENCY_OBJECTIVE_MS: f64 = 500.0;
 
-/// One restart.
+/// Measurements of one restart.
 struct Sample {
     ended_ms: f64,
     ready_ms: f64,
--- a/crates/experiments/src/fleet/measures/samples.rs
+++ b/crates/experiments/src/fleet/measures/samples.rs
@@ -1,24 +1,24 @@
-//! Statistics of a few samples.
+//! Statistics of small samples.
 
 use std::time::Duration;
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub(super) fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1000.0
 }
 
-/// The mean; zero of nothing.
+/// Returns the mean; zero if there are no values.
 pub(super) fn mean(values: impl Iterator<Item = f64>) -> f64 {
     let values: Vec<f64> = values.collect();
     values.iter().sum::<f64>() / f64::max(values.len() as f64, 1.0)
 }
 
-/// The largest, and at least zero.
+/// Returns the largest value, and at least zero.
 pub(super) fn largest(values: impl Iterator<Item = f64>) -> f64 {
     values.fold(0.0, f64::max)
 }
 
-/// The median; zero of nothing.
+/// Returns the median; zero if there are no values.
 pub(super) fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
@@ -28,7 +28,7 @@
     }
 }
 
-/// A statistic of values, or NaN, which tables show as `-`, where there are none.
+/// Returns a statistic of values. Without any values it returns NaN, which tables show as `-`.
 pub(super) fn if_any(values: &[f64], statistic: impl Fn(&[f64]) -> f64) -> f64 {
     if values.is_empty() {
         f64::NAN
--- a/crates/experiments/src/fleet/measures/settings_reload.rs
+++ b/crates/experiments/src/fleet/measures/settings_reload.rs
@@ -1,5 +1,5 @@
-//! A further request class in the settings, by configuration reload (SIGHUP), until a request of it
-//! is served.
+//! Measure of a reload (SIGHUP) that adds a request class to the settings, until a request of that
+//! class is served.
 
 use super::count_by;
 use super::samples::{if_any, largest, median, milliseconds};
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::{agent_process, EndpointBehavior, Reply, RequestClass, TestClient};
 
-/// Settings that are not in force by then are not taken over. Some agents never take settings over
-/// so, which shows as none of the repeats.
+/// Settings that are not in force within this time count as not taken over. Some agents never take
+/// settings over by a reload; the results then show that no repeat was successful.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a request of the new class waits.
+/// Deadline of a request of the new class, in milliseconds.
 const DEADLINE_MS: u32 = 500;
 const CLASS_WEIGHT: f64 = 3.0;
 
@@ -48,7 +48,8 @@
     Ok(Row::new(measure, by, count_by(size, by), figures))
 }
 
-/// Milliseconds until a further class is in force; none where it never is.
+/// Adds a class to the settings and returns the milliseconds until it is in force; `None` if it is
+/// not in force within the timeout.
 fn sample(
     installation: &Installation,
     agent: &mut RunningAgent,
@@ -66,7 +67,7 @@
     Ok(until_timeout(RELOAD_TIMEOUT, served))
 }
 
-/// A class as settings have it.
+/// Returns a class in the form of the settings.
 fn class_settings(installation: &Installation, name: &str) -> Value {
     let class = RequestClass::new(name, "repeatable", CLASS_WEIGHT);
     let zones = installation.zones();
@@ -74,7 +75,8 @@
     agent_process::settings(&names, names[0], 1, &[class])["classes"][0].take()
 }
 
-/// Milliseconds since the reload, if a request of the class is served.
+/// Sends a request of the class and returns the milliseconds since the reload; `None` if the
+/// request is not served.
 fn served_after(agent: SocketAddr, class_name: &str, reloaded_at: Instant) -> Option<f64> {
     let mut client = TestClient::connect(agent).ok()?;
     client.send_query(class_name, DEADLINE_MS);
--- a/crates/experiments/src/fleet/measures/start.rs
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -1,4 +1,4 @@
-//! Start of an agent up to the answer to a first empty query.
+//! Measure of an agent's start, up to the response to a first empty query.
 
 use super::samples::{largest, median, milliseconds};
 use crate::fleet::error::FleetError;
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::EndpointBehavior;
 
-/// Longer ago than any agent was started.
+/// Reaches back to before any agent of the run was started.
 const LONG_AGO: Duration = Duration::from_secs(3600);
 
-/// One start.
+/// Measurements of one start.
 #[derive(Default)]
 struct Sample {
     ready_ms: f64,
     cpu_time_ms: f64,
     list_bytes: f64,
-    /// From the last byte of the list to the next request.
+    /// Time from the last byte of the list to the agent's next request.
     processing_ms: f64,
 }
 
-/// Measures starts with a list in the configuration, and without.
+/// Measures starts with and without an endpoint list in the configuration.
 pub(super) fn add(plan: &Plan, results: &mut Results) -> Result<(), FleetError> {
     let with_list = measure(plan, true)?;
     results.add(with_list, &["ready_ms", "ran_ms"]);
@@ -56,7 +56,7 @@
         ..Sample::default()
     };
     if !known {
-        let list = until("the question behind the list", || {
+        let list = until("the request after the endpoint list", || {
             agent.discovery.response_since(Instant::now() - LONG_AGO)
         })?;
         sample.list_bytes = list.bytes as f64;
--- a/crates/experiments/src/fleet/mod.rs
+++ b/crates/experiments/src/fleet/mod.rs
@@ -1,16 +1,17 @@
-//! What real agents cost and what they add, measured on loopback.
+//! Measurements of the cost of real agents and of the latency that they add, on loopback.
 //!
-//! Agents run as processes before fakes. Each measure relates figures to one size, with the
-//! straight line through the points.
+//! Agents run as processes in front of fake servers. Each measure relates figures to one size, and
+//! fits a straight line to the points.
 //!
-//! - [`plan`]: what is measured, and at which sizes; [`estimate`]: what a run would take, and
-//!   whether it fits.
-//! - [`installation`]: agents and fakes. Entries of the endpoint list share a few listeners; most
-//!   entries are sent nothing in most measures.
-//! - [`timed_endpoint`]: an endpoint whose time for each request is known, for latencies.
-//! - [`proxy`]: counts what passes between an agent and a server.
-//! - [`process`]: memory and processor time as the kernel reports them.
-//! - [`measures`]: the measures. [`results`], [`mod@line`] and [`table`]: what they found.
+//! - [`plan`]: what is measured, and at which sizes; [`estimate`]: the resources that a run would
+//!   need, and whether the machine has them.
+//! - [`installation`]: agents and fake servers. Entries of the endpoint list share a few listeners;
+//!   in most measures, most entries receive no requests.
+//! - [`timed_endpoint`]: an endpoint whose processing time of each request is known, for the
+//!   measurement of latencies.
+//! - [`proxy`]: counts the traffic between an agent and a server.
+//! - [`process`]: memory and processor time of processes, as the kernel reports them.
+//! - [`measures`]: the measures. [`results`], [`mod@line`] and [`table`]: their results.
 //! - [`command`]: the subcommand.
 
 pub mod command;
--- a/crates/experiments/src/fleet/plan.rs
+++ b/crates/experiments/src/fleet/plan.rs
@@ -5,10 +5,10 @@
 
 use super::results::Limit;
 
-/// Sockets of an agent with which it opens no connection to an endpoint ahead of requests, from 10
-/// endpoints on.
+/// Limit of an agent's sockets at which it opens no connection to an endpoint ahead of requests,
+/// given at least 10 endpoints.
 const SOCKETS_WITHOUT_IDLE_CONNECTIONS: usize = 64;
-/// Most connections of a load.
+/// Maximum number of connections of a load.
 pub const LOAD_CONNECTIONS: usize = 200;
 
 /// Size of an installation.
@@ -16,33 +16,34 @@
 pub struct Size {
     /// Number of agents.
     pub agents: usize,
-    /// Entries of the endpoint list.
+    /// Number of entries of the endpoint list.
     pub endpoints: usize,
-    /// Request classes in the settings.
+    /// Number of request classes in the settings.
     pub classes: usize,
-    /// Tenants in the settings.
+    /// Number of tenants in the settings.
     pub tenants: usize,
-    /// Zones, over which agents and endpoints are distributed in turn.
+    /// Number of zones, over which agents and endpoints are distributed in turn.
     pub zones: usize,
-    /// Most sockets of each agent.
+    /// Maximum number of sockets of each agent.
     pub sockets: usize,
-    /// Whether lists are pushed to each machine; otherwise agents share discovery's calls.
+    /// Whether endpoint lists are pushed to each machine; otherwise the agents share the calls to
+    /// discovery.
     pub pushed: bool,
 }
 
-/// What is measured, and at which sizes. The first of each list of sizes is what the other measures
-/// use.
+/// What is measured, and at which sizes. The first element of each list of sizes is the one that
+/// all other measures use.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The agent's program.
+    /// Path of the agent's program.
     pub binary: PathBuf,
-    /// What is measured, in this order.
+    /// Measures, in the order in which they are taken.
     pub measures: Vec<Measure>,
-    /// Agents at once, where memory and idle agents are measured.
+    /// Number of agents that run at the same time in the measures of memory and of idle agents.
     pub agents: usize,
     /// Number of zones.
     pub zones: usize,
-    /// Sizes of the endpoint list.
+    /// Sizes of the endpoint list, in entries.
     pub endpoints: Vec<usize>,
     /// Counts of request classes.
     pub classes: Vec<usize>,
@@ -52,65 +53,68 @@
     pub connections: Vec<usize>,
     /// Counts of open requests.
     pub open: Vec<usize>,
-    /// Requests a second of loads.
+    /// Rates of loads, in requests per second.
     pub rates: Vec<f64>,
-    /// Entries of the list that change at once.
+    /// Numbers of entries of the endpoint list that change at once.
     pub changed: Vec<usize>,
-    /// Most sockets of each agent.
+    /// Maximum number of sockets of each agent.
     pub sockets: usize,
-    /// Whether lists are pushed to each machine.
+    /// Whether endpoint lists are pushed to each machine; otherwise the agents share the calls to
+    /// discovery.
     pub pushed: bool,
-    /// Duration of each figure that counts over time, and of each load.
+    /// Duration of each measurement over time, and of each load.
     pub duration: Duration,
-    /// How long an agent is left alone before.
+    /// How long an agent is left idle before it is measured.
     pub settle: Duration,
-    /// Mean time that an endpoint takes for a request: half of it always, the rest by its id.
+    /// Mean processing time of a request at an endpoint: half of it is constant, the rest depends
+    /// on the request's id.
     pub work: Duration,
-    /// How often each start, change and load is measured.
+    /// Number of times that each start, change and load is measured.
     pub repeats: usize,
-    /// What figures may be at most.
+    /// Limits that figures are compared with.
     pub limits: Vec<Limit>,
 }
 
-/// Something that is measured.
+/// A measure: the figures that are taken and the size that they are taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Measure {
-    /// Memory by the endpoints listed.
+    /// Memory by number of listed endpoints.
     #[value(name = "appliances")]
     Endpoints,
-    /// Memory by classes.
+    /// Memory by number of request classes.
     #[value(name = "lanes")]
     Classes,
-    /// Memory by tenants.
+    /// Memory by number of tenants.
     Tenants,
-    /// Memory by pairs of endpoint and class: the most endpoints with each count of classes.
+    /// Memory by pairs of endpoint and class: the largest endpoint list with each count of classes.
     Pairs,
-    /// Memory by idle connections of clients.
+    /// Memory by number of idle client connections.
     Connections,
-    /// Memory by requests that are open.
+    /// Memory by number of open requests.
     Open,
-    /// Processor time and bytes of an idle agent, by endpoints, by tenants and by pairs.
+    /// Processor time and traffic of an idle agent, by endpoints, by tenants and by pairs.
     Idle,
-    /// Start to ready, with and without a list, and the taking in of it, by endpoints.
+    /// Time from start to ready, with and without a list in the configuration, and the processing
+    /// time of the list, by endpoints.
     Start,
-    /// Changes of the list, by how many entries change at once.
+    /// Changes of the endpoint list, by the number of entries that change at once.
     Change,
-    /// A new configuration (SIGHUP) until it is in force, by endpoints and by tenants.
+    /// Reload of a configuration (SIGHUP) until it is in force, by endpoints and by tenants.
     #[value(name = "renew")]
     Reload,
-    /// New settings by SIGHUP, where the agent takes them over so, by endpoints and by tenants.
+    /// Reload of settings (SIGHUP) by agents that support it, by endpoints and by tenants.
     Settings,
-    /// New settings by a restart, by endpoints and by tenants.
+    /// Change of settings by a restart, by endpoints and by tenants.
     Restart,
     /// Processor time of a request, by rate, endpoints and tenants.
     #[value(name = "commands")]
     Requests,
-    /// p99 added to a request, by endpoints and rate.
+    /// p99 latency that the agent adds to a request, by endpoints and rate.
     Added,
 }
 
 impl Measure {
-    /// Its name in progress messages.
+    /// Returns the name of the measure in progress messages.
     pub fn title(self) -> String {
         match self {
             Measure::Reload => "Renew".into(),
@@ -120,17 +124,18 @@
     }
 }
 
-/// An installation of a measure.
+/// An installation that a measure uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedSize {
-    /// Its size.
+    /// Size of the installation.
     pub size: Size,
-    /// Clients that connect to each agent.
+    /// Number of clients that connect to each agent.
     pub clients: usize,
 }
 
 impl Plan {
-    /// The size that measures use which vary something else.
+    /// Returns the size in which every count is the first of its list; each measure varies one
+    /// count of it.
     pub fn base(&self) -> Size {
         let first = |sizes: &[usize]| sizes.first().copied().unwrap_or(1);
         Size {
@@ -144,7 +149,7 @@
         }
     }
 
-    /// The installations of a measure.
+    /// Returns the installations of a measure.
     pub fn sizes(&self, measure: Measure) -> Vec<PlannedSize> {
         let by_endpoints_and_tenants = || [self.by_endpoints(), self.by_tenants()].concat();
         match measure {
@@ -189,7 +194,7 @@
         self.tenants.iter().map(size).collect()
     }
 
-    /// The largest list with each count of classes.
+    /// Returns the largest endpoint list with each count of classes.
     fn by_pairs(&self) -> Vec<Size> {
         let mut sizes = self.by_classes();
         for size in &mut sizes {
@@ -222,7 +227,7 @@
 
     fn with_open_requests(&self) -> Vec<PlannedSize> {
         let base = self.base();
-        // So many endpoints that the agent connects to none ahead of requests.
+        // With this many endpoints the agent opens no connection ahead of requests.
         let endpoints = base.endpoints.max(self.sockets / 4);
         let planned = |clients: &usize| PlannedSize {
             size: Size {
@@ -256,8 +261,9 @@
     sizes
 }
 
-/// Agents that connect to no endpoint ahead of requests: such connections, fewer the more endpoints
-/// there are, would be in the figure.
+/// Limits the sockets so that agents open no connection to an endpoint ahead of requests. The
+/// memory of such connections, which are fewer the more endpoints there are, would distort the
+/// figure.
 fn without_idle_connections(mut sizes: Vec<Size>) -> Vec<Size> {
     for size in &mut sizes {
         size.sockets = size.sockets.min(SOCKETS_WITHOUT_IDLE_CONNECTIONS);
--- a/crates/experiments/src/fleet/process.rs
+++ b/crates/experiments/src/fleet/process.rs
@@ -1,34 +1,34 @@
-//! What the kernel reports of a process and of the machine, from `/proc`.
+//! Resource usage of a process and resources of the machine, as the kernel reports them in `/proc`.
 
 use crate::procfs::kilobytes;
 use std::fs;
 use std::io;
 use std::time::Duration;
 
-/// A tick of `/proc/PID/stat`, on every Linux.
+/// Length of a clock tick in `/proc/PID/stat`, which is the same on every Linux.
 const TICK: Duration = Duration::from_millis(10);
-/// Fields of `/proc/PID/stat` between the name and utime.
+/// Number of fields of `/proc/PID/stat` between the name and utime.
 const FIELDS_BEFORE_UTIME: usize = 11;
-/// Descriptors of a process where the kernel's limit cannot be read.
+/// Descriptors that a process may hold if the kernel's limit cannot be read.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 
-/// What a process has taken so far.
+/// Resources that a process has used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Resident memory in bytes, now.
+    /// Current resident memory, in bytes.
     pub resident: u64,
-    /// Resident memory in bytes, at most so far.
+    /// Highest resident memory so far, in bytes.
     pub peak: u64,
     /// Processor time of all its threads, user and system.
     pub cpu_time: Duration,
-    /// How long its threads were ready and had no core: high where the machine is busy.
+    /// How long its threads were runnable without a core; high if the machine is busy.
     pub waited: Duration,
 }
 
-/// Reads what a process has taken.
+/// Reads the resource usage of the process with this id.
 ///
 /// # Errors
-/// The process is gone.
+/// Returns an error if the process does not exist any more.
 pub fn usage(id: u32) -> io::Result<Usage> {
     let status = fs::read_to_string(format!("/proc/{id}/status"))?;
     let bytes = |key: &str| {
@@ -56,8 +56,8 @@
     waited: Duration,
 }
 
-/// Times of all threads by the scheduler: the same clock as utime and stime of `stat`, in
-/// nanoseconds in place of ticks.
+/// Reads the times of all threads from the scheduler: the same clock as utime and stime of `stat`,
+/// in nanoseconds instead of ticks.
 fn schedule_times(id: u32) -> io::Result<ScheduleTimes> {
     let mut times = ScheduleTimes::default();
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
@@ -74,7 +74,8 @@
     Ok(times)
 }
 
-/// utime and stime of `/proc/PID/stat`, behind the name, which may hold anything.
+/// Returns the sum of utime and stime of `/proc/PID/stat`. They are counted from the end of the
+/// name, which may contain any character. `None` if the text has no such fields.
 pub fn ticks(stat: &str) -> Option<Duration> {
     let (_, rest) = stat.rsplit_once(") ")?;
     let mut fields = rest.split(' ').skip(FIELDS_BEFORE_UTIME);
@@ -83,26 +84,26 @@
     Some(TICK * (user + system))
 }
 
-/// What there is of the machine.
+/// Resources of the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
-    /// Bytes that are free.
+    /// Available memory, in bytes.
     pub memory: u64,
     /// Descriptors that this process may hold.
     pub descriptors: u64,
-    /// Tasks that ran or waited for a core, in the mean of the last minute.
+    /// Load average of the last minute: the mean number of tasks that ran or waited for a core.
     pub load: f64,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: usize,
-    /// Cores that this process may use.
+    /// Number of cores that this process may use.
     pub own_cores: usize,
 }
 
 impl Machine {
-    /// Reads it as it is now.
+    /// Reads the current state of the machine.
     ///
     /// # Errors
-    /// The kernel's reports cannot be read.
+    /// Returns an error if the kernel's reports cannot be read.
     pub fn now() -> io::Result<Machine> {
         let memory = kilobytes(&fs::read_to_string("/proc/meminfo")?, "MemAvailable:");
         let limits = fs::read_to_string("/proc/self/limits")?;
--- a/crates/experiments/src/fleet/proxy.rs
+++ b/crates/experiments/src/fleet/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy before a fake that counts what passes, for one agent and one server.
+//! A proxy between one agent and one fake server that counts the traffic.
 
 use async_io::Async;
 use futures_lite::future::FutureExt;
@@ -10,47 +10,47 @@
 use std::time::Instant;
 use tulipwall_testkit::runtime::{self, lock_unpoisoned, TerminationSignal};
 
-/// Most single transfers that are kept; beyond, only totals go on.
+/// Maximum number of transfers that are recorded one by one; later ones only add to the totals.
 const MAX_TRANSFERS: usize = 100_000;
 const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Direction of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From the agent.
+    /// From the agent to the server.
     FromAgent,
-    /// To the agent.
+    /// From the server to the agent.
     ToAgent,
 }
 
-/// Bytes that passed at once.
+/// Bytes that were forwarded at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Transfer {
-    /// When.
+    /// When the bytes were forwarded.
     pub at: Instant,
-    /// Number of the connection, from 1 in the order they came.
+    /// Number of the connection, counted from 1 in the order of accepting.
     pub connection: u64,
-    /// From the agent, or to it.
+    /// Direction of the bytes.
     pub direction: Direction,
-    /// How many.
+    /// Number of bytes.
     pub bytes: u64,
 }
 
-/// What has passed so far, payload alone: without the headers of TCP and IP.
+/// Traffic so far. Only payload counts, without the headers of TCP and IP.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Bytes from the agent.
+    /// Bytes that the agent sent.
     pub from_agent: u64,
-    /// Bytes to the agent.
+    /// Bytes that the agent received.
     pub to_agent: u64,
-    /// Connections of the agent.
+    /// Number of connections that the agent opened.
     pub connections: u64,
-    /// The first transfers.
+    /// The first transfers, up to a fixed number.
     pub transfers: Vec<Transfer>,
 }
 
 impl Traffic {
-    /// Bytes both ways.
+    /// Returns the bytes of both directions.
     pub fn bytes(&self) -> u64 {
         self.from_agent + self.to_agent
     }
@@ -71,20 +71,20 @@
     }
 }
 
-/// A response and when its reader sent the next request.
+/// A response of the server, and the agent's next request on the same connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Response {
-    /// When its last bytes passed.
+    /// When the last bytes of the response were forwarded.
     pub complete_at: Instant,
-    /// When its reader sent the next request.
+    /// When the agent sent the next request.
     pub next_request_at: Instant,
-    /// Its length.
+    /// Length of the response, in bytes.
     pub bytes: u64,
 }
 
-/// A proxy that counts; it ends when dropped.
+/// A proxy that counts traffic; it stops when dropped.
 pub struct CountingProxy {
-    /// Where it listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
     traffic: Arc<Mutex<Traffic>>,
     termination: Arc<TerminationSignal>,
@@ -92,10 +92,10 @@
 }
 
 impl CountingProxy {
-    /// Starts a proxy before the server at this address.
+    /// Starts a proxy that forwards to the server at this address.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// Returns an error if the proxy cannot listen.
     pub fn start(server: SocketAddr) -> io::Result<CountingProxy> {
         let traffic = Arc::<Mutex<Traffic>>::default();
         let termination = Arc::<TerminationSignal>::default();
@@ -103,7 +103,7 @@
         let (address, task) = runtime::listen(&termination, move |stream| {
             let traffic = shared_traffic.clone();
             async move {
-                // A connection that fails is the agent's to notice.
+                // If a connection fails, the agent has to handle it.
                 let _ = forward(stream, server, &traffic).await;
             }
         })?;
@@ -115,18 +115,18 @@
         })
     }
 
-    /// What has passed so far.
+    /// Returns the traffic so far.
     pub fn traffic(&self) -> Traffic {
         lock_unpoisoned(&self.traffic).clone()
     }
 
-    /// Bytes that have passed so far, both ways.
+    /// Returns the bytes of both directions so far.
     pub fn bytes(&self) -> u64 {
         lock_unpoisoned(&self.traffic).bytes()
     }
 
-    /// The first response that began at or after `since` and was followed by another request on
-    /// its connection.
+    /// Returns the first response that began at or after `since` and was followed by another
+    /// request on its connection; `None` if there is none yet.
     pub fn response_since(&self, since: Instant) -> Option<Response> {
         let traffic = lock_unpoisoned(&self.traffic);
         let mut responses: BTreeMap<u64, Response> = BTreeMap::new();
@@ -155,7 +155,7 @@
         None
     }
 
-    /// When the server sent anything first.
+    /// Returns when the server first sent anything; `None` if it has sent nothing yet.
     pub fn first_response_at(&self) -> Option<Instant> {
         let traffic = lock_unpoisoned(&self.traffic);
         let mut transfers = traffic.transfers.iter();
@@ -185,7 +185,7 @@
     let requests = copy(&agent, &server, traffic, connection, Direction::FromAgent);
     let responses = copy(&server, &agent, traffic, connection, Direction::ToAgent);
     requests.or(responses).await?;
-    // The other end may have closed it already.
+    // Errors are ignored, since the other end may have closed the connection already.
     let _ = agent.get_ref().shutdown(Shutdown::Both);
     let _ = server.get_ref().shutdown(Shutdown::Both);
     Ok(())
@@ -204,7 +204,8 @@
         if length == 0 {
             return Ok(());
         }
-        // Counted before it goes on: a response that was read must never seem to lack a part.
+        // Count before forwarding: otherwise a response that the agent has read could appear
+        // incomplete in the counts.
         lock_unpoisoned(traffic).count(connection, direction, length as u64);
         to.write_all(&buffer[..length]).await?;
     }
--- a/crates/experiments/src/fleet/results.rs
+++ b/crates/experiments/src/fleet/results.rs
@@ -1,14 +1,14 @@
-//! What was measured, and the operators' limits.
+//! Results of measures, and the operators' limits.
 
 use super::line::Line;
 use serde_json::{json, Map, Value};
 
-/// A figure by its name, which holds its unit.
+/// A figure with its name, which contains the unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figure {
-    /// The name.
+    /// Name of the figure, with its unit.
     pub name: &'static str,
-    /// The value.
+    /// Value in the unit that the name contains; NaN if nothing was measured.
     pub value: f64,
 }
 
@@ -17,16 +17,16 @@
 pub struct Row {
     /// Name of the measure.
     pub measure: String,
-    /// What the size counts.
+    /// What the size counts, such as `tenants`.
     pub by: &'static str,
-    /// The size.
+    /// Number of what `by` names.
     pub size: f64,
-    /// What was measured.
+    /// Figures that were measured at this size.
     pub figures: Vec<Figure>,
 }
 
 impl Row {
-    /// A row with these figures.
+    /// Creates a row with these figures.
     pub fn new(
         measure: impl Into<String>,
         by: &'static str,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The value of a figure.
+    /// Returns the value of a figure; `None` if the row does not contain it.
     pub fn figure(&self, name: &str) -> Option<f64> {
         let found = self.figures.iter().find(|figure| figure.name == name);
         found.map(|figure| figure.value)
@@ -63,18 +63,18 @@
     }
 }
 
-/// The straight line of a figure over the sizes of a measure.
+/// The straight line that is fitted to a figure over the sizes of a measure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fitted {
     /// Name of the measure.
     pub measure: String,
-    /// What the size counts.
+    /// What the size counts, such as `tenants`.
     pub by: &'static str,
     /// Name of the figure.
     pub figure: &'static str,
     /// Number of points.
     pub points: usize,
-    /// The line.
+    /// The fitted line.
     pub line: Line,
 }
 
@@ -94,14 +94,14 @@
     }
 }
 
-/// The most that a figure may be.
+/// An upper limit of a figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
     /// Name of the figure.
     pub figure: String,
-    /// The most.
+    /// Largest allowed value.
     pub max: f64,
-    /// Where the limit comes from.
+    /// Where the limit comes from, as text for readers.
     pub source: String,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// The operators' limits.
+/// Returns the operators' limits.
 pub fn limits() -> Vec<Limit> {
     vec![
         Limit::new("control_core_%", 1.2, "1.2% of a core for control"),
@@ -135,19 +135,19 @@
     ]
 }
 
-/// All that was measured.
+/// Results of all measures.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
-    /// What figures may be at most.
+    /// Limits that figures are compared with.
     pub limits: Vec<Limit>,
-    /// Points of all measures.
+    /// Rows of all measures.
     pub rows: Vec<Row>,
-    /// Lines of all measures.
+    /// Fitted lines of all measures.
     pub fits: Vec<Fitted>,
 }
 
 impl Results {
-    /// Adds the points of one measure and the lines of the figures named.
+    /// Adds the rows of one measure, and fits a line to each figure that `fitted` names.
     pub fn add(&mut self, rows: Vec<Row>, fitted: &[&'static str]) {
         for figure in fitted {
             self.fits.extend(fit(&rows, figure));
@@ -155,7 +155,7 @@
         self.rows.extend(rows);
     }
 
-    /// What lies beyond a limit, a line each.
+    /// Returns a line of text for each figure that exceeds a limit.
     pub fn exceeded_limits(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for row in &self.rows {
@@ -166,7 +166,7 @@
         lines
     }
 
-    /// All results as JSON.
+    /// Returns all results as a JSON object.
     pub fn to_json(&self) -> Value {
         let rows: Vec<Value> = self.rows.iter().map(Row::to_json).collect();
         let fits: Vec<Value> = self.fits.iter().map(Fitted::to_json).collect();
@@ -175,7 +175,7 @@
     }
 }
 
-/// The line of a figure, where it has points of different sizes.
+/// Fits a line to a figure; `None` if it does not have points of different sizes.
 fn fit(rows: &[Row], figure: &'static str) -> Option<Fitted> {
     let first = rows.first()?;
     let points: Vec<(f64, f64)> = rows
--- a/crates/experiments/src/fleet/table.rs
+++ b/crates/experiments/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! Results as tables of text.
+//! Formats results as text tables.
 
 use super::results::{Fitted, Results, Row};
 use std::fmt::Write;
@@ -15,7 +15,8 @@
     }
 }
 
-/// The points of one measure: a line each, a column for each figure.
+/// Formats the rows of one measure as a table with a line for each row and a column for each
+/// figure.
 pub fn points(rows: &[&Row]) -> String {
     let Some(first) = rows.first() else {
         return String::new();
@@ -51,11 +52,11 @@
     cells.map(String::len).max().unwrap_or(0)
 }
 
-/// The line of a figure.
+/// Formats the fitted line of a figure.
 pub fn fit(fitted: &Fitted) -> String {
     let line = fitted.line;
     format!(
-        "  {} = {} + {} x {} (residual {}, at most {}; r2 {:.4}; {} points)\n",
+        "  {} = {} + {} x {} (residual {}, maximum {}; r2 {:.4}; {} points)\n",
         fitted.figure,
         format_number(line.intercept),
         format_number(line.slope),
@@ -67,7 +68,7 @@
     )
 }
 
-/// All measures with their lines, and what lies beyond the limits.
+/// Formats all measures with their fitted lines, and the figures that exceed a limit.
 pub fn all(results: &Results) -> String {
     let mut text = String::new();
     for (measure, by) in measures(results) {
@@ -87,7 +88,7 @@
     text + &exceeded_limits(results)
 }
 
-/// Measures with what they count, in the order they were taken.
+/// Returns the measures with what their sizes count, in the order in which they were taken.
 fn measures(results: &Results) -> Vec<(&str, &str)> {
     let mut measures = Vec::new();
     for row in &results.rows {
@@ -102,9 +103,12 @@
 fn exceeded_limits(results: &Results) -> String {
     let exceeded_limits = results.exceeded_limits();
     if exceeded_limits.is_empty() {
-        return "nothing lies beyond the operators' limits\n".into();
+        return "no figure exceeds the operators' limits\n".into();
     }
-    let mut text = format!("beyond the operators' limits: {}\n", exceeded_limits.len());
+    let mut text = format!(
+        "figures that exceed the operators' limits: {}\n",
+        exceeded_limits.len()
+    );
     for line in &exceeded_limits {
         let _ = writeln!(text, "  {line}");
     }
--- a/crates/experiments/src/fleet/timed_endpoint.rs
+++ b/crates/experiments/src/fleet/timed_endpoint.rs
@@ -1,7 +1,7 @@
-//! An endpoint whose time for a request follows from the request's id alone.
+//! An endpoint whose processing time of a request depends only on the request's id.
 //!
-//! So what a request took beyond it is known one by one, and chance in the work is no chance in the
-//! figure.
+//! The latency beyond the processing time is therefore known for each single request, and the
+//! random variation of processing times does not add to that of the figure.
 
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -14,23 +14,24 @@
 use tulipwall_testkit::pg;
 use tulipwall_testkit::runtime::{self, sleep, TerminationSignal};
 
-/// Value that answers each request.
+/// Value that is returned for each request.
 const ANSWER: [u8; 2] = [0x9f, 3];
 /// Tag of a simple query in the PostgreSQL protocol.
 const QUERY: u8 = b'Q';
 
-/// An endpoint that handles any number of requests at once; it ends when dropped.
+/// An endpoint that processes any number of requests at the same time; it stops when dropped.
 pub struct TimedEndpoint {
-    /// Its address.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
     accepted: Arc<AtomicU64>,
     termination: Arc<TerminationSignal>,
     _task: async_executor::Task<()>,
 }
 
-/// What the request of this id takes: half of `mean` always, the rest exponential.
+/// Returns the processing time of the request with this id: half of `mean`, plus an exponentially
+/// distributed part with the same mean as that half.
 pub fn work(id: &str, mean: Duration) -> Duration {
-    // The last bytes of an id hardly reach the upper bits of its number, so they are mixed.
+    // The last bytes of an id hardly affect the upper bits of its hash, so the bits are mixed.
     let mixed = splitmix64(stable_hash(id));
     let uniform = (mixed >> 11) as f64 / (1u64 << 53) as f64;
     mean.mul_f64(0.5 - 0.5 * (1.0 - uniform).ln())
@@ -44,10 +45,10 @@
 }
 
 impl TimedEndpoint {
-    /// Starts an endpoint whose requests take `mean` on average.
+    /// Starts an endpoint whose mean processing time is `mean`.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// Returns an error if the endpoint cannot listen.
     pub fn start(mean: Duration) -> io::Result<TimedEndpoint> {
         let termination = Arc::<TerminationSignal>::default();
         let accepted = Arc::<AtomicU64>::default();
@@ -55,7 +56,7 @@
         let (address, task) = runtime::listen(&termination, move |stream| {
             count.fetch_add(1, Ordering::Relaxed);
             async move {
-                // A connection that fails is the client's to notice.
+                // If a connection fails, the client has to handle it.
                 let _ = serve(stream, mean).await;
             }
         })?;
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Connections that were accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -564,7 +564,7 @@
     refused(&["--agents", "101"], "101 agents of");
     refused(
         &["--agents", "100", "--appliances", "1000000"],
-        "at most 4096 MB are taken",
+        "at most 4096 MB of memory are allowed",
     );
     let out = run_fleet(&[
         "--agent",
@@ -613,7 +613,7 @@
             ..room
         }
     )
-    .contains("1024 descriptors are allowed"));
+    .contains("limited to 1024 descriptors"));
     // It does not overflow.
     assert!(of(usize::MAX, usize::MAX).refused(&room).is_some());
 }
