--- a/crates/experiments/src/fleet/measures/start.rs
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::EndpointBehavior;
 
-/// Reaches back to before any agent of the run was started.
+/// A time span that reaches back before the start of any agent of the run.
 const LONG_AGO: Duration = Duration::from_secs(3600);
 
 /// Measurements of one start.
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -103,8 +103,8 @@
         )
     }
 
-    /// Returns whether the agent kept this p99 latency and [`MIN_SUCCESS_SHARE`] of the requests
-    /// succeeded.
+    /// Returns whether the agent kept this p99 latency and at least [`MIN_SUCCESS_SHARE`] of the
+    /// requests succeeded.
     fn sustains(&self, p99_ms: f64) -> bool {
         let report = &self.report;
         let required = MIN_SUCCESS_SHARE * report.requests as f64;
