--- a/crates/experiments/src/fleet/measures/added_latency.rs
+++ b/crates/experiments/src/fleet/measures/added_latency.rs
@@ -1,9 +1,10 @@
-//! Latency that an agent adds to a request: the same load through an agent and straight at an
-//! endpoint, in turns. Latencies count from when a request was due.
+//! Measure of the latency that an agent adds to a request: the same load is sent through the agent
+//! and directly to an endpoint, in turns. Latencies are measured from the time at which a request
+//! was due.
 //!
-//! The fakes look for events all the time meanwhile: woken from sleep on an idle core they were
-//! milliseconds late for one request in a hundred, which is no latency of the agent. The agent
-//! sleeps and wakes as ever.
+//! Meanwhile the fake servers poll for events without sleeping: when they had to be woken on an
+//! idle core, they were milliseconds late for one request in a hundred, which would count as
+//! latency of the agent. The agent itself sleeps and wakes as usual.
 
 use super::load::{load, load_on, WARM_UP_SEED};
 use super::samples::{if_any, median, milliseconds};
@@ -17,47 +18,47 @@
 use tulipwall_testkit::runtime::BusyPolling;
 use tulipwall_testkit::{ConnectionUse, LoadReport};
 
-/// A load whose requests were sent within so long of when they were due, for 99 in 100, had the
-/// cores that it needs.
+/// A load is on time, having had the cores that it needs, if the 99th percentile of the delay
+/// between a request's due time and its sending is at most this.
 const ON_TIME_MS: f64 = 1.0;
-/// Seed of the first measured load; the others follow.
+/// Seed of the first measured load; each repeat uses the next seed.
 const FIRST_SEED: u64 = 100;
 const MICROSECONDS: f64 = 1e6;
 
-/// One load through the agent and straight at an endpoint.
+/// Measurements of one load, through the agent and directly to an endpoint.
 struct Sample {
     requests: u64,
     succeeded: u64,
     through: Quantiles,
-    straight: Quantiles,
-    /// Straight, with a handshake for each request.
-    handshaken: Quantiles,
-    /// Connections that the agent opened to endpoints.
+    direct: Quantiles,
+    /// Direct, with a new connection and its handshake for each request.
+    with_handshake: Quantiles,
+    /// Number of connections that the agent opened to endpoints.
     connections: u64,
-    issued_late_ms: f64,
-    /// How long the agent was ready and had no core, for each request.
-    waited_us: f64,
+    send_delay_p99_ms: f64,
+    /// How long the agent was runnable without a core, in microseconds per request.
+    cpu_wait_us: f64,
 }
 
 impl Sample {
     fn added_p50(&self) -> f64 {
-        self.through.p50 - self.straight.p50
+        self.through.p50 - self.direct.p50
     }
 
     fn added_p99(&self) -> f64 {
-        self.through.p99 - self.straight.p99
+        self.through.p99 - self.direct.p99
     }
 
     fn handshake_p50(&self) -> f64 {
-        self.handshaken.p50 - self.straight.p50
+        self.with_handshake.p50 - self.direct.p50
     }
 
     fn handshake_p99(&self) -> f64 {
-        self.handshaken.p99 - self.straight.p99
+        self.with_handshake.p99 - self.direct.p99
     }
 }
 
-/// Milliseconds that requests took beyond the work of the endpoint.
+/// Quantiles of the latency beyond the endpoint's processing time, in milliseconds.
 struct Quantiles {
     p50: f64,
     p99: f64,
@@ -71,7 +72,7 @@
     let mut rows = Vec::new();
     for PlannedSize { size, .. } in plan.sizes(Measure::Added) {
         report(&format!(
-            "Added: {} appliances, {rate} a second",
+            "Added: {} endpoints, {rate} requests per second",
             size.endpoints
         ));
         rows.push(row(plan, &size, rate)?);
@@ -89,19 +90,19 @@
     let mut samples = Vec::new();
     for n in 0..plan.repeats as u64 {
         let _polling = BusyPolling::begin();
-        let play = |connection_use, address| {
+        let run_load = |connection_use, address| {
             let seed = FIRST_SEED + n;
             load_on(connection_use, size, address, rate, plan.duration, seed)
         };
         let waited_before = agent.usage()?.waited;
         let accepted_before = installation.accepted_by_timed_endpoints();
-        let through = play(ConnectionUse::Reused, through_agent);
+        let through = run_load(ConnectionUse::Reused, through_agent);
         let connections = installation.accepted_by_timed_endpoints() - accepted_before;
         let waited = agent.usage()?.waited.saturating_sub(waited_before);
         let loads = Loads {
             through,
-            straight: play(ConnectionUse::Reused, endpoint),
-            handshaken: play(ConnectionUse::NewForEach, endpoint),
+            direct: run_load(ConnectionUse::Reused, endpoint),
+            with_handshake: run_load(ConnectionUse::NewForEach, endpoint),
         };
         samples.push(sample(plan, &loads, connections, waited));
     }
@@ -117,35 +118,39 @@
     ))
 }
 
-/// The same load in three ways.
+/// Reports of the same load, sent in three ways.
 struct Loads {
     through: LoadReport,
-    straight: LoadReport,
-    handshaken: LoadReport,
+    direct: LoadReport,
+    with_handshake: LoadReport,
 }
 
 fn sample(plan: &Plan, loads: &Loads, connections: u64, waited: Duration) -> Sample {
     let requests = loads.through.requests.max(1) as f64;
     let through_late = loads.through.send_delay_ms(0.99);
-    let straight_late = loads.straight.send_delay_ms(0.99);
+    let direct_late = loads.direct.send_delay_ms(0.99);
     Sample {
         requests: loads.through.requests,
         succeeded: loads.through.succeeded,
         through: quantiles_beyond_work(&loads.through, plan.work),
-        straight: quantiles_beyond_work(&loads.straight, plan.work),
-        handshaken: quantiles_beyond_work(&loads.handshaken, plan.work),
+        direct: quantiles_beyond_work(&loads.direct, plan.work),
+        with_handshake: quantiles_beyond_work(&loads.with_handshake, plan.work),
         connections,
-        issued_late_ms: through_late.max(straight_late),
-        waited_us: waited.as_secs_f64() / requests * MICROSECONDS,
+        send_delay_p99_ms: through_late.max(direct_late),
+        cpu_wait_us: waited.as_secs_f64() / requests * MICROSECONDS,
     }
 }
 
-fn quantiles_beyond_work(answered: &LoadReport, work: Duration) -> Quantiles {
+fn quantiles_beyond_work(load_report: &LoadReport, work: Duration) -> Quantiles {
     let beyond_work = |(id, took_us): &(String, u64)| {
         let work = timed_endpoint::work(id, work);
         *took_us as f64 / 1000.0 - milliseconds(work)
     };
-    let mut sorted: Vec<f64> = answered.request_latencies.iter().map(beyond_work).collect();
+    let mut sorted: Vec<f64> = load_report
+        .request_latencies
+        .iter()
+        .map(beyond_work)
+        .collect();
     sorted.sort_by(f64::total_cmp);
     let quantile = |share: f64| {
         let rank = (sorted.len() as f64 * share).ceil() as usize;
@@ -165,7 +170,7 @@
     let added_p99 = || samples.iter().map(Sample::added_p99);
     let on_time: Vec<f64> = samples
         .iter()
-        .filter(|s| s.issued_late_ms <= ON_TIME_MS)
+        .filter(|s| s.send_delay_p99_ms <= ON_TIME_MS)
         .map(Sample::added_p99)
         .collect();
     vec![
@@ -173,7 +178,7 @@
         ("satisfied", succeeded as f64),
         (
             "straight_p99_ms",
-            median(samples.iter().map(|s| s.straight.p99)),
+            median(samples.iter().map(|s| s.direct.p99)),
         ),
         (
             "through_p99_ms",
@@ -206,11 +211,11 @@
         ),
         (
             "issued_late_p99_ms",
-            median(samples.iter().map(|s| s.issued_late_ms)),
+            median(samples.iter().map(|s| s.send_delay_p99_ms)),
         ),
         (
             "waited_us_a_command",
-            median(samples.iter().map(|s| s.waited_us)),
+            median(samples.iter().map(|s| s.cpu_wait_us)),
         ),
     ]
 }
--- a/crates/experiments/src/fleet/measures/list_change.rs
+++ b/crates/experiments/src/fleet/measures/list_change.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, by how many entries change at once.
+//! Measure of changes of the endpoint list, by the number of entries that change at once.
 
 use super::samples::{median, milliseconds};
 use crate::fleet::error::FleetError;
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::EndpointBehavior;
 
-/// After the request behind a change some work may still be under way.
-const REST: Duration = Duration::from_millis(20);
+/// Time for work of the agent that may still be in progress after it has requested the next change.
+const SETTLE_TIME: Duration = Duration::from_millis(20);
 
-/// One change.
+/// Measurements of one change.
 struct Sample {
     bytes: f64,
     processing_ms: f64,
-    ran_ms: f64,
+    cpu_time_ms: f64,
 }
 
 pub(super) fn measure(plan: &Plan) -> Result<Vec<Row>, FleetError> {
@@ -36,7 +36,7 @@
                 "taken_in_ms",
                 median(samples.iter().map(|s| s.processing_ms)),
             ),
-            ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+            ("ran_ms", median(samples.iter().map(|s| s.cpu_time_ms))),
         ];
         let measure = "a change of the list";
         Ok(Row::new(measure, "entries", count as f64, figures))
@@ -47,7 +47,7 @@
         .collect()
 }
 
-/// The planned counts that the list has, and the whole list.
+/// Returns the planned counts that do not exceed the length of the list, and the length itself.
 fn counts(plan: &Plan, endpoints: usize) -> Vec<usize> {
     let planned = plan.changed.iter().copied().filter(|n| *n <= endpoints);
     let mut counts: Vec<usize> = planned.chain([endpoints]).collect();
@@ -56,7 +56,7 @@
     counts
 }
 
-/// Changes the cell of so many entries at once.
+/// Changes the cell of `count` entries at once and measures what the agent uses for it.
 fn sample(
     installation: &Installation,
     agent: &RunningAgent,
@@ -68,16 +68,16 @@
         entry.cell += 1;
     }
     let started_at = Instant::now();
-    let before = agent.usage()?.ran;
+    let before = agent.usage()?.cpu_time;
     installation.discovery.update(entries);
-    let change = until("the question behind a change", || {
+    let change = until("the request after a change of the endpoint list", || {
         agent.discovery.response_since(started_at)
     })?;
-    sleep(REST);
-    let ran = agent.usage()?.ran.saturating_sub(before);
+    sleep(SETTLE_TIME);
+    let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
     Ok(Sample {
         bytes: change.bytes as f64,
         processing_ms: milliseconds(change.next_request_at - change.complete_at),
-        ran_ms: milliseconds(ran),
+        cpu_time_ms: milliseconds(cpu_time),
     })
 }
--- a/crates/experiments/src/fleet/measures/request_cost.rs
+++ b/crates/experiments/src/fleet/measures/request_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of a request, beyond that of an idle agent.
+//! Measure of the processor time of a request, beyond that of an idle agent.
 
 use super::count_by;
 use super::load::{load, SEED, WARM_UP_SEED};
@@ -26,32 +26,35 @@
     load(size, address, rate, plan.settle, WARM_UP_SEED);
     let started_at = Instant::now();
     let before = agent.usage()?;
-    let answered = load(size, address, rate, plan.duration, SEED);
+    let load_report = load(size, address, rate, plan.duration, SEED);
     let after = agent.usage()?;
     let seconds = started_at.elapsed().as_secs_f64();
 
-    let ran = after.ran.saturating_sub(before.ran).as_secs_f64();
+    let cpu_time = after.cpu_time.saturating_sub(before.cpu_time).as_secs_f64();
     let waited = after.waited.saturating_sub(before.waited).as_secs_f64();
-    let requests = answered.requests.max(1) as f64;
-    let ran_for_requests = (ran - idle_share * seconds).max(0.0);
+    let requests = load_report.requests.max(1) as f64;
+    let cpu_time_for_requests = (cpu_time - idle_share * seconds).max(0.0);
     let figures = [
         ("rate", rate),
-        ("asked", answered.requests as f64),
-        ("satisfied", answered.succeeded as f64),
+        ("asked", load_report.requests as f64),
+        ("satisfied", load_report.succeeded as f64),
         ("idle_core_%", idle_share * 100.0),
-        ("core_%", ran / seconds * 100.0),
-        ("us_a_command", ran_for_requests / requests * MICROSECONDS),
+        ("core_%", cpu_time / seconds * 100.0),
+        (
+            "us_a_command",
+            cpu_time_for_requests / requests * MICROSECONDS,
+        ),
         ("waited_us_a_command", waited / requests * MICROSECONDS),
     ];
     let measure = format!("commands at {rate} a second");
     Ok(Row::new(measure, by, count_by(size, by), figures))
 }
 
-/// Share of a core that the idle agent takes.
+/// Returns the share of a core that the idle agent uses.
 fn idle_share(agent: &RunningAgent, duration: Duration) -> io::Result<f64> {
     let started_at = Instant::now();
-    let before = agent.usage()?.ran;
+    let before = agent.usage()?.cpu_time;
     sleep(duration);
-    let ran = agent.usage()?.ran.saturating_sub(before);
-    Ok(ran.as_secs_f64() / started_at.elapsed().as_secs_f64())
+    let cpu_time = agent.usage()?.cpu_time.saturating_sub(before);
+    Ok(cpu_time.as_secs_f64() / started_at.elapsed().as_secs_f64())
 }
--- a/crates/experiments/src/fleet/measures/restart.rs
+++ b/crates/experiments/src/fleet/measures/restart.rs
@@ -1,5 +1,5 @@
-//! Other settings by a restart: an agent is ended and started anew, with a client that has an idle
-//! connection.
+//! Measure of a change of settings by a restart: an agent that has an idle client connection is
+//! terminated and started again.
 
 use super::count_by;
 use super::samples::{largest, median, milliseconds};
@@ -12,17 +12,17 @@
 use std::time::Duration;
 use tulipwall_testkit::{EndpointBehavior, TestClient};
 
-/// How long an agent is left alone before and after a restart, at most.
-const REST: Duration = Duration::from_millis(500);
-/// Latency objective that each restart changes, in milliseconds.
+/// How long an agent is left idle after a restart, and at most before it.
+const IDLE_TIME: Duration = Duration::from_millis(500);
+/// Base of the latency objective, which each restart increases, in milliseconds.
 const LATENCY_OBJECTIVE_MS: f64 = 500.0;
 
-/// One restart.
+/// Measurements of one restart.
 struct Sample {
     ended_ms: f64,
     ready_ms: f64,
     in_force_ms: f64,
-    ran_ms: f64,
+    cpu_time_ms: f64,
     bytes: f64,
 }
 
@@ -38,7 +38,7 @@
         ("ready_ms", median(samples.iter().map(|s| s.ready_ms))),
         ("in_force_ms", median(in_force())),
         ("in_force_most_ms", largest(in_force())),
-        ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+        ("ran_ms", median(samples.iter().map(|s| s.cpu_time_ms))),
         ("bytes", median(samples.iter().map(|s| s.bytes))),
     ];
     let measure = "new settings (restart)";
@@ -51,21 +51,21 @@
     latency_objective_ms: f64,
 ) -> Result<Sample, FleetError> {
     let client = TestClient::connect(agent.address()?)?;
-    sleep(plan.settle.min(REST));
+    sleep(plan.settle.min(IDLE_TIME));
     let before = agent.control_bytes().total();
     let change = |settings: &mut Value| {
         settings["classes"][0]["aim-ms"] = latency_objective_ms.into();
     };
     let times = agent.restart(&plan.binary, change)?;
-    let ran = agent.usage()?.ran;
-    sleep(REST);
+    let cpu_time = agent.usage()?.cpu_time;
+    sleep(IDLE_TIME);
     let bytes = agent.control_bytes().total() - before;
     drop(client);
     Ok(Sample {
         ended_ms: milliseconds(times.ended),
         ready_ms: milliseconds(agent.ready_after),
         in_force_ms: milliseconds(times.serving),
-        ran_ms: milliseconds(ran),
+        cpu_time_ms: milliseconds(cpu_time),
         bytes: bytes as f64,
     })
 }
--- a/crates/experiments/src/fleet/measures/start.rs
+++ b/crates/experiments/src/fleet/measures/start.rs
@@ -1,4 +1,4 @@
-//! Start of an agent up to the answer to a first empty query.
+//! Measure of an agent's start, up to the response to a first empty query.
 
 use super::samples::{largest, median, milliseconds};
 use crate::fleet::error::FleetError;
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 use tulipwall_testkit::EndpointBehavior;
 
-/// Longer ago than any agent was started.
+/// A time span that reaches back before the start of any agent of the run.
 const LONG_AGO: Duration = Duration::from_secs(3600);
 
-/// One start.
+/// Measurements of one start.
 #[derive(Default)]
 struct Sample {
     ready_ms: f64,
-    ran_ms: f64,
+    cpu_time_ms: f64,
     list_bytes: f64,
-    /// From the last byte of the list to the next request.
+    /// Time from the last byte of the list to the agent's next request.
     processing_ms: f64,
 }
 
-/// Measures starts with a list in the configuration, and without.
+/// Measures starts with and without an endpoint list in the configuration.
 pub(super) fn add(plan: &Plan, results: &mut Results) -> Result<(), FleetError> {
     let with_list = measure(plan, true)?;
     results.add(with_list, &["ready_ms", "ran_ms"]);
@@ -52,11 +52,11 @@
     let agent = installation.agent(&plan.binary, 0, known)?;
     let mut sample = Sample {
         ready_ms: milliseconds(agent.ready_after),
-        ran_ms: milliseconds(agent.usage()?.ran),
+        cpu_time_ms: milliseconds(agent.usage()?.cpu_time),
         ..Sample::default()
     };
     if !known {
-        let list = until("the question behind the list", || {
+        let list = until("the request after the endpoint list", || {
             agent.discovery.response_since(Instant::now() - LONG_AGO)
         })?;
         sample.list_bytes = list.bytes as f64;
@@ -70,7 +70,7 @@
     let mut figures = vec![
         ("ready_ms", median(ready())),
         ("ready_most_ms", largest(ready())),
-        ("ran_ms", median(samples.iter().map(|s| s.ran_ms))),
+        ("ran_ms", median(samples.iter().map(|s| s.cpu_time_ms))),
     ];
     if !known {
         let list_bytes = samples.iter().map(|s| s.list_bytes);
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,5 @@
-//! `tulipwall-experiments`: experiments in simulated time, and load on real agents.
+//! `tulipwall-experiments`: experiments in simulated time, and load and measurements of real
+//! agents.
 
 #![warn(missing_docs)]
 #![warn(clippy::too_many_lines)]
@@ -10,25 +11,25 @@
 use std::error::Error;
 use std::process::ExitCode;
 
-/// A rule of the simulation was broken in some run.
-const RULE_BROKEN: u8 = 3;
-/// A figure lies beyond an operators' limit.
-const BEYOND_LIMIT: u8 = 4;
+/// Exit code if any run violated a rule of the simulation.
+const RULE_VIOLATED: u8 = 3;
+/// Exit code if a figure exceeds an operators' limit.
+const LIMIT_EXCEEDED: u8 = 4;
 
 fn main() -> ExitCode {
     match cli::run(CommandLine::parse()) {
         Ok(Outcome::Done) => ExitCode::SUCCESS,
-        Ok(Outcome::RuleBroken) => RULE_BROKEN.into(),
-        Ok(Outcome::BeyondLimit) => BEYOND_LIMIT.into(),
+        Ok(Outcome::RuleViolated) => RULE_VIOLATED.into(),
+        Ok(Outcome::LimitExceeded) => LIMIT_EXCEEDED.into(),
         Err(error) => {
-            eprintln!("{}", chain(&error));
+            eprintln!("{}", error_chain(&error));
             ExitCode::FAILURE
         }
     }
 }
 
-/// An error with its causes, in one line.
-fn chain(error: &dyn Error) -> String {
+/// Formats an error and its chain of causes on one line.
+fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -184,7 +184,8 @@
     assert_eq!(ticks("nothing"), None);
     let (before, started_at) = (usage(std::process::id()).unwrap(), Instant::now());
     let mut kept = vec![1u8; 8 << 20];
-    while usage(std::process::id()).unwrap().ran < before.ran + Duration::from_millis(20) {
+    while usage(std::process::id()).unwrap().cpu_time < before.cpu_time + Duration::from_millis(20)
+    {
         kept.iter_mut().for_each(|b| *b = b.wrapping_add(1));
         assert!(
             started_at.elapsed() < Duration::from_secs(60),
@@ -196,7 +197,7 @@
     // The same clock in ticks. User and system time may each lack up to one tick, and time passes
     // between the two readings.
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
-    assert!(ticks(&stat).unwrap() + Duration::from_millis(20) >= after.ran);
+    assert!(ticks(&stat).unwrap() + Duration::from_millis(20) >= after.cpu_time);
     assert!(usage(u32::MAX).is_err());
 }
 
@@ -250,7 +251,7 @@
     assert!(off < slope / 4.0 && r2 > 0.9999, "{reported}");
     assert!(figures(&reported, of.0, of.1, "ran_ms")
         .iter()
-        .all(|ran| *ran > 0.0));
+        .all(|cpu_time| *cpu_time > 0.0));
 }
 
 #[test]
@@ -613,7 +614,7 @@
     refused(&["--agents", "101"], "101 agents of");
     refused(
         &["--agents", "100", "--appliances", "1000000"],
-        "at most 4096 MB are taken",
+        "at most 4096 MB of memory are allowed",
     );
     let out = run_fleet(&[
         "--agent",
@@ -662,7 +663,7 @@
             ..machine
         }
     )
-    .contains("1024 descriptors are allowed"));
+    .contains("limited to 1024 descriptors"));
     // The estimate does not overflow.
     assert!(of(usize::MAX, usize::MAX).refused(&machine).is_some());
 }
@@ -714,7 +715,7 @@
             ..Results::default()
         };
         of.add(vec![row(figure, value)], &[]);
-        of.beyond()
+        of.exceeded_limits()
     };
     // The limits that the operators stated, one per figure.
     let stated_limits = [
