--- a/tests/endpoint_draws.rs
+++ b/tests/endpoint_draws.rs
@@ -1,6 +1,6 @@
-//! Random draws of endpoints against a look at all of them: over two hundred seeded worlds of 3 to
-//! 7,700 endpoints the draws follow the weights of the candidates, and hardly any endpoint is looked
-//! at.
+//! Random draws of endpoints, compared with the weights of all candidates: in more than two hundred
+//! seeded scenarios of 3 to 7,700 endpoints, the draws follow the weights, and each decision scans
+//! few endpoints.
 
 mod harness;
 
@@ -13,17 +13,19 @@
 use std::time::Duration;
 use tulipwall::*;
 
-/// Sizes of the worlds, small ones more often: those take the least time.
+/// Fleet sizes of the scenarios, in endpoints. Small sizes are more frequent because they take the
+/// least time.
 const SIZES: [usize; 12] = [3, 7, 20, 33, 34, 40, 55, 120, 300, 550, 2000, 7700];
-const WORLDS: u64 = (SIZES.len() * Kind::ALL.len()) as u64;
-/// Endpoints looked at for a decision, in the mean of a world, at most.
+const SCENARIOS: u64 = (SIZES.len() * Kind::ALL.len()) as u64;
+/// Upper bound on the endpoints scanned per decision, averaged over a scenario.
 const MAX_SCANNED: f64 = 40.0;
-/// Pairs drawn in a world.
+/// Pairs of endpoints drawn per scenario.
 const PAIRS: usize = 4000;
-/// Draws that a bin of the test must expect.
+/// Minimum number of draws expected in a bin of the chi-squared test.
 const MIN_EXPECTED: f64 = 100.0;
 const EARLIER_BUILD: u32 = 7;
 const CANARY: u32 = 8;
+/// Id of the request that endpoints are drawn for.
 const PROBE: u64 = u64::MAX;
 
 const IDEMPOTENT: usize = 0;
@@ -31,7 +33,7 @@
 const NON_IDEMPOTENT: usize = 2;
 const KEYED_BY_CELL: usize = 3;
 
-/// What is special about a world.
+/// The condition that sets a scenario apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
     Usual,
@@ -50,7 +52,7 @@
     RetryInZone,
     RetryInCell,
     Unresponsive,
-    RequestWithEffects,
+    NonIdempotentRequest,
     RetryOnProbation,
     RepeatedFaults,
 }
@@ -73,7 +75,7 @@
         Kind::RetryInZone,
         Kind::RetryInCell,
         Kind::Unresponsive,
-        Kind::RequestWithEffects,
+        Kind::NonIdempotentRequest,
         Kind::RetryOnProbation,
         Kind::RepeatedFaults,
     ];
@@ -85,7 +87,7 @@
                 | Kind::CanaryWithExposure
                 | Kind::RegressedBuild
                 | Kind::SomeWarming
-                | Kind::RequestWithEffects
+                | Kind::NonIdempotentRequest
         )
     }
 
@@ -93,23 +95,23 @@
         match self {
             Kind::RetryInZone | Kind::RetryOnProbation => KEYED_BY_ZONE,
             Kind::RetryInCell => KEYED_BY_CELL,
-            Kind::RequestWithEffects | Kind::RepeatedFaults => NON_IDEMPOTENT,
+            Kind::NonIdempotentRequest | Kind::RepeatedFaults => NON_IDEMPOTENT,
             _ => IDEMPOTENT,
         }
     }
 }
 
-/// Number of endpoints in the world of this seed.
+/// Number of endpoints in the scenario of this seed.
 fn size_of(seed: u64) -> usize {
     SIZES[seed as usize / Kind::ALL.len() % SIZES.len()]
 }
 
-/// The first world of this kind and size.
-fn first_world(kind: Kind, size: usize) -> u64 {
-    let mut seeds = 0..WORLDS;
-    let is_it =
+/// The first seed whose scenario has this kind and size.
+fn first_seed(kind: Kind, size: usize) -> u64 {
+    let mut seeds = 0..SCENARIOS;
+    let has_kind_and_size =
         |seed: &u64| size_of(*seed) == size && Kind::ALL[*seed as usize % Kind::ALL.len()] == kind;
-    seeds.find(is_it).unwrap()
+    seeds.find(has_kind_and_size).unwrap()
 }
 
 fn settings(seed: u64, kind: Kind) -> Settings {
@@ -135,8 +137,8 @@
     settings
 }
 
-/// A balancer with endpoints that answer as the world wants.
-struct World {
+/// A balancer and a fleet whose endpoints respond as the kind of scenario requires.
+struct Scenario {
     kind: Kind,
     now: Duration,
     random: Pcg64Mcg,
@@ -147,15 +149,15 @@
     log_lines: Vec<String>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Scenario {
+    fn new(seed: u64) -> Scenario {
         let kind = Kind::ALL[seed as usize % Kind::ALL.len()];
         let size = size_of(seed);
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let settings = settings(seed, kind);
         let now = ms(100_000);
         let entries = entries(kind, size, &mut random);
-        let mut world = World {
+        let mut scenario = Scenario {
             kind,
             now,
             random,
@@ -165,20 +167,20 @@
             last_endpoint: 0,
             log_lines: Vec::new(),
         };
-        world.list();
-        world.name_builds();
-        world.report_loads();
-        world.serve(600);
-        world.make_special();
-        world
+        scenario.update_all_endpoints();
+        scenario.publish_rollout();
+        scenario.report_loads();
+        scenario.serve(600);
+        scenario.apply_kind();
+        scenario
     }
 
-    fn list(&mut self) {
+    fn update_all_endpoints(&mut self) {
         self.balancer
             .update_endpoints(self.now, &self.entries, true);
     }
 
-    fn name_builds(&mut self) {
+    fn publish_rollout(&mut self) {
         let (build, phase, cap) = if self.kind.has_canary() {
             let cap = if self.kind == Kind::CanaryWithoutExposure {
                 0.0
@@ -225,13 +227,13 @@
         }
     }
 
-    /// Sends a request of this class and ends each of its attempts as `outcome` says, which is
-    /// given the endpoint; `None` leaves it in flight.
-    fn send(&mut self, class: usize, outcome: impl Fn(&mut World, usize) -> Option<Outcome>) {
+    /// Sends a request of this class. `outcome` is called with the endpoint of each attempt and
+    /// returns how the attempt ends, or `None` to leave it in flight.
+    fn send(&mut self, class: usize, outcome: impl Fn(&mut Scenario, usize) -> Option<Outcome>) {
         let id = self.next_id;
         self.next_id += 1;
         self.balancer
-            .on_request(self.now, id, World::request(class, false));
+            .on_request(self.now, id, Scenario::request(class, false));
         let mut decision = self.balancer.route(self.now, id);
         let mut attempt = 0;
         while let Decision::Forward { endpoint, .. } = decision {
@@ -251,11 +253,13 @@
         self.balancer.close_request(id);
     }
 
-    /// Endpoints differ, and so do their hardware types.
+    /// Latency of an attempt, which depends on the endpoint and its hardware type.
     fn latency(&mut self, endpoint: usize) -> Duration {
-        let by_type = 1.0 + self.entries[endpoint].endpoint_type as f64;
-        let by_endpoint = 0.3 + (endpoint * 7 % 11) as f64 / 4.0;
-        Duration::from_secs_f64(0.02 * by_type * by_endpoint * self.random.gen_range(0.5..1.5))
+        let type_factor = 1.0 + self.entries[endpoint].endpoint_type as f64;
+        let endpoint_factor = 0.3 + (endpoint * 7 % 11) as f64 / 4.0;
+        Duration::from_secs_f64(
+            0.02 * type_factor * endpoint_factor * self.random.gen_range(0.5..1.5),
+        )
     }
 
     fn serve(&mut self, requests: usize) {
@@ -270,8 +274,8 @@
 
     fn fail_attempts(&mut self, requests: usize, share: f64) {
         for _ in 0..requests {
-            self.send(IDEMPOTENT, |world, _| {
-                let is_lost = world.random.gen_bool(share);
+            self.send(IDEMPOTENT, |scenario, _| {
+                let is_lost = scenario.random.gen_bool(share);
                 Some(if is_lost {
                     Outcome::ConnectFailed
                 } else {
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Loses one attempt to about each endpoint, which ejects it.
+    /// Fails one connection attempt at roughly each endpoint, which ejects the endpoint.
     fn eject_each_once(&mut self) {
         let lost = Cell::new(0);
         while lost.get() < self.entries.len() {
@@ -292,7 +296,7 @@
         }
     }
 
-    fn make_special(&mut self) {
+    fn apply_kind(&mut self) {
         let size = self.entries.len();
         match self.kind {
             Kind::AllEjected => self.fail_attempts(3 * size + 10, 1.0),
@@ -326,10 +330,10 @@
                 }
                 self.advance(ms(3500));
             }
-            Kind::RequestWithEffects => {
+            Kind::NonIdempotentRequest => {
                 for _ in 0..size {
-                    self.send(IDEMPOTENT, |world, _| {
-                        let is_lost = world.random.gen_bool(0.5);
+                    self.send(IDEMPOTENT, |scenario, _| {
+                        let is_lost = scenario.random.gen_bool(0.5);
                         Some(if is_lost {
                             Outcome::ConnectionLost
                         } else {
@@ -349,7 +353,7 @@
                 entry.state = EndpointState::Draining;
             }
         }
-        self.list();
+        self.update_all_endpoints();
     }
 
     fn restart(&mut self, is_restarted: impl Fn(&EndpointEntry) -> bool) {
@@ -359,9 +363,9 @@
                 entry.started = Some(self.now - age);
             }
         }
-        self.list();
+        self.update_all_endpoints();
         self.advance(ms(400));
-        // Between two evaluations.
+        // Stops between two evaluations.
         self.now += ms(30);
     }
 
@@ -385,8 +389,9 @@
 
     fn fail_canary(&mut self) {
         for number in 0..600 {
-            self.send(IDEMPOTENT, |world, endpoint| {
-                let fails = world.entries[endpoint].build == CANARY && world.random.gen_bool(0.25);
+            self.send(IDEMPOTENT, |scenario, endpoint| {
+                let fails =
+                    scenario.entries[endpoint].build == CANARY && scenario.random.gen_bool(0.25);
                 Some(if fails {
                     Outcome::Failed
                 } else {
@@ -399,7 +404,8 @@
         }
     }
 
-    /// Changes one thing of the list, the endpoints, the zones, the settings or the time.
+    /// Applies one random change to the endpoint list, the endpoints, the zones, the settings or
+    /// the time.
     fn change_at_random(&mut self) {
         let index = self.random.gen_range(0..self.entries.len());
         let random = &mut self.random;
@@ -426,7 +432,7 @@
         }
         let is_complete = self.random.gen_bool(0.5);
         if is_complete {
-            self.list();
+            self.update_all_endpoints();
         } else {
             let entry = self.entries[index].clone();
             self.balancer.update_endpoints(self.now, &[entry], false);
@@ -435,7 +441,7 @@
         self.advance(ms(pause));
     }
 
-    /// Reads the settings again, with another length of slow start.
+    /// Reloads the settings with another duration of the slow start.
     fn reload(&mut self) {
         let mut settings = settings(1, self.kind);
         settings.slow_start_duration = ms(self.random.gen_range(1000..6000));
@@ -450,11 +456,12 @@
         self.balancer.reload(self.now, settings, &mapping);
     }
 
-    /// Begins the request that is drawn for; a retry has lost its first attempt.
+    /// Begins the request that endpoints are drawn for. If it is a retry, its first attempt has
+    /// failed.
     fn begin_probe(&mut self) {
         let class = self.kind.probe_class();
         let is_heavy = self.kind == Kind::HeavyRequest;
-        let request = World::request(class, is_heavy);
+        let request = Scenario::request(class, is_heavy);
         self.balancer.on_request(self.now, PROBE, request);
         let outcome = match self.kind {
             Kind::RetryInZone | Kind::RetryInCell => Outcome::ConnectionLost,
@@ -493,7 +500,7 @@
         .collect()
 }
 
-/// What the draws in a world came to.
+/// Results of the draws in one scenario.
 #[derive(Debug)]
 struct Sample {
     kind: Kind,
@@ -501,48 +508,53 @@
     candidates: usize,
     /// Whether the canary was found to be regressed.
     is_regressed: bool,
-    /// How likely draws by weight deviate as far, in bins by weight and by index.
+    /// Probabilities that draws by weight deviate at least as far, with the candidates binned by
+    /// index and by weight.
     p_values: Vec<f64>,
     full_walks: u64,
     scanned_per_decision: f64,
 }
 
-/// Draws in a world; `weight` is what a candidate is taken to weigh.
+/// Draws endpoints in the scenario of this seed. `weight` maps the weight of a candidate to the
+/// weight that the draws are tested against.
 fn sample(seed: u64, weight: impl Fn(f64) -> f64) -> Sample {
-    let mut world = World::new(seed);
-    world.begin_probe();
-    let mut candidates = world.balancer.candidate_weights(world.now, PROBE);
-    for (_, of_candidate) in &mut candidates {
-        *of_candidate = weight(*of_candidate);
-    }
-    let scanned = world.balancer.endpoints_scanned();
-    let full_walks = world.balancer.full_walks();
+    let mut scenario = Scenario::new(seed);
+    scenario.begin_probe();
+    let mut candidates = scenario.balancer.candidate_weights(scenario.now, PROBE);
+    for (_, candidate_weight) in &mut candidates {
+        *candidate_weight = weight(*candidate_weight);
+    }
+    let scanned = scenario.balancer.endpoints_scanned();
+    let full_walks = scenario.balancer.full_walks();
     let mut counts: BTreeMap<usize, usize> = candidates.iter().map(|(i, _)| (*i, 0)).collect();
     for _ in 0..PAIRS {
-        let drawn = world.balancer.draw_candidates(world.now, PROBE);
-        assert_eq!(drawn.is_none(), candidates.is_empty(), "world {seed}");
+        let drawn = scenario.balancer.draw_candidates(scenario.now, PROBE);
+        assert_eq!(drawn.is_none(), candidates.is_empty(), "seed {seed}");
         for endpoint in drawn.into_iter().flatten() {
             let count = counts.get_mut(&endpoint);
-            *count.unwrap_or_else(|| panic!("world {seed}: {endpoint} is no candidate")) += 1;
+            *count.unwrap_or_else(|| panic!("seed {seed}: {endpoint} is not a candidate")) += 1;
         }
     }
-    let scanned = world.balancer.endpoints_scanned() - scanned;
+    let scanned = scenario.balancer.endpoints_scanned() - scanned;
     let mut p_values = vec![p_value(&candidates, &counts)];
     candidates.sort_by(|a, b| a.1.total_cmp(&b.1));
     p_values.push(p_value(&candidates, &counts));
     Sample {
-        kind: world.kind,
-        size: world.entries.len(),
+        kind: scenario.kind,
+        size: scenario.entries.len(),
         candidates: candidates.len(),
-        is_regressed: world.log_lines.iter().any(|l| l.starts_with("regression")),
+        is_regressed: scenario
+            .log_lines
+            .iter()
+            .any(|l| l.starts_with("regression")),
         p_values: p_values.into_iter().flatten().collect(),
-        full_walks: world.balancer.full_walks() - full_walks,
+        full_walks: scenario.balancer.full_walks() - full_walks,
         scanned_per_decision: scanned as f64 / PAIRS as f64,
     }
 }
 
-/// How likely draws by weight deviate as far as these counts, by Pearson's test over bins of
-/// neighbouring candidates; `None` where there is only one bin.
+/// Probability that draws by weight deviate at least as far as these counts, by Pearson's
+/// chi-squared test over bins of neighbouring candidates; `None` where there is only one bin.
 fn p_value(candidates: &[(usize, f64)], counts: &BTreeMap<usize, usize>) -> Option<f64> {
     let total_weight: f64 = candidates.iter().map(|(_, weight)| weight).sum();
     let draws = counts.values().sum::<usize>() as f64;
@@ -573,8 +585,9 @@
     p_values
 }
 
-/// Whether p-values look as uniform ones do: of draws by the right weights the share below a
-/// bound is that bound, to five standard deviations, and no single one is out of all likelihood.
+/// Whether the p-values look uniformly distributed, as they are if draws follow the weights: the
+/// share below each bound equals the bound within five standard deviations, and the smallest
+/// p-value is not implausibly small.
 fn look_uniform(p_values: &[f64]) -> bool {
     let count = p_values.len() as f64;
     let is_expected = |bound: f64| {
@@ -587,7 +600,7 @@
 
 #[test]
 fn draws_follow_the_weights_of_the_candidates() {
-    let samples: Vec<Sample> = (0..WORLDS).map(|seed| sample(seed, |w| w)).collect();
+    let samples: Vec<Sample> = (0..SCENARIOS).map(|seed| sample(seed, |w| w)).collect();
     let p_values = p_values(&samples);
     assert!(p_values.len() > 350, "{}", p_values.len());
     assert!(look_uniform(&p_values), "{p_values:?}");
@@ -595,125 +608,157 @@
         assert_eq!(sample.full_walks, 0, "{sample:?}");
         assert!(sample.scanned_per_decision < MAX_SCANNED, "{sample:?}");
     }
-    assert_worlds_are_special(&samples);
+    assert_scenarios_differ(&samples);
 }
 
-/// Against worlds that are all alike, in which the test above would show nothing.
-fn assert_worlds_are_special(samples: &[Sample]) {
+/// Guards against scenarios that are all alike, in which the test above would prove nothing.
+fn assert_scenarios_differ(samples: &[Sample]) {
     let largest = samples.iter().filter(|s| s.size == 7700);
     let candidates: BTreeMap<Kind, usize> = largest.map(|s| (s.kind, s.candidates)).collect();
-    let is_part = |kind, least, most| (least..most).contains(&candidates[&kind]);
-    assert!(is_part(Kind::Usual, 7700, 7701), "{candidates:?}");
-    assert!(is_part(Kind::AllEjected, 7700, 7701), "{candidates:?}");
-    assert!(is_part(Kind::SomeEjected, 2000, 7000), "{candidates:?}");
-    assert!(is_part(Kind::Draining, 2000, 5000), "{candidates:?}");
-    assert!(is_part(Kind::AllWarming, 50, 7000), "{candidates:?}");
-    assert!(is_part(Kind::LastResortZones, 4000, 6000), "{candidates:?}");
-    assert!(is_part(Kind::CanaryWithoutExposure, 5775, 5776));
-    assert!(is_part(Kind::RetryInZone, 2000, 3000), "{candidates:?}");
-    assert!(is_part(Kind::RetryInCell, 2, 40), "{candidates:?}");
-    assert!(is_part(Kind::Unresponsive, 4000, 6000), "{candidates:?}");
+    let has_candidates = |kind, least, most| (least..most).contains(&candidates[&kind]);
+    assert!(has_candidates(Kind::Usual, 7700, 7701), "{candidates:?}");
+    assert!(
+        has_candidates(Kind::AllEjected, 7700, 7701),
+        "{candidates:?}"
+    );
     assert!(
-        is_part(Kind::RetryOnProbation, 1000, 7700),
+        has_candidates(Kind::SomeEjected, 2000, 7000),
+        "{candidates:?}"
+    );
+    assert!(has_candidates(Kind::Draining, 2000, 5000), "{candidates:?}");
+    assert!(has_candidates(Kind::AllWarming, 50, 7000), "{candidates:?}");
+    assert!(
+        has_candidates(Kind::LastResortZones, 4000, 6000),
+        "{candidates:?}"
+    );
+    assert!(has_candidates(Kind::CanaryWithoutExposure, 5775, 5776));
+    assert!(
+        has_candidates(Kind::RetryInZone, 2000, 3000),
+        "{candidates:?}"
+    );
+    assert!(has_candidates(Kind::RetryInCell, 2, 40), "{candidates:?}");
+    assert!(
+        has_candidates(Kind::Unresponsive, 4000, 6000),
+        "{candidates:?}"
+    );
+    assert!(
+        has_candidates(Kind::RetryOnProbation, 1000, 7700),
+        "{candidates:?}"
+    );
+    assert!(
+        has_candidates(Kind::RepeatedFaults, 100, 7700),
         "{candidates:?}"
     );
-    assert!(is_part(Kind::RepeatedFaults, 100, 7700), "{candidates:?}");
     let regressed = samples.iter().filter(|s| s.is_regressed).count();
-    assert!(regressed > 5, "{regressed} regressed builds");
+    assert!(
+        regressed > 5,
+        "{regressed} scenarios with a regressed build"
+    );
 }
 
 #[test]
-fn draws_by_other_weights_would_show() {
-    let samples: Vec<Sample> = (0..WORLDS)
+fn detects_draws_by_other_weights() {
+    let samples: Vec<Sample> = (0..SCENARIOS)
         .filter(|seed| size_of(*seed) <= 550)
         .map(|seed| sample(seed, |weight| weight.powf(0.9)))
         .collect();
     assert!(!look_uniform(&p_values(&samples)));
 }
 
-/// Endpoints of which all that could take the request said nothing for too long: random draws find
-/// none, and a look at all of them finds the best that are left.
+/// All endpoints that could take the request have been silent for too long: random draws find none,
+/// and a full walk finds the best of those left.
 #[test]
-fn looks_at_all_endpoints_where_none_of_many_answers_and_counts_it() {
-    let mut world = World::new(first_world(Kind::Usual, 120));
-    for _ in 0..4 * world.entries.len() {
-        world.send(IDEMPOTENT, |_, _| None);
-    }
-    world.advance(ms(3500));
-    world.begin_probe();
-    assert_eq!(world.balancer.full_walks(), 0);
-    assert!(world.balancer.draw_candidates(world.now, PROBE).is_some());
-    assert_eq!(world.balancer.full_walks(), 1);
+fn walks_all_endpoints_and_counts_it_when_none_responds() {
+    let mut scenario = Scenario::new(first_seed(Kind::Usual, 120));
+    for _ in 0..4 * scenario.entries.len() {
+        scenario.send(IDEMPOTENT, |_, _| None);
+    }
+    scenario.advance(ms(3500));
+    scenario.begin_probe();
+    assert_eq!(scenario.balancer.full_walks(), 0);
+    assert!(scenario
+        .balancer
+        .draw_candidates(scenario.now, PROBE)
+        .is_some());
+    assert_eq!(scenario.balancer.full_walks(), 1);
 }
 
 #[test]
 fn the_less_loaded_of_two_endpoints_gets_the_request() {
-    let mut world = World::new(first_world(Kind::OneZone, 550));
+    let mut scenario = Scenario::new(first_seed(Kind::OneZone, 550));
     let mut to_loaded = 0;
     let attempts = 1000;
     for _ in 0..attempts {
-        for index in 0..world.entries.len() {
+        for index in 0..scenario.entries.len() {
             let load = if index % 2 == 0 { 0.0 } else { 1000.0 };
-            let now = world.now;
-            world
+            let now = scenario.now;
+            scenario
                 .balancer
                 .on_load_report(now, index, Outcome::Succeeded, Some(load));
         }
-        let id = world.next_id;
-        world.send(IDEMPOTENT, |_, _| Some(Outcome::Succeeded));
-        assert_eq!(world.next_id, id + 1);
-        to_loaded += usize::from(world.last_endpoint % 2 == 1);
+        let id = scenario.next_id;
+        scenario.send(IDEMPOTENT, |_, _| Some(Outcome::Succeeded));
+        assert_eq!(scenario.next_id, id + 1);
+        to_loaded += usize::from(scenario.last_endpoint % 2 == 1);
     }
-    // Both choices are loaded ones in a quarter of the draws.
+    // In a quarter of the draws both candidates are loaded.
     assert!(
         (200..300).contains(&to_loaded),
         "{to_loaded} of {attempts} to loaded endpoints"
     );
 }
 
-/// Lists, ejections, restarts, zones and reloads in any order: what is drawn is always a candidate,
-/// and nothing is drawn only where there is none.
+/// Endpoint lists, ejections, restarts, zone changes and reloads in any order: only candidates are
+/// drawn, and a draw is empty only where there is no candidate.
 #[test]
-fn draws_stay_right_while_endpoints_change_in_any_order() {
+fn draws_only_candidates_while_endpoints_change_in_any_order() {
     for seed in 0..40 {
         let kind = Kind::ALL[seed as usize % Kind::ALL.len()];
-        let mut world = World::new(first_world(kind, 40));
-        world.random = Pcg64Mcg::seed_from_u64(seed);
-        world.begin_probe();
+        let mut scenario = Scenario::new(first_seed(kind, 40));
+        scenario.random = Pcg64Mcg::seed_from_u64(seed);
+        scenario.begin_probe();
         for step in 0..40 {
-            world.change_at_random();
-            let candidates = world.balancer.candidate_weights(world.now, PROBE);
+            scenario.change_at_random();
+            let candidates = scenario.balancer.candidate_weights(scenario.now, PROBE);
             let endpoints: Vec<usize> = candidates.iter().map(|(index, _)| *index).collect();
             for _ in 0..20 {
-                let drawn = world.balancer.draw_candidates(world.now, PROBE);
-                assert_eq!(drawn.is_none(), endpoints.is_empty(), "{seed}, {step}");
-                let all_known = drawn.into_iter().flatten().all(|e| endpoints.contains(&e));
-                assert!(all_known, "{seed}, {step}: {drawn:?} of {endpoints:?}");
+                let drawn = scenario.balancer.draw_candidates(scenario.now, PROBE);
+                assert_eq!(
+                    drawn.is_none(),
+                    endpoints.is_empty(),
+                    "seed {seed}, step {step}"
+                );
+                let all_are_candidates =
+                    drawn.into_iter().flatten().all(|e| endpoints.contains(&e));
+                assert!(
+                    all_are_candidates,
+                    "seed {seed}, step {step}: drew {drawn:?}, candidates {endpoints:?}"
+                );
             }
         }
     }
 }
 
-/// Keys with affinity endpoints and endpoints that are asked for their load among the requests.
+/// Requests with keys that have affinity endpoints, and endpoints that are probed for their load.
 #[test]
-fn routing_looks_at_few_endpoints_at_any_size() {
+fn routing_scans_few_endpoints_at_any_fleet_size() {
     for size in [55, 550, 7700] {
-        let mut world = World::new(first_world(Kind::Usual, size));
+        let mut scenario = Scenario::new(first_seed(Kind::Usual, size));
         let affinity_settings = Settings {
             key_affinity: true,
             load_probes: true,
             ..settings(1, Kind::Usual)
         };
-        world.reload_with(&affinity_settings);
+        scenario.reload_with(&affinity_settings);
         let requests: u64 = 1000;
         for number in 0..requests {
             let request = Request {
                 key: Some(number * 7919),
-                ..World::request(IDEMPOTENT, false)
+                ..Scenario::request(IDEMPOTENT, false)
             };
-            let id = world.next_id + number;
-            world.balancer.on_request(world.now, id, request);
-            let decision = world.balancer.route(world.now, id);
+            let id = scenario.next_id + number;
+            scenario.balancer.on_request(scenario.now, id, request);
+            let decision = scenario.balancer.route(scenario.now, id);
             assert!(matches!(decision, Decision::Forward { .. }), "{decision:?}");
             let end = AttemptEnd {
                 outcome: Outcome::Succeeded,
@@ -721,13 +766,13 @@
                 request_closed: true,
                 reported_load: None,
             };
-            world.balancer.on_attempt_end(world.now, id, 0, end);
+            scenario.balancer.on_attempt_end(scenario.now, id, 0, end);
         }
-        let scanned = world.balancer.endpoints_scanned() as f64 / requests as f64;
+        let scanned = scenario.balancer.endpoints_scanned() as f64 / requests as f64;
         assert!(
             scanned > 0.0 && scanned < MAX_SCANNED,
-            "{size} endpoints: {scanned} a request"
+            "{size} endpoints: {scanned} scanned per request"
         );
-        assert_eq!(world.balancer.full_walks(), 0, "{size} endpoints");
+        assert_eq!(scenario.balancer.full_walks(), 0, "{size} endpoints");
     }
 }
--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence in hard cases: of one class among many, of endpoints that are all ejected, of long ago, and
-//! of an index that another endpoint had before.
+//! Evaluation evidence in hard cases: from one busy class among many, while all endpoints are
+//! ejected, after many hours, and at an index that another endpoint had before.
 
 mod harness;
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tulipwall::*;
 
-/// One in four attempts to this build fails.
+/// The outcome of an attempt while every fourth attempt to this build fails.
 fn one_in_four_fails(entry: &EndpointEntry, build: u32, number: &Cell<usize>) -> Outcome {
     number.set(number.get() + usize::from(entry.build == build));
     let fails = entry.build == build && number.get().is_multiple_of(4);
@@ -26,10 +26,10 @@
     const ENDPOINTS: usize = 770;
 
     fn settings(seed: u64) -> Settings {
-        let few = default_settings(seed);
+        let defaults = default_settings(seed);
         Settings {
-            classes: vec![few.classes[0].clone(); CLASSES],
-            ..few
+            classes: vec![defaults.classes[0].clone(); CLASSES],
+            ..defaults
         }
     }
 
@@ -38,10 +38,10 @@
         rate: PEAK_RATE,
     }];
 
-    /// The evidence of the one class is that of a service with no other one, and a class that was
-    /// never met is served at once.
+    /// The busy class has the evidence that it would have in a service without other classes, and a
+    /// request of a class without earlier requests is served at once.
     #[test]
-    fn of_1600_is_judged_as_if_it_were_the_only_one() {
+    fn one_busy_class_of_1600_is_evaluated_as_if_it_were_the_only_one() {
         let canary_share = 0.3;
         let mut driver = serving_fleet(settings(47), ENDPOINTS, &BUSY_TRAFFIC);
         driver
@@ -58,18 +58,20 @@
         let verdicts: Vec<Verdict> = driver.votes.iter().map(|v| v.verdict).collect();
         assert!(verdicts.contains(&Verdict::Hold), "{:?}", driver.log_lines);
 
-        let quiet = driver.answers;
+        let answers_before = driver.answers;
         driver.send_request(7, &succeed);
         driver.finish(&succeed);
         let answers = driver.answers;
-        assert!(answers.succeeded > quiet.succeeded, "{answers:?}");
+        assert!(answers.succeeded > answers_before.succeeded, "{answers:?}");
     }
 
     #[test]
-    fn of_1600_keeps_work_bounded() {
+    fn one_busy_class_of_1600_keeps_work_bounded() {
         let mut driver = serving_fleet(settings(53), ENDPOINTS, &BUSY_TRAFFIC);
         driver.run(ms(5000), &BUSY_TRAFFIC, &succeed);
-        driver.work.assert_bounded(FLEET_SIZE, "one class of 1,600");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "one busy class of 1,600");
     }
 }
 
@@ -108,7 +110,7 @@
     }
 
     #[test]
-    fn of_all_endpoints_of_a_build_leaves_requests_to_the_other_build_until_they_are_back() {
+    fn ejecting_all_endpoints_of_a_build_leaves_requests_to_the_other_build_until_they_return() {
         let mut driver = two_builds(59);
         let before = share_of_build_7(&driver, ms(2000));
         assert!(before > 0.2, "{before}");
@@ -126,23 +128,29 @@
     }
 
     #[test]
-    fn of_all_endpoints_of_a_build_keeps_work_bounded() {
+    fn ejecting_all_endpoints_of_a_build_keeps_work_bounded() {
         let mut driver = two_builds(61);
         driver.run(ms(6000), &traffic(RATE), &unreachable);
         driver
             .take_work()
-            .assert_bounded(FLEET_SIZE, "a build ejected");
+            .assert_bounded(FLEET_SIZE, "all endpoints of a build ejected");
         driver.run(ms(10_000), &traffic(RATE), &succeed);
-        driver.work.assert_bounded(FLEET_SIZE, "a build comes back");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "the ejected build returns");
     }
 
-    /// An ejected endpoint is better than none: only those find out whether they are back.
+    /// Ejected endpoints are used where there are no others: only an attempt shows whether they
+    /// have recovered.
     #[test]
-    fn of_every_endpoint_still_forwards_and_all_come_back() {
+    fn ejecting_every_endpoint_still_forwards_requests_and_all_return() {
         let mut driver = two_builds(67);
         driver.run(ms(4000), &traffic(RATE), &all_unreachable);
         let from = driver.now - ms(1000);
-        assert!(driver.sent_since(from).count() > 500, "still tried");
+        assert!(
+            driver.sent_since(from).count() > 500,
+            "too few attempts to ejected endpoints"
+        );
         driver.run(ms(15_000), &traffic(RATE), &succeed);
         let answers = driver.answers;
         driver.run(ms(3000), &traffic(RATE), &succeed);
@@ -155,12 +163,16 @@
     }
 
     #[test]
-    fn of_every_endpoint_keeps_work_bounded() {
+    fn ejecting_every_endpoint_keeps_work_bounded() {
         let mut driver = two_builds(71);
         driver.run(ms(4000), &traffic(RATE), &all_unreachable);
-        driver.take_work().assert_bounded(FLEET_SIZE, "all ejected");
+        driver
+            .take_work()
+            .assert_bounded(FLEET_SIZE, "all endpoints ejected");
         driver.run(ms(10_000), &traffic(RATE), &succeed);
-        driver.work.assert_bounded(FLEET_SIZE, "all come back");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "all endpoints return");
     }
 }
 
@@ -169,11 +181,11 @@
 
     const HOURS: u64 = 36;
 
-    /// Polls of an agent are due this often; hours of them would take minutes.
+    /// Interval at which an agent polls. Hours of polls at this interval would take minutes to run.
     const POLL_INTERVAL: Duration = Duration::from_millis(100);
     const LATE_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-    /// Lets hours pass without traffic: a minute of polls as an agent makes them, then late ones.
+    /// Lets hours pass without traffic: a minute of punctual polls, then late polls.
     fn idle_for_hours(harness: &mut Harness) {
         harness.advance(ms(2000));
         let punctual_until = harness.now + ms(60_000);
@@ -194,7 +206,7 @@
         }
     }
 
-    fn stands(harness: &Harness) -> bool {
+    fn has_standing_vote(harness: &Harness) -> bool {
         harness
             .last_verdict()
             .is_some_and(|verdict| verdict != Verdict::Withdraw)
@@ -210,26 +222,30 @@
     }
 
     #[test]
-    fn of_failures_is_gone_after_36_hours_and_does_not_come_back() {
+    fn evidence_of_failures_is_gone_after_36_hours_and_does_not_return() {
         let mut harness = canary_rollout(|_| {});
         serve_counted(&mut harness, 150, failing(8));
-        assert!(stands(&harness), "{:?}", harness.log_lines);
+        assert!(has_standing_vote(&harness), "{:?}", harness.log_lines);
         idle_for_hours(&mut harness);
-        assert!(!stands(&harness), "the vote is withdrawn");
+        assert!(!has_standing_vote(&harness), "the vote was not withdrawn");
         let votes = harness.votes.len();
         let before = attempts_to(&harness, 8);
         serve_counted(&mut harness, 400, |_| Outcome::Succeeded);
         assert_eq!(harness.votes.len(), votes, "{:?}", harness.log_lines);
         let got = attempts_to(&harness, 8) - before;
-        assert!(got > 30, "the canary gets its share: {got} of 400");
+        assert!(
+            got > 30,
+            "the canary got less than its share: {got} of 400 attempts"
+        );
     }
 
-    /// Attempts to a canary that fails one in four, until it is held.
+    /// Sends requests until the canary, which fails every fourth attempt, is held, and returns how
+    /// many attempts it got.
     fn attempts_until_held(harness: &mut Harness) -> usize {
         let before = attempts_to(harness, 8);
         let number = Cell::new(0);
         let one_in_four = |e: &EndpointEntry| one_in_four_fails(e, 8, &number);
-        while !stands(harness) {
+        while !has_standing_vote(harness) {
             serve_counted(harness, 1, one_in_four);
             let sent = attempts_to(harness, 8) - before;
             assert!(sent < 400, "never held: {:?}", harness.log_lines);
@@ -237,23 +253,27 @@
         attempts_to(harness, 8) - before
     }
 
-    /// Against answers of long ago that outweigh what the canary does now: it is held after about as
-    /// few attempts as one that never answered.
+    /// Guards against old outcomes that outweigh what the canary does now: it is held after about
+    /// as few attempts as a canary without earlier outcomes.
     #[test]
-    fn of_successes_does_not_cover_a_canary_that_regresses_after_36_hours() {
+    fn evidence_of_successes_does_not_mask_a_canary_that_regresses_after_36_hours() {
         let at_first = attempts_until_held(&mut canary_rollout(|_| {}));
         let mut harness = canary_rollout(|_| {});
         serve_counted(&mut harness, 1500, |_| Outcome::Succeeded);
-        assert!(!stands(&harness));
+        assert!(!has_standing_vote(&harness));
         idle_for_hours(&mut harness);
         let sent = attempts_until_held(&mut harness);
-        assert!(sent <= at_first * 3 / 2, "{sent}, {at_first} of the first");
+        assert!(
+            sent <= at_first * 3 / 2,
+            "held after {sent} attempts, without earlier outcomes after {at_first}"
+        );
     }
 
-    /// Against a clock that jumps: a process that was stopped polls late, and ages what it knows by
-    /// one step or by all of it, but neither overflows nor forgets the earlier build.
+    /// Guards against a clock that jumps. A process that was stopped polls late and ages its
+    /// evidence by one step or by the whole gap, but must neither overflow nor forget the earlier
+    /// build.
     #[test]
-    fn of_a_process_that_was_stopped_for_36_hours_leaves_the_canary_to_be_judged() {
+    fn a_process_that_was_stopped_for_36_hours_still_evaluates_the_canary() {
         for regressed in [true, false] {
             let mut harness = canary_rollout(|_| {});
             serve_counted(&mut harness, 300, |_| Outcome::Succeeded);
@@ -263,7 +283,12 @@
             let outcome =
                 |e: &EndpointEntry| outcome_if(regressed && e.build == 8, Outcome::Failed);
             serve_counted(&mut harness, 300, outcome);
-            assert_eq!(stands(&harness), regressed, "{:?}", harness.log_lines);
+            assert_eq!(
+                has_standing_vote(&harness),
+                regressed,
+                "{:?}",
+                harness.log_lines
+            );
         }
     }
 }
@@ -273,7 +298,7 @@
 
     const REUSED: usize = 0;
 
-    fn gone(endpoint: usize, build: u32) -> EndpointEntry {
+    fn gone_entry(endpoint: usize, build: u32) -> EndpointEntry {
         EndpointEntry {
             state: EndpointState::Gone,
             ..endpoint_entry(endpoint, build, None)
@@ -292,20 +317,20 @@
         harness.forwarded.iter().filter(|f| f.1 == endpoint).count()
     }
 
-    /// Against an ejection that outlives its endpoint.
+    /// Guards against an ejection that outlives its endpoint.
     #[test]
-    fn has_no_ejection_of_the_endpoint_before() {
+    fn a_reused_index_does_not_inherit_the_ejection_of_its_previous_endpoint() {
         let mut harness = canary_rollout(|_| {});
         harness.serve(300, 0, ms(20), |e| {
             outcome_if(e.endpoint == REUSED, Outcome::Failed)
         });
-        harness.update_endpoints(&[gone(REUSED, 7)]);
+        harness.update_endpoints(&[gone_entry(REUSED, 7)]);
         harness.advance(ms(100));
         harness.update_endpoints(&[other_endpoint(7)]);
         let before: Vec<usize> = (0..8).map(|i| attempts_of(&harness, i)).collect();
         harness.serve(30, 0, ms(20), |_| Outcome::Succeeded);
         let got = attempts_of(&harness, REUSED) - before[REUSED];
-        assert!(got >= 1, "used at once");
+        assert!(got >= 1, "the new endpoint was not used at once");
         harness.serve(270, 0, ms(20), |_| Outcome::Succeeded);
         let got: Vec<usize> = (0..8)
             .map(|i| attempts_of(&harness, i) - before[i])
@@ -314,12 +339,13 @@
         assert!(got[REUSED] as f64 > 0.6 * mean, "{got:?}");
     }
 
-    /// Against failures of an endpoint of the earlier build that count for the canary: it leaves
-    /// while it is ejected, so that they are not its build's, and is the canary's only one after.
+    /// Guards against failures of an endpoint of the earlier build that count for the canary. The
+    /// endpoint leaves while it is ejected, so that its failures do not count for its build, and
+    /// the endpoint that takes over its index is the only one of the canary.
     #[test]
-    fn has_no_evidence_of_the_endpoint_before() {
+    fn a_reused_index_does_not_inherit_the_failures_of_its_previous_endpoint() {
         let mut harness = canary_rollout(|_| {});
-        harness.update_endpoints(&[8, 9].map(|endpoint| gone(endpoint, 8)));
+        harness.update_endpoints(&[8, 9].map(|endpoint| gone_entry(endpoint, 8)));
         let number = Cell::new(0);
         harness.serve(600, 0, ms(20), |e| {
             number.set(number.get() + usize::from(e.endpoint == REUSED));
@@ -329,7 +355,7 @@
         harness.serve(100, 0, ms(20), |e| {
             outcome_if(e.endpoint == REUSED, Outcome::Failed)
         });
-        harness.update_endpoints(&[gone(REUSED, 7)]);
+        harness.update_endpoints(&[gone_entry(REUSED, 7)]);
         harness.advance(ms(100));
         harness.update_endpoints(&[other_endpoint(8)]);
         harness.serve(300, 0, ms(20), |_| Outcome::Succeeded);
@@ -339,7 +365,8 @@
         assert_eq!(harness.last_verdict(), Some(Verdict::Hold));
     }
 
-    /// Attempts to a canary that fails one in four, until it is held.
+    /// Sends requests until the canary, which fails every fourth attempt, is held, and returns how
+    /// many attempts it got.
     fn attempts_until_held(harness: &mut Harness, build: u32) -> usize {
         let before = attempts_to(harness, build);
         let number = Cell::new(0);
@@ -351,24 +378,28 @@
         attempts_to(harness, build) - before
     }
 
-    /// Against successes of endpoints of one canary that count for the next one, which takes their
-    /// indices: it is held after about as few attempts as one that is the first.
+    /// Guards against successes of the endpoints of one canary that count for the next canary,
+    /// whose endpoints take over their indices: it is held after about as few attempts as a first
+    /// canary.
     #[test]
-    fn has_no_successes_of_the_endpoint_before() {
+    fn a_reused_index_does_not_inherit_the_successes_of_its_previous_endpoint() {
         let at_first = attempts_until_held(&mut canary_rollout(|_| {}), 8);
         let mut harness = canary_rollout(|_| {});
         harness.serve(1500, 0, ms(5), |_| Outcome::Succeeded);
         harness.update_rollout(canary_status(9, 0, 0.5));
-        harness.update_endpoints(&[8, 9].map(|endpoint| gone(endpoint, 8)));
+        harness.update_endpoints(&[8, 9].map(|endpoint| gone_entry(endpoint, 8)));
         let canaries = [8, 9].map(|endpoint| endpoint_entry(endpoint, 9, Some(1100)));
         harness.update_endpoints(&canaries);
         let sent = attempts_until_held(&mut harness, 9);
-        assert!(sent <= at_first * 3 / 2, "{sent}, {at_first} of the first");
+        assert!(
+            sent <= at_first * 3 / 2,
+            "held after {sent} attempts, a first canary after {at_first}"
+        );
     }
 
-    /// Against a weight that stays low because another endpoint was slow there.
+    /// Guards against a weight that stays low because the previous endpoint of the index was slow.
     #[test]
-    fn has_no_latency_of_the_endpoint_before() {
+    fn a_reused_index_does_not_inherit_the_latency_of_its_previous_endpoint() {
         let mut harness = canary_rollout(|_| {});
         let serve = |harness: &mut Harness, slow: bool, n: u64| {
             for _ in 0..n {
@@ -389,13 +420,19 @@
         let before = attempts_of(&harness, REUSED);
         serve(&mut harness, true, 100);
         let slow = attempts_of(&harness, REUSED) - before;
-        assert!(slow < 8, "the slow one gets little: {slow} of 100");
-        harness.update_endpoints(&[gone(REUSED, 7)]);
+        assert!(
+            slow < 8,
+            "the slow endpoint got too many attempts: {slow} of 100"
+        );
+        harness.update_endpoints(&[gone_entry(REUSED, 7)]);
         harness.advance(ms(100));
         harness.update_endpoints(&[other_endpoint(7)]);
         let before = attempts_of(&harness, REUSED);
         serve(&mut harness, false, 100);
         let got = attempts_of(&harness, REUSED) - before;
-        assert!(got >= 6, "the one after it gets its share: {got} of 100");
+        assert!(
+            got >= 6,
+            "the new endpoint got less than its share: {got} of 100 attempts"
+        );
     }
 }
--- a/tests/fleet_list_changes.rs
+++ b/tests/fleet_list_changes.rs
@@ -1,5 +1,6 @@
-//! Lists that change all of a large fleet: it restarts, loses a zone, is empty, drains. The rules are
-//! kept, requests go where they may, and work stays bounded.
+//! Endpoint lists that change all of a large fleet: every endpoint restarts, a zone is lost, the
+//! list is empty, all endpoints drain. The rules are kept, requests go only to endpoints that may
+//! take them, and work stays bounded.
 
 mod harness;
 
@@ -15,14 +16,15 @@
 
     const BATCHES: usize = 60;
     const RATE: f64 = 600.0;
-    /// What a warming endpoint may get against a warm one at the most: the settings' factor of 3
-    /// less a safety of 0.7.
-    const QUOTA_SHARE: f64 = 2.1;
-    /// Chance on top of what warming endpoints may get in sum.
+    /// Most attempts that a warming endpoint may get, as a multiple of those of a warm one: the
+    /// overload factor of 3 from the settings times a safety margin of 0.7.
+    const MAX_WARMING_LOAD: f64 = 2.1;
+    /// Factor for random variation of the attempts that all warming endpoints get together.
     const TOLERANCE: f64 = 1.25;
 
-    /// Restarts a batch each second: gone at once, and back two seconds later with the new build.
-    /// Returns the sum of the times for which endpoints were warming up.
+    /// Restarts one batch of endpoints each second: it is gone at once and returns two seconds
+    /// later with the new build. Returns the time for which endpoints were warming up, in seconds,
+    /// summed over all endpoints.
     fn restart_all(driver: &mut FleetDriver) -> f64 {
         let mut warming_seconds = 0.0;
         for second in 0..BATCHES + 6 {
@@ -47,7 +49,8 @@
         warming_seconds
     }
 
-    /// By endpoint of build 8, which starts within the release: when it got attempts.
+    /// Times of the attempts to warming endpoints of build 8, which starts during the release, by
+    /// endpoint.
     fn sent_while_warming(driver: &FleetDriver) -> BTreeMap<usize, Vec<Duration>> {
         let mut sent = BTreeMap::<usize, Vec<Duration>>::new();
         for attempt in driver.sent.iter().filter(|s| s.build == 8) {
@@ -60,10 +63,11 @@
         sent
     }
 
-    /// Against a warming endpoint that gets more than its part within the window, and against all
-    /// of them drawing at the weight that makes up for their small quotas.
+    /// Guards against a warming endpoint that gets more than its share within the window, and
+    /// against warming endpoints that are all drawn at the weight that makes up for their small
+    /// quotas.
     #[test]
-    fn of_everything_within_a_minute_pushes_over_no_warming_endpoint() {
+    fn a_release_of_everything_within_a_minute_overloads_no_warming_endpoint() {
         let mut driver = serving_fleet(default_settings(23), FLEET_SIZE, &traffic(RATE));
         driver.balancer.update_rollout(released_status(8));
         let warming_seconds = restart_all(&mut driver);
@@ -71,7 +75,7 @@
 
         let sent = sent_while_warming(&driver);
         let window = driver.settings.overload_window;
-        let per_window = QUOTA_SHARE * RATE / FLEET_SIZE as f64 * window.as_secs_f64();
+        let per_window = MAX_WARMING_LOAD * RATE / FLEET_SIZE as f64 * window.as_secs_f64();
         for (endpoint, times) in &sent {
             let most = times
                 .iter()
@@ -85,19 +89,20 @@
                 .unwrap_or(0);
             assert!(
                 most as f64 <= (2.0 + 2.0 * per_window).floor(),
-                "endpoint {endpoint} got {most} within a window of its slow start"
+                "endpoint {endpoint} got {most} attempts within a window of its slow start"
             );
         }
-        let in_sum = sent.values().map(Vec::len).sum::<usize>() as f64;
-        // Beside what it earns in time, each has the window that it begins with.
-        let earned = QUOTA_SHARE * RATE / FLEET_SIZE as f64 * warming_seconds;
-        let first =
-            QUOTA_SHARE * 0.3 * RATE / FLEET_SIZE as f64 * window.as_secs_f64() * FLEET_SIZE as f64;
-        assert!(in_sum > 0.0, "warming endpoints get some");
+        let sent_in_total = sent.values().map(Vec::len).sum::<usize>() as f64;
+        // Besides what it earns over time, each endpoint starts with the quota of one window.
+        let earned = MAX_WARMING_LOAD * RATE / FLEET_SIZE as f64 * warming_seconds;
+        let initial_quota = MAX_WARMING_LOAD * 0.3 * RATE / FLEET_SIZE as f64
+            * window.as_secs_f64()
+            * FLEET_SIZE as f64;
+        assert!(sent_in_total > 0.0, "warming endpoints got no attempts");
         assert!(
-            in_sum <= TOLERANCE * (earned + first),
-            "{in_sum} to endpoints in slow start, which may get {}",
-            earned + first
+            sent_in_total <= TOLERANCE * (earned + initial_quota),
+            "{sent_in_total} attempts to endpoints in slow start, allowed {}",
+            earned + initial_quota
         );
         let answers = driver.answers;
         assert!(
@@ -107,7 +112,7 @@
     }
 
     #[test]
-    fn of_everything_within_a_minute_keeps_work_bounded() {
+    fn a_release_of_everything_within_a_minute_keeps_work_bounded() {
         let mut driver = serving_fleet(default_settings(29), FLEET_SIZE, &traffic(RATE));
         driver.balancer.update_rollout(released_status(8));
         restart_all(&mut driver);
@@ -123,6 +128,7 @@
     const LOST: usize = 3;
     const RATE: f64 = 300.0;
 
+    /// Entries of the endpoints of the lost zone.
     fn zone(state: EndpointState, started: Option<Duration>) -> Vec<EndpointEntry> {
         let of_zone = fleet_entries(FLEET_SIZE, 7)
             .into_iter()
@@ -136,7 +142,8 @@
             .collect()
     }
 
-    /// Loses the zone: silent for 1.7 s, off the list for 9 s, then back as just started.
+    /// Loses the zone: its endpoints are silent for 1.7 s, off the list for 9 s, then back as just
+    /// started.
     fn lose_and_return(driver: &mut FleetDriver) {
         let silent = |entry: &EndpointEntry, _: usize| {
             if entry.zone == LOST {
@@ -160,7 +167,7 @@
     }
 
     #[test]
-    fn of_1100_endpoints_loses_hardly_a_request_and_is_used_again_after() {
+    fn losing_a_zone_of_1100_endpoints_fails_hardly_any_request_and_the_zone_is_used_again() {
         let mut driver = serving_fleet(default_settings(31), FLEET_SIZE, &traffic(RATE));
         lose_and_return(&mut driver);
         driver.run(ms(5000), &traffic(RATE), &succeed);
@@ -169,7 +176,7 @@
         let (lost, other) = (share(LOST), share(LOST + 1));
         assert!(
             lost > 0.7 * other && lost < 1.4 * other,
-            "{lost} of the attempts to the zone that is back, {other} to another"
+            "share of the attempts: {lost} to the zone that returned, {other} to another zone"
         );
         let answers = driver.answers;
         assert!(
@@ -179,26 +186,26 @@
     }
 
     #[test]
-    fn of_1100_endpoints_keeps_work_bounded() {
+    fn losing_a_zone_of_1100_endpoints_keeps_work_bounded() {
         let mut driver = serving_fleet(default_settings(37), FLEET_SIZE, &traffic(RATE));
         lose_and_return(&mut driver);
         driver
             .work
-            .assert_bounded(FLEET_SIZE, "a zone lost and back");
+            .assert_bounded(FLEET_SIZE, "a zone lost and returned");
     }
 }
 
 mod empty_list {
     use super::*;
 
-    /// Lists nobody for three seconds.
+    /// Publishes an empty list for three seconds.
     fn empty_for_a_while(driver: &mut FleetDriver) {
         driver.replace_endpoints(&[]);
         driver.run(ms(3000), &PEAK, &succeed);
     }
 
     #[test]
-    fn after_7700_rejects_and_after_their_return_serves_as_before() {
+    fn an_empty_list_after_7700_endpoints_rejects_requests_until_the_endpoints_return() {
         let mut driver = serving_fleet(default_settings(41), FLEET_SIZE, &PEAK);
         driver.finish(&succeed);
         let before = driver.answers;
@@ -211,26 +218,28 @@
         assert!(driver.answers.rejected >= 400, "{:?}", driver.answers);
 
         driver.replace_endpoints(&fleet_entries(FLEET_SIZE, 7));
-        let back = driver.now;
+        let returned_at = driver.now;
         let rejected = driver.answers.rejected;
         driver.run(ms(5000), &PEAK, &succeed);
         assert_eq!(driver.answers.rejected, rejected);
         assert_eq!(driver.answers.failed, 0);
-        let reached: BTreeSet<usize> = driver.sent_since(back).map(|s| s.endpoint).collect();
-        // 715 requests over 7,700 endpoints hardly meet the same one.
+        let reached: BTreeSet<usize> = driver.sent_since(returned_at).map(|s| s.endpoint).collect();
+        // 715 requests over 7,700 endpoints rarely reach the same endpoint twice.
         assert!(reached.len() > 600, "{} endpoints", reached.len());
     }
 
     #[test]
-    fn after_7700_keeps_work_bounded() {
+    fn an_empty_list_after_7700_endpoints_keeps_work_bounded() {
         let mut driver = serving_fleet(default_settings(43), FLEET_SIZE, &PEAK);
         empty_for_a_while(&mut driver);
         driver
             .take_work()
-            .assert_bounded(FLEET_SIZE, "nobody listed");
+            .assert_bounded(FLEET_SIZE, "no endpoint listed");
         driver.replace_endpoints(&fleet_entries(FLEET_SIZE, 7));
         driver.run(ms(3000), &PEAK, &succeed);
-        driver.work.assert_bounded(FLEET_SIZE, "all listed again");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "all endpoints listed again");
     }
 }
 
@@ -238,7 +247,7 @@
     use super::*;
 
     #[test]
-    fn of_every_endpoint_forwards_nothing_until_they_run_again() {
+    fn draining_every_endpoint_forwards_nothing_until_they_run_again() {
         let mut driver = serving_fleet(default_settings(73), FLEET_SIZE, &PEAK);
         driver.update_endpoints(&in_state(
             fleet_entries(FLEET_SIZE, 7),
@@ -260,7 +269,7 @@
     }
 
     #[test]
-    fn of_every_endpoint_keeps_work_bounded() {
+    fn draining_every_endpoint_keeps_work_bounded() {
         let mut driver = serving_fleet(default_settings(79), FLEET_SIZE, &PEAK);
         driver.update_endpoints(&in_state(
             fleet_entries(FLEET_SIZE, 7),
@@ -270,9 +279,11 @@
         driver.run(ms(3000), &PEAK, &succeed);
         driver
             .take_work()
-            .assert_bounded(FLEET_SIZE, "all draining");
+            .assert_bounded(FLEET_SIZE, "all endpoints draining");
         driver.update_endpoints(&fleet_entries(FLEET_SIZE, 7));
         driver.run(ms(3000), &PEAK, &succeed);
-        driver.work.assert_bounded(FLEET_SIZE, "all running again");
+        driver
+            .work
+            .assert_bounded(FLEET_SIZE, "all endpoints running again");
     }
 }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -1,5 +1,5 @@
-//! Work by the size of the fleet, in endpoints that are looked at: a count that is the same on any
-//! machine. Times are for `cargo bench -p tulipwall-zones --bench fleet_size`.
+//! Work by the size of the fleet, measured in endpoints scanned, a count that is the same on any
+//! machine. `cargo bench -p tulipwall-zones --bench fleet_size` measures times.
 
 mod harness;
 
@@ -8,9 +8,11 @@
 use harness::*;
 use tulipwall::*;
 
-/// Sizes of the fleet: a mean service, the largest one, and all endpoints to plan for.
+/// Fleet sizes, in endpoints: an average service, the largest service, and all endpoints to plan
+/// for.
 const SIZES: [usize; 3] = [55, 770, FLEET_SIZE];
-/// Growth of a count from the smallest to the largest fleet, which has 140 times its endpoints.
+/// Maximum growth of a count from the smallest to the largest fleet, which has 140 times as many
+/// endpoints.
 const MAX_GROWTH: f64 = 3.0;
 
 const TRAFFIC: [Traffic; 2] = [
@@ -25,7 +27,7 @@
 ];
 
 #[test]
-fn work_does_not_grow_with_a_fleet_that_answers() {
+fn work_does_not_grow_with_a_healthy_fleet() {
     for endpoints in SIZES {
         let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
         driver.run(ms(10_000), &TRAFFIC, &succeed);
@@ -37,7 +39,7 @@
     }
 }
 
-/// Polls are all that an agent without requests does.
+/// An agent without requests only polls.
 #[test]
 fn work_of_an_idle_agent_does_not_grow_with_the_fleet() {
     for endpoints in SIZES {
@@ -52,9 +54,9 @@
     }
 }
 
-/// Retries, timeouts and ejections look at more; not at more of a larger fleet.
+/// Retries, timeouts and ejections scan more endpoints, but no more in a larger fleet.
 #[test]
-fn work_does_not_grow_with_a_fleet_of_which_some_fail() {
+fn work_does_not_grow_with_a_fleet_that_fails_in_part() {
     let respond = |entry: &EndpointEntry, _: usize| match entry.endpoint % 50 {
         0 => Answer::new(Outcome::ConnectFailed, ms(5)),
         1 => Answer::new(Outcome::Failed, ms(20)),
@@ -73,7 +75,7 @@
     }
 }
 
-/// A tenth of the fleet runs a canary: its evidence is summed up, and its share is capped.
+/// A tenth of the fleet runs a canary, whose evidence is summed up and whose share is capped.
 #[test]
 fn work_does_not_grow_with_a_fleet_that_has_a_canary() {
     for endpoints in SIZES {
@@ -92,7 +94,7 @@
     }
 }
 
-/// Key affinity names an endpoint for each key without a walk.
+/// Key affinity finds the endpoint of a key without a walk over the fleet.
 #[test]
 fn work_does_not_grow_with_a_fleet_that_has_key_affinity() {
     for endpoints in SIZES {
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn the_largest_fleet_costs_hardly_more_than_the_smallest() {
+fn the_largest_fleet_takes_hardly_more_work_than_the_smallest() {
     let work = |endpoints| {
         let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
         driver.run(ms(10_000), &TRAFFIC, &succeed);
@@ -121,19 +123,19 @@
     let decisions = largest.per_decision() / smallest.per_decision().max(1.0);
     assert!(
         decisions <= MAX_GROWTH,
-        "decisions: {largest:?} after {smallest:?}"
+        "work per decision grew too much: {largest:?}, smallest fleet {smallest:?}"
     );
-    // Below 512 peers of a kind, a median is taken over all of them.
+    // With fewer than 512 peers of a kind, a median is taken over all of them.
     let evaluations = largest.per_evaluation() / middle.per_evaluation().max(1.0);
     assert!(
         evaluations <= MAX_GROWTH,
-        "evaluations: {largest:?} after {middle:?}"
+        "work per evaluation grew too much: {largest:?}, middle fleet {middle:?}"
     );
 }
 
-/// A mean hides what happens now and then: each second by itself keeps to the bounds.
+/// An average hides occasional peaks, so each second has to keep within the bounds.
 #[test]
-fn no_second_costs_more_than_the_bounds() {
+fn work_stays_bounded_in_each_second() {
     let mut driver = serving_fleet(default_settings(17), FLEET_SIZE, &TRAFFIC);
     for second in 0..10 {
         driver.run(ms(1000), &TRAFFIC, &succeed);
--- a/tests/independent_agents.rs
+++ b/tests/independent_agents.rs
@@ -1,4 +1,5 @@
-//! A hundred agents that share nothing: what each does is harmless, and must be so when all do it.
+//! A hundred agents that share no state: what is harmless when one agent does it must stay harmless
+//! when all of them do it.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,21 +10,23 @@
 mod harness;
 use harness::{canary_status, default_settings, endpoint_entry, ms};
 
+/// The balancers of `n` agents with different seeds; `change` adapts their settings.
 fn fleet(n: u32, change: fn(&mut Settings)) -> Vec<Balancer> {
     let requests_per_step = |i: u32| {
-        let mut d = Settings {
+        let mut settings = Settings {
             agents: n,
             ..default_settings(u64::from(i) + 1)
         };
-        change(&mut d);
-        Balancer::new(ms(1000), d)
+        change(&mut settings);
+        Balancer::new(ms(1000), settings)
     };
     (0..n).map(requests_per_step).collect()
 }
 
-/// Plays half a minute of a discovery service that bears so many calls a second, with a burst of two
-/// seconds; a call that it refuses costs it as much. Returns when the last agent's watch began, if
-/// all have, and the most calls in a second.
+/// Simulates half a minute of a discovery service that sustains `calls_per_second`, with a burst of
+/// two seconds; a call that it refuses costs it as much as one that it serves. Returns when the
+/// last agent's watch began, or `None` if some agents have no watch, and the most calls in a
+/// second.
 fn discovery(
     agents: u32,
     calls_per_second: f64,
@@ -59,9 +62,9 @@
     )
 }
 
-fn polled_shared_list(d: &mut Settings) {
-    (d.list_polled, d.shared_discovery) = (true, true);
-    d.rollout.votes_per_second = 16.0;
+fn polled_shared_list(settings: &mut Settings) {
+    (settings.list_polled, settings.shared_discovery) = (true, true);
+    settings.rollout.votes_per_second = 16.0;
 }
 
 #[test]
@@ -72,7 +75,7 @@
         "some agents never get the list: {last:?}"
     );
     assert!(most <= 35, "{most} calls in a second");
-    // Few agents need not wait.
+    // A few agents do not have to wait.
     let (last, _) = discovery(3, 16.0, polled_shared_list);
     assert!(last.is_some_and(|t| t < ms(300)), "{last:?}");
 }
@@ -96,33 +99,34 @@
     assert_eq!(
         watching.iter().filter(|w| **w).count(),
         100,
-        "all within two minutes"
+        "agents without a watch after two minutes"
     );
 }
 
 #[test]
 fn calls_for_the_list_at_once_where_discovery_is_not_shared() {
-    // What it has to say counts as said from the start, and may be a drain.
-    let mut d = Settings {
+    // What discovery publishes counts as published from the start and may be a drain, so the first
+    // call does not wait.
+    let mut settings = Settings {
         agents: 100,
         list_polled: true,
         ..default_settings(7)
     };
-    d.rollout.votes_per_second = 16.0;
-    assert!(Balancer::new(ms(1000), d).poll(ms(1000)).open_watch);
+    settings.rollout.votes_per_second = 16.0;
+    assert!(Balancer::new(ms(1000), settings).poll(ms(1000)).open_watch);
 }
 
 #[test]
 fn keeps_a_bounded_interval_between_calls_without_a_valid_rate() {
     for rate in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e-300] {
-        let mut d = Settings {
+        let mut settings = Settings {
             agents: 100,
             list_polled: true,
             shared_discovery: true,
             ..default_settings(7)
         };
-        d.rollout.votes_per_second = rate;
-        let mut balancer = Balancer::new(ms(1000), d);
+        settings.rollout.votes_per_second = rate;
+        let mut balancer = Balancer::new(ms(1000), settings);
         let mut calls = Vec::new();
         for step in 0..6000 {
             let now = ms(1000 + step * 10);
@@ -138,37 +142,39 @@
         );
         assert!(
             calls[0] <= ms(6000),
-            "rate {rate}: the first at {:?}",
+            "rate {rate}: first call at {:?}",
             calls[0]
         );
     }
 }
 
-/// What an endpoint of this index and build does with an attempt at this time: the outcome, and how
-/// long it takes.
+/// How an endpoint of this index and build responds to an attempt at this time: the outcome and the
+/// latency.
 type Behavior<'a> = &'a dyn Fn(&mut Pcg64Mcg, Duration, usize, u32) -> (Outcome, Duration);
 
-/// Build 1 on endpoints 0 to 59; from 6 s on also build 2 on 60 to 64, from 10 s on on all up to
-/// 95. Each of a hundred agents takes nine requests a second, for 18 s. Returns who voted, by
-/// verdict, with their first time.
+/// Simulates a rollout: build 1 runs on endpoints 0 to 59; build 2 follows from 6 s on with
+/// endpoints 60 to 64, and from 10 s on with all up to 95. Each of a hundred agents gets nine
+/// requests a second, for 18 s. Returns the agents that voted.
 fn rollout(seed: u64, behavior: Behavior) -> Votes {
     surge(seed, 1.0, 0.0, behavior)
 }
 
+/// The agents that voted, by verdict, with the time of their first vote.
 type Votes = BTreeMap<&'static str, BTreeMap<usize, Duration>>;
 
-/// The same with so many times the requests from 9 s on, and with this share of the answers of
-/// build 2 reported as wrong two seconds later.
+/// Simulates the same rollout with the request rate multiplied by `load_factor` from 9 s on, and
+/// with the share `wrong_share` of the responses of build 2 reported as wrong two seconds later.
 fn surge(seed: u64, load_factor: f64, wrong_share: f64, behavior: Behavior) -> Votes {
-    let agents = fleet(100, |d| {
-        (d.seed, d.hedging) = (d.seed * 977, true);
-        d.classes
+    let agents = fleet(100, |settings| {
+        (settings.seed, settings.hedging) = (settings.seed * 977, true);
+        settings
+            .classes
             .iter_mut()
             .for_each(|l| l.latency_objective = ms(900));
-        d.rollout.votes_per_second = 16.0;
-        d.rollout.votes_to_roll_back = 5;
+        settings.rollout.votes_per_second = 16.0;
+        settings.rollout.votes_to_roll_back = 5;
     });
-    play(
+    simulate(
         Scenario {
             agents,
             requests_per_step: 0.045,
@@ -182,11 +188,11 @@
     )
 }
 
-/// A rollout as above. A third of the clients go away after the time `leave`, if they are not
-/// answered by then.
+/// A rollout as above. If `leave` is set, a third of the clients cancel their request after that
+/// time unless it has its response by then.
 struct Scenario {
     agents: Vec<Balancer>,
-    /// Requests of an agent in 5 ms.
+    /// Requests of an agent per step of 5 ms.
     requests_per_step: f64,
     time_left: Duration,
     leave: Option<Duration>,
@@ -195,14 +201,14 @@
     wrong_share: f64,
 }
 
-/// What becomes of a request later.
+/// What happens to a request after it was received.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// The attempt of this number ends.
     AttemptEnd(usize),
-    /// The client goes away.
+    /// The client cancels the request.
     Leave,
-    /// The balancer asked to be called again.
+    /// The balancer is called again, as it asked.
     Recheck,
 }
 
@@ -223,19 +229,19 @@
     behavior: Behavior<'a>,
     now: Duration,
     random: Pcg64Mcg,
-    /// By time, agent and request.
+    /// Events to come, by time, agent and request.
     pending: BTreeSet<(Duration, usize, u64, Event)>,
-    /// By agent, request and number.
+    /// By agent, request and attempt number.
     in_flight: BTreeMap<(usize, u64, usize), AttemptInFlight>,
-    /// By agent and request.
+    /// Number of attempts by agent and request.
     attempts_sent: BTreeMap<(usize, u64), usize>,
-    /// By agent and request.
+    /// Endpoint of the latest attempt, by agent and request.
     last_endpoint: BTreeMap<(usize, u64), usize>,
     reported_errors: Vec<ReportedError>,
     votes: Votes,
 }
 
-fn play(scenario: Scenario, behavior: Behavior) -> Votes {
+fn simulate(scenario: Scenario, behavior: Behavior) -> Votes {
     let mut simulation = Simulation {
         random: Pcg64Mcg::seed_from_u64(scenario.seed),
         scenario,
@@ -277,7 +283,7 @@
         }
     }
 
-    /// What discovery and the rollout platform publish at this step.
+    /// Publishes the endpoint list and the rollout status that are due at this step.
     fn publish(&mut self, step: u64, agent: usize) {
         let now = self.now;
         let balancer = &mut self.scenario.agents[agent];
@@ -376,7 +382,7 @@
         Some(self.scenario.agents[agent].on_attempt_end(self.now, id, number, end))
     }
 
-    /// The client goes away: its attempts in flight are cancelled.
+    /// Closes the request of a client that left and cancels its attempts in flight.
     fn leave(&mut self, agent: usize, id: u64) {
         let numbers: Vec<usize> = self
             .in_flight
@@ -476,12 +482,15 @@
     }
 }
 
-/// Six agents, of which each sees eight requests a second that take 2.3 s each, on hardware of
-/// which one in five takes six times as long; a third of the clients leave after five seconds.
+/// Simulates six agents that get eight requests a second each. A request takes 2.3 s on average, on
+/// one endpoint in five six times as long because of its hardware, and after 11 s `slows` times as
+/// long; a third of the clients leave after five seconds.
 fn few_busy_agents(seed: u64, slows: f64) -> Votes {
-    let agents = fleet(6, |d| {
-        (d.seed, d.hedging, d.cross_zone_price) = (d.seed * 977, true, 0.04);
-        d.classes
+    let agents = fleet(6, |settings| {
+        (settings.seed, settings.hedging, settings.cross_zone_price) =
+            (settings.seed * 977, true, 0.04);
+        settings
+            .classes
             .iter_mut()
             .for_each(|l| l.latency_objective = ms(14_000));
     });
@@ -494,7 +503,7 @@
         )
     };
     let leave = Some(ms(5000));
-    play(
+    simulate(
         Scenario {
             agents,
             requests_per_step: 0.04,
@@ -509,7 +518,7 @@
 }
 
 #[test]
-fn holds_a_build_that_slows_all_where_work_takes_seconds_but_not_a_good_one() {
+fn holds_a_build_that_slows_all_endpoints_where_requests_take_seconds_but_not_a_good_one() {
     let voters = |seed, slows| {
         few_busy_agents(seed, slows)
             .values()
@@ -521,11 +530,11 @@
     let good: Vec<usize> = (1..9).map(|seed| voters(seed, 1.0)).collect();
     assert!(
         bad.iter().all(|n| *n > 0) && bad.iter().sum::<usize>() >= 16,
-        "voters on each bad build: {bad:?}"
+        "voters against each bad build: {bad:?}"
     );
     assert!(
         good.iter().sum::<usize>() <= 1,
-        "voters on each good build: {good:?}"
+        "voters against each good build: {good:?}"
     );
 }
 
@@ -535,7 +544,7 @@
 
 #[test]
 fn almost_never_holds_a_good_build_while_endpoints_of_both_builds_are_faulty() {
-    // One endpoint in six fails four in five while the canary gets its traffic.
+    // One endpoint in six fails four of five attempts while the canary gets its traffic.
     let behavior = |rng: &mut Pcg64Mcg, now: Duration, endpoint: usize, _: u32| {
         let is_faulty = endpoint % 6 == 3 && now > ms(10_000) && rng.gen_bool(0.8);
         (
@@ -558,7 +567,7 @@
     }
     assert!(
         voters <= 2 * rollouts as usize,
-        "{voters} votes in {rollouts} rollouts"
+        "{voters} voters in {rollouts} rollouts of a good build"
     );
 }
 
@@ -588,7 +597,7 @@
 }
 
 #[test]
-fn several_agents_roll_back_a_build_that_slows_all_but_not_a_good_one() {
+fn several_agents_roll_back_a_build_that_slows_all_endpoints_but_not_a_good_one() {
     for (seed, slows) in [(1, true), (2, true), (3, false), (4, false), (5, false)] {
         let behavior = |rng: &mut Pcg64Mcg, now: Duration, _: usize, _: u32| {
             let mean = if slows && now > ms(11_000) { 0.5 } else { 0.15 };
@@ -604,7 +613,7 @@
 }
 
 #[test]
-fn does_not_hold_a_build_for_a_surge_that_slows_all() {
+fn does_not_roll_back_a_build_for_a_surge_that_slows_all_endpoints() {
     for seed in 1..3 {
         let behavior = |rng: &mut Pcg64Mcg, now: Duration, _: usize, _: u32| {
             (
@@ -631,16 +640,16 @@
             } else {
                 back < 5
             },
-            "{reported_share}: {votes:?}"
+            "reported share {reported_share}: {votes:?}"
         );
     }
 }
 
-/// Guards large fleets before the platform's first status: each decision walked all endpoints for
-/// each of them, 5.2 ms at 1,024 where it takes 0.04 ms now.
+/// Guards large fleets before the platform's first status: each decision walked all endpoints once
+/// per endpoint, which took 5.2 ms with 1,024 endpoints instead of 0.04 ms.
 #[test]
-fn decides_as_fast_among_a_thousand_endpoints_without_a_rollout_status() {
-    let mut balancer = fleet(1, |d| d.agents = 1024).remove(0);
+fn decides_fast_among_a_thousand_endpoints_without_a_rollout_status() {
+    let mut balancer = fleet(1, |settings| settings.agents = 1024).remove(0);
     let list: Vec<EndpointEntry> = (0..1024).map(|i| endpoint_entry(i, 41, None)).collect();
     balancer.update_endpoints(ms(1000), &list, true);
     let begun = std::time::Instant::now();
@@ -666,5 +675,9 @@
         };
         balancer.on_attempt_end(ms(1015), id, 0, end);
     }
-    assert!(begun.elapsed() < ms(2000), "{:?} for 200", begun.elapsed());
+    assert!(
+        begun.elapsed() < ms(2000),
+        "{:?} for 200 decisions",
+        begun.elapsed()
+    );
 }
--- a/tests/key_affinity.rs
+++ b/tests/key_affinity.rs
@@ -1,5 +1,5 @@
-//! The affinity endpoint of a key in fleets of each size: the same at all agents, found without a
-//! walk over the fleet, and another one where the first may not be used.
+//! The affinity endpoint of a key in fleets of several sizes: all agents choose the same one
+//! without a walk over the fleet, and another one where the first may not be used.
 
 mod harness;
 
@@ -12,7 +12,7 @@
 
 const CLASS: usize = 0;
 
-/// One agent that numbers the endpoints in the order in which it heard of them.
+/// An agent that numbers the endpoints in the order in which it learned of them.
 struct Agent {
     balancer: Balancer,
     identities: BTreeMap<usize, u64>,
@@ -30,11 +30,11 @@
             identities: BTreeMap::new(),
             last_id: 0,
         };
-        agent.hear_of(endpoints, seed);
+        agent.learn_endpoints(endpoints, seed);
         agent
     }
 
-    fn hear_of(&mut self, endpoints: &[EndpointEntry], seed: u64) {
+    fn learn_endpoints(&mut self, endpoints: &[EndpointEntry], seed: u64) {
         let mut entries = endpoints.to_vec();
         entries.shuffle(&mut Pcg64Mcg::seed_from_u64(seed));
         for entry in &mut entries {
@@ -46,7 +46,8 @@
         self.balancer.update_endpoints(ms(1000), &entries, false);
     }
 
-    /// The identity of the endpoint that a request of this key goes to while all are idle.
+    /// Sends a request of this key while all endpoints are idle, and returns the identity of the
+    /// endpoint that gets it.
     fn endpoint_for(&mut self, key: u64) -> u64 {
         self.last_id += 1;
         let request = Request {
@@ -59,7 +60,7 @@
         };
         self.balancer.on_request(ms(1100), self.last_id, request);
         let Decision::Forward { endpoint, .. } = self.balancer.route(ms(1100), self.last_id) else {
-            panic!("all are idle");
+            panic!("no endpoint got the request although all are idle");
         };
         let end = AttemptEnd {
             outcome: Outcome::Succeeded,
@@ -89,30 +90,36 @@
     (0..count).map(|_| rng.gen()).collect()
 }
 
-/// For each key: where one agent and where another one sends it.
+/// The identities of the endpoints that each of two agents chooses for each key.
 fn choices(mut agents: [Agent; 2], keys: &[u64]) -> Vec<[u64; 2]> {
     let both = |key: &u64| agents.each_mut().map(|agent| agent.endpoint_for(*key));
     keys.iter().map(both).collect()
 }
 
+/// Share of the keys for which both agents choose the same endpoint.
 fn agreement(choices: &[[u64; 2]]) -> f64 {
     let same = choices.iter().filter(|[a, b]| a == b).count();
     same as f64 / choices.len() as f64
 }
 
 #[test]
-fn agents_that_number_the_endpoints_otherwise_find_the_same_one() {
+fn agents_that_number_the_endpoints_differently_choose_the_same_one() {
     for size in [3, 64, 65, 100, 128, 770] {
         let endpoints = endpoints(size, 1);
         let agents = [1, 2].map(|seed| Agent::new(seed, &endpoints));
         let choices = choices(agents, &keys(200));
         assert_eq!(agreement(&choices), 1.0, "{size}");
         let used: BTreeSet<_> = choices.iter().map(|[a, _]| a).collect();
-        assert!(used.len() > size.min(200) / 2, "{size}: {}", used.len());
+        assert!(
+            used.len() > size.min(200) / 2,
+            "{size} endpoints: {} used",
+            used.len()
+        );
     }
 }
 
-/// Agents of zone 0 that use the nine others only where their own has no endpoint for a request.
+/// Two agents of zone 0 that use the nine other zones only where their own has no endpoint for a
+/// request.
 fn agents_that_avoid_other_zones(endpoints: &[EndpointEntry]) -> [Agent; 2] {
     let mut agents = [1, 2].map(|seed| Agent::new(seed, endpoints));
     for agent in &mut agents {
@@ -130,8 +137,8 @@
     agents
 }
 
-/// Against keys without an endpoint where most zones are avoided: few of those that all zones
-/// share are in the own one.
+/// Guards against keys without an affinity endpoint where most zones are avoided: of the endpoints
+/// that a key has among all zones, few are in the agent's own zone.
 #[test]
 fn keys_keep_their_endpoint_where_other_zones_are_a_last_resort() {
     for size in [40, 100, 600] {
@@ -146,7 +153,7 @@
 }
 
 #[test]
-fn keys_have_an_endpoint_in_other_zones_where_the_own_is_lost() {
+fn keys_have_an_endpoint_in_other_zones_where_their_own_zone_is_lost() {
     for size in [40, 100, 600] {
         let mut endpoints = endpoints(size, 10);
         endpoints.retain(|entry| entry.zone != 0);
@@ -155,7 +162,7 @@
     }
 }
 
-/// A canary that may not be exposed is half of the fleet.
+/// Half of the fleet runs a canary that may not be exposed.
 #[test]
 fn keys_have_their_next_endpoint_where_the_first_may_not_be_used() {
     for size in [40, 100, 600] {
@@ -167,7 +174,7 @@
         for agent in &mut agents {
             agent.balancer.update_rollout(canary_status(8, 0, 0.0));
         }
-        // What the burst allows goes first.
+        // The exposure that the burst allows is used up first.
         for key in keys(400) {
             for agent in &mut agents {
                 agent.endpoint_for(key ^ 1);
@@ -175,21 +182,22 @@
         }
         let choices = choices(agents, &keys(300));
         let share = agreement(&choices);
-        println!("{size}: {share:.3}");
-        assert!(share > 0.97, "{size}: {share}");
+        println!("{size} endpoints: agreement {share:.3}");
+        assert!(share > 0.97, "{size} endpoints: agreement {share}");
     }
 }
 
-/// Agents that saw endpoints go and their indices given to others are as those that start now.
+/// An agent whose endpoints left and whose indices were reused for others chooses the same
+/// endpoints as an agent that starts now.
 #[test]
-fn an_index_that_is_given_out_again_has_the_keys_of_its_new_endpoint() {
+fn a_reused_index_has_the_keys_of_its_new_endpoint() {
     for size in [30, 300] {
         let all = endpoints(size + 10, 1);
         let fresh = Agent::new(1, &all[10..]);
-        let mut seasoned = Agent::new(2, &all[..size]);
+        let mut long_running = Agent::new(2, &all[..size]);
         let replaced: Vec<_> = all[..10].iter().zip(&all[size..]).collect();
         for (gone, new) in replaced {
-            let index = *seasoned
+            let index = *long_running
                 .identities
                 .iter()
                 .find(|(_, identity)| **identity == gone.identity)
@@ -201,23 +209,23 @@
                     state,
                     ..entry.clone()
                 };
-                seasoned
+                long_running
                     .balancer
                     .update_endpoints(ms(1000), &[entry], false);
             }
-            seasoned.identities.insert(index, new.identity);
+            long_running.identities.insert(index, new.identity);
         }
-        let choices = choices([fresh, seasoned], &keys(300));
+        let choices = choices([fresh, long_running], &keys(300));
         assert_eq!(agreement(&choices), 1.0, "{size}");
     }
 }
 
 #[test]
-fn a_list_of_none_and_all_back_leaves_nothing_behind() {
+fn an_empty_list_before_all_endpoints_return_changes_no_choice() {
     let endpoints = endpoints(500, 3);
     let mut agent = Agent::new(2, &endpoints);
     agent.balancer.update_endpoints(ms(1000), &[], true);
-    agent.hear_of(&endpoints, 3);
+    agent.learn_endpoints(&endpoints, 3);
     let choices = choices([Agent::new(1, &endpoints), agent], &keys(300));
     assert_eq!(agreement(&choices), 1.0);
 }
@@ -233,7 +241,10 @@
         }
         let visited = agent.balancer.affinity_nodes_visited() - before;
         let per_request = visited / keys.len() as u64;
-        println!("{size}: {per_request}");
-        assert!(per_request <= 64, "{size}: {per_request}");
+        println!("{size} endpoints: {per_request} nodes visited per request");
+        assert!(
+            per_request <= 64,
+            "{size} endpoints: {per_request} nodes visited per request"
+        );
     }
 }
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -40,13 +40,18 @@
         .collect()
 }
 
-fn entries(of: std::ops::Range<usize>, build: u32, started: Option<u64>) -> Vec<EndpointEntry> {
-    of.map(|i| EndpointEntry {
-        zone: 0,
-        endpoint_type: i % 2,
-        ..endpoint_entry(i, build, started)
-    })
-    .collect()
+fn entries(
+    indices: std::ops::Range<usize>,
+    build: u32,
+    started: Option<u64>,
+) -> Vec<EndpointEntry> {
+    indices
+        .map(|i| EndpointEntry {
+            zone: 0,
+            endpoint_type: i % 2,
+            ..endpoint_entry(i, build, started)
+        })
+        .collect()
 }
 
 fn request(class: usize, key: u64) -> Request {
@@ -60,7 +65,8 @@
     }
 }
 
-/// Where a request of this key is forwarded.
+/// Sends a request of this key, waiting if it is deferred, and returns the endpoint that gets it;
+/// `None` if it is not forwarded.
 fn route_request(
     balancer: &mut Balancer,
     now: Duration,
@@ -69,21 +75,21 @@
     key: u64,
 ) -> Option<usize> {
     balancer.on_request(now, id, request(class, key));
-    let mut answer = balancer.route(now, id);
-    if let Decision::Defer { until } = answer {
+    let mut decision = balancer.route(now, id);
+    if let Decision::Defer { until } = decision {
         balancer.poll(now);
-        answer = balancer.route(until, id);
+        decision = balancer.route(until, id);
     }
-    match answer {
+    match decision {
         Decision::Forward { endpoint, .. } => Some(endpoint),
         _ => None,
     }
 }
 
-/// Against all agents choosing the one idle endpoint of the same old report.
+/// Guards against all agents choosing the one endpoint that is idle by the same old report.
 #[test]
 fn four_hundred_agents_on_one_stale_report_do_not_all_choose_the_idle_endpoint() {
-    let mut got = BTreeMap::<usize, usize>::new();
+    let mut requests_by_endpoint = BTreeMap::<usize, usize>::new();
     for (n, balancer) in fleet(400).iter_mut().enumerate() {
         balancer.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
         (0..20).for_each(|i| {
@@ -94,25 +100,32 @@
                 Some(if i == 7 { 0.0 } else { 6.0 }),
             )
         });
-        *got.entry(route_request(balancer, ms(1100), 1, 0, n as u64).unwrap())
+        *requests_by_endpoint
+            .entry(route_request(balancer, ms(1100), 1, 0, n as u64).unwrap())
             .or_default() += 1;
     }
-    assert!(got[&7] < 80, "twice its share and a little: {got:?}");
-    assert!(got[&7] > 20, "and yet more than its share: {got:?}");
+    assert!(
+        requests_by_endpoint[&7] < 80,
+        "idle endpoint 7: expected little more than twice its equal share: {requests_by_endpoint:?}"
+    );
+    assert!(
+        requests_by_endpoint[&7] > 20,
+        "idle endpoint 7: expected more than its equal share: {requests_by_endpoint:?}"
+    );
 }
 
-/// Against a key so popular that its affinity endpoint would be overloaded; and that endpoint must
-/// be the same for all agents while it can bear the load.
+/// Guards against a popular key that overloads its affinity endpoint. That endpoint has to be the
+/// same for all agents while it can take the load.
 #[test]
-fn a_key_has_one_affinity_endpoint_for_all_agents_until_that_is_busy() {
+fn a_key_has_one_affinity_endpoint_for_all_agents_until_it_is_busy() {
     let busiest_share = |load: f64| {
-        let mut got = BTreeMap::<usize, usize>::new();
+        let mut requests_by_endpoint = BTreeMap::<usize, usize>::new();
         for balancer in &mut fleet(100) {
             balancer.update_endpoints(ms(1000), &entries(0..20, 1, None), true);
             (0..20)
                 .for_each(|i| balancer.on_load_report(ms(1000), i, Outcome::Succeeded, Some(4.0)));
-            // Other keys between them: one that comes again at once is popular, and has no affinity
-            // endpoint.
+            // Requests of other keys come in between: a key that repeats at once is popular and has
+            // no affinity endpoint.
             if let Some(affinity_endpoint) = route_request(balancer, ms(1100), 1, 0, 4711) {
                 let others = (10..50).filter_map(|n| route_request(balancer, ms(1150), n, 0, n));
                 assert_eq!(others.count(), 40);
@@ -122,45 +135,52 @@
                     Outcome::Succeeded,
                     Some(load),
                 );
-                *got.entry(route_request(balancer, ms(1210), 2, 0, 4711).unwrap())
+                *requests_by_endpoint
+                    .entry(route_request(balancer, ms(1210), 2, 0, 4711).unwrap())
                     .or_default() += 1;
             }
         }
-        got.values().copied().max().unwrap()
+        requests_by_endpoint.values().copied().max().unwrap()
     };
     assert!(busiest_share(4.0) >= 95, "{}", busiest_share(4.0));
     assert!(busiest_share(40.0) < 30, "{}", busiest_share(40.0));
 }
 
-fn counts_of(build: u32, class: usize, attempts: f64, failed: f64, took: u64) -> PlatformCounts {
+fn counts_of(
+    build: u32,
+    class: usize,
+    attempts: f64,
+    failed: f64,
+    latency_ms: u64,
+) -> PlatformCounts {
     PlatformCounts {
         build,
         class,
         attempts,
         failed,
-        mean_latency: ms(took),
+        mean_latency: ms(latency_ms),
         age: ms(1000),
     }
 }
 
-/// The verdict after five seconds of platform counts of an earlier build and a canary.
-fn verdict(stage: usize, earlier: PlatformCounts, of_trial: PlatformCounts) -> Option<Verdict> {
+/// Returns the verdict after five seconds of platform counts of an earlier build and a canary.
+fn verdict(stage: usize, earlier: PlatformCounts, canary: PlatformCounts) -> Option<Verdict> {
     let mut w = Harness::new(many_agents_settings(5, 400));
     w.update_endpoints(&entries(0..20, 7, None));
     w.update_endpoints(&entries(20..22, 8, Some(900)));
     w.update_rollout(canary_status(8, stage, 0.3));
     for _ in 0..5 {
         w.balancer.on_platform_counts(&earlier);
-        w.balancer.on_platform_counts(&of_trial);
+        w.balancer.on_platform_counts(&canary);
         w.advance(ms(1000));
     }
     w.last_verdict()
 }
 
-/// Against a good build taken for slow as nothing is warm yet; harms where a build is only a little
-/// slower.
+/// Guards against a good build that counts as slow because its keys are not warm yet. Does harm
+/// where a build is only a little slower.
 #[test]
-fn platform_counts_let_a_good_build_without_warm_keys_on_but_not_a_slow_one() {
+fn platform_counts_accept_a_good_build_without_warm_keys_but_not_a_slow_one() {
     assert_eq!(
         verdict(
             1,
@@ -177,7 +197,8 @@
     assert_eq!(slow, Some(Verdict::RollBack));
 }
 
-/// Against a class that fails only once the guard is open, and against invalid platform counts.
+/// Guards against a class that fails only after the guarded stages, and against invalid platform
+/// counts.
 #[test]
 fn rolls_back_a_non_idempotent_class_that_fails_after_the_guarded_stages() {
     let bad = verdict(
@@ -201,11 +222,11 @@
             counts_of(8, 2, 12.0, 4.0, 100)
         ),
         None,
-        "the same of both"
+        "both builds fail alike"
     );
 }
 
-/// Against one invalid count that would spoil all that come after it.
+/// Guards against one invalid count that would spoil all later ones.
 #[test]
 fn invalid_platform_counts_do_not_hide_a_bad_build() {
     let mut w = Harness::new(many_agents_settings(5, 400));
@@ -226,11 +247,10 @@
     assert_eq!(w.last_verdict(), Some(Verdict::RollBack));
 }
 
-/// Against evidence that is dropped with its stage: platform counts are late, and the build is
-/// released by then.
-/// Harms a build that failed at first only.
+/// Guards against evidence that is dropped with its stage: platform counts arrive late, when the
+/// build is already released. Does harm to a build that failed only at first.
 #[test]
-fn platform_counts_that_come_after_the_release_count_for_a_while() {
+fn platform_counts_that_arrive_after_the_release_count_for_a_while() {
     let verdict_after = |elapsed: Duration| {
         let mut w = Harness::new(many_agents_settings(5, 400));
         w.update_endpoints(&entries(0..20, 7, None));
@@ -258,8 +278,8 @@
     );
 }
 
-/// Against a fault on the way to some endpoints, at just the agents whose voices suffice to send
-/// back.
+/// Guards against a fault on the path to some endpoints that is seen by just as many agents as can
+/// vote for a rollback.
 #[test]
 fn does_not_roll_back_a_good_build_when_half_of_both_builds_is_unreachable() {
     let mut d = many_agents_settings(11, 56);
@@ -288,11 +308,11 @@
     );
 }
 
-/// Against the first attempt of each of many agents: together they overload an endpoint in slow
-/// start.
+/// Guards against the first attempt of each of many agents, which together overload an endpoint in
+/// slow start.
 #[test]
 fn half_the_fleet_in_slow_start_gets_no_more_than_its_share_from_all_agents() {
-    // Nothing else holds them off: no affinity, no load reports.
+    // Nothing else limits the attempts: no key affinity, no load reports.
     let plain = |i: u64| Settings {
         key_affinity: false,
         load_probes: false,
@@ -329,7 +349,7 @@
                     reported_load: Some(if i < 10 { 2.0 } else { 0.2 }),
                 };
                 balancer.on_attempt_end(now, id, 0, end);
-                // The first second and a half after the start.
+                // Counts the first 1.5 s after the start.
                 if (1000..1150).contains(&step) {
                     *(if i < 10 {
                         &mut warm
@@ -340,19 +360,19 @@
             }
         }
     }
-    // The slow start share at the end of that time, and seven tenths of the overload factor, of what
-    // a warm one got.
-    let part = (0.3 + 0.7 * 1.5 / 4.0) * 0.7 * 2.0 * warm as f64 / 10.0;
+    // The attempts of a warm endpoint, times the slow start share at the end of that time, times
+    // seven tenths of the overload factor.
+    let limit = (0.3 + 0.7 * 1.5 / 4.0) * 0.7 * 2.0 * warm as f64 / 10.0;
     assert!(
-        warming.iter().all(|n| (*n as f64) < part),
-        "{warming:?} of which each may have {part}, warm {warm}"
+        warming.iter().all(|n| (*n as f64) < limit),
+        "attempts to warming endpoints: {warming:?}, at most {limit} each; to warm ones {warm}"
     );
-    // Not idle either: an agent whose turn it is takes it.
+    // The warming endpoints are not idle either: an agent whose turn it is sends its attempt.
     assert!(warming.iter().sum::<usize>() > 60, "{warming:?}");
 }
 
-/// Against agents that come back with nothing but a list: they keep to the first stage, and evaluate
-/// nothing.
+/// Guards against agents that have nothing but an endpoint list after a restart: they keep to the
+/// first stage and evaluate nothing.
 #[test]
 fn a_restarted_agent_exposes_only_idempotent_classes_and_does_not_vote() {
     let mut w = Harness::new(many_agents_settings(3, 120));
@@ -364,7 +384,7 @@
         {
             assert!(
                 endpoint < 6,
-                "an unannounced build counts as in the first stage"
+                "an unannounced build got a request that the first stage does not allow"
             );
         }
         w.advance(ms(20));
@@ -373,7 +393,7 @@
     assert_eq!(w.last_verdict(), None);
 }
 
-/// Chance alone is no difference: the same settings count nothing.
+/// Random choices alone are no divergence: for the same settings none is counted.
 #[test]
 fn counts_divergences_for_other_settings_but_none_for_the_same() {
     let mut d = many_agents_settings(9, 120);
@@ -406,9 +426,13 @@
         shadows
             .iter_mut()
             .for_each(|w| w.on_request(&balancer, class));
-        let answer = balancer.route(now, id);
-        assert_eq!(answer, plain.route(now, id), "it decides as before");
-        if let Decision::Forward { endpoint, .. } = answer {
+        let decision = balancer.route(now, id);
+        assert_eq!(
+            decision,
+            plain.route(now, id),
+            "shadow evaluation changed a decision"
+        );
+        if let Decision::Forward { endpoint, .. } = decision {
             shadows
                 .iter_mut()
                 .for_each(|w| w.on_attempt(now, &balancer, class, Some(id % 9), endpoint));
@@ -441,10 +465,10 @@
     );
 }
 
-fn succeeded(took: u64, reported_load: Option<f64>) -> AttemptEnd {
+fn succeeded(latency_ms: u64, reported_load: Option<f64>) -> AttemptEnd {
     AttemptEnd {
         outcome: Outcome::Succeeded,
-        latency: ms(took),
+        latency: ms(latency_ms),
         request_closed: true,
         reported_load,
     }
@@ -461,31 +485,31 @@
     )
 }
 
-/// Against hedged requests that slow all under overload: an agent of hundreds has one or two
-/// requests in flight, far under any limit of its own. Harms a request on a slow endpoint in a
-/// surge, which waits longer for its hedge.
+/// Guards against hedged requests that slow down all requests under overload: one of hundreds of
+/// agents has one or two requests in flight, far below any limit of its own. Does harm to a request
+/// on a slow endpoint in a surge, which waits longer for its hedge.
 #[test]
-fn hedges_early_only_while_answers_are_fast() {
-    let hedges = |took: u64| {
+fn hedges_early_only_while_responses_are_fast() {
+    let hedges = |latency_ms: u64| {
         let mut balancer = plain(300);
         balancer.update_endpoints(ms(1000), &entries(0..10, 1, None), true);
         for id in 0..200 {
             let now = ms(1000 + id * 100);
             balancer.poll(now);
             route_request(&mut balancer, now, id, 0, id).unwrap();
-            balancer.on_attempt_end(now + ms(took), id, 0, succeeded(took, None));
+            balancer.on_attempt_end(now + ms(latency_ms), id, 0, succeeded(latency_ms, None));
         }
         balancer.poll(ms(21_500));
         route_request(&mut balancer, ms(21_500), 1000, 0, 1).unwrap();
         (216..219).for_each(|t| drop(balancer.poll(ms(t * 100))));
         matches!(balancer.route(ms(21_830), 1000), Decision::Forward { .. })
     };
-    assert!(hedges(40), "fast answers leave room for a hedge");
+    assert!(hedges(40), "no hedge although responses are fast");
     assert!(!hedges(200));
 }
 
-/// Against heavy requests on slow hardware that happens to be idle. Harms nothing where endpoint
-/// types are alike or no estimate comes.
+/// Guards against heavy requests on slow hardware that happens to be idle. Does no harm where
+/// endpoint types are alike or requests have no estimate.
 #[test]
 fn sends_heavy_requests_to_the_faster_endpoint_type() {
     let mut balancer = plain(300);
@@ -504,7 +528,7 @@
             },
         );
         let Decision::Forward { endpoint, .. } = balancer.route(now, id) else {
-            panic!("nothing is in the way")
+            panic!("the request was not forwarded")
         };
         balancer.on_attempt_end(
             now,
@@ -514,15 +538,18 @@
         );
         slow[usize::from(heavy)] += usize::from(id > 400 && endpoint % 2 == 1);
     }
-    assert!(slow[0] > 60 && slow[1] < 30, "of 1000 each: {slow:?}");
+    assert!(
+        slow[0] > 60 && slow[1] < 30,
+        "light and heavy requests on the slow type, of 1000 each: {slow:?}"
+    );
 }
 
-/// Against a bad build whose one failing class is rare: too few outcomes of the earlier build are
-/// left to set it against. Harms a class that the earlier build failed as badly and hardly ever
-/// had.
+/// Guards against a bad build whose only failing class is rare, so that there are too few outcomes
+/// of the earlier build to compare it with. Does harm to a class that the earlier build failed as
+/// badly and hardly ever got.
 #[test]
 fn detects_a_failing_rare_class_by_the_baseline_of_all_classes() {
-    let voted = |known: u64, fails: bool| {
+    let voted = |earlier_requests: u64, fails: bool| {
         let mut d = many_agents_settings(13, 120);
         (
             d.rollout.votes_to_roll_back,
@@ -533,7 +560,7 @@
         let mut w = Harness::new(d);
         w.update_endpoints(&entries(0..10, 7, None));
         w.serve(120, 0, ms(40), |_| Outcome::Succeeded);
-        w.serve(known, 2, ms(40), |_| Outcome::Succeeded);
+        w.serve(earlier_requests, 2, ms(40), |_| Outcome::Succeeded);
         w.update_endpoints(&entries(10..16, 8, Some(3000)));
         w.update_rollout(canary_status(8, 2, 1.0));
         w.advance(ms(4500));
@@ -559,12 +586,13 @@
     assert!(!voted(4, false), "nothing fails");
     assert!(
         !voted(0, true),
-        "a class that was never answered does not gate"
+        "a class without earlier outcomes does not gate"
     );
 }
 
-/// Against non-idempotent classes that would follow the capacity to the canary while a stage is guarded
-/// and the earlier endpoints grow fewer. Harms them: what the last ones cannot take is rejected.
+/// Guards against non-idempotent classes that follow the capacity to the canary while a stage is
+/// guarded and fewer and fewer earlier endpoints are left. Does harm to these classes: what the
+/// last endpoints cannot take is rejected.
 #[test]
 fn a_guarded_stage_exposes_only_idempotent_classes_however_few_earlier_endpoints_are_left() {
     let mut w = Harness::new(Settings {
@@ -585,17 +613,17 @@
         }]);
         (0..3).for_each(|class| w.serve(20, class, ms(20), |_| Outcome::Succeeded));
     }
-    let at_canary = |class| {
+    let attempts_at_canary = |class| {
         let of_class = w.requests.range(before..).filter(|(_, h)| h.class == class);
         of_class
             .flat_map(|(_, h)| &h.attempts)
             .filter(|d| d.endpoint >= 6)
             .count()
     };
-    assert_eq!((at_canary(1), at_canary(2)), (0, 0));
+    assert_eq!((attempts_at_canary(1), attempts_at_canary(2)), (0, 0));
     assert!(
-        at_canary(0) > 10,
-        "idempotent requests show what the build does: {}",
-        at_canary(0)
+        attempts_at_canary(0) > 10,
+        "too few idempotent requests to the canary: {}",
+        attempts_at_canary(0)
     );
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -15,33 +15,34 @@
     }
 }
 
-/// Eight endpoints of build 7 that have answered, and three of build 8 on trial, warm.
+/// Eight endpoints of build 7 that have served requests, and three of the canary, build 8, past
+/// their slow start.
 fn canary_rollout_with(d: Settings) -> Harness {
-    let mut w = Harness::new(d);
-    w.update_endpoints(
+    let mut driver = Harness::new(d);
+    driver.update_endpoints(
         &(0..8)
             .map(|i| endpoint_entry(i, 7, None))
             .collect::<Vec<_>>(),
     );
-    w.update_rollout(RolloutStatus {
+    driver.update_rollout(RolloutStatus {
         phase: RolloutPhase::Released,
         ..canary_status(7, 0, 1.0)
     });
-    w.serve(40, 0, ms(20), |_| Outcome::Succeeded);
-    w.update_rollout(canary_status(8, 0, 0.3));
-    w.update_endpoints(
+    driver.serve(40, 0, ms(20), |_| Outcome::Succeeded);
+    driver.update_rollout(canary_status(8, 0, 0.3));
+    driver.update_endpoints(
         &(8..11)
             .map(|i| endpoint_entry(i, 8, Some(1100)))
             .collect::<Vec<_>>(),
     );
-    w.advance(ms(4200));
-    w
+    driver.advance(ms(4200));
+    driver
 }
 
 /// Ends one random attempt, if any is in flight.
-fn end_one(w: &mut Harness, rng: &mut Pcg64Mcg) {
+fn end_random_attempt(driver: &mut Harness, rng: &mut Pcg64Mcg) {
     let (skip, fails) = (rng.gen_range(0..3), rng.gen_bool(0.15));
-    let in_flight = w
+    let in_flight = driver
         .requests
         .iter()
         .filter_map(|(id, h)| Some((*id, h.attempts.iter().position(|d| d.ended.is_none())?)));
@@ -57,40 +58,41 @@
         } else {
             Outcome::Succeeded
         };
-        w.end_attempt(id, n, outcome);
+        driver.end_attempt(id, n, outcome);
     }
 }
 
-/// A minute or so of random requests; `between` may reload the settings.
-fn play(
-    w: &mut Harness,
+/// Sends a random request in each of `steps` steps of 5 to 59 ms. `after_each_step` is called after
+/// each step and may reload the settings.
+fn send_random_requests(
+    driver: &mut Harness,
     seed: u64,
     steps: usize,
-    mut between: impl FnMut(&mut Harness, &mut Pcg64Mcg, usize),
+    mut after_each_step: impl FnMut(&mut Harness, &mut Pcg64Mcg, usize),
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     for step in 0..steps {
         let class = rng.gen_range(0..3);
-        let id = w.requests.len() as u64;
-        w.send_request(id, class, ms(1500));
-        w.advance(ms(rng.gen_range(5..60)));
+        let id = driver.requests.len() as u64;
+        driver.send_request(id, class, ms(1500));
+        driver.advance(ms(rng.gen_range(5..60)));
         for _ in 0..rng.gen_range(0..3) {
-            end_one(w, &mut rng);
+            end_random_attempt(driver, &mut rng);
         }
-        between(w, &mut rng, step);
+        after_each_step(driver, &mut rng, step);
     }
 }
 
-/// What was decided: where each attempt went, each final answer, each vote.
-fn decided(w: &Harness) -> String {
-    let requests: Vec<_> = w
+/// Everything that was decided: the endpoint of each attempt, each final answer and each vote.
+fn recorded_decisions(driver: &Harness) -> String {
+    let requests: Vec<_> = driver
         .requests
         .values()
         .map(|h| (&h.answers, &h.attempts))
         .collect();
     format!(
         "{:?} {requests:?} {:?} {:?}",
-        w.forwarded, w.votes, w.log_lines
+        driver.forwarded, driver.votes, driver.log_lines
     )
 }
 
@@ -104,32 +106,37 @@
             canary_rollout_with(d.clone()),
             canary_rollout_with(d.clone()),
         );
-        play(&mut one, seed, 400, |_, _, _| {});
-        play(&mut other, seed, 400, |w, _, step| {
+        send_random_requests(&mut one, seed, 400, |_, _, _| {});
+        send_random_requests(&mut other, seed, 400, |driver, _, step| {
             if step % 7 == 3 {
-                let d = w.settings.clone();
-                w.reload(d.clone(), &unchanged_indices(&d));
+                let d = driver.settings.clone();
+                driver.reload(d.clone(), &unchanged_indices(&d));
             }
         });
-        assert_eq!(decided(&one), decided(&other), "seed {seed}");
+        assert_eq!(
+            recorded_decisions(&one),
+            recorded_decisions(&other),
+            "seed {seed}"
+        );
     }
 }
 
-/// The harness checks each attempt by the rules in force: windows across the reload, guarded stages,
-/// sticky builds, idempotency by class. Against tokens that a reload refills.
+/// The harness checks each attempt against the rules in force: windows across the reload, guarded
+/// stages, sticky builds, idempotency by class. Guards against exposure tokens that a reload
+/// refills.
 #[test]
 fn keeps_the_rules_across_random_reloads() {
     let mut exposed = 0;
     for seed in 0..40 {
-        let mut w = canary_rollout_with(Settings {
+        let mut driver = canary_rollout_with(Settings {
             agents: 1,
             ..default_settings(seed)
         });
-        play(&mut w, seed, 500, |w, rng, step| {
+        send_random_requests(&mut driver, seed, 500, |driver, rng, step| {
             if step % 5 != 0 {
                 return;
             }
-            let mut d = w.settings.clone();
+            let mut d = driver.settings.clone();
             let r = &mut d.rollout;
             match rng.gen_range(0..8) {
                 0 => r.exposure_burst = f64::from(rng.gen_range(1..6)),
@@ -144,173 +151,176 @@
                     .for_each(|l| l.latency_objective = ms(rng.gen_range(100..2000))),
                 _ => d.tenants[0].share = rng.gen_range(0.0..1.0),
             }
-            let by = unchanged_indices(&d);
-            w.reload(d, &by);
+            let mapping = unchanged_indices(&d);
+            driver.reload(d, &mapping);
         });
-        exposed += w.forwarded.iter().filter(|(_, i)| *i >= 8).count();
+        exposed += driver.forwarded.iter().filter(|(_, i)| *i >= 8).count();
     }
-    assert!(
-        exposed > 200,
-        "the canary was exposed all the same: {exposed}"
-    );
+    assert!(exposed > 200, "too few attempts to the canary: {exposed}");
 }
 
 #[test]
-fn a_thousand_reloads_expose_no_more_than_none() {
+fn a_thousand_reloads_expose_no_more_than_no_reload() {
     let exposed = |reloads: bool| {
-        let mut w = canary_rollout_with(Settings {
+        let mut driver = canary_rollout_with(Settings {
             agents: 1,
             ..default_settings(3)
         });
-        play(&mut w, 3, 600, |w, _, _| {
+        send_random_requests(&mut driver, 3, 600, |driver, _, _| {
             for burst in [40.0, 2.0].into_iter().filter(|_| reloads) {
-                let mut d = w.settings.clone();
+                let mut d = driver.settings.clone();
                 d.rollout.exposure_burst = burst;
-                let by = unchanged_indices(&d);
-                w.reload(d, &by);
+                let mapping = unchanged_indices(&d);
+                driver.reload(d, &mapping);
             }
         });
-        w.forwarded.iter().filter(|(_, i)| *i >= 8).count()
+        driver.forwarded.iter().filter(|(_, i)| *i >= 8).count()
     };
     let (none, many) = (exposed(false), exposed(true));
     assert!(
         none > 20 && many <= none,
-        "{many} with reloads, {none} without"
+        "exposed attempts: {many} with reloads, {none} without"
     );
 }
 
-/// A class that comes and goes does not earn its first exposures anew.
+/// A class that is removed and added again does not get its initial exposure once more.
 #[test]
 fn starts_a_new_class_without_exposure() {
     let mut d = default_settings(5);
     (d.rollout.cap_per_class, d.rollout.exposure_burst) = (true, 5.0);
-    let mut w = canary_rollout_with(Settings { agents: 1, ..d });
-    w.update_rollout(canary_status(8, 0, 1e-9));
-    let before = w.forwarded.len();
+    let mut driver = canary_rollout_with(Settings { agents: 1, ..d });
+    driver.update_rollout(canary_status(8, 0, 1e-9));
+    let before = driver.forwarded.len();
     for _ in 0..30 {
-        let mut d = w.settings.clone();
-        let mut by = unchanged_indices(&d);
+        let mut d = driver.settings.clone();
+        let mut mapping = unchanged_indices(&d);
         d.classes.truncate(3);
-        by.classes.truncate(3);
+        mapping.classes.truncate(3);
         d.classes.push(d.classes[0].clone());
-        by.classes.push(IndexOrigin::New);
-        w.reload(d, &by);
+        mapping.classes.push(IndexOrigin::New);
+        driver.reload(d, &mapping);
         for _ in 0..6 {
-            let id = w.requests.len() as u64;
-            w.send_request(id, 3, ms(1500));
-            w.advance(ms(10));
-            if let Some(n) = w.requests[&id]
+            let id = driver.requests.len() as u64;
+            driver.send_request(id, 3, ms(1500));
+            driver.advance(ms(10));
+            if let Some(n) = driver.requests[&id]
                 .attempts
                 .iter()
                 .position(|d| d.ended.is_none())
             {
-                w.end_attempt(id, n, Outcome::Succeeded);
+                driver.end_attempt(id, n, Outcome::Succeeded);
             }
         }
     }
-    let to_canary = w.forwarded[before..]
+    let to_canary = driver.forwarded[before..]
         .iter()
         .filter(|(_, i)| *i >= 8)
         .count();
-    assert_eq!((to_canary, w.forwarded.len() - before >= 150), (0, true));
+    assert_eq!(
+        (to_canary, driver.forwarded.len() - before >= 150),
+        (0, true)
+    );
 }
 
-/// Requests in flight end by the rules that they were admitted under, later ones by the new ones.
+/// Requests in flight keep the rules that they were admitted under, later requests follow the new
+/// ones.
 #[test]
 fn keeps_the_idempotency_of_requests_in_flight_across_a_reload() {
-    let mut w = Harness::new(Settings {
+    let mut driver = Harness::new(Settings {
         agents: 1,
         ..default_settings(9)
     });
-    w.update_endpoints(
+    driver.update_endpoints(
         &(0..6)
             .map(|i| endpoint_entry(i, 7, None))
             .collect::<Vec<_>>(),
     );
-    w.update_rollout(RolloutStatus {
+    driver.update_rollout(RolloutStatus {
         phase: RolloutPhase::Released,
         ..canary_status(7, 0, 1.0)
     });
-    w.serve(60, 0, ms(20), |_| Outcome::Succeeded);
-    // Idempotent, in flight; then its class is non-idempotent under another index.
-    let id = w.requests.len() as u64;
-    w.send_request(id, 0, ms(1500));
-    w.send_request(id + 1, 2, ms(1500));
-    let mut d = w.settings.clone();
+    driver.serve(60, 0, ms(20), |_| Outcome::Succeeded);
+    // An idempotent request is in flight; then its class becomes non-idempotent under another
+    // index.
+    let id = driver.requests.len() as u64;
+    driver.send_request(id, 0, ms(1500));
+    driver.send_request(id + 1, 2, ms(1500));
+    let mut d = driver.settings.clone();
     d.classes.push(RequestClass {
         idempotency: Idempotency::NonIdempotent,
         ..d.classes[0].clone()
     });
-    let mut by = unchanged_indices(&d);
-    by.classes = vec![
+    let mut mapping = unchanged_indices(&d);
+    mapping.classes = vec![
         IndexOrigin::Retired,
         IndexOrigin::Same,
         IndexOrigin::Same,
         IndexOrigin::MovedFrom(0),
     ];
-    assert_eq!(w.balancer.indices_in_use().classes, [0, 2].into());
-    w.reload(d, &by);
-    w.send_request(id + 2, 3, ms(1500));
+    assert_eq!(driver.balancer.indices_in_use().classes, [0, 2].into());
+    driver.reload(d, &mapping);
+    driver.send_request(id + 2, 3, ms(1500));
     for n in [id, id + 1, id + 2] {
-        w.end_attempt(n, 0, Outcome::ConnectionLost);
+        driver.end_attempt(n, 0, Outcome::ConnectionLost);
     }
-    w.advance(ms(200));
+    driver.advance(ms(200));
     assert_eq!(
-        w.requests[&id].attempts.len(),
+        driver.requests[&id].attempts.len(),
         2,
-        "it may run twice, as when it was admitted"
+        "it was admitted as idempotent and may run twice"
     );
     assert_eq!(
         (
-            w.requests[&(id + 1)].attempts.len(),
-            w.requests[&(id + 2)].attempts.len()
+            driver.requests[&(id + 1)].attempts.len(),
+            driver.requests[&(id + 2)].attempts.len()
         ),
         (1, 1)
     );
-    assert_eq!(w.requests[&(id + 2)].answers, [Decision::Fail]);
-    w.end_attempt(id, 1, Outcome::Succeeded);
+    assert_eq!(driver.requests[&(id + 2)].answers, [Decision::Fail]);
+    driver.end_attempt(id, 1, Outcome::Succeeded);
     assert!(
-        w.balancer.indices_in_use().classes.is_empty(),
+        driver.balancer.indices_in_use().classes.is_empty(),
         "{:?}",
-        w.balancer.indices_in_use()
+        driver.balancer.indices_in_use()
     );
-    // Its index is nobody's: it takes part in no sum, though it was slow.
-    let mut d = w.settings.clone();
+    // The index is unused: it takes part in no sum, although its class was slow.
+    let mut d = driver.settings.clone();
     d.classes[0] = RequestClass {
         latency_objective: ms(1000),
         priority_weight: 0.0,
         idempotency: Idempotency::NonIdempotent,
     };
-    by.classes = vec![
+    mapping.classes = vec![
         IndexOrigin::Unused,
         IndexOrigin::Same,
         IndexOrigin::Same,
         IndexOrigin::Same,
     ];
-    w.reload(d, &by);
-    w.serve(30, 3, ms(20), |_| Outcome::Succeeded);
+    driver.reload(d, &mapping);
+    driver.serve(30, 3, ms(20), |_| Outcome::Succeeded);
 }
 
-/// A class's evidence goes on under its new index and is counted once: the canary is held after as
-/// many requests as without the change. Against evidence that is lost, and against such that counts
-/// twice.
+/// The evidence of a class continues under its new index and is counted once: the canary is held
+/// after as many requests as without the change. Guards against evidence that is lost and against
+/// evidence that counts twice.
 #[test]
 fn carries_evidence_over_to_another_index_once() {
-    /// After so many, the class moves or not: how many more it takes until the build is held.
-    fn needed(seed: u64, before: u64, moves: bool) -> usize {
+    /// Returns how many rounds of three requests it takes until the build is held, after `before`
+    /// requests and, if `moves` is set, a move of the class to another index.
+    fn rounds_until_held(seed: u64, before: u64, moves: bool) -> usize {
         let policy = RolloutPolicy {
             exposure_burst: 200.0,
             ..default_settings(seed).rollout
         };
-        let mut w = canary_rollout_with(Settings {
+        let mut driver = canary_rollout_with(Settings {
             agents: 1,
             rollout: policy,
             ..default_settings(seed)
         });
-        w.update_rollout(canary_status(8, 0, 1.0));
-        let serve = |w: &mut Harness, class: usize, n: u64| {
+        driver.update_rollout(canary_status(8, 0, 1.0));
+        let serve = |driver: &mut Harness, class: usize, n: u64| {
             let fails = std::cell::Cell::new(0);
-            w.serve(n, class, ms(20), |e| {
+            driver.serve(n, class, ms(20), |e| {
                 fails.set(fails.get() + usize::from(e.build == 8));
                 if e.build == 8 && fails.get().is_multiple_of(3) {
                     Outcome::Failed
@@ -319,10 +329,10 @@
                 }
             });
         };
-        serve(&mut w, 0, before);
+        serve(&mut driver, 0, before);
         let mut class = 0;
         if moves {
-            let mut d = w.settings.clone();
+            let mut d = driver.settings.clone();
             d.classes.push(d.classes[0].clone());
             let classes = vec![
                 IndexOrigin::Retired,
@@ -330,57 +340,57 @@
                 IndexOrigin::Same,
                 IndexOrigin::MovedFrom(0),
             ];
-            let by = IndexMapping {
+            let mapping = IndexMapping {
                 classes,
                 ..unchanged_indices(&d)
             };
-            w.reload(d, &by);
+            driver.reload(d, &mapping);
             class = 3;
         }
         (0..400)
             .find(|_| {
-                serve(&mut w, class, 3);
-                !w.votes.is_empty()
+                serve(&mut driver, class, 3);
+                !driver.votes.is_empty()
             })
             .unwrap_or(400)
     }
     for (seed, before) in (0..6).flat_map(|seed| [(seed, 0), (seed, 20), (seed, 40)]) {
         assert_eq!(
-            needed(seed, before, true),
-            needed(seed, before, false),
-            "seed {seed}, {before} before"
+            rounds_until_held(seed, before, true),
+            rounds_until_held(seed, before, false),
+            "seed {seed}, {before} requests before the move"
         );
     }
 }
 
 #[test]
-fn returns_an_endpoint_to_slow_start_when_that_lasts_longer() {
+fn returns_an_endpoint_to_slow_start_when_a_reload_lengthens_it() {
     let share = |slow_start: u64| {
-        let mut w = Harness::new(Settings {
+        let mut driver = Harness::new(Settings {
             agents: 1,
             ..default_settings(2)
         });
-        w.update_endpoints(
+        driver.update_endpoints(
             &(0..5)
                 .map(|i| endpoint_entry(i, 7, None))
                 .collect::<Vec<_>>(),
         );
-        w.update_endpoints(&[endpoint_entry(5, 7, Some(900))]);
-        w.update_rollout(RolloutStatus {
+        driver.update_endpoints(&[endpoint_entry(5, 7, Some(900))]);
+        driver.update_rollout(RolloutStatus {
             phase: RolloutPhase::Released,
             ..canary_status(7, 0, 1.0)
         });
-        w.serve(300, 0, ms(15), |_| Outcome::Succeeded);
+        driver.serve(300, 0, ms(15), |_| Outcome::Succeeded);
         let d = Settings {
             slow_start_duration: ms(slow_start),
-            ..w.settings.clone()
+            ..driver.settings.clone()
         };
-        let by = unchanged_indices(&d);
-        w.advance(Duration::from_secs(3));
-        w.reload(d, &by);
-        let before = w.forwarded.len();
-        w.serve(200, 0, ms(15), |_| Outcome::Succeeded);
-        w.forwarded[before..]
+        let mapping = unchanged_indices(&d);
+        driver.advance(Duration::from_secs(3));
+        driver.reload(d, &mapping);
+        let before = driver.forwarded.len();
+        driver.serve(200, 0, ms(15), |_| Outcome::Succeeded);
+        driver.forwarded[before..]
             .iter()
             .filter(|(_, i)| *i == 5)
             .count()
@@ -388,27 +398,31 @@
     let (warm, warming) = (share(4000), share(60_000));
     assert!(
         warm > 20 && warming < warm * 3 / 4,
-        "{warming} of 200 cold, {warm} warm"
+        "attempts, of 200: {warming} in slow start, {warm} warm"
     );
 }
 
 #[test]
-fn keeps_the_load_of_tenants_by_index_and_moves_zones_without_a_loss() {
-    let mut w = canary_rollout_with(Settings {
+fn keeps_the_load_of_tenants_by_index_and_moves_zones_without_losing_counts() {
+    let mut driver = canary_rollout_with(Settings {
         agents: 1,
         ..default_settings(4)
     });
-    let mut d = w.settings.clone();
+    let mut d = driver.settings.clone();
     d.tenants.push(Tenant { share: 0.1 });
-    let by = IndexMapping {
+    let mapping = IndexMapping {
         tenants: vec![IndexOrigin::Unused, IndexOrigin::Same, IndexOrigin::New],
         ..unchanged_indices(&d)
     };
-    w.reload(d, &by);
-    let kept = w.balancer.retained_counts();
-    w.balancer
+    driver.reload(d, &mapping);
+    let kept = driver.balancer.retained_counts();
+    driver
+        .balancer
         .reassign_zones(&(0..11).map(|i| (i, 5)).collect::<Vec<_>>());
-    assert_eq!(w.balancer.retained_counts(), kept);
-    assert_eq!(w.balancer.zone_capacities(w.now, 6)[5].running, 11);
-    w.serve(20, 0, ms(20), |_| Outcome::Succeeded);
+    assert_eq!(driver.balancer.retained_counts(), kept);
+    assert_eq!(
+        driver.balancer.zone_capacities(driver.now, 6)[5].running,
+        11
+    );
+    driver.serve(20, 0, ms(20), |_| Outcome::Succeeded);
 }
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -1,5 +1,5 @@
-//! Hierarchical rendezvous hashing: small sets keep the plain order, shares follow the weights, few
-//! keys move, and work does not grow with the set.
+//! Hierarchical rendezvous hashing: small sets keep the order of plain rendezvous hashing, shares
+//! follow the weights, few keys move, and work grows only with the logarithm of the set's size.
 
 #[path = "../src/stats/rendezvous.rs"]
 mod rendezvous;
@@ -18,7 +18,7 @@
 const SIZES: [usize; 4] = [55, 770, 7700, 30_000];
 const DESCENTS: u64 = 8;
 
-/// Numbers without a pattern, as hashes of names are.
+/// Maps a number to a pseudo-random one, without a pattern, like the hash of a name.
 fn scramble(number: u64) -> u64 {
     let mut rng = Pcg64Mcg::seed_from_u64(number);
     rng.gen()
@@ -38,7 +38,7 @@
     tree
 }
 
-/// So many members, by turns of so many kinds.
+/// `count` members that take turns in `kinds` kinds.
 fn members(count: usize, kinds: usize) -> Vec<RendezvousMember> {
     (0..count)
         .map(|value| member(value, value % kinds))
@@ -67,13 +67,13 @@
     (0..count).map(|n| scramble(n + 1_000_000))
 }
 
-/// Part of the keys that have another first member in the second tree.
+/// Share of the keys whose first member differs between the two trees.
 fn moved(a: &RendezvousTree, b: &RendezvousTree, weights: [&[f64]; 2], count: u64) -> f64 {
     let has_moved = |key: &u64| first(a, *key, weights[0]) != first(b, *key, weights[1]);
     keys(count).filter(has_moved).count() as f64 / count as f64
 }
 
-/// Plain weighted rendezvous hashing, as it was before there was a tree.
+/// Distance by plain weighted rendezvous hashing, which was used before there was a tree.
 fn plain_distance(key: u64, node: u64, weight: f64) -> f64 {
     let mut hash = key ^ node.rotate_left(32);
     for factor in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
@@ -90,7 +90,7 @@
     members.iter().map(|member| member.value).collect()
 }
 
-/// Small fleets keep the keys that they had without a tree.
+/// Small fleets keep the affinity endpoints that their keys had without a tree.
 #[test]
 fn a_small_set_has_the_order_of_plain_rendezvous_hashing() {
     let weights = [1.0, 0.5f64.sqrt(), 2.0];
@@ -104,7 +104,7 @@
     }
 }
 
-/// The logarithm is left out only where it would not be nearer.
+/// The logarithm is skipped only where the distance would exceed the limit.
 #[test]
 fn a_distance_is_that_of_plain_rendezvous_hashing_or_beyond_the_limit() {
     let mut rng = Pcg64Mcg::seed_from_u64(5);
@@ -115,13 +115,13 @@
         let within = rendezvous::rendezvous_distance(key, node, weight, limit);
         assert_eq!(within, (expected <= limit).then_some(expected));
         let at = rendezvous::rendezvous_distance(key, node, weight, expected);
-        assert_eq!(at, Some(expected), "the limit is within");
+        assert_eq!(at, Some(expected), "the limit is inclusive");
         let any = rendezvous::rendezvous_distance(key, node, weight, f64::INFINITY);
         assert_eq!(any, Some(expected));
     }
 }
 
-/// Against all keys moving at once where a set grows beyond what is small.
+/// Guards against all keys moving at once when a set outgrows the size of a small one.
 #[test]
 fn keys_change_from_the_plain_order_to_the_tree_a_few_at_a_time() {
     let members = members(140, 1);
@@ -133,9 +133,9 @@
         worst = worst.max(share);
         total += share;
     }
-    println!("worst {worst:.4}, sum {total:.2}");
+    println!("share of moved keys: worst {worst:.4}, sum {total:.2}");
     assert!(worst < 0.06, "{worst}");
-    assert!(total > 0.9, "all of them change once: {total}");
+    assert!(total > 0.9, "expected each key to change once: {total}");
 }
 
 #[test]
@@ -155,15 +155,16 @@
                 (got[m.value] - expected).powi(2) / expected
             })
             .sum();
-        // Of a chi-squared variable with `f` degrees of freedom, beyond four standard deviations.
-        let freedom = size as f64 - 1.0;
-        let limit = freedom + 4.0 * (2.0 * freedom).sqrt();
+        // Four standard deviations above the mean of a chi-squared variable with these degrees of
+        // freedom.
+        let degrees_of_freedom = size as f64 - 1.0;
+        let limit = degrees_of_freedom + 4.0 * (2.0 * degrees_of_freedom).sqrt();
         println!("{size}: {chi_squared:.0}, limit {limit:.0}");
         assert!(chi_squared < limit, "{size}: {chi_squared} of {limit}");
     }
 }
 
-/// Each level moves about the member's share, as the sums above it change.
+/// Each level moves about the member's share of the keys, because the sums above the member change.
 #[test]
 fn a_member_that_comes_or_goes_moves_few_keys() {
     for size in [770, 7700] {
@@ -172,7 +173,7 @@
         let with = tree_of(&members);
         let share = moved(&without, &with, [&[1.0], &[1.0]], 200_000);
         let own = 1.0 / size as f64;
-        println!("{size}: {:.2} times its share", share / own);
+        println!("{size} members: moves {:.2} times its share", share / own);
         assert!(share < own * 6.0, "{size}: {}", share / own);
         assert!(share > own * 0.5, "{size}: {}", share / own);
     }
@@ -185,14 +186,14 @@
     let before = [1.0, 1.0, 1.0, 1.0];
     let after = [1.0, 1.0, 1.0, 2f64.sqrt()];
     let share = moved(&tree, &tree, [&before, &after], 50_000);
-    // The kind's part goes from 1 of 4 to 1.41 of 4.41.
+    // The share of the kind goes from 1 of 4 to 1.41 of 4.41.
     let change = 2f64.sqrt() / (3.0 + 2f64.sqrt()) - 0.25;
-    println!("{:.2} times the change", share / change);
+    println!("moves {:.2} times the change", share / change);
     assert!(share < change * 4.0, "{share} of {change}");
     assert!(share >= change * 0.9, "{share} of {change}");
 }
 
-/// Agents hear of endpoints in different orders, and some were there before others.
+/// Agents learn of endpoints in different orders, and some knew endpoints that have left since.
 #[test]
 fn the_order_of_changes_and_the_numbering_of_kinds_do_not_matter() {
     let weights = [1.0, 2f64.sqrt(), 0.3];
@@ -207,9 +208,9 @@
             member.kind = (member.kind + 1) % 3;
         }
         let mut other = tree_of(&shuffled);
-        let passing: Vec<_> = (size..3 * size).map(|value| member(value, 0)).collect();
-        passing.iter().for_each(|member| other.insert(*member));
-        for member in &passing {
+        let temporary: Vec<_> = (size..3 * size).map(|value| member(value, 0)).collect();
+        temporary.iter().for_each(|member| other.insert(*member));
+        for member in &temporary {
             assert!(other.remove(member));
             assert!(!other.remove(member), "only once");
         }
@@ -217,7 +218,8 @@
             let order = ranked(&tree, key, &weights);
             assert_eq!(ranked(&other, key, &renumbered), order, "{size}");
         }
-        // Nothing is left of those that went: the nodes are those of the members alone.
+        // Nothing is left of the removed members: the nodes are those of the remaining members
+        // alone.
         let [own, others] = [(&tree, weights), (&other, renumbered)].map(|(tree, weights)| {
             visits(tree, keys(500), |key| {
                 first(tree, key, &weights);
@@ -227,7 +229,7 @@
     }
 }
 
-/// Nodes visited per call, on average and at the most.
+/// Nodes visited per call: the average and the maximum.
 fn visits(
     tree: &RendezvousTree,
     calls: impl Iterator<Item = u64>,
@@ -244,7 +246,7 @@
 }
 
 #[test]
-fn work_goes_by_the_logarithm_of_the_size() {
+fn work_grows_with_the_logarithm_of_the_size() {
     for size in SIZES {
         let members = members(size, 3);
         let mut tree = tree_of(&members);
@@ -271,7 +273,7 @@
 }
 
 #[test]
-fn ranked_members_do_not_repeat_and_spread_over_all() {
+fn ranked_members_do_not_repeat_and_spread_over_all_members() {
     let tree = tree_of(&members(770, 1));
     for key in keys(2000) {
         let order = ranked(&tree, key, &[1.0]);
@@ -279,9 +281,11 @@
         assert_eq!(distinct.len(), order.len());
         assert!(order.len() > 5, "{order:?}");
     }
-    // Where one member is out of use its keys go to many others.
-    let of_one = keys(50_000).filter(|key| first(&tree, *key, &[1.0]) == 3);
-    let seconds: BTreeSet<_> = of_one.map(|key| ranked(&tree, key, &[1.0])[1]).collect();
+    // The keys of a member that may not be used spread over many others.
+    let keys_of_one = keys(50_000).filter(|key| first(&tree, *key, &[1.0]) == 3);
+    let seconds: BTreeSet<_> = keys_of_one
+        .map(|key| ranked(&tree, key, &[1.0])[1])
+        .collect();
     assert!(seconds.len() > 30, "{seconds:?}");
     let many = (0..200_000).map(scramble);
     let all: BTreeSet<_> = many.map(|key| first(&tree, key, &[1.0])).collect();
@@ -289,7 +293,7 @@
 }
 
 #[test]
-fn a_descent_comes_to_preferred_kinds_only() {
+fn a_descent_reaches_only_preferred_kinds() {
     let tree = tree_of(&members(1000, 10));
     for (kind, key) in keys(1000).enumerate() {
         let kind = kind % 10;
@@ -311,7 +315,7 @@
     );
 }
 
-/// The identity that the hash of the tree makes this number of.
+/// The identity whose hash in the tree is this value.
 fn identity_with_hash(hash: u64) -> u64 {
     // The inverses of the two factors, modulo 2^64.
     let mut number = hash ^ hash >> 33;
@@ -322,9 +326,10 @@
     number
 }
 
-/// Against identities that are the same, and those that differ in the last bits only.
+/// Guards against equal identities, and against identities whose hashes differ only in the last
+/// bits.
 #[test]
-fn identities_that_collide_are_told_apart_or_share_a_place() {
+fn colliding_identities_are_distinguished_or_share_a_position() {
     let mut close: Vec<_> = (0..200)
         .map(|value| RendezvousMember {
             identity: identity_with_hash(0x1234_5678_9abc_de00 + value as u64),
@@ -352,8 +357,8 @@
 }
 
 #[test]
-fn weights_of_nothing_or_without_end_are_bounded() {
-    let odd = [
+fn zero_infinite_and_invalid_weights_are_bounded() {
+    let extreme_weights = [
         0.0,
         -1.0,
         f64::NAN,
@@ -365,7 +370,7 @@
     for size in [50, 100, 500] {
         let tree = tree_of(&members(size, 7));
         for key in keys(200) {
-            let order = ranked(&tree, key, &odd);
+            let order = ranked(&tree, key, &extreme_weights);
             assert!(!order.is_empty());
             // Kinds 3 and 5 have the greatest weight, and share the keys.
             assert!([3, 5].contains(&(order[0] % 7)), "{order:?}");
@@ -374,7 +379,7 @@
                 order.iter().take(2).collect::<BTreeSet<_>>().len()
             );
         }
-        // Where all weigh nothing they weigh the same.
+        // If all weights are zero, all members weigh the same.
         let found: BTreeSet<_> = keys(20_000)
             .map(|key| first(&tree, key, &[0.0; 7]))
             .collect();
@@ -382,7 +387,7 @@
     }
 }
 
-/// A kind that no weight is given for is not chosen.
+/// A kind without a given weight is never chosen.
 #[test]
 fn kinds_without_a_weight_are_left_out() {
     for size in [50, 500] {
@@ -392,7 +397,7 @@
     }
 }
 
-/// Of 16 children with equal weights, 4.5 are expected.
+/// Of 16 children with equal weights, 4.5 are expected to be summed up.
 #[test]
 fn a_descent_sums_up_the_kinds_of_few_of_the_nodes_that_it_compares() {
     const KINDS: usize = 30;
@@ -401,12 +406,12 @@
         let tree = tree_of(&members(size, KINDS));
         let visited_before = tree.visited();
         for key in 0..2_000 {
-            let mut named = tree.ranked(
+            let mut ranked_members = tree.ranked(
                 scramble(key),
                 preferred(&[1.0; KINDS]).into_iter(),
                 DESCENTS,
             );
-            assert!(named.next().is_some());
+            assert!(ranked_members.next().is_some());
         }
         let visited = tree.visited() - visited_before;
         let summed = tree.summed() as f64 / visited as f64;
