--- a/crates/agent/src/balancer_handle.rs
+++ b/crates/agent/src/balancer_handle.rs
@@ -242,7 +242,8 @@
         self.balancer.borrow().zone_counts(now, zone)
     }
 
-    /// Records an error of an endpoint that a client reported `age` ago.
+    /// Records that a client reported a response of this endpoint as wrong, `age` after the
+    /// response.
     pub fn on_client_reported_error(&self, endpoint: usize, class: usize, age: Duration) {
         self.balancer
             .borrow_mut()
--- a/crates/agent/src/protocol/platform.rs
+++ b/crates/agent/src/protocol/platform.rs
@@ -36,7 +36,7 @@
         endpoint: String,
         /// The name of the attempt's request class.
         class: String,
-        /// The time since the attempt was sent.
+        /// The time from the response to this report.
         age: Duration,
     },
     /// Counts of a build and class in a sample of all agents' attempts.
--- a/crates/agent/src/server/request/events.rs
+++ b/crates/agent/src/server/request/events.rs
@@ -54,7 +54,7 @@
         .await
     }
 
-    /// Waits for the next attempt that ends by itself or times out at `timeout_at`.
+    /// Waits until an attempt in flight ends, or times out at `timeout_at`.
     pub(super) async fn next_ended_attempt(
         &mut self,
         timeout_at: Duration,
--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -326,7 +326,7 @@
     sleep(ms(300));
     assert_eq!(control_calls(&cluster), before);
     assert!(!agent.log().contains("Reloading"), "{}", agent.log());
-    // A service whose address changed is connected to anew, and only that one.
+    // The agent reconnects only to the service whose address changed.
     configuration["deployer"]["address"] = new_platform.address.to_string().into();
     reload(&agent, &configuration);
     assert!(wait_until(
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn working_for_ms(time: u64) -> EndpointBehavior {
+fn with_processing_time_ms(time: u64) -> EndpointBehavior {
     EndpointBehavior {
         work: ms(time),
         ..EndpointBehavior::default()
@@ -121,7 +121,7 @@
 
 #[test]
 fn sends_nothing_for_a_client_that_left_while_the_first_attempt_was_connecting() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     delay_replies(&cluster, "s-0", 300);
     let agent = start_agent(&cluster, with_late_connections);
     let mut client = connect(&agent);
@@ -134,7 +134,7 @@
 
 #[test]
 fn sends_nothing_for_a_client_that_left_right_after_its_request() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     let agent = start_agent(&cluster, unchanged);
     let clients: Vec<_> = (0..20).map(|_| connect(&agent)).collect();
     agent.set_stalled(true).unwrap();
@@ -158,7 +158,7 @@
 /// connection comes after unread statements.
 #[test]
 fn sends_nothing_more_for_a_client_that_left_with_statements_queued() {
-    let cluster = cluster_of(&[working_for_ms(500)]);
+    let cluster = cluster_of(&[with_processing_time_ms(500)]);
     let agent = start_agent(&cluster, unchanged);
     let mut client = connect(&agent);
     client.send_query_as("first", "payment", 1400);
@@ -179,7 +179,7 @@
 /// connection counts as gone by the specification.
 #[test]
 fn treats_a_client_that_shuts_down_its_write_side_as_gone() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     delay_replies(&cluster, "s-0", 300);
     let agent = start_agent(&cluster, with_late_connections);
     let mut client = connect(&agent);
@@ -201,7 +201,7 @@
 /// after that answer.
 #[test]
 fn writes_no_hedge_whose_connection_opens_after_the_final_response() {
-    let cluster = cluster_of(&[working_for_ms(400), working_for_ms(400)]);
+    let cluster = cluster_of(&[with_processing_time_ms(400), with_processing_time_ms(400)]);
     delay_replies(&cluster, "s-1", 900);
     // Room for the connections of the first attempt and of the hedged request, and for none opened
     // in advance.
@@ -224,7 +224,7 @@
 
 #[test]
 fn writes_nothing_on_a_connection_that_opens_past_the_deadline() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     delay_replies(&cluster, "s-0", 300);
     let agent = start_agent(&cluster, with_late_connections);
     let mut client = connect(&agent);
@@ -241,7 +241,7 @@
 
 #[test]
 fn measures_the_deadline_of_a_pipelined_statement_from_its_own_arrival() {
-    let cluster = cluster_of(&[working_for_ms(600)]);
+    let cluster = cluster_of(&[with_processing_time_ms(600)]);
     let agent = start_agent(&cluster, unchanged);
     let mut client = connect(&agent);
     client.send_query_as("first", "payment", 2000);
@@ -270,7 +270,10 @@
 /// deduplication window, when the endpoints no longer drop the retry.
 #[test]
 fn fails_a_keyed_retry_at_once_after_its_deduplication_window() {
-    let cluster = cluster_of(&[responding_with(ResponseBehavior::Close), working_for_ms(0)]);
+    let cluster = cluster_of(&[
+        responding_with(ResponseBehavior::Close),
+        with_processing_time_ms(0),
+    ]);
     delay_replies(&cluster, "s-1", 600);
     let agent = start_agent(&cluster, |c| {
         with_late_connections(c);
@@ -374,7 +377,7 @@
 #[test]
 fn runs_a_non_idempotent_request_at_most_once_when_its_connection_breaks_before_it_arrived() {
     let begun = Arc::<AtomicUsize>::default();
-    let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0), with_processing_time_ms(0)]);
     let address = start_endpoint_that_resets_the_second_query(begun.clone());
     cluster
         .discovery
@@ -458,7 +461,7 @@
 
 #[test]
 fn returns_no_value_of_a_response_cut_before_it_is_complete() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     let agent = start_agent(&cluster, unchanged);
     let whole = pg::value_reply(&[0x9f, 3]).len();
     let ready = pg::ready().len();
@@ -515,7 +518,7 @@
 /// clients, nor the shutdown may wait for them forever.
 #[test]
 fn serves_others_while_many_clients_hold_half_a_message_each() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     let mut agent = start_agent(&cluster, |c| c["limits"]["memory_mb"] = 32.into());
     let mut good = connect(&agent);
     let half = [
@@ -578,7 +581,7 @@
 fn keeps_a_served_client_while_clients_with_incomplete_messages_take_all_places() {
     let half = [&pg::startup()[..], b"Q\x00\x00\x01\x00half"].concat();
     for partial_message in [&half[..], b""] {
-        let cluster = cluster_of(&[working_for_ms(0)]);
+        let cluster = cluster_of(&[with_processing_time_ms(0)]);
         let agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 128.into());
         let mut good = connect(&agent);
         // From now on the served client counts as idle, and may be closed.
@@ -639,7 +642,7 @@
 /// too late. Those answered with a value ran once, and no others ran.
 #[test]
 fn answers_each_of_many_pipelined_requests_once_and_in_order() {
-    let cluster = cluster_of(&[working_for_ms(20)]);
+    let cluster = cluster_of(&[with_processing_time_ms(20)]);
     let agent = start_agent(&cluster, unchanged);
     let mut client = connect(&agent);
     let payment_statement = |n: usize, wait: u32| {
@@ -684,7 +687,7 @@
 /// answer, none a reset.
 #[test]
 fn answers_connections_that_wait_to_be_accepted_at_termination() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     let mut agent = start_agent(&cluster, |c| c["limits"]["sockets"] = 40.into());
     drop(connect(&agent));
     let mut waiting = Vec::new();
@@ -712,7 +715,7 @@
 
 #[test]
 fn answers_or_leaves_unread_a_request_that_races_with_the_close_of_its_idle_connection() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     let mut agent = start_agent(&cluster, unchanged);
     let mut clients: Vec<_> = (0..40).map(|_| connect(&agent)).collect();
     stall_across_termination(&agent, || {
@@ -739,7 +742,7 @@
 /// The connection was accepted at the very end, and its first request is still on its way.
 #[test]
 fn waits_for_the_first_request_of_a_connection_accepted_at_termination() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     let mut agent = start_agent(&cluster, unchanged);
     drop(connect(&agent));
     let mut new_clients = Vec::new();
@@ -760,7 +763,7 @@
 
 #[test]
 fn answers_pipelined_requests_at_termination_and_rejects_those_that_outlast_the_program() {
-    let cluster = cluster_of(&[working_for_ms(700)]);
+    let cluster = cluster_of(&[with_processing_time_ms(700)]);
     let mut agent = start_agent(&cluster, unchanged);
     let mut client = connect(&agent);
     client.send_query_as("first", "payment", 1400);
@@ -778,7 +781,7 @@
 
 #[test]
 fn exits_cleanly_on_a_second_sigterm_and_on_one_during_the_start() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     delay_replies(&cluster, "s-0", 200);
     let mut agent = start_agent(&cluster, unchanged);
     // The agent is still opening connections in advance.
@@ -801,7 +804,7 @@
 /// permitted.
 #[test]
 fn is_ready_within_its_bound_however_slowly_connections_open() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     delay_replies(&cluster, "s-0", 200);
     let begun = Instant::now();
     let agent = start_agent(&cluster, unchanged);
@@ -825,7 +828,7 @@
 #[test]
 fn warms_up_connections_only_where_handshakes_cost_nothing() {
     for (price, ahead) in [(0.0, true), (0.08, false)] {
-        let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
+        let cluster = cluster_of(&[with_processing_time_ms(0), with_processing_time_ms(0)]);
         let agent = start_agent(&cluster, |c| {
             c["settings"]["prices"]["handshake"] = price.into()
         });
@@ -858,7 +861,7 @@
 
 #[test]
 fn is_ready_and_rejects_requests_without_any_list_while_discovery_is_unresponsive() {
-    let cluster = cluster_of(&[working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0)]);
     cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Unresponsive);
@@ -886,9 +889,9 @@
 /// platform announced while no connection was open.
 #[test]
 fn rolls_back_a_build_that_the_platforms_counts_show_as_failing() {
-    let cluster = cluster_of(&[working_for_ms(0), working_for_ms(0)]);
+    let cluster = cluster_of(&[with_processing_time_ms(0), with_processing_time_ms(0)]);
     cluster
-        .add_endpoint(0, "t-0", 42, working_for_ms(0))
+        .add_endpoint(0, "t-0", 42, with_processing_time_ms(0))
         .unwrap();
     cluster
         .platform
--- a/crates/discovery/tests/endpoint_table.rs
+++ b/crates/discovery/tests/endpoint_table.rs
@@ -274,13 +274,13 @@
                 .filter(|o| **o >= *c && **o < *c + Duration::from_secs(1))
                 .count()
         };
-        let most = calls.iter().map(calls_in_second).max().unwrap() as f64;
+        let max_calls_per_second = calls.iter().map(calls_in_second).max().unwrap() as f64;
         // At least nine tenths of the longest wait are random, and each silence causes one call.
         let spread = 2.0 * poll_interval_ms as f64 / 1000.0 * 0.9;
         let bound = agents as f64 / spread * 1.3 + 4.0;
         assert!(
-            most <= bound,
-            "{most} calls in a second, expected at most {bound}, with {agents} agents"
+            max_calls_per_second <= bound,
+            "{max_calls_per_second} calls in a second, expected at most {bound}, with {agents} agents"
         );
     }
 }
--- a/crates/discovery/tests/watch_fleet.rs
+++ b/crates/discovery/tests/watch_fleet.rs
@@ -299,7 +299,7 @@
 /// `round_seconds`, as the settings state. If the settings overstate its rate tenfold, it can do so
 /// within `overstated_round_seconds`.
 fn assert_answered_in_time(event: Event, round_seconds: f64, overstated_round_seconds: f64) {
-    for (agents, over) in [
+    for (agents, rate_factor) in [
         (30u32, 1.0),
         (300, 1.0),
         (770, 1.0),
@@ -309,37 +309,41 @@
         // If the overstated rate does not spread the first calls, the calls that follow refusals
         // must do so. These are closer together, so the capacity differs.
         let capacity = f64::from(agents)
-            / if over > 1.0 {
+            / if rate_factor > 1.0 {
                 overstated_round_seconds
             } else {
                 round_seconds
             };
         for seed in 1..9 {
-            let outcome = simulate(event, agents, capacity, capacity * over, seed);
+            let outcome = simulate(event, agents, capacity, capacity * rate_factor, seed);
             let late: Vec<_> = outcome
                 .agents
                 .iter()
                 .filter(|a| a.answered_at.is_none_or(|t| t > a.must_be_answered_by))
                 .collect();
-            let worst = late
+            let max_lateness = late
                 .iter()
                 .map(|a| a.answered_at.map(|t| t - a.must_be_answered_by))
                 .max();
-            let of = format!(
-                "{event:?}, {agents} agents, rate is {over} times the capacity, seed {seed}"
+            let context = format!(
+                "{event:?}, {agents} agents, rate is {rate_factor} times the capacity, seed {seed}"
             );
-            assert!(late.is_empty(), "{of}: {} late, {worst:?}", late.len());
-            let (most, all) = (
+            assert!(
+                late.is_empty(),
+                "{context}: {} late, {max_lateness:?}",
+                late.len()
+            );
+            let (max_calls_per_second, all) = (
                 *outcome.calls_by_second.iter().max().unwrap(),
                 outcome.calls_by_second.iter().sum::<usize>(),
             );
             assert!(
-                most as f64 <= capacity * over * 1.35 + 6.0,
-                "{of}: {most} calls in a second, capacity {capacity}"
+                max_calls_per_second as f64 <= capacity * rate_factor * 1.35 + 6.0,
+                "{context}: {max_calls_per_second} calls in a second, capacity {capacity}"
             );
             assert!(
-                all as f64 <= f64::from(agents) * (1.05 + 0.3 * over),
-                "{of}: {all} calls"
+                all as f64 <= f64::from(agents) * (1.05 + 0.3 * rate_factor),
+                "{context}: {all} calls"
             );
             // If all agents are answered in time, no request is deferred, except after a start:
             // then agents send nothing before their answer, and no request waits for longer than
@@ -349,7 +353,7 @@
                 .iter()
                 .filter(|_| event != Event::Start)
                 .map(|a| a.deferred);
-            assert_eq!(deferred.sum::<u64>(), 0, "{of}");
+            assert_eq!(deferred.sum::<u64>(), 0, "{context}");
             for a in &outcome.agents {
                 let waited = a
                     .answered_at
@@ -358,7 +362,7 @@
                     .as_secs_f64();
                 assert!(
                     a.rejected as f64 <= waited * 5.0 + 1.0,
-                    "{of}: {} requests rejected in {waited} s",
+                    "{context}: {} requests rejected in {waited} s",
                     a.rejected
                 );
             }
@@ -447,10 +451,10 @@
                 "{event:?}: the agent must send again once answered"
             );
         }
-        let most = *outcome.calls_by_second.iter().max().unwrap() as f64;
+        let max_calls_per_second = *outcome.calls_by_second.iter().max().unwrap() as f64;
         assert!(
-            most <= f64::from(agents) * 4.2,
-            "{event:?}: {most} calls in a second"
+            max_calls_per_second <= f64::from(agents) * 4.2,
+            "{event:?}: {max_calls_per_second} calls in a second"
         );
     }
 }
@@ -463,20 +467,20 @@
 fn refused_agents_retry_often_enough_to_use_the_capacity_of_discovery() {
     for agents in [30u32, 300] {
         let capacity = f64::from(agents) / 8.0;
-        let (mut total_lateness, mut worst) = (Duration::ZERO, Duration::ZERO);
+        let (mut total_lateness, mut max_lateness) = (Duration::ZERO, Duration::ZERO);
         for seed in 1..21 {
             for a in simulate(Event::Start, agents, capacity, capacity * 10.0, seed).agents {
                 let late = a
                     .answered_at
                     .expect("every agent is answered in the end")
                     .saturating_sub(a.must_be_answered_by);
-                (total_lateness, worst) = (total_lateness + late, worst.max(late));
+                (total_lateness, max_lateness) = (total_lateness + late, max_lateness.max(late));
             }
         }
         let mean = total_lateness / (agents * 20);
         assert!(
-            mean < ms(350) && worst < ms(4000),
-            "{agents} agents: mean lateness {mean:?}, worst {worst:?}"
+            mean < ms(350) && max_lateness < ms(4000),
+            "{agents} agents: mean lateness {mean:?}, worst {max_lateness:?}"
         );
     }
 }
@@ -487,18 +491,18 @@
 /// times the rate.
 #[test]
 fn sends_nothing_after_a_start_before_discovery_answered() {
-    for (agents, share) in [30u32, 300, 770]
+    for (agents, interval_seconds) in [30u32, 300, 770]
         .into_iter()
         .flat_map(|n| [1.0, 3.0, 5.0].map(|s| (n, s)))
     {
-        let rate = f64::from(agents) / share;
-        for times in [0.1, 1.0, 3.0] {
-            let capacity = rate * times;
+        let rate = f64::from(agents) / interval_seconds;
+        for capacity_factor in [0.1, 1.0, 3.0] {
+            let capacity = rate * capacity_factor;
             // With a tenth of the rate, agents wait so long that one fleet of each size is enough.
-            for seed in 1..if times < 1.0 { 2 } else { 4 } {
+            for seed in 1..if capacity_factor < 1.0 { 2 } else { 4 } {
                 let outcome = simulate(Event::Start, agents, capacity, rate, seed);
-                let of = format!(
-                    "{agents} agents, interval {share} s, capacity {times} times rate, seed {seed}"
+                let context = format!(
+                    "{agents} agents, interval {interval_seconds} s, capacity {capacity_factor} times rate, seed {seed}"
                 );
                 let last_attempt = outcome
                     .agents
@@ -507,7 +511,7 @@
                     .collect::<Vec<_>>();
                 assert!(
                     last_attempt.is_empty(),
-                    "{of}: {} agents send before an answer, up to {:?}",
+                    "{context}: {} agents send before an answer, up to {:?}",
                     last_attempt.len(),
                     last_attempt.iter().max()
                 );
@@ -520,35 +524,41 @@
                     .max();
                 let (last, required) = (last.unwrap().as_secs_f64(), f64::from(agents) / capacity);
                 assert!(
-                    last <= if times < 1.0 { required * 1.35 } else { 6.0 },
-                    "{of}: the last agent is answered after {last} s"
+                    last <= if capacity_factor < 1.0 {
+                        required * 1.35
+                    } else {
+                        6.0
+                    },
+                    "{context}: the last agent is answered after {last} s"
                 );
                 // The first calls may exceed the rate in the settings by a third, and by chance.
                 // Refused agents call again, at least a quarter of the call interval later.
-                let (most, all) = (
+                let (max_calls_per_second, all) = (
                     *outcome.calls_by_second.iter().max().unwrap() as f64,
                     outcome.calls_by_second.iter().sum::<usize>(),
                 );
-                let (calls_per_second_bound, calls_per_agent_bound) = if times < 1.0 {
+                let (calls_per_second_bound, calls_per_agent_bound) = if capacity_factor < 1.0 {
                     (rate * 3.5, 9.0)
                 } else {
                     (rate * 4.0 / 3.0, 1.3)
                 };
                 assert!(
-                    most <= calls_per_second_bound + 3.0 * calls_per_second_bound.sqrt() + 1.0,
-                    "{of}: {most} calls in a second"
+                    max_calls_per_second
+                        <= calls_per_second_bound + 3.0 * calls_per_second_bound.sqrt() + 1.0,
+                    "{context}: {max_calls_per_second} calls in a second"
                 );
                 assert!(
                     all as f64 <= f64::from(agents) * calls_per_agent_bound,
-                    "{of}: {all} calls"
+                    "{context}: {all} calls"
                 );
                 // If discovery has the capacity for these calls, at most one agent in ten waits for
                 // 4 s.
-                let without = |a: &&Agent| a.answered_at.is_some_and(|t| t > BEGIN + ms(4000));
-                let without = outcome.agents.iter().filter(without).count();
+                let delayed_agents =
+                    |a: &&Agent| a.answered_at.is_some_and(|t| t > BEGIN + ms(4000));
+                let delayed_agents = outcome.agents.iter().filter(delayed_agents).count();
                 assert!(
-                    times <= 1.0 || without * 10 <= agents as usize,
-                    "{of}: {without} agents wait for 4 s"
+                    capacity_factor <= 1.0 || delayed_agents * 10 <= agents as usize,
+                    "{context}: {delayed_agents} agents wait for 4 s"
                 );
             }
         }
