--- a/crates/agent/src/control/discovery/list_reader.rs
+++ b/crates/agent/src/control/discovery/list_reader.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// A list that is being parsed on a thread. If this is dropped first, the thread still ends by
-/// itself.
+/// A list that is being parsed on a thread. If this is dropped first, the thread finishes parsing,
+/// discards the result and exits.
 struct PendingList {
     parsed: Receiver<Result<ListResponse, ListResponseError>>,
     /// The thread closes its end of this socket pair when it is done, which wakes the waiting task.
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -58,8 +58,12 @@
     let mut stream = std::net::TcpStream::connect(agent).unwrap();
     stream.write_all(&pg::startup()).unwrap();
     let mut caller = TestClient { stream };
-    let heard = caller.read_until_ready().unwrap();
-    heard.iter().map(|(_, body)| body.len() + 5).sum::<usize>() + 6
+    let messages = caller.read_until_ready().unwrap();
+    messages
+        .iter()
+        .map(|(_, body)| body.len() + 5)
+        .sum::<usize>()
+        + 6
 }
 
 /// How the calls of many clients ended.
@@ -146,8 +150,8 @@
     executed_twice
 }
 
-/// Restarts the agent of two hundred clients, which `stop` ends. Checks that they reconnect spread
-/// over time, that no call ends late and that no payment runs twice.
+/// Stops the agent of two hundred clients with `stop`, and starts it again. Checks that the clients
+/// reconnect spread over time, that no call ends late and that no payment runs twice.
 fn assert_reconnects_are_spread(stop: impl Fn(&mut AgentProcess)) {
     let cluster = cluster(ms(5));
     let mut agent = start(&cluster);
@@ -316,10 +320,10 @@
         let agent = thread::spawn(move || {
             let mut longest = Duration::ZERO;
             while !agent_finished.load(Ordering::Relaxed) {
-                let asked = Instant::now();
+                let sent_at = Instant::now();
                 caller.send_statement("");
                 caller.read_until_ready().unwrap();
-                longest = longest.max(asked.elapsed());
+                longest = longest.max(sent_at.elapsed());
                 thread::sleep(ms(1));
             }
             longest
--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -303,8 +303,8 @@
     );
 }
 
-/// Guards against hundreds of agents that request the full list from discovery, and open their
-/// connections anew, at each change of the settings.
+/// Guards against hundreds of agents that request the full list from discovery, and reopen their
+/// connections, at each change of the settings.
 #[test]
 fn keeps_connections_to_services_whose_address_did_not_change() {
     let (cluster, new_platform) = (
@@ -340,7 +340,7 @@
     assert!(wait_until(
         || agent.log().matches("phase: Serving").count() == 3
     ));
-    // The agent may call twice there; one of the two calls goes on.
+    // The agent may make two first calls there; only one of them continues as the watch.
     assert!(discovery.wait_until_requests_counted(0).unwrap());
     let full_lists = discovery.full_list_requests();
     assert!(full_lists >= 1);
--- a/crates/agent/tests/discovery_refusals.rs
+++ b/crates/agent/tests/discovery_refusals.rs
@@ -305,7 +305,7 @@
             .collect();
         all.into_iter().map(|p| p.join().unwrap()).collect()
     });
-    // Otherwise the test shows nothing: requests are held for 2 s in any case.
+    // With earlier responses the test would prove nothing: requests are held for 2 s in any case.
     assert!(
         first.iter().any(|t| *t > ms(2200)) && first.iter().all(|t| *t < ms(4000)),
         "{first:?}"
--- a/crates/agent/tests/draining.rs
+++ b/crates/agent/tests/draining.rs
@@ -63,8 +63,8 @@
         .map(|s| s.at)
 }
 
-/// Silences the watch, announces the drain of an endpoint and lets the next connections of the
-/// agent meet these faults. Checks that the endpoint receives nothing once its drain is binding.
+/// Silences the watch, announces the drain of an endpoint and applies these faults to the agent's
+/// next connections. Checks that the endpoint receives nothing once its drain is binding.
 fn assert_drain_obeyed_after_silence(next: &[ConnectionBehavior]) {
     let cluster = cluster(2);
     let agent = start(&cluster);
@@ -108,7 +108,7 @@
 }
 
 /// Guards against a list that arrives between the decision on an attempt and its first byte: the
-/// connections of both attempts, that of the hedged request too, open only after the list. Without
+/// connections of the first attempt and of the hedged request open only after the list. Without
 /// room for connections opened in advance, each attempt has to open its own.
 #[test]
 fn reroutes_attempts_whose_connection_opens_after_their_endpoint_began_to_drain() {
@@ -139,8 +139,8 @@
     assert_eq!((seen("s-0"), seen("s-1"), seen("s-2")), (0, 0, 1));
 }
 
-/// Guards against a new process that sends by an outdated list, while what discovery holds counts
-/// as announced from its first moment. The guard delays the first requests while discovery is
+/// Guards against a new process that sends by an outdated list, while the changes that discovery
+/// holds count as announced from the start of the process. The guard delays the first requests while discovery is
 /// unreachable, for the duration of a start.
 #[test]
 fn sends_nothing_from_a_known_list_before_discovery_was_called() {
@@ -186,8 +186,8 @@
     assert!(client.read_reply().unwrap().code().is_none() && begun.elapsed() < TEST_TIMEOUT);
 }
 
-/// Guards the rule on drains when discovery's address changes: what the new address holds counts as
-/// announced 4 s later.
+/// Guards the rule on drains when discovery's address changes: the changes known at the new address
+/// count as announced 4 s later.
 #[test]
 fn receives_the_list_of_a_slow_new_address_before_it_must_be_obeyed() {
     let (cluster, next) = (cluster(2), Discovery::start(1).unwrap());
@@ -227,7 +227,7 @@
     entries.push(json!({"id": 7}));
     list["version"] = 99.into();
     let text = serde_json::to_string_pretty(&list).unwrap();
-    let (malformed_since, asked) = (Instant::now(), cluster.discovery.requests());
+    let (malformed_since, call_count) = (Instant::now(), cluster.discovery.requests());
     cluster
         .discovery
         .set_behavior(DiscoveryBehavior::Sends(ScriptedServer::http_response(
@@ -239,8 +239,8 @@
         "sent {:?} after the malformed list",
         last - malformed_since
     );
-    let asked = cluster.discovery.requests() - asked;
-    assert!((2..40).contains(&asked), "{asked} calls in 2 s");
+    let call_count = cluster.discovery.requests() - call_count;
+    assert!((2..40).contains(&call_count), "{call_count} calls in 2 s");
     assert_eq!(
         agent.log().matches("; calling again").count(),
         1,
--- a/crates/agent/tests/evidence.rs
+++ b/crates/agent/tests/evidence.rs
@@ -91,6 +91,6 @@
         "{log}"
     );
 
-    let quiet = log_under_load("RUST_LOG=info");
-    assert!(!quiet.contains("evidence]"), "{quiet}");
+    let default_log = log_under_load("RUST_LOG=info");
+    assert!(!default_log.contains("evidence]"), "{default_log}");
 }
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -175,8 +175,8 @@
     assert_eq!(received_count(&cluster, "s-0"), 1);
 }
 
-/// On the wire this looks the same as closing the connection, and a client that closes its
-/// connection counts as gone by the specification.
+/// On the wire a shutdown of the write side looks the same as closing the connection, and a client
+/// that closes its connection counts as gone by the specification.
 #[test]
 fn treats_a_client_that_shuts_down_its_write_side_as_gone() {
     let cluster = cluster_of(&[with_processing_time_ms(0)]);
@@ -411,7 +411,7 @@
     panic!("no connection broke during a write");
 }
 
-// Answers.
+// Late, duplicate and incomplete responses.
 
 /// Sends thirty requests to an endpoint that writes a second answer `gap` milliseconds after each.
 /// Returns whether all replies were correct. A wrong reply is a fault of the agent, unless the
@@ -681,7 +681,7 @@
     assert_eq!(seen.into_keys().collect::<Vec<_>>(), ran);
 }
 
-// Shutdown.
+// The shutdown of the agent.
 
 /// More connections than the agent has places for, while nobody else is connected: each gets an
 /// answer, none a reset.
@@ -798,7 +798,7 @@
     assert!(agent.wait_for_success().unwrap() && begun.elapsed() < ms(4500));
 }
 
-// Starts.
+// The start of the agent.
 
 /// The worst case is one endpoint, many sockets, and handshakes that take nearly as long as is
 /// permitted.
@@ -882,7 +882,7 @@
     }));
 }
 
-// The platform.
+// Messages of the rollout platform.
 
 /// Covers settings under which the platform aggregates the counts of all agents. Guards against an
 /// agent that cannot parse these counts: it closed its connection at each of them, and lost what the
--- a/crates/agent/tests/random_faults.rs
+++ b/crates/agent/tests/random_faults.rs
@@ -323,7 +323,8 @@
             ));
         }
     }
-    // Each process may use the free exposure anew; the cap is a share of all requests taken.
+    // Each start of the agent has a new allowance of free exposure; the cap is a share of all
+    // requests sent by clients.
     let (canary_requests, starts) = (
         cluster.endpoint("t-0").unwrap().received_count() as f64,
         9.0,
--- a/crates/agent/tests/zones.rs
+++ b/crates/agent/tests/zones.rs
@@ -453,9 +453,9 @@
     let mut other = TcpStream::connect(&agent.door).unwrap();
     other.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     other.write_all(b"POST / HTTP/1.1\r\n\r\n").unwrap();
-    let mut heard = String::new();
-    other.read_to_string(&mut heard).unwrap();
-    assert!(heard.starts_with("HTTP/1.1 405"), "{heard}");
+    let mut response_text = String::new();
+    other.read_to_string(&mut response_text).unwrap();
+    assert!(response_text.starts_with("HTTP/1.1 405"), "{response_text}");
 }
 
 #[test]
@@ -552,32 +552,32 @@
     };
     let good =
         "zones {\n    budget \"b\" { to \"akl-west\"; lane \"view\"; share 0.05; window \"1h\"; }\n}\n";
-    let (code, _, said) = check(good, &["--config", config.to_str().unwrap()]);
+    let (code, _, printed) = check(good, &["--config", config.to_str().unwrap()]);
     assert_eq!(code, Some(0));
-    assert!(said.contains("1 limits"), "{said}");
+    assert!(printed.contains("1 limits"), "{printed}");
     let names = good
         .replace("akl-west", "akl-wets")
         .replace("view", "vieuw");
-    let (code, said, _) = check(&names, &["--config", config.to_str().unwrap()]);
+    let (code, printed, _) = check(&names, &["--config", config.to_str().unwrap()]);
     assert_eq!(code, Some(1));
     assert!(
-        said.contains("i.kdl:2:18: to: undefined zone 'akl-wets'")
-            && said.contains("lane: undefined request class 'vieuw'"),
-        "{said}"
+        printed.contains("i.kdl:2:18: to: undefined zone 'akl-wets'")
+            && printed.contains("lane: undefined request class 'vieuw'"),
+        "{printed}"
     );
-    let (code, _, said) = check(&names, &[]);
+    let (code, _, printed) = check(&names, &[]);
     assert_eq!(code, Some(0));
-    assert!(said.contains("--config FILE checks them"), "{said}");
-    let (code, said, _) = check("zonse { }\nlog \"xml\"\ndoor \"0.0.0.0:80\"\n", &[]);
+    assert!(printed.contains("--config FILE checks them"), "{printed}");
+    let (code, printed, _) = check("zonse { }\nlog \"xml\"\ndoor \"0.0.0.0:80\"\n", &[]);
     assert_eq!(code, Some(1));
     let expected_lines = [
         "i.kdl:1:1: zonse: unknown in the file; did you mean 'zones'?",
         "i.kdl:2:1: log: expected one of text, json",
     ];
     assert!(
-        expected_lines.iter().all(|w| said.contains(w))
-            && said.contains("i.kdl:3:1: door: expected a loopback"),
-        "{said}"
+        expected_lines.iter().all(|w| printed.contains(w))
+            && printed.contains("i.kdl:3:1: door: expected a loopback"),
+        "{printed}"
     );
     assert_eq!(
         Command::new(BINARY)
@@ -607,15 +607,15 @@
     }
     let _ = demo.kill();
     let out = demo.wait_with_output().unwrap();
-    let said = String::from_utf8(out.stdout).unwrap();
-    assert!(out.status.success(), "{said}");
+    let printed = String::from_utf8(out.stdout).unwrap();
+    assert!(out.status.success(), "{printed}");
     for part in [
         "build 42 is offered",
         "all of akl-east drains",
         "drained",
         "0 without an answer",
     ] {
-        assert!(said.contains(part), "{part}: {said}");
+        assert!(printed.contains(part), "{part}: {printed}");
     }
-    assert!(said.contains("Payments that ran twice: 0."));
+    assert!(printed.contains("Payments that ran twice: 0."));
 }
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -246,7 +246,7 @@
 }
 "#;
     let all = errors(text);
-    let wanted = [
+    let expected = [
         "1:1: log: expected one of text, json, found \"xml\"",
         "3:5: routing: expected one of as-ever, near-first, found \"nearest\"",
         "4:5: link: expected 2 values, found 1",
@@ -259,7 +259,7 @@
         "12:29: deliveries: expected a number from 0 to 1000000000000000, found many",
         "12:37: deliveries: specified more than once in budget",
     ];
-    for w in wanted {
+    for w in expected {
         assert!(all.iter().any(|m| m == w), "{w}\nin {all:#?}");
     }
     assert!(
@@ -308,10 +308,15 @@
         ))
     };
     assert!(price("0").is_empty() && price("0.0").is_empty() && price("1e12").is_empty());
-    for absurd in [
+    for invalid_value in [
         "-1", "1e13", "#inf", "#nan", "#-inf", "#true", "\"9\"", "#null", "1e400",
     ] {
-        assert_eq!(price(absurd).len(), 1, "{absurd}: {:?}", price(absurd));
+        assert_eq!(
+            price(invalid_value).len(),
+            1,
+            "{invalid_value}: {:?}",
+            price(invalid_value)
+        );
     }
     let budget = |b: &str| errors(&format!("zones {{ budget \"b\" {{ {b}; }}; }}"));
     assert!(
@@ -319,7 +324,7 @@
             && budget("bytes 0").is_empty()
             && budget("money 0").is_empty()
     );
-    for absurd in [
+    for invalid_value in [
         "deliveries -1",
         "deliveries 1e16",
         "bytes \"9PiB\"",
@@ -334,7 +339,7 @@
         "window \"1h\"",
         "deliveries 99999999999999999999999999999999999999999999",
     ] {
-        assert!(!budget(absurd).is_empty(), "{absurd}");
+        assert!(!budget(invalid_value).is_empty(), "{invalid_value}");
     }
 }
 
@@ -407,7 +412,7 @@
         .iter()
         .map(ConfigDiagnostic::to_string)
         .collect();
-    for wanted in [
+    for expected in [
         "1:1: agent: expected an address with a port, found 'nowhere'",
         "2:12: repeats: expected one of idempotent, deduplicated, unrepeatable, found \"never\"",
         "2:36: quoted: expected a duration of 1ms or more with a unit, as in",
@@ -416,8 +421,8 @@
         "5:1: retrys: unknown in the file; did you mean 'retries'?",
     ] {
         assert!(
-            all.iter().any(|m| m.starts_with(wanted)),
-            "{wanted}\nin {all:#?}"
+            all.iter().any(|m| m.starts_with(expected)),
+            "{expected}\nin {all:#?}"
         );
     }
     assert_eq!(
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -114,8 +114,8 @@
 #[test]
 fn reports_a_name_that_the_settings_do_not_define() {
     let opening = SESSION.lines().next().unwrap();
-    let elsewhere = opening.replace("\"zone\": \"east\"", "\"zone\": \"mars\"");
-    let output = run(&format!("{elsewhere}\n"));
+    let opening_with_unknown_zone = opening.replace("\"zone\": \"east\"", "\"zone\": \"mars\"");
+    let output = run(&format!("{opening_with_unknown_zone}\n"));
     assert!(output.status.success(), "{output:?}");
     let reply: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(
