--- a/crates/agent/src/lifecycle/phase.rs
+++ b/crates/agent/src/lifecycle/phase.rs
@@ -10,7 +10,7 @@
 /// time admits fewer new clients per second when sockets are scarce. With a shorter time, more
 /// requests arrive just as their connection is closed.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
-/// As [`MIN_IDLE_TIME`], for a client that has never sent a request.
+/// Replaces [`MIN_IDLE_TIME`] for a client that has never sent a request.
 const MIN_IDLE_TIME_BEFORE_FIRST_REQUEST: Duration = Duration::from_millis(50);
 
 /// A phase of the program. A phase is only followed by a later one, except that
--- a/crates/agent/src/lifecycle/signals.rs
+++ b/crates/agent/src/lifecycle/signals.rs
@@ -11,7 +11,7 @@
 
 /// Interval between checks for signals.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// As [`POLL_INTERVAL`], during the shutdown.
+/// Interval between checks for signals during the shutdown.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Handles signals until the program has stopped. SIGUSR1 logs the counters, SIGHUP reloads the
--- a/crates/agent/tests/alternative_settings.rs
+++ b/crates/agent/tests/alternative_settings.rs
@@ -123,7 +123,7 @@
             "{kind}: {reported}"
         );
     }
-    // To stop the evaluation: a file without the node `watch`, and a SIGHUP.
+    // A file without the node `watch`, applied by SIGHUP, stops the evaluation.
     std::fs::write(&file, format!("door \"unix:{door}\"\n")).unwrap();
     agent_process.signal(Signal::HUP).unwrap();
     assert!(wait_until(|| agent_process
--- a/crates/agent/tests/discovery_refusals.rs
+++ b/crates/agent/tests/discovery_refusals.rs
@@ -214,8 +214,8 @@
     );
 }
 
-/// Guards against a discovery whose versions start anew: the changes since a version of the other
-/// discovery would be meaningless there.
+/// Guards against a discovery service whose versions start over: the changes since a version of the
+/// other service would be meaningless there.
 #[test]
 fn requests_the_whole_list_from_a_new_address_with_lower_versions() {
     let (cluster, _, agent) = start_polling_agent();
--- a/crates/agent/tests/list_calls.rs
+++ b/crates/agent/tests/list_calls.rs
@@ -174,8 +174,8 @@
         client.read_reply().unwrap().code().is_none()
     };
     assert!(runtime::wait_until(served), "{}", agent.log());
-    // A second list only if the machine stalled for 150 ms; without the guard there are four or
-    // more.
+    // There is a second list only if the machine stalled for 150 ms; without the guard there are
+    // four or more.
     let whole_lists = slow.whole_lists.load(Ordering::SeqCst);
     assert!((1..=2).contains(&whole_lists), "{whole_lists}");
     assert!(!agent.log().contains("calling again"), "{}", agent.log());
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -197,14 +197,14 @@
 
 // Events between the decision and the first byte.
 
-/// Holds whichever endpoint is tried first: the one that answers, or the one whose connection opens
-/// after that answer.
+/// Must hold whichever endpoint is tried first: the one that answers, or the one whose connection
+/// opens after that answer.
 #[test]
 fn writes_no_hedge_whose_connection_opens_after_the_final_response() {
     let cluster = cluster_of(&[with_processing_time_ms(400), with_processing_time_ms(400)]);
     delay_replies(&cluster, "s-1", 900);
-    // Room for the connections of the first attempt and of the hedged request, and for none opened
-    // in advance.
+    // There is room for the connections of the first attempt and of the hedged request, and for
+    // none opened in advance.
     let agent = start_agent(&cluster, |c| {
         with_late_connections(c);
         c["limits"]["sockets"] = 29.into();
@@ -418,7 +418,7 @@
 /// second answer was in fact written later than the time for which a connection rests before reuse.
 fn discards_late_duplicate_responses(gap: u16) -> bool {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::AnswerAgainAfterMs(gap))]);
-    // Room for a single connection, which the next request reuses.
+    // There is room for a single connection, which the next request reuses.
     let agent = start_agent(&cluster, with_late_connections);
     let mut client = connect(&agent);
     for n in 0..30 {
@@ -732,7 +732,8 @@
         };
         match client.read_reply() {
             Ok(answer) => assert!(answer.code().is_none() && ran() == 1),
-            // Reset, as its request was not read: the client may send it again elsewhere.
+            // The connection is reset, as its request was not read: the client may send it
+            // again elsewhere.
             Err(e) => assert!(e.kind() == ErrorKind::ConnectionReset && ran() == 0, "{e}"),
         }
     }
--- a/crates/agent/tests/random_faults.rs
+++ b/crates/agent/tests/random_faults.rs
@@ -141,7 +141,7 @@
     let mut configuration = cluster.configuration("n1", 0).unwrap();
     configuration["settings"]["classes"][1]["window-ms"] = (WINDOW.as_millis() as u64).into();
     configuration["settings"]["limits"]["dial-timeout-ms"] = 1200.into();
-    // No room for connections opened in advance: they are opened as requests arrive.
+    // There is no room for connections opened in advance: they are opened as requests arrive.
     configuration["limits"]["sockets"] = 80.into();
     let mut agent = AgentProcess::start(BINARY, configuration.clone(), &[]).unwrap();
     let address = agent.address().unwrap();
