--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -113,8 +113,8 @@
             agent.update_rollout(status);
         }
         if let Some(known) = start.known_list {
-            if let Some(what) = &known.first_error {
-                log::warn!("field known: {what}; nothing goes there");
+            if let Some(entry_error) = &known.first_error {
+                log::warn!("field known: {entry_error}; nothing goes there");
             }
             agent.update_endpoints(known);
         }
@@ -123,11 +123,11 @@
 
     /// Logs the settings on which all later lines of the evidence log depend.
     fn log_start(&self) {
-        let wall = self.clock.to_unix_ms(self.clock.now());
+        let unix_time_ms = self.clock.to_unix_ms(self.clock.now());
         let config = self.service_config();
         let agents = config.settings.agents;
         let rollout = &config.settings.rollout;
-        log::debug!(target: EVIDENCE, "{wall} start agents {agents} votes_to_roll_back {} votes_to_hold {}",
+        log::debug!(target: EVIDENCE, "{unix_time_ms} start agents {agents} votes_to_roll_back {} votes_to_hold {}",
             rollout.votes_to_roll_back, rollout.votes_to_hold);
         let objectives: Vec<_> = config
             .settings
@@ -135,7 +135,7 @@
             .iter()
             .map(|c| (c.latency_objective.as_millis(), c.priority_weight))
             .collect();
-        log::debug!(target: EVIDENCE, "{wall} classes {objectives:?}");
+        log::debug!(target: EVIDENCE, "{unix_time_ms} classes {objectives:?}");
     }
 
     /// Returns the service configuration in force. The indices of active requests stay valid in
--- a/crates/agent/src/upstream/transfer_meter.rs
+++ b/crates/agent/src/upstream/transfer_meter.rs
@@ -22,7 +22,7 @@
 pub struct TransferMeter {
     fully_written: Cell<bool>,
     fault: Cell<ResponseFault>,
-    accumulated: Cell<TransferredBytes>, // over the connections before the current one
+    accumulated: Cell<TransferredBytes>, // of the connections before the current one
     current: RefCell<Option<Rc<SocketTraffic>>>,
 }
 
--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -125,7 +125,7 @@
     assert_eq!(
         (control_calls(&cluster), opened()),
         (before, connections),
-        "no service is called again, and no connection is opened anew"
+        "no service is called again, and no connection is reopened"
     );
 }
 
--- a/crates/discovery/tests/watch_fleet.rs
+++ b/crates/discovery/tests/watch_fleet.rs
@@ -443,7 +443,7 @@
             let last = bound.min(answered_at);
             assert!(
                 last_attempt + ms(250) >= last,
-                "{event:?}: the last attempt was sent {:?} before that",
+                "{event:?}: the last attempt was sent {:?} before it had to stop or was answered",
                 last - last_attempt
             );
             assert!(
