--- a/crates/agent/src/control/discovery/mod.rs
+++ b/crates/agent/src/control/discovery/mod.rs
@@ -104,7 +104,7 @@
         self.publish_lease();
     }
 
-    /// Returns when the new address is first called; `None` for immediately.
+    /// Returns when the new address is first called; `None` if it is called at once.
     fn on_address_change(&mut self, now: Duration) -> Option<Duration> {
         self.awaiting_contact = true;
         self.lease.on_address_change(now);
--- a/crates/agent/tests/client.rs
+++ b/crates/agent/tests/client.rs
@@ -305,8 +305,8 @@
     assert_eq!(executed_twice(&cluster, "payment"), Vec::<String>::new());
 }
 
-/// Measures the longest time for which the agent gave no answer, or for which the thread of the
-/// clients and fakes did not run.
+/// Measures the longest time for which the agent did not answer, or for which the thread that runs
+/// the clients and the fake endpoints was stalled.
 struct StallMonitor {
     finished: Arc<AtomicBool>,
     agent: thread::JoinHandle<Duration>,
--- a/crates/agent/tests/races.rs
+++ b/crates/agent/tests/races.rs
@@ -415,7 +415,7 @@
 
 /// Sends thirty requests to an endpoint that writes a second answer `gap` milliseconds after each.
 /// Returns whether all replies were correct. A wrong reply is a fault of the agent, unless the
-/// second answer was in fact written later than the time for which a connection rests before reuse.
+/// second answer was in fact written later than the time for which a connection is not reused.
 fn discards_late_duplicate_responses(gap: u16) -> bool {
     let cluster = cluster_of(&[responding_with(ResponseBehavior::AnswerAgainAfterMs(gap))]);
     // There is room for a single connection, which the next request reuses.
