--- a/crates/agent/tests/config_reload.rs
+++ b/crates/agent/tests/config_reload.rs
@@ -125,7 +125,7 @@
     assert_eq!(
         (control_calls(&cluster), opened()),
         (before, connections),
-        "no service is called again, and no connection is opened anew"
+        "no service is called again, and no connection is reopened"
     );
 }
 
@@ -303,8 +303,8 @@
     );
 }
 
-/// Guards against hundreds of agents that request the full list from discovery, and open their
-/// connections anew, at each change of the settings.
+/// Guards against hundreds of agents that request the full list from discovery, and reopen their
+/// connections, at each change of the settings.
 #[test]
 fn keeps_connections_to_services_whose_address_did_not_change() {
     let (cluster, new_platform) = (
@@ -326,7 +326,7 @@
     sleep(ms(300));
     assert_eq!(control_calls(&cluster), before);
     assert!(!agent.log().contains("Reloading"), "{}", agent.log());
-    // A service whose address changed is connected to anew, and only that one.
+    // The agent reconnects only to the service whose address changed.
     configuration["deployer"]["address"] = new_platform.address.to_string().into();
     reload(&agent, &configuration);
     assert!(wait_until(
@@ -340,7 +340,7 @@
     assert!(wait_until(
         || agent.log().matches("phase: Serving").count() == 3
     ));
-    // The agent may call twice there; one of the two calls goes on.
+    // The agent may make two first calls there; only one of them continues as the watch.
     assert!(discovery.wait_until_requests_counted(0).unwrap());
     let full_lists = discovery.full_list_requests();
     assert!(full_lists >= 1);
