--- a/crates/experiments/src/fleet/command.rs
+++ b/crates/experiments/src/fleet/command.rs
@@ -199,7 +199,7 @@
         for limit in &mut limits {
             if limit.figure == argument.figure {
                 limit.max = argument.max;
-                limit.source = "set by --limit".into();
+                limit.source = "told by --limit".into();
             }
         }
     }
--- a/crates/experiments/src/fleet/measures/reload.rs
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -14,8 +14,8 @@
 /// Processor time and bytes are counted until this long after a reload has come into force; an idle
 /// time of the same length is measured before the reload.
 const IDLE_TIME: Duration = Duration::from_millis(500);
-const RELOADS_A_DAY: f64 = 1000.0;
-const SECONDS_A_DAY: f64 = 86_400.0;
+const RELOADS_PER_DAY: f64 = 1000.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// Measurements of one reload.
 struct Sample {
@@ -74,7 +74,7 @@
     let in_force = || samples.iter().map(|s| s.in_force_ms);
     let cpu_time_ms = median(samples.iter().map(|s| s.cpu_time_ms));
     let bytes = median(samples.iter().map(|s| s.bytes));
-    let daily = |each: f64| each * RELOADS_A_DAY / SECONDS_A_DAY;
+    let daily = |each: f64| each * RELOADS_PER_DAY / SECONDS_PER_DAY;
     [
         ("heard_ms", median(samples.iter().map(|s| s.heard_ms))),
         ("in_force_ms", median(in_force())),
--- a/crates/experiments/src/scenario/mod.rs
+++ b/crates/experiments/src/scenario/mod.rs
@@ -52,7 +52,7 @@
     pub constant_work_share: f64,
     /// Share of attempts and of responses that are lost between zones, 0 to 1.
     pub loss: f64,
-    /// Delay until agents are notified of changes to the endpoint list and the rollout status.
+    /// Delay before agents are notified of changes to the endpoint list and the rollout status.
     pub notification_delay: Duration,
     /// Budget for cross-zone traffic, as a share of all requests; `None` for no budget.
     pub cross_zone_share: Option<f64>,
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -155,10 +155,10 @@
 
 /// Limit of the endpoints scanned for a request, including its part of the evaluation that counts
 /// its answer.
-const MAX_SCANS_A_REQUEST: f64 = 44.0;
+const MAX_SCANS_PER_REQUEST: f64 = 44.0;
 /// Limit of the endpoints scanned in a poll of an agent without requests, apart from those scanned
 /// for the median.
-const MAX_SCANS_A_POLL: f64 = 40.0;
+const MAX_SCANS_PER_POLL: f64 = 40.0;
 /// Maximum number of endpoints that a median is taken over.
 const MAX_MEDIAN_PEERS: usize = 512;
 
@@ -185,11 +185,11 @@
             (busy.endpoints_scanned as f64 - calm.endpoints_scanned as f64) / busy.requests as f64;
         let peers = endpoints.min(MAX_MEDIAN_PEERS) as f64;
         assert!(
-            poll <= MAX_SCANS_A_POLL + peers,
+            poll <= MAX_SCANS_PER_POLL + peers,
             "{endpoints} endpoints: {poll} scanned in a poll"
         );
         assert!(
-            request > 0.0 && request <= MAX_SCANS_A_REQUEST,
+            request > 0.0 && request <= MAX_SCANS_PER_REQUEST,
             "{endpoints} endpoints: {request} scanned for a request"
         );
     }
--- a/crates/testkit/src/simulation/config.rs
+++ b/crates/testkit/src/simulation/config.rs
@@ -110,9 +110,9 @@
     pub idempotency: BTreeMap<usize, Idempotency>,
     /// Whether agents are not notified of endpoints that drain or are gone.
     pub hide_drains: bool,
-    /// Whether agents are told that endpoints in slow start are past it.
+    /// Whether agents are notified that endpoints in slow start are past it.
     pub hide_cold_starts: bool,
-    /// Cap that agents are told instead of the true one; `None` for the true one.
+    /// Cap that agents are notified of instead of the true one; `None` for the true one.
     pub reported_cap: Option<f64>,
 }
 
@@ -329,13 +329,13 @@
     pub client_behavior: ClientBehavior,
     /// The build that is rolled out during the simulation; `None` for no rollout.
     pub rollout_plan: Option<RolloutPlan>,
-    /// Faults that are injected into what the agents are told.
+    /// Faults that are injected into the information that agents receive.
     pub injected_faults: InjectedFaults,
     /// The request to trace in the report, by agent index and request id; `None` to trace none.
     pub traced_request: Option<(usize, u64)>,
     /// How long requests arrive.
     pub duration: Duration,
-    /// The rollout status at the beginning; `None` if agents are told nothing about rollouts.
+    /// The rollout status at the beginning; `None` if agents are not notified of any rollout.
     pub rollout_status: Option<RolloutStatus>,
     /// Scripted events with their times from the beginning of the simulation, in any order.
     pub events: Vec<(Duration, ScenarioEvent)>,
--- a/crates/zones/tests/routing_scenarios.rs
+++ b/crates/zones/tests/routing_scenarios.rs
@@ -11,7 +11,7 @@
 fn stays_local_while_there_is_capacity_and_overflows_gradually() {
     let mut scenario = two_zones(1, Vec::new());
     scenario.duration = seconds(40);
-    // Twice the rate that the local zone sustains for ten seconds, then the initial rate again.
+    // For ten seconds 1.3 times the rate that the local zone sustains, then the initial rate again.
     scenario.events = vec![
         (seconds(10), ScenarioEvent::SetRequestRate(1000.0)),
         (seconds(20), ScenarioEvent::SetRequestRate(380.0)),
