--- a/crates/experiments/examples/verdicts/evidence.rs
+++ b/crates/experiments/examples/verdicts/evidence.rs
@@ -1,7 +1,7 @@
 //! Finds when the outcomes of all agents together suffice to detect that a build regressed.
 
 use crate::log::Log;
-use crate::slowing::{bins, slowing, Answers, Bin, BIN};
+use crate::slowing::{bins, slowdown, Answers, Bin, BIN};
 use std::collections::BTreeMap;
 
 /// Natural logarithm of 1000: Wald's bound for a sequential test with one false verdict in a
@@ -96,16 +96,16 @@
 impl Outcomes<'_> {
     /// Returns the kinds of regression that these outcomes show.
     fn detected_kinds(&self) -> Vec<&'static str> {
-        let slowing = slowing(self.bins);
+        let slowdown = slowdown(self.bins);
         let all = bound(self.canary().count + self.others().count);
-        let is_in_step =
-            slowing.in_step.over_none > all && slowing.in_step.over_other > -WALD_BOUND;
-        let moment = slowing.at_one_moment;
+        let is_proportional =
+            slowdown.proportional.over_none > all && slowdown.proportional.over_other > -WALD_BOUND;
+        let moment = slowdown.at_one_moment;
         let kinds = [
             ("failing", self.is_failing()),
             ("wrong", self.has_more_client_errors()),
             ("slow itself", self.is_slow()),
-            ("all slow in step with it", is_in_step),
+            ("all slow in step with it", is_proportional),
             (
                 "all slow at one moment",
                 moment.over_none > all && moment.over_other > all,
--- a/crates/experiments/examples/verdicts/slowing.rs
+++ b/crates/experiments/examples/verdicts/slowing.rs
@@ -9,7 +9,7 @@
 const SMOOTHING_FACTOR: f64 = 0.3;
 /// Number of slowdowns in proportion to the canary's share that are tried; each is larger than the
 /// previous one by a factor of the square root of two.
-const TRIED_SLOWINGS: u32 = 24;
+const TRIED_SLOWDOWNS: u32 = 24;
 /// Lower bound of arguments of logarithms and of divisors, which keeps results finite.
 const EPSILON: f64 = 1e-9;
 
@@ -104,27 +104,27 @@
 }
 
 /// Likelihoods of the two kinds of slowdown.
-pub struct Slowing {
+pub struct Slowdown {
     /// A slowdown in proportion to the canary's share of the attempts sent.
-    pub in_step: Likelihood,
+    pub proportional: Likelihood,
     /// A slowdown of all builds that begins at one moment.
     pub at_one_moment: Likelihood,
 }
 
 /// Finds the most likely slowdown of each kind beyond the tolerated one. Models answers as a
 /// Poisson process over the time that attempts were in flight.
-pub fn slowing(bins: &[Bin]) -> Slowing {
+pub fn slowdown(bins: &[Bin]) -> Slowdown {
     let total = Total::of(bins);
     let constant_rate_likelihood = total.likelihood();
     let moment = moment_likelihood(bins, &total, constant_rate_likelihood);
     let shares = smoothed_shares(bins);
-    let tolerated = in_step_likelihood(bins, &shares, TOLERATED_LATENCY_RATIO - 1.0);
-    let step = (0..TRIED_SLOWINGS)
+    let tolerated = proportional_likelihood(bins, &shares, TOLERATED_LATENCY_RATIO - 1.0);
+    let step = (0..TRIED_SLOWDOWNS)
         .map(|n| (TOLERATED_LATENCY_RATIO - 1.0) * (f64::from(n) / 2.0).exp2())
-        .map(|by| in_step_likelihood(bins, &shares, by))
+        .map(|by| proportional_likelihood(bins, &shares, by))
         .fold(tolerated, f64::max);
-    Slowing {
-        in_step: Likelihood {
+    Slowdown {
+        proportional: Likelihood {
             over_none: step - tolerated,
             over_other: step - moment,
         },
@@ -207,11 +207,11 @@
 }
 
 /// Returns the log-likelihood of a slowdown that grows with the canary's share.
-fn in_step_likelihood(bins: &[Bin], shares: &[f64], slowing: f64) -> f64 {
+fn proportional_likelihood(bins: &[Bin], shares: &[f64], slowdown: f64) -> f64 {
     let mut sum = 0.0;
     let mut waited = 0.0;
     for (bin, share) in bins.iter().zip(shares) {
-        let rate = 1.0 / (1.0 + slowing * share);
+        let rate = 1.0 / (1.0 + slowdown * share);
         sum += bin.answers() * rate.ln();
         waited += bin.waited * rate;
     }
--- a/crates/experiments/src/fleet/installation.rs
+++ b/crates/experiments/src/fleet/installation.rs
@@ -25,7 +25,7 @@
 const POLL_INTERVAL: Duration = Duration::from_micros(500);
 /// Build that all endpoints run.
 const BUILD: u32 = 41;
-/// Cells over which endpoints are distributed in turn.
+/// Number of cells, over which endpoints are distributed in turn.
 const CELLS: usize = 7;
 /// Spreads the identifiers of endpoints over 32 bits (multiplicative hashing by the golden ratio).
 const ID_MULTIPLIER: u32 = 0x9e37_79b1;
--- a/crates/experiments/src/fleet/measures/load.rs
+++ b/crates/experiments/src/fleet/measures/load.rs
@@ -10,8 +10,9 @@
 const DEADLINE: Duration = Duration::from_millis(1500);
 /// Maximum number of classes of a load.
 const MAX_CLASSES: usize = 8;
-/// Seed of the load that warms up before a measurement, and of the measured load.
+/// Seed of the load that warms up the agent before a measurement.
 pub(super) const WARM_UP_SEED: u64 = 7;
+/// Seed of the measured load.
 pub(super) const SEED: u64 = 8;
 
 /// Runs a load to its end, over classes and tenants from all parts of the settings.
--- a/crates/experiments/src/run/simulation.rs
+++ b/crates/experiments/src/run/simulation.rs
@@ -9,18 +9,21 @@
 };
 use tulipwall_zones::{Budget, Limit, RoutingPolicy, ZoneConfig};
 
-/// Build that runs from the start, and build that is rolled out.
+/// Build that runs from the start.
 const OLD_BUILD: u32 = 41;
+/// Build that is rolled out.
 const NEW_BUILD: u32 = 42;
-/// One-way network delays within a zone and between zones, unless the scenario sets them.
+/// One-way network delay within a zone, unless the scenario sets it.
 const LOCAL_DELAY: Duration = Duration::from_micros(150);
+/// One-way network delay between two zones, unless the scenario sets it.
 const REMOTE_DELAY: Duration = Duration::from_micros(500);
 /// Window over which the cross-zone budget applies.
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 /// Share of the agents whose votes suffice to roll a build back.
 const ROLLBACK_SHARE: f64 = 0.05;
-/// Delay between the attempts of naive clients, and their maximum number.
+/// Delay between the attempts of a naive client.
 const NAIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum number of attempts of a naive client for one request.
 const NAIVE_MAX_ATTEMPTS: u32 = 20;
 /// Duration of a stall, unless the scenario sets one.
 const DEFAULT_STALL: Duration = Duration::from_secs(1);
--- a/crates/experiments/src/scale/command/installations.rs
+++ b/crates/experiments/src/scale/command/installations.rs
@@ -8,7 +8,7 @@
 use crate::scale::report::SweepResult;
 use crate::scale::size::Size;
 
-/// Load of all rows except `peak` and `calm`, in requests a second for each agent.
+/// Load of all rows except `peak` and `calm`, in requests per second for each agent.
 const QUIET_RATE: f64 = 14.3;
 /// The same load where every agent fronts all endpoints. It is lower, because simulating such an
 /// installation takes long.
@@ -21,7 +21,7 @@
     /// Name of the installation in reports.
     pub(super) reading: String,
     pub(super) size: Size,
-    /// Load of all rows except `peak` and `calm`, in requests a second for each agent; `None` for
+    /// Load of all rows except `peak` and `calm`, in requests per second for each agent; `None` for
     /// the rate of the size.
     pub(super) quiet_rate: Option<f64>,
 }
--- a/crates/experiments/src/scale/command/mod.rs
+++ b/crates/experiments/src/scale/command/mod.rs
@@ -78,16 +78,16 @@
     /// Number of tenants of one service.
     #[arg(long, value_parser = count)]
     tenants: Option<usize>,
-    /// Requests a second for each agent at the peak.
+    /// Requests per second for each agent at the peak.
     #[arg(long, value_parser = rate)]
     rate: Option<f64>,
-    /// Calls a second that discovery answers for each agent; counts only calls that start a watch.
+    /// Calls per second that discovery answers for each agent; only calls that start a watch count.
     #[arg(long, value_parser = rate)]
     calls: Option<f64>,
     /// Count all calls against discovery's limit, including those that continue a watch.
     #[arg(long)]
     every_call: bool,
-    /// Requests a second for each agent in all rows except `peak` and `calm`; the share of a core
+    /// Requests per second for each agent in all rows except `peak` and `calm`; the share of a core
     /// is still calculated for the load of the peak.
     #[arg(long, value_parser = rate)]
     quiet: Option<f64>,
--- a/crates/experiments/src/scale/meter.rs
+++ b/crates/experiments/src/scale/meter.rs
@@ -13,7 +13,7 @@
 pub enum Operation {
     /// `Balancer::on_request`, `route` and `on_attempt_end`, and the lookup of the target.
     Decisions,
-    /// `Balancer::poll`, which an agent calls ten times a second.
+    /// `Balancer::poll`, which an agent calls ten times per second.
     Poll,
     /// Parsing an endpoint list: the HTTP response and its JSON document.
     Parsing,
--- a/crates/experiments/src/scale/rows.rs
+++ b/crates/experiments/src/scale/rows.rs
@@ -20,16 +20,17 @@
 const WARM_UP: Duration = seconds(5);
 /// Time at which the event of a scenario begins.
 const START: Duration = seconds(1);
-/// Discovery notices the loss of machines between these times after it, one group after another.
+/// Time from the loss of machines until discovery notices the first group of them.
 const FIRST_NOTICE: Duration = milliseconds(1700);
+/// Time from the loss of machines until discovery has noticed all groups.
 const LAST_NOTICE: Duration = milliseconds(4700);
 /// Interval between the groups of lost machines that discovery notices.
 const NOTICE_INTERVAL: Duration = milliseconds(250);
 /// Time at which lost machines are back.
 const RECOVERY: Duration = seconds(12);
-/// Time from the moment that discovery lists an endpoint as terminating until it is terminated, and
-/// until its replacement is in service.
+/// Time from the moment that discovery lists an endpoint as terminating until it is terminated.
 const TERMINATION: Duration = seconds(2);
+/// Time from that moment until the replacement of the endpoint is in service.
 const REPLACEMENT: Duration = seconds(3);
 /// Number of machines in a rack.
 const RACK_MACHINES: usize = 40;
@@ -208,9 +209,9 @@
     numbers.into_iter().take(count).collect()
 }
 
-/// Returns all scenarios. `quiet` is the load of all except `peak` and `calm`, in requests a second
-/// for each agent, for runs in which only their bytes and messages matter; `None` for the load of
-/// the size.
+/// Returns all scenarios. `quiet` is the load of all except `peak` and `calm`, in requests per
+/// second for each agent, for runs in which only their bytes and messages matter; `None` for the
+/// load of the size.
 pub fn rows(size: Size, quiet: Option<f64>) -> Vec<Row> {
     let rate = quiet.unwrap_or(size.rate);
     let quiet_size = Size { rate, ..size };
--- a/crates/experiments/src/scale/servers/discovery.rs
+++ b/crates/experiments/src/scale/servers/discovery.rs
@@ -81,7 +81,7 @@
 }
 
 impl SimulatedDiscovery {
-    /// Creates a discovery that answers `call_budget` calls a second, with bursts of the same
+    /// Creates a discovery that answers `call_budget` calls per second, with bursts of the same
     /// number after a second without calls. Calls that continue a watch are not limited, unless
     /// `every_call` is set.
     pub fn new(call_budget: f64, every_call: bool) -> SimulatedDiscovery {
--- a/crates/experiments/src/scale/servers/mod.rs
+++ b/crates/experiments/src/scale/servers/mod.rs
@@ -91,7 +91,7 @@
 }
 
 impl Servers {
-    /// Creates the servers of a service. Its discovery answers `call_budget` calls a second; with
+    /// Creates the servers of a service. Its discovery answers `call_budget` calls per second; with
     /// `every_call` that includes the calls that continue a watch.
     pub fn new(
         call_budget: f64,
--- a/crates/experiments/src/scale/simulation/outcome.rs
+++ b/crates/experiments/src/scale/simulation/outcome.rs
@@ -56,25 +56,25 @@
     /// Share of a core of an agent without the work for each request, in the worst second of any
     /// agent.
     pub control_core_worst: f64,
-    /// Mean control traffic of an agent, in bytes a second.
+    /// Mean control traffic of an agent, in bytes per second.
     pub bytes: f64,
     /// Control traffic in the worst second of any agent, in bytes.
     pub bytes_worst: f64,
-    /// Calls a second answered by the discovery of all services together.
+    /// Calls per second answered by the discovery of all services together.
     pub calls: f64,
     /// Calls answered by the discovery of all services together, in the worst second.
     pub calls_worst: f64,
     /// Calls refused by the discovery of all services together.
     pub refused: u64,
-    /// Bytes a second sent by the discovery of all services together.
+    /// Bytes per second sent by the discovery of all services together.
     pub discovery_bytes: f64,
     /// Bytes sent by the discovery of all services together, in the worst second.
     pub discovery_bytes_worst: f64,
     /// Processor time of the simulated discovery of all services, as a share of a core.
     pub discovery_core: f64,
-    /// Bytes a second sent by the platforms of all services together.
+    /// Bytes per second sent by the platforms of all services together.
     pub platform_bytes: f64,
-    /// Calls a second answered by the platforms of all services together.
+    /// Calls per second answered by the platforms of all services together.
     pub platform_calls: f64,
     /// Mean time from a change of the endpoint list until an agent learnt it, in seconds.
     #[serde(rename = "heard_mean")]
--- a/crates/experiments/src/scale/size.rs
+++ b/crates/experiments/src/scale/size.rs
@@ -12,12 +12,12 @@
 pub const MAX_CORE_SHARE: f64 = 0.012;
 /// The operators' limit for the memory of an agent, in bytes.
 pub const MAX_MEMORY: f64 = 256e6;
-/// The operators' limit for the control traffic of an agent, in bytes a second.
+/// The operators' limit for the control traffic of an agent, in bytes per second.
 pub const MAX_BYTES_PER_SECOND: f64 = 3000.0;
 /// The operators' limit for the time from a new configuration until it is in effect everywhere.
 pub const MAX_RELOAD_TIME: Duration = Duration::from_secs(4);
 
-/// Minimum number of calls a second that discovery answers, however few agents it has.
+/// Minimum number of calls per second that discovery answers, however few agents it has.
 const MIN_CALL_BUDGET: f64 = 10.0;
 /// Number of endpoints that share a machine.
 const ENDPOINTS_PER_MACHINE: usize = 8;
@@ -45,10 +45,10 @@
     pub tenants: usize,
     /// Number of zones, over which agents and endpoints are distributed round-robin.
     pub zones: usize,
-    /// Load of each agent, in requests a second.
+    /// Load of each agent, in requests per second.
     pub rate: f64,
-    /// Calls a second that discovery answers for each of its agents; only calls that start a watch
-    /// count.
+    /// Calls per second that discovery answers for each of its agents; only calls that start a
+    /// watch count.
     pub calls: f64,
     /// Whether calls that continue a watch count against that limit, too.
     pub every_call: bool,
@@ -90,7 +90,7 @@
         self.agents.div_ceil(self.services.max(1)).max(1)
     }
 
-    /// Returns the limit of the discovery of one service, in calls a second.
+    /// Returns the limit of the discovery of one service, in calls per second.
     pub fn call_budget(&self) -> f64 {
         (self.calls * self.agents_per_service() as f64).max(MIN_CALL_BUDGET)
     }
--- a/crates/experiments/src/scale/sweeps.rs
+++ b/crates/experiments/src/scale/sweeps.rs
@@ -17,9 +17,9 @@
 const MEMORY_DURATION: Duration = Duration::from_secs(1);
 /// Time of the event of a sweep, counted from the end of the warm-up.
 const EVENT_AT: Duration = Duration::from_secs(1);
-/// Requests a second of an agent in the sweeps that measure traffic, and in those that measure
-/// memory.
+/// Requests per second of an agent in the sweeps that measure traffic.
 const TRAFFIC_RATE: f64 = 10.0;
+/// Requests per second of an agent in the sweeps that measure memory.
 const MEMORY_RATE: f64 = 20.0;
 /// Number of agents in the sweeps that measure processor time.
 const AGENTS: usize = 2;
--- a/crates/experiments/src/scenario/parse/variation.rs
+++ b/crates/experiments/src/scenario/parse/variation.rs
@@ -29,7 +29,7 @@
     for entry in entries {
         let value = value(reader, entry, parameter);
         if value.is_none() && !parameter.words().is_empty() {
-            let text = format!("unknown value of {key}");
+            let text = format!("unknown value of parameter '{key}'");
             reader.report(location, "vary", text.into());
         }
         values.extend(value);
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -153,11 +153,11 @@
     );
 }
 
-/// Limit of the endpoints scanned for a request, including its part of the evaluation that counts
-/// its answer.
+/// Maximum mean number of endpoints scanned per request, including the part of the evaluation that
+/// counts its answer.
 const MAX_SCANS_PER_REQUEST: f64 = 44.0;
-/// Limit of the endpoints scanned in a poll of an agent without requests, apart from those scanned
-/// for the median.
+/// Maximum mean number of endpoints scanned per poll of an agent without requests, apart from those
+/// scanned for the median.
 const MAX_SCANS_PER_POLL: f64 = 40.0;
 /// Maximum number of endpoints that a median is taken over.
 const MAX_MEDIAN_PEERS: usize = 512;
--- a/crates/zones/src/budget/meter.rs
+++ b/crates/zones/src/budget/meter.rs
@@ -217,7 +217,12 @@
     }
 
     /// The highest usage at which an attempt that uses `amount` is still admitted.
-    pub(super) fn highest_admitting_use(&self, amount: f64, class: usize, is_repeat: bool) -> f64 {
+    pub(super) fn highest_admitting_usage(
+        &self,
+        amount: f64,
+        class: usize,
+        is_repeat: bool,
+    ) -> f64 {
         self.limit - self.reserve(class, is_repeat) - amount
     }
 
--- a/crates/zones/src/budget/mod.rs
+++ b/crates/zones/src/budget/mod.rs
@@ -295,7 +295,7 @@
         for class in meter.covered_classes(class_count) {
             let amount = meter.estimated_amount(usage, zone, class);
             for is_repeat in [false, true] {
-                let highest = snapshot.highest_admitting_use(amount, class, is_repeat);
+                let highest = snapshot.highest_admitting_usage(amount, class, is_repeat);
                 if highest >= snapshot.used {
                     threshold = threshold.min(highest);
                 }
