--- a/crates/experiments/examples/verdicts/tables.rs
+++ b/crates/experiments/examples/verdicts/tables.rs
@@ -71,8 +71,8 @@
     first.map(|attempt| attempt.at)
 }
 
-/// Returns when enough agents' votes to roll a build back stood at the same time, or `None` if they
-/// never did.
+/// Returns when the votes of enough agents to roll a build back were first in force at the same
+/// time, or `None` if they never were.
 fn enough_votes_at(log: &Log, build: u32) -> Option<f64> {
     let mut agents = BTreeSet::new();
     for vote in log.votes.iter().filter(|vote| vote.build == build) {
@@ -121,8 +121,8 @@
     (share, mean)
 }
 
-/// The value of the requests that ended in a second, in total and by outcome. The value of a request
-/// is its estimated work times the priority weight of its class.
+/// The value of the requests that ended in a second, in total and by outcome. The value of a
+/// request is its estimated work times the priority weight of its class.
 #[derive(Default)]
 struct Second<'a> {
     by_outcome: BTreeMap<&'a str, f64>,
--- a/crates/experiments/src/fleet/error.rs
+++ b/crates/experiments/src/fleet/error.rs
@@ -36,7 +36,7 @@
         /// Log of the agent.
         log: String,
     },
-    /// An agent that was told to terminate did not exit with success.
+    /// An agent did not exit with success after it was signalled to terminate.
     #[error("the agent did not exit with success; log of the agent:\n{log}")]
     FailedExit {
         /// Log of the agent.
--- a/crates/experiments/src/fleet/estimate.rs
+++ b/crates/experiments/src/fleet/estimate.rs
@@ -9,8 +9,8 @@
 pub const MAX_MEMORY: u64 = 4 << 30;
 
 // Upper bounds of an agent's memory at its start, in bytes. They are higher than the memory that
-// agents really use, since refusing a run is of no use once it has exhausted the memory;
-// `tests/fleet.rs` checks them against a run.
+// agents really use, so that a run is refused before it can exhaust the memory; `tests/fleet.rs`
+// checks them against a run.
 
 /// Bytes of an agent without endpoints, classes, tenants and clients.
 const AGENT_BYTES: u64 = 22 << 20;
--- a/crates/experiments/src/fleet/measures/reload.rs
+++ b/crates/experiments/src/fleet/measures/reload.rs
@@ -74,15 +74,15 @@
     let in_force = || samples.iter().map(|s| s.in_force_ms);
     let cpu_time_ms = median(samples.iter().map(|s| s.cpu_time_ms));
     let bytes = median(samples.iter().map(|s| s.bytes));
-    let daily = |each: f64| each * RELOADS_PER_DAY / SECONDS_PER_DAY;
+    let mean_rate = |per_reload: f64| per_reload * RELOADS_PER_DAY / SECONDS_PER_DAY;
     [
         ("heard_ms", median(samples.iter().map(|s| s.heard_ms))),
         ("in_force_ms", median(in_force())),
         ("in_force_most_ms", largest(in_force())),
         ("ran_ms", cpu_time_ms),
         ("bytes", bytes),
-        ("bytes_s_at_1000_a_day", daily(bytes)),
+        ("bytes_s_at_1000_a_day", mean_rate(bytes)),
         // One millisecond per second is a tenth of a percent.
-        ("core_%_at_1000_a_day", daily(cpu_time_ms) / 10.0),
+        ("core_%_at_1000_a_day", mean_rate(cpu_time_ms) / 10.0),
     ]
 }
--- a/crates/experiments/src/run/figures.rs
+++ b/crates/experiments/src/run/figures.rs
@@ -7,10 +7,10 @@
 
 /// Returns the figures of a run by name.
 ///
-/// `good` and `good_last_quarter` are shares of the first tries, without the clients' retries.
-/// `denied` and `scrapped` are shares of all requests that agents received, retries included, and
-/// `over_budget` is the number of attempts over a budget for each of these. `crossing` is a share
-/// of the attempts.
+/// `good` and `good_last_quarter` are shares of the first tries, without the clients' retries, and
+/// `taken_over_asked` is the number of requests received per first try. `denied` and `scrapped` are
+/// shares of all requests that agents received, retries included, and `over_budget` is the number
+/// of attempts over a budget per such request. `crossing` is a share of the attempts.
 pub(super) fn figures(scenario: &Scenario, report: &SimulationReport) -> BTreeMap<String, f64> {
     let mut figures = load_figures(scenario, report);
     if let Some(rollout) = &scenario.rollout {
--- a/crates/experiments/src/scale/command/rows.rs
+++ b/crates/experiments/src/scale/command/rows.rs
@@ -106,9 +106,9 @@
     for (name, what) in kinds {
         if let Some(restarts) = outcome(results, name) {
             let added = restarts.discovery_bytes - calm.discovery_bytes;
-            let each = added * restarts.seconds / RESTARTS as f64;
-            let daily = each * RESTARTS_PER_DAY / SECONDS_PER_DAY;
-            println!("{what}: {each:.0} bytes from discovery in total; {daily:.0} bytes a second on a day of {RESTARTS_PER_DAY} restarts");
+            let bytes_per_restart = added * restarts.seconds / RESTARTS as f64;
+            let bytes_per_second = bytes_per_restart * RESTARTS_PER_DAY / SECONDS_PER_DAY;
+            println!("{what}: {bytes_per_restart:.0} bytes from discovery in total; {bytes_per_second:.0} bytes a second on a day of {RESTARTS_PER_DAY} restarts");
         }
     }
 }
--- a/crates/experiments/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -21,11 +21,11 @@
 /// Returns the latest modification time of the files below a directory.
 fn latest_modification(folder: &Path) -> SystemTime {
     let entries = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap());
-    let each = entries.map(|e| match e.file_type().unwrap().is_dir() {
+    let modification_times = entries.map(|e| match e.file_type().unwrap().is_dir() {
         true => latest_modification(&e.path()),
         false => e.metadata().unwrap().modified().unwrap(),
     });
-    each.max().unwrap_or(SystemTime::UNIX_EPOCH)
+    modification_times.max().unwrap_or(SystemTime::UNIX_EPOCH)
 }
 
 /// Returns the path of the agent's binary of this build profile. Cargo builds the binary with the
--- a/crates/experiments/tests/model.rs
+++ b/crates/experiments/tests/model.rs
@@ -197,7 +197,7 @@
         violates(&faulty_simulation.run(), "rule 3"),
         "not reported: an attempt at a draining endpoint"
     );
-    // Rule 4: cold starts are hidden from the agents, of which there are too many for each to
+    // Rule 4: slow starts are hidden from the agents, of which there are too many for each to
     // observe them by itself.
     let cold = "agents 80\nfault { at \"2s\"; for \"1s\"; kind \"gone\"; appliances 3; }\nfault { at \"3s\"; burst 3; }";
     let mut faulty_simulation = run::build_simulation(&two_zones(cold), 1);
@@ -208,7 +208,7 @@
     ) = (true, 0.01, Duration::from_secs(20));
     assert!(
         violates(&faulty_simulation.run(), "rule 4"),
-        "not reported: a cold endpoint that gets too many requests"
+        "not reported: an endpoint in slow start that gets too many requests"
     );
     // Rule 5: the cap reported to the agents is higher than the one in force.
     let rollout = "offer { at \"2s\"; stages 0.05 1; appliances 4; step \"8s\"; }";
--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -272,7 +272,7 @@
 #[test]
 fn control_traffic_of_a_calm_agent_is_independent_of_the_size() {
     let calm = |size: Size| run(Size { rate: 1.0, ..size }, secs(100), Vec::new());
-    let each =
+    let bytes_per_message =
         |outcome: &Outcome, kind: &str| bytes(outcome, kind) / count(outcome, kind).max(1) as f64;
     let many = Size {
         services: 3,
@@ -306,9 +306,13 @@
             0
         );
     }
-    assert_eq!(each(&one, "pings"), each(&all, "pings"));
+    assert_eq!(
+        bytes_per_message(&one, "pings"),
+        bytes_per_message(&all, "pings")
+    );
     assert!(
-        (each(&one, "quiet watches") - each(&all, "quiet watches")).abs() < 2.0,
+        (bytes_per_message(&one, "quiet watches") - bytes_per_message(&all, "quiet watches")).abs()
+            < 2.0,
         "a watch without changes must cost the same bytes at any size"
     );
 }
--- a/crates/testkit/examples/renewal.rs
+++ b/crates/testkit/examples/renewal.rs
@@ -276,7 +276,7 @@
     seconds.sort_by(f64::total_cmp);
     let cpu_used: f64 = changes.iter().map(|change| change.cpu_seconds).sum();
     let change_count = arguments.change_count as f64;
-    let each = |after: usize, before: usize| (after - before) as f64 / change_count;
+    let per_change = |after: usize, before: usize| (after - before) as f64 / change_count;
     println!(
         "{}: tenants {} endpoints {}: in force after {:.3} s (median), {:.3} s at most; \
          {:.3} s of processor in each 1.5 s; each time whole lists {:.2} discovery connections {:.2} platform \
@@ -287,9 +287,9 @@
         seconds[seconds.len() / 2],
         seconds[seconds.len() - 1],
         cpu_used / change_count,
-        each(after.full_lists, before.full_lists),
-        each(after.discovery_connections, before.discovery_connections),
-        each(after.platform_connections, before.platform_connections),
-        each(after.discovery_bytes, before.discovery_bytes),
+        per_change(after.full_lists, before.full_lists),
+        per_change(after.discovery_connections, before.discovery_connections),
+        per_change(after.platform_connections, before.platform_connections),
+        per_change(after.discovery_bytes, before.discovery_bytes),
     );
 }
--- a/crates/testkit/src/endpoint/session.rs
+++ b/crates/testkit/src/endpoint/session.rs
@@ -16,11 +16,11 @@
 const LINK_POLL: Duration = Duration::from_millis(5);
 /// Length of a truncated answer, which ends within its first message.
 const TRUNCATED_BYTES: usize = 20;
-/// All bytes of a value but the last.
+/// Every byte of a returned value except the last.
 const VALUE_FILL: u8 = 0x9f;
-/// The last byte of a value.
+/// The last byte of a returned value.
 const VALUE_END: u8 = 3;
-/// The value of an unsolicited second answer.
+/// The only byte of the value in an unsolicited second answer.
 const UNSOLICITED_VALUE: u8 = 0xee;
 
 /// Serves a connection until the caller or this side closes it.
