--- a/crates/experiments/tests/scale.rs
+++ b/crates/experiments/tests/scale.rs
@@ -153,12 +153,12 @@
     );
 }
 
-/// Limit of the endpoints scanned for a request, including its part of the evaluation that counts
-/// its answer.
-const MAX_SCANS_A_REQUEST: f64 = 44.0;
-/// Limit of the endpoints scanned in a poll of an agent without requests, apart from those scanned
-/// for the median.
-const MAX_SCANS_A_POLL: f64 = 40.0;
+/// Maximum mean number of endpoints scanned per request, including the part of the evaluation that
+/// counts its answer.
+const MAX_SCANS_PER_REQUEST: f64 = 44.0;
+/// Maximum mean number of endpoints scanned per poll of an agent without requests, apart from those
+/// scanned for the median.
+const MAX_SCANS_PER_POLL: f64 = 40.0;
 /// Maximum number of endpoints that a median is taken over.
 const MAX_MEDIAN_PEERS: usize = 512;
 
@@ -185,11 +185,11 @@
             (busy.endpoints_scanned as f64 - calm.endpoints_scanned as f64) / busy.requests as f64;
         let peers = endpoints.min(MAX_MEDIAN_PEERS) as f64;
         assert!(
-            poll <= MAX_SCANS_A_POLL + peers,
+            poll <= MAX_SCANS_PER_POLL + peers,
             "{endpoints} endpoints: {poll} scanned in a poll"
         );
         assert!(
-            request > 0.0 && request <= MAX_SCANS_A_REQUEST,
+            request > 0.0 && request <= MAX_SCANS_PER_REQUEST,
             "{endpoints} endpoints: {request} scanned for a request"
         );
     }
@@ -272,7 +272,7 @@
 #[test]
 fn control_traffic_of_a_calm_agent_is_independent_of_the_size() {
     let calm = |size: Size| run(Size { rate: 1.0, ..size }, secs(100), Vec::new());
-    let each =
+    let bytes_per_message =
         |outcome: &Outcome, kind: &str| bytes(outcome, kind) / count(outcome, kind).max(1) as f64;
     let many = Size {
         services: 3,
@@ -306,9 +306,13 @@
             0
         );
     }
-    assert_eq!(each(&one, "pings"), each(&all, "pings"));
+    assert_eq!(
+        bytes_per_message(&one, "pings"),
+        bytes_per_message(&all, "pings")
+    );
     assert!(
-        (each(&one, "quiet watches") - each(&all, "quiet watches")).abs() < 2.0,
+        (bytes_per_message(&one, "quiet watches") - bytes_per_message(&all, "quiet watches")).abs()
+            < 2.0,
         "a watch without changes must cost the same bytes at any size"
     );
 }
