--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -378,7 +378,7 @@
     }
 }
 
-/// Updates the estimate of a high_quantile quantile with one value.
+/// Moves the estimate of a high quantile one step up or down towards `value`, within its range.
 pub(super) fn update_high_quantile(high_quantile: &mut f64, value: f64) {
     let step = if value > *high_quantile {
         HIGH_QUANTILE_STEP_UP
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -223,10 +223,10 @@
 ///
 /// A reload never increases the remaining exposure. A reduction of the burst is deducted from the
 /// tokens, which may become negative. A new class starts without tokens and earns its own. If the
-/// cap now counts each class separately, the tokens of all classes together are divided among them;
-/// if it no longer does, what the classes have spent is owed by all of them together. The cap
-/// therefore holds in every window across the reload, except for single classes that were not
-/// counted before. May leave a canary without exposure for a while.
+/// cap now counts each class separately, the tokens that all classes shared are divided among them;
+/// if it no longer does, the tokens that the classes have spent are added up and deducted from the
+/// shared burst. The cap therefore holds in every window across the reload, except for single
+/// classes that were not counted before. May leave a canary without exposure for a while.
 fn exposure_tokens(
     mut tokens: Vec<f64>,
     before: &Parameters,
--- a/src/balancer/rollout_votes.rs
+++ b/src/balancer/rollout_votes.rs
@@ -63,8 +63,10 @@
         self.votes.standing.take_if(is_moot);
     }
 
-    /// The wanted vote, unless it already stands and needs no renewal; a withdrawal if a vote
-    /// stands and none is wanted.
+    /// Returns the vote to send now, or `None` if nothing has to be sent.
+    ///
+    /// The wanted vote is due if it differs from the standing vote or has to be renewed. If no vote
+    /// is wanted but one stands, a withdrawal is due.
     fn due_vote(&self, now: Duration) -> Option<Vote> {
         let standing = self.votes.standing.as_ref();
         let Some(wanted) = &self.votes.wanted else {
--- a/tests/endpoint_draws.rs
+++ b/tests/endpoint_draws.rs
@@ -615,7 +615,7 @@
 fn assert_scenarios_differ(samples: &[Sample]) {
     let largest = samples.iter().filter(|s| s.size == 7700);
     let candidates: BTreeMap<Kind, usize> = largest.map(|s| (s.kind, s.candidates)).collect();
-    let has_candidates = |kind, least, most| (least..most).contains(&candidates[&kind]);
+    let has_candidates = |kind, least, limit| (least..limit).contains(&candidates[&kind]);
     assert!(has_candidates(Kind::Usual, 7700, 7701), "{candidates:?}");
     assert!(
         has_candidates(Kind::AllEjected, 7700, 7701),
--- a/tests/evaluation_work.rs
+++ b/tests/evaluation_work.rs
@@ -32,8 +32,8 @@
             balancer.poll(ms(1_000 + 100 * evaluation));
         }
         let scanned = balancer.endpoints_scanned() - before;
-        let most = EVALUATIONS * MAX_SCANNED.min(endpoints as u64);
-        assert!(scanned <= most, "{endpoints} endpoints: {scanned} scanned");
+        let limit = EVALUATIONS * MAX_SCANNED.min(endpoints as u64);
+        assert!(scanned <= limit, "{endpoints} endpoints: {scanned} scanned");
         assert!(scanned > 0, "{endpoints} endpoints: none scanned");
     }
 }
--- a/tests/fleet_list_changes.rs
+++ b/tests/fleet_list_changes.rs
@@ -77,7 +77,7 @@
         let window = driver.settings.overload_window;
         let per_window = MAX_WARMING_LOAD * RATE / FLEET_SIZE as f64 * window.as_secs_f64();
         for (endpoint, times) in &sent {
-            let most = times
+            let peak_attempts = times
                 .iter()
                 .map(|from| {
                     times
@@ -88,8 +88,8 @@
                 .max()
                 .unwrap_or(0);
             assert!(
-                most as f64 <= (2.0 + 2.0 * per_window).floor(),
-                "endpoint {endpoint} got {most} attempts within a window of its slow start"
+                peak_attempts as f64 <= (2.0 + 2.0 * per_window).floor(),
+                "endpoint {endpoint} got {peak_attempts} attempts within a window of its slow start"
             );
         }
         let sent_in_total = sent.values().map(Vec::len).sum::<usize>() as f64;
--- a/tests/harness/fleet/work.rs
+++ b/tests/harness/fleet/work.rs
@@ -56,9 +56,9 @@
         let evaluation = self.per_evaluation();
         let changed = self.changed_per_evaluation();
         let medians = MAX_SCANNED_FOR_MEDIANS.min(2.0 * endpoints as f64);
-        let most = MAX_SCANNED_PER_EVALUATION + medians + MAX_SCANNED_PER_CHANGE * changed;
+        let max_scanned = MAX_SCANNED_PER_EVALUATION + medians + MAX_SCANNED_PER_CHANGE * changed;
         assert!(
-            evaluation <= most,
+            evaluation <= max_scanned,
             "{what}: {evaluation} endpoints scanned per evaluation, with {changed} changed"
         );
     }
--- a/tests/harness/rules.rs
+++ b/tests/harness/rules.rs
@@ -120,7 +120,7 @@
             .filter(|l| l.state == EndpointState::Running);
         let all = running.clone().count() as f64;
         let warm = (running.filter(|l| !is_warming(l)).count() as f64).max(all / 2.0);
-        let here = self.forwarded[since_listed..]
+        let slow_start_attempts = self.forwarded[since_listed..]
             .iter()
             .filter(|(t, i)| recent(*t) && *i == e.endpoint)
             .count();
@@ -132,7 +132,7 @@
                 .filter(|s| s.0 >= from && s.0 < from + span)
                 .count()
         };
-        let most = self
+        let peak_attempts = self
             .forwarded
             .iter()
             .map(|s| attempts_in_window(s.0))
@@ -140,8 +140,8 @@
             .unwrap_or(0) as f64;
         let allowed_factor = 0.7 * self.settings.overload_factor;
         assert!(
-            here as f64 <= 2.0 + 2.0 * allowed_factor * most / warm,
-            "endpoint in slow start got {here} attempts; the busiest window has {most} in all"
+            slow_start_attempts as f64 <= 2.0 + 2.0 * allowed_factor * peak_attempts / warm,
+            "endpoint in slow start got {slow_start_attempts} attempts; the busiest window has {peak_attempts} in all"
         );
     }
 
@@ -172,14 +172,14 @@
                 .count() as f64;
             // The strictest count: only requests that arrived after the window began, or in the same
             // step of the simulated time.
-            let came = self
+            let arrivals_in_window = self
                 .arrivals
                 .iter()
                 .filter(|x| x.0 >= from && shares_cap(x.1))
                 .count() as f64;
             assert!(
-                sent <= policy.exposure_burst + cap * came + 1e-9,
-                "{sent} attempts to the canary for {came} requests at a cap of {cap}"
+                sent <= policy.exposure_burst + cap * arrivals_in_window + 1e-9,
+                "{sent} attempts to the canary for {arrivals_in_window} requests at a cap of {cap}"
             );
         }
     }
--- a/tests/independent_agents.rs
+++ b/tests/independent_agents.rs
@@ -69,12 +69,12 @@
 
 #[test]
 fn a_hundred_agents_starting_at_once_do_not_overload_discovery() {
-    let (last, most) = discovery(100, 16.0, polled_shared_list);
+    let (last, peak_calls) = discovery(100, 16.0, polled_shared_list);
     assert!(
         last.is_some_and(|t| t < ms(20_000)),
         "some agents never get the list: {last:?}"
     );
-    assert!(most <= 35, "{most} calls in a second");
+    assert!(peak_calls <= 35, "{peak_calls} calls in a second");
     // A few agents do not have to wait.
     let (last, _) = discovery(3, 16.0, polled_shared_list);
     assert!(last.is_some_and(|t| t < ms(300)), "{last:?}");
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -606,10 +606,10 @@
     w.update_rollout(canary_status(8, 0, 0.3));
     w.advance(ms(4500));
     let before = w.requests.len() as u64;
-    for left in (1..6).rev() {
+    for remaining in (1..6).rev() {
         w.update_endpoints(&[EndpointEntry {
             state: EndpointState::Draining,
-            ..endpoint_entry(left, 7, None)
+            ..endpoint_entry(remaining, 7, None)
         }]);
         (0..3).for_each(|class| w.serve(20, class, ms(20), |_| Outcome::Succeeded));
     }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -415,11 +415,11 @@
         ..unchanged_indices(&d)
     };
     driver.reload(d, &mapping);
-    let kept = driver.balancer.retained_counts();
+    let retained = driver.balancer.retained_counts();
     driver
         .balancer
         .reassign_zones(&(0..11).map(|i| (i, 5)).collect::<Vec<_>>());
-    assert_eq!(driver.balancer.retained_counts(), kept);
+    assert_eq!(driver.balancer.retained_counts(), retained);
     assert_eq!(
         driver.balancer.zone_capacities(driver.now, 6)[5].running,
         11
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -235,14 +235,14 @@
     calls: impl Iterator<Item = u64>,
     call: impl Fn(u64),
 ) -> (u64, u64) {
-    let (mut count, mut most, start) = (0, 0, tree.visited());
+    let (mut count, mut max_visits, start) = (0, 0, tree.visited());
     for key in calls {
         let before = tree.visited();
         call(key);
-        most = most.max(tree.visited() - before);
+        max_visits = max_visits.max(tree.visited() - before);
         count += 1;
     }
-    ((tree.visited() - start) / count, most)
+    ((tree.visited() - start) / count, max_visits)
 }
 
 #[test]
@@ -251,21 +251,23 @@
         let members = members(size, 3);
         let mut tree = tree_of(&members);
         let per_change = tree.visited() / size as u64;
-        let (mean, most) = visits(&tree, keys(2000), |key| {
+        let (mean, max_visits) = visits(&tree, keys(2000), |key| {
             first(&tree, key, &[1.0, 2.0, 3.0]);
         });
         let before = tree.visited();
         assert!(members.iter().all(|member| tree.remove(member)));
         let per_removal = (tree.visited() - before) / size as u64;
-        println!("{size}: lookup {mean} (most {most}), insert {per_change}, remove {per_removal}");
+        println!(
+            "{size}: lookup {mean} (max {max_visits}), insert {per_change}, remove {per_removal}"
+        );
         let levels = (size as f64).log2() / 4.0 + 2.0;
         assert!(
             mean as f64 <= f64::max(64.0, 16.0 * levels),
             "{size}: {mean}"
         );
         assert!(
-            most as f64 <= f64::max(64.0, 16.0 * (levels + 2.0)),
-            "{size}: {most}"
+            max_visits as f64 <= f64::max(64.0, 16.0 * (levels + 2.0)),
+            "{size}: {max_visits}"
         );
         assert!(per_change as f64 <= levels + 1.0, "{size}: {per_change}");
         assert!(per_removal as f64 <= levels + 1.0, "{size}: {per_removal}");
@@ -340,10 +342,10 @@
     let tree = tree_of(&close);
     let found: BTreeSet<_> = keys(20_000).map(|key| first(&tree, key, &[1.0])).collect();
     assert_eq!(found.len(), 200);
-    let (mean, most) = visits(&tree, keys(100), |key| {
+    let (mean, max_visits) = visits(&tree, keys(100), |key| {
         first(&tree, key, &[1.0]);
     });
-    assert!(mean < 64 && most < 64, "{mean}, {most}");
+    assert!(mean < 64 && max_visits < 64, "{mean}, {max_visits}");
 
     close.iter_mut().for_each(|member| member.identity = 7);
     let mut tree = tree_of(&close);
--- a/tests/unit/balancer/endpoint_sets.rs
+++ b/tests/unit/balancer/endpoint_sets.rs
@@ -128,11 +128,11 @@
             let endpoint = balancer.fleet.endpoint(index);
             balancer.slow_start_share(START, endpoint) - 0.85
         });
-        let walked = shares.sum::<f64>();
-        let kept = balancer.excess_capacity(START);
+        let scanned_capacity = shares.sum::<f64>();
+        let found_capacity = balancer.excess_capacity(START);
         assert!(
-            (kept - walked).abs() < 1e-9,
-            "{warming} endpoints in slow start: found {kept}, expected {walked}"
+            (found_capacity - scanned_capacity).abs() < 1e-9,
+            "{warming} endpoints in slow start: found {found_capacity}, expected {scanned_capacity}"
         );
     }
 }
--- a/tests/unit/balancer/zone_capacities.rs
+++ b/tests/unit/balancer/zone_capacities.rs
@@ -126,9 +126,9 @@
     let capacities = balancer.zone_capacities(now, ZONES);
     for (zone, reference) in scan_zones(balancer, now).iter().enumerate() {
         let (found, expected) = (capacities[zone].capacity, reference.capacity());
-        let off = (found - expected).abs();
+        let error = (found - expected).abs();
         assert!(
-            off <= ROUNDING_TOLERANCE * expected,
+            error <= ROUNDING_TOLERANCE * expected,
             "found {found}, expected {expected}"
         );
     }
@@ -196,11 +196,11 @@
         let responsive = reference.counts.responsive as f64;
         let deviation = reference.deviation() / (SAMPLE_SIZE as f64).sqrt();
         assert!(deviation < MAX_DEVIATION, "{deviation}");
-        let off = (capacities[zone].capacity - reference.capacity()) / responsive.max(1.0);
+        let error = (capacities[zone].capacity - reference.capacity()) / responsive.max(1.0);
         let allowed = MAX_DEVIATIONS * deviation;
         assert!(
-            off.abs() <= allowed,
-            "error {off}, allowed {allowed}, zone {zone}"
+            error.abs() <= allowed,
+            "error {error}, allowed {allowed}, zone {zone}"
         );
     }
 }
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -134,11 +134,11 @@
     }
 
     fn stop(&mut self, endpoint: usize) {
-        let left = self.evidence.stop(endpoint);
+        let found_counts = self.evidence.stop(endpoint);
         let expected = &mut self.reference.endpoints[endpoint];
         if expected.runs {
             let mut by_class = vec![OutcomeCounts::default(); self.reference.classes];
-            for (class, counts) in left {
+            for (class, counts) in found_counts {
                 by_class[class] = counts;
             }
             assert_close(
@@ -228,25 +228,27 @@
 /// Asserts that counts agree up to rounding and up to the negligible outcomes of `entries` entries,
 /// which may have been dropped.
 fn assert_close(
-    left: &[OutcomeCounts],
-    right: &[OutcomeCounts],
+    found_counts: &[OutcomeCounts],
+    expected_counts: &[OutcomeCounts],
     entries: usize,
     context: &dyn std::fmt::Debug,
 ) {
-    assert_eq!(left.len(), right.len());
+    assert_eq!(found_counts.len(), expected_counts.len());
     let forgotten = 2.0 * entries as f64 * NEGLIGIBLE_OUTCOMES;
-    for (class, (left, right)) in left.iter().zip(right).enumerate() {
+    for (class, (found_counts, expected_counts)) in
+        found_counts.iter().zip(expected_counts).enumerate()
+    {
         let pairs = [
-            (left.succeeded, right.succeeded),
-            (left.failed, right.failed),
-            (left.reported, right.reported),
-            (left.lost, right.lost),
+            (found_counts.succeeded, expected_counts.succeeded),
+            (found_counts.failed, expected_counts.failed),
+            (found_counts.reported, expected_counts.reported),
+            (found_counts.lost, expected_counts.lost),
         ];
         for (one, other) in pairs {
             let error = (one - other).abs();
             assert!(
                 one >= 0.0 && error <= ROUNDING_ERROR * other + forgotten,
-                "{context:?}, class {class}: found {left:?}, expected {right:?}"
+                "{context:?}, class {class}: found {found_counts:?}, expected {expected_counts:?}"
             );
         }
     }
@@ -424,16 +426,16 @@
 fn an_endpoint_drops_old_classes_while_it_is_sent_others() {
     let mut evidence = OutcomeEvidence::new();
     evidence.start(0, 1);
-    let mut most = 0;
+    let mut max_tracked = 0;
     for class in 0..1600 {
         evidence.add(0, class, &succeeded(1.0));
         for _ in 0..100 {
             evidence.end_interval();
         }
-        most = most.max(tracked_classes(&evidence));
+        max_tracked = max_tracked.max(tracked_classes(&evidence));
     }
     // A single request is negligible after 20 half-lives of 100 intervals each.
-    assert!((20..=2 * 22).contains(&most), "{most}");
+    assert!((20..=2 * 22).contains(&max_tracked), "{max_tracked}");
 }
 
 fn tracked_classes(evidence: &OutcomeEvidence) -> usize {
