--- a/src/balancer/build_evaluation.rs
+++ b/src/balancer/build_evaluation.rs
@@ -13,8 +13,8 @@
 /// Factor on the thresholds for a regression that keeps an existing hold until the build has
 /// settled.
 const HOLD_THRESHOLD_FACTOR: f64 = 0.5;
-/// Accumulated evidence of a regression that justifies a rollback, in failures times the seconds
-/// for which they have shown.
+/// Accumulated evidence of a regression that justifies a rollback, in failures multiplied by
+/// the seconds for which they have persisted.
 const ROLL_BACK_EVIDENCE: f64 = 12.0;
 /// Decay factor of that evidence for each evaluation interval without a regression.
 const EVIDENCE_DECAY: f64 = 0.98;
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -44,7 +44,7 @@
     0.5f64.powf(EVALUATION_INTERVAL.as_secs_f64() / half_life)
 }
 
-/// Decay of the outcomes of endpoints.
+/// How the outcomes of endpoints decay, by the half-life and the negligible number of outcomes.
 pub(super) fn outcome_decay() -> OutcomeDecay {
     OutcomeDecay {
         factor: decay_factor(OUTCOME_HALF_LIFE),
--- a/src/balancer/exposure.rs
+++ b/src/balancer/exposure.rs
@@ -1,7 +1,8 @@
 //! Exposure cap: how many attempts may go to a canary, by a token bucket per build.
 //!
-//! Each request that arrives adds as many tokens as the cap, as a share of requests. Each attempt
-//! at the canary spends one token. The bucket holds at most the configured burst.
+//! Each arriving request adds a fraction of a token that equals the cap, the largest share of
+//! requests that the canary may get. Each attempt to the canary spends one token. The bucket holds
+//! at most the configured burst.
 
 use super::Balancer;
 use crate::interface::Idempotency;
--- a/src/balancer/reload.rs
+++ b/src/balancer/reload.rs
@@ -27,7 +27,7 @@
     pub fn reload(&mut self, now: Duration, settings: &Settings, mapping: &IndexMapping) {
         let classes = CarryOver::new(&mapping.classes);
         let before = std::mem::replace(&mut self.parameters, Parameters::from(settings));
-        // Work is counted per configuration.
+        // The scan counts cover the time since the last reload.
         self.fleet.reset_scanned();
         self.reload_classes(settings, mapping, &classes);
         self.carry_over_evidence(&classes);
@@ -125,8 +125,8 @@
         return request_class::initial(class);
     };
     let rules = ClassRules::from(class);
-    // An initial estimate is derived from the latency objective, so it does not hold for another
-    // one.
+    // An initial estimate is derived from the latency objective, so it is invalid for another
+    // objective.
     let has_other_objective = known.rules.latency_objective != rules.latency_objective;
     if request_class::is_initial(known) && has_other_objective {
         return request_class::initial(class);
@@ -137,7 +137,8 @@
     }
 }
 
-/// A class whose samples continue under another index; kept here as well, they would count twice.
+/// This class with its rules and latency estimates only. Its samples continue under another index
+/// and would count twice if they were also kept here.
 fn without_samples(class: ClassState) -> ClassState {
     ClassState {
         rules: class.rules,
@@ -146,7 +147,7 @@
     }
 }
 
-/// A class that adds to no sum and is never slow.
+/// The state of an index that no class uses: it adds to no sum and never counts as slow.
 fn unused() -> ClassState {
     ClassState {
         rules: ClassRules {
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -78,7 +78,9 @@
         })
     }
 
-    /// Weight of a failure of this attempt as evidence against its endpoint, 0 to 1.
+    /// Returns the weight of a failure of this attempt as evidence against its endpoint, 0 to 1. If
+    /// an earlier attempt of the same request failed, also updates the estimated share of failures
+    /// that endpoints cause.
     ///
     /// Guards against requests that fail at any endpoint: if a request fails at a second endpoint
     /// as well, the failure counts against neither. This should also protect endpoints whose common
--- a/tests/build_evaluation.rs
+++ b/tests/build_evaluation.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn uses_a_released_build_and_rolls_it_back_only_after_the_release() {
+fn holds_a_failing_canary_and_rolls_it_back_once_it_is_released() {
     let mut driver = canary_rollout(|_| {});
     driver.serve(150, 0, ms(20), failing(8));
     assert!(
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn blames_no_endpoint_or_build_for_requests_that_fail_on_every_endpoint() {
+fn requests_that_fail_on_every_endpoint_count_against_no_endpoint_or_build() {
     let mut driver = canary_rollout(|d| d.rollout.caps[0] = 1.0);
     for id in 9000..9200 {
         driver.send_request(id, 0, ms(1500));
--- a/tests/endpoint_draws.rs
+++ b/tests/endpoint_draws.rs
@@ -666,9 +666,9 @@
 }
 
 /// All endpoints that could take the request have been silent for too long: random draws find none,
-/// and a full walk finds the best of those left.
+/// and a scan of all endpoints finds the best of those left.
 #[test]
-fn walks_all_endpoints_and_counts_it_when_none_responds() {
+fn scans_all_endpoints_and_counts_the_scan_when_none_responds() {
     let mut scenario = Scenario::new(first_seed(Kind::Usual, 120));
     for _ in 0..4 * scenario.entries.len() {
         scenario.send(IDEMPOTENT, |_, _| None);
--- a/tests/fleet_list_changes.rs
+++ b/tests/fleet_list_changes.rs
@@ -167,7 +167,7 @@
     }
 
     #[test]
-    fn losing_a_zone_of_1100_endpoints_fails_hardly_any_request_and_the_zone_is_used_again() {
+    fn losing_a_zone_of_1100_endpoints_fails_few_requests_and_the_zone_recovers() {
         let mut driver = serving_fleet(default_settings(31), FLEET_SIZE, &traffic(RATE));
         lose_and_return(&mut driver);
         driver.run(ms(5000), &traffic(RATE), &succeed);
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -56,7 +56,7 @@
 
 /// Retries, timeouts and ejections scan more endpoints, but no more in a larger fleet.
 #[test]
-fn work_does_not_grow_with_a_fleet_that_fails_in_part() {
+fn work_does_not_grow_with_a_partly_failing_fleet() {
     let respond = |entry: &EndpointEntry, _: usize| match entry.endpoint % 50 {
         0 => Answer::new(Outcome::ConnectFailed, ms(5)),
         1 => Answer::new(Outcome::Failed, ms(20)),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_largest_fleet_takes_hardly_more_work_than_the_smallest() {
+fn work_hardly_grows_from_the_smallest_to_the_largest_fleet() {
     let work = |endpoints| {
         let mut driver = serving_fleet(default_settings(17), endpoints, &TRAFFIC);
         driver.run(ms(10_000), &TRAFFIC, &succeed);
--- a/tests/independent_agents.rs
+++ b/tests/independent_agents.rs
@@ -482,9 +482,9 @@
     }
 }
 
-/// Simulates six agents that get eight requests a second each. A request takes 2.3 s on average, on
-/// one endpoint in five six times as long because of its hardware, and after 11 s `slows` times as
-/// long; a third of the clients leave after five seconds.
+/// Simulates six agents that get eight requests a second each. A request takes 2.3 s on average. On
+/// one endpoint in five, slower hardware makes it take six times as long. After 11 s, all requests
+/// take `slows` times as long. A third of the clients leave after five seconds.
 fn few_busy_agents(seed: u64, slows: f64) -> Votes {
     let agents = fleet(6, |settings| {
         (settings.seed, settings.hedging, settings.cross_zone_price) =
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn holds_a_build_that_slows_all_endpoints_where_requests_take_seconds_but_not_a_good_one() {
+fn holds_only_a_build_that_slows_all_endpoints_when_requests_take_seconds() {
     let voters = |seed, slows| {
         few_busy_agents(seed, slows)
             .values()
@@ -572,7 +572,7 @@
 }
 
 #[test]
-fn holds_or_rolls_back_a_failing_build_of_which_each_agent_sees_little() {
+fn holds_or_rolls_back_a_failing_build_that_gets_little_traffic_per_agent() {
     let behavior = |rng: &mut Pcg64Mcg, _: Duration, _: usize, build: u32| {
         let fails = build == 2 && rng.gen_bool(0.3);
         (
@@ -607,7 +607,7 @@
         let back = votes.get("back").map_or(0, BTreeMap::len);
         assert!(
             if slows { back >= 5 } else { back < 3 },
-            "slows {slows}: {votes:?}"
+            "slowdown factor {slows}: {votes:?}"
         );
     }
 }
--- a/tests/key_affinity.rs
+++ b/tests/key_affinity.rs
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn finding_the_endpoint_visits_few_nodes_at_any_size() {
+fn an_affinity_lookup_visits_few_nodes_at_any_fleet_size() {
     for size in [55, 770, 7700] {
         let mut agent = Agent::new(1, &endpoints(size, 3));
         let before = agent.balancer.affinity_nodes_visited();
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -281,7 +281,7 @@
 /// Guards against a fault on the path to some endpoints that is seen by just as many agents as can
 /// vote for a rollback.
 #[test]
-fn does_not_roll_back_a_good_build_when_half_of_both_builds_is_unreachable() {
+fn does_not_roll_back_a_good_build_when_half_the_endpoints_are_unreachable() {
     let mut d = many_agents_settings(11, 56);
     (
         d.rollout.votes_to_roll_back,
@@ -583,10 +583,13 @@
         w.votes.iter().any(|v| v.1.verdict != Verdict::Withdraw)
     };
     assert!(voted(4, true));
-    assert!(!voted(4, false), "nothing fails");
+    assert!(
+        !voted(4, false),
+        "a vote was cast although no request failed"
+    );
     assert!(
         !voted(0, true),
-        "a class without earlier outcomes does not gate"
+        "a vote was cast for a class without outcomes of the earlier build"
     );
 }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn keeps_the_load_of_tenants_by_index_and_moves_zones_without_losing_counts() {
+fn keeps_tenant_loads_by_index_and_retained_counts_when_zones_move() {
     let mut driver = canary_rollout_with(Settings {
         agents: 1,
         ..default_settings(4)
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -123,7 +123,7 @@
 
 /// Guards against all keys moving at once when a set outgrows the size of a small one.
 #[test]
-fn keys_change_from_the_plain_order_to_the_tree_a_few_at_a_time() {
+fn keys_switch_from_the_plain_order_to_the_tree_a_few_at_a_time() {
     let members = members(140, 1);
     let mut worst: f64 = 0.0;
     let mut total = 0.0;
@@ -166,7 +166,7 @@
 
 /// Each level moves about the member's share of the keys, because the sums above the member change.
 #[test]
-fn a_member_that_comes_or_goes_moves_few_keys() {
+fn adding_or_removing_a_member_moves_few_keys() {
     for size in [770, 7700] {
         let members = members(size + 1, 1);
         let without = tree_of(&members[..size]);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_weight_that_changes_moves_about_the_change() {
+fn a_weight_change_moves_keys_in_proportion() {
     let members = members(7700, 4);
     let tree = tree_of(&members);
     let before = [1.0, 1.0, 1.0, 1.0];
@@ -212,14 +212,13 @@
         temporary.iter().for_each(|member| other.insert(*member));
         for member in &temporary {
             assert!(other.remove(member));
-            assert!(!other.remove(member), "only once");
+            assert!(!other.remove(member), "a member was removed twice");
         }
         for key in keys(500) {
             let order = ranked(&tree, key, &weights);
             assert_eq!(ranked(&other, key, &renumbered), order, "{size}");
         }
-        // Nothing is left of the removed members: the nodes are those of the remaining members
-        // alone.
+        // Removed members leave no nodes behind: the tree equals one of the remaining members.
         let [own, others] = [(&tree, weights), (&other, renumbered)].map(|(tree, weights)| {
             visits(tree, keys(500), |key| {
                 first(tree, key, &weights);
@@ -399,9 +398,10 @@
     }
 }
 
-/// Of 16 children with equal weights, 4.5 are expected to be summed up.
+/// For about 4.5 of 16 children with equal weights, the weights of all kinds are expected to be
+/// summed.
 #[test]
-fn a_descent_sums_up_the_kinds_of_few_of_the_nodes_that_it_compares() {
+fn a_descent_sums_weights_for_few_of_the_nodes_that_it_compares() {
     const KINDS: usize = 30;
     const MAX_SUMMED: f64 = 0.4;
     for size in [770, 7700, 30_000] {
--- a/tests/request_routing.rs
+++ b/tests/request_routing.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn treats_an_unannounced_build_as_in_the_first_stage_and_sends_nothing_at_cap_zero() {
+fn limits_an_unannounced_build_to_the_first_stage_and_sends_nothing_at_cap_zero() {
     let mut driver = canary_rollout(|_| {});
     driver.update_rollout(RolloutStatus {
         phase: RolloutPhase::Released,
@@ -135,7 +135,7 @@
         .iter()
         .filter(|s| s.1 == unresponsive)
         .count();
-    assert!(before < 12, "{before} to an unresponsive endpoint");
+    assert!(before < 12, "{before} attempts to an unresponsive endpoint");
     driver.serve(600, 0, ms(20), |_| Outcome::Succeeded);
     assert!(
         driver
@@ -236,8 +236,7 @@
 }
 
 #[test]
-fn treats_no_endpoint_as_unresponsive_after_a_stall_of_the_agent_and_hedges_late_responses_in_time()
-{
+fn ignores_silence_during_a_stall_of_the_agent_but_hedges_late_responses() {
     for stalled in [true, false] {
         let mut driver = canary_rollout(|d| d.hedging = true);
         driver.send_request(7000, 0, ms(1500));
@@ -253,7 +252,7 @@
 }
 
 #[test]
-fn moves_the_load_of_earlier_endpoints_that_stay_until_the_release_to_the_canary() {
+fn endpoints_removed_at_the_release_cede_their_load_to_the_canary() {
     let mut driver = canary_rollout(|d| d.rollout.caps[0] = 1.0);
     driver.update_rollout(canary_status(8, 2, 1.0));
     driver.update_endpoints(
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -399,7 +399,7 @@
 }
 
 #[test]
-fn an_endpoint_tracks_only_classes_that_it_was_sent_recently() {
+fn an_endpoint_tracks_only_recently_sent_classes() {
     let (endpoints, classes) = (200, 1600);
     let mut evidence = OutcomeEvidence::new();
     for endpoint in 0..endpoints {
@@ -423,7 +423,7 @@
 /// Guards against unbounded memory: without pruning whenever its number of classes doubles, an
 /// endpoint that is always sent new classes would keep all of them.
 #[test]
-fn an_endpoint_drops_old_classes_while_it_is_sent_others() {
+fn an_endpoint_drops_old_classes_while_it_gets_new_ones() {
     let mut evidence = OutcomeEvidence::new();
     evidence.start(0, 1);
     let mut max_tracked = 0;
@@ -473,7 +473,7 @@
 /// Guards against rounding errors of a subtraction: a remainder above zero would look as if the
 /// build had been sent requests of the class.
 #[test]
-fn a_class_that_no_running_endpoint_was_sent_has_exactly_zero_outcomes() {
+fn a_class_sent_to_no_running_endpoint_has_exactly_zero_outcomes() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..50 {
         let mut evidence = OutcomeEvidence::new();
@@ -499,7 +499,7 @@
 
 /// Guards against the same remainder where the only endpoint that was sent the class is discarded.
 #[test]
-fn a_class_that_only_the_discarded_endpoint_was_sent_has_exactly_zero_outcomes() {
+fn a_class_sent_only_to_the_discarded_endpoint_has_exactly_zero_outcomes() {
     let mut random = Pcg64Mcg::seed_from_u64(2);
     let mut evidence = OutcomeEvidence::new();
     evidence.set_newest_build(2);
