--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -191,8 +191,8 @@
     fn was_silent(&self, observation: &Observation) -> bool {
         let health = &self.fleet.endpoint(observation.endpoint).health;
         let latest = observation.now + self.parameters.timer_granularity;
-        let said_nothing = |since: Duration| since + observation.elapsed <= latest;
-        !observation.after_stall && health.silent_since.is_some_and(said_nothing)
+        let is_silent_since = |since: Duration| since + observation.elapsed <= latest;
+        !observation.after_stall && health.silent_since.is_some_and(is_silent_since)
     }
 
     /// Counts a lost attempt. Returns whether several were lost in a row.
@@ -298,9 +298,9 @@
         drop(endpoint);
         let class = &mut self.classes[observation.class];
         hardware.latency_ratio.update(ratio, ENDPOINT_TYPE_GAIN);
-        // Subtracts the latency of the way to other zones, which is not the work of a build that
-        // runs only there, and divides by the relative latency of the hardware type, as faults may
-        // leave an agent only the slower hardware.
+        // Subtracts the latency of the round trip to other zones, which would count against a build
+        // that runs only there. Divides by the relative latency of the hardware type, because
+        // faults may leave an agent only the slower hardware.
         let own_latency = (latency - self.cross_zone.added_latency(zone)).max(0.0);
         let sample = if observation.is_evaluating {
             &mut class.recent
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -92,8 +92,8 @@
             .backoff
             .max(MIN_CALL_GAP)
             .max(interval / RETRIES_PER_INTERVAL);
-        let (least, spread) = BACKOFF_JITTER;
-        let jitter = least + spread * self.random_fraction();
+        let (min_factor, spread) = BACKOFF_JITTER;
+        let jitter = min_factor + spread * self.random_fraction();
         self.list.next_call = Some(now + backoff.mul_f64(jitter));
         let (numerator, denominator) = BACKOFF_GROWTH;
         let longest = interval.max(MIN_CALL_GAP * MAX_BACKOFF_GAPS);
--- a/src/balancer/evidence.rs
+++ b/src/balancer/evidence.rs
@@ -44,7 +44,8 @@
     0.5f64.powf(EVALUATION_INTERVAL.as_secs_f64() / half_life)
 }
 
-/// How the outcomes of endpoints decay, by the half-life and the negligible number of outcomes.
+/// Returns how the outcomes of endpoints decay: the factor per evaluation interval, and the number
+/// below which the outcomes of a class may be dropped.
 pub(super) fn outcome_decay() -> OutcomeDecay {
     OutcomeDecay {
         factor: decay_factor(OUTCOME_HALF_LIFE),
--- a/src/balancer/latency_regression.rs
+++ b/src/balancer/latency_regression.rs
@@ -51,7 +51,8 @@
     fast_share: f64,
     /// Ratio of the recent mean latency to the baseline's.
     ratio: f64,
-    /// Effective number of responses behind this comparison, as both samples are small.
+    /// Effective number of responses in this comparison: the product of both sample sizes divided by
+    /// their sum, because either sample may be small.
     samples: f64,
 }
 
--- a/src/balancer/outcome_evidence.rs
+++ b/src/balancer/outcome_evidence.rs
@@ -148,9 +148,9 @@
     }
 
     /// Retracts one failed response of a class at an endpoint, as far as it has not decayed.
-    pub fn take_back_failure(&mut self, endpoint: usize, class: usize) {
+    pub fn retract_failure(&mut self, endpoint: usize, class: usize) {
         self.update_record(endpoint, |record, decay| {
-            record.outcomes.take_back_failure(class, decay);
+            record.outcomes.retract_failure(class, decay);
         });
     }
 
--- a/src/balancer/outcome_regression.rs
+++ b/src/balancer/outcome_regression.rs
@@ -243,16 +243,17 @@
         count: counts.failed + counts.reported * thresholds.reported_error_weight,
         total: counts.succeeded + counts.failed,
     };
-    let seen = |counts: &OutcomeCounts| Proportion {
+    let observed = |counts: &OutcomeCounts| Proportion {
         count: counts.failed + counts.reported,
         total: counts.succeeded + counts.failed,
     };
     let canary = weighted(evidence.canary);
     let earlier = weighted(evidence.earlier);
-    seen(evidence.canary).count >= MIN_FAILURES * threshold_factor
+    observed(evidence.canary).count >= MIN_FAILURES * threshold_factor
         && canary.count > MAX_FAILED_SHARE * threshold_factor * canary.total
         && earlier.count < MAX_BASELINE_SHARE * earlier.total
-        && log_likelihood_ratio(seen(evidence.canary), seen(baseline)) > thresholds.log_ratio
+        && log_likelihood_ratio(observed(evidence.canary), observed(baseline))
+            > thresholds.log_ratio
 }
 
 /// Whether the canary's responses are lost. The comparison guards against dead endpoints and lossy
--- a/src/balancer/parameters.rs
+++ b/src/balancer/parameters.rs
@@ -10,7 +10,8 @@
 const OVERLOAD_SHARE_RANGE: (f64, f64) = (0.1, 3.0);
 /// Accepted probability that the required number of agents err at the same time.
 const JOINT_ERROR_PROBABILITY: f64 = 0.001;
-/// Maximum number of required votes: more would make the sum of logarithms in the threshold long.
+/// Maximum number of required votes that is assumed. Computing the threshold takes a step per vote,
+/// so this bounds its cost.
 const MAX_NEEDED_VOTES: u32 = 10_000;
 /// Lowest assumed share of wrong responses that clients report, so that one report counts as at
 /// most ten failures.
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -93,7 +93,7 @@
         match outcome {
             Outcome::Failed => {
                 *attribution *= 1.0 - FAULT_ATTRIBUTION_GAIN;
-                self.take_back_failure(earlier, ended.class);
+                self.retract_failure(earlier, ended.class);
             }
             Outcome::Succeeded => *attribution += (1.0 - *attribution) * FAULT_ATTRIBUTION_GAIN,
             _ => {}
@@ -101,14 +101,14 @@
         0.0
     }
 
-    fn take_back_failure(&mut self, failure: FailedAttempt, class: usize) {
+    fn retract_failure(&mut self, failure: FailedAttempt, class: usize) {
         let mut endpoint = self.fleet.endpoint_mut(failure.endpoint);
         if endpoint.build != failure.build {
             return;
         }
         endpoint.health.failure_rate *= FAILURE_RATE_DECAY;
         drop(endpoint);
-        self.outcomes.take_back_failure(failure.endpoint, class);
+        self.outcomes.retract_failure(failure.endpoint, class);
     }
 
     /// Decides what to do with a request after one of its attempts has ended.
--- a/src/model/endpoint_outcomes.rs
+++ b/src/model/endpoint_outcomes.rs
@@ -125,7 +125,7 @@
     }
 
     /// Removes one failed response of a class, as far as it has not decayed.
-    pub fn take_back_failure(&mut self, class: usize, decay: &OutcomeDecay) {
+    pub fn retract_failure(&mut self, class: usize, decay: &OutcomeDecay) {
         self.apply_pending_decay(decay);
         if let Ok(position) = self.entries.binary_search_by_key(&class, |e| e.class) {
             let failed = &mut self.entries[position].counts.failed;
--- a/tests/build_evaluation.rs
+++ b/tests/build_evaluation.rs
@@ -315,9 +315,9 @@
         .any(|(_, v)| v.build == build && v.verdict == Verdict::RollBack)
 }
 
-/// Guards against a build that slows all requests so much that hardly any is answered: the few
-/// answers that came were fast enough. The check does harm where endpoints hang while the other
-/// answers are slow, because it then rolls back a good build.
+/// Guards against a build that slows requests so much that hardly any is answered and only the few
+/// fast answers are measured. The check does harm where endpoints hang while the other answers are
+/// slow, because it then rolls back a good build.
 #[test]
 fn rolls_back_a_build_whose_requests_stay_in_flight() {
     for hangs in [true, false] {
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -191,7 +191,7 @@
 
     /// Runs the scenario for a number of seconds and returns the digest and the counts. `script` is
     /// called at the beginning of each second with its number.
-    fn play(mut self, seconds: u64, script: Script) -> (String, BTreeMap<u64, u64>) {
+    fn run_scenario(mut self, seconds: u64, script: Script) -> (String, BTreeMap<u64, u64>) {
         for second in 0..seconds {
             script(&mut self, second);
             let end = START + Duration::from_secs(second + 1);
@@ -464,7 +464,7 @@
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
     let mut simulation = Simulation::new(1, settings, servers, 110.0);
     simulation.sends_work_estimates = true;
-    simulation.play(30, |s, second| {
+    simulation.run_scenario(30, |s, second| {
         match second {
             3 => s.servers[1].entry.state = EndpointState::Draining,
             5 => s.servers[1].entry.state = EndpointState::Gone,
@@ -496,7 +496,7 @@
     settings.rollout.sticky_builds = true;
     settings.rollout.guarded_stages = 1;
     let servers = (0..16).map(|n| Server::new(n, 40)).collect();
-    Simulation::new(2, settings, servers, 120.0).play(40, |s, second| {
+    Simulation::new(2, settings, servers, 120.0).run_scenario(40, |s, second| {
         match second {
             4 => (0..4).for_each(|n| s.start(n, 41)),
             8 => (4..8).for_each(|n| s.start(n, 41)),
@@ -552,7 +552,7 @@
     settings.rollout.votes_to_hold = 3;
     settings.rollout.votes_to_roll_back = 3;
     let servers = (0..10).map(|n| Server::new(n, 40)).collect();
-    Simulation::new(3, settings, servers, 100.0).play(40, |s, second| {
+    Simulation::new(3, settings, servers, 100.0).run_scenario(40, |s, second| {
         match second {
             6 => (0..2).for_each(|n| s.start(n, 41)),
             7 => s.publish_status(RolloutStatus {
@@ -588,7 +588,7 @@
         ..default_settings(4)
     };
     let servers = (0..6).map(|n| Server::new(n, 40)).collect();
-    Simulation::new(4, settings, servers, 60.0).play(30, |s, second| match second {
+    Simulation::new(4, settings, servers, 60.0).run_scenario(30, |s, second| match second {
         4 => s.servers[0].service_time = ms(200),
         8 => s.rate = 700.0,
         14 => s.rate = 60.0,
@@ -612,16 +612,16 @@
         ..default_settings(5)
     };
     let servers = (0..12).map(|n| Server::new(n, 40)).collect();
-    Simulation::new(5, settings, servers, 100.0).play(36, |s, second| match second {
+    Simulation::new(5, settings, servers, 100.0).run_scenario(36, |s, second| match second {
         3 => {
-            let far = ZonePolicy {
+            let remote_policy = ZonePolicy {
                 weight: Some(0.3),
                 added_latency: ms(2),
                 last_resort: vec![true, false],
                 last_resort_for_retries: vec![true],
             };
             let told = CrossZonePolicy {
-                zones: vec![far.clone(), far],
+                zones: vec![remote_policy.clone(), remote_policy],
                 slow_start_factor: 0.8,
             };
             s.agents
@@ -708,7 +708,7 @@
     let mut simulation = Simulation::new(seed, settings, servers, rate);
     simulation.sends_work_estimates = seed.is_multiple_of(3);
     simulation.failing_share = [0.05, 0.09, 0.14, 0.3][seed as usize % 4];
-    simulation.play(30, |s, second| {
+    simulation.run_scenario(30, |s, second| {
         let failing_share = s.failing_share;
         match second {
             0 => s.servers[7].failing_share = 0.02,
@@ -772,7 +772,7 @@
             "2f9b94ffb4461f28e36ff9d9c9b5bdcd008a651bb01523e86e096834d2aa10ed",
         ),
     ];
-    let results = scenarios.map(|(name, play, expected)| (name, play(), expected));
+    let results = scenarios.map(|(name, run_scenario, expected)| (name, run_scenario(), expected));
     for (name, (digest, counts), _) in &results {
         println!("{name}: {digest} {counts:?}");
     }
--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -232,10 +232,10 @@
         let before = attempts_to(&harness, 8);
         serve_counted(&mut harness, 400, |_| Outcome::Succeeded);
         assert_eq!(harness.votes.len(), votes, "{:?}", harness.log_lines);
-        let got = attempts_to(&harness, 8) - before;
+        let received = attempts_to(&harness, 8) - before;
         assert!(
-            got > 30,
-            "the canary got less than its share: {got} of 400 attempts"
+            received > 30,
+            "the canary got less than its share: {received} of 400 attempts"
         );
     }
 
@@ -329,14 +329,14 @@
         harness.update_endpoints(&[other_endpoint(7)]);
         let before: Vec<usize> = (0..8).map(|i| attempts_of(&harness, i)).collect();
         harness.serve(30, 0, ms(20), |_| Outcome::Succeeded);
-        let got = attempts_of(&harness, REUSED) - before[REUSED];
-        assert!(got >= 1, "the new endpoint was not used at once");
+        let received = attempts_of(&harness, REUSED) - before[REUSED];
+        assert!(received >= 1, "the new endpoint was not used at once");
         harness.serve(270, 0, ms(20), |_| Outcome::Succeeded);
-        let got: Vec<usize> = (0..8)
+        let received: Vec<usize> = (0..8)
             .map(|i| attempts_of(&harness, i) - before[i])
             .collect();
-        let mean = got[1..].iter().sum::<usize>() as f64 / 7.0;
-        assert!(got[REUSED] as f64 > 0.6 * mean, "{got:?}");
+        let mean = received[1..].iter().sum::<usize>() as f64 / 7.0;
+        assert!(received[REUSED] as f64 > 0.6 * mean, "{received:?}");
     }
 
     /// Guards against failures of an endpoint of the earlier build that count for the canary. The
@@ -429,10 +429,10 @@
         harness.update_endpoints(&[other_endpoint(7)]);
         let before = attempts_of(&harness, REUSED);
         serve(&mut harness, false, 100);
-        let got = attempts_of(&harness, REUSED) - before;
+        let received = attempts_of(&harness, REUSED) - before;
         assert!(
-            got >= 6,
-            "the new endpoint got less than its share: {got} of 100 attempts"
+            received >= 6,
+            "the new endpoint got less than its share: {received} of 100 attempts"
         );
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -126,14 +126,14 @@
 /// factor.
 fn policy_from(value: u8) -> CrossZonePolicy {
     let bits = |n: u8| (0..3).map(|class| value >> (class + n) & 1 == 1).collect();
-    let far = ZonePolicy {
+    let remote_policy = ZonePolicy {
         weight: (!value.is_multiple_of(3)).then(|| f64::from(value % 16) / 15.0),
         added_latency: ms(u64::from(value)),
         last_resort: bits(0),
         last_resort_for_retries: bits(3),
     };
     CrossZonePolicy {
-        zones: vec![ZonePolicy::default(), far],
+        zones: vec![ZonePolicy::default(), remote_policy],
         slow_start_factor: 0.2 + f64::from(value % 5) / 5.0,
     }
 }
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -222,11 +222,11 @@
             counts_of(8, 2, 12.0, 4.0, 100)
         ),
         None,
-        "both builds fail alike"
+        "a vote was cast although both builds fail alike"
     );
 }
 
-/// Guards against one invalid count that would spoil all later ones.
+/// Guards against one invalid report that would make the totals of all later reports invalid.
 #[test]
 fn invalid_platform_counts_do_not_hide_a_bad_build() {
     let mut w = Harness::new(many_agents_settings(5, 400));
@@ -274,7 +274,7 @@
     assert_eq!(
         verdict_after(ms(16_000)),
         None,
-        "a build that has served is not rolled back"
+        "a vote was cast long after the release"
     );
 }
 
@@ -367,7 +367,8 @@
         warming.iter().all(|n| (*n as f64) < limit),
         "attempts to warming endpoints: {warming:?}, at most {limit} each; to warm ones {warm}"
     );
-    // The warming endpoints are not idle either: an agent whose turn it is sends its attempt.
+    // The warming endpoints are not idle either: each agent sends an attempt once its quota allows
+    // one.
     assert!(warming.iter().sum::<usize>() > 60, "{warming:?}");
 }
 
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -146,13 +146,13 @@
         let tree = tree_of(&members);
         let total: f64 = members.iter().map(|m| weights[m.kind]).sum();
         let count = size * per_member;
-        let mut got = vec![0.0; size];
-        keys(count as u64).for_each(|key| got[first(&tree, key, &weights)] += 1.0);
+        let mut received = vec![0.0; size];
+        keys(count as u64).for_each(|key| received[first(&tree, key, &weights)] += 1.0);
         let chi_squared: f64 = members
             .iter()
             .map(|m| {
                 let expected = count as f64 * weights[m.kind] / total;
-                (got[m.value] - expected).powi(2) / expected
+                (received[m.value] - expected).powi(2) / expected
             })
             .sum();
         // Four standard deviations above the mean of a chi-squared variable with these degrees of
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    fn take_back_failure(&mut self, endpoint: usize, class: usize) {
-        self.evidence.take_back_failure(endpoint, class);
+    fn retract_failure(&mut self, endpoint: usize, class: usize) {
+        self.evidence.retract_failure(endpoint, class);
         if let Some(counts) = self.reference.endpoints[endpoint].outcomes.get_mut(class) {
             counts.failed = (counts.failed - 1.0).max(0.0);
         }
@@ -299,7 +299,7 @@
         0..=29 => checked.start(endpoint, newest.saturating_sub(1) + random.gen_range(0..3)),
         30..=44 => checked.stop(endpoint),
         45..=64 => checked.set_ejected(endpoint, random.gen_bool(0.5)),
-        65..=94 => checked.take_back_failure(endpoint, class),
+        65..=94 => checked.retract_failure(endpoint, class),
         95..=99 => checked.clear_failed(endpoint),
         100..=103 => checked.set_newest_build(newest + 1),
         104..=106 => {
