--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -34,8 +34,8 @@
 /// Maximum duration of the ejection of an unreachable endpoint, as a multiple of the maximum
 /// ejection.
 const MAX_UNREACHABLE_EJECTIONS: u32 = 2;
-/// Time for which a failing endpoint of the earlier build excuses failing endpoints of the newest
-/// one.
+/// Time after a failure of a failing endpoint of the earlier build during which the failures of
+/// failing endpoints of the newest build do not count against that build.
 const FAULTY_ENDPOINTS_FOR: Duration = Duration::from_millis(8000);
 /// Maximum number of samples over which the mean latency of a class is averaged.
 const MAX_LATENCY_SAMPLES: f64 = 50.0;
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -123,7 +123,7 @@
         self.full_walks.get()
     }
 
-    /// Resets the numbers of scanned endpoints and full walks to zero.
+    /// Resets the counts of scanned endpoints and of decisions that examined all endpoints to zero.
     pub fn reset_scanned(&mut self) {
         self.scanned.set(0);
         self.full_walks.set(0);
