--- a/src/balancer/endpoint_health.rs
+++ b/src/balancer/endpoint_health.rs
@@ -34,8 +34,8 @@
 /// Maximum duration of the ejection of an unreachable endpoint, as a multiple of the maximum
 /// ejection.
 const MAX_UNREACHABLE_EJECTIONS: u32 = 2;
-/// Time for which a failing endpoint of the earlier build excuses failing endpoints of the newest
-/// one.
+/// Time after a failure of a failing endpoint of the earlier build during which the failures of
+/// failing endpoints of the newest build do not count against that build.
 const FAULTY_ENDPOINTS_FOR: Duration = Duration::from_millis(8000);
 /// Maximum number of samples over which the mean latency of a class is averaged.
 const MAX_LATENCY_SAMPLES: f64 = 50.0;
@@ -191,8 +191,8 @@
     fn was_silent(&self, observation: &Observation) -> bool {
         let health = &self.fleet.endpoint(observation.endpoint).health;
         let latest = observation.now + self.parameters.timer_granularity;
-        let said_nothing = |since: Duration| since + observation.elapsed <= latest;
-        !observation.after_stall && health.silent_since.is_some_and(said_nothing)
+        let is_silent_since = |since: Duration| since + observation.elapsed <= latest;
+        !observation.after_stall && health.silent_since.is_some_and(is_silent_since)
     }
 
     /// Counts a lost attempt. Returns whether several were lost in a row.
@@ -298,9 +298,9 @@
         drop(endpoint);
         let class = &mut self.classes[observation.class];
         hardware.latency_ratio.update(ratio, ENDPOINT_TYPE_GAIN);
-        // Subtracts the latency of the way to other zones, which is not the work of a build that
-        // runs only there, and divides by the relative latency of the hardware type, as faults may
-        // leave an agent only the slower hardware.
+        // Subtracts the latency of the round trip to other zones, which would count against a build
+        // that runs only there. Divides by the relative latency of the hardware type, because
+        // faults may leave an agent only the slower hardware.
         let own_latency = (latency - self.cross_zone.added_latency(zone)).max(0.0);
         let sample = if observation.is_evaluating {
             &mut class.recent
@@ -378,7 +378,7 @@
     }
 }
 
-/// Updates the estimate of a high_quantile quantile with one value.
+/// Moves the estimate of a high quantile one step up or down towards `value`, within its range.
 pub(super) fn update_high_quantile(high_quantile: &mut f64, value: f64) {
     let step = if value > *high_quantile {
         HIGH_QUANTILE_STEP_UP
--- a/tests/endpoint_draws.rs
+++ b/tests/endpoint_draws.rs
@@ -615,7 +615,7 @@
 fn assert_scenarios_differ(samples: &[Sample]) {
     let largest = samples.iter().filter(|s| s.size == 7700);
     let candidates: BTreeMap<Kind, usize> = largest.map(|s| (s.kind, s.candidates)).collect();
-    let has_candidates = |kind, least, most| (least..most).contains(&candidates[&kind]);
+    let has_candidates = |kind, least, limit| (least..limit).contains(&candidates[&kind]);
     assert!(has_candidates(Kind::Usual, 7700, 7701), "{candidates:?}");
     assert!(
         has_candidates(Kind::AllEjected, 7700, 7701),
@@ -666,9 +666,9 @@
 }
 
 /// All endpoints that could take the request have been silent for too long: random draws find none,
-/// and a full walk finds the best of those left.
+/// and a scan of all endpoints finds the best of those left.
 #[test]
-fn walks_all_endpoints_and_counts_it_when_none_responds() {
+fn scans_all_endpoints_and_counts_the_scan_when_none_responds() {
     let mut scenario = Scenario::new(first_seed(Kind::Usual, 120));
     for _ in 0..4 * scenario.entries.len() {
         scenario.send(IDEMPOTENT, |_, _| None);
--- a/tests/fleet_list_changes.rs
+++ b/tests/fleet_list_changes.rs
@@ -77,7 +77,7 @@
         let window = driver.settings.overload_window;
         let per_window = MAX_WARMING_LOAD * RATE / FLEET_SIZE as f64 * window.as_secs_f64();
         for (endpoint, times) in &sent {
-            let most = times
+            let peak_attempts = times
                 .iter()
                 .map(|from| {
                     times
@@ -88,8 +88,8 @@
                 .max()
                 .unwrap_or(0);
             assert!(
-                most as f64 <= (2.0 + 2.0 * per_window).floor(),
-                "endpoint {endpoint} got {most} attempts within a window of its slow start"
+                peak_attempts as f64 <= (2.0 + 2.0 * per_window).floor(),
+                "endpoint {endpoint} got {peak_attempts} attempts within a window of its slow start"
             );
         }
         let sent_in_total = sent.values().map(Vec::len).sum::<usize>() as f64;
@@ -167,7 +167,7 @@
     }
 
     #[test]
-    fn losing_a_zone_of_1100_endpoints_fails_hardly_any_request_and_the_zone_is_used_again() {
+    fn losing_a_zone_of_1100_endpoints_fails_few_requests_and_the_zone_recovers() {
         let mut driver = serving_fleet(default_settings(31), FLEET_SIZE, &traffic(RATE));
         lose_and_return(&mut driver);
         driver.run(ms(5000), &traffic(RATE), &succeed);
--- a/tests/independent_agents.rs
+++ b/tests/independent_agents.rs
@@ -69,12 +69,12 @@
 
 #[test]
 fn a_hundred_agents_starting_at_once_do_not_overload_discovery() {
-    let (last, most) = discovery(100, 16.0, polled_shared_list);
+    let (last, peak_calls) = discovery(100, 16.0, polled_shared_list);
     assert!(
         last.is_some_and(|t| t < ms(20_000)),
         "some agents never get the list: {last:?}"
     );
-    assert!(most <= 35, "{most} calls in a second");
+    assert!(peak_calls <= 35, "{peak_calls} calls in a second");
     // A few agents do not have to wait.
     let (last, _) = discovery(3, 16.0, polled_shared_list);
     assert!(last.is_some_and(|t| t < ms(300)), "{last:?}");
@@ -482,9 +482,9 @@
     }
 }
 
-/// Simulates six agents that get eight requests a second each. A request takes 2.3 s on average, on
-/// one endpoint in five six times as long because of its hardware, and after 11 s `slows` times as
-/// long; a third of the clients leave after five seconds.
+/// Simulates six agents that get eight requests a second each. A request takes 2.3 s on average. On
+/// one endpoint in five, slower hardware makes it take six times as long. After 11 s, all requests
+/// take `slows` times as long. A third of the clients leave after five seconds.
 fn few_busy_agents(seed: u64, slows: f64) -> Votes {
     let agents = fleet(6, |settings| {
         (settings.seed, settings.hedging, settings.cross_zone_price) =
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn holds_a_build_that_slows_all_endpoints_where_requests_take_seconds_but_not_a_good_one() {
+fn holds_only_a_build_that_slows_all_endpoints_when_requests_take_seconds() {
     let voters = |seed, slows| {
         few_busy_agents(seed, slows)
             .values()
@@ -572,7 +572,7 @@
 }
 
 #[test]
-fn holds_or_rolls_back_a_failing_build_of_which_each_agent_sees_little() {
+fn holds_or_rolls_back_a_failing_build_that_gets_little_traffic_per_agent() {
     let behavior = |rng: &mut Pcg64Mcg, _: Duration, _: usize, build: u32| {
         let fails = build == 2 && rng.gen_bool(0.3);
         (
@@ -607,7 +607,7 @@
         let back = votes.get("back").map_or(0, BTreeMap::len);
         assert!(
             if slows { back >= 5 } else { back < 3 },
-            "slows {slows}: {votes:?}"
+            "build slows all endpoints: {slows}, votes: {votes:?}"
         );
     }
 }
@@ -645,7 +645,7 @@
     }
 }
 
-/// Guards large fleets before the platform's first status: each decision walked all endpoints once
+/// Guards large fleets before the platform's first status: each decision scanned all endpoints once
 /// per endpoint, which took 5.2 ms with 1,024 endpoints instead of 0.04 ms.
 #[test]
 fn decides_fast_among_a_thousand_endpoints_without_a_rollout_status() {
--- a/tests/many_small_agents.rs
+++ b/tests/many_small_agents.rs
@@ -222,11 +222,11 @@
             counts_of(8, 2, 12.0, 4.0, 100)
         ),
         None,
-        "both builds fail alike"
+        "a vote was cast although both builds fail alike"
     );
 }
 
-/// Guards against one invalid count that would spoil all later ones.
+/// Guards against one invalid report that would make the totals of all later reports invalid.
 #[test]
 fn invalid_platform_counts_do_not_hide_a_bad_build() {
     let mut w = Harness::new(many_agents_settings(5, 400));
@@ -274,14 +274,14 @@
     assert_eq!(
         verdict_after(ms(16_000)),
         None,
-        "a build that has served is not rolled back"
+        "a vote was cast long after the release"
     );
 }
 
 /// Guards against a fault on the path to some endpoints that is seen by just as many agents as can
 /// vote for a rollback.
 #[test]
-fn does_not_roll_back_a_good_build_when_half_of_both_builds_is_unreachable() {
+fn does_not_roll_back_a_good_build_when_half_the_endpoints_are_unreachable() {
     let mut d = many_agents_settings(11, 56);
     (
         d.rollout.votes_to_roll_back,
@@ -367,7 +367,8 @@
         warming.iter().all(|n| (*n as f64) < limit),
         "attempts to warming endpoints: {warming:?}, at most {limit} each; to warm ones {warm}"
     );
-    // The warming endpoints are not idle either: an agent whose turn it is sends its attempt.
+    // The warming endpoints are not idle either: each agent sends an attempt once its quota allows
+    // one.
     assert!(warming.iter().sum::<usize>() > 60, "{warming:?}");
 }
 
@@ -583,10 +584,13 @@
         w.votes.iter().any(|v| v.1.verdict != Verdict::Withdraw)
     };
     assert!(voted(4, true));
-    assert!(!voted(4, false), "nothing fails");
+    assert!(
+        !voted(4, false),
+        "a vote was cast although no request failed"
+    );
     assert!(
         !voted(0, true),
-        "a class without earlier outcomes does not gate"
+        "a vote was cast for a class without outcomes of the earlier build"
     );
 }
 
@@ -606,10 +610,10 @@
     w.update_rollout(canary_status(8, 0, 0.3));
     w.advance(ms(4500));
     let before = w.requests.len() as u64;
-    for left in (1..6).rev() {
+    for remaining in (1..6).rev() {
         w.update_endpoints(&[EndpointEntry {
             state: EndpointState::Draining,
-            ..endpoint_entry(left, 7, None)
+            ..endpoint_entry(remaining, 7, None)
         }]);
         (0..3).for_each(|class| w.serve(20, class, ms(20), |_| Outcome::Succeeded));
     }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -267,7 +267,7 @@
     assert_eq!(
         driver.requests[&id].attempts.len(),
         2,
-        "it was admitted as idempotent and may run twice"
+        "a request admitted as idempotent was not sent again"
     );
     assert_eq!(
         (
@@ -283,7 +283,7 @@
         "{:?}",
         driver.balancer.indices_in_use()
     );
-    // The index is unused: it takes part in no sum, although its class was slow.
+    // The index becomes unused: it must add to no sum, although its former class was slow.
     let mut d = driver.settings.clone();
     d.classes[0] = RequestClass {
         latency_objective: ms(1000),
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn keeps_the_load_of_tenants_by_index_and_moves_zones_without_losing_counts() {
+fn keeps_tenant_loads_by_index_and_retained_counts_when_zones_move() {
     let mut driver = canary_rollout_with(Settings {
         agents: 1,
         ..default_settings(4)
@@ -415,11 +415,11 @@
         ..unchanged_indices(&d)
     };
     driver.reload(d, &mapping);
-    let kept = driver.balancer.retained_counts();
+    let retained = driver.balancer.retained_counts();
     driver
         .balancer
         .reassign_zones(&(0..11).map(|i| (i, 5)).collect::<Vec<_>>());
-    assert_eq!(driver.balancer.retained_counts(), kept);
+    assert_eq!(driver.balancer.retained_counts(), retained);
     assert_eq!(
         driver.balancer.zone_capacities(driver.now, 6)[5].running,
         11
--- a/tests/rendezvous_tree.rs
+++ b/tests/rendezvous_tree.rs
@@ -123,7 +123,7 @@
 
 /// Guards against all keys moving at once when a set outgrows the size of a small one.
 #[test]
-fn keys_change_from_the_plain_order_to_the_tree_a_few_at_a_time() {
+fn keys_switch_from_the_plain_order_to_the_tree_a_few_at_a_time() {
     let members = members(140, 1);
     let mut worst: f64 = 0.0;
     let mut total = 0.0;
@@ -146,13 +146,13 @@
         let tree = tree_of(&members);
         let total: f64 = members.iter().map(|m| weights[m.kind]).sum();
         let count = size * per_member;
-        let mut got = vec![0.0; size];
-        keys(count as u64).for_each(|key| got[first(&tree, key, &weights)] += 1.0);
+        let mut received = vec![0.0; size];
+        keys(count as u64).for_each(|key| received[first(&tree, key, &weights)] += 1.0);
         let chi_squared: f64 = members
             .iter()
             .map(|m| {
                 let expected = count as f64 * weights[m.kind] / total;
-                (got[m.value] - expected).powi(2) / expected
+                (received[m.value] - expected).powi(2) / expected
             })
             .sum();
         // Four standard deviations above the mean of a chi-squared variable with these degrees of
@@ -166,7 +166,7 @@
 
 /// Each level moves about the member's share of the keys, because the sums above the member change.
 #[test]
-fn a_member_that_comes_or_goes_moves_few_keys() {
+fn adding_or_removing_a_member_moves_few_keys() {
     for size in [770, 7700] {
         let members = members(size + 1, 1);
         let without = tree_of(&members[..size]);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_weight_that_changes_moves_about_the_change() {
+fn a_weight_change_moves_keys_in_proportion() {
     let members = members(7700, 4);
     let tree = tree_of(&members);
     let before = [1.0, 1.0, 1.0, 1.0];
@@ -212,14 +212,13 @@
         temporary.iter().for_each(|member| other.insert(*member));
         for member in &temporary {
             assert!(other.remove(member));
-            assert!(!other.remove(member), "only once");
+            assert!(!other.remove(member), "a member was removed twice");
         }
         for key in keys(500) {
             let order = ranked(&tree, key, &weights);
             assert_eq!(ranked(&other, key, &renumbered), order, "{size}");
         }
-        // Nothing is left of the removed members: the nodes are those of the remaining members
-        // alone.
+        // Removed members leave no nodes behind: the tree equals one of the remaining members.
         let [own, others] = [(&tree, weights), (&other, renumbered)].map(|(tree, weights)| {
             visits(tree, keys(500), |key| {
                 first(tree, key, &weights);
@@ -235,14 +234,14 @@
     calls: impl Iterator<Item = u64>,
     call: impl Fn(u64),
 ) -> (u64, u64) {
-    let (mut count, mut most, start) = (0, 0, tree.visited());
+    let (mut count, mut max_visits, start) = (0, 0, tree.visited());
     for key in calls {
         let before = tree.visited();
         call(key);
-        most = most.max(tree.visited() - before);
+        max_visits = max_visits.max(tree.visited() - before);
         count += 1;
     }
-    ((tree.visited() - start) / count, most)
+    ((tree.visited() - start) / count, max_visits)
 }
 
 #[test]
@@ -251,21 +250,23 @@
         let members = members(size, 3);
         let mut tree = tree_of(&members);
         let per_change = tree.visited() / size as u64;
-        let (mean, most) = visits(&tree, keys(2000), |key| {
+        let (mean, max_visits) = visits(&tree, keys(2000), |key| {
             first(&tree, key, &[1.0, 2.0, 3.0]);
         });
         let before = tree.visited();
         assert!(members.iter().all(|member| tree.remove(member)));
         let per_removal = (tree.visited() - before) / size as u64;
-        println!("{size}: lookup {mean} (most {most}), insert {per_change}, remove {per_removal}");
+        println!(
+            "{size}: lookup {mean} (max {max_visits}), insert {per_change}, remove {per_removal}"
+        );
         let levels = (size as f64).log2() / 4.0 + 2.0;
         assert!(
             mean as f64 <= f64::max(64.0, 16.0 * levels),
             "{size}: {mean}"
         );
         assert!(
-            most as f64 <= f64::max(64.0, 16.0 * (levels + 2.0)),
-            "{size}: {most}"
+            max_visits as f64 <= f64::max(64.0, 16.0 * (levels + 2.0)),
+            "{size}: {max_visits}"
         );
         assert!(per_change as f64 <= levels + 1.0, "{size}: {per_change}");
         assert!(per_removal as f64 <= levels + 1.0, "{size}: {per_removal}");
@@ -340,10 +341,10 @@
     let tree = tree_of(&close);
     let found: BTreeSet<_> = keys(20_000).map(|key| first(&tree, key, &[1.0])).collect();
     assert_eq!(found.len(), 200);
-    let (mean, most) = visits(&tree, keys(100), |key| {
+    let (mean, max_visits) = visits(&tree, keys(100), |key| {
         first(&tree, key, &[1.0]);
     });
-    assert!(mean < 64 && most < 64, "{mean}, {most}");
+    assert!(mean < 64 && max_visits < 64, "{mean}, {max_visits}");
 
     close.iter_mut().for_each(|member| member.identity = 7);
     let mut tree = tree_of(&close);
@@ -397,9 +398,10 @@
     }
 }
 
-/// Of 16 children with equal weights, 4.5 are expected to be summed up.
+/// For about 4.5 of 16 children with equal weights, the weights of all kinds are expected to be
+/// summed.
 #[test]
-fn a_descent_sums_up_the_kinds_of_few_of_the_nodes_that_it_compares() {
+fn a_descent_sums_weights_for_few_of_the_nodes_that_it_compares() {
     const KINDS: usize = 30;
     const MAX_SUMMED: f64 = 0.4;
     for size in [770, 7700, 30_000] {
--- a/tests/unit/outcome_evidence.rs
+++ b/tests/unit/outcome_evidence.rs
@@ -134,11 +134,11 @@
     }
 
     fn stop(&mut self, endpoint: usize) {
-        let left = self.evidence.stop(endpoint);
+        let found_counts = self.evidence.stop(endpoint);
         let expected = &mut self.reference.endpoints[endpoint];
         if expected.runs {
             let mut by_class = vec![OutcomeCounts::default(); self.reference.classes];
-            for (class, counts) in left {
+            for (class, counts) in found_counts {
                 by_class[class] = counts;
             }
             assert_close(
@@ -159,8 +159,8 @@
         }
     }
 
-    fn take_back_failure(&mut self, endpoint: usize, class: usize) {
-        self.evidence.take_back_failure(endpoint, class);
+    fn retract_failure(&mut self, endpoint: usize, class: usize) {
+        self.evidence.retract_failure(endpoint, class);
         if let Some(counts) = self.reference.endpoints[endpoint].outcomes.get_mut(class) {
             counts.failed = (counts.failed - 1.0).max(0.0);
         }
@@ -228,25 +228,27 @@
 /// Asserts that counts agree up to rounding and up to the negligible outcomes of `entries` entries,
 /// which may have been dropped.
 fn assert_close(
-    left: &[OutcomeCounts],
-    right: &[OutcomeCounts],
+    found_counts: &[OutcomeCounts],
+    expected_counts: &[OutcomeCounts],
     entries: usize,
     context: &dyn std::fmt::Debug,
 ) {
-    assert_eq!(left.len(), right.len());
+    assert_eq!(found_counts.len(), expected_counts.len());
     let forgotten = 2.0 * entries as f64 * NEGLIGIBLE_OUTCOMES;
-    for (class, (left, right)) in left.iter().zip(right).enumerate() {
+    for (class, (found_counts, expected_counts)) in
+        found_counts.iter().zip(expected_counts).enumerate()
+    {
         let pairs = [
-            (left.succeeded, right.succeeded),
-            (left.failed, right.failed),
-            (left.reported, right.reported),
-            (left.lost, right.lost),
+            (found_counts.succeeded, expected_counts.succeeded),
+            (found_counts.failed, expected_counts.failed),
+            (found_counts.reported, expected_counts.reported),
+            (found_counts.lost, expected_counts.lost),
         ];
         for (one, other) in pairs {
             let error = (one - other).abs();
             assert!(
                 one >= 0.0 && error <= ROUNDING_ERROR * other + forgotten,
-                "{context:?}, class {class}: found {left:?}, expected {right:?}"
+                "{context:?}, class {class}: found {found_counts:?}, expected {expected_counts:?}"
             );
         }
     }
@@ -297,7 +299,7 @@
         0..=29 => checked.start(endpoint, newest.saturating_sub(1) + random.gen_range(0..3)),
         30..=44 => checked.stop(endpoint),
         45..=64 => checked.set_ejected(endpoint, random.gen_bool(0.5)),
-        65..=94 => checked.take_back_failure(endpoint, class),
+        65..=94 => checked.retract_failure(endpoint, class),
         95..=99 => checked.clear_failed(endpoint),
         100..=103 => checked.set_newest_build(newest + 1),
         104..=106 => {
@@ -397,7 +399,7 @@
 }
 
 #[test]
-fn an_endpoint_tracks_only_classes_that_it_was_sent_recently() {
+fn an_endpoint_tracks_only_recently_sent_classes() {
     let (endpoints, classes) = (200, 1600);
     let mut evidence = OutcomeEvidence::new();
     for endpoint in 0..endpoints {
@@ -421,19 +423,19 @@
 /// Guards against unbounded memory: without pruning whenever its number of classes doubles, an
 /// endpoint that is always sent new classes would keep all of them.
 #[test]
-fn an_endpoint_drops_old_classes_while_it_is_sent_others() {
+fn an_endpoint_drops_old_classes_while_it_gets_new_ones() {
     let mut evidence = OutcomeEvidence::new();
     evidence.start(0, 1);
-    let mut most = 0;
+    let mut max_tracked = 0;
     for class in 0..1600 {
         evidence.add(0, class, &succeeded(1.0));
         for _ in 0..100 {
             evidence.end_interval();
         }
-        most = most.max(tracked_classes(&evidence));
+        max_tracked = max_tracked.max(tracked_classes(&evidence));
     }
     // A single request is negligible after 20 half-lives of 100 intervals each.
-    assert!((20..=2 * 22).contains(&most), "{most}");
+    assert!((20..=2 * 22).contains(&max_tracked), "{max_tracked}");
 }
 
 fn tracked_classes(evidence: &OutcomeEvidence) -> usize {
@@ -471,7 +473,7 @@
 /// Guards against rounding errors of a subtraction: a remainder above zero would look as if the
 /// build had been sent requests of the class.
 #[test]
-fn a_class_that_no_running_endpoint_was_sent_has_exactly_zero_outcomes() {
+fn a_class_sent_to_no_running_endpoint_has_exactly_zero_outcomes() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..50 {
         let mut evidence = OutcomeEvidence::new();
@@ -497,7 +499,7 @@
 
 /// Guards against the same remainder where the only endpoint that was sent the class is discarded.
 #[test]
-fn a_class_that_only_the_discarded_endpoint_was_sent_has_exactly_zero_outcomes() {
+fn a_class_sent_only_to_the_discarded_endpoint_has_exactly_zero_outcomes() {
     let mut random = Pcg64Mcg::seed_from_u64(2);
     let mut evidence = OutcomeEvidence::new();
     evidence.set_newest_build(2);
